--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Everyday tasks; README.md says what the router must be told for `run`.
-.PHONY: build test lint run lab prove capacity chaos faulty earlier
+.PHONY: build test lint run lab testbed prove capacity chaos faulty earlier
 
 # The program that later ones are measured against, built beside this one from the history.
 NAME = overload
@@ -30,22 +30,28 @@
 run: build
 	target/release/ladderpass
 
-lab: build
-	cargo build --release --locked -p ladderpass-lab
+testbed: build
+	cargo build --release --locked -p ladderpass-testbed -p ladderpass-fault-injection
+	# The programs' names of before, for scripts that call them.
+	ln -sf ladderpass-testbed target/release/ladderpass-lab
+	ln -sf ladderpass-fault-injection target/release/ladderpass-faults
+
+# The target's name of before.
+lab: testbed
 
 # make prove NAME=overload SEED=7: an issue's proof, one table, non-zero where it falls short.
-prove: lab $(if $(filter $(FAULTED),$(NAME)),faulty)
-	target/release/ladderpass-lab prove $(NAME) --seed $(SEED) \
+prove: testbed $(if $(filter $(FAULTED),$(NAME)),faulty)
+	target/release/ladderpass-testbed prove $(NAME) --seed $(SEED) \
 		$(if $(wildcard $(BEFORE)),--earlier $(BEFORE)) \
 		$(if $(filter $(FAULTED),$(NAME)),--faulty target/faulty/ladderpass)
 
 # make capacity SEED=n: the longer runs behind docs/CAPACITY.md, minutes; tables and charts in docs/experiments/capacity.
-capacity: lab
-	target/release/ladderpass-lab capacity --seed $(SEED)
+capacity: testbed
+	target/release/ladderpass-testbed capacity --seed $(SEED)
 
 # make chaos MINUTES=n: plans of faults drawn from SEED on; what breaks a rule is shrunk and written.
-chaos: lab
-	target/release/ladderpass-lab chaos --minutes $(MINUTES) --seed $(SEED)
+chaos: testbed
+	target/release/ladderpass-testbed chaos --minutes $(MINUTES) --seed $(SEED)
 
 # A router with switches to break the rules by, for the proof of the checkers alone. It is built apart: the
 # real one stays where it is while other proofs run it.
--- a/crates/ladderpass-concert/src/concert.rs
+++ b/crates/ladderpass-admission/src/concert.rs
@@ -5,7 +5,7 @@
 //! may; a router that hears nobody keeps its last part. It must never decide about an RPC.
 
 use crate::word::{self, Told, Word};
-use ladderpass_core::{MemberId, Seen, Span, Time};
+use ladderpass_routing::{MemberId, Seen, Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
 /// How often it reckons, and tells its own.
--- a/crates/ladderpass-concert/src/word.rs
+++ b/crates/ladderpass-admission/src/word.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the form alone. What can't be read is dropped from there on. It must never weigh a word.
 
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 
 /// What one router asked of a group, and met there, over the last second.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/crates/ladderpass-concert/tests/model.rs
+++ b/crates/ladderpass-admission/tests/model.rs
@@ -1,8 +1,8 @@
 //! Fleets of routers in simulated steps before members that answer slower the more they have: the same code, its words
 //! late and lost. No sockets: a step is 250 ms, a member's answer time follows what is in flight there.
 
-use ladderpass_concert::{Concert, Faulty, lot};
-use ladderpass_core::{MemberId, Seen, Span, Time};
+use ladderpass_admission::{Concert, Faulty, lot};
+use ladderpass_routing::{MemberId, Seen, Span, Time};
 use nanorand::{Rng, WyRand};
 
 const STEP: Span = Span::from_millis(250);
--- a/crates/ladderpass-concert/tests/word.rs
+++ b/crates/ladderpass-admission/tests/word.rs
@@ -1,7 +1,7 @@
 //! The form of words between routers that shed as one.
 
-use ladderpass_concert::{FORM, Told, Word, read, write};
-use ladderpass_core::Span;
+use ladderpass_admission::{FORM, Told, Word, read, write};
+use ladderpass_routing::Span;
 
 fn word() -> Word {
     let told = |mark| Told { mark, in_flight: 2.5, stretch: 1.4, room: 6.0 };
--- a/crates/ladderpass-deployment/src/lib.rs
+++ b/crates/ladderpass-config/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod whisper;
 
 pub use faults::Faults;
-use ladderpass_core::{Deployment, Effect, Level, Method, RoleInList, Span, Time};
+use ladderpass_routing::{Deployment, Effect, Level, Method, RoleInList, Span, Time};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
--- a/crates/ladderpass-deployment/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -4,8 +4,8 @@
 //! allowed. It must never keep what it has read, nor guess at what it can't read.
 
 use crate::Faults;
-use ladderpass_core::Span;
 use ladderpass_overload::{Band, Settings};
+use ladderpass_routing::Span;
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/ladderpass-deployment/src/whisper.rs
+++ b/crates/ladderpass-config/src/whisper.rs
@@ -4,7 +4,7 @@
 //! read, so that instances of another version do no harm.
 
 use crate::names::{Marks, Names, mark};
-use ladderpass_core::{MemberId, News, Span, Time, Word};
+use ladderpass_routing::{MemberId, News, Span, Time, Word};
 
 /// Most words in one message of 256 bytes.
 pub const MOST: usize = 25;
--- a/crates/ladderpass-deployment/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's file: its defaults, and faults that name line, key and what is allowed.
 
-use ladderpass_core::Span;
-use ladderpass_deployment::operator::{Log, Operator, read};
+use ladderpass_config::operator::{Log, Operator, read};
 use ladderpass_overload::{Band, Settings};
+use ladderpass_routing::Span;
 
 #[test]
 fn what_is_not_said_has_its_default() {
--- a/crates/ladderpass-deployment/tests/settings.rs
+++ b/crates/ladderpass-config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! What the platform's settings say of methods.
 
-use ladderpass_core::{Effect, Span};
+use ladderpass_routing::{Effect, Span};
 use serde_json::json;
 
 fn effect_of(scope: Option<&str>) -> Effect {
@@ -9,7 +9,7 @@
         "Extra": {"ReadLevel": ["write"]},
         "Services": [{"Name": "w", "Slo": 750_000_000, "Effect": "token", "DedupScope": scope, "KeyTtl": 5_000_000_000_i64}],
     });
-    let facts = ladderpass_deployment::read(&settings).unwrap_or_else(|fault| panic!("{fault}"));
+    let facts = ladderpass_config::read(&settings).unwrap_or_else(|fault| panic!("{fault}"));
     facts.deployment.methods[0].effect
 }
 
--- a/crates/ladderpass-deployment/tests/whisper.rs
+++ b/crates/ladderpass-config/tests/whisper.rs
@@ -1,7 +1,7 @@
 //! The form of what routers tell each other of members.
 
-use ladderpass_core::{Span, Word};
-use ladderpass_deployment::whisper::{MOST, WORD_LETTERS, WORDS, read, write};
+use ladderpass_config::whisper::{MOST, WORD_LETTERS, WORDS, read, write};
+use ladderpass_routing::{Span, Word};
 
 #[test]
 fn a_word_comes_back_as_it_was_told_or_a_little_older() {
--- a/crates/ladderpass-fleet/src/clock.rs
+++ b/crates/ladderpass-emulator/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns one reading of the time. It must never be read by the model.
 
-use ladderpass_core::Time;
+use ladderpass_routing::Time;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Unix time, as all clocks of the fleet read it.
--- a/crates/ladderpass-fleet/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -7,7 +7,7 @@
 use crate::proto;
 use crate::scenario::Scenario;
 use crate::truth::Truth;
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use std::collections::{BTreeSet, HashMap};
--- a/crates/ladderpass-fleet/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -5,7 +5,7 @@
 
 use crate::scenario::Scenario;
 use crate::truth::{Came, Ran, Truth};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
--- a/crates/ladderpass-fleet/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the shape of messages: bytes in, values out, and back. It must never keep state between calls.
 
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 
 /// The frame at the front: its type, its body and its length; None until all of it is there, or where it can't be one.
 pub fn frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
--- a/crates/ladderpass-fleet/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the file's form, and what a router in front of that fleet is told. It must never hold state.
 
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/ladderpass-fleet/src/truth.rs
+++ b/crates/ladderpass-emulator/src/truth.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the record alone. It must never be read by a model or a router to decide something.
 
-use ladderpass_core::Time;
+use ladderpass_routing::Time;
 use std::io::{self, Write};
 
 /// One call-out that a member began.
--- a/crates/ladderpass-fleet/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model of members: what it answers, and what holds whatever comes.
 
-use ladderpass_core::{Span, Time};
-use ladderpass_fleet::{Ask, Conn, Input, Model, Output, Reply, Scenario};
+use ladderpass_emulator::{Ask, Conn, Input, Model, Output, Reply, Scenario};
+use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
 
 fn statement(id: &str, method: u32) -> Ask {
--- a/crates/ladderpass-fleet/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: what is refused names its key.
 
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
 
 #[test]
 fn faults_name_the_key() {
--- a/crates/ladderpass-faults/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -5,7 +5,7 @@
 
 use crate::engine::{Do, Engine};
 use crate::plan::Rule;
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 
 /// A line that was asked.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/ladderpass-faults/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -6,7 +6,7 @@
 //! the datagram's number on that way, so that it does not depend on what else happens. It must never look into bytes.
 
 use crate::plan::{Spread, one_line_of};
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
--- a/crates/ladderpass-faults/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -7,7 +7,7 @@
 use crate::mesh::RunningMesh;
 use crate::plan::{Plan, Side};
 use crate::record::Decision;
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use mio::net::{TcpListener, TcpStream, UnixListener, UnixStream};
 use mio::{Events, Interest, Poll, Token, Waker};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -90,7 +90,7 @@
         let stopped = stop.clone();
         let thread = std::thread::Builder::new().name("faults".into()).spawn(move || {
             if let Err(fault) = driver.run(&stopped) {
-                eprintln!("ladderpass-faults: {fault}");
+                eprintln!("ladderpass-fault-injection: {fault}");
             }
             if let Some((_, path)) = &driver.control {
                 // Its own socket; one that is gone already is no fault.
--- a/crates/ladderpass-faults/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Action, Plan, Rule, Side, Spread, Talk};
 use crate::record::Decision;
 use crate::stream::{Scanner, Unit};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
--- a/crates/ladderpass-faults/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,10 +1,10 @@
-//! `ladderpass-faults`: links between sockets, and what is done to them on command.
+//! `ladderpass-fault-injection`: links between sockets, and what is done to them on command.
 //!
 //! It owns the command line alone.
 
 use clap::{Parser, Subcommand};
-use ladderpass_faults::driver::Running;
-use ladderpass_faults::{Plan, difference, record};
+use ladderpass_fault_injection::driver::Running;
+use ladderpass_fault_injection::{Plan, difference, record};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 /// Faults between sockets on loopback, at an exact byte or message, the same each time from a seed
 #[derive(Parser)]
 #[command(
-    name = "ladderpass-faults",
+    name = "ladderpass-fault-injection",
     version,
     after_help = "Exit codes: 0 done; 1 what it is told is wrong, or records differ; 2 the command line is wrong."
 )]
@@ -50,7 +50,7 @@
     match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("ladderpass-faults: {fault}");
+            eprintln!("ladderpass-fault-injection: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ladderpass-faults/src/mesh.rs
+++ b/crates/ladderpass-fault-injection/src/mesh.rs
@@ -4,7 +4,7 @@
 //! It owns the bytes that wait for their time. It must never decide what happens to them: `datagrams` does.
 
 use crate::datagrams::{DatagramRule, Mesh, MeshPlan, Sent};
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
 use std::collections::{BTreeMap, HashMap};
@@ -51,7 +51,7 @@
         let stopped = stop.clone();
         let thread = std::thread::Builder::new().name("mesh".into()).spawn(move || {
             if let Err(fault) = driver.run(&stopped) {
-                eprintln!("ladderpass-faults: datagrams: {fault}");
+                eprintln!("ladderpass-fault-injection: datagrams: {fault}");
             }
         })?;
         Ok(RunningMesh { mesh, begun, stop, waker, thread: Some(thread), addresses })
--- a/crates/ladderpass-faults/tests/command.rs
+++ b/crates/ladderpass-fault-injection/tests/command.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 fn tool() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_ladderpass-faults"))
+    Command::new(env!("CARGO_BIN_EXE_ladderpass-fault-injection"))
 }
 
 /// A file or socket of this run's own.
 fn path(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("ladderpass-faults-{}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!("ladderpass-fault-injection-{}-{name}", std::process::id()))
 }
 
 /// Sends back what it gets behind the eight bytes of a startup.
--- a/crates/ladderpass-faults/tests/datagrams.rs
+++ b/crates/ladderpass-fault-injection/tests/datagrams.rs
@@ -1,8 +1,8 @@
 //! Datagrams: what a rule cuts, chance that repeats itself, and faults that name their key.
 
-use ladderpass_core::Span;
-use ladderpass_faults::datagrams::Mesh;
-use ladderpass_faults::{MeshPlan, Sent};
+use ladderpass_fault_injection::datagrams::Mesh;
+use ladderpass_fault_injection::{MeshPlan, Sent};
+use ladderpass_routing::Span;
 
 fn mesh(rules: &str) -> Mesh {
     let ends: Vec<String> = (0..4)
--- a/crates/ladderpass-faults/tests/driver.rs
+++ b/crates/ladderpass-fault-injection/tests/driver.rs
@@ -1,7 +1,7 @@
 //! The sockets: what passes when both sides have ended.
 
-use ladderpass_faults::Plan;
-use ladderpass_faults::driver::Running;
+use ladderpass_fault_injection::Plan;
+use ladderpass_fault_injection::driver::Running;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
--- a/crates/ladderpass-faults/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -1,8 +1,8 @@
 //! The pure part: each action on a stream of messages, and that runs repeat themselves.
 
-use ladderpass_core::{Span, Time};
-use ladderpass_faults::record::lines;
-use ladderpass_faults::{Do, Engine, Plan, Side, What, difference};
+use ladderpass_fault_injection::record::lines;
+use ladderpass_fault_injection::{Do, Engine, Plan, Side, What, difference};
+use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
 
 fn at(ms: i64) -> Time {
@@ -140,7 +140,11 @@
     assert!(!leads && todo[0].what == What::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
     assert_eq!(engine.list()[0], ("first", 1, false));
-    assert!(engine.add(ladderpass_faults::Rule::read("{name: never, do: drop}").expect("a rule")).is_err());
+    assert!(
+        engine
+            .add(ladderpass_fault_injection::Rule::read("{name: never, do: drop}").expect("a rule"))
+            .is_err()
+    );
 }
 
 quickcheck! {
--- a/crates/ladderpass-faults/tests/mesh.rs
+++ b/crates/ladderpass-fault-injection/tests/mesh.rs
@@ -1,7 +1,7 @@
 //! Datagrams and cut links over loopback: who is seen by whom, and what a cut holds back.
 
-use ladderpass_faults::driver::Running;
-use ladderpass_faults::{Plan, RunningMesh};
+use ladderpass_fault_injection::driver::Running;
+use ladderpass_fault_injection::{Plan, RunningMesh};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
--- a/crates/ladderpass-faults/tests/plan.rs
+++ b/crates/ladderpass-fault-injection/tests/plan.rs
@@ -1,6 +1,6 @@
 //! Plans: what is refused names its key, and a seed draws the same rules each time.
 
-use ladderpass_faults::Plan;
+use ladderpass_fault_injection::Plan;
 
 const LINK: &str = "links: [{name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}]\n";
 
--- a/crates/ladderpass-faults/tests/stream.rs
+++ b/crates/ladderpass-fault-injection/tests/stream.rs
@@ -1,7 +1,7 @@
 //! Messages in a stream of bytes, however these are sliced.
 
-use ladderpass_faults::stream::{Scanner, Unit, WHOLE};
-use ladderpass_faults::{Side, Talk};
+use ladderpass_fault_injection::stream::{Scanner, Unit, WHOLE};
+use ladderpass_fault_injection::{Side, Talk};
 use quickcheck::quickcheck;
 
 fn frame(kind: u8, body: &[u8]) -> Vec<u8> {
--- a/crates/ladderpass-rules/src/cold.rs
+++ b/crates/ladderpass-invariants/src/cold.rs
@@ -2,7 +2,7 @@
 //! sum of all routers, than it bears by its age, and 2 roots of that and 2 in which chance may come out.
 
 use crate::{Checker, Event, MemberNo, Violation, What};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
 #[derive(Default)]
--- a/crates/ladderpass-rules/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -1,7 +1,7 @@
 //! Rule 2: no effect twice, and one call-out of an RPC at a time.
 
 use crate::{Checker, Event, RpcId, Violation, What};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Default)]
--- a/crates/ladderpass-rules/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -16,7 +16,7 @@
 pub use one_answer::OneAnswer;
 pub use stale::Stale;
 
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::fmt;
 
 pub type RpcId = u64;
--- a/crates/ladderpass-rules/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,7 +1,7 @@
 //! Rule 1: each RPC taken gets exactly one final answer in its client's time, and nothing is sent after it.
 
 use crate::{Answer, Checker, Event, Grace, RpcId, Violation, What};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
 pub struct OneAnswer {
--- a/crates/ladderpass-rules/src/stale.rs
+++ b/crates/ladderpass-invariants/src/stale.rs
@@ -1,7 +1,7 @@
 //! Rule 5: no stale read. A read with a bound goes to no replica whose data was older than that when it was sent.
 
 use crate::{Checker, Event, Grace, MemberNo, RpcId, Violation, What};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 pub struct Stale {
--- a/crates/ladderpass-rules/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -1,7 +1,7 @@
 //! Each rule broken by a history of a few events, kept by its neighbour; and long random histories that keep all.
 
-use ladderpass_core::{Span, Time};
-use ladderpass_rules::{Answer, Event, Grace, Violation, What, all, check};
+use ladderpass_invariants::{Answer, Event, Grace, Violation, What, all, check};
+use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
 
 fn at(ms: i64) -> Time {
--- a/crates/ladderpass-membership/src/detector.rs
+++ b/crates/ladderpass-membership/src/detector.rs
@@ -7,7 +7,7 @@
 use crate::message::{Incarnation, Kind, Message, State, Word, length_of};
 use crate::settings::{Faulty, Settings};
 use crate::table::{Change, Peer, Table, hash, mark};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the figures alone. It must never hold what was learnt.
 
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
--- a/crates/ladderpass-membership/src/table.rs
+++ b/crates/ladderpass-membership/src/table.rs
@@ -6,7 +6,7 @@
 pub use crate::message::State;
 use crate::message::{Incarnation, Word};
 use crate::settings::{Faulty, Settings};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/ladderpass-membership/tests/model.rs
+++ b/crates/ladderpass-membership/tests/model.rs
@@ -1,8 +1,8 @@
 //! Fleets of the very same code in simulated time: datagrams that are late, lost and cut, routers that stop, freeze and
 //! come back. Times are asserted with room; `cargo test -p ladderpass-membership -- --nocapture model` prints them.
 
-use ladderpass_core::{Span, Time};
 use ladderpass_membership::{Faulty, Membership, Own, Settings};
+use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
--- a/crates/ladderpass-overload/src/costs.rs
+++ b/crates/ladderpass-overload/src/costs.rs
@@ -4,7 +4,7 @@
 //! A least squares fit, step by step with forgetting: time = RPCs served, RPCs refused and bytes moved, each by a cost
 //! of its own. It starts from a guess that it leaves with the first hundreds of RPCs.
 
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 
 /// What was done in a span of time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -6,8 +6,8 @@
 use crate::sample::{Allowance, Sample};
 use crate::settings::Settings;
 use crate::shares::{Shares, Spent};
-use ladderpass_core::ring::Ring;
-use ladderpass_core::{RANKS, Span, Strain, Time};
+use ladderpass_routing::ring::Ring;
+use ladderpass_routing::{RANKS, Span, Strain, Time};
 
 /// What operators are told.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -1,7 +1,7 @@
 //! One pressure from many measures, smoothed, and the level that is told of it, with hysteresis.
 
 use crate::settings::Settings;
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 
 /// What presses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/ladderpass-overload/src/ranks.rs
+++ b/crates/ladderpass-overload/src/ranks.rs
@@ -1,7 +1,7 @@
 //! How the work that was offered lately spreads over the ranks of RPCs, and the rank above which a given part of it
 //! stands.
 
-use ladderpass_core::{RANKS, Span, Time};
+use ladderpass_routing::{RANKS, Span, Time};
 
 /// Buckets of time, used again in a ring: what was offered a while ago tells nothing of the present.
 const BUCKETS: usize = 4;
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -1,6 +1,6 @@
 //! What a front measures of itself, and what it is allowed.
 
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 
 /// One look at the process. What is not known stands at zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -1,6 +1,6 @@
 //! What an operator may set of this, with its defaults. Read and checked elsewhere.
 
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 
 /// A measure presses from `from` on, and fully at `full`.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/ladderpass-overload/src/shares.rs
+++ b/crates/ladderpass-overload/src/shares.rs
@@ -1,6 +1,6 @@
 //! How much of the front each connection takes, against a fair share: one that floods stands behind the others.
 
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 
 /// What a connection took lately; it fades. The front keeps it with the connection.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/ladderpass-overload/tests/costs.rs
+++ b/crates/ladderpass-overload/tests/costs.rs
@@ -1,7 +1,7 @@
 //! What serving and refusing cost, learnt from turns.
 
-use ladderpass_core::Span;
 use ladderpass_overload::{Costs, Work};
+use ladderpass_routing::Span;
 
 #[test]
 fn it_tells_what_serving_and_refusing_cost_whatever_the_mix() {
--- a/crates/ladderpass-overload/tests/front.rs
+++ b/crates/ladderpass-overload/tests/front.rs
@@ -1,11 +1,11 @@
 //! The governor before a front in simulated time: one server that serves and refuses at stated costs, clients by chance
 //! from a seed, and the core that refuses. The same run each time; each case falls short where the governor is left out.
 
-use ladderpass_core::{
+use ladderpass_overload::{Allowance, Governor, Level, Note, Sample, Settings, Spent};
+use ladderpass_routing::{
     Arrival, Decision, Deployment, Effect, Level as Staleness, ListNews, Method, RoleInList, Router, Span,
     Time,
 };
-use ladderpass_overload::{Allowance, Governor, Level, Note, Sample, Settings, Spent};
 use std::collections::VecDeque;
 
 const READ: u32 = 0;
--- a/crates/ladderpass-budgets/src/lib.rs
+++ b/crates/ladderpass-retry-budget/src/lib.rs
@@ -6,7 +6,7 @@
 //! doesn't need the others get; one that hears too few keeps its part, never more. It must never decide what becomes of
 //! an RPC whose further call-out is not paid for.
 
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
 /// How often it reckons: with the words that it stands on.
--- a/crates/ladderpass-budgets/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,8 +1,8 @@
 //! Fleets of routers in steps of 250 ms: first call-outs fail by chance, further ones help by chance; words are a step
 //! old, some are lost, routers die and split. What all pay is counted from outside.
 
-use ladderpass_budgets::{Budgets, Faulty, Told};
-use ladderpass_core::{Span, Time};
+use ladderpass_retry_budget::{Budgets, Faulty, Told};
+use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
 const STEP: Span = Span::from_millis(250);
--- a/crates/ladderpass-core/tests/cold.rs
+++ b/crates/ladderpass-routing/tests/cold.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
-use ladderpass_rules::{Checker, Cold, Event, Violation, What};
+use ladderpass_invariants::{Checker, Cold, Event, Violation, What};
+use ladderpass_routing::*;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
--- a/crates/ladderpass-core/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: a small deployment and short ways to call the module.
 #![allow(dead_code)]
 
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 pub fn at(ms: i64) -> Time {
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
--- a/crates/ladderpass-core/tests/exceptions.rs
+++ b/crates/ladderpass-routing/tests/exceptions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 /// Methods: 0 bounded read, 1 write, 2 `any` read, 3 long `any` read.
 fn group_of(replicas: u32, change: impl Fn(&mut Deployment)) -> Router {
--- a/crates/ladderpass-core/tests/expired.rs
+++ b/crates/ladderpass-routing/tests/expired.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 const READ: u32 = 0;
 const WRITE: u32 = 1;
--- a/crates/ladderpass-core/tests/first_answers.rs
+++ b/crates/ladderpass-routing/tests/first_answers.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 const READ: u32 = 0;
 
--- a/crates/ladderpass-core/tests/peers.rs
+++ b/crates/ladderpass-routing/tests/peers.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 fn news(member: u32, word: Word, ms: i64) -> News {
     News { member: MemberId(member), word, at: at(ms), near: true, stretch: 0.0, holds: None }
--- a/crates/ladderpass-core/tests/plain.rs
+++ b/crates/ladderpass-routing/tests/plain.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 
 fn started() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
--- a/crates/ladderpass-core/tests/reference_clock.rs
+++ b/crates/ladderpass-routing/tests/reference_clock.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::at;
-use ladderpass_core::Span;
-use ladderpass_core::reference_clock::ReferenceClock;
+use ladderpass_routing::Span;
+use ladderpass_routing::reference_clock::ReferenceClock;
 
 fn ms(ms: i64) -> Span {
     Span::from_millis(ms)
--- a/crates/ladderpass-core/tests/rules.rs
+++ b/crates/ladderpass-routing/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use ladderpass_core::*;
+use ladderpass_routing::*;
 use nanorand::{Rng, WyRand};
 use quickcheck::{Gen, QuickCheck};
 use std::collections::HashMap;
--- a/crates/ladderpass-benchlink/src/main.rs
+++ b/crates/ladderpass-simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The bench's wire on standard input and output; one router of `ladderpass-core` an instance.
+//! The bench's wire on standard input and output; one router of `ladderpass-routing` an instance.
 //!
 //! Lines are decoded into calls and results are encoded as actions. Nothing is decided here.
 
--- a/crates/ladderpass-benchlink/src/wire.rs
+++ b/crates/ladderpass-simulator-adapter/src/wire.rs
@@ -1,12 +1,12 @@
 //! From events to calls on a router, and from its results to actions.
 
 use crate::lines::{Line, ListLine};
-use ladderpass_core::{
+use ladderpass_config::names::{Names, group_index};
+use ladderpass_config::{self as settings, whisper::Circle};
+use ladderpass_routing::{
     Arrival, Decision, Ended, Entry, ListNews, MemberId, Outcome, Report, Role, Router, Rpc, Span, Standing,
     Time,
 };
-use ladderpass_deployment::names::{Names, group_index};
-use ladderpass_deployment::{self as settings, whisper::Circle};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write;
--- a/crates/ladderpass-benchlink/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn answer<'a>(lines: impl IntoIterator<Item = &'a str>) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_ladderpass-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_ladderpass-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/ladderpass-lab/examples/data_path.rs
+++ b/crates/ladderpass-testbed/examples/data_path.rs
@@ -1,9 +1,9 @@
 //! Prints the slopes of a router's data path and the figures at the size, from the root of the tree:
-//! `cargo run --release -p ladderpass-lab --example data_path -- SEED [long|tables|size]`
+//! `cargo run --release -p ladderpass-testbed --example data_path -- SEED [long|tables|size]`
 //! `long` has all, `tables` only what bends, `size` only one router at the size itself. Without a router that was
 //! built (`target/release/ladderpass`) real processes are left out.
 
-use ladderpass_lab::capacity::data_path::{self, Settings};
+use ladderpass_testbed::capacity::data_path::{self, Settings};
 use std::path::PathBuf;
 
 fn main() {
--- a/crates/ladderpass-lab/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -5,7 +5,7 @@
 
 use super::hollow::{About, Shape, World, thread_time};
 use super::slope::Slope;
-use ladderpass_core::Span;
+use ladderpass_routing::Span;
 use std::io;
 use std::net::UdpSocket;
 
--- a/crates/ladderpass-lab/src/capacity/data_path.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path.rs
@@ -9,7 +9,7 @@
 pub mod world;
 
 use super::slope::Slope;
-use ladderpass_core::{Ended, Report, Span};
+use ladderpass_routing::{Ended, Report, Span};
 use process::{Bed, Seen, Way};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -450,6 +450,6 @@
         false => format!("SELECT payload FROM entries WHERE ref = 'k{id}' {}", comment("board")),
     };
     let mut out = Vec::new();
-    ladderpass_fleet::proto::put_query(&mut out, &statement);
+    ladderpass_emulator::proto::put_query(&mut out, &statement);
     out
 }
--- a/crates/ladderpass-lab/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -5,8 +5,8 @@
 //! waited.
 
 use crate::router::{Router, Start};
-use ladderpass_fleet::scenario::Allowed;
-use ladderpass_fleet::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::{Running, Scenario, proto};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
--- a/crates/ladderpass-lab/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -4,7 +4,7 @@
 
 use super::control::{GROUPS, RATE, SETTLES};
 use super::hollow::{Counts, REGION_OF_ZONE, Shape, World, ZONES, member_id};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use std::io;
 
 /// What an event came to: moments in seconds since it began, and the most of a router in any half second.
--- a/crates/ladderpass-lab/src/capacity/hollow.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow.rs
@@ -7,9 +7,9 @@
 
 use ladderpass::launch::Launch;
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
-use ladderpass_core::{Span, Time};
-use ladderpass_fleet::scenario::Allowed;
-use ladderpass_fleet::{Scenario, proto};
+use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::{Scenario, proto};
+use ladderpass_routing::{Span, Time};
 use nix::time::{ClockId, clock_gettime};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/ladderpass-lab/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -6,10 +6,10 @@
 use crate::bed::{self, open};
 use crate::load;
 use crate::router::Start;
-use ladderpass_core::Span;
-use ladderpass_faults::plan::LinkShape;
-use ladderpass_faults::{Action, Plan, Rule, Side};
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
+use ladderpass_fault_injection::plan::LinkShape;
+use ladderpass_fault_injection::{Action, Plan, Rule, Side};
+use ladderpass_routing::Span;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/ladderpass-lab/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -4,7 +4,7 @@
 
 use crate::bed::Seen;
 use hdrhistogram::Histogram;
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
 use plotters::prelude::*;
 use std::io;
 use std::path::Path;
--- a/crates/ladderpass-lab/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -7,8 +7,8 @@
 pub mod play;
 pub mod report;
 
-use ladderpass_faults::{DatagramRule, Rule};
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
+use ladderpass_fault_injection::{DatagramRule, Rule};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/ladderpass-lab/src/drill/play.rs
+++ b/crates/ladderpass-testbed/src/drill/play.rs
@@ -7,13 +7,13 @@
 use crate::joint::{Absence, Drained, History, Started};
 use crate::load::{self, Down, Front, Outcome, Plan};
 use crate::router::{Router, Start, own_address};
-use ladderpass_core::{Span, Time};
-use ladderpass_faults as faults;
-use ladderpass_faults::driver;
-use ladderpass_faults::plan::LinkShape;
-use ladderpass_faults::{DatagramRule, Deed as Done, End, Sent, Talk};
-use ladderpass_fleet::{Input, Running, Truth, now};
-use ladderpass_rules::{Grace, Violation};
+use ladderpass_emulator::{Input, Running, Truth, now};
+use ladderpass_fault_injection as faults;
+use ladderpass_fault_injection::driver;
+use ladderpass_fault_injection::plan::LinkShape;
+use ladderpass_fault_injection::{DatagramRule, Deed as Done, End, Sent, Talk};
+use ladderpass_invariants::{Grace, Violation};
+use ladderpass_routing::{Span, Time};
 use nix::sys::signal::Signal;
 use std::collections::HashMap;
 use std::io;
@@ -179,7 +179,7 @@
 
 impl<'a> Stage<'a> {
     fn set(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<Stage<'a>> {
-        let scenario = ladderpass_fleet::Scenario { history: true, ..drill.scenario.clone() };
+        let scenario = ladderpass_emulator::Scenario { history: true, ..drill.scenario.clone() };
         let fleet = Running::start_listed(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
--- a/crates/ladderpass-lab/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -5,12 +5,12 @@
 //! that was killed or stalled. It must never judge by a router's own words, nor excuse a router that runs.
 
 use crate::load::Entry;
-use ladderpass_core::{Span, Time};
-use ladderpass_faults::engine::Passed;
-use ladderpass_fleet::{Scenario, Truth};
-use ladderpass_rules::{
+use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_fault_injection::engine::Passed;
+use ladderpass_invariants::{
     Answer, Checker, Cold, Drains, Effects, Event, Grace, OneAnswer, Stale, Violation, What,
 };
+use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, HashMap};
 
 /// A time in which a router can't answer: from a kill to its next start, while it is frozen, or while its clients are cut
--- a/crates/ladderpass-lab/src/load.rs
+++ b/crates/ladderpass-testbed/src/load.rs
@@ -5,10 +5,10 @@
 //! what the router believes.
 
 use hdrhistogram::Histogram;
-use ladderpass_core::{Span, Time};
-use ladderpass_fleet::now;
-use ladderpass_fleet::{Scenario, proto};
-use ladderpass_rules::Answer;
+use ladderpass_emulator::now;
+use ladderpass_emulator::{Scenario, proto};
+use ladderpass_invariants::Answer;
+use ladderpass_routing::{Span, Time};
 use mio::net::TcpStream;
 use mio::{Events, Interest, Poll, Token};
 use rand::rngs::SmallRng;
--- a/crates/ladderpass-lab/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -1,20 +1,20 @@
-//! `ladderpass-lab`: loads, experiments, proofs and charts on the emulated fleet.
+//! `ladderpass-testbed`: loads, experiments, proofs and charts on the emulated fleet.
 //!
 //! It owns the command line alone. It must never be needed by a router that serves.
 
 use clap::{Args, Parser, Subcommand};
-use ladderpass_core::Span;
-use ladderpass_fleet::{Running, Scenario};
-use ladderpass_lab::capacity::control;
-use ladderpass_lab::capacity::hollow::Shape;
-use ladderpass_lab::drill::{self, Drill};
-use ladderpass_lab::{bed, chaos, load, prove, results, router};
+use ladderpass_emulator::{Running, Scenario};
+use ladderpass_routing::Span;
+use ladderpass_testbed::capacity::control;
+use ladderpass_testbed::capacity::hollow::Shape;
+use ladderpass_testbed::drill::{self, Drill};
+use ladderpass_testbed::{bed, chaos, load, prove, results, router};
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "ladderpass-lab", about, version)]
+#[command(name = "ladderpass-testbed", about, version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -190,7 +190,7 @@
     match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("ladderpass-lab: {fault}");
+            eprintln!("ladderpass-testbed: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ladderpass-lab/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -6,8 +6,8 @@
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs, play};
 use crate::drill::{Deed, Drill};
-use ladderpass_core::Span;
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -49,7 +49,7 @@
         let text = format!("{{name: {name}, {link}when: {{message: DataRow}}, do: close, times: {times}}}");
         Deed {
             at: FROM,
-            rule: Some(ladderpass_faults::Rule::read(&text).expect("the proof's own rule")),
+            rule: Some(ladderpass_fault_injection::Rule::read(&text).expect("the proof's own rule")),
             ..Deed::default()
         }
     };
--- a/crates/ladderpass-lab/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -5,9 +5,9 @@
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs, play};
 use crate::drill::{Deed, Drill};
-use ladderpass_core::Time;
-use ladderpass_faults::{DatagramRule, Deed as Done};
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
+use ladderpass_fault_injection::{DatagramRule, Deed as Done};
+use ladderpass_routing::Time;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
@@ -218,8 +218,8 @@
     }
 }
 
-fn constant() -> ladderpass_faults::plan::Spread {
-    ladderpass_faults::plan::Spread::Constant
+fn constant() -> ladderpass_fault_injection::plan::Spread {
+    ladderpass_fault_injection::plan::Spread::Constant
 }
 
 /// What the short drill shows: who found the kill, false alarms, whether the dead came back, and how many are counted.
@@ -280,7 +280,7 @@
 fn joint_rows() -> Vec<Joint> {
     let base =
         || Drill { routers: 4, phases: vec![(2.0, 250.0)], clients: 100, uneven: 1.0, ..Drill::default() };
-    let rule = |text: &str| ladderpass_faults::Rule::read(text).expect("the proof's own rule");
+    let rule = |text: &str| ladderpass_fault_injection::Rule::read(text).expect("the proof's own rule");
     let with = |text: &str| Deed { at: 0.2, rule: Some(rule(text)), ..Deed::default() };
     let late = |member: u32| {
         with(&format!(
--- a/crates/ladderpass-lab/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -5,8 +5,8 @@
 use crate::charts;
 use crate::load::{Pace, Plan};
 use crate::router::{self, Start};
-use ladderpass_core::Span;
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
 use std::io;
 use std::path::Path;
 
--- a/crates/ladderpass-lab/src/results.rs
+++ b/crates/ladderpass-testbed/src/results.rs
@@ -6,7 +6,7 @@
 use crate::charts;
 use crate::load::Counts;
 use hdrhistogram::Histogram;
-use ladderpass_fleet::Scenario;
+use ladderpass_emulator::Scenario;
 use serde_json::{Value, json};
 use std::fmt::Write as _;
 use std::io::{self, Write};
--- a/crates/ladderpass-lab/src/router.rs
+++ b/crates/ladderpass-testbed/src/router.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the process and the files that it is told by. It must never end a process that it has not started.
 
-use ladderpass_fleet::scenario::Allowed;
-use ladderpass_fleet::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::{Running, Scenario, proto};
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -63,7 +63,7 @@
     pub lines: Arc<Mutex<Vec<String>>>,
     reader: Option<std::thread::JoinHandle<()>>,
     /// When it was told to end.
-    told_to_end: Mutex<Option<ladderpass_core::Time>>,
+    told_to_end: Mutex<Option<ladderpass_routing::Time>>,
 }
 
 /// Ports that no system gives by itself, so that none is taken between its choice and a router's start.
@@ -100,7 +100,7 @@
 fn file(text: &str, ending: &str) -> io::Result<PathBuf> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("ladderpass-lab-{}-{nth}.{ending}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("ladderpass-testbed-{}-{nth}.{ending}", std::process::id()));
     std::fs::write(&path, text)?;
     Ok(path)
 }
@@ -132,7 +132,7 @@
         seed: u64,
     ) -> io::Result<Router> {
         let address = start.listen.map_or_else(own_address, Ok)?;
-        let told = file(&scenario.told(ladderpass_fleet::now(), seed, &start.allowed, members), "json")?;
+        let told = file(&scenario.told(ladderpass_emulator::now(), seed, &start.allowed, members), "json")?;
         let mut files = vec![told.clone()];
         let mut command = Command::new(&start.binary);
         command.args(&start.arguments).envs(start.variables.iter().cloned());
@@ -220,12 +220,12 @@
 
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         if signal == Signal::SIGTERM {
-            self.told_to_end.lock().expect("no holder panics").get_or_insert_with(ladderpass_fleet::now);
+            self.told_to_end.lock().expect("no holder panics").get_or_insert_with(ladderpass_emulator::now);
         }
         Ok(kill(self.pid(), signal)?)
     }
 
-    pub fn told_to_end(&self) -> Option<ladderpass_core::Time> {
+    pub fn told_to_end(&self) -> Option<ladderpass_routing::Time> {
         *self.told_to_end.lock().expect("no holder panics")
     }
 
--- a/crates/ladderpass-lab/tests/addresses.rs
+++ b/crates/ladderpass-testbed/tests/addresses.rs
@@ -7,7 +7,7 @@
 //! "47.971 WARN RELAY_LISTEN: 127.53.215.2:35003: Address already in use; tried again", then the client's end, then
 //! "48.017 INFO n0 listens on 127.53.215.2:35003": the router had not listened yet, and no other test uses that address.
 
-use ladderpass_lab::router::own_address;
+use ladderpass_testbed::router::own_address;
 use std::net::TcpStream;
 use std::os::unix::process::CommandExt;
 use std::process::Command;
--- a/crates/ladderpass-lab/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -1,9 +1,9 @@
 //! The world around the router's own code: its counts, which the page's figures stand on, against what can be
 //! worked out by hand. No CPU times here: a machine may be busy.
 
-use ladderpass_core::Span;
-use ladderpass_lab::capacity::data_path::steady;
-use ladderpass_lab::capacity::data_path::world::{Shape, World};
+use ladderpass_routing::Span;
+use ladderpass_testbed::capacity::data_path::steady;
+use ladderpass_testbed::capacity::data_path::world::{Shape, World};
 
 const WARM: Span = Span::from_millis(14_000);
 const SPAN: Span = Span::from_millis(30_000);
--- a/crates/ladderpass-lab/tests/drill.rs
+++ b/crates/ladderpass-testbed/tests/drill.rs
@@ -1,7 +1,7 @@
 //! Drills: what is refused names its key, how clients are dealt out, and what a log tells.
 
-use ladderpass_lab::drill::Drill;
-use ladderpass_lab::drill::play::viewed;
+use ladderpass_testbed::drill::Drill;
+use ladderpass_testbed::drill::play::viewed;
 
 #[test]
 fn faults_name_the_key() {
--- a/crates/ladderpass-lab/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -1,12 +1,12 @@
 //! The joint history: what becomes of the accounts of clients, the fault tool and members, by small made-up ones.
 
-use ladderpass_core::{Span, Time};
-use ladderpass_faults::engine::Passed;
-use ladderpass_fleet::truth::{Came, Ran};
-use ladderpass_fleet::{Scenario, Truth};
-use ladderpass_lab::joint::{Absence, Drained, History, Started, cold_at_members};
-use ladderpass_lab::load::Entry;
-use ladderpass_rules::{Answer, Grace};
+use ladderpass_emulator::truth::{Came, Ran};
+use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_fault_injection::engine::Passed;
+use ladderpass_invariants::{Answer, Grace};
+use ladderpass_routing::{Span, Time};
+use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
+use ladderpass_testbed::load::Entry;
 use std::collections::HashMap;
 
 fn at(ms: i64) -> Time {
--- a/crates/ladderpass-lab/tests/known_red.rs
+++ b/crates/ladderpass-testbed/tests/known_red.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Output};
 
 const TESTS: &str = "ladderpass::endings::one\nladderpass::endings::one_more\nladderpass::drills::one\n\
-                     ladderpass-lab::known_red::two\nladderpass-lab::ladderpass_lab::both\n\
-                     ladderpass-lab::ladderpass_lab::both\n";
+                     ladderpass-testbed::known_red::two\nladderpass-testbed::ladderpass_testbed::both\n\
+                     ladderpass-testbed::ladderpass_testbed::both\n";
 
 fn script() -> Command {
     let mut bash = Command::new("bash");
@@ -43,14 +43,14 @@
 #[test]
 fn what_is_passed_over_is_printed() {
     let list = "# a comment\nladderpass::endings::one | cargo test --test endings one | none | a socket's end, seen late | #40\n\
-                ladderpass-lab::known_red::two | cargo test known_red|7, 11|seen|#7\n\
+                ladderpass-testbed::known_red::two | cargo test known_red|7, 11|seen|#7\n\
                 ladderpass::drills::one | drills | 3 | s | #3\n\
                 ladderpass::endings::one_more | endings | none | s | #3";
     let (passes, told, faults) = check("good", list);
     assert!(passes, "{faults}");
     let wanted = [
         "ladderpass::endings::one",
-        "ladderpass-lab::known_red::two",
+        "ladderpass-testbed::known_red::two",
         "ladderpass::drills::one",
         "ladderpass::endings::one_more",
     ];
@@ -60,13 +60,13 @@
 
 #[test]
 fn a_list_with_a_fault_fails_and_names_the_line_or_the_test() {
-    let rest = "| endings drills known_red ladderpass_lab faults | 4 | seen | #40";
+    let rest = "| endings drills known_red ladderpass_testbed faults | 4 | seen | #40";
     let of = |test: &str| format!("{test} {rest}");
     let two = format!("{}\n{}", of("ladderpass::endings::one"), of("ladderpass::endings::one"));
     for (name, list, wanted) in [
         ("unknown", of("ladderpass::endings::on"), "\"ladderpass::endings::on\" names 0 tests"),
         ("other-binary", of("ladderpass::faults::one"), "names 0 tests"),
-        ("two", of("ladderpass-lab::ladderpass_lab::both"), "names 2 tests"),
+        ("two", of("ladderpass-testbed::ladderpass_testbed::both"), "names 2 tests"),
         ("pattern", of("ladderpass::endings::.*"), "line 1: \"ladderpass::endings::.*\""),
         ("old-form", "ladderpass::endings::one | cause | #1".into(), "line 1: allowed is"),
         ("no-issue", "ladderpass::endings::one | endings | none | seen".into(), "line 1: allowed is"),
@@ -104,7 +104,7 @@
 fn left(name: &str, list: &str) -> Vec<String> {
     let own = std::env::current_exe().expect("it runs");
     let output = script()
-        .env("CARGO_PKG_NAME", "ladderpass-lab")
+        .env("CARGO_PKG_NAME", "ladderpass-testbed")
         .env("KNOWN_RED", file(name, list))
         .arg("skip")
         .arg(own)
@@ -120,9 +120,9 @@
 fn just_the_test_listed_is_passed_over() {
     let all = left("none", "");
     assert!(all.iter().any(|test| test == "just_the_test_listed_is_passed_over_and_not_its_like"));
-    let list = "ladderpass-lab::known_red::just_the_test_listed_is_passed_over | known_red | none | seen | #1\n\
+    let list = "ladderpass-testbed::known_red::just_the_test_listed_is_passed_over | known_red | none | seen | #1\n\
                 ladderpass::known_red::an_empty_list_passes_over_nothing | known_red | 1 | another package's | #1\n\
-                ladderpass-lab::drills::what_is_passed_over_is_printed | drills | 1 | another binary's | #1\n";
+                ladderpass-testbed::drills::what_is_passed_over_is_printed | drills | 1 | another binary's | #1\n";
     let mut rest = all.clone();
     rest.retain(|test| test != "just_the_test_listed_is_passed_over");
     assert_eq!((left("one", list), rest.len() + 1), (rest, all.len()));
@@ -134,7 +134,7 @@
 fn just_the_test_listed_is_passed_over_and_not_its_like() {
     let own = std::env::current_exe().expect("it runs");
     let output = script()
-        .env("CARGO_PKG_NAME", "ladderpass-lab")
+        .env("CARGO_PKG_NAME", "ladderpass-testbed")
         .env("KNOWN_RED", file("bad", "one | known_red | none | seen | #1"))
         .arg("skip")
         .arg(own)
@@ -148,8 +148,8 @@
 fn the_names_that_are_shown_hold_package_and_binary() {
     let own = std::env::current_exe().expect("it runs");
     let output =
-        script().env("CARGO_PKG_NAME", "ladderpass-lab").arg("show").arg(own).output().expect("runs");
+        script().env("CARGO_PKG_NAME", "ladderpass-testbed").arg("show").arg(own).output().expect("runs");
     let (told, _) = texts(&output);
-    assert!(told.lines().any(|line| line == "ladderpass-lab::known_red::what_is_passed_over_is_printed"));
-    assert!(told.lines().all(|line| line.starts_with("ladderpass-lab::known_red::")), "{told}");
+    assert!(told.lines().any(|line| line == "ladderpass-testbed::known_red::what_is_passed_over_is_printed"));
+    assert!(told.lines().all(|line| line.starts_with("ladderpass-testbed::known_red::")), "{told}");
 }
--- a/crates/ladderpass-lab/tests/recordings.rs
+++ b/crates/ladderpass-testbed/tests/recordings.rs
@@ -1,7 +1,7 @@
 //! What the fault tool records: the same again for the same seed, whatever its rules make of what is asked.
 
-use ladderpass_faults::{Decision, Rule, difference};
-use ladderpass_lab::prove::faults::recorded;
+use ladderpass_fault_injection::{Decision, Rule, difference};
+use ladderpass_testbed::prove::faults::recorded;
 
 const SEED: u64 = 129_771;
 const TRIES: usize = 20;
--- a/crates/ladderpass-lab/tests/slope.rs
+++ b/crates/ladderpass-testbed/tests/slope.rs
@@ -1,6 +1,6 @@
 //! The straight line through points, its error, and what the page claims.
 
-use ladderpass_lab::capacity::slope::{Claim, Slope};
+use ladderpass_testbed::capacity::slope::{Claim, Slope};
 
 fn slope(points: &[(f64, f64)]) -> Slope {
     Slope { name: "s", x: "x", y: "y", points: points.to_vec() }
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -4,7 +4,7 @@
 //! list means to the router.
 
 use crate::buffer::Buffer;
-use ladderpass_core::{Standing, Time};
+use ladderpass_routing::{Standing, Time};
 use serde::Deserialize;
 
 /// One line of a watch, or the remembered list.
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -2,10 +2,10 @@
 //!
 //! It owns the switches. It must never be on in a build without the feature `faulty`.
 
-use ladderpass_budgets as budgets;
-use ladderpass_concert as concert;
-use ladderpass_core::Span;
+use ladderpass_admission as concert;
 use ladderpass_membership as membership;
+use ladderpass_retry_budget as budgets;
+use ladderpass_routing::Span;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -7,10 +7,10 @@
 use crate::failures::passes_at_start;
 use crate::faulty::{self, Faulty};
 use crate::limits::Limits;
-use ladderpass_core::Span;
-use ladderpass_deployment::operator::{self, Operator};
-use ladderpass_deployment::{Facts, Faults};
+use ladderpass_config::operator::{self, Operator};
+use ladderpass_config::{Facts, Faults};
 use ladderpass_overload::Allowance;
+use ladderpass_routing::Span;
 use nix::sys::resource::{Resource, getrlimit};
 use serde::Deserialize;
 use serde_json::Value;
@@ -240,7 +240,7 @@
     }
 
     fn of(name: String, listen: SocketAddr, discovery: SocketAddr, text: &str) -> Result<Launch, String> {
-        let told: Told = ladderpass_deployment::parse(&mut serde_json::Deserializer::from_str(text))?;
+        let told: Told = ladderpass_config::parse(&mut serde_json::Deserializer::from_str(text))?;
         let mut faults = Faults::default();
         let seed = u64::from_str_radix(&told.seed, 16)
             .map_err(|_| format!("seed: {:?} is not a number in hex of at most 64 bits", told.seed));
@@ -259,7 +259,7 @@
         if !(cores > 0.0 && cores <= 1024.0) {
             faults.tell(format!("limits.cores: {cores} is not above 0 and up to 1024"));
         }
-        let facts = ladderpass_deployment::read(&told.settings).map_err(|fault| format!("settings.{fault}"));
+        let facts = ladderpass_config::read(&told.settings).map_err(|fault| format!("settings.{fault}"));
         let facts = faults.keep(facts);
         faults.none()?;
         let Some(mut facts) = facts else { return Err("settings: could not be read".into()) };
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -3,8 +3,8 @@
 //! It owns these bounds alone. It must never hold a value that decides where or when an RPC goes: those stand
 //! in the decision module.
 
-use ladderpass_core::Span;
-use ladderpass_deployment::Facts;
+use ladderpass_config::Facts;
+use ladderpass_routing::Span;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Parser, Subcommand};
 use ladderpass::{launch, sockets};
-use ladderpass_deployment::operator::Log;
+use ladderpass_config::operator::Log;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::Targets;
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -11,14 +11,14 @@
 use crate::launch::{Fixed, Launch};
 use crate::limits::Limits;
 use crate::pg;
-use ladderpass_core::reference_clock::ReferenceClock;
-use ladderpass_core::{
+use ladderpass_config::names::{Names, group_index};
+use ladderpass_config::{HOLDS, POSITION, PRIMARY, whisper::Circle};
+use ladderpass_overload::{Sample, Spent};
+use ladderpass_routing::reference_clock::ReferenceClock;
+use ladderpass_routing::{
     Arrival, Decision, Ended, Entry, Level, ListNews, MemberId, Method, Outcome, Report, Role, Router, Rpc,
     Span, Standing, Time,
 };
-use ladderpass_deployment::names::{Names, group_index};
-use ladderpass_deployment::{HOLDS, POSITION, PRIMARY, whisper::Circle};
-use ladderpass_overload::{Sample, Spent};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -239,7 +239,8 @@
         let mut zones = Names::default();
         zones.intern(launch.operator.zone.as_deref().unwrap_or_default());
         let is_bounded = |method: &Method| matches!(method.level, Level::Bounded(_) | Level::Session);
-        let is_tokened = |method: &Method| matches!(method.effect, ladderpass_core::Effect::Tokened { .. });
+        let is_tokened =
+            |method: &Method| matches!(method.effect, ladderpass_routing::Effect::Tokened { .. });
         let mut reducer = Reducer {
             bounded: facts.deployment.methods.iter().map(is_bounded).collect(),
             tokened: facts.deployment.methods.iter().map(is_tokened).collect(),
--- a/crates/ladderpass/src/reducer/own.rs
+++ b/crates/ladderpass/src/reducer/own.rs
@@ -4,7 +4,7 @@
 //! something that it is owed could not be written, and no longer. It must never refuse an RPC: the core does.
 
 use super::*;
-use ladderpass_deployment::operator::Operator;
+use ladderpass_config::operator::Operator;
 use ladderpass_overload::{Allowance, Governor, Note, Sample};
 
 pub(super) struct Own {
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -5,11 +5,11 @@
 //! is alive, nor what a word is worth.
 
 use super::*;
-use ladderpass_budgets::{Budgets, Told};
-use ladderpass_concert::{Concert, lot};
-use ladderpass_core::{Seen, Strain};
+use ladderpass_admission::{Concert, lot};
 use ladderpass_membership::number_of;
 use ladderpass_membership::{Change, FIRST, Membership, Own as Me, Settings, View};
+use ladderpass_retry_budget::{Budgets, Told};
+use ladderpass_routing::{Seen, Strain};
 use std::fmt::Write;
 
 pub(super) struct Peers {
@@ -150,7 +150,7 @@
     }
 
     /// What all routers reckon together, by group.
-    pub fn reckoned(&self) -> Vec<ladderpass_concert::Figures> {
+    pub fn reckoned(&self) -> Vec<ladderpass_admission::Figures> {
         self.peers.iter().filter_map(|peers| peers.concert.as_ref()).flat_map(Concert::figures).collect()
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Words of the core for all other routers.
-    pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_core::News]) {
+    pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::News]) {
         let texts = self.circle.tell(news, &self.names);
         let Some(peers) = self.peers.as_deref_mut() else { return };
         for to in peers.membership.audience(now) {
--- a/crates/ladderpass/src/reducer/tally.rs
+++ b/crates/ladderpass/src/reducer/tally.rs
@@ -4,7 +4,7 @@
 //! It owns the counts since the log told them last. It must never decide, nor tell more lines than its limit.
 
 use super::*;
-use ladderpass_core::reasons::{Exception, ExceptionCounts, Exceptions, PrimaryState, Reason, Unserved};
+use ladderpass_routing::reasons::{Exception, ExceptionCounts, Exceptions, PrimaryState, Reason, Unserved};
 
 /// What the log tells now and then.
 #[derive(Default)]
--- a/crates/ladderpass/src/sockets.rs
+++ b/crates/ladderpass/src/sockets.rs
@@ -11,7 +11,7 @@
 use crate::limits::Reread;
 use crate::reducer::{ConnId, Effect, Event, Reducer};
 use calloop::{LoopHandle, RegistrationToken};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, Write};
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the readings since the last sample. It must never judge them: `ladderpass-overload` does.
 
-use ladderpass_core::Span;
 use ladderpass_overload::Sample;
+use ladderpass_routing::Span;
 use nix::sys::resource::{UsageWho, getrusage};
 use nix::sys::time::TimeValLike;
 use std::fs::File;
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -83,7 +83,7 @@
 
 /// Where a router that is about to start listens: nobody else gets it in between.
 pub fn router_address() -> String {
-    ladderpass_lab::router::own_address().expect("a port").to_string()
+    ladderpass_testbed::router::own_address().expect("a port").to_string()
 }
 
 pub fn statement(id: &str, method: &str, wait_ms: u64, group: &str) -> String {
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -2,8 +2,8 @@
 //! is heard by none or starts anew, and what a drill does when it can't go on. What is asked for holds on any machine,
 //! however slow.
 
-use ladderpass_lab::drill::Drill;
-use ladderpass_lab::drill::play::{Played, Programs, play};
+use ladderpass_testbed::drill::Drill;
+use ladderpass_testbed::drill::play::{Played, Programs, play};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 
@@ -160,7 +160,7 @@
     let of_second = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
     let served = of_second
         .clone()
-        .filter(|entry| matches!(entry.answered, Some((_, ladderpass_rules::Answer::Ok, _))));
+        .filter(|entry| matches!(entry.answered, Some((_, ladderpass_invariants::Answer::Ok, _))));
     let (served, asked) = (served.count(), of_second.count());
     assert!(asked > 50 && served * 100 >= asked * 97, "{served} of {asked}");
 }
--- a/crates/ladderpass/tests/failing/mod.rs
+++ b/crates/ladderpass/tests/failing/mod.rs
@@ -5,7 +5,7 @@
 #![allow(dead_code)]
 
 use ladderpass::launch::Launch;
-use ladderpass_lab::router::Start;
+use ladderpass_testbed::router::Start;
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicI64, Ordering};
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -6,11 +6,11 @@
 
 use common::{file, told};
 use failing::Failure;
-use ladderpass_core::Span;
-use ladderpass_fleet::Scenario;
-use ladderpass_lab::bed::{self, Seen, open};
-use ladderpass_lab::load::Plan;
-use ladderpass_lab::router::Start;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
+use ladderpass_testbed::bed::{self, Seen, open};
+use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::router::Start;
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::Child;
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -1,13 +1,13 @@
 //! The binary behind the fault tool, before the emulated fleet: failures between sockets at an exact message. What is asked
 //! for holds on any machine, however slow: who is answered and how, and what ran.
 
-use ladderpass_core::Span;
-use ladderpass_faults::Rule;
-use ladderpass_faults::driver::Left;
-use ladderpass_fleet::Scenario;
-use ladderpass_lab::bed::{self, Deed, Seen, open};
-use ladderpass_lab::load::Plan;
-use ladderpass_lab::router::Start;
+use ladderpass_emulator::Scenario;
+use ladderpass_fault_injection::Rule;
+use ladderpass_fault_injection::driver::Left;
+use ladderpass_routing::Span;
+use ladderpass_testbed::bed::{self, Deed, Seen, open};
+use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::router::Start;
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -205,7 +205,7 @@
     for seed in [21, 22] {
         let links =
             bed::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
-        let drawn = ladderpass_faults::Plan::drawn(seed, 6, links);
+        let drawn = ladderpass_fault_injection::Plan::drawn(seed, 6, links);
         let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
         let plan = Plan {
             connections: 400,
--- a/crates/ladderpass/tests/interrupted.rs
+++ b/crates/ladderpass/tests/interrupted.rs
@@ -1,7 +1,7 @@
 //! A drill that is cut off by ctrl-C leaves no process. It stands alone: the signal is the whole process's.
 
-use ladderpass_lab::drill::Drill;
-use ladderpass_lab::drill::play::{Programs, interrupted, play};
+use ladderpass_testbed::drill::Drill;
+use ladderpass_testbed::drill::play::{Programs, interrupted, play};
 use nix::sys::signal::{Signal, kill};
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/ladderpass/tests/judge/mod.rs
+++ b/crates/ladderpass/tests/judge/mod.rs
@@ -2,10 +2,10 @@
 
 #![allow(dead_code)]
 
-use ladderpass_core::{Span, Time};
-use ladderpass_lab::bed::Seen;
-use ladderpass_lab::load::Entry;
-use ladderpass_lab::router::Router;
+use ladderpass_routing::{Span, Time};
+use ladderpass_testbed::bed::Seen;
+use ladderpass_testbed::load::Entry;
+use ladderpass_testbed::router::Router;
 use nix::sys::signal::Signal;
 use std::cell::Cell;
 use std::io;
@@ -40,12 +40,12 @@
 
 impl Ends {
     pub fn tell_to_stop(&self, router: &Router) -> io::Result<()> {
-        self.term.set(self.term.get().or_else(|| Some(ladderpass_fleet::now())));
+        self.term.set(self.term.get().or_else(|| Some(ladderpass_emulator::now())));
         router.signal(Signal::SIGTERM)
     }
 
     pub fn kill(&self, router: &Router) {
-        self.kill.set(Some(ladderpass_fleet::now()));
+        self.kill.set(Some(ladderpass_emulator::now()));
         signal(router, Signal::SIGKILL);
     }
 
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -1,13 +1,13 @@
 //! The move: routers of the old shape, which tell each other nothing, and of the new one, before the same members. The
-//! rules are judged by `ladderpass-rules` over what ran, and neither kind may starve the other.
-
-use ladderpass_core::Time;
-use ladderpass_fleet::{Running, Scenario};
-use ladderpass_lab::bed::open;
-use ladderpass_lab::drill::Drill;
-use ladderpass_lab::drill::play::{Played, Programs, play};
-use ladderpass_lab::load::{self, Counts, Plan};
-use ladderpass_lab::router::{Router, Start};
+//! rules are judged by `ladderpass-invariants` over what ran, and neither kind may starve the other.
+
+use ladderpass_emulator::{Running, Scenario};
+use ladderpass_routing::Time;
+use ladderpass_testbed::bed::open;
+use ladderpass_testbed::drill::Drill;
+use ladderpass_testbed::drill::play::{Played, Programs, play};
+use ladderpass_testbed::load::{self, Counts, Plan};
+use ladderpass_testbed::router::{Router, Start};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -144,8 +144,8 @@
     };
     assert_eq!(from, own);
     let text = std::str::from_utf8(&room[..count]).expect("letters");
-    let now = ladderpass_fleet::loopback::now() - Time::default();
-    let (_, words) = ladderpass_deployment::whisper::read(text, now).expect("a message");
+    let now = ladderpass_emulator::loopback::now() - Time::default();
+    let (_, words) = ladderpass_config::whisper::read(text, now).expect("a message");
     let words: Vec<_> = words.collect();
     assert!(!words.is_empty() && words.iter().all(|(.., at, _, _)| (now - *at).secs() < 20.0), "{words:?}");
     // Noise, from the other router and from a stranger, changes nothing.
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -1,12 +1,12 @@
 //! The binary under its own overload, before the emulated fleet: the hard cases that need sockets and a process. What is
 //! asked for holds on any machine, however slow: who is answered and how, never how fast.
 
-use ladderpass_core::Span;
-use ladderpass_fleet::{Input, Scenario};
-use ladderpass_lab::bed::{self, Deed, Seen, open};
-use ladderpass_lab::charts;
-use ladderpass_lab::load::Plan;
-use ladderpass_lab::router::Start;
+use ladderpass_emulator::{Input, Scenario};
+use ladderpass_routing::Span;
+use ladderpass_testbed::bed::{self, Deed, Seen, open};
+use ladderpass_testbed::charts;
+use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::router::Start;
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -149,11 +149,11 @@
 #[test]
 fn a_hog_on_the_same_core_costs_no_answer() {
     let _alone = alone();
-    let core = ladderpass_lab::router::cores() - 1;
+    let core = ladderpass_testbed::router::cores() - 1;
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let hog = std::thread::spawn(move || {
-        ladderpass_lab::router::pin(nix::unistd::Pid::from_raw(0), core).expect("its own thread");
+        ladderpass_testbed::router::pin(nix::unistd::Pid::from_raw(0), core).expect("its own thread");
         while !stopped.load(Ordering::Relaxed) {
             std::hint::spin_loop();
         }
--- a/crates/ladderpass/tests/room.rs
+++ b/crates/ladderpass/tests/room.rs
@@ -6,7 +6,7 @@
 use common::*;
 use ladderpass::limits;
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -7,9 +7,9 @@
 use ladderpass::buffer::Buffer;
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
 use ladderpass::{discovery, launch, pg};
-use ladderpass_core::{Span, Time};
-use ladderpass_deployment::operator;
+use ladderpass_config::operator;
 use ladderpass_overload::Sample;
+use ladderpass_routing::{Span, Time};
 use quickcheck::{Gen, QuickCheck};
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -10,12 +10,12 @@
 
 use failing::{Failure, Step};
 use judge::{Ends, KILL_AFTER, judge, signal};
-use ladderpass_core::Span;
-use ladderpass_faults::Rule;
-use ladderpass_fleet::Scenario;
-use ladderpass_fleet::scenario::Allowed;
-use ladderpass_lab::bed::{self, Deed, links, open};
-use ladderpass_lab::load::{Entry, Plan};
+use ladderpass_emulator::Scenario;
+use ladderpass_emulator::scenario::Allowed;
+use ladderpass_fault_injection::Rule;
+use ladderpass_routing::Span;
+use ladderpass_testbed::bed::{self, Deed, links, open};
+use ladderpass_testbed::load::{Entry, Plan};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
 use std::net::TcpStream;
@@ -103,7 +103,7 @@
     let life = Life::drawn(seed);
     let scenario = Scenario::default();
     let shapes = links(&["127.0.0.1:1".parse().expect("one"); 3], "127.0.0.1:2".parse().expect("one"));
-    let drawn = ladderpass_faults::Plan::drawn(seed, life.rules, shapes).rules.into_iter();
+    let drawn = ladderpass_fault_injection::Plan::drawn(seed, life.rules, shapes).rules.into_iter();
     // Bytes garbled within a value pass for a value: nobody between can tell.
     let mut rules: Vec<Rule> = drawn.filter(|rule| rule.action.name() != "garble").collect();
     let hangs_at = (secs(life.term_at) * 1e3) as i64 - 50;
--- a/crates/ladderpass/tests/told.rs
+++ b/crates/ladderpass/tests/told.rs
@@ -6,7 +6,7 @@
 use common::*;
 use ladderpass::launch;
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
-use ladderpass_core::{Span, Time};
+use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
 use std::collections::BTreeMap;
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -4,11 +4,11 @@
 mod failing;
 
 use failing::Step;
-use ladderpass_core::Span;
-use ladderpass_fleet::Scenario;
-use ladderpass_lab::bed::{self, Seen, open};
-use ladderpass_lab::joint::{Started, cold_at_members};
-use ladderpass_lab::load::Plan;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
+use ladderpass_testbed::bed::{self, Seen, open};
+use ladderpass_testbed::joint::{Started, cold_at_members};
+use ladderpass_testbed::load::Plan;
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
