--- a/crates/ladderpass-admission/src/concert.rs
+++ b/crates/ladderpass-admission/src/concert.rs
@@ -5,7 +5,7 @@
 //! may; a router that hears nobody keeps its last part. It must never decide about an RPC.
 
 use crate::word::{self, Told, Word};
-use ladderpass_routing::{MemberId, Seen, Span, Time};
+use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
 /// How often it reckons, and tells its own.
@@ -307,7 +307,7 @@
     }
 
     /// Reckons anew, where it is time.
-    pub fn tend(&mut self, now: Time, seen: &[Seen]) -> Option<Facts> {
+    pub fn tend(&mut self, now: Time, seen: &[MemberLoad]) -> Option<Facts> {
         if now < self.reckon_at {
             return None;
         }
@@ -344,7 +344,7 @@
         words.map(move |(word, at)| (word, self.weight(now, *at))).filter(|(_, weight)| *weight > 0.0)
     }
 
-    fn reckon(&mut self, now: Time, key: u32, seen: &[Seen], facts: &mut Facts) {
+    fn reckon(&mut self, now: Time, key: u32, seen: &[MemberLoad], facts: &mut Facts) {
         let words: Vec<(&Word, f64)> = self.counting(now, key).collect();
         let Some(group) = self.groups.get(&key) else { return };
         let mut group = group.clone();
@@ -388,11 +388,12 @@
         let mut room = 0.0;
         let mut members = BTreeMap::new();
         for seen in seen.iter().filter(|seen| seen.group == key) {
-            let mark = seen.mark as u16;
-            let fresh = Told { mark, in_flight: seen.in_flight, stretch: seen.stretch, room: ROOM_START };
+            let mark = seen.id_hash as u16;
+            let fresh =
+                Told { mark, in_flight: seen.in_flight, stretch: seen.latency_ratio, room: ROOM_START };
             let mut own = group.members.get(&mark).copied().unwrap_or(fresh);
             own.in_flight += (seen.in_flight - own.in_flight) * NOW;
-            own.stretch += (seen.stretch * (1.0 + REFUSED * seen.refused) - own.stretch) * NOW;
+            own.stretch += (seen.latency_ratio * (1.0 + REFUSED * seen.failure_share) - own.stretch) * NOW;
             // What all have there, how slowly it answers those who use it, and what most believe of its room.
             let (mut in_flight, mut slow) = (own.in_flight, own.stretch * (own.in_flight + LITTLE));
             let mut rooms = vec![own.room];
--- a/crates/ladderpass-admission/tests/model.rs
+++ b/crates/ladderpass-admission/tests/model.rs
@@ -2,7 +2,7 @@
 //! late and lost. No sockets: a step is 250 ms, a member's answer time follows what is in flight there.
 
 use ladderpass_admission::{Concert, Faulty, lot};
-use ladderpass_routing::{MemberId, Seen, Span, Time};
+use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
 use nanorand::{Rng, WyRand};
 
 const STEP: Span = Span::from_millis(250);
@@ -106,14 +106,14 @@
             let missing = self.draw(let_in[nth].0 + let_in[nth].1 - mine.0 - mine.1);
             (0..missing).for_each(|_| self.routers[nth].unsent(7));
             let part = (let_in[nth].0 + let_in[nth].1) / (high + low).max(1e-9);
-            let seen: Vec<Seen> = (0..self.members)
-                .map(|member| Seen {
+            let seen: Vec<MemberLoad> = (0..self.members)
+                .map(|member| MemberLoad {
                     member: MemberId(member),
-                    mark: member + 10,
+                    id_hash: member + 10,
                     group: 7,
-                    stretch,
+                    latency_ratio: stretch,
                     in_flight: in_flight * part / f64::from(self.members),
-                    refused: 0.0,
+                    failure_share: 0.0,
                 })
                 .collect();
             if let Some(facts) = self.routers[nth].tend(self.now, &seen) {
@@ -278,7 +278,14 @@
         let mut last = 0.0;
         for step in 1..20 {
             (0..75).for_each(|_| concert.asked(7, LOW));
-            let seen = Seen { member: MemberId(0), mark: 3, group: 7, stretch: 1.0, in_flight: 8.0, refused };
+            let seen = MemberLoad {
+                member: MemberId(0),
+                id_hash: 3,
+                group: 7,
+                latency_ratio: 1.0,
+                in_flight: 8.0,
+                failure_share: refused,
+            };
             let facts = concert.tend(now + STEP * f64::from(step), &[seen]).expect("it is time");
             last = facts.limits[0].1;
         }
--- a/crates/ladderpass-config/src/lib.rs
+++ b/crates/ladderpass-config/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod whisper;
 
 pub use faults::Faults;
-use ladderpass_routing::{Deployment, Effect, Level, Method, RoleInList, Span, Time};
+use ladderpass_routing::{Consistency, Deployment, Idempotency, Method, PrimaryInList, Span, Time};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
@@ -156,14 +156,14 @@
     }
     let deployment = Deployment {
         methods,
-        role_in_list: match extra.role_in_list.as_deref() {
-            None | Some("off") => RoleInList::Off,
-            Some("late") => RoleInList::Late,
-            Some("start") => RoleInList::Start,
+        primary_in_list: match extra.role_in_list.as_deref() {
+            None | Some("off") => PrimaryInList::Absent,
+            Some("late") => PrimaryInList::Delayed,
+            Some("start") => PrimaryInList::AtStart,
             Some(other) => return Err(format!("Extra.RoleInList: unknown value {other:?}")),
         },
-        carried: extra.tokens.as_deref() != Some("remembered"),
-        must_ask: match shape.registry_mode.as_deref() {
+        session_write_age_carried: extra.tokens.as_deref() != Some("remembered"),
+        endpoint_poll_interval: match shape.registry_mode.as_deref() {
             // Guards against a list that is asked for without a pause: zero would be one call after the other.
             Some("subscribe") => {
                 let most = positive("Contract.MustAskIn", contract.must_ask_in)?;
@@ -172,23 +172,23 @@
             None | Some("automatic") => None,
             Some(other) => return Err(format!("RegistryMode: unknown value {other:?}")),
         },
-        routers: shape.balancers.unwrap_or(1),
-        probes: allowed.probes.unwrap_or(false),
-        probes_tell: allowed.probes.unwrap_or(false)
+        router_count: shape.balancers.unwrap_or(1),
+        health_checks: allowed.probes.unwrap_or(false),
+        health_checks_report_position: allowed.probes.unwrap_or(false)
             && shape.report.as_ref().is_none_or(ReportShape::tells_position),
-        me: shape.me.unwrap_or(0),
-        peers: allowed.may_tell.unwrap_or(false),
-        callouts_cap: allowed.attempts_cap.unwrap_or(1),
-        longest_come_back: match allowed.retry_after {
+        router_index: shape.me.unwrap_or(0),
+        gossip: allowed.may_tell.unwrap_or(false),
+        max_attempts: allowed.attempts_cap.unwrap_or(1),
+        max_retry_after: match allowed.retry_after {
             Some(true) => span("Allowed.MaxRetryAfter", allowed.max_retry_after)?,
             _ => Span::ZERO,
         },
         tick: span("Tick", shape.tick)?,
-        cold_from: contract.cold_from.unwrap_or(1.0),
-        warm_within: span("Contract.WarmWithin", contract.warm_within)?,
-        overload_for: span("Contract.OverloadFor", contract.overload_for)?,
-        tip_multiple: contract.tip_multiple.unwrap_or(1.0),
-        soft_removal: contract.soft_removal.unwrap_or(false),
+        slow_start_capacity: contract.cold_from.unwrap_or(1.0),
+        slow_start_duration: span("Contract.WarmWithin", contract.warm_within)?,
+        overload_window: span("Contract.OverloadFor", contract.overload_for)?,
+        overload_multiple: contract.tip_multiple.unwrap_or(1.0),
+        removal_is_advisory: contract.soft_removal.unwrap_or(false),
     };
     Ok(Facts {
         deployment,
@@ -209,22 +209,22 @@
     let level = extra.read_level.get(index).ok_or_else(|| format!("Extra.ReadLevel[{index}] is missing"))?;
     let max_age = extra.max_age.as_ref().and_then(|ages| ages.get(index).copied().flatten());
     Ok(Method {
-        level: match level.as_str() {
-            "any" => Level::Any,
+        consistency: match level.as_str() {
+            "any" => Consistency::Any,
             "bounded" => {
                 let key = format!("Extra.MaxAge[{index}]");
                 max_age.ok_or_else(|| format!("{key} is missing"))?;
-                Level::Bounded(span(&key, max_age)?)
+                Consistency::BoundedStaleness(span(&key, max_age)?)
             }
-            "session" => Level::Session,
-            "fresh" => Level::Fresh,
-            "write" => Level::Write,
+            "session" => Consistency::Session,
+            "fresh" => Consistency::Fresh,
+            "write" => Consistency::Write,
             other => return Err(format!("Extra.ReadLevel[{index}]: unknown value {other:?}")),
         },
-        effect: match service.effect.as_str() {
-            "pure" => Effect::Idempotent,
-            "token" => Effect::Tokened {
-                anywhere: service.dedup_scope.as_deref() == Some("all"),
+        idempotency: match service.effect.as_str() {
+            "pure" => Idempotency::Idempotent,
+            "token" => Idempotency::IdempotencyKey {
+                across_groups: service.dedup_scope.as_deref() == Some("all"),
                 // Guards rule 2: where neither the group nor all drop repeats, a member of the group may not know of the
                 // first.
                 window: match service.dedup_scope.as_deref() {
@@ -232,7 +232,7 @@
                     _ => Span::ZERO,
                 },
             },
-            "side_effect" => Effect::NonIdempotent,
+            "side_effect" => Idempotency::NonIdempotent,
             other => return Err(format!("Services[{index}].Effect: unknown value {other:?}")),
         },
         soft_deadline: positive(&format!("Services[{index}].Slo"), Some(service.slo))?
@@ -240,7 +240,7 @@
         utility: Some(service.worth.unwrap_or(1.0))
             .filter(|worth| *worth >= 0.0)
             .ok_or_else(|| format!("Services[{index}].Worth: must not be negative"))?,
-        late: service.late_worth.unwrap_or(0.0),
+        late_utility_share: service.late_worth.unwrap_or(0.0),
     })
 }
 
--- a/crates/ladderpass-config/src/whisper.rs
+++ b/crates/ladderpass-config/src/whisper.rs
@@ -4,7 +4,7 @@
 //! read, so that instances of another version do no harm.
 
 use crate::names::{Marks, Names, mark};
-use ladderpass_routing::{MemberId, News, Span, Time, Word};
+use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
 /// Most words in one message of 256 bytes.
 pub const MOST: usize = 25;
@@ -34,29 +34,39 @@
     }
 
     /// The messages that tell these news, of members by these names.
-    pub fn tell(&self, news: &[News], names: &Names) -> Vec<String> {
-        let told = |news: &News| {
+    pub fn tell(&self, news: &[MemberUpdate], names: &Names) -> Vec<String> {
+        let told = |news: &MemberUpdate| {
             let mark = mark(names.name(news.member.0));
-            self.marks.find(mark).map(|_| (mark, news.word, news.at - self.zero, news.stretch, news.holds))
+            self.marks
+                .find(mark)
+                .map(|_| (mark, news.observation, news.at - self.zero, news.latency_ratio, news.in_flight))
         };
         news.chunks(MOST).map(|news| write(self.zone, news.iter().filter_map(told))).collect()
     }
 
     /// What a message tells. What can't be read, or names no known member, is dropped.
-    pub fn hear(&self, text: &str, now: Time) -> Vec<News> {
+    pub fn hear(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
         let Some((zone, words)) = read(text, now - self.zero) else { return Vec::new() };
         let news = |(mark, word, at, stretch, holds)| {
             let member = MemberId(self.marks.find(mark)?);
-            Some(News { member, word, at: self.zero + at, near: zone == self.zone, stretch, holds })
+            Some(MemberUpdate {
+                member,
+                observation: word,
+                at: self.zero + at,
+                same_zone: zone == self.zone,
+                latency_ratio: stretch,
+                in_flight: holds,
+            })
         };
         words.filter_map(news).collect()
     }
 }
 
 /// A node's mark, what is said of it, a time from the common zero, its stretch, or what it holds.
-pub type Told = (u32, Word, Span, f64, Option<f64>);
+pub type Told = (u32, MemberObservation, Span, f64, Option<f64>);
 #[doc(hidden)]
-pub const WORDS: [Word; 3] = [Word::Replica, Word::Primary, Word::Lost];
+pub const WORDS: [MemberObservation; 3] =
+    [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
 
 fn put(text: &mut String, number: u64, letters: usize) {
     for nth in (0..letters).rev() {
--- a/crates/ladderpass-config/tests/whisper.rs
+++ b/crates/ladderpass-config/tests/whisper.rs
@@ -1,7 +1,7 @@
 //! The form of what routers tell each other of members.
 
 use ladderpass_config::whisper::{MOST, WORD_LETTERS, WORDS, read, write};
-use ladderpass_routing::{Span, Word};
+use ladderpass_routing::{MemberObservation, Span};
 
 #[test]
 fn a_word_comes_back_as_it_was_told_or_a_little_older() {
@@ -17,13 +17,16 @@
             );
         }
     }
-    let full = write(0, (0..MOST as u32).map(|mark| (mark, Word::Lost, Span::ZERO, 1e9, Some(1e9))));
+    let full = write(
+        0,
+        (0..MOST as u32).map(|mark| (mark, MemberObservation::Unreachable, Span::ZERO, 1e9, Some(1e9))),
+    );
     assert!(full.len() <= 256);
 }
 
 #[test]
 fn what_cannot_be_read_is_dropped() {
-    let good = write(1, [(7, Word::Replica, Span::from_millis(3), 0.0, Some(3.0))].into_iter());
+    let good = write(1, [(7, MemberObservation::Replica, Span::from_millis(3), 0.0, Some(3.0))].into_iter());
     for text in ["", "short", "\u{e9}\u{e9}\u{e9}\u{e9}\u{e9}\u{e9}", "#########", "AAAA AAAA"] {
         let count = |text: &str| read(text, Span::from_millis(9)).map_or(0, |(_, words)| words.count());
         assert_eq!(count(&format!("B{text}")), 0, "{text}");
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use crate::shares::{Shares, Spent};
 use ladderpass_routing::ring::Ring;
-use ladderpass_routing::{RANKS, Span, Strain, Time};
+use ladderpass_routing::{OverloadState, PRIORITY_COUNT, Span, Time};
 
 /// What operators are told.
 #[derive(Clone, Debug, PartialEq)]
@@ -163,13 +163,13 @@
     }
 
     /// What the core is told of the front's state for an RPC of this method on a connection that took so much.
-    pub fn strain(&self, now: Time, method: u32, spent: &Spent) -> Strain {
-        Strain {
+    pub fn strain(&self, now: Time, method: u32, spent: &Spent) -> OverloadState {
+        OverloadState {
             pressure: self.pressure.value(),
-            floor: self.floor,
-            cost: self.cost(now, method),
-            floods: self.shares.floods(spent, self.settings.fair),
-            delay: self.delay,
+            admission_threshold: self.floor,
+            cost_secs: self.cost(now, method),
+            exceeds_fair_share: self.shares.floods(spent, self.settings.fair),
+            queueing_delay: self.delay,
         }
     }
 
@@ -180,10 +180,10 @@
     }
 
     /// An RPC of this rank has come on a connection, under this strain, whatever becomes of it.
-    pub fn offered(&mut self, now: Time, strain: &Strain, rank: u32, spent: &mut Spent) {
-        self.ranks.offered(now, rank, strain.cost);
+    pub fn offered(&mut self, now: Time, strain: &OverloadState, rank: u32, spent: &mut Spent) {
+        self.ranks.offered(now, rank, strain.cost_secs);
         // In RPCs that come on average, so that shares are told in a unit that stays.
-        self.shares.spend(now, spent, strain.cost / self.costs.usual());
+        self.shares.spend(now, spent, strain.cost_secs / self.costs.usual());
     }
 
     /// An RPC of this method was answered with so many bytes, its statement counted.
@@ -243,7 +243,7 @@
         let longest = std::mem::take(&mut self.longest);
         let mut figures = vec![
             ("pressure", self.pressure.value()),
-            ("floor", self.floor / RANKS as f64),
+            ("floor", self.floor / PRIORITY_COUNT as f64),
             ("delay_ms", longest.secs() * 1e3),
             ("cpu_used", self.cpu),
             ("stolen", self.stolen),
--- a/crates/ladderpass-overload/src/ranks.rs
+++ b/crates/ladderpass-overload/src/ranks.rs
@@ -1,7 +1,7 @@
 //! How the work that was offered lately spreads over the ranks of RPCs, and the rank above which a given part of it
 //! stands.
 
-use ladderpass_routing::{RANKS, Span, Time};
+use ladderpass_routing::{PRIORITY_COUNT, Span, Time};
 
 /// Buckets of time, used again in a ring: what was offered a while ago tells nothing of the present.
 const BUCKETS: usize = 4;
@@ -9,18 +9,18 @@
 
 #[derive(Clone, Debug)]
 pub struct Ranks {
-    buckets: [[f64; RANKS]; BUCKETS],
+    buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
     numbers: [i64; BUCKETS],
-    sum: [f64; RANKS],
+    sum: [f64; PRIORITY_COUNT],
     total: f64,
 }
 
 impl Default for Ranks {
     fn default() -> Ranks {
         Ranks {
-            buckets: [[0.0; RANKS]; BUCKETS],
+            buckets: [[0.0; PRIORITY_COUNT]; BUCKETS],
             numbers: [i64::MIN; BUCKETS],
-            sum: [0.0; RANKS],
+            sum: [0.0; PRIORITY_COUNT],
             total: 0.0,
         }
     }
@@ -33,21 +33,21 @@
         let at = number.rem_euclid(BUCKETS as i64) as usize;
         if self.numbers[at] != number {
             self.numbers[at] = number;
-            self.buckets[at] = [0.0; RANKS];
+            self.buckets[at] = [0.0; PRIORITY_COUNT];
             // Those that nothing was offered to meanwhile are old too.
             for (bucket, other) in self.buckets.iter_mut().zip(&self.numbers) {
                 if *other <= number - BUCKETS as i64 {
-                    *bucket = [0.0; RANKS];
+                    *bucket = [0.0; PRIORITY_COUNT];
                 }
             }
             // Summed anew, so that no error of rounding stays.
-            self.sum = [0.0; RANKS];
+            self.sum = [0.0; PRIORITY_COUNT];
             for bucket in &self.buckets {
                 self.sum.iter_mut().zip(bucket).for_each(|(sum, work)| *sum += work);
             }
             self.total = self.sum.iter().sum();
         }
-        let rank = (rank as usize).min(RANKS - 1);
+        let rank = (rank as usize).min(PRIORITY_COUNT - 1);
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
         self.buckets[at][rank] += work;
         self.sum[rank] += work;
@@ -67,6 +67,6 @@
             }
             left -= work;
         }
-        RANKS as f64
+        PRIORITY_COUNT as f64
     }
 }
--- a/crates/ladderpass-overload/tests/front.rs
+++ b/crates/ladderpass-overload/tests/front.rs
@@ -3,8 +3,8 @@
 
 use ladderpass_overload::{Allowance, Governor, Level, Note, Sample, Settings, Spent};
 use ladderpass_routing::{
-    Arrival, Decision, Deployment, Effect, Level as Staleness, ListNews, Method, RoleInList, Router, Span,
-    Time,
+    Arrival, Consistency as Staleness, Decision, Deployment, EndpointUpdate, Idempotency, Method,
+    PrimaryInList, Router, Span, Time,
 };
 use std::collections::VecDeque;
 
@@ -20,33 +20,33 @@
 
 fn deployment() -> Deployment {
     let method = |level, effect, utility| Method {
-        level,
-        effect,
+        consistency: level,
+        idempotency: effect,
         soft_deadline: Span::from_millis(500),
         utility,
-        late: 0.0,
+        late_utility_share: 0.0,
     };
     Deployment {
         methods: vec![
-            method(Staleness::Any, Effect::Idempotent, 2.0),
-            method(Staleness::Write, Effect::NonIdempotent, 8.0),
+            method(Staleness::Any, Idempotency::Idempotent, 2.0),
+            method(Staleness::Write, Idempotency::NonIdempotent, 8.0),
         ],
-        role_in_list: RoleInList::Off,
-        carried: true,
-        must_ask: None,
-        probes: false,
-        probes_tell: false,
-        routers: 1,
-        me: 0,
-        peers: false,
-        callouts_cap: 3,
-        longest_come_back: Span::from_millis(500),
+        primary_in_list: PrimaryInList::Absent,
+        session_write_age_carried: true,
+        endpoint_poll_interval: None,
+        health_checks: false,
+        health_checks_report_position: false,
+        router_count: 1,
+        router_index: 0,
+        gossip: false,
+        max_attempts: 3,
+        max_retry_after: Span::from_millis(500),
         tick: Span::from_millis(5),
-        cold_from: 1.0,
-        warm_within: Span::ZERO,
-        overload_for: Span::from_millis(1000),
-        tip_multiple: 1.0,
-        soft_removal: false,
+        slow_start_capacity: 1.0,
+        slow_start_duration: Span::ZERO,
+        overload_window: Span::from_millis(1000),
+        overload_multiple: 1.0,
+        removal_is_advisory: false,
     }
 }
 
@@ -95,7 +95,7 @@
     fn new(watches: bool, clients: usize, seed: u64) -> Front {
         let allowance = Allowance { cores: 1.0, memory: 1 << 30, rings: 1 << 28, descriptors: 4096 };
         let mut core = Router::start(at(0.0), seed, deployment());
-        core.list_news(at(0.0), ListNews::Whole(&[]));
+        core.on_endpoint_update(at(0.0), EndpointUpdate::Complete(&[]));
         Front {
             governor: watches.then(|| Governor::new(at(0.0), Settings::default(), allowance, 2)),
             core,
@@ -158,24 +158,24 @@
         let mut arrival = Arrival {
             method: want.method,
             group: 0,
-            due: at(want.due) + Span::from_secs_f64(want.patience),
-            resent: want.repeat,
+            deadline: at(want.due) + Span::from_secs_f64(want.patience),
+            is_client_retry: want.repeat,
             session: None,
-            last_write: None,
-            strain: None,
-            fleet: None,
-            lot: None,
+            last_write_age: None,
+            router_overload: None,
+            fleet_overload: None,
+            admission_draw: None,
         };
         if let Some(governor) = &mut self.governor {
             governor.looks(now, Span::from_secs_f64(self.now - want.due), 128);
             let spent = &mut self.spent[want.client];
             let strain = governor.strain(now, want.method, spent);
-            let rank = self.core.rank(now, &arrival, &strain);
+            let rank = self.core.priority(now, &arrival, &strain);
             governor.offered(now, &strain, rank, spent);
-            arrival.strain = Some(strain);
+            arrival.router_overload = Some(strain);
         }
-        let (rpc, decision) = self.core.take(now, arrival);
-        if let Decision::PushBack { come_back } = decision {
+        let (rpc, decision) = self.core.accept(now, arrival);
+        if let Decision::Reject { retry_after: come_back } = decision {
             self.now += REFUSE * slow;
             self.second(want.due)[want.method as usize][2] += 1;
             self.come_back.push(come_back.secs());
@@ -185,7 +185,7 @@
                 governor.refused();
             }
         } else {
-            rpc.left(&mut self.core);
+            rpc.abandon(&mut self.core);
             self.now += SERVE * slow;
             self.repeats_served += u32::from(want.repeat);
             self.by_client[want.client][0] += 1;
--- a/crates/ladderpass-routing/src/decide.rs
+++ b/crates/ladderpass-routing/src/decide.rs
@@ -124,7 +124,7 @@
     ask_at: Option<Time>,
     ask_failures: u32,
     /// What the next `tend` says.
-    upkeep: Upkeep,
+    upkeep: TickOutput,
     least_bound: Span,
     /// How far the clock that `now` goes by may differ from the one that positions are read from.
     clock: ClockDifference,
@@ -133,14 +133,14 @@
 impl Router {
     pub fn start(now: Time, seed: u64, deployment: Deployment) -> Router {
         let row = |method: &Method| Row::new(method, method.soft_deadline * SOFT_PART, USUAL);
-        let bounds = deployment.methods.iter().filter_map(|method| method.level.bound());
+        let bounds = deployment.methods.iter().filter_map(|method| method.consistency.max_staleness());
         let least_bound = bounds.min().unwrap_or(ANY_BOUND);
         Router {
             least_bound,
             taken: Ring::new(MEASURE),
             probes_at: now,
             rows: deployment.methods.iter().map(row).collect(),
-            ask_at: deployment.must_ask.map(|_| now),
+            ask_at: deployment.endpoint_poll_interval.map(|_| now),
             deployment,
             started: now,
             chance: WyRand::new_seed(seed),
@@ -148,13 +148,13 @@
             rpcs: Slots::default(),
             sessions: Sessions::default(),
             ask_failures: 0,
-            upkeep: Upkeep::default(),
+            upkeep: TickOutput::default(),
             clock: ClockDifference::default(),
         }
     }
 
     /// Guards against stale reads, and cold members, where a router started while its clock was stepped.
-    pub fn clock_differs(&mut self, by: ClockDifference) {
+    pub fn set_clock_difference(&mut self, by: ClockDifference) {
         self.clock = by;
     }
 
@@ -164,15 +164,19 @@
     }
 
     /// Takes an RPC: from here on it is owed one final answer.
-    pub fn take(&mut self, now: Time, arrival: Arrival) -> (Rpc, Decision) {
-        let age = arrival.last_write.filter(|_| self.deployment.carried);
+    pub fn accept(&mut self, now: Time, arrival: Arrival) -> (RpcId, Decision) {
+        let age = arrival.last_write_age.filter(|_| self.deployment.session_write_age_carried);
         let written = age.map_or(Time::NEVER, |age| now - age);
         self.taken.add(now, 1.0);
-        let luck = arrival.lot.unwrap_or_else(|| self.chance.generate());
+        let luck = arrival.admission_draw.unwrap_or_else(|| self.chance.generate());
         let rpc = self.rpcs.open(now, arrival, written, luck);
         // Refused before all else where the front itself, or the fleet, has no room for it.
-        for strain in [arrival.strain, arrival.fleet].into_iter().flatten().filter(|s| s.floor > 0.0) {
-            if f64::from(self.rank(now, &arrival, &strain)) + luck < strain.floor {
+        for strain in [arrival.router_overload, arrival.fleet_overload]
+            .into_iter()
+            .flatten()
+            .filter(|s| s.admission_threshold > 0.0)
+        {
+            if f64::from(self.priority(now, &arrival, &strain)) + luck < strain.admission_threshold {
                 return (rpc, self.shed(rpc, strain.pressure));
             }
         }
@@ -183,29 +187,33 @@
 
     /// Where an RPC stands among those that want the front: what would be late goes first, then who floods,
     /// then repeats, then what is of least utility for its cost.
-    pub fn rank(&self, now: Time, arrival: &Arrival, strain: &Strain) -> u32 {
+    pub fn priority(&self, now: Time, arrival: &Arrival, strain: &OverloadState) -> u32 {
         let row = &self.rows[arrival.method as usize];
-        let answered = now + strain.delay + row.usual;
-        let band = match (answered >= row.wanted_by(now, arrival.due), strain.floods, arrival.resent) {
+        let answered = now + strain.queueing_delay + row.usual;
+        let band = match (
+            answered >= row.wanted_by(now, arrival.deadline),
+            strain.exceeds_fair_share,
+            arrival.is_client_retry,
+        ) {
             (true, _, _) => 0.0,
             (_, true, _) => 1.0,
             (_, _, true) => 2.0,
             _ => 3.0,
         };
-        let worth = (row.method.utility / strain.cost.max(1e-9)).max(1e-9).log2();
+        let worth = (row.method.utility / strain.cost_secs.max(1e-9)).max(1e-9).log2();
         let within = ((worth - RANK_FROM) * RANK_STEPS).clamp(0.0, BAND - 1.0).floor();
         (band * BAND + within) as u32
     }
 
     /// Pushes back what was never sent; the time to come back grows with the pressure, spread by chance.
-    fn shed(&mut self, rpc: Rpc, pressure: f64) -> Decision {
+    fn shed(&mut self, rpc: RpcId, pressure: f64) -> Decision {
         let part = (SHED_BACK + (1.0 - SHED_BACK) * pressure) * (0.5 + 0.5 * self.chance.generate::<f64>());
         self.rpcs.close(rpc);
-        Decision::PushBack { come_back: self.deployment.longest_come_back * part }
+        Decision::Reject { retry_after: self.deployment.max_retry_after * part }
     }
 
     /// The ordinary path of an RPC: who may serve it, who of these has least in flight, else the primary.
-    fn place(&mut self, now: Time, rpc: Rpc) -> Decision {
+    fn place(&mut self, now: Time, rpc: RpcId) -> Decision {
         let (state, row) = (&self.rpcs[rpc], self.row(rpc));
         let group_index = state.arrival.group as usize;
         let group = &self.fleet.groups[group_index];
@@ -213,9 +221,10 @@
         // A call-out made now would end when its answer earns nothing any more, or when the client has gone.
         let needed = if state.callouts > 0 || state.held { row.usual } else { Span::ZERO };
         let too_late = now + needed >= self.wanted_by(rpc);
-        let kept = state.callouts == 0 && now >= state.taken + (state.arrival.due - state.taken) * HELD_PART;
-        let out_of_time = kept || now + self.deployment.tick * 2.0 >= state.arrival.due;
-        let no_attempt_left = state.callouts >= self.deployment.callouts_cap;
+        let kept =
+            state.callouts == 0 && now >= state.taken + (state.arrival.deadline - state.taken) * HELD_PART;
+        let out_of_time = kept || now + self.deployment.tick * 2.0 >= state.arrival.deadline;
+        let no_attempt_left = state.callouts >= self.deployment.max_attempts;
         let hopeless = first_that_holds([
             (!may_run, GiveUpReason::MayHaveRun),
             (no_attempt_left, GiveUpReason::NoAttemptLeft),
@@ -226,11 +235,12 @@
             return self.give_up(now, rpc, reason);
         }
         // A fresh router waits for the first answers; its list may be old.
-        if !group.heard && self.deployment.probes_tell && now - self.started < FIRST_ANSWERS {
+        if !group.heard && self.deployment.health_checks_report_position && now - self.started < FIRST_ANSWERS
+        {
             self.ask_all(now, group_index);
             return self.hold(rpc);
         }
-        let level = row.method.level;
+        let level = row.method.consistency;
         let primary_only = level.primary_only();
         let needs = self.needs(now, rpc);
         // The filter and the pick: fewest in flight among the replicas that pass, ties in turn.
@@ -256,7 +266,7 @@
             let key = (self.load(now, member), (sent + next) * stretch, index);
             // Any data will do, within reason: a lag that was told leaves one out.
             let passes = match level {
-                Level::Any => member.lag.is_none_or(|lag| lag < ANY_BOUND),
+                Consistency::Any => member.lag.is_none_or(|lag| lag < ANY_BOUND),
                 _ => member.position >= needs,
             };
             if !passes {
@@ -266,7 +276,7 @@
                     None => member.probe_at <= now,
                 };
                 if member.probe_sent.is_none()
-                    && level != Level::Any
+                    && level != Consistency::Any
                     && unsure.is_none_or(|least| key < least)
                     && Router::may_have_caught_up(now, member, needs)
                     && self.told_soon(index) <= now
@@ -288,7 +298,8 @@
         let mut picked = best.map(|(_, _, index)| index);
         // No news yet: the read waits for that of its next pick, a round trip, before the primary is asked.
         let ask = unsure.filter(|_| !asked).map(|(_, _, index)| index);
-        let waits = picked.is_none() && self.deployment.probes_tell && (asked || ask.is_some());
+        let waits =
+            picked.is_none() && self.deployment.health_checks_report_position && (asked || ask.is_some());
         if picked.is_none()
             && !waits
             && let Some(index) = group.primary
@@ -311,22 +322,24 @@
     }
 
     /// No effect twice, also since one that may have run; a repeat has the way and a queue ahead of it.
-    fn may_run(&self, now: Time, rpc: Rpc) -> bool {
+    fn may_run(&self, now: Time, rpc: RpcId) -> bool {
         let (state, row) = (&self.rpcs[rpc], self.row(rpc));
-        match (row.method.effect, state.risked) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::Tokened { window, .. }, Some(first)) => now + row.usual * MARGIN - first < window,
-            (Effect::NonIdempotent, Some(_)) => false,
+        match (row.method.idempotency, state.risked) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
+                now + row.usual * MARGIN - first < window
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
     /// The least position of a replica that a read may go to now.
-    fn needs(&self, now: Time, rpc: Rpc) -> Time {
+    fn needs(&self, now: Time, rpc: RpcId) -> Time {
         let state = &self.rpcs[rpc];
-        match self.row(rpc).method.level {
+        match self.row(rpc).method.consistency {
             // A front may take a tick until its last byte is sent, from which the bound counts.
-            Level::Bounded(bound) => self.present(now) + self.deployment.tick - bound,
-            Level::Session => {
+            Consistency::BoundedStaleness(bound) => self.present(now) + self.deployment.tick - bound,
+            Consistency::Session => {
                 let known = now - KNOWN;
                 state.written.max(self.sessions.written(state.arrival.session, known, self.present(known)))
             }
@@ -336,14 +349,14 @@
 
     /// May an attempt that has waited for its connection still be made there? Guards reads against members that were
     /// passed over for a connection that came up late, while what is known of them was as good as before.
-    pub fn still_holds(&self, now: Time, rpc: Rpc, member: MemberId) -> bool {
+    pub fn may_still_attempt(&self, now: Time, rpc: RpcId, member: MemberId) -> bool {
         let Some(state) = self.rpcs.get(rpc) else { return false };
-        if !self.serves(member) || !self.may_run(now, rpc) {
+        if !self.is_active(member) || !self.may_run(now, rpc) {
             return false;
         }
         let index = member.0 as usize;
         let primary = self.fleet.groups[state.arrival.group as usize].primary;
-        let replica_may = !self.row(rpc).method.level.primary_only();
+        let replica_may = !self.row(rpc).method.consistency.primary_only();
         primary == Some(index) || replica_may && self.fleet.member(index).position >= self.needs(now, rpc)
     }
 
@@ -360,15 +373,16 @@
 
     /// What another router is told soon reaches this one: those that want news of a member ask it by turns.
     fn told_soon(&self, index: usize) -> Time {
-        let part = || 1.0 + TELL_SPREAD * self.turn(index) / f64::from(self.deployment.routers.max(1));
-        let wait = if self.deployment.peers { TELL_LEADERLESS * part() } else { Span::ZERO };
+        let part = || 1.0 + TELL_SPREAD * self.turn(index) / f64::from(self.deployment.router_count.max(1));
+        let wait = if self.deployment.gossip { TELL_LEADERLESS * part() } else { Span::ZERO };
         (self.fleet.member(index).told_at + wait).max(self.fleet.member(index).mute_until(PROBE_AGAIN))
     }
 
     /// The turn of this router to ask a member: another order for each news of it.
     fn turn(&self, index: usize) -> f64 {
         let first = WyRand::new_seed(self.fleet.member(index).order()).generate::<u64>() / 2;
-        ((u64::from(self.deployment.me) + first) % u64::from(self.deployment.routers.max(1))) as f64
+        ((u64::from(self.deployment.router_index) + first) % u64::from(self.deployment.router_count.max(1)))
+            as f64
     }
 
     /// A probe of it is due, not more often than it can have news.
@@ -381,58 +395,58 @@
         }
     }
 
-    fn call_out(&mut self, now: Time, rpc: Rpc, index: usize) -> Decision {
+    fn call_out(&mut self, now: Time, rpc: RpcId, index: usize) -> Decision {
         let limit = self.patience(now, rpc, index);
         let method = self.rpcs[rpc].arrival.method;
         self.rpcs[rpc].called_out(now);
         let member = self.fleet.member_mut(index);
         member.called_out(now, method, self.rows[method as usize].usual);
         self.sessions.writes(self.rows[method as usize].writer(self.rpcs[rpc].arrival.session), now);
-        Decision::CallOut { member: member.id, limit }
+        Decision::Attempt { member: member.id, timeout: limit }
     }
 
     /// How long a first call-out over a troubled way is waited for, so that a second can still be in time.
-    fn patience(&self, now: Time, rpc: Rpc, index: usize) -> Option<Span> {
+    fn patience(&self, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
         let (state, row) = (&self.rpcs[rpc], self.row(rpc));
         let again = row.usual * MARGIN;
-        let limit = match row.method.effect {
-            Effect::Idempotent => state.taken + row.method.soft_deadline - now - again,
-            Effect::Tokened { window, .. } => window - again * 2.0,
-            Effect::NonIdempotent => return None,
+        let limit = match row.method.idempotency {
+            Idempotency::Idempotent => state.taken + row.method.soft_deadline - now - again,
+            Idempotency::IdempotencyKey { window, .. } => window - again * 2.0,
+            Idempotency::NonIdempotent => return None,
         };
         let troubled = self.way(now, self.fleet.member(index).zone) > WAY_TROUBLED;
         (troubled && state.callouts == 0 && limit >= row.usual * SILENCE).then_some(limit)
     }
 
-    fn hold(&mut self, rpc: Rpc) -> Decision {
+    fn hold(&mut self, rpc: RpcId) -> Decision {
         let state = &mut self.rpcs[rpc];
         if !std::mem::replace(&mut state.held, true) {
             self.fleet.groups[state.arrival.group as usize].held.push(rpc);
         }
-        Decision::Hold
+        Decision::Queue
     }
 
     /// The final answer of an RPC that will not be served here.
-    fn give_up(&mut self, now: Time, rpc: Rpc, reason: GiveUpReason) -> Decision {
+    fn give_up(&mut self, now: Time, rpc: RpcId, reason: GiveUpReason) -> Decision {
         self.upkeep.exceptions.counts.given_up.add(reason);
         if self.upkeep.exceptions.wants_example() {
             let primary = self.primary_state(now, rpc);
             self.tell_example(now, rpc, Exception::GivenUp { reason, primary });
         }
         let (state, row) = (&self.rpcs[rpc], self.row(rpc));
-        let harmless = match row.method.effect {
-            Effect::Idempotent => true,
-            Effect::Tokened { anywhere, .. } => anywhere || state.risked.is_none(),
-            Effect::NonIdempotent => state.risked.is_none(),
+        let harmless = match row.method.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey { across_groups: anywhere, .. } => anywhere || state.risked.is_none(),
+            Idempotency::NonIdempotent => state.risked.is_none(),
         };
         let over = now + row.usual >= self.wanted_by(rpc) || state.failed.len() >= ERRORS;
-        let come_back = if over { self.deployment.longest_come_back } else { self.come_back() };
+        let come_back = if over { self.deployment.max_retry_after } else { self.retry_after() };
         self.rpcs.close(rpc);
-        if harmless { Decision::PushBack { come_back } } else { Decision::Abort }
+        if harmless { Decision::Reject { retry_after: come_back } } else { Decision::Fail }
     }
 
     /// For the log: could the primary have got this RPC?
-    fn primary_state(&self, now: Time, rpc: Rpc) -> PrimaryState {
+    fn primary_state(&self, now: Time, rpc: RpcId) -> PrimaryState {
         let group = self.fleet.groups.get(self.rpcs[rpc].arrival.group as usize);
         let Some(index) = group.and_then(|group| group.primary) else { return PrimaryState::Unknown };
         let ineligible = self.primary_ineligible(now, index, rpc);
@@ -440,7 +454,7 @@
     }
 
     /// For the log: a read goes to the primary past these replicas.
-    fn tell_spill(&mut self, now: Time, rpc: Rpc, passed_over: Counts<Ineligible>) {
+    fn tell_spill(&mut self, now: Time, rpc: RpcId, passed_over: Counts<Ineligible>) {
         let exceptions = &mut self.upkeep.exceptions;
         exceptions.counts.spilled += 1;
         exceptions.counts.passed_over.join(&passed_over);
@@ -449,41 +463,41 @@
         }
     }
 
-    fn tell_example(&mut self, now: Time, rpc: Rpc, what: Exception) {
+    fn tell_example(&mut self, now: Time, rpc: RpcId, what: Exception) {
         let state = &self.rpcs[rpc];
         self.upkeep.exceptions.examples.push(Unserved {
             group: state.arrival.group,
             method: state.arrival.method,
             attempts: state.callouts,
             waited: now - state.taken,
-            left: state.arrival.due - now,
+            left: state.arrival.deadline - now,
             what,
         });
     }
 
     /// When a client that is refused may come back, spread by chance: also one whose RPC was never taken.
-    pub fn come_back(&mut self) -> Span {
-        self.deployment.longest_come_back * (COME_BACK * (0.5 + self.chance.generate::<f64>()))
+    pub fn retry_after(&mut self) -> Span {
+        self.deployment.max_retry_after * (COME_BACK * (0.5 + self.chance.generate::<f64>()))
     }
 
     /// When an answer stops earning anything.
-    fn wanted_by(&self, rpc: Rpc) -> Time {
-        self.row(rpc).wanted_by(self.rpcs[rpc].taken, self.rpcs[rpc].arrival.due)
+    fn wanted_by(&self, rpc: RpcId) -> Time {
+        self.row(rpc).wanted_by(self.rpcs[rpc].taken, self.rpcs[rpc].arrival.deadline)
     }
 
-    fn row(&self, rpc: Rpc) -> &Row {
+    fn row(&self, rpc: RpcId) -> &Row {
         &self.rows[self.rpcs[rpc].arrival.method as usize]
     }
 
     /// Why this RPC can't go to it now: among others, where it would be answered too late; with nothing out that fades
     /// soon.
-    fn ineligible(&self, now: Time, index: usize, rpc: Rpc) -> Option<Ineligible> {
+    fn ineligible(&self, now: Time, index: usize, rpc: RpcId) -> Option<Ineligible> {
         let member = self.fleet.member(index);
         let (state, usual) = (&self.rpcs[rpc], self.row(rpc).usual);
         let (count, sum) = member.stretch.last(now, if member.out.is_empty() { 2 } else { 4 });
         let own = (sum + STAND_IN * self.crowding(now, member)) / (count + STAND_IN);
         let own = own.max(self.way(now, member.zone));
-        if member.standing != Standing::On {
+        if member.standing != EndpointState::Active {
             return Some(Ineligible::NotListed);
         }
         if member.misses >= MISSES_TO_DROP {
@@ -502,17 +516,17 @@
     }
 
     /// A marked repeat competes with first tries, more wanted than it.
-    fn is_repeat(&self, rpc: Rpc) -> bool {
-        self.rpcs[rpc].arrival.resent && self.row(rpc).method.effect == Effect::Idempotent
+    fn is_repeat(&self, rpc: RpcId) -> bool {
+        self.rpcs[rpc].arrival.is_client_retry && self.row(rpc).method.idempotency == Idempotency::Idempotent
     }
 
     /// The part of an in-flight limit that this RPC may use: a marked repeat gets what is idle.
-    fn spare_share(&self, rpc: Rpc) -> f64 {
+    fn spare_share(&self, rpc: RpcId) -> f64 {
         if self.is_repeat(rpc) { REPEAT_SHARE } else { 1.0 }
     }
 
     /// Why this RPC can't go to the primary now, which gets none after a single failure. A spill leaves writes their place.
-    fn primary_ineligible(&self, now: Time, index: usize, rpc: Rpc) -> Option<Ineligible> {
+    fn primary_ineligible(&self, now: Time, index: usize, rpc: RpcId) -> Option<Ineligible> {
         let ineligible = self.ineligible(now, index, rpc);
         if ineligible.is_some() {
             return ineligible;
@@ -520,7 +534,7 @@
         if self.fleet.member(index).misses > 0 {
             return Some(Ineligible::Ejected);
         }
-        let of_level = if self.row(rpc).method.level.primary_only() { 1.0 } else { READ_SHARE };
+        let of_level = if self.row(rpc).method.consistency.primary_only() { 1.0 } else { READ_SHARE };
         let share = self.spare_share(rpc) * of_level;
         (!self.room(now, index, rpc, share)).then_some(Ineligible::NoRoom)
     }
@@ -533,7 +547,7 @@
 
     /// Is there room within this share of its in-flight limit? Below one, a limit is kept by leaving a member
     /// idle between call-outs, so that many routers with little traffic do not jam it together.
-    fn room(&self, now: Time, index: usize, rpc: Rpc, share: f64) -> bool {
+    fn room(&self, now: Time, index: usize, rpc: RpcId, share: f64) -> bool {
         let member = self.fleet.member(index);
         let limit = member.limit * share;
         let idle_for = self.row(rpc).usual * (self.stretch(now, member, 4) / limit);
@@ -613,14 +627,14 @@
     /// where these are more, less room for chance. If each router keeps that, so does their sum. Each RPC
     /// taken pays a part of one in, from a phase that is drawn: call-outs go out evenly, also of what waited.
     fn pay_in(&mut self, now: Time, arrival: &Arrival) {
-        let level = self.rows[arrival.method as usize].method.level;
+        let level = self.rows[arrival.method as usize].method.consistency;
         let taken = self.fleet.reach_taken(arrival.group, MEASURE);
         taken.add(now, f64::from(u8::from(level.primary_only())));
         let (count, writes) = taken.last(now, 8);
         let (group, deployment) = (&self.fleet.groups[arrival.group as usize], &self.deployment);
         let (primary, fair) = (group.primary, count / group.largest.max(1) as f64);
-        let shares = deployment.tip_multiple.clamp(1.0, COLD_SHARES);
-        let all = deployment.overload_for.max(MEASURE).secs() * f64::from(deployment.routers.max(1));
+        let shares = deployment.overload_multiple.clamp(1.0, COLD_SHARES);
+        let all = deployment.overload_window.max(MEASURE).secs() * f64::from(deployment.router_count.max(1));
         let cold = |&index: &usize| Some((index, self.ramp(now, self.fleet.member(index))?));
         for (index, ramp) in group.members.iter().filter_map(cold).collect::<Vec<_>>() {
             let most = shares * ramp * if primary == Some(index) { fair.max(writes) } else { fair };
@@ -629,76 +643,85 @@
         }
     }
 
-    fn warm_enough(&self, now: Time, index: usize, rpc: Rpc) -> bool {
+    fn warm_enough(&self, now: Time, index: usize, rpc: RpcId) -> bool {
         let (state, member) = (&self.rpcs[rpc], self.fleet.member(index));
         let lucky = (state.luck + index as f64 * 0.618) % 1.0;
-        let part = if self.row(rpc).method.level == Level::Write { 1.0 } else { member.part };
+        let part = if self.row(rpc).method.consistency == Consistency::Write { 1.0 } else { member.part };
         lucky < part && (member.is_owed(now, ASK_WAIT) || self.ramp(now, member).is_none())
     }
 
     /// The part of its capacity that a cold member is sure to have; None once it is warm.
     fn ramp(&self, now: Time, member: &Member) -> Option<f64> {
-        let within = self.deployment.warm_within.secs();
+        let within = self.deployment.slow_start_duration.secs();
         let age = (now - member.cold_from? - self.clock.ahead).secs().max(0.0);
-        let from = self.deployment.cold_from;
+        let from = self.deployment.slow_start_capacity;
         (age < within).then(|| from + (1.0 - from) * age / within)
     }
 
     /// News of the list: it is seconds late, and never undoes what a member has shown itself.
-    pub fn list_news(&mut self, now: Time, news: ListNews) {
+    pub fn on_endpoint_update(&mut self, now: Time, news: EndpointUpdate) {
         let (entries, whole) = match news {
-            ListNews::Failed { silent } => {
+            EndpointUpdate::Failed { silent } => {
                 self.ask_failures += u32::from(!silent);
                 let wait = LIST_AGAIN * f64::from(1 << self.ask_failures.min(3));
                 let spread = if silent { 0.0 } else { 0.5 + self.chance.generate::<f64>() };
-                let again = self.deployment.must_ask.map(|most| now + wait.min(most * LIST_DUE) * spread);
+                let again = self
+                    .deployment
+                    .endpoint_poll_interval
+                    .map(|most| now + wait.min(most * LIST_DUE) * spread);
                 self.ask_at = self.ask_at.or(again).min(again);
                 return;
             }
-            ListNews::Remembered(entries) | ListNews::Whole(entries) => (entries, true),
-            ListNews::Changes(entries) | ListNews::Meanwhile(entries) => (entries, false),
+            EndpointUpdate::Cached(entries) | EndpointUpdate::Complete(entries) => (entries, true),
+            EndpointUpdate::Changes(entries) | EndpointUpdate::ChangesDuringMove(entries) => (entries, false),
         };
-        if !matches!(news, ListNews::Remembered(_) | ListNews::Meanwhile(_)) {
+        if !matches!(news, EndpointUpdate::Cached(_) | EndpointUpdate::ChangesDuringMove(_)) {
             (self.ask_at, self.ask_failures) = (None, 0);
         }
         for entry in entries {
             self.listed(now, entry);
         }
-        if whole && !self.deployment.soft_removal {
+        if whole && !self.deployment.removal_is_advisory {
             let gone = |member: &&mut Member| !entries.iter().any(|entry| entry.member == member.id);
-            self.fleet.members.iter_mut().flatten().filter(gone).for_each(|m| m.stands(now, Standing::Off));
+            self.fleet
+                .members
+                .iter_mut()
+                .flatten()
+                .filter(gone)
+                .for_each(|m| m.stands(now, EndpointState::Removed));
         }
         for group in 0..self.fleet.groups.len() {
             self.fleet.count_members(group);
             self.find_primary(group);
         }
-        self.upkeep.forgotten.extend(self.fleet.forget(now - FORGET));
+        self.upkeep.retired_members.extend(self.fleet.forget(now - FORGET));
     }
 
-    fn listed(&mut self, now: Time, entry: &Entry) {
+    fn listed(&mut self, now: Time, entry: &Endpoint) {
         let index = entry.member.0 as usize;
         if !self.fleet.knows(entry.member) {
-            let sent = self.deployment.overload_for.max(MEASURE) * 0.125;
-            let limit = LIMIT_START / f64::from(self.deployment.routers.max(1));
+            let sent = self.deployment.overload_window.max(MEASURE) * 0.125;
+            let limit = LIMIT_START / f64::from(self.deployment.router_count.max(1));
             let limit = limit.clamp(START_LEAST, START_MOST);
             let mut member = Member::new(entry.member, entry.group as usize, limit, MEASURE, sent);
-            (member.mark, member.credit) = (entry.mark, self.chance.generate());
+            (member.mark, member.credit) = (entry.id_hash, self.chance.generate());
             self.fleet.add(member);
             let first = self.probe_span(now, index) - self.least_bound * TELL_PART;
             let member = self.fleet.member_mut(index);
             member.probe_at = now + first.max(Span::ZERO);
             self.probes_at = self.probes_at.min(member.probe_at);
         }
-        let subtle = self.deployment.soft_removal && entry.standing == Standing::Off;
-        let told = self.deployment.role_in_list;
-        let role_told = told == RoleInList::Late || told == RoleInList::Start && now == self.started;
+        let subtle = self.deployment.removal_is_advisory && entry.state == EndpointState::Removed;
+        let told = self.deployment.primary_in_list;
+        let role_told =
+            told == PrimaryInList::Delayed || told == PrimaryInList::AtStart && now == self.started;
         let present = self.present(now);
         let member = self.fleet.member_mut(index);
         member.listed(entry);
         if !subtle {
-            member.stands(now, entry.standing);
+            member.stands(now, entry.state);
         }
-        member.cold_from = member.cold_from.max(entry.born);
+        member.cold_from = member.cold_from.max(entry.started_at);
         let recent = present - member.replica_at < LIST_LAG;
         member.named = entry.primary && role_told && !recent;
     }
@@ -712,7 +735,7 @@
         let after = self.fleet.groups[group].primary;
         if role == Role::Primary && after == Some(index) && before != after {
             self.fleet.member_mut(index).shared_at = Time::NEVER;
-            self.share(now, index, Word::Primary, at, 0.0);
+            self.share(now, index, MemberObservation::Primary, at, 0.0);
         }
     }
 
@@ -720,7 +743,7 @@
     fn find_primary(&mut self, group: usize) {
         let claim = |&&index: &&usize| {
             let member = self.fleet.member(index);
-            member.standing == Standing::On && (member.claim > member.replica_at || member.named)
+            member.standing == EndpointState::Active && (member.claim > member.replica_at || member.named)
         };
         let members = self.fleet.groups[group].members.iter();
         let best = members.filter(claim).max_by_key(|&&i| self.fleet.member(i).claim).copied();
@@ -728,24 +751,31 @@
         if best != state.primary {
             state.primary = best;
             let named = best.map_or("unknown".to_owned(), |index| format!("#{index}"));
-            self.upkeep.notes.push(format!("group {group}: primary is {named}"));
+            self.upkeep.log_messages.push(format!("group {group}: primary is {named}"));
         }
     }
 
     /// The result of a probe.
-    pub fn probed(&mut self, now: Time, id: MemberId, ended: Ended, took: Span, report: Report) {
+    pub fn on_health_check_ended(
+        &mut self,
+        now: Time,
+        id: MemberId,
+        ended: AttemptOutcome,
+        took: Span,
+        report: LoadReport,
+    ) {
         let index = id.0 as usize;
         if !self.fleet.knows(id) {
             return;
         }
         self.fleet.member_mut(index).probe_sent = None;
         match ended {
-            Ended::Ok if report != Report::default() => self.answered(now, index),
+            AttemptOutcome::Ok if report != LoadReport::default() => self.answered(now, index),
             // It is there, but has more probes than it takes, or nothing to report yet: no news of it.
-            Ended::Ok | Ended::Overloaded => return self.answered(now, index),
-            Ended::Broken => return self.ask(now, index), // its connection broke, or the answer was spoilt
+            AttemptOutcome::Ok | AttemptOutcome::Rejected => return self.answered(now, index),
+            AttemptOutcome::ConnectionLost => return self.ask(now, index), // its connection broke, or the answer was spoilt
             // It was never made, as this router has no descriptor for it: that tells nothing of the member.
-            Ended::Void => {
+            AttemptOutcome::NeverSent => {
                 let member = self.fleet.member_mut(index);
                 member.probe_at = now + PROBE_MISSED;
                 self.probes_at = self.probes_at.min(member.probe_at);
@@ -757,8 +787,8 @@
         self.fleet.groups[group].heard = true;
         if let Some(position) = report.position {
             let age = self.present(now) - position;
-            self.fleet.member_mut(index).reported(age, report.holds);
-            if self.deployment.peers {
+            self.fleet.member_mut(index).reported(age, report.in_flight);
+            if self.deployment.gossip {
                 self.regulate(now, index);
             }
             // Reports may be late: the primary's, which stands at the present, shows by how much.
@@ -766,13 +796,17 @@
             let late = primary.map(|p| self.fleet.member(p).report_age.unwrap_or(Span::ZERO));
             self.fleet.member_mut(index).lag = late.map(|late| (age - late).max(Span::ZERO));
             self.told_position(now, index, position);
-            let word = if report.primary == Some(true) { Word::Primary } else { Word::Replica };
+            let word = if report.is_primary == Some(true) {
+                MemberObservation::Primary
+            } else {
+                MemberObservation::Replica
+            };
             self.share(now, index, word, position, 0.0);
         }
         let asked_at = self.present(now) - took;
         let member = self.fleet.member_mut(index);
         member.told_at = now;
-        match (report.primary, report.position) {
+        match (report.is_primary, report.position) {
             // A position never goes back: one from before the claim is an old report, not a change of role.
             (Some(true), at) => self.shown(now, index, Role::Primary, at.unwrap_or(asked_at)),
             (Some(false), at) if at.is_none_or(|at| at >= self.fleet.member(index).claim) => {
@@ -784,7 +818,7 @@
 
     /// What another router was told. A position stays true, however late; none is ahead of the clock.
     /// A member that no list has named stays unknown.
-    pub fn told(&mut self, now: Time, news: News) {
+    pub fn on_peer_update(&mut self, now: Time, news: MemberUpdate) {
         let index = news.member.0 as usize;
         let present = self.present(now);
         if !self.fleet.knows(news.member) || news.at > present {
@@ -793,18 +827,18 @@
         let member = self.fleet.member_mut(index);
         let Some(role) = member.heard_of(now, &news) else {
             // It counts as one miss, where it is not a word of old and this router has heard nothing since.
-            if news.near && present - news.at < LONG_GONE && member.silent_from < news.at {
+            if news.same_zone && present - news.at < LONG_GONE && member.silent_from < news.at {
                 self.missed(now, index, true);
             }
             return;
         };
         self.regulate(now, index);
-        if news.stretch > 0.0 {
+        if news.latency_ratio > 0.0 {
             // Its answer came before it was told: it shows no more than a cut made since.
-            self.follow(now, index, now - self.least_usual() * news.stretch, false);
+            self.follow(now, index, now - self.least_usual() * news.latency_ratio, false);
         }
         self.told_position(now, index, news.at);
-        if news.near && self.fleet.member(index).misses > 0 {
+        if news.same_zone && self.fleet.member(index).misses > 0 {
             self.answered(now, index);
         }
         let group = self.fleet.member(index).group;
@@ -814,13 +848,17 @@
     }
 
     /// Tells the other routers what this one was told by the member itself, unless they know it already.
-    fn share(&mut self, now: Time, index: usize, word: Word, at: Time, stretch: f64) {
+    fn share(&mut self, now: Time, index: usize, word: MemberObservation, at: Time, stretch: f64) {
         let led = self.fleet.groups[self.fleet.member(index).group].primary.is_some();
         let step = (self.least_bound * TELL_PART).min(if led { Span::MAX } else { TELL_LEADERLESS });
         let member = self.fleet.member_mut(index);
-        if self.deployment.peers && now - member.shared_at >= step {
+        if self.deployment.gossip && now - member.shared_at >= step {
             (member.shared, member.shared_at) = (member.shared.max(at), now);
-            self.upkeep.tell.push(News { stretch, holds: member.holds, ..News::of(member.id, word, at) });
+            self.upkeep.gossip.push(MemberUpdate {
+                latency_ratio: stretch,
+                in_flight: member.holds,
+                ..MemberUpdate::new(member.id, word, at)
+            });
         }
     }
 
@@ -842,13 +880,13 @@
         let member = self.fleet.member_mut(index);
         if member.misses >= MISSES_TO_DROP {
             member.cold_from = if now - member.miss_from > LONG_GONE { Some(now) } else { member.cold_from };
-            self.upkeep.notes.push(format!("#{index} is back"));
+            self.upkeep.log_messages.push(format!("#{index} is back"));
         }
         (member.misses, member.silent_from) = (0, now);
     }
 
     fn missed(&mut self, now: Time, index: usize, heard: bool) {
-        let most = if self.deployment.peers { self.probe_every(now) } else { Span::ZERO };
+        let most = if self.deployment.gossip { self.probe_every(now) } else { Span::ZERO };
         let present = self.present(now);
         let member = self.fleet.member_mut(index);
         member.miss_from = if member.misses == 0 { now } else { member.miss_from };
@@ -859,12 +897,12 @@
             member.probe_at = now + if member.misses < MISSES_TO_DROP { again } else { again.max(most) };
             self.probes_at = self.probes_at.min(member.probe_at);
         }
-        if self.deployment.peers && !heard && now - member.lost_at >= LONG_GONE {
+        if self.deployment.gossip && !heard && now - member.lost_at >= LONG_GONE {
             member.lost_at = now;
-            self.upkeep.tell.push(News::of(member.id, Word::Lost, present));
+            self.upkeep.gossip.push(MemberUpdate::new(member.id, MemberObservation::Unreachable, present));
         }
         if self.fleet.member(index).misses == MISSES_TO_DROP {
-            self.upkeep.notes.push(format!("#{index} is left out: {MISSES_TO_DROP} misses in a row"));
+            self.upkeep.log_messages.push(format!("#{index} is left out: {MISSES_TO_DROP} misses in a row"));
         }
         if first {
             self.fleet.reach_way(zone, WAY).add(now, WAY_MISSED);
@@ -918,11 +956,11 @@
     }
 
     /// Decides what is held, and says what is due: probes, list calls, the next look.
-    pub fn tend(&mut self, now: Time) -> Upkeep {
+    pub fn tick(&mut self, now: Time) -> TickOutput {
         (0..self.fleet.groups.len()).for_each(|group| self.tend_held(now, group));
         let waits = self.fleet.groups.iter().any(|group| !group.held.is_empty());
         let mut wake = now + if waits { HELD_EVERY } else { Span::MAX };
-        if self.deployment.probes {
+        if self.deployment.health_checks {
             if self.probes_at <= now {
                 self.tend_probes(now);
             }
@@ -931,11 +969,11 @@
             self.fleet.forgive(now); // a call-out stands in for the probe that would be due
         }
         if self.ask_at.is_some_and(|at| at <= now) {
-            self.upkeep.ask_list = true;
+            self.upkeep.poll_endpoints = true;
             self.ask_at = Some(now + LIST_LATEST * (0.75 + 0.25 * self.chance.generate::<f64>()));
         }
         wake = wake.min(self.ask_at.unwrap_or(wake));
-        self.upkeep.wake = Some(wake.max(now + self.deployment.tick));
+        self.upkeep.wake_at = Some(wake.max(now + self.deployment.tick));
         std::mem::take(&mut self.upkeep)
     }
 
@@ -956,7 +994,7 @@
         held.sort_by_key(|rpc| std::cmp::Reverse(self.rpcs[*rpc].taken));
         held.sort_by(|a, b| self.density(now, *b).total_cmp(&self.density(now, *a)));
         held.retain(|&rpc| match self.place(now, rpc) {
-            Decision::Hold => true,
+            Decision::Queue => true,
             decision => {
                 self.upkeep.decisions.push((rpc, decision));
                 false
@@ -965,10 +1003,11 @@
         self.fleet.groups[group].held = held;
     }
 
-    fn density(&self, now: Time, rpc: Rpc) -> f64 {
+    fn density(&self, now: Time, rpc: RpcId) -> f64 {
         let (state, row) = (&self.rpcs[rpc], self.row(rpc));
         let late = now + row.usual >= state.taken + row.method.soft_deadline;
-        row.method.utility * if late { row.method.late } else { 1.0 } / row.usual.secs().max(1e-6)
+        row.method.utility * if late { row.method.late_utility_share } else { 1.0 }
+            / row.usual.secs().max(1e-6)
     }
 
     /// How long a round of periodic probes takes.
@@ -980,7 +1019,7 @@
 
     /// Routers that tell each other share one round, by turns; a turn that is missed falls to the next.
     fn probe_span(&mut self, now: Time, index: usize) -> Span {
-        if !self.deployment.shares_probes() {
+        if !self.deployment.shares_health_checks() {
             return self.probe_every(now) * (0.75 + 0.5 * self.chance.generate::<f64>());
         }
         (PROBE_EVERY.max(self.least_bound * TELL_PART) + SHARED_TURN * self.turn(index)).min(PROBE_SLOWEST)
@@ -990,7 +1029,7 @@
         self.probes_at = now + PROBE_EVERY;
         for index in 0..self.fleet.members.len() {
             let Some(member) = &mut self.fleet.members[index] else { continue };
-            if member.standing == Standing::Off {
+            if member.standing == EndpointState::Removed {
                 continue;
             }
             if member.probe_sent.is_some_and(|sent| now - sent > PROBE_LOST) {
@@ -1001,12 +1040,12 @@
             let member = self.fleet.member_mut(index);
             // The round may have become shorter since; where it is shared, the first one goes by turns too.
             let told_at = member.probed_at.max(member.told_at);
-            if told_at != Time::NEVER || !self.deployment.shares_probes() {
+            if told_at != Time::NEVER || !self.deployment.shares_health_checks() {
                 member.probe_at = member.probe_at.min(told_at + every);
             }
             if member.probe_sent.is_none() && member.probe_at <= now {
                 member.probe_goes(now, every);
-                self.upkeep.probes.push(member.id);
+                self.upkeep.health_checks.push(member.id);
             }
             let next = member.probe_sent.map_or(member.probe_at, |sent| sent + PROBE_LOST);
             self.probes_at = self.probes_at.min(next);
@@ -1014,54 +1053,59 @@
     }
 
     /// What the outcome of a call-out tells of the member.
-    fn heard(&mut self, now: Time, index: usize, outcome: &Outcome, arrival: Arrival, sent: Time) {
+    fn heard(&mut self, now: Time, index: usize, outcome: &AttemptResult, arrival: Arrival, sent: Time) {
         let row = &self.rows[arrival.method as usize];
-        let (level, member) = (row.method.level, self.fleet.member(index));
+        let (level, member) = (row.method.consistency, self.fleet.member(index));
         // An impatient client's time is up before it tells anything of the member.
-        let hasty = outcome.took < row.usual * SILENCE;
-        let lost =
-            (hasty || self.is_lost(now, member, sent, arrival.method)) && outcome.ended == Ended::TimedOut;
+        let hasty = outcome.latency < row.usual * SILENCE;
+        let lost = (hasty || self.is_lost(now, member, sent, arrival.method))
+            && outcome.outcome == AttemptOutcome::TimedOut;
         // Who tells its role is there, whatever else it says.
-        if outcome.role.is_some() || matches!(outcome.ended, Ended::Ok | Ended::Absent) {
+        if outcome.role.is_some()
+            || matches!(outcome.outcome, AttemptOutcome::Ok | AttemptOutcome::NotServedHere)
+        {
             self.answered(now, index);
         }
         let member = self.fleet.member_mut(index);
-        member.came_back(sent, arrival.method, outcome.ended == Ended::Ok);
+        member.came_back(sent, arrival.method, outcome.outcome == AttemptOutcome::Ok);
         let group = member.group;
-        match outcome.ended {
-            Ended::Ok | Ended::Absent => self.fleet.groups[group].heard = true,
-            Ended::Overloaded | Ended::Broken | Ended::TimedOut => {
+        match outcome.outcome {
+            AttemptOutcome::Ok | AttemptOutcome::NotServedHere => self.fleet.groups[group].heard = true,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut => {
                 member.failures.add(now, 1.0);
                 let limit = member.limit * LIMIT_CUT;
-                if matches!(outcome.ended, Ended::Overloaded | Ended::TimedOut) && !lost {
+                if matches!(outcome.outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut) && !lost {
                     self.cut(now, index, sent, limit);
                 }
             }
-            Ended::Unreachable => {
+            AttemptOutcome::Unreachable => {
                 member.failures.add(now, 1.0);
                 self.missed(now, index, false);
             }
-            Ended::Failed | Ended::Withdrawn | Ended::Void | Ended::Expired => {}
+            AttemptOutcome::Failed
+            | AttemptOutcome::Cancelled
+            | AttemptOutcome::NeverSent
+            | AttemptOutcome::DecisionExpired => {}
         }
         let mut stretch = 0.0;
-        if matches!(outcome.ended, Ended::Ok | Ended::TimedOut) && !lost {
-            stretch = self.learn_answer(now, index, arrival.method, sent, outcome.took);
+        if matches!(outcome.outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && !lost {
+            stretch = self.learn_answer(now, index, arrival.method, sent, outcome.latency);
         }
-        let commit = outcome.ended == Ended::Ok && level == Level::Write;
+        let commit = outcome.outcome == AttemptOutcome::Ok && level == Consistency::Write;
         // No position is told where the answer broke off: what may have run is committed by now.
         let present = self.present(now);
         let at = outcome.position.filter(|_| commit).unwrap_or(present + self.deployment.tick);
         let writer = self.rows[arrival.method as usize].writer(arrival.session);
-        self.sessions.wrote(writer, sent, Some(at).filter(|_| !outcome.ended.never_ran()));
+        self.sessions.wrote(writer, sent, Some(at).filter(|_| !outcome.outcome.never_ran()));
         if let Some(position) = outcome.position.filter(|_| !commit) {
             self.fleet.member_mut(index).lag = Some(present - position);
             self.told_position(now, index, position);
             if outcome.role == Some(Role::Replica) {
-                self.share(now, index, Word::Replica, position, stretch);
+                self.share(now, index, MemberObservation::Replica, position, stretch);
             }
         }
         if let Some(role) = outcome.role {
-            let claimed = outcome.position.unwrap_or(present - outcome.took);
+            let claimed = outcome.position.unwrap_or(present - outcome.latency);
             let at = if role == Role::Primary { claimed } else { present };
             self.shown(now, index, role, at);
         }
@@ -1072,14 +1116,14 @@
     reasons.into_iter().find(|&(holds, _)| holds).map(|(_, reason)| reason)
 }
 
-impl Rpc {
+impl RpcId {
     /// A call-out of this RPC has ended.
-    pub fn ended(self, router: &mut Router, now: Time, outcome: Outcome) -> Decision {
+    pub fn on_attempt_ended(self, router: &mut Router, now: Time, outcome: AttemptResult) -> Decision {
         let index = outcome.member.0 as usize;
-        let Some(state) = router.rpcs.find(self) else { return Decision::Done };
+        let Some(state) = router.rpcs.find(self) else { return Decision::AlreadyAnswered };
         let (arrival, sent) = (state.arrival, state.sent);
-        let failed = state.came_back(now, index, outcome.ended);
-        let over = outcome.complete || !state.live;
+        let failed = state.came_back(now, index, outcome.outcome);
+        let over = outcome.rpc_complete || !state.live;
         let at_fault = state.failed.len() >= ERRORS;
         for index in failed {
             router.fleet.members[index].iter_mut().for_each(|member| member.failures.add(now, 1.0));
@@ -1087,15 +1131,15 @@
         router.heard(now, index, &outcome, arrival, sent);
         if over {
             router.rpcs.close(self);
-            return Decision::Done;
+            return Decision::AlreadyAnswered;
         }
-        if !outcome.ended.never_ran() {
+        if !outcome.outcome.never_ran() {
             router.rpcs[self].risked.get_or_insert(sent);
         }
         let hopeless = first_that_holds([
-            (outcome.ended == Ended::Void, GiveUpReason::NotMade),
+            (outcome.outcome == AttemptOutcome::NeverSent, GiveUpReason::NotMade),
             (at_fault, GiveUpReason::AtFault),
-            (outcome.unpaid, GiveUpReason::Unpaid),
+            (outcome.retry_denied, GiveUpReason::Unpaid),
         ]);
         if let Some(reason) = hopeless {
             return router.give_up(now, self, reason);
@@ -1104,7 +1148,7 @@
     }
 
     /// The client has gone, or its time is over.
-    pub fn left(self, router: &mut Router) {
+    pub fn abandon(self, router: &mut Router) {
         router.rpcs.close(self);
     }
 }
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -52,7 +52,7 @@
     }
 
     /// A member told this position just now.
-    pub fn told(&mut self, now: Time, position: Time) {
+    pub fn record_position(&mut self, now: Time, position: Time) {
         let lead = position - now;
         if lead > LONGEST {
             return;
--- a/crates/ladderpass-routing/src/state.rs
+++ b/crates/ladderpass-routing/src/state.rs
@@ -14,7 +14,7 @@
     pub zone: u32,
     pub mark: u32,
     pub size: Option<f64>,
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// Since when it has this standing.
     pub stands_from: Time,
     /// Latest time at which it was shown to be the primary, and to be a replica.
@@ -74,7 +74,7 @@
     /// Most members that it had at once.
     pub largest: usize,
     pub heard: bool,
-    pub held: Vec<Rpc>,
+    pub held: Vec<RpcId>,
     pub tended_at: Time,
 }
 
@@ -138,7 +138,7 @@
         self.on_list.take();
         let gone = |member: &&Member| {
             let idle = member.out.is_empty() && member.probe_sent.is_none();
-            member.standing == Standing::Off && member.stands_from < before && idle
+            member.standing == EndpointState::Removed && member.stands_from < before && idle
         };
         let gone: Vec<MemberId> =
             self.members.iter().flatten().filter(gone).map(|member| member.id).collect();
@@ -158,7 +158,7 @@
     /// Keeps the most members that a group had at once.
     pub fn count_members(&mut self, group: usize) {
         let members = self.groups[group].members.iter();
-        let on = members.filter(|&&index| self.member(index).standing == Standing::On).count();
+        let on = members.filter(|&&index| self.member(index).standing == EndpointState::Active).count();
         self.groups[group].largest = self.groups[group].largest.max(on);
     }
 
@@ -166,8 +166,9 @@
     /// each asks it for each of them: it is counted once for what the list tells. All news of the list ends with
     /// `forget`, so within one the count may be that of before.
     pub fn on_list(&self) -> usize {
-        let count =
-            || self.members.iter().flatten().filter(|member| member.standing != Standing::Off).count();
+        let count = || {
+            self.members.iter().flatten().filter(|member| member.standing != EndpointState::Removed).count()
+        };
         let known = self.on_list.get().unwrap_or_else(count);
         self.on_list.set(Some(known));
         known
@@ -234,12 +235,12 @@
 
     /// The session, where it writes.
     pub fn writer(&self, session: Option<u32>) -> Option<u32> {
-        session.filter(|_| self.method.level == Level::Write)
+        session.filter(|_| self.method.consistency == Consistency::Write)
     }
 
     /// When an answer to what was taken then stops earning anything.
     pub fn wanted_by(&self, taken: Time, due: Time) -> Time {
-        if self.method.late > 0.0 { due } else { due.min(taken + self.method.soft_deadline) }
+        if self.method.late_utility_share > 0.0 { due } else { due.min(taken + self.method.soft_deadline) }
     }
 }
 
@@ -275,7 +276,7 @@
             zone: 0,
             mark: 0,
             size: None,
-            standing: Standing::On,
+            standing: EndpointState::Active,
             stands_from: Time::NEVER,
             claim: Time::NEVER,
             replica_at: Time::NEVER,
@@ -312,24 +313,25 @@
     }
 
     /// What the list says of the machine.
-    pub fn listed(&mut self, entry: &Entry) {
-        (self.kind, self.zone, self.mark, self.size) = (entry.kind, entry.zone, entry.mark, entry.size);
+    pub fn listed(&mut self, entry: &Endpoint) {
+        (self.kind, self.zone, self.mark, self.size) =
+            (entry.machine_kind, entry.zone, entry.id_hash, entry.concurrency);
     }
 
     /// News of it from another router; the role that it tells, none where it was lost.
-    pub fn heard_of(&mut self, now: Time, news: &News) -> Option<Role> {
-        let role = match news.word {
-            Word::Replica => Role::Replica,
-            Word::Primary => Role::Primary,
-            Word::Lost => {
+    pub fn heard_of(&mut self, now: Time, news: &MemberUpdate) -> Option<Role> {
+        let role = match news.observation {
+            MemberObservation::Replica => Role::Replica,
+            MemberObservation::Primary => Role::Primary,
+            MemberObservation::Unreachable => {
                 self.lost_at = now;
                 return None;
             }
         };
         (self.shared, self.shared_at, self.told_at) = (self.shared.max(news.at), now, now);
-        self.holds = news.holds.or(self.holds);
-        if news.stretch > 0.0 {
-            self.learnt(now, news.stretch, false);
+        self.holds = news.in_flight.or(self.holds);
+        if news.latency_ratio > 0.0 {
+            self.learnt(now, news.latency_ratio, false);
         }
         if role == Role::Replica && news.at > self.position {
             self.lag = Some(now - news.at);
@@ -382,7 +384,7 @@
         self.stretch.add(now, stretch);
     }
 
-    pub fn stands(&mut self, now: Time, standing: Standing) {
+    pub fn stands(&mut self, now: Time, standing: EndpointState) {
         if standing != std::mem::replace(&mut self.standing, standing) {
             self.stands_from = now;
         }
@@ -435,18 +437,18 @@
     }
 
     /// A call-out has ended. Gives the members that failed it before another has served it.
-    pub fn came_back(&mut self, now: Time, index: usize, ended: Ended) -> Vec<usize> {
+    pub fn came_back(&mut self, now: Time, index: usize, ended: AttemptOutcome) -> Vec<usize> {
         self.out = self.out.saturating_sub(1);
-        if ended == Ended::Expired {
+        if ended == AttemptOutcome::DecisionExpired {
             self.callouts = self.callouts.saturating_sub(1);
             return Vec::new();
         }
         self.ended = now;
         self.tried.push(index);
-        if ended == Ended::Failed {
+        if ended == AttemptOutcome::Failed {
             self.failed.push(index);
         }
-        if ended == Ended::Ok { std::mem::take(&mut self.failed) } else { Vec::new() }
+        if ended == AttemptOutcome::Ok { std::mem::take(&mut self.failed) } else { Vec::new() }
     }
 }
 
@@ -458,7 +460,7 @@
 }
 
 impl Slots {
-    pub fn open(&mut self, now: Time, arrival: Arrival, written: Time, luck: f64) -> Rpc {
+    pub fn open(&mut self, now: Time, arrival: Arrival, written: Time, luck: f64) -> RpcId {
         let state = State {
             turn: 0,
             arrival,
@@ -480,21 +482,21 @@
             Some(old) => *old = State { turn: old.turn, ..state },
             None => self.states.push(state),
         }
-        Rpc { slot, turn: self.states[slot as usize].turn }
+        RpcId { slot, generation: self.states[slot as usize].turn }
     }
 
     /// The RPC of a handle; None once its slot has been given back.
-    pub fn get(&self, rpc: Rpc) -> Option<&State> {
-        self.states.get(rpc.slot as usize).filter(|state| state.turn == rpc.turn)
+    pub fn get(&self, rpc: RpcId) -> Option<&State> {
+        self.states.get(rpc.slot as usize).filter(|state| state.turn == rpc.generation)
     }
 
     /// The same, to be changed.
-    pub fn find(&mut self, rpc: Rpc) -> Option<&mut State> {
-        self.states.get_mut(rpc.slot as usize).filter(|state| state.turn == rpc.turn)
+    pub fn find(&mut self, rpc: RpcId) -> Option<&mut State> {
+        self.states.get_mut(rpc.slot as usize).filter(|state| state.turn == rpc.generation)
     }
 
     /// The RPC has its final answer; its slot is given back once no call-out of it is out.
-    pub fn close(&mut self, rpc: Rpc) {
+    pub fn close(&mut self, rpc: RpcId) {
         let Some(state) = self.find(rpc) else { return };
         state.live = false;
         state.held = false;
@@ -505,15 +507,15 @@
     }
 }
 
-impl std::ops::Index<Rpc> for Slots {
+impl std::ops::Index<RpcId> for Slots {
     type Output = State;
-    fn index(&self, rpc: Rpc) -> &State {
+    fn index(&self, rpc: RpcId) -> &State {
         &self.states[rpc.slot as usize]
     }
 }
 
-impl std::ops::IndexMut<Rpc> for Slots {
-    fn index_mut(&mut self, rpc: Rpc) -> &mut State {
+impl std::ops::IndexMut<RpcId> for Slots {
+    fn index_mut(&mut self, rpc: RpcId) -> &mut State {
         &mut self.states[rpc.slot as usize]
     }
 }
--- a/crates/ladderpass-routing/tests/cold.rs
+++ b/crates/ladderpass-routing/tests/cold.rs
@@ -69,7 +69,7 @@
     routers: Vec<Router>,
     weights: Vec<f64>,
     /// What is answered then: router, RPC, member.
-    out: BTreeMap<i64, Vec<(usize, Rpc, u32)>>,
+    out: BTreeMap<i64, Vec<(usize, RpcId, u32)>>,
     events: Vec<Event>,
     served: u32,
     asked: u32,
@@ -81,7 +81,12 @@
     fn new(case: Case, seed: u64) -> Model {
         let overload_for = Span::from_millis(3000);
         let (routers, tip_multiple) = (case.routers as u32, case.multiple);
-        let deployment = Deployment { overload_for, routers, tip_multiple, ..deployment() };
+        let deployment = Deployment {
+            overload_window: overload_for,
+            router_count: routers,
+            overload_multiple: tip_multiple,
+            ..deployment()
+        };
         let step = case.uneven.powf(1.0 / (case.routers.max(2) - 1) as f64);
         let weights: Vec<f64> = (0..case.routers).map(|nth| step.powi(-(nth as i32))).collect();
         let sum: f64 = weights.iter().sum();
@@ -104,9 +109,9 @@
     }
 
     fn start(&mut self, me: usize, ms: i64) -> Router {
-        let deployment = Deployment { me: me as u32, ..self.deployment.clone() };
+        let deployment = Deployment { router_index: me as u32, ..self.deployment.clone() };
         let mut router = Router::start(at(ms), self.chance.generate(), deployment);
-        router.list_news(at(ms), ListNews::Whole(&self.list(ms)));
+        router.on_endpoint_update(at(ms), EndpointUpdate::Complete(&self.list(ms)));
         router
     }
 
@@ -118,17 +123,17 @@
         }
     }
 
-    fn list(&self, ms: i64) -> Vec<Entry> {
+    fn list(&self, ms: i64) -> Vec<Endpoint> {
         let gone = self.case.leaderless.is_some_and(|(from, _)| ms >= from);
-        let listed = |member: u32| Entry {
-            born: (ms >= STARTS && self.case.cold.contains(&member)).then_some(at(STARTS)),
-            standing: if gone && member == 0 { Standing::Off } else { Standing::On },
+        let listed = |member: u32| Endpoint {
+            started_at: (ms >= STARTS && self.case.cold.contains(&member)).then_some(at(STARTS)),
+            state: if gone && member == 0 { EndpointState::Removed } else { EndpointState::Active },
             ..entry(member, self.primary(ms) == Some(member))
         };
         (0..self.case.members).map(listed).collect()
     }
 
-    fn decided(&mut self, ms: i64, router: usize, rpc: Rpc, decision: Decision) {
+    fn decided(&mut self, ms: i64, router: usize, rpc: RpcId, decision: Decision) {
         if let Some(member) = sent_to(decision) {
             let what = What::CalledOut { rpc: self.events.len() as u64, member };
             self.events.push(Event { at: at(ms), what });
@@ -141,12 +146,16 @@
     fn step(&mut self, ms: i64) {
         let list = self.list(ms);
         if ms == STARTS || self.case.leaderless.is_some_and(|(from, to)| ms == from || ms == to) {
-            self.routers.iter_mut().for_each(|router| router.list_news(at(ms), ListNews::Whole(&list)));
+            self.routers
+                .iter_mut()
+                .for_each(|router| router.on_endpoint_update(at(ms), EndpointUpdate::Complete(&list)));
         }
         if ms == STARTS {
             for &member in &self.case.cold {
-                let (capacity, cold_from) = (self.case.bears * self.case.multiple, self.deployment.cold_from);
-                let (warm_within, overload_for) = (self.deployment.warm_within, self.deployment.overload_for);
+                let (capacity, cold_from) =
+                    (self.case.bears * self.case.multiple, self.deployment.slow_start_capacity);
+                let (warm_within, overload_for) =
+                    (self.deployment.slow_start_duration, self.deployment.overload_window);
                 let what = What::Started { member, capacity, cold_from, warm_within, overload_for };
                 self.events.push(Event { at: at(ms), what });
             }
@@ -175,27 +184,28 @@
         }
         for (router, rpc, member) in self.out.remove(&ms).unwrap_or_default() {
             let role = if self.primary(ms) == Some(member) { Role::Primary } else { Role::Replica };
-            let ended = Outcome { role: Some(role), ..outcome(member, Ended::Ok, TOOK_MS) };
-            rpc.ended(&mut self.routers[router], at(ms), ended);
+            let ended = AttemptResult { role: Some(role), ..outcome(member, AttemptOutcome::Ok, TOOK_MS) };
+            rpc.on_attempt_ended(&mut self.routers[router], at(ms), ended);
             self.served += 1;
         }
         for (router, count) in arrivals.into_iter().enumerate() {
             for _ in 0..count {
                 self.asked += 1;
                 let method = u32::from(self.chance.generate::<f64>() < self.case.writes);
-                let (rpc, decision) = self.routers[router].take(at(ms), arrival(method, ms));
+                let (rpc, decision) = self.routers[router].accept(at(ms), arrival(method, ms));
                 self.decided(ms, router, rpc, decision);
             }
-            let upkeep = self.routers[router].tend(at(ms));
+            let upkeep = self.routers[router].tick(at(ms));
             for (rpc, decision) in upkeep.decisions {
                 self.decided(ms, router, rpc, decision);
             }
-            for id in upkeep.probes {
+            for id in upkeep.health_checks {
                 let primary = self.primary(ms) == Some(id.0);
-                let gone = !list.iter().any(|e| e.member == id && e.standing == Standing::On);
-                let report = Report { position: Some(at(ms)), primary: Some(primary), holds: None };
-                let ended = if gone { Ended::Unreachable } else { Ended::Ok };
-                self.routers[router].probed(at(ms), id, ended, Span::from_millis(1), report);
+                let gone = !list.iter().any(|e| e.member == id && e.state == EndpointState::Active);
+                let report =
+                    LoadReport { position: Some(at(ms)), is_primary: Some(primary), in_flight: None };
+                let ended = if gone { AttemptOutcome::Unreachable } else { AttemptOutcome::Ok };
+                self.routers[router].on_health_check_ended(at(ms), id, ended, Span::from_millis(1), report);
             }
         }
     }
--- a/crates/ladderpass-routing/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -7,83 +7,89 @@
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
 }
 
-pub fn method(level: Level, effect: Effect) -> Method {
-    Method { level, effect, soft_deadline: Span::from_millis(500), utility: 1.0, late: 0.0 }
+pub fn method(level: Consistency, effect: Idempotency) -> Method {
+    Method {
+        consistency: level,
+        idempotency: effect,
+        soft_deadline: Span::from_millis(500),
+        utility: 1.0,
+        late_utility_share: 0.0,
+    }
 }
 
 pub fn deployment() -> Deployment {
     Deployment {
         methods: vec![
-            method(Level::Bounded(Span::from_millis(800)), Effect::Idempotent),
-            method(Level::Write, Effect::NonIdempotent),
+            method(Consistency::BoundedStaleness(Span::from_millis(800)), Idempotency::Idempotent),
+            method(Consistency::Write, Idempotency::NonIdempotent),
         ],
-        role_in_list: RoleInList::Late,
-        carried: true,
-        must_ask: None,
-        probes: true,
-        probes_tell: true,
-        routers: 4,
-        me: 0,
-        peers: false,
-        callouts_cap: 6,
-        longest_come_back: Span::from_millis(500),
+        primary_in_list: PrimaryInList::Delayed,
+        session_write_age_carried: true,
+        endpoint_poll_interval: None,
+        health_checks: true,
+        health_checks_report_position: true,
+        router_count: 4,
+        router_index: 0,
+        gossip: false,
+        max_attempts: 6,
+        max_retry_after: Span::from_millis(500),
         tick: Span::from_millis(5),
-        cold_from: 0.2,
-        warm_within: Span::from_millis(10_000),
-        overload_for: Span::from_millis(2000),
-        tip_multiple: 1.0,
-        soft_removal: false,
+        slow_start_capacity: 0.2,
+        slow_start_duration: Span::from_millis(10_000),
+        overload_window: Span::from_millis(2000),
+        overload_multiple: 1.0,
+        removal_is_advisory: false,
     }
 }
 
-pub fn entry(member: u32, primary: bool) -> Entry {
-    let (standing, born) = (Standing::On, None);
-    Entry {
+pub fn entry(member: u32, primary: bool) -> Endpoint {
+    let (standing, born) = (EndpointState::Active, None);
+    Endpoint {
         member: MemberId(member),
         group: 0,
         primary,
-        standing,
-        born,
-        kind: 0,
-        size: None,
+        state: standing,
+        started_at: born,
+        machine_kind: 0,
+        concurrency: None,
         zone: 0,
-        mark: member,
+        id_hash: member,
     }
 }
 
 pub fn probe(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
-    let report = Report { position: Some(at(position_ms)), primary: Some(primary), holds: None };
-    router.probed(at(ms), MemberId(member), Ended::Ok, Span::from_millis(1), report);
+    let report = LoadReport { position: Some(at(position_ms)), is_primary: Some(primary), in_flight: None };
+    router.on_health_check_ended(at(ms), MemberId(member), AttemptOutcome::Ok, Span::from_millis(1), report);
 }
 
 pub fn arrival(method: u32, ms: i64) -> Arrival {
     Arrival {
         method,
         group: 0,
-        due: at(ms + 2000),
-        resent: false,
+        deadline: at(ms + 2000),
+        is_client_retry: false,
         session: None,
-        last_write: None,
-        strain: None,
-        fleet: None,
-        lot: None,
+        last_write_age: None,
+        router_overload: None,
+        fleet_overload: None,
+        admission_draw: None,
     }
 }
 
 pub fn sent_to(decision: Decision) -> Option<u32> {
     match decision {
-        Decision::CallOut { member, .. } => Some(member.0),
+        Decision::Attempt { member, .. } => Some(member.0),
         _ => None,
     }
 }
 
-pub fn outcome(member: u32, ended: Ended, took_ms: i64) -> Outcome {
-    Outcome {
+pub fn outcome(member: u32, ended: AttemptOutcome, took_ms: i64) -> AttemptResult {
+    AttemptResult {
         member: MemberId(member),
-        ended,
-        took: Span::from_millis(took_ms),
-        complete: ended == Ended::Ok,
-        unpaid: false,
+        outcome: ended,
+        latency: Span::from_millis(took_ms),
+        rpc_complete: ended == AttemptOutcome::Ok,
+        retry_denied: false,
         role: None,
         position: None,
     }
--- a/crates/ladderpass-routing/tests/first_answers.rs
+++ b/crates/ladderpass-routing/tests/first_answers.rs
@@ -16,9 +16,9 @@
 /// A router whose primary alone has answered, 5 ms after the start.
 fn fresh() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
-    let list: Vec<Entry> = (0..3).map(|member| entry(member, member == 0)).collect();
-    router.list_news(at(0), ListNews::Remembered(&list));
-    router.tend(at(0));
+    let list: Vec<Endpoint> = (0..3).map(|member| entry(member, member == 0)).collect();
+    router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
+    router.tick(at(0));
     probe(&mut router, 5, 0, 5, true);
     router
 }
@@ -27,7 +27,7 @@
 fn decided_by(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
     let mut decided = Vec::new();
     for ms in (from..=to).step_by(5) {
-        let decisions = router.tend(at(ms)).decisions;
+        let decisions = router.tick(at(ms)).decisions;
         decided.extend(decisions.into_iter().map(|(_, decision)| (ms, sent_to(decision))));
     }
     decided
@@ -36,8 +36,8 @@
 #[test]
 fn a_first_read_waits_for_the_first_answer_of_a_replica() {
     let mut router = fresh();
-    let (_, decision) = router.take(at(10), arrival(READ, 10));
-    assert_eq!(decision, Decision::Hold);
+    let (_, decision) = router.accept(at(10), arrival(READ, 10));
+    assert_eq!(decision, Decision::Queue);
     assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered yet");
     probe(&mut router, 152, 2, 152, false);
     assert_eq!(decided_by(&mut router, 155, 155), [(155, Some(2))]);
@@ -47,8 +47,8 @@
 #[test]
 fn a_first_read_spills_once_a_fresh_router_has_waited() {
     let mut router = fresh();
-    let (_, decision) = router.take(at(10), arrival(READ, 10));
-    assert_eq!(decision, Decision::Hold);
+    let (_, decision) = router.accept(at(10), arrival(READ, 10));
+    assert_eq!(decision, Decision::Queue);
     assert_eq!(decided_by(&mut router, 15, 295), Vec::new());
     assert_eq!(decided_by(&mut router, 300, 310), [(300, Some(0))]);
 }
@@ -60,10 +60,10 @@
     for member in 1..3 {
         probe(&mut router, 6, member, 6, false);
     }
-    router.tend(at(7));
+    router.tick(at(7));
     // What they told is too old by then, and nobody answers.
-    let (_, decision) = router.take(at(3000), arrival(READ, 3000));
-    assert_eq!(decision, Decision::Hold);
+    let (_, decision) = router.accept(at(3000), arrival(READ, 3000));
+    assert_eq!(decision, Decision::Queue);
     let decided = decided_by(&mut router, 3005, 3200);
     assert_eq!(decided.first().map(|&(_, member)| member), Some(Some(0)), "{decided:?}");
     assert!(decided[0].0 <= 3000 + 2 * 60 + 10, "{decided:?}");
--- a/crates/ladderpass-routing/tests/reference_clock.rs
+++ b/crates/ladderpass-routing/tests/reference_clock.rs
@@ -12,8 +12,8 @@
 
 /// The primary tells the present of a clock that is so far ahead, a replica lags behind it.
 fn tell(clock: &mut ReferenceClock, now: i64, lead: i64) {
-    clock.told(at(now), at(now + lead));
-    clock.told(at(now), at(now + lead - 3000));
+    clock.record_position(at(now), at(now + lead));
+    clock.record_position(at(now), at(now + lead - 3000));
 }
 
 #[test]
@@ -29,7 +29,7 @@
 fn a_clock_that_is_behind_asks_for_newer_positions_at_once_and_for_good() {
     for lead in [500, 5000, 3_600_000] {
         let mut clock = ReferenceClock::new(true);
-        clock.told(at(0), at(lead));
+        clock.record_position(at(0), at(lead));
         assert_eq!(clock.difference(at(0)).behind, ms(lead), "the first is enough to be careful");
         for now in [100, 200, 300] {
             tell(&mut clock, now, lead);
@@ -44,13 +44,13 @@
 fn a_spoilt_position_passes() {
     let mut clock = ReferenceClock::new(true);
     tell(&mut clock, 0, -20);
-    clock.told(at(100), at(7000));
+    clock.record_position(at(100), at(7000));
     assert_eq!(clock.difference(at(100)).behind, ms(6900));
     for now in (200..5000).step_by(100) {
         tell(&mut clock, now, -20);
     }
     assert_eq!(clock.difference(at(5000)).behind, ms(0));
-    clock.told(at(5000), at(400 * 86_400_000));
+    clock.record_position(at(5000), at(400 * 86_400_000));
     assert_eq!(clock.difference(at(5000)).behind, ms(0), "further ahead than any clock");
 }
 
@@ -60,7 +60,7 @@
     assert_eq!(clock.difference(at(0)).ahead, Span::MAX);
     tell(&mut clock, 0, -20_000);
     assert_eq!(clock.difference(at(0)).ahead, ms(20_000));
-    clock.told(at(10), at(-90));
+    clock.record_position(at(10), at(-90));
     assert_eq!(clock.difference(at(10)).ahead, ms(0), "a report may be late by this much");
     assert_eq!(ReferenceClock::new(false).difference(at(0)), Default::default());
 }
--- a/crates/ladderpass-routing/tests/rules.rs
+++ b/crates/ladderpass-routing/tests/rules.rs
@@ -28,8 +28,8 @@
     now: Time,
     deployment: Deployment,
     router: Router,
-    rpcs: HashMap<Rpc, Watched>,
-    standing: Vec<Standing>,
+    rpcs: HashMap<RpcId, Watched>,
+    standing: Vec<EndpointState>,
     seen_fading: Vec<bool>,
     position: Vec<Time>,
     /// An outcome said replica, and nothing has said primary since.
@@ -44,22 +44,24 @@
     fn new(seed: u64) -> Run {
         let mut chance = WyRand::new_seed(seed);
         let mut deployment = deployment();
-        let bounded = Level::Bounded(Span::from_millis(800));
-        let levels = [bounded, Level::Any, Level::Session, Level::Fresh, Level::Write];
+        let bounded = Consistency::BoundedStaleness(Span::from_millis(800));
+        let levels =
+            [bounded, Consistency::Any, Consistency::Session, Consistency::Fresh, Consistency::Write];
         let window = Span::from_millis(700);
-        let tokened = |anywhere| Effect::Tokened { anywhere, window };
-        let effects = [Effect::Idempotent, Effect::NonIdempotent, tokened(true), tokened(false)];
+        let tokened = |anywhere| Idempotency::IdempotencyKey { across_groups: anywhere, window };
+        let effects = [Idempotency::Idempotent, Idempotency::NonIdempotent, tokened(true), tokened(false)];
         let rows = levels.iter().flat_map(|&level| effects.map(|effect| method(level, effect)));
         let late = [0.0, 0.5].into_iter().cycle();
-        deployment.methods = rows.zip(late).map(|(row, late)| Method { late, ..row }).collect();
-        let roles = [RoleInList::Late, RoleInList::Start, RoleInList::Off];
-        deployment.role_in_list = roles[chance.generate_range(0..3usize)];
-        deployment.carried = chance.generate::<bool>();
-        deployment.probes = chance.generate_range(0..5u32) > 0;
-        deployment.probes_tell = deployment.probes && chance.generate::<bool>();
-        (deployment.peers, deployment.me) = (chance.generate(), chance.generate_range(0..4u32));
-        deployment.soft_removal = chance.generate_range(0..3u32) == 0;
-        deployment.must_ask = chance.generate::<bool>().then_some(Span::from_millis(10_000));
+        deployment.methods =
+            rows.zip(late).map(|(row, late)| Method { late_utility_share: late, ..row }).collect();
+        let roles = [PrimaryInList::Delayed, PrimaryInList::AtStart, PrimaryInList::Absent];
+        deployment.primary_in_list = roles[chance.generate_range(0..3usize)];
+        deployment.session_write_age_carried = chance.generate::<bool>();
+        deployment.health_checks = chance.generate_range(0..5u32) > 0;
+        deployment.health_checks_report_position = deployment.health_checks && chance.generate::<bool>();
+        (deployment.gossip, deployment.router_index) = (chance.generate(), chance.generate_range(0..4u32));
+        deployment.removal_is_advisory = chance.generate_range(0..3u32) == 0;
+        deployment.endpoint_poll_interval = chance.generate::<bool>().then_some(Span::from_millis(10_000));
         let now = at(0);
         let router = Router::start(now, seed, deployment.clone());
         let n = MEMBERS as usize;
@@ -69,7 +71,7 @@
             deployment,
             router,
             rpcs: HashMap::new(),
-            standing: vec![Standing::On; n],
+            standing: vec![EndpointState::Active; n],
             seen_fading: vec![false; n],
             position: vec![Time::NEVER; n],
             replica: vec![false; n],
@@ -93,13 +95,20 @@
         self.replica.fill(false);
         let n = MEMBERS as usize;
         self.standing = (0..n)
-            .map(|_| if self.chance.generate_range(0..8u32) == 0 { Standing::Fading } else { Standing::On })
+            .map(|_| {
+                if self.chance.generate_range(0..8u32) == 0 {
+                    EndpointState::Draining
+                } else {
+                    EndpointState::Active
+                }
+            })
             .collect();
-        self.seen_fading = self.standing.iter().map(|&standing| standing == Standing::Fading).collect();
+        self.seen_fading =
+            self.standing.iter().map(|&standing| standing == EndpointState::Draining).collect();
         let standing = &self.standing;
-        let list: Vec<Entry> =
-            (0..MEMBERS).map(|m| Entry { standing: standing[m as usize], ..entry(m, m == 0) }).collect();
-        self.router.list_news(self.now, ListNews::Remembered(&list));
+        let list: Vec<Endpoint> =
+            (0..MEMBERS).map(|m| Endpoint { state: standing[m as usize], ..entry(m, m == 0) }).collect();
+        self.router.on_endpoint_update(self.now, EndpointUpdate::Cached(&list));
     }
 
     fn below(&mut self, most: u32) -> u32 {
@@ -137,11 +146,11 @@
     fn arrive(&mut self) {
         let method = self.below(self.deployment.methods.len() as u32);
         let mut arrival = arrival(method, 0);
-        arrival.due = self.now + Span::from_millis(i64::from(self.below(2000)));
-        arrival.resent = self.below(4) == 0;
+        arrival.deadline = self.now + Span::from_millis(i64::from(self.below(2000)));
+        arrival.is_client_retry = self.below(4) == 0;
         arrival.session = Some(self.below(3));
-        arrival.last_write = (self.below(2) == 0).then(|| Span::from_millis(i64::from(self.below(900))));
-        let (rpc, decision) = self.router.take(self.now, arrival);
+        arrival.last_write_age = (self.below(2) == 0).then(|| Span::from_millis(i64::from(self.below(900))));
+        let (rpc, decision) = self.router.accept(self.now, arrival);
         let written = self.commits[arrival.session.expect("set above") as usize];
         let watched = Watched { arrival, taken: self.now, written, out: None, risked: None, over: false };
         assert!(self.rpcs.insert(rpc, watched).is_none_or(|old| old.over && old.out.is_none()));
@@ -149,8 +158,8 @@
     }
 
     /// In an order that does not depend on hashes.
-    fn those(&self, wanted: impl Fn(&Watched) -> bool) -> Vec<Rpc> {
-        let mut rpcs: Vec<Rpc> = self.rpcs.iter().filter(|(_, w)| wanted(w)).map(|(&rpc, _)| rpc).collect();
+    fn those(&self, wanted: impl Fn(&Watched) -> bool) -> Vec<RpcId> {
+        let mut rpcs: Vec<RpcId> = self.rpcs.iter().filter(|(_, w)| wanted(w)).map(|(&rpc, _)| rpc).collect();
         rpcs.sort_by_key(|rpc| format!("{rpc:?}"));
         rpcs
     }
@@ -161,23 +170,27 @@
             return;
         }
         let rpc = self.one(&out);
-        use Ended::{Absent, Broken, Failed, Overloaded, TimedOut, Unreachable, Void, Withdrawn};
-        let bad = [Failed, Overloaded, TimedOut, Unreachable, Broken, Withdrawn, Void, Absent];
-        let ended = bad.get(self.below(10) as usize).copied().unwrap_or(Ended::Ok);
+        use AttemptOutcome::{
+            Cancelled, ConnectionLost, Failed, NeverSent, NotServedHere, Rejected, TimedOut, Unreachable,
+        };
+        let bad =
+            [Failed, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NeverSent, NotServedHere];
+        let ended = bad.get(self.below(10) as usize).copied().unwrap_or(AttemptOutcome::Ok);
         let role = self.one(&[None, Some(Role::Primary), Some(Role::Replica)]);
         let position = self.position();
         let watched = self.rpcs.get_mut(&rpc).expect("chosen from it");
         let (member, sent) = watched.out.take().expect("chosen for it");
-        let told = matches!(ended, Ended::Ok | Absent | Overloaded | Failed);
+        let told = matches!(ended, AttemptOutcome::Ok | NotServedHere | Rejected | Failed);
         let (role, position) = if told { (role, position) } else { (None, None) };
-        if !matches!(ended, Overloaded | Unreachable | Void | Absent) {
+        if !matches!(ended, Rejected | Unreachable | NeverSent | NotServedHere) {
             watched.risked.get_or_insert(sent);
         }
-        let complete = ended == Ended::Ok || watched.over;
+        let complete = ended == AttemptOutcome::Ok || watched.over;
         watched.over |= complete;
-        let write = self.deployment.methods[watched.arrival.method as usize].level == Level::Write;
+        let write =
+            self.deployment.methods[watched.arrival.method as usize].consistency == Consistency::Write;
         let index = member as usize;
-        let (arrival, commit) = (watched.arrival, write && ended == Ended::Ok);
+        let (arrival, commit) = (watched.arrival, write && ended == AttemptOutcome::Ok);
         if let Some(position) = position {
             let session = arrival.session.expect("every arrival has one") as usize;
             let place = if commit { &mut self.commits[session] } else { &mut self.position[index] };
@@ -188,25 +201,38 @@
         }
         // The usual time for all, so that call-outs can be counted for their work.
         let took = Span::from_millis(100);
-        let outcome =
-            Outcome { member: MemberId(member), ended, took, complete, unpaid: false, role, position };
-        let decision = rpc.ended(&mut self.router, self.now, outcome);
+        let outcome = AttemptResult {
+            member: MemberId(member),
+            outcome: ended,
+            latency: took,
+            rpc_complete: complete,
+            retry_denied: false,
+            role,
+            position,
+        };
+        let decision = rpc.on_attempt_ended(&mut self.router, self.now, outcome);
         if complete {
-            assert_eq!(decision, Decision::Done, "nothing follows the end");
+            assert_eq!(decision, Decision::AlreadyAnswered, "nothing follows the end");
         }
         self.check(rpc, decision);
         if self.below(4) == 0 && complete {
             // A late or doubled outcome of an RPC that is over changes nothing.
-            assert_eq!(rpc.ended(&mut self.router, self.now, outcome), Decision::Done);
+            assert_eq!(rpc.on_attempt_ended(&mut self.router, self.now, outcome), Decision::AlreadyAnswered);
         }
     }
 
     fn probe_result(&mut self) {
         let member = self.below(MEMBERS);
-        let ended = self.one(&[Ended::Ok, Ended::Ok, Ended::Ok, Ended::TimedOut, Ended::Overloaded]);
+        let ended = self.one(&[
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Rejected,
+        ]);
         let position = self.position();
         let primary = self.one(&[None, Some(true), Some(false)]);
-        if ended == Ended::Ok {
+        if ended == AttemptOutcome::Ok {
             let index = member as usize;
             self.position[index] = self.position[index].max(position.unwrap_or(Time::NEVER));
             if primary == Some(true) {
@@ -214,130 +240,158 @@
             }
         }
         let holds = self.one(&[None, Some(0.0), Some(50.0)]);
-        let report = Report { position, primary, holds };
-        self.router.probed(self.now, MemberId(member), ended, Span::from_millis(1), report);
+        let report = LoadReport { position, is_primary: primary, in_flight: holds };
+        self.router.on_health_check_ended(self.now, MemberId(member), ended, Span::from_millis(1), report);
     }
 
     /// News of another router: late, in any order, of members that no list has named, or of the future.
     fn news(&mut self) {
         let member = self.one(&[0, 1, 2, 3, 299]);
-        let word = self.one(&[Word::Replica, Word::Primary, Word::Lost]);
+        let word = self.one(&[
+            MemberObservation::Replica,
+            MemberObservation::Primary,
+            MemberObservation::Unreachable,
+        ]);
         let ahead = Span::from_millis(i64::from(self.below(4) / 3) * 400);
         let at = self.position().unwrap_or(self.now) + ahead;
         let index = member as usize;
-        if word != Word::Lost && at <= self.now && index < self.position.len() {
+        if word != MemberObservation::Unreachable && at <= self.now && index < self.position.len() {
             self.position[index] = self.position[index].max(at);
-            self.replica[index] &= word != Word::Primary;
+            self.replica[index] &= word != MemberObservation::Primary;
         }
         let (near, stretch) = (self.below(2) == 0, self.one(&[0.0, 1.0, 30.0]));
         let holds = self.one(&[None, Some(40.0)]);
-        self.router.told(self.now, News { member: MemberId(member), word, at, near, stretch, holds });
+        self.router.on_peer_update(
+            self.now,
+            MemberUpdate {
+                member: MemberId(member),
+                observation: word,
+                at,
+                same_zone: near,
+                latency_ratio: stretch,
+                in_flight: holds,
+            },
+        );
     }
 
     fn list_change(&mut self) {
         match self.below(20) {
-            0 | 1 => return self.router.list_news(self.now, ListNews::Failed { silent: false }),
+            0 | 1 => {
+                return self.router.on_endpoint_update(self.now, EndpointUpdate::Failed { silent: false });
+            }
             // An empty list, and members that nobody has heard of; both may come back.
             2 => {
-                self.standing.fill(Standing::Off);
-                return self.router.list_news(self.now, ListNews::Whole(&[]));
+                self.standing.fill(EndpointState::Removed);
+                return self.router.on_endpoint_update(self.now, EndpointUpdate::Complete(&[]));
             }
             3 => {
-                return self
-                    .router
-                    .list_news(self.now, ListNews::Changes(&[Entry { group: 9, ..entry(300, true) }]));
+                return self.router.on_endpoint_update(
+                    self.now,
+                    EndpointUpdate::Changes(&[Endpoint { group: 9, ..entry(300, true) }]),
+                );
             }
             _ => {}
         }
         let member = self.below(MEMBERS);
-        let standing = self.one(&[Standing::On, Standing::On, Standing::Fading, Standing::Off]);
+        let standing = self.one(&[
+            EndpointState::Active,
+            EndpointState::Active,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ]);
         let mut news = entry(member, self.below(2) == 0);
-        news.standing = standing;
-        news.born = (self.below(3) == 0).then_some(self.now);
+        news.state = standing;
+        news.started_at = (self.below(3) == 0).then_some(self.now);
         let index = member as usize;
-        self.seen_fading[index] =
-            standing == Standing::Fading || self.seen_fading[index] && standing == Standing::Off;
+        self.seen_fading[index] = standing == EndpointState::Draining
+            || self.seen_fading[index] && standing == EndpointState::Removed;
         self.standing[index] = standing;
-        self.born[index] = news.born.unwrap_or(self.born[index]);
-        self.router.list_news(self.now, ListNews::Changes(&[news]));
+        self.born[index] = news.started_at.unwrap_or(self.born[index]);
+        self.router.on_endpoint_update(self.now, EndpointUpdate::Changes(&[news]));
     }
 
     fn leave(&mut self) {
         if let Some(&rpc) = self.those(|watched| !watched.over).first() {
             self.rpcs.get_mut(&rpc).expect("listed").over = true;
-            rpc.left(&mut self.router);
+            rpc.abandon(&mut self.router);
         }
     }
 
     fn tend(&mut self) {
-        let upkeep = self.router.tend(self.now);
+        let upkeep = self.router.tick(self.now);
         for (rpc, decision) in upkeep.decisions {
             self.check(rpc, decision);
         }
-        assert!(self.deployment.probes || upkeep.probes.is_empty(), "no probes where they are not allowed");
-        assert!(self.deployment.must_ask.is_some() || !upkeep.ask_list);
+        assert!(
+            self.deployment.health_checks || upkeep.health_checks.is_empty(),
+            "no probes where they are not allowed"
+        );
+        assert!(self.deployment.endpoint_poll_interval.is_some() || !upkeep.poll_endpoints);
         // Rule 1: what is held has its answer before its client gives up.
         for watched in self.rpcs.values() {
             assert!(
-                watched.over || watched.out.is_some() || self.now < watched.arrival.due,
+                watched.over || watched.out.is_some() || self.now < watched.arrival.deadline,
                 "an RPC was lost"
             );
         }
     }
 
-    fn check(&mut self, rpc: Rpc, decision: Decision) {
+    fn check(&mut self, rpc: RpcId, decision: Decision) {
         let now = self.now;
         let watched = self.rpcs.get_mut(&rpc).expect("a decision is on an RPC that was taken");
         let row = &self.deployment.methods[watched.arrival.method as usize];
         match decision {
-            Decision::Hold | Decision::Done => {}
-            Decision::Abort => {
+            Decision::Queue | Decision::AlreadyAnswered => {}
+            Decision::Fail => {
                 assert!(!watched.over, "rule 1: a second final answer");
                 watched.over = true;
             }
-            Decision::PushBack { come_back } => {
+            Decision::Reject { retry_after: come_back } => {
                 assert!(!watched.over, "rule 1: a second final answer");
-                assert!(come_back >= Span::ZERO && come_back <= self.deployment.longest_come_back);
-                let harmless = match row.effect {
-                    Effect::Idempotent => true,
-                    Effect::Tokened { anywhere, .. } => anywhere || watched.risked.is_none(),
-                    Effect::NonIdempotent => watched.risked.is_none(),
+                assert!(come_back >= Span::ZERO && come_back <= self.deployment.max_retry_after);
+                let harmless = match row.idempotency {
+                    Idempotency::Idempotent => true,
+                    Idempotency::IdempotencyKey { across_groups: anywhere, .. } => {
+                        anywhere || watched.risked.is_none()
+                    }
+                    Idempotency::NonIdempotent => watched.risked.is_none(),
                 };
                 assert!(harmless, "rule 2: pushed back, and it may have run");
                 watched.over = true;
             }
-            Decision::CallOut { member, .. } => {
+            Decision::Attempt { member, .. } => {
                 let index = member.0 as usize;
                 assert!(!watched.over, "rule 1: sent after its answer");
                 assert!(watched.out.is_none(), "two call-outs at once");
-                match (row.effect, watched.risked) {
-                    (Effect::NonIdempotent, Some(_)) => panic!("rule 2: a second effect"),
-                    (Effect::Tokened { window, .. }, Some(first)) => {
+                match (row.idempotency, watched.risked) {
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: a second effect"),
+                    (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
                         assert!(now - first < window, "rule 2: sent past the window");
                     }
                     _ => {}
                 }
-                let bound = if self.deployment.soft_removal {
+                let bound = if self.deployment.removal_is_advisory {
                     self.seen_fading[index]
                 } else {
-                    self.standing[index] != Standing::On
+                    self.standing[index] != EndpointState::Active
                 };
                 assert!(!bound, "rule 3: sent to a member that fades or is gone");
-                let written = match self.deployment.carried {
-                    true => watched.arrival.last_write.map_or(Time::NEVER, |age| watched.taken - age),
+                let written = match self.deployment.session_write_age_carried {
+                    true => watched.arrival.last_write_age.map_or(Time::NEVER, |age| watched.taken - age),
                     false => watched.written,
                 };
-                let needs = match row.level {
-                    Level::Bounded(age) => now - age,
-                    Level::Session => written,
+                let needs = match row.consistency {
+                    Consistency::BoundedStaleness(age) => now - age,
+                    Consistency::Session => written,
                     _ => Time::NEVER,
                 };
                 let proven = self.position[index] >= needs;
                 assert!(proven || !self.replica[index], "rule 5: a stale read");
                 // Rule 4: a cold member gets its part of what was there to be sent, and a little for chance.
-                let since = now - self.deployment.overload_for;
-                let age = (now - self.born[index]).secs() / self.deployment.warm_within.secs();
-                let part = self.deployment.cold_from + (1.0 - self.deployment.cold_from) * age;
+                let since = now - self.deployment.overload_window;
+                let age = (now - self.born[index]).secs() / self.deployment.slow_start_duration.secs();
+                let part =
+                    self.deployment.slow_start_capacity + (1.0 - self.deployment.slow_start_capacity) * age;
                 watched.out = Some((member.0, now));
                 self.sends.retain(|(at, _)| *at > since);
                 self.sends.push((now, index));
--- a/crates/ladderpass-simulator-adapter/src/wire.rs
+++ b/crates/ladderpass-simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
 use ladderpass_config::names::{Names, group_index};
 use ladderpass_config::{self as settings, whisper::Circle};
 use ladderpass_routing::{
-    Arrival, Decision, Ended, Entry, ListNews, MemberId, Outcome, Report, Role, Router, Rpc, Span, Standing,
-    Time,
+    Arrival, AttemptOutcome, AttemptResult, Decision, Endpoint, EndpointState, EndpointUpdate, LoadReport,
+    MemberId, Role, Router, RpcId, Span, Time,
 };
 use serde_json::Value;
 use std::collections::HashMap;
@@ -46,14 +46,14 @@
     sessions: Names,
     /// Not yet concluded, or with a call-out still out.
     rpcs: HashMap<String, Held>,
-    names: HashMap<Rpc, String>,
+    names: HashMap<RpcId, String>,
     /// The earliest timer that is set, and the handle of the one set last.
     timer: Option<Time>,
     handle: i64,
 }
 
 struct Held {
-    rpc: Rpc,
+    rpc: RpcId,
     ended: bool,
     out: u32,
 }
@@ -243,7 +243,7 @@
                     && !held.ended
                 {
                     held.ended = true;
-                    held.rpc.left(&mut self.router);
+                    held.rpc.abandon(&mut self.router);
                     self.drop_if_over(&id);
                 }
                 Ok(())
@@ -278,18 +278,18 @@
         let arrival = Arrival {
             method,
             group: group_index(&mut self.groups, group),
-            due,
-            strain: None,
-            fleet: None,
-            lot: None,
-            resent: line.resent.unwrap_or(false),
+            deadline: due,
+            router_overload: None,
+            fleet_overload: None,
+            admission_draw: None,
+            is_client_retry: line.resent.unwrap_or(false),
             session: line.session.as_ref().map(|key| self.sessions.intern(key)),
-            last_write: line
+            last_write_age: line
                 .last_write_ms
                 .filter(|&ms| ms > 0.0)
                 .map(|ms| Span::from_nanos((ms * 1e6).ceil() as i64)),
         };
-        let (rpc, decision) = self.router.take(now, arrival);
+        let (rpc, decision) = self.router.accept(now, arrival);
         self.rpcs.insert(id.to_string(), Held { rpc, ended: false, out: 0 });
         self.names.insert(rpc, id.into_owned());
         self.encode(rpc, decision);
@@ -313,12 +313,12 @@
         let rpc = held.rpc;
         let note = line.note.filter(|&note| note >= 0);
         let position = note.map(|n| n / 4).filter(|&ms| ms > 0 || (self.told && note.is_some()));
-        let outcome = Outcome {
-            unpaid: false,
+        let outcome = AttemptResult {
+            retry_denied: false,
             member,
-            ended,
-            took,
-            complete,
+            outcome: ended,
+            latency: took,
+            rpc_complete: complete,
             role: note.and_then(|n| match n % 4 {
                 1 => Some(Role::Primary),
                 2 => Some(Role::Replica),
@@ -326,7 +326,7 @@
             }),
             position: position.map(|ms| self.zero + Span::from_millis(ms)),
         };
-        let decision = rpc.ended(&mut self.router, now, outcome);
+        let decision = rpc.on_attempt_ended(&mut self.router, now, outcome);
         self.encode(rpc, decision);
         self.drop_if_over(&id);
         Ok(())
@@ -348,19 +348,19 @@
         let took = Span::from_nanos(need(line.took, "Elapsed")?);
         let row = line.report.as_deref().unwrap_or(&[]);
         let cell = |column: Option<usize>| column.and_then(|c| row.get(c).copied().flatten());
-        let report = Report {
+        let report = LoadReport {
             position: cell(self.column_position).map(|secs| self.zero + Span::from_secs_f64(secs)),
-            primary: cell(self.column_primary).map(|flag| flag >= 0.5),
-            holds: cell(self.column_holds),
+            is_primary: cell(self.column_primary).map(|flag| flag >= 0.5),
+            in_flight: cell(self.column_holds),
         };
-        self.router.probed(now, member, ended, took, report);
+        self.router.on_health_check_ended(now, member, ended, took, report);
         Ok(())
     }
 
     /// What another instance was told; what can't be read, or names no node of this one's lists, is dropped.
     fn whisper(&mut self, now: Time, line: Line) -> Result<(), Fault> {
         for news in self.circle.hear(&need(line.payload, "Payload")?, now) {
-            self.router.told(now, news);
+            self.router.on_peer_update(now, news);
         }
         Ok(())
     }
@@ -373,7 +373,7 @@
     ) -> Result<(), Fault> {
         let how = need(line.how, "How")?;
         if how == "broken" {
-            self.router.list_news(now, ListNews::Failed { silent: false });
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: false });
             return Ok(());
         }
         let number = need(line.buffer, "Buffer")?;
@@ -382,56 +382,56 @@
         for entry in list {
             let member = MemberId(self.nodes.intern(&entry.node));
             let mark = self.circle.marks.insert(&entry.node, member.0);
-            entries.push(Entry {
+            entries.push(Endpoint {
                 member,
-                mark,
+                id_hash: mark,
                 zone: self.zones.intern(&entry.zone),
-                size: entry.size.filter(|&size| self.sized && size > 0.0),
+                concurrency: entry.size.filter(|&size| self.sized && size > 0.0),
                 group: group_index(&mut self.groups, entry.group),
                 primary: entry.primary.unwrap_or(0.0) >= 0.5,
-                standing: match &*entry.standing {
-                    "on" => Standing::On,
-                    "fading" => Standing::Fading,
-                    "off" => Standing::Off,
+                state: match &*entry.standing {
+                    "on" => EndpointState::Active,
+                    "fading" => EndpointState::Draining,
+                    "off" => EndpointState::Removed,
                     other => return Err(format!("unknown StageState {other:?}")),
                 },
-                born: entry.born.filter(|&at| at != 0).map(Time::from_nanos),
-                kind: self.kinds.intern(&entry.kind),
+                started_at: entry.born.filter(|&at| at != 0).map(Time::from_nanos),
+                machine_kind: self.kinds.intern(&entry.kind),
             });
         }
         let news = match &*how {
-            "patch" => ListNews::Changes(&entries),
-            "whole" => ListNews::Whole(&entries),
-            "stale_copy" => ListNews::Remembered(&entries),
+            "patch" => EndpointUpdate::Changes(&entries),
+            "whole" => EndpointUpdate::Complete(&entries),
+            "stale_copy" => EndpointUpdate::Cached(&entries),
             other => return Err(format!("unknown How {other:?}")),
         };
-        self.router.list_news(now, news);
+        self.router.on_endpoint_update(now, news);
         Ok(())
     }
 
     fn tend(&mut self, who: &str, now: Time) {
-        let upkeep = self.router.tend(now);
+        let upkeep = self.router.tick(now);
         for (rpc, decision) in upkeep.decisions {
             self.encode(rpc, decision);
         }
         let who = quoted(who);
         let out = &mut self.actions;
-        for member in upkeep.probes {
+        for member in upkeep.health_checks {
             let node = quoted(self.nodes.name(member.0));
             let _ = writeln!(out, r#"{{"kind":"TOUCH","Who":{who},"Node":{node}}}"#);
         }
-        for text in self.circle.tell(&upkeep.tell, &self.nodes) {
+        for text in self.circle.tell(&upkeep.gossip, &self.nodes) {
             let text = quoted(&text);
             let _ = writeln!(out, r#"{{"kind":"PUBLISH","Who":{who},"Dest":-1,"Payload":{text}}}"#);
         }
-        if upkeep.ask_list {
+        if upkeep.poll_endpoints {
             let _ = writeln!(out, r#"{{"kind":"OBSERVE","Who":{who},"Enable":true}}"#);
         }
-        for note in upkeep.notes {
+        for note in upkeep.log_messages {
             let note = self.nodes.named(&note);
             let _ = writeln!(out, r#"{{"kind":"WRITE_LOG","Who":{who},"NoteText":{}}}"#, quoted(&note));
         }
-        if let Some(at) = upkeep.wake
+        if let Some(at) = upkeep.wake_at
             && self.timer.is_none_or(|set| at < set)
         {
             let delay = (at - now).nanos().max(1);
@@ -443,13 +443,13 @@
     }
 
     /// Writes a decision as an action; the instance's name is filled in when the batch ends.
-    fn encode(&mut self, rpc: Rpc, decision: Decision) {
+    fn encode(&mut self, rpc: RpcId, decision: Decision) {
         let Some(id) = self.names.get(&rpc) else { return };
         let id_text = quoted(id);
         let held = self.rpcs.get_mut(id);
         let out = &mut self.actions;
         match decision {
-            Decision::CallOut { member, limit } => {
+            Decision::Attempt { member, timeout: limit } => {
                 let node = quoted(self.nodes.name(member.0));
                 let limit = limit.map_or(0, |span| span.nanos().max(1));
                 let _ = writeln!(
@@ -461,13 +461,13 @@
                 }
                 return;
             }
-            Decision::Hold | Decision::Done => return,
-            Decision::PushBack { come_back } => {
+            Decision::Queue | Decision::AlreadyAnswered => return,
+            Decision::Reject { retry_after: come_back } => {
                 let after = come_back.nanos();
                 let _ =
                     writeln!(out, r#"{{"kind":"NOT_NOW","Who":@,"RequestId":{id_text},"ComeBack":{after}}}"#);
             }
-            Decision::Abort => {
+            Decision::Fail => {
                 let _ = writeln!(out, r#"{{"kind":"FINISH_ERROR","Who":@,"RequestId":{id_text}}}"#);
             }
         }
@@ -485,17 +485,17 @@
     }
 }
 
-fn ended(code: &str) -> Result<Ended, Fault> {
+fn ended(code: &str) -> Result<AttemptOutcome, Fault> {
     Ok(match code {
-        "success" => Ended::Ok,
-        "failure" => Ended::Failed,
-        "overloaded" => Ended::Overloaded,
-        "timed_out" => Ended::TimedOut,
-        "unreachable" => Ended::Unreachable,
-        "broken" => Ended::Broken,
-        "withdrawn" => Ended::Withdrawn,
-        "void" => Ended::Void,
-        "absent" => Ended::Absent,
+        "success" => AttemptOutcome::Ok,
+        "failure" => AttemptOutcome::Failed,
+        "overloaded" => AttemptOutcome::Rejected,
+        "timed_out" => AttemptOutcome::TimedOut,
+        "unreachable" => AttemptOutcome::Unreachable,
+        "broken" => AttemptOutcome::ConnectionLost,
+        "withdrawn" => AttemptOutcome::Cancelled,
+        "void" => AttemptOutcome::NeverSent,
+        "absent" => AttemptOutcome::NotServedHere,
         other => return Err(format!("unknown StateCode {other:?}")),
     })
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path.rs
@@ -9,7 +9,7 @@
 pub mod world;
 
 use super::slope::Slope;
-use ladderpass_routing::{Ended, Report, Span};
+use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 use process::{Bed, Seen, Way};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -127,15 +127,15 @@
             // A pass is due after this in any case.
             now = now + Span::from_millis(1000);
             let before = world::cpu();
-            let upkeep = router.tend(now);
+            let upkeep = router.tick(now);
             cpu += world::cpu() - before;
-            for member in upkeep.probes {
-                let report = Report {
+            for member in upkeep.health_checks {
+                let report = LoadReport {
                     position: Some(now),
-                    primary: Some(member.0 % OF_GROUP == 0),
-                    ..Report::default()
+                    is_primary: Some(member.0 % OF_GROUP == 0),
+                    ..LoadReport::default()
                 };
-                router.probed(now, member, Ended::Ok, Span::from_millis(1), report);
+                router.on_health_check_ended(now, member, AttemptOutcome::Ok, Span::from_millis(1), report);
             }
         }
         cpu / count as f64 * 1e6
--- a/crates/ladderpass-testbed/src/capacity/data_path/world.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world.rs
@@ -8,7 +8,7 @@
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_emulator::{Scenario, proto};
-use ladderpass_routing::{Entry, ListNews, MemberId, Router, Span, Standing, Time};
+use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Router, Span, Time};
 use nix::time::{ClockId, clock_gettime};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -189,7 +189,7 @@
         let _ = std::fs::remove_file(&path);
         let mut launch = launch?;
         launch.limits.client_idle = self.client_idle.unwrap_or(launch.limits.client_idle);
-        launch.facts.deployment.peers = self.shares_probes;
+        launch.facts.deployment.gossip = self.shares_probes;
         Ok(launch)
     }
 }
@@ -284,20 +284,20 @@
         let now = Time::from_nanos(1_796_000_000_000_000_000);
         let launch = shape.launch(now, seed)?;
         let mut router = Router::start(now, seed, launch.facts.deployment);
-        let entries: Vec<Entry> = (0..shape.members() as u32)
-            .map(|nth| Entry {
+        let entries: Vec<Endpoint> = (0..shape.members() as u32)
+            .map(|nth| Endpoint {
                 member: MemberId(nth),
                 group: nth / OF_GROUP,
-                kind: 0,
+                machine_kind: 0,
                 zone: 0,
-                mark: nth,
-                size: None,
-                standing: Standing::On,
-                born: None,
+                id_hash: nth,
+                concurrency: None,
+                state: EndpointState::Active,
+                started_at: None,
                 primary: nth % OF_GROUP == 0,
             })
             .collect();
-        router.list_news(now, ListNews::Whole(&entries));
+        router.on_endpoint_update(now, EndpointUpdate::Complete(&entries));
         Ok((router, now))
     }
 
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -4,7 +4,7 @@
 //! list means to the router.
 
 use crate::buffer::Buffer;
-use ladderpass_routing::{Standing, Time};
+use ladderpass_routing::{EndpointState, Time};
 use serde::Deserialize;
 
 /// One line of a watch, or the remembered list.
@@ -44,11 +44,11 @@
 }
 
 impl Instance {
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> EndpointState {
         match self.lifecycle {
-            Lifecycle::Serving => Standing::On,
-            Lifecycle::Draining => Standing::Fading,
-            Lifecycle::Deleted => Standing::Off,
+            Lifecycle::Serving => EndpointState::Active,
+            Lifecycle::Draining => EndpointState::Draining,
+            Lifecycle::Deleted => EndpointState::Removed,
         }
     }
 
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -141,11 +141,11 @@
         launch.operator = operator.unwrap_or_default();
         // The platform's protocol has no messages between routers: they need addresses of the operator's.
         let deployment = &mut launch.facts.deployment;
-        deployment.peers = launch.operator.peers.is_some();
+        deployment.gossip = launch.operator.peers.is_some();
         if let Some(peers) = &launch.operator.peers {
             // Until they have found each other: as many as are listed.
             let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
-            (deployment.me, deployment.routers) = (0, others as u32 + 1);
+            (deployment.router_index, deployment.router_count) = (0, others as u32 + 1);
         }
         Ok(launch)
     }
@@ -173,8 +173,8 @@
         for (name, method) in self.facts.methods.iter().zip(&self.facts.deployment.methods) {
             let text = format!(
                 "{:?}, {:?}, utility {}, soft deadline {} ms",
-                method.level,
-                method.effect,
+                method.consistency,
+                method.idempotency,
                 method.utility,
                 method.soft_deadline.nanos() / 1_000_000
             );
@@ -267,7 +267,10 @@
         let limits = Limits::of(told.limits.memory_mb, sockets, &facts);
         // Guards rule 3 where the settings say that lists are pushed: on sockets nothing comes unasked. There what
         // discovery has counts as told at once, so a watch that was lost has to be back within the grace.
-        facts.deployment.must_ask.get_or_insert(facts.drain_grace.unwrap_or(limits.told_within));
+        facts
+            .deployment
+            .endpoint_poll_interval
+            .get_or_insert(facts.drain_grace.unwrap_or(limits.told_within));
         let allowance = Allowance {
             cores,
             memory: usize::try_from(told.limits.memory_mb << 20).unwrap_or(usize::MAX),
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -16,8 +16,8 @@
 use ladderpass_overload::{Sample, Spent};
 use ladderpass_routing::reference_clock::ReferenceClock;
 use ladderpass_routing::{
-    Arrival, Decision, Ended, Entry, Level, ListNews, MemberId, Method, Outcome, Report, Role, Router, Rpc,
-    Span, Standing, Time,
+    Arrival, AttemptOutcome, AttemptResult, Consistency, Decision, Endpoint, EndpointState, EndpointUpdate,
+    LoadReport, MemberId, Method, Role, Router, RpcId, Span, Time,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -167,7 +167,7 @@
     last_id: u64,
     /// When connections are looked at for their deadlines.
     looks: BTreeSet<(Time, ConnId)>,
-    calls: FxHashMap<Rpc, Call>,
+    calls: FxHashMap<RpcId, Call>,
     members: Vec<Member>,
     names: Names,
     kinds: Names,
@@ -238,19 +238,29 @@
         let own = Own::new(now, &launch.operator, launch.allowance, facts.deployment.methods.len());
         let mut zones = Names::default();
         zones.intern(launch.operator.zone.as_deref().unwrap_or_default());
-        let is_bounded = |method: &Method| matches!(method.level, Level::Bounded(_) | Level::Session);
-        let is_tokened =
-            |method: &Method| matches!(method.effect, ladderpass_routing::Effect::Tokened { .. });
+        let is_bounded = |method: &Method| {
+            matches!(method.consistency, Consistency::BoundedStaleness(_) | Consistency::Session)
+        };
+        let is_tokened = |method: &Method| {
+            matches!(method.idempotency, ladderpass_routing::Idempotency::IdempotencyKey { .. })
+        };
         let mut reducer = Reducer {
             bounded: facts.deployment.methods.iter().map(is_bounded).collect(),
             tokened: facts.deployment.methods.iter().map(is_tokened).collect(),
-            writes: facts.deployment.methods.iter().map(|method| method.level == Level::Write).collect(),
+            writes: facts
+                .deployment
+                .methods
+                .iter()
+                .map(|method| method.consistency == Consistency::Write)
+                .collect(),
             columns: facts.columns,
             ids: Ids::default(),
             keys: Keys::default(),
-            session_methods: facts.deployment.methods.iter().any(|m| m.level == Level::Session),
-            carried: facts.deployment.carried,
-            reference_clock: ReferenceClock::new(facts.deployment.probes && facts.deployment.probes_tell),
+            session_methods: facts.deployment.methods.iter().any(|m| m.consistency == Consistency::Session),
+            carried: facts.deployment.session_write_age_carried,
+            reference_clock: ReferenceClock::new(
+                facts.deployment.health_checks && facts.deployment.health_checks_report_position,
+            ),
             router: Router::start(now, launch.seed, facts.deployment),
             limits: launch.limits,
             methods: facts.methods.into_iter().zip(0..).collect(),
@@ -301,7 +311,7 @@
             effects: Vec::new(),
             tally: Tally { told_at: now, ..Tally::default() },
         };
-        reducer.router.clock_differs(reducer.reference_clock.difference(now));
+        reducer.router.set_clock_difference(reducer.reference_clock.difference(now));
         if let Err(fault) = reducer.listed(now, &launch.known, true, false) {
             tracing::warn!("known: {fault}; started without a list");
         }
@@ -370,7 +380,7 @@
 
     /// The newest proven position of a member, by its id, and whether it is known as a primary.
     pub fn knows_of(&self, id: &str) -> Option<(Time, bool)> {
-        self.router.knows_of(MemberId(self.names.known(id)?))
+        self.router.known_position(MemberId(self.names.known(id)?))
     }
 
     /// Call-outs that are out, and connections that carry one or come up for one: as many at all times.
@@ -385,7 +395,7 @@
 
     /// Call-outs that members answered well since the log told of them last, and the time that these took there.
     pub fn answers(&self) -> (u32, Span) {
-        (self.tally.ended[Ended::Ok as usize], self.tally.answer_time)
+        (self.tally.ended[AttemptOutcome::Ok as usize], self.tally.answer_time)
     }
 
     /// Is there room for a further client?
@@ -470,28 +480,28 @@
             self.keep_stopping(now, since);
         }
         self.tend_peers(now);
-        self.router.clock_differs(self.reference_clock.difference(now));
-        let upkeep = self.router.tend(now);
+        self.router.set_clock_difference(self.reference_clock.difference(now));
+        let upkeep = self.router.tick(now);
         for (rpc, decision) in upkeep.decisions {
             self.carry_out(now, rpc, decision);
         }
-        for member in upkeep.probes {
+        for member in upkeep.health_checks {
             self.probe(now, member);
         }
-        if !upkeep.tell.is_empty() {
-            self.whisper(now, &upkeep.tell);
+        if !upkeep.gossip.is_empty() {
+            self.whisper(now, &upkeep.gossip);
         }
-        if upkeep.ask_list {
+        if upkeep.poll_endpoints {
             self.ask_list(now);
         }
-        for member in upkeep.forgotten {
+        for member in upkeep.retired_members {
             self.forget_member(member.0 as usize);
         }
-        for note in upkeep.notes {
+        for note in upkeep.log_messages {
             tracing::info!("{}", self.names.named(&note));
         }
         self.tell_exceptions(upkeep.exceptions);
-        self.core_wake = upkeep.wake;
+        self.core_wake = upkeep.wake_at;
         self.mind_the_door();
         // Not before what the sockets tell next: a client may have left while it was answered.
         for id in std::mem::take(&mut self.again) {
@@ -685,8 +695,8 @@
             Peer::Member(link) => {
                 // A whole answer before the end counts, also without the member's ready.
                 let mut ended = link.ended_by_close();
-                if self.faulty.is(Faulty::Resends) && ended == Ended::Broken {
-                    ended = Ended::Unreachable;
+                if self.faulty.is(Faulty::Resends) && ended == AttemptOutcome::ConnectionLost {
+                    ended = AttemptOutcome::Unreachable;
                 }
                 self.link_over(now, id, ended);
             }
@@ -704,7 +714,7 @@
             return self.denied.push(id);
         }
         match self.conns.get(&id).map(|conn| &conn.peer) {
-            Some(Peer::Member(_)) => self.link_over(now, id, Ended::Void),
+            Some(Peer::Member(_)) => self.link_over(now, id, AttemptOutcome::NeverSent),
             Some(Peer::Discovery(_)) => {
                 self.denied_watch = Some(id);
                 self.set_deadline(id, Some(now + self.limits.denied_rest));
@@ -759,8 +769,8 @@
                 Phase::Busy(rpc) => {
                     // Guards rule 1 whatever the core says: the client's time is all but up.
                     tracing::debug!("an RPC was still held at its deadline");
-                    self.finish(now, rpc, Decision::Abort);
-                    rpc.left(&mut self.router);
+                    self.finish(now, rpc, Decision::Fail);
+                    rpc.abandon(&mut self.router);
                 }
                 _ if client.resting => self.read_on(now, id),
                 _ if !conn.closing && client.refill.is_some_and(|until| until <= now) => {
@@ -777,15 +787,17 @@
                 _ => self.drop_conn(id),
             },
             Peer::Member(link) => match link.job {
-                None => self.link_over(now, id, Ended::Unreachable),
+                None => self.link_over(now, id, AttemptOutcome::Unreachable),
                 Some(_) if !link.up && now < link.connect_until => {
                     // The job is given up unsent; the connection may still come up for another.
-                    self.release(now, id, Ended::Unreachable);
+                    self.release(now, id, AttemptOutcome::Unreachable);
+                }
+                Some(_) if !link.up || link.unwritten > 0 => {
+                    self.link_over(now, id, AttemptOutcome::Unreachable)
                 }
-                Some(_) if !link.up || link.unwritten > 0 => self.link_over(now, id, Ended::Unreachable),
                 // Guards the time left for another call-out against an answer that begins and does not end.
                 Some(_) if link.answering => self.malformed(now, id),
-                Some(_) => self.link_over(now, id, Ended::TimedOut),
+                Some(_) => self.link_over(now, id, AttemptOutcome::TimedOut),
             },
             Peer::Discovery(_) if self.denied_watch.take() == Some(id) => {
                 if let Some(conn) = self.conns.get_mut(&id) {
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/calls.rs
@@ -52,22 +52,22 @@
 }
 
 impl Reducer {
-    pub(super) fn carry_out(&mut self, now: Time, rpc: Rpc, decision: Decision) {
+    pub(super) fn carry_out(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         match decision {
-            Decision::CallOut { member, limit } => self.call_out(now, rpc, member, limit),
-            Decision::Hold | Decision::Done => {}
-            Decision::PushBack { .. } | Decision::Abort => self.finish(now, rpc, decision),
+            Decision::Attempt { member, timeout: limit } => self.call_out(now, rpc, member, limit),
+            Decision::Queue | Decision::AlreadyAnswered => {}
+            Decision::Reject { .. } | Decision::Fail => self.finish(now, rpc, decision),
         }
     }
 
     /// It has its final answer, and nothing of it is out.
-    pub(super) fn forget_call(&mut self, rpc: Rpc) {
+    pub(super) fn forget_call(&mut self, rpc: RpcId) {
         if let Some(call) = self.calls.remove(&rpc) {
             self.ids.close(call.name);
         }
     }
 
-    pub(super) fn call_out(&mut self, now: Time, rpc: Rpc, member: MemberId, limit: Option<Span>) {
+    pub(super) fn call_out(&mut self, now: Time, rpc: RpcId, member: MemberId, limit: Option<Span>) {
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         call.outs += 1;
         call.paid = false;
@@ -83,7 +83,11 @@
         match link {
             Some(link) if self.is_up(link) => self.send(now, link),
             Some(_) => {}
-            None => self.call_ended(now, rpc, Answer::default().outcome(member, Ended::Void, Span::ZERO)),
+            None => self.call_ended(
+                now,
+                rpc,
+                Answer::default().outcome(member, AttemptOutcome::NeverSent, Span::ZERO),
+            ),
         }
     }
 
@@ -93,66 +97,78 @@
         if position.nanos() <= 0 {
             return None;
         }
-        self.reference_clock.told(now, position);
+        self.reference_clock.record_position(now, position);
         let difference = self.reference_clock.difference(now);
-        self.router.clock_differs(difference);
+        self.router.set_clock_difference(difference);
         Some(position).filter(|&position| position <= now + difference.behind + self.limits.ahead)
     }
 
-    pub(super) fn job_ended(&mut self, now: Time, job: Job, mut outcome: Outcome, mut report: Report) {
+    pub(super) fn job_ended(
+        &mut self,
+        now: Time,
+        job: Job,
+        mut outcome: AttemptResult,
+        mut report: LoadReport,
+    ) {
         outcome.position = outcome.position.and_then(|position| self.plausible(now, position));
         // Guards against a member that has made no report yet: all it says is zero, its role too.
         if let Some(position) = report.position
             && self.plausible(now, position).is_none()
         {
-            report = Report::default();
+            report = LoadReport::default();
         }
         match job {
             Job::Fence => {}
             Job::Probe => {
-                count(&mut self.tally.probes, outcome.ended);
-                self.router.probed(now, outcome.member, outcome.ended, outcome.took, report);
+                count(&mut self.tally.probes, outcome.outcome);
+                self.router.on_health_check_ended(
+                    now,
+                    outcome.member,
+                    outcome.outcome,
+                    outcome.latency,
+                    report,
+                );
             }
             Job::Call(rpc) => self.call_ended(now, rpc, outcome),
         }
     }
 
-    pub(super) fn call_ended(&mut self, now: Time, rpc: Rpc, mut outcome: Outcome) {
-        count(&mut self.tally.ended, outcome.ended);
+    pub(super) fn call_ended(&mut self, now: Time, rpc: RpcId, mut outcome: AttemptResult) {
+        count(&mut self.tally.ended, outcome.outcome);
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         call.span.in_scope(|| {
-            let took_ms = outcome.took.secs() * 1e3;
-            tracing::debug!(member = outcome.member.0, ended = ?outcome.ended, took_ms, "call-out");
+            let took_ms = outcome.latency.secs() * 1e3;
+            tracing::debug!(member = outcome.member.0, ended = ?outcome.outcome, took_ms, "call-out");
         });
         call.out = None;
-        call.may_have_run |= !outcome.ended.never_ran();
+        call.may_have_run |= !outcome.outcome.never_ran();
         let answered = call.client.is_none();
         let over = call.cancelled || is_unseen(&self.conns, call.client);
-        outcome.unpaid |= over;
-        if outcome.ended == Ended::Ok {
-            self.tally.answer_time += outcome.took;
+        outcome.retry_denied |= over;
+        if outcome.outcome == AttemptOutcome::Ok {
+            self.tally.answer_time += outcome.latency;
         }
-        outcome.complete = outcome.ended == Ended::Ok || answered;
-        if outcome.ended == Ended::Expired {
+        outcome.rpc_complete = outcome.outcome == AttemptOutcome::Ok || answered;
+        if outcome.outcome == AttemptOutcome::DecisionExpired {
             // No attempt was made: the retry budget pays for none after it.
             call.outs = call.outs.saturating_sub(1);
         } else if let Some(peers) = &mut self.peers {
-            if outcome.ended == Ended::Ok && call.outs > 1 {
+            if outcome.outcome == AttemptOutcome::Ok && call.outs > 1 {
                 peers.helped(call.group);
-            } else if !outcome.complete && outcome.ended != Ended::Void && !over {
+            } else if !outcome.rpc_complete && outcome.outcome != AttemptOutcome::NeverSent && !over {
                 call.paid = peers.pays(call.group, call.rank);
-                outcome.unpaid = !call.paid;
+                outcome.retry_denied = !call.paid;
             }
         }
         if answered {
             self.forget_call(rpc);
         }
-        let decision = rpc.ended(&mut self.router, now, outcome);
+        let decision = rpc.on_attempt_ended(&mut self.router, now, outcome);
         self.carry_out(now, rpc, decision);
     }
 
     /// Hands the answer at the front of a member's connection to the client that waits for it.
-    pub(super) fn pass_on(&mut self, now: Time, id: ConnId, rpc: Rpc) {
+    pub(super) fn pass_on(&mut self, now: Time, id: ConnId, rpc: RpcId) {
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         let (Some(client), method, group) = (call.client.take(), call.method, call.group) else { return };
         let kept = now - call.taken - call.own;
@@ -207,7 +223,7 @@
     }
 
     /// Writes the final answer of an RPC that is not served; `Done`: the core knows it no more, as it was cancelled.
-    pub(super) fn finish(&mut self, now: Time, rpc: Rpc, decision: Decision) {
+    pub(super) fn finish(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         let client = call.client.take();
         let (group, cancelled) = (call.group, call.cancelled);
@@ -228,11 +244,11 @@
         let mut out = Vec::new();
         match decision {
             // Where it may have had an effect the answer says no more than that, cancelled or not.
-            Decision::PushBack { .. } | Decision::Done if cancelled => {
+            Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
                 self.tally.cancelled += 1;
                 pg::put_refusal(&mut out, "57014", "cancelled at the client's request", None);
             }
-            Decision::PushBack { come_back } => {
+            Decision::Reject { retry_after: come_back } => {
                 self.tally.pushed_back += 1;
                 if let Some(peers) = &mut self.peers {
                     peers.unsent(group);
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -10,7 +10,7 @@
     Opening,
     Idle,
     /// Its RPC; the statement stands at the front of the input.
-    Busy(Rpc),
+    Busy(RpcId),
 }
 
 /// A client that is owed nothing is waited for: to open, to end a statement that it has begun, or to begin one. In
@@ -253,7 +253,7 @@
         self.drop_conn(id);
         let Phase::Busy(rpc) = phase else { return };
         self.tally.left += 1;
-        rpc.left(&mut self.router);
+        rpc.abandon(&mut self.router);
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         call.client = None;
         let out = call.out;
@@ -279,13 +279,13 @@
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         call.cancelled = true;
         let writes = self.writes.get(call.method as usize).copied().unwrap_or(true);
-        let decision = if call.may_have_run && writes { Decision::Abort } else { Decision::Done };
+        let decision = if call.may_have_run && writes { Decision::Fail } else { Decision::AlreadyAnswered };
         let out = call.out;
         if out.is_some_and(|link| self.is_sent(link)) {
             return;
         }
         self.finish(now, rpc, decision);
-        rpc.left(&mut self.router);
+        rpc.abandon(&mut self.router);
         if let Some(link) = out {
             self.withdraw(now, link);
         }
@@ -603,22 +603,22 @@
             let mut arrival = Arrival {
                 method,
                 group,
-                due,
-                resent,
+                deadline: due,
+                is_client_retry: resent,
                 session: None,
-                last_write,
-                strain: None,
-                fleet: None,
-                lot: None,
+                last_write_age: last_write,
+                router_overload: None,
+                fleet_overload: None,
+                admission_draw: None,
             };
             if let Some(own) = &mut self.own {
                 own.governor.looks(now, came.map_or(Span::ZERO, |(_, own)| own), length);
                 let strain = own.governor.strain(now, method, &client.spent);
-                arrival.strain = Some(strain);
-                let rank = self.router.rank(now, &arrival, &strain);
+                arrival.router_overload = Some(strain);
+                let rank = self.router.priority(now, &arrival, &strain);
                 own.governor.offered(now, &strain, rank, &mut client.spent);
                 // Sure to be refused: to look further would be work for nothing.
-                if f64::from(rank + 1) <= strain.floor {
+                if f64::from(rank + 1) <= strain.admission_threshold {
                     return Ok((arrival, comment.wait_at, 0));
                 }
             }
@@ -636,7 +636,7 @@
                 let session = if self.session_methods { key } else { comment.id };
                 let router = &self.router;
                 (fleet_refuses, rank) =
-                    peers.weigh(now, &mut arrival, session, |a, strain| router.rank(now, a, strain));
+                    peers.weigh(now, &mut arrival, session, |a, strain| router.priority(now, a, strain));
             }
             arrival.session = Some(key).filter(|_| self.session_methods && !self.carried).map(session);
             Ok((arrival, comment.wait_at, id))
@@ -656,18 +656,18 @@
         }
         self.tally.taken += 1;
         self.figured.taken += 1;
-        let due = arrival.due;
+        let due = arrival.deadline;
         client.faults = 0;
         let bounded = self.bounded.get(arrival.method as usize).copied().unwrap_or(false);
-        let (rpc, decision) = self.router.take(now, arrival);
+        let (rpc, decision) = self.router.accept(now, arrival);
         // Said no at once: nothing of it is kept, so that saying it stays cheap.
-        if let (Some(own), Decision::PushBack { come_back }) = (&mut self.own, decision) {
+        if let (Some(own), Decision::Reject { retry_after: come_back }) = (&mut self.own, decision) {
             own.governor.refused();
             self.tally.shed += 1;
             self.figured.shed += 1;
             return self.push_back_at_once(id, length, come_back);
         }
-        if let (true, Decision::PushBack { come_back }) = (fleet_refuses, decision) {
+        if let (true, Decision::Reject { retry_after: come_back }) = (fleet_refuses, decision) {
             self.tally.shed += 1;
             return self.push_back_at_once(id, length, come_back);
         }
@@ -721,7 +721,7 @@
             Refusal::Memory => (false, "53300", "memory is short"),
             Refusal::Crowded => (true, "53300", "too many connections"),
         };
-        let retry_after = after(self.router.come_back());
+        let retry_after = after(self.router.retry_after());
         self.answer_error(now, id, length, ErrorAnswer { fatal, code, text, retry_after });
     }
 
--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -7,7 +7,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Job {
-    Call(Rpc),
+    Call(RpcId),
     Probe,
     /// The empty query that was written behind the last one. What comes before its own answer came on top of the
     /// answer before.
@@ -163,20 +163,22 @@
                 let repeats =
                     call.may_have_run && self.tokened.get(call.method as usize).copied().unwrap_or(false);
                 let late = (call.bounded || repeats) && waited > self.limits.sent_within;
-                if late && !self.router.still_holds(now, rpc, member) {
-                    return self.release(now, id, Ended::Expired);
+                if late && !self.router.may_still_attempt(now, rpc, member) {
+                    return self.release(now, id, AttemptOutcome::DecisionExpired);
                 }
                 let client = call.client.and_then(|client| self.conns.get_mut(&client));
-                let Some(client) = client else { return self.release(now, id, Ended::Withdrawn) };
+                let Some(client) = client else { return self.release(now, id, AttemptOutcome::Cancelled) };
                 // It may have left unseen while the connection came up.
                 if client.paused {
-                    return self.release(now, id, Ended::Void);
+                    return self.release(now, id, AttemptOutcome::NeverSent);
                 }
                 let frame = pg::frame(client.input.whole(), self.limits.statement);
                 let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
                 let parts = statement
                     .and_then(|text| Some((text.get(..call.wait_at.start)?, text.get(call.wait_at.end..)?)));
-                let Some((before, after)) = parts else { return self.release(now, id, Ended::Void) };
+                let Some((before, after)) = parts else {
+                    return self.release(now, id, AttemptOutcome::NeverSent);
+                };
                 let wait = ((until - now).nanos() / 1_000_000).max(1).to_string();
                 pg::put_query(&mut query, &[before, &wait, after]);
             }
@@ -198,7 +200,7 @@
     }
 
     /// The job of a connection has ended; the connection itself goes on.
-    pub(super) fn release(&mut self, now: Time, id: ConnId, ended: Ended) {
+    pub(super) fn release(&mut self, now: Time, id: ConnId, ended: AttemptOutcome) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         let Some(job) = link.job.take() else { return };
         let (index, begun, answer) = (link.member, link.begun, std::mem::take(&mut link.answer));
@@ -212,7 +214,7 @@
             }
         }
         let outcome = answer.outcome(MemberId(index as u32), ended, now - begun);
-        self.job_ended(now, job, outcome, Report::default());
+        self.job_ended(now, job, outcome, LoadReport::default());
     }
 
     /// The socket takes no more of its query. Guards against a member that reads late: what it was to be told of the time
@@ -242,21 +244,21 @@
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Member(link) = &mut conn.peer else { return };
         match (link.up, link.unsent) {
-            (true, false) if link.unwritten > 0 => self.link_over(now, id, Ended::Withdrawn),
+            (true, false) if link.unwritten > 0 => self.link_over(now, id, AttemptOutcome::Cancelled),
             (true, false) => {}
             (true, true) => {
                 (link.unwritten, link.unsent) = (0, false);
                 conn.output.consume(conn.output.len());
-                self.release(now, id, Ended::Withdrawn);
+                self.release(now, id, AttemptOutcome::Cancelled);
             }
-            (false, _) => self.release(now, id, Ended::Withdrawn),
+            (false, _) => self.release(now, id, AttemptOutcome::Cancelled),
         }
     }
 
     /// Some members fade or have gone: what no byte of has gone to them goes elsewhere. Guards rule 3, as a connection
     /// may come up, or take bytes again, later than the grace.
     pub(super) fn call_back(&mut self, now: Time) {
-        let off = |&index: &usize| !self.router.serves(MemberId(index as u32));
+        let off = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let off: FxHashSet<usize> = (0..self.members.len()).filter(off).collect();
         off.iter().for_each(|&index| self.let_go(index));
         let waits = |(&id, conn): (&ConnId, &Conn)| match &conn.peer {
@@ -268,7 +270,7 @@
         let mut waiting: Vec<ConnId> = self.conns.iter().filter_map(waits).collect();
         waiting.sort();
         for id in waiting {
-            self.link_over(now, id, Ended::Overloaded);
+            self.link_over(now, id, AttemptOutcome::Rejected);
         }
     }
 
@@ -297,23 +299,23 @@
     }
 
     /// A connection to a member is over, and its job with it.
-    pub(super) fn link_over(&mut self, now: Time, id: ConnId, ended: Ended) {
+    pub(super) fn link_over(&mut self, now: Time, id: ConnId, ended: AttemptOutcome) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         let (job, index, begun) = (link.job.take(), link.member, link.begun);
         let answer = std::mem::take(&mut link.answer);
-        if ended == Ended::Ok
+        if ended == AttemptOutcome::Ok
             && let Some(Job::Call(rpc)) = job
         {
             self.pass_on(now, id, rpc);
         }
         self.drop_conn(id);
         // A client's short time tells nothing of the member.
-        if ended == Ended::TimedOut && now - begun >= self.limits.connect {
+        if ended == AttemptOutcome::TimedOut && now - begun >= self.limits.connect {
             self.suspect(index, begun);
         }
         let outcome = answer.outcome(MemberId(index as u32), ended, now - begun);
         if let Some(job) = job {
-            self.job_ended(now, job, outcome, Report::default());
+            self.job_ended(now, job, outcome, LoadReport::default());
         }
     }
 
@@ -360,8 +362,9 @@
             self.drop_conn(id);
             let Some(job) = job else { continue };
             if self.reach(now, index, job, until).is_none() {
-                let outcome = Answer::default().outcome(MemberId(index as u32), Ended::Void, now - begun);
-                self.job_ended(now, job, outcome, Report::default());
+                let outcome =
+                    Answer::default().outcome(MemberId(index as u32), AttemptOutcome::NeverSent, now - begun);
+                self.job_ended(now, job, outcome, LoadReport::default());
             }
         }
     }
@@ -492,7 +495,11 @@
             link.job,
             link.unwritten
         );
-        let ended = if link.up && link.unwritten == 0 { Ended::Broken } else { Ended::Unreachable };
+        let ended = if link.up && link.unwritten == 0 {
+            AttemptOutcome::ConnectionLost
+        } else {
+            AttemptOutcome::Unreachable
+        };
         self.link_over(now, id, ended);
     }
 
@@ -529,9 +536,9 @@
             call.own += own;
         }
         let ended = answer.ended();
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         match job {
-            Job::Call(rpc) if ended == Ended::Ok => self.pass_on(now, id, rpc),
+            Job::Call(rpc) if ended == AttemptOutcome::Ok => self.pass_on(now, id, rpc),
             Job::Call(_) | Job::Fence => {}
             Job::Probe => {
                 report = read_report(conn.input.whole(), self.limits.member_ring, &self.columns);
@@ -564,31 +571,45 @@
         match self.reach(now, member.0 as usize, Job::Probe, until) {
             Some(id) if self.is_up(id) => self.send(now, id),
             Some(_) => {}
-            None => self.router.probed(now, member, Ended::Void, Span::ZERO, Report::default()),
+            None => self.router.on_health_check_ended(
+                now,
+                member,
+                AttemptOutcome::NeverSent,
+                Span::ZERO,
+                LoadReport::default(),
+            ),
         }
     }
 }
 
 impl Link {
     /// What the end of the connection means for its job.
-    pub(super) fn ended_by_close(&self) -> Ended {
+    pub(super) fn ended_by_close(&self) -> AttemptOutcome {
         if self.up && self.answer.is_whole() {
             return self.answer.ended();
         }
         match self.job {
             // Turned away at the door: it is there.
-            Some(Job::Probe) if self.answer.refusal.is_some() => Ended::Overloaded,
-            Some(_) if self.up && self.unwritten == 0 => Ended::Broken,
-            _ => Ended::Unreachable,
+            Some(Job::Probe) if self.answer.refusal.is_some() => AttemptOutcome::Rejected,
+            Some(_) if self.up && self.unwritten == 0 => AttemptOutcome::ConnectionLost,
+            _ => AttemptOutcome::Unreachable,
         }
     }
 }
 
 impl Answer {
     /// With what the answer told of the member.
-    pub(super) fn outcome(&self, member: MemberId, ended: Ended, took: Span) -> Outcome {
+    pub(super) fn outcome(&self, member: MemberId, ended: AttemptOutcome, took: Span) -> AttemptResult {
         let (role, position) = (self.role, self.position);
-        Outcome { member, ended, took, complete: false, unpaid: false, role, position }
+        AttemptResult {
+            member,
+            outcome: ended,
+            latency: took,
+            rpc_complete: false,
+            retry_denied: false,
+            role,
+            position,
+        }
     }
 
     pub(super) fn parameter(&mut self, name: &str, value: &str) {
@@ -611,18 +632,18 @@
         self.complete || self.refusal.is_some()
     }
 
-    pub(super) fn ended(&self) -> Ended {
+    pub(super) fn ended(&self) -> AttemptOutcome {
         match self.refusal.as_ref().map(|refusal| refusal.code.as_str()) {
-            None => Ended::Ok,
-            Some("25006" | "72000") => Ended::Absent,
-            Some("53300" | "57P03") => Ended::Overloaded,
-            Some(_) => Ended::Failed,
+            None => AttemptOutcome::Ok,
+            Some("25006" | "72000") => AttemptOutcome::NotServedHere,
+            Some("53300" | "57P03") => AttemptOutcome::Rejected,
+            Some(_) => AttemptOutcome::Failed,
         }
     }
 }
 
 /// The load report in the row of an answer; none where it is not of the columns it should have, or can't be so.
-fn read_report(mut bytes: &[u8], most: usize, columns: &[String]) -> Report {
+fn read_report(mut bytes: &[u8], most: usize, columns: &[String]) -> LoadReport {
     while let Ok(Some((kind, body, length))) = pg::frame(bytes, most) {
         if let (b'D', Ok(Some(value))) = (kind, pg::column(body)) {
             let text = String::from_utf8_lossy(value);
@@ -631,20 +652,20 @@
         }
         bytes = bytes.get(length..).unwrap_or_default();
     }
-    Report::default()
+    LoadReport::default()
 }
 
-fn of_columns(pairs: &[(&str, f64)], columns: &[String]) -> Option<Report> {
+fn of_columns(pairs: &[(&str, f64)], columns: &[String]) -> Option<LoadReport> {
     let has = |column: &String| pairs.iter().any(|(name, _)| name == column);
     if !columns.iter().all(has) {
         return None;
     }
-    let mut report = Report::default();
+    let mut report = LoadReport::default();
     for &(name, value) in pairs {
         match name {
             POSITION => report.position = Some(Time::from_nanos((value * 1e9) as i64)),
-            PRIMARY => report.primary = Some(value >= 0.5),
-            HOLDS => report.holds = Some(value),
+            PRIMARY => report.is_primary = Some(value >= 0.5),
+            HOLDS => report.in_flight = Some(value),
             _ => {}
         }
     }
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -9,7 +9,7 @@
 use ladderpass_membership::number_of;
 use ladderpass_membership::{Change, FIRST, Membership, Own as Me, Settings, View};
 use ladderpass_retry_budget::{Budgets, Told};
-use ladderpass_routing::{Seen, Strain};
+use ladderpass_routing::{MemberLoad, OverloadState};
 use std::fmt::Write;
 
 pub(super) struct Peers {
@@ -80,15 +80,21 @@
         now: Time,
         arrival: &mut Arrival,
         session: &str,
-        rank: impl Fn(&Arrival, &Strain) -> u32,
+        rank: impl Fn(&Arrival, &OverloadState) -> u32,
     ) -> (bool, u32) {
         let Some((concert, group)) = self.shedding(arrival.group) else { return (false, 0) };
         let (floor, pressure) = concert.floor(group);
-        let strain = Strain { pressure, floor, cost: UNIT, floods: false, delay: Span::ZERO };
+        let strain = OverloadState {
+            pressure,
+            admission_threshold: floor,
+            cost_secs: UNIT,
+            exceeds_fair_share: false,
+            queueing_delay: Span::ZERO,
+        };
         let rank = rank(arrival, &strain);
         concert.asked(group, rank);
         let lot = lot(session.as_bytes(), now);
-        (arrival.fleet, arrival.lot) = (Some(strain), Some(lot));
+        (arrival.fleet_overload, arrival.admission_draw) = (Some(strain), Some(lot));
         let refused = f64::from(rank) + lot < floor;
         self.refused += u64::from(refused);
         (refused, rank)
@@ -175,12 +181,12 @@
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
         for news in self.circle.hear(text, now) {
-            self.router.told(now, news);
+            self.router.on_peer_update(now, news);
         }
     }
 
     /// Words of the core for all other routers.
-    pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::News]) {
+    pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
         let texts = self.circle.tell(news, &self.names);
         let Some(peers) = self.peers.as_deref_mut() else { return };
         for to in peers.membership.audience(now) {
@@ -211,10 +217,10 @@
         let cells = &peers.cells;
         // By the number that all know a group by.
         let known = |group: u32| cells.get(group as usize).copied().unwrap_or_default();
-        let seen = self.router.seen(now).map(|seen| Seen { group: known(seen.group), ..seen });
-        let seen: Vec<Seen> = seen.collect();
+        let seen = self.router.member_loads(now).map(|seen| MemberLoad { group: known(seen.group), ..seen });
+        let seen: Vec<MemberLoad> = seen.collect();
         if let Some(facts) = concert.tend(now, &seen) {
-            facts.limits.iter().for_each(|&(member, limit)| self.router.room_is(member, limit));
+            facts.limits.iter().for_each(|&(member, limit)| self.router.set_concurrency_limit(member, limit));
         }
         if let Some(budgets) = &mut peers.budgets {
             let heard =
@@ -293,7 +299,7 @@
         let view = peers.membership.view();
         let settling = now < peers.settled_at;
         let count = if settling { view.count.max(peers.listed) } else { view.count };
-        self.router.among(view.me as u32, count as u32);
+        self.router.set_router_position(view.me as u32, count as u32);
         let changes = peers.membership.changes();
         if changes.is_empty() && view == peers.view {
             return;
--- a/crates/ladderpass/src/reducer/tally.rs
+++ b/crates/ladderpass/src/reducer/tally.rs
@@ -21,8 +21,8 @@
     /// Refused for the router's own load, and closed as they read nothing.
     pub(super) shed: u32,
     pub(super) slow: u32,
-    pub(super) ended: [u32; Ended::COUNT],
-    pub(super) probes: [u32; Ended::COUNT],
+    pub(super) ended: [u32; AttemptOutcome::COUNT],
+    pub(super) probes: [u32; AttemptOutcome::COUNT],
     pub(super) connects: u32,
     pub(super) connect_time: Span,
     pub(super) answer_time: Span,
@@ -115,7 +115,7 @@
     }
 }
 
-pub(super) fn count(counts: &mut [u32; Ended::COUNT], ended: Ended) {
+pub(super) fn count(counts: &mut [u32; AttemptOutcome::COUNT], ended: AttemptOutcome) {
     if let Some(count) = counts.get_mut(ended as usize) {
         *count += 1;
     }
--- a/crates/ladderpass/src/reducer/watch.rs
+++ b/crates/ladderpass/src/reducer/watch.rs
@@ -28,7 +28,7 @@
         };
         of_no_use.into_iter().chain(self.late_watch).for_each(|id| self.drop_conn(id));
         // By way of the core, so that a pause that it had in mind doesn't end in the middle of this call.
-        self.router.list_news(now, ListNews::Failed { silent: true });
+        self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: true });
     }
 
     pub(super) fn has_answered(&self, id: ConnId) -> bool {
@@ -149,7 +149,7 @@
             self.late_watch.into_iter().for_each(|late| self.drop_conn(late));
             self.late_watch = self.watch.take();
             self.set_deadline(id, Some(late_until));
-            return self.router.list_news(now, ListNews::Failed { silent });
+            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
         }
         self.watch_over(now, id, "silence", silent);
     }
@@ -166,7 +166,7 @@
         if before {
             return;
         }
-        self.router.list_news(now, ListNews::Failed { silent });
+        self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
     }
 
     pub(super) fn listed(
@@ -192,8 +192,8 @@
                     index
                 }
                 // One that goes needs no address, and one that is not known needs not go.
-                (Some(index), Err(_)) if instance.standing() == Standing::Off => index,
-                (None, _) if instance.standing() == Standing::Off => continue,
+                (Some(index), Err(_)) if instance.standing() == EndpointState::Removed => index,
+                (None, _) if instance.standing() == EndpointState::Removed => continue,
                 (None, Ok(address)) => {
                     let index = self.names.intern(&instance.instance_id);
                     let (idle, coming) = (Vec::new(), VecDeque::new());
@@ -206,23 +206,23 @@
                 }
                 (_, Err(_)) => return Err(format!("hostPort {:?} is no address", instance.host_port)),
             };
-            entries.push(Entry {
+            entries.push(Endpoint {
                 member: MemberId(index),
                 group: group_index(&mut self.groups, instance.cell),
                 primary: instance.is_primary(),
-                standing: match instance.standing() {
-                    Standing::Fading if self.faulty.is(Faulty::IgnoresDrains) => Standing::On,
+                state: match instance.standing() {
+                    EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
                     standing => standing,
                 },
                 // By the clock here; none starts in the future.
-                born: instance
+                started_at: instance
                     .born()
                     .map(|born| now.min(born - self.reference_clock.confirmed()))
                     .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
-                kind: self.kinds.intern(&instance.machine_type),
-                size: instance.weight.filter(|&weight| self.sizes && weight > 0.0),
+                machine_kind: self.kinds.intern(&instance.machine_type),
+                concurrency: instance.weight.filter(|&weight| self.sizes && weight > 0.0),
                 zone: if self.zoned { self.zones.intern(&instance.zone) } else { 0 },
-                mark: self.circle.marks.insert(&instance.instance_id, index),
+                id_hash: self.circle.marks.insert(&instance.instance_id, index),
             });
         }
         self.generation = listing.generation;
@@ -230,12 +230,12 @@
         // Guards against what the old watch tells being taken for the answer of the new address, which then would never
         // be asked again.
         let news = match (remembered || meanwhile, listing.reset) {
-            (true, false) if meanwhile => ListNews::Meanwhile(&entries),
-            (true, _) => ListNews::Remembered(&entries),
-            (false, true) => ListNews::Whole(&entries),
-            (false, false) => ListNews::Changes(&entries),
+            (true, false) if meanwhile => EndpointUpdate::ChangesDuringMove(&entries),
+            (true, _) => EndpointUpdate::Cached(&entries),
+            (false, true) => EndpointUpdate::Complete(&entries),
+            (false, false) => EndpointUpdate::Changes(&entries),
         };
-        self.router.list_news(now, news);
+        self.router.on_endpoint_update(now, news);
         self.call_back(now);
         Ok(())
     }
