--- a/crates/ladderpass-config/src/lib.rs
+++ b/crates/ladderpass-config/src/lib.rs
@@ -1,5 +1,5 @@
 //! The settings object of a deployment, read and checked once: into the core's [`Deployment`], and into the
-//! facts that a front needs beside it ([`Facts`]). Faults name the key. Unknown keys are passed over.
+//! facts that a front needs beside it ([`DeploymentSettings`]). Faults name the key. Unknown keys are passed over.
 //!
 //! It must never decide anything, nor hold a value that the settings don't give.
 
@@ -15,34 +15,34 @@
 
 /// What every front needs to know of its deployment.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct DeploymentSettings {
     pub deployment: Deployment,
     /// Names of the methods, in the order of `deployment.methods`.
-    pub methods: Vec<String>,
+    pub method_names: Vec<String>,
     /// Answers tell a position, or the commit of a write.
-    pub told: bool,
+    pub answers_report_position: bool,
     /// Where positions are counted from, on the bench's wire.
-    pub zero: Time,
+    pub clock_origin: Time,
     /// Names of the values in a load report.
-    pub columns: Vec<String>,
+    pub report_columns: Vec<String>,
     /// A connection that is not up by then never came.
-    pub connect_within: Option<Span>,
+    pub connect_timeout: Option<Span>,
     /// A connection idle for this long is closed by the member.
-    pub idle_for: Option<Span>,
+    pub idle_timeout: Option<Span>,
     /// Sizes in the list are the registered ones.
-    pub sized: bool,
+    pub weights_are_concurrency: bool,
     /// The zone of this instance.
     pub zone: Option<String>,
     /// Most RPCs that an instance may hold.
-    pub most_held: Option<u64>,
+    pub max_in_flight: Option<u64>,
     /// Nothing new goes to a member later than this after it was told to fade.
     pub drain_grace: Option<Span>,
 }
 
 /// Columns of a load report that the core uses.
-pub const POSITION: &str = "x0";
-pub const PRIMARY: &str = "x1";
-pub const HOLDS: &str = "rif";
+pub const POSITION_COLUMN: &str = "x0";
+pub const PRIMARY_COLUMN: &str = "x1";
+pub const IN_FLIGHT_COLUMN: &str = "rif";
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -105,7 +105,7 @@
 
 impl ReportShape {
     fn tells_position(&self) -> bool {
-        let told = self.columns.as_ref().is_none_or(|columns| columns.iter().any(|c| c == POSITION));
+        let told = self.columns.as_ref().is_none_or(|columns| columns.iter().any(|c| c == POSITION_COLUMN));
         told && self.how.as_deref() != Some("off")
     }
 }
@@ -135,7 +135,7 @@
 }
 
 /// Reads the settings object.
-pub fn read(settings: &Value) -> Result<Facts, String> {
+pub fn read(settings: &Value) -> Result<DeploymentSettings, String> {
     let shape: Shape = parse(settings)?;
     let Shape { allowed, contract, extra, .. } = &shape;
     if shape.services.is_empty() {
@@ -190,17 +190,17 @@
         overload_multiple: contract.tip_multiple.unwrap_or(1.0),
         removal_is_advisory: contract.soft_removal.unwrap_or(false),
     };
-    Ok(Facts {
+    Ok(DeploymentSettings {
         deployment,
-        methods: shape.services.iter().map(|service| service.name.clone()).collect(),
-        told: extra.progress_told.unwrap_or(true),
-        zero: Time::from_nanos(extra.zero.unwrap_or(0)),
-        columns: shape.report.as_ref().and_then(|report| report.columns.clone()).unwrap_or_default(),
-        connect_within: positive("Allowed.ConnectTimeout", allowed.connect_timeout)?,
-        idle_for: positive("Allowed.ConnIdle", allowed.conn_idle)?,
-        sized: shape.weights.as_deref() == Some("nominal"),
+        method_names: shape.services.iter().map(|service| service.name.clone()).collect(),
+        answers_report_position: extra.progress_told.unwrap_or(true),
+        clock_origin: Time::from_nanos(extra.zero.unwrap_or(0)),
+        report_columns: shape.report.as_ref().and_then(|report| report.columns.clone()).unwrap_or_default(),
+        connect_timeout: positive("Allowed.ConnectTimeout", allowed.connect_timeout)?,
+        idle_timeout: positive("Allowed.ConnIdle", allowed.conn_idle)?,
+        weights_are_concurrency: shape.weights.as_deref() == Some("nominal"),
         zone: shape.az.clone(),
-        most_held: allowed.most_held,
+        max_in_flight: allowed.most_held,
         drain_grace: positive("Contract.DrainGrace", contract.drain_grace)?,
     })
 }
--- a/crates/ladderpass-config/src/names.rs
+++ b/crates/ladderpass-config/src/names.rs
@@ -2,17 +2,17 @@
 
 use std::collections::HashMap;
 
-/// Names in the order in which they were met; the index of one that was released serves the next.
+/// NameIndex in the order in which they were met; the index of one that was released serves the next.
 #[derive(Default)]
-pub struct Names {
+pub struct NameIndex {
     index: HashMap<String, u32>,
     names: Vec<String>,
     free: Vec<u32>,
 }
 
-impl Names {
+impl NameIndex {
     pub fn intern(&mut self, name: &str) -> u32 {
-        if let Some(index) = self.known(name) {
+        if let Some(index) = self.get(name) {
             return index;
         }
         let index = self.free.pop().unwrap_or(self.names.len() as u32);
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn known(&self, name: &str) -> Option<u32> {
+    pub fn get(&self, name: &str) -> Option<u32> {
         self.index.get(name).copied()
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Puts names in the place of `#N` in a note of the core.
-    pub fn named(&self, note: &str) -> String {
+    pub fn expand_names(&self, note: &str) -> String {
         let mut parts = note.split('#');
         let mut text = parts.next().unwrap_or_default().to_owned();
         for part in parts {
@@ -57,37 +57,37 @@
     }
 }
 
-/// Names by their mark; none where two that are known have the same, so that news never is taken for another's.
+/// NameIndex by their mark; none where two that are known have the same, so that news never is taken for another's.
 #[derive(Default)]
-pub struct Marks(HashMap<u32, Option<u32>>);
+pub struct IdHashes(HashMap<u32, Option<u32>>);
 
-impl Marks {
+impl IdHashes {
     pub fn insert(&mut self, name: &str, index: u32) -> u32 {
-        let mark = mark(name);
+        let mark = id_hash(name);
         let known = self.0.entry(mark).or_insert(Some(index));
         *known = known.filter(|&other| other == index);
         mark
     }
 
-    pub fn find(&self, mark: u32) -> Option<u32> {
+    pub fn get(&self, mark: u32) -> Option<u32> {
         self.0.get(&mark).copied().flatten()
     }
 
     /// Nothing goes by this index any more; a mark that two had stays nobody's.
-    pub fn forget(&mut self, index: u32) {
+    pub fn remove(&mut self, index: u32) {
         self.0.retain(|_, known| *known != Some(index));
     }
 }
 
 /// A number by which all routers know a name: the first bits of its FNV-1a hash.
-pub fn mark(name: &str) -> u32 {
+pub fn id_hash(name: &str) -> u32 {
     let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
-    ((hash ^ hash >> 32) & ((1 << MARK_BITS) - 1)) as u32
+    ((hash ^ hash >> 32) & ((1 << ID_HASH_BITS) - 1)) as u32
 }
 
 /// Bits of a mark: two of a hundred names have the same one once in two hundred thousand fleets.
-pub const MARK_BITS: u32 = 30;
+pub const ID_HASH_BITS: u32 = 30;
 
 /// The index of a group's number: numbers need not be whole.
 pub fn group_index(groups: &mut HashMap<u64, u32>, number: f64) -> u32 {
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -331,7 +331,7 @@
     for (key, shape, band_of, most) in [
         ("overload.cpu", shape.cpu, &mut settings.cpu, 10.0),
         ("overload.memory", shape.memory, &mut settings.memory, 1.0),
-        ("overload.rings", shape.rings, &mut settings.rings, 1.0),
+        ("overload.rings", shape.rings, &mut settings.buffers, 1.0),
         ("overload.descriptors", shape.descriptors, &mut settings.descriptors, 1.0),
     ] {
         let Some(shape) = shape else { continue };
@@ -346,14 +346,20 @@
     faults.keep(span(&mut settings.rise, "overload.rise", shape.rise, 1, 60_000));
     faults.keep(span(&mut settings.fall, "overload.fall", shape.fall, 1, 60_000));
     faults.keep(span(&mut settings.calm_after, "overload.calm_after", shape.calm_after, 0, 600_000));
-    faults.keep(span(&mut settings.look, "overload.look", shape.look, 5, 10_000));
-    faults.keep(span(&mut settings.slow_reader, "overload.slow_reader", shape.slow_reader, 100, 600_000));
+    faults.keep(span(&mut settings.sample_interval, "overload.look", shape.look, 5, 10_000));
+    faults.keep(span(
+        &mut settings.slow_reader_timeout,
+        "overload.slow_reader",
+        shape.slow_reader,
+        100,
+        600_000,
+    ));
     if let Some(fair) = shape.fair {
         let allowed = (1.0..=1000.0).contains(&fair.value);
         if !allowed {
             faults.tell(at(&fair, "overload.fair", &format!("{}; allowed are 1 to 1000", fair.value)));
         }
-        settings.fair = fair.value;
+        settings.fair_share_multiple = fair.value;
     }
     if let Some(bytes) = shape.slow_reader_bytes {
         let size = bytes.value.parse::<bytesize::ByteSize>().ok().filter(|_| bytes.value.ends_with('B'));
--- a/crates/ladderpass-config/src/whisper.rs
+++ b/crates/ladderpass-config/src/whisper.rs
@@ -3,15 +3,15 @@
 //! It owns the form alone. It must never decide what is told, nor what a word is worth. A reader drops what it can't
 //! read, so that instances of another version do no harm.
 
-use crate::names::{Marks, Names, mark};
+use crate::names::{IdHashes, NameIndex, id_hash};
 use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
 /// Most words in one message of 256 bytes.
-pub const MOST: usize = 25;
+pub const MAX_UPDATES_PER_MESSAGE: usize = 25;
 const LETTERS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const MARK_LETTERS: usize = 5;
 #[doc(hidden)]
-pub const WORD_LETTERS: usize = 10;
+pub const UPDATE_LETTERS: usize = 10;
 /// The last letter: zero for nothing, the lower half for a stretch, the upper one for what it holds, in steps of
 /// a quarter of a doubling.
 const STEPS: f64 = 4.0;
@@ -22,33 +22,35 @@
 const TIME_BITS: u32 = 22;
 
 /// What a front needs for messages: where times count from, the letter of its zone, and members by their marks.
-pub struct Circle {
+pub struct GossipCodec {
     zero: Time,
     zone: u32,
-    pub marks: Marks,
+    pub id_hashes: IdHashes,
 }
 
-impl Circle {
-    pub fn new(zero: Time, zone: &str) -> Circle {
-        Circle { zero, zone: mark(zone) & 63, marks: Marks::default() }
+impl GossipCodec {
+    pub fn new(zero: Time, zone: &str) -> GossipCodec {
+        GossipCodec { zero, zone: id_hash(zone) & 63, id_hashes: IdHashes::default() }
     }
 
     /// The messages that tell these news, of members by these names.
-    pub fn tell(&self, news: &[MemberUpdate], names: &Names) -> Vec<String> {
+    pub fn encode(&self, news: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
         let told = |news: &MemberUpdate| {
-            let mark = mark(names.name(news.member.0));
-            self.marks
-                .find(mark)
+            let mark = id_hash(names.name(news.member.0));
+            self.id_hashes
+                .get(mark)
                 .map(|_| (mark, news.observation, news.at - self.zero, news.latency_ratio, news.in_flight))
         };
-        news.chunks(MOST).map(|news| write(self.zone, news.iter().filter_map(told))).collect()
+        news.chunks(MAX_UPDATES_PER_MESSAGE)
+            .map(|news| write(self.zone, news.iter().filter_map(told)))
+            .collect()
     }
 
     /// What a message tells. What can't be read, or names no known member, is dropped.
-    pub fn hear(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
+    pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
         let Some((zone, words)) = read(text, now - self.zero) else { return Vec::new() };
         let news = |(mark, word, at, stretch, holds)| {
-            let member = MemberId(self.marks.find(mark)?);
+            let member = MemberId(self.id_hashes.get(mark)?);
             Some(MemberUpdate {
                 member,
                 observation: word,
@@ -63,9 +65,9 @@
 }
 
 /// A node's mark, what is said of it, a time from the common zero, its stretch, or what it holds.
-pub type Told = (u32, MemberObservation, Span, f64, Option<f64>);
+pub type EncodedUpdate = (u32, MemberObservation, Span, f64, Option<f64>);
 #[doc(hidden)]
-pub const WORDS: [MemberObservation; 3] =
+pub const OBSERVATIONS: [MemberObservation; 3] =
     [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
 
 fn put(text: &mut String, number: u64, letters: usize) {
@@ -81,15 +83,15 @@
     })
 }
 
-pub fn write(zone: u32, words: impl Iterator<Item = Told>) -> String {
+pub fn write(zone: u32, words: impl Iterator<Item = EncodedUpdate>) -> String {
     let mut text = String::new();
     put(&mut text, u64::from(zone), 1);
     for (mark, word, at, stretch, holds) in words {
-        let word = WORDS.iter().position(|&known| known == word).unwrap_or_default() as u64;
+        let word = OBSERVATIONS.iter().position(|&known| known == word).unwrap_or_default() as u64;
         // Rounded down: a position must not grow on the way.
         let at = at.nanos().div_euclid(1_000_000).rem_euclid(1 << TIME_BITS) as u64;
         put(&mut text, u64::from(mark), MARK_LETTERS);
-        put(&mut text, at << 2 | word, WORD_LETTERS - MARK_LETTERS - 1);
+        put(&mut text, at << 2 | word, UPDATE_LETTERS - MARK_LETTERS - 1);
         let steps = |(first, from): (u64, f64), value: f64| {
             first + ((value / from).log2() * STEPS).round().clamp(0.0, HALF) as u64
         };
@@ -104,18 +106,18 @@
 }
 
 /// The zone of a message that came at `now`, and its words, none of which can be later.
-pub fn read(text: &str, now: Span) -> Option<(u32, impl Iterator<Item = Told>)> {
+pub fn read(text: &str, now: Span) -> Option<(u32, impl Iterator<Item = EncodedUpdate>)> {
     let now = now.nanos().div_euclid(1_000_000);
     let (zone, words) = text.as_bytes().split_at_checked(1)?;
-    let words = words.chunks_exact(WORD_LETTERS).filter_map(move |word| {
-        let (word, last) = word.split_at_checked(WORD_LETTERS - 1)?;
+    let words = words.chunks_exact(UPDATE_LETTERS).filter_map(move |word| {
+        let (word, last) = word.split_at_checked(UPDATE_LETTERS - 1)?;
         let (mark, rest) = word.split_at_checked(MARK_LETTERS)?;
         let (mark, rest, steps) = (take(mark)?, take(rest)?, take(last)?);
         let value = |(first, from): (u64, f64)| from * ((steps - first) as f64 / STEPS).exp2();
         let stretch = if (STRETCH.0..HOLDS.0).contains(&steps) { value(STRETCH) } else { 0.0 };
         let holds = (steps >= HOLDS.0).then(|| value(HOLDS) - HOLDS.1);
         let age = (now - (rest >> 2) as i64).rem_euclid(1 << TIME_BITS);
-        let word = *WORDS.get((rest & 3) as usize)?;
+        let word = *OBSERVATIONS.get((rest & 3) as usize)?;
         Some((mark as u32, word, Span::from_millis(now - age), stretch, holds))
     });
     Some((take(zone)? as u32, words))
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -13,7 +13,7 @@
     let operator = read(text).expect("all of it is allowed");
     let settings = operator.overload.expect("on");
     assert_eq!(operator.log, Log { json: true, figures: Span::from_millis(1000) });
-    assert_eq!((settings.delay, settings.fair), (Band::new(0.002, 0.5), 8.0));
+    assert_eq!((settings.delay, settings.fair_share_multiple), (Band::new(0.002, 0.5), 8.0));
     assert_eq!(settings.slow_reader_bytes, 65536);
     let text = "peers: {me: 1, all: ['127.0.0.1:7400', '127.0.0.1:7401']}\nmembers: {zone: a, sizes: true}";
     let operator = read(text).expect("all of it is allowed");
--- a/crates/ladderpass-config/tests/whisper.rs
+++ b/crates/ladderpass-config/tests/whisper.rs
@@ -1,15 +1,15 @@
 //! The form of what routers tell each other of members.
 
-use ladderpass_config::whisper::{MOST, WORD_LETTERS, WORDS, read, write};
+use ladderpass_config::whisper::{MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS, read, write};
 use ladderpass_routing::{MemberObservation, Span};
 
 #[test]
 fn a_word_comes_back_as_it_was_told_or_a_little_older() {
     for (mark, told_ms, now_ms) in [(0, 0, 0), (1 << 29, 5, 9), (12_345, 9_000_000, 9_000_100)] {
         let at = Span::from_nanos(told_ms * 1_000_000 + 999_999);
-        for word in WORDS {
+        for word in OBSERVATIONS {
             let text = write(63, [(mark, word, at, 2.0, None)].into_iter());
-            assert_eq!(text.len(), 1 + WORD_LETTERS);
+            assert_eq!(text.len(), 1 + UPDATE_LETTERS);
             let (zone, words) = read(&text, Span::from_millis(now_ms + 1)).unwrap();
             assert_eq!(
                 (zone, words.collect()),
@@ -19,7 +19,8 @@
     }
     let full = write(
         0,
-        (0..MOST as u32).map(|mark| (mark, MemberObservation::Unreachable, Span::ZERO, 1e9, Some(1e9))),
+        (0..MAX_UPDATES_PER_MESSAGE as u32)
+            .map(|mark| (mark, MemberObservation::Unreachable, Span::ZERO, 1e9, Some(1e9))),
     );
     assert!(full.len() <= 256);
 }
--- a/crates/ladderpass-overload/src/costs.rs
+++ b/crates/ladderpass-overload/src/costs.rs
@@ -11,18 +11,18 @@
 pub struct Work {
     /// Call-outs answered and passed on, RPCs refused, KiB moved either way.
     pub served: f64,
-    pub refused: f64,
+    pub rejected: f64,
     pub kib: f64,
 }
 
 impl Work {
     fn features(&self) -> [f64; 3] {
-        [self.served, self.refused, self.kib]
+        [self.served, self.rejected, self.kib]
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Costs {
+pub struct CostModel {
     /// Seconds for one of each.
     costs: [f64; 3],
     /// Inverse of what was seen so far.
@@ -44,15 +44,15 @@
 /// apart is laid to the RPCs.
 const SPREAD: [f64; 3] = [0.05, 0.05, 0.002];
 
-impl Default for Costs {
-    fn default() -> Costs {
+impl Default for CostModel {
+    fn default() -> CostModel {
         let mut spread = [[0.0; 3]; 3];
         (0..3).for_each(|i| spread[i][i] = SPREAD[i]);
-        Costs { costs: GUESS, spread, kib: 0.0 }
+        CostModel { costs: GUESS, spread, kib: 0.0 }
     }
 }
 
-impl Costs {
+impl CostModel {
     /// So much was done in so much busy time.
     pub fn learn(&mut self, work: Work, busy: Span) {
         let x = work.features();
@@ -87,17 +87,17 @@
     }
 
     /// Seconds that serving an RPC takes which moves so many KiB.
-    pub fn serve(&self, kib: f64) -> f64 {
+    pub fn serve_secs(&self, kib: f64) -> f64 {
         self.costs[0] + self.costs[2] * kib.max(0.0)
     }
 
     /// The one that comes on average.
-    pub fn usual(&self) -> f64 {
-        self.serve(self.kib)
+    pub fn mean_serve_secs(&self) -> f64 {
+        self.serve_secs(self.kib)
     }
 
     /// Never more than serving one that moves nothing.
-    pub fn refuse(&self) -> f64 {
-        self.costs[1].min(self.usual())
+    pub fn reject_secs(&self) -> f64 {
+        self.costs[1].min(self.mean_serve_secs())
     }
 }
--- a/crates/ladderpass-overload/src/lib.rs
+++ b/crates/ladderpass-overload/src/lib.rs
@@ -12,10 +12,10 @@
 mod settings;
 mod shares;
 
-pub use costs::{Costs, Work};
-pub use governor::{Governor, Note};
+pub use costs::{CostModel, Work};
+pub use governor::{Governor, OverloadEvent};
 pub use pressure::{Gauge, Level, Pressure};
-pub use ranks::Ranks;
-pub use sample::{Allowance, Sample};
+pub use ranks::PriorityHistogram;
+pub use sample::{ResourceLimits, ResourceSample};
 pub use settings::{Band, Settings};
-pub use shares::{Shares, Spent};
+pub use shares::{ClientUsage, FairShares};
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -9,11 +9,11 @@
     Delay,
     Cpu,
     Memory,
-    Rings,
+    Buffers,
     Descriptors,
 }
 
-pub const GAUGES: [Gauge; 5] = [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Rings, Gauge::Descriptors];
+pub const GAUGES: [Gauge; 5] = [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Buffers, Gauge::Descriptors];
 
 impl Gauge {
     pub fn name(self) -> &'static str {
@@ -21,18 +21,18 @@
             Gauge::Delay => "delay",
             Gauge::Cpu => "cpu",
             Gauge::Memory => "memory",
-            Gauge::Rings => "rings",
+            Gauge::Buffers => "rings",
             Gauge::Descriptors => "descriptors",
         }
     }
 
     /// Its key among the figures: how much of its band it fills.
-    pub fn part_name(self) -> &'static str {
+    pub fn metric_name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay_part",
             Gauge::Cpu => "cpu_part",
             Gauge::Memory => "memory_part",
-            Gauge::Rings => "rings_part",
+            Gauge::Buffers => "rings_part",
             Gauge::Descriptors => "descriptors_part",
         }
     }
@@ -88,12 +88,12 @@
     }
 
     /// A gauge shows this part of its band, from now on.
-    pub fn tell(&mut self, gauge: Gauge, part: f64) {
+    pub fn set_gauge(&mut self, gauge: Gauge, part: f64) {
         self.told[gauge as usize] = if part.is_finite() { part.clamp(0.0, 1.0) } else { 0.0 };
     }
 
     /// Time has passed: the parts follow what was told. Gives the level that was left, if it has changed.
-    pub fn pass(&mut self, now: Time) -> Option<Level> {
+    pub fn advance(&mut self, now: Time) -> Option<Level> {
         let passed = (now - self.at).max(Span::ZERO);
         self.at = self.at.max(now);
         for (part, &told) in self.parts.iter_mut().zip(&self.told) {
@@ -126,13 +126,13 @@
     }
 
     /// What presses most.
-    pub fn foremost(&self) -> Gauge {
+    pub fn dominant_gauge(&self) -> Gauge {
         let most =
             |one: &&Gauge, two: &&Gauge| self.parts[**one as usize].total_cmp(&self.parts[**two as usize]);
         GAUGES.iter().max_by(most).copied().unwrap_or(Gauge::Delay)
     }
 
-    pub fn part(&self, gauge: Gauge) -> f64 {
+    pub fn gauge(&self, gauge: Gauge) -> f64 {
         self.parts[gauge as usize]
     }
 
--- a/crates/ladderpass-overload/src/ranks.rs
+++ b/crates/ladderpass-overload/src/ranks.rs
@@ -8,16 +8,16 @@
 const WIDTH: Span = Span::from_millis(250);
 
 #[derive(Clone, Debug)]
-pub struct Ranks {
+pub struct PriorityHistogram {
     buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
     numbers: [i64; BUCKETS],
     sum: [f64; PRIORITY_COUNT],
     total: f64,
 }
 
-impl Default for Ranks {
-    fn default() -> Ranks {
-        Ranks {
+impl Default for PriorityHistogram {
+    fn default() -> PriorityHistogram {
+        PriorityHistogram {
             buckets: [[0.0; PRIORITY_COUNT]; BUCKETS],
             numbers: [i64::MIN; BUCKETS],
             sum: [0.0; PRIORITY_COUNT],
@@ -26,9 +26,9 @@
     }
 }
 
-impl Ranks {
+impl PriorityHistogram {
     /// Work of this rank was offered.
-    pub fn offered(&mut self, now: Time, rank: u32, work: f64) {
+    pub fn record(&mut self, now: Time, rank: u32, work: f64) {
         let number = now.nanos().div_euclid(WIDTH.nanos());
         let at = number.rem_euclid(BUCKETS as i64) as usize;
         if self.numbers[at] != number {
@@ -56,7 +56,7 @@
 
     /// The rank under which this part of the work stands; its fraction is the part of that rank which does. Nothing
     /// stands under 0; under `RANKS` all does.
-    pub fn floor(&self, part: f64) -> f64 {
+    pub fn admission_threshold(&self, part: f64) -> f64 {
         if part <= 0.0 || self.total <= 0.0 {
             return 0.0;
         }
--- a/crates/ladderpass-overload/src/shares.rs
+++ b/crates/ladderpass-overload/src/shares.rs
@@ -4,7 +4,7 @@
 
 /// What a connection took lately; it fades. The front keeps it with the connection.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct ClientUsage {
     work: f64,
     at: Time,
     /// The last bucket in which it counted as active.
@@ -17,7 +17,7 @@
 const ENOUGH: f64 = 4.0;
 
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct FairShares {
     /// All work, fading like each connection's.
     work: f64,
     at: Time,
@@ -30,9 +30,9 @@
     work * (-(to - from).secs().clamp(0.0, 60.0) / FADE.secs()).exp()
 }
 
-impl Shares {
+impl FairShares {
     /// A connection has sent work; it counts whether it is taken or refused.
-    pub fn spend(&mut self, now: Time, spent: &mut Spent, work: f64) {
+    pub fn record(&mut self, now: Time, spent: &mut ClientUsage, work: f64) {
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
         let number = now.nanos().div_euclid(FADE.nanos());
         if number != self.bucket {
@@ -49,13 +49,13 @@
     }
 
     /// Connections that sent something lately.
-    pub fn active(&self) -> f64 {
+    pub fn active_clients(&self) -> f64 {
         self.active.max(self.active_before)
     }
 
     /// Does it take more than `times` what the others have on average?
-    pub fn floods(&self, spent: &Spent, times: f64) -> bool {
-        let others = self.active() - 1.0;
+    pub fn exceeds_fair_share(&self, spent: &ClientUsage, times: f64) -> bool {
+        let others = self.active_clients() - 1.0;
         let left = (self.work - spent.work).max(0.0);
         others >= ENOUGH && spent.work > times * (left / others).max(1.0)
     }
--- a/crates/ladderpass-overload/tests/front.rs
+++ b/crates/ladderpass-overload/tests/front.rs
@@ -1,7 +1,9 @@
 //! The governor before a front in simulated time: one server that serves and refuses at stated costs, clients by chance
 //! from a seed, and the core that refuses. The same run each time; each case falls short where the governor is left out.
 
-use ladderpass_overload::{Allowance, Governor, Level, Note, Sample, Settings, Spent};
+use ladderpass_overload::{
+    ClientUsage, Governor, Level, OverloadEvent, ResourceLimits, ResourceSample, Settings,
+};
 use ladderpass_routing::{
     Arrival, Consistency as Staleness, Decision, Deployment, EndpointUpdate, Idempotency, Method,
     PrimaryInList, Router, Span, Time,
@@ -75,7 +77,7 @@
 struct Front {
     governor: Option<Governor>,
     core: Router,
-    spent: Vec<Spent>,
+    spent: Vec<ClientUsage>,
     now: f64,
     queue: VecDeque<Want>,
     dice: Dice,
@@ -83,7 +85,7 @@
     seconds: Vec<[[u32; 3]; 2]>,
     late: u32,
     delays: Vec<(f64, f64)>,
-    notes: Vec<(f64, Note)>,
+    notes: Vec<(f64, OverloadEvent)>,
     come_back: Vec<f64>,
     slowness: fn(f64) -> f64,
     by_client: Vec<[u32; 2]>,
@@ -93,13 +95,14 @@
 
 impl Front {
     fn new(watches: bool, clients: usize, seed: u64) -> Front {
-        let allowance = Allowance { cores: 1.0, memory: 1 << 30, rings: 1 << 28, descriptors: 4096 };
+        let allowance =
+            ResourceLimits { cores: 1.0, memory_bytes: 1 << 30, buffer_bytes: 1 << 28, descriptors: 4096 };
         let mut core = Router::start(at(0.0), seed, deployment());
         core.on_endpoint_update(at(0.0), EndpointUpdate::Complete(&[]));
         Front {
             governor: watches.then(|| Governor::new(at(0.0), Settings::default(), allowance, 2)),
             core,
-            spent: vec![Spent::default(); clients],
+            spent: vec![ClientUsage::default(); clients],
             now: 0.0,
             queue: VecDeque::new(),
             dice: Dice(seed),
@@ -144,8 +147,8 @@
             let busy = Span::from_secs_f64(self.now - began);
             let (now, left) = (at(self.now), self.queue.len() * 128);
             if let Some(governor) = &mut self.governor {
-                governor.turn(now, busy, 0, left);
-                let told = governor.notes();
+                governor.end_iteration(now, busy, 0, left);
+                let told = governor.take_events();
                 self.notes.extend(told.into_iter().map(|note| (self.now, note)));
             }
         }
@@ -167,11 +170,11 @@
             admission_draw: None,
         };
         if let Some(governor) = &mut self.governor {
-            governor.looks(now, Span::from_secs_f64(self.now - want.due), 128);
+            governor.record_statement(now, Span::from_secs_f64(self.now - want.due), 128);
             let spent = &mut self.spent[want.client];
-            let strain = governor.strain(now, want.method, spent);
+            let strain = governor.overload_state(now, want.method, spent);
             let rank = self.core.priority(now, &arrival, &strain);
-            governor.offered(now, &strain, rank, spent);
+            governor.record_arrival(now, &strain, rank, spent);
             arrival.router_overload = Some(strain);
         }
         let (rpc, decision) = self.core.accept(now, arrival);
@@ -182,7 +185,7 @@
             self.firsts_refused += u32::from(!want.repeat);
             self.by_client[want.client][1] += 1;
             if let Some(governor) = &mut self.governor {
-                governor.refused();
+                governor.record_rejected();
             }
         } else {
             rpc.abandon(&mut self.core);
@@ -195,7 +198,7 @@
                 self.late += 1;
             }
             if let Some(governor) = &mut self.governor {
-                governor.served(at(self.now), want.method, 1024);
+                governor.record_served(at(self.now), want.method, 1024);
             }
         }
     }
@@ -319,7 +322,7 @@
         due += SERVE * 2.0;
     }
     front.now = woke;
-    front.governor.as_mut().expect("it watches").stalled(at(woke));
+    front.governor.as_mut().expect("it watches").record_stall(at(woke));
     front.play(5.0, |_| 0.5 / SERVE, mixed);
     assert_eq!(front.late, 0, "each is answered in its time");
     let [due, served, _] = front.sum(WRITE, 2, 4);
@@ -359,7 +362,7 @@
             mixed,
         );
         assert!(front.notes.len() <= 20, "{load}: {} changes in 20 s", front.notes.len());
-        let Some((_, Note::Level { now, .. })) = front.notes.first() else {
+        let Some((_, OverloadEvent::LevelChanged { after: now, .. })) = front.notes.first() else {
             panic!("{load}: no level was told")
         };
         assert_ne!(*now, Level::Calm);
@@ -385,21 +388,26 @@
 
 #[test]
 fn memory_presses_by_itself_and_slow_readers_are_waited_for_less() {
-    let allowance = Allowance { cores: 1.0, memory: 100 << 20, rings: 25 << 20, descriptors: 1000 };
+    let allowance =
+        ResourceLimits { cores: 1.0, memory_bytes: 100 << 20, buffer_bytes: 25 << 20, descriptors: 1000 };
     let mut governor = Governor::new(at(0.0), Settings::default(), allowance, 2);
-    let look = |resident| Sample { wall: Span::from_millis(50), resident, ..Sample::default() };
+    let look = |resident| ResourceSample {
+        wall: Span::from_millis(50),
+        resident_bytes: resident,
+        ..ResourceSample::default()
+    };
     for nth in 0..100 {
-        governor.sample(at(f64::from(nth) * 0.05), look(50 << 20));
+        governor.record_sample(at(f64::from(nth) * 0.05), look(50 << 20));
     }
-    assert_eq!((governor.pressure(), governor.accepts(64)), (0.0, 64));
-    let patient = governor.reader_wait();
+    assert_eq!((governor.pressure(), governor.accept_budget(64)), (0.0, 64));
+    let patient = governor.slow_reader_timeout();
     for nth in 100..200 {
-        governor.sample(at(f64::from(nth) * 0.05), look(90 << 20));
+        governor.record_sample(at(f64::from(nth) * 0.05), look(90 << 20));
     }
     assert!(governor.pressure() > 0.5, "{}", governor.pressure());
-    assert!(governor.reader_wait() < patient && governor.accepts(64) < 32);
+    assert!(governor.slow_reader_timeout() < patient && governor.accept_budget(64) < 32);
     for nth in 200..300 {
-        governor.sample(at(f64::from(nth) * 0.05), look(50 << 20));
+        governor.record_sample(at(f64::from(nth) * 0.05), look(50 << 20));
     }
     assert!(governor.pressure() < 0.01 && governor.level() == Level::Calm);
 }
--- a/crates/ladderpass-simulator-adapter/src/wire.rs
+++ b/crates/ladderpass-simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! From events to calls on a router, and from its results to actions.
 
 use crate::lines::{Line, ListLine};
-use ladderpass_config::names::{Names, group_index};
-use ladderpass_config::{self as settings, whisper::Circle};
+use ladderpass_config::names::{NameIndex, group_index};
+use ladderpass_config::{self as settings, whisper::GossipCodec};
 use ladderpass_routing::{
     Arrival, AttemptOutcome, AttemptResult, Decision, Endpoint, EndpointState, EndpointUpdate, LoadReport,
     MemberId, Role, Router, RpcId, Span, Time,
@@ -36,14 +36,14 @@
     column_position: Option<usize>,
     column_primary: Option<usize>,
     column_holds: Option<usize>,
-    nodes: Names,
-    kinds: Names,
-    zones: Names,
+    nodes: NameIndex,
+    kinds: NameIndex,
+    zones: NameIndex,
     /// Sizes in the list are the registered ones.
     sized: bool,
-    circle: Circle,
+    circle: GossipCodec,
     groups: HashMap<u64, u32>,
-    sessions: Names,
+    sessions: NameIndex,
     /// Not yet concluded, or with a call-out still out.
     rpcs: HashMap<String, Held>,
     names: HashMap<RpcId, String>,
@@ -198,26 +198,26 @@
 impl Instance {
     fn new(salt: u64, info: &Value, now: Time) -> Result<Instance, Fault> {
         let facts = settings::read(info).map_err(|fault| format!("Info: {fault}"))?;
-        let mut zones = Names::default();
+        let mut zones = NameIndex::default();
         zones.intern(facts.zone.as_deref().unwrap_or_default());
-        let column = |name: &str| facts.columns.iter().position(|c| c == name);
+        let column = |name: &str| facts.report_columns.iter().position(|c| c == name);
         Ok(Instance {
-            column_position: column(settings::POSITION),
-            column_primary: column(settings::PRIMARY),
-            column_holds: column(settings::HOLDS),
+            column_position: column(settings::POSITION_COLUMN),
+            column_primary: column(settings::PRIMARY_COLUMN),
+            column_holds: column(settings::IN_FLIGHT_COLUMN),
             router: Router::start(now, salt, facts.deployment),
             in_batch: false,
             actions: String::new(),
-            methods: facts.methods.into_iter().zip(0..).collect(),
-            zero: facts.zero,
-            told: facts.told,
-            nodes: Names::default(),
-            kinds: Names::default(),
+            methods: facts.method_names.into_iter().zip(0..).collect(),
+            zero: facts.clock_origin,
+            told: facts.answers_report_position,
+            nodes: NameIndex::default(),
+            kinds: NameIndex::default(),
             zones,
-            sized: facts.sized,
-            circle: Circle::new(facts.zero, facts.zone.as_deref().unwrap_or_default()),
+            sized: facts.weights_are_concurrency,
+            circle: GossipCodec::new(facts.clock_origin, facts.zone.as_deref().unwrap_or_default()),
             groups: HashMap::new(),
-            sessions: Names::default(),
+            sessions: NameIndex::default(),
             rpcs: HashMap::new(),
             names: HashMap::new(),
             timer: None,
@@ -262,7 +262,7 @@
 
     fn node(&self, name: Option<&str>) -> Result<MemberId, Fault> {
         let name = need(name, "Node")?;
-        self.nodes.known(name).map(MemberId).ok_or_else(|| format!("unknown node {name:?}"))
+        self.nodes.get(name).map(MemberId).ok_or_else(|| format!("unknown node {name:?}"))
     }
 
     fn ask(&mut self, now: Time, line: Line) -> Result<(), Fault> {
@@ -359,7 +359,7 @@
 
     /// What another instance was told; what can't be read, or names no node of this one's lists, is dropped.
     fn whisper(&mut self, now: Time, line: Line) -> Result<(), Fault> {
-        for news in self.circle.hear(&need(line.payload, "Payload")?, now) {
+        for news in self.circle.decode(&need(line.payload, "Payload")?, now) {
             self.router.on_peer_update(now, news);
         }
         Ok(())
@@ -381,7 +381,7 @@
         let mut entries = Vec::with_capacity(list.len());
         for entry in list {
             let member = MemberId(self.nodes.intern(&entry.node));
-            let mark = self.circle.marks.insert(&entry.node, member.0);
+            let mark = self.circle.id_hashes.insert(&entry.node, member.0);
             entries.push(Endpoint {
                 member,
                 id_hash: mark,
@@ -420,7 +420,7 @@
             let node = quoted(self.nodes.name(member.0));
             let _ = writeln!(out, r#"{{"kind":"TOUCH","Who":{who},"Node":{node}}}"#);
         }
-        for text in self.circle.tell(&upkeep.gossip, &self.nodes) {
+        for text in self.circle.encode(&upkeep.gossip, &self.nodes) {
             let text = quoted(&text);
             let _ = writeln!(out, r#"{{"kind":"PUBLISH","Who":{who},"Dest":-1,"Payload":{text}}}"#);
         }
@@ -428,7 +428,7 @@
             let _ = writeln!(out, r#"{{"kind":"OBSERVE","Who":{who},"Enable":true}}"#);
         }
         for note in upkeep.log_messages {
-            let note = self.nodes.named(&note);
+            let note = self.nodes.expand_names(&note);
             let _ = writeln!(out, r#"{{"kind":"WRITE_LOG","Who":{who},"NoteText":{}}}"#, quoted(&note));
         }
         if let Some(at) = upkeep.wake_at
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -8,8 +8,8 @@
 use crate::faulty::{self, Faulty};
 use crate::limits::Limits;
 use ladderpass_config::operator::{self, Operator};
-use ladderpass_config::{Facts, Faults};
-use ladderpass_overload::Allowance;
+use ladderpass_config::{DeploymentSettings, Faults};
+use ladderpass_overload::ResourceLimits;
 use ladderpass_routing::Span;
 use nix::sys::resource::{Resource, getrlimit};
 use serde::Deserialize;
@@ -33,9 +33,9 @@
     pub fixed: Fixed,
     pub seed: u64,
     pub known: Listing,
-    pub facts: Facts,
+    pub facts: DeploymentSettings,
     pub limits: Limits,
-    pub allowance: Allowance,
+    pub allowance: ResourceLimits,
     /// What the platform says of descriptors; less may hold for the process.
     pub sockets_told: usize,
     pub operator: Operator,
@@ -167,10 +167,14 @@
         line("limits.cores", self.allowance.cores.to_string());
         line(
             "limits.memory",
-            format!("{} MiB, rings {} MiB", self.allowance.memory >> 20, self.allowance.rings >> 20),
+            format!(
+                "{} MiB, rings {} MiB",
+                self.allowance.memory_bytes >> 20,
+                self.allowance.buffer_bytes >> 20
+            ),
         );
         line("limits.sockets", format!("{}, clients {}", self.allowance.descriptors, self.limits.clients));
-        for (name, method) in self.facts.methods.iter().zip(&self.facts.deployment.methods) {
+        for (name, method) in self.facts.method_names.iter().zip(&self.facts.deployment.methods) {
             let text = format!(
                 "{:?}, {:?}, utility {}, soft deadline {} ms",
                 method.consistency,
@@ -217,9 +221,12 @@
         };
         let ms = |seconds: f64| format!("{:.0} ms", seconds * 1e3);
         line("overload.delay", format!("from {} full {}", ms(own.delay.from), ms(own.delay.full)));
-        for (key, band) in
-            [("cpu", own.cpu), ("memory", own.memory), ("rings", own.rings), ("descriptors", own.descriptors)]
-        {
+        for (key, band) in [
+            ("cpu", own.cpu),
+            ("memory", own.memory),
+            ("rings", own.buffers),
+            ("descriptors", own.descriptors),
+        ] {
             line(
                 &format!("overload.{key}"),
                 format!("from {} full {} of what is allowed", band.from, band.full),
@@ -229,12 +236,12 @@
             ("rise", own.rise),
             ("fall", own.fall),
             ("calm_after", own.calm_after),
-            ("slow_reader", own.slow_reader),
-            ("look", own.look),
+            ("slow_reader", own.slow_reader_timeout),
+            ("look", own.sample_interval),
         ] {
             line(&format!("overload.{key}"), ms(span.secs()));
         }
-        line("overload.fair", format!("{} fair shares", own.fair));
+        line("overload.fair", format!("{} fair shares", own.fair_share_multiple));
         line("overload.slow_reader_bytes", format!("{} KiB", own.slow_reader_bytes >> 10));
         text
     }
@@ -271,10 +278,10 @@
             .deployment
             .endpoint_poll_interval
             .get_or_insert(facts.drain_grace.unwrap_or(limits.told_within));
-        let allowance = Allowance {
+        let allowance = ResourceLimits {
             cores,
-            memory: usize::try_from(told.limits.memory_mb << 20).unwrap_or(usize::MAX),
-            rings: limits.rings_of_clients,
+            memory_bytes: usize::try_from(told.limits.memory_mb << 20).unwrap_or(usize::MAX),
+            buffer_bytes: limits.rings_of_clients,
             descriptors: sockets,
         };
         let fixed = Fixed { name, listen, settings: told.settings };
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -3,7 +3,7 @@
 //! It owns these bounds alone. It must never hold a value that decides where or when an RPC goes: those stand
 //! in the decision module.
 
-use ladderpass_config::Facts;
+use ladderpass_config::DeploymentSettings;
 use ladderpass_routing::Span;
 use std::time::Duration;
 
@@ -125,7 +125,7 @@
 
 impl Limits {
     /// The allowance of the machine, split between clients, members and discovery.
-    pub fn of(memory_mb: u64, sockets: usize, facts: &Facts) -> Limits {
+    pub fn of(memory_mb: u64, sockets: usize, facts: &DeploymentSettings) -> Limits {
         // In hex a value takes twice its size; the rest of a statement or an answer is short.
         let statement = 2 * VALUE + (8 << 10);
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20);
@@ -164,10 +164,10 @@
             events: 256,
             statements: 32,
             backlog: 1024,
-            most_held: facts.most_held.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX),
-            connect: facts.connect_within.unwrap_or(Span::from_millis(1000)),
-            probe: facts.connect_within.unwrap_or(Span::from_millis(1000)),
-            idle: facts.idle_for.map_or(Span::from_millis(10_000), |idle| idle * 0.8),
+            most_held: facts.max_in_flight.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX),
+            connect: facts.connect_timeout.unwrap_or(Span::from_millis(1000)),
+            probe: facts.connect_timeout.unwrap_or(Span::from_millis(1000)),
+            idle: facts.idle_timeout.map_or(Span::from_millis(10_000), |idle| idle * 0.8),
             sent_within: facts.deployment.tick,
             written_within: Span::from_millis(100),
             answer: Span::from_millis(4),
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -11,9 +11,9 @@
 use crate::launch::{Fixed, Launch};
 use crate::limits::Limits;
 use crate::pg;
-use ladderpass_config::names::{Names, group_index};
-use ladderpass_config::{HOLDS, POSITION, PRIMARY, whisper::Circle};
-use ladderpass_overload::{Sample, Spent};
+use ladderpass_config::names::{NameIndex, group_index};
+use ladderpass_config::{IN_FLIGHT_COLUMN, POSITION_COLUMN, PRIMARY_COLUMN, whisper::GossipCodec};
+use ladderpass_overload::{ClientUsage, ResourceSample};
 use ladderpass_routing::reference_clock::ReferenceClock;
 use ladderpass_routing::{
     Arrival, AttemptOutcome, AttemptResult, Consistency, Decision, Endpoint, EndpointState, EndpointUpdate,
@@ -70,7 +70,7 @@
     /// The socket takes no more of `outgoing` for now.
     Stuck(ConnId),
     /// A look at the process, and what a turn of the loop took with so many sockets still to be looked at.
-    Looked(Sample),
+    Looked(ResourceSample),
     Worked(Span, usize),
     /// The listener took all that waited, and is closed.
     Deaf,
@@ -169,14 +169,14 @@
     looks: BTreeSet<(Time, ConnId)>,
     calls: FxHashMap<RpcId, Call>,
     members: Vec<Member>,
-    names: Names,
-    kinds: Names,
+    names: NameIndex,
+    kinds: NameIndex,
     /// Zones of the list, where they are used; its own has the index zero.
-    zones: Names,
+    zones: NameIndex,
     zoned: bool,
     /// Weights of the list are sizes.
     sizes: bool,
-    circle: Circle,
+    circle: GossipCodec,
     /// None: there is nobody to talk to.
     peers: Option<Box<Peers>>,
     groups: HashMap<u64, u32>,
@@ -236,7 +236,7 @@
         let peers = Peers::new(now, &launch).map(Box::new);
         let facts = launch.facts;
         let own = Own::new(now, &launch.operator, launch.allowance, facts.deployment.methods.len());
-        let mut zones = Names::default();
+        let mut zones = NameIndex::default();
         zones.intern(launch.operator.zone.as_deref().unwrap_or_default());
         let is_bounded = |method: &Method| {
             matches!(method.consistency, Consistency::BoundedStaleness(_) | Consistency::Session)
@@ -253,7 +253,7 @@
                 .iter()
                 .map(|method| method.consistency == Consistency::Write)
                 .collect(),
-            columns: facts.columns,
+            columns: facts.report_columns,
             ids: Ids::default(),
             keys: Keys::default(),
             session_methods: facts.deployment.methods.iter().any(|m| m.consistency == Consistency::Session),
@@ -263,19 +263,19 @@
             ),
             router: Router::start(now, launch.seed, facts.deployment),
             limits: launch.limits,
-            methods: facts.methods.into_iter().zip(0..).collect(),
+            methods: facts.method_names.into_iter().zip(0..).collect(),
             discovery: launch.discovery,
             conns: FxHashMap::default(),
             last_id: 0,
             looks: BTreeSet::new(),
             calls: FxHashMap::default(),
             members: Vec::new(),
-            names: Names::default(),
-            kinds: Names::default(),
+            names: NameIndex::default(),
+            kinds: NameIndex::default(),
             zoned: launch.operator.zone.is_some(),
             sizes: launch.operator.sizes,
             zones,
-            circle: Circle::new(Time::default(), launch.operator.zone.as_deref().unwrap_or_default()),
+            circle: GossipCodec::new(Time::default(), launch.operator.zone.as_deref().unwrap_or_default()),
             peers,
             groups: HashMap::new(),
             generation: 0,
@@ -380,7 +380,7 @@
 
     /// The newest proven position of a member, by its id, and whether it is known as a primary.
     pub fn knows_of(&self, id: &str) -> Option<(Time, bool)> {
-        self.router.known_position(MemberId(self.names.known(id)?))
+        self.router.known_position(MemberId(self.names.get(id)?))
     }
 
     /// Call-outs that are out, and connections that carry one or come up for one: as many at all times.
@@ -439,7 +439,7 @@
             Event::Deaf => self.deaf = true,
             Event::Stalled(span) => {
                 if let Some(own) = &mut self.own {
-                    own.governor.stalled(now);
+                    own.governor.record_stall(now);
                 }
                 tracing::warn!("stalled for {:.0} ms", span.secs() * 1e3);
                 self.behind = span;
@@ -498,7 +498,7 @@
             self.forget_member(member.0 as usize);
         }
         for note in upkeep.log_messages {
-            tracing::info!("{}", self.names.named(&note));
+            tracing::info!("{}", self.names.expand_names(&note));
         }
         self.tell_exceptions(upkeep.exceptions);
         self.core_wake = upkeep.wake_at;
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/calls.rs
@@ -198,7 +198,7 @@
             peers.served(group);
         }
         if let Some(own) = &mut self.own {
-            own.governor.served(
+            own.governor.record_served(
                 now,
                 method,
                 to.output.len() + pg::head(to.input.whole()).map_or(0, length_of),
@@ -239,7 +239,7 @@
             state.with_members += kept;
         }
         if let Some(own) = &mut self.own {
-            own.governor.refused();
+            own.governor.record_rejected();
         }
         let mut out = Vec::new();
         match decision {
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -40,7 +40,7 @@
     /// In this turn: what it sent behind that is the next one's, as the answer may show that it has left.
     pub(super) just_answered: bool,
     /// What it took of the router lately.
-    pub(super) spent: Spent,
+    pub(super) spent: ClientUsage,
     /// Bytes that came and that are done with, and up to which of them came by when.
     came: u64,
     done: u64,
@@ -147,7 +147,7 @@
             refill: None,
             passing_over: None,
             just_answered: false,
-            spent: Spent::default(),
+            spent: ClientUsage::default(),
             came: 0,
             done: 0,
             marks: VecDeque::new(),
@@ -612,11 +612,11 @@
                 admission_draw: None,
             };
             if let Some(own) = &mut self.own {
-                own.governor.looks(now, came.map_or(Span::ZERO, |(_, own)| own), length);
-                let strain = own.governor.strain(now, method, &client.spent);
+                own.governor.record_statement(now, came.map_or(Span::ZERO, |(_, own)| own), length);
+                let strain = own.governor.overload_state(now, method, &client.spent);
                 arrival.router_overload = Some(strain);
                 let rank = self.router.priority(now, &arrival, &strain);
-                own.governor.offered(now, &strain, rank, &mut client.spent);
+                own.governor.record_arrival(now, &strain, rank, &mut client.spent);
                 // Sure to be refused: to look further would be work for nothing.
                 if f64::from(rank + 1) <= strain.admission_threshold {
                     return Ok((arrival, comment.wait_at, 0));
@@ -662,7 +662,7 @@
         let (rpc, decision) = self.router.accept(now, arrival);
         // Said no at once: nothing of it is kept, so that saying it stays cheap.
         if let (Some(own), Decision::Reject { retry_after: come_back }) = (&mut self.own, decision) {
-            own.governor.refused();
+            own.governor.record_rejected();
             self.tally.shed += 1;
             self.figured.shed += 1;
             return self.push_back_at_once(id, length, come_back);
--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -389,7 +389,7 @@
     pub(super) fn release_member(&mut self, index: usize) {
         if self.members.get(index).is_some_and(|member| member.forgotten && member.links == 0) {
             self.names.release(index as u32);
-            self.circle.marks.forget(index as u32);
+            self.circle.id_hashes.remove(index as u32);
         }
     }
 
--- a/crates/ladderpass/src/reducer/own.rs
+++ b/crates/ladderpass/src/reducer/own.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use ladderpass_config::operator::Operator;
-use ladderpass_overload::{Allowance, Governor, Note, Sample};
+use ladderpass_overload::{Governor, OverloadEvent, ResourceLimits, ResourceSample};
 
 pub(super) struct Own {
     pub(super) governor: Governor,
@@ -17,7 +17,12 @@
 }
 
 impl Own {
-    pub(super) fn new(now: Time, operator: &Operator, allowance: Allowance, methods: usize) -> Option<Own> {
+    pub(super) fn new(
+        now: Time,
+        operator: &Operator,
+        allowance: ResourceLimits,
+        methods: usize,
+    ) -> Option<Own> {
         let settings = operator.overload?;
         Some(Own {
             governor: Governor::new(now, settings, allowance, methods),
@@ -32,19 +37,19 @@
 impl Reducer {
     /// When the process is to be looked at next; None where the router does not watch itself.
     pub fn look_due(&self) -> Option<Time> {
-        self.own.as_ref().map(|own| own.looked_at + own.governor.look_every())
+        self.own.as_ref().map(|own| own.looked_at + own.governor.sample_interval())
     }
 
     /// How many connections to accept in one go.
     pub fn accepts_now(&self) -> usize {
-        self.own.as_ref().map_or(self.limits.accepts, |own| own.governor.accepts(self.limits.accepts))
+        self.own.as_ref().map_or(self.limits.accepts, |own| own.governor.accept_budget(self.limits.accepts))
     }
 
     /// Other settings of the operator hold from now on.
-    pub(super) fn govern(&mut self, now: Time, operator: &Operator, allowance: Allowance) {
+    pub(super) fn govern(&mut self, now: Time, operator: &Operator, allowance: ResourceLimits) {
         match (&mut self.own, operator.overload) {
             (Some(own), Some(settings)) => {
-                own.governor.set(now, settings, allowance);
+                own.governor.reconfigure(now, settings, allowance);
                 own.figures_every = operator.log.figures;
             }
             (None, Some(_)) => {
@@ -55,13 +60,13 @@
         }
     }
 
-    pub(super) fn looked(&mut self, now: Time, mut sample: Sample) {
+    pub(super) fn looked(&mut self, now: Time, mut sample: ResourceSample) {
         self.let_slow_go(now);
         let rings = self.rings;
         let Some(own) = &mut self.own else { return };
         own.looked_at = now;
-        sample.rings = rings;
-        own.governor.sample(now, sample);
+        sample.buffer_bytes = rings;
+        own.governor.record_sample(now, sample);
         self.tell_notes();
         self.tell_figures(now);
     }
@@ -72,13 +77,15 @@
         // What those have sent that read nothing is not looked at, however long it stands.
         let input = |id| self.conns.get(id).map_or(0, |conn| conn.input.len());
         let not_wanted: usize = own.slow.keys().map(input).sum();
-        own.governor.turn(now, busy, waiting, self.unlooked.saturating_sub(not_wanted));
+        own.governor.end_iteration(now, busy, waiting, self.unlooked.saturating_sub(not_wanted));
         self.tell_notes();
     }
 
     fn tell_notes(&mut self) {
         let Some(own) = &mut self.own else { return };
-        for Note::Level { before, now, pressure, foremost } in own.governor.notes() {
+        for OverloadEvent::LevelChanged { before, after: now, pressure, dominant: foremost } in
+            own.governor.take_events()
+        {
             let (before, now, foremost) = (before.name(), now.name(), foremost.name());
             tracing::info!(target: "ladderpass::overload", before, now, pressure, foremost, "own load");
         }
@@ -91,7 +98,7 @@
             return;
         }
         own.figures_at = now;
-        let mut figures = own.governor.figures();
+        let mut figures = own.governor.take_metrics();
         figures.extend([
             ("clients", clients as f64),
             ("slow_readers", own.slow.len() as f64),
@@ -133,11 +140,11 @@
     /// a look. Their answers were given; nobody else is closed for memory.
     fn let_slow_go(&mut self, now: Time) {
         let Some(own) = &mut self.own else { return };
-        let (wait, most) = (own.governor.reader_wait(), own.governor.reader_bytes());
-        let look = own.governor.look_every();
+        let (wait, most) = (own.governor.slow_reader_timeout(), own.governor.slow_reader_max_bytes());
+        let look = own.governor.sample_interval();
         let conns = &self.conns;
         own.slow.retain(|id, _| conns.contains_key(id));
-        let mut excess = self.rings.saturating_sub(own.governor.rings_at_ease());
+        let mut excess = self.rings.saturating_sub(own.governor.unpressured_buffer_bytes());
         let mut largest: Vec<(usize, ConnId)> = Vec::new();
         if excess > 0 {
             let still = own.slow.iter().filter(|(_, since)| now - **since >= look);
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -180,14 +180,14 @@
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
-        for news in self.circle.hear(text, now) {
+        for news in self.circle.decode(text, now) {
             self.router.on_peer_update(now, news);
         }
     }
 
     /// Words of the core for all other routers.
     pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
-        let texts = self.circle.tell(news, &self.names);
+        let texts = self.circle.encode(news, &self.names);
         let Some(peers) = self.peers.as_deref_mut() else { return };
         for to in peers.membership.audience(now) {
             peers.out.extend(texts.iter().map(|text| (to, text.clone().into_bytes())));
--- a/crates/ladderpass/src/reducer/watch.rs
+++ b/crates/ladderpass/src/reducer/watch.rs
@@ -182,7 +182,7 @@
         let mut entries = Vec::with_capacity(listing.instances.len());
         for instance in &listing.instances {
             let address = instance.host_port.parse::<SocketAddr>();
-            let known = self.names.known(&instance.instance_id);
+            let known = self.names.get(&instance.instance_id);
             let index = match (known, address) {
                 (Some(index), Ok(address)) => {
                     self.moved(now, index as usize, address);
@@ -222,7 +222,7 @@
                 machine_kind: self.kinds.intern(&instance.machine_type),
                 concurrency: instance.weight.filter(|&weight| self.sizes && weight > 0.0),
                 zone: if self.zoned { self.zones.intern(&instance.zone) } else { 0 },
-                id_hash: self.circle.marks.insert(&instance.instance_id, index),
+                id_hash: self.circle.id_hashes.insert(&instance.instance_id, index),
             });
         }
         self.generation = listing.generation;
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the readings since the last sample. It must never judge them: `ladderpass-overload` does.
 
-use ladderpass_overload::Sample;
+use ladderpass_overload::ResourceSample;
 use ladderpass_routing::Span;
 use nix::sys::resource::{UsageWho, getrusage};
 use nix::sys::time::TimeValLike;
@@ -36,17 +36,17 @@
         }
     }
 
-    pub(super) fn take(&mut self, connections: usize) -> Sample {
+    pub(super) fn take(&mut self, connections: usize) -> ResourceSample {
         let (at, cpu) = (Instant::now(), cpu());
         let span = |time: Duration| Span::from_nanos(time.as_nanos() as i64);
-        let sample = Sample {
+        let sample = ResourceSample {
             wall: span(at - self.at),
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
-            resident: self.resident().unwrap_or(0),
-            rings: 0,
+            resident_bytes: self.resident().unwrap_or(0),
+            buffer_bytes: 0,
             descriptors: connections + OTHERS,
-            waiting: 0,
+            runnable_wait: 0,
         };
         (self.at, self.cpu) = (at, cpu);
         sample
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -8,7 +8,7 @@
 use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
 use ladderpass::{discovery, launch, pg};
 use ladderpass_config::operator;
-use ladderpass_overload::Sample;
+use ladderpass_overload::ResourceSample;
 use ladderpass_routing::{Span, Time};
 use quickcheck::{Gen, QuickCheck};
 
@@ -283,7 +283,11 @@
         if self.pressed && self.roll(3) == 0 {
             let resident = self.roll(3) * (90 << 20);
             let wall = Span::from_millis(50);
-            self.apply(Event::Looked(Sample { wall, resident, ..Sample::default() }));
+            self.apply(Event::Looked(ResourceSample {
+                wall,
+                resident_bytes: resident,
+                ..ResourceSample::default()
+            }));
             let busy = Span::from_millis(self.roll(40) as i64);
             let waiting = self.roll(200);
             self.apply(Event::Worked(busy, waiting));
@@ -466,7 +470,7 @@
             if reads && nth % 2 == 0 {
                 effects.extend(world.reducer.apply(world.now, Event::Written(client, 10)));
             }
-            effects.extend(world.reducer.apply(world.now, Event::Looked(Sample::default())));
+            effects.extend(world.reducer.apply(world.now, Event::Looked(ResourceSample::default())));
             closed |= effects.contains(&Effect::Close(client));
         }
         assert_eq!(closed, !reads);
