--- a/crates/ladderpass-admission/src/concert.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -4,7 +4,7 @@
 //! than a bound; what this router may have in flight at a member grows by steps, and never past its part of what all
 //! may; a router that hears nobody keeps its last part. It must never decide about an RPC.
 
-use crate::word::{self, Told, Word};
+use crate::report::{self, GroupReport, MemberReport};
 use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
@@ -66,34 +66,34 @@
 pub enum Faulty {
     #[default]
     Nowhere,
-    IgnoresTheFloor,
-    TellsTenfold,
-    KeepsTheDeadsWords,
+    IgnoresThreshold,
+    ReportsTenfold,
+    KeepsReportsOfDeadRouters,
 }
 
 /// What the core is told.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct MemberLimits {
     /// In flight that this router may have at a member.
-    pub limits: Vec<(MemberId, f64)>,
+    pub in_flight: Vec<(MemberId, f64)>,
 }
 
 /// What the log shows of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct GroupMetrics {
     pub group: u32,
     /// Below which all refuse; the fraction is the part of that rank.
-    pub floor: f64,
-    pub asked: f64,
-    pub admits: f64,
+    pub threshold: f64,
+    pub offered: f64,
+    pub admitted: f64,
     pub served: f64,
-    pub unsent: f64,
+    pub unplaced: f64,
     /// Words that count, and those of them that were cut to the bound.
-    pub words: usize,
-    pub bounded: usize,
+    pub reports: usize,
+    pub clamped_reports: usize,
     /// What all may have in flight at its members together.
-    pub room: f64,
-    pub part: f64,
+    pub capacity: f64,
+    pub quota: f64,
 }
 
 /// Counts of the last second, in steps.
@@ -120,10 +120,10 @@
     floor: f64,
     pressure: f64,
     /// By mark of a member: this router's own account of it, and what all may have in flight there.
-    members: BTreeMap<u16, Told>,
+    members: BTreeMap<u16, MemberReport>,
     part: f64,
     again: [f64; 4],
-    figures: Figures,
+    figures: GroupMetrics,
 }
 
 impl Group {
@@ -141,17 +141,17 @@
             members: BTreeMap::new(),
             part: 1.0,
             again: [0.0; 4],
-            figures: Figures::default(),
+            figures: GroupMetrics::default(),
         }
     }
 }
 
-pub struct Concert {
+pub struct AdmissionController {
     own: u32,
     number: u16,
     groups: BTreeMap<u32, Group>,
     /// By router and group: when it was said.
-    words: BTreeMap<(u32, u32), (Word, Time)>,
+    words: BTreeMap<(u32, u32), (GroupReport, Time)>,
     /// Alive, by their numbers.
     alive: HashSet<u32>,
     reckon_at: Time,
@@ -161,7 +161,7 @@
 }
 
 /// A number from 0 to 1 that all routers draw alike for a session, and anew for each epoch.
-pub fn lot(session: &[u8], now: Time) -> f64 {
+pub fn admission_draw(session: &[u8], now: Time) -> f64 {
     let epoch = (now.nanos() / EPOCH.nanos()) as u64;
     let fold = |sum: u64, byte: &u8| (sum ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
     let mut z = session.iter().fold(0xcbf2_9ce4_8422_2325 ^ epoch.rotate_left(32), fold);
@@ -170,10 +170,10 @@
     (z >> 11) as f64 / (1u64 << 53) as f64
 }
 
-impl Concert {
+impl AdmissionController {
     /// `own`: the number by which all know this router.
-    pub fn start(now: Time, own: u32, faulty: Faulty) -> Concert {
-        Concert {
+    pub fn start(now: Time, own: u32, faulty: Faulty) -> AdmissionController {
+        AdmissionController {
             own,
             number: 0,
             groups: BTreeMap::new(),
@@ -192,65 +192,65 @@
     }
 
     /// Others that are alive.
-    pub fn lives(&mut self, others: impl Iterator<Item = u32>) {
+    pub fn set_alive(&mut self, others: impl Iterator<Item = u32>) {
         self.alive = others.collect();
-        if self.faulty != Faulty::KeepsTheDeadsWords {
+        if self.faulty != Faulty::KeepsReportsOfDeadRouters {
             let alive = &self.alive;
             self.words.retain(|(who, _), _| alive.contains(who));
         }
     }
 
     /// An RPC of a rank came.
-    pub fn asked(&mut self, group: u32, rank: u32) {
+    pub fn record_offered(&mut self, group: u32, rank: u32) {
         let rank = rank.min(RANKS as u32 - 1) as u8;
         *self.group(group).now.asked.entry(rank).or_default() += 1.0;
     }
 
-    pub fn served(&mut self, group: u32) {
+    pub fn record_served(&mut self, group: u32) {
         self.group(group).now.served += 1.0;
     }
 
     /// One that was let in could be sent nowhere.
-    pub fn unsent(&mut self, group: u32) {
+    pub fn record_unplaced(&mut self, group: u32) {
         self.group(group).now.unsent += 1.0;
     }
 
     /// What it tells of its call-outs, first and further: reckoned elsewhere, it goes along with its words.
-    pub fn tells_again(&mut self, group: u32, again: [f64; 4]) {
+    pub fn set_retry_rates(&mut self, group: u32, again: [f64; 4]) {
         self.group(group).again = again;
     }
 
     /// What others told of theirs, and what each word counts for.
-    pub fn again(&self, now: Time, group: u32) -> impl Iterator<Item = ([f64; 4], f64)> {
-        self.counting(now, group).map(|(word, weight)| (word.again, weight))
+    pub fn peer_retry_rates(&self, now: Time, group: u32) -> impl Iterator<Item = ([f64; 4], f64)> {
+        self.counting(now, group).map(|(word, weight)| (word.retry_rates, weight))
     }
 
     /// Others that are alive.
-    pub fn others(&self) -> usize {
+    pub fn alive_peers(&self) -> usize {
         self.alive.len()
     }
 
     /// Below which all refuse, and how hard it presses, from 0 to 1.
-    pub fn floor(&self, group: u32) -> (f64, f64) {
-        if self.faulty == Faulty::IgnoresTheFloor {
+    pub fn threshold(&self, group: u32) -> (f64, f64) {
+        if self.faulty == Faulty::IgnoresThreshold {
             return (0.0, 0.0);
         }
         self.groups.get(&group).map_or((0.0, 0.0), |group| (group.floor, group.pressure))
     }
 
-    pub fn wake(&self) -> Time {
+    pub fn wake_at(&self) -> Time {
         self.reckon_at
     }
 
     /// Words that came from another router.
-    pub fn heard(&mut self, now: Time, bytes: &[u8]) {
-        for word in word::read(bytes) {
-            let known = self.alive.contains(&word.who) || self.faulty == Faulty::KeepsTheDeadsWords;
-            if word.who == self.own || !known || word.age >= STALE {
+    pub fn on_reports(&mut self, now: Time, bytes: &[u8]) {
+        for word in report::read(bytes) {
+            let known = self.alive.contains(&word.router) || self.faulty == Faulty::KeepsReportsOfDeadRouters;
+            if word.router == self.own || !known || word.age >= STALE {
                 continue;
             }
-            let key = (word.who, word.group);
-            let newer = |old: &Word| word.number.wrapping_sub(old.number) as i16 > 0;
+            let key = (word.router, word.group);
+            let newer = |old: &GroupReport| word.sequence.wrapping_sub(old.sequence) as i16 > 0;
             let at = now - word.age;
             match self.words.get(&key) {
                 // A router that has started anew counts from zero: an old word gives way by its age.
@@ -264,19 +264,19 @@
     }
 
     /// What to tell: its own words first, then others' in turn, as there is room for.
-    pub fn tell(&mut self, now: Time, most: usize) -> Vec<u8> {
-        let mut bytes = vec![word::FORM];
+    pub fn encode_reports(&mut self, now: Time, most: usize) -> Vec<u8> {
+        let mut bytes = vec![report::REPORT_VERSION];
         let groups: Vec<u32> = self.groups.keys().copied().collect();
         for nth in 0..groups.len().min(4) {
             let group = groups[(self.turn + nth) % groups.len()];
             let word = self.own_word(group);
-            word::write(&word, &mut bytes, most);
+            report::write(&word, &mut bytes, most);
         }
         let keys: Vec<(u32, u32)> = self.words.keys().copied().collect();
         for nth in 0..keys.len() {
             let Some((word, at)) = self.words.get(&keys[(self.turn + nth) % keys.len()]) else { continue };
             let age = now - *at;
-            if age < FRESH && !word::write(&Word { age, ..word.clone() }, &mut bytes, most) {
+            if age < FRESH && !report::write(&GroupReport { age, ..word.clone() }, &mut bytes, most) {
                 break;
             }
         }
@@ -284,44 +284,44 @@
         bytes
     }
 
-    fn own_word(&self, key: u32) -> Word {
-        let Some(group) = self.groups.get(&key) else { return Word::default() };
-        let times = if self.faulty == Faulty::TellsTenfold { 10.0 } else { 1.0 };
+    fn own_word(&self, key: u32) -> GroupReport {
+        let Some(group) = self.groups.get(&key) else { return GroupReport::default() };
+        let times = if self.faulty == Faulty::ReportsTenfold { 10.0 } else { 1.0 };
         let asked = group.last.asked.iter().rev().map(|(&rank, &rate)| (rank, rate * times));
         // Of many members some in turn.
         let count = group.members.len();
         let first = if count > TOLD { usize::from(self.number) * TOLD % count } else { 0 };
         let members = group.members.values().cycle().skip(first).take(count.min(TOLD)).copied().collect();
-        Word {
-            who: self.own,
-            number: self.number,
+        GroupReport {
+            router: self.own,
+            sequence: self.number,
             age: Span::ZERO,
             group: key,
-            asked: asked.collect(),
+            offered: asked.collect(),
             served: group.last.served,
-            unsent: group.last.unsent,
-            admits: group.admits,
-            again: group.again,
+            unplaced: group.last.unsent,
+            admitted: group.admits,
+            retry_rates: group.again,
             members,
         }
     }
 
     /// Reckons anew, where it is time.
-    pub fn tend(&mut self, now: Time, seen: &[MemberLoad]) -> Option<Facts> {
+    pub fn tick(&mut self, now: Time, seen: &[MemberLoad]) -> Option<MemberLimits> {
         if now < self.reckon_at {
             return None;
         }
         let gap = (now - self.reckon_at + EVERY).secs();
         self.reckon_at = now + EVERY;
         self.number = self.number.wrapping_add(1);
-        if self.faulty != Faulty::KeepsTheDeadsWords {
+        if self.faulty != Faulty::KeepsReportsOfDeadRouters {
             self.words.retain(|_, (_, at)| now - *at < STALE);
         }
         for group in self.groups.values_mut() {
             let counted = std::mem::take(&mut group.now);
             group.last.blend(&counted, gap);
         }
-        let mut facts = Facts::default();
+        let mut facts = MemberLimits::default();
         let keys: Vec<u32> = self.groups.keys().copied().collect();
         for key in keys {
             self.reckon(now, key, seen, &mut facts);
@@ -331,7 +331,7 @@
 
     /// What a word counts for by its age.
     fn weight(&self, now: Time, at: Time) -> f64 {
-        if self.faulty == Faulty::KeepsTheDeadsWords {
+        if self.faulty == Faulty::KeepsReportsOfDeadRouters {
             return 1.0;
         }
         let age = now - at;
@@ -339,18 +339,18 @@
     }
 
     /// The words of a group that still count, and what for.
-    fn counting(&self, now: Time, group: u32) -> impl Iterator<Item = (&Word, f64)> {
+    fn counting(&self, now: Time, group: u32) -> impl Iterator<Item = (&GroupReport, f64)> {
         let words = self.words.values().filter(move |(word, _)| word.group == group);
         words.map(move |(word, at)| (word, self.weight(now, *at))).filter(|(_, weight)| *weight > 0.0)
     }
 
-    fn reckon(&mut self, now: Time, key: u32, seen: &[MemberLoad], facts: &mut Facts) {
-        let words: Vec<(&Word, f64)> = self.counting(now, key).collect();
+    fn reckon(&mut self, now: Time, key: u32, seen: &[MemberLoad], facts: &mut MemberLimits) {
+        let words: Vec<(&GroupReport, f64)> = self.counting(now, key).collect();
         let Some(group) = self.groups.get(&key) else { return };
         let mut group = group.clone();
         let own: f64 = group.last.asked.values().sum();
         // What is usual: the middle one, or this router's own, which it knows to be true.
-        let total = |word: &Word| word.asked.iter().map(|(_, rate)| rate).sum::<f64>();
+        let total = |word: &GroupReport| word.offered.iter().map(|(_, rate)| rate).sum::<f64>();
         let mut totals: Vec<f64> = words.iter().map(|(word, _)| total(word)).chain([own]).collect();
         let usual = median(&mut totals).max(own);
         let mut asked: BTreeMap<u8, f64> = group.last.asked.clone();
@@ -361,12 +361,12 @@
             let most = usual * BOUND;
             let cut = if told > most { most / told } else { 1.0 };
             bounded += usize::from(cut < 1.0);
-            for (rank, rate) in &word.asked {
+            for (rank, rate) in &word.offered {
                 *asked.entry(*rank).or_default() += rate * weight * cut;
             }
             served += word.served.min(told * cut) * weight;
-            unsent += word.unsent.min(told * cut) * weight;
-            admits.push(word.admits);
+            unsent += word.unplaced.min(told * cut) * weight;
+            admits.push(word.admitted);
         }
         // Where only some of many could be heard of lately, they stand for all.
         let heard = words.iter().map(|(_, weight)| weight).sum::<f64>();
@@ -389,44 +389,49 @@
         let mut members = BTreeMap::new();
         for seen in seen.iter().filter(|seen| seen.group == key) {
             let mark = seen.id_hash as u16;
-            let fresh =
-                Told { mark, in_flight: seen.in_flight, stretch: seen.latency_ratio, room: ROOM_START };
+            let fresh = MemberReport {
+                id_hash: mark,
+                in_flight: seen.in_flight,
+                latency_ratio: seen.latency_ratio,
+                capacity: ROOM_START,
+            };
             let mut own = group.members.get(&mark).copied().unwrap_or(fresh);
             own.in_flight += (seen.in_flight - own.in_flight) * NOW;
-            own.stretch += (seen.latency_ratio * (1.0 + REFUSED * seen.failure_share) - own.stretch) * NOW;
+            own.latency_ratio +=
+                (seen.latency_ratio * (1.0 + REFUSED * seen.failure_share) - own.latency_ratio) * NOW;
             // What all have there, how slowly it answers those who use it, and what most believe of its room.
-            let (mut in_flight, mut slow) = (own.in_flight, own.stretch * (own.in_flight + LITTLE));
-            let mut rooms = vec![own.room];
+            let (mut in_flight, mut slow) = (own.in_flight, own.latency_ratio * (own.in_flight + LITTLE));
+            let mut rooms = vec![own.capacity];
             for (word, weight) in &words {
-                let Some(told) = word.members.iter().find(|told| told.mark == mark) else { continue };
+                let Some(told) = word.members.iter().find(|told| told.id_hash == mark) else { continue };
                 in_flight += told.in_flight * weight;
-                slow += told.stretch * (told.in_flight + LITTLE) * weight;
-                rooms.push(told.room);
+                slow += told.latency_ratio * (told.in_flight + LITTLE) * weight;
+                rooms.push(told.capacity);
             }
             let stretch = slow / (in_flight + LITTLE * rooms.len() as f64);
-            let before = (own.room + (median(&mut rooms) - own.room) * TOGETHER).max(ROOM_LEAST);
+            let before = (own.capacity + (median(&mut rooms) - own.capacity) * TOGETHER).max(ROOM_LEAST);
             // Shortest answer time over the present one, and a little more to find out whether there is room.
             let wanted = before * (SLOW / stretch.max(SLOW)) + before.sqrt();
             let used = in_flight * scale * USED >= before;
             let step = if wanted < before || used { (wanted - before) * ROOM_STEP } else { 0.0 };
-            own.room = (before + step).clamp(ROOM_LEAST, ROOM_MOST);
-            room += own.room;
-            let share = own.room * group.part;
-            facts.limits.push((seen.member, share + share.sqrt()));
+            own.capacity = (before + step).clamp(ROOM_LEAST, ROOM_MOST);
+            room += own.capacity;
+            let share = own.capacity * group.part;
+            facts.in_flight.push((seen.member, share + share.sqrt()));
             members.insert(mark, own);
         }
         group.members = members;
-        group.figures = Figures {
+        group.figures = GroupMetrics {
             group: key,
-            floor: group.floor,
-            asked: total_asked,
-            admits: group.admits,
+            threshold: group.floor,
+            offered: total_asked,
+            admitted: group.admits,
             served,
-            unsent,
-            words: words.len(),
-            bounded,
-            room,
-            part: group.part,
+            unplaced: unsent,
+            reports: words.len(),
+            clamped_reports: bounded,
+            capacity: room,
+            quota: group.part,
         };
         self.groups.insert(key, group);
     }
@@ -461,7 +466,7 @@
         group.admits = wanted.min(asked * 1.2 + 1.0);
     }
 
-    pub fn figures(&self) -> impl Iterator<Item = Figures> {
+    pub fn metrics(&self) -> impl Iterator<Item = GroupMetrics> {
         self.groups.values().map(|group| group.figures)
     }
 }
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -6,10 +6,10 @@
 //!
 //! It owns the floor and the parts. It must never refuse an RPC (the core does), nor ask anything of a member.
 
-mod concert;
-mod word;
+mod controller;
+mod report;
 
-pub use concert::{Concert, Facts, Faulty, Figures, lot};
+pub use controller::{AdmissionController, Faulty, GroupMetrics, MemberLimits, admission_draw};
 #[doc(hidden)]
-pub use word::FORM;
-pub use word::{Told, Word, read, write};
+pub use report::REPORT_VERSION;
+pub use report::{GroupReport, MemberReport, read, write};
--- a/crates/ladderpass-admission/tests/model.rs
+++ b/crates/ladderpass-admission/tests/model.rs
@@ -1,7 +1,7 @@
 //! Fleets of routers in simulated steps before members that answer slower the more they have: the same code, its words
 //! late and lost. No sockets: a step is 250 ms, a member's answer time follows what is in flight there.
 
-use ladderpass_admission::{Concert, Faulty, lot};
+use ladderpass_admission::{AdmissionController, Faulty, admission_draw};
 use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
 use nanorand::{Rng, WyRand};
 
@@ -11,7 +11,7 @@
 
 struct World {
     now: Time,
-    routers: Vec<Concert>,
+    routers: Vec<AdmissionController>,
     /// RPCs a second of each: of the high rank, and of the low one.
     load: Vec<(f64, f64)>,
     alive: Vec<bool>,
@@ -33,7 +33,9 @@
         let count = load.len();
         let mut world = World {
             now,
-            routers: (0..count).map(|nth| Concert::start(now, nth as u32 + 1, faulty(nth))).collect(),
+            routers: (0..count)
+                .map(|nth| AdmissionController::start(now, nth as u32 + 1, faulty(nth)))
+                .collect(),
             alive: vec![true; count],
             serves,
             members: 3,
@@ -63,7 +65,7 @@
                 .filter(|&other| reaches(other))
                 .map(|other| other as u32 + 1)
                 .collect();
-            self.routers[nth].lives(others.into_iter());
+            self.routers[nth].set_alive(others.into_iter());
         }
     }
 
@@ -76,12 +78,12 @@
         let mut let_in = vec![(0.0, 0.0); count];
         let mut held = 0.0;
         for &nth in &living {
-            let (floor, _) = self.routers[nth].floor(7);
+            let (floor, _) = self.routers[nth].threshold(7);
             let part = |rank: u32| (1.0 - (floor - f64::from(rank))).clamp(0.0, 1.0);
             let (high, low) = self.load[nth];
             let (high, low) = (self.draw(high * secs), self.draw(low * secs));
-            (0..high).for_each(|_| self.routers[nth].asked(7, HIGH));
-            (0..low).for_each(|_| self.routers[nth].asked(7, LOW));
+            (0..high).for_each(|_| self.routers[nth].record_offered(7, HIGH));
+            (0..low).for_each(|_| self.routers[nth].record_offered(7, LOW));
             let_in[nth] = (high as f64 * part(HIGH), low as f64 * part(LOW));
             held += self.limits[nth].iter().sum::<f64>();
         }
@@ -102,9 +104,9 @@
             let mine =
                 (let_in[nth].0 * served_high / high.max(1e-9), let_in[nth].1 * served_low / low.max(1e-9));
             let served = self.draw(mine.0 + mine.1);
-            (0..served).for_each(|_| self.routers[nth].served(7));
+            (0..served).for_each(|_| self.routers[nth].record_served(7));
             let missing = self.draw(let_in[nth].0 + let_in[nth].1 - mine.0 - mine.1);
-            (0..missing).for_each(|_| self.routers[nth].unsent(7));
+            (0..missing).for_each(|_| self.routers[nth].record_unplaced(7));
             let part = (let_in[nth].0 + let_in[nth].1) / (high + low).max(1e-9);
             let seen: Vec<MemberLoad> = (0..self.members)
                 .map(|member| MemberLoad {
@@ -116,19 +118,19 @@
                     failure_share: 0.0,
                 })
                 .collect();
-            if let Some(facts) = self.routers[nth].tend(self.now, &seen) {
-                self.limits[nth] = facts.limits.iter().map(|(_, limit)| *limit).collect();
+            if let Some(facts) = self.routers[nth].tick(self.now, &seen) {
+                self.limits[nth] = facts.in_flight.iter().map(|(_, limit)| *limit).collect();
             }
         }
         // Each tells two others by chance, as questions and answers carry it.
         for &nth in &living {
-            let bytes = self.routers[nth].tell(self.now, 210);
+            let bytes = self.routers[nth].encode_reports(self.now, 210);
             for _ in 0..2 {
                 let other = self.chance.generate_range(0..count);
                 let lost = self.chance.generate::<f64>() < self.loss;
                 let apart = self.cut > 0 && (other < self.cut) != (nth < self.cut);
                 if other != nth && self.alive[other] && !lost && !apart {
-                    self.routers[other].heard(self.now, &bytes);
+                    self.routers[other].on_reports(self.now, &bytes);
                 }
             }
         }
@@ -150,7 +152,7 @@
     }
 
     fn floors(&self) -> Vec<f64> {
-        (0..self.routers.len()).filter(|&n| self.alive[n]).map(|n| self.routers[n].floor(7).0).collect()
+        (0..self.routers.len()).filter(|&n| self.alive[n]).map(|n| self.routers[n].threshold(7).0).collect()
     }
 }
 
@@ -230,11 +232,11 @@
 
 #[test]
 fn a_liar_shuts_nobody_out_and_is_bounded() {
-    let faulty = |nth| if nth == 7 { Faulty::TellsTenfold } else { Faulty::Nowhere };
+    let faulty = |nth| if nth == 7 { Faulty::ReportsTenfold } else { Faulty::Nowhere };
     let mut world = World::new(4, uneven(8, 300.0), 300.0, faulty);
     world.run(40);
     let (high, used) = world.over(20);
-    let bounded: usize = world.routers[0].figures().map(|figures| figures.bounded).sum();
+    let bounded: usize = world.routers[0].metrics().map(|figures| figures.clamped_reports).sum();
     println!("model: a liar: high {high:.3}, used {used:.3}, bounded {bounded}");
     assert!(high > 0.97 && used > 0.9 && bounded > 0, "{high} {used} {bounded}");
 }
@@ -243,26 +245,26 @@
 fn the_deads_words_fade_and_those_of_strangers_are_not_heard() {
     let mut world = World::new(5, uneven(4, 300.0), 300.0, |_| Faulty::Nowhere);
     world.run(20);
-    let words = |world: &World| world.routers[0].figures().map(|figures| figures.words).sum::<usize>();
+    let words = |world: &World| world.routers[0].metrics().map(|figures| figures.reports).sum::<usize>();
     assert_eq!(words(&world), 3);
     world.alive[3] = false;
     // Nobody tells of the death: the words fade all the same.
     world.run(20);
     assert_eq!(words(&world), 2);
-    let bytes = world.routers[1].tell(world.now, 210);
-    let mut stranger = Concert::start(world.now, 99, Faulty::Nowhere);
-    stranger.heard(world.now, &bytes);
-    assert_eq!(stranger.figures().count(), 0);
-    stranger.asked(7, LOW);
-    stranger.tend(world.now + STEP * 2.0, &[]);
-    assert_eq!(stranger.figures().map(|figures| figures.words).sum::<usize>(), 0);
+    let bytes = world.routers[1].encode_reports(world.now, 210);
+    let mut stranger = AdmissionController::start(world.now, 99, Faulty::Nowhere);
+    stranger.on_reports(world.now, &bytes);
+    assert_eq!(stranger.metrics().count(), 0);
+    stranger.record_offered(7, LOW);
+    stranger.tick(world.now + STEP * 2.0, &[]);
+    assert_eq!(stranger.metrics().map(|figures| figures.reports).sum::<usize>(), 0);
 }
 
 #[test]
 fn one_that_hears_nobody_any_more_takes_no_more_than_its_part() {
     let mut world = World::new(6, uneven(4, 300.0), 300.0, |_| Faulty::Nowhere);
     world.run(30);
-    let part = |world: &World| world.routers[0].figures().map(|figures| figures.part).sum::<f64>();
+    let part = |world: &World| world.routers[0].metrics().map(|figures| figures.quota).sum::<f64>();
     let before = part(&world);
     world.loss = 1.0;
     world.run(40);
@@ -274,10 +276,10 @@
 fn refusals_narrow_a_members_room_as_slow_answers_do() {
     let now = Time::from_nanos(1_800_000_000_000_000_000);
     let room_after = |refused: f64| {
-        let mut concert = Concert::start(now, 1, Faulty::Nowhere);
+        let mut concert = AdmissionController::start(now, 1, Faulty::Nowhere);
         let mut last = 0.0;
         for step in 1..20 {
-            (0..75).for_each(|_| concert.asked(7, LOW));
+            (0..75).for_each(|_| concert.record_offered(7, LOW));
             let seen = MemberLoad {
                 member: MemberId(0),
                 id_hash: 3,
@@ -286,8 +288,8 @@
                 in_flight: 8.0,
                 failure_share: refused,
             };
-            let facts = concert.tend(now + STEP * f64::from(step), &[seen]).expect("it is time");
-            last = facts.limits[0].1;
+            let facts = concert.tick(now + STEP * f64::from(step), &[seen]).expect("it is time");
+            last = facts.in_flight[0].1;
         }
         last
     };
@@ -298,19 +300,19 @@
 #[test]
 fn no_floor_begins_on_a_load_that_is_still_growing() {
     let now = Time::from_nanos(1_800_000_000_000_000_000);
-    let mut concert = Concert::start(now, 1, Faulty::Nowhere);
+    let mut concert = AdmissionController::start(now, 1, Faulty::Nowhere);
     let floors: Vec<f64> = (1..=8)
         .map(|step| {
-            (0..75).for_each(|_| concert.asked(7, LOW));
-            (0..30).for_each(|_| concert.served(7));
-            (0..30).for_each(|_| concert.unsent(7));
-            concert.tend(now + STEP * f64::from(step), &[]);
-            concert.floor(7).0
+            (0..75).for_each(|_| concert.record_offered(7, LOW));
+            (0..30).for_each(|_| concert.record_served(7));
+            (0..30).for_each(|_| concert.record_unplaced(7));
+            concert.tick(now + STEP * f64::from(step), &[]);
+            concert.threshold(7).0
         })
         .collect();
     assert_eq!(&floors[..2], &[0.0, 0.0]);
     assert!(floors[7] > f64::from(LOW), "{floors:?}");
-    let let_in = concert.figures().map(|figures| figures.admits).sum::<f64>();
+    let let_in = concert.metrics().map(|figures| figures.admitted).sum::<f64>();
     assert!(let_in > 110.0, "{let_in} of 300 where 120 are served");
 }
 
@@ -318,17 +320,18 @@
 fn a_groups_floor_is_its_own() {
     let mut world = World::new(7, uneven(4, 300.0), 300.0, |_| Faulty::Nowhere);
     world.run(30);
-    world.routers[0].asked(8, LOW);
+    world.routers[0].record_offered(8, LOW);
     world.run(4);
-    assert!(world.routers[0].floor(7).0 > 0.0);
-    assert_eq!(world.routers[0].floor(8), (0.0, 0.0));
+    assert!(world.routers[0].threshold(7).0 > 0.0);
+    assert_eq!(world.routers[0].threshold(8), (0.0, 0.0));
 }
 
 #[test]
 fn all_draw_the_same_lot_for_a_session_and_another_in_another_epoch() {
     let now = Time::from_nanos(1_800_000_000_000_000_000);
-    assert_eq!(lot(b"k7", now), lot(b"k7", now + Span::from_millis(200)));
-    assert_ne!(lot(b"k7", now), lot(b"k7", now + Span::from_millis(20_000)));
-    let mean: f64 = (0..1000).map(|nth| lot(format!("k{nth}").as_bytes(), now)).sum::<f64>() / 1000.0;
+    assert_eq!(admission_draw(b"k7", now), admission_draw(b"k7", now + Span::from_millis(200)));
+    assert_ne!(admission_draw(b"k7", now), admission_draw(b"k7", now + Span::from_millis(20_000)));
+    let mean: f64 =
+        (0..1000).map(|nth| admission_draw(format!("k{nth}").as_bytes(), now)).sum::<f64>() / 1000.0;
     assert!((0.45..0.55).contains(&mean), "{mean}");
 }
--- a/crates/ladderpass-config/src/lib.rs
+++ b/crates/ladderpass-config/src/lib.rs
@@ -4,9 +4,9 @@
 //! It must never decide anything, nor hold a value that the settings don't give.
 
 pub mod faults;
+pub mod gossip;
 pub mod names;
 pub mod operator;
-pub mod whisper;
 
 pub use faults::Faults;
 use ladderpass_routing::{Consistency, Deployment, Idempotency, Method, PrimaryInList, Span, Time};
--- a/crates/ladderpass-config/tests/whisper.rs
+++ b/crates/ladderpass-config/tests/gossip.rs
@@ -1,6 +1,6 @@
 //! The form of what routers tell each other of members.
 
-use ladderpass_config::whisper::{MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS, read, write};
+use ladderpass_config::gossip::{MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS, read, write};
 use ladderpass_routing::{MemberObservation, Span};
 
 #[test]
--- a/crates/ladderpass-membership/src/detector.rs
+++ b/crates/ladderpass-membership/src/detector.rs
@@ -4,7 +4,7 @@
 //! It owns what is under way: questions, rumours, this router's own incarnation and health. It must never take a silence
 //! for a death before the suspicion is over, nor trust its own silence while it stalled.
 
-use crate::message::{Incarnation, Kind, Message, State, Word, length_of};
+use crate::message::{Incarnation, Kind, Message, State, StateUpdate, length_of};
 use crate::settings::{Faulty, Settings};
 use crate::table::{Change, Peer, Table, hash, mark};
 use ladderpass_routing::{Span, Time};
@@ -14,7 +14,7 @@
 
 /// Who this router is.
 #[derive(Clone, Copy, Debug)]
-pub struct Own {
+pub struct LocalRouter {
     /// Where the others send to.
     pub address: SocketAddr,
     /// The wall clock at its start.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
     /// This one's place among the living in the order of addresses, and how many there are, this one among them.
-    pub me: usize,
+    pub position: usize,
     pub count: usize,
     /// The same at two routers that count on the same ones.
     pub digest: u32,
@@ -36,10 +36,10 @@
 
 /// What it has sent and read; datagrams that were dropped are of strangers or can't be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DatagramCounts {
     pub sent: u64,
     pub bytes: u64,
-    pub heard: u64,
+    pub received: u64,
     pub dropped: u64,
 }
 
@@ -124,7 +124,7 @@
     leaving: bool,
     out: Vec<(SocketAddr, Vec<u8>)>,
     changes: Vec<(SocketAddr, Change)>,
-    counts: Counts,
+    counts: DatagramCounts,
     /// A word on itself that only another process with this address can have said.
     double: bool,
     /// What goes along with questions and answers, and what came so.
@@ -133,7 +133,7 @@
 }
 
 /// A number that stands for a router, the same for all.
-pub fn number_of(who: SocketAddr) -> u32 {
+pub fn router_hash(who: SocketAddr) -> u32 {
     hash(who, 1)
 }
 
@@ -142,7 +142,7 @@
     pub fn start(
         now: Time,
         seed: u64,
-        own: Own,
+        own: LocalRouter,
         listed: &[SocketAddr],
         networks: &[(std::net::IpAddr, u8)],
         settings: Settings,
@@ -151,7 +151,7 @@
         let others = listed.iter().filter(|&&address| address != own.address);
         let listed = others.map(|&address| Listed { address, earlier: now }).collect();
         // Those that start together don't ask together.
-        let ask_at = now + settings.every * (chance.generate_range(0..1000u32) as f64 / 1000.0);
+        let ask_at = now + settings.probe_interval * (chance.generate_range(0..1000u32) as f64 / 1000.0);
         Membership {
             own: own.address,
             incarnation: Incarnation::of_start(own.started_unix_ms),
@@ -175,7 +175,7 @@
             leaving: false,
             out: Vec::new(),
             changes: Vec::new(),
-            counts: Counts::default(),
+            counts: DatagramCounts::default(),
             double: false,
             load: Vec::new(),
             loads: Vec::new(),
@@ -184,13 +184,13 @@
 
     pub fn view(&self) -> View {
         // A fault of the proof: the dead keep their place in the order.
-        let keeps = self.settings.faulty == Faulty::KeepsTheDeadsTurns;
+        let keeps = self.settings.faulty == Faulty::CountsDeadRouters;
         let counted = |(_, belief): &(&SocketAddr, &crate::table::Belief)| keeps || !belief.state.is_gone();
         let counted = || self.table.routers.iter().filter(counted).map(|(&who, _)| who);
         let digest = counted().chain([self.own]).fold(0, |sum, who| sum ^ hash(who, 0));
         let silent = |listed: &&Listed| !self.table.routers.contains_key(&listed.address);
         View {
-            me: counted().filter(|&who| who < self.own).count(),
+            position: counted().filter(|&who| who < self.own).count(),
             count: counted().count() + 1,
             digest,
             suspected: self.table.alive().filter(|(_, belief)| belief.state == State::Suspect).count(),
@@ -204,7 +204,7 @@
     }
 
     /// Whom words of other kinds are sent to: the living, and programs of before that were heard lately.
-    pub fn audience(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
+    pub fn gossip_targets(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let earlier = self.listed.iter().filter(move |listed| {
             now - listed.earlier < EARLIER && !self.table.routers.contains_key(&listed.address)
         });
@@ -214,7 +214,7 @@
 
     /// May words of other kinds from there be listened to? Those of the listed and of the living; a listed one that has
     /// never spoken as these do is a program of before.
-    pub fn knows(&mut self, now: Time, from: SocketAddr) -> bool {
+    pub fn may_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         let known = self.table.is_alive(from);
         let listed = self.listed.iter_mut().find(|listed| listed.address == from);
         if let Some(listed) = listed {
@@ -225,41 +225,41 @@
     }
 
     /// What has changed since it was asked last.
-    pub fn changes(&mut self) -> Vec<(SocketAddr, Change)> {
+    pub fn take_changes(&mut self) -> Vec<(SocketAddr, Change)> {
         std::mem::take(&mut self.changes)
     }
 
     /// Datagrams to be sent.
-    pub fn out(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.out)
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> DatagramCounts {
         self.counts
     }
 
     /// What goes along with each question and answer from now on, where it has room.
-    pub fn carry(&mut self, load: Vec<u8>) {
+    pub fn set_piggyback(&mut self, load: Vec<u8>) {
         self.load = load;
     }
 
     /// What came along from routers that are alive.
-    pub fn loads(&mut self) -> Vec<Vec<u8>> {
+    pub fn take_piggybacked(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.loads)
     }
 
     /// How much this router doubts itself: 0 not at all, up to 8.
-    pub fn health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.health
     }
 
     /// Has another process spoken as this one, told once?
-    pub fn has_double(&mut self) -> bool {
+    pub fn take_address_conflict(&mut self) -> bool {
         std::mem::take(&mut self.double)
     }
 
     /// When `tend` is due.
-    pub fn wake(&self) -> Time {
+    pub fn wake_at(&self) -> Time {
         let probes = self.probes.values().map(|probe| match probe.helpers {
             0 => probe.help_at.min(probe.until),
             _ => probe.until,
@@ -270,69 +270,69 @@
     }
 
     /// A datagram came from there.
-    pub fn heard(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    pub fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(message) = Message::read(bytes).filter(|message| self.is_fair(from, message)) else {
             self.counts.dropped += 1;
             return;
         };
-        self.counts.heard += 1;
+        self.counts.received += 1;
         let differs = message.digest != self.table.digest(self.incarnation);
         if !differs {
             self.is_known();
         }
-        let proven = message.kind == Kind::Answer
-            && self.probes.get(&message.number).is_some_and(|probe| probe.who == from);
+        let proven = message.kind == Kind::Ack
+            && self.probes.get(&message.sequence).is_some_and(|probe| probe.who == from);
         if !proven && self.is_buried(from) {
             // What it said before it died may come late, even a contradiction that nobody has heard yet: it is asked.
             self.ask_back(now, from);
         } else {
             self.take(now, &message.own);
         }
-        if !message.load.is_empty() && self.table.is_alive(from) && self.loads.len() < LOADS {
-            self.loads.push(message.load.clone());
+        if !message.piggyback.is_empty() && self.table.is_alive(from) && self.loads.len() < LOADS {
+            self.loads.push(message.piggyback.clone());
         }
-        let about = message.words.first().copied();
-        let proxied = matches!(message.kind, Kind::AskFor | Kind::AnswerFor | Kind::Nothing);
+        let about = message.updates.first().copied();
+        let proxied = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
         // What it says of itself stands in front.
-        let others = message.words.iter().skip(usize::from(proxied)).filter(|word| word.who != from);
+        let others = message.updates.iter().skip(usize::from(proxied)).filter(|word| word.router != from);
         others.for_each(|word| self.take(now, word));
         if self.leaving {
             return;
         }
         match message.kind {
-            Kind::Ask => {
-                let answer = self.message(Kind::Answer, message.number, vec![], Some(from), differs);
+            Kind::Ping => {
+                let answer = self.message(Kind::Ack, message.sequence, vec![], Some(from), differs);
                 self.send(from, answer);
                 if differs {
                     self.tell_all(from);
                 }
             }
-            Kind::Answer => self.answered(now, from, &message, differs),
-            Kind::AskFor => self.run_errand(now, from, message.number, about),
-            Kind::AnswerFor => {
+            Kind::Ack => self.answered(now, from, &message, differs),
+            Kind::PingRequest => self.run_errand(now, from, message.sequence, about),
+            Kind::IndirectAck => {
                 self.is_heard(now);
                 // The word of the one that was asked for, as its answer had it.
-                let asked = self.probes.get(&message.number).map(|probe| probe.who);
-                if let Some(word) = about.filter(|word| Some(word.who) == asked) {
-                    self.probes.remove(&message.number);
+                let asked = self.probes.get(&message.sequence).map(|probe| probe.who);
+                if let Some(word) = about.filter(|word| Some(word.router) == asked) {
+                    self.probes.remove(&message.sequence);
                     self.take(now, &word);
                     self.healthier();
                 }
             }
-            Kind::Nothing => {
+            Kind::Nack => {
                 self.is_heard(now);
-                if let Some(probe) = self.probes.get_mut(&message.number) {
+                if let Some(probe) = self.probes.get_mut(&message.sequence) {
                     probe.nothing = (probe.nothing + 1).min(probe.helpers);
                 }
             }
-            Kind::Tell => {}
+            Kind::Gossip => {}
         }
     }
 
     /// Was it taken for dead? One that has left, or that never was, says so itself.
     fn is_buried(&self, who: SocketAddr) -> bool {
         self.table.routers.get(&who).is_some_and(|belief| belief.state == State::Dead)
-            && self.settings.faulty != Faulty::ForgetsIncarnations
+            && self.settings.faulty != Faulty::IgnoresIncarnations
     }
 
     fn ask_back(&mut self, now: Time, who: SocketAddr) {
@@ -344,7 +344,7 @@
     /// Guards against strangers, and against one router that speaks as another: only the listed, the living and those
     /// of the networks named speak, each for itself; a word that this router can't use is not listened to either.
     fn is_fair(&self, from: SocketAddr, message: &Message) -> bool {
-        message.own.who == from && from != self.own && self.may_speak(from)
+        message.own.router == from && from != self.own && self.may_speak(from)
     }
 
     fn may_speak(&self, who: SocketAddr) -> bool {
@@ -355,24 +355,24 @@
     }
 
     /// A word on a router, maybe on this one.
-    fn take(&mut self, now: Time, word: &Word) {
-        if word.who == self.own {
+    fn take(&mut self, now: Time, word: &StateUpdate) {
+        if word.router == self.own {
             return self.contradict(now, word);
         }
         // One that nobody has listed is met by the word of a known one as by its own.
-        let before = self.table.word(word.who);
+        let before = self.table.word(word.router);
         if let Some(change) = self.table.hear(now, word) {
-            self.changed(now, word.who, change);
+            self.changed(now, word.router, change);
         } else if before.map(|word| (word.incarnation, word.state))
-            != self.table.word(word.who).map(|word| (word.incarnation, word.state))
+            != self.table.word(word.router).map(|word| (word.incarnation, word.state))
         {
-            self.rumours.insert(word.who, 0);
+            self.rumours.insert(word.router, 0);
         }
         // A death that is not believed yet: the one that it is said of is told at once, so that it can contradict.
-        let known = self.table.word(word.who).is_some_and(|known| word.incarnation >= known.incarnation);
-        if word.state.is_gone() && known && self.table.is_alive(word.who) {
+        let known = self.table.word(word.router).is_some_and(|known| word.incarnation >= known.incarnation);
+        if word.state.is_gone() && known && self.table.is_alive(word.router) {
             let words = vec![*word];
-            self.tell(word.who, words);
+            self.tell(word.router, words);
         }
     }
 
@@ -383,7 +383,7 @@
             self.rumours.pop_first();
         }
         match change {
-            Change::Joined | Change::Cleared => {
+            Change::Joined | Change::Refuted => {
                 // At a place drawn by chance: who comes last must not wait for all others.
                 let place = self.chance.generate_range(0..=self.order.len());
                 self.order.insert(place, who);
@@ -405,15 +405,15 @@
     }
 
     /// Says that it is there, where someone doubts it, and takes up a life after one that another was of this address.
-    fn contradict(&mut self, now: Time, word: &Word) {
-        if self.leaving || self.settings.faulty == Faulty::ForgetsIncarnations {
+    fn contradict(&mut self, now: Time, word: &StateUpdate) {
+        if self.leaving || self.settings.faulty == Faulty::IgnoresIncarnations {
             return;
         }
         let later = word.incarnation > self.incarnation;
         if !later && (word.state == State::Alive || word.incarnation < self.incarnation) {
             return;
         }
-        self.double |= later && word.incarnation.life() > self.incarnation.life();
+        self.double |= later && word.incarnation.started_ms() > self.incarnation.started_ms();
         // What was said of a router before it at this address is no word on this one; its own next life is.
         self.incarnation = match later {
             true => word.incarnation.next_life(),
@@ -431,17 +431,17 @@
     }
 
     fn answered(&mut self, now: Time, from: SocketAddr, message: &Message, differs: bool) {
-        if let Some(errand) = self.errands.remove(&message.number) {
+        if let Some(errand) = self.errands.remove(&message.sequence) {
             self.is_heard(now);
             let words = vec![message.own];
-            let answer = self.message(Kind::AnswerFor, errand.number, words, None, false);
+            let answer = self.message(Kind::IndirectAck, errand.number, words, None, false);
             return self.send(errand.asker, answer);
         }
-        let Some(probe) = self.probes.get(&message.number).filter(|probe| probe.who == from) else {
+        let Some(probe) = self.probes.get(&message.sequence).filter(|probe| probe.who == from) else {
             return;
         };
         let back = probe.back;
-        self.probes.remove(&message.number);
+        self.probes.remove(&message.sequence);
         self.is_heard(now);
         if !back {
             self.healthier();
@@ -457,11 +457,13 @@
     /// One of both knows something that the other does not: it gets what this one has, within a round's bound.
     fn tell_all(&mut self, to: SocketAddr) {
         let words = self.table.routers.len() * SHORTEST;
-        let wanted =
-            words.div_ceil(self.settings.bytes).min(FILLS_AT_ONCE).min(FILLS.saturating_sub(self.fills));
+        let wanted = words
+            .div_ceil(self.settings.max_datagram_bytes)
+            .min(FILLS_AT_ONCE)
+            .min(FILLS.saturating_sub(self.fills));
         self.fills += wanted;
         for _ in 0..wanted {
-            let tell = self.message(Kind::Tell, 0, vec![], Some(to), true);
+            let tell = self.message(Kind::Gossip, 0, vec![], Some(to), true);
             self.send(to, tell);
         }
     }
@@ -485,14 +487,14 @@
     /// Another router shows that it hears this one. One that was cut off begins anew with those whom it suspects: they
     /// could not contradict.
     fn is_heard(&mut self, now: Time) {
-        if now - self.heard_by > self.settings.cut_off {
+        if now - self.heard_by > self.settings.isolated_after {
             self.table.suspect_anew(now);
         }
         self.heard_by = now;
     }
 
-    fn run_errand(&mut self, now: Time, asker: SocketAddr, number: u32, about: Option<Word>) {
-        let Some(about) = about.filter(|word| word.who != self.own && self.may_speak(word.who)) else {
+    fn run_errand(&mut self, now: Time, asker: SocketAddr, number: u32, about: Option<StateUpdate>) {
+        let Some(about) = about.filter(|word| word.router != self.own && self.may_speak(word.router)) else {
             return;
         };
         if self.errands.len() >= ERRANDS {
@@ -500,11 +502,11 @@
         }
         let own = self.next_number();
         // The asker waits for the rest of its round; it hears before that end that this one is there.
-        let say_by = now + (self.settings.every - self.settings.answer_within) * 0.5;
-        let until = now + self.settings.every * 2.0;
+        let say_by = now + (self.settings.probe_interval - self.settings.ack_timeout) * 0.5;
+        let until = now + self.settings.probe_interval * 2.0;
         self.errands.insert(own, Errand { asker, number, say_by, until });
-        let ask = self.message(Kind::Ask, own, vec![], Some(about.who), false);
-        self.send(about.who, ask);
+        let ask = self.message(Kind::Ping, own, vec![], Some(about.router), false);
+        self.send(about.router, ask);
     }
 
     fn next_number(&mut self) -> u32 {
@@ -513,13 +515,13 @@
     }
 
     /// Time has passed.
-    pub fn tend(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Time) {
         let gap = now - self.tended;
         self.tended = now;
         if self.leaving {
             return;
         }
-        if gap > self.settings.every * STILL {
+        if gap > self.settings.probe_interval * STILL {
             // What it has not heard while it stalled proves nothing.
             self.probes.clear();
             self.errands.clear();
@@ -536,7 +538,7 @@
         if now >= self.ask_at {
             self.round += 1;
             (self.tells, self.fills) = (0, 0);
-            self.ask_at = now + self.settings.every;
+            self.ask_at = now + self.settings.probe_interval;
             self.table.forget(now);
             self.ask_next(now);
             self.ask_the_gone(now);
@@ -555,7 +557,7 @@
             }
             errand.say_by = errand.until;
             let own = self.own_word();
-            let nothing = self.message(Kind::Nothing, asked, vec![own], None, false);
+            let nothing = self.message(Kind::Nack, asked, vec![own], None, false);
             self.send(asker, nothing);
         }
     }
@@ -579,14 +581,14 @@
                 self.doubt(now, who, sent);
                 continue;
             }
-            let helpers = if back { Vec::new() } else { self.some(now, self.settings.helpers, who) };
+            let helpers = if back { Vec::new() } else { self.some(now, self.settings.indirect_probes, who) };
             if let Some(probe) = self.probes.get_mut(&number) {
                 probe.help_at = probe.until;
                 probe.helpers = helpers.len();
             }
-            let words: Vec<Word> = self.table.word(who).into_iter().collect();
+            let words: Vec<StateUpdate> = self.table.word(who).into_iter().collect();
             for helper in helpers {
-                let ask = self.message(Kind::AskFor, number, words.clone(), None, false);
+                let ask = self.message(Kind::PingRequest, number, words.clone(), None, false);
                 self.send(helper, ask);
             }
             // Where one is missing others may be too: they are asked without waiting for the round.
@@ -607,20 +609,20 @@
         if word.state == State::Suspect {
             // Its own finding is one more; the others hear of it with this one's mark.
             self.table.accuse(who, accuser);
-            let words = vec![Word { accuser, ..word }];
+            let words = vec![StateUpdate { suspected_by: accuser, ..word }];
             for to in self.some(now, 2, who) {
                 self.tell(to, words.clone());
             }
             return;
         }
-        if let Some(change) = self.table.suspect(now, &Word { accuser, ..word }) {
+        if let Some(change) = self.table.suspect(now, &StateUpdate { suspected_by: accuser, ..word }) {
             self.changed(now, who, change);
         }
     }
 
     fn expire(&mut self, now: Time, who: SocketAddr) {
         let Some(word) = self.table.word(who) else { return };
-        let cut_off = now - self.heard_by > self.settings.cut_off;
+        let cut_off = now - self.heard_by > self.settings.isolated_after;
         let Some(change) = self.table.bury(now, who, word.incarnation, State::Dead) else { return };
         if cut_off {
             // Nobody shows that it hears this one: what it finds is told to nobody.
@@ -686,14 +688,14 @@
         let probe = Probe {
             who,
             sent: now,
-            help_at: now + self.settings.answer_within * slow,
-            until: now + self.settings.every * slow,
+            help_at: now + self.settings.ack_timeout * slow,
+            until: now + self.settings.probe_interval * slow,
             helpers: 0,
             nothing: 0,
             back,
         };
         self.probes.insert(number, probe);
-        let ask = self.message(Kind::Ask, number, vec![], Some(who), false);
+        let ask = self.message(Kind::Ping, number, vec![], Some(who), false);
         self.send(who, ask);
     }
 
@@ -703,22 +705,22 @@
         let alive = self.table.alive().filter(|(who, belief)| **who != but && belief.state == State::Alive);
         let mut drawn: Vec<(i64, u32, SocketAddr)> = Vec::new();
         for (&who, belief) in alive {
-            let rounds = (now - belief.answered).nanos() / (self.settings.every.nanos().max(1) * 4);
+            let rounds = (now - belief.answered).nanos() / (self.settings.probe_interval.nanos().max(1) * 4);
             drawn.push((rounds.min(16), self.chance.generate(), who));
         }
         drawn.sort_unstable();
         drawn.into_iter().take(count).map(|(.., who)| who).collect()
     }
 
-    fn own_word(&self) -> Word {
+    fn own_word(&self) -> StateUpdate {
         let state = if self.leaving { State::Left } else { State::Alive };
-        Word { who: self.own, state, incarnation: self.incarnation, accuser: 0 }
+        StateUpdate { router: self.own, state, incarnation: self.incarnation, suspected_by: 0 }
     }
 
-    fn tell(&mut self, to: SocketAddr, words: Vec<Word>) {
+    fn tell(&mut self, to: SocketAddr, words: Vec<StateUpdate>) {
         if self.tells < TELLS {
             self.tells += 1;
-            let tell = self.message(Kind::Tell, 0, words, None, false);
+            let tell = self.message(Kind::Gossip, 0, words, None, false);
             self.send(to, tell);
         }
     }
@@ -729,7 +731,7 @@
         &mut self,
         kind: Kind,
         number: u32,
-        mut words: Vec<Word>,
+        mut words: Vec<StateUpdate>,
         to: Option<SocketAddr>,
         differs: bool,
     ) -> Message {
@@ -737,18 +739,19 @@
         let doubted = to.and_then(|to| self.table.word(to)).filter(|word| word.state != State::Alive);
         words.extend(doubted);
         let load = match kind {
-            Kind::Ask | Kind::Answer => self.load.clone(),
+            Kind::Ping | Kind::Ack => self.load.clone(),
             _ => Vec::new(),
         };
-        let mut message = Message { kind, number, digest, own: self.own_word(), words, load };
-        if message.length() > self.settings.bytes {
-            message.load.clear();
+        let mut message =
+            Message { kind, sequence: number, digest, own: self.own_word(), updates: words, piggyback: load };
+        if message.length() > self.settings.max_datagram_bytes {
+            message.piggyback.clear();
         }
-        let mut room = self.settings.bytes.saturating_sub(message.length());
+        let mut room = self.settings.max_datagram_bytes.saturating_sub(message.length());
         let often = self.often();
         let mut news: Vec<(u32, SocketAddr)> = self.rumours.iter().map(|(&who, &told)| (told, who)).collect();
         // No more than these have room: the others need no order.
-        let most = self.settings.bytes / SHORTEST + 1;
+        let most = self.settings.max_datagram_bytes / SHORTEST + 1;
         if news.len() > most {
             news.select_nth_unstable(most);
             news.truncate(most);
@@ -756,13 +759,13 @@
         news.sort_unstable();
         for (told, who) in news {
             if let Some(word) = self.table.word(who)
-                && !message.words.iter().any(|other| other.who == who)
+                && !message.updates.iter().any(|other| other.router == who)
             {
                 if length_of(&word) > room {
                     break;
                 }
                 room -= length_of(&word);
-                message.words.push(word);
+                message.updates.push(word);
             }
             match told + 1 >= often {
                 true => self.rumours.remove(&who),
@@ -787,9 +790,9 @@
             if length_of(&word) > room {
                 return;
             }
-            if !message.words.iter().any(|other| other.who == who) {
+            if !message.updates.iter().any(|other| other.router == who) {
                 room -= length_of(&word);
-                message.words.push(word);
+                message.updates.push(word);
             }
         }
     }
@@ -807,7 +810,7 @@
         self.probes.clear();
         self.errands.clear();
         for to in self.some(now, TELLS, self.own) {
-            let tell = self.message(Kind::Tell, 0, vec![], None, false);
+            let tell = self.message(Kind::Gossip, 0, vec![], None, false);
             self.send(to, tell);
         }
     }
--- a/crates/ladderpass-membership/src/lib.rs
+++ b/crates/ladderpass-membership/src/lib.rs
@@ -11,9 +11,9 @@
 mod settings;
 mod table;
 
-pub use detector::{Counts, Membership, Own, View, number_of};
-pub use message::{FIRST, Incarnation};
+pub use detector::{DatagramCounts, LocalRouter, Membership, View, router_hash};
+pub use message::{FIRST_BYTE, Incarnation};
 #[doc(hidden)]
-pub use message::{Kind, Message, Word};
+pub use message::{Kind, Message, StateUpdate};
 pub use settings::{Faulty, Settings};
-pub use table::{Change, Peer, State, Sure};
+pub use table::{Change, Confidence, Peer, State};
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 /// The first byte of each datagram: no letter of the words that earlier programs exchange, which drop it unread.
-pub const FIRST: u8 = b'!';
+pub const FIRST_BYTE: u8 = b'!';
 const VERSION: u8 = 1;
 
 /// A router's life and its words on itself: milliseconds of its start, and how often it has contradicted since. A
@@ -30,7 +30,7 @@
         Incarnation((self.0 >> WORDS).saturating_add(1).min(u64::MAX >> WORDS) << WORDS)
     }
 
-    pub fn life(self) -> u64 {
+    pub fn started_ms(self) -> u64 {
         self.0 >> WORDS
     }
 }
@@ -54,41 +54,42 @@
 
 /// A word on a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
-    pub who: SocketAddr,
+pub struct StateUpdate {
+    pub router: SocketAddr,
     pub state: State,
     pub incarnation: Incarnation,
     /// Of a suspicion: a mark of the router that had it first.
-    pub accuser: u16,
+    pub suspected_by: u16,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    Ask,
-    Answer,
+    Ping,
+    Ack,
     /// Ask the router of the first word for me.
-    AskFor,
+    PingRequest,
     /// The router of the first word has answered.
-    AnswerFor,
+    IndirectAck,
     /// It has not answered me in time; but I am there.
-    Nothing,
+    Nack,
     /// Words alone.
-    Tell,
+    Gossip,
 }
 
-const KINDS: [Kind; 6] = [Kind::Ask, Kind::Answer, Kind::AskFor, Kind::AnswerFor, Kind::Nothing, Kind::Tell];
+const KINDS: [Kind; 6] =
+    [Kind::Ping, Kind::Ack, Kind::PingRequest, Kind::IndirectAck, Kind::Nack, Kind::Gossip];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub kind: Kind,
     /// Of an ask; its answer has the same.
-    pub number: u32,
+    pub sequence: u32,
     /// What the sender's view comes to.
     pub digest: u32,
-    pub own: Word,
-    pub words: Vec<Word>,
+    pub own: StateUpdate,
+    pub updates: Vec<StateUpdate>,
     /// What another part of the program tells along with a question or an answer.
-    pub load: Vec<u8>,
+    pub piggyback: Vec<u8>,
 }
 
 /// Stands before a load: no word begins so.
@@ -96,44 +97,44 @@
 const HEAD: usize = 1 + 1 + 1 + 4 + 4;
 const V6: u8 = 1 << 2;
 
-pub fn length_of(word: &Word) -> usize {
-    let address = if word.who.is_ipv4() { 6 } else { 18 };
+pub fn length_of(word: &StateUpdate) -> usize {
+    let address = if word.router.is_ipv4() { 6 } else { 18 };
     1 + address + 8 + if word.state == State::Suspect { 2 } else { 0 }
 }
 
 impl Message {
     /// Bytes that it takes so far.
     pub fn length(&self) -> usize {
-        HEAD + length_of(&self.own) + self.words.iter().map(length_of).sum::<usize>() + self.load_length()
+        HEAD + length_of(&self.own) + self.updates.iter().map(length_of).sum::<usize>() + self.load_length()
     }
 
     fn load_length(&self) -> usize {
-        if self.load.is_empty() { 0 } else { 1 + self.load.len() }
+        if self.piggyback.is_empty() { 0 } else { 1 + self.piggyback.len() }
     }
 
     pub fn write(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.length());
         let kind = KINDS.iter().position(|&kind| kind == self.kind).unwrap_or_default() as u8;
-        bytes.extend([FIRST, VERSION, kind]);
-        bytes.extend(self.number.to_be_bytes());
+        bytes.extend([FIRST_BYTE, VERSION, kind]);
+        bytes.extend(self.sequence.to_be_bytes());
         bytes.extend(self.digest.to_be_bytes());
-        for word in [&self.own].into_iter().chain(&self.words) {
+        for word in [&self.own].into_iter().chain(&self.updates) {
             let state = STATES.iter().position(|&state| state == word.state).unwrap_or_default() as u8;
-            let v6 = if word.who.is_ipv6() { V6 } else { 0 };
+            let v6 = if word.router.is_ipv6() { V6 } else { 0 };
             bytes.push(state | v6);
-            match word.who.ip() {
+            match word.router.ip() {
                 IpAddr::V4(ip) => bytes.extend(ip.octets()),
                 IpAddr::V6(ip) => bytes.extend(ip.octets()),
             }
-            bytes.extend(word.who.port().to_be_bytes());
+            bytes.extend(word.router.port().to_be_bytes());
             bytes.extend(word.incarnation.0.to_be_bytes());
             if word.state == State::Suspect {
-                bytes.extend(word.accuser.to_be_bytes());
+                bytes.extend(word.suspected_by.to_be_bytes());
             }
         }
-        if !self.load.is_empty() {
+        if !self.piggyback.is_empty() {
             bytes.push(LOAD);
-            bytes.extend(&self.load);
+            bytes.extend(&self.piggyback);
         }
         bytes
     }
@@ -142,7 +143,7 @@
     pub fn read(bytes: &[u8]) -> Option<Message> {
         let mut rest = bytes;
         let [first, version, kind] = take::<3>(&mut rest)?;
-        if first != FIRST || version != VERSION {
+        if first != FIRST_BYTE || version != VERSION {
             return None;
         }
         let kind = *KINDS.get(usize::from(kind))?;
@@ -157,7 +158,7 @@
             }
             words.push(word(&mut rest)?);
         }
-        Some(Message { kind, number, digest, own, words, load })
+        Some(Message { kind, sequence: number, digest, own, updates: words, piggyback: load })
     }
 }
 
@@ -167,7 +168,7 @@
     Some(*head)
 }
 
-fn word(rest: &mut &[u8]) -> Option<Word> {
+fn word(rest: &mut &[u8]) -> Option<StateUpdate> {
     let [flags] = take::<1>(rest)?;
     if flags & !(V6 | 3) != 0 {
         return None;
@@ -180,5 +181,5 @@
     let who = SocketAddr::new(ip, u16::from_be_bytes(take(rest)?));
     let incarnation = Incarnation(u64::from_be_bytes(take(rest)?));
     let accuser = if state == State::Suspect { u16::from_be_bytes(take(rest)?) } else { 0 };
-    Some(Word { who, state, incarnation, accuser })
+    Some(StateUpdate { router: who, state, incarnation, suspected_by: accuser })
 }
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -7,41 +7,41 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// How often a router is asked. All else is measured in this.
-    pub every: Span,
+    pub probe_interval: Span,
     /// How long its own answer is waited for before others are asked to try.
-    pub answer_within: Span,
+    pub ack_timeout: Span,
     /// How many others try.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// The shortest suspicion, in a fleet of up to ten: it grows with the logarithm of the number of routers.
-    pub suspicion: Span,
+    pub min_suspicion: Span,
     /// The longest, in shortest ones: without any other router that suspects the same one.
-    pub alone: f64,
+    pub max_suspicion_factor: f64,
     /// So many others that suspect it too make it the shortest.
-    pub confirmed_by: usize,
+    pub confirmations: usize,
     /// Most bytes of a datagram.
-    pub bytes: usize,
+    pub max_datagram_bytes: usize,
     /// Most routers that are kept in mind, the dead among them.
-    pub most: usize,
+    pub max_routers: usize,
     /// A dead one is asked whether it is back, and then forgotten after this.
-    pub forget: Span,
+    pub forget_dead_after: Span,
     /// Without a sign of any router for this long, it is this one that may be cut off.
-    pub cut_off: Span,
+    pub isolated_after: Span,
     pub faulty: Faulty,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            every: Span::from_millis(250),
-            answer_within: Span::from_millis(80),
-            helpers: 3,
-            suspicion: Span::from_millis(900),
-            alone: 2.2,
-            confirmed_by: 2,
-            bytes: 256,
-            most: 2000,
-            forget: Span::from_millis(120_000),
-            cut_off: Span::from_millis(1500),
+            probe_interval: Span::from_millis(250),
+            ack_timeout: Span::from_millis(80),
+            indirect_probes: 3,
+            min_suspicion: Span::from_millis(900),
+            max_suspicion_factor: 2.2,
+            confirmations: 2,
+            max_datagram_bytes: 256,
+            max_routers: 2000,
+            forget_dead_after: Span::from_millis(120_000),
+            isolated_after: Span::from_millis(1500),
             faulty: Faulty::Nowhere,
         }
     }
@@ -55,9 +55,9 @@
     /// Whoever was alive once stays so.
     NeverSuspects,
     /// One missed answer, or one word of a suspicion, is a death.
-    BelievesTheFirstRumour,
+    ConfirmsImmediately,
     /// Takes the latest word for the truest.
-    ForgetsIncarnations,
+    IgnoresIncarnations,
     /// Counts the dead among those whose turn comes.
-    KeepsTheDeadsTurns,
+    CountsDeadRouters,
 }
--- a/crates/ladderpass-membership/src/table.rs
+++ b/crates/ladderpass-membership/src/table.rs
@@ -4,7 +4,7 @@
 //! back; a suspicion has an end; what is kept is bounded, and the dead go first. It must never ask or send anything.
 
 pub use crate::message::State;
-use crate::message::{Incarnation, Word};
+use crate::message::{Incarnation, StateUpdate};
 use crate::settings::{Faulty, Settings};
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
@@ -38,18 +38,18 @@
     Joined,
     Suspected,
     /// It contradicted a suspicion, or is back.
-    Cleared,
+    Refuted,
     Died,
     Left,
 }
 
 /// How sure it is that a router is there.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sure {
+pub enum Confidence {
     /// It answered this router so long ago.
     Answered(Span),
     /// Others say so.
-    Told,
+    Reported,
     /// Some router had no answer from it; so much time is left to contradict.
     Suspected(Span),
 }
@@ -59,9 +59,9 @@
 pub struct Peer {
     pub address: SocketAddr,
     /// Its start, in milliseconds of its own clock: another number is another life.
-    pub life: u64,
+    pub started_ms: u64,
     pub since: Time,
-    pub sure: Sure,
+    pub confidence: Confidence,
 }
 
 pub(crate) struct Table {
@@ -106,11 +106,16 @@
         self.sum().0 + 1
     }
 
-    pub fn word(&self, who: SocketAddr) -> Option<Word> {
+    pub fn word(&self, who: SocketAddr) -> Option<StateUpdate> {
         let belief = self.routers.get(&who)?;
         let accuser = belief.suspicion.as_ref().and_then(|suspicion| suspicion.accusers.first());
         let (state, incarnation) = (belief.state, belief.incarnation);
-        Some(Word { who, state, incarnation, accuser: accuser.copied().unwrap_or_default() })
+        Some(StateUpdate {
+            router: who,
+            state,
+            incarnation,
+            suspected_by: accuser.copied().unwrap_or_default(),
+        })
     }
 
     /// What the view comes to: the same for two routers that believe the same of the same ones.
@@ -123,19 +128,19 @@
     /// is more often at fault itself.
     pub fn patience(&mut self, accusers: usize) -> Span {
         let (count, settings) = (self.count(), self.settings);
-        let least = settings.suspicion * (count as f64).log10().max(1.0);
-        let most = least * settings.alone;
+        let least = settings.min_suspicion * (count as f64).log10().max(1.0);
+        let most = least * settings.max_suspicion_factor;
         // Fewer routers than these can't confirm it.
-        let wanted = settings.confirmed_by.min(count.saturating_sub(2)).max(1);
+        let wanted = settings.confirmations.min(count.saturating_sub(2)).max(1);
         let others = accusers.saturating_sub(1).min(wanted);
         let part = ((others + 1) as f64).ln() / ((wanted + 1) as f64).ln();
         most - (most - least) * part
     }
 
     /// Takes a word for true where it outweighs what is believed. `Some` where that changes whom this router counts on.
-    pub fn hear(&mut self, now: Time, word: &Word) -> Option<Change> {
+    pub fn hear(&mut self, now: Time, word: &StateUpdate) -> Option<Change> {
         let faulty = self.settings.faulty;
-        let Some(belief) = self.routers.get(&word.who) else { return self.meet(now, word) };
+        let Some(belief) = self.routers.get(&word.router) else { return self.meet(now, word) };
         let newer = word.incarnation > belief.incarnation;
         let graver = word.incarnation == belief.incarnation && word.state > belief.state;
         // What this router thought while it heard nobody counts for less than any word.
@@ -144,10 +149,10 @@
             && belief.state == State::Suspect
             && word.incarnation == belief.incarnation;
         if confirms {
-            self.accuse(word.who, word.accuser);
+            self.accuse(word.router, word.suspected_by);
             return None;
         }
-        if !(newer || graver || unsure || faulty == Faulty::ForgetsIncarnations) {
+        if !(newer || graver || unsure || faulty == Faulty::IgnoresIncarnations) {
             return None;
         }
         match word.state {
@@ -156,22 +161,22 @@
             // What answered this router a moment ago is heard before it is given up: the word may be of the other side
             // of a split, or of one that could not hear it.
             State::Dead if self.answers(now, word) => {
-                let accuser = mark(word.who);
-                self.suspect(now, &Word { state: State::Suspect, accuser, ..*word })
+                let accuser = mark(word.router);
+                self.suspect(now, &StateUpdate { state: State::Suspect, suspected_by: accuser, ..*word })
             }
-            State::Dead | State::Left => self.bury(now, word.who, word.incarnation, word.state),
+            State::Dead | State::Left => self.bury(now, word.router, word.incarnation, word.state),
         }
     }
 
-    fn answers(&self, now: Time, word: &Word) -> bool {
-        let lately = self.settings.every * 4.0;
+    fn answers(&self, now: Time, word: &StateUpdate) -> bool {
+        let lately = self.settings.probe_interval * 4.0;
         let answers = |belief: &Belief| now - belief.answered < lately && !belief.state.is_gone();
-        self.settings.faulty != Faulty::BelievesTheFirstRumour
-            && self.routers.get(&word.who).is_some_and(answers)
+        self.settings.faulty != Faulty::ConfirmsImmediately
+            && self.routers.get(&word.router).is_some_and(answers)
     }
 
-    fn meet(&mut self, now: Time, word: &Word) -> Option<Change> {
-        if word.who == self.own || !self.make_room(word.state) {
+    fn meet(&mut self, now: Time, word: &StateUpdate) -> Option<Change> {
+        if word.router == self.own || !self.make_room(word.state) {
             return None;
         }
         let belief = Belief {
@@ -182,7 +187,7 @@
             suspicion: None,
             unsure: false,
         };
-        self.routers.insert(word.who, belief);
+        self.routers.insert(word.router, belief);
         self.sum = None;
         match word.state {
             State::Alive => Some(Change::Joined),
@@ -197,7 +202,7 @@
 
     /// The longest gone make place; of the living none does.
     fn make_room(&mut self, state: State) -> bool {
-        if self.routers.len() < self.settings.most {
+        if self.routers.len() < self.settings.max_routers {
             return true;
         }
         let gone = self.routers.iter().filter(|(_, belief)| belief.state.is_gone());
@@ -208,29 +213,29 @@
         }
     }
 
-    fn clear(&mut self, now: Time, word: &Word) -> Option<Change> {
+    fn clear(&mut self, now: Time, word: &StateUpdate) -> Option<Change> {
         self.sum = None;
-        let belief = self.routers.get_mut(&word.who)?;
+        let belief = self.routers.get_mut(&word.router)?;
         let was = belief.state;
-        if was.is_gone() || belief.incarnation.life() != word.incarnation.life() {
+        if was.is_gone() || belief.incarnation.started_ms() != word.incarnation.started_ms() {
             belief.since = now;
             belief.answered = Time::NEVER;
         }
         (belief.state, belief.incarnation) = (State::Alive, word.incarnation);
         (belief.suspicion, belief.unsure) = (None, false);
-        (was != State::Alive).then_some(Change::Cleared)
+        (was != State::Alive).then_some(Change::Refuted)
     }
 
-    pub fn suspect(&mut self, now: Time, word: &Word) -> Option<Change> {
+    pub fn suspect(&mut self, now: Time, word: &StateUpdate) -> Option<Change> {
         match self.settings.faulty {
             Faulty::NeverSuspects => return None,
-            Faulty::BelievesTheFirstRumour => {
-                return self.bury(now, word.who, word.incarnation, State::Dead);
+            Faulty::ConfirmsImmediately => {
+                return self.bury(now, word.router, word.incarnation, State::Dead);
             }
             _ => {}
         }
         self.sum = None;
-        let belief = self.routers.get_mut(&word.who)?;
+        let belief = self.routers.get_mut(&word.router)?;
         let was_gone = belief.state.is_gone();
         if was_gone {
             belief.since = now;
@@ -238,13 +243,13 @@
         (belief.state, belief.incarnation) = (State::Suspect, word.incarnation);
         belief.unsure = false;
         belief.suspicion = Some(Suspicion { since: now, accusers: Vec::new(), until: now });
-        self.accuse(word.who, word.accuser);
-        Some(if was_gone { Change::Cleared } else { Change::Suspected })
+        self.accuse(word.router, word.suspected_by);
+        Some(if was_gone { Change::Refuted } else { Change::Suspected })
     }
 
     /// One more who found no answer.
     pub fn accuse(&mut self, who: SocketAddr, accuser: u16) {
-        let most = self.settings.confirmed_by + 1;
+        let most = self.settings.confirmations + 1;
         let suspicion = |belief: &Belief| belief.suspicion.clone();
         let Some(mut suspicion) = self.routers.get(&who).and_then(suspicion) else { return };
         if !suspicion.accusers.contains(&accuser) && suspicion.accusers.len() < most {
@@ -299,18 +304,23 @@
 
     /// Graves that have stood for long enough.
     pub fn forget(&mut self, now: Time) {
-        let keep = self.settings.forget;
+        let keep = self.settings.forget_dead_after;
         self.routers.retain(|_, belief| !belief.state.is_gone() || now - belief.since < keep);
     }
 
     pub fn peer(&self, now: Time, who: SocketAddr) -> Option<Peer> {
         let belief = self.routers.get(&who).filter(|belief| !belief.state.is_gone())?;
         let sure = match &belief.suspicion {
-            Some(suspicion) => Sure::Suspected((suspicion.until - now).max(Span::ZERO)),
-            None if belief.answered != Time::NEVER => Sure::Answered(now - belief.answered),
-            None => Sure::Told,
+            Some(suspicion) => Confidence::Suspected((suspicion.until - now).max(Span::ZERO)),
+            None if belief.answered != Time::NEVER => Confidence::Answered(now - belief.answered),
+            None => Confidence::Reported,
         };
-        Some(Peer { address: who, life: belief.incarnation.life(), since: belief.since, sure })
+        Some(Peer {
+            address: who,
+            started_ms: belief.incarnation.started_ms(),
+            since: belief.since,
+            confidence: sure,
+        })
     }
 }
 
--- a/crates/ladderpass-membership/tests/model.rs
+++ b/crates/ladderpass-membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! Fleets of the very same code in simulated time: datagrams that are late, lost and cut, routers that stop, freeze and
 //! come back. Times are asserted with room; `cargo test -p ladderpass-membership -- --nocapture model` prints them.
 
-use ladderpass_membership::{Faulty, Membership, Own, Settings};
+use ladderpass_membership::{Faulty, LocalRouter, Membership, Settings};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -92,7 +92,7 @@
     fn pure(&mut self, nth: usize) -> Membership {
         self.lives += 1;
         let unix = self.now.nanos() / 1_000_000 + self.lives;
-        let own = Own { address: address(nth), started_unix_ms: unix };
+        let own = LocalRouter { address: address(nth), started_unix_ms: unix };
         let network = [(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), 8)];
         let listed = [address(0), address(1), address(2)];
         Membership::start(self.now, self.chance.generate(), own, &listed, &network, self.settings)
@@ -122,7 +122,7 @@
     }
 
     fn post(&mut self, nth: usize) {
-        for (to, bytes) in self.routers[nth].pure.out() {
+        for (to, bytes) in self.routers[nth].pure.take_outgoing() {
             let Some(&other) = self.at.get(&to) else { continue };
             let lost = self.chance.generate::<f64>() < self.loss || (self.cut)(nth, other);
             if lost {
@@ -133,7 +133,7 @@
                 self.on_way.insert((self.now + late, self.number), (address(nth), to, bytes));
             }
         }
-        self.routers[nth].wake = self.routers[nth].pure.wake();
+        self.routers[nth].wake = self.routers[nth].pure.wake_at();
     }
 
     fn run(&mut self, span: Span) {
@@ -147,7 +147,7 @@
                 let Some(&nth) = self.at.get(&to) else { continue };
                 match self.routers[nth].is {
                     Is::Running => {
-                        self.routers[nth].pure.heard(self.now, from, &bytes);
+                        self.routers[nth].pure.on_datagram(self.now, from, &bytes);
                         self.post(nth);
                     }
                     Is::Frozen if self.routers[nth].waiting.len() < 200 => {
@@ -158,7 +158,7 @@
             }
             for nth in 0..self.routers.len() {
                 if self.routers[nth].is == Is::Running && self.routers[nth].wake <= self.now {
-                    self.routers[nth].pure.tend(self.now);
+                    self.routers[nth].pure.tick(self.now);
                     self.post(nth);
                 }
             }
@@ -171,16 +171,16 @@
             if self.routers[nth].is != Is::Running {
                 continue;
             }
-            for (who, change) in self.routers[nth].pure.changes() {
+            for (who, change) in self.routers[nth].pure.take_changes() {
                 let other = self.at[&who];
-                use ladderpass_membership::Change::{Cleared, Died, Joined, Left, Suspected};
+                use ladderpass_membership::Change::{Died, Joined, Left, Refuted, Suspected};
                 match change {
                     Died | Left if self.routers[other].is == Is::Running => {
                         self.wrongs += 1;
                         self.routers[nth].wrongs += 1;
                         self.routers[nth].wrong.insert(other, self.now);
                     }
-                    Joined | Cleared => {
+                    Joined | Refuted => {
                         if let Some(since) = self.routers[nth].wrong.remove(&other) {
                             self.longest_wrong = self.longest_wrong.max(self.now - since);
                         }
@@ -330,7 +330,7 @@
             world.routers[nth].is = Is::Running;
             // What came meanwhile is read first.
             for (from, bytes) in std::mem::take(&mut world.routers[nth].waiting) {
-                world.routers[nth].pure.heard(world.now, from, &bytes);
+                world.routers[nth].pure.on_datagram(world.now, from, &bytes);
             }
             world.post(nth);
         }
@@ -419,7 +419,7 @@
     world.routers[2].is = Is::Running;
     for (from, bytes) in std::mem::take(&mut world.routers[2].waiting) {
         let now = world.now;
-        world.routers[2].pure.heard(now, from, &bytes);
+        world.routers[2].pure.on_datagram(now, from, &bytes);
     }
     world.post(2);
     let took = world.until_agreed(ms(3000));
@@ -438,7 +438,7 @@
     world.until_agreed(ms(3000));
     let after = world.routers[0].pure.peers(world.now).find(|peer| peer.address == address(4));
     let (before, after) = (before.expect("it was there"), after.expect("it is there"));
-    assert!(after.life > before.life && after.since > before.since, "{before:?} {after:?}");
+    assert!(after.started_ms > before.started_ms && after.since > before.since, "{before:?} {after:?}");
 }
 
 #[test]
@@ -469,16 +469,16 @@
     let digest = world.routers[0].pure.view().digest;
     for (to, bytes) in &kept {
         let nth = world.at[to];
-        world.routers[nth].pure.heard(now, address(3), bytes);
+        world.routers[nth].pure.on_datagram(now, address(3), bytes);
     }
     let stranger: SocketAddr = "192.0.2.9:7400".parse().expect("an address");
     let before = world.routers[0].pure.counts().dropped;
     for (_, bytes) in &kept {
-        world.routers[0].pure.heard(now, stranger, bytes);
-        world.routers[0].pure.heard(now, address(1), bytes);
+        world.routers[0].pure.on_datagram(now, stranger, bytes);
+        world.routers[0].pure.on_datagram(now, address(1), bytes);
     }
     assert_eq!(world.routers[0].pure.counts().dropped - before, 2 * kept.len() as u64);
-    assert!(world.routers[0].pure.out().iter().all(|(to, _)| *to != stranger));
+    assert!(world.routers[0].pure.take_outgoing().iter().all(|(to, _)| *to != stranger));
     world.run(ms(1000));
     assert!(kept.len() > 20);
     assert_eq!(world.routers[0].pure.view().digest, digest);
@@ -500,7 +500,7 @@
     for (to, bytes) in &kept {
         let nth = world.at[to];
         let now = world.now;
-        world.routers[nth].pure.heard(now, address(4), bytes);
+        world.routers[nth].pure.on_datagram(now, address(4), bytes);
         world.post(nth);
     }
     assert!(kept.len() > 10);
@@ -515,7 +515,7 @@
 
 #[test]
 fn what_others_can_make_grow_is_bounded() {
-    let settings = Settings { most: 50, ..Settings::default() };
+    let settings = Settings { max_routers: 50, ..Settings::default() };
     let mut world = World::new(14, settings);
     (0..120).for_each(|_| world.join());
     world.run(ms(6000));
@@ -548,7 +548,7 @@
         // What it said when it was alive comes late.
         for (to, bytes) in late {
             let nth = world.at[&to];
-            world.routers[nth].pure.heard(world.now, address(5), &bytes);
+            world.routers[nth].pure.on_datagram(world.now, address(5), &bytes);
         }
         let view = world.routers[0].pure.view();
         let gone = world.routers[0].pure.peers(world.now).all(|peer| peer.address != address(5));
@@ -559,11 +559,11 @@
     let (wrongs, gone, count, agrees) = play(Faulty::Nowhere);
     assert!(wrongs < 10 && gone && count == 7 && agrees, "{wrongs} {gone} {count} {agrees}");
     assert!(!play(Faulty::NeverSuspects).1);
-    let hasty = play(Faulty::BelievesTheFirstRumour).0;
+    let hasty = play(Faulty::ConfirmsImmediately).0;
     assert!(hasty > 5 * (wrongs + 4), "{hasty} of {wrongs}");
-    let forgets = play(Faulty::ForgetsIncarnations);
+    let forgets = play(Faulty::IgnoresIncarnations);
     assert!(forgets.0 > 5 * (wrongs + 4) || !forgets.1 || !forgets.3, "{forgets:?}");
-    let keeps = play(Faulty::KeepsTheDeadsTurns);
+    let keeps = play(Faulty::CountsDeadRouters);
     assert!(keeps.1 && keeps.2 == 8, "{keeps:?}");
 }
 
@@ -591,9 +591,9 @@
                 let view = world.routers[nth].pure.view();
                 let mut alive = world.believes(nth);
                 alive.dedup();
-                assert_eq!((alive.len(), alive[view.me]), (view.count, address(nth)));
-                let wake = world.routers[nth].pure.wake();
-                assert!(wake - world.now <= world.settings.every, "seed {seed}");
+                assert_eq!((alive.len(), alive[view.position]), (view.count, address(nth)));
+                let wake = world.routers[nth].pure.wake_at();
+                assert!(wake - world.now <= world.settings.probe_interval, "seed {seed}");
             }
         }
         (world.loss, world.cut) = (0.0, Box::new(|_, _| false));
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -1,12 +1,12 @@
 //! All of it together: what a front tells of itself and its work, and what it is told to do.
 
-use crate::costs::{CostModel, Work};
+use crate::cost_model::{CostModel, Work};
+use crate::fair_shares::{ClientUsage, FairShares};
 use crate::pressure::{GAUGES, Gauge, Level, Pressure};
-use crate::ranks::PriorityHistogram;
+use crate::priority_histogram::PriorityHistogram;
 use crate::sample::{ResourceLimits, ResourceSample};
 use crate::settings::Settings;
-use crate::shares::{ClientUsage, FairShares};
-use ladderpass_routing::ring::Ring;
+use ladderpass_routing::sliding_window::{SlidingWindow, WindowTotals};
 use ladderpass_routing::{OverloadState, PRIORITY_COUNT, Span, Time};
 
 /// What operators are told.
@@ -18,7 +18,7 @@
 /// What one method's RPCs move.
 #[derive(Clone, Debug)]
 struct Row {
-    kib: Ring<8>,
+    kib: SlidingWindow<8>,
 }
 
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 
 impl Governor {
     pub fn new(now: Time, settings: Settings, allowance: ResourceLimits, methods: usize) -> Governor {
-        let row = Row { kib: Ring::new(Span::from_millis(500)) };
+        let row = Row { kib: SlidingWindow::new(Span::from_millis(500)) };
         Governor {
             pressure: Pressure::new(now, settings),
             settings,
@@ -189,8 +189,9 @@
 
     /// What an RPC of this method costs the front, in seconds.
     fn cost(&self, now: Time, method: u32) -> f64 {
-        let kib = self.rows.get(method as usize).map_or((0.0, 0.0), |row| row.kib.last(now, 8));
-        self.costs.serve_secs(if kib.0 > 0.0 { kib.1 / kib.0 } else { 0.0 })
+        let kib =
+            self.rows.get(method as usize).map_or(WindowTotals::default(), |row| row.kib.totals(now, 8));
+        self.costs.serve_secs(kib.mean().unwrap_or(0.0))
     }
 
     /// An RPC of this rank has come on a connection, under this strain, whatever becomes of it.
@@ -204,7 +205,7 @@
     pub fn record_served(&mut self, now: Time, method: u32, bytes: usize) {
         let kib = bytes as f64 / 1024.0;
         if let Some(row) = self.rows.get_mut(method as usize) {
-            row.kib.add(now, kib);
+            row.kib.record(now, kib);
         }
         self.work.served += 1.0;
         self.work.kib += kib;
--- a/crates/ladderpass-overload/src/lib.rs
+++ b/crates/ladderpass-overload/src/lib.rs
@@ -4,18 +4,18 @@
 //! It owns the front's belief about its own state. It does no I/O and reads no clock, and it must never refuse an RPC:
 //! the core does, with the floor that stands here (`docs/design/overload.md`).
 
-mod costs;
+mod cost_model;
+mod fair_shares;
 mod governor;
 mod pressure;
-mod ranks;
+mod priority_histogram;
 mod sample;
 mod settings;
-mod shares;
 
-pub use costs::{CostModel, Work};
+pub use cost_model::{CostModel, Work};
+pub use fair_shares::{ClientUsage, FairShares};
 pub use governor::{Governor, OverloadEvent};
 pub use pressure::{Gauge, Level, Pressure};
-pub use ranks::PriorityHistogram;
+pub use priority_histogram::PriorityHistogram;
 pub use sample::{ResourceLimits, ResourceSample};
 pub use settings::{Band, Settings};
-pub use shares::{ClientUsage, FairShares};
--- a/crates/ladderpass-retry-budget/src/lib.rs
+++ b/crates/ladderpass-retry-budget/src/lib.rs
@@ -36,155 +36,160 @@
     #[default]
     Nowhere,
     SpendsWithoutAsking,
-    NeverGivesBack,
+    NeverRefunds,
 }
 
 /// What one router tells of a group: call-outs a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Told {
-    pub first: f64,
+pub struct RetryRates {
+    pub first_attempts: f64,
     /// Further ones that were wanted, that were paid for, and that were answered well.
-    pub wanted: f64,
-    pub paid: f64,
-    pub helped: f64,
+    pub retries_wanted: f64,
+    pub retries_granted: f64,
+    pub retries_succeeded: f64,
 }
 
-impl Told {
+impl RetryRates {
     pub fn rates(self) -> [f64; 4] {
-        [self.first, self.wanted, self.paid, self.helped]
+        [self.first_attempts, self.retries_wanted, self.retries_granted, self.retries_succeeded]
     }
 
-    pub fn from_rates([first, wanted, paid, helped]: [f64; 4]) -> Told {
-        Told { first, wanted, paid, helped }
+    pub fn from_rates([first, wanted, paid, helped]: [f64; 4]) -> RetryRates {
+        RetryRates {
+            first_attempts: first,
+            retries_wanted: wanted,
+            retries_granted: paid,
+            retries_succeeded: helped,
+        }
     }
 
-    fn add(&mut self, other: Told, weight: f64) {
-        self.first += other.first * weight;
-        self.wanted += other.wanted * weight;
-        self.paid += other.paid * weight;
-        self.helped += other.helped * weight;
+    fn add(&mut self, other: RetryRates, weight: f64) {
+        self.first_attempts += other.first_attempts * weight;
+        self.retries_wanted += other.retries_wanted * weight;
+        self.retries_granted += other.retries_granted * weight;
+        self.retries_succeeded += other.retries_succeeded * weight;
     }
 }
 
 /// What the log shows of a group.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct GroupMetrics {
     pub group: u32,
     /// Of all routers, a second.
-    pub all: Told,
+    pub fleet: RetryRates,
     /// What all may pay, of first call-outs; this router's part a second, and what it has saved.
     pub ratio: f64,
-    pub part: f64,
-    pub saved: f64,
+    pub quota: f64,
+    pub balance: f64,
     /// Wanted here and not paid for, since the start.
-    pub refused: u64,
+    pub denied: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Purse {
-    now: Told,
-    last: Told,
+struct GroupBudget {
+    now: RetryRates,
+    last: RetryRates,
     saved: f64,
     part: f64,
     /// Middle rank of what asked for a further call-out.
     usual: f64,
-    figures: Figures,
+    figures: GroupMetrics,
 }
 
-pub struct Budgets {
-    groups: BTreeMap<u32, Purse>,
+pub struct RetryBudget {
+    groups: BTreeMap<u32, GroupBudget>,
     reckoned: Time,
     faulty: Faulty,
 }
 
-impl Purse {
+impl GroupBudget {
     fn most(&self) -> f64 {
         (self.part * SAVED).max(SAVED_LEAST)
     }
 }
 
-impl Budgets {
-    pub fn start(now: Time, faulty: Faulty) -> Budgets {
-        Budgets { groups: BTreeMap::new(), reckoned: now, faulty }
+impl RetryBudget {
+    pub fn start(now: Time, faulty: Faulty) -> RetryBudget {
+        RetryBudget { groups: BTreeMap::new(), reckoned: now, faulty }
     }
 
-    fn purse(&mut self, group: u32) -> &mut Purse {
-        self.groups.entry(group).or_insert_with(|| Purse {
-            now: Told::default(),
-            last: Told::default(),
+    fn purse(&mut self, group: u32) -> &mut GroupBudget {
+        self.groups.entry(group).or_insert_with(|| GroupBudget {
+            now: RetryRates::default(),
+            last: RetryRates::default(),
             saved: 1.0,
             part: 0.0,
             usual: 0.0,
-            figures: Figures { group, ..Figures::default() },
+            figures: GroupMetrics { group, ..GroupMetrics::default() },
         })
     }
 
     /// A first call-out goes.
-    pub fn first(&mut self, group: u32) {
-        self.purse(group).now.first += 1.0;
+    pub fn record_first_attempt(&mut self, group: u32) {
+        self.purse(group).now.first_attempts += 1.0;
     }
 
     /// An RPC of a rank could use a further call-out: is it paid for?
-    pub fn pays(&mut self, group: u32, rank: u32) -> bool {
+    pub fn try_withdraw(&mut self, group: u32, rank: u32) -> bool {
         let faulty = self.faulty;
         let purse = self.purse(group);
-        purse.now.wanted += 1.0;
+        purse.now.retries_wanted += 1.0;
         let rank = f64::from(rank);
         // What is left of little goes to what is worth more than the usual.
         let needed = if rank >= purse.usual { 1.0 } else { 1.0 + (purse.most() - SAVED_LEAST) * KEPT };
         purse.usual += (rank - purse.usual) * FOLLOWS;
         if faulty == Faulty::SpendsWithoutAsking {
-            purse.now.paid += 1.0;
+            purse.now.retries_granted += 1.0;
             return true;
         }
         if purse.saved < needed {
-            purse.figures.refused += 1;
+            purse.figures.denied += 1;
             return false;
         }
         purse.saved -= 1.0;
-        purse.now.paid += 1.0;
+        purse.now.retries_granted += 1.0;
         true
     }
 
     /// It was paid for and is not made.
-    pub fn gives_back(&mut self, group: u32) {
-        if self.faulty == Faulty::NeverGivesBack {
+    pub fn refund(&mut self, group: u32) {
+        if self.faulty == Faulty::NeverRefunds {
             return;
         }
         let purse = self.purse(group);
         purse.saved = (purse.saved + 1.0).min(purse.most());
-        purse.now.paid = (purse.now.paid - 1.0).max(0.0);
+        purse.now.retries_granted = (purse.now.retries_granted - 1.0).max(0.0);
     }
 
     /// A further call-out was answered well.
-    pub fn helped(&mut self, group: u32) {
-        self.purse(group).now.helped += 1.0;
+    pub fn record_success(&mut self, group: u32) {
+        self.purse(group).now.retries_succeeded += 1.0;
     }
 
     /// What this router tells of a group.
-    pub fn told(&self, group: u32) -> Told {
-        self.groups.get(&group).map_or(Told::default(), |purse| purse.last)
+    pub fn own_rates(&self, group: u32) -> RetryRates {
+        self.groups.get(&group).map_or(RetryRates::default(), |purse| purse.last)
     }
 
     /// What `heard` gives of a group is what others told of it, each with what it counts for by its age; `others` are
     /// alive.
-    pub fn reckon<I>(&mut self, now: Time, others: usize, heard: impl Fn(u32) -> I)
+    pub fn rebalance<I>(&mut self, now: Time, others: usize, heard: impl Fn(u32) -> I)
     where
-        I: Iterator<Item = (Told, f64)>,
+        I: Iterator<Item = (RetryRates, f64)>,
     {
         // Guards against a hoard: one that stalled earns nothing for that time.
         let secs = (now - self.reckoned).secs().clamp(0.0, EVERY.secs() * 2.0);
         self.reckoned = now;
-        let keeps = self.faulty == Faulty::NeverGivesBack;
+        let keeps = self.faulty == Faulty::NeverRefunds;
         for (&group, purse) in &mut self.groups {
             let counted = std::mem::take(&mut purse.now);
             let rate = |old: f64, count: f64| old + (count / secs.max(0.05) - old) * BLEND;
             let (last, [first, wanted, paid, helped]) = (purse.last, counted.rates());
-            purse.last = Told {
-                first: rate(last.first, first),
-                wanted: rate(last.wanted, wanted),
-                paid: rate(last.paid, paid),
-                helped: rate(last.helped, helped),
+            purse.last = RetryRates {
+                first_attempts: rate(last.first_attempts, first),
+                retries_wanted: rate(last.retries_wanted, wanted),
+                retries_granted: rate(last.retries_granted, paid),
+                retries_succeeded: rate(last.retries_succeeded, helped),
             };
             let own = purse.last;
             let (mut all, mut weights) = (own, 0.0);
@@ -196,26 +201,36 @@
             // The few that were heard stand for all.
             let scale = if weights > 0.0 { (others + 1.0).max(weights + 1.0) / (weights + 1.0) } else { 1.0 };
             // How well further ones do; where none was made lately, how well first ones do.
-            let well = (1.0 - all.wanted / (all.first + all.paid).max(1e-9)).clamp(0.0, 1.0);
-            let helps = ((all.helped + PRIOR * well) / (all.paid.max(all.helped) + PRIOR)).min(1.0);
+            let well = (1.0 - all.retries_wanted / (all.first_attempts + all.retries_granted).max(1e-9))
+                .clamp(0.0, 1.0);
+            let helps = ((all.retries_succeeded + PRIOR * well)
+                / (all.retries_granted.max(all.retries_succeeded) + PRIOR))
+                .min(1.0);
             let ratio = LEAST + (MOST - LEAST) * helps * helps;
-            let budget = ratio * all.first * scale;
-            let need = |told: Told| told.wanted + RESERVE * told.first;
+            let budget = ratio * all.first_attempts * scale;
+            let need = |told: RetryRates| told.retries_wanted + RESERVE * told.first_attempts;
             let part = budget * need(own) / (need(all) * scale).max(1e-9);
             let knows = weights >= (others * 0.5).min(ENOUGH);
             purse.part = match (knows, keeps) {
                 (_, true) => part.max(purse.part),
                 (true, _) => part,
                 // Alone it takes no more than it had, nor than the same part of what it sees itself.
-                (false, _) => purse.part.min(ratio * own.first),
+                (false, _) => purse.part.min(ratio * own.first_attempts),
             };
             purse.saved = (purse.saved + purse.part * secs).min(purse.most());
-            let refused = purse.figures.refused;
-            purse.figures = Figures { group, all, ratio, part: purse.part, saved: purse.saved, refused };
+            let refused = purse.figures.denied;
+            purse.figures = GroupMetrics {
+                group,
+                fleet: all,
+                ratio,
+                quota: purse.part,
+                balance: purse.saved,
+                denied: refused,
+            };
         }
     }
 
-    pub fn figures(&self) -> impl Iterator<Item = Figures> {
+    pub fn metrics(&self) -> impl Iterator<Item = GroupMetrics> {
         self.groups.values().map(|purse| purse.figures)
     }
 }
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,7 +1,7 @@
 //! Fleets of routers in steps of 250 ms: first call-outs fail by chance, further ones help by chance; words are a step
 //! old, some are lost, routers die and split. What all pay is counted from outside.
 
-use ladderpass_retry_budget::{Budgets, Faulty, Told};
+use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
@@ -9,8 +9,8 @@
 
 struct World {
     now: Time,
-    routers: Vec<Budgets>,
-    told: Vec<Told>,
+    routers: Vec<RetryBudget>,
+    told: Vec<RetryRates>,
     /// First call-outs a second of each.
     rates: Vec<f64>,
     alive: Vec<bool>,
@@ -28,8 +28,8 @@
         let now = Time::from_nanos(1_800_000_000_000_000_000);
         World {
             now,
-            routers: (0..rates.len()).map(|nth| Budgets::start(now, faulty(nth))).collect(),
-            told: vec![Told::default(); rates.len()],
+            routers: (0..rates.len()).map(|nth| RetryBudget::start(now, faulty(nth))).collect(),
+            told: vec![RetryRates::default(); rates.len()],
             alive: vec![true; rates.len()],
             cut: 0,
             rates,
@@ -51,20 +51,20 @@
             let mean = self.rates[nth] * STEP.secs();
             let count = mean.floor() as usize + usize::from(self.lucky(mean.fract()));
             for _ in 0..count {
-                self.routers[nth].first(7);
+                self.routers[nth].record_first_attempt(7);
                 counts[0] += 1.0;
                 let (mut failed, mut tries) = (self.lucky(self.fails), 0);
                 while failed && tries < 3 {
                     counts[1] += 1.0;
                     let rank = if self.lucky(0.2) { 200 } else { 190 };
-                    if !self.routers[nth].pays(7, rank) {
+                    if !self.routers[nth].try_withdraw(7, rank) {
                         break;
                     }
                     counts[2] += 1.0;
                     tries += 1;
                     failed = !self.lucky(self.helps);
                     if !failed {
-                        self.routers[nth].helped(7);
+                        self.routers[nth].record_success(7);
                     }
                 }
             }
@@ -75,10 +75,10 @@
             let hears = |other: usize| {
                 other != nth && self.alive[other] && (self.cut == 0 || (other < self.cut) == (nth < self.cut))
             };
-            let words: Vec<(Told, f64)> =
+            let words: Vec<(RetryRates, f64)> =
                 (0..told.len()).filter(|&other| hears(other)).map(|other| (told[other], 1.0)).collect();
-            self.routers[nth].reckon(self.now, words.len(), |_| words.iter().copied());
-            self.told[nth] = self.routers[nth].told(7);
+            self.routers[nth].rebalance(self.now, words.len(), |_| words.iter().copied());
+            self.told[nth] = self.routers[nth].own_rates(7);
         }
     }
 
@@ -138,14 +138,14 @@
     // Router 0 alone asks, for each of its RPCs.
     for _ in 0..24 {
         for _ in 0..12 {
-            world.routers[0].pays(7, 190);
-            world.routers[0].helped(7);
+            world.routers[0].try_withdraw(7, 190);
+            world.routers[0].record_success(7);
         }
         world.run(1);
     }
-    let part = world.routers[0].figures().map(|figures| figures.part).sum::<f64>();
+    let part = world.routers[0].metrics().map(|figures| figures.quota).sum::<f64>();
     assert!(part > 40.0, "{part} a second of about 48 wanted");
-    let all: f64 = world.routers.iter().flat_map(Budgets::figures).map(|figures| figures.part).sum();
+    let all: f64 = world.routers.iter().flat_map(RetryBudget::metrics).map(|figures| figures.quota).sum();
     assert!(all <= 0.51 * 400.0, "{all}");
 }
 
@@ -177,7 +177,7 @@
     (world.fails, world.helps) = (0.9, 0.05);
     world.run(24);
     assert!(world.over(8).1 > 1.5);
-    let mut world = World::new(5, uneven(8, 400.0), |_| Faulty::NeverGivesBack);
+    let mut world = World::new(5, uneven(8, 400.0), |_| Faulty::NeverRefunds);
     world.run(8);
     (world.fails, world.helps) = (0.9, 0.05);
     world.run(24);
@@ -192,7 +192,7 @@
     let mut paid = [0, 0];
     for nth in 0..400 {
         let high = nth % 5 == 0;
-        paid[usize::from(high)] += u32::from(world.routers[0].pays(7, if high { 200 } else { 190 }));
+        paid[usize::from(high)] += u32::from(world.routers[0].try_withdraw(7, if high { 200 } else { 190 }));
         if nth % 10 == 0 {
             world.run(1);
         }
--- a/crates/ladderpass-routing/src/decide.rs
+++ b/crates/ladderpass-routing/src/decide.rs
@@ -2,12 +2,12 @@
 //! `take` gives a handle and a first decision; what happens later is a call on it (`ended`, `left`).
 //! `tend` follows each batch of calls. Types at the door are in `interface.rs`; the clock is what `now` says.
 
-use crate::interface::*;
 use crate::reasons::{Counts, Exception, GiveUpReason, Ineligible, PrimaryState, Unserved};
 use crate::reference_clock::ClockDifference;
-use crate::ring::Ring;
+use crate::sliding_window::{SlidingWindow, WindowTotals};
 use crate::state::{Fleet, Member, Row, Sessions, Slots};
 use crate::time::{Span, Time};
+use crate::types::*;
 use nanorand::{Rng, WyRand};
 
 /// Periodic probes: a round at most this often, slower so that they stay within this share of the RPCs taken.
@@ -119,7 +119,7 @@
     pub(crate) fleet: Fleet,
     rpcs: Slots,
     sessions: Sessions,
-    taken: Ring<8>,
+    taken: SlidingWindow<8>,
     probes_at: Time,
     ask_at: Option<Time>,
     ask_failures: u32,
@@ -137,7 +137,7 @@
         let least_bound = bounds.min().unwrap_or(ANY_BOUND);
         Router {
             least_bound,
-            taken: Ring::new(MEASURE),
+            taken: SlidingWindow::new(MEASURE),
             probes_at: now,
             rows: deployment.methods.iter().map(row).collect(),
             ask_at: deployment.endpoint_poll_interval.map(|_| now),
@@ -167,7 +167,7 @@
     pub fn accept(&mut self, now: Time, arrival: Arrival) -> (RpcId, Decision) {
         let age = arrival.last_write_age.filter(|_| self.deployment.session_write_age_carried);
         let written = age.map_or(Time::NEVER, |age| now - age);
-        self.taken.add(now, 1.0);
+        self.taken.record(now, 1.0);
         let luck = arrival.admission_draw.unwrap_or_else(|| self.chance.generate());
         let rpc = self.rpcs.open(now, arrival, written, luck);
         // Refused before all else where the front itself, or the fleet, has no room for it.
@@ -261,7 +261,7 @@
                 continue;
             }
             let next = -(1.0 - chance.generate::<f64>()).ln() * row.usual.secs();
-            let sent = member.sent.last(now, 8).1 / self.ramp(now, member).unwrap_or(1.0);
+            let sent = member.sent.totals(now, 8).sum / self.ramp(now, member).unwrap_or(1.0);
             let stretch = self.stretch(now, member, 8) * if member.zone == 0 { 1.0 } else { FAR };
             let key = (self.load(now, member), (sent + next) * stretch, index);
             // Any data will do, within reason: a lag that was told leaves one out.
@@ -494,7 +494,8 @@
     fn ineligible(&self, now: Time, index: usize, rpc: RpcId) -> Option<Ineligible> {
         let member = self.fleet.member(index);
         let (state, usual) = (&self.rpcs[rpc], self.row(rpc).usual);
-        let (count, sum) = member.stretch.last(now, if member.out.is_empty() { 2 } else { 4 });
+        let WindowTotals { count, sum } =
+            member.stretch.totals(now, if member.out.is_empty() { 2 } else { 4 });
         let own = (sum + STAND_IN * self.crowding(now, member)) / (count + STAND_IN);
         let own = own.max(self.way(now, member.zone));
         if member.standing != EndpointState::Active {
@@ -573,7 +574,8 @@
     /// Answer times from another zone over those from its own: a way that is slow or loses what goes there.
     fn way(&self, now: Time, zone: u32) -> f64 {
         let mean = |zone: u32| {
-            let (count, sum) = self.fleet.ways.get(zone as usize).map_or((0.0, 0.0), |w| w.last(now, 8));
+            let WindowTotals { count, sum } =
+                self.fleet.ways.get(zone as usize).map_or(WindowTotals::default(), |w| w.totals(now, 8));
             (sum + STAND_IN) / (count + STAND_IN)
         };
         if zone == 0 { 1.0 } else { mean(zone) / mean(0).max(1.0) }
@@ -583,7 +585,7 @@
     fn load(&self, now: Time, member: &Member) -> f64 {
         let silent = if member.out.is_empty() { Span::ZERO } else { now - member.silent_from };
         let silence = (silent.secs() / self.least_usual().secs().max(1e-4) - SILENCE).max(0.0).floor();
-        self.in_flight(now, member) + member.failures.last(now, 4).0 * FAILURE_LOAD + silence
+        self.in_flight(now, member) + member.failures.totals(now, 4).count * FAILURE_LOAD + silence
     }
 
     /// Far past its time, though one sent later was answered: lost on the way, says nothing of a jam.
@@ -601,9 +603,13 @@
 
     /// Present answer time over the usual one; where few answers tell, those of its kind of machine stand in.
     pub(crate) fn stretch(&self, now: Time, member: &Member, back: usize) -> f64 {
-        let (count, sum) = member.stretch.last(now, back);
-        let pace = self.fleet.paces.get(member.kind as usize).map_or((0.0, 0.0), |p| p.last(now, back));
-        let pace = (pace.1 + 4.0) / (pace.0 + 3.0) * self.crowding(now, member);
+        let WindowTotals { count, sum } = member.stretch.totals(now, back);
+        let pace = self
+            .fleet
+            .paces
+            .get(member.kind as usize)
+            .map_or(WindowTotals::default(), |p| p.totals(now, back));
+        let pace = (pace.sum + 4.0) / (pace.count + 3.0) * self.crowding(now, member);
         (sum + STAND_IN * pace) / (count + STAND_IN)
     }
 
@@ -629,8 +635,8 @@
     fn pay_in(&mut self, now: Time, arrival: &Arrival) {
         let level = self.rows[arrival.method as usize].method.consistency;
         let taken = self.fleet.reach_taken(arrival.group, MEASURE);
-        taken.add(now, f64::from(u8::from(level.primary_only())));
-        let (count, writes) = taken.last(now, 8);
+        taken.record(now, f64::from(u8::from(level.primary_only())));
+        let WindowTotals { count, sum: writes } = taken.totals(now, 8);
         let (group, deployment) = (&self.fleet.groups[arrival.group as usize], &self.deployment);
         let (primary, fair) = (group.primary, count / group.largest.max(1) as f64);
         let shares = deployment.overload_multiple.clamp(1.0, COLD_SHARES);
@@ -905,15 +911,15 @@
             self.upkeep.log_messages.push(format!("#{index} is left out: {MISSES_TO_DROP} misses in a row"));
         }
         if first {
-            self.fleet.reach_way(zone, WAY).add(now, WAY_MISSED);
+            self.fleet.reach_way(zone, WAY).record(now, WAY_MISSED);
         }
     }
 
     fn learn_answer(&mut self, now: Time, index: usize, method: u32, sent: Time, took: Span) -> f64 {
         let row = &mut self.rows[method as usize];
-        row.answers.add(now, took.secs());
-        let (count, sum) = row.answers.last(now, 8);
-        let usual = row.answers.least_mean(now, 8.0).unwrap_or(sum / count);
+        row.answers.record(now, took.secs());
+        let WindowTotals { count, sum } = row.answers.totals(now, 8);
+        let usual = row.answers.min_bucket_mean(now, 8.0).unwrap_or(sum / count);
         // A jam from the start on must not pass for the usual.
         let most = row.method.soft_deadline.secs() * SOFT_PART;
         let usual = usual.min(most).max(self.deployment.tick.secs() * QUICKEST);
@@ -924,9 +930,9 @@
         let member = self.fleet.member_mut(index);
         member.learnt(now, stretch, jammed);
         let (kind, cut_at, zone) = (member.kind, member.cut_at, member.zone);
-        self.fleet.reach_way(zone, WAY).add(now, stretch);
+        self.fleet.reach_way(zone, WAY).record(now, stretch);
         if sent >= cut_at {
-            self.fleet.reach_pace(kind, MEASURE).add(now, stretch);
+            self.fleet.reach_pace(kind, MEASURE).record(now, stretch);
         }
         self.follow(now, index, sent, true);
         stretch
@@ -1012,7 +1018,7 @@
 
     /// How long a round of periodic probes takes.
     fn probe_every(&self, now: Time) -> Span {
-        let probes = self.taken.last(now, 8).0 / (MEASURE.secs() * 8.0) * PROBE_SHARE;
+        let probes = self.taken.totals(now, 8).count / (MEASURE.secs() * 8.0) * PROBE_SHARE;
         let round = Span::from_secs_f64(self.fleet.on_list() as f64 / probes.max(1e-3));
         round.max(PROBE_EVERY).min(PROBE_SLOWEST)
     }
@@ -1072,14 +1078,14 @@
         match outcome.outcome {
             AttemptOutcome::Ok | AttemptOutcome::NotServedHere => self.fleet.groups[group].heard = true,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut => {
-                member.failures.add(now, 1.0);
+                member.failures.record(now, 1.0);
                 let limit = member.limit * LIMIT_CUT;
                 if matches!(outcome.outcome, AttemptOutcome::Rejected | AttemptOutcome::TimedOut) && !lost {
                     self.cut(now, index, sent, limit);
                 }
             }
             AttemptOutcome::Unreachable => {
-                member.failures.add(now, 1.0);
+                member.failures.record(now, 1.0);
                 self.missed(now, index, false);
             }
             AttemptOutcome::Failed
@@ -1126,7 +1132,7 @@
         let over = outcome.rpc_complete || !state.live;
         let at_fault = state.failed.len() >= ERRORS;
         for index in failed {
-            router.fleet.members[index].iter_mut().for_each(|member| member.failures.add(now, 1.0));
+            router.fleet.members[index].iter_mut().for_each(|member| member.failures.record(now, 1.0));
         }
         router.heard(now, index, &outcome, arrival, sent);
         if over {
--- a/crates/ladderpass-routing/src/lib.rs
+++ b/crates/ladderpass-routing/src/lib.rs
@@ -4,13 +4,13 @@
 //! [`Rpc`], and carries out the [`Decision`]s it gets back.
 
 mod decide;
-pub mod interface;
 pub mod reasons;
 pub mod reference_clock;
-pub mod ring;
+pub mod sliding_window;
 mod state;
 pub mod time;
+pub mod types;
 
 pub use decide::Router;
-pub use interface::*;
 pub use time::{Span, Time};
+pub use types::*;
--- a/crates/ladderpass-routing/src/ring.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -9,23 +9,39 @@
     sum: f64,
 }
 
+/// How many amounts were recorded over some buckets, and what they add up to.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct WindowTotals {
+    /// Amounts recorded.
+    pub count: f64,
+    /// Their sum.
+    pub sum: f64,
+}
+
+impl WindowTotals {
+    /// The mean amount; none where nothing was recorded.
+    pub fn mean(self) -> Option<f64> {
+        (self.count > 0.0).then(|| self.sum / self.count)
+    }
+}
+
 /// `N` buckets of one width; a bucket is emptied when its turn comes round again.
 #[derive(Clone, Debug)]
-pub struct Ring<const N: usize> {
+pub struct SlidingWindow<const N: usize> {
     width: Span,
     buckets: [Bucket; N],
 }
 
-impl<const N: usize> Ring<N> {
+impl<const N: usize> SlidingWindow<N> {
     pub fn new(width: Span) -> Self {
-        Ring { width, buckets: [Bucket { number: i64::MIN, ..Bucket::default() }; N] }
+        SlidingWindow { width, buckets: [Bucket { number: i64::MIN, ..Bucket::default() }; N] }
     }
 
     fn number(&self, at: Time) -> i64 {
         at.nanos().div_euclid(self.width.nanos())
     }
 
-    pub fn add(&mut self, now: Time, amount: f64) {
+    pub fn record(&mut self, now: Time, amount: f64) {
         let number = self.number(now);
         let bucket = &mut self.buckets[number.rem_euclid(N as i64) as usize];
         if bucket.number != number {
@@ -35,22 +51,25 @@
         bucket.sum += amount;
     }
 
-    pub fn forget(&mut self) {
-        *self = Ring::new(self.width);
+    pub fn clear(&mut self) {
+        *self = SlidingWindow::new(self.width);
     }
 
-    /// Count and sum over the present bucket and the `back - 1` before it.
-    pub fn last(&self, now: Time, back: usize) -> (f64, f64) {
+    /// What was recorded in the current bucket and the `back - 1` before it.
+    pub fn totals(&self, now: Time, back: usize) -> WindowTotals {
         let newest = self.number(now);
         let wanted = newest - back.min(N) as i64 + 1..=newest;
-        self.buckets
-            .iter()
-            .filter(|bucket| wanted.contains(&bucket.number))
-            .fold((0.0, 0.0), |(count, sum), bucket| (count + bucket.count, sum + bucket.sum))
+        self.buckets.iter().filter(|bucket| wanted.contains(&bucket.number)).fold(
+            WindowTotals::default(),
+            |totals, bucket| WindowTotals {
+                count: totals.count + bucket.count,
+                sum: totals.sum + bucket.sum,
+            },
+        )
     }
 
     /// The smallest mean among the live buckets that hold at least `enough` samples.
-    pub fn least_mean(&self, now: Time, enough: f64) -> Option<f64> {
+    pub fn min_bucket_mean(&self, now: Time, enough: f64) -> Option<f64> {
         let newest = self.number(now);
         self.buckets
             .iter()
--- a/crates/ladderpass-routing/src/state.rs
+++ b/crates/ladderpass-routing/src/state.rs
@@ -1,8 +1,8 @@
 //! What a router keeps in mind: types and their bookkeeping. Nothing here decides.
 
-use crate::interface::*;
-use crate::ring::Ring;
+use crate::sliding_window::SlidingWindow;
 use crate::time::{Span, Time};
+use crate::types::*;
 use std::cell::Cell;
 use std::collections::VecDeque;
 
@@ -60,10 +60,10 @@
     pub limit: f64,
     /// When it was last lowered.
     pub cut_at: Time,
-    pub failures: Ring<4>,
-    pub stretch: Ring<8>,
+    pub failures: SlidingWindow<4>,
+    pub stretch: SlidingWindow<8>,
     /// Work sent, in seconds of usual answer time.
-    pub sent: Ring<8>,
+    pub sent: SlidingWindow<8>,
 }
 
 /// A primary and its replicas.
@@ -84,33 +84,33 @@
     pub members: Vec<Option<Member>>,
     pub groups: Vec<Group>,
     /// Answer times over the usual ones, by kind of machine.
-    pub paces: Vec<Ring<8>>,
+    pub paces: Vec<SlidingWindow<8>>,
     /// The same by zone, over a longer time, with what was lost on the way.
-    pub ways: Vec<Ring<8>>,
+    pub ways: Vec<SlidingWindow<8>>,
     /// RPCs taken, by group, and those for the primary alone.
-    pub taken: Vec<Ring<8>>,
+    pub taken: Vec<SlidingWindow<8>>,
     /// How many the list holds, once that was counted; none where the list has told something since.
     on_list: Cell<Option<usize>>,
 }
 
 /// The ring of this index, with those before it.
-fn reach(rings: &mut Vec<Ring<8>>, index: u32, bucket: Span) -> &mut Ring<8> {
+fn reach(rings: &mut Vec<SlidingWindow<8>>, index: u32, bucket: Span) -> &mut SlidingWindow<8> {
     let index = index as usize;
-    rings.resize_with(rings.len().max(index + 1), || Ring::new(bucket));
+    rings.resize_with(rings.len().max(index + 1), || SlidingWindow::new(bucket));
     &mut rings[index]
 }
 
 impl Fleet {
-    pub fn reach_way(&mut self, zone: u32, bucket: Span) -> &mut Ring<8> {
+    pub fn reach_way(&mut self, zone: u32, bucket: Span) -> &mut SlidingWindow<8> {
         reach(&mut self.ways, zone, bucket)
     }
 
-    pub fn reach_taken(&mut self, group: u32, bucket: Span) -> &mut Ring<8> {
+    pub fn reach_taken(&mut self, group: u32, bucket: Span) -> &mut SlidingWindow<8> {
         self.reach_group(group);
         reach(&mut self.taken, group, bucket)
     }
 
-    pub fn reach_pace(&mut self, kind: u32, bucket: Span) -> &mut Ring<8> {
+    pub fn reach_pace(&mut self, kind: u32, bucket: Span) -> &mut SlidingWindow<8> {
         reach(&mut self.paces, kind, bucket)
     }
 
@@ -224,13 +224,13 @@
 /// One row a method.
 pub struct Row {
     pub method: Method,
-    pub answers: Ring<8>,
+    pub answers: SlidingWindow<8>,
     pub usual: Span,
 }
 
 impl Row {
     pub fn new(method: &Method, usual: Span, bucket: Span) -> Row {
-        Row { method: method.clone(), answers: Ring::new(bucket), usual }
+        Row { method: method.clone(), answers: SlidingWindow::new(bucket), usual }
     }
 
     /// The session, where it writes.
@@ -306,9 +306,9 @@
             answered: Time::NEVER,
             limit,
             cut_at: Time::NEVER,
-            failures: Ring::new(bucket),
-            stretch: Ring::new(bucket),
-            sent: Ring::new(sent_bucket),
+            failures: SlidingWindow::new(bucket),
+            stretch: SlidingWindow::new(bucket),
+            sent: SlidingWindow::new(sent_bucket),
         }
     }
 
@@ -379,9 +379,9 @@
     /// An answer's time over the usual one; `anew`: what was learnt before counts no more.
     pub fn learnt(&mut self, now: Time, stretch: f64, anew: bool) {
         if anew {
-            self.stretch.forget();
+            self.stretch.clear();
         }
-        self.stretch.add(now, stretch);
+        self.stretch.record(now, stretch);
     }
 
     pub fn stands(&mut self, now: Time, standing: EndpointState) {
@@ -414,7 +414,7 @@
         self.out.push_back((now, method));
         self.sent_at = now;
         self.credit -= self.credit.floor().min(1.0);
-        self.sent.add(now, usual.secs());
+        self.sent.record(now, usual.secs());
     }
 
     /// A call-out to it has ended.
--- a/crates/ladderpass-routing/src/interface.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -342,7 +342,8 @@
     pub fn member_loads(&self, now: Time) -> impl Iterator<Item = MemberLoad> {
         self.fleet.members.iter().flatten().filter(|member| member.standing == EndpointState::Active).map(
             move |member| {
-                let (failed, answered) = (member.failures.last(now, 2).0, member.stretch.last(now, 2).0);
+                let (failed, answered) =
+                    (member.failures.totals(now, 2).count, member.stretch.totals(now, 2).count);
                 MemberLoad {
                     member: member.id,
                     id_hash: member.mark,
--- a/crates/ladderpass-simulator-adapter/src/wire.rs
+++ b/crates/ladderpass-simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::lines::{Line, ListLine};
 use ladderpass_config::names::{NameIndex, group_index};
-use ladderpass_config::{self as settings, whisper::GossipCodec};
+use ladderpass_config::{self as settings, gossip::GossipCodec};
 use ladderpass_routing::{
     Arrival, AttemptOutcome, AttemptResult, Decision, Endpoint, EndpointState, EndpointUpdate, LoadReport,
     MemberId, Role, Router, RpcId, Span, Time,
--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -303,7 +303,7 @@
     world.run(Span::from_secs_f64(seconds))?;
     let words: usize = (0..routers)
         .filter_map(|router| world.reducer(router))
-        .flat_map(|reducer| reducer.reckoned().into_iter().map(|figures| figures.words))
+        .flat_map(|reducer| reducer.reckoned().into_iter().map(|figures| figures.reports))
         .sum();
     Ok(Heard { bytes: rates_of(&world, seconds).membership_bytes, words: words as f64 / routers as f64 })
 }
--- a/crates/ladderpass-testbed/src/capacity/hollow.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow.rs
@@ -541,7 +541,7 @@
                     return Ok(());
                 }
                 self.counts[to].heard += 1;
-                let words = bytes.first() != Some(&ladderpass_membership::FIRST);
+                let words = bytes.first() != Some(&ladderpass_membership::FIRST_BYTE);
                 let about = if words { About::Words } else { About::Membership };
                 self.drive(to, Event::Whispered(from, bytes), about);
             }
@@ -670,7 +670,7 @@
         let Some(reducer) = &mut self.routers[router].reducer else { return };
         let from = router_address(router);
         for (to, bytes) in reducer.datagrams() {
-            let membership = bytes.first() == Some(&ladderpass_membership::FIRST);
+            let membership = bytes.first() == Some(&ladderpass_membership::FIRST_BYTE);
             let counts = &mut self.counts[router];
             if membership { &mut counts.membership } else { &mut counts.words }.add(bytes.len());
             let Some((1, to)) = index_of(to).filter(|&(_, to)| to < self.shape.routers) else { continue };
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -54,15 +54,15 @@
             Some("loses-at-stop") => Ok(Faulty::LosesAtStop),
             Some("never-suspects") => Ok(Faulty::Membership(membership::Faulty::NeverSuspects)),
             Some("believes-the-first-rumour") => {
-                Ok(Faulty::Membership(membership::Faulty::BelievesTheFirstRumour))
+                Ok(Faulty::Membership(membership::Faulty::ConfirmsImmediately))
             }
-            Some("forgets-incarnations") => Ok(Faulty::Membership(membership::Faulty::ForgetsIncarnations)),
-            Some("keeps-the-deads-turns") => Ok(Faulty::Membership(membership::Faulty::KeepsTheDeadsTurns)),
-            Some("ignores-the-floor") => Ok(Faulty::Concert(concert::Faulty::IgnoresTheFloor)),
-            Some("tells-tenfold") => Ok(Faulty::Concert(concert::Faulty::TellsTenfold)),
-            Some("keeps-the-deads-words") => Ok(Faulty::Concert(concert::Faulty::KeepsTheDeadsWords)),
+            Some("forgets-incarnations") => Ok(Faulty::Membership(membership::Faulty::IgnoresIncarnations)),
+            Some("keeps-the-deads-turns") => Ok(Faulty::Membership(membership::Faulty::CountsDeadRouters)),
+            Some("ignores-the-floor") => Ok(Faulty::Concert(concert::Faulty::IgnoresThreshold)),
+            Some("tells-tenfold") => Ok(Faulty::Concert(concert::Faulty::ReportsTenfold)),
+            Some("keeps-the-deads-words") => Ok(Faulty::Concert(concert::Faulty::KeepsReportsOfDeadRouters)),
             Some("spends-without-asking") => Ok(Faulty::Budgets(budgets::Faulty::SpendsWithoutAsking)),
-            Some("never-gives-back") => Ok(Faulty::Budgets(budgets::Faulty::NeverGivesBack)),
+            Some("never-gives-back") => Ok(Faulty::Budgets(budgets::Faulty::NeverRefunds)),
             Some(other) => Err(format!("LADDERPASS_FAULTY: {other:?} is no switch")),
         }
     }
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -12,7 +12,7 @@
 use crate::limits::Limits;
 use crate::pg;
 use ladderpass_config::names::{NameIndex, group_index};
-use ladderpass_config::{IN_FLIGHT_COLUMN, POSITION_COLUMN, PRIMARY_COLUMN, whisper::GossipCodec};
+use ladderpass_config::{IN_FLIGHT_COLUMN, POSITION_COLUMN, PRIMARY_COLUMN, gossip::GossipCodec};
 use ladderpass_overload::{ClientUsage, ResourceSample};
 use ladderpass_routing::reference_clock::ReferenceClock;
 use ladderpass_routing::{
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -5,10 +5,10 @@
 //! is alive, nor what a word is worth.
 
 use super::*;
-use ladderpass_admission::{Concert, lot};
-use ladderpass_membership::number_of;
-use ladderpass_membership::{Change, FIRST, Membership, Own as Me, Settings, View};
-use ladderpass_retry_budget::{Budgets, Told};
+use ladderpass_admission::{AdmissionController, admission_draw};
+use ladderpass_membership::router_hash;
+use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter as Me, Membership, Settings, View};
+use ladderpass_retry_budget::{RetryBudget, RetryRates};
 use ladderpass_routing::{MemberLoad, OverloadState};
 use std::fmt::Write;
 
@@ -23,9 +23,9 @@
     /// By this router's index of a group: the number that all know it by.
     cells: Vec<u32>,
     /// None: each router sheds for itself.
-    concert: Option<Concert>,
+    concert: Option<AdmissionController>,
     /// None: further call-outs cost nothing.
-    budgets: Option<Budgets>,
+    budgets: Option<RetryBudget>,
     /// What this router has refused for all, and when the log told of it last.
     refused: u64,
     figures_at: Time,
@@ -58,9 +58,10 @@
             wake: now,
             settled_at: now + SETTLES,
             listed: peers.listed.iter().filter(|&&address| address != peers.address).count() + 1,
-            concert: (launch.operator.fleet)
-                .then(|| Concert::start(now, number_of(peers.address), launch.faulty.of_concert())),
-            budgets: (launch.operator.budgets).then(|| Budgets::start(now, launch.faulty.of_budgets())),
+            concert: (launch.operator.fleet).then(|| {
+                AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert())
+            }),
+            budgets: (launch.operator.budgets).then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
             cells: Vec::new(),
             refused: 0,
             figures_at: now,
@@ -71,7 +72,7 @@
     }
 
     pub(super) fn wake(&self) -> Time {
-        self.concert.as_ref().map_or(self.wake, |concert| concert.wake().min(self.wake))
+        self.concert.as_ref().map_or(self.wake, |concert| concert.wake_at().min(self.wake))
     }
 
     /// What all refuse of its group, and its session's lot; told of as asked. Is it sure to be refused?
@@ -83,7 +84,7 @@
         rank: impl Fn(&Arrival, &OverloadState) -> u32,
     ) -> (bool, u32) {
         let Some((concert, group)) = self.shedding(arrival.group) else { return (false, 0) };
-        let (floor, pressure) = concert.floor(group);
+        let (floor, pressure) = concert.threshold(group);
         let strain = OverloadState {
             pressure,
             admission_threshold: floor,
@@ -92,8 +93,8 @@
             queueing_delay: Span::ZERO,
         };
         let rank = rank(arrival, &strain);
-        concert.asked(group, rank);
-        let lot = lot(session.as_bytes(), now);
+        concert.record_offered(group, rank);
+        let lot = admission_draw(session.as_bytes(), now);
         (arrival.fleet_overload, arrival.admission_draw) = (Some(strain), Some(lot));
         let refused = f64::from(rank) + lot < floor;
         self.refused += u64::from(refused);
@@ -101,50 +102,50 @@
     }
 
     /// What all shed by, and the number that all know a group by.
-    fn shedding(&mut self, group: u32) -> Option<(&mut Concert, u32)> {
+    fn shedding(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
         Some((self.concert.as_mut()?, *self.cells.get(group as usize)?))
     }
 
     /// What further call-outs are paid from, likewise.
-    fn spending(&mut self, group: u32) -> Option<(&mut Budgets, u32)> {
+    fn spending(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
         Some((self.budgets.as_mut()?, *self.cells.get(group as usize)?))
     }
 
     /// The first call-out of an RPC goes.
     pub(super) fn first(&mut self, group: u32) {
         if let Some((budgets, group)) = self.spending(group) {
-            budgets.first(group);
+            budgets.record_first_attempt(group);
         }
     }
 
     /// Is a further call-out of an RPC of this rank paid for?
     pub(super) fn pays(&mut self, group: u32, rank: u32) -> bool {
-        self.spending(group).is_none_or(|(budgets, group)| budgets.pays(group, rank))
+        self.spending(group).is_none_or(|(budgets, group)| budgets.try_withdraw(group, rank))
     }
 
     /// One that was paid for was answered well.
     pub(super) fn helped(&mut self, group: u32) {
         if let Some((budgets, group)) = self.spending(group) {
-            budgets.helped(group);
+            budgets.record_success(group);
         }
     }
 
     /// One that was paid for is not made.
     pub(super) fn gives_back(&mut self, group: u32) {
         if let Some((budgets, group)) = self.spending(group) {
-            budgets.gives_back(group);
+            budgets.refund(group);
         }
     }
 
     pub(super) fn served(&mut self, group: u32) {
         if let Some((concert, group)) = self.shedding(group) {
-            concert.served(group);
+            concert.record_served(group);
         }
     }
 
     pub(super) fn unsent(&mut self, group: u32) {
         if let Some((concert, group)) = self.shedding(group) {
-            concert.unsent(group);
+            concert.record_unplaced(group);
         }
     }
 }
@@ -156,8 +157,12 @@
     }
 
     /// What all routers reckon together, by group.
-    pub fn reckoned(&self) -> Vec<ladderpass_admission::Figures> {
-        self.peers.iter().filter_map(|peers| peers.concert.as_ref()).flat_map(Concert::figures).collect()
+    pub fn reckoned(&self) -> Vec<ladderpass_admission::GroupMetrics> {
+        self.peers
+            .iter()
+            .filter_map(|peers| peers.concert.as_ref())
+            .flat_map(AdmissionController::metrics)
+            .collect()
     }
 
     /// Datagrams for other routers; they are taken as they are sent.
@@ -168,15 +173,15 @@
     /// A datagram: a word on routers by its first byte, else words on members as all programs exchange them.
     pub(super) fn whispered(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        if bytes.first() == Some(&FIRST) {
-            peers.membership.heard(now, from, bytes);
-            let loads = peers.membership.loads();
+        if bytes.first() == Some(&FIRST_BYTE) {
+            peers.membership.on_datagram(now, from, bytes);
+            let loads = peers.membership.take_piggybacked();
             if let Some(concert) = &mut peers.concert {
-                loads.iter().for_each(|load| concert.heard(now, load));
+                loads.iter().for_each(|load| concert.on_reports(now, load));
             }
             return self.regard(now);
         }
-        if !peers.membership.knows(now, from) {
+        if !peers.membership.may_gossip(now, from) {
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
@@ -189,7 +194,7 @@
     pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
         let texts = self.circle.encode(news, &self.names);
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        for to in peers.membership.audience(now) {
+        for to in peers.membership.gossip_targets(now) {
             peers.out.extend(texts.iter().map(|text| (to, text.clone().into_bytes())));
         }
         self.effects.push(Effect::Datagrams);
@@ -198,14 +203,14 @@
     pub(super) fn tend_peers(&mut self, now: Time) {
         self.tend_concert(now);
         let Some(peers) = self.peers.as_deref_mut().filter(|peers| peers.wake <= now) else { return };
-        peers.membership.tend(now);
+        peers.membership.tick(now);
         self.regard(now);
     }
 
     /// What all routers reckon together goes to the core, and this one's words to the others.
     fn tend_concert(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        let Some(concert) = peers.concert.as_mut().filter(|concert| concert.wake() <= now) else { return };
+        let Some(concert) = peers.concert.as_mut().filter(|concert| concert.wake_at() <= now) else { return };
         if peers.cells.len() != self.groups.len() {
             peers.cells = vec![0; self.groups.len()];
             for (&cell, &index) in &self.groups {
@@ -219,38 +224,44 @@
         let known = |group: u32| cells.get(group as usize).copied().unwrap_or_default();
         let seen = self.router.member_loads(now).map(|seen| MemberLoad { group: known(seen.group), ..seen });
         let seen: Vec<MemberLoad> = seen.collect();
-        if let Some(facts) = concert.tend(now, &seen) {
-            facts.limits.iter().for_each(|&(member, limit)| self.router.set_concurrency_limit(member, limit));
+        if let Some(facts) = concert.tick(now, &seen) {
+            facts
+                .in_flight
+                .iter()
+                .for_each(|&(member, limit)| self.router.set_concurrency_limit(member, limit));
         }
         if let Some(budgets) = &mut peers.budgets {
-            let heard =
-                |group| concert.again(now, group).map(|(rates, weight)| (Told::from_rates(rates), weight));
-            budgets.reckon(now, concert.others(), heard);
+            let heard = |group| {
+                concert
+                    .peer_retry_rates(now, group)
+                    .map(|(rates, weight)| (RetryRates::from_rates(rates), weight))
+            };
+            budgets.rebalance(now, concert.alive_peers(), heard);
             for &group in cells {
-                concert.tells_again(group, budgets.told(group).rates());
+                concert.set_retry_rates(group, budgets.own_rates(group).rates());
             }
         }
-        peers.membership.carry(concert.tell(now, LOAD));
+        peers.membership.set_piggyback(concert.encode_reports(now, LOAD));
         if now - peers.figures_at < peers.figures_every {
             return;
         }
         peers.figures_at = now;
-        for figures in concert.figures() {
+        for figures in concert.metrics() {
             tracing::info!(
                 target: "ladderpass::fleet",
                 "floor {:.2} in group {}: asked {:.0}, let in {:.0}, served {:.0}, unsent {:.0}; {} words, {} bounded, \
                  {} alive; room {:.1}, part {:.3}; refused {}",
-                figures.floor,
+                figures.threshold,
                 figures.group,
-                figures.asked,
-                figures.admits,
+                figures.offered,
+                figures.admitted,
                 figures.served,
-                figures.unsent,
-                figures.words,
-                figures.bounded,
+                figures.unplaced,
+                figures.reports,
+                figures.clamped_reports,
                 peers.view.count,
-                figures.room,
-                figures.part,
+                figures.capacity,
+                figures.quota,
                 peers.refused
             );
         }
@@ -259,20 +270,20 @@
 
     fn tell_budgets(&self) {
         let figures = self.peers.iter().filter_map(|peers| peers.budgets.as_ref());
-        for figures in figures.flat_map(Budgets::figures) {
+        for figures in figures.flat_map(RetryBudget::metrics) {
             tracing::info!(
                 target: "ladderpass::fleet",
                 "further call-outs in group {}: {:.3} of first ones may be paid; all: {:.0} first, {:.1} wanted, {:.1} paid, \
                  {:.1} helped; part {:.2}, saved {:.2}; refused {}",
                 figures.group,
                 figures.ratio,
-                figures.all.first,
-                figures.all.wanted,
-                figures.all.paid,
-                figures.all.helped,
-                figures.part,
-                figures.saved,
-                figures.refused
+                figures.fleet.first_attempts,
+                figures.fleet.retries_wanted,
+                figures.fleet.retries_granted,
+                figures.fleet.retries_succeeded,
+                figures.quota,
+                figures.balance,
+                figures.denied
             );
         }
     }
@@ -287,30 +298,30 @@
     /// Takes up what the membership has come to.
     fn regard(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        peers.wake = peers.membership.wake();
-        let out = peers.membership.out();
+        peers.wake = peers.membership.wake_at();
+        let out = peers.membership.take_outgoing();
         if !out.is_empty() {
             peers.out.extend(out);
             self.effects.push(Effect::Datagrams);
         }
-        if peers.membership.has_double() {
+        if peers.membership.take_address_conflict() {
             tracing::warn!("fleet: another life of this address was heard; its clock may have gone back");
         }
         let view = peers.membership.view();
         let settling = now < peers.settled_at;
         let count = if settling { view.count.max(peers.listed) } else { view.count };
-        self.router.set_router_position(view.me as u32, count as u32);
-        let changes = peers.membership.changes();
+        self.router.set_router_position(view.position as u32, count as u32);
+        let changes = peers.membership.take_changes();
         if changes.is_empty() && view == peers.view {
             return;
         }
         for (who, change) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
             tracing::debug!("fleet: {who} {}", word(*change));
         }
-        let moved =
-            (view.me, view.count, view.digest) != (peers.view.me, peers.view.count, peers.view.digest);
+        let moved = (view.position, view.count, view.digest)
+            != (peers.view.position, peers.view.count, peers.view.digest);
         if let Some(concert) = &mut peers.concert {
-            concert.lives(peers.membership.peers(now).map(|peer| number_of(peer.address)));
+            concert.set_alive(peers.membership.peers(now).map(|peer| router_hash(peer.address)));
         }
         let came_or_went = changes.iter().any(|(_, change)| *change != Change::Suspected);
         peers.view = view;
@@ -319,7 +330,7 @@
                 "fleet: view {:08x} of {}, this is {}{}",
                 view.digest,
                 view.count,
-                view.me,
+                view.position,
                 names(&changes)
             );
         }
@@ -334,10 +345,10 @@
             view.count,
             view.suspected,
             view.gone,
-            peers.membership.health(),
+            peers.membership.local_health(),
             counts.sent,
             counts.bytes,
-            counts.heard,
+            counts.received,
             counts.dropped
         );
     }
@@ -347,7 +358,7 @@
     match change {
         Change::Joined => "joined",
         Change::Suspected => "is suspected",
-        Change::Cleared => "is back",
+        Change::Refuted => "is back",
         Change::Died => "died",
         Change::Left => "left",
     }
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -138,14 +138,14 @@
     let (count, from) = loop {
         // It also asks whether a router of its own kind is there.
         let (count, from) = other.recv_from(&mut room).expect("it tells within seconds");
-        if room[0] != ladderpass_membership::FIRST {
+        if room[0] != ladderpass_membership::FIRST_BYTE {
             break (count, from);
         }
     };
     assert_eq!(from, own);
     let text = std::str::from_utf8(&room[..count]).expect("letters");
     let now = ladderpass_emulator::loopback::now() - Time::default();
-    let (_, words) = ladderpass_config::whisper::read(text, now).expect("a message");
+    let (_, words) = ladderpass_config::gossip::read(text, now).expect("a message");
     let words: Vec<_> = words.collect();
     assert!(!words.is_empty() && words.iter().all(|(.., at, _, _)| (now - *at).secs() < 20.0), "{words:?}");
     // Noise, from the other router and from a stranger, changes nothing.
