--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -663,9 +663,9 @@
     let mut report = LoadReport::default();
     for &(name, value) in pairs {
         match name {
-            POSITION => report.position = Some(Time::from_nanos((value * 1e9) as i64)),
-            PRIMARY => report.is_primary = Some(value >= 0.5),
-            HOLDS => report.in_flight = Some(value),
+            POSITION_COLUMN => report.position = Some(Time::from_nanos((value * 1e9) as i64)),
+            PRIMARY_COLUMN => report.is_primary = Some(value >= 0.5),
+            IN_FLIGHT_COLUMN => report.in_flight = Some(value),
             _ => {}
         }
     }
