--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -19,12 +19,12 @@
     /// None: routers tell each other nothing.
     pub peers: Option<Peers>,
     /// Overload is answered by all routers as one.
-    pub fleet: bool,
+    pub shared_admission: bool,
     /// Further call-outs are paid from a budget of all routers.
-    pub budgets: bool,
+    pub shared_retry_budget: bool,
     /// What the list says of zones and sizes is used: the zone of this router, and whether weights are sizes.
     pub zone: Option<String>,
-    pub sizes: bool,
+    pub weights_are_concurrency: bool,
 }
 
 /// The routers that tell each other who is alive and what members told them, by datagrams.
@@ -38,7 +38,7 @@
     /// From where routers that nobody has listed may join: address and bits.
     pub networks: Vec<(IpAddr, u8)>,
     /// It is the form of before: a fixed order, of which this router takes the addresses alone.
-    pub earlier: bool,
+    pub legacy_form: bool,
 }
 
 const PEERS_MOST: usize = 1000;
@@ -47,12 +47,12 @@
 pub struct Log {
     pub json: bool,
     /// How often the figures are logged.
-    pub figures: Span,
+    pub metrics_interval: Span,
 }
 
 impl Default for Log {
     fn default() -> Log {
-        Log { json: false, figures: Span::from_millis(10_000) }
+        Log { json: false, metrics_interval: Span::from_millis(10_000) }
     }
 }
 
@@ -162,7 +162,7 @@
                 false
             }
         };
-        faults.keep(span(&mut operator.log.figures, "log.figures", log.figures, 100, 3_600_000));
+        faults.keep(span(&mut operator.log.metrics_interval, "log.figures", log.figures, 100, 3_600_000));
     }
     operator.overload = match shape.overload {
         Some(overload) if overload.enabled != Some(false) => Some(settings(overload, faults, odd)),
@@ -175,13 +175,13 @@
             let text = "true without peers; allowed is it together with peers";
             odd.tell(at(&fleet.sheds, "fleet.sheds", text));
         }
-        operator.fleet = fleet.sheds.value;
+        operator.shared_admission = fleet.sheds.value;
         if let Some(budgets) = fleet.budgets {
-            if budgets.value && !operator.fleet {
+            if budgets.value && !operator.shared_admission {
                 let text = "true without fleet.sheds; allowed is it together with that";
                 odd.tell(at(&budgets, "fleet.budgets", text));
             }
-            operator.budgets = budgets.value;
+            operator.shared_retry_budget = budgets.value;
         }
     }
     if let Some(members) = shape.members {
@@ -189,7 +189,7 @@
             faults.tell(at(zone, "members.zone", "empty; allowed is the name of a zone of the list"));
         }
         operator.zone = members.zone.map(|zone| zone.value);
-        operator.sizes = members.sizes.unwrap_or(false);
+        operator.weights_are_concurrency = members.sizes.unwrap_or(false);
     }
 }
 
@@ -264,7 +264,7 @@
     let networks = networks.iter().filter_map(|text| faults.keep(network(text))).collect();
     let listed = addresses(&listed, "peers.listed", faults);
     let own = own?;
-    Some(Peers { listen: own, address: told.unwrap_or(own), listed, networks, earlier: false })
+    Some(Peers { listen: own, address: told.unwrap_or(own), listed, networks, legacy_form: false })
 }
 
 /// The form of before: the same list everywhere, in the same order, and which of it each router is.
@@ -282,7 +282,7 @@
         odd.tell(at(me, "peers.me", &format!("{}; allowed are 0 to {}", me.value, all.len() - 1)));
     }
     let own = listed.get(me.value as usize).copied()?;
-    Some(Peers { listen: own, address: own, listed, networks: Vec::new(), earlier: true })
+    Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
 fn address(text: &Spanned<String>, key: &str) -> Result<SocketAddr, String> {
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -12,19 +12,19 @@
     let text = "log: {format: json, figures: 1s}\noverload:\n  delay: {from: 2ms, full: 0.5s}\n  slow_reader_bytes: 64 KiB\n  fair: 8\n";
     let operator = read(text).expect("all of it is allowed");
     let settings = operator.overload.expect("on");
-    assert_eq!(operator.log, Log { json: true, figures: Span::from_millis(1000) });
+    assert_eq!(operator.log, Log { json: true, metrics_interval: Span::from_millis(1000) });
     assert_eq!((settings.delay, settings.fair_share_multiple), (Band::new(0.002, 0.5), 8.0));
     assert_eq!(settings.slow_reader_bytes, 65536);
     let text = "peers: {me: 1, all: ['127.0.0.1:7400', '127.0.0.1:7401']}\nmembers: {zone: a, sizes: true}";
     let operator = read(text).expect("all of it is allowed");
     let peers = operator.peers.expect("it is there");
     assert_eq!((peers.listen.port(), peers.address.port(), peers.listed.len()), (7401, 7401, 2));
-    assert!(peers.earlier && peers.networks.is_empty());
+    assert!(peers.legacy_form && peers.networks.is_empty());
     let text = "peers: {listen: '10.0.0.9:7400', address: '[fd00::9]:7400', listed: [], networks: ['fd00::/8', '10.0.0.0/9']}";
     let peers = read(text).expect("all of it is allowed").peers.expect("it is there");
     assert_eq!((peers.listen.port(), peers.address.is_ipv6(), peers.networks[1].1), (7400, true, 9));
-    assert!(!peers.earlier);
-    assert_eq!((operator.zone.as_deref(), operator.sizes), (Some("a"), true));
+    assert!(!peers.legacy_form);
+    assert_eq!((operator.zone.as_deref(), operator.weights_are_concurrency), (Some("a"), true));
 }
 
 #[test]
--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -303,7 +303,7 @@
     world.run(Span::from_secs_f64(seconds))?;
     let words: usize = (0..routers)
         .filter_map(|router| world.reducer(router))
-        .flat_map(|reducer| reducer.reckoned().into_iter().map(|figures| figures.reports))
+        .flat_map(|reducer| reducer.admission_metrics().into_iter().map(|figures| figures.reports))
         .sum();
     Ok(Heard { bytes: rates_of(&world, seconds).membership_bytes, words: words as f64 / routers as f64 })
 }
@@ -314,7 +314,7 @@
     let mut world = World::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
     world.run(SETTLES)?;
     let agree = |world: &World, count: usize| {
-        (0..routers).filter_map(|router| world.reducer(router)?.view()).all(|view| view.0 == count)
+        (0..routers).filter_map(|router| world.reducer(router)?.fleet_view()).all(|view| view.0 == count)
     };
     let mut waited = 0;
     while !agree(&world, routers) {
--- a/crates/ladderpass-testbed/src/capacity/data_path/world.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world.rs
@@ -5,7 +5,7 @@
 //! what a figure of a machine is taken from: system calls are not in it.
 
 use ladderpass::launch::Launch;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_emulator::{Scenario, proto};
 use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Router, Span, Time};
@@ -76,7 +76,7 @@
 
 #[derive(Default)]
 struct Client {
-    conn: Option<ConnId>,
+    conn: Option<ConnectionId>,
     welcomed: bool,
     inbox: Vec<u8>,
     /// What it asks once it is welcomed.
@@ -93,10 +93,10 @@
 
 enum Happening {
     Asks,
-    Up(ConnId),
-    Says(ConnId, Vec<u8>),
-    Beat(ConnId),
-    Ends(ConnId),
+    Up(ConnectionId),
+    Says(ConnectionId, Vec<u8>),
+    Beat(ConnectionId),
+    Ends(ConnectionId),
 }
 
 pub struct World {
@@ -108,8 +108,8 @@
     agenda: BTreeMap<(Time, u64), Happening>,
     next: u64,
     clients: Vec<Client>,
-    of_client: HashMap<ConnId, usize>,
-    links: HashMap<ConnId, Link>,
+    of_client: HashMap<ConnectionId, usize>,
+    links: HashMap<ConnectionId, Link>,
     of_member: Vec<u32>,
     full: Vec<bool>,
     effects: Vec<Effect>,
@@ -188,8 +188,8 @@
         // It is this function's own; one that stays behind harms nothing.
         let _ = std::fs::remove_file(&path);
         let mut launch = launch?;
-        launch.limits.client_idle = self.client_idle.unwrap_or(launch.limits.client_idle);
-        launch.facts.deployment.gossip = self.shares_probes;
+        launch.limits.client_idle_timeout = self.client_idle.unwrap_or(launch.limits.client_idle_timeout);
+        launch.settings.deployment.gossip = self.shares_probes;
         Ok(launch)
     }
 }
@@ -203,7 +203,7 @@
         let now = Time::from_nanos(1_796_000_000_000_000_000);
         let launch = shape.launch(now, seed)?;
         let mut members = HashMap::new();
-        for (nth, instance) in launch.known.instances.iter().enumerate() {
+        for (nth, instance) in launch.cached_endpoints.instances.iter().enumerate() {
             let address = instance.host_port.parse().map_err(|_| "an address of its own".to_owned())?;
             members.insert(address, nth);
         }
@@ -243,7 +243,7 @@
         self.pump();
         loop {
             let next = self.agenda.first_key_value().map_or(ends, |(&(at, _), _)| at);
-            let wake = self.reducer.wake().unwrap_or(ends);
+            let wake = self.reducer.wake_at().unwrap_or(ends);
             // As the loop over sockets: it looks round at least this often.
             let longest = self.now + Span::from_millis(50);
             let at = next.min(wake.max(self.now)).min(longest).min(ends);
@@ -283,7 +283,7 @@
     pub fn core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
         let now = Time::from_nanos(1_796_000_000_000_000_000);
         let launch = shape.launch(now, seed)?;
-        let mut router = Router::start(now, seed, launch.facts.deployment);
+        let mut router = Router::start(now, seed, launch.settings.deployment);
         let entries: Vec<Endpoint> = (0..shape.members() as u32)
             .map(|nth| Endpoint {
                 member: MemberId(nth),
@@ -305,7 +305,7 @@
     pub fn idle_turn(&mut self, turns: usize) -> f64 {
         let before = cpu();
         for _ in 0..turns {
-            self.reducer.apply(self.now, Event::Turn);
+            self.reducer.handle(self.now, Event::Tick);
         }
         (cpu() - before) / turns as f64
     }
@@ -324,7 +324,7 @@
     fn pump(&mut self) {
         loop {
             self.carry_out();
-            self.apply(Event::Turn);
+            self.apply(Event::Tick);
             if !self.carry_out() {
                 return;
             }
@@ -332,9 +332,9 @@
     }
 
     fn apply(&mut self, event: Event) {
-        let turn = matches!(event, Event::Turn);
+        let turn = matches!(event, Event::Tick);
         let before = cpu();
-        let effects = self.reducer.apply(self.now, event);
+        let effects = self.reducer.handle(self.now, event);
         let took = (cpu() - before - self.reading).max(0.0);
         if turn {
             self.counts.turns += 1.0;
@@ -355,12 +355,12 @@
                     Effect::Write(id) => stirred |= self.write(id),
                     Effect::Close(id) => self.closes(id),
                     Effect::CloseIfQuiet(id) => {
-                        let effects = self.reducer.apply(self.now, Event::Quiet(id));
+                        let effects = self.reducer.handle(self.now, Event::ReadToEnd(id));
                         self.effects.extend(effects);
                     }
                     Effect::Read(_)
                     | Effect::Accept(_)
-                    | Effect::Datagrams
+                    | Effect::SendDatagrams
                     | Effect::StopListening
                     | Effect::Exit => {}
                 }
@@ -369,7 +369,7 @@
         stirred
     }
 
-    fn connects(&mut self, id: ConnId, address: SocketAddr) {
+    fn connects(&mut self, id: ConnectionId, address: SocketAddr) {
         let member = self.members.get(&address).copied().filter(|_| address != self.discovery);
         if let Some(member) = member {
             self.counts.connects += 1.0;
@@ -379,7 +379,7 @@
         self.plan(WAY + WAY, Happening::Up(id));
     }
 
-    fn closes(&mut self, id: ConnId) {
+    fn closes(&mut self, id: ConnectionId) {
         if let Some(link) = self.links.remove(&id) {
             if let Some(member) = link.member {
                 self.of_member[member] -= 1;
@@ -395,7 +395,7 @@
         }
     }
 
-    fn write(&mut self, id: ConnId) -> bool {
+    fn write(&mut self, id: ConnectionId) -> bool {
         let bytes = self.reducer.outgoing(id).to_vec();
         if bytes.is_empty() {
             return false;
@@ -440,7 +440,7 @@
         client.inbox.drain(..used);
     }
 
-    fn member_reads(&mut self, id: ConnId, bytes: &[u8]) {
+    fn member_reads(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(link) = self.links.get_mut(&id) else { return };
         let Some(member) = link.member else {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
@@ -530,10 +530,10 @@
         }
     }
 
-    fn feed(&mut self, id: ConnId, mut bytes: &[u8]) {
+    fn feed(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let before = cpu();
-            let room = self.reducer.room(id);
+            let room = self.reducer.read_buffer(id);
             let took = cpu() - before - self.reading;
             let (now, later) = bytes.split_at(room.len().min(bytes.len()));
             if now.is_empty() {
@@ -547,7 +547,7 @@
         }
     }
 
-    fn open(&mut self, index: usize) -> ConnId {
+    fn open(&mut self, index: usize) -> ConnectionId {
         let id = self.reducer.next_id();
         self.of_client.insert(id, index);
         self.clients[index] = Client { conn: Some(id), ..Client::default() };
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -103,15 +103,16 @@
 /// All running routers take so many for alive.
 fn agree(world: &World, count: impl Fn(usize) -> usize) -> bool {
     (0..world.shape.routers)
-        .filter_map(|router| Some((router, world.reducer(router)?.view()?.0)))
+        .filter_map(|router| Some((router, world.reducer(router)?.fleet_view()?.0)))
         .all(|(router, view)| view == count(router))
 }
 
 /// All running routers know this member as its group's primary.
 fn led_by(world: &World, member: usize) -> bool {
     let id = member_id(member);
-    let knows =
-        |router| world.reducer(router).map(|reducer| reducer.knows_of(&id).is_some_and(|known| known.1));
+    let knows = |router| {
+        world.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
+    };
     (0..world.shape.routers).filter_map(knows).all(|knows| knows)
 }
 
--- a/crates/ladderpass-testbed/src/capacity/hollow.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow.rs
@@ -6,7 +6,7 @@
 //! look into what routers believe but by what they tell, and never decide in their place.
 
 use ladderpass::launch::Launch;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_emulator::{Scenario, proto};
 use ladderpass_routing::{Span, Time};
@@ -171,9 +171,9 @@
     reducer: Option<Reducer>,
     /// Which life: what was on the way to an earlier one is lost.
     life: u32,
-    lines: HashMap<ConnId, Line>,
+    lines: HashMap<ConnectionId, Line>,
     /// Connections of clients that wait for nothing, the last used last.
-    idle: Vec<ConnId>,
+    idle: Vec<ConnectionId>,
     turn_due: bool,
     /// What came since the last turn was data.
     data: bool,
@@ -197,10 +197,10 @@
     Wake(usize),
     Ask(usize, u32),
     Datagram { to: usize, from: SocketAddr, bytes: Vec<u8> },
-    Bytes(usize, u32, ConnId, Vec<u8>),
-    Up(usize, u32, ConnId),
-    Gone(usize, u32, ConnId),
-    Beat(usize, u32, ConnId),
+    Bytes(usize, u32, ConnectionId, Vec<u8>),
+    Up(usize, u32, ConnectionId),
+    Gone(usize, u32, ConnectionId),
+    Beat(usize, u32, ConnectionId),
 }
 
 struct Due(Time, u64, What);
@@ -474,7 +474,7 @@
         for router in 0..self.routers.len() {
             let of = |line: &Line| matches!(line.wire, Wire::Member { member: of, .. } if of == member);
             let hollow = &self.routers[router];
-            let mut gone: Vec<ConnId> =
+            let mut gone: Vec<ConnectionId> =
                 hollow.lines.iter().filter(|(_, line)| of(line)).map(|(&id, _)| id).collect();
             gone.sort();
             let life = hollow.life;
@@ -502,7 +502,7 @@
         for router in 0..self.routers.len() {
             let life = self.routers[router].life;
             let lines = self.routers[router].lines.iter();
-            let mut open: Vec<ConnId> = lines
+            let mut open: Vec<ConnectionId> = lines
                 .filter(|(_, l)| matches!(l.wire, Wire::Watch { opened: true }))
                 .map(|(&id, _)| id)
                 .collect();
@@ -543,7 +543,7 @@
                 self.counts[to].heard += 1;
                 let words = bytes.first() != Some(&ladderpass_membership::FIRST_BYTE);
                 let about = if words { About::Words } else { About::Membership };
-                self.drive(to, Event::Whispered(from, bytes), about);
+                self.drive(to, Event::DatagramReceived(from, bytes), about);
             }
             What::Bytes(router, life, id, bytes) if self.routers[router].life == life => {
                 self.feed(router, id, &bytes);
@@ -567,7 +567,7 @@
         Ok(())
     }
 
-    fn alive(&self, router: usize, life: u32, id: ConnId) -> bool {
+    fn alive(&self, router: usize, life: u32, id: ConnectionId) -> bool {
         self.routers[router].life == life && self.routers[router].lines.contains_key(&id)
     }
 
@@ -593,7 +593,7 @@
         let observed = router < self.shape.observed;
         let Some(reducer) = &mut self.routers[router].reducer else { return };
         let began = observed.then(thread_time);
-        let effects = reducer.apply(self.now, event);
+        let effects = reducer.handle(self.now, event);
         if let Some(began) = began {
             self.cost.events[about as usize] += 1;
             self.cost.nanos[about as usize] += ((thread_time() - began).nanos() - self.asking).max(0) as u64;
@@ -612,10 +612,10 @@
     fn turn(&mut self, router: usize) {
         let data = std::mem::take(&mut self.routers[router].data);
         self.counts[router].turns += 1;
-        self.drive(router, Event::Turn, if data { About::TurnOfData } else { About::Turn });
+        self.drive(router, Event::Tick, if data { About::TurnOfData } else { About::Turn });
         let Some(reducer) = &self.routers[router].reducer else { return };
         let longest = self.now + LONGEST;
-        let at = reducer.wake().unwrap_or(longest).min(longest).max(self.now + SHORTEST);
+        let at = reducer.wake_at().unwrap_or(longest).min(longest).max(self.now + SHORTEST);
         if at < self.routers[router].wake_at {
             self.routers[router].wake_at = at;
             self.push(at, What::Wake(router));
@@ -634,7 +634,7 @@
                     if bytes.is_empty() {
                         continue;
                     }
-                    effects.extend(reducer.apply(self.now, Event::Written(id, bytes.len())));
+                    effects.extend(reducer.handle(self.now, Event::Written(id, bytes.len())));
                     effects.push_back(Effect::Write(id));
                     self.written(router, life, id, &bytes);
                 }
@@ -648,17 +648,17 @@
                     let quiet = !self.routers[router].lines.get(&id).is_some_and(pending);
                     let Some(reducer) = &mut self.routers[router].reducer else { return };
                     if quiet {
-                        effects.extend(reducer.apply(self.now, Event::Quiet(id)));
+                        effects.extend(reducer.handle(self.now, Event::ReadToEnd(id)));
                     }
                 }
                 Effect::Close(id) => {
                     self.routers[router].lines.remove(&id);
                     self.routers[router].idle.retain(|&idle| idle != id);
                 }
-                Effect::Datagrams => self.send(router),
+                Effect::SendDatagrams => self.send(router),
                 Effect::StopListening => {
                     let Some(reducer) = &mut self.routers[router].reducer else { return };
-                    effects.extend(reducer.apply(self.now, Event::Deaf));
+                    effects.extend(reducer.handle(self.now, Event::ListenerClosed));
                 }
                 Effect::Exit => return self.kill(router),
                 Effect::Accept(_) => {}
@@ -669,7 +669,7 @@
     fn send(&mut self, router: usize) {
         let Some(reducer) = &mut self.routers[router].reducer else { return };
         let from = router_address(router);
-        for (to, bytes) in reducer.datagrams() {
+        for (to, bytes) in reducer.take_datagrams() {
             let membership = bytes.first() == Some(&ladderpass_membership::FIRST_BYTE);
             let counts = &mut self.counts[router];
             if membership { &mut counts.membership } else { &mut counts.words }.add(bytes.len());
@@ -685,7 +685,7 @@
         }
     }
 
-    fn connect(&mut self, router: usize, life: u32, id: ConnId, address: SocketAddr) {
+    fn connect(&mut self, router: usize, life: u32, id: ConnectionId, address: SocketAddr) {
         self.counts[router].connects += 1;
         let back = self.now + self.shape.way * 2.0;
         let wire = match index_of(address) {
@@ -712,7 +712,7 @@
     }
 
     /// Bytes of the router's have been written.
-    fn written(&mut self, router: usize, life: u32, id: ConnId, bytes: &[u8]) {
+    fn written(&mut self, router: usize, life: u32, id: ConnectionId, bytes: &[u8]) {
         let back = self.now + self.shape.way * 2.0;
         let Some(line) = self.routers[router].lines.get_mut(&id) else { return };
         match &mut line.wire {
@@ -782,7 +782,7 @@
     }
 
     /// Bytes come to a router, as far as there is room; the rest waits.
-    fn feed(&mut self, router: usize, id: ConnId, bytes: &[u8]) {
+    fn feed(&mut self, router: usize, id: ConnectionId, bytes: &[u8]) {
         let about = match self.routers[router].lines.get_mut(&id) {
             None => return,
             Some(line) => {
@@ -795,7 +795,7 @@
             let (Some(reducer), Some(line)) = (&mut hollow.reducer, hollow.lines.get_mut(&id)) else {
                 return;
             };
-            let room = reducer.room(id);
+            let room = reducer.read_buffer(id);
             let count = room.len().min(line.pending.len());
             if count == 0 {
                 return;
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -51,12 +51,18 @@
     for (router, counts) in world.counts.iter().enumerate() {
         assert!(counts.statements > 100 && counts.refused == 0, "{router}: {counts:?}");
         assert!(counts.answered + 2 >= counts.statements, "{router}: {counts:?}");
-        assert_eq!(world.reducer(router).and_then(|reducer| reducer.view()).map(|view| view.0), Some(8));
+        assert_eq!(
+            world.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
+            Some(8)
+        );
     }
     world.kill(2);
     run(&mut world, 4000);
     for router in (0..8).filter(|&router| router != 2) {
-        assert_eq!(world.reducer(router).and_then(|reducer| reducer.view()).map(|view| view.0), Some(7));
+        assert_eq!(
+            world.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
+            Some(7)
+        );
     }
 }
 
@@ -71,7 +77,7 @@
     }
     // Group 0 has the members 0, 2 and 4.
     let leads = |world: &World, member: usize| {
-        let knows = |router| world.reducer(router)?.knows_of(&member_id(member));
+        let knows = |router| world.reducer(router)?.known_position(&member_id(member));
         (0..4).filter_map(knows).filter(|&(_, primary)| primary).count()
     };
     assert_eq!((leads(&world, 0), leads(&world, 2)), (4, 0));
--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -3,7 +3,7 @@
 //!
 //! It owns the sockets. It must never look into bytes, nor decide when to read or write.
 
-use crate::reducer::ConnId;
+use crate::reducer::ConnectionId;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use nix::sys::socket::{ControlMessageOwned, MsgFlags, recvmsg, setsockopt, sockopt};
 use rustc_hash::FxHashMap;
@@ -61,7 +61,7 @@
 pub struct ConnectionTable {
     set: Rc<Set>,
     // The ids are this router's own: nobody can choose them so that they collide.
-    connections: FxHashMap<ConnId, Connection>,
+    connections: FxHashMap<ConnectionId, Connection>,
     /// When the set was asked last, and told all that it had.
     polled_at: Instant,
     events: Vec<EpollEvent>,
@@ -105,7 +105,7 @@
     }
 
     /// Has it watched; gives it back where the kernel can't.
-    pub fn add(&mut self, id: ConnId, connection: Connection) -> Result<(), (Connection, io::Error)> {
+    pub fn add(&mut self, id: ConnectionId, connection: Connection) -> Result<(), (Connection, io::Error)> {
         let flags = EpollFlags::EPOLLIN | EpollFlags::EPOLLOUT | EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLET;
         match self.set.0.add(&connection.stream, EpollEvent::new(flags, id.0)) {
             Ok(()) => {
@@ -120,16 +120,16 @@
         self.connections.len()
     }
 
-    pub fn get(&self, id: ConnId) -> Option<&Connection> {
+    pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: ConnId) -> Option<&mut Connection> {
+    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
     /// Closes it, which takes it out of the set.
-    pub fn remove(&mut self, id: ConnId) -> bool {
+    pub fn remove(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
@@ -146,7 +146,7 @@
     /// Puts each that is ready in line, without waiting. One that stands there already is not put in again: else those
     /// that are busy would fill it. All that the kernel has is taken, but not more than there are sockets: an end that
     /// waits behind a thousand others is known as soon as theirs.
-    pub fn harvest(&mut self, mut stand: impl FnMut(ConnId, EventSource)) -> io::Result<()> {
+    pub fn harvest(&mut self, mut stand: impl FnMut(ConnectionId, EventSource)) -> io::Result<()> {
         let began = Instant::now();
         for _ in 0..=self.connections.len() / self.events.len() {
             let count = match self.set.0.wait(&mut self.events, EpollTimeout::ZERO) {
@@ -154,7 +154,7 @@
                 count => count?,
             };
             for event in self.events.iter().take(count) {
-                let (id, flags) = (ConnId(event.data()), event.events());
+                let (id, flags) = (ConnectionId(event.data()), event.events());
                 let Some(connection) = self.connections.get_mut(&id) else { continue };
                 // What it tells now it would have told then, had it been there.
                 if connection.told.is_none() && !connection.unread {
@@ -184,7 +184,7 @@
     }
 
     /// It is looked at: what it has told, and itself.
-    pub fn take(&mut self, id: ConnId) -> Option<(Ready, &mut Connection)> {
+    pub fn take(&mut self, id: ConnectionId) -> Option<(Ready, &mut Connection)> {
         let connection = self.connections.get_mut(&id)?;
         Some((connection.told.take()?, connection))
     }
--- a/crates/ladderpass/src/failures.rs
+++ b/crates/ladderpass/src/failures.rs
@@ -3,7 +3,7 @@
 //! It owns that distinction, and what waits for another try. It must never make a call itself, nor decide what becomes
 //! of an RPC.
 
-use crate::reducer::ConnId;
+use crate::reducer::ConnectionId;
 use nix::errno::Errno;
 use std::io;
 use std::net::TcpStream;
@@ -12,10 +12,10 @@
 #[derive(Debug, Default)]
 pub struct Postponed {
     /// Connections that have something to be read, or written.
-    pub reads: Vec<ConnId>,
-    pub writes: Vec<ConnId>,
+    pub reads: Vec<ConnectionId>,
+    pub writes: Vec<ConnectionId>,
     /// Clients' connections that could not be watched yet.
-    pub accepted: Vec<(ConnId, TcpStream)>,
+    pub accepted: Vec<(ConnectionId, TcpStream)>,
 }
 
 impl Postponed {
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -32,16 +32,16 @@
     pub discovery: SocketAddr,
     pub fixed: Fixed,
     pub seed: u64,
-    pub known: Listing,
-    pub facts: DeploymentSettings,
+    pub cached_endpoints: Listing,
+    pub settings: DeploymentSettings,
     pub limits: Limits,
-    pub allowance: ResourceLimits,
+    pub resource_limits: ResourceLimits,
     /// What the platform says of descriptors; less may hold for the process.
-    pub sockets_told: usize,
+    pub configured_sockets: usize,
     pub operator: Operator,
     pub faulty: Faulty,
     /// How far the wall clock is off, in a build for the lab.
-    pub clock: Span,
+    pub clock_offset: Span,
 }
 
 /// What a process that runs can't change any more.
@@ -137,10 +137,10 @@
         let (Some(mut launch), Some(faulty), Some(clock)) = (launch, faulty, clock) else {
             return Err("RELAY_CONFIG: could not be read".into());
         };
-        (launch.faulty, launch.clock) = (faulty, clock);
+        (launch.faulty, launch.clock_offset) = (faulty, clock);
         launch.operator = operator.unwrap_or_default();
         // The platform's protocol has no messages between routers: they need addresses of the operator's.
-        let deployment = &mut launch.facts.deployment;
+        let deployment = &mut launch.settings.deployment;
         deployment.gossip = launch.operator.peers.is_some();
         if let Some(peers) = &launch.operator.peers {
             // Until they have found each other: as many as are listed.
@@ -151,7 +151,7 @@
     }
 
     /// What holds, defaults included, a line a thing.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         let mut text = String::new();
         let mut line = |key: &str, value: String| {
             // Writing to a string can't fail.
@@ -162,19 +162,26 @@
         line("discovery", self.discovery.to_string());
         line(
             "known members",
-            format!("{} (generation {})", self.known.instances.len(), self.known.generation),
+            format!(
+                "{} (generation {})",
+                self.cached_endpoints.instances.len(),
+                self.cached_endpoints.generation
+            ),
         );
-        line("limits.cores", self.allowance.cores.to_string());
+        line("limits.cores", self.resource_limits.cores.to_string());
         line(
             "limits.memory",
             format!(
                 "{} MiB, rings {} MiB",
-                self.allowance.memory_bytes >> 20,
-                self.allowance.buffer_bytes >> 20
+                self.resource_limits.memory_bytes >> 20,
+                self.resource_limits.buffer_bytes >> 20
             ),
         );
-        line("limits.sockets", format!("{}, clients {}", self.allowance.descriptors, self.limits.clients));
-        for (name, method) in self.facts.method_names.iter().zip(&self.facts.deployment.methods) {
+        line(
+            "limits.sockets",
+            format!("{}, clients {}", self.resource_limits.descriptors, self.limits.clients),
+        );
+        for (name, method) in self.settings.method_names.iter().zip(&self.settings.deployment.methods) {
             let text = format!(
                 "{:?}, {:?}, utility {}, soft deadline {} ms",
                 method.consistency,
@@ -186,7 +193,7 @@
         }
         let log = self.operator.log;
         line("log.format", if log.json { "json" } else { "text" }.to_owned());
-        line("log.figures", format!("{} ms", log.figures.nanos() / 1_000_000));
+        line("log.figures", format!("{} ms", log.metrics_interval.nanos() / 1_000_000));
         match &self.operator.peers {
             Some(peers) => {
                 let (address, listed) = (peers.address, peers.listed.len());
@@ -196,7 +203,7 @@
                 let others =
                     if networks.is_empty() { "the listed alone".into() } else { networks.join(", ") };
                 line("peers.networks", others);
-                if peers.earlier {
+                if peers.legacy_form {
                     line("peers.me, peers.all", "the form of before: write listen and listed".into());
                 }
             }
@@ -204,17 +211,20 @@
         }
         line(
             "fleet.sheds",
-            if self.operator.fleet { "all routers as one" } else { "off: each alone" }.into(),
+            if self.operator.shared_admission { "all routers as one" } else { "off: each alone" }.into(),
         );
         line(
             "fleet.budgets",
-            if self.operator.budgets { "of all routers" } else { "off: each alone" }.into(),
+            if self.operator.shared_retry_budget { "of all routers" } else { "off: each alone" }.into(),
         );
         line(
             "members.zone",
             self.operator.zone.clone().unwrap_or("off: all members are equally near".into()),
         );
-        line("members.sizes", if self.operator.sizes { "by the list's weight" } else { "off" }.into());
+        line(
+            "members.sizes",
+            if self.operator.weights_are_concurrency { "by the list's weight" } else { "off" }.into(),
+        );
         let Some(own) = self.operator.overload else {
             line("overload", "off: the router does not watch itself".into());
             return text;
@@ -277,11 +287,11 @@
         facts
             .deployment
             .endpoint_poll_interval
-            .get_or_insert(facts.drain_grace.unwrap_or(limits.told_within));
+            .get_or_insert(facts.drain_grace.unwrap_or(limits.notified_within));
         let allowance = ResourceLimits {
             cores,
             memory_bytes: usize::try_from(told.limits.memory_mb << 20).unwrap_or(usize::MAX),
-            buffer_bytes: limits.rings_of_clients,
+            buffer_bytes: limits.client_buffers_total_bytes,
             descriptors: sockets,
         };
         let fixed = Fixed { name, listen, settings: told.settings };
@@ -290,14 +300,14 @@
             discovery,
             fixed,
             seed,
-            known: told.known,
-            facts,
+            cached_endpoints: told.known,
+            settings: facts,
             limits,
-            allowance,
-            sockets_told: told.limits.sockets,
+            resource_limits: allowance,
+            configured_sockets: told.limits.sockets,
             operator,
             faulty: Faulty::Nowhere,
-            clock: Span::ZERO,
+            clock_offset: Span::ZERO,
         })
     }
 }
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -51,7 +51,7 @@
     if let Some(Command::Check) = cli.command {
         return match read {
             Ok(launch) => {
-                print!("{}", launch.told());
+                print!("{}", launch.summary());
                 ExitCode::SUCCESS
             }
             Err(fault) => {
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -46,58 +46,58 @@
 use tally::{Tally, count};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 #[derive(Debug)]
 pub enum Event {
     /// A client's connection, by an id from `next_id`.
-    Accepted(ConnId),
+    Accepted(ConnectionId),
     /// A connection that was asked for is up.
-    Connected(ConnId),
+    Connected(ConnectionId),
     /// So many bytes were read into what `room` gave; the last of them had waited so long to be read.
-    Received(ConnId, usize, Span),
+    Received(ConnectionId, usize, Span),
     /// There is more at its socket than one go reads; and, once that or a full ring was so, it was read to its end.
-    Unread(ConnId),
-    Drained(ConnId),
+    MoreToRead(ConnectionId),
+    Drained(ConnectionId),
     /// It was read once more for `CloseIfQuiet`; what it held was told before.
-    Quiet(ConnId),
+    ReadToEnd(ConnectionId),
     /// So many bytes of `outgoing` were written.
-    Written(ConnId, usize),
+    Written(ConnectionId, usize),
     /// It was ended by the other side, or never came up.
-    Closed(ConnId),
+    Closed(ConnectionId),
     /// There was no descriptor, or no memory, for one that was asked for.
-    Denied(ConnId),
+    ConnectDenied(ConnectionId),
     /// The socket takes no more of `outgoing` for now.
-    Stuck(ConnId),
+    WriteBlocked(ConnectionId),
     /// A look at the process, and what a turn of the loop took with so many sockets still to be looked at.
-    Looked(ResourceSample),
-    Worked(Span, usize),
+    ResourcesSampled(ResourceSample),
+    IterationWorked(Span, usize),
     /// The listener took all that waited, and is closed.
-    Deaf,
+    ListenerClosed,
     /// The process did not run for so long: what is read in this batch may have waited since.
     Stalled(Span),
     /// A datagram to this router from there.
-    Whispered(SocketAddr, Vec<u8>),
+    DatagramReceived(SocketAddr, Vec<u8>),
     /// What the router is told was read anew.
-    Told(Box<Launch>),
+    ConfigurationReloaded(Box<Launch>),
     Terminate,
     /// The batch of events is over, or the time that `wake` named has come.
-    Turn,
+    Tick,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    Connect(ConnId, SocketAddr),
+    Connect(ConnectionId, SocketAddr),
     /// There are bytes in `outgoing`.
-    Write(ConnId),
+    Write(ConnectionId),
     /// There is room again.
-    Read(ConnId),
-    Close(ConnId),
+    Read(ConnectionId),
+    Close(ConnectionId),
     /// Read it to its end, say `Quiet`, and close it at once where that asks for it.
-    CloseIfQuiet(ConnId),
+    CloseIfQuiet(ConnectionId),
     Accept(bool),
     /// There is something in `datagrams` for other routers.
-    Datagrams,
+    SendDatagrams,
     /// Take what waits at the listener, close it, and say `Deaf`.
     StopListening,
     Exit,
@@ -163,10 +163,10 @@
     carried: bool,
     discovery: SocketAddr,
     /// Its own ids, and the core's handles: nobody can choose them so that they collide.
-    conns: FxHashMap<ConnId, Conn>,
+    conns: FxHashMap<ConnectionId, Conn>,
     last_id: u64,
     /// When connections are looked at for their deadlines.
-    looks: BTreeSet<(Time, ConnId)>,
+    looks: BTreeSet<(Time, ConnectionId)>,
     calls: FxHashMap<RpcId, Call>,
     members: Vec<Member>,
     names: NameIndex,
@@ -186,39 +186,39 @@
     /// When the list here, or a later one, was told last; and whether what discovery told after that is older.
     told_at: Time,
     older: bool,
-    watch: Option<ConnId>,
+    watch: Option<ConnectionId>,
     /// When it was asked for.
     asked_at: Time,
     /// A call without an answer so far, beside which the next has been made, or is about to be.
-    late_watch: Option<ConnId>,
+    late_watch: Option<ConnectionId>,
     /// The watch of the address that discovery had before: it serves until the new one has answered.
-    old_watch: Option<ConnId>,
+    old_watch: Option<ConnectionId>,
     /// Discovery has another address, which has not answered yet.
     moved_watch: bool,
     fixed: Fixed,
     clients: usize,
     links: usize,
     /// Clients that are waited for: by `Waiting`, the longest first.
-    waiting: [BTreeSet<(Time, ConnId)>; 3],
+    waiting: [BTreeSet<(Time, ConnectionId)>; 3],
     /// Clients that are to go, unless something of theirs is still found at the socket.
-    parting: Vec<(ConnId, Option<(Waiting, Time)>)>,
+    parting: Vec<(ConnectionId, Option<(Waiting, Time)>)>,
     accepting: bool,
     /// Connections that were denied, for which a client makes place; the watch, if nothing could.
-    denied: Vec<ConnId>,
-    denied_watch: Option<ConnId>,
+    denied: Vec<ConnectionId>,
+    denied_watch: Option<ConnectionId>,
     /// Memory of all rings.
     rings: usize,
     /// Connections that could not read for want of memory.
-    starved: BTreeSet<ConnId>,
+    starved: BTreeSet<ConnectionId>,
     /// Clients with something to be looked at.
-    ready: VecDeque<ConnId>,
+    ready: VecDeque<ConnectionId>,
     stopping: Option<Time>,
     deaf: bool,
     /// How long what is read now may have waited.
     behind: Span,
     core_wake: Option<Time>,
     /// Clients with more to be looked at than one look allows, or behind what was just answered: the next turn's.
-    again: Vec<ConnId>,
+    again: Vec<ConnectionId>,
     /// Bytes in the rings of clients that were not looked at, or whose RPC is under way.
     unlooked: usize,
     /// None: the router does not watch itself.
@@ -234,8 +234,8 @@
 impl Reducer {
     pub fn start(now: Time, launch: Launch) -> Reducer {
         let peers = Peers::new(now, &launch).map(Box::new);
-        let facts = launch.facts;
-        let own = Own::new(now, &launch.operator, launch.allowance, facts.deployment.methods.len());
+        let facts = launch.settings;
+        let own = Own::new(now, &launch.operator, launch.resource_limits, facts.deployment.methods.len());
         let mut zones = NameIndex::default();
         zones.intern(launch.operator.zone.as_deref().unwrap_or_default());
         let is_bounded = |method: &Method| {
@@ -273,7 +273,7 @@
             names: NameIndex::default(),
             kinds: NameIndex::default(),
             zoned: launch.operator.zone.is_some(),
-            sizes: launch.operator.sizes,
+            sizes: launch.operator.weights_are_concurrency,
             zones,
             circle: GossipCodec::new(Time::default(), launch.operator.zone.as_deref().unwrap_or_default()),
             peers,
@@ -312,36 +312,37 @@
             tally: Tally { told_at: now, ..Tally::default() },
         };
         reducer.router.set_clock_difference(reducer.reference_clock.difference(now));
-        if let Err(fault) = reducer.listed(now, &launch.known, true, false) {
+        if let Err(fault) = reducer.listed(now, &launch.cached_endpoints, true, false) {
             tracing::warn!("known: {fault}; started without a list");
         }
         reducer
     }
 
     /// An id for a connection that is about to be accepted.
-    pub fn next_id(&mut self) -> ConnId {
+    pub fn next_id(&mut self) -> ConnectionId {
         self.last_id += 1;
-        ConnId(self.last_id)
+        ConnectionId(self.last_id)
     }
 
     /// Where the next bytes of a connection may be read to; empty where it must wait.
-    pub fn room(&mut self, id: ConnId) -> &mut [u8] {
+    pub fn read_buffer(&mut self, id: ConnectionId) -> &mut [u8] {
         let Some(conn) = self.conns.get_mut(&id) else { return &mut [] };
         let limits = &self.limits;
         let bound = match conn.peer {
             Peer::Client(ref client) if conn.closing || client.resting => 0,
-            Peer::Client(_) => limits.client_ring,
-            Peer::Member(_) => limits.member_ring,
-            Peer::Discovery(_) => limits.discovery_ring,
+            Peer::Client(_) => limits.client_buffer_bytes,
+            Peer::Member(_) => limits.member_buffer_bytes,
+            Peer::Discovery(_) => limits.discovery_buffer_bytes,
         };
         // Where memory is short, statements wait before answers do; either way their time goes on.
         let memory = match conn.peer {
-            Peer::Client(_) => limits.rings_of_clients,
-            _ => limits.rings_together,
+            Peer::Client(_) => limits.client_buffers_total_bytes,
+            _ => limits.all_buffers_total_bytes,
         };
-        let grown = conn.input.len() == conn.input.capacity() && conn.input.len() >= limits.ring_start;
+        let grown =
+            conn.input.len() == conn.input.capacity() && conn.input.len() >= limits.buffer_initial_bytes;
         let short = grown && self.rings >= memory;
-        conn.paused = short || conn.input.spare(limits.ring_start, bound).is_empty();
+        conn.paused = short || conn.input.spare(limits.buffer_initial_bytes, bound).is_empty();
         if short {
             self.starved.insert(id);
         }
@@ -364,12 +365,12 @@
     }
 
     /// What is to be written on a connection next.
-    pub fn outgoing(&self, id: ConnId) -> &[u8] {
+    pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
         self.conns.get(&id).map_or(&[], |conn| conn.output.front())
     }
 
     /// Members that it keeps in mind.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
@@ -379,12 +380,12 @@
     }
 
     /// The newest proven position of a member, by its id, and whether it is known as a primary.
-    pub fn knows_of(&self, id: &str) -> Option<(Time, bool)> {
+    pub fn known_position(&self, id: &str) -> Option<(Time, bool)> {
         self.router.known_position(MemberId(self.names.get(id)?))
     }
 
     /// Call-outs that are out, and connections that carry one or come up for one: as many at all times.
-    pub fn carrying(&self) -> (usize, usize) {
+    pub fn attempts_in_flight(&self) -> (usize, usize) {
         let carries = |conn: &&Conn| match &conn.peer {
             Peer::Member(link) => matches!(link.job, Some(Job::Call(_))),
             _ => false,
@@ -394,49 +395,50 @@
     }
 
     /// Call-outs that members answered well since the log told of them last, and the time that these took there.
-    pub fn answers(&self) -> (u32, Span) {
+    pub fn answered_attempts(&self) -> (u32, Span) {
         (self.tally.ended[AttemptOutcome::Ok as usize], self.tally.answer_time)
     }
 
     /// Is there room for a further client?
-    pub fn accepts(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.accepting
     }
 
     /// When `Turn` is due at the latest.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn wake_at(&self) -> Option<Time> {
         let first = self.looks.first().map(|&(at, _)| at);
-        let deaf_at = self.stopping.filter(|_| !self.deaf).map(|since| since + self.limits.still_accepting);
+        let deaf_at =
+            self.stopping.filter(|_| !self.deaf).map(|since| since + self.limits.shutdown_accept_time);
         let at_once = !self.parting.is_empty()
             || !self.denied.is_empty()
             || !self.again.is_empty()
             || !self.ready.is_empty();
         let parting = at_once.then_some(Time::NEVER);
-        let spans = self.limits.client_waits.iter();
+        let spans = self.limits.eviction_ages.iter();
         let longest = self.waiting.iter().zip(spans).filter_map(|(set, &span)| Some(set.first()?.0 + span));
-        let place = longest.min().filter(|_| self.clients > self.limits.clients_eased);
+        let place = longest.min().filter(|_| self.clients > self.limits.clients_before_eviction);
         let peers = self.peers.as_ref().map(|peers| peers.wake());
         [first, self.core_wake, deaf_at, parting, place, peers].into_iter().flatten().min()
     }
 
-    pub fn apply(&mut self, now: Time, event: Event) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         match event {
             Event::Accepted(id) => self.accepted(now, id),
             Event::Connected(id) => self.connected(id),
             Event::Received(id, count, waited) => self.received(now, id, count, waited),
-            Event::Unread(id) => self.unread(id),
+            Event::MoreToRead(id) => self.unread(id),
             Event::Drained(id) => self.drained(now, id),
-            Event::Quiet(id) => self.quiet(now, id),
+            Event::ReadToEnd(id) => self.quiet(now, id),
             Event::Written(id, count) => self.written(now, id, count),
             Event::Closed(id) => self.closed(now, id),
-            Event::Denied(id) => self.denied(now, id),
-            Event::Stuck(id) => {
+            Event::ConnectDenied(id) => self.denied(now, id),
+            Event::WriteBlocked(id) => {
                 self.link_is_stuck(id);
                 self.stuck(now, id);
             }
-            Event::Looked(sample) => self.looked(now, sample),
-            Event::Worked(busy, waiting) => self.worked(now, busy, waiting),
-            Event::Deaf => self.deaf = true,
+            Event::ResourcesSampled(sample) => self.looked(now, sample),
+            Event::IterationWorked(busy, waiting) => self.worked(now, busy, waiting),
+            Event::ListenerClosed => self.deaf = true,
             Event::Stalled(span) => {
                 if let Some(own) = &mut self.own {
                     own.governor.record_stall(now);
@@ -444,10 +446,10 @@
                 tracing::warn!("stalled for {:.0} ms", span.secs() * 1e3);
                 self.behind = span;
             }
-            Event::Whispered(from, bytes) => self.whispered(now, from, &bytes),
-            Event::Told(launch) => self.told(now, *launch),
+            Event::DatagramReceived(from, bytes) => self.whispered(now, from, &bytes),
+            Event::ConfigurationReloaded(launch) => self.told(now, *launch),
             Event::Terminate => self.terminate(now),
-            Event::Turn => {
+            Event::Tick => {
                 self.turn(now);
                 self.behind = Span::ZERO;
             }
@@ -510,14 +512,14 @@
                 self.ready.push_back(id);
             }
         }
-        if now - self.tally.told_at >= self.limits.tally {
+        if now - self.tally.told_at >= self.limits.stats_interval {
             self.tell_tally(now);
         }
     }
 
     // ---- connections of any kind
 
-    fn open(&mut self, id: ConnId, deadline: Option<Time>, peer: Peer) {
+    fn open(&mut self, id: ConnectionId, deadline: Option<Time>, peer: Peer) {
         let conn = Conn {
             input: Buffer::default(),
             output: Buffer::default(),
@@ -535,7 +537,7 @@
         self.set_deadline(id, deadline);
     }
 
-    fn set_deadline(&mut self, id: ConnId, deadline: Option<Time>) {
+    fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Time>) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if conn.deadline == deadline {
             return;
@@ -550,7 +552,7 @@
         self.looks.insert((at, id));
     }
 
-    fn connected(&mut self, id: ConnId) {
+    fn connected(&mut self, id: ConnectionId) {
         let Some(conn) = self.conns.get(&id) else { return };
         let mut out = Vec::new();
         match &conn.peer {
@@ -567,15 +569,15 @@
     }
 
     /// Puts bytes on a connection's way out.
-    fn write(&mut self, id: ConnId, bytes: &[u8]) {
+    fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.output.push(bytes, self.limits.ring_start, usize::MAX);
+        conn.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
         self.effects.push(Effect::Write(id));
         self.recount(id);
     }
 
     /// Forgets a connection; nothing is told to anyone but the core's front.
-    fn drop_conn(&mut self, id: ConnId) {
+    fn drop_conn(&mut self, id: ConnectionId) {
         self.wait_for(id, None);
         let Some(conn) = self.conns.remove(&id) else { return };
         if let Some(at) = conn.looked_at {
@@ -611,7 +613,7 @@
     }
 
     /// The rings of a connection may have grown or shrunk.
-    fn recount(&mut self, id: ConnId) {
+    fn recount(&mut self, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let held = conn.input.capacity() + conn.output.capacity();
         let before = std::mem::replace(&mut conn.held, held);
@@ -624,12 +626,12 @@
     /// Memory of rings came free.
     fn give_back(&mut self, bytes: usize) {
         self.rings = self.rings.saturating_sub(bytes);
-        if bytes > 0 && self.rings < self.limits.rings_of_clients {
+        if bytes > 0 && self.rings < self.limits.client_buffers_total_bytes {
             self.effects.extend(std::mem::take(&mut self.starved).into_iter().map(Effect::Read));
         }
     }
 
-    fn received(&mut self, now: Time, id: ConnId, count: usize, waited: Span) {
+    fn received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.input.filled(count);
         let paused = std::mem::take(&mut conn.waited_for_room);
@@ -638,7 +640,7 @@
                 self.unlooked += count;
                 self.parting.retain(|&(parting, _)| parting != id);
                 // Its kernel had kept something back, and may have more.
-                let refill = now + self.limits.refill;
+                let refill = now + self.limits.refill_quiet_time;
                 client.refill = client.refill.map(|until| if now < until { refill } else { until });
                 // What waited for room of its own tells nothing of this router's pace.
                 client.came(if paused { now } else { now - waited.max(self.behind) }, count);
@@ -655,8 +657,8 @@
         }
     }
 
-    fn written(&mut self, now: Time, id: ConnId, count: usize) {
-        let start = self.limits.ring_start;
+    fn written(&mut self, now: Time, id: ConnectionId, count: usize) {
+        let start = self.limits.buffer_initial_bytes;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.output.consume(count);
         conn.output.shrink(start);
@@ -688,7 +690,7 @@
         }
     }
 
-    fn closed(&mut self, now: Time, id: ConnId) {
+    fn closed(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get(&id) else { return };
         match &conn.peer {
             Peer::Client(_) => self.client_gone(now, id),
@@ -706,8 +708,8 @@
 
     /// Guards the call to discovery, probes and call-outs against clients that fill the descriptors: one that
     /// rests makes place, or an idle link. Guards members against blame for what this router is short of.
-    fn denied(&mut self, now: Time, id: ConnId) {
-        let most = self.limits.denials;
+    fn denied(&mut self, now: Time, id: ConnectionId) {
+        let most = self.limits.evictions_per_denial;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.denials = conn.denials.saturating_add(1);
         if conn.denials <= most && self.make_room(now) {
@@ -717,7 +719,7 @@
             Some(Peer::Member(_)) => self.link_over(now, id, AttemptOutcome::NeverSent),
             Some(Peer::Discovery(_)) => {
                 self.denied_watch = Some(id);
-                self.set_deadline(id, Some(now + self.limits.denied_rest));
+                self.set_deadline(id, Some(now + self.limits.denied_connect_backoff));
             }
             _ => self.closed(now, id),
         }
@@ -755,14 +757,14 @@
     fn mind_the_door(&mut self) {
         let rests = |member: &Member| !member.idle.is_empty();
         let room = self.clients + self.links < self.limits.connections || self.members.iter().any(rests);
-        let wanted = room && self.clients < self.limits.clients_most;
+        let wanted = room && self.clients < self.limits.clients_accepted;
         if wanted != self.accepting {
             self.accepting = wanted;
             self.effects.push(Effect::Accept(wanted));
         }
     }
 
-    fn expired(&mut self, now: Time, id: ConnId) {
+    fn expired(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get(&id) else { return };
         match &conn.peer {
             Peer::Client(client) => match client.phase {
@@ -779,9 +781,9 @@
                 _ if self.starved.contains(&id) => self.pass_over(now, id),
                 // Memory came free while it waited for that: it has the time of any other.
                 _ if let Some((Waiting::Begun, since)) = client.waiting
-                    && now < since + self.limits.message =>
+                    && now < since + self.limits.message_timeout =>
                 {
-                    self.set_deadline(id, Some(since + self.limits.message));
+                    self.set_deadline(id, Some(since + self.limits.message_timeout));
                 }
                 _ if client.waiting.is_some() => self.part_with(id),
                 _ => self.drop_conn(id),
@@ -803,7 +805,7 @@
                 if let Some(conn) = self.conns.get_mut(&id) {
                     conn.denials = 0;
                 }
-                self.set_deadline(id, Some(now + self.limits.watch_answer));
+                self.set_deadline(id, Some(now + self.limits.watch_answer_timeout));
                 self.effects.push(Effect::Connect(id, self.discovery));
             }
             Peer::Discovery(_) => self.watch_is_silent(now, id),
@@ -826,20 +828,21 @@
         // One just answered is likely to write again, which would cross the close: it is served, or rests first.
         let [.., idle] = &self.waiting;
         for (since, id) in idle.clone() {
-            self.set_deadline(id, Some(since + self.limits.stopping_rest));
+            self.set_deadline(id, Some(since + self.limits.shutdown_idle_time));
         }
     }
 
     fn keep_stopping(&mut self, now: Time, since: Time) {
-        if !self.deaf && now - since >= self.limits.still_accepting {
+        if !self.deaf && now - since >= self.limits.shutdown_accept_time {
             self.effects.push(Effect::StopListening);
         }
         // Guards what is owed to clients with more time than that: only who is owed nothing is closed. Who is in the middle
         // of a message has its time to end it, and is told no.
         if self.is_ending(now) {
             let [opening, _, idle] = &self.waiting;
-            let nothing_sent = |id: &ConnId| self.conns.get(id).is_some_and(|conn| conn.input.is_empty());
-            let rest: Vec<ConnId> =
+            let nothing_sent =
+                |id: &ConnectionId| self.conns.get(id).is_some_and(|conn| conn.input.is_empty());
+            let rest: Vec<ConnectionId> =
                 opening.iter().chain(idle).map(|&(_, id)| id).filter(nothing_sent).collect();
             rest.into_iter().for_each(|id| self.part_with(id));
         }
@@ -847,7 +850,7 @@
 
     /// It has been stopping for so long that nothing new is begun.
     fn is_ending(&self, now: Time) -> bool {
-        self.stopping.is_some_and(|since| now - since >= self.limits.still_accepting)
+        self.stopping.is_some_and(|since| now - since >= self.limits.shutdown_accept_time)
     }
 }
 
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/calls.rs
@@ -11,7 +11,7 @@
 
 /// An RPC that was taken and is unanswered, or has a call-out out.
 pub(super) struct Call {
-    pub(super) client: Option<ConnId>,
+    pub(super) client: Option<ConnectionId>,
     /// Since when it is with the core and the members; what of that the router itself kept waiting.
     pub(super) taken: Time,
     pub(super) own: Span,
@@ -31,7 +31,7 @@
     pub(super) paid: bool,
     /// Where `d` stands in its statement.
     pub(super) wait_at: std::ops::Range<usize>,
-    pub(super) out: Option<ConnId>,
+    pub(super) out: Option<ConnectionId>,
     /// An attempt of it may have run without a good answer.
     pub(super) may_have_run: bool,
     /// Its client has asked to cancel it: nothing is begun for it any more.
@@ -47,7 +47,7 @@
 
 /// Has its client sent more than can be read? Its end may stand behind that. Guards members against attempts, first or
 /// further, for one that has left unseen; harms one that stays and sends so much ahead.
-fn is_unseen(conns: &FxHashMap<ConnId, Conn>, client: Option<ConnId>) -> bool {
+fn is_unseen(conns: &FxHashMap<ConnectionId, Conn>, client: Option<ConnectionId>) -> bool {
     client.and_then(|client| conns.get(&client)).is_some_and(|conn| conn.paused)
 }
 
@@ -75,7 +75,7 @@
         if let (true, Some(peers)) = (first, &mut self.peers) {
             peers.first(call.group);
         }
-        let until = call.due - self.limits.answer;
+        let until = call.due - self.limits.answer_margin;
         let unseen = is_unseen(&self.conns, call.client);
         let until = limit.map_or(until, |limit| until.min(now + limit));
         let job = Job::Call(rpc);
@@ -100,7 +100,7 @@
         self.reference_clock.record_position(now, position);
         let difference = self.reference_clock.difference(now);
         self.router.set_clock_difference(difference);
-        Some(position).filter(|&position| position <= now + difference.behind + self.limits.ahead)
+        Some(position).filter(|&position| position <= now + difference.behind + self.limits.max_clock_lead)
     }
 
     pub(super) fn job_ended(
@@ -168,7 +168,7 @@
     }
 
     /// Hands the answer at the front of a member's connection to the client that waits for it.
-    pub(super) fn pass_on(&mut self, now: Time, id: ConnId, rpc: RpcId) {
+    pub(super) fn pass_on(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
         let Some(call) = self.calls.get_mut(&rpc) else { return };
         let (Some(client), method, group) = (call.client.take(), call.method, call.group) else { return };
         let kept = now - call.taken - call.own;
@@ -179,20 +179,20 @@
         }
         state.with_members += kept;
         let mut rest = from.input.whole();
-        while let Ok(Some((kind, _, length))) = pg::frame(rest, self.limits.member_ring) {
+        while let Ok(Some((kind, _, length))) = pg::frame(rest, self.limits.member_buffer_bytes) {
             let (frame, later) = rest.split_at(length);
             if matches!(kind, b'T' | b'D' | b'C') {
-                to.output.push(frame, self.limits.ring_start, usize::MAX);
+                to.output.push(frame, self.limits.buffer_initial_bytes, usize::MAX);
             }
             rest = later;
             if kind == b'Z' {
                 break;
             }
         }
-        to.output.push(pg::READY, self.limits.ring_start, usize::MAX);
+        to.output.push(pg::READY, self.limits.buffer_initial_bytes, usize::MAX);
         if self.faulty.is(Faulty::AnswersTwice) {
             let whole: Vec<u8> = to.output.whole().to_vec();
-            to.output.push(&whole, self.limits.ring_start, usize::MAX);
+            to.output.push(&whole, self.limits.buffer_initial_bytes, usize::MAX);
         }
         if let Some(peers) = &mut self.peers {
             peers.served(group);
@@ -210,7 +210,7 @@
     }
 
     /// The client's statement is done with; what it sent behind it is next.
-    pub(super) fn answered(&mut self, id: ConnId) {
+    pub(super) fn answered(&mut self, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         if let Peer::Client(client) = &mut conn.peer {
             client.phase = Phase::Idle;
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -114,19 +114,19 @@
 pub(super) struct Keys(std::collections::hash_map::RandomState);
 
 impl Keys {
-    pub(super) fn secret(&self, id: ConnId) -> u32 {
+    pub(super) fn secret(&self, id: ConnectionId) -> u32 {
         (std::hash::BuildHasher::hash_one(&self.0, id.0) >> 32) as u32
     }
 
     /// Guards the keys against who tries them bit by bit: takes the same time wherever they differ.
-    fn fits(&self, id: ConnId, secret: u32) -> bool {
+    fn fits(&self, id: ConnectionId, secret: u32) -> bool {
         let differs = std::hint::black_box(self.secret(id) ^ secret);
         differs == 0
     }
 }
 
 /// By which a client names its connection.
-fn process(id: ConnId) -> u32 {
+fn process(id: ConnectionId) -> u32 {
     id.0 as u32
 }
 
@@ -134,7 +134,7 @@
 const STEP: i64 = 128_000_000;
 
 impl Reducer {
-    pub(super) fn accepted(&mut self, now: Time, id: ConnId) {
+    pub(super) fn accepted(&mut self, now: Time, id: ConnectionId) {
         self.clients += 1;
         let client = Client {
             phase: Phase::Opening,
@@ -153,7 +153,7 @@
             marks: VecDeque::new(),
             with_members: Span::ZERO,
         };
-        self.open(id, Some(now + self.limits.message), Peer::Client(client));
+        self.open(id, Some(now + self.limits.message_timeout), Peer::Client(client));
         self.wait_for(id, Some((Waiting::Opening, now)));
         self.make_place(now);
         // Guards newcomers against links that merely rest.
@@ -162,8 +162,8 @@
         {
             self.drop_conn(link);
         }
-        let full =
-            self.clients >= self.limits.clients_most || self.clients + self.links >= self.limits.connections;
+        let full = self.clients >= self.limits.clients_accepted
+            || self.clients + self.links >= self.limits.connections;
         if self.accepting && full {
             self.mind_the_door();
         }
@@ -171,16 +171,16 @@
 
     /// The client that is owed nothing and is to make place first; of those that have had their time, where
     /// it counts.
-    pub(super) fn rested(&self, now: Option<Time>) -> Option<ConnId> {
-        let sets = self.waiting.iter().zip(self.limits.client_waits);
-        let first = |(set, span): (&BTreeSet<(Time, ConnId)>, Span)| {
+    pub(super) fn rested(&self, now: Option<Time>) -> Option<ConnectionId> {
+        let sets = self.waiting.iter().zip(self.limits.eviction_ages);
+        let first = |(set, span): (&BTreeSet<(Time, ConnectionId)>, Span)| {
             let &(since, id) = set.first()?;
             now.is_none_or(|now| now - since >= span).then_some(id)
         };
         sets.filter_map(|(set, span)| first((set, span))).next()
     }
 
-    pub(super) fn wait_for(&mut self, id: ConnId, what: Option<(Waiting, Time)>) {
+    pub(super) fn wait_for(&mut self, id: ConnectionId, what: Option<(Waiting, Time)>) {
         let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) else { return };
         if let Some((before, since)) = std::mem::replace(&mut client.waiting, what) {
             self.waiting[before as usize].remove(&(since, id));
@@ -195,9 +195,9 @@
     /// not go: its client is likely to write again, which would cross the close.
     pub(super) fn make_place(&mut self, now: Time) {
         for nth in 0..self.waiting.len() {
-            while self.clients > self.limits.clients_eased + self.parting.len()
+            while self.clients > self.limits.clients_before_eviction + self.parting.len()
                 && let Some(&(since, id)) = self.waiting[nth].first()
-                && now - since >= self.limits.client_waits[nth]
+                && now - since >= self.limits.eviction_ages[nth]
             {
                 self.part_with(id);
             }
@@ -213,7 +213,7 @@
 
     /// Closes a client's connection soon. Guards against closing on a query that has come already and was not read yet:
     /// the socket is read now, and once more right before it is closed.
-    pub(super) fn part_with(&mut self, id: ConnId) {
+    pub(super) fn part_with(&mut self, id: ConnectionId) {
         let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get(&id) else { return };
         if let Some((what, since)) = client.waiting {
             self.waiting[what as usize].remove(&(since, id));
@@ -229,7 +229,7 @@
     }
 
     /// Nothing came of the last look at a socket, or else it would not be parted with any more.
-    pub(super) fn quiet(&mut self, now: Time, id: ConnId) {
+    pub(super) fn quiet(&mut self, now: Time, id: ConnectionId) {
         let Some(at) = self.parting.iter().position(|&(parting, _)| parting == id) else { return };
         let Some(conn) = self.conns.get(&id) else { return };
         // A read that failed for a moment is made again, and with it this look.
@@ -245,7 +245,7 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Time, id: ConnId) {
+    pub(super) fn client_gone(&mut self, now: Time, id: ConnectionId) {
         let phase = match self.conns.get(&id).map(|conn| &conn.peer) {
             Some(Peer::Client(client)) => client.phase,
             _ => return,
@@ -270,7 +270,7 @@
     fn cancel(&mut self, now: Time, wanted: u32, secret: u32) {
         // The newest connection with this process id: those before it are long over.
         let (last, id) = (self.last_id, u64::from(wanted) | self.last_id & !u64::from(u32::MAX));
-        let id = ConnId(if id > last { id.wrapping_sub(1 << 32) } else { id });
+        let id = ConnectionId(if id > last { id.wrapping_sub(1 << 32) } else { id });
         let fits = self.keys.fits(id, secret);
         let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get(&id).filter(|_| fits) else {
             return;
@@ -291,14 +291,14 @@
         }
     }
 
-    pub(super) fn unread(&mut self, id: ConnId) {
+    pub(super) fn unread(&mut self, id: ConnectionId) {
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.unread = true;
         }
     }
 
-    pub(super) fn drained(&mut self, now: Time, id: ConnId) {
-        let refill = now + self.limits.refill;
+    pub(super) fn drained(&mut self, now: Time, id: ConnectionId) {
+        let refill = now + self.limits.refill_quiet_time;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.paused = false;
         if !std::mem::take(&mut conn.unread) {
@@ -311,7 +311,7 @@
     }
 
     /// Its socket stayed empty: nothing stands behind what was read.
-    pub(super) fn refilled(&mut self, now: Time, id: ConnId) {
+    pub(super) fn refilled(&mut self, now: Time, id: ConnectionId) {
         if let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) {
             client.refill = None;
         }
@@ -325,10 +325,10 @@
     }
 
     /// Reads what a client has sent, up to its next RPC.
-    pub(super) fn look_at_client(&mut self, now: Time, id: ConnId) {
+    pub(super) fn look_at_client(&mut self, now: Time, id: ConnectionId) {
         let ending = self.is_ending(now);
         // Guards the others against one that has sent hundreds of statements at once.
-        for _ in 0..self.limits.statements {
+        for _ in 0..self.limits.statements_per_iteration {
             let Some(conn) = self.conns.get_mut(&id) else { return };
             let Peer::Client(client) = &mut conn.peer else { return };
             if conn.closing
@@ -349,14 +349,14 @@
                 None => {}
             }
             // One that does not read its answers gets no more of them.
-            if conn.output.len() > self.limits.ring_start {
-                let deadline = conn.deadline.or(Some(now + self.limits.unread));
+            if conn.output.len() > self.limits.buffer_initial_bytes {
+                let deadline = conn.deadline.or(Some(now + self.limits.unread_answer_timeout));
                 return self.set_deadline(id, deadline);
             }
             let mut out = Vec::new();
             let (mut close, mut fault) = (false, None);
             let used = if client.phase == Phase::Opening {
-                match pg::opening(conn.input.whole(), self.limits.opening) {
+                match pg::opening(conn.input.whole(), self.limits.startup_message_bytes) {
                     Ok(None) => 0,
                     Ok(Some((pg::Opening::Encryption, length))) => {
                         out.push(b'N');
@@ -379,7 +379,7 @@
                     }
                 }
             } else {
-                let most = self.limits.statement;
+                let most = self.limits.statement_bytes;
                 match pg::head(conn.input.whole()) {
                     // Told by its head: to pass over all of it would be work for nothing.
                     Ok(Some((_, length))) if length > most => {
@@ -472,10 +472,10 @@
     }
 
     /// Bytes of a client's input are done with.
-    pub(super) fn used(&mut self, id: ConnId, count: usize) {
+    pub(super) fn used(&mut self, id: ConnectionId, count: usize) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.input.consume(count);
-        conn.input.shrink(self.limits.ring_start);
+        conn.input.shrink(self.limits.buffer_initial_bytes);
         if let Peer::Client(client) = &mut conn.peer {
             client.is_done_with(count);
             self.unlooked = self.unlooked.saturating_sub(count);
@@ -489,9 +489,9 @@
 
     /// Guards a statement that is whole at its socket, or will be, against waiting for memory past its client's time: none
     /// of it is kept, and it is pushed back once its last byte has come.
-    pub(super) fn pass_over(&mut self, now: Time, id: ConnId) {
+    pub(super) fn pass_over(&mut self, now: Time, id: ConnectionId) {
         self.starved.remove(&id);
-        let message = self.limits.message;
+        let message = self.limits.message_timeout;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let held = conn.input.len();
         let length = pg::head(conn.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
@@ -510,23 +510,23 @@
     }
 
     /// Closes once what it is owed is written, or not read for too long.
-    pub(super) fn close_client(&mut self, now: Time, id: ConnId) {
+    pub(super) fn close_client(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.closing = true;
         if conn.output.is_empty() {
             self.drop_conn(id);
         } else {
-            self.set_deadline(id, Some(now + self.limits.unread));
+            self.set_deadline(id, Some(now + self.limits.unread_answer_timeout));
         }
     }
 
     /// It has sent no whole message: idle, or in the middle of one.
-    pub(super) fn client_waits(&mut self, now: Time, id: ConnId) {
-        let (message, unread) = (self.limits.message, self.limits.unread);
-        let idle = self.limits.client_idle;
+    pub(super) fn client_waits(&mut self, now: Time, id: ConnectionId) {
+        let (message, unread) = (self.limits.message_timeout, self.limits.unread_answer_timeout);
+        let idle = self.limits.client_idle_timeout;
         let stopping = self.stopping.is_some();
         // Guards the stop against one that asks nothing over and over.
-        let over = self.stopping.is_some_and(|since| now - since >= self.limits.still_accepting);
+        let over = self.stopping.is_some_and(|since| now - since >= self.limits.shutdown_accept_time);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Client(client) = &mut conn.peer else { return };
         if client.phase == Phase::Opening {
@@ -540,7 +540,7 @@
             };
             self.wait_for(id, Some((Waiting::Begun, since)));
             let starved = self.starved.contains(&id);
-            let within = if starved { self.limits.memory_wait } else { message };
+            let within = if starved { self.limits.memory_wait_timeout } else { message };
             return self.set_deadline(id, Some(since + within));
         }
         let leaves = stopping && client.served;
@@ -554,9 +554,9 @@
             return self.close_client(now, id);
         }
         // Guards against connections kept open for good: an idle one is closed after a while, and holds no ring.
-        let idle = if stopping { self.limits.still_accepting } else { idle };
+        let idle = if stopping { self.limits.shutdown_accept_time } else { idle };
         // Where memory is short it holds no ring meanwhile.
-        if self.rings > self.limits.rings_of_clients / 4 {
+        if self.rings > self.limits.client_buffers_total_bytes / 4 {
             conn.input.shrink(0);
             conn.output.shrink(0);
             self.recount(id);
@@ -569,7 +569,7 @@
     }
 
     /// Takes the RPC whose statement, of this length, stands at the front of a client's input.
-    pub(super) fn take(&mut self, now: Time, id: ConnId, length: usize) {
+    pub(super) fn take(&mut self, now: Time, id: ConnectionId, length: usize) {
         let mut newcomer = false;
         self.wait_for(id, None);
         if let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) {
@@ -650,7 +650,7 @@
             // Told at once, so that it does not wait unanswered at the listener.
             return self.refuse(now, id, length, Refusal::Crowded);
         }
-        if self.calls.len() >= self.limits.most_held {
+        if self.calls.len() >= self.limits.rpcs_in_flight {
             self.tally.full += 1;
             return self.refuse(now, id, length, Refusal::Full);
         }
@@ -672,7 +672,7 @@
             return self.push_back_at_once(id, length, come_back);
         }
         self.ids.open.insert(name);
-        self.ids.add(now, name, due + self.limits.id_rest, self.limits.ids);
+        self.ids.add(now, name, due + self.limits.retired_id_ttl, self.limits.retired_ids);
         client.phase = Phase::Busy(rpc);
         let (method, group) = (arrival.method, arrival.group);
         let span = tracing::debug_span!("rpc", method, due_ms = (due - now).secs() * 1e3);
@@ -698,12 +698,12 @@
                 span,
             },
         );
-        self.set_deadline(id, Some(due - self.limits.answer * 0.5));
+        self.set_deadline(id, Some(due - self.limits.answer_margin * 0.5));
         self.carry_out(now, rpc, decision);
     }
 
     /// Pushes back an RPC of which nothing is kept.
-    fn push_back_at_once(&mut self, id: ConnId, length: usize, come_back: Span) {
+    fn push_back_at_once(&mut self, id: ConnectionId, length: usize, come_back: Span) {
         let mut out = std::mem::take(&mut self.scratch);
         out.clear();
         pg::put_refusal(&mut out, "53300", OVERLOADED, after(come_back));
@@ -713,7 +713,7 @@
     }
 
     /// Pushes back a statement that is not taken as an RPC, and names a time to come back.
-    fn refuse(&mut self, now: Time, id: ConnId, length: usize, refusal: Refusal) {
+    fn refuse(&mut self, now: Time, id: ConnectionId, length: usize, refusal: Refusal) {
         let (fatal, code, text) = match refusal {
             Refusal::Stopping => (false, "57P03", "the router stops"),
             Refusal::SentAhead => (false, "53300", "too much is sent ahead"),
@@ -726,7 +726,7 @@
     }
 
     /// Answers a statement that is not taken as an RPC; a fatal answer closes in step.
-    fn answer_error(&mut self, now: Time, id: ConnId, length: usize, answer: ErrorAnswer<'_>) {
+    fn answer_error(&mut self, now: Time, id: ConnectionId, length: usize, answer: ErrorAnswer<'_>) {
         let ErrorAnswer { fatal, code, text, retry_after } = answer;
         let mut out = Vec::new();
         if fatal {
@@ -743,12 +743,12 @@
 
     /// A statement with a fault of its own. Guards the time of the others against one that sends faults as fast as
     /// they are answered: each is told at once, what it sends next is read later, and after some it is closed.
-    pub(super) fn turn_away(&mut self, now: Time, id: ConnId, length: usize, code: &str, text: &str) {
+    pub(super) fn turn_away(&mut self, now: Time, id: ConnectionId, length: usize, code: &str, text: &str) {
         let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) else { return };
         client.faults += 1;
-        let last = client.faults > self.limits.faults;
+        let last = client.faults > self.limits.client_errors;
         client.resting = !last;
-        let rest = self.limits.fault_rest * f64::from(1u32 << (client.faults - 1).min(8));
+        let rest = self.limits.client_error_backoff * f64::from(1u32 << (client.faults - 1).min(8));
         self.tally.faults += 1;
         self.answer_error(now, id, length, ErrorAnswer { fatal: last, code, text, retry_after: None });
         if !last {
@@ -758,7 +758,7 @@
     }
 
     /// It has rested after a fault.
-    pub(super) fn read_on(&mut self, now: Time, id: ConnId) {
+    pub(super) fn read_on(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Client(client) = &mut conn.peer else { return };
         client.resting = false;
--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -58,9 +58,9 @@
 pub(super) struct Member {
     pub(super) address: SocketAddr,
     /// Connections that can take a job, the one used last at the end.
-    pub(super) idle: Vec<ConnId>,
+    pub(super) idle: Vec<ConnectionId>,
     /// Connections that are coming up for an RPC.
-    pub(super) coming: VecDeque<ConnId>,
+    pub(super) coming: VecDeque<ConnectionId>,
     /// All its connections.
     pub(super) links: usize,
     /// The core knows it no more: once its last connection is over its index serves another.
@@ -69,7 +69,7 @@
 
 impl Reducer {
     /// Gives a job to a connection of a member, one that is up or one that is to come; None if there can be none.
-    pub(super) fn reach(&mut self, now: Time, index: usize, job: Job, until: Time) -> Option<ConnId> {
+    pub(super) fn reach(&mut self, now: Time, index: usize, job: Job, until: Time) -> Option<ConnectionId> {
         let member = self.members.get_mut(index)?;
         if let Some(id) = member.idle.pop() {
             self.give(now, id, job, until);
@@ -80,7 +80,7 @@
         if self.links >= self.limits.connections.saturating_sub(self.clients) {
             if let Some(idle) = self.longest_idle() {
                 self.drop_conn(idle);
-            } else if self.clients + self.links < self.limits.connections + self.limits.leaving
+            } else if self.clients + self.links < self.limits.connections + self.limits.evicting_clients
                 && let Some(client) = self.rested(Some(now))
             {
                 self.part_with(client);
@@ -94,7 +94,7 @@
             member.links += 1;
         }
         self.tally.connects += 1;
-        let connect_until = now + self.limits.connect;
+        let connect_until = now + self.limits.connect_timeout;
         let link = Link {
             member: index,
             up: false,
@@ -124,16 +124,16 @@
     }
 
     /// The idle connection that has rested longest; each pool has its own at its front.
-    pub(super) fn longest_idle(&self) -> Option<ConnId> {
+    pub(super) fn longest_idle(&self) -> Option<ConnectionId> {
         let first = self.members.iter().filter_map(|member| member.idle.first());
-        let since = |id: &&ConnId| match self.conns.get(id).map(|conn| &conn.peer) {
+        let since = |id: &&ConnectionId| match self.conns.get(id).map(|conn| &conn.peer) {
             Some(Peer::Member(link)) => link.idle_since,
             _ => Time::NEVER,
         };
         first.min_by_key(since).copied()
     }
 
-    pub(super) fn give(&mut self, begun: Time, id: ConnId, job: Job, until: Time) {
+    pub(super) fn give(&mut self, begun: Time, id: ConnectionId, job: Job, until: Time) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         (link.job, link.begun, link.until, link.own) = (Some(job), begun, until, Span::ZERO);
         let deadline = if link.up { until } else { until.min(link.connect_until) };
@@ -146,7 +146,7 @@
     }
 
     /// Writes the query of a connection's job.
-    pub(super) fn send(&mut self, now: Time, id: ConnId) {
+    pub(super) fn send(&mut self, now: Time, id: ConnectionId) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get(&id) else { return };
         let (job, until, waited) = (link.job, link.until, now - link.begun);
         let member = MemberId(link.member as u32);
@@ -162,7 +162,7 @@
                 // second effect: repeats that were dropped then may not be any more.
                 let repeats =
                     call.may_have_run && self.tokened.get(call.method as usize).copied().unwrap_or(false);
-                let late = (call.bounded || repeats) && waited > self.limits.sent_within;
+                let late = (call.bounded || repeats) && waited > self.limits.fresh_send_timeout;
                 if late && !self.router.may_still_attempt(now, rpc, member) {
                     return self.release(now, id, AttemptOutcome::DecisionExpired);
                 }
@@ -172,7 +172,7 @@
                 if client.paused {
                     return self.release(now, id, AttemptOutcome::NeverSent);
                 }
-                let frame = pg::frame(client.input.whole(), self.limits.statement);
+                let frame = pg::frame(client.input.whole(), self.limits.statement_bytes);
                 let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
                 let parts = statement
                     .and_then(|text| Some((text.get(..call.wait_at.start)?, text.get(call.wait_at.end..)?)));
@@ -200,7 +200,7 @@
     }
 
     /// The job of a connection has ended; the connection itself goes on.
-    pub(super) fn release(&mut self, now: Time, id: ConnId, ended: AttemptOutcome) {
+    pub(super) fn release(&mut self, now: Time, id: ConnectionId, ended: AttemptOutcome) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         let Some(job) = link.job.take() else { return };
         let (index, begun, answer) = (link.member, link.begun, std::mem::take(&mut link.answer));
@@ -219,7 +219,7 @@
 
     /// The socket takes no more of its query. Guards against a member that reads late: what it was to be told of the time
     /// that is left, and of data that are fresh enough, would not hold any more.
-    pub(super) fn link_is_stuck(&mut self, id: ConnId) {
+    pub(super) fn link_is_stuck(&mut self, id: ConnectionId) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get(&id) else { return };
         if !link.up || link.unwritten == 0 {
             return;
@@ -228,19 +228,19 @@
             Some(Job::Call(rpc)) => self.calls.get(&rpc).is_some_and(|call| call.bounded),
             _ => false,
         };
-        let within = if bounded { self.limits.sent_within } else { self.limits.written_within };
+        let within = if bounded { self.limits.fresh_send_timeout } else { self.limits.write_timeout };
         let deadline = link.until.min(link.asked + within);
         self.set_deadline(id, Some(deadline));
     }
 
     /// Its query is out whole: it may run.
-    pub(super) fn is_sent(&self, id: ConnId) -> bool {
+    pub(super) fn is_sent(&self, id: ConnectionId) -> bool {
         matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Member(link)) if link.up && link.unwritten == 0)
     }
 
     /// Nobody waits for the answer to a connection's job any more: what is not out whole is taken back. Guards members
     /// against RPCs whose clients have left. A part of a query makes the connection useless, and never runs.
-    pub(super) fn withdraw(&mut self, now: Time, id: ConnId) {
+    pub(super) fn withdraw(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Member(link) = &mut conn.peer else { return };
         match (link.up, link.unsent) {
@@ -261,13 +261,13 @@
         let off = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let off: FxHashSet<usize> = (0..self.members.len()).filter(off).collect();
         off.iter().for_each(|&index| self.let_go(index));
-        let waits = |(&id, conn): (&ConnId, &Conn)| match &conn.peer {
+        let waits = |(&id, conn): (&ConnectionId, &Conn)| match &conn.peer {
             Peer::Member(link) if off.contains(&link.member) && matches!(link.job, Some(Job::Call(_))) => {
                 Some(id).filter(|_| !link.up || link.unsent && link.unwritten > 0)
             }
             _ => None,
         };
-        let mut waiting: Vec<ConnId> = self.conns.iter().filter_map(waits).collect();
+        let mut waiting: Vec<ConnectionId> = self.conns.iter().filter_map(waits).collect();
         waiting.sort();
         for id in waiting {
             self.link_over(now, id, AttemptOutcome::Rejected);
@@ -275,8 +275,8 @@
     }
 
     /// A connection that is up and has no job: it takes one that waits, or rests in the pool.
-    pub(super) fn rest(&mut self, now: Time, id: ConnId) {
-        let idle = self.limits.idle;
+    pub(super) fn rest(&mut self, now: Time, id: ConnectionId) {
+        let idle = self.limits.member_idle_timeout;
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         link.idle_since = now;
         if link.spent {
@@ -299,7 +299,7 @@
     }
 
     /// A connection to a member is over, and its job with it.
-    pub(super) fn link_over(&mut self, now: Time, id: ConnId, ended: AttemptOutcome) {
+    pub(super) fn link_over(&mut self, now: Time, id: ConnectionId, ended: AttemptOutcome) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get_mut(&id) else { return };
         let (job, index, begun) = (link.job.take(), link.member, link.begun);
         let answer = std::mem::take(&mut link.answer);
@@ -310,7 +310,7 @@
         }
         self.drop_conn(id);
         // A client's short time tells nothing of the member.
-        if ended == AttemptOutcome::TimedOut && now - begun >= self.limits.connect {
+        if ended == AttemptOutcome::TimedOut && now - begun >= self.limits.connect_timeout {
             self.suspect(index, begun);
         }
         let outcome = answer.outcome(MemberId(index as u32), ended, now - begun);
@@ -323,17 +323,17 @@
     /// a machine that vanished leaves them open, and a write into one may never be answered.
     pub(super) fn suspect(&mut self, index: usize, since: Time) {
         let Some(member) = self.members.get(index) else { return };
-        let silent = |id: &&ConnId| match self.conns.get(id).map(|conn| &conn.peer) {
+        let silent = |id: &&ConnectionId| match self.conns.get(id).map(|conn| &conn.peer) {
             Some(Peer::Member(link)) => link.heard < since,
             _ => false,
         };
-        let silent: Vec<ConnId> = member.idle.iter().filter(silent).copied().collect();
+        let silent: Vec<ConnectionId> = member.idle.iter().filter(silent).copied().collect();
         for id in silent {
             self.drop_conn(id);
         }
     }
 
-    pub(super) fn is_up(&self, id: ConnId) -> bool {
+    pub(super) fn is_up(&self, id: ConnectionId) -> bool {
         matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Member(link)) if link.up)
     }
 
@@ -394,7 +394,7 @@
     }
 
     /// Reads what a member has sent: its welcome, or the answer to its job.
-    pub(super) fn look_at_link(&mut self, now: Time, id: ConnId) {
+    pub(super) fn look_at_link(&mut self, now: Time, id: ConnectionId) {
         loop {
             let Some(conn) = self.conns.get_mut(&id) else { return };
             let Peer::Member(link) = &mut conn.peer else { return };
@@ -407,13 +407,13 @@
                 && link.job.is_some()
                 && !std::mem::replace(&mut link.answering, true)
             {
-                let until = link.until.min(now + self.limits.rest_of_answer);
+                let until = link.until.min(now + self.limits.partial_answer_timeout);
                 self.set_deadline(id, Some(until));
                 continue;
             }
             let bytes = conn.input.whole();
             let rest = bytes.get(link.scanned..).unwrap_or_default();
-            let (kind, body, length) = match pg::frame(rest, self.limits.member_ring) {
+            let (kind, body, length) = match pg::frame(rest, self.limits.member_buffer_bytes) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return,
                 Err(_) if self.faulty.is(Faulty::TrustsLengths) && link.answer.described => {
@@ -438,7 +438,7 @@
                 (b'Z', false) if !link.up => {
                     link.up = true;
                     conn.input.consume(length);
-                    let begun = link.connect_until - self.limits.connect;
+                    let begun = link.connect_until - self.limits.connect_timeout;
                     self.tally.connect_time += now - begun;
                     self.came_up(now, id);
                     continue;
@@ -487,7 +487,7 @@
     }
 
     /// A message that has no place here closes that connection.
-    pub(super) fn malformed(&mut self, now: Time, id: ConnId) {
+    pub(super) fn malformed(&mut self, now: Time, id: ConnectionId) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get(&id) else { return };
         let name = self.names.name(link.member as u32);
         tracing::warn!(
@@ -503,7 +503,7 @@
         self.link_over(now, id, ended);
     }
 
-    pub(super) fn came_up(&mut self, now: Time, id: ConnId) {
+    pub(super) fn came_up(&mut self, now: Time, id: ConnectionId) {
         let Some(Conn { peer: Peer::Member(link), .. }) = self.conns.get(&id) else { return };
         if let Some(member) = self.members.get_mut(link.member) {
             member.coming.retain(|&other| other != id);
@@ -518,7 +518,7 @@
     }
 
     /// The member is ready again: the answer to its job is whole.
-    pub(super) fn answer_whole(&mut self, now: Time, id: ConnId) {
+    pub(super) fn answer_whole(&mut self, now: Time, id: ConnectionId) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Member(link) = &mut conn.peer else { return };
         let Some(job) = link.job.take() else { return };
@@ -541,7 +541,7 @@
             Job::Call(rpc) if ended == AttemptOutcome::Ok => self.pass_on(now, id, rpc),
             Job::Call(_) | Job::Fence => {}
             Job::Probe => {
-                report = read_report(conn.input.whole(), self.limits.member_ring, &self.columns);
+                report = read_report(conn.input.whole(), self.limits.member_buffer_bytes, &self.columns);
             }
         }
         if self.faulty.is(Faulty::IgnoresLag) {
@@ -549,7 +549,7 @@
         }
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.input.consume(used);
-            conn.input.shrink(self.limits.ring_start);
+            conn.input.shrink(self.limits.buffer_initial_bytes);
         }
         self.recount(id);
         let mut outcome = answer.outcome(MemberId(index as u32), ended, took);
@@ -561,13 +561,13 @@
         }
         match self.faulty.is(Faulty::ReusesUnquiet) {
             true => self.rest(now, id),
-            false => self.give(now, id, Job::Fence, now + self.limits.rest_of_answer),
+            false => self.give(now, id, Job::Fence, now + self.limits.partial_answer_timeout),
         }
         self.job_ended(now, job, outcome, report);
     }
 
     pub(super) fn probe(&mut self, now: Time, member: MemberId) {
-        let until = now + self.limits.probe;
+        let until = now + self.limits.health_check_timeout;
         match self.reach(now, member.0 as usize, Job::Probe, until) {
             Some(id) if self.is_up(id) => self.send(now, id),
             Some(_) => {}
--- a/crates/ladderpass/src/reducer/own.rs
+++ b/crates/ladderpass/src/reducer/own.rs
@@ -10,7 +10,7 @@
 pub(super) struct Own {
     pub(super) governor: Governor,
     /// Clients whose sockets take no more of their answers, and since when they took nothing.
-    slow: FxHashMap<ConnId, Time>,
+    slow: FxHashMap<ConnectionId, Time>,
     looked_at: Time,
     figures_every: Span,
     figures_at: Time,
@@ -28,7 +28,7 @@
             governor: Governor::new(now, settings, allowance, methods),
             slow: FxHashMap::default(),
             looked_at: now,
-            figures_every: operator.log.figures,
+            figures_every: operator.log.metrics_interval,
             figures_at: now,
         })
     }
@@ -36,13 +36,15 @@
 
 impl Reducer {
     /// When the process is to be looked at next; None where the router does not watch itself.
-    pub fn look_due(&self) -> Option<Time> {
+    pub fn next_sample_at(&self) -> Option<Time> {
         self.own.as_ref().map(|own| own.looked_at + own.governor.sample_interval())
     }
 
     /// How many connections to accept in one go.
-    pub fn accepts_now(&self) -> usize {
-        self.own.as_ref().map_or(self.limits.accepts, |own| own.governor.accept_budget(self.limits.accepts))
+    pub fn accept_budget(&self) -> usize {
+        self.own.as_ref().map_or(self.limits.accepts_per_event, |own| {
+            own.governor.accept_budget(self.limits.accepts_per_event)
+        })
     }
 
     /// Other settings of the operator hold from now on.
@@ -50,7 +52,7 @@
         match (&mut self.own, operator.overload) {
             (Some(own), Some(settings)) => {
                 own.governor.reconfigure(now, settings, allowance);
-                own.figures_every = operator.log.figures;
+                own.figures_every = operator.log.metrics_interval;
             }
             (None, Some(_)) => {
                 self.own = Own::new(now, operator, allowance, self.bounded.len()).map(Box::new);
@@ -112,7 +114,7 @@
     }
 
     /// The socket of a client takes no more for now.
-    pub(super) fn stuck(&mut self, now: Time, id: ConnId) {
+    pub(super) fn stuck(&mut self, now: Time, id: ConnectionId) {
         if let Some(Conn { peer: Peer::Client(_), .. }) = self.conns.get(&id)
             && let Some(own) = &mut self.own
         {
@@ -121,7 +123,7 @@
     }
 
     /// A client has taken something of what it is owed; `done`: all of it.
-    pub(super) fn took_some(&mut self, now: Time, id: ConnId, done: bool) {
+    pub(super) fn took_some(&mut self, now: Time, id: ConnectionId, done: bool) {
         let Some(own) = &mut self.own else { return };
         if own.slow.is_empty() {
             return;
@@ -145,7 +147,7 @@
         let conns = &self.conns;
         own.slow.retain(|id, _| conns.contains_key(id));
         let mut excess = self.rings.saturating_sub(own.governor.unpressured_buffer_bytes());
-        let mut largest: Vec<(usize, ConnId)> = Vec::new();
+        let mut largest: Vec<(usize, ConnectionId)> = Vec::new();
         if excess > 0 {
             let still = own.slow.iter().filter(|(_, since)| now - **since >= look);
             largest.extend(still.filter_map(|(id, _)| Some((conns.get(id)?.held, *id))));
@@ -156,13 +158,13 @@
             excess = excess.saturating_sub(*held);
             needed
         });
-        let crowding: FxHashSet<ConnId> = crowding.map(|(_, id)| id).collect();
-        let over = |id: &ConnId, since: Time| {
+        let crowding: FxHashSet<ConnectionId> = crowding.map(|(_, id)| id).collect();
+        let over = |id: &ConnectionId, since: Time| {
             now - since >= wait
                 || crowding.contains(id)
                 || conns.get(id).is_some_and(|conn| conn.output.len() > most)
         };
-        let gone: Vec<ConnId> =
+        let gone: Vec<ConnectionId> =
             own.slow.iter().filter(|(id, since)| over(id, **since)).map(|(&id, _)| id).collect();
         for id in gone {
             tracing::debug!(target: "ladderpass::overload", "a client that reads nothing is closed");
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -43,7 +43,7 @@
 impl Peers {
     pub(super) fn new(now: Time, launch: &Launch) -> Option<Peers> {
         let peers = launch.operator.peers.as_ref()?;
-        if peers.earlier {
+        if peers.legacy_form {
             tracing::warn!(
                 "peers.me and peers.all are the form of before: write peers.listen and peers.listed"
             );
@@ -58,14 +58,15 @@
             wake: now,
             settled_at: now + SETTLES,
             listed: peers.listed.iter().filter(|&&address| address != peers.address).count() + 1,
-            concert: (launch.operator.fleet).then(|| {
+            concert: (launch.operator.shared_admission).then(|| {
                 AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert())
             }),
-            budgets: (launch.operator.budgets).then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
+            budgets: (launch.operator.shared_retry_budget)
+                .then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
             cells: Vec::new(),
             refused: 0,
             figures_at: now,
-            figures_every: launch.operator.log.figures,
+            figures_every: launch.operator.log.metrics_interval,
             membership,
             out: Vec::new(),
         })
@@ -152,12 +153,12 @@
 
 impl Reducer {
     /// Routers that it takes for alive, itself among them, and a number for just these; None: it talks to nobody.
-    pub fn view(&self) -> Option<(usize, u32)> {
+    pub fn fleet_view(&self) -> Option<(usize, u32)> {
         self.peers.as_ref().map(|peers| (peers.view.count, peers.view.digest))
     }
 
     /// What all routers reckon together, by group.
-    pub fn reckoned(&self) -> Vec<ladderpass_admission::GroupMetrics> {
+    pub fn admission_metrics(&self) -> Vec<ladderpass_admission::GroupMetrics> {
         self.peers
             .iter()
             .filter_map(|peers| peers.concert.as_ref())
@@ -166,7 +167,7 @@
     }
 
     /// Datagrams for other routers; they are taken as they are sent.
-    pub fn datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.peers.as_mut().map_or(Vec::new(), |peers| std::mem::take(&mut peers.out))
     }
 
@@ -197,7 +198,7 @@
         for to in peers.membership.gossip_targets(now) {
             peers.out.extend(texts.iter().map(|text| (to, text.clone().into_bytes())));
         }
-        self.effects.push(Effect::Datagrams);
+        self.effects.push(Effect::SendDatagrams);
     }
 
     pub(super) fn tend_peers(&mut self, now: Time) {
@@ -302,7 +303,7 @@
         let out = peers.membership.take_outgoing();
         if !out.is_empty() {
             peers.out.extend(out);
-            self.effects.push(Effect::Datagrams);
+            self.effects.push(Effect::SendDatagrams);
         }
         if peers.membership.take_address_conflict() {
             tracing::warn!("fleet: another life of this address was heard; its clock may have gone back");
--- a/crates/ladderpass/src/reducer/tally.rs
+++ b/crates/ladderpass/src/reducer/tally.rs
@@ -38,7 +38,7 @@
 impl Reducer {
     pub(super) fn tell_tally(&mut self, now: Time) {
         self.tell_peers();
-        let (answers, answer_time) = self.answers();
+        let (answers, answer_time) = self.answered_attempts();
         let tally = std::mem::replace(&mut self.tally, Tally { told_at: now, ..Tally::default() });
         tracing::info!(
             "taken {}, pushed back {}, aborted {}, left {}, cancelled {}, faulty {}, crowded {}, full {}, shed {}, slow {}; call-outs (ok, failed, overloaded, timed out, unreachable, \
@@ -63,8 +63,8 @@
             self.clients,
             self.waiting.each_ref().map(BTreeSet::len),
             self.links,
-            self.carrying().1,
-            self.members(),
+            self.attempts_in_flight().1,
+            self.member_count(),
             self.calls.len(),
             self.rings >> 10,
             tally.exceptions.given_up,
--- a/crates/ladderpass/src/reducer/watch.rs
+++ b/crates/ladderpass/src/reducer/watch.rs
@@ -15,7 +15,7 @@
         }
         tracing::info!("told anew: discovery is {}", launch.discovery);
         self.limits = launch.limits;
-        self.govern(now, &launch.operator, launch.allowance);
+        self.govern(now, &launch.operator, launch.resource_limits);
         if launch.discovery == self.discovery {
             return;
         }
@@ -31,11 +31,11 @@
         self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: true });
     }
 
-    pub(super) fn has_answered(&self, id: ConnId) -> bool {
+    pub(super) fn has_answered(&self, id: ConnectionId) -> bool {
         matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.has_read())
     }
 
-    fn is_within(&self, id: ConnId) -> bool {
+    fn is_within(&self, id: ConnectionId) -> bool {
         matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.is_within())
     }
 
@@ -46,27 +46,27 @@
         let id = self.next_id();
         self.watch = Some(id);
         self.asked_at = now;
-        self.open(id, Some(now + self.limits.watch_answer), Peer::Discovery(Reader::default()));
+        self.open(id, Some(now + self.limits.watch_answer_timeout), Peer::Discovery(Reader::default()));
         self.effects.push(Effect::Connect(id, self.discovery));
     }
 
-    pub(super) fn look_at_watch(&mut self, now: Time, id: ConnId) {
+    pub(super) fn look_at_watch(&mut self, now: Time, id: ConnectionId) {
         // Guards against a list that begins and never ends: what goes on coming then is no news.
         let mut moved_on = !self.is_within(id);
         loop {
             let Some(conn) = self.conns.get_mut(&id) else { return };
             let Peer::Discovery(reader) = &mut conn.peer else { return };
-            match reader.next(&mut conn.input, self.limits.list_line) {
+            match reader.next(&mut conn.input, self.limits.discovery_line_bytes) {
                 // A late call keeps the time that it has left.
                 Ok(None) if self.late_watch == Some(id) => return,
                 // Guards against a call that is answered with a head, or the beginning of a list, and no more: it may
                 // take as long as a watch may be silent, and goes on within the time of a first answer.
                 Ok(None) if !self.has_answered(id) => {
-                    let most = self.asked_at + self.limits.watch_silence;
-                    return self.set_deadline(id, Some(most.min(now + self.limits.watch_answer)));
+                    let most = self.asked_at + self.limits.watch_silence_timeout;
+                    return self.set_deadline(id, Some(most.min(now + self.limits.watch_answer_timeout)));
                 }
                 Ok(None) if moved_on || !self.is_within(id) => {
-                    return self.set_deadline(id, Some(now + self.limits.watch_silence));
+                    return self.set_deadline(id, Some(now + self.limits.watch_silence_timeout));
                 }
                 Ok(None) => return,
                 Ok(Some(listing)) => {
@@ -104,7 +104,7 @@
 
     /// Guards against a crowded discovery, which takes long for each call, and puts the next at the end of its line: of two
     /// calls that which is answered first is the watch.
-    fn is_first_to_answer(&mut self, id: ConnId) -> bool {
+    fn is_first_to_answer(&mut self, id: ConnectionId) -> bool {
         let Some(late) = self.late_watch else { return true };
         if late != id {
             if self.watch == Some(id) {
@@ -130,7 +130,7 @@
         let before = std::mem::replace(&mut self.older, listing.generation < self.generation);
         if !self.older {
             self.told_at = now;
-        } else if before && listing.reset && now - self.told_at >= self.limits.told_within {
+        } else if before && listing.reset && now - self.told_at >= self.limits.notified_within {
             (self.generation, self.older, self.told_at) = (0, false, now);
         }
         self.older && !before
@@ -138,12 +138,12 @@
 
     /// A watch that had answered has fallen silent, or a call that follows one has no answer: it is asked again at once,
     /// for as long as what is missed doesn't count as told yet.
-    pub(super) fn watch_is_silent(&mut self, now: Time, id: ConnId) {
+    pub(super) fn watch_is_silent(&mut self, now: Time, id: ConnectionId) {
         if self.watch == Some(id) && self.has_answered(id) {
-            self.silent_since = Some(now - self.limits.watch_silence);
+            self.silent_since = Some(now - self.limits.watch_silence_timeout);
         }
-        let silent = self.silent_since.is_some_and(|since| now - since <= self.limits.told_within);
-        let late_until = self.asked_at + self.limits.watch_late;
+        let silent = self.silent_since.is_some_and(|since| now - since <= self.limits.notified_within);
+        let late_until = self.asked_at + self.limits.late_watch_timeout;
         if self.watch == Some(id) && !self.has_answered(id) && now < late_until {
             tracing::warn!("the list: no answer yet");
             self.late_watch.into_iter().for_each(|late| self.drop_conn(late));
@@ -154,11 +154,11 @@
         self.watch_over(now, id, "silence", silent);
     }
 
-    pub(super) fn watch_failed(&mut self, now: Time, id: ConnId, why: &str) {
+    pub(super) fn watch_failed(&mut self, now: Time, id: ConnectionId, why: &str) {
         self.watch_over(now, id, why, false);
     }
 
-    fn watch_over(&mut self, now: Time, id: ConnId, why: &str, silent: bool) {
+    fn watch_over(&mut self, now: Time, id: ConnectionId, why: &str, silent: bool) {
         tracing::warn!("the list: {why}");
         let before = self.old_watch == Some(id) || self.late_watch == Some(id);
         self.drop_conn(id);
--- a/crates/ladderpass/src/sockets.rs
+++ b/crates/ladderpass/src/sockets.rs
@@ -9,7 +9,7 @@
 use crate::failures::{Postponed, is_passing, is_short};
 use crate::launch::Launch;
 use crate::limits::Reread;
-use crate::reducer::{ConnId, Effect, Event, Reducer};
+use crate::reducer::{ConnectionId, Effect, Event, Reducer};
 use calloop::{LoopHandle, RegistrationToken};
 use ladderpass_routing::{Span, Time};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -77,7 +77,7 @@
     short_rest: Duration,
     /// Reads from one connection in one go; those with more to read have their next go after the others.
     reads: usize,
-    unfinished: Vec<ConnId>,
+    unfinished: Vec<ConnectionId>,
     /// What a call that failed for a moment left undone, and how long it rests.
     postponed: Postponed,
     postponed_rest: Duration,
@@ -90,9 +90,9 @@
     /// The socket that other routers send to.
     peers: Option<Rc<UdpSocket>>,
     /// What the sockets told and has not been looked at yet: members' answers stand before clients' statements.
-    ready_queue: VecDeque<ConnId>,
+    ready_queue: VecDeque<ConnectionId>,
     /// Clients that have left, as the sockets told just now.
-    left: Vec<ConnId>,
+    left: Vec<ConnectionId>,
     /// Events looked at before the reducer has its turn.
     budget: usize,
     effects: Vec<Effect>,
@@ -115,15 +115,16 @@
     let handle = event_loop.handle();
     let name = launch.fixed.name.clone();
     let address = launch.fixed.listen;
-    let reads = launch.limits.reads;
-    let (longest, stall) = (launch.limits.longest_wait, launch.limits.stall);
-    let looked_at_within = launch.limits.looked_at_within;
-    let budget = launch.limits.events;
-    let (allowed, told) = (launch.allowance.descriptors, launch.sockets_told);
-    let short_rest = Duration::from_nanos(launch.limits.denied_rest.nanos().max(0) as u64);
-    let (postponed_rest, loop_fails) = (launch.limits.postponed_rest, launch.limits.loop_fails);
+    let reads = launch.limits.reads_per_event;
+    let (longest, stall) = (launch.limits.max_poll_wait, launch.limits.stall_threshold);
+    let looked_at_within = launch.limits.max_poll_age;
+    let budget = launch.limits.sockets_per_iteration;
+    let (allowed, told) = (launch.resource_limits.descriptors, launch.configured_sockets);
+    let short_rest = Duration::from_nanos(launch.limits.denied_connect_backoff.nanos().max(0) as u64);
+    let (postponed_rest, loop_fails) =
+        (launch.limits.failed_call_backoff, launch.limits.event_loop_failure_timeout);
     let reread = launch.limits.reread;
-    let clock = Clock::new(launch.clock);
+    let clock = Clock::new(launch.clock_offset);
     let reducer = Reducer::start(clock.now(), launch);
     if allowed < told {
         tracing::warn!("limits.sockets says {told}, and the process may open {allowed}: that holds");
@@ -169,7 +170,7 @@
             break;
         }
         // What the effects brought about has its turn at once.
-        let wait = match front.reducer.wake() {
+        let wait = match front.reducer.wake_at() {
             _ if front.has_pending || !front.unfinished.is_empty() || !front.ready_queue.is_empty() => {
                 Some(Duration::ZERO)
             }
@@ -275,7 +276,7 @@
         let now = Instant::now();
         self.unread_launch = None;
         match self.read_launch() {
-            Ok(launch) => self.apply(Event::Told(Box::new(launch))),
+            Ok(launch) => self.apply(Event::ConfigurationReloaded(Box::new(launch))),
             Err(faults) => {
                 faults.lines().for_each(|fault| tracing::error!("told anew, kept as it was: {fault}"));
                 self.unread_launch = Some(UnreadLaunch { tried_at: now, until: now + self.reread.tries });
@@ -297,21 +298,21 @@
             unread.tried_at = now;
             if let Ok(launch) = self.read_launch() {
                 self.unread_launch = None;
-                self.apply(Event::Told(Box::new(launch)));
+                self.apply(Event::ConfigurationReloaded(Box::new(launch)));
             }
         }
     }
 
     /// Hands over what this turn of the loop took and, now and then, what the process uses.
     fn sample_usage(&mut self) {
-        let Some(due) = self.reducer.look_due() else { return };
+        let Some(due) = self.reducer.next_sample_at() else { return };
         let busy = self.usage.awake.take().map_or(Duration::ZERO, |awake| awake.elapsed());
         self.usage.busy += busy;
         let has_pending = self.has_pending;
-        self.apply(Event::Worked(Span::from_nanos(busy.as_nanos() as i64), self.ready_queue.len()));
+        self.apply(Event::IterationWorked(Span::from_nanos(busy.as_nanos() as i64), self.ready_queue.len()));
         if self.clock.now() >= due {
             let sample = self.usage.take(self.connections.len());
-            self.apply(Event::Looked(sample));
+            self.apply(Event::ResourcesSampled(sample));
         }
         self.has_pending = has_pending;
         self.carry_out();
@@ -319,8 +320,8 @@
 
     fn apply(&mut self, event: Event) {
         let now = self.clock.now();
-        self.has_pending = !matches!(event, Event::Turn);
-        let effects = self.reducer.apply(now, event);
+        self.has_pending = !matches!(event, Event::Tick);
+        let effects = self.reducer.handle(now, event);
         self.effects.extend(effects);
     }
 
@@ -336,7 +337,7 @@
         self.enable_listener(self.listening && self.short.is_none());
         self.carry_out();
         self.catch_up();
-        self.apply(Event::Turn);
+        self.apply(Event::Tick);
         self.carry_out();
     }
 
@@ -368,7 +369,7 @@
                     Effect::Close(id) => self.close(id),
                     Effect::CloseIfQuiet(id) => self.close_if_quiet(id),
                     Effect::Accept(wanted) => self.listen(wanted),
-                    Effect::Datagrams => self.send_datagrams(),
+                    Effect::SendDatagrams => self.send_datagrams(),
                     Effect::StopListening => self.stop_listening(),
                     Effect::Exit => self.over = true,
                 }
@@ -388,14 +389,14 @@
         let mut room = [0; 2048];
         for _ in 0..self.budget {
             let Ok((count, from)) = socket.recv_from(&mut room) else { return };
-            self.apply(Event::Whispered(from, room[..count].to_vec()));
+            self.apply(Event::DatagramReceived(from, room[..count].to_vec()));
         }
     }
 
     /// One that can't be sent is lost, as on any way.
     fn send_datagrams(&mut self) {
         let Some(socket) = &self.peers else { return };
-        for (to, bytes) in self.reducer.datagrams() {
+        for (to, bytes) in self.reducer.take_datagrams() {
             if let Err(fault) = socket.send_to(&bytes, to) {
                 tracing::debug!("datagram to {to}: {fault}");
             }
@@ -433,7 +434,7 @@
         if let Some((_, token)) = self.listener.take() {
             self.handle.remove(token);
         }
-        self.apply(Event::Deaf);
+        self.apply(Event::ListenerClosed);
     }
 
     /// Takes what waits at the listener. Some of it has waited so long that its client has left: the sockets tell.
@@ -449,8 +450,8 @@
         if !self.postponed.accepted.is_empty() {
             return Accepted::Full;
         }
-        for _ in 0..self.reducer.accepts_now() {
-            if !self.reducer.accepts() {
+        for _ in 0..self.reducer.accept_budget() {
+            if !self.reducer.accepts_clients() {
                 return Accepted::Full;
             }
             let asked_at = Instant::now();
@@ -480,7 +481,7 @@
     }
 
     /// Guards the request of a client that the machine has accepted: where it can't be watched for a moment it waits.
-    fn let_in(&mut self, id: ConnId, stream: TcpStream) {
+    fn let_in(&mut self, id: ConnectionId, stream: TcpStream) {
         if let Err((stream, fault)) = self.register(id, stream, false) {
             tracing::warn!("accept: {fault}");
             self.postponed.accepted.push((id, stream));
@@ -493,7 +494,7 @@
     }
 
     /// Carries out the close of a connection, where it was asked for, before all else that was.
-    fn close_at_once(&mut self, id: ConnId) {
+    fn close_at_once(&mut self, id: ConnectionId) {
         if let Some(nth) = self.effects.iter().rposition(|effect| *effect == Effect::Close(id)) {
             self.effects.remove(nth);
             self.close(id);
@@ -502,13 +503,13 @@
 
     /// Guards statements that came since a connection was looked at: it is read to its end, and closed with nothing done
     /// in between.
-    fn close_if_quiet(&mut self, id: ConnId) {
+    fn close_if_quiet(&mut self, id: ConnectionId) {
         self.read(id, true);
-        self.apply(Event::Quiet(id));
+        self.apply(Event::ReadToEnd(id));
         self.close_at_once(id);
     }
 
-    fn connect(&mut self, id: ConnId, address: SocketAddr) {
+    fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
         let open = || -> io::Result<TcpStream> {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_nonblocking(true)?;
@@ -521,12 +522,17 @@
             open().and_then(|stream| self.register(id, stream, true).map_err(|(_, fault)| fault));
         if let Err(fault) = registered {
             tracing::debug!("connect to {address}: {fault}");
-            self.apply(if is_short(&fault) { Event::Denied(id) } else { Event::Closed(id) });
+            self.apply(if is_short(&fault) { Event::ConnectDenied(id) } else { Event::Closed(id) });
         }
     }
 
     /// Gives the stream back where it can't be watched.
-    fn register(&mut self, id: ConnId, stream: TcpStream, ours: bool) -> Result<(), (TcpStream, io::Error)> {
+    fn register(
+        &mut self,
+        id: ConnectionId,
+        stream: TcpStream,
+        ours: bool,
+    ) -> Result<(), (TcpStream, io::Error)> {
         if let Err(fault) = stream.set_nonblocking(true) {
             return Err((stream, fault));
         }
@@ -540,7 +546,7 @@
             .map_err(|(connection, fault)| (connection.stream, fault))
     }
 
-    fn ready(&mut self, id: ConnId) {
+    fn ready(&mut self, id: ConnectionId) {
         let Some((ready, connection)) = self.connections.take(id) else { return };
         let ours = connection.ours;
         if connection.connecting {
@@ -569,13 +575,13 @@
     /// end: it gets so many reads in one go. A read that has not filled its room has emptied the socket: what comes
     /// later is told anew. `on`: there may be more all the same, as where an end stands behind it. Where there was no
     /// room, or no go left, the reducer is told once the socket is read to its end after all.
-    fn read(&mut self, id: ConnId, on: bool) {
+    fn read(&mut self, id: ConnectionId, on: bool) {
         for _ in 0..self.reads {
             let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
             else {
                 return;
             };
-            let room = self.reducer.room(id);
+            let room = self.reducer.read_buffer(id);
             if room.is_empty() {
                 connection.unread = true;
                 return;
@@ -595,7 +601,7 @@
                 Err(fault) if is_passing(&fault) => {
                     connection.unread = true;
                     self.postponed.reads.push(id);
-                    return self.apply(Event::Unread(id));
+                    return self.apply(Event::MoreToRead(id));
                 }
                 Err(_) => return self.apply(Event::Closed(id)),
             };
@@ -612,7 +618,7 @@
         }
         if let Some(connection) = self.connections.get_mut(id) {
             connection.unread = true;
-            self.apply(Event::Unread(id));
+            self.apply(Event::MoreToRead(id));
             self.unfinished.push(id);
         }
     }
@@ -631,7 +637,7 @@
     }
 
     /// Writes all that there is, as far as the socket takes it.
-    fn write(&mut self, id: ConnId) {
+    fn write(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
             else {
@@ -643,7 +649,9 @@
             }
             match connection.stream.write(bytes) {
                 Ok(count) => self.apply(Event::Written(id, count)),
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return self.apply(Event::Stuck(id)),
+                Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
+                    return self.apply(Event::WriteBlocked(id));
+                }
                 Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
                 // The kernel tells of no room that there always was: it is tried again unasked.
                 Err(fault) if is_passing(&fault) => return self.postponed.writes.push(id),
@@ -652,7 +660,7 @@
         }
     }
 
-    fn close(&mut self, id: ConnId) {
+    fn close(&mut self, id: ConnectionId) {
         if self.connections.remove(id) && self.short.take().is_some() {
             self.enable_listener(self.listening);
         }
--- a/crates/ladderpass/src/sockets/start.rs
+++ b/crates/ladderpass/src/sockets/start.rs
@@ -34,13 +34,13 @@
 
 /// Guards a start against calls that fail for a moment, and against an address whose last holder is about to end.
 pub(super) fn open_patiently(launch: &Launch) -> Result<Sources, String> {
-    let until = Instant::now() + launch.limits.start_tries;
+    let until = Instant::now() + launch.limits.start_retry_timeout;
     loop {
         match open_sources(launch) {
             Ok(sources) => return Ok(sources),
             Err(Unopened { what, fault }) if passes_at_start(&fault) && Instant::now() < until => {
                 tracing::warn!("{what}: {fault}; tried again");
-                std::thread::sleep(launch.limits.start_rest);
+                std::thread::sleep(launch.limits.start_retry_interval);
             }
             Err(Unopened { what, fault }) => return Err(format!("{what}: {fault}")),
         }
--- a/crates/ladderpass/tests/room.rs
+++ b/crates/ladderpass/tests/room.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use ladderpass::limits;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -38,24 +38,24 @@
     groups: usize,
     /// Descriptors that nothing holds, and what holds one.
     free: usize,
-    open: BTreeSet<ConnId>,
-    to_come: BTreeMap<(Time, u64), (ConnId, Happens)>,
+    open: BTreeSet<ConnectionId>,
+    to_come: BTreeMap<(Time, u64), (ConnectionId, Happens)>,
     last: u64,
     discovery: Discovery,
     list: String,
     /// Members that take connections and say nothing, and those that can't be reached.
     hangs: fn(usize) -> bool,
     vanished: fn(usize) -> bool,
-    links: HashMap<ConnId, usize>,
-    watches: BTreeSet<ConnId>,
-    written: HashMap<ConnId, Vec<u8>>,
+    links: HashMap<ConnectionId, usize>,
+    watches: BTreeSet<ConnectionId>,
+    written: HashMap<ConnectionId, Vec<u8>>,
     /// The listener is watched; what an idle client at it says, if there are any; and clients that ask,
     /// before them.
     listening: bool,
     idlers: Option<Said>,
     askers: VecDeque<usize>,
     came: usize,
-    asking: HashMap<ConnId, usize>,
+    asking: HashMap<ConnectionId, usize>,
     /// When members were probed, and what became of clients that asked: when, and the types of the frames.
     probed: Vec<(Time, usize)>,
     answers: BTreeMap<usize, (Time, Vec<u8>)>,
@@ -73,7 +73,7 @@
     let now = Time::from_nanos(1_796_000_000_000_000_000);
     let mut launch = launch_of(&told_in_groups(&addresses, told.max(64)));
     // As where the process may open fewer than the platform says.
-    launch.limits = limits::Limits::of(192, told, &launch.facts);
+    launch.limits = limits::Limits::of(192, told, &launch.settings);
     Machine {
         reducer: Reducer::start(now, launch),
         began: now,
@@ -107,7 +107,7 @@
         (at - self.began).secs() * 1e3
     }
 
-    fn takes_one(&mut self, id: ConnId) -> bool {
+    fn takes_one(&mut self, id: ConnectionId) -> bool {
         if self.free == 0 {
             return false;
         }
@@ -116,17 +116,17 @@
         self.open.insert(id)
     }
 
-    fn later(&mut self, span: Span, id: ConnId, what: Happens) {
+    fn later(&mut self, span: Span, id: ConnectionId, what: Happens) {
         self.last += 1;
         self.to_come.insert((self.now + span, self.last), (id, what));
     }
 
     fn apply(&mut self, event: Event) {
-        let mut effects: VecDeque<Effect> = self.reducer.apply(self.now, event).into();
+        let mut effects: VecDeque<Effect> = self.reducer.handle(self.now, event).into();
         while let Some(effect) = effects.pop_front() {
             let more = match effect {
                 Effect::Connect(id, _) if !self.takes_one(id) => {
-                    self.reducer.apply(self.now, Event::Denied(id))
+                    self.reducer.handle(self.now, Event::ConnectDenied(id))
                 }
                 Effect::Connect(id, to) => {
                     self.connect(id, to.port());
@@ -144,7 +144,7 @@
                 }
                 // A socket holds nothing beyond what was handed over; it is closed before all else that was asked for.
                 Effect::CloseIfQuiet(id) => {
-                    let asked = self.reducer.apply(self.now, Event::Quiet(id));
+                    let asked = self.reducer.handle(self.now, Event::ReadToEnd(id));
                     asked.into_iter().rev().for_each(|effect| effects.push_front(effect));
                     Vec::new()
                 }
@@ -154,7 +154,7 @@
         }
     }
 
-    fn connect(&mut self, id: ConnId, port: u16) {
+    fn connect(&mut self, id: ConnectionId, port: u16) {
         if port == DISCOVERY {
             self.watches.insert(id);
             match self.discovery {
@@ -171,12 +171,12 @@
     }
 
     /// All that the router has for it goes out at once; the other side answers.
-    fn write(&mut self, id: ConnId) -> Vec<Effect> {
+    fn write(&mut self, id: ConnectionId) -> Vec<Effect> {
         if !self.open.contains(&id) {
             return Vec::new();
         }
         let bytes = self.reducer.outgoing(id).to_vec();
-        let effects = self.reducer.apply(self.now, Event::Written(id, bytes.len()));
+        let effects = self.reducer.handle(self.now, Event::Written(id, bytes.len()));
         let written = self.written.entry(id).or_default();
         written.extend_from_slice(&bytes);
         if self.watches.contains(&id) {
@@ -200,7 +200,7 @@
         effects
     }
 
-    fn asked(&mut self, id: ConnId, n: usize) {
+    fn asked(&mut self, id: ConnectionId, n: usize) {
         if (self.hangs)(n) {
             return;
         }
@@ -230,7 +230,7 @@
     /// Those at the door come in as far as the router wants them, and descriptors go.
     fn open_the_door(&mut self) {
         for _ in 0..64 {
-            if !self.listening || !self.reducer.accepts() || self.free == 0 {
+            if !self.listening || !self.reducer.accepts_clients() || self.free == 0 {
                 return;
             }
             let asker = self.askers.pop_front();
@@ -252,9 +252,9 @@
         }
     }
 
-    fn receive(&mut self, id: ConnId, mut bytes: &[u8]) {
+    fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.open.contains(&id) {
-            let room = self.reducer.room(id);
+            let room = self.reducer.read_buffer(id);
             let count = room.len().min(bytes.len());
             if count == 0 {
                 return;
@@ -270,8 +270,8 @@
         let (mut at, mut turns) = (self.now, 0);
         loop {
             self.open_the_door();
-            self.apply(Event::Turn);
-            let wake = self.reducer.wake().unwrap_or(until);
+            self.apply(Event::Tick);
+            let wake = self.reducer.wake_at().unwrap_or(until);
             let next = self.to_come.first_key_value().map_or(until, |((at, _), _)| *at).min(wake);
             if next > until || self.now >= until {
                 return self.now = until;
@@ -375,7 +375,7 @@
             machine.run(Span::from_millis(400));
             assert!(machine.free == 0, "clients have all");
             // Links that probes have opened may be left: none may be.
-            let links: Vec<ConnId> =
+            let links: Vec<ConnectionId> =
                 machine.links.keys().copied().filter(|id| machine.open.contains(id)).collect();
             links.into_iter().for_each(|id| {
                 machine.free += usize::from(machine.open.remove(&id));
@@ -383,7 +383,7 @@
             });
             machine.run(Span::from_millis(20));
             assert!(machine.free == 0, "clients have all");
-            let rests = |id: &ConnId| !machine.links.contains_key(id) && !machine.watches.contains(id);
+            let rests = |id: &ConnectionId| !machine.links.contains_key(id) && !machine.watches.contains(id);
             let &client = machine.open.iter().rev().find(|id| rests(id)).expect("some client");
             machine.asking.insert(client, 0);
             machine.receive(client, &query(&statement("7", method, 2000, "1")));
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use ladderpass::buffer::Buffer;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass::{discovery, launch, pg};
 use ladderpass_config::operator;
 use ladderpass_overload::ResourceSample;
@@ -44,11 +44,11 @@
     pressed: bool,
     now: Time,
     dice: VecDeque<u8>,
-    clients: BTreeMap<ConnId, Client>,
-    peers: BTreeMap<ConnId, Peer>,
+    clients: BTreeMap<ConnectionId, Client>,
+    peers: BTreeMap<ConnectionId, Peer>,
     /// Ports of the members that connections go to.
-    ports: BTreeMap<ConnId, u16>,
-    watches: Vec<(ConnId, bool)>,
+    ports: BTreeMap<ConnectionId, u16>,
+    watches: Vec<(ConnectionId, bool)>,
     /// By id of an RPC: its statement without `d`, whether it may run only once, and whether it may have run.
     statements: HashMap<String, (String, bool, bool)>,
     generation: u64,
@@ -103,7 +103,7 @@
     }
 
     fn apply(&mut self, event: Event) {
-        let effects = self.reducer.apply(self.now, event);
+        let effects = self.reducer.handle(self.now, event);
         self.carry_out(effects);
     }
 
@@ -131,16 +131,16 @@
                     }
                 }
                 Effect::Exit => self.exited = true,
-                Effect::StopListening => self.apply(Event::Deaf),
+                Effect::StopListening => self.apply(Event::ListenerClosed),
                 // A socket holds nothing beyond what was fed.
                 Effect::Read(id) => self.apply(Event::Drained(id)),
-                Effect::CloseIfQuiet(id) => self.apply(Event::Quiet(id)),
-                Effect::Accept(_) | Effect::Datagrams => {}
+                Effect::CloseIfQuiet(id) => self.apply(Event::ReadToEnd(id)),
+                Effect::Accept(_) | Effect::SendDatagrams => {}
             }
         }
     }
 
-    fn write(&mut self, id: ConnId) {
+    fn write(&mut self, id: ConnectionId) {
         while !self.reducer.outgoing(id).is_empty() {
             let bytes = self.reducer.outgoing(id).to_vec();
             if let Some(client) = self.clients.get_mut(&id) {
@@ -180,7 +180,7 @@
     }
 
     /// A whole query has reached a member.
-    fn asked(&mut self, id: ConnId, kind: u8, body: &[u8]) {
+    fn asked(&mut self, id: ConnectionId, kind: u8, body: &[u8]) {
         let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
         let (rpc, rest) = id_and_rest(&text);
         assert_eq!(kind, b'Q');
@@ -203,7 +203,7 @@
     }
 
     /// A connection to a member comes up, with nothing asked on it but what goes out with that.
-    fn come_up(&mut self, id: ConnId) {
+    fn come_up(&mut self, id: ConnectionId) {
         self.peers.insert(id, Peer { up: true, welcomed: true, ..Peer::default() });
         self.apply(Event::Connected(id));
         self.write(id);
@@ -215,10 +215,10 @@
     }
 
     /// Bytes come in, as far as there is room, in pieces.
-    fn feed(&mut self, id: ConnId, mut bytes: &[u8]) {
+    fn feed(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let most = 1 + self.roll(40) * 7;
-            let room = self.reducer.room(id);
+            let room = self.reducer.read_buffer(id);
             let count = room.len().min(bytes.len()).min(most);
             if count == 0 {
                 return;
@@ -231,9 +231,9 @@
     }
 
     /// What came is a batch of its own: the reducer has its turn after it.
-    fn hand(&mut self, id: ConnId, bytes: &[u8]) {
+    fn hand(&mut self, id: ConnectionId, bytes: &[u8]) {
         self.feed(id, bytes);
-        self.apply(Event::Turn);
+        self.apply(Event::Tick);
     }
 
     fn step(&mut self) {
@@ -283,27 +283,27 @@
         if self.pressed && self.roll(3) == 0 {
             let resident = self.roll(3) * (90 << 20);
             let wall = Span::from_millis(50);
-            self.apply(Event::Looked(ResourceSample {
+            self.apply(Event::ResourcesSampled(ResourceSample {
                 wall,
                 resident_bytes: resident,
                 ..ResourceSample::default()
             }));
             let busy = Span::from_millis(self.roll(40) as i64);
             let waiting = self.roll(200);
-            self.apply(Event::Worked(busy, waiting));
+            self.apply(Event::IterationWorked(busy, waiting));
             if let Some(id) = self.any(self.clients.keys().copied().collect())
                 && !self.reducer.outgoing(id).is_empty()
             {
-                self.apply(Event::Stuck(id));
+                self.apply(Event::WriteBlocked(id));
             }
         }
         self.pass(Span::ZERO);
-        let (out, links) = self.reducer.carrying();
+        let (out, links) = self.reducer.attempts_in_flight();
         assert_eq!(out, links, "call-outs that are out, and connections that carry one");
     }
 
     /// What a client's welcome says.
-    fn key_of(&self, client: ConnId) -> (u32, u32) {
+    fn key_of(&self, client: ConnectionId) -> (u32, u32) {
         key_in(&frames(&self.clients[&client].inbox).0)
     }
 
@@ -312,9 +312,9 @@
         let id = self.reducer.next_id();
         self.apply(Event::Accepted(id));
         let bytes = cancel(key);
-        self.reducer.room(id)[..bytes.len()].copy_from_slice(&bytes);
-        let mut effects = self.reducer.apply(self.now, Event::Received(id, bytes.len(), Span::ZERO));
-        effects.extend(self.reducer.apply(self.now, Event::Turn));
+        self.reducer.read_buffer(id)[..bytes.len()].copy_from_slice(&bytes);
+        let mut effects = self.reducer.handle(self.now, Event::Received(id, bytes.len(), Span::ZERO));
+        effects.extend(self.reducer.handle(self.now, Event::Tick));
         assert!(self.reducer.outgoing(id).is_empty(), "nothing is told");
         assert!(effects.contains(&Effect::Close(id)), "it is closed");
         self.carry_out(effects);
@@ -322,10 +322,10 @@
 
     fn pass(&mut self, span: Span) {
         self.now = self.now + span;
-        self.apply(Event::Turn);
-        let behind: Vec<ConnId> = self.clients.keys().chain(self.peers.keys()).copied().collect();
+        self.apply(Event::Tick);
+        let behind: Vec<ConnectionId> = self.clients.keys().chain(self.peers.keys()).copied().collect();
         behind.into_iter().for_each(|id| self.write(id));
-        self.apply(Event::Turn);
+        self.apply(Event::Tick);
     }
 
     fn member_acts(&mut self) {
@@ -338,7 +338,7 @@
         }
         if !peer.up {
             peer.up = what != 1;
-            return self.apply(if what == 1 { Event::Denied(id) } else { Event::Connected(id) });
+            return self.apply(if what == 1 { Event::ConnectDenied(id) } else { Event::Connected(id) });
         }
         if !peer.welcomed {
             peer.welcomed = true;
@@ -383,7 +383,7 @@
     }
 
     /// The first watch comes up, and is answered.
-    fn open_watch(&mut self, id: ConnId) {
+    fn open_watch(&mut self, id: ConnectionId) {
         self.watches[0].1 = true;
         self.apply(Event::Connected(id));
         self.feed(id, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -392,7 +392,11 @@
     fn list_acts(&mut self) {
         let Some((id, up)) = self.watches.first().copied() else { return };
         if !up {
-            return if self.roll(4) == 1 { self.apply(Event::Denied(id)) } else { self.open_watch(id) };
+            return if self.roll(4) == 1 {
+                self.apply(Event::ConnectDenied(id))
+            } else {
+                self.open_watch(id)
+            };
         }
         self.generation += 1;
         let (n, what) = (self.roll(4), self.roll(7));
@@ -456,21 +460,22 @@
         let value = row(&[b'v'; 60_000], "follower", position);
         let mut rest = &value[..];
         while !rest.is_empty() {
-            let room = world.reducer.room(link);
+            let room = world.reducer.read_buffer(link);
             let count = room.len().min(rest.len());
             room[..count].copy_from_slice(&rest[..count]);
             rest = &rest[count..];
-            world.reducer.apply(world.now, Event::Received(link, count, Span::ZERO));
+            world.reducer.handle(world.now, Event::Received(link, count, Span::ZERO));
         }
         assert!(world.reducer.outgoing(client).len() > 50_000, "the answer is there");
         let mut closed = false;
         for nth in 0..20 {
             world.now = world.now + Span::from_millis(50);
-            let mut effects = world.reducer.apply(world.now, Event::Stuck(client));
+            let mut effects = world.reducer.handle(world.now, Event::WriteBlocked(client));
             if reads && nth % 2 == 0 {
-                effects.extend(world.reducer.apply(world.now, Event::Written(client, 10)));
+                effects.extend(world.reducer.handle(world.now, Event::Written(client, 10)));
             }
-            effects.extend(world.reducer.apply(world.now, Event::Looked(ResourceSample::default())));
+            effects
+                .extend(world.reducer.handle(world.now, Event::ResourcesSampled(ResourceSample::default())));
             closed |= effects.contains(&Effect::Close(client));
         }
         assert_eq!(closed, !reads);
@@ -658,7 +663,7 @@
     // is found at the socket in between: it stays and is served.
     let mut world = crowd(bound, read);
     (0..49).for_each(|_| world.pass(Span::from_millis(5)));
-    let ids: Vec<ConnId> = world.clients.keys().copied().collect();
+    let ids: Vec<ConnectionId> = world.clients.keys().copied().collect();
     assert_eq!(ids.len(), bound);
     world.now = world.now + Span::from_millis(110);
     let id = world.reducer.next_id();
@@ -667,7 +672,7 @@
     world.clients.get_mut(&ids[0]).expect("idle").due.push(world.now + Span::from_millis(480));
     world.feed(ids[0], &read(bound));
     world.pass(Span::ZERO);
-    let eased = launched().limits.clients_eased;
+    let eased = launched().limits.clients_before_eviction;
     assert!(world.clients.contains_key(&ids[0]) && world.clients.contains_key(&id));
     assert!((eased..eased + 3).contains(&world.clients.len()), "{} of {eased}", world.clients.len());
 }
@@ -676,15 +681,15 @@
 fn memory_of_all_rings_stays_within_its_bound() {
     let limits = launched().limits;
     let mut world = crowd(limits.clients, |_| Vec::new());
-    let ids: Vec<ConnId> = world.clients.keys().copied().collect();
+    let ids: Vec<ConnectionId> = world.clients.keys().copied().collect();
     let mut held = 0;
     for &id in &ids {
         // All but the end of a statement as long as may be.
-        let mut statement = [&b"Q"[..], &(limits.statement as u32 - 1).to_be_bytes()].concat();
-        statement.resize(limits.statement - 1, b' ');
+        let mut statement = [&b"Q"[..], &(limits.statement_bytes as u32 - 1).to_be_bytes()].concat();
+        statement.resize(limits.statement_bytes - 1, b' ');
         let mut rest = &statement[..];
         while !rest.is_empty() {
-            let room = world.reducer.room(id);
+            let room = world.reducer.read_buffer(id);
             let count = room.len().min(rest.len());
             if count == 0 {
                 break;
@@ -695,15 +700,15 @@
             world.apply(Event::Received(id, count, Span::ZERO));
         }
     }
-    let bound = limits.rings_of_clients;
-    assert!(held > bound / 2 && held < bound + limits.client_ring, "{held} of {bound}");
+    let bound = limits.client_buffers_total_bytes;
+    assert!(held > bound / 2 && held < bound + limits.client_buffer_bytes, "{held} of {bound}");
     // Those that wait read on once others are gone.
     let mut woken = Vec::new();
     for &id in &ids[..ids.len() / 2] {
-        woken.extend(world.reducer.apply(world.now, Event::Closed(id)));
+        woken.extend(world.reducer.handle(world.now, Event::Closed(id)));
     }
     let last = ids[ids.len() - 1];
-    assert!(woken.contains(&Effect::Read(last)) && !world.reducer.room(last).is_empty());
+    assert!(woken.contains(&Effect::Read(last)) && !world.reducer.read_buffer(last).is_empty());
 }
 
 /// A read is sent within a tick of its decision, or where what is known of the member is still new enough; else it is
@@ -724,7 +729,7 @@
         let told = (0..8).map(|nth| (nth.to_string(), (id_and_rest(&text(nth)).1, true, false)));
         world.statements.extend(told);
         let position = (world.now.nanos() / 1_000_000) as u64 - age_ms;
-        let probed: Vec<ConnId> = world.peers.keys().copied().collect();
+        let probed: Vec<ConnectionId> = world.peers.keys().copied().collect();
         for (nth, &id) in probed.iter().enumerate() {
             world.come_up(id);
             world.peers.get_mut(&id).expect("it came up").asked = None;
@@ -734,7 +739,7 @@
             world.write(id);
         }
         world.pass(Span::ZERO);
-        let late: Vec<ConnId> = world.peers.keys().filter(|id| !probed.contains(id)).copied().collect();
+        let late: Vec<ConnectionId> = world.peers.keys().filter(|id| !probed.contains(id)).copied().collect();
         assert!(!late.is_empty(), "some wait for a connection: {method}, {age_ms} ms");
         world.now = world.now + Span::from_millis(waited_ms as i64);
         // What waited for the first of them; decided anew, it may go out on one that comes up later.
@@ -745,11 +750,11 @@
 }
 
 /// A world of one client with this statement, whose first call-out is out at a member; with that connection.
-fn one_call(method: &str) -> (World, ConnId, ConnId) {
+fn one_call(method: &str) -> (World, ConnectionId, ConnectionId) {
     one_call_in(World::new(vec![255; 600]), method)
 }
 
-fn one_call_in(mut world: World, method: &str) -> (World, ConnId, ConnId) {
+fn one_call_in(mut world: World, method: &str) -> (World, ConnectionId, ConnectionId) {
     let text = statement("7", method, 2000, "1");
     let position = world.now.nanos() as u64 / 1_000_000;
     world.statements.insert("7".to_owned(), (id_and_rest(&text).1, method == "write", false));
@@ -831,15 +836,15 @@
 #[test]
 fn a_members_answer_time_is_without_what_the_router_kept_waiting() {
     let (mut world, client, link) = one_call("read");
-    let before = world.reducer.answers();
+    let before = world.reducer.answered_attempts();
     world.now = world.now + Span::from_millis(300);
     let answer = row(b"7", "follower", world.now.nanos() as u64 / 1_000_000);
-    let room = world.reducer.room(link);
+    let room = world.reducer.read_buffer(link);
     room[..answer.len()].copy_from_slice(&answer);
     world.apply(Event::Received(link, answer.len(), Span::from_millis(299)));
     world.write(client);
     assert_eq!(world.clients[&client].answers, 1);
-    let (count, time) = world.reducer.answers();
+    let (count, time) = world.reducer.answered_attempts();
     assert_eq!(count, before.0 + 1);
     assert!(
         time - before.1 < Span::from_millis(20),
@@ -860,20 +865,20 @@
         world.clients.insert(client, Client { junk: true, ..Client::default() });
         world.apply(Event::Accepted(client));
         let bytes = [startup(), query(&statement("8", "write", 2000, "1"))].concat();
-        world.reducer.room(client)[..bytes.len()].copy_from_slice(&bytes);
+        world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
         // Nobody carries out what the reducer asks for: the socket takes nothing.
-        for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Turn] {
-            world.reducer.apply(world.now, event);
+        for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
+            world.reducer.handle(world.now, event);
         }
         let out = String::from_utf8_lossy(world.reducer.outgoing(link)).into_owned();
         assert!(out.contains("id=8,"), "{out}");
         if written > 0 {
-            world.reducer.apply(world.now, Event::Written(link, written));
+            world.reducer.handle(world.now, Event::Written(link, written));
         }
-        let effects = world.reducer.apply(world.now, Event::Closed(client));
+        let effects = world.reducer.handle(world.now, Event::Closed(client));
         assert_eq!(effects.contains(&Effect::Close(link)), written > 0, "a part makes it useless");
         assert!(world.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        let (out, links) = world.reducer.carrying();
+        let (out, links) = world.reducer.attempts_in_flight();
         assert_eq!((out, links), (0, 0));
     }
 }
@@ -890,20 +895,20 @@
             world.write(client);
             world.clients.get_mut(&client).expect("it is there").junk = true;
             let bytes = query(&statement("8", method, 2000, "1"));
-            world.reducer.room(client)[..bytes.len()].copy_from_slice(&bytes);
+            world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
             // Nobody carries out what the reducer asks for.
-            for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Turn] {
-                world.reducer.apply(world.now, event);
+            for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
+                world.reducer.handle(world.now, event);
             }
             let has_it =
-                |&&id: &&ConnId| String::from_utf8_lossy(world.reducer.outgoing(id)).contains("id=8,");
+                |&&id: &&ConnectionId| String::from_utf8_lossy(world.reducer.outgoing(id)).contains("id=8,");
             let Some(&link) = world.peers.keys().find(has_it) else { panic!("{method}: it is not sent") };
             if written > 0 {
-                world.reducer.apply(world.now, Event::Written(link, written));
+                world.reducer.handle(world.now, Event::Written(link, written));
             }
-            world.reducer.apply(world.now, Event::Stuck(link));
+            world.reducer.handle(world.now, Event::WriteBlocked(link));
             let late = world.now + Span::from_millis(within + 1);
-            let effects = world.reducer.apply(late, Event::Turn);
+            let effects = world.reducer.handle(late, Event::Tick);
             assert!(effects.contains(&Effect::Close(link)), "{method}, {written} written: {effects:?}");
         }
     }
@@ -943,7 +948,7 @@
         }
         world.hand(client, &query(&text));
         world.pass(Span::ZERO);
-        let asked = |(id, peer): (&ConnId, &Peer)| {
+        let asked = |(id, peer): (&ConnectionId, &Peer)| {
             let it = peer.asked.as_deref().is_some_and(|text| text.contains("id=7,"));
             it.then(|| world.ports[id])
         };
@@ -953,7 +958,7 @@
 }
 
 /// The answers that a client has, by the types of their frames and the code of an error.
-fn answers_of(world: &World, client: ConnId) -> Vec<(Vec<u8>, String)> {
+fn answers_of(world: &World, client: ConnectionId) -> Vec<(Vec<u8>, String)> {
     let found = frames(&world.clients[&client].inbox).0;
     let told = |answer: &[(u8, Vec<u8>)]| {
         let error =
@@ -1049,18 +1054,18 @@
         world.hand(client, &startup());
         world.write(client);
         let bytes = query(&statement("8", "write", 2000, "1"));
-        world.reducer.room(client)[..bytes.len()].copy_from_slice(&bytes);
-        for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Turn] {
-            world.reducer.apply(world.now, event);
+        world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
+        for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
+            world.reducer.handle(world.now, event);
         }
         assert!(String::from_utf8_lossy(world.reducer.outgoing(link)).contains("id=8,"));
         if written > 0 {
-            world.reducer.apply(world.now, Event::Written(link, written));
+            world.reducer.handle(world.now, Event::Written(link, written));
         }
         world.cancels(world.key_of(client));
         assert_eq!(!world.peers.contains_key(&link), written > 0, "a part makes it useless");
         assert!(world.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        assert_eq!(world.reducer.carrying(), (0, 0));
+        assert_eq!(world.reducer.attempts_in_flight(), (0, 0));
         world.write(client);
         assert_eq!(answers_of(&world, client), [unserved("57014")]);
     }
@@ -1108,7 +1113,7 @@
 #[test]
 fn an_id_that_is_open_is_not_forgotten_for_others() {
     let mut launch = launched();
-    launch.limits.ids = 2;
+    launch.limits.retired_ids = 2;
     let (mut world, client, _) = one_call_in(World::of(vec![255; 600], launch), "write");
     for nth in 100..110 {
         let other = world.reducer.next_id();
@@ -1177,17 +1182,17 @@
         let mut accepting = true;
         while accepting {
             let id = world.reducer.next_id();
-            let effects = world.reducer.apply(world.now, Event::Accepted(id));
+            let effects = world.reducer.handle(world.now, Event::Accepted(id));
             accepting = !effects.contains(&Effect::Accept(false));
             world.clients.insert(id, Client { junk: true, ..Client::default() });
             if !sent.is_empty() {
                 world.hand(id, &[startup().as_slice(), sent].concat());
             }
         }
-        assert!(world.clients.len() >= limits.clients_most);
-        assert!(world.reducer.wake().is_some_and(|at| at <= world.now + Span::from_millis(after)));
+        assert!(world.clients.len() >= limits.clients_accepted);
+        assert!(world.reducer.wake_at().is_some_and(|at| at <= world.now + Span::from_millis(after)));
         world.pass(Span::from_millis(after));
-        assert!(world.clients.len() <= limits.clients_eased, "{after}");
+        assert!(world.clients.len() <= limits.clients_before_eviction, "{after}");
         (0..500).for_each(|_| world.pass(Span::from_millis(5)));
         assert_eq!(world.clients.len(), 0, "all are told or closed within 2.5 s");
     }
@@ -1215,13 +1220,13 @@
         let line = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entries}]}}\n");
         world.feed(id, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
     }
-    assert!(world.reducer.members() < 30, "{} members", world.reducer.members());
+    assert!(world.reducer.member_count() < 30, "{} members", world.reducer.member_count());
 }
 
 /// Clients that ask once on each connection and keep it never shut the door on the next ones.
 #[test]
 fn connections_that_asked_once_and_stay_do_not_bar_newcomers() {
-    let bound = launched().limits.clients_eased + 30;
+    let bound = launched().limits.clients_before_eviction + 30;
     let mut world = crowd(0, |_| Vec::new());
     let mut next = 0;
     for _ in 0..200 {
@@ -1235,6 +1240,10 @@
             world.write(id);
         }
         (0..4).for_each(|_| world.pass(Span::from_millis(5)));
-        assert!(world.reducer.accepts() && world.clients.len() < bound, "{} clients", world.clients.len());
+        assert!(
+            world.reducer.accepts_clients() && world.clients.len() < bound,
+            "{} clients",
+            world.clients.len()
+        );
     }
 }
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -11,7 +11,7 @@
 use failing::Failure;
 use judge::{Ends, KILL_AFTER, judge};
 use ladderpass::launch::Launch;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_emulator::Scenario;
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_routing::{Span, Time};
@@ -35,20 +35,20 @@
 }
 
 /// Bytes of a client that the router reads now.
-fn receive(reducer: &mut Reducer, now: Time, id: ConnId, bytes: &[u8]) {
-    reducer.room(id)[..bytes.len()].copy_from_slice(bytes);
-    reducer.apply(now, Event::Received(id, bytes.len(), Span::ZERO));
+fn receive(reducer: &mut Reducer, now: Time, id: ConnectionId, bytes: &[u8]) {
+    reducer.read_buffer(id)[..bytes.len()].copy_from_slice(bytes);
+    reducer.handle(now, Event::Received(id, bytes.len(), Span::ZERO));
 }
 
 /// A client that has opened its connection and rests.
-fn client(reducer: &mut Reducer, now: Time) -> ConnId {
+fn client(reducer: &mut Reducer, now: Time) -> ConnectionId {
     let id = reducer.next_id();
-    reducer.apply(now, Event::Accepted(id));
+    reducer.handle(now, Event::Accepted(id));
     receive(reducer, now, id, &startup());
-    reducer.apply(now, Event::Turn);
+    reducer.handle(now, Event::Tick);
     let welcome = reducer.outgoing(id).len();
-    reducer.apply(now, Event::Written(id, welcome));
-    reducer.apply(now, Event::Turn);
+    reducer.handle(now, Event::Written(id, welcome));
+    reducer.handle(now, Event::Tick);
     id
 }
 
@@ -64,20 +64,20 @@
 #[test]
 fn who_makes_place_for_a_newcomer_is_looked_at_before_it_is_closed() {
     let launch = launch(64);
-    let crowd = launch.limits.clients_eased + 4;
+    let crowd = launch.limits.clients_before_eviction + 4;
     let mut now = Time::from_nanos(1_796_000_000_000_000_000);
     let mut reducer = Reducer::start(now, launch);
     for _ in 0..crowd {
         client(&mut reducer, now);
     }
     let newcomer = reducer.next_id();
-    reducer.apply(now, Event::Accepted(newcomer));
+    reducer.handle(now, Event::Accepted(newcomer));
     receive(&mut reducer, now, newcomer, &[startup(), query(&statement("1", "read", 5000, "1"))].concat());
     now = now + Span::from_millis(200);
-    let mut looked_at: Vec<ConnId> = Vec::new();
+    let mut looked_at: Vec<ConnectionId> = Vec::new();
     let mut closed = 0;
     for _ in 0..4 {
-        let effects = reducer.apply(now, Event::Turn);
+        let effects = reducer.handle(now, Event::Tick);
         for effect in &effects {
             if let Effect::Close(id) = effect {
                 panic!("{id:?} is closed, and other closes may stand before it");
@@ -89,7 +89,8 @@
                 Effect::Read(id) => looked_at.push(id),
                 Effect::CloseIfQuiet(id) => {
                     assert!(looked_at.contains(&id), "{id:?} goes and was not looked at since the stall");
-                    closed += usize::from(reducer.apply(now, Event::Quiet(id)).contains(&Effect::Close(id)));
+                    closed +=
+                        usize::from(reducer.handle(now, Event::ReadToEnd(id)).contains(&Effect::Close(id)));
                 }
                 _ => {}
             }
@@ -112,14 +113,14 @@
     let id = client(&mut reducer, now);
     // One that was served once is closed with its next answer: this statement is answered at once, with an error.
     receive(&mut reducer, now, id, &query(&statement("1", "unknown", 5000, "1")));
-    reducer.apply(now, Event::Turn);
+    reducer.handle(now, Event::Tick);
     let first = reducer.outgoing(id).len();
-    reducer.apply(now, Event::Written(id, first));
-    reducer.apply(now, Event::Terminate);
+    reducer.handle(now, Event::Written(id, first));
+    reducer.handle(now, Event::Terminate);
     let now = now + Span::from_millis(150);
-    reducer.apply(now, Event::Turn);
+    reducer.handle(now, Event::Tick);
     receive(&mut reducer, now, id, &query(""));
-    reducer.apply(now, Event::Turn);
+    reducer.handle(now, Event::Tick);
     let answer = reducer.outgoing(id).len();
     assert!(answer > 0, "it is answered");
     receive(&mut reducer, now, id, &query(""));
@@ -127,10 +128,10 @@
     for _ in 0..6 {
         let more = reducer.outgoing(id).len();
         answered += more;
-        let mut effects = reducer.apply(now, Event::Written(id, more));
-        effects.extend(reducer.apply(now, Event::Turn));
+        let mut effects = reducer.handle(now, Event::Written(id, more));
+        effects.extend(reducer.handle(now, Event::Tick));
         let quiet = effects.contains(&Effect::CloseIfQuiet(id));
-        if quiet && reducer.apply(now, Event::Quiet(id)).contains(&Effect::Close(id)) {
+        if quiet && reducer.handle(now, Event::ReadToEnd(id)).contains(&Effect::Close(id)) {
             return assert_eq!(answered, answer * 2, "both are answered");
         }
         assert!(!effects.contains(&Effect::Close(id)), "closed after {answered} bytes of answers");
--- a/crates/ladderpass/tests/told.rs
+++ b/crates/ladderpass/tests/told.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use ladderpass::launch;
-use ladderpass::reducer::{ConnId, Effect, Event, Reducer};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
@@ -157,8 +157,8 @@
     /// The port that is away, from when to when.
     away: (u16, Time, Time),
     /// Open calls and watches, with the port that they went to.
-    calls: BTreeMap<ConnId, u16>,
-    deeds: BTreeMap<(Time, u64), (ConnId, Deed)>,
+    calls: BTreeMap<ConnectionId, u16>,
+    deeds: BTreeMap<(Time, u64), (ConnectionId, Deed)>,
     last: u64,
     /// When calls were made.
     made: Vec<(Time, u16)>,
@@ -212,13 +212,13 @@
         self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
     }
 
-    fn after(&mut self, span: Span, id: ConnId, deed: Deed) {
+    fn after(&mut self, span: Span, id: ConnectionId, deed: Deed) {
         self.last += 1;
         self.deeds.insert((self.now + span, self.last), (id, deed));
     }
 
     fn apply(&mut self, event: Event) {
-        for effect in self.reducer.apply(self.now, event) {
+        for effect in self.reducer.handle(self.now, event) {
             match effect {
                 Effect::Connect(id, address) => self.asked(id, address.port()),
                 Effect::Close(id) => _ = self.calls.remove(&id),
@@ -237,7 +237,7 @@
     }
 
     /// A call is made, and what comes of it is settled.
-    fn asked(&mut self, id: ConnId, port: u16) {
+    fn asked(&mut self, id: ConnectionId, port: u16) {
         self.made.push((self.now, port));
         self.calls.insert(id, port);
         let little = ms(self.chance.generate_range(0..40));
@@ -282,13 +282,13 @@
         }
     }
 
-    fn done(&mut self, id: ConnId, deed: Deed) {
+    fn done(&mut self, id: ConnectionId, deed: Deed) {
         // What a discovery that hangs would have told is lost with the call, whenever it comes back.
         let Some(&port) = self.calls.get(&id) else { return };
         match deed {
             Deed::Up => self.apply(Event::Connected(id)),
             Deed::Bytes(bytes) => {
-                let room = self.reducer.room(id);
+                let room = self.reducer.read_buffer(id);
                 room[..bytes.len()].copy_from_slice(&bytes);
                 self.apply(Event::Received(id, bytes.len(), Span::ZERO));
             }
@@ -310,7 +310,7 @@
             }
             Deed::Denied => {
                 self.calls.remove(&id);
-                self.apply(Event::Denied(id));
+                self.apply(Event::ConnectDenied(id));
             }
         }
     }
@@ -318,12 +318,12 @@
     /// Plays on until then.
     fn play(&mut self, until: Time) {
         loop {
-            self.apply(Event::Turn);
-            if self.read_at.is_none() && self.reducer.members() > 3 {
+            self.apply(Event::Tick);
+            if self.read_at.is_none() && self.reducer.member_count() > 3 {
                 self.read_at = Some(self.now);
             }
             let deed = self.deeds.first_key_value().map(|(&(at, _), _)| at);
-            let next = [deed, self.reducer.wake()].into_iter().flatten().min().unwrap_or(until);
+            let next = [deed, self.reducer.wake_at()].into_iter().flatten().min().unwrap_or(until);
             let next = next.max(self.now + if deed == Some(next) { Span::ZERO } else { ms(1) });
             if next > until {
                 self.now = until;
@@ -354,7 +354,7 @@
     }
 
     fn hang_up(&mut self, mode: Mode, seed: u64) {
-        self.apply(Event::Told(Box::new(launched(mode, seed, NEW_PORT))));
+        self.apply(Event::ConfigurationReloaded(Box::new(launched(mode, seed, NEW_PORT))));
     }
 }
 
