--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -1,6 +1,4 @@
-//! Why an RPC was not served, and why a member did not get it: typed, for the log and its counts.
-//!
-//! It owns these types alone. Nothing here decides.
+//! Why an RPC was not served, and why a member did not get it, for the log and its counts. Nothing here decides.
 
 use crate::time::Span;
 use std::fmt::{self, Display, Formatter};
@@ -9,45 +7,48 @@
 /// Why an RPC was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// An attempt may have had its effect, and the method allows no repeat of it (any more).
+    /// An attempt may have had its effect, and the method allows no retry, or none any more.
     MayHaveRun,
     /// An answer would come too late to be of any use.
     TooLate,
-    /// It was queued for its part of the client's time, or that time is all but up.
+    /// It was queued for the longest share of its client's time, or that time is nearly over.
     OutOfTime,
+    /// It has had as many attempts as are allowed.
     NoAttemptLeft,
-    /// The front could not make the attempt: it had no connection, or its client can't be seen.
+    /// The front could not make the attempt: it had no connection, or lost sight of the client.
     NotMade,
     /// Several members have answered it with an error.
     AtFault,
-    /// The retry budget does not pay for a further attempt.
+    /// The retry budget does not allow a further attempt.
     Unpaid,
-    /// A marked repeat gets only what is idle.
+    /// No capacity was idle, and a repeat that the client has marked gets no other.
     NothingIdle,
 }
 
 /// Why a member could not get an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ineligible {
-    /// It drains, or has left the list.
+    /// It is draining, or not on the endpoint list.
     NotListed,
-    /// Its last probes or connections failed.
+    /// Its last health checks or connections failed.
     Ejected,
     /// It would answer too late.
     TooSlow,
-    /// An attempt of this RPC has just failed there.
+    /// An attempt of this RPC has just ended there without success.
     TriedBefore,
-    /// It is in its slow start, or crowded, and has had its share.
+    /// It is in slow start, or overloaded, and has had its share.
     SlowStart,
     /// Its concurrency limit is reached.
     NoRoom,
-    /// What is known of its position is not new enough.
+    /// Its position is not known to be recent enough.
     Stale,
 }
 
 /// A reason that is counted.
 pub trait Reason: Copy + PartialEq + 'static {
+    /// Every reason of its kind, in the order in which they are shown: eight at most.
     const ALL: &'static [Self];
+    /// The reason in the words of the log.
     fn text(self) -> &'static str;
 }
 
@@ -102,83 +103,102 @@
 }
 
 /// Most reasons of one kind.
-const MOST_REASONS: usize = 8;
+const MAX_REASONS: usize = 8;
 
 /// How often each reason held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts<R> {
-    counts: [u32; MOST_REASONS],
-    of: PhantomData<R>,
+    counts: [u32; MAX_REASONS],
+    reason: PhantomData<R>,
 }
 
 impl<R> Default for Counts<R> {
     fn default() -> Counts<R> {
-        Counts { counts: [0; MOST_REASONS], of: PhantomData }
+        Counts { counts: [0; MAX_REASONS], reason: PhantomData }
     }
 }
 
 impl<R: Reason> Counts<R> {
+    /// Counts a reason once.
     pub fn add(&mut self, reason: R) {
-        let counted = R::ALL.iter().zip(&mut self.counts).find(|(of, _)| **of == reason);
-        counted.into_iter().for_each(|(_, count)| *count += 1);
+        let mut counts = R::ALL.iter().zip(&mut self.counts);
+        if let Some((_, count)) = counts.find(|(counted, _)| **counted == reason) {
+            *count += 1;
+        }
     }
 
+    /// Adds the counts of another.
     pub fn join(&mut self, other: &Counts<R>) {
         self.counts.iter_mut().zip(other.counts).for_each(|(count, more)| *count += more);
     }
 }
 
-/// As in "2 stale, 1 ejected"; "none" where no reason held.
+/// As in "2 stale, 1 ejected"; "none" where all counts are zero.
 impl<R: Reason> Display for Counts<R> {
     fn fmt(&self, form: &mut Formatter<'_>) -> fmt::Result {
-        let held = R::ALL.iter().zip(self.counts).filter(|&(_, count)| count > 0);
-        let told: Vec<String> = held.map(|(reason, count)| format!("{count} {}", reason.text())).collect();
-        form.write_str(if told.is_empty() { "none" } else { "" })?;
-        form.write_str(&told.join(", "))
+        let counted = R::ALL.iter().zip(self.counts).filter(|&(_, count)| count > 0);
+        let texts: Vec<String> =
+            counted.map(|(reason, count)| format!("{count} {}", reason.text())).collect();
+        form.write_str(if texts.is_empty() { "none" } else { "" })?;
+        form.write_str(&texts.join(", "))
     }
 }
 
-/// An RPC that was not served by the ordinary path, as the log tells it.
+/// An RPC that was not served by the ordinary path, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unserved {
+    /// Index of its group.
     pub group: u32,
+    /// Index of its method.
     pub method: u32,
     /// Attempts made so far.
     pub attempts: u32,
+    /// Time since it was accepted.
     pub waited: Span,
-    /// What is left of its client's time.
+    /// Time until its deadline.
     pub left: Span,
+    /// What happened to it.
     pub what: Exception,
 }
 
 /// Could the primary have got an RPC that was given up?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryState {
+    /// The group has no known primary.
     Unknown,
+    /// It could.
     Eligible,
+    /// It could not, for this reason.
     Ineligible(Ineligible),
 }
 
+/// How an RPC left the ordinary path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Exception {
+    /// It was given up.
     GivenUp {
+        /// Why.
         reason: GiveUpReason,
+        /// Could the primary have got it?
         primary: PrimaryState,
     },
     /// A read went to the primary, past these replicas.
     Spilled(Counts<Ineligible>),
 }
 
-/// How often what did not go by the ordinary path.
+/// How many RPCs left the ordinary path.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExceptionCounts {
+    /// RPCs that were given up, by the reason.
     pub given_up: Counts<GiveUpReason>,
+    /// Reads that went to a primary, past its replicas.
     pub spilled: u32,
-    /// Replicas that were passed over where a read spilled.
+    /// Replicas that these were not sent to, by the reason.
     pub passed_over: Counts<Ineligible>,
 }
 
 impl ExceptionCounts {
+    /// Adds the counts of another.
     pub fn join(&mut self, other: &ExceptionCounts) {
         self.given_up.join(&other.given_up);
         self.spilled += other.spilled;
@@ -186,20 +206,21 @@
     }
 }
 
-/// What did not go by the ordinary path since the front was told last.
+/// RPCs that left the ordinary path since the last tick.
 #[derive(Clone, Debug, Default)]
 pub struct Exceptions {
+    /// How many.
     pub counts: ExceptionCounts,
     /// The first few of them.
     pub examples: Vec<Unserved>,
 }
 
-/// Examples that are kept until the front is told.
-const MOST_EXAMPLES: usize = 4;
+/// Examples that are kept until the next tick.
+const MAX_EXAMPLES: usize = 4;
 
 impl Exceptions {
-    /// Is a further example kept? Where not, none has to be made.
+    /// Is a further example kept?
     pub fn wants_example(&self) -> bool {
-        self.examples.len() < MOST_EXAMPLES
+        self.examples.len() < MAX_EXAMPLES
     }
 }
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -1,83 +1,90 @@
-//! How far this router's clock may differ from the one that all machines read, by the positions that members
-//! tell.
+//! How far the router's clock may differ from the members' clock, by the positions that members report.
 //!
-//! A router reads its wall clock once, at its start, and goes by the monotonic clock from there; one that
-//! starts while its wall clock is stepped is off for good. A position is a point in time that has passed: one
-//! that is ahead of the router's clock shows that this is behind, and the newest of all shows by how much it
-//! can be ahead at the most. An error leads to fresher data and a slower start: a clock that may be behind
-//! asks for newer positions, and one that may be ahead takes members that have started for colder. It reads
-//! no clock, and decides nothing about an RPC.
+//! A router reads its wall clock once, at its start, and goes by the monotonic clock from there; one that starts while
+//! its wall clock is stepped is wrong for good. A position is a point in time that has passed. One that is ahead of the
+//! router's clock shows that the clock is behind, and the newest of all bounds how far it can be ahead. Errors are on
+//! the safe side: a clock that may be behind requires newer positions, and one that may be ahead takes members in slow
+//! start to be younger. This module reads no clock, and decides nothing about an RPC.
 
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// Clocks that read the same differ by less than this; positions are told in whole milliseconds.
-const SAME: Span = Span::from_millis(50);
-/// So many positions, that differ by no more than this, show how far the clock is behind; one alone may be
-/// spoilt.
-const WITNESSES: usize = 3;
-const AGREE: Span = Span::from_millis(250);
+/// Clocks that differ by less than this count as the same; positions are reported in whole milliseconds.
+const SAME_CLOCK_WITHIN: Span = Span::from_millis(50);
+/// So many positions that agree within the second value confirm how far the clock is behind: a single one may be
+/// corrupt.
+const POSITIONS_TO_CONFIRM: usize = 3;
+const POSITIONS_AGREE_WITHIN: Span = Span::from_millis(250);
 /// A position ahead of the clock that no others confirm counts for this long.
-const SUSPECTED: Span = Span::from_millis(3000);
-const KEPT: usize = 32;
-/// Nothing but a spoilt answer is further ahead.
-const LONGEST: Span = Span::from_millis(86_400_000);
-/// Reports may be this old without the clock being ahead.
-const REPORTED_WITHIN: Span = Span::from_millis(1000);
+const UNCONFIRMED_VALID_FOR: Span = Span::from_millis(3000);
+const MAX_LEADS_KEPT: usize = 32;
+/// A position that is further ahead is corrupt.
+const MAX_LEAD: Span = Span::from_millis(86_400_000);
+/// Positions may be this old without the clock being ahead.
+const MAX_REPORT_AGE: Span = Span::from_millis(1000);
 
-/// By how much the router's clock differs from the members'.
+/// How far the router's clock may differ from the members'.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// It may be behind by so much.
+    /// It may be behind by this.
     pub behind: Span,
-    /// It may be ahead by so much.
+    /// It may be ahead by this.
     pub ahead: Span,
 }
 
-/// What positions have shown.
+/// A position that was ahead of the clock.
+#[derive(Clone, Copy, Debug)]
+struct Lead {
+    reported_at: Time,
+    lead: Span,
+}
+
+/// Compares the clock with the positions that members report.
 #[derive(Debug)]
 pub struct ReferenceClock {
-    /// When a position was told that was ahead of the clock by how much.
-    leads: VecDeque<(Time, Span)>,
+    leads: VecDeque<Lead>,
     confirmed: Span,
-    /// How old the newest position was when it was told; None: none was told yet, though members tell them.
-    youngest: Option<Span>,
+    /// Least age of a position when it was reported; none before the first one.
+    min_report_age: Option<Span>,
 }
 
 impl ReferenceClock {
-    /// `told`: members tell positions, so that some are to come.
-    pub fn new(told: bool) -> ReferenceClock {
-        let youngest = (!told).then_some(Span::ZERO);
-        ReferenceClock { leads: VecDeque::new(), confirmed: Span::ZERO, youngest }
+    /// `positions_expected`: members report positions, so that some are to come.
+    pub fn new(positions_expected: bool) -> ReferenceClock {
+        let min_report_age = (!positions_expected).then_some(Span::ZERO);
+        ReferenceClock { leads: VecDeque::new(), confirmed: Span::ZERO, min_report_age }
     }
 
-    /// A member told this position just now.
+    /// A member has just reported this position.
     pub fn record_position(&mut self, now: Time, position: Time) {
         let lead = position - now;
-        if lead > LONGEST {
+        if lead > MAX_LEAD {
             return;
         }
-        let before = self.youngest.unwrap_or(Span::MAX);
-        self.youngest = Some(before.min(Span::ZERO.max(Span::ZERO - lead)));
-        if lead <= self.confirmed + SAME {
+        let before = self.min_report_age.unwrap_or(Span::MAX);
+        self.min_report_age = Some(before.min(Span::ZERO.max(Span::ZERO - lead)));
+        if lead <= self.confirmed + SAME_CLOCK_WITHIN {
             return;
         }
-        self.leads.push_back((now, lead));
-        if self.leads.len() > KEPT {
+        self.leads.push_back(Lead { reported_at: now, lead });
+        if self.leads.len() > MAX_LEADS_KEPT {
             self.leads.pop_front();
         }
-        let agree = self.leads.iter().filter(|(_, other)| *other + AGREE >= lead).count();
-        if agree >= WITNESSES {
+        let agreeing = self.leads.iter().filter(|other| other.lead + POSITIONS_AGREE_WITHIN >= lead);
+        if agreeing.count() >= POSITIONS_TO_CONFIRM {
             self.confirmed = lead;
         }
     }
 
-    /// What the positions told so far, and lately, allow.
+    /// The difference that the positions reported so far, and lately, allow.
     pub fn difference(&self, now: Time) -> ClockDifference {
-        let recent = self.leads.iter().filter(|(at, _)| now - *at <= SUSPECTED).map(|&(_, lead)| lead);
-        let behind = recent.max().unwrap_or(Span::ZERO).max(self.confirmed);
-        let ahead = self.youngest.unwrap_or(Span::MAX);
-        ClockDifference { behind, ahead: if ahead > REPORTED_WITHIN { ahead } else { Span::ZERO } }
+        let recent = self.leads.iter().filter(|lead| now - lead.reported_at <= UNCONFIRMED_VALID_FOR);
+        let unconfirmed = recent.map(|lead| lead.lead).max().unwrap_or(Span::ZERO);
+        let ahead = self.min_report_age.unwrap_or(Span::MAX);
+        ClockDifference {
+            behind: unconfirmed.max(self.confirmed),
+            ahead: if ahead > MAX_REPORT_AGE { ahead } else { Span::ZERO },
+        }
     }
 
     /// How far the clock is behind for certain.
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -1,4 +1,4 @@
-//! What is measured over time: a count and a sum in fixed buckets of time that are used again in a ring.
+//! A sliding window: counts and sums over the last buckets of time, each of which is reused in turn.
 
 use crate::time::{Span, Time};
 
@@ -9,7 +9,7 @@
     sum: f64,
 }
 
-/// How many amounts were recorded over some buckets, and what they add up to.
+/// How many amounts were recorded over some buckets, and their sum.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowTotals {
     /// Amounts recorded.
@@ -25,7 +25,7 @@
     }
 }
 
-/// `N` buckets of one width; a bucket is emptied when its turn comes round again.
+/// The last `N` buckets of one width. A bucket is emptied when its turn comes again.
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<const N: usize> {
     width: Span,
@@ -33,14 +33,17 @@
 }
 
 impl<const N: usize> SlidingWindow<N> {
+    /// An empty window.
     pub fn new(width: Span) -> Self {
         SlidingWindow { width, buckets: [Bucket { number: i64::MIN, ..Bucket::default() }; N] }
     }
 
+    /// The number of the bucket that this time falls into.
     fn number(&self, at: Time) -> i64 {
         at.nanos().div_euclid(self.width.nanos())
     }
 
+    /// Records an amount now.
     pub fn record(&mut self, now: Time, amount: f64) {
         let number = self.number(now);
         let bucket = &mut self.buckets[number.rem_euclid(N as i64) as usize];
@@ -51,15 +54,16 @@
         bucket.sum += amount;
     }
 
+    /// Forgets all that was recorded.
     pub fn clear(&mut self) {
         *self = SlidingWindow::new(self.width);
     }
 
-    /// What was recorded in the current bucket and the `back - 1` before it.
-    pub fn totals(&self, now: Time, back: usize) -> WindowTotals {
+    /// What was recorded in the current bucket and those before it, this many in all.
+    pub fn totals(&self, now: Time, buckets: usize) -> WindowTotals {
         let newest = self.number(now);
-        let wanted = newest - back.min(N) as i64 + 1..=newest;
-        self.buckets.iter().filter(|bucket| wanted.contains(&bucket.number)).fold(
+        let included = newest - buckets.min(N) as i64 + 1..=newest;
+        self.buckets.iter().filter(|bucket| included.contains(&bucket.number)).fold(
             WindowTotals::default(),
             |totals, bucket| WindowTotals {
                 count: totals.count + bucket.count,
@@ -68,12 +72,12 @@
         )
     }
 
-    /// The smallest mean among the live buckets that hold at least `enough` samples.
-    pub fn min_bucket_mean(&self, now: Time, enough: f64) -> Option<f64> {
+    /// The smallest mean of a bucket, among those of the window with at least `min_count` amounts.
+    pub fn min_bucket_mean(&self, now: Time, min_count: f64) -> Option<f64> {
         let newest = self.number(now);
         self.buckets
             .iter()
-            .filter(|bucket| bucket.number > newest - N as i64 && bucket.count >= enough)
+            .filter(|bucket| bucket.number > newest - N as i64 && bucket.count >= min_count)
             .map(|bucket| bucket.sum / bucket.count)
             .reduce(f64::min)
     }
--- a/crates/ladderpass-routing/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -1,22 +1,24 @@
-//! What the tests share: a small deployment and short ways to call the module.
+//! What the tests share: a small deployment, routers before it, and short ways to call them.
 #![allow(dead_code)]
 
 use ladderpass_routing::*;
 
+/// A time, in milliseconds from where the tests begin.
 pub fn at(ms: i64) -> Time {
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
 }
 
-pub fn method(level: Consistency, effect: Idempotency) -> Method {
+pub fn method(consistency: Consistency, idempotency: Idempotency) -> Method {
     Method {
-        consistency: level,
-        idempotency: effect,
+        consistency,
+        idempotency,
         soft_deadline: Span::from_millis(500),
         utility: 1.0,
         late_utility_share: 0.0,
     }
 }
 
+/// Methods: 0 bounded read, 1 write.
 pub fn deployment() -> Deployment {
     Deployment {
         methods: vec![
@@ -42,14 +44,13 @@
     }
 }
 
-pub fn entry(member: u32, primary: bool) -> Endpoint {
-    let (standing, born) = (EndpointState::Active, None);
+pub fn endpoint(member: u32, primary: bool) -> Endpoint {
     Endpoint {
         member: MemberId(member),
         group: 0,
         primary,
-        state: standing,
-        started_at: born,
+        state: EndpointState::Active,
+        started_at: None,
         machine_kind: 0,
         concurrency: None,
         zone: 0,
@@ -57,7 +58,8 @@
     }
 }
 
-pub fn probe(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
+/// A member answers a health check with its position and role.
+pub fn report(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
     let report = LoadReport { position: Some(at(position_ms)), is_primary: Some(primary), in_flight: None };
     router.on_health_check_ended(at(ms), MemberId(member), AttemptOutcome::Ok, Span::from_millis(1), report);
 }
@@ -76,6 +78,7 @@
     }
 }
 
+/// The member that an attempt goes to.
 pub fn sent_to(decision: Decision) -> Option<u32> {
     match decision {
         Decision::Attempt { member, .. } => Some(member.0),
@@ -83,14 +86,118 @@
     }
 }
 
-pub fn outcome(member: u32, ended: AttemptOutcome, took_ms: i64) -> AttemptResult {
+pub fn result(member: u32, outcome: AttemptOutcome, latency_ms: i64) -> AttemptResult {
     AttemptResult {
         member: MemberId(member),
-        outcome: ended,
-        latency: Span::from_millis(took_ms),
-        rpc_complete: ended == AttemptOutcome::Ok,
+        outcome,
+        latency: Span::from_millis(latency_ms),
+        rpc_complete: outcome == AttemptOutcome::Ok,
         retry_denied: false,
         role: None,
         position: None,
     }
 }
+
+/// A router that has just started, before a primary and two replicas that are being checked.
+pub fn new_router() -> Router {
+    let mut router = Router::start(at(0), 7, deployment());
+    router.on_endpoint_update(
+        at(0),
+        EndpointUpdate::Cached(&[endpoint(0, true), endpoint(1, false), endpoint(2, false)]),
+    );
+    assert_eq!(router.tick(at(0)).health_checks.len(), 3);
+    router
+}
+
+/// A router before a primary and replicas that have all reported.
+///
+/// Methods: 0 bounded read, 1 write, 2 `any` read, 3 long `any` read.
+pub fn router_with_replicas(replicas: u32, change: impl Fn(&mut Deployment)) -> Router {
+    let mut deployment = deployment();
+    deployment.methods.push(method(Consistency::Any, Idempotency::Idempotent));
+    let mut long = method(Consistency::Any, Idempotency::Idempotent);
+    long.soft_deadline = Span::from_millis(6000);
+    deployment.methods.push(long);
+    change(&mut deployment);
+    let mut router = Router::start(at(0), 7, deployment);
+    let list: Vec<Endpoint> = (0..=replicas).map(|m| endpoint(m, m == 0)).collect();
+    router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
+    report_all(&mut router, replicas, 0);
+    router
+}
+
+/// Every member answers a health check and is up to date.
+pub fn report_all(router: &mut Router, replicas: u32, ms: i64) {
+    for member in 0..=replicas {
+        report(router, ms, member, ms, member == 0);
+    }
+}
+
+/// Sends `count` RPCs of a method, each answered after `latency_ms`; returns how many each member got.
+pub fn serve(router: &mut Router, method: u32, from: i64, count: i64, latency_ms: i64) -> Vec<u32> {
+    let mut got = vec![0; 5];
+    for n in 0..count {
+        let ms = from + n * (latency_ms + 1);
+        report_all(router, 4, ms);
+        let first = router.accept(at(ms), arrival(method, ms));
+        let later = router.tick(at(ms)).decisions;
+        for (rpc, decision) in std::iter::once(first).chain(later) {
+            if let Some(member) = sent_to(decision) {
+                got[member as usize] += 1;
+                rpc.on_attempt_ended(
+                    router,
+                    at(ms + latency_ms),
+                    result(member, AttemptOutcome::Ok, latency_ms),
+                );
+            }
+        }
+    }
+    got
+}
+
+/// How many of nine RPCs, all at once, are sent.
+pub fn burst(router: &mut Router, method: u32, ms: i64) -> usize {
+    report_all(router, 4, ms);
+    (0..9).filter(|_| sent_to(router.accept(at(ms), arrival(method, ms)).1).is_some()).count()
+}
+
+/// Eight RPCs at a time for a second, all answered at once: limits grow from where they start.
+pub fn grow_limits(router: &mut Router, method: u32, from: i64) {
+    for ms in (from..from + 1000).step_by(25) {
+        report_all(router, 4, ms);
+        let sent: Vec<_> = (0..8).map(|_| router.accept(at(ms), arrival(method, ms))).collect();
+        for (rpc, decision) in sent {
+            match sent_to(decision) {
+                Some(member) => {
+                    _ = rpc.on_attempt_ended(router, at(ms + 20), result(member, AttemptOutcome::Ok, 20))
+                }
+                None => rpc.abandon(router),
+            }
+        }
+        router.tick(at(ms + 20));
+    }
+}
+
+/// What another router of the zone saw of a member.
+pub fn peer_update(member: u32, observation: MemberObservation, ms: i64) -> MemberUpdate {
+    MemberUpdate {
+        member: MemberId(member),
+        observation,
+        at: at(ms),
+        same_zone: true,
+        latency_ratio: 0.0,
+        in_flight: None,
+    }
+}
+
+/// A router before a primary and two replicas, of which nothing is known; health checks report no positions.
+pub fn router_with_gossip(change: impl Fn(&mut Deployment)) -> Router {
+    let mut deployment =
+        Deployment { gossip: true, health_checks_report_position: false, ..self::deployment() };
+    change(&mut deployment);
+    let mut router = Router::start(at(0), 1, deployment);
+    let list: Vec<Endpoint> =
+        (0..3).map(|m| Endpoint { concurrency: Some(2.0), ..endpoint(m, m == 0) }).collect();
+    router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
+    router
+}
--- a/crates/ladderpass-routing/tests/expired.rs
+++ b/crates/ladderpass-routing/tests/expired_decisions.rs
@@ -1,5 +1,4 @@
-//! Attempts that were never sent, as their connection came up late: what they leave of an RPC, and when one may still be
-//! sent.
+//! Attempts that were never sent because their connection came up too late for the decision to hold.
 
 mod common;
 
@@ -15,49 +14,46 @@
     let mut deployment = deployment();
     change(&mut deployment);
     let mut router = Router::start(at(0), 7, deployment);
-    let list: Vec<Endpoint> = (0..3).map(|member| entry(member, member == 0)).collect();
+    let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
-    (0..3).for_each(|member| probe(&mut router, 0, member, 0, member == 0));
+    (0..3).for_each(|member| report(&mut router, 0, member, 0, member == 0));
     router
 }
 
-/// It may go to the same member at once, as it was never there, and with the one attempt that it is allowed.
+/// The RPC may go to the same member at once, as it never was there, and with the one attempt that it is allowed.
 #[test]
-fn what_was_never_sent_is_no_attempt_and_tells_nothing_of_the_member() {
+fn an_expired_decision_counts_as_no_attempt_and_tells_nothing_of_the_member() {
     let mut router = router(|deployment| deployment.max_attempts = 1);
     let (rpc, mut decision) = router.accept(at(1), arrival(READ, 1));
     for ms in 2..20 {
         let member = sent_to(decision).expect("it goes to a replica");
-        assert_ne!(member, 0, "{ms}: a read spilled, though both replicas stand");
+        assert_ne!(member, 0, "{ms}: a read spilled, though both replicas serve");
         decision =
-            rpc.on_attempt_ended(&mut router, at(ms), outcome(member, AttemptOutcome::DecisionExpired, 1));
+            rpc.on_attempt_ended(&mut router, at(ms), result(member, AttemptOutcome::DecisionExpired, 1));
     }
     let member = sent_to(decision).expect("it goes to a replica");
-    let last = rpc.on_attempt_ended(&mut router, at(20), outcome(member, AttemptOutcome::Rejected, 1));
+    let last = rpc.on_attempt_ended(&mut router, at(20), result(member, AttemptOutcome::Rejected, 1));
     assert!(matches!(last, Decision::Reject { .. }), "that was the one attempt: {last:?}");
 }
 
-/// As long as what is known of the replica is new enough for the send.
+/// As long as the replica is known to be fresh enough for the send.
 #[test]
-fn a_read_may_still_go_to_its_replica_while_its_data_are_new_enough() {
+fn a_read_may_still_go_to_its_replica_while_that_is_fresh_enough() {
     let mut router = router(|_| {});
     let (rpc, decision) = router.accept(at(1), arrival(READ, 1));
     let member = MemberId(sent_to(decision).expect("it goes to a replica"));
     assert!(router.may_still_attempt(at(BOUND_MS - 5), rpc, member));
-    assert!(
-        !router.may_still_attempt(at(BOUND_MS - 4), rpc, member),
-        "a tick less, which its last byte may take"
-    );
-    probe(&mut router, BOUND_MS, member.0, BOUND_MS - 100, false);
-    assert!(router.may_still_attempt(at(BOUND_MS), rpc, member), "it has told a newer position");
+    assert!(!router.may_still_attempt(at(BOUND_MS - 4), rpc, member), "a tick less, for its last byte");
+    report(&mut router, BOUND_MS, member.0, BOUND_MS - 100, false);
+    assert!(router.may_still_attempt(at(BOUND_MS), rpc, member), "it has reported a newer position");
     router.on_endpoint_update(
         at(BOUND_MS),
-        EndpointUpdate::Changes(&[Endpoint { state: EndpointState::Draining, ..entry(member.0, false) }]),
+        EndpointUpdate::Changes(&[Endpoint { state: EndpointState::Draining, ..endpoint(member.0, false) }]),
     );
-    assert!(!router.may_still_attempt(at(BOUND_MS), rpc, member), "it drains");
+    assert!(!router.may_still_attempt(at(BOUND_MS), rpc, member), "it is draining");
 }
 
-/// A write goes to the primary alone, whichever that is by then; and one that is over goes nowhere.
+/// A write goes to the primary alone, whichever that is by then, and one that has its answer goes nowhere.
 #[test]
 fn a_write_may_still_go_to_the_primary_alone() {
     let mut router = router(|_| {});
@@ -65,9 +61,9 @@
     assert_eq!(sent_to(decision), Some(0));
     assert!(router.may_still_attempt(at(100), rpc, MemberId(0)));
     assert!(!router.may_still_attempt(at(100), rpc, MemberId(1)));
-    probe(&mut router, 100, 1, 100, true);
-    assert!(!router.may_still_attempt(at(101), rpc, MemberId(0)), "another leads");
+    report(&mut router, 100, 1, 100, true);
+    assert!(!router.may_still_attempt(at(101), rpc, MemberId(0)), "another is primary");
     assert!(router.may_still_attempt(at(101), rpc, MemberId(1)));
-    rpc.on_attempt_ended(&mut router, at(102), outcome(0, AttemptOutcome::ConnectionLost, 1));
-    assert!(!router.may_still_attempt(at(103), rpc, MemberId(1)), "it is over, as it may have run");
+    rpc.on_attempt_ended(&mut router, at(102), result(0, AttemptOutcome::ConnectionLost, 1));
+    assert!(!router.may_still_attempt(at(103), rpc, MemberId(1)), "it has failed, as it may have run");
 }
--- /dev/null
+++ b/crates/ladderpass-routing/tests/gossip.rs
@@ -0,0 +1,145 @@
+//! What routers tell each other of members.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+
+/// Prevents reads from going to the primary, or waiting for a health check without a report, at each router that has not
+/// reached a replica within the bound.
+#[test]
+fn a_position_from_another_router_serves_until_the_bound() {
+    let mut router = router_with_gossip(|_| ());
+    assert_eq!(sent_to(router.accept(at(10), arrival(0, 10)).1), Some(0), "nothing is known of the replicas");
+    router.on_peer_update(at(20), peer_update(1, MemberObservation::Replica, 15));
+    assert_eq!(sent_to(router.accept(at(30), arrival(0, 30)).1), Some(1));
+    // Late, doubled and older updates take nothing back; one of the future does not count.
+    router.on_peer_update(at(40), peer_update(1, MemberObservation::Replica, 3));
+    router.on_peer_update(at(40), peer_update(2, MemberObservation::Replica, 500));
+    assert_eq!(sent_to(router.accept(at(200), arrival(0, 200)).1), Some(1));
+    assert_ne!(sent_to(router.accept(at(815), arrival(0, 815)).1), Some(1), "800 ms are over");
+}
+
+#[test]
+fn a_member_that_only_another_router_knows_is_sent_nothing() {
+    let mut router = router_with_gossip(|_| ());
+    router.on_peer_update(at(20), peer_update(7, MemberObservation::Primary, 15));
+    router.on_peer_update(at(20), peer_update(7, MemberObservation::Replica, 15));
+    assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(0));
+}
+
+/// Prevents each router from having to find out for itself, where the list names the first primary for ever.
+#[test]
+fn a_new_primary_seen_by_another_router_gets_the_writes() {
+    let mut router = router_with_gossip(|deployment| deployment.primary_in_list = PrimaryInList::AtStart);
+    router.on_peer_update(at(20), peer_update(2, MemberObservation::Primary, 15));
+    assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(2));
+    router.on_peer_update(at(40), peer_update(0, MemberObservation::Primary, 5));
+    assert_eq!(sent_to(router.accept(at(50), arrival(1, 50)).1), Some(2), "an older claim");
+}
+
+#[test]
+fn a_report_is_published_once_in_a_share_of_the_bound() {
+    let mut router = router_with_gossip(|_| ());
+    router.on_peer_update(at(1), peer_update(1, MemberObservation::Replica, 0));
+    let mut published = 0;
+    for ms in (400..1400).step_by(10) {
+        router.on_peer_update(
+            at(ms),
+            MemberUpdate { same_zone: false, ..peer_update(1, MemberObservation::Replica, ms - 5) },
+        );
+        let (rpc, _) = router.accept(at(ms), arrival(0, ms));
+        let position = Some(at(ms + 4));
+        let answer =
+            AttemptResult { role: Some(Role::Replica), position, ..result(1, AttemptOutcome::Ok, 5) };
+        rpc.on_attempt_ended(&mut router, at(ms + 5), answer);
+        published += router.tick(at(ms + 5)).gossip.len();
+    }
+    assert_eq!(published, 0, "others have just published it");
+    let (rpc, _) = router.accept(at(2000), arrival(0, 2000));
+    let answer = AttemptResult {
+        role: Some(Role::Replica),
+        position: Some(at(2003)),
+        ..result(1, AttemptOutcome::Ok, 5)
+    };
+    rpc.on_attempt_ended(&mut router, at(2005), answer);
+    let published = router.tick(at(2005)).gossip;
+    let positions: Vec<_> =
+        published.iter().filter(|update| update.observation == MemberObservation::Replica).collect();
+    assert!(
+        matches!(positions[..], [MemberUpdate { latency_ratio, .. }] if *latency_ratio > 0.0),
+        "{published:?}"
+    );
+}
+
+/// Prevents each router of a zone from losing RPCs to the same dead member: three updates from its zone count.
+#[test]
+fn updates_of_the_same_zone_eject_a_member_and_readmit_it() {
+    let mut router = router_with_gossip(|_| ());
+    let report_position = |router: &mut Router, ms| {
+        router.on_peer_update(at(ms), peer_update(1, MemberObservation::Replica, ms - 1))
+    };
+    report_position(&mut router, 10);
+    for ms in [20, 30, 40] {
+        router.on_peer_update(
+            at(ms),
+            MemberUpdate { same_zone: false, ..peer_update(1, MemberObservation::Unreachable, ms - 1) },
+        );
+    }
+    assert_eq!(sent_to(router.accept(at(50), arrival(0, 50)).1), Some(1), "updates from other zones");
+    for ms in [60, 70, 80] {
+        router.on_peer_update(at(ms), peer_update(1, MemberObservation::Unreachable, ms - 1));
+    }
+    assert_ne!(sent_to(router.accept(at(90), arrival(0, 90)).1), Some(1));
+    report_position(&mut router, 100);
+    let served = (0..20).filter(|n| sent_to(router.accept(at(110 + n), arrival(0, 110 + n)).1) == Some(1));
+    assert!(served.count() > 0, "it is readmitted");
+}
+
+/// Prevents a member from holding dozens of RPCs while no router has two in flight there.
+#[test]
+fn reads_are_taken_from_an_overloaded_member_and_given_back() {
+    let mut router = router_with_gossip(|deployment| deployment.health_checks_report_position = true);
+    let reads = |router: &mut Router, from: i64, in_flight: f64| {
+        let mut sent = 0;
+        for step in 0..40 {
+            let ms = from + step * 100;
+            let update = MemberUpdate {
+                in_flight: Some(in_flight),
+                ..peer_update(1, MemberObservation::Replica, ms - 1)
+            };
+            router.on_peer_update(at(ms), update);
+            router.tick(at(ms));
+            let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
+            match sent_to(decision) {
+                Some(1) => {
+                    sent += 1;
+                    rpc.on_attempt_ended(router, at(ms + 10), result(1, AttemptOutcome::Ok, 10));
+                }
+                _ => rpc.abandon(router),
+            }
+        }
+        sent
+    };
+    let (calm, overloaded) = (reads(&mut router, 100, 0.0), reads(&mut router, 5000, 30.0));
+    (0..4).for_each(|nth| _ = reads(&mut router, 10_000 + nth * 5000, 0.0));
+    let after = reads(&mut router, 30_000, 0.0);
+    assert!(calm >= 30 && overloaded <= calm / 3 && after >= 25, "{calm}, {overloaded}, {after}");
+}
+
+/// A router alone learns only from its own few health checks: a share taken in a jam would stay away for a quarter of a minute.
+#[test]
+fn a_router_without_gossip_takes_no_share_of_the_reads() {
+    let mut router = router_with_gossip(|deployment| deployment.gossip = false);
+    for ms in (0..3000).step_by(100) {
+        let report = LoadReport { position: Some(at(ms)), is_primary: Some(false), in_flight: Some(50.0) };
+        (1..3).for_each(|m| {
+            router.on_health_check_ended(at(ms), MemberId(m), AttemptOutcome::Ok, Span::ZERO, report)
+        });
+    }
+    for ms in (3000..3700).step_by(20) {
+        let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
+        let Some(member) = sent_to(decision) else { panic!("{decision:?} at {ms}") };
+        rpc.on_attempt_ended(&mut router, at(ms + 5), result(member, AttemptOutcome::Ok, 5));
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/invariants.rs
@@ -0,0 +1,445 @@
+//! Seeded random runs: whatever happens, the invariants hold after every step.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+use nanorand::{Rng, WyRand};
+use quickcheck::{Gen, QuickCheck};
+use std::collections::HashMap;
+
+const MEMBERS: u32 = 5;
+
+#[derive(Clone, Copy)]
+struct TrackedRpc {
+    arrival: Arrival,
+    accepted_at: Time,
+    /// Commit of the session's last write that was answered here before this RPC arrived.
+    session_write: Time,
+    attempt: Option<Attempt>,
+    /// Send time of the first attempt that may have run.
+    may_have_run_since: Option<Time>,
+    is_answered: bool,
+}
+
+/// An attempt in flight.
+#[derive(Clone, Copy, Debug)]
+struct Attempt {
+    member: u32,
+    sent_at: Time,
+}
+
+/// What the router was told, for its decisions to be checked against.
+struct Run {
+    random: WyRand,
+    now: Time,
+    deployment: Deployment,
+    router: Router,
+    rpcs: HashMap<RpcId, TrackedRpc>,
+    states: Vec<EndpointState>,
+    seen_draining: Vec<bool>,
+    positions: Vec<Time>,
+    /// A result said replica, and nothing has said primary since.
+    is_replica: Vec<bool>,
+    started_at: Vec<Time>,
+    sent: Vec<Attempt>,
+    /// Commit of each session's last write that was answered here.
+    commits: Vec<Time>,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        let mut random = WyRand::new_seed(seed);
+        let mut deployment = deployment();
+        let bounded = Consistency::BoundedStaleness(Span::from_millis(800));
+        let consistencies =
+            [bounded, Consistency::Any, Consistency::Session, Consistency::Fresh, Consistency::Write];
+        let window = Span::from_millis(700);
+        let keyed = |across_groups| Idempotency::IdempotencyKey { across_groups, window };
+        let idempotencies = [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed(true), keyed(false)];
+        let methods = consistencies
+            .iter()
+            .flat_map(|&consistency| idempotencies.map(|idempotency| method(consistency, idempotency)));
+        let late = [0.0, 0.5].into_iter().cycle();
+        deployment.methods = methods
+            .zip(late)
+            .map(|(method, late_utility_share)| Method { late_utility_share, ..method })
+            .collect();
+        let roles = [PrimaryInList::Delayed, PrimaryInList::AtStart, PrimaryInList::Absent];
+        deployment.primary_in_list = roles[random.generate_range(0..3usize)];
+        deployment.session_write_age_carried = random.generate::<bool>();
+        deployment.health_checks = random.generate_range(0..5u32) > 0;
+        deployment.health_checks_report_position = deployment.health_checks && random.generate::<bool>();
+        (deployment.gossip, deployment.router_index) = (random.generate(), random.generate_range(0..4u32));
+        deployment.removal_is_advisory = random.generate_range(0..3u32) == 0;
+        deployment.endpoint_poll_interval = random.generate::<bool>().then_some(Span::from_millis(10_000));
+        let now = at(0);
+        let router = Router::start(now, seed, deployment.clone());
+        let member_count = MEMBERS as usize;
+        let mut run = Run {
+            random,
+            now,
+            deployment,
+            router,
+            rpcs: HashMap::new(),
+            states: vec![EndpointState::Active; member_count],
+            seen_draining: vec![false; member_count],
+            positions: vec![Time::NEVER; member_count],
+            is_replica: vec![false; member_count],
+            started_at: vec![Time::NEVER; member_count],
+            sent: Vec::new(),
+            commits: vec![Time::NEVER; 3],
+        };
+        run.restart();
+        run
+    }
+
+    /// A router starts with nothing but a list, which may be old.
+    fn restart(&mut self) {
+        let seed = self.random.generate::<u64>();
+        self.router = Router::start(self.now, seed, self.deployment.clone());
+        self.rpcs.clear();
+        self.sent.clear();
+        for times in [&mut self.positions, &mut self.started_at, &mut self.commits] {
+            times.fill(Time::NEVER);
+        }
+        self.is_replica.fill(false);
+        let member_count = MEMBERS as usize;
+        self.states = (0..member_count)
+            .map(|_| {
+                if self.random.generate_range(0..8u32) == 0 {
+                    EndpointState::Draining
+                } else {
+                    EndpointState::Active
+                }
+            })
+            .collect();
+        self.seen_draining = self.states.iter().map(|&state| state == EndpointState::Draining).collect();
+        let states = &self.states;
+        let list: Vec<Endpoint> =
+            (0..MEMBERS).map(|m| Endpoint { state: states[m as usize], ..endpoint(m, m == 0) }).collect();
+        self.router.on_endpoint_update(self.now, EndpointUpdate::Cached(&list));
+    }
+
+    fn below(&mut self, most: u32) -> u32 {
+        self.random.generate_range(0..most)
+    }
+
+    fn one<T: Copy>(&mut self, of: &[T]) -> T {
+        of[self.below(of.len() as u32) as usize]
+    }
+
+    /// A position up to 1.5 s old, or none.
+    fn random_position(&mut self) -> Option<Time> {
+        (self.below(2) == 0).then(|| self.now - Span::from_millis(i64::from(self.below(1500))))
+    }
+
+    fn step(&mut self) {
+        if self.below(150) == 0 {
+            self.restart();
+        }
+        match self.below(13) {
+            12 => self.peer_update(),
+            0..=3 => self.accept(),
+            4..=6 => self.end_attempt(),
+            7 => self.end_health_check(),
+            8 => self.update_endpoints(),
+            9 => self.abandon(),
+            _ => {
+                let pause = Span::from_millis(self.one(&[1, 5, 20, 300, 1200]));
+                self.now = self.now + pause;
+            }
+        }
+        self.tick();
+    }
+
+    fn accept(&mut self) {
+        let method = self.below(self.deployment.methods.len() as u32);
+        let mut arrival = arrival(method, 0);
+        arrival.deadline = self.now + Span::from_millis(i64::from(self.below(2000)));
+        arrival.is_client_retry = self.below(4) == 0;
+        arrival.session = Some(self.below(3));
+        arrival.last_write_age = (self.below(2) == 0).then(|| Span::from_millis(i64::from(self.below(900))));
+        let (rpc, decision) = self.router.accept(self.now, arrival);
+        let session_write = self.commits[arrival.session.expect("set above") as usize];
+        let tracked = TrackedRpc {
+            arrival,
+            accepted_at: self.now,
+            session_write,
+            attempt: None,
+            may_have_run_since: None,
+            is_answered: false,
+        };
+        assert!(self.rpcs.insert(rpc, tracked).is_none_or(|old| old.is_answered && old.attempt.is_none()));
+        self.check(rpc, decision);
+    }
+
+    /// In an order that does not depend on hashes.
+    fn rpcs_that(&self, is_wanted: impl Fn(&TrackedRpc) -> bool) -> Vec<RpcId> {
+        let mut rpcs: Vec<RpcId> =
+            self.rpcs.iter().filter(|(_, tracked)| is_wanted(tracked)).map(|(&rpc, _)| rpc).collect();
+        rpcs.sort_by_key(|rpc| format!("{rpc:?}"));
+        rpcs
+    }
+
+    fn end_attempt(&mut self) {
+        let in_flight = self.rpcs_that(|tracked| tracked.attempt.is_some());
+        if in_flight.is_empty() {
+            return;
+        }
+        let rpc = self.one(&in_flight);
+        use AttemptOutcome::{
+            Cancelled, ConnectionLost, Failed, NeverSent, NotServedHere, Rejected, TimedOut, Unreachable,
+        };
+        let failures =
+            [Failed, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NeverSent, NotServedHere];
+        let outcome = failures.get(self.below(10) as usize).copied().unwrap_or(AttemptOutcome::Ok);
+        let role = self.one(&[None, Some(Role::Primary), Some(Role::Replica)]);
+        let position = self.random_position();
+        let tracked = self.rpcs.get_mut(&rpc).expect("chosen from it");
+        let Attempt { member, sent_at } = tracked.attempt.take().expect("chosen for it");
+        let is_answer = matches!(outcome, AttemptOutcome::Ok | NotServedHere | Rejected | Failed);
+        let (role, position) = if is_answer { (role, position) } else { (None, None) };
+        if !matches!(outcome, Rejected | Unreachable | NeverSent | NotServedHere) {
+            tracked.may_have_run_since.get_or_insert(sent_at);
+        }
+        let rpc_complete = outcome == AttemptOutcome::Ok || tracked.is_answered;
+        tracked.is_answered |= rpc_complete;
+        let is_write =
+            self.deployment.methods[tracked.arrival.method as usize].consistency == Consistency::Write;
+        let index = member as usize;
+        let (arrival, is_commit) = (tracked.arrival, is_write && outcome == AttemptOutcome::Ok);
+        if let Some(position) = position {
+            let session = arrival.session.expect("every arrival has one") as usize;
+            let newest = if is_commit { &mut self.commits[session] } else { &mut self.positions[index] };
+            *newest = position.max(*newest);
+        }
+        if let Some(role) = role {
+            self.is_replica[index] = role == Role::Replica;
+        }
+        // The typical time for all, so that attempts can be counted for their work.
+        let latency = Span::from_millis(100);
+        let result = AttemptResult {
+            member: MemberId(member),
+            outcome,
+            latency,
+            rpc_complete,
+            retry_denied: false,
+            role,
+            position,
+        };
+        let decision = rpc.on_attempt_ended(&mut self.router, self.now, result);
+        if rpc_complete {
+            assert_eq!(decision, Decision::AlreadyAnswered, "nothing follows the end");
+        }
+        self.check(rpc, decision);
+        if self.below(4) == 0 && rpc_complete {
+            // A late or doubled result of an RPC that has its answer changes nothing.
+            assert_eq!(rpc.on_attempt_ended(&mut self.router, self.now, result), Decision::AlreadyAnswered);
+        }
+    }
+
+    fn end_health_check(&mut self) {
+        let member = self.below(MEMBERS);
+        let outcome = self.one(&[
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::Ok,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Rejected,
+        ]);
+        let position = self.random_position();
+        let is_primary = self.one(&[None, Some(true), Some(false)]);
+        if outcome == AttemptOutcome::Ok {
+            let index = member as usize;
+            self.positions[index] = self.positions[index].max(position.unwrap_or(Time::NEVER));
+            if is_primary == Some(true) {
+                self.is_replica[index] = false;
+            }
+        }
+        let in_flight = self.one(&[None, Some(0.0), Some(50.0)]);
+        let report = LoadReport { position, is_primary, in_flight };
+        self.router.on_health_check_ended(self.now, MemberId(member), outcome, Span::from_millis(1), report);
+    }
+
+    /// An update from another router: late, in any order, about members that no list has named, or from the future.
+    fn peer_update(&mut self) {
+        let member = self.one(&[0, 1, 2, 3, 299]);
+        let observation = self.one(&[
+            MemberObservation::Replica,
+            MemberObservation::Primary,
+            MemberObservation::Unreachable,
+        ]);
+        let ahead = Span::from_millis(i64::from(self.below(4) / 3) * 400);
+        let at = self.random_position().unwrap_or(self.now) + ahead;
+        let index = member as usize;
+        if observation != MemberObservation::Unreachable && at <= self.now && index < self.positions.len() {
+            self.positions[index] = self.positions[index].max(at);
+            self.is_replica[index] &= observation != MemberObservation::Primary;
+        }
+        let (same_zone, latency_ratio) = (self.below(2) == 0, self.one(&[0.0, 1.0, 30.0]));
+        let in_flight = self.one(&[None, Some(40.0)]);
+        self.router.on_peer_update(
+            self.now,
+            MemberUpdate { member: MemberId(member), observation, at, same_zone, latency_ratio, in_flight },
+        );
+    }
+
+    fn update_endpoints(&mut self) {
+        match self.below(20) {
+            0 | 1 => {
+                return self.router.on_endpoint_update(self.now, EndpointUpdate::Failed { silent: false });
+            }
+            // An empty list, and members that are not known yet; both may come back.
+            2 => {
+                self.states.fill(EndpointState::Removed);
+                return self.router.on_endpoint_update(self.now, EndpointUpdate::Complete(&[]));
+            }
+            3 => {
+                return self.router.on_endpoint_update(
+                    self.now,
+                    EndpointUpdate::Changes(&[Endpoint { group: 9, ..endpoint(300, true) }]),
+                );
+            }
+            _ => {}
+        }
+        let member = self.below(MEMBERS);
+        let state = self.one(&[
+            EndpointState::Active,
+            EndpointState::Active,
+            EndpointState::Draining,
+            EndpointState::Removed,
+        ]);
+        let mut entry = endpoint(member, self.below(2) == 0);
+        entry.state = state;
+        entry.started_at = (self.below(3) == 0).then_some(self.now);
+        let index = member as usize;
+        self.seen_draining[index] =
+            state == EndpointState::Draining || self.seen_draining[index] && state == EndpointState::Removed;
+        self.states[index] = state;
+        self.started_at[index] = entry.started_at.unwrap_or(self.started_at[index]);
+        self.router.on_endpoint_update(self.now, EndpointUpdate::Changes(&[entry]));
+    }
+
+    fn abandon(&mut self) {
+        if let Some(&rpc) = self.rpcs_that(|tracked| !tracked.is_answered).first() {
+            self.rpcs.get_mut(&rpc).expect("listed").is_answered = true;
+            rpc.abandon(&mut self.router);
+        }
+    }
+
+    fn tick(&mut self) {
+        let output = self.router.tick(self.now);
+        for (rpc, decision) in output.decisions {
+            self.check(rpc, decision);
+        }
+        assert!(
+            self.deployment.health_checks || output.health_checks.is_empty(),
+            "no health checks where they are not allowed"
+        );
+        assert!(self.deployment.endpoint_poll_interval.is_some() || !output.poll_endpoints);
+        // Rule 1: a pending RPC has its answer before its deadline.
+        for tracked in self.rpcs.values() {
+            assert!(
+                tracked.is_answered || tracked.attempt.is_some() || self.now < tracked.arrival.deadline,
+                "an RPC was lost"
+            );
+        }
+    }
+
+    fn check(&mut self, rpc: RpcId, decision: Decision) {
+        let now = self.now;
+        let tracked = self.rpcs.get_mut(&rpc).expect("a decision is on an RPC that was accepted");
+        let method = &self.deployment.methods[tracked.arrival.method as usize];
+        match decision {
+            Decision::Queue | Decision::AlreadyAnswered => {}
+            Decision::Fail => {
+                assert!(!tracked.is_answered, "rule 1: a second final answer");
+                tracked.is_answered = true;
+            }
+            Decision::Reject { retry_after } => {
+                assert!(!tracked.is_answered, "rule 1: a second final answer");
+                assert!(retry_after >= Span::ZERO && retry_after <= self.deployment.max_retry_after);
+                let client_may_retry = match method.idempotency {
+                    Idempotency::Idempotent => true,
+                    Idempotency::IdempotencyKey { across_groups, .. } => {
+                        across_groups || tracked.may_have_run_since.is_none()
+                    }
+                    Idempotency::NonIdempotent => tracked.may_have_run_since.is_none(),
+                };
+                assert!(client_may_retry, "rule 2: rejected, and it may have run");
+                tracked.is_answered = true;
+            }
+            Decision::Attempt { member, .. } => {
+                let index = member.0 as usize;
+                assert!(!tracked.is_answered, "rule 1: sent after its answer");
+                assert!(tracked.attempt.is_none(), "two attempts at once");
+                match (method.idempotency, tracked.may_have_run_since) {
+                    (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: a second effect"),
+                    (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
+                        assert!(now - first < window, "rule 2: sent past the window");
+                    }
+                    _ => {}
+                }
+                let is_bound = if self.deployment.removal_is_advisory {
+                    self.seen_draining[index]
+                } else {
+                    self.states[index] != EndpointState::Active
+                };
+                assert!(!is_bound, "rule 3: sent to a member that is draining or removed");
+                let session_write = match self.deployment.session_write_age_carried {
+                    true => {
+                        tracked.arrival.last_write_age.map_or(Time::NEVER, |age| tracked.accepted_at - age)
+                    }
+                    false => tracked.session_write,
+                };
+                let required = match method.consistency {
+                    Consistency::BoundedStaleness(age) => now - age,
+                    Consistency::Session => session_write,
+                    _ => Time::NEVER,
+                };
+                let is_proven = self.positions[index] >= required;
+                assert!(is_proven || !self.is_replica[index], "rule 5: a stale read");
+                // Rule 4: a member in slow start gets its share of what there was to be sent, and a little for chance.
+                let window_start = now - self.deployment.overload_window;
+                let age = (now - self.started_at[index]).secs() / self.deployment.slow_start_duration.secs();
+                let share =
+                    self.deployment.slow_start_capacity + (1.0 - self.deployment.slow_start_capacity) * age;
+                let attempt = Attempt { member: member.0, sent_at: now };
+                tracked.attempt = Some(attempt);
+                self.sent.retain(|attempt| attempt.sent_at > window_start);
+                self.sent.push(attempt);
+                let sent = self.sent.iter().filter(|attempt| {
+                    attempt.member == member.0 && attempt.sent_at >= self.started_at[index]
+                });
+                let open = self.rpcs.values().filter(|rpc| {
+                    rpc.accepted_at > window_start || !rpc.is_answered || rpc.attempt.is_some()
+                });
+                let most = 5.0 + 2.0 * share * open.count() as f64;
+                assert!(
+                    age > 1.0 || sent.count() as f64 <= most,
+                    "rule 4: more than {most} to a member in slow start"
+                );
+            }
+        }
+    }
+}
+
+/// The invariants hold at every step, and the same seed and calls give the same decisions.
+#[test]
+fn the_invariants_hold_after_every_step() {
+    fn final_states(seed: u64) -> Vec<String> {
+        let mut run = Run::new(seed);
+        (0..400).for_each(|_| run.step());
+        let mut states: Vec<_> = run
+            .rpcs
+            .iter()
+            .map(|(rpc, state)| format!("{rpc:?} {:?} {}", state.attempt, state.is_answered))
+            .collect();
+        states.sort();
+        states
+    }
+    let seeded = Gen::from_size_and_seed(64, 20_261_201);
+    let run = |seed: u64| final_states(seed) == final_states(seed);
+    QuickCheck::new().rng(seeded).tests(200).quickcheck(run as fn(u64) -> bool);
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/outlier_ejection.rs
@@ -0,0 +1,46 @@
+//! Members that fail several times in a row get nothing until they answer again.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+
+#[test]
+fn a_member_readmitted_after_a_long_absence_is_in_slow_start() {
+    let mut router = router_with_replicas(3, |_| {});
+    for ms in [1, 600, 1200, 1800] {
+        router.on_health_check_ended(
+            at(ms),
+            MemberId(3),
+            AttemptOutcome::Unreachable,
+            Span::ZERO,
+            LoadReport::default(),
+        );
+    }
+    let messages = router.tick(at(1800)).log_messages;
+    assert!(
+        messages.iter().any(|message| message.contains("#3 ejected after 3 consecutive failures")),
+        "{messages:?}"
+    );
+    let got = serve(&mut router, 0, 2000, 80, 20);
+    assert!(f64::from(got[3]) <= 0.6 * f64::from(got[1]), "{got:?}");
+}
+
+/// Where health checks are not allowed, a primary that was unreachable once would never be tried again.
+#[test]
+fn without_health_checks_an_unreachable_member_is_tried_again() {
+    let mut router =
+        router_with_replicas(1, |d| (d.health_checks, d.health_checks_report_position) = (false, false));
+    let (rpc, decision) = router.accept(at(0), arrival(1, 0));
+    assert_eq!(sent_to(decision), Some(0));
+    rpc.abandon(&mut router);
+    rpc.on_attempt_ended(&mut router, at(0), result(0, AttemptOutcome::Unreachable, 1));
+    let mut sent = |ms| {
+        router.tick(at(ms));
+        let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
+        rpc.abandon(&mut router);
+        sent_to(decision)
+    };
+    assert_eq!(sent(200), None, "no attempt");
+    assert_eq!(sent(1000), Some(0));
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -0,0 +1,43 @@
+//! RPCs that wait for a member.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+
+/// Prevents an RPC that nothing can serve from being kept until its client has no time left to turn elsewhere.
+#[test]
+fn an_rpc_that_can_be_sent_nowhere_is_rejected_by_half_of_its_time() {
+    let mut router = router_with_replicas(2, |_| ());
+    for member in 0..=2 {
+        (0..3).for_each(|_| {
+            router.on_health_check_ended(
+                at(10),
+                MemberId(member),
+                AttemptOutcome::TimedOut,
+                Span::ZERO,
+                LoadReport::default(),
+            );
+        });
+    }
+    let mut write = arrival(1, 20);
+    write.deadline = at(420);
+    let (rpc, first) = router.accept(at(20), write);
+    assert_eq!(first, Decision::Queue);
+    assert!(router.tick(at(100)).decisions.is_empty());
+    let decided = router.tick(at(220)).decisions;
+    assert!(matches!(decided[..], [(it, Decision::Reject { .. })] if it == rpc), "{decided:?}");
+}
+
+/// Where more is pending than there is room for, the newest goes first: its client has the most patience left.
+#[test]
+fn the_newest_pending_rpc_goes_first() {
+    let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
+    report_all(&mut router, 4, 1000);
+    let accepted: Vec<_> = (0..30).map(|n| router.accept(at(1000 + n), arrival(1, 1000 + n))).collect();
+    let (sent, pending): (Vec<_>, Vec<_>) = accepted.into_iter().partition(|(_, d)| sent_to(*d).is_some());
+    assert!(!sent.is_empty() && pending.len() > 1, "{} of 30 are pending", pending.len());
+    sent[0].0.on_attempt_ended(&mut router, at(1040), result(0, AttemptOutcome::Ok, 20));
+    let next = router.tick(at(1040)).decisions;
+    assert_eq!(next.first().map(|(rpc, _)| *rpc), pending.last().map(|(rpc, _)| *rpc));
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/selection.rs
@@ -0,0 +1,75 @@
+//! Which member an RPC is sent to.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+
+#[test]
+fn ties_are_served_in_turn() {
+    let mut router = router_with_replicas(4, |_| {});
+    let got = serve(&mut router, 0, 1, 40, 20);
+    assert!(got[0] == 0 && got[1..].iter().all(|n| (7..=13).contains(n)), "{got:?}");
+}
+
+#[test]
+fn a_read_avoids_a_lagging_replica_and_spills_to_the_primary() {
+    let mut router = new_router();
+    report(&mut router, 5, 0, 4, true);
+    report(&mut router, 5, 1, 0, false);
+    report(&mut router, 5, 2, -2000, false);
+    for ms in 10..14 {
+        let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
+        assert_eq!(sent_to(decision), Some(1));
+        rpc.on_attempt_ended(&mut router, at(ms), result(1, AttemptOutcome::Ok, 0));
+    }
+    report(&mut router, 900, 1, 50, false);
+    report(&mut router, 900, 2, -2000, false);
+    assert_eq!(sent_to(router.accept(at(900), arrival(0, 900)).1), Some(0));
+}
+
+#[test]
+fn spilled_reads_leave_capacity_for_writes_on_the_primary() {
+    let ms = 2000;
+    let sent = |method: u32| {
+        let mut router = router_with_replicas(1, |_| {});
+        grow_limits(&mut router, 1, 0);
+        report(&mut router, ms, 0, ms, true);
+        report(&mut router, ms, 1, 0, false);
+        let to = (0..20).map(|_| sent_to(router.accept(at(ms), arrival(method, ms)).1));
+        let count = to.filter(|to| *to == Some(0)).count();
+        let (write, _) = router.accept(at(ms), arrival(1, ms));
+        let decisions = router.tick(at(ms)).decisions;
+        (count, decisions.iter().find(|(rpc, _)| *rpc == write).and_then(|(_, d)| sent_to(*d)))
+    };
+    let ((reads, next), (writes, _)) = (sent(0), sent(1));
+    assert!(reads >= 1 && reads * 2 < writes, "{reads} reads spilled, {writes} writes");
+    assert_eq!(next, Some(0), "a write after the reads");
+}
+
+#[test]
+fn nothing_is_sent_where_the_answer_would_be_too_late() {
+    let mut router = router_with_replicas(2, |_| {});
+    serve(&mut router, 0, 1, 60, 20);
+    let ms = 2000;
+    report_all(&mut router, 4, ms);
+    let short = Arrival { deadline: at(ms + 25), ..arrival(0, ms) };
+    assert_eq!(router.accept(at(ms), short).1, Decision::Queue);
+    let given_up = router.tick(at(ms + 5)).decisions;
+    assert!(
+        matches!(given_up[0].1, Decision::Reject { retry_after } if retry_after == Span::from_millis(500))
+    );
+    assert!(sent_to(router.accept(at(ms + 5), arrival(0, ms + 5)).1).is_some());
+}
+
+#[test]
+fn routers_that_send_little_do_not_all_begin_with_the_same_member() {
+    let mut got = [0; 4];
+    for seed in 0..60 {
+        let mut router = Router::start(at(0), seed, deployment());
+        router.on_endpoint_update(at(0), EndpointUpdate::Cached(&[0, 1, 2, 3].map(|m| endpoint(m, m == 0))));
+        report_all(&mut router, 3, 0);
+        got[sent_to(router.accept(at(1), arrival(0, 1)).1).expect("all are fresh") as usize] += 1;
+    }
+    assert!(got[0] == 0 && got[1..].iter().all(|&n| n > 8), "{got:?}");
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -0,0 +1,356 @@
+//! Slow start before many routers that exchange nothing: whatever each of them sees, in no window of the settings'
+//! overload time do all of them together send a member more than it bears then, plus 2 roots of that and 2. The checker
+//! of rule 4 looks at all windows.
+
+mod common;
+
+use common::*;
+use ladderpass_invariants::{Checker, Cold, Event, Violation, What};
+use ladderpass_routing::*;
+use nanorand::{Rng, WyRand};
+use std::collections::BTreeMap;
+
+const STEP_MS: i64 = 5;
+/// When members start: by then each router knows its share of the traffic.
+const STARTS: i64 = 4000;
+
+#[derive(Clone)]
+struct Case {
+    routers: usize,
+    members: u32,
+    /// RPCs a second that a member bears at its full capacity.
+    capacity: f64,
+    /// RPCs a second that all clients send, outside of the burst.
+    rate: f64,
+    /// Share of writes.
+    writes: f64,
+    /// Members in slow start.
+    starting: Vec<u32>,
+    /// Traffic of the first router over that of the last one.
+    uneven: f64,
+    /// The primary is removed at the first time; at the second one the first starting member takes its place.
+    leaderless: Option<(i64, i64)>,
+    /// When so many of the routers are restarted.
+    restart: Option<(i64, usize)>,
+    /// The multiple of its present capacity that the settings allow.
+    multiple: f64,
+    /// When clients send half as much again.
+    burst: (i64, i64),
+    lasts: i64,
+}
+
+impl Default for Case {
+    fn default() -> Case {
+        Case {
+            routers: 30,
+            members: 3,
+            capacity: 300.0,
+            rate: 600.0,
+            writes: 0.2,
+            starting: vec![2],
+            uneven: 1.0,
+            leaderless: None,
+            restart: None,
+            multiple: 1.0,
+            burst: (7000, 9500),
+            lasts: 15_000,
+        }
+    }
+}
+
+impl Case {
+    /// A member bears so many RPCs in the overload time right after its start; clients send two thirds of what fits.
+    fn of(n: f64) -> Case {
+        let capacity = n / (0.2 * 3.0);
+        Case { capacity, rate: capacity * 2.0, ..Case::default() }
+    }
+}
+
+struct Model {
+    case: Case,
+    deployment: Deployment,
+    random: WyRand,
+    routers: Vec<Router>,
+    weights: Vec<f64>,
+    /// Attempts by when they are answered.
+    attempts: BTreeMap<i64, Vec<Attempt>>,
+    events: Vec<Event>,
+    served: u32,
+    sent: u32,
+}
+
+/// An attempt in flight.
+struct Attempt {
+    router: usize,
+    rpc: RpcId,
+    member: u32,
+}
+
+const MEAN_LATENCY_MS: i64 = 20;
+
+impl Model {
+    fn new(case: Case, seed: u64) -> Model {
+        let deployment = Deployment {
+            overload_window: Span::from_millis(3000),
+            router_count: case.routers as u32,
+            overload_multiple: case.multiple,
+            ..deployment()
+        };
+        let step = case.uneven.powf(1.0 / (case.routers.max(2) - 1) as f64);
+        let weights: Vec<f64> = (0..case.routers).map(|nth| step.powi(-(nth as i32))).collect();
+        let sum: f64 = weights.iter().sum();
+        let mut model = Model {
+            random: WyRand::new_seed(seed),
+            routers: Vec::new(),
+            weights: weights.iter().map(|weight| weight / sum).collect(),
+            attempts: BTreeMap::new(),
+            events: Vec::new(),
+            served: 0,
+            sent: 0,
+            deployment,
+            case,
+        };
+        (0..model.case.routers).for_each(|index| {
+            let router = model.start(index, 0);
+            model.routers.push(router);
+        });
+        model
+    }
+
+    fn start(&mut self, index: usize, ms: i64) -> Router {
+        let deployment = Deployment { router_index: index as u32, ..self.deployment.clone() };
+        let mut router = Router::start(at(ms), self.random.generate(), deployment);
+        router.on_endpoint_update(at(ms), EndpointUpdate::Complete(&self.list(ms)));
+        router
+    }
+
+    /// The primary is 0; where that is removed, the first starting member.
+    fn primary(&self, ms: i64) -> Option<u32> {
+        match self.case.leaderless {
+            Some((from, to)) if ms >= from => (ms >= to).then(|| self.case.starting[0]),
+            _ => Some(0),
+        }
+    }
+
+    fn list(&self, ms: i64) -> Vec<Endpoint> {
+        let is_removed = self.case.leaderless.is_some_and(|(from, _)| ms >= from);
+        let listed = |member: u32| Endpoint {
+            started_at: (ms >= STARTS && self.case.starting.contains(&member)).then_some(at(STARTS)),
+            state: if is_removed && member == 0 { EndpointState::Removed } else { EndpointState::Active },
+            ..endpoint(member, self.primary(ms) == Some(member))
+        };
+        (0..self.case.members).map(listed).collect()
+    }
+
+    fn on_decision(&mut self, ms: i64, router: usize, rpc: RpcId, decision: Decision) {
+        if let Some(member) = sent_to(decision) {
+            let what = What::CalledOut { rpc: self.events.len() as u64, member };
+            self.events.push(Event { at: at(ms), what });
+            let latency_ms = (-(1.0 - self.random.generate::<f64>()).ln() * MEAN_LATENCY_MS as f64) as i64;
+            let ends = ms + (1 + latency_ms / STEP_MS) * STEP_MS;
+            self.attempts.entry(ends).or_default().push(Attempt { router, rpc, member });
+        }
+    }
+
+    fn step(&mut self, ms: i64) {
+        let list = self.list(ms);
+        if ms == STARTS || self.case.leaderless.is_some_and(|(from, to)| ms == from || ms == to) {
+            self.routers
+                .iter_mut()
+                .for_each(|router| router.on_endpoint_update(at(ms), EndpointUpdate::Complete(&list)));
+        }
+        if ms == STARTS {
+            for &member in &self.case.starting {
+                let (capacity, cold_from) =
+                    (self.case.capacity * self.case.multiple, self.deployment.slow_start_capacity);
+                let (warm_within, overload_for) =
+                    (self.deployment.slow_start_duration, self.deployment.overload_window);
+                let what = What::Started { member, capacity, cold_from, warm_within, overload_for };
+                self.events.push(Event { at: at(ms), what });
+            }
+        }
+        if let Some((_, count)) = self.case.restart.filter(|&(when, _)| when == ms) {
+            for router in 0..count {
+                self.routers[router] = self.start(router, ms);
+                self.attempts
+                    .values_mut()
+                    .for_each(|attempts| attempts.retain(|attempt| attempt.router != router));
+            }
+        }
+        let burst_factor = if (self.case.burst.0..self.case.burst.1).contains(&ms) { 1.5 } else { 1.0 };
+        let mean = self.case.rate * burst_factor * STEP_MS as f64 / 1e3;
+        // A Poisson number of arrivals, each at a router by its weight.
+        let mut left = self.random.generate::<f64>().max(1e-300).ln() + mean;
+        let mut arrivals = vec![0; self.routers.len()];
+        while left > 0.0 {
+            let mut draw = self.random.generate::<f64>();
+            let weights = self.weights.iter();
+            let router = weights.take_while(|weight| {
+                draw -= **weight;
+                draw > 0.0
+            });
+            let router = router.count();
+            arrivals[router.min(self.weights.len() - 1)] += 1;
+            left += self.random.generate::<f64>().max(1e-300).ln();
+        }
+        for Attempt { router, rpc, member } in self.attempts.remove(&ms).unwrap_or_default() {
+            let role = if self.primary(ms) == Some(member) { Role::Primary } else { Role::Replica };
+            let answer =
+                AttemptResult { role: Some(role), ..result(member, AttemptOutcome::Ok, MEAN_LATENCY_MS) };
+            rpc.on_attempt_ended(&mut self.routers[router], at(ms), answer);
+            self.served += 1;
+        }
+        for (router, count) in arrivals.into_iter().enumerate() {
+            for _ in 0..count {
+                self.sent += 1;
+                let method = u32::from(self.random.generate::<f64>() < self.case.writes);
+                let (rpc, decision) = self.routers[router].accept(at(ms), arrival(method, ms));
+                self.on_decision(ms, router, rpc, decision);
+            }
+            let output = self.routers[router].tick(at(ms));
+            for (rpc, decision) in output.decisions {
+                self.on_decision(ms, router, rpc, decision);
+            }
+            for id in output.health_checks {
+                let primary = self.primary(ms) == Some(id.0);
+                let is_removed = !list.iter().any(|e| e.member == id && e.state == EndpointState::Active);
+                let report =
+                    LoadReport { position: Some(at(ms)), is_primary: Some(primary), in_flight: None };
+                let outcome = if is_removed { AttemptOutcome::Unreachable } else { AttemptOutcome::Ok };
+                self.routers[router].on_health_check_ended(at(ms), id, outcome, Span::from_millis(1), report);
+            }
+        }
+    }
+}
+
+struct Outcome {
+    violations: Vec<Violation>,
+    /// Attempts at members in slow start.
+    to_starting: usize,
+    /// Share of all RPCs that were served.
+    served_share: f64,
+}
+
+fn run(case: Case, seed: u64) -> Outcome {
+    let mut model = Model::new(case, seed);
+    for ms in (0..=model.case.lasts).step_by(STEP_MS as usize) {
+        model.step(ms);
+    }
+    let (mut checker, mut violations) = (Cold::default(), Vec::new());
+    model.events.iter().for_each(|event| checker.see(event, &mut violations));
+    let goes_to_starting = |event: &&Event| match event.what {
+        What::CalledOut { member, .. } => event.at >= at(STARTS) && model.case.starting.contains(&member),
+        _ => false,
+    };
+    let to_starting = model.events.iter().filter(goes_to_starting).count();
+    Outcome { violations, to_starting, served_share: f64::from(model.served) / f64::from(model.sent) }
+}
+
+fn assert_kept(what: &str, case: Case, seeds: std::ops::Range<u64>) {
+    let (mut violations, mut to_starting, mut served_shares) = (Vec::new(), 0, 0.0);
+    let count = (seeds.end - seeds.start) as f64;
+    for seed in seeds {
+        let outcome = run(case.clone(), seed);
+        let found = outcome.violations.iter();
+        violations.extend(found.map(|violation| format!("seed {seed}: {violation}")));
+        to_starting += outcome.to_starting;
+        served_shares += outcome.served_share;
+    }
+    println!(
+        "{what}: {} violations, {:.1} to starting members, {:.4} served",
+        violations.len(),
+        to_starting as f64 / count,
+        served_shares / count
+    );
+    assert!(to_starting > 0, "{what}: the starting members got nothing");
+    assert!(violations.is_empty(), "{what}: {violations:#?}");
+}
+
+/// Two thirds of what fits, and half as much again for a while.
+#[test]
+fn eight_routers_before_one_starting_member_of_three() {
+    assert_kept("8 routers", Case { routers: 8, ..Case::default() }, 0..10);
+}
+
+#[test]
+fn thirty_routers_from_two_to_two_thousand_rpcs_in_the_time() {
+    for n in [2.0, 5.0, 20.0, 100.0, 400.0] {
+        assert_kept(&format!("30 routers, N from {n}"), Case::of(n), 0..10);
+    }
+    assert_kept("30 routers, N from 2000", Case { lasts: 9500, ..Case::of(2000.0) }, 0..2);
+}
+
+/// Reads alone, as many as fit, all the time: chance has nothing but the margin of the mean.
+#[test]
+fn full_load_all_the_time() {
+    for n in [2.0, 5.0, 20.0, 100.0] {
+        for routers in [8, 24, 30] {
+            let case = Case { routers, rate: Case::of(n).rate * 1.5, writes: 0.0, ..Case::of(n) };
+            // Up to the end of slow start.
+            let case = Case { burst: (0, 0), lasts: STARTS + 9_995, ..case };
+            assert_kept(&format!("{routers} routers, full load, N from {n}"), case, 0..6);
+        }
+    }
+}
+
+#[test]
+fn one_router_sees_ten_times_what_another_does() {
+    for n in [6.0, 100.0] {
+        assert_kept(&format!("uneven, N from {n}"), Case { uneven: 10.0, ..Case::of(n) }, 0..10);
+    }
+}
+
+#[test]
+fn several_starting_members_at_once() {
+    for n in [10.0, 180.0] {
+        let five =
+            Case { members: 5, starting: vec![3, 4], rate: Case::of(n).capacity * 5.0 / 1.5, ..Case::of(n) };
+        assert_kept(&format!("two starting of five, N from {n}"), five, 0..10);
+        let case = Case { starting: vec![1, 2], ..Case::of(n) };
+        assert_kept(&format!("two starting of three, N from {n}"), case, 0..10);
+    }
+}
+
+#[test]
+fn a_third_of_the_routers_is_restarted_in_the_middle_of_slow_start() {
+    for n in [10.0, 400.0] {
+        let case = Case { restart: Some((8000, 10)), ..Case::of(n) };
+        assert_kept(&format!("ten restart, N from {n}"), case, 0..10);
+    }
+}
+
+/// All writes wait while there is no primary, and a starting member is the next one: in the burst, as many as fit its full
+/// capacity.
+#[test]
+fn a_starting_primary_with_queued_writes() {
+    for n in [10.0, 100.0] {
+        let case = Case { leaderless: Some((4000, 4900)), writes: 0.33, ..Case::of(n) };
+        assert_kept(&format!("queued writes, N from {n}"), case.clone(), 0..10);
+        let late = Case { burst: (10_500, 13_500), ..case };
+        assert_kept(&format!("queued writes, a late burst, N from {n}"), late, 0..10);
+    }
+}
+
+/// Settings that allow a multiple of the present capacity let a starting member get more, and no more than that.
+#[test]
+fn a_starting_member_gets_more_where_the_settings_allow_a_multiple() {
+    let got = [1.0, 1.5, 2.0, 4.0].map(|multiple| {
+        let case = Case { multiple, writes: 0.0, burst: (0, 0), starting: vec![1, 2], ..Case::of(100.0) };
+        let case = Case { rate: case.rate * 1.5, lasts: STARTS + 9_995, ..case };
+        assert_kept(&format!("the settings allow {multiple} times"), case.clone(), 0..6);
+        run(case, 7).to_starting as f64
+    });
+    assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
+}
+
+/// The limit holds however few routers there are, and whatever they send.
+#[test]
+fn one_two_and_three_routers_alone() {
+    for routers in [1, 2, 3] {
+        for n in [1.0, 2.0, 5.0, 20.0, 100.0, 400.0] {
+            assert_kept(&format!("{routers} routers, N from {n}"), Case { routers, ..Case::of(n) }, 0..10);
+            let writes = Case { routers, leaderless: Some((4000, 4900)), writes: 0.33, ..Case::of(n) };
+            assert_kept(&format!("{routers} routers, queued writes, N from {n}"), writes, 0..10);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-routing/tests/staleness.rs
@@ -0,0 +1,79 @@
+//! What reads must see.
+
+mod common;
+
+use common::*;
+use ladderpass_routing::*;
+
+#[test]
+fn a_replica_whose_lag_nears_the_bound_gets_less() {
+    let sent = |lag: i64| {
+        let mut router = router_with_replicas(1, |_| {});
+        grow_limits(&mut router, 0, 0);
+        report(&mut router, 3000, 0, 3000, true);
+        report(&mut router, 3000, 1, 3000 - lag, false);
+        let to = (0..20).map(|_| sent_to(router.accept(at(3000), arrival(0, 3000)).1));
+        to.filter(|to| *to == Some(1)).count()
+    };
+    assert!(sent(700) >= 1 && sent(700) < sent(0), "{} near the bound, {} without lag", sent(700), sent(0));
+}
+
+/// Prevents reads of data that are within the bound at the decision, and past it at the last byte sent.
+#[test]
+fn a_tick_of_the_bound_is_reserved_for_the_send() {
+    for (ms, wanted) in [(790, true), (798, false)] {
+        let mut router = router_with_replicas(1, |_| ());
+        let (_, decision) = router.accept(at(ms), arrival(0, ms));
+        assert_eq!(sent_to(decision) == Some(1), wanted, "{ms}");
+    }
+}
+
+/// A write whose answer is late or lost may have committed, and its session must see it.
+#[test]
+fn a_session_sees_a_write_whose_answer_is_late_or_lost() {
+    for outcome in [
+        AttemptOutcome::Ok,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Rejected,
+    ] {
+        let mut router = router_with_replicas(2, |d| {
+            d.session_write_age_carried = false;
+            d.methods.push(method(Consistency::Session, Idempotency::Idempotent));
+        });
+        let of = |session, method, ms| Arrival { session: Some(session), ..arrival(method, ms) };
+        // Replicas report their positions all the time, 40 ms behind.
+        let report_positions = |router: &mut Router, ms: i64| {
+            router.tick(at(ms));
+            report(router, ms, 0, ms, true);
+            [1, 2].into_iter().for_each(|member| report(router, ms, member, ms - 40, false));
+        };
+        report_positions(&mut router, 1000);
+        let (write, decision) = router.accept(at(1000), of(5, 1, 1000));
+        assert_eq!(sent_to(decision), Some(0));
+        let read = |router: &mut Router, ms, session| {
+            let (rpc, decision) = router.accept(at(ms), of(session, 4, ms));
+            rpc.abandon(router);
+            router.tick(at(ms));
+            matches!(sent_to(decision), Some(1 | 2))
+        };
+        report_positions(&mut router, 1050);
+        assert!(read(&mut router, 1050, 5), "{outcome:?}: no answer to it can be known yet");
+        assert!(
+            !read(&mut router, 1130, 5),
+            "{outcome:?}: it may be committed at 1030, and they are at 1010"
+        );
+        assert!(read(&mut router, 1130, 6), "{outcome:?}: another session's");
+        // The answer broke off before its end: it carries no position.
+        write.on_attempt_ended(&mut router, at(1140), result(0, outcome, 140));
+        write.abandon(&mut router);
+        report_positions(&mut router, 1150);
+        assert_eq!(
+            read(&mut router, 1150, 5),
+            outcome == AttemptOutcome::Rejected,
+            "{outcome:?}: may have run by 1140"
+        );
+        report_positions(&mut router, 2000);
+        assert!(read(&mut router, 2000, 5), "{outcome:?}: they have reached 1960");
+    }
+}
