--- /dev/null
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -0,0 +1,209 @@
+//! Converts the settings object into the terms of the field, and checks each value. The first error ends the reading.
+
+use crate::errors::{SettingsError, parse};
+use crate::settings::{Allowed, Extra, ReportShape, Service, Shape};
+use ladderpass_routing::{Consistency, Deployment, Idempotency, Method, PrimaryInList, Span, Time};
+use serde_json::Value;
+
+/// The most that a member's load may be multiplied by under overload.
+const MAX_OVERLOAD_MULTIPLE: f64 = 1000.0;
+
+/// What a router needs to know of its deployment.
+#[derive(Clone, Debug)]
+pub struct DeploymentSettings {
+    /// What routing decisions go by.
+    pub deployment: Deployment,
+    /// Names of the methods, in the order of `deployment.methods`.
+    pub method_names: Vec<String>,
+    /// Answers carry the member's replication position, or that of the write that they commit.
+    pub answers_report_position: bool,
+    /// Where positions are counted from on the wire of the simulator.
+    pub clock_origin: Time,
+    /// Names of the values in a load report.
+    pub report_columns: Vec<String>,
+    /// A connection that is not up by then has failed.
+    pub connect_timeout: Option<Span>,
+    /// A connection idle for this long is closed by the member.
+    pub idle_timeout: Option<Span>,
+    /// Weights in the endpoint list are the concurrency that members are registered with.
+    pub weights_are_concurrency: bool,
+    /// The zone of this router.
+    pub zone: Option<String>,
+    /// Most RPCs that a router may have in flight.
+    pub max_in_flight: Option<u64>,
+    /// No new RPC goes to a member later than this after the notice that it drains.
+    pub drain_grace: Option<Span>,
+}
+
+/// Reads and checks the settings object.
+///
+/// # Errors
+/// The first value that is missing, has another type or is not allowed.
+pub fn read(settings: &Value) -> Result<DeploymentSettings, SettingsError> {
+    let settings: Shape = parse(settings)?;
+    check_limits(&settings)?;
+    Ok(DeploymentSettings {
+        deployment: read_deployment(&settings)?,
+        method_names: settings.methods.iter().map(|method| method.name.clone()).collect(),
+        answers_report_position: settings.extra.answers_report_position.unwrap_or(true),
+        clock_origin: Time::from_nanos(settings.extra.clock_origin.unwrap_or(0)),
+        report_columns: settings.load_report.and_then(|report| report.columns).unwrap_or_default(),
+        connect_timeout: read_positive_span("Allowed.ConnectTimeout", settings.allowed.connect_timeout)?,
+        idle_timeout: read_positive_span("Allowed.ConnIdle", settings.allowed.idle_timeout)?,
+        weights_are_concurrency: settings.weights.as_deref() == Some("nominal"),
+        zone: settings.zone,
+        max_in_flight: settings.allowed.max_in_flight,
+        drain_grace: read_positive_span("Contract.DrainGrace", settings.contract.drain_grace)?,
+    })
+}
+
+fn check_limits(settings: &Shape) -> Result<(), SettingsError> {
+    if settings.methods.is_empty() {
+        return Err(SettingsError::NoMethods);
+    }
+    if settings.allowed.max_attempts == Some(0) {
+        return Err(SettingsError::NoAttempts);
+    }
+    check_range("Contract.ColdFrom", settings.contract.slow_start_capacity, 1.0)?;
+    check_range("Contract.TipMultiple", settings.contract.overload_multiple, MAX_OVERLOAD_MULTIPLE)
+}
+
+/// Checks that a number, where it is given, is from 0 to `max`.
+fn check_range(key: &'static str, value: Option<f64>, max: f64) -> Result<(), SettingsError> {
+    match value.filter(|value| !(0.0..=max).contains(value)) {
+        Some(value) => Err(SettingsError::OutOfRange { key, value, min: 0.0, max }),
+        None => Ok(()),
+    }
+}
+
+fn read_deployment(settings: &Shape) -> Result<Deployment, SettingsError> {
+    let Shape { allowed, contract, extra, load_report, .. } = settings;
+    let methods = settings.methods.iter().enumerate();
+    let health_checks = allowed.health_checks.unwrap_or(false);
+    Ok(Deployment {
+        methods: methods
+            .map(|(index, method)| read_method(index, method, extra))
+            .collect::<Result<_, _>>()?,
+        primary_in_list: read_primary_in_list(extra.primary_in_list.as_deref())?,
+        session_write_age_carried: extra.session_tokens.as_deref() != Some("remembered"),
+        endpoint_poll_interval: read_endpoint_poll_interval(settings)?,
+        router_count: settings.router_count.unwrap_or(1),
+        health_checks,
+        health_checks_report_position: health_checks
+            && load_report.as_ref().is_none_or(ReportShape::has_position),
+        router_index: settings.router_index.unwrap_or(0),
+        gossip: allowed.gossip.unwrap_or(false),
+        max_attempts: allowed.max_attempts.unwrap_or(1),
+        max_retry_after: read_max_retry_after(allowed)?,
+        tick: read_span("Tick", settings.tick)?,
+        slow_start_capacity: contract.slow_start_capacity.unwrap_or(1.0),
+        slow_start_duration: read_span("Contract.WarmWithin", contract.slow_start_duration)?,
+        overload_window: read_span("Contract.OverloadFor", contract.overload_window)?,
+        overload_multiple: contract.overload_multiple.unwrap_or(1.0),
+        removal_is_advisory: contract.removal_is_advisory.unwrap_or(false),
+    })
+}
+
+fn read_primary_in_list(mode: Option<&str>) -> Result<PrimaryInList, SettingsError> {
+    match mode {
+        None | Some("off") => Ok(PrimaryInList::Absent),
+        Some("late") => Ok(PrimaryInList::Delayed),
+        Some("start") => Ok(PrimaryInList::AtStart),
+        Some(other) => Err(unknown_value("Extra.RoleInList", other)),
+    }
+}
+
+/// How often the endpoint list is polled; none where discovery pushes it.
+fn read_endpoint_poll_interval(settings: &Shape) -> Result<Option<Span>, SettingsError> {
+    match settings.discovery_mode.as_deref() {
+        Some("subscribe") => {
+            let interval =
+                read_positive_span("Contract.MustAskIn", settings.contract.endpoint_poll_interval)?;
+            // Zero would be one call after the other without a pause.
+            Ok(Some(interval.ok_or(SettingsError::NoPollInterval)?))
+        }
+        None | Some("automatic") => Ok(None),
+        Some(other) => Err(unknown_value("RegistryMode", other)),
+    }
+}
+
+fn read_max_retry_after(allowed: &Allowed) -> Result<Span, SettingsError> {
+    match allowed.retry_after {
+        Some(true) => read_span("Allowed.MaxRetryAfter", allowed.max_retry_after),
+        _ => Ok(Span::ZERO),
+    }
+}
+
+fn read_method(index: usize, method: &Service, extra: &Extra) -> Result<Method, SettingsError> {
+    Ok(Method {
+        consistency: read_consistency(index, extra)?,
+        idempotency: read_idempotency(index, method)?,
+        soft_deadline: {
+            let key = format!("Services[{index}].Slo");
+            let soft_deadline = read_positive_span(&key, Some(method.soft_deadline))?;
+            soft_deadline.ok_or(SettingsError::NotPositive { key })?
+        },
+        utility: Some(method.utility.unwrap_or(1.0))
+            .filter(|utility| *utility >= 0.0)
+            .ok_or_else(|| SettingsError::Negative { key: format!("Services[{index}].Worth") })?,
+        late_utility_share: method.late_utility_share.unwrap_or(0.0),
+    })
+}
+
+fn read_consistency(index: usize, extra: &Extra) -> Result<Consistency, SettingsError> {
+    let key = format!("Extra.ReadLevel[{index}]");
+    let Some(level) = extra.consistency.get(index) else { return Err(SettingsError::Missing { key }) };
+    match level.as_str() {
+        "any" => Ok(Consistency::Any),
+        "bounded" => {
+            let key = format!("Extra.MaxAge[{index}]");
+            let max_staleness =
+                extra.max_staleness.as_ref().and_then(|ages| ages.get(index).copied().flatten());
+            match max_staleness {
+                Some(_) => Ok(Consistency::BoundedStaleness(read_span(&key, max_staleness)?)),
+                None => Err(SettingsError::Missing { key }),
+            }
+        }
+        "session" => Ok(Consistency::Session),
+        "fresh" => Ok(Consistency::Fresh),
+        "write" => Ok(Consistency::Write),
+        other => Err(SettingsError::UnknownValue { key, value: other.to_owned() }),
+    }
+}
+
+fn read_idempotency(index: usize, method: &Service) -> Result<Idempotency, SettingsError> {
+    let scope = method.deduplication_scope.as_deref();
+    match method.effect.as_str() {
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => Ok(Idempotency::IdempotencyKey {
+            across_groups: scope == Some("all"),
+            window: match scope {
+                Some("all" | "cell") => {
+                    read_span(&format!("Services[{index}].KeyTtl"), method.idempotency_key_ttl)?
+                }
+                // Where neither the group nor all members drop repeats, another member of the group may not know of
+                // the first attempt, and would run it a second time.
+                _ => Span::ZERO,
+            },
+        }),
+        "side_effect" => Ok(Idempotency::NonIdempotent),
+        other => Err(unknown_value(&format!("Services[{index}].Effect"), other)),
+    }
+}
+
+fn unknown_value(key: &str, value: &str) -> SettingsError {
+    SettingsError::UnknownValue { key: key.to_owned(), value: value.to_owned() }
+}
+
+/// A duration that may be absent, which is zero, but not negative.
+fn read_span(key: &str, nanos: Option<i64>) -> Result<Span, SettingsError> {
+    match nanos.unwrap_or(0) {
+        nanos if nanos < 0 => Err(SettingsError::NegativeDuration { key: key.to_owned(), nanos }),
+        nanos => Ok(Span::from_nanos(nanos)),
+    }
+}
+
+/// A duration that may be absent or zero, which is none, but not negative.
+fn read_positive_span(key: &str, nanos: Option<i64>) -> Result<Option<Span>, SettingsError> {
+    Ok(Some(read_span(key, nanos)?).filter(|&span| span > Span::ZERO))
+}
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -1,124 +1,190 @@
-//! The text of a message between instances: a letter for the teller's zone, then ten for each word, of 64 kinds.
+//! Text form of the gossip messages between routers: what each has observed of the members.
 //!
-//! It owns the form alone. It must never decide what is told, nor what a word is worth. A reader drops what it can't
-//! read, so that instances of another version do no harm.
+//! A message is one letter for the sender's zone, then ten letters an update, of an alphabet of 64: five for the
+//! member's id hash, four for the time of the observation and its kind, one for a latency ratio or an RPC count.
+//! A reader drops what it can't read, so that routers of another version do no harm.
 
 use crate::names::{IdHashes, NameIndex, id_hash};
 use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
-/// Most words in one message of 256 bytes.
+/// Most updates in one message of 256 bytes.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 25;
-const LETTERS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
-const MARK_LETTERS: usize = 5;
+/// Letters of one update.
 #[doc(hidden)]
 pub const UPDATE_LETTERS: usize = 10;
-/// The last letter: zero for nothing, the lower half for a stretch, the upper one for what it holds, in steps of
-/// a quarter of a doubling.
-const STEPS: f64 = 4.0;
-const STRETCH: (u64, f64) = (1, 0.5);
-const HOLDS: (u64, f64) = (32, 1.0);
-const HALF: f64 = 30.0;
-/// Times go in milliseconds, of which these bits are told: they come round after more than an hour.
+/// Observations by their code on the wire.
+#[doc(hidden)]
+pub const OBSERVATIONS: [MemberObservation; 3] =
+    [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
+
+const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
+const BITS_PER_LETTER: usize = 6;
+const ID_HASH_LETTERS: usize = 5;
+const TIME_AND_OBSERVATION_LETTERS: usize = 4;
+const OBSERVATION_BITS: u32 = 2;
+const OBSERVATION_MASK: u64 = (1 << OBSERVATION_BITS) - 1;
+/// Times are sent as so many bits of their milliseconds, which wrap around after more than an hour.
 const TIME_BITS: u32 = 22;
+const NANOS_PER_MS: i64 = 1_000_000;
+
+/// The last letter of an update that has neither a latency ratio nor an RPC count.
+const NO_VALUE: u64 = 0;
+const LATENCY_RATIO_SCALE: LogScale = LogScale { first_code: 1, smallest: 0.5 };
+/// For the count plus one, so that zero has a logarithm.
+const IN_FLIGHT_SCALE: LogScale = LogScale { first_code: 32, smallest: 1.0 };
+
+/// Values on a logarithmic scale, as codes that fit in one half of the values of a letter.
+struct LogScale {
+    first_code: u64,
+    /// The value of the first code.
+    smallest: f64,
+}
+
+impl LogScale {
+    const STEPS_PER_DOUBLING: f64 = 4.0;
+    const LAST_STEP: f64 = 30.0;
+
+    fn encode(&self, value: f64) -> u64 {
+        let step = ((value / self.smallest).log2() * LogScale::STEPS_PER_DOUBLING).round();
+        self.first_code + step.clamp(0.0, LogScale::LAST_STEP) as u64
+    }
 
-/// What a front needs for messages: where times count from, the letter of its zone, and members by their marks.
+    fn decode(&self, code: u64) -> f64 {
+        self.smallest * ((code - self.first_code) as f64 / LogScale::STEPS_PER_DOUBLING).exp2()
+    }
+}
+
+/// Translates between a router's member updates and gossip messages.
 pub struct GossipCodec {
-    zero: Time,
+    /// Where the times on the wire are counted from.
+    origin: Time,
+    /// Zone of this router, as the number that one letter holds.
     zone: u32,
+    /// The members that this router knows, by the hashes of their names.
     pub id_hashes: IdHashes,
 }
 
 impl GossipCodec {
-    pub fn new(zero: Time, zone: &str) -> GossipCodec {
-        GossipCodec { zero, zone: id_hash(zone) & 63, id_hashes: IdHashes::default() }
+    /// A codec that knows no member yet. All routers must count their times from the same `origin`.
+    pub fn new(origin: Time, zone: &str) -> GossipCodec {
+        GossipCodec { origin, zone: id_hash(zone) & 63, id_hashes: IdHashes::default() }
     }
 
-    /// The messages that tell these news, of members by these names.
-    pub fn encode(&self, news: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
-        let told = |news: &MemberUpdate| {
-            let mark = id_hash(names.name(news.member.0));
-            self.id_hashes
-                .get(mark)
-                .map(|_| (mark, news.observation, news.at - self.zero, news.latency_ratio, news.in_flight))
-        };
-        news.chunks(MAX_UPDATES_PER_MESSAGE)
-            .map(|news| write(self.zone, news.iter().filter_map(told)))
+    /// The messages that carry these updates. Members that share an id hash are left out.
+    pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
+        updates
+            .chunks(MAX_UPDATES_PER_MESSAGE)
+            .map(|updates| {
+                write(self.zone, updates.iter().filter_map(|update| self.encode_update(update, names)))
+            })
             .collect()
     }
 
-    /// What a message tells. What can't be read, or names no known member, is dropped.
+    /// The updates of a message that was received at `now`. What can't be read, or is of an unknown member, is dropped.
     pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
-        let Some((zone, words)) = read(text, now - self.zero) else { return Vec::new() };
-        let news = |(mark, word, at, stretch, holds)| {
-            let member = MemberId(self.id_hashes.get(mark)?);
-            Some(MemberUpdate {
-                member,
-                observation: word,
-                at: self.zero + at,
-                same_zone: zone == self.zone,
-                latency_ratio: stretch,
-                in_flight: holds,
-            })
-        };
-        words.filter_map(news).collect()
+        let Some((zone, updates)) = read(text, now - self.origin) else { return Vec::new() };
+        updates.filter_map(|update| self.decode_update(&update, zone)).collect()
     }
-}
 
-/// A node's mark, what is said of it, a time from the common zero, its stretch, or what it holds.
-pub type EncodedUpdate = (u32, MemberObservation, Span, f64, Option<f64>);
-#[doc(hidden)]
-pub const OBSERVATIONS: [MemberObservation; 3] =
-    [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
+    fn encode_update(&self, update: &MemberUpdate, names: &NameIndex) -> Option<EncodedUpdate> {
+        let id_hash = id_hash(names.name(update.member.0));
+        self.id_hashes.get(id_hash)?;
+        Some(EncodedUpdate {
+            id_hash,
+            observation: update.observation,
+            at: update.at - self.origin,
+            latency_ratio: update.latency_ratio,
+            in_flight: update.in_flight,
+        })
+    }
 
-fn put(text: &mut String, number: u64, letters: usize) {
-    for nth in (0..letters).rev() {
-        text.push(char::from(LETTERS[(number >> (6 * nth) & 63) as usize]));
+    fn decode_update(&self, update: &EncodedUpdate, zone: u32) -> Option<MemberUpdate> {
+        Some(MemberUpdate {
+            member: MemberId(self.id_hashes.get(update.id_hash)?),
+            observation: update.observation,
+            at: self.origin + update.at,
+            same_zone: zone == self.zone,
+            latency_ratio: update.latency_ratio,
+            in_flight: update.in_flight,
+        })
     }
 }
 
-fn take(letters: &[u8]) -> Option<u64> {
-    letters.iter().try_fold(0, |number, letter| {
-        let value = LETTERS.iter().position(|known| known == letter)?;
-        Some(number << 6 | value as u64)
-    })
+/// One update as a message carries it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EncodedUpdate {
+    /// Hash of the member's name.
+    pub id_hash: u32,
+    /// What was observed.
+    pub observation: MemberObservation,
+    /// When it was observed, from the common origin.
+    pub at: Span,
+    /// Latency of the member as a multiple of the usual one; zero where none is known.
+    pub latency_ratio: f64,
+    /// RPCs in flight at the member, where they are known; such an update carries no latency ratio.
+    pub in_flight: Option<f64>,
 }
 
-pub fn write(zone: u32, words: impl Iterator<Item = EncodedUpdate>) -> String {
+/// The text of a message from a router in this zone.
+pub fn write(zone: u32, updates: impl Iterator<Item = EncodedUpdate>) -> String {
     let mut text = String::new();
-    put(&mut text, u64::from(zone), 1);
-    for (mark, word, at, stretch, holds) in words {
-        let word = OBSERVATIONS.iter().position(|&known| known == word).unwrap_or_default() as u64;
-        // Rounded down: a position must not grow on the way.
-        let at = at.nanos().div_euclid(1_000_000).rem_euclid(1 << TIME_BITS) as u64;
-        put(&mut text, u64::from(mark), MARK_LETTERS);
-        put(&mut text, at << 2 | word, UPDATE_LETTERS - MARK_LETTERS - 1);
-        let steps = |(first, from): (u64, f64), value: f64| {
-            first + ((value / from).log2() * STEPS).round().clamp(0.0, HALF) as u64
-        };
-        let last = match holds {
-            Some(holds) => steps(HOLDS, holds + HOLDS.1),
-            None if stretch > 0.0 => steps(STRETCH, stretch),
-            None => 0,
-        };
-        put(&mut text, last, 1);
-    }
+    push_number(&mut text, u64::from(zone), 1);
+    updates.for_each(|update| push_update(&mut text, &update));
     text
 }
 
-/// The zone of a message that came at `now`, and its words, none of which can be later.
+/// The zone and the updates of a message that was received at `now`, which no update is later than.
 pub fn read(text: &str, now: Span) -> Option<(u32, impl Iterator<Item = EncodedUpdate>)> {
-    let now = now.nanos().div_euclid(1_000_000);
-    let (zone, words) = text.as_bytes().split_at_checked(1)?;
-    let words = words.chunks_exact(UPDATE_LETTERS).filter_map(move |word| {
-        let (word, last) = word.split_at_checked(UPDATE_LETTERS - 1)?;
-        let (mark, rest) = word.split_at_checked(MARK_LETTERS)?;
-        let (mark, rest, steps) = (take(mark)?, take(rest)?, take(last)?);
-        let value = |(first, from): (u64, f64)| from * ((steps - first) as f64 / STEPS).exp2();
-        let stretch = if (STRETCH.0..HOLDS.0).contains(&steps) { value(STRETCH) } else { 0.0 };
-        let holds = (steps >= HOLDS.0).then(|| value(HOLDS) - HOLDS.1);
-        let age = (now - (rest >> 2) as i64).rem_euclid(1 << TIME_BITS);
-        let word = *OBSERVATIONS.get((rest & 3) as usize)?;
-        Some((mark as u32, word, Span::from_millis(now - age), stretch, holds))
-    });
-    Some((take(zone)? as u32, words))
+    let (zone, updates) = text.as_bytes().split_at_checked(1)?;
+    let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(move |letters| parse_update(letters, now));
+    Some((parse_number(zone)? as u32, updates))
+}
+
+fn push_update(text: &mut String, update: &EncodedUpdate) {
+    let observation = OBSERVATIONS.iter().position(|&known| known == update.observation);
+    let observation = observation.unwrap_or_default() as u64;
+    // Rounded down: an observation must not become newer on the way.
+    let at_ms = update.at.nanos().div_euclid(NANOS_PER_MS).rem_euclid(1 << TIME_BITS) as u64;
+    let value = match update.in_flight {
+        Some(in_flight) => IN_FLIGHT_SCALE.encode(in_flight + IN_FLIGHT_SCALE.smallest),
+        None if update.latency_ratio > 0.0 => LATENCY_RATIO_SCALE.encode(update.latency_ratio),
+        None => NO_VALUE,
+    };
+    push_number(text, u64::from(update.id_hash), ID_HASH_LETTERS);
+    push_number(text, at_ms << OBSERVATION_BITS | observation, TIME_AND_OBSERVATION_LETTERS);
+    push_number(text, value, 1);
+}
+
+fn parse_update(letters: &[u8], now: Span) -> Option<EncodedUpdate> {
+    let (id_hash, rest) = letters.split_at_checked(ID_HASH_LETTERS)?;
+    let (time_and_observation, value) = rest.split_at_checked(TIME_AND_OBSERVATION_LETTERS)?;
+    let id_hash = parse_number(id_hash)?;
+    let time_and_observation = parse_number(time_and_observation)?;
+    let value = parse_number(value)?;
+    let now_ms = now.nanos().div_euclid(NANOS_PER_MS);
+    let at_ms = (time_and_observation >> OBSERVATION_BITS) as i64;
+    let age_ms = (now_ms - at_ms).rem_euclid(1 << TIME_BITS);
+    let has_latency_ratio = (LATENCY_RATIO_SCALE.first_code..IN_FLIGHT_SCALE.first_code).contains(&value);
+    let has_in_flight = value >= IN_FLIGHT_SCALE.first_code;
+    Some(EncodedUpdate {
+        id_hash: id_hash as u32,
+        observation: *OBSERVATIONS.get((time_and_observation & OBSERVATION_MASK) as usize)?,
+        at: Span::from_millis(now_ms - age_ms),
+        latency_ratio: if has_latency_ratio { LATENCY_RATIO_SCALE.decode(value) } else { 0.0 },
+        in_flight: has_in_flight.then(|| IN_FLIGHT_SCALE.decode(value) - IN_FLIGHT_SCALE.smallest),
+    })
+}
+
+/// Appends the low bits of a number, the highest letter first.
+fn push_number(text: &mut String, number: u64, letters: usize) {
+    for nth in (0..letters).rev() {
+        text.push(char::from(ALPHABET[(number >> (BITS_PER_LETTER * nth) & 63) as usize]));
+    }
+}
+
+fn parse_number(letters: &[u8]) -> Option<u64> {
+    letters.iter().try_fold(0, |number, letter| {
+        let value = ALPHABET.iter().position(|known| known == letter)?;
+        Some(number << BITS_PER_LETTER | value as u64)
+    })
 }
--- /dev/null
+++ b/crates/ladderpass-config/src/names/name_index.rs
@@ -0,0 +1,66 @@
+//! Names as small indices within one router, and back again for its log.
+
+use std::collections::HashMap;
+
+/// Indices of names, in the order in which these were first seen; a released index is given to the next new name.
+#[derive(Default)]
+pub struct NameIndex {
+    index_by_name: HashMap<String, u32>,
+    names: Vec<String>,
+    released: Vec<u32>,
+}
+
+impl NameIndex {
+    /// The index of a name, which gets one if it is new.
+    pub fn intern(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.get(name) {
+            return index;
+        }
+        let index = self.released.pop().unwrap_or(self.names.len() as u32);
+        match self.names.get_mut(index as usize) {
+            Some(old) => *old = name.to_owned(),
+            None => self.names.push(name.to_owned()),
+        }
+        self.index_by_name.insert(name.to_owned(), index);
+        index
+    }
+
+    /// Takes the name from an index that is no longer used.
+    pub fn release(&mut self, index: u32) {
+        if let Some(name) = self.names.get_mut(index as usize)
+            && self.index_by_name.remove(&std::mem::take(name)).is_some()
+        {
+            self.released.push(index);
+        }
+    }
+
+    /// The index of a name that has one.
+    pub fn get(&self, name: &str) -> Option<u32> {
+        self.index_by_name.get(name).copied()
+    }
+
+    /// The name of an index that `intern` gave; empty for any other.
+    pub fn name(&self, index: u32) -> &str {
+        self.names.get(index as usize).map_or("", String::as_str)
+    }
+
+    /// Replaces each `#N` in a log message of the routing package by the name of index N.
+    pub fn expand_names(&self, message: &str) -> String {
+        let mut parts = message.split('#');
+        let mut text = parts.next().unwrap_or_default().to_owned();
+        for part in parts {
+            let rest = part.trim_start_matches(|c: char| c.is_ascii_digit());
+            let digits = &part[..part.len() - rest.len()];
+            let name = digits.parse().ok().and_then(|index: usize| self.names.get(index));
+            text.push_str(name.map_or(digits, String::as_str));
+            text.push_str(rest);
+        }
+        text
+    }
+}
+
+/// The index of a group's number, which gets one if it is new. Numbers need not be whole.
+pub fn group_index(groups: &mut HashMap<u64, u32>, number: f64) -> u32 {
+    let next = groups.len() as u32;
+    *groups.entry(number.to_bits()).or_insert(next)
+}
--- /dev/null
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -0,0 +1,104 @@
+//! The section `peers`: the routers that exchange gossip, and the section's legacy form.
+
+use super::errors::{OperatorFileError, OperatorFileErrors, ValueProblem, line};
+use super::file::PeersSection;
+use super::units::{parse_address, parse_network};
+use serde_saphyr::Spanned;
+use std::net::{IpAddr, SocketAddr};
+
+const MAX_ADDRESSES: usize = 1000;
+
+/// The routers that exchange gossip by datagrams: who is alive, and what they have observed of the members.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Peers {
+    /// Where this router receives datagrams.
+    pub listen: SocketAddr,
+    /// Where the others send to; differs from `listen` behind address translation.
+    pub address: SocketAddr,
+    /// Where others may be found; those that are found name the rest.
+    pub listed: Vec<SocketAddr>,
+    /// Networks from which routers that nobody lists may join: address, and how many bits of it count.
+    pub networks: Vec<(IpAddr, u8)>,
+    /// The file has the legacy form: a fixed list, and this router's index in it.
+    pub legacy_form: bool,
+}
+
+/// The peers of the section; none where no address of this router could be read. Errors between two keys go to
+/// `combination_errors`.
+pub(super) fn read_peers(
+    section: PeersSection,
+    errors: &mut OperatorFileErrors,
+    combination_errors: &mut OperatorFileErrors,
+) -> Option<Peers> {
+    if let (Some(index), Some(list)) = (&section.legacy_index, &section.legacy_list) {
+        return read_legacy_peers(index, list, errors, combination_errors);
+    }
+    check_form(&section, combination_errors);
+    let listen =
+        section.listen.as_ref().and_then(|text| errors.ok_or_push(parse_address(text, "peers.listen")));
+    let address =
+        section.address.as_ref().and_then(|text| errors.ok_or_push(parse_address(text, "peers.address")));
+    let listed = section.listed.unwrap_or_default();
+    let networks = section.networks.unwrap_or_default();
+    if let Some(listen) = section.listen.as_ref().filter(|_| listed.is_empty() && networks.is_empty()) {
+        let problem = ValueProblem::NoOtherRouters;
+        combination_errors.push(OperatorFileError::at(listen, "peers.listed", problem));
+    }
+    let networks =
+        networks.iter().filter_map(|text| errors.ok_or_push(parse_network(text, "peers.networks"))).collect();
+    let listed = parse_addresses(&listed, "peers.listed", errors);
+    let listen = listen?;
+    Some(Peers { listen, address: address.unwrap_or(listen), listed, networks, legacy_form: false })
+}
+
+/// Checks that the address of this router is given, and no single key of the legacy form.
+fn check_form(section: &PeersSection, combination_errors: &mut OperatorFileErrors) {
+    let legacy_line =
+        section.legacy_index.as_ref().map(line).or(section.legacy_list.iter().flatten().next().map(line));
+    if let Some(line) = legacy_line {
+        let problem = ValueProblem::IncompleteLegacyForm;
+        combination_errors.push(OperatorFileError::at_line(line, "peers", problem));
+    } else if section.listen.is_none() {
+        let first_value = section.address.as_ref().or(section.listed.iter().flatten().next());
+        let line = first_value.map_or(0, line);
+        let problem = ValueProblem::MissingAddress;
+        combination_errors.push(OperatorFileError::at_line(line, "peers.listen", problem));
+    }
+}
+
+/// The legacy form: the same list everywhere, in the same order, and this router's index in it.
+fn read_legacy_peers(
+    index: &Spanned<u32>,
+    list: &[Spanned<String>],
+    errors: &mut OperatorFileErrors,
+    combination_errors: &mut OperatorFileErrors,
+) -> Option<Peers> {
+    let listed = parse_addresses(list, "peers.all", errors);
+    if list.len() < 2 {
+        let problem = ValueProblem::LegacyListLength { count: list.len(), max: MAX_ADDRESSES };
+        combination_errors.push(OperatorFileError::at(index, "peers.all", problem));
+    } else if index.value as usize >= list.len() {
+        let problem = ValueProblem::LegacyIndex { index: index.value, last: list.len() - 1 };
+        combination_errors.push(OperatorFileError::at(index, "peers.me", problem));
+    }
+    let own = listed.get(index.value as usize).copied()?;
+    Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
+}
+
+/// The distinct addresses of a list; errors of the others are added to `errors`.
+fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut OperatorFileErrors) -> Vec<SocketAddr> {
+    let mut addresses = Vec::new();
+    for text in texts {
+        let Some(address) = errors.ok_or_push(parse_address(text, key)) else { continue };
+        if addresses.contains(&address) {
+            errors.push(OperatorFileError::at(text, key, ValueProblem::DuplicateAddress(address)));
+        } else if addresses.len() == MAX_ADDRESSES {
+            let problem = ValueProblem::TooManyAddresses { max: MAX_ADDRESSES };
+            errors.push(OperatorFileError::at(text, key, problem));
+            break;
+        } else {
+            addresses.push(address);
+        }
+    }
+    addresses
+}
--- /dev/null
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -0,0 +1,87 @@
+//! Values with a unit or a range in the operator's file: durations, shares, sizes, addresses and networks.
+//!
+//! A `set_` function leaves the field as it was where the file has no such key.
+
+use super::errors::{OperatorFileError, ValueProblem};
+use ladderpass_routing::Span;
+use serde_saphyr::Spanned;
+use std::net::{IpAddr, SocketAddr};
+use std::ops::RangeInclusive;
+
+const IPV4_BITS: u8 = 32;
+const IPV6_BITS: u8 = 128;
+const SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
+
+/// Reads a duration, such as `250ms`.
+pub(super) fn set_duration(
+    field: &mut Span,
+    key: &str,
+    value: Option<Spanned<String>>,
+    allowed_ms: RangeInclusive<i64>,
+) -> Result<(), OperatorFileError> {
+    let Some(value) = value else { return Ok(()) };
+    let (min_ms, max_ms) = allowed_ms.into_inner();
+    let error = || {
+        let problem = ValueProblem::Duration { value: value.value.clone(), min_ms, max_ms };
+        OperatorFileError::at(&value, key, problem)
+    };
+    let duration = humantime::parse_duration(value.value.trim()).map_err(|_| error())?;
+    let millis = duration.as_secs_f64() * 1e3;
+    if millis < min_ms as f64 || millis > max_ms as f64 {
+        return Err(error());
+    }
+    *field = Span::from_secs_f64(duration.as_secs_f64());
+    Ok(())
+}
+
+/// Reads a share of what is allowed, above 0 and up to `max`.
+pub(super) fn set_share(
+    field: &mut f64,
+    key: &str,
+    value: Option<Spanned<f64>>,
+    max: f64,
+) -> Result<(), OperatorFileError> {
+    let Some(value) = value else { return Ok(()) };
+    if !(value.value > 0.0 && value.value <= max) {
+        return Err(OperatorFileError::at(&value, key, ValueProblem::Share { value: value.value, max }));
+    }
+    *field = value.value;
+    Ok(())
+}
+
+/// Reads the most that a slow reader's answers may hold, such as `64 KiB`.
+pub(super) fn set_slow_reader_bytes(
+    field: &mut usize,
+    value: Option<Spanned<String>>,
+) -> Result<(), OperatorFileError> {
+    let Some(value) = value else { return Ok(()) };
+    let size = value.value.parse::<bytesize::ByteSize>().ok().filter(|_| value.value.ends_with('B'));
+    match size.map(|size| size.as_u64()).filter(|size| SLOW_READER_BYTES.contains(size)) {
+        Some(size) => {
+            *field = size as usize;
+            Ok(())
+        }
+        None => {
+            let problem = ValueProblem::SlowReaderBytes(value.value.clone());
+            Err(OperatorFileError::at(&value, "overload.slow_reader_bytes", problem))
+        }
+    }
+}
+
+/// Reads an address that others can send to: it has a port, and is not the unspecified one.
+pub(super) fn parse_address(text: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorFileError> {
+    let address = text.value.parse::<SocketAddr>().ok();
+    let usable = address.filter(|address| address.port() > 0 && !address.ip().is_unspecified());
+    usable.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Address(text.value.clone())))
+}
+
+/// Reads a network, such as `10.0.0.0/8`: its address, and how many bits of it count.
+pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<(IpAddr, u8), OperatorFileError> {
+    let network = text.value.split_once('/').and_then(|(ip, bits)| {
+        let ip = ip.parse::<IpAddr>().ok()?;
+        let bits = bits.parse::<u8>().ok()?;
+        let max = if ip.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        (bits <= max).then_some((ip, bits))
+    });
+    network.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Network(text.value.clone())))
+}
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -1,11 +1,11 @@
-//! The operator's file: its defaults, and faults that name line, key and what is allowed.
+//! The operator's file: its defaults, and errors that name line, key and what is allowed.
 
 use ladderpass_config::operator::{Log, Operator, read};
 use ladderpass_overload::{Band, Settings};
 use ladderpass_routing::Span;
 
 #[test]
-fn what_is_not_said_has_its_default() {
+fn a_key_that_is_not_given_has_its_default() {
     assert_eq!(read("# nothing\n").expect("empty"), Operator::default());
     assert_eq!(read("overload: {}").expect("on").overload, Some(Settings::default()));
     assert_eq!(read("overload: {enabled: false}").expect("off").overload, None);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_fault_is_one_line_with_line_key_and_what_is_allowed() {
+fn an_error_is_one_line_with_line_key_and_what_is_allowed() {
     for (text, wanted) in [
         ("overlaod: {}", ["line 1", "overlaod", "overload"]),
         ("overload:\n  dealy: {from: 1ms}", ["line 2", "dealy", "delay"]),
@@ -61,33 +61,33 @@
         ("members:\n  zone: ''", ["line 2", "members.zone", "name of a zone"]),
         ("members:\n  sizes: big", ["line 2", "sizes", "bool"]),
     ] {
-        let fault = read(text).expect_err(text);
-        assert!(wanted.iter().all(|part| fault.contains(part)), "{text:?}: {fault}");
-        assert!(!fault.contains('\n'), "{fault}");
+        let error = read(text).expect_err(text).to_string();
+        assert!(wanted.iter().all(|part| error.contains(part)), "{text:?}: {error}");
+        assert!(!error.contains('\n'), "{error}");
     }
 }
 
-/// Lines of the faults that a text has, in their order.
-fn lines_of(text: &str) -> Vec<usize> {
-    let told = read(text).expect_err(text);
-    let line =
-        |fault: &str| fault.strip_prefix("line ").and_then(|rest| rest.split_once(':')?.0.parse().ok());
-    let line = |fault: &str| line(fault).unwrap_or_else(|| panic!("{told}"));
-    let mut lines: Vec<usize> = told.lines().map(line).collect();
+/// Lines of the file that its errors name, in ascending order.
+fn lines_with_errors(text: &str) -> Vec<usize> {
+    let printed = read(text).expect_err(text).to_string();
+    let parse_line =
+        |error: &str| error.strip_prefix("line ").and_then(|rest| rest.split_once(':')?.0.parse().ok());
+    let line = |error: &str| parse_line(error).unwrap_or_else(|| panic!("{printed}"));
+    let mut lines: Vec<usize> = printed.lines().map(line).collect();
     lines.sort_unstable();
     lines
 }
 
 #[test]
-fn all_faults_are_named_and_none_that_only_follows_from_another() {
+fn all_errors_are_named_and_none_that_only_follows_from_another() {
     for (text, wanted) in [
         ("log:\n  format: xml\n  figures: 1\noverload:\n  fair: 0\n  look: 1ms", &[2, 3, 5, 6][..]),
-        // Keys that can't be read, of each section, with what stands below them.
+        // Keys that can't be read, in each section, with what stands below them.
         ("overlaod:\n  fair: 0\nlog:\n  colour: red\n  format: xml", &[1, 4, 5]),
         ("overload:\n  memory:\n    full: lots\n    from: 7\n  fair: 0", &[3, 4, 5]),
         ("a: 1\nb:\n- 2\n- 3\nc: 4\nlog: {format: xml}", &[1, 2, 5, 6]),
         ("members:\n  sizes: big\n  zone: ''", &[2, 3]),
-        // Where a key was wrong, it is not missing; nor is what goes with it.
+        // A key with a wrong value is not reported as missing, nor is what goes with it.
         ("peers:\n  listen: [1]\n  listed: [127.0.0.1:1, there]", &[2, 3]),
         ("peers:\n  listen: here\n  listed: [127.0.0.1:1]\nfleet:\n  sheds: true", &[2]),
         ("peers:\n  colour: red\nfleet:\n  sheds: 3\n  budgets: true", &[2, 4]),
@@ -96,18 +96,19 @@
         ("peers:\n  me: 0\n  all: [here, there]", &[3, 3]),
         ("peers:\n  me: one\n  all: [127.0.0.1:1, 127.0.0.1:2]", &[2]),
     ] {
-        assert_eq!(lines_of(text), wanted, "{text:?}: {:?}", read(text));
+        assert_eq!(lines_with_errors(text), wanted, "{text:?}: {:?}", read(text));
     }
-    // What is no YAML has no keys to go by.
-    assert_eq!(read("overload:\n  fair: 0\nlog: [").expect_err("cut").lines().count(), 1);
+    // A text that is not YAML has no keys to go by.
+    let printed = read("overload:\n  fair: 0\nlog: [").expect_err("cut").to_string();
+    assert_eq!(printed.lines().count(), 1);
 }
 
 #[test]
-fn a_file_that_is_wrong_throughout_is_told_within_bounds() {
+fn errors_of_a_file_that_is_wrong_throughout_are_bounded() {
     let text: String = (0..1000).map(|n| format!("wrong_{n}: 1\n")).collect();
-    let count = read(&text).expect_err("wrong").lines().count();
+    let count = read(&text).expect_err("wrong").to_string().lines().count();
     assert!((10..=100).contains(&count), "{count}");
     let listed: Vec<String> = (0..1000).map(|n| format!("'there {n}'")).collect();
     let text = format!("peers: {{listen: '127.0.0.1:1', listed: [{}]}}", listed.join(", "));
-    assert_eq!(read(&text).expect_err("wrong").lines().count(), 100);
+    assert_eq!(read(&text).expect_err("wrong").to_string().lines().count(), 100);
 }
--- /dev/null
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -0,0 +1,353 @@
+//! One router: its events as calls on `ladderpass-routing`, and the decisions as actions. Names of the wire become small
+//! indices.
+
+use crate::actions::Action;
+use crate::errors::{EventProblem, require};
+use crate::events::{EventKind, Line, ListLine, MemberNote, parse_endpoint_state, parse_outcome};
+use crate::instances::EndpointLists;
+use crate::rpcs::RpcTable;
+use ladderpass_config::gossip::GossipCodec;
+use ladderpass_config::names::{NameIndex, group_index};
+use ladderpass_config::{IN_FLIGHT_COLUMN, POSITION_COLUMN, PRIMARY_COLUMN};
+use ladderpass_routing::{
+    Arrival, AttemptResult, Decision, Endpoint, EndpointUpdate, LoadReport, MemberId, Router, RpcId, Span,
+    Time,
+};
+use serde_json::Value;
+use std::collections::HashMap;
+
+/// From this value on a flag that comes as a number is set.
+const FLAG_THRESHOLD: f64 = 0.5;
+const NANOS_PER_MS: f64 = 1e6;
+
+/// A router with the indices of its names.
+pub struct Instance {
+    /// It had an event in this batch.
+    pub in_batch: bool,
+    name: String,
+    router: Router,
+    /// Lines of the actions of this batch.
+    actions: String,
+    methods: HashMap<String, u32>,
+    clock_origin: Time,
+    answers_report_position: bool,
+    report_columns: ReportColumns,
+    members: NameIndex,
+    machine_kinds: NameIndex,
+    /// The router's own zone has the index zero.
+    zones: NameIndex,
+    weights_are_concurrency: bool,
+    gossip: GossipCodec,
+    groups: HashMap<u64, u32>,
+    sessions: NameIndex,
+    rpcs: RpcTable,
+    timer: Timer,
+}
+
+/// Where the values that routing uses stand in a load report.
+struct ReportColumns {
+    position: Option<usize>,
+    is_primary: Option<usize>,
+    in_flight: Option<usize>,
+}
+
+impl ReportColumns {
+    fn new(columns: &[String]) -> ReportColumns {
+        let index = |name: &str| columns.iter().position(|column| column == name);
+        ReportColumns {
+            position: index(POSITION_COLUMN),
+            is_primary: index(PRIMARY_COLUMN),
+            in_flight: index(IN_FLIGHT_COLUMN),
+        }
+    }
+
+    fn read(&self, values: &[Option<f64>], clock_origin: Time) -> LoadReport {
+        let value = |column: Option<usize>| column.and_then(|column| values.get(column).copied().flatten());
+        LoadReport {
+            position: value(self.position).map(|seconds| clock_origin + Span::from_secs_f64(seconds)),
+            is_primary: value(self.is_primary).map(|flag| flag >= FLAG_THRESHOLD),
+            in_flight: value(self.in_flight),
+        }
+    }
+}
+
+/// The simulator's timer of a router.
+#[derive(Default)]
+struct Timer {
+    /// When the earliest one that is set fires.
+    fires_at: Option<Time>,
+    /// Handle of the one that was set last.
+    last_handle: i64,
+}
+
+impl Instance {
+    /// Starts a router with these settings.
+    pub fn start(now: Time, name: String, seed: u64, settings: &Value) -> Result<Instance, EventProblem> {
+        let settings = ladderpass_config::read(settings)?;
+        let own_zone = settings.zone.as_deref().unwrap_or_default();
+        let mut zones = NameIndex::default();
+        zones.intern(own_zone);
+        Ok(Instance {
+            in_batch: false,
+            name,
+            gossip: GossipCodec::new(settings.clock_origin, own_zone),
+            report_columns: ReportColumns::new(&settings.report_columns),
+            router: Router::start(now, seed, settings.deployment),
+            actions: String::new(),
+            methods: settings.method_names.into_iter().zip(0..).collect(),
+            clock_origin: settings.clock_origin,
+            answers_report_position: settings.answers_report_position,
+            members: NameIndex::default(),
+            machine_kinds: NameIndex::default(),
+            zones,
+            weights_are_concurrency: settings.weights_are_concurrency,
+            groups: HashMap::new(),
+            sessions: NameIndex::default(),
+            rpcs: RpcTable::default(),
+            timer: Timer::default(),
+        })
+    }
+
+    /// Handles an event for this router.
+    pub fn handle_event(
+        &mut self,
+        now: Time,
+        kind: EventKind,
+        line: Line,
+        lists: &EndpointLists,
+    ) -> Result<(), EventProblem> {
+        match kind {
+            EventKind::Arrival => self.accept_rpc(now, line),
+            EventKind::AttemptEnded => self.on_attempt_ended(now, line),
+            EventKind::Abandoned => self.abandon_rpc(line),
+            EventKind::HealthCheckEnded => self.on_health_check_ended(now, line),
+            EventKind::EndpointUpdate => self.on_endpoint_update(now, line, lists),
+            EventKind::TimerFired => self.on_timer_fired(&line),
+            EventKind::Gossip => self.on_gossip(now, line),
+            // Answer heads: no method here streams. The other kinds are not for one router.
+            _ => Ok(()),
+        }
+    }
+
+    /// Ends a batch: lets the router act on the time, and encodes what it wants done.
+    pub fn tick(&mut self, now: Time) {
+        let output = self.router.tick(now);
+        for (rpc, decision) in output.decisions {
+            self.encode_decision(rpc, decision);
+        }
+        let router = &self.name;
+        for member in output.health_checks {
+            let member = self.members.name(member.0);
+            Action::HealthCheck { router, member }.write(&mut self.actions);
+        }
+        for payload in self.gossip.encode(&output.gossip, &self.members) {
+            Action::gossip(router, &payload).write(&mut self.actions);
+        }
+        if output.poll_endpoints {
+            Action::PollEndpoints { router, enable: true }.write(&mut self.actions);
+        }
+        for message in output.log_messages {
+            let message = self.members.expand_names(&message);
+            Action::Log { router, message: &message }.write(&mut self.actions);
+        }
+        if let Some(wake_at) = output.wake_at
+            && self.timer.fires_at.is_none_or(|fires_at| wake_at < fires_at)
+        {
+            self.set_timer(now, wake_at);
+        }
+    }
+
+    /// The lines of all actions since the last call.
+    pub fn take_actions(&mut self) -> String {
+        std::mem::take(&mut self.actions)
+    }
+
+    fn set_timer(&mut self, now: Time, wake_at: Time) {
+        let delay = (wake_at - now).nanos().max(1);
+        self.timer.last_handle += 1;
+        self.timer.fires_at = Some(now + Span::from_nanos(delay));
+        let handle = self.timer.last_handle;
+        Action::SetTimer { router: &self.name, delay, handle }.write(&mut self.actions);
+    }
+
+    /// Goes by the handle: times are rounded on the wire, so that a timer may fire a little before its time.
+    fn on_timer_fired(&mut self, line: &Line) -> Result<(), EventProblem> {
+        if require(line.timer_handle, "Handle")? == self.timer.last_handle {
+            self.timer.fires_at = None;
+        }
+        Ok(())
+    }
+
+    fn accept_rpc(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
+        let request_id = require(line.request_id, "RequestId")?;
+        let method = require(line.method, "Service")?;
+        let Some(&method) = self.methods.get(&*method) else {
+            return Err(EventProblem::UnknownMethod(method.into_owned()));
+        };
+        let deadline = Time::from_nanos(require(line.deadline, "Due")?);
+        let group = require(line.group, "Cluster")?;
+        if self.rpcs.contains(&request_id) {
+            return Err(EventProblem::DuplicateRequest(request_id.into_owned()));
+        }
+        let last_write_age_ms = line.last_write_age_ms.filter(|&ms| ms > 0.0);
+        let arrival = Arrival {
+            method,
+            group: group_index(&mut self.groups, group),
+            deadline,
+            router_overload: None,
+            fleet_overload: None,
+            admission_draw: None,
+            is_client_retry: line.is_client_retry.unwrap_or(false),
+            session: line.session.as_ref().map(|key| self.sessions.intern(key)),
+            last_write_age: last_write_age_ms.map(|ms| Span::from_nanos((ms * NANOS_PER_MS).ceil() as i64)),
+        };
+        let (rpc, decision) = self.router.accept(now, arrival);
+        self.rpcs.insert(request_id.into_owned(), rpc);
+        self.encode_decision(rpc, decision);
+        Ok(())
+    }
+
+    fn on_attempt_ended(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
+        let request_id = require(line.request_id, "RequestId")?;
+        let member = self.known_member(line.member.as_deref())?;
+        let outcome = require(line.outcome, "StateCode")?;
+        require(line.attempt, "Attempt")?;
+        let latency = Span::from_nanos(require(line.latency, "Elapsed")?);
+        let active = self.rpcs.get_mut(&request_id)?;
+        let outcome = parse_outcome(&outcome)?;
+        if active.attempts_in_flight == 0 {
+            return Err(EventProblem::NoAttemptInFlight(request_id.into_owned()));
+        }
+        let rpc_complete = line.is_complete.unwrap_or(false);
+        active.attempts_in_flight -= 1;
+        active.is_answered |= rpc_complete;
+        let rpc = active.rpc;
+        let note = MemberNote::parse(line.member_note);
+        let result = AttemptResult {
+            retry_denied: false,
+            member,
+            outcome,
+            latency,
+            rpc_complete,
+            role: note.and_then(MemberNote::role),
+            position: note.and_then(|note| self.position(note)),
+        };
+        let decision = rpc.on_attempt_ended(&mut self.router, now, result);
+        self.encode_decision(rpc, decision);
+        self.rpcs.remove_if_done(&request_id);
+        Ok(())
+    }
+
+    /// The replication position of a note; a zero is one only where answers report positions.
+    fn position(&self, note: MemberNote) -> Option<Time> {
+        let position_ms = note.position_ms();
+        (position_ms > 0 || self.answers_report_position)
+            .then(|| self.clock_origin + Span::from_millis(position_ms))
+    }
+
+    fn abandon_rpc(&mut self, line: Line) -> Result<(), EventProblem> {
+        let request_id = require(line.request_id, "RequestId")?;
+        // It may have been answered already.
+        if let Ok(active) = self.rpcs.get_mut(&request_id)
+            && !active.is_answered
+        {
+            active.is_answered = true;
+            active.rpc.abandon(&mut self.router);
+            self.rpcs.remove_if_done(&request_id);
+        }
+        Ok(())
+    }
+
+    fn on_health_check_ended(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
+        let member = self.known_member(line.member.as_deref())?;
+        let outcome = parse_outcome(&require(line.outcome, "StateCode")?)?;
+        let latency = Span::from_nanos(require(line.latency, "Elapsed")?);
+        let values = line.load_report.as_deref().unwrap_or(&[]);
+        let report = self.report_columns.read(values, self.clock_origin);
+        self.router.on_health_check_ended(now, member, outcome, latency, report);
+        Ok(())
+    }
+
+    /// Passes on what another router has observed, of the members that this one knows.
+    fn on_gossip(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
+        for update in self.gossip.decode(&require(line.payload, "Payload")?, now) {
+            self.router.on_peer_update(now, update);
+        }
+        Ok(())
+    }
+
+    fn on_endpoint_update(
+        &mut self,
+        now: Time,
+        line: Line,
+        lists: &EndpointLists,
+    ) -> Result<(), EventProblem> {
+        let kind = require(line.update_kind, "How")?;
+        if kind == "broken" {
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: false });
+            return Ok(());
+        }
+        let number = require(line.list_number, "Buffer")?;
+        let list = lists.get(&number).ok_or(EventProblem::UnknownList(number))?;
+        let mut endpoints = Vec::with_capacity(list.len());
+        for entry in list {
+            endpoints.push(self.read_endpoint(entry)?);
+        }
+        let update = match &*kind {
+            "patch" => EndpointUpdate::Changes(&endpoints),
+            "whole" => EndpointUpdate::Complete(&endpoints),
+            "stale_copy" => EndpointUpdate::Cached(&endpoints),
+            other => return Err(EventProblem::UnknownWord { field: "How", value: other.to_owned() }),
+        };
+        self.router.on_endpoint_update(now, update);
+        Ok(())
+    }
+
+    fn read_endpoint(&mut self, entry: &ListLine) -> Result<Endpoint, EventProblem> {
+        let member = MemberId(self.members.intern(&entry.member));
+        Ok(Endpoint {
+            member,
+            id_hash: self.gossip.id_hashes.insert(&entry.member, member.0),
+            zone: self.zones.intern(&entry.zone),
+            concurrency: entry.weight.filter(|&weight| self.weights_are_concurrency && weight > 0.0),
+            group: group_index(&mut self.groups, entry.group),
+            primary: entry.primary.unwrap_or(0.0) >= FLAG_THRESHOLD,
+            state: parse_endpoint_state(&entry.state)?,
+            started_at: entry.started_at.filter(|&at| at != 0).map(Time::from_nanos),
+            machine_kind: self.machine_kinds.intern(&entry.machine_kind),
+        })
+    }
+
+    fn known_member(&self, name: Option<&str>) -> Result<MemberId, EventProblem> {
+        let name = require(name, "Node")?;
+        let index = self.members.get(name);
+        index.map(MemberId).ok_or_else(|| EventProblem::UnknownMember(name.to_owned()))
+    }
+
+    fn encode_decision(&mut self, rpc: RpcId, decision: Decision) {
+        let Some(request_id) = self.rpcs.request_id(rpc).cloned() else { return };
+        let (router, request_id) = (self.name.as_str(), request_id.as_str());
+        let active = self.rpcs.get_mut(request_id).ok();
+        match decision {
+            Decision::Attempt { member, timeout } => {
+                let member = self.members.name(member.0);
+                let timeout = timeout.map_or(0, |timeout| timeout.nanos().max(1));
+                Action::Attempt { router, request_id, member, timeout }.write(&mut self.actions);
+                if let Some(active) = active {
+                    active.attempts_in_flight += 1;
+                }
+                return;
+            }
+            Decision::Queue | Decision::AlreadyAnswered => return,
+            Decision::Reject { retry_after } => {
+                let retry_after = retry_after.nanos();
+                Action::Reject { router, request_id, retry_after }.write(&mut self.actions);
+            }
+            Decision::Fail => Action::Fail { router, request_id }.write(&mut self.actions),
+        }
+        if let Some(active) = active {
+            active.is_answered = true;
+        }
+        self.rpcs.remove_if_done(request_id);
+    }
+}
--- a/crates/ladderpass-simulator-adapter/src/main.rs
+++ b/crates/ladderpass-simulator-adapter/src/main.rs
@@ -1,44 +1,57 @@
-//! The bench's wire on standard input and output; one router of `ladderpass-routing` an instance.
+//! Adapter between the operators' simulator and the decisions of `ladderpass-routing`.
 //!
-//! Lines are decoded into calls and results are encoded as actions. Nothing is decided here.
+//! The simulator writes events to standard input, one JSON object a line, and reads actions from standard output. It
+//! plays any number of routers in one process. Events come in batches, which the line `END` ends; the answer to a batch
+//! is all actions of its routers, and again `END`. Nothing is decided here.
+//!
+//! `events`: lines as they come. `instances`: all routers of the process. `instance`: one router. `rpcs`: its RPCs.
+//! `actions`: lines as they go. A line that is wrong is named on standard error and ignored.
 
-mod lines;
-mod wire;
+mod actions;
+mod errors;
+mod events;
+mod instance;
+mod instances;
+mod rpcs;
 
+use instances::{Batch, Instances};
 use std::io::{self, BufRead, Write};
 
+const STREAM_BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> io::Result<()> {
+    // A panic in a router is reported as an action, so its message isn't printed here.
     std::panic::set_hook(Box::new(|_| {}));
-    let mut input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let mut output = io::BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    let mut tier = wire::Tier::default();
+    let mut input = io::BufReader::with_capacity(STREAM_BUFFER_BYTES, io::stdin().lock());
+    let mut output = io::BufWriter::with_capacity(STREAM_BUFFER_BYTES, io::stdout().lock());
+    let mut instances = Instances::default();
     let mut line = String::new();
     let mut reply = String::new();
     loop {
         line.clear();
-        let read = match input.read_line(&mut line) {
-            Ok(read) => read,
-            Err(fault) if fault.kind() == io::ErrorKind::InvalidData => {
+        let bytes_read = match input.read_line(&mut line) {
+            Ok(bytes_read) => bytes_read,
+            Err(error) if error.kind() == io::ErrorKind::InvalidData => {
                 eprintln!("ladderpass: a line is not UTF-8; passed over");
                 continue;
             }
-            Err(fault) => return Err(fault),
+            Err(error) => return Err(error),
         };
-        if read == 0 {
+        if bytes_read == 0 {
             return Ok(());
         }
         let text = line.trim();
         if text.is_empty() {
             continue;
         }
-        match tier.line(text, &mut reply) {
-            Ok(false) => {}
-            Ok(true) => {
+        match instances.handle_line(text, &mut reply) {
+            Ok(Batch::Open) => {}
+            Ok(Batch::Complete) => {
                 output.write_all(reply.as_bytes())?;
                 output.flush()?;
                 reply.clear();
             }
-            Err(fault) => eprintln!("ladderpass: {fault}"),
+            Err(error) => eprintln!("ladderpass: {error}"),
         }
     }
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/world.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world.rs
@@ -187,7 +187,7 @@
         let launch = Launch::read(variable, None);
         // It is this function's own; one that stays behind harms nothing.
         let _ = std::fs::remove_file(&path);
-        let mut launch = launch?;
+        let mut launch = launch.map_err(|errors| errors.to_string())?;
         launch.limits.client_idle_timeout = self.client_idle.unwrap_or(launch.limits.client_idle_timeout);
         launch.settings.deployment.gossip = self.shares_probes;
         Ok(launch)
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -62,7 +62,8 @@
     }
     let log = read.as_ref().map_or(Log::default(), |launch| launch.operator.log);
     start_log(log.json);
-    let done = read.and_then(|launch| sockets::run(launch, cli.operator));
+    let done =
+        read.map_err(|errors| errors.to_string()).and_then(|launch| sockets::run(launch, cli.operator));
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
--- a/crates/ladderpass/src/sockets.rs
+++ b/crates/ladderpass/src/sockets.rs
@@ -285,7 +285,8 @@
     }
 
     fn read_launch(&self) -> Result<Launch, String> {
-        Launch::read(|key| std::env::var(key).ok(), self.operator.as_deref())
+        let launch = Launch::read(|key| std::env::var(key).ok(), self.operator.as_deref());
+        launch.map_err(|errors| errors.to_string())
     }
 
     /// Tries once more what could not be read; its faults were told.
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -145,9 +145,12 @@
     assert_eq!(from, own);
     let text = std::str::from_utf8(&room[..count]).expect("letters");
     let now = ladderpass_emulator::loopback::now() - Time::default();
-    let (_, words) = ladderpass_config::gossip::read(text, now).expect("a message");
-    let words: Vec<_> = words.collect();
-    assert!(!words.is_empty() && words.iter().all(|(.., at, _, _)| (now - *at).secs() < 20.0), "{words:?}");
+    let (_, updates) = ladderpass_config::gossip::read(text, now).expect("a message");
+    let updates: Vec<_> = updates.collect();
+    assert!(
+        !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
+        "{updates:?}"
+    );
     // Noise, from the other router and from a stranger, changes nothing.
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
     for socket in [&other, &stranger] {
