--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -1,9 +1,10 @@
-//! Bad input gets a plain message and never stops the adapter.
+//! The adapter as a process: a bad line gets a plain message and never stops it, and timers that fire early are set again.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn answer<'a>(lines: impl IntoIterator<Item = &'a str>) -> Output {
+/// Runs the adapter on these lines, until the end of its input.
+fn run_adapter<'a>(lines: impl IntoIterator<Item = &'a str>) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ladderpass-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -32,20 +33,20 @@
         (r#"{"kind":"DETACH","Who":"router_0"}"#, "DETACH: router_0 has no CREATE"),
         (r#"{"kind":"END"}"#, ""),
     ];
-    let output = answer(cases.map(|(line, _)| line));
-    assert!(output.status.success(), "end of input is no fault");
+    let output = run_adapter(cases.map(|(line, _)| line));
+    assert!(output.status.success(), "the end of input is no error");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "{\"kind\":\"END\"}\n");
-    let told = String::from_utf8_lossy(&output.stderr);
-    let mut told = told.lines();
-    for (line, fault) in cases.into_iter().filter(|(_, fault)| !fault.is_empty()) {
-        let message = told.next().unwrap_or_default();
-        assert!(message.contains(fault), "{line}: {message}");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    let mut errors = errors.lines();
+    for (line, expected) in cases.into_iter().filter(|(_, expected)| !expected.is_empty()) {
+        let error = errors.next().unwrap_or_default();
+        assert!(error.contains(expected), "{line}: {error}");
     }
 }
 
 #[test]
-fn a_timer_that_comes_a_little_early_is_set_again() {
-    let output = answer([
+fn a_timer_that_fires_a_little_early_is_set_again() {
+    let output = run_adapter([
         r#"{"kind":"TICK","AtTime":1000000000}"#,
         r#"{"kind":"CREATE","Who":"router_0","Salt":1,"Info":{"Allowed":{"Probes":true},"Contract":{},
 "Extra":{"ReadLevel":["any"]},"Services":[{"Name":"a","Slo":500000000,"Effect":"pure"}],"Tick":5000000}}"#
@@ -54,11 +55,16 @@
         r#"{"kind":"ROSTER","Buffer":0,"Entries":[{"Node":"n:1","Shard":1,"StageState":"on"}]}"#,
         r#"{"kind":"FLEET","Who":"router_0","Buffer":0,"How":"stale_copy"}"#,
         r#"{"kind":"END"}"#,
-        // Before any time that it can have set: the wire's clock rounds.
+        // Earlier than any timer that it can have set: times on the wire are rounded.
         r#"{"kind":"TICK","AtTime":1000001000}"#,
         r#"{"kind":"TICK_DUE","Who":"router_0","Handle":1}"#,
         r#"{"kind":"END"}"#,
     ]);
-    let told = String::from_utf8_lossy(&output.stdout);
-    assert_eq!(told.matches("NOTIFY_ME").count(), 2, "{told}{}", String::from_utf8_lossy(&output.stderr));
+    let actions = String::from_utf8_lossy(&output.stdout);
+    assert_eq!(
+        actions.matches("NOTIFY_ME").count(),
+        2,
+        "{actions}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
 }
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -1,195 +1,253 @@
-//! The front's resource bounds: sizes, counts and times, filled once at start and handed down.
+//! Resource limits and timeouts of a router on sockets: sizes in bytes, counts, and durations.
 //!
-//! It owns these bounds alone. It must never hold a value that decides where or when an RPC goes: those stand
-//! in the decision module.
+//! They follow from the machine's allowance and the settings, are filled in once at the start, and are handed to the
+//! modules that keep them. Values that decide where or when an RPC goes are in `ladderpass-routing`.
 
 use ladderpass_config::DeploymentSettings;
 use ladderpass_routing::Span;
 use std::time::Duration;
 
+/// All limits of one router.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// A ring starts at this size, and grows up to its bound.
+    // Memory of buffers, in bytes.
+    /// First size of a buffer, which grows up to its limit.
     pub buffer_initial_bytes: usize,
-    /// Past what one client may have sent ahead, what it sends next is answered at once.
+    /// Largest input buffer of a client: statements that it has sent ahead of the answers.
     pub client_buffer_bytes: usize,
+    /// Largest input buffer of a member's connection: one answer.
     pub member_buffer_bytes: usize,
+    /// Largest input buffer of the watch of discovery.
     pub discovery_buffer_bytes: usize,
+    /// Longest line of discovery: the whole endpoint list.
     pub discovery_line_bytes: usize,
-    /// First message of a connection.
+    /// Longest first message of a client.
     pub startup_message_bytes: usize,
-    /// A statement with its frame; longer ones are turned away.
+    /// Longest statement with its frame; a longer one is rejected by its head.
     pub statement_bytes: usize,
-    /// Past this much memory of all rings together no statement, and no answer, is let grow.
+    /// Memory of all buffers above which those of clients don't grow. Less than `all_buffers_total_bytes`, so that
+    /// statements wait before answers do.
     pub client_buffers_total_bytes: usize,
+    /// Memory of all buffers above which none grows.
     pub all_buffers_total_bytes: usize,
-    /// A statement waits this long for memory to be read to; then it is passed over, and pushed back.
+    /// How long a statement waits for memory to be read into, before it is rejected.
     pub memory_wait_timeout: Span,
-    /// Connections of clients and members together: members have what clients leave.
+
+    // Connections.
+    /// Connections of clients and members together; members have those that clients leave.
     pub connections: usize,
-    /// Connections of clients that are served; past this, and up to the most that are accepted, newcomers are
-    /// turned away at their first statement.
+    /// Clients that are served. Above it, and up to `clients_accepted`, new ones are rejected at their first statement.
     pub clients: usize,
+    /// Clients that are connected; above it none is accepted.
     pub clients_accepted: usize,
-    /// Past this many, those that are waited for make place after so long: to open, to end a statement, to begin one.
-    /// Clients share fewer descriptors than this router has; connections that rest may be all that they have left.
+    /// Clients from which on those that have waited for `eviction_ages` are closed: other clients, and members, may need
+    /// the descriptors.
     pub clients_before_eviction: usize,
+    /// How long a client may be waited for under eviction: to open its connection, to end a statement, and to begin one.
     pub eviction_ages: [Span; 3],
-    /// An idle connection of a client is closed after this in any case.
-    pub client_idle_timeout: Span,
-    /// Faults of a client that are answered in step; the next one closes its connection.
-    pub client_errors: u32,
-    /// Ids of RPCs that are kept, and for how long past their client's time.
-    pub retired_ids: usize,
-    pub retired_id_ttl: Span,
-    /// Where a client that rests is to make place it goes a turn later: meanwhile there may be so many more.
+    /// Connections beyond `connections` while evicted clients close, which takes one more event loop iteration.
     pub evicting_clients: usize,
-    /// What there was no descriptor for, and nothing that could make place, is tried again after this.
-    pub denied_connect_backoff: Span,
-    /// A call that failed for a moment is made again after this; a loop that has failed for so long has failed for good.
-    pub failed_call_backoff: Duration,
-    pub event_loop_failure_timeout: Duration,
-    /// What a start could not open for a moment is tried again after this, for so long.
-    pub start_retry_interval: Duration,
-    pub start_retry_timeout: Duration,
-    pub reread: Reread,
-    /// So many connections make place for one that was denied: were it for want of something else, all would
-    /// go.
+    /// Evictions for one connection that there was no descriptor for. If something else is missing, each further one
+    /// would close a client in vain.
     pub evictions_per_denial: u8,
-    /// Connections accepted, and reads from one connection, in one go: so that none starves the rest.
-    pub accepts_per_event: usize,
-    pub reads_per_event: usize,
-    /// Sockets looked at before the reducer has its turn.
-    pub sockets_per_iteration: usize,
-    /// Statements of one connection looked at before the others have their turn.
-    pub statements_per_iteration: usize,
+    /// Pause after a connection that there was no descriptor for, and nothing to evict.
+    pub denied_connect_backoff: Span,
+    /// Idle time after which a client is closed in any case.
+    pub client_idle_timeout: Span,
+    /// Errors of a client that are answered; the next one closes its connection.
+    pub client_errors: u32,
+    /// Pause before a client is read again after its first error; doubled with each further one.
+    pub client_error_backoff: Span,
+    /// Connections that the kernel accepts ahead of the router.
     pub backlog: i32,
+
+    // RPCs.
+    /// RPCs in flight.
     pub rpcs_in_flight: usize,
-    /// A connection to a member that is not up by then never came.
+    /// Ids of ended RPCs that are remembered, by which a repeated RPC is recognized.
+    pub retired_ids: usize,
+    /// How long past its deadline an RPC's id is remembered.
+    pub retired_id_ttl: Span,
+    /// Part of an RPC's time that the router needs itself, to write the answer before the deadline.
+    pub answer_margin: Span,
+
+    // Calls to members.
+    /// How long a connection to a member may take to open.
     pub connect_timeout: Span,
+    /// How long a health check may take.
     pub health_check_timeout: Span,
-    /// A pooled connection is closed once it was idle for this long, some way before the member does so.
+    /// Idle time after which a pooled connection is closed; shorter than the member's own, which would cross a statement.
     pub member_idle_timeout: Span,
-    /// A read with a bound on its data's age, or a repeat that only a window allows, that waited longer than this to be
-    /// sent is decided anew.
+    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, or a repeat within the
+    /// window of its idempotency key); then it is made again.
     pub fresh_send_timeout: Span,
-    /// Any other is out whole within this: it tells the member what time is left.
+    /// How long any other statement may take to be written: it carries the time that is left.
     pub write_timeout: Span,
-    /// What the router itself needs to write an answer before the client's time is up.
-    pub answer_margin: Span,
-    /// Clients: for the first message, and for the rest of a message that has begun; and to read an answer.
+    /// How long the rest of an answer that has begun may take.
+    pub partial_answer_timeout: Span,
+    /// How far ahead of this router a replication position may be; clocks of members are never further ahead.
+    pub max_clock_lead: Span,
+
+    // Clients that are slow.
+    /// How long a client may take for its first message, and for the rest of a message that has begun.
     pub message_timeout: Span,
+    /// How long a client may take to read an answer.
     pub unread_answer_timeout: Span,
-    /// A client that sent more than there was room for goes on once its socket was empty for so long: more than the way
-    /// there and back, as its kernel may have kept the rest, and its end, until there was room.
+    /// How long the socket of a client that overran its buffer must be empty before it counts as read. Longer than a
+    /// round trip: the client's kernel may have kept the rest back until there was room.
     pub refill_quiet_time: Span,
-    /// After a fault the next command is read this much later, doubled each time.
-    pub client_error_backoff: Span,
-    /// Members: for the rest of an answer that has begun.
-    pub partial_answer_timeout: Span,
-    /// No clock of a member is further ahead.
-    pub max_clock_lead: Span,
-    /// A call to discovery ends after so long without a byte, and after `watch_silence` in all, until it has
-    /// given a line.
+
+    // The watch of discovery.
+    /// How long a watch may go without a byte until its first line is complete; in all it has `watch_silence_timeout`.
     pub watch_answer_timeout: Span,
-    /// It is listened to for so long all the same, beside the next: a discovery that is crowded answers, or turns away,
-    /// within 2 s.
+    /// How long a watch without an answer is kept beside the next one. A busy discovery answers or rejects within 2 s.
     pub late_watch_timeout: Span,
-    /// A watch that was silent for so long has failed. The protocol has an empty line every 2 s; what a silent watch
-    /// would have told counts as told 6 s after it fell silent. In between two further calls have their time.
+    /// How long a watch may be silent before it has failed. The protocol has an empty line every 2 s, and leaves 6 s
+    /// (`notified_within`) for two further calls.
     pub watch_silence_timeout: Span,
-    /// By the protocol, whatever discovery has to tell counts as told after so long at the latest.
+    /// Time after a change from which on a router counts as notified of it, by the protocol.
     pub notified_within: Span,
-    /// How often the log tells the tally.
-    pub stats_interval: Span,
-    /// The loop looks round at least this often, so that a stall of the process shows; from then on it is one.
+
+    // The event loop.
+    /// Connections accepted in one go, so that clients that are connected get their turn.
+    pub accepts_per_event: usize,
+    /// Reads from one connection in one go, so that others get their turn.
+    pub reads_per_event: usize,
+    /// Sockets that are handled before the reducer's tick.
+    pub sockets_per_iteration: usize,
+    /// Statements of one connection that are handled before the others get their turn.
+    pub statements_per_iteration: usize,
+    /// How long the event loop waits at most, so that a stall of the process shows.
     pub max_poll_wait: Duration,
+    /// How long past its wait the event loop may wake before that counts as a stall.
     pub stall_threshold: Duration,
-    /// Sockets that were looked at longer ago than this are looked at again before any deadline counts.
+    /// Sockets that were polled longer ago are polled again before a deadline counts.
     pub max_poll_age: Duration,
-    /// After SIGTERM an idle connection of a client is closed once it has rested for so long.
+    /// Pause before a system call that failed for a moment is made again.
+    pub failed_call_backoff: Duration,
+    /// How long the event loop's own calls may fail before the process ends.
+    pub event_loop_failure_timeout: Duration,
+    /// How often statistics are logged.
+    pub stats_interval: Span,
+
+    // Start, reload and stop.
+    /// Pause before a start opens again what it could not open for a moment.
+    pub start_retry_interval: Duration,
+    /// How long a start does so.
+    pub start_retry_timeout: Duration,
+    /// Retries of a configuration that could not be read at SIGHUP.
+    pub reread: Reread,
+    /// Idle time after which a client is closed during a stop.
     pub shutdown_idle_time: Span,
-    /// After SIGTERM new connections are taken for so long, and RPCs begun: SIGKILL may come as early as the longest
-    /// deadline and 0.7 s after it. The process ends once what it owes is answered, however long the clients' time is.
+    /// How long a stop accepts connections and RPCs. SIGKILL may come 0.7 s after the longest deadline; the process ends
+    /// once nothing is in flight.
     pub shutdown_accept_time: Span,
 }
 
-/// What could not be read at SIGHUP is tried again after a rest, for so long: what is told there counts after 4 s.
+/// Retries of a configuration that could not be read at SIGHUP.
 #[derive(Clone, Copy, Debug)]
 pub struct Reread {
+    /// Pause between two of them.
     pub rest: Duration,
+    /// How long they go on. By the protocol, a router counts as notified of a new configuration after 4 s.
     pub tries: Duration,
 }
 
-const VALUE: usize = 64 << 10;
+/// Longest value of the protocol.
+const VALUE_BYTES: usize = 64 << 10;
+/// What a statement or an answer has beside its value.
+const FRAME_BYTES: usize = 8 << 10;
+/// In hex a value takes twice its size.
+const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + FRAME_BYTES;
+/// What a buffer has beside whole statements, so that the head of the next one fits.
+const BUFFER_SLACK_BYTES: usize = 16 << 10;
+/// Statements that a client may send ahead.
+const STATEMENTS_AHEAD: usize = 4;
+/// Standard streams, event loop, signals, listener, discovery, and what the runtime opens.
+const RESERVED_DESCRIPTORS: usize = 32;
+const MIN_CONNECTIONS: usize = 8;
+/// Share of the member's own idle timeout after which a pooled connection is closed.
+const MEMBER_IDLE_SHARE: f64 = 0.8;
+
+/// Limits for a machine and settings that set none.
+const DEFAULTS: Limits = Limits {
+    buffer_initial_bytes: 4 << 10,
+    client_buffer_bytes: STATEMENTS_AHEAD * STATEMENT_BYTES + BUFFER_SLACK_BYTES,
+    member_buffer_bytes: STATEMENT_BYTES + BUFFER_SLACK_BYTES,
+    discovery_buffer_bytes: 64 << 10,
+    discovery_line_bytes: 8 << 20,
+    startup_message_bytes: 10_000,
+    statement_bytes: STATEMENT_BYTES,
+    client_buffers_total_bytes: usize::MAX,
+    all_buffers_total_bytes: usize::MAX,
+    memory_wait_timeout: Span::from_millis(100),
+    connections: usize::MAX,
+    clients: usize::MAX,
+    clients_accepted: usize::MAX,
+    clients_before_eviction: usize::MAX,
+    eviction_ages: [Span::from_millis(50), Span::from_millis(250), Span::from_millis(100)],
+    evicting_clients: 8,
+    evictions_per_denial: 8,
+    denied_connect_backoff: Span::from_millis(100),
+    client_idle_timeout: Span::from_millis(2100),
+    client_errors: 3,
+    client_error_backoff: Span::from_millis(100),
+    backlog: 1024,
+    rpcs_in_flight: usize::MAX,
+    retired_ids: 1 << 16,
+    retired_id_ttl: Span::from_millis(5000),
+    answer_margin: Span::from_millis(4),
+    connect_timeout: Span::from_millis(1000),
+    health_check_timeout: Span::from_millis(1000),
+    member_idle_timeout: Span::from_millis(10_000),
+    fresh_send_timeout: Span::ZERO,
+    write_timeout: Span::from_millis(100),
+    partial_answer_timeout: Span::from_millis(250),
+    max_clock_lead: Span::from_millis(1000),
+    message_timeout: Span::from_millis(2000),
+    unread_answer_timeout: Span::from_millis(10_000),
+    refill_quiet_time: Span::from_millis(20),
+    watch_answer_timeout: Span::from_millis(1500),
+    late_watch_timeout: Span::from_millis(2200),
+    watch_silence_timeout: Span::from_millis(3000),
+    notified_within: Span::from_millis(6000),
+    accepts_per_event: 64,
+    reads_per_event: 8,
+    sockets_per_iteration: 256,
+    statements_per_iteration: 32,
+    max_poll_wait: Duration::from_millis(50),
+    stall_threshold: Duration::from_millis(100),
+    max_poll_age: Duration::from_millis(10),
+    failed_call_backoff: Duration::from_millis(1),
+    event_loop_failure_timeout: Duration::from_secs(10),
+    stats_interval: Span::from_millis(10_000),
+    start_retry_interval: Duration::from_millis(20),
+    start_retry_timeout: Duration::from_secs(5),
+    reread: Reread { rest: Duration::from_millis(100), tries: Duration::from_secs(4) },
+    shutdown_idle_time: Span::from_millis(200),
+    shutdown_accept_time: Span::from_millis(600),
+};
 
 impl Limits {
-    /// The allowance of the machine, split between clients, members and discovery.
-    pub fn of(memory_mb: u64, sockets: usize, facts: &DeploymentSettings) -> Limits {
-        // In hex a value takes twice its size; the rest of a statement or an answer is short.
-        let statement = 2 * VALUE + (8 << 10);
+    /// The limits of a router that may use so much memory, in MiB, and so many descriptors.
+    pub fn of(memory_mb: u64, descriptors: usize, settings: &DeploymentSettings) -> Limits {
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20);
-        // Standard streams, epoll, signals, listener, discovery, and what the runtime opens.
-        let usable = sockets.saturating_sub(32).max(8);
+        let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
+        let rpcs_in_flight = settings.max_in_flight.and_then(|max| usize::try_from(max).ok());
+        let member_idle_timeout = settings.idle_timeout.map(|idle| idle * MEMBER_IDLE_SHARE);
         Limits {
-            buffer_initial_bytes: 4 << 10,
-            client_buffer_bytes: 4 * statement + (16 << 10),
-            member_buffer_bytes: statement + (16 << 10),
-            discovery_buffer_bytes: 64 << 10,
-            discovery_line_bytes: 8 << 20,
-            startup_message_bytes: 10_000,
-            statement_bytes: statement,
             client_buffers_total_bytes: memory / 4,
             all_buffers_total_bytes: memory / 3,
-            memory_wait_timeout: Span::from_millis(100),
-            connections: usable,
-            clients_before_eviction: sockets / 4,
-            clients: usable * 11 / 16,
-            clients_accepted: usable * 3 / 4,
-            eviction_ages: [50, 250, 100].map(Span::from_millis),
-            client_idle_timeout: Span::from_millis(2100),
-            client_errors: 3,
-            retired_ids: 1 << 16,
-            retired_id_ttl: Span::from_millis(5000),
-            evicting_clients: 8,
-            denied_connect_backoff: Span::from_millis(100),
-            failed_call_backoff: Duration::from_millis(1),
-            event_loop_failure_timeout: Duration::from_secs(10),
-            start_retry_interval: Duration::from_millis(20),
-            start_retry_timeout: Duration::from_secs(5),
-            reread: Reread { rest: Duration::from_millis(100), tries: Duration::from_secs(4) },
-            evictions_per_denial: 8,
-            accepts_per_event: 64,
-            reads_per_event: 8,
-            sockets_per_iteration: 256,
-            statements_per_iteration: 32,
-            backlog: 1024,
-            rpcs_in_flight: facts
-                .max_in_flight
-                .and_then(|most| usize::try_from(most).ok())
-                .unwrap_or(usize::MAX),
-            connect_timeout: facts.connect_timeout.unwrap_or(Span::from_millis(1000)),
-            health_check_timeout: facts.connect_timeout.unwrap_or(Span::from_millis(1000)),
-            member_idle_timeout: facts.idle_timeout.map_or(Span::from_millis(10_000), |idle| idle * 0.8),
-            fresh_send_timeout: facts.deployment.tick,
-            write_timeout: Span::from_millis(100),
-            answer_margin: Span::from_millis(4),
-            message_timeout: Span::from_millis(2000),
-            unread_answer_timeout: Span::from_millis(10_000),
-            refill_quiet_time: Span::from_millis(20),
-            client_error_backoff: Span::from_millis(100),
-            partial_answer_timeout: Span::from_millis(250),
-            max_clock_lead: Span::from_millis(1000),
-            watch_answer_timeout: Span::from_millis(1500),
-            late_watch_timeout: Span::from_millis(2200),
-            watch_silence_timeout: Span::from_millis(3000),
-            notified_within: Span::from_millis(6000),
-            stats_interval: Span::from_millis(10_000),
-            max_poll_wait: Duration::from_millis(50),
-            stall_threshold: Duration::from_millis(100),
-            max_poll_age: Duration::from_millis(10),
-            shutdown_idle_time: Span::from_millis(200),
-            shutdown_accept_time: Span::from_millis(600),
+            connections,
+            clients: connections * 11 / 16,
+            clients_accepted: connections * 3 / 4,
+            clients_before_eviction: descriptors / 4,
+            rpcs_in_flight: rpcs_in_flight.unwrap_or(DEFAULTS.rpcs_in_flight),
+            connect_timeout: settings.connect_timeout.unwrap_or(DEFAULTS.connect_timeout),
+            health_check_timeout: settings.connect_timeout.unwrap_or(DEFAULTS.health_check_timeout),
+            member_idle_timeout: member_idle_timeout.unwrap_or(DEFAULTS.member_idle_timeout),
+            fresh_send_timeout: settings.deployment.tick,
+            ..DEFAULTS
         }
     }
 }
