--- /dev/null
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -0,0 +1,181 @@
+//! Dissemination: updates piggybacked on every datagram, gossip about a change, and view synchronisation.
+//!
+//! An update is sent a logarithmic number of times, the least sent first. A datagram carries a digest of the sender's
+//! view; where the receiver's differs, both send what they know of all routers (anti-entropy), within limits by round.
+
+use crate::member_state::{State, StateUpdate};
+use crate::membership::Membership;
+use crate::message::{Kind, Message, update_bytes};
+use ladderpass_routing::Time;
+use nanorand::Rng;
+use std::net::SocketAddr;
+
+/// Datagrams with nothing but updates in a round.
+const MAX_GOSSIP_PER_ROUND: usize = 6;
+/// Datagrams with the view in a round, and for one ping or ack.
+const MAX_VIEW_SYNCS_PER_ROUND: usize = 16;
+const MAX_VIEW_SYNCS_AT_ONCE: usize = 5;
+/// Members that a change is sent to at once.
+const CHANGE_FANOUT: usize = 2;
+/// How often an update is sent, as a multiple of the binary logarithm of the number of routers.
+const RETRANSMIT_MULTIPLIER: f64 = 3.0;
+/// Another router with the same view counts as so many transmissions.
+const TRANSMISSIONS_PER_SAME_VIEW: u32 = 3;
+/// Encoded size of the shortest update.
+const MIN_UPDATE_BYTES: usize = 15;
+
+/// A message before its state and updates are filled in.
+pub(crate) struct Draft {
+    pub kind: Kind,
+    pub sequence: u32,
+    /// Updates that must be in the message.
+    pub updates: Vec<StateUpdate>,
+    /// Use the space that is left for what is known of all routers.
+    pub fill_with_view: bool,
+}
+
+impl Draft {
+    pub fn new(kind: Kind, sequence: u32) -> Draft {
+        Draft { kind, sequence, updates: Vec::new(), fill_with_view: false }
+    }
+
+    fn gossip() -> Draft {
+        Draft::new(Kind::Gossip, 0)
+    }
+
+    pub fn with_update(self, update: StateUpdate) -> Draft {
+        Draft { updates: vec![update], ..self }
+    }
+}
+
+impl Membership {
+    pub(crate) fn send(&mut self, to: SocketAddr, draft: Draft) {
+        let bytes = self.compose(to, draft).encode();
+        self.counts.sent += 1;
+        self.counts.bytes += bytes.len() as u64;
+        self.outgoing.push((to, bytes));
+    }
+
+    /// Adds this router's state, the digest, the piggybacked payload and as many pending updates as fit.
+    fn compose(&mut self, to: SocketAddr, draft: Draft) -> Message {
+        let digest = self.members.digest(self.incarnation);
+        let mut updates = draft.updates;
+        let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
+        if is_probe || draft.fill_with_view {
+            // Lifeguard's buddy system: a router that is not counted as alive is told so, to refute it.
+            let doubted = self.members.state_update(to).filter(|known| known.state != State::Alive);
+            updates.extend(doubted);
+        }
+        let piggyback = if is_probe { self.piggyback.clone() } else { Vec::new() };
+        let own = self.own_state();
+        let mut message =
+            Message { kind: draft.kind, sequence: draft.sequence, digest, own, updates, piggyback };
+        if message.encoded_bytes() > self.settings.max_datagram_bytes {
+            message.piggyback.clear();
+        }
+        let space = self.settings.max_datagram_bytes.saturating_sub(message.encoded_bytes());
+        let space = self.append_pending_updates(&mut message, space);
+        if draft.fill_with_view && self.members.len() > 0 {
+            self.append_view(&mut message, space);
+        }
+        message
+    }
+
+    /// Appends the least sent updates that fit into `space` bytes. Returns the space that is left.
+    fn append_pending_updates(&mut self, message: &mut Message, mut space: usize) -> usize {
+        let limit = self.transmission_limit();
+        let max = self.settings.max_datagram_bytes / MIN_UPDATE_BYTES + 1;
+        for pending in self.updates.least_transmitted(max) {
+            if let Some(update) = self.members.state_update(pending.router)
+                && !mentions(message, pending.router)
+            {
+                if update_bytes(&update) > space {
+                    break;
+                }
+                space -= update_bytes(&update);
+                message.updates.push(update);
+            }
+            self.updates.record_transmission(pending, limit);
+        }
+        space
+    }
+
+    /// Appends the states of all members from a random one on, as many as fit. Deaths found while this router was
+    /// isolated are not disseminated.
+    fn append_view(&mut self, message: &mut Message, mut space: usize) {
+        let first = self.rng.generate_range(0..self.members.len());
+        let disseminated = self.members.iter().filter(|(_, member)| !member.found_dead_while_isolated);
+        let disseminated: Vec<SocketAddr> = disseminated.map(|(&router, _)| router).collect();
+        let first = first.min(disseminated.len());
+        for &router in disseminated[first..].iter().chain(&disseminated[..first]) {
+            let Some(update) = self.members.state_update(router) else { continue };
+            if update_bytes(&update) > space {
+                return;
+            }
+            if !mentions(message, router) {
+                space -= update_bytes(&update);
+                message.updates.push(update);
+            }
+        }
+    }
+
+    fn transmission_limit(&mut self) -> u32 {
+        (RETRANSMIT_MULTIPLIER * ((self.members.cluster_size() + 1) as f64).log2()).ceil() as u32
+    }
+
+    /// Another router has the same view, so it knows the updates that the digest covers: all but suspicions.
+    pub(crate) fn record_updates_known(&mut self) {
+        let limit = self.transmission_limit();
+        let members = &self.members;
+        self.updates.record_known(TRANSMISSIONS_PER_SAME_VIEW, limit, |router| {
+            members.state_update(router).is_some_and(|known| known.state != State::Suspect)
+        });
+    }
+
+    /// Sends the view in as many datagrams as it needs, within the limits.
+    pub(crate) fn send_view(&mut self, to: SocketAddr) {
+        let view_bytes = self.members.len() * MIN_UPDATE_BYTES;
+        let datagrams = view_bytes
+            .div_ceil(self.settings.max_datagram_bytes)
+            .min(MAX_VIEW_SYNCS_AT_ONCE)
+            .min(MAX_VIEW_SYNCS_PER_ROUND.saturating_sub(self.view_syncs_sent));
+        self.view_syncs_sent += datagrams;
+        for _ in 0..datagrams {
+            self.send(to, Draft { fill_with_view: true, ..Draft::gossip() });
+        }
+    }
+
+    /// Sends one update at once, within the limit of a round.
+    pub(crate) fn gossip(&mut self, to: SocketAddr, update: StateUpdate) {
+        if self.gossip_sent < MAX_GOSSIP_PER_ROUND {
+            self.gossip_sent += 1;
+            self.send(to, Draft::gossip().with_update(update));
+        }
+    }
+
+    /// Sends a change to some members at once, without waiting for a probe.
+    pub(crate) fn gossip_change(&mut self, now: Time, update: StateUpdate) {
+        for peer in self.select_responsive_peers(now, CHANGE_FANOUT, update.router) {
+            self.gossip(peer, update);
+        }
+    }
+
+    /// As `gossip_change`, and first to the router that the update is about.
+    pub(crate) fn gossip_change_to_subject(&mut self, now: Time, update: StateUpdate) {
+        let peers = self.select_responsive_peers(now, CHANGE_FANOUT, update.router);
+        for to in [update.router].into_iter().chain(peers) {
+            self.gossip(to, update);
+        }
+    }
+
+    /// Tells some members that this router leaves.
+    pub(crate) fn announce_leave(&mut self, now: Time) {
+        for peer in self.select_responsive_peers(now, MAX_GOSSIP_PER_ROUND, self.local) {
+            self.send(peer, Draft::gossip());
+        }
+    }
+}
+
+fn mentions(message: &Message, router: SocketAddr) -> bool {
+    message.updates.iter().any(|update| update.router == router)
+}
--- a/crates/ladderpass-membership/src/lib.rs
+++ b/crates/ladderpass-membership/src/lib.rs
@@ -1,19 +1,46 @@
-//! Which routers are alive, as far as this one can know: datagrams in and the time, datagrams and a view out.
+//! Failure detection among routers: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard (Dadgar, Phillips, Currey, 2018).
 //!
-//! `message` is the form of a datagram. `table` is what is believed of each router, and which word outweighs which.
-//! `detector` asks them in turn, directly and through others, and suspects before it believes a death. It follows
-//! SWIM (Das, Gupta, Motivala, 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018).
+//! Inputs are datagrams of other routers and the time; outputs are datagrams, the view of who is alive, and its changes.
+//! The package does no I/O, reads no clock and decides nothing about an RPC (`docs/design/membership.md`).
 //!
-//! It owns who is alive, and since when. It must never do I/O, read a clock, or decide anything about an RPC.
+//! - [`Membership`] (`membership`): the entry points. It composes the other modules.
+//! - `probe`: direct and indirect probes (ping, ping-req, ack, nack); `probe_table`: those in flight.
+//! - `suspicion`: a failed probe leads to a suspicion, which is refuted or confirmed as a death; `suspicion_timeout`: how
+//!   long a suspected router has to refute, by the number of routers and confirmations.
+//! - `member_table`: the state of each known router and which update overrides it.
+//! - `updates`: applies received updates and disseminates the changes.
+//! - `dissemination`: piggybacked updates, gossip and view synchronisation; `update_queue`: updates yet to be sent.
+//! - `peer_selection`: whom to probe, to ask for an indirect probe, and to send gossip to.
+//! - `local_health`: Lifeguard's local health score, and whether this router is isolated.
+//! - `senders`: from which addresses datagrams are accepted.
+//! - `message`, `member_state`: the datagram and its parts; `router_hash`: ids derived from addresses.
 
-mod detector;
+mod dissemination;
+mod local_health;
+mod member_state;
+mod member_table;
+mod membership;
 mod message;
+mod peer_selection;
+mod probe;
+mod probe_table;
+mod router_hash;
+mod senders;
 mod settings;
-mod table;
+mod suspicion;
+mod suspicion_timeout;
+mod update_queue;
+mod updates;
+mod view;
 
-pub use detector::{DatagramCounts, LocalRouter, Membership, View, router_hash};
-pub use message::{FIRST_BYTE, Incarnation};
 #[doc(hidden)]
-pub use message::{Kind, Message, StateUpdate};
+pub use member_state::StateUpdate;
+pub use member_state::{Incarnation, State};
+pub use member_table::{Change, Confidence, Peer};
+pub use membership::{DatagramCounts, LocalRouter, Membership};
+pub use message::FIRST_BYTE;
+#[doc(hidden)]
+pub use message::{Kind, Message};
+pub use router_hash::router_hash;
 pub use settings::{Faulty, Settings};
-pub use table::{Change, Confidence, Peer, State};
+pub use view::View;
--- /dev/null
+++ b/crates/ladderpass-membership/src/member_table.rs
@@ -0,0 +1,366 @@
+//! The state of every known router, and which update overrides it.
+//!
+//! Invariants: a state changes only to a higher incarnation, or to a greater state of the same incarnation; every
+//! suspicion has a deadline; the table is bounded, and tombstones (routers that died or left) are evicted first.
+
+use crate::member_state::{Incarnation, State, StateUpdate};
+use crate::router_hash::{salted_hash, suspected_by_id};
+use crate::settings::{Faulty, Settings};
+use crate::suspicion_timeout::{Suspicion, suspicion_timeout};
+use ladderpass_routing::{Span, Time};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// A router that acked within so many rounds is suspected, not confirmed dead, when others report its death.
+const RECENT_ACK_ROUNDS: f64 = 4.0;
+
+/// What is known of another router.
+#[derive(Clone, Debug)]
+pub(crate) struct Member {
+    pub state: State,
+    pub incarnation: Incarnation,
+    /// Since when this router counts it as alive, or as gone.
+    pub since: Time,
+    /// When it last acked a probe of this router, since its last start.
+    pub last_ack: Time,
+    /// Present while it is suspected.
+    pub suspicion: Option<Suspicion>,
+    /// Its death was found while this router was isolated, so it may be this router's own fault.
+    pub found_dead_while_isolated: bool,
+}
+
+/// How an update changed the view of a router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Change {
+    /// It was not known before.
+    Joined,
+    /// A probe of it failed, here or at another router.
+    Suspected,
+    /// It refuted a suspicion, or has returned.
+    Refuted,
+    /// It is confirmed dead.
+    Died,
+    /// It shut down.
+    Left,
+}
+
+/// How sure it is that a router is alive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Confidence {
+    /// It acked a probe of this router so long ago.
+    Answered(Span),
+    /// Only other routers reported it.
+    Reported,
+    /// It is suspected, and has so much time left to refute.
+    Suspected(Span),
+}
+
+/// A router that is counted as alive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Peer {
+    /// Where it receives datagrams.
+    pub address: SocketAddr,
+    /// Its start in Unix milliseconds of its own clock. Another number means that it has restarted.
+    pub started_ms: u64,
+    /// Since when it is counted as alive.
+    pub since: Time,
+    /// How sure that is.
+    pub confidence: Confidence,
+}
+
+/// Number of live members and the digest of their incarnations.
+#[derive(Clone, Copy)]
+struct AliveSummary {
+    count: usize,
+    digest: u32,
+}
+
+/// All known routers but this one.
+pub(crate) struct MemberTable {
+    local: SocketAddr,
+    members: BTreeMap<SocketAddr, Member>,
+    settings: Settings,
+    /// Cached, so that a message's cost does not grow with the number of routers. None after a change.
+    alive_summary: Option<AliveSummary>,
+}
+
+impl MemberTable {
+    pub fn new(local: SocketAddr, settings: Settings) -> MemberTable {
+        MemberTable { local, members: BTreeMap::new(), settings, alive_summary: None }
+    }
+
+    fn alive_summary(&mut self) -> AliveSummary {
+        if let Some(summary) = self.alive_summary {
+            return summary;
+        }
+        let mut summary = AliveSummary { count: 0, digest: 0 };
+        for (&router, member) in self.alive() {
+            summary.count += 1;
+            summary.digest ^= salted_hash(router, member.incarnation.0);
+        }
+        *self.alive_summary.insert(summary)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
+        self.members.iter()
+    }
+
+    pub fn alive(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> {
+        self.members.iter().filter(|(_, member)| !member.state.is_gone())
+    }
+
+    /// Routers that are dead or have left.
+    pub fn gone(&self) -> impl Iterator<Item = &SocketAddr> {
+        self.members.iter().filter(|(_, member)| member.state.is_gone()).map(|(router, _)| router)
+    }
+
+    pub fn get(&self, router: SocketAddr) -> Option<&Member> {
+        self.members.get(&router)
+    }
+
+    pub fn contains(&self, router: SocketAddr) -> bool {
+        self.members.contains_key(&router)
+    }
+
+    /// Known routers, tombstones included.
+    pub fn len(&self) -> usize {
+        self.members.len()
+    }
+
+    pub fn is_alive(&self, router: SocketAddr) -> bool {
+        self.members.get(&router).is_some_and(|member| !member.state.is_gone())
+    }
+
+    /// Live routers, this one included.
+    pub fn cluster_size(&mut self) -> usize {
+        self.alive_summary().count + 1
+    }
+
+    /// Digest of the view: the same for two routers that count the same ones as alive, in the same incarnations.
+    pub fn digest(&mut self, own: Incarnation) -> u32 {
+        self.alive_summary().digest ^ salted_hash(self.local, own.0)
+    }
+
+    /// The present state of a router, in the form in which it is disseminated.
+    pub fn state_update(&self, router: SocketAddr) -> Option<StateUpdate> {
+        let member = self.members.get(&router)?;
+        let suspected_by = member.suspicion.as_ref().and_then(Suspicion::first_suspected_by);
+        Some(StateUpdate {
+            router,
+            state: member.state,
+            incarnation: member.incarnation,
+            suspected_by: suspected_by.unwrap_or_default(),
+        })
+    }
+
+    /// Applies an update where it overrides what is known. Returns the change of the view, if there is one.
+    pub fn apply(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
+        let Some(member) = self.members.get(&update.router) else { return self.insert(now, update) };
+        let same_incarnation = update.incarnation == member.incarnation;
+        let confirms_suspicion =
+            update.state == State::Suspect && member.state == State::Suspect && same_incarnation;
+        if confirms_suspicion {
+            self.confirm_suspicion(update.router, update.suspected_by);
+            return None;
+        }
+        let newer = update.incarnation > member.incarnation;
+        let greater_state = same_incarnation && update.state > member.state;
+        // What this router found while it was isolated counts for less than any report of a live router.
+        let corrects = member.found_dead_while_isolated && same_incarnation && !update.state.is_gone();
+        let overrides = newer || greater_state || corrects;
+        if !overrides && self.settings.faulty != Faulty::IgnoresIncarnations {
+            return None;
+        }
+        match update.state {
+            State::Alive => self.mark_alive(now, update),
+            State::Suspect => self.mark_suspect(now, update),
+            // The report may come from the other side of a partition, or from a router that could not hear the ack.
+            State::Dead if self.has_acked_recently(now, update.router) => {
+                let suspected_by = suspected_by_id(update.router);
+                self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
+            }
+            State::Dead | State::Left => self.mark_gone(now, update.router, update.incarnation, update.state),
+        }
+    }
+
+    fn has_acked_recently(&self, now: Time, router: SocketAddr) -> bool {
+        let recent = self.settings.probe_interval * RECENT_ACK_ROUNDS;
+        let has_acked = |member: &Member| now - member.last_ack < recent && !member.state.is_gone();
+        self.settings.faulty != Faulty::ConfirmsImmediately
+            && self.members.get(&router).is_some_and(has_acked)
+    }
+
+    /// Adds a router that was not known. One that is dead or has left is kept as a tombstone, so that a late update
+    /// does not bring it back.
+    fn insert(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
+        if update.router == self.local || !self.make_room_for(update.state) {
+            return None;
+        }
+        let member = Member {
+            state: if update.state == State::Suspect { State::Alive } else { update.state },
+            incarnation: update.incarnation,
+            since: now,
+            last_ack: Time::NEVER,
+            suspicion: None,
+            found_dead_while_isolated: false,
+        };
+        self.members.insert(update.router, member);
+        self.alive_summary = None;
+        match update.state {
+            State::Alive => Some(Change::Joined),
+            State::Suspect => {
+                self.mark_suspect(now, update);
+                Some(Change::Joined)
+            }
+            State::Dead | State::Left => None,
+        }
+    }
+
+    /// In a full table the oldest tombstone makes room for a live router. A live router is never evicted.
+    fn make_room_for(&mut self, state: State) -> bool {
+        if self.members.len() < self.settings.max_routers {
+            return true;
+        }
+        let tombstones = self.members.iter().filter(|(_, member)| member.state.is_gone());
+        let oldest = tombstones.min_by_key(|(_, member)| member.since).map(|(&router, _)| router);
+        match oldest {
+            Some(oldest) if !state.is_gone() => self.members.remove(&oldest).is_some(),
+            _ => false,
+        }
+    }
+
+    fn mark_alive(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
+        self.alive_summary = None;
+        let member = self.members.get_mut(&update.router)?;
+        let previous = member.state;
+        let has_restarted = member.incarnation.started_ms() != update.incarnation.started_ms();
+        if previous.is_gone() || has_restarted {
+            member.since = now;
+            member.last_ack = Time::NEVER;
+        }
+        member.state = State::Alive;
+        member.incarnation = update.incarnation;
+        member.suspicion = None;
+        member.found_dead_while_isolated = false;
+        (previous != State::Alive).then_some(Change::Refuted)
+    }
+
+    /// Starts a suspicion.
+    pub fn mark_suspect(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
+        match self.settings.faulty {
+            Faulty::NeverSuspects => return None,
+            Faulty::ConfirmsImmediately => {
+                return self.mark_gone(now, update.router, update.incarnation, State::Dead);
+            }
+            _ => {}
+        }
+        self.alive_summary = None;
+        let member = self.members.get_mut(&update.router)?;
+        let was_gone = member.state.is_gone();
+        if was_gone {
+            member.since = now;
+        }
+        member.state = State::Suspect;
+        member.incarnation = update.incarnation;
+        member.found_dead_while_isolated = false;
+        member.suspicion = Some(Suspicion::start(now));
+        self.confirm_suspicion(update.router, update.suspected_by);
+        Some(if was_gone { Change::Refuted } else { Change::Suspected })
+    }
+
+    /// Records one more router that suspects this one, which shortens the timeout.
+    pub fn confirm_suspicion(&mut self, router: SocketAddr, suspected_by: u16) {
+        let max = self.settings.confirmations + 1;
+        let cluster_size = self.cluster_size();
+        let member = self.members.get_mut(&router);
+        let Some(suspicion) = member.and_then(|member| member.suspicion.as_mut()) else { return };
+        suspicion.add_suspecting(suspected_by, max);
+        let timeout = suspicion_timeout(&self.settings, cluster_size, suspicion.suspecting_count());
+        suspicion.set_timeout(timeout);
+    }
+
+    /// Makes a router a tombstone: confirmed dead, or left.
+    pub fn mark_gone(
+        &mut self,
+        now: Time,
+        router: SocketAddr,
+        incarnation: Incarnation,
+        state: State,
+    ) -> Option<Change> {
+        self.alive_summary = None;
+        let member = self.members.get_mut(&router)?;
+        let previous = member.state;
+        member.state = state;
+        member.incarnation = incarnation;
+        member.suspicion = None;
+        member.found_dead_while_isolated = false;
+        if previous.is_gone() {
+            return None;
+        }
+        member.since = now;
+        Some(if state == State::Left { Change::Left } else { Change::Died })
+    }
+
+    pub fn record_ack(&mut self, now: Time, router: SocketAddr) {
+        if let Some(member) = self.members.get_mut(&router) {
+            member.last_ack = now;
+        }
+    }
+
+    pub fn mark_found_dead_while_isolated(&mut self, router: SocketAddr) {
+        if let Some(member) = self.members.get_mut(&router) {
+            member.found_dead_while_isolated = true;
+        }
+    }
+
+    /// Routers whose time to refute is over.
+    pub fn expired_suspicions(&self, now: Time) -> Vec<SocketAddr> {
+        let is_expired = |member: &Member| member.suspicion.as_ref().is_some_and(|s| s.deadline() <= now);
+        self.members.iter().filter(|(_, member)| is_expired(member)).map(|(&router, _)| router).collect()
+    }
+
+    /// When the first suspicion ends.
+    pub fn next_suspicion_deadline(&self) -> Option<Time> {
+        self.suspicions().map(Suspicion::deadline).min()
+    }
+
+    fn suspicions(&self) -> impl Iterator<Item = &Suspicion> {
+        self.members.values().filter_map(|member| member.suspicion.as_ref())
+    }
+
+    fn suspicions_mut(&mut self) -> impl Iterator<Item = &mut Suspicion> {
+        self.members.values_mut().filter_map(|member| member.suspicion.as_mut())
+    }
+
+    /// This router did not run for so long: what it did not receive meanwhile proves nothing.
+    pub fn postpone_suspicions(&mut self, by: Span) {
+        self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
+    }
+
+    /// Gives every suspected router its whole time to refute once more.
+    pub fn restart_suspicions(&mut self, now: Time) {
+        self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
+    }
+
+    /// Removes tombstones that are old enough.
+    pub fn remove_old_tombstones(&mut self, now: Time) {
+        let keep = self.settings.forget_dead_after;
+        self.members.retain(|_, member| !member.state.is_gone() || now - member.since < keep);
+    }
+
+    /// A live router, as other mechanisms see it.
+    pub fn peer(&self, now: Time, router: SocketAddr) -> Option<Peer> {
+        let member = self.members.get(&router).filter(|member| !member.state.is_gone())?;
+        let confidence = match &member.suspicion {
+            Some(suspicion) => Confidence::Suspected((suspicion.deadline() - now).max(Span::ZERO)),
+            None if member.last_ack != Time::NEVER => Confidence::Answered(now - member.last_ack),
+            None => Confidence::Reported,
+        };
+        Some(Peer {
+            address: router,
+            started_ms: member.incarnation.started_ms(),
+            since: member.since,
+            confidence,
+        })
+    }
+}
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -1,185 +1,162 @@
-//! The form of a datagram: a mark that no earlier program reads as a word, what it is, whose, and words on routers.
+//! The datagram between routers: a head, the sender's own state, updates about other routers, and a piggybacked payload.
 //!
-//! It owns the form alone. A reader drops what it can't read as a whole. It must never decide what is told.
+//! The first byte differs from that of every legacy gossip datagram, so that legacy routers drop these unread. A
+//! datagram that can't be decoded in full is dropped.
 
+use crate::member_state::{Incarnation, State, StateUpdate};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The first byte of each datagram: no letter of the words that earlier programs exchange, which drop it unread.
+/// The first byte of each datagram. Legacy gossip never begins with it.
 pub const FIRST_BYTE: u8 = b'!';
 const VERSION: u8 = 1;
 
-/// A router's life and its words on itself: milliseconds of its start, and how often it has contradicted since. A
-/// later life counts for more than any word on an earlier one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Incarnation(pub u64);
-
-const WORDS: u32 = 16;
-
-impl Incarnation {
-    pub fn of_start(unix_ms: i64) -> Incarnation {
-        Incarnation((unix_ms.max(0) as u64) << WORDS)
-    }
-
-    /// The next word on itself. After the last of a life it is as if it had started a millisecond later.
-    pub fn next(self) -> Incarnation {
-        Incarnation(self.0.saturating_add(1))
-    }
-
-    /// A life after this one: for a router whose clock has gone back.
-    pub fn next_life(self) -> Incarnation {
-        Incarnation((self.0 >> WORDS).saturating_add(1).min(u64::MAX >> WORDS) << WORDS)
-    }
-
-    pub fn started_ms(self) -> u64 {
-        self.0 >> WORDS
-    }
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
-    Alive,
-    Suspect,
-    Dead,
-    /// It said so itself.
-    Left,
-}
-
+/// First byte, version, kind, sequence and digest.
+const HEAD_BYTES: usize = 1 + 1 + 1 + 4 + 4;
+const INCARNATION_BYTES: usize = 8;
+const SUSPECTED_BY_BYTES: usize = 2;
+/// Address and port.
+const IPV4_ADDRESS_BYTES: usize = 4 + 2;
+const IPV6_ADDRESS_BYTES: usize = 16 + 2;
+
+/// Flags before an update: the state in the low bits, and whether the address is of IPv6.
+const STATE_MASK: u8 = 3;
+const IPV6_FLAG: u8 = 1 << 2;
+/// Precedes the piggybacked payload. No update begins with it.
+const PIGGYBACK_MARKER: u8 = 1 << 7;
+
+/// Position on the wire of each state.
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
 
-impl State {
-    pub fn is_gone(self) -> bool {
-        self >= State::Dead
-    }
-}
-
-/// A word on a router.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StateUpdate {
-    pub router: SocketAddr,
-    pub state: State,
-    pub incarnation: Incarnation,
-    /// Of a suspicion: a mark of the router that had it first.
-    pub suspected_by: u16,
-}
-
+/// What a datagram is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// A probe. Its receiver answers with an `Ack`.
     Ping,
+    /// The answer to a `Ping`.
     Ack,
-    /// Ask the router of the first word for me.
+    /// Asks the receiver to probe the router of the first update (ping-req).
     PingRequest,
-    /// The router of the first word has answered.
+    /// The router of the first update has answered an indirect probe.
     IndirectAck,
-    /// It has not answered me in time; but I am there.
+    /// The indirect probe has no answer yet, but its relay is alive (Lifeguard).
     Nack,
-    /// Words alone.
+    /// Updates alone.
     Gossip,
 }
 
+/// Position on the wire of each kind.
 const KINDS: [Kind; 6] =
     [Kind::Ping, Kind::Ack, Kind::PingRequest, Kind::IndirectAck, Kind::Nack, Kind::Gossip];
 
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// What it is.
     pub kind: Kind,
-    /// Of an ask; its answer has the same.
+    /// Identifies a probe. Its answer carries the same number.
     pub sequence: u32,
-    /// What the sender's view comes to.
+    /// Digest of the sender's view, its own incarnation included.
     pub digest: u32,
+    /// The sender's own state.
     pub own: StateUpdate,
+    /// States of other routers.
     pub updates: Vec<StateUpdate>,
-    /// What another part of the program tells along with a question or an answer.
+    /// Opaque payload of another mechanism. Empty where there is none.
     pub piggyback: Vec<u8>,
 }
 
-/// Stands before a load: no word begins so.
-const LOAD: u8 = 1 << 7;
-const HEAD: usize = 1 + 1 + 1 + 4 + 4;
-const V6: u8 = 1 << 2;
-
-pub fn length_of(word: &StateUpdate) -> usize {
-    let address = if word.router.is_ipv4() { 6 } else { 18 };
-    1 + address + 8 + if word.state == State::Suspect { 2 } else { 0 }
+/// The encoded size of an update, in bytes.
+pub(crate) fn update_bytes(update: &StateUpdate) -> usize {
+    let address = if update.router.is_ipv4() { IPV4_ADDRESS_BYTES } else { IPV6_ADDRESS_BYTES };
+    let suspected_by = if update.state == State::Suspect { SUSPECTED_BY_BYTES } else { 0 };
+    1 + address + INCARNATION_BYTES + suspected_by
 }
 
 impl Message {
-    /// Bytes that it takes so far.
-    pub fn length(&self) -> usize {
-        HEAD + length_of(&self.own) + self.updates.iter().map(length_of).sum::<usize>() + self.load_length()
+    /// The encoded size, in bytes.
+    pub fn encoded_bytes(&self) -> usize {
+        let updates = self.updates.iter().map(update_bytes).sum::<usize>();
+        HEAD_BYTES + update_bytes(&self.own) + updates + self.piggyback_bytes()
     }
 
-    fn load_length(&self) -> usize {
+    fn piggyback_bytes(&self) -> usize {
         if self.piggyback.is_empty() { 0 } else { 1 + self.piggyback.len() }
     }
 
-    pub fn write(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(self.length());
+    /// The datagram's bytes.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(self.encoded_bytes());
         let kind = KINDS.iter().position(|&kind| kind == self.kind).unwrap_or_default() as u8;
         bytes.extend([FIRST_BYTE, VERSION, kind]);
         bytes.extend(self.sequence.to_be_bytes());
         bytes.extend(self.digest.to_be_bytes());
-        for word in [&self.own].into_iter().chain(&self.updates) {
-            let state = STATES.iter().position(|&state| state == word.state).unwrap_or_default() as u8;
-            let v6 = if word.router.is_ipv6() { V6 } else { 0 };
-            bytes.push(state | v6);
-            match word.router.ip() {
-                IpAddr::V4(ip) => bytes.extend(ip.octets()),
-                IpAddr::V6(ip) => bytes.extend(ip.octets()),
-            }
-            bytes.extend(word.router.port().to_be_bytes());
-            bytes.extend(word.incarnation.0.to_be_bytes());
-            if word.state == State::Suspect {
-                bytes.extend(word.suspected_by.to_be_bytes());
-            }
+        for update in [&self.own].into_iter().chain(&self.updates) {
+            encode_update(update, &mut bytes);
         }
         if !self.piggyback.is_empty() {
-            bytes.push(LOAD);
+            bytes.push(PIGGYBACK_MARKER);
             bytes.extend(&self.piggyback);
         }
         bytes
     }
 
-    /// None where any of it can't be read.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    /// Decodes a datagram. None where any part of it is malformed or of another version.
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         let mut rest = bytes;
-        let [first, version, kind] = take::<3>(&mut rest)?;
+        let [first, version, kind] = take_bytes::<3>(&mut rest)?;
         if first != FIRST_BYTE || version != VERSION {
             return None;
         }
         let kind = *KINDS.get(usize::from(kind))?;
-        let number = u32::from_be_bytes(take(&mut rest)?);
-        let digest = u32::from_be_bytes(take(&mut rest)?);
-        let own = word(&mut rest)?;
-        let (mut words, mut load) = (Vec::new(), Vec::new());
-        while let Some((&first, behind)) = rest.split_first() {
-            if first == LOAD {
-                load = behind.to_vec();
+        let sequence = u32::from_be_bytes(take_bytes(&mut rest)?);
+        let digest = u32::from_be_bytes(take_bytes(&mut rest)?);
+        let own = decode_update(&mut rest)?;
+        let mut updates = Vec::new();
+        let mut piggyback = Vec::new();
+        while let Some((&first, payload)) = rest.split_first() {
+            if first == PIGGYBACK_MARKER {
+                piggyback = payload.to_vec();
                 break;
             }
-            words.push(word(&mut rest)?);
+            updates.push(decode_update(&mut rest)?);
         }
-        Some(Message { kind, sequence: number, digest, own, updates: words, piggyback: load })
+        Some(Message { kind, sequence, digest, own, updates, piggyback })
     }
 }
 
-fn take<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
-    let (head, tail) = rest.split_first_chunk::<N>()?;
-    *rest = tail;
-    Some(*head)
+fn encode_update(update: &StateUpdate, bytes: &mut Vec<u8>) {
+    let state = STATES.iter().position(|&state| state == update.state).unwrap_or_default() as u8;
+    let ipv6 = if update.router.is_ipv6() { IPV6_FLAG } else { 0 };
+    bytes.push(state | ipv6);
+    match update.router.ip() {
+        IpAddr::V4(ip) => bytes.extend(ip.octets()),
+        IpAddr::V6(ip) => bytes.extend(ip.octets()),
+    }
+    bytes.extend(update.router.port().to_be_bytes());
+    bytes.extend(update.incarnation.0.to_be_bytes());
+    if update.state == State::Suspect {
+        bytes.extend(update.suspected_by.to_be_bytes());
+    }
 }
 
-fn word(rest: &mut &[u8]) -> Option<StateUpdate> {
-    let [flags] = take::<1>(rest)?;
-    if flags & !(V6 | 3) != 0 {
+fn decode_update(rest: &mut &[u8]) -> Option<StateUpdate> {
+    let [flags] = take_bytes::<1>(rest)?;
+    if flags & !(IPV6_FLAG | STATE_MASK) != 0 {
         return None;
     }
-    let state = *STATES.get(usize::from(flags & 3))?;
-    let ip = match flags & V6 {
-        0 => IpAddr::V4(Ipv4Addr::from(take::<4>(rest)?)),
-        _ => IpAddr::V6(Ipv6Addr::from(take::<16>(rest)?)),
+    let state = *STATES.get(usize::from(flags & STATE_MASK))?;
+    let ip = match flags & IPV6_FLAG {
+        0 => IpAddr::V4(Ipv4Addr::from(take_bytes::<4>(rest)?)),
+        _ => IpAddr::V6(Ipv6Addr::from(take_bytes::<16>(rest)?)),
     };
-    let who = SocketAddr::new(ip, u16::from_be_bytes(take(rest)?));
-    let incarnation = Incarnation(u64::from_be_bytes(take(rest)?));
-    let accuser = if state == State::Suspect { u16::from_be_bytes(take(rest)?) } else { 0 };
-    Some(StateUpdate { router: who, state, incarnation, suspected_by: accuser })
+    let router = SocketAddr::new(ip, u16::from_be_bytes(take_bytes(rest)?));
+    let incarnation = Incarnation(u64::from_be_bytes(take_bytes(rest)?));
+    let suspected_by = if state == State::Suspect { u16::from_be_bytes(take_bytes(rest)?) } else { 0 };
+    Some(StateUpdate { router, state, incarnation, suspected_by })
+}
+
+fn take_bytes<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
+    let (head, tail) = rest.split_first_chunk::<N>()?;
+    *rest = tail;
+    Some(*head)
 }
--- /dev/null
+++ b/crates/ladderpass-membership/src/peer_selection.rs
@@ -0,0 +1,75 @@
+//! Which members are probed, relay an indirect probe, or receive gossip.
+
+use crate::member_state::State;
+use crate::membership::Membership;
+use ladderpass_routing::Time;
+use nanorand::Rng;
+use std::net::SocketAddr;
+
+/// Members are ranked by the time since their last ack, in steps of so many rounds; beyond the last step all are alike.
+const ACK_AGE_STEP_ROUNDS: i64 = 4;
+const MAX_ACK_AGE_STEPS: i64 = 16;
+
+/// A candidate; the least comes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct RankedPeer {
+    ack_age_steps: i64,
+    tie_break: u32,
+    router: SocketAddr,
+}
+
+impl Membership {
+    /// The next live member that is not being probed, in an order shuffled anew after each pass.
+    pub(crate) fn next_probe_target(&mut self) -> Option<SocketAddr> {
+        loop {
+            let Some(router) = self.probe_order.pop() else {
+                self.probe_order = self.members.alive().map(|(&router, _)| router).collect();
+                self.rng.shuffle(&mut self.probe_order);
+                if self.probe_order.is_empty() {
+                    return None;
+                }
+                continue;
+            };
+            if self.members.is_alive(router) && !self.probes.is_probing(router) {
+                return Some(router);
+            }
+            if self.probe_order.is_empty() {
+                return None;
+            }
+        }
+    }
+
+    /// Routers that are dead, and configured ones that were never seen.
+    pub(crate) fn absent_routers(&self) -> Vec<SocketAddr> {
+        let dead = self.members.iter().filter(|(_, member)| member.state == State::Dead);
+        let never_seen = self.senders.listed().filter(|&listed| !self.members.contains(listed));
+        dead.map(|(&router, _)| router).chain(never_seen).collect()
+    }
+
+    pub(crate) fn pick_random(&mut self, routers: &[SocketAddr]) -> Option<SocketAddr> {
+        if routers.is_empty() {
+            return None;
+        }
+        Some(routers[self.rng.generate_range(0..routers.len())])
+    }
+
+    /// Up to `count` unsuspected members other than `except`, those with the latest acks first and else at random.
+    /// When many routers die at once, a member that has just acked is the most likely to be there.
+    pub(crate) fn select_responsive_peers(
+        &mut self,
+        now: Time,
+        count: usize,
+        except: SocketAddr,
+    ) -> Vec<SocketAddr> {
+        let step = self.settings.probe_interval.nanos().max(1) * ACK_AGE_STEP_ROUNDS;
+        let mut ranked: Vec<RankedPeer> = Vec::new();
+        for (&router, member) in self.members.alive() {
+            if router != except && member.state == State::Alive {
+                let ack_age_steps = ((now - member.last_ack).nanos() / step).min(MAX_ACK_AGE_STEPS);
+                ranked.push(RankedPeer { ack_age_steps, tie_break: self.rng.generate(), router });
+            }
+        }
+        ranked.sort_unstable();
+        ranked.into_iter().take(count).map(|peer| peer.router).collect()
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -0,0 +1,213 @@
+//! Direct and indirect probes of SWIM.
+//!
+//! A probe sends a ping. Without an ack within [`crate::Settings::ack_timeout`] other routers are asked to ping the same
+//! target (ping-req) until the round is over; then it is suspected. Both timeouts grow with the local health score. A
+//! relay that has no answer either sends a nack, which tells the prober that its own link works (Lifeguard).
+
+use crate::dissemination::Draft;
+use crate::member_state::StateUpdate;
+use crate::membership::Membership;
+use crate::message::{Kind, Message};
+use crate::probe_table::{Probe, ProbePurpose, RelayedProbe};
+use ladderpass_routing::Time;
+use std::net::SocketAddr;
+
+/// Failure detection probes in flight at once. Where acks are missing, more than one is sent in a round.
+const MAX_CONCURRENT_PROBES: usize = 4;
+/// How long a relayed probe waits for its ack, in rounds.
+const RELAY_TIMEOUT_ROUNDS: f64 = 2.0;
+/// When a relay sends a nack, as a share of the time that the requester waits for it.
+const NACK_SHARE_OF_WAIT: f64 = 0.5;
+/// A router that knows no live member probes more absent ones, in each round instead of every other.
+const ABSENT_PROBES_WHEN_ALONE: usize = 3;
+const ABSENT_PROBES: usize = 1;
+const ROUNDS_BETWEEN_ABSENT_PROBES: u64 = 2;
+
+impl Membership {
+    /// Probes the next live member. Each is probed once before any is probed again.
+    pub(crate) fn probe_next(&mut self, now: Time) {
+        if let Some(target) = self.next_probe_target() {
+            self.send_probe(now, target, ProbePurpose::FailureDetection);
+        }
+    }
+
+    /// Probes routers that are dead, or configured and never seen, for their return.
+    pub(crate) fn probe_absent(&mut self, now: Time) {
+        let is_alone = self.members.cluster_size() == 1;
+        if !is_alone && !self.round.is_multiple_of(ROUNDS_BETWEEN_ABSENT_PROBES) {
+            return;
+        }
+        let absent = self.absent_routers();
+        for _ in 0..if is_alone { ABSENT_PROBES_WHEN_ALONE } else { ABSENT_PROBES } {
+            let Some(target) = self.pick_random(&absent) else { return };
+            self.probe_for_return(now, target);
+        }
+    }
+
+    pub(crate) fn probe_for_return(&mut self, now: Time, target: SocketAddr) {
+        if !self.is_leaving && !self.probes.is_probing(target) {
+            self.send_probe(now, target, ProbePurpose::Return);
+        }
+    }
+
+    fn send_probe(&mut self, now: Time, target: SocketAddr, purpose: ProbePurpose) {
+        let sequence = self.probes.next_sequence();
+        let timeout_multiplier = self.health.timeout_multiplier();
+        let probe = Probe {
+            target,
+            purpose,
+            sent: now,
+            indirect_at: now + self.settings.ack_timeout * timeout_multiplier,
+            deadline: now + self.settings.probe_interval * timeout_multiplier,
+            relays: 0,
+            nacks: 0,
+        };
+        self.probes.probes.insert(sequence, probe);
+        self.send(target, Draft::new(Kind::Ping, sequence));
+    }
+
+    pub(crate) fn on_ping(&mut self, from: SocketAddr, sequence: u32, view_differs: bool) {
+        let ack = Draft { fill_with_view: view_differs, ..Draft::new(Kind::Ack, sequence) };
+        self.send(from, ack);
+        if view_differs {
+            self.send_view(from);
+        }
+    }
+
+    pub(crate) fn on_ack(&mut self, now: Time, from: SocketAddr, message: &Message, view_differs: bool) {
+        if let Some(relayed) = self.probes.relayed.remove(&message.sequence) {
+            self.record_acknowledgement(now);
+            let answer = Draft::new(Kind::IndirectAck, relayed.requester_sequence).with_update(message.own);
+            return self.send(relayed.requester, answer);
+        }
+        if !self.probes.is_target(message.sequence, from) {
+            return;
+        }
+        let Some(probe) = self.probes.probes.remove(&message.sequence) else { return };
+        self.record_acknowledgement(now);
+        if probe.purpose == ProbePurpose::FailureDetection {
+            self.health.improve();
+        }
+        self.members.record_ack(now, from);
+        if view_differs {
+            self.send_view(from);
+        }
+    }
+
+    /// Pings the target on behalf of another router.
+    pub(crate) fn on_ping_request(
+        &mut self,
+        now: Time,
+        requester: SocketAddr,
+        requester_sequence: u32,
+        target: Option<StateUpdate>,
+    ) {
+        let Some(target) = target.map(|update| update.router) else { return };
+        if target == self.local || !self.may_participate(target) || !self.probes.can_relay() {
+            return;
+        }
+        let sequence = self.probes.next_sequence();
+        // The requester waits until its round is over; the nack must arrive before.
+        let requester_waits = self.settings.probe_interval - self.settings.ack_timeout;
+        let nack_at = now + requester_waits * NACK_SHARE_OF_WAIT;
+        let deadline = now + self.settings.probe_interval * RELAY_TIMEOUT_ROUNDS;
+        let relayed = RelayedProbe { requester, requester_sequence, nack_at, deadline };
+        self.probes.relayed.insert(sequence, relayed);
+        self.send(target, Draft::new(Kind::Ping, sequence));
+    }
+
+    pub(crate) fn on_indirect_ack(&mut self, now: Time, sequence: u32, target: Option<StateUpdate>) {
+        self.record_acknowledgement(now);
+        let Some(target) = target.filter(|update| self.probes.is_target(sequence, update.router)) else {
+            return;
+        };
+        self.probes.probes.remove(&sequence);
+        self.apply_update(now, &target);
+        self.health.improve();
+    }
+
+    pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
+        self.record_acknowledgement(now);
+        if let Some(probe) = self.probes.probes.get_mut(&sequence) {
+            probe.nacks = (probe.nacks + 1).min(probe.relays);
+        }
+    }
+
+    /// Another router has shown that it receives this one's datagrams. After an isolation the suspected routers get
+    /// their time once more: their refutations could not arrive.
+    fn record_acknowledgement(&mut self, now: Time) {
+        if self.health.is_isolated(now) {
+            self.members.restart_suspicions(now);
+        }
+        self.health.record_acknowledgement(now);
+    }
+
+    /// Sends the nacks that are due and ends relayed probes without an ack.
+    pub(crate) fn advance_relayed_probes(&mut self, now: Time) {
+        for sequence in self.probes.due_relayed(now) {
+            let Some(relayed) = self.probes.relayed.get_mut(&sequence) else { continue };
+            if relayed.deadline <= now {
+                self.probes.relayed.remove(&sequence);
+                continue;
+            }
+            // One nack is enough.
+            relayed.nack_at = relayed.deadline;
+            let (requester, requester_sequence) = (relayed.requester, relayed.requester_sequence);
+            let nack = Draft::new(Kind::Nack, requester_sequence).with_update(self.own_state());
+            self.send(requester, nack);
+        }
+    }
+
+    /// Asks for indirect probes where they are due, and suspects the targets of failed probes.
+    pub(crate) fn advance_probes(&mut self, now: Time) {
+        for sequence in self.probes.due(now) {
+            let Some(probe) = self.probes.probes.get(&sequence) else { continue };
+            if probe.deadline <= now {
+                self.fail_probe(now, sequence);
+            } else {
+                let (target, purpose) = (probe.target, probe.purpose);
+                self.request_indirect_probes(now, sequence, target, purpose);
+            }
+        }
+    }
+
+    fn fail_probe(&mut self, now: Time, sequence: u32) {
+        let Some(probe) = self.probes.probes.remove(&sequence) else { return };
+        if probe.purpose == ProbePurpose::Return {
+            return;
+        }
+        // Relays without a nack show that it may be this router that is cut off.
+        self.health.degrade(probe.missed_nacks());
+        self.suspect(now, probe.target, probe.sent);
+    }
+
+    fn request_indirect_probes(
+        &mut self,
+        now: Time,
+        sequence: u32,
+        target: SocketAddr,
+        purpose: ProbePurpose,
+    ) {
+        let relays = match purpose {
+            ProbePurpose::Return => Vec::new(),
+            ProbePurpose::FailureDetection => {
+                self.select_responsive_peers(now, self.settings.indirect_probes, target)
+            }
+        };
+        if let Some(probe) = self.probes.probes.get_mut(&sequence) {
+            probe.indirect_at = probe.deadline;
+            probe.relays = relays.len();
+        }
+        let target_state: Vec<StateUpdate> = self.members.state_update(target).into_iter().collect();
+        for relay in relays {
+            let request = Draft { updates: target_state.clone(), ..Draft::new(Kind::PingRequest, sequence) };
+            self.send(relay, request);
+        }
+        // Where one ack is missing others may be too: the next member is probed without waiting for the round.
+        if purpose == ProbePurpose::FailureDetection
+            && self.probes.failure_detection_count() < MAX_CONCURRENT_PROBES
+        {
+            self.probe_next(now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -0,0 +1,37 @@
+//! Ids derived from a router's address, the same at all routers.
+
+use std::net::{IpAddr, SocketAddr};
+
+const VIEW_SALT: u64 = 0;
+const ROUTER_HASH_SALT: u64 = 1;
+
+/// The id by which other mechanisms refer to a router.
+pub fn router_hash(router: SocketAddr) -> u32 {
+    salted_hash(router, ROUTER_HASH_SALT)
+}
+
+/// A router's part of the digest that [`crate::View`] shows.
+pub(crate) fn view_hash(router: SocketAddr) -> u32 {
+    salted_hash(router, VIEW_SALT)
+}
+
+/// The id by which a suspicion names the router that has it.
+pub(crate) fn suspected_by_id(router: SocketAddr) -> u16 {
+    salted_hash(router, VIEW_SALT) as u16
+}
+
+/// An evenly distributed hash of an address and a number (splitmix64).
+pub(crate) fn salted_hash(router: SocketAddr, salt: u64) -> u32 {
+    let ip = match router.ip() {
+        IpAddr::V4(ip) => u128::from(u32::from(ip)),
+        IpAddr::V6(ip) => u128::from(ip),
+    };
+    let parts = [(ip >> 64) as u64, ip as u64, u64::from(router.port()), salt];
+    let mixed = parts.into_iter().fold(0u64, |sum, part| {
+        let mut z = (sum ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
+        z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        z ^ (z >> 31)
+    });
+    (mixed >> 32) as u32
+}
--- /dev/null
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -0,0 +1,81 @@
+//! From which addresses datagrams are accepted: routers that are configured, those in a configured network, and known
+//! members. Also tracks configured addresses that still run a legacy router, which exchanges gossip but not membership.
+
+use ladderpass_routing::{Span, Time};
+use std::net::{IpAddr, SocketAddr};
+
+/// A legacy router counts as present for this long after its last gossip.
+const LEGACY_GOSSIP_TIMEOUT: Span = Span::from_millis(60_000);
+
+/// A configured router address.
+#[derive(Clone, Copy)]
+struct ListedRouter {
+    address: SocketAddr,
+    /// When legacy gossip last came from it. At the start each may be a legacy router.
+    last_legacy_gossip: Time,
+}
+
+/// A network in CIDR form.
+#[derive(Clone, Copy)]
+struct Network {
+    address: IpAddr,
+    prefix_bits: u8,
+}
+
+/// The configured routers and networks.
+pub(crate) struct Senders {
+    listed: Vec<ListedRouter>,
+    networks: Vec<Network>,
+}
+
+impl Senders {
+    pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[(IpAddr, u8)]) -> Senders {
+        let networks = networks.iter().map(|&(address, prefix_bits)| Network { address, prefix_bits });
+        Senders {
+            listed: listed.map(|address| ListedRouter { address, last_legacy_gossip: now }).collect(),
+            networks: networks.collect(),
+        }
+    }
+
+    /// The configured addresses.
+    pub fn listed(&self) -> impl Iterator<Item = SocketAddr> {
+        self.listed.iter().map(|listed| listed.address)
+    }
+
+    /// May a router at this address take part without being a known member?
+    pub fn is_configured(&self, router: SocketAddr) -> bool {
+        self.listed().any(|address| address == router)
+            || self.networks.iter().any(|network| network.contains(router.ip()))
+    }
+
+    /// Records legacy gossip. True where it came from a configured address.
+    pub fn record_legacy_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
+        let Some(listed) = self.listed.iter_mut().find(|listed| listed.address == from) else { return false };
+        listed.last_legacy_gossip = now;
+        true
+    }
+
+    /// Configured addresses that legacy gossip came from lately.
+    pub fn recent_legacy(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
+        let recent = move |listed: &&ListedRouter| now - listed.last_legacy_gossip < LEGACY_GOSSIP_TIMEOUT;
+        self.listed.iter().filter(recent).map(|listed| listed.address)
+    }
+}
+
+impl Network {
+    fn contains(&self, ip: IpAddr) -> bool {
+        let (address, address_bits) = aligned_bits(ip);
+        let (network, network_bits) = aligned_bits(self.address);
+        let prefix_bits = self.prefix_bits.min(address_bits);
+        address_bits == network_bits
+            && (prefix_bits == 0 || (address ^ network) >> (128 - u32::from(prefix_bits)) == 0)
+    }
+}
+
+/// An address as the high bits of a number, and how many bits it has.
+fn aligned_bits(ip: IpAddr) -> (u128, u8) {
+    match ip {
+        IpAddr::V4(ip) => (u128::from(u32::from(ip)) << 96, 32),
+        IpAddr::V6(ip) => (u128::from(ip), 128),
+    }
+}
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -1,31 +1,31 @@
-//! The figures of the detector, with what each trades; the defaults find a death within two seconds.
-//!
-//! It owns the figures alone. It must never hold what was learnt.
+//! Settings of the failure detector. With the defaults a dead router is found within two seconds.
 
 use ladderpass_routing::Span;
 
+/// Intervals, timeouts and limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How often a router is asked. All else is measured in this.
+    /// Length of a protocol round: one router is probed in each.
     pub probe_interval: Span,
-    /// How long its own answer is waited for before others are asked to try.
+    /// How long to wait for a direct ack before other routers are asked for an indirect probe.
     pub ack_timeout: Span,
-    /// How many others try.
+    /// How many routers are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The shortest suspicion, in a fleet of up to ten: it grows with the logarithm of the number of routers.
+    /// The shortest suspicion timeout, for up to ten routers. It grows with the logarithm of their number.
     pub min_suspicion: Span,
-    /// The longest, in shortest ones: without any other router that suspects the same one.
+    /// The longest suspicion timeout, without any confirmation, as a multiple of the shortest.
     pub max_suspicion_factor: f64,
-    /// So many others that suspect it too make it the shortest.
+    /// Confirmations by other routers that shorten a suspicion timeout to the shortest.
     pub confirmations: usize,
-    /// Most bytes of a datagram.
+    /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// Most routers that are kept in mind, the dead among them.
+    /// Maximum number of routers in the member table, tombstones included.
     pub max_routers: usize,
-    /// A dead one is asked whether it is back, and then forgotten after this.
+    /// How long a tombstone of a router that died or left is kept. A dead router is probed for its return meanwhile.
     pub forget_dead_after: Span,
-    /// Without a sign of any router for this long, it is this one that may be cut off.
+    /// Without an acknowledgement by any router for this long, this router takes itself for isolated.
     pub isolated_after: Span,
+    /// A deliberate fault, for tests of the tests.
     pub faulty: Faulty,
 }
 
@@ -47,17 +47,18 @@
     }
 }
 
-/// Deliberate faults, for the proof that tells them apart. No release has a switch for them.
+/// Deliberate faults that the tests must detect. No release can switch them on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
+    /// No fault.
     #[default]
     Nowhere,
-    /// Whoever was alive once stays so.
+    /// A router that was alive once is never suspected.
     NeverSuspects,
-    /// One missed answer, or one word of a suspicion, is a death.
+    /// One missed ack, or one update with a suspicion, confirms a death.
     ConfirmsImmediately,
-    /// Takes the latest word for the truest.
+    /// The latest update overrides any other, whatever its incarnation.
     IgnoresIncarnations,
-    /// Counts the dead among those whose turn comes.
+    /// Dead routers are counted in the view.
     CountsDeadRouters,
 }
--- /dev/null
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -0,0 +1,67 @@
+//! Suspicion: a router whose probe failed is suspected, may refute, and is confirmed dead after the suspicion timeout.
+//!
+//! This router refutes a suspicion of itself with a higher incarnation. `suspicion_timeout` has the time to refute.
+
+use crate::member_state::{State, StateUpdate};
+use crate::membership::Membership;
+use crate::router_hash::suspected_by_id;
+use crate::settings::Faulty;
+use ladderpass_routing::Time;
+use std::net::SocketAddr;
+
+impl Membership {
+    /// A probe got no ack, direct or indirect: starts a suspicion or confirms the present one.
+    pub(crate) fn suspect(&mut self, now: Time, target: SocketAddr, probe_sent: Time) {
+        let Some(member) = self.members.get(target) else { return };
+        let acked_since = member.last_ack > probe_sent;
+        let Some(known) = self.members.state_update(target) else { return };
+        if known.state.is_gone() || acked_since {
+            return;
+        }
+        let suspicion = StateUpdate { suspected_by: suspected_by_id(self.local), ..known };
+        if known.state == State::Suspect {
+            self.members.confirm_suspicion(target, suspicion.suspected_by);
+            self.gossip_change(now, suspicion);
+        } else if let Some(change) = self.members.mark_suspect(now, &suspicion) {
+            self.on_change(now, target, change);
+        }
+    }
+
+    /// The suspicion timeout of a router is over.
+    pub(crate) fn confirm_dead(&mut self, now: Time, router: SocketAddr) {
+        let Some(known) = self.members.state_update(router) else { return };
+        let is_isolated = self.health.is_isolated(now);
+        let Some(change) = self.members.mark_gone(now, router, known.incarnation, State::Dead) else {
+            return;
+        };
+        if is_isolated {
+            // Not disseminated: it may be this router that is cut off.
+            self.members.mark_found_dead_while_isolated(router);
+            self.changes.push((router, change));
+            return;
+        }
+        self.on_change(now, router, change);
+    }
+
+    /// Refutes a report that this router is not alive, and moves on to a later start where its address was used by a
+    /// router with a higher incarnation.
+    pub(crate) fn refute(&mut self, now: Time, update: &StateUpdate) {
+        if self.is_leaving || self.settings.faulty == Faulty::IgnoresIncarnations {
+            return;
+        }
+        let is_later = update.incarnation > self.incarnation;
+        if !is_later && (update.state == State::Alive || update.incarnation < self.incarnation) {
+            return;
+        }
+        self.address_conflict |= is_later && update.incarnation.started_ms() > self.incarnation.started_ms();
+        self.incarnation = match is_later {
+            true => update.incarnation.next_life(),
+            false => update.incarnation.next(),
+        };
+        self.gossip_change(now, self.own_state());
+        if update.state != State::Alive && !is_later {
+            // Others got no ack from this router: it may be slow.
+            self.health.degrade(1);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-membership/src/updates.rs
@@ -0,0 +1,59 @@
+//! Applies received updates to the member table, and reports and disseminates the changes of the view.
+
+use crate::member_state::StateUpdate;
+use crate::member_table::Change;
+use crate::membership::Membership;
+use ladderpass_routing::Time;
+use nanorand::Rng;
+use std::net::SocketAddr;
+
+impl Membership {
+    /// Applies an update about any router, this one included.
+    pub(crate) fn apply_update(&mut self, now: Time, update: &StateUpdate) {
+        if update.router == self.local {
+            return self.refute(now, update);
+        }
+        let before = self.members.state_update(update.router);
+        if let Some(change) = self.members.apply(now, update) {
+            self.on_change(now, update.router, change);
+        } else {
+            let version = |known: StateUpdate| (known.incarnation, known.state);
+            let after = self.members.state_update(update.router);
+            if before.map(version) != after.map(version) {
+                self.updates.push(update.router);
+            }
+        }
+        self.forward_disbelieved_death(update);
+    }
+
+    /// A reported death that is not believed here yet goes to the router concerned at once, so that it can refute.
+    fn forward_disbelieved_death(&mut self, update: &StateUpdate) {
+        let known = self.members.state_update(update.router);
+        let is_current = known.is_some_and(|known| update.incarnation >= known.incarnation);
+        if update.state.is_gone() && is_current && self.members.is_alive(update.router) {
+            self.gossip(update.router, *update);
+        }
+    }
+
+    /// The view of a router has changed: reports and disseminates it.
+    pub(crate) fn on_change(&mut self, now: Time, router: SocketAddr, change: Change) {
+        self.changes.push((router, change));
+        self.updates.push(router);
+        self.updates.enforce_limit();
+        match change {
+            Change::Joined | Change::Refuted => {
+                // At a random place, so that the last to join need not wait for all others.
+                let place = self.rng.generate_range(0..=self.probe_order.len());
+                self.probe_order.insert(place, router);
+            }
+            Change::Suspected | Change::Died | Change::Left => {}
+        }
+        let Some(update) = self.members.state_update(router) else { return };
+        if matches!(change, Change::Suspected | Change::Died) {
+            // The router concerned must know it to refute it.
+            self.gossip_change_to_subject(now, update);
+        } else {
+            self.gossip_change(now, update);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -0,0 +1,137 @@
+//! Dead routers are detected in time, and live ones are not taken for dead.
+
+use crate::simulation::{Process, Simulation, address, median, ms};
+use ladderpass_membership::{Faulty, Settings};
+use ladderpass_routing::Span;
+
+#[test]
+fn one_death_is_detected_and_so_are_seven_in_ten_at_once() {
+    let mut sim = Simulation::converged(3, 60);
+    let detected = sim.kill(&[7], ms(10_000));
+    println!(
+        "model: one of 60: median {:.2} s, worst {:.2} s",
+        median(&detected),
+        detected[detected.len() - 1]
+    );
+    assert!(median(&detected) < 3.0 && detected[detected.len() - 1] < 5.0, "{detected:?}");
+    let mut sim = Simulation::converged(4, 300);
+    let dead: Vec<usize> = (0..300).filter(|index| index % 10 < 7).collect();
+    let detected = sim.kill(&dead, ms(20_000));
+    println!(
+        "model: 210 of 300 at once: median {:.2} s, worst {:.2} s",
+        median(&detected),
+        detected[detected.len() - 1]
+    );
+    assert!(
+        median(&detected) < 6.0 && detected[detected.len() - 1] < 12.0,
+        "{}",
+        detected[detected.len() - 1]
+    );
+    assert_eq!(sim.longest_false_death(), Span::ZERO, "a running router was counted as dead");
+}
+
+#[test]
+fn false_deaths_are_short_under_loss_and_with_frozen_routers() {
+    let mut sim = Simulation::converged(5, 100);
+    sim.loss = 0.2;
+    sim.run(ms(10_000));
+    println!(
+        "model: 20% loss, 100: {} false deaths, longest {:.2} s",
+        sim.false_death_count,
+        sim.longest_false_death().secs()
+    );
+    assert!(sim.longest_false_death() < ms(2000));
+    sim.reset_false_deaths();
+    for round in 0..8 {
+        let frozen: Vec<usize> = (0..100).filter(|index| index % 10 == round % 10).collect();
+        frozen.iter().for_each(|&index| sim.routers[index].process = Process::Frozen);
+        sim.run(ms(1000));
+        for &index in &frozen {
+            sim.thaw(index);
+        }
+        sim.run(ms(500));
+    }
+    println!(
+        "model: with a tenth frozen for 1 s: {} false deaths, longest {:.2} s",
+        sim.false_death_count,
+        sim.longest_false_death().secs()
+    );
+    assert!(sim.longest_false_death() < ms(2000));
+    sim.loss = 0.0;
+    let convergence = sim.run_until_converged(ms(6000));
+    println!("model: converged {:.2} s after the last", convergence.secs());
+}
+
+#[test]
+fn a_router_frozen_for_three_seconds_is_dead_and_returns_when_it_wakes() {
+    let mut sim = Simulation::converged(10, 8);
+    sim.routers[2].process = Process::Frozen;
+    sim.run(ms(3500));
+    assert_eq!(sim.routers[0].membership.view().count, 7);
+    sim.thaw(2);
+    let convergence = sim.run_until_converged(ms(3000));
+    assert!(convergence < ms(1500), "{convergence:?}");
+    assert_eq!(
+        sim.false_death_count, 0,
+        "it counted others as dead that it did not hear while it was frozen"
+    );
+}
+
+/// What a run with a deliberate fault shows.
+#[derive(Debug)]
+struct FaultyRun {
+    false_deaths: usize,
+    /// Router 0 counts the dead router 5 as dead, also after late datagrams of it.
+    is_dead_router_gone: bool,
+    count: usize,
+    has_converged: bool,
+}
+
+/// Each deliberate fault shows in the measures of these tests.
+#[test]
+fn deliberate_faults_are_detected() {
+    let run = |faulty| {
+        let mut sim = Simulation::new(15, Settings { faulty, ..Settings::default() });
+        (0..8).for_each(|_| sim.join());
+        sim.run(ms(4000));
+        sim.reset_false_deaths();
+        sim.loss = 0.2;
+        sim.run(ms(8000));
+        let false_deaths = sim.false_death_count;
+        sim.loss = 0.0;
+        sim.run(ms(3000));
+        let captured = sim.run_and_capture(address(5), 200);
+        sim.routers[5].process = Process::Ended;
+        sim.run(ms(5000));
+        // What it sent when it was alive arrives late.
+        for (to, bytes) in captured {
+            let index = sim.index_of[&to];
+            sim.routers[index].membership.on_datagram(sim.now, address(5), &bytes);
+        }
+        let view = sim.routers[0].membership.view();
+        let is_dead_router_gone =
+            sim.routers[0].membership.peers(sim.now).all(|peer| peer.address != address(5));
+        sim.restart(5);
+        sim.run(ms(4000));
+        let has_converged = sim.has_converged();
+        FaultyRun { false_deaths, is_dead_router_gone, count: view.count, has_converged }
+    };
+    let sound = run(Faulty::Nowhere);
+    assert!(
+        sound.false_deaths < 10 && sound.is_dead_router_gone && sound.count == 7 && sound.has_converged,
+        "{sound:?}"
+    );
+    let many_false_deaths = 5 * (sound.false_deaths + 4);
+    assert!(!run(Faulty::NeverSuspects).is_dead_router_gone);
+    let hasty = run(Faulty::ConfirmsImmediately).false_deaths;
+    assert!(hasty > many_false_deaths, "{hasty} of {}", sound.false_deaths);
+    let forgetful = run(Faulty::IgnoresIncarnations);
+    assert!(
+        forgetful.false_deaths > many_false_deaths
+            || !forgetful.is_dead_router_gone
+            || !forgetful.has_converged,
+        "{forgetful:?}"
+    );
+    let counts_dead = run(Faulty::CountsDeadRouters);
+    assert!(counts_dead.is_dead_router_gone && counts_dead.count == 8, "{counts_dead:?}");
+}
--- /dev/null
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -0,0 +1,75 @@
+//! Restarts, replayed datagrams and late refutations.
+
+use crate::simulation::{Process, STEP, Simulation, address, ms};
+use ladderpass_membership::Settings;
+use std::net::SocketAddr;
+
+#[test]
+fn a_restart_with_the_clock_set_back_replaces_the_dead_router() {
+    let mut sim = Simulation::converged(11, 6);
+    let before = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
+    sim.routers[4].process = Process::Ended;
+    sim.run(ms(5000));
+    sim.starts = -60_000;
+    sim.restart(4);
+    sim.run_until_converged(ms(3000));
+    let after = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
+    let (before, after) = (before.expect("it was there"), after.expect("it is there"));
+    assert!(after.started_ms > before.started_ms && after.since > before.since, "{before:?} {after:?}");
+}
+
+#[test]
+fn replayed_datagrams_and_those_of_strangers_change_nothing() {
+    let mut sim = Simulation::new(13, Settings::default());
+    (0..4).for_each(|_| sim.join());
+    // What router 3 sends is captured, and replayed when it is dead, and by a stranger.
+    let captured = sim.run_and_capture(address(3), 400);
+    sim.run_until_converged(ms(3000));
+    sim.kill(&[3], ms(8000));
+    let now = sim.now;
+    let digest = sim.routers[0].membership.view().digest;
+    for (to, bytes) in &captured {
+        let index = sim.index_of[to];
+        sim.routers[index].membership.on_datagram(now, address(3), bytes);
+    }
+    let stranger: SocketAddr = "192.0.2.9:7400".parse().expect("an address");
+    let before = sim.routers[0].membership.counts().dropped;
+    for (_, bytes) in &captured {
+        sim.routers[0].membership.on_datagram(now, stranger, bytes);
+        sim.routers[0].membership.on_datagram(now, address(1), bytes);
+    }
+    assert_eq!(sim.routers[0].membership.counts().dropped - before, 2 * captured.len() as u64);
+    assert!(sim.routers[0].membership.take_outgoing().iter().all(|(to, _)| *to != stranger));
+    sim.run(ms(1000));
+    assert!(captured.len() > 20);
+    assert_eq!(sim.routers[0].membership.view().digest, digest);
+}
+
+/// A router whose datagrams are late is suspected, refutes and is confirmed dead; then its refutations arrive.
+#[test]
+fn a_late_refutation_does_not_revive_a_dead_router() {
+    let mut sim = Simulation::converged(16, 6);
+    // Nothing that it sends arrives, and all of it is captured.
+    sim.is_cut = Box::new(|from, _| from == 4);
+    let mut captured: Vec<(SocketAddr, Vec<u8>)> = Vec::new();
+    for _ in 0..200 {
+        sim.run(STEP);
+        captured.append(&mut sim.routers[4].lost);
+    }
+    sim.kill(&[4], ms(8000));
+    let digest = sim.routers[0].membership.view().digest;
+    for (to, bytes) in &captured {
+        let index = sim.index_of[to];
+        let now = sim.now;
+        sim.routers[index].membership.on_datagram(now, address(4), bytes);
+        sim.transmit(index);
+    }
+    assert!(captured.len() > 10);
+    assert_eq!(sim.routers[0].membership.view().digest, digest);
+    sim.run(ms(1000));
+    assert!(sim.running().into_iter().all(|index| sim.routers[index].membership.view().digest == digest));
+    // A restart at its address joins as ever.
+    sim.is_cut = Box::new(|_, _| false);
+    sim.restart(4);
+    sim.run_until_converged(ms(3000));
+}
--- /dev/null
+++ b/crates/ladderpass-membership/tests/model/partitions.rs
@@ -0,0 +1,67 @@
+//! Links that are cut, in one direction or both, and their repair.
+
+use crate::simulation::{Process, Simulation, ms};
+use ladderpass_membership::Settings;
+
+#[test]
+fn each_side_of_a_partition_works_alone_and_both_merge_when_it_heals() {
+    let mut sim = Simulation::converged(6, 60);
+    sim.is_cut = Box::new(|one, other| (one < 24) != (other < 24));
+    sim.run(ms(10_000));
+    for index in 0..60 {
+        let view = sim.routers[index].membership.view();
+        assert_eq!(view.count, if index < 24 { 24 } else { 36 }, "{index}: {view:?}");
+    }
+    sim.is_cut = Box::new(|_, _| false);
+    sim.reset_false_deaths();
+    let convergence = sim.run_until_converged(ms(10_000));
+    println!("model: a partition of 10 s healed after {:.2} s", convergence.secs());
+    assert!(convergence < ms(4000), "{convergence:?}");
+    assert!(sim.longest_false_death() < ms(2000));
+}
+
+#[test]
+fn two_routers_with_a_broken_link_do_not_suspect_each_other() {
+    let mut sim = Simulation::converged(8, 8);
+    sim.is_cut = Box::new(|one, other| one + other == 7 && one.min(other) == 3);
+    sim.run(ms(10_000));
+    assert_eq!(sim.false_death_count, 0);
+    assert!(sim.has_converged());
+}
+
+#[test]
+fn an_isolated_router_disseminates_no_deaths() {
+    let mut sim = Simulation::converged(9, 8);
+    sim.is_cut = Box::new(|one, _| one == 3);
+    sim.run(ms(8000));
+    let others = sim.running().into_iter().filter(|&index| index != 3);
+    for index in others {
+        assert_eq!(sim.routers[index].membership.view().count, 7, "{index}");
+    }
+    sim.is_cut = Box::new(|_, _| false);
+    sim.reset_false_deaths();
+    let convergence = sim.run_until_converged(ms(6000));
+    // Its own findings end with the first ack; no other router may have applied one.
+    let others: usize = sim
+        .routers
+        .iter()
+        .enumerate()
+        .filter(|(index, _)| *index != 3)
+        .map(|(_, r)| r.false_death_count)
+        .sum();
+    assert_eq!(
+        others, 0,
+        "it disseminated what it found while it was isolated; converged after {convergence:?}"
+    );
+}
+
+#[test]
+fn without_any_configured_router_it_works_alone_and_finds_them_when_they_start() {
+    let mut sim = Simulation::new(12, Settings::default());
+    (0..5).for_each(|_| sim.join());
+    (0..3).for_each(|index| sim.routers[index].process = Process::Ended);
+    sim.run(ms(3000));
+    assert_eq!(sim.routers[4].membership.view().count, 1);
+    (0..3).for_each(|index| sim.restart(index));
+    sim.run_until_converged(ms(4000));
+}
--- /dev/null
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -0,0 +1,311 @@
+//! A cluster of routers in simulated time: datagrams are delayed, lost and cut, processes stop, freeze and restart.
+
+use ladderpass_membership::{Change, LocalRouter, Membership, Settings};
+use ladderpass_routing::{Span, Time};
+use nanorand::{Rng, WyRand};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+
+/// What the process of a router does.
+#[derive(Clone, Copy, PartialEq)]
+pub enum Process {
+    Running,
+    Frozen,
+    Ended,
+}
+
+type Datagram = (SocketAddr, Vec<u8>);
+
+pub struct Router {
+    pub membership: Membership,
+    pub process: Process,
+    wake: Time,
+    /// Sender and bytes of the datagrams that arrived while it was frozen.
+    socket_buffer: Vec<Datagram>,
+    /// Running routers that it counts as dead, and since when.
+    false_deaths: BTreeMap<usize, Time>,
+    pub false_death_count: usize,
+    /// Receiver and bytes of the datagrams that it sent and that were lost.
+    pub lost: Vec<Datagram>,
+}
+
+/// A datagram on its way.
+pub struct InTransit {
+    from: SocketAddr,
+    to: SocketAddr,
+    bytes: Vec<u8>,
+}
+
+pub struct Simulation {
+    pub now: Time,
+    pub routers: Vec<Router>,
+    pub rng: WyRand,
+    /// By time of arrival, in the order of sending.
+    in_transit: BTreeMap<(Time, u64), InTransit>,
+    datagrams_sent: u64,
+    /// Share of datagrams that are lost.
+    pub loss: f64,
+    /// Is the link from one router to another cut?
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub index_of: HashMap<SocketAddr, usize>,
+    /// The longest that a router counted a running one as dead, among those that ended, and how often any did.
+    longest_false_death: Span,
+    pub false_death_count: usize,
+    pub settings: Settings,
+    /// Routers started so far, in milliseconds that each start is later by the wall clock.
+    pub starts: i64,
+}
+
+pub const STEP: Span = Span::from_millis(5);
+
+pub fn address(index: usize) -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::new(10, 0, (index >> 8) as u8, index as u8), 7400))
+}
+
+pub fn ms(ms: i64) -> Span {
+    Span::from_millis(ms)
+}
+
+impl Simulation {
+    pub fn new(seed: u64, settings: Settings) -> Simulation {
+        Simulation {
+            now: Time::from_nanos(1_800_000_000_000_000_000),
+            routers: Vec::new(),
+            rng: WyRand::new_seed(seed),
+            in_transit: BTreeMap::new(),
+            datagrams_sent: 0,
+            loss: 0.0,
+            is_cut: Box::new(|_, _| false),
+            index_of: HashMap::new(),
+            longest_false_death: Span::ZERO,
+            false_death_count: 0,
+            settings,
+            starts: 0,
+        }
+    }
+
+    /// A cluster of `count` routers, of which each was configured with the first three, that has converged.
+    pub fn converged(seed: u64, count: usize) -> Simulation {
+        let mut sim = Simulation::new(seed, Settings::default());
+        (0..count).for_each(|_| sim.join());
+        sim.run(ms(8000));
+        sim.reset_false_deaths();
+        sim
+    }
+
+    pub fn reset_false_deaths(&mut self) {
+        (self.longest_false_death, self.false_death_count) = (Span::ZERO, 0);
+        for router in &mut self.routers {
+            router.false_deaths.clear();
+            router.false_death_count = 0;
+        }
+    }
+
+    fn start_membership(&mut self, index: usize) -> Membership {
+        self.starts += 1;
+        let unix = self.now.nanos() / 1_000_000 + self.starts;
+        let own = LocalRouter { address: address(index), started_unix_ms: unix };
+        let network = [(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), 8)];
+        let listed = [address(0), address(1), address(2)];
+        Membership::start(self.now, self.rng.generate(), own, &listed, &network, self.settings)
+    }
+
+    pub fn join(&mut self) {
+        let index = self.routers.len();
+        let membership = self.start_membership(index);
+        let (wake, socket_buffer, false_deaths) = (self.now, Vec::new(), BTreeMap::new());
+        self.index_of.insert(address(index), index);
+        self.routers.push(Router {
+            membership,
+            process: Process::Running,
+            wake,
+            socket_buffer,
+            false_deaths,
+            false_death_count: 0,
+            lost: Vec::new(),
+        });
+    }
+
+    /// Starts a new process at the same address.
+    pub fn restart(&mut self, index: usize) {
+        self.routers[index].membership = self.start_membership(index);
+        (self.routers[index].process, self.routers[index].wake) = (Process::Running, self.now);
+        self.routers[index].socket_buffer.clear();
+    }
+
+    /// Puts what a router sends on its way.
+    pub fn transmit(&mut self, index: usize) {
+        for (to, bytes) in self.routers[index].membership.take_outgoing() {
+            let Some(&other) = self.index_of.get(&to) else { continue };
+            let lost = self.rng.generate::<f64>() < self.loss || (self.is_cut)(index, other);
+            if lost {
+                self.routers[index].lost.push((to, bytes));
+            } else {
+                let delay = ms(1) + Span::from_secs_f64(0.009 * self.rng.generate::<f64>());
+                self.datagrams_sent += 1;
+                let datagram = InTransit { from: address(index), to, bytes };
+                self.in_transit.insert((self.now + delay, self.datagrams_sent), datagram);
+            }
+        }
+        self.routers[index].wake = self.routers[index].membership.wake_at();
+    }
+
+    pub fn run(&mut self, span: Span) {
+        let until = self.now + span;
+        while self.now < until {
+            self.now = self.now + STEP;
+            while let Some(first) = self.in_transit.first_entry()
+                && first.key().0 <= self.now
+            {
+                let InTransit { from, to, bytes } = first.remove();
+                let Some(&index) = self.index_of.get(&to) else { continue };
+                match self.routers[index].process {
+                    Process::Running => {
+                        self.routers[index].membership.on_datagram(self.now, from, &bytes);
+                        self.transmit(index);
+                    }
+                    Process::Frozen if self.routers[index].socket_buffer.len() < 200 => {
+                        self.routers[index].socket_buffer.push((from, bytes));
+                    }
+                    _ => {}
+                }
+            }
+            for index in 0..self.routers.len() {
+                if self.routers[index].process == Process::Running && self.routers[index].wake <= self.now {
+                    self.routers[index].membership.tick(self.now);
+                    self.transmit(index);
+                }
+            }
+            self.record_changes();
+        }
+    }
+
+    /// Runs step by step and copies what this router has in transit after each: receivers and bytes.
+    pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
+        let mut captured = Vec::new();
+        for _ in 0..steps {
+            self.run(STEP);
+            let sent = self.in_transit.values().filter(|datagram| datagram.from == router);
+            captured.extend(sent.map(|datagram| (datagram.to, datagram.bytes.clone())));
+        }
+        captured
+    }
+
+    /// Lets a frozen process run. What arrived meanwhile is read first.
+    pub fn thaw(&mut self, index: usize) {
+        self.routers[index].process = Process::Running;
+        for (from, bytes) in std::mem::take(&mut self.routers[index].socket_buffer) {
+            self.routers[index].membership.on_datagram(self.now, from, &bytes);
+        }
+        self.transmit(index);
+    }
+
+    /// Compares the changes that the routers report with what is true.
+    fn record_changes(&mut self) {
+        for index in 0..self.routers.len() {
+            if self.routers[index].process != Process::Running {
+                continue;
+            }
+            for (router, change) in self.routers[index].membership.take_changes() {
+                let other = self.index_of[&router];
+                match change {
+                    Change::Died | Change::Left if self.routers[other].process == Process::Running => {
+                        self.false_death_count += 1;
+                        self.routers[index].false_death_count += 1;
+                        self.routers[index].false_deaths.insert(other, self.now);
+                    }
+                    Change::Joined | Change::Refuted => {
+                        if let Some(since) = self.routers[index].false_deaths.remove(&other) {
+                            self.longest_false_death = self.longest_false_death.max(self.now - since);
+                        }
+                    }
+                    Change::Died | Change::Left | Change::Suspected => {}
+                }
+            }
+        }
+    }
+
+    /// The longest that a router counted a running one as dead, those that go on included.
+    pub fn longest_false_death(&self) -> Span {
+        let pending = self.routers.iter().filter(|router| router.process == Process::Running);
+        let pending = pending.flat_map(|router| router.false_deaths.iter());
+        let pending = pending.filter(|&(&other, _)| self.routers[other].process == Process::Running);
+        pending.map(|(_, &since)| self.now - since).fold(self.longest_false_death, Span::max)
+    }
+
+    pub fn running(&self) -> Vec<usize> {
+        (0..self.routers.len()).filter(|&index| self.routers[index].process == Process::Running).collect()
+    }
+
+    /// Routers that this one counts as alive, itself included.
+    pub fn live_at(&self, index: usize) -> Vec<SocketAddr> {
+        let mut alive: Vec<_> =
+            self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
+        alive.push(address(index));
+        alive.sort_unstable();
+        alive
+    }
+
+    /// Does every running router count just the running ones as alive?
+    pub fn has_converged(&self) -> bool {
+        let mut truth: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
+        truth.sort_unstable();
+        self.running().into_iter().all(|index| self.live_at(index) == truth)
+    }
+
+    /// Runs until the cluster has converged, for `max` at most. Returns how long that took.
+    pub fn run_until_converged(&mut self, max: Span) -> Span {
+        let started = self.now;
+        while !self.has_converged() && self.now - started < max {
+            self.run(ms(20));
+        }
+        assert!(self.has_converged(), "not converged after {:.1} s", (self.now - started).secs());
+        self.now - started
+    }
+
+    /// Ends these. Returns the seconds until each of the others has detected each of them, sorted.
+    pub fn kill(&mut self, victims: &[usize], max: Span) -> Vec<f64> {
+        victims.iter().for_each(|&index| self.routers[index].process = Process::Ended);
+        let started = self.now;
+        let mut detected = Vec::new();
+        let mut pending: Vec<(usize, usize)> = Vec::new();
+        for &dead in victims {
+            pending.extend(self.running().into_iter().map(|index| (index, dead)));
+        }
+        while !pending.is_empty() && self.now - started < max {
+            self.run(ms(20));
+            let now = self.now;
+            let mut alive_at: HashMap<usize, HashSet<SocketAddr>> = HashMap::new();
+            pending.retain(|&(index, dead)| {
+                let alive = alive_at.entry(index).or_insert_with(|| {
+                    self.routers[index].membership.peers(now).map(|peer| peer.address).collect()
+                });
+                let is_pending = alive.contains(&address(dead));
+                if !is_pending {
+                    detected.push((now - started).secs());
+                }
+                is_pending
+            });
+        }
+        assert!(pending.is_empty(), "{} never detected", pending.len());
+        detected.sort_by(f64::total_cmp);
+        detected
+    }
+
+    /// Datagrams and bytes that a running router sends a second, over this time.
+    pub fn load(&mut self, span: Span) -> (f64, f64) {
+        let sum = |sim: &Simulation| {
+            let counts = sim.running().into_iter().map(|index| sim.routers[index].membership.counts());
+            counts.fold((0, 0), |sum, counts| (sum.0 + counts.sent, sum.1 + counts.bytes))
+        };
+        let before = sum(self);
+        self.run(span);
+        let after = sum(self);
+        let router_seconds = self.running().len() as f64 * span.secs();
+        ((after.0 - before.0) as f64 / router_seconds, (after.1 - before.1) as f64 / router_seconds)
+    }
+}
+
+pub fn median(sorted: &[f64]) -> f64 {
+    sorted[sorted.len() / 2]
+}
