--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -1,103 +1,121 @@
-//! What work costs this front, learnt from the traffic itself: the time that a turn of the loop takes, by what was done
-//! in it.
+//! What work costs this router, learnt from its traffic by recursive least squares with forgetting.
 //!
-//! A least squares fit, step by step with forgetting: time = RPCs served, RPCs refused and bytes moved, each by a cost
-//! of its own. It starts from a guess that it leaves with the first hundreds of RPCs.
+//! Each iteration of the event loop gives one equation: busy time = RPCs served, RPCs rejected and KiB moved, each times
+//! its cost. The model starts from a guess that the first hundreds of RPCs replace.
 
 use ladderpass_routing::Span;
 
-/// What was done in a span of time.
+const FEATURES: usize = 3;
+const SERVED: usize = 0;
+const REJECTED: usize = 1;
+const KIB: usize = 2;
+
+/// The costs at the start, and the limits of any cost, in seconds.
+const INITIAL_COST_SECS: [f64; FEATURES] = [20e-6, 7e-6, 0.5e-6];
+const MIN_COST_SECS: f64 = 0.05e-6;
+const MAX_COST_SECS: f64 = 0.01;
+/// Weight that earlier iterations keep with each new one.
+const FORGETTING_FACTOR: f64 = 0.998;
+/// How much one iteration moves the mean size of an RPC.
+const MEAN_KIB_WEIGHT: f64 = 0.05;
+/// Variance of the initial costs, never exceeded later. Bytes come with their RPCs: what can't be told apart is attributed
+/// to the RPCs.
+const INITIAL_VARIANCE: [f64; FEATURES] = [0.05, 0.05, 0.002];
+/// Keeps the covariance positive.
+const MIN_VARIANCE: f64 = 1e-9;
+/// An iteration of this length or longer is a stall and teaches nothing.
+const MAX_BUSY_SECS: f64 = 1.0;
+/// Limit of a prediction error, in initial costs of an RPC: another process may have had the core.
+const MAX_ERROR_IN_INITIAL_COSTS: f64 = 2.0;
+
+/// Work done in one iteration of the event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Call-outs answered and passed on, RPCs refused, KiB moved either way.
+    /// Attempts answered and passed on to their clients.
     pub served: f64,
+    /// RPCs rejected.
     pub rejected: f64,
+    /// KiB moved in either direction.
     pub kib: f64,
 }
 
 impl Work {
-    fn features(&self) -> [f64; 3] {
+    fn features(&self) -> [f64; FEATURES] {
         [self.served, self.rejected, self.kib]
     }
 }
 
+/// The learnt costs.
 #[derive(Clone, Debug)]
 pub struct CostModel {
-    /// Seconds for one of each.
-    costs: [f64; 3],
-    /// Inverse of what was seen so far.
-    spread: [[f64; 3]; 3],
-    /// What an RPC that is served moves on average.
-    kib: f64,
+    /// Seconds for one of each feature.
+    costs: [f64; FEATURES],
+    covariance: [[f64; FEATURES]; FEATURES],
+    /// Mean KiB of a served RPC.
+    mean_kib: f64,
 }
 
-/// The guess it starts from, in seconds; and no cost is thought to be less than a part of a microsecond, nor more than
-/// a hundredth of a second.
-const GUESS: [f64; 3] = [20e-6, 7e-6, 0.5e-6];
-const LEAST: f64 = 0.05e-6;
-const MOST: f64 = 0.01;
-/// What was seen long ago counts less by this much each time.
-const KEEP: f64 = 0.998;
-/// How much a turn moves what an RPC moves on average.
-const KIB_BY: f64 = 0.05;
-/// How unsure it is of its guess, and ever becomes again. Bytes move with the RPCs that they belong to: what can't be told
-/// apart is laid to the RPCs.
-const SPREAD: [f64; 3] = [0.05, 0.05, 0.002];
-
 impl Default for CostModel {
     fn default() -> CostModel {
-        let mut spread = [[0.0; 3]; 3];
-        (0..3).for_each(|i| spread[i][i] = SPREAD[i]);
-        CostModel { costs: GUESS, spread, kib: 0.0 }
+        let mut covariance = [[0.0; FEATURES]; FEATURES];
+        (0..FEATURES).for_each(|i| covariance[i][i] = INITIAL_VARIANCE[i]);
+        CostModel { costs: INITIAL_COST_SECS, covariance, mean_kib: 0.0 }
     }
 }
 
 impl CostModel {
-    /// So much was done in so much busy time.
+    /// Learns from one iteration: its work and the time that it was busy.
     pub fn learn(&mut self, work: Work, busy: Span) {
-        let x = work.features();
-        let time = busy.secs();
-        let usable = x.iter().all(|value| value.is_finite() && *value >= 0.0) && time > 0.0 && time < 1.0;
-        if !usable || x[0] + x[1] < 1.0 {
+        let features = work.features();
+        let secs = busy.secs();
+        let is_usable = features.iter().all(|value| value.is_finite() && *value >= 0.0)
+            && secs > 0.0
+            && secs < MAX_BUSY_SECS;
+        let rpcs = features[SERVED] + features[REJECTED];
+        if !is_usable || rpcs < 1.0 {
             return;
         }
         if work.served > 0.0 {
-            self.kib += (work.kib / work.served - self.kib) * KIB_BY;
+            self.mean_kib += (work.kib / work.served - self.mean_kib) * MEAN_KIB_WEIGHT;
         }
-        // Scaled, so that a full turn does not outweigh a hundred short ones.
-        let scale = 1.0 / (x[0] + x[1]);
-        let x = x.map(|value| value * scale);
-        let time = time * scale;
-        let along: [f64; 3] = std::array::from_fn(|i| (0..3).map(|j| self.spread[i][j] * x[j]).sum());
-        let width = KEEP + (0..3).map(|i| x[i] * along[i]).sum::<f64>();
-        let missed = time - (0..3).map(|i| x[i] * self.costs[i]).sum::<f64>();
-        // One turn in which another process had the core must not teach much.
-        let missed = missed.clamp(-2.0 * GUESS[0], 2.0 * GUESS[0]);
-        for (cost, along) in self.costs.iter_mut().zip(along) {
-            *cost = (*cost + along / width * missed).clamp(LEAST, MOST);
+        // By RPC, so that one long iteration does not outweigh a hundred short ones.
+        let scale = 1.0 / rpcs;
+        self.update(features.map(|value| value * scale), secs * scale);
+    }
+
+    /// One step of recursive least squares.
+    fn update(&mut self, x: [f64; FEATURES], secs: f64) {
+        let gain: [f64; FEATURES] =
+            std::array::from_fn(|i| (0..FEATURES).map(|j| self.covariance[i][j] * x[j]).sum());
+        let innovation = FORGETTING_FACTOR + (0..FEATURES).map(|i| x[i] * gain[i]).sum::<f64>();
+        let error = secs - (0..FEATURES).map(|i| x[i] * self.costs[i]).sum::<f64>();
+        let max_error = MAX_ERROR_IN_INITIAL_COSTS * INITIAL_COST_SECS[SERVED];
+        let error = error.clamp(-max_error, max_error);
+        for (cost, gain) in self.costs.iter_mut().zip(gain) {
+            *cost = (*cost + gain / innovation * error).clamp(MIN_COST_SECS, MAX_COST_SECS);
         }
-        for (i, row) in self.spread.iter_mut().enumerate() {
+        for (i, row) in self.covariance.iter_mut().enumerate() {
             for (j, value) in row.iter_mut().enumerate() {
-                // Bounds what forgetting would blow up where some kind of work does not come.
-                let most = (SPREAD[i] * SPREAD[j]).sqrt();
-                *value = ((*value - along[i] * along[j] / width) / KEEP).clamp(-most, most);
+                // Forgetting would let it grow without limit where a kind of work does not occur.
+                let max = (INITIAL_VARIANCE[i] * INITIAL_VARIANCE[j]).sqrt();
+                *value = ((*value - gain[i] * gain[j] / innovation) / FORGETTING_FACTOR).clamp(-max, max);
             }
-            row[i] = row[i].max(1e-9);
+            row[i] = row[i].max(MIN_VARIANCE);
         }
     }
 
-    /// Seconds that serving an RPC takes which moves so many KiB.
+    /// Seconds that it takes to serve an RPC that moves so many KiB.
     pub fn serve_secs(&self, kib: f64) -> f64 {
-        self.costs[0] + self.costs[2] * kib.max(0.0)
+        self.costs[SERVED] + self.costs[KIB] * kib.max(0.0)
     }
 
-    /// The one that comes on average.
+    /// Seconds that it takes to serve an RPC of mean size.
     pub fn mean_serve_secs(&self) -> f64 {
-        self.serve_secs(self.kib)
+        self.serve_secs(self.mean_kib)
     }
 
-    /// Never more than serving one that moves nothing.
+    /// Seconds that it takes to reject an RPC: never more than to serve one of mean size.
     pub fn reject_secs(&self) -> f64 {
-        self.costs[1].min(self.mean_serve_secs())
+        self.costs[REJECTED].min(self.mean_serve_secs())
     }
 }
--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -1,62 +1,67 @@
-//! How much of the front each connection takes, against a fair share: one that floods stands behind the others.
+//! Fair shares of the router among connections: which of them take much more than the others on average.
 
 use ladderpass_routing::{Span, Time};
 
-/// What a connection took lately; it fades. The front keeps it with the connection.
+/// Recorded work decays by a factor e in this time; a connection counts as active in intervals of it.
+const DECAY_TIME: Span = Span::from_millis(500);
+/// Longer gaps decay no further.
+const MAX_DECAY_SECS: f64 = 60.0;
+/// With fewer other active connections there is no fair share.
+const MIN_OTHER_CLIENTS: f64 = 4.0;
+
+/// Recent work of one connection. The caller keeps it with the connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientUsage {
     work: f64,
-    at: Time,
-    /// The last bucket in which it counted as active.
-    bucket: i64,
+    updated: Time,
+    /// The last interval in which it was counted as active.
+    last_active_interval: i64,
 }
 
-/// Work fades by a factor e in this time; connections count as active in steps of it.
-const FADE: Span = Span::from_millis(500);
-/// With fewer active connections there is nothing to be fair among.
-const ENOUGH: f64 = 4.0;
-
+/// Recent work of all connections, and how many of them are active.
 #[derive(Clone, Debug, Default)]
 pub struct FairShares {
-    /// All work, fading like each connection's.
-    work: f64,
-    at: Time,
-    bucket: i64,
+    total_work: f64,
+    updated: Time,
+    interval: i64,
     active: f64,
-    active_before: f64,
+    active_in_previous_interval: f64,
 }
 
-fn faded(work: f64, from: Time, to: Time) -> f64 {
-    work * (-(to - from).secs().clamp(0.0, 60.0) / FADE.secs()).exp()
+fn decayed(work: f64, from: Time, to: Time) -> f64 {
+    work * (-(to - from).secs().clamp(0.0, MAX_DECAY_SECS) / DECAY_TIME.secs()).exp()
 }
 
 impl FairShares {
-    /// A connection has sent work; it counts whether it is taken or refused.
-    pub fn record(&mut self, now: Time, spent: &mut ClientUsage, work: f64) {
+    /// Records work that a connection has sent, whether it is admitted or not.
+    pub fn record(&mut self, now: Time, client: &mut ClientUsage, work: f64) {
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
-        let number = now.nanos().div_euclid(FADE.nanos());
-        if number != self.bucket {
-            self.active_before = if number == self.bucket + 1 { self.active } else { 0.0 };
-            (self.active, self.bucket) = (0.0, number);
+        let interval = now.nanos().div_euclid(DECAY_TIME.nanos());
+        if interval != self.interval {
+            let is_next = interval == self.interval + 1;
+            self.active_in_previous_interval = if is_next { self.active } else { 0.0 };
+            self.active = 0.0;
+            self.interval = interval;
         }
-        if spent.bucket != number {
-            spent.bucket = number;
+        if client.last_active_interval != interval {
+            client.last_active_interval = interval;
             self.active += 1.0;
         }
-        self.work = faded(self.work, self.at, now) + work;
-        spent.work = faded(spent.work, spent.at, now) + work;
-        (self.at, spent.at) = (now, now);
+        self.total_work = decayed(self.total_work, self.updated, now) + work;
+        client.work = decayed(client.work, client.updated, now) + work;
+        self.updated = now;
+        client.updated = now;
     }
 
-    /// Connections that sent something lately.
+    /// Connections that have sent work in this interval or the one before.
     pub fn active_clients(&self) -> f64 {
-        self.active.max(self.active_before)
+        self.active.max(self.active_in_previous_interval)
     }
 
-    /// Does it take more than `times` what the others have on average?
-    pub fn exceeds_fair_share(&self, spent: &ClientUsage, times: f64) -> bool {
+    /// Does the connection take more than `multiple` times what the others take on average?
+    pub fn exceeds_fair_share(&self, client: &ClientUsage, multiple: f64) -> bool {
         let others = self.active_clients() - 1.0;
-        let left = (self.work - spent.work).max(0.0);
-        others >= ENOUGH && spent.work > times * (left / others).max(1.0)
+        let work_of_others = (self.total_work - client.work).max(0.0);
+        others >= MIN_OTHER_CLIENTS && client.work > multiple * (work_of_others / others).max(1.0)
     }
 }
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -1,21 +1,29 @@
-//! One pressure from many measures, smoothed, and the level that is told of it, with hysteresis.
+//! One pressure from several gauges, smoothed, and the level that operators see, with hysteresis.
 
 use crate::settings::Settings;
 use ladderpass_routing::{Span, Time};
 
-/// What presses.
+/// A resource, or the queueing delay, that can raise the pressure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Gauge {
+    /// How long statements wait for the router.
     Delay,
+    /// CPU used.
     Cpu,
+    /// Resident memory.
     Memory,
+    /// Memory of the connections' buffers.
     Buffers,
+    /// File descriptors.
     Descriptors,
 }
 
-pub const GAUGES: [Gauge; 5] = [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Buffers, Gauge::Descriptors];
+const GAUGE_COUNT: usize = 5;
+pub(crate) const GAUGES: [Gauge; GAUGE_COUNT] =
+    [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Buffers, Gauge::Descriptors];
 
 impl Gauge {
+    /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay",
@@ -26,7 +34,7 @@
         }
     }
 
-    /// Its key among the figures: how much of its band it fills.
+    /// The name of the metric with the fraction of its band that it fills.
     pub fn metric_name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay_part",
@@ -38,18 +46,20 @@
     }
 }
 
-/// What is told of the pressure: one word for operators. It decides nothing.
+/// A summary of the pressure for operators. Nothing is decided by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
+    /// Nothing is shed.
     #[default]
     Calm,
-    /// Some of what ranks lowest is refused.
+    /// Some RPCs of low priority are shed.
     Shedding,
-    /// Hardly anything but what ranks highest is taken.
+    /// Hardly any but RPCs of the highest priority are admitted.
     Saturated,
 }
 
 impl Level {
+    /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
             Level::Calm => "calm",
@@ -58,8 +68,13 @@
         }
     }
 
-    /// Where the pressure begins to mean it.
-    fn from(self) -> f64 {
+    /// The level of a pressure, without hysteresis.
+    fn of_pressure(pressure: f64) -> Level {
+        let levels = [Level::Saturated, Level::Shedding, Level::Calm];
+        levels.into_iter().find(|level| pressure >= level.min_pressure()).unwrap_or_default()
+    }
+
+    fn min_pressure(self) -> f64 {
         match self {
             Level::Calm => 0.0,
             Level::Shedding => 0.05,
@@ -68,74 +83,82 @@
     }
 }
 
-/// The greatest of the gauges, each followed up and down at a pace of its own.
+/// The greatest of the gauges, each smoothed with one time constant upwards and another downwards.
 #[derive(Clone, Debug)]
 pub struct Pressure {
     settings: Settings,
-    /// By gauge: what it was told last, and the smoothed part of its band.
-    told: [f64; 5],
-    parts: [f64; 5],
-    at: Time,
+    /// By gauge: the last reading, and the smoothed one, as fractions of the gauge's band.
+    readings: [f64; GAUGE_COUNT],
+    smoothed: [f64; GAUGE_COUNT],
+    updated: Time,
     level: Level,
-    /// Since when the pressure is under the present level.
-    under: Option<Time>,
+    /// Since when the pressure is below the present level.
+    below_level_since: Option<Time>,
 }
 
 impl Pressure {
+    /// No pressure.
     pub fn new(now: Time, settings: Settings) -> Pressure {
-        let (told, parts) = ([0.0; 5], [0.0; 5]);
-        Pressure { settings, told, parts, at: now, level: Level::Calm, under: None }
+        Pressure {
+            settings,
+            readings: [0.0; GAUGE_COUNT],
+            smoothed: [0.0; GAUGE_COUNT],
+            updated: now,
+            level: Level::Calm,
+            below_level_since: None,
+        }
     }
 
-    /// A gauge shows this part of its band, from now on.
-    pub fn set_gauge(&mut self, gauge: Gauge, part: f64) {
-        self.told[gauge as usize] = if part.is_finite() { part.clamp(0.0, 1.0) } else { 0.0 };
+    /// Records a reading: the fraction of its band that the gauge fills from now on.
+    pub fn set_gauge(&mut self, gauge: Gauge, fraction: f64) {
+        self.readings[gauge as usize] = if fraction.is_finite() { fraction.clamp(0.0, 1.0) } else { 0.0 };
     }
 
-    /// Time has passed: the parts follow what was told. Gives the level that was left, if it has changed.
+    /// Smooths the readings up to now. Returns the previous level if the level has changed.
     pub fn advance(&mut self, now: Time) -> Option<Level> {
-        let passed = (now - self.at).max(Span::ZERO);
-        self.at = self.at.max(now);
-        for (part, &told) in self.parts.iter_mut().zip(&self.told) {
-            let pace = if told > *part { self.settings.rise } else { self.settings.fall };
-            let moved = 1.0 - (-passed.secs() / pace.secs().max(1e-6)).exp();
-            *part += (told - *part) * moved;
+        let elapsed = (now - self.updated).max(Span::ZERO);
+        self.updated = self.updated.max(now);
+        for (smoothed, &reading) in self.smoothed.iter_mut().zip(&self.readings) {
+            let time_constant = if reading > *smoothed { self.settings.rise } else { self.settings.fall };
+            let weight = 1.0 - (-elapsed.secs() / time_constant.secs().max(1e-6)).exp();
+            *smoothed += (reading - *smoothed) * weight;
         }
-        let value = self.value();
-        // Up at once; down a level only after a calm span, so that the level does not flutter with the load.
-        let reached =
-            [Level::Saturated, Level::Shedding, Level::Calm].into_iter().find(|level| value >= level.from());
-        let reached = reached.unwrap_or_default();
         let before = self.level;
-        match reached {
-            reached if reached > self.level => (self.level, self.under) = (reached, None),
-            reached if reached == self.level => self.under = None,
-            reached => {
-                let since = *self.under.get_or_insert(now);
-                if now - since >= self.settings.calm_after {
-                    (self.level, self.under) = (reached, None);
-                }
+        self.update_level(now);
+        (before != self.level).then_some(before)
+    }
+
+    /// Raises the level at once, and lowers it after a calm time, so that it does not follow every burst.
+    fn update_level(&mut self, now: Time) {
+        let reached = Level::of_pressure(self.value());
+        if reached < self.level {
+            let since = *self.below_level_since.get_or_insert(now);
+            if now - since < self.settings.calm_after {
+                return;
             }
         }
-        (before != self.level).then_some(before)
+        self.level = reached;
+        self.below_level_since = None;
     }
 
-    /// From 0, nothing presses, to 1.
+    /// The pressure, from 0 to 1.
     pub fn value(&self) -> f64 {
-        self.parts.iter().copied().fold(0.0, f64::max)
+        self.smoothed.iter().copied().fold(0.0, f64::max)
     }
 
-    /// What presses most.
+    /// The gauge that the pressure comes from.
     pub fn dominant_gauge(&self) -> Gauge {
-        let most =
-            |one: &&Gauge, two: &&Gauge| self.parts[**one as usize].total_cmp(&self.parts[**two as usize]);
-        GAUGES.iter().max_by(most).copied().unwrap_or(Gauge::Delay)
+        let smoothed = |gauge: &Gauge| self.smoothed[*gauge as usize];
+        let dominant = GAUGES.iter().max_by(|one, other| smoothed(one).total_cmp(&smoothed(other)));
+        dominant.copied().unwrap_or(Gauge::Delay)
     }
 
+    /// The smoothed fraction of its band that a gauge fills.
     pub fn gauge(&self, gauge: Gauge) -> f64 {
-        self.parts[gauge as usize]
+        self.smoothed[gauge as usize]
     }
 
+    /// The present level.
     pub fn level(&self) -> Level {
         self.level
     }
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -1,17 +1,18 @@
-//! How the work that was offered lately spreads over the ranks of RPCs, and the rank above which a given part of it
-//! stands.
+//! How the work that was offered lately spreads over priorities, and the threshold below which a given share of it lies.
 
 use ladderpass_routing::{PRIORITY_COUNT, Span, Time};
 
-/// Buckets of time, used again in a ring: what was offered a while ago tells nothing of the present.
+/// A sliding window of one second, in buckets that are reused.
 const BUCKETS: usize = 4;
-const WIDTH: Span = Span::from_millis(250);
+const BUCKET_WIDTH: Span = Span::from_millis(250);
 
+/// Work offered in the last second, by priority.
 #[derive(Clone, Debug)]
 pub struct PriorityHistogram {
     buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
-    numbers: [i64; BUCKETS],
-    sum: [f64; PRIORITY_COUNT],
+    /// Which multiple of the width each bucket holds.
+    bucket_numbers: [i64; BUCKETS],
+    by_priority: [f64; PRIORITY_COUNT],
     total: f64,
 }
 
@@ -19,53 +20,57 @@
     fn default() -> PriorityHistogram {
         PriorityHistogram {
             buckets: [[0.0; PRIORITY_COUNT]; BUCKETS],
-            numbers: [i64::MIN; BUCKETS],
-            sum: [0.0; PRIORITY_COUNT],
+            bucket_numbers: [i64::MIN; BUCKETS],
+            by_priority: [0.0; PRIORITY_COUNT],
             total: 0.0,
         }
     }
 }
 
 impl PriorityHistogram {
-    /// Work of this rank was offered.
-    pub fn record(&mut self, now: Time, rank: u32, work: f64) {
-        let number = now.nanos().div_euclid(WIDTH.nanos());
-        let at = number.rem_euclid(BUCKETS as i64) as usize;
-        if self.numbers[at] != number {
-            self.numbers[at] = number;
-            self.buckets[at] = [0.0; PRIORITY_COUNT];
-            // Those that nothing was offered to meanwhile are old too.
-            for (bucket, other) in self.buckets.iter_mut().zip(&self.numbers) {
-                if *other <= number - BUCKETS as i64 {
-                    *bucket = [0.0; PRIORITY_COUNT];
-                }
-            }
-            // Summed anew, so that no error of rounding stays.
-            self.sum = [0.0; PRIORITY_COUNT];
-            for bucket in &self.buckets {
-                self.sum.iter_mut().zip(bucket).for_each(|(sum, work)| *sum += work);
-            }
-            self.total = self.sum.iter().sum();
+    /// Records work that was offered at a priority.
+    pub fn record(&mut self, now: Time, priority: u32, work: f64) {
+        let number = now.nanos().div_euclid(BUCKET_WIDTH.nanos());
+        let index = number.rem_euclid(BUCKETS as i64) as usize;
+        if self.bucket_numbers[index] != number {
+            self.start_bucket(index, number);
         }
-        let rank = (rank as usize).min(PRIORITY_COUNT - 1);
+        let priority = (priority as usize).min(PRIORITY_COUNT - 1);
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
-        self.buckets[at][rank] += work;
-        self.sum[rank] += work;
+        self.buckets[index][priority] += work;
+        self.by_priority[priority] += work;
         self.total += work;
     }
 
-    /// The rank under which this part of the work stands; its fraction is the part of that rank which does. Nothing
-    /// stands under 0; under `RANKS` all does.
-    pub fn admission_threshold(&self, part: f64) -> f64 {
-        if part <= 0.0 || self.total <= 0.0 {
+    fn start_bucket(&mut self, index: usize, number: i64) {
+        self.bucket_numbers[index] = number;
+        self.buckets[index] = [0.0; PRIORITY_COUNT];
+        // Buckets that nothing was recorded in meanwhile are out of the window too.
+        for (bucket, other) in self.buckets.iter_mut().zip(&self.bucket_numbers) {
+            if *other <= number - BUCKETS as i64 {
+                *bucket = [0.0; PRIORITY_COUNT];
+            }
+        }
+        // Summed anew, so that rounding errors don't add up.
+        self.by_priority = [0.0; PRIORITY_COUNT];
+        for bucket in &self.buckets {
+            self.by_priority.iter_mut().zip(bucket).for_each(|(sum, work)| *sum += work);
+        }
+        self.total = self.by_priority.iter().sum();
+    }
+
+    /// The priority below which this share of the work lies. Its fraction is the share of that priority which does.
+    /// Nothing lies below 0, everything below `PRIORITY_COUNT`.
+    pub fn admission_threshold(&self, share: f64) -> f64 {
+        if share <= 0.0 || self.total <= 0.0 {
             return 0.0;
         }
-        let mut left = part.min(1.0) * self.total;
-        for (rank, &work) in self.sum.iter().enumerate() {
-            if work > 0.0 && left <= work {
-                return rank as f64 + left / work;
+        let mut remaining = share.min(1.0) * self.total;
+        for (priority, &work) in self.by_priority.iter().enumerate() {
+            if work > 0.0 && remaining <= work {
+                return priority as f64 + remaining / work;
             }
-            left -= work;
+            remaining -= work;
         }
         PRIORITY_COUNT as f64
     }
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -1,30 +1,34 @@
-//! What a front measures of itself, and what it is allowed.
+//! What is measured of the process, and the limits that it is compared with.
 
 use ladderpass_routing::Span;
 
-/// One look at the process. What is not known stands at zero.
+/// The process's resource usage. What is not known is zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceSample {
-    /// Since the look before: time on the wall, time in which the loop was not waiting, and CPU time used.
+    /// Wall clock time since the previous sample.
     pub wall: Span,
+    /// Of that, the time in which the event loop did not wait for events.
     pub busy: Span,
+    /// CPU time used since the previous sample.
     pub cpu: Span,
-    /// Bytes of the process that are resident, and of the rings of connections.
+    /// Resident memory of the process.
     pub resident_bytes: usize,
+    /// Memory of the connections' buffers.
     pub buffer_bytes: usize,
+    /// Open file descriptors.
     pub descriptors: usize,
-    /// Sockets that have told something and were not looked at yet.
+    /// Sockets with pending events that were not handled yet.
     pub runnable_wait: usize,
 }
 
 impl ResourceSample {
-    /// Part of the time in which the process wanted a core and had none: another's work, or a bound on its CPU.
+    /// Share of the time in which the process was runnable and had no core: another process's work, or a CPU quota.
     pub fn stolen_share(&self) -> f64 {
         let stolen = (self.busy - self.cpu).secs().max(0.0);
         if self.wall <= Span::ZERO { 0.0 } else { (stolen / self.wall.secs()).min(1.0) }
     }
 
-    /// CPU used as a part of what is allowed.
+    /// CPU used, as a share of so many cores.
     pub fn cpu_share(&self, cores: f64) -> f64 {
         if self.wall <= Span::ZERO { 0.0 } else { self.cpu.secs() / (self.wall.secs() * cores.max(1e-3)) }
     }
@@ -33,9 +37,12 @@
 /// What the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
+    /// CPU cores, also fractions of one.
     pub cores: f64,
+    /// Resident memory.
     pub memory_bytes: usize,
-    /// Of that, what the rings of connections may have.
+    /// Of that, memory of the connections' buffers.
     pub buffer_bytes: usize,
+    /// File descriptors.
     pub descriptors: usize,
 }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -1,56 +1,71 @@
-//! What an operator may set of this, with its defaults. Read and checked elsewhere.
+//! What an operator can set, with the defaults. It is read and checked elsewhere.
 
 use ladderpass_routing::Span;
 
-/// A measure presses from `from` on, and fully at `full`.
+/// Pressure at the end of a band by the convex curve, and how slowly it rises beyond, in widths of the band.
+const CONVEX_FRACTION_AT_FULL: f64 = 0.8;
+const CONVEX_TAIL_WIDTHS: f64 = 8.0;
+
+/// The range of a measure over which its pressure rises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
+    /// Up to here there is no pressure.
     pub from: f64,
+    /// From here on the pressure is full.
     pub full: f64,
 }
 
 impl Band {
+    /// A band.
     pub const fn new(from: f64, full: f64) -> Band {
         Band { from, full }
     }
 
-    /// As `part`, but quick at first: four fifths at `full`, and beyond it ever more slowly towards one. What ranks highest
-    /// is given up last, and for a jam that stays, not for the first moments of one or what a stall has left.
-    pub fn convex_fraction(self, value: f64) -> f64 {
-        let over = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
-        match over - 1.0 {
-            past if past > 0.0 => 0.8 + 0.2 * past / (past + 8.0),
-            _ => over / (over + 0.25),
-        }
-    }
-
+    /// Pressure of a value: from 0 to 1 in proportion within the band.
     pub fn fraction(self, value: f64) -> f64 {
         ((value - self.from) / (self.full - self.from).max(1e-9)).clamp(0.0, 1.0)
     }
+
+    /// Pressure of a value by a curve that rises quickly at first, reaches four fifths at `full` and approaches 1 ever
+    /// more slowly beyond. So the highest priorities are shed last, and only by a queue that stays.
+    pub fn convex_fraction(self, value: f64) -> f64 {
+        let widths = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
+        let beyond = widths - 1.0;
+        if beyond > 0.0 {
+            CONVEX_FRACTION_AT_FULL + 0.2 * beyond / (beyond + CONVEX_TAIL_WIDTHS)
+        } else {
+            widths / (widths + 0.25)
+        }
+    }
 }
 
+/// Bands and times of the overload control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long what has come waits for the front, in seconds; four fifths of all pressure at `full`.
+    /// How long statements wait for the router, in seconds, by the convex curve.
     pub delay: Band,
-    /// CPU, memory, rings and descriptors, as parts of what is allowed. On a whole core CPU can't pass its allowance
-    /// and shows as delay; the band serves those with a part of a core.
+    /// CPU, as a share of what is allowed. On a whole core CPU can't pass its allowance and shows as delay; the band is
+    /// for a process with a fraction of a core.
     pub cpu: Band,
+    /// Resident memory, as a share of what is allowed.
     pub memory: Band,
+    /// Memory of the connections' buffers, as a share of what is allowed.
     pub buffers: Band,
+    /// File descriptors, as a share of what is allowed.
     pub descriptors: Band,
-    /// How quickly the pressure follows a measure up, and down.
+    /// Time constant with which the pressure follows a rising gauge.
     pub rise: Span,
+    /// Time constant with which the pressure follows a falling gauge.
     pub fall: Span,
-    /// A level is left once the pressure was under it for this long.
+    /// A level is lowered once the pressure was below it for this long.
     pub calm_after: Span,
-    /// A connection that takes more than so many times its fair share ranks behind the others.
+    /// A connection that takes more than so many times its fair share has a lower priority.
     pub fair_share_multiple: f64,
-    /// A client that takes nothing of its answers is closed after this when calm, and after a tenth of it under full
-    /// pressure; and the most that answers of one client may hold.
+    /// A client that reads none of its responses is closed after this, and after a tenth of it under full memory pressure.
     pub slow_reader_timeout: Span,
+    /// The most that unread responses of one client may hold.
     pub slow_reader_bytes: usize,
-    /// How often the process is looked at.
+    /// How often the resource usage is sampled.
     pub sample_interval: Span,
 }
 
--- /dev/null
+++ b/crates/ladderpass-overload/tests/governor/resources.rs
@@ -0,0 +1,44 @@
+//! Resources that other processes take, or that run short.
+
+use crate::simulation::{READ, SERVE_SECS, Simulation, WRITE, at, mixed};
+use ladderpass_overload::{Governor, Level, ResourceLimits, ResourceSample, Settings};
+use ladderpass_routing::Span;
+
+#[test]
+fn a_process_that_takes_the_core_is_met_like_a_load() {
+    let mut sim = Simulation::new(true, 200, 7);
+    sim.slowdown = |now_secs| if (3.0..8.0).contains(&now_secs) { 3.0 } else { 1.0 };
+    sim.run(12.0, |_| 0.8 / SERVE_SECS, mixed);
+    let writes = sim.sum(WRITE, 3, 8);
+    assert!(f64::from(writes.served_in_time) > 0.99 * f64::from(writes.sent), "writes: {writes:?}");
+    assert_eq!(sim.served_late, 0);
+    assert!(sim.wait_p999_secs(3.0, 8.0) < 0.06, "{}", sim.wait_p999_secs(3.0, 8.0));
+    let reads = sim.sum(READ, 10, 12);
+    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+}
+
+#[test]
+fn memory_alone_raises_the_pressure_and_shortens_the_slow_reader_timeout() {
+    let limits =
+        ResourceLimits { cores: 1.0, memory_bytes: 100 << 20, buffer_bytes: 25 << 20, descriptors: 1000 };
+    let mut governor = Governor::new(at(0.0), Settings::default(), limits, 2);
+    let sample = |resident_bytes| ResourceSample {
+        wall: Span::from_millis(50),
+        resident_bytes,
+        ..ResourceSample::default()
+    };
+    for index in 0..100 {
+        governor.record_sample(at(f64::from(index) * 0.05), sample(50 << 20));
+    }
+    assert_eq!((governor.pressure(), governor.accept_budget(64)), (0.0, 64));
+    let calm_timeout = governor.slow_reader_timeout();
+    for index in 100..200 {
+        governor.record_sample(at(f64::from(index) * 0.05), sample(90 << 20));
+    }
+    assert!(governor.pressure() > 0.5, "{}", governor.pressure());
+    assert!(governor.slow_reader_timeout() < calm_timeout && governor.accept_budget(64) < 32);
+    for index in 200..300 {
+        governor.record_sample(at(f64::from(index) * 0.05), sample(50 << 20));
+    }
+    assert!(governor.pressure() < 0.01 && governor.level() == Level::Calm);
+}
--- /dev/null
+++ b/crates/ladderpass-overload/tests/governor/shedding.rs
@@ -0,0 +1,161 @@
+//! Load that exceeds what the router can serve: what is shed, what is served in time, and how it recovers.
+
+use crate::simulation::{
+    CLIENT_TIMEOUT_SECS, ClientCounts, READ, Rate, Request, SERVE_SECS, Simulation, WRITE, at, mixed,
+};
+use ladderpass_overload::{Level, OverloadEvent};
+
+/// Half of what the server can do when calm, three times that between the fifth second and the 35th.
+fn surge(now_secs: f64) -> f64 {
+    let calm = 0.5 / SERVE_SECS;
+    if (5.0..35.0).contains(&now_secs) { calm * 3.0 } else { calm }
+}
+
+#[test]
+fn three_times_the_load_for_half_a_minute_and_back() {
+    let mut sim = Simulation::new(true, 200, 1);
+    sim.run(40.0, surge, mixed);
+    let writes = sim.sum(WRITE, 5, 35);
+    assert!(f64::from(writes.served_in_time) > 0.99 * f64::from(writes.sent), "writes: {writes:?}");
+    assert!(sim.wait_p999_secs(5.0, 35.0) < 0.050, "{}", sim.wait_p999_secs(5.0, 35.0));
+    assert_eq!(sim.served_late, 0, "no client without a response in its time");
+    let reads = sim.sum(READ, 37, 40);
+    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+    let reads = sim.sum(READ, 5, 35).served_in_time;
+    assert!(f64::from(reads) > 0.5 * 30.0 / SERVE_SECS, "the remaining capacity serves reads: {reads}");
+    // Without the governor the queue grows past every client's timeout.
+    let mut sim = Simulation::new(false, 200, 1);
+    sim.run(40.0, surge, mixed);
+    let writes = sim.sum(WRITE, 5, 35);
+    assert!(f64::from(writes.served_in_time) < 0.3 * f64::from(writes.sent) && sim.served_late > 100_000);
+}
+
+#[test]
+fn a_client_that_floods_among_two_hundred_is_shed_itself() {
+    let mut sim = Simulation::new(true, 201, 2);
+    // 200 polite clients with 0.4 of the capacity; one that sends twice the capacity.
+    sim.run(
+        10.0,
+        |_| 2.4 / SERVE_SECS,
+        |rng, _| {
+            let is_flood = rng.next_f64() < 2.0 / 2.4;
+            let client = if is_flood { 200 } else { (rng.next_f64() * 200.0) as usize };
+            Request {
+                sent_secs: 0.0,
+                method: READ,
+                client,
+                is_client_retry: false,
+                timeout_secs: CLIENT_TIMEOUT_SECS,
+            }
+        },
+    );
+    let mut polite = ClientCounts::default();
+    for client in &sim.by_client[..200] {
+        polite.served += client.served;
+        polite.rejected += client.rejected;
+    }
+    assert!(f64::from(polite.rejected) < 0.02 * f64::from(polite.served), "polite ones: {polite:?}");
+    assert!(sim.by_client[200].rejected > sim.by_client[200].served, "{:?}", sim.by_client[200]);
+}
+
+#[test]
+fn client_retries_are_shed_before_first_attempts_and_abandoned_rpcs_before_both() {
+    let mut sim = Simulation::new(true, 200, 3);
+    sim.run(
+        10.0,
+        |_| 1.6 / SERVE_SECS,
+        |rng, _| {
+            let is_client_retry = rng.next_f64() < 0.5;
+            Request { is_client_retry, ..mixed(rng, 0.0) }
+        },
+    );
+    let sent = sim.sum(READ, 1, 10).sent + sim.sum(WRITE, 1, 10).sent;
+    assert!(
+        f64::from(sim.first_attempts_rejected) < 0.02 * f64::from(sent),
+        "{} of {sent}",
+        sim.first_attempts_rejected
+    );
+    // Clients that time out before a read could be answered: under pressure none of their RPCs is served.
+    let mut sim = Simulation::new(true, 200, 4);
+    sim.run(
+        10.0,
+        |_| 1.6 / SERVE_SECS,
+        |rng, _| {
+            let is_hasty = rng.next_f64() < 0.5;
+            let timeout_secs = if is_hasty { 0.05 } else { CLIENT_TIMEOUT_SECS };
+            Request { client: usize::from(is_hasty), timeout_secs, ..mixed(rng, 0.0) }
+        },
+    );
+    let (hasty, patient) = (sim.by_client[1], sim.by_client[0]);
+    assert!(hasty.rejected > 10 * patient.rejected, "hasty {hasty:?}, patient {patient:?}");
+}
+
+#[test]
+fn of_writes_alone_at_three_times_the_capacity_some_are_shed_and_the_rest_is_in_time() {
+    let mut sim = Simulation::new(true, 200, 5);
+    sim.run(10.0, |_| 3.0 / SERVE_SECS, |rng, _| Request { method: WRITE, ..mixed(rng, 0.0) });
+    let writes = sim.sum(WRITE, 1, 10);
+    // With rejecting at a tenth of serving, (1 - 3 / 10) / (1 - 1 / 10) of a server's time is left.
+    assert!(f64::from(writes.served_in_time) > 0.6 * 9.0 / SERVE_SECS, "{writes:?}");
+    assert!(writes.rejected > writes.served_in_time && sim.served_late == 0);
+    assert!(sim.wait_p999_secs(1.0, 10.0) < 0.06, "{}", sim.wait_p999_secs(1.0, 10.0));
+}
+
+#[test]
+fn a_stall_of_800_ms_sheds_little_of_what_arrived_meanwhile() {
+    let mut sim = Simulation::new(true, 200, 6);
+    sim.run(2.0, |_| 0.5 / SERVE_SECS, mixed);
+    // The process does not run: RPCs wait, and it knows when it resumed.
+    let resumed_secs = sim.now_secs + 0.8;
+    let mut sent_secs = sim.now_secs;
+    while sent_secs < resumed_secs {
+        let request = Request { sent_secs, ..mixed(&mut sim.rng, 0.0) };
+        sim.enqueue(request);
+        sent_secs += SERVE_SECS * 2.0;
+    }
+    sim.now_secs = resumed_secs;
+    sim.governor.as_mut().expect("it has a governor").record_stall(at(resumed_secs));
+    sim.run(5.0, |_| 0.5 / SERVE_SECS, mixed);
+    assert_eq!(sim.served_late, 0, "each is answered in its time");
+    let writes = sim.sum(WRITE, 2, 4);
+    assert!(f64::from(writes.served_in_time) > 0.97 * f64::from(writes.sent), "writes: {writes:?}");
+    let reads = sim.sum(READ, 5, 7);
+    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+}
+
+#[test]
+fn the_level_does_not_flutter_under_a_steady_load() {
+    let rates: [(u64, Rate); 4] = [
+        (8, |_| 1.1 / SERVE_SECS),
+        (9, |_| 1.5 / SERVE_SECS),
+        (10, |_| 2.0 / SERVE_SECS),
+        (11, |_| 3.0 / SERVE_SECS),
+    ];
+    for (seed, rate) in rates {
+        let mut sim = Simulation::new(true, 200, seed);
+        sim.run(20.0, rate, mixed);
+        let load = rate(0.0) * SERVE_SECS;
+        assert!(sim.events.len() <= 20, "{load}: {} changes in 20 s", sim.events.len());
+        let Some(OverloadEvent::LevelChanged { after, .. }) = sim.events.first() else {
+            panic!("{load}: the level never changed")
+        };
+        assert_ne!(*after, Level::Calm);
+    }
+}
+
+#[test]
+fn retry_after_grows_with_the_pressure_and_is_spread() {
+    let mean_retry_after_secs = |rate: Rate| {
+        let mut sim = Simulation::new(true, 200, 12);
+        sim.run(6.0, rate, mixed);
+        let all = &sim.retry_after_secs[sim.retry_after_secs.len() / 2..];
+        let min = all.iter().copied().fold(f64::MAX, f64::min);
+        let max = all.iter().copied().fold(0.0f64, f64::max);
+        assert!(all.iter().all(|&secs| secs > 0.0 && secs <= 0.5), "within the deployment's limit");
+        assert!(max > 1.5 * min, "{min} to {max}");
+        all.iter().sum::<f64>() / all.len() as f64
+    };
+    let light = mean_retry_after_secs(|_| 1.2 / SERVE_SECS);
+    let heavy = mean_retry_after_secs(|_| 4.0 / SERVE_SECS);
+    assert!(heavy > 1.2 * light, "{light} {heavy}");
+}
