--- /dev/null
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -0,0 +1,167 @@
+//! Withdrawals from this router's part of the shared budget, and the step that computes it anew.
+
+use crate::faulty::Faulty;
+use crate::metrics::GroupMetrics;
+use crate::quota::FleetRates;
+use crate::rates::RetryRates;
+use ladderpass_routing::{Span, Time};
+use std::collections::BTreeMap;
+
+/// Length of a step, the same as that of the load reports.
+const STEP: Span = Span::from_millis(250);
+/// A longer step earns no more: a router that stalled has no claim to that time.
+const MAX_STEPS_EARNED: f64 = 2.0;
+/// The most that is saved: seconds of the quota, but at least one retry, so that a small quota can be spent at all.
+const MAX_SAVED_SECS: f64 = 0.5;
+const MIN_MAX_BALANCE: f64 = 1.0;
+/// Share of the savings beyond the first retry that is reserved for RPCs of more than the usual priority.
+const RESERVED_SHARE: f64 = 0.5;
+const INITIAL_BALANCE: f64 = 1.0;
+/// Weight of one RPC in the usual priority.
+const PRIORITY_WEIGHT: f64 = 0.1;
+
+/// This router's part of the budget of a group.
+#[derive(Clone, Debug)]
+struct GroupBudget {
+    /// Counts of the current step.
+    counts: RetryRates,
+    rates: RetryRates,
+    /// Retries saved.
+    balance: f64,
+    /// Retries earned a second.
+    quota: f64,
+    /// Moving average of the priorities of RPCs that wanted a retry.
+    usual_priority: f64,
+    metrics: GroupMetrics,
+}
+
+impl GroupBudget {
+    fn new(group: u32) -> GroupBudget {
+        GroupBudget {
+            counts: RetryRates::default(),
+            rates: RetryRates::default(),
+            balance: INITIAL_BALANCE,
+            quota: 0.0,
+            usual_priority: 0.0,
+            metrics: GroupMetrics { group, ..GroupMetrics::default() },
+        }
+    }
+
+    fn max_balance(&self) -> f64 {
+        (self.quota * MAX_SAVED_SECS).max(MIN_MAX_BALANCE)
+    }
+
+    /// The balance that an RPC of this priority needs for a retry.
+    fn required_balance(&self, priority: f64) -> f64 {
+        if priority >= self.usual_priority {
+            1.0
+        } else {
+            1.0 + (self.max_balance() - MIN_MAX_BALANCE) * RESERVED_SHARE
+        }
+    }
+
+    /// One step, by the rates of all routers.
+    fn rebalance(&mut self, secs: f64, fleet: &FleetRates, never_lowers_quota: bool) {
+        let ratio = fleet.ratio();
+        let share = fleet.own_share(ratio);
+        self.quota = if never_lowers_quota {
+            share.max(self.quota)
+        } else if fleet.is_known() {
+            share
+        } else {
+            // With too few reports it takes no more than it had, nor than the ratio of its own first attempts.
+            self.quota.min(ratio * fleet.own.first_attempts)
+        };
+        self.balance = (self.balance + self.quota * secs).min(self.max_balance());
+        self.metrics.fleet = fleet.total;
+        self.metrics.ratio = ratio;
+        self.metrics.quota = self.quota;
+        self.metrics.balance = self.balance;
+    }
+}
+
+/// This router's part of the retry budgets of all groups.
+pub struct RetryBudget {
+    groups: BTreeMap<u32, GroupBudget>,
+    last_step: Time,
+    faulty: Faulty,
+}
+
+impl RetryBudget {
+    /// No group is known yet.
+    pub fn start(now: Time, faulty: Faulty) -> RetryBudget {
+        RetryBudget { groups: BTreeMap::new(), last_step: now, faulty }
+    }
+
+    fn group_mut(&mut self, group: u32) -> &mut GroupBudget {
+        self.groups.entry(group).or_insert_with(|| GroupBudget::new(group))
+    }
+
+    /// Records the first attempt of an RPC.
+    pub fn record_first_attempt(&mut self, group: u32) {
+        self.group_mut(group).counts.first_attempts += 1.0;
+    }
+
+    /// An RPC of this priority could use a retry. True where the budget grants it.
+    pub fn try_withdraw(&mut self, group: u32, priority: u32) -> bool {
+        let always_grants = self.faulty == Faulty::SpendsWithoutAsking;
+        let budget = self.group_mut(group);
+        budget.counts.retries_wanted += 1.0;
+        let priority = f64::from(priority);
+        let required = budget.required_balance(priority);
+        budget.usual_priority += (priority - budget.usual_priority) * PRIORITY_WEIGHT;
+        if always_grants {
+            budget.counts.retries_granted += 1.0;
+            return true;
+        }
+        if budget.balance < required {
+            budget.metrics.denied += 1;
+            return false;
+        }
+        budget.balance -= 1.0;
+        budget.counts.retries_granted += 1.0;
+        true
+    }
+
+    /// A granted retry is not made.
+    pub fn refund(&mut self, group: u32) {
+        if self.faulty == Faulty::NeverRefunds {
+            return;
+        }
+        let budget = self.group_mut(group);
+        budget.balance = (budget.balance + 1.0).min(budget.max_balance());
+        budget.counts.retries_granted = (budget.counts.retries_granted - 1.0).max(0.0);
+    }
+
+    /// Records that a retry succeeded.
+    pub fn record_success(&mut self, group: u32) {
+        self.group_mut(group).counts.retries_succeeded += 1.0;
+    }
+
+    /// What this router reports of a group.
+    pub fn own_rates(&self, group: u32) -> RetryRates {
+        self.groups.get(&group).map_or(RetryRates::default(), |budget| budget.rates)
+    }
+
+    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group, each with its weight from
+    /// 0 to 1; `alive_peers` is how many others are alive.
+    pub fn rebalance<I>(&mut self, now: Time, alive_peers: usize, peer_rates: impl Fn(u32) -> I)
+    where
+        I: Iterator<Item = (RetryRates, f64)>,
+    {
+        let secs = (now - self.last_step).secs().clamp(0.0, STEP.secs() * MAX_STEPS_EARNED);
+        self.last_step = now;
+        let never_lowers_quota = self.faulty == Faulty::NeverRefunds;
+        for (&group, budget) in &mut self.groups {
+            let counts = std::mem::take(&mut budget.counts);
+            budget.rates = budget.rates.followed(counts, secs);
+            let fleet = FleetRates::sum(budget.rates, peer_rates(group), alive_peers);
+            budget.rebalance(secs, &fleet, never_lowers_quota);
+        }
+    }
+
+    /// What the log shows of each group, as of the last step.
+    pub fn metrics(&self) -> impl Iterator<Item = GroupMetrics> {
+        self.groups.values().map(|budget| budget.metrics)
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -0,0 +1,84 @@
+//! The budget of all routers, from their rates, and this router's quota of it.
+
+use crate::rates::RetryRates;
+
+/// Retries that all routers may spend, as a share of their first attempts, while all retries succeed and while none does.
+/// The lower one still detects when they succeed again.
+const MAX_RATIO: f64 = 0.5;
+const MIN_RATIO: f64 = 0.02;
+/// Weight of the prior estimate of the retries' success, in granted retries a second.
+const PRIOR_WEIGHT_PER_SECOND: f64 = 4.0;
+/// Need of a router by its first attempts, so that one that never wanted a retry has some quota at once.
+const NEED_SHARE_OF_FIRST_ATTEMPTS: f64 = 0.05;
+/// The totals are known with reports of this share of the other routers, or of so many.
+const MIN_REPORTING_SHARE: f64 = 0.5;
+const ENOUGH_REPORTING_PEERS: f64 = 8.0;
+/// Prevents divisions by zero.
+const MIN_RATE: f64 = 1e-9;
+
+/// Rates of all routers, and how many of them reported.
+pub(crate) struct FleetRates {
+    /// This router's own rates.
+    pub own: RetryRates,
+    /// The sum of the rates of all that reported, by weight, this router included.
+    pub total: RetryRates,
+    reporting_peers: f64,
+    peers: f64,
+}
+
+impl FleetRates {
+    pub fn sum(
+        own: RetryRates,
+        reports: impl Iterator<Item = (RetryRates, f64)>,
+        alive_peers: usize,
+    ) -> FleetRates {
+        let mut total = own;
+        let mut reporting_peers = 0.0;
+        for (reported, weight) in reports {
+            total.add_weighted(reported, weight);
+            reporting_peers += weight;
+        }
+        FleetRates { own, total, reporting_peers, peers: alive_peers as f64 }
+    }
+
+    /// Factor from the routers that reported to all that are alive.
+    fn scale(&self) -> f64 {
+        if self.reporting_peers > 0.0 {
+            (self.peers + 1.0).max(self.reporting_peers + 1.0) / (self.reporting_peers + 1.0)
+        } else {
+            1.0
+        }
+    }
+
+    /// Share of the retries that succeed. Where few were granted lately, that of first attempts stands for it.
+    fn success_share(&self) -> f64 {
+        let total = &self.total;
+        let attempts = total.first_attempts + total.retries_granted;
+        let first_attempt_success = (1.0 - total.retries_wanted / attempts.max(MIN_RATE)).clamp(0.0, 1.0);
+        let succeeded = total.retries_succeeded + PRIOR_WEIGHT_PER_SECOND * first_attempt_success;
+        let granted = total.retries_granted.max(total.retries_succeeded) + PRIOR_WEIGHT_PER_SECOND;
+        (succeeded / granted).min(1.0)
+    }
+
+    /// Retries that all routers may spend, as a share of their first attempts.
+    pub fn ratio(&self) -> f64 {
+        let success = self.success_share();
+        MIN_RATIO + (MAX_RATIO - MIN_RATIO) * success * success
+    }
+
+    /// This router's part of the budget, by its need. Retries a second.
+    pub fn own_share(&self, ratio: f64) -> f64 {
+        let scale = self.scale();
+        let budget = ratio * self.total.first_attempts * scale;
+        budget * need(self.own) / (need(self.total) * scale).max(MIN_RATE)
+    }
+
+    /// Do enough routers report for the totals to be known?
+    pub fn is_known(&self) -> bool {
+        self.reporting_peers >= (self.peers * MIN_REPORTING_SHARE).min(ENOUGH_REPORTING_PEERS)
+    }
+}
+
+fn need(rates: RetryRates) -> f64 {
+    rates.retries_wanted + NEED_SHARE_OF_FIRST_ATTEMPTS * rates.first_attempts
+}
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,84 +1,130 @@
-//! Fleets of routers in steps of 250 ms: first call-outs fail by chance, further ones help by chance; words are a step
-//! old, some are lost, routers die and split. What all pay is counted from outside.
+//! Routers in steps of 250 ms: first attempts fail at random, retries succeed at random, reports are a step old, routers
+//! die and are partitioned. What all routers spend is counted from outside.
 
 use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
 const STEP: Span = Span::from_millis(250);
+const GROUP: u32 = 7;
+const HIGH: u32 = 200;
+const LOW: u32 = 190;
+const MAX_RETRIES: u32 = 3;
 
-struct World {
+/// Attempts of all routers.
+#[derive(Clone, Copy, Default)]
+struct Attempts {
+    first: f64,
+    retries_wanted: f64,
+    retries_granted: f64,
+}
+
+impl Attempts {
+    fn sum(steps: &[Attempts]) -> Attempts {
+        let mut sum = Attempts::default();
+        for step in steps {
+            sum.first += step.first;
+            sum.retries_wanted += step.retries_wanted;
+            sum.retries_granted += step.retries_granted;
+        }
+        sum
+    }
+}
+
+/// Retries as shares of first attempts.
+#[derive(Debug)]
+struct RetryShares {
+    wanted: f64,
+    granted: f64,
+}
+
+struct Simulation {
     now: Time,
     routers: Vec<RetryBudget>,
-    told: Vec<RetryRates>,
-    /// First call-outs a second of each.
-    rates: Vec<f64>,
+    reported: Vec<RetryRates>,
+    /// First attempts a second of each router.
+    first_attempts_per_second: Vec<f64>,
     alive: Vec<bool>,
-    /// Routers below this number hear none of the others, where it is above nothing.
-    cut: usize,
-    fails: f64,
-    helps: f64,
-    chance: WyRand,
-    /// By step: first call-outs, further ones wanted and paid.
-    steps: Vec<[f64; 3]>,
+    /// Above 0, routers below this index and the others do not reach each other.
+    partitioned_at: usize,
+    /// Probability that a first attempt fails, and that a retry succeeds.
+    failure_share: f64,
+    retry_success_share: f64,
+    rng: WyRand,
+    steps: Vec<Attempts>,
 }
 
-impl World {
-    fn new(seed: u64, rates: Vec<f64>, faulty: impl Fn(usize) -> Faulty) -> World {
+impl Simulation {
+    fn new(seed: u64, first_attempts_per_second: Vec<f64>, faulty: impl Fn(usize) -> Faulty) -> Simulation {
         let now = Time::from_nanos(1_800_000_000_000_000_000);
-        World {
+        let count = first_attempts_per_second.len();
+        Simulation {
             now,
-            routers: (0..rates.len()).map(|nth| RetryBudget::start(now, faulty(nth))).collect(),
-            told: vec![RetryRates::default(); rates.len()],
-            alive: vec![true; rates.len()],
-            cut: 0,
-            rates,
-            fails: 0.0,
-            helps: 1.0,
-            chance: WyRand::new_seed(seed),
+            routers: (0..count).map(|index| RetryBudget::start(now, faulty(index))).collect(),
+            reported: vec![RetryRates::default(); count],
+            alive: vec![true; count],
+            partitioned_at: 0,
+            first_attempts_per_second,
+            failure_share: 0.0,
+            retry_success_share: 1.0,
+            rng: WyRand::new_seed(seed),
             steps: Vec::new(),
         }
     }
 
-    fn lucky(&mut self, part: f64) -> bool {
-        self.chance.generate::<f64>() < part
+    fn draw(&mut self, probability: f64) -> bool {
+        self.rng.generate::<f64>() < probability
     }
 
     fn step(&mut self) {
         self.now = self.now + STEP;
-        let mut counts = [0.0; 3];
-        for nth in (0..self.routers.len()).filter(|&nth| self.alive[nth]).collect::<Vec<_>>() {
-            let mean = self.rates[nth] * STEP.secs();
-            let count = mean.floor() as usize + usize::from(self.lucky(mean.fract()));
-            for _ in 0..count {
-                self.routers[nth].record_first_attempt(7);
-                counts[0] += 1.0;
-                let (mut failed, mut tries) = (self.lucky(self.fails), 0);
-                while failed && tries < 3 {
-                    counts[1] += 1.0;
-                    let rank = if self.lucky(0.2) { 200 } else { 190 };
-                    if !self.routers[nth].try_withdraw(7, rank) {
-                        break;
-                    }
-                    counts[2] += 1.0;
-                    tries += 1;
-                    failed = !self.lucky(self.helps);
-                    if !failed {
-                        self.routers[nth].record_success(7);
-                    }
-                }
+        let alive: Vec<usize> = (0..self.routers.len()).filter(|&index| self.alive[index]).collect();
+        let mut attempts = Attempts::default();
+        for &index in &alive {
+            let mean = self.first_attempts_per_second[index] * STEP.secs();
+            let count = mean.floor() as usize + usize::from(self.draw(mean.fract()));
+            (0..count).for_each(|_| self.run_rpc(index, &mut attempts));
+        }
+        self.steps.push(attempts);
+        self.rebalance(&alive);
+    }
+
+    /// One RPC at a router: a first attempt, and retries while they fail and are granted.
+    fn run_rpc(&mut self, index: usize, attempts: &mut Attempts) {
+        self.routers[index].record_first_attempt(GROUP);
+        attempts.first += 1.0;
+        let mut has_failed = self.draw(self.failure_share);
+        let mut retries = 0;
+        while has_failed && retries < MAX_RETRIES {
+            attempts.retries_wanted += 1.0;
+            let priority = if self.draw(0.2) { HIGH } else { LOW };
+            if !self.routers[index].try_withdraw(GROUP, priority) {
+                break;
+            }
+            attempts.retries_granted += 1.0;
+            retries += 1;
+            has_failed = !self.draw(self.retry_success_share);
+            if !has_failed {
+                self.routers[index].record_success(GROUP);
             }
         }
-        self.steps.push(counts);
-        let told = self.told.clone();
-        for nth in (0..self.routers.len()).filter(|&nth| self.alive[nth]).collect::<Vec<_>>() {
-            let hears = |other: usize| {
-                other != nth && self.alive[other] && (self.cut == 0 || (other < self.cut) == (nth < self.cut))
+    }
+
+    /// Each router computes its quota from what the others reported in the step before.
+    fn rebalance(&mut self, alive: &[usize]) {
+        let reported = self.reported.clone();
+        for &index in alive {
+            let is_reachable = |other: usize| {
+                let is_partitioned =
+                    self.partitioned_at > 0 && (other < self.partitioned_at) != (index < self.partitioned_at);
+                other != index && self.alive[other] && !is_partitioned
             };
-            let words: Vec<(RetryRates, f64)> =
-                (0..told.len()).filter(|&other| hears(other)).map(|other| (told[other], 1.0)).collect();
-            self.routers[nth].rebalance(self.now, words.len(), |_| words.iter().copied());
-            self.told[nth] = self.routers[nth].own_rates(7);
+            let reports: Vec<(RetryRates, f64)> = (0..reported.len())
+                .filter(|&other| is_reachable(other))
+                .map(|other| (reported[other], 1.0))
+                .collect();
+            self.routers[index].rebalance(self.now, reports.len(), |_| reports.iter().copied());
+            self.reported[index] = self.routers[index].own_rates(GROUP);
         }
     }
 
@@ -86,117 +132,125 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Wanted and paid, as parts of first call-outs, over the last steps.
-    fn over(&self, steps: usize) -> (f64, f64) {
-        let last = &self.steps[self.steps.len() - steps..];
-        let sum = |nth: usize| last.iter().map(|step| step[nth]).sum::<f64>();
-        (sum(1) / sum(0).max(1.0), sum(2) / sum(0).max(1.0))
+    /// Retries over the last steps.
+    fn retry_shares(&self, steps: usize) -> RetryShares {
+        let sum = Attempts::sum(&self.steps[self.steps.len() - steps..]);
+        let first = sum.first.max(1.0);
+        RetryShares { wanted: sum.retries_wanted / first, granted: sum.retries_granted / first }
     }
 }
 
+/// A load that is unevenly spread over the routers.
 fn uneven(count: usize, total: f64) -> Vec<f64> {
-    let parts: f64 = (1..=count).map(|nth| nth as f64).sum();
-    (1..=count).map(|nth| total * nth as f64 / parts).collect()
+    let parts: f64 = (1..=count).map(|index| index as f64).sum();
+    (1..=count).map(|index| total * index as f64 / parts).collect()
 }
 
 #[test]
-fn few_failures_are_all_paid_for_also_where_each_router_sees_little() {
+fn few_failures_get_all_retries_also_where_each_router_sees_little() {
     for rates in [uneven(8, 400.0), vec![3.0; 40]] {
-        let mut world = World::new(1, rates, |_| Faulty::Nowhere);
-        world.fails = 0.2;
-        world.run(40);
-        let (wanted, paid) = world.over(20);
-        assert!(paid > 0.85 * wanted && paid > 0.15, "{paid} of {wanted}");
+        let mut sim = Simulation::new(1, rates, |_| Faulty::Nowhere);
+        sim.failure_share = 0.2;
+        sim.run(40);
+        let RetryShares { wanted, granted } = sim.retry_shares(20);
+        assert!(granted > 0.85 * wanted && granted > 0.15, "{granted} of {wanted}");
     }
 }
 
 #[test]
-fn while_nothing_helps_next_to_nothing_is_paid_and_it_comes_back_within_seconds() {
+fn while_retries_fail_hardly_any_is_granted_and_the_budget_recovers_within_seconds() {
     for rates in [uneven(8, 400.0), vec![3.0; 40]] {
-        let mut world = World::new(2, rates, |_| Faulty::Nowhere);
-        world.run(20);
-        (world.fails, world.helps) = (0.9, 0.05);
-        // The first second is what was saved up, and what words have not told yet.
-        world.run(4);
-        let (_, first) = world.over(4);
-        world.run(8);
-        let (wanted, paid) = world.over(8);
-        println!("model: in trouble {wanted:.2} wanted, {paid:.3} paid; in its first second {first:.2}");
-        assert!(first < 0.75 && wanted > 0.8 && paid < 0.12, "{first} {wanted} {paid}");
-        (world.fails, world.helps) = (0.2, 1.0);
-        world.run(12);
-        let (wanted, paid) = world.over(4);
-        assert!(paid > 0.8 * wanted, "{paid} of {wanted}");
+        let mut sim = Simulation::new(2, rates, |_| Faulty::Nowhere);
+        sim.run(20);
+        (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
+        // The first second has what was saved, and what reports do not show yet.
+        sim.run(4);
+        let first_second = sim.retry_shares(4).granted;
+        sim.run(8);
+        let RetryShares { wanted, granted } = sim.retry_shares(8);
+        println!(
+            "model: under faults {wanted:.2} wanted, {granted:.3} granted; in the first second {first_second:.2}"
+        );
+        assert!(first_second < 0.75 && wanted > 0.8 && granted < 0.12, "{first_second} {wanted} {granted}");
+        (sim.failure_share, sim.retry_success_share) = (0.2, 1.0);
+        sim.run(12);
+        let RetryShares { wanted, granted } = sim.retry_shares(4);
+        assert!(granted > 0.8 * wanted, "{granted} of {wanted}");
     }
 }
 
-/// One that needs them all gets what the others leave.
 #[test]
-fn what_others_leave_goes_to_the_one_in_need() {
-    let mut world = World::new(3, vec![50.0; 8], |_| Faulty::Nowhere);
-    world.run(8);
-    // Router 0 alone asks, for each of its RPCs.
+fn a_router_in_need_gets_what_the_others_leave() {
+    let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::Nowhere);
+    sim.run(8);
+    // Router 0 alone wants retries, for each of its RPCs.
     for _ in 0..24 {
         for _ in 0..12 {
-            world.routers[0].try_withdraw(7, 190);
-            world.routers[0].record_success(7);
+            sim.routers[0].try_withdraw(GROUP, LOW);
+            sim.routers[0].record_success(GROUP);
         }
-        world.run(1);
+        sim.run(1);
     }
-    let part = world.routers[0].metrics().map(|figures| figures.quota).sum::<f64>();
-    assert!(part > 40.0, "{part} a second of about 48 wanted");
-    let all: f64 = world.routers.iter().flat_map(RetryBudget::metrics).map(|figures| figures.quota).sum();
+    let quota = sim.routers[0].metrics().map(|group| group.quota).sum::<f64>();
+    assert!(quota > 40.0, "{quota} a second of about 48 wanted");
+    let all: f64 = sim.routers.iter().flat_map(RetryBudget::metrics).map(|group| group.quota).sum();
     assert!(all <= 0.51 * 400.0, "{all}");
 }
 
 #[test]
-fn kills_a_split_and_a_standstill_leave_the_sum_within_the_budget() {
+fn deaths_a_partition_and_a_stall_leave_the_sum_within_the_budget() {
     for seed in 0..20 {
-        let mut world = World::new(seed, uneven(12, 600.0), |_| Faulty::Nowhere);
-        (world.fails, world.helps) = (0.5, 0.5);
-        world.run(16);
-        (0..4).for_each(|nth| world.alive[nth * 3] = false);
-        world.run(8);
-        world.cut = 5;
-        world.run(16);
-        world.cut = 0;
-        // It wakes with what it had saved, and no more.
-        world.alive[0] = true;
-        world.run(8);
-        for last in world.steps.windows(8) {
-            let sum = |nth: usize| last.iter().map(|step| step[nth]).sum::<f64>();
-            assert!(sum(2) <= 0.5 * 1.15 * sum(0) + 12.0, "seed {seed}: {} of {}", sum(2), sum(0));
+        let mut sim = Simulation::new(seed, uneven(12, 600.0), |_| Faulty::Nowhere);
+        (sim.failure_share, sim.retry_success_share) = (0.5, 0.5);
+        sim.run(16);
+        (0..4).for_each(|index| sim.alive[index * 3] = false);
+        sim.run(8);
+        sim.partitioned_at = 5;
+        sim.run(16);
+        sim.partitioned_at = 0;
+        // It resumes with what it had saved, and no more.
+        sim.alive[0] = true;
+        sim.run(8);
+        for steps in sim.steps.windows(8) {
+            let Attempts { first, retries_granted, .. } = Attempts::sum(steps);
+            assert!(
+                retries_granted <= 0.5 * 1.15 * first + 12.0,
+                "seed {seed}: {retries_granted} of {first}"
+            );
         }
     }
 }
 
-/// Without the budget three further ones follow each failure.
+/// Without the budget each failure leads to three retries.
 #[test]
-fn one_that_spends_without_asking_is_told_apart() {
-    let mut world = World::new(5, uneven(8, 400.0), |_| Faulty::SpendsWithoutAsking);
-    (world.fails, world.helps) = (0.9, 0.05);
-    world.run(24);
-    assert!(world.over(8).1 > 1.5);
-    let mut world = World::new(5, uneven(8, 400.0), |_| Faulty::NeverRefunds);
-    world.run(8);
-    (world.fails, world.helps) = (0.9, 0.05);
-    world.run(24);
-    assert!(world.over(8).1 > 0.3, "{:?}", world.over(8));
+fn deliberate_faults_are_detected() {
+    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::SpendsWithoutAsking);
+    (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
+    sim.run(24);
+    assert!(sim.retry_shares(8).granted > 1.5);
+    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::NeverRefunds);
+    sim.run(8);
+    (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
+    sim.run(24);
+    assert!(sim.retry_shares(8).granted > 0.3, "{:?}", sim.retry_shares(8));
 }
 
 #[test]
-fn what_is_left_of_little_goes_to_what_is_worth_more() {
-    let mut world = World::new(6, vec![100.0], |_| Faulty::Nowhere);
-    (world.fails, world.helps) = (0.3, 0.5);
-    world.run(40);
-    let mut paid = [0, 0];
-    for nth in 0..400 {
-        let high = nth % 5 == 0;
-        paid[usize::from(high)] += u32::from(world.routers[0].try_withdraw(7, if high { 200 } else { 190 }));
-        if nth % 10 == 0 {
-            world.run(1);
+fn the_last_of_a_low_balance_goes_to_high_priorities() {
+    let mut sim = Simulation::new(6, vec![100.0], |_| Faulty::Nowhere);
+    (sim.failure_share, sim.retry_success_share) = (0.3, 0.5);
+    sim.run(40);
+    let (mut granted_low, mut granted_high) = (0, 0);
+    for index in 0..400 {
+        if index % 5 == 0 {
+            granted_high += u32::from(sim.routers[0].try_withdraw(GROUP, HIGH));
+        } else {
+            granted_low += u32::from(sim.routers[0].try_withdraw(GROUP, LOW));
+        }
+        if index % 10 == 0 {
+            sim.run(1);
         }
     }
-    // A fifth asks for it: it gets more than a fifth.
-    assert!(paid[1] * 4 > paid[0], "{paid:?}");
+    // A fifth of the withdrawals are of high priority: they get more than a fifth.
+    assert!(granted_high * 4 > granted_low, "{granted_low} low, {granted_high} high");
 }
