--- a/crates/ladderpass-membership/src/member_state.rs
+++ b/crates/ladderpass-membership/src/member_state.rs
@@ -22,7 +22,7 @@
     }
 
     /// The first incarnation with a later start: for a router that restarted with its clock set back.
-    pub fn next_life(self) -> Incarnation {
+    pub fn next_start(self) -> Incarnation {
         let next_start_ms = (self.0 >> REFUTATION_BITS).saturating_add(1).min(u64::MAX >> REFUTATION_BITS);
         Incarnation(next_start_ms << REFUTATION_BITS)
     }
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -55,7 +55,7 @@
         }
         self.address_conflict |= is_later && update.incarnation.started_ms() > self.incarnation.started_ms();
         self.incarnation = match is_later {
-            true => update.incarnation.next_life(),
+            true => update.incarnation.next_start(),
             false => update.incarnation.next(),
         };
         self.gossip_change(now, self.own_state());
--- a/crates/ladderpass-membership/tests/message.rs
+++ b/crates/ladderpass-membership/tests/message.rs
@@ -48,7 +48,7 @@
     let first = Incarnation::of_start(1000);
     let refuted = (0..100).fold(first, |incarnation, _| incarnation.next());
     assert!(first < refuted && refuted < Incarnation::of_start(1001));
-    assert!(refuted.next_life() > refuted && refuted.next_life().started_ms() == 1001);
+    assert!(refuted.next_start() > refuted && refuted.next_start().started_ms() == 1001);
     assert!(Incarnation(u64::MAX).next() >= Incarnation(u64::MAX));
-    assert!(Incarnation(u64::MAX).next_life() <= Incarnation(u64::MAX).next());
+    assert!(Incarnation(u64::MAX).next_start() <= Incarnation(u64::MAX).next());
 }
