--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -104,7 +104,7 @@
 
     /// An RPC of this priority could use a retry. True where the budget grants it.
     pub fn try_withdraw(&mut self, group: u32, priority: u32) -> bool {
-        let always_grants = self.faulty == Faulty::SpendsWithoutAsking;
+        let always_grants = self.faulty == Faulty::GrantsEveryRetry;
         let budget = self.group_mut(group);
         budget.counts.retries_wanted += 1.0;
         let priority = f64::from(priority);
--- a/crates/ladderpass-retry-budget/src/faulty.rs
+++ b/crates/ladderpass-retry-budget/src/faulty.rs
@@ -7,7 +7,7 @@
     #[default]
     Nowhere,
     /// Grants every retry.
-    SpendsWithoutAsking,
+    GrantsEveryRetry,
     /// Ignores refunds, and never lowers its quota.
     NeverRefunds,
 }
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -19,12 +19,12 @@
 
 impl RetryRates {
     /// The rates in the order in which reports carry them: first attempts; retries wanted, granted, succeeded.
-    pub fn rates(self) -> [f64; 4] {
+    pub fn to_array(self) -> [f64; 4] {
         [self.first_attempts, self.retries_wanted, self.retries_granted, self.retries_succeeded]
     }
 
-    /// The inverse of [`RetryRates::rates`].
-    pub fn from_rates([first_attempts, wanted, granted, succeeded]: [f64; 4]) -> RetryRates {
+    /// The inverse of [`RetryRates::to_array`].
+    pub fn from_array([first_attempts, wanted, granted, succeeded]: [f64; 4]) -> RetryRates {
         RetryRates {
             first_attempts,
             retries_wanted: wanted,
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -224,7 +224,7 @@
 /// Without the budget each failure leads to three retries.
 #[test]
 fn deliberate_faults_are_detected() {
-    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::SpendsWithoutAsking);
+    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::GrantsEveryRetry);
     (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
     sim.run(24);
     assert!(sim.retry_shares(8).granted > 1.5);
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -61,7 +61,7 @@
             Some("ignores-the-floor") => Ok(Faulty::Concert(concert::Faulty::IgnoresThreshold)),
             Some("tells-tenfold") => Ok(Faulty::Concert(concert::Faulty::ReportsTenfold)),
             Some("keeps-the-deads-words") => Ok(Faulty::Concert(concert::Faulty::KeepsReportsOfDeadRouters)),
-            Some("spends-without-asking") => Ok(Faulty::Budgets(budgets::Faulty::SpendsWithoutAsking)),
+            Some("spends-without-asking") => Ok(Faulty::Budgets(budgets::Faulty::GrantsEveryRetry)),
             Some("never-gives-back") => Ok(Faulty::Budgets(budgets::Faulty::NeverRefunds)),
             Some(other) => Err(format!("LADDERPASS_FAULTY: {other:?} is no switch")),
         }
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -235,11 +235,11 @@
             let heard = |group| {
                 concert
                     .peer_retry_rates(now, group)
-                    .map(|(rates, weight)| (RetryRates::from_rates(rates), weight))
+                    .map(|(rates, weight)| (RetryRates::from_array(rates), weight))
             };
             budgets.rebalance(now, concert.alive_peers(), heard);
             for &group in cells {
-                concert.set_retry_rates(group, budgets.own_rates(group).rates());
+                concert.set_retry_rates(group, budgets.own_rates(group).to_array());
             }
         }
         peers.membership.set_piggyback(concert.encode_reports(now, LOAD));
