--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -23,27 +23,20 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-#[path = "reducer/calls.rs"]
-mod calls;
-#[path = "reducer/clients.rs"]
 mod clients;
-#[path = "reducer/members.rs"]
-mod members;
-#[path = "reducer/own.rs"]
-mod own;
-#[path = "reducer/peers.rs"]
-mod peers;
-#[path = "reducer/tally.rs"]
-mod tally;
-#[path = "reducer/watch.rs"]
-mod watch;
-
-use calls::{Call, after};
-use clients::{Client, Ids, Keys, Phase, Waiting};
-use members::{Answer, Job, Link, Member};
-use own::Own;
-use peers::Peers;
-use tally::{Tally, count};
+mod discovery_watch;
+mod member_pools;
+mod overload;
+mod peer_links;
+mod rpcs;
+mod stats;
+
+use clients::{AwaitedInput, CancelKeys, Client, ClientPhase, RpcIds};
+use member_pools::{Answer, Job, MemberConnection, MemberPool};
+use overload::OverloadMonitor;
+use peer_links::PeerLinks;
+use rpcs::{RpcInFlight, retry_after_ms};
+use stats::{Stats, count_outcome};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
@@ -104,17 +97,17 @@
 }
 
 /// A connection, whoever is on its other side.
-struct Conn {
+struct Connection {
     input: Buffer,
     output: Buffer,
     deadline: Option<Time>,
     /// When it is looked at for that: no later than its deadline. One that moves back is looked at in vain once, which
     /// costs less than keeping the order at each step of an RPC.
-    looked_at: Option<Time>,
+    scheduled_at: Option<Time>,
     /// Reading stopped for want of room.
     paused: bool,
     /// It had stopped before what is read next.
-    waited_for_room: bool,
+    was_paused: bool,
     /// Not all that its socket holds was read: its end may stand there unseen.
     unread: bool,
     /// Closes once all is written.
@@ -123,18 +116,18 @@
     denials: u8,
     /// Memory of its rings, as last counted.
     held: usize,
-    peer: Peer,
+    remote: Remote,
 }
 
-enum Peer {
+enum Remote {
     Client(Client),
-    Member(Link),
+    Member(MemberConnection),
     Discovery(Reader),
 }
 
 /// What the figures tell since they were told last.
 #[derive(Default)]
-struct Figured {
+struct OverloadCounts {
     taken: u32,
     shed: u32,
 }
@@ -151,41 +144,41 @@
     methods: HashMap<String, u32, foldhash::fast::RandomState>,
     /// By method: must its data be as new at the send as it was decided (a bound on its age, or what its session
     /// wrote), and does it write?
-    bounded: Vec<bool>,
+    bounds_staleness: Vec<bool>,
     writes: Vec<bool>,
     /// By method: may it be repeated within a window alone?
-    tokened: Vec<bool>,
+    uses_idempotency_key: Vec<bool>,
     /// Names of the values in a load report.
     columns: Vec<String>,
-    ids: Ids,
-    keys: Keys,
+    ids: RpcIds,
+    keys: CancelKeys,
     session_methods: bool,
     carried: bool,
     discovery: SocketAddr,
     /// Its own ids, and the core's handles: nobody can choose them so that they collide.
-    conns: FxHashMap<ConnectionId, Conn>,
+    connections: FxHashMap<ConnectionId, Connection>,
     last_id: u64,
     /// When connections are looked at for their deadlines.
-    looks: BTreeSet<(Time, ConnectionId)>,
-    calls: FxHashMap<RpcId, Call>,
-    members: Vec<Member>,
+    deadlines: BTreeSet<(Time, ConnectionId)>,
+    rpcs: FxHashMap<RpcId, RpcInFlight>,
+    members: Vec<MemberPool>,
     names: NameIndex,
     kinds: NameIndex,
     /// Zones of the list, where they are used; its own has the index zero.
     zones: NameIndex,
-    zoned: bool,
+    uses_zones: bool,
     /// Weights of the list are sizes.
     sizes: bool,
-    circle: GossipCodec,
+    gossip_codec: GossipCodec,
     /// None: there is nobody to talk to.
-    peers: Option<Box<Peers>>,
+    peers: Option<Box<PeerLinks>>,
     groups: HashMap<u64, u32>,
     generation: u64,
     /// Since when a watch that had answered is silent, until another says something.
     silent_since: Option<Time>,
     /// When the list here, or a later one, was told last; and whether what discovery told after that is older.
-    told_at: Time,
-    older: bool,
+    listed_at: Time,
+    list_is_older: bool,
     watch: Option<ConnectionId>,
     /// When it was asked for.
     asked_at: Time,
@@ -194,48 +187,53 @@
     /// The watch of the address that discovery had before: it serves until the new one has answered.
     old_watch: Option<ConnectionId>,
     /// Discovery has another address, which has not answered yet.
-    moved_watch: bool,
+    is_moving: bool,
     fixed: Fixed,
     clients: usize,
     links: usize,
-    /// Clients that are waited for: by `Waiting`, the longest first.
+    /// Clients that are waited for: by `AwaitedInput`, the longest first.
     waiting: [BTreeSet<(Time, ConnectionId)>; 3],
     /// Clients that are to go, unless something of theirs is still found at the socket.
-    parting: Vec<(ConnectionId, Option<(Waiting, Time)>)>,
+    evicting: Vec<(ConnectionId, Option<(AwaitedInput, Time)>)>,
     accepting: bool,
     /// Connections that were denied, for which a client makes place; the watch, if nothing could.
     denied: Vec<ConnectionId>,
     denied_watch: Option<ConnectionId>,
     /// Memory of all rings.
-    rings: usize,
+    buffer_bytes: usize,
     /// Connections that could not read for want of memory.
-    starved: BTreeSet<ConnectionId>,
+    waiting_for_memory: BTreeSet<ConnectionId>,
     /// Clients with something to be looked at.
     ready: VecDeque<ConnectionId>,
     stopping: Option<Time>,
     deaf: bool,
     /// How long what is read now may have waited.
     behind: Span,
-    core_wake: Option<Time>,
+    router_wake_at: Option<Time>,
     /// Clients with more to be looked at than one look allows, or behind what was just answered: the next turn's.
     again: Vec<ConnectionId>,
     /// Bytes in the rings of clients that were not looked at, or whose RPC is under way.
-    unlooked: usize,
+    unread_client_bytes: usize,
     /// None: the router does not watch itself.
-    own: Option<Box<Own>>,
-    figured: Figured,
+    overload: Option<Box<OverloadMonitor>>,
+    overload_counts: OverloadCounts,
     faulty: Faulty,
     /// Where answers of the router's own are put together.
     scratch: Vec<u8>,
     effects: Vec<Effect>,
-    tally: Tally,
+    stats: Stats,
 }
 
 impl Reducer {
     pub fn start(now: Time, launch: Launch) -> Reducer {
-        let peers = Peers::new(now, &launch).map(Box::new);
+        let peers = PeerLinks::new(now, &launch).map(Box::new);
         let facts = launch.settings;
-        let own = Own::new(now, &launch.operator, launch.resource_limits, facts.deployment.methods.len());
+        let own = OverloadMonitor::new(
+            now,
+            &launch.operator,
+            launch.resource_limits,
+            facts.deployment.methods.len(),
+        );
         let mut zones = NameIndex::default();
         zones.intern(launch.operator.zone.as_deref().unwrap_or_default());
         let is_bounded = |method: &Method| {
@@ -245,8 +243,8 @@
             matches!(method.idempotency, ladderpass_routing::Idempotency::IdempotencyKey { .. })
         };
         let mut reducer = Reducer {
-            bounded: facts.deployment.methods.iter().map(is_bounded).collect(),
-            tokened: facts.deployment.methods.iter().map(is_tokened).collect(),
+            bounds_staleness: facts.deployment.methods.iter().map(is_bounded).collect(),
+            uses_idempotency_key: facts.deployment.methods.iter().map(is_tokened).collect(),
             writes: facts
                 .deployment
                 .methods
@@ -254,8 +252,8 @@
                 .map(|method| method.consistency == Consistency::Write)
                 .collect(),
             columns: facts.report_columns,
-            ids: Ids::default(),
-            keys: Keys::default(),
+            ids: RpcIds::default(),
+            keys: CancelKeys::default(),
             session_methods: facts.deployment.methods.iter().any(|m| m.consistency == Consistency::Session),
             carried: facts.deployment.session_write_age_carried,
             reference_clock: ReferenceClock::new(
@@ -265,54 +263,57 @@
             limits: launch.limits,
             methods: facts.method_names.into_iter().zip(0..).collect(),
             discovery: launch.discovery,
-            conns: FxHashMap::default(),
+            connections: FxHashMap::default(),
             last_id: 0,
-            looks: BTreeSet::new(),
-            calls: FxHashMap::default(),
+            deadlines: BTreeSet::new(),
+            rpcs: FxHashMap::default(),
             members: Vec::new(),
             names: NameIndex::default(),
             kinds: NameIndex::default(),
-            zoned: launch.operator.zone.is_some(),
+            uses_zones: launch.operator.zone.is_some(),
             sizes: launch.operator.weights_are_concurrency,
             zones,
-            circle: GossipCodec::new(Time::default(), launch.operator.zone.as_deref().unwrap_or_default()),
+            gossip_codec: GossipCodec::new(
+                Time::default(),
+                launch.operator.zone.as_deref().unwrap_or_default(),
+            ),
             peers,
             groups: HashMap::new(),
             generation: 0,
             silent_since: None,
-            told_at: now,
-            older: false,
+            listed_at: now,
+            list_is_older: false,
             watch: None,
             asked_at: now,
             late_watch: None,
             old_watch: None,
-            moved_watch: false,
+            is_moving: false,
             fixed: launch.fixed,
             clients: 0,
             links: 0,
             waiting: Default::default(),
-            parting: Vec::new(),
+            evicting: Vec::new(),
             accepting: true,
             denied: Vec::new(),
             denied_watch: None,
-            rings: 0,
-            starved: BTreeSet::new(),
+            buffer_bytes: 0,
+            waiting_for_memory: BTreeSet::new(),
             ready: VecDeque::new(),
             stopping: None,
             deaf: false,
             behind: Span::ZERO,
-            core_wake: None,
+            router_wake_at: None,
             again: Vec::new(),
-            unlooked: 0,
-            own: own.map(Box::new),
-            figured: Figured::default(),
+            unread_client_bytes: 0,
+            overload: own.map(Box::new),
+            overload_counts: OverloadCounts::default(),
             faulty: launch.faulty,
             scratch: Vec::new(),
             effects: Vec::new(),
-            tally: Tally { told_at: now, ..Tally::default() },
+            stats: Stats { listed_at: now, ..Stats::default() },
         };
         reducer.router.set_clock_difference(reducer.reference_clock.difference(now));
-        if let Err(fault) = reducer.listed(now, &launch.cached_endpoints, true, false) {
+        if let Err(fault) = reducer.apply_listing(now, &launch.cached_endpoints, true, false) {
             tracing::warn!("known: {fault}; started without a list");
         }
         reducer
@@ -326,30 +327,30 @@
 
     /// Where the next bytes of a connection may be read to; empty where it must wait.
     pub fn read_buffer(&mut self, id: ConnectionId) -> &mut [u8] {
-        let Some(conn) = self.conns.get_mut(&id) else { return &mut [] };
+        let Some(connection) = self.connections.get_mut(&id) else { return &mut [] };
         let limits = &self.limits;
-        let bound = match conn.peer {
-            Peer::Client(ref client) if conn.closing || client.resting => 0,
-            Peer::Client(_) => limits.client_buffer_bytes,
-            Peer::Member(_) => limits.member_buffer_bytes,
-            Peer::Discovery(_) => limits.discovery_buffer_bytes,
+        let bound = match connection.remote {
+            Remote::Client(ref client) if connection.closing || client.resting => 0,
+            Remote::Client(_) => limits.client_buffer_bytes,
+            Remote::Member(_) => limits.member_buffer_bytes,
+            Remote::Discovery(_) => limits.discovery_buffer_bytes,
         };
         // Where memory is short, statements wait before answers do; either way their time goes on.
-        let memory = match conn.peer {
-            Peer::Client(_) => limits.client_buffers_total_bytes,
+        let memory = match connection.remote {
+            Remote::Client(_) => limits.client_buffers_total_bytes,
             _ => limits.all_buffers_total_bytes,
         };
-        let grown =
-            conn.input.len() == conn.input.capacity() && conn.input.len() >= limits.buffer_initial_bytes;
-        let short = grown && self.rings >= memory;
-        conn.paused = short || conn.input.spare(limits.buffer_initial_bytes, bound).is_empty();
+        let grown = connection.input.len() == connection.input.capacity()
+            && connection.input.len() >= limits.buffer_initial_bytes;
+        let short = grown && self.buffer_bytes >= memory;
+        connection.paused = short || connection.input.spare(limits.buffer_initial_bytes, bound).is_empty();
         if short {
-            self.starved.insert(id);
+            self.waiting_for_memory.insert(id);
         }
-        if conn.paused {
-            (conn.waited_for_room, conn.unread) = (true, true);
-            if let Peer::Client(client) = &mut conn.peer
-                && !conn.closing
+        if connection.paused {
+            (connection.was_paused, connection.unread) = (true, true);
+            if let Remote::Client(client) = &mut connection.remote
+                && !connection.closing
                 && !client.resting
             {
                 client.overran = true;
@@ -357,16 +358,16 @@
             }
             return &mut [];
         }
-        self.recount(id);
-        match self.conns.get_mut(&id) {
-            Some(conn) => conn.input.spare(0, 0),
+        self.update_buffer_bytes(id);
+        match self.connections.get_mut(&id) {
+            Some(connection) => connection.input.spare(0, 0),
             None => &mut [],
         }
     }
 
     /// What is to be written on a connection next.
     pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
-        self.conns.get(&id).map_or(&[], |conn| conn.output.front())
+        self.connections.get(&id).map_or(&[], |connection| connection.output.front())
     }
 
     /// Members that it keeps in mind.
@@ -384,19 +385,19 @@
         self.router.known_position(MemberId(self.names.get(id)?))
     }
 
-    /// Call-outs that are out, and connections that carry one or come up for one: as many at all times.
+    /// RpcInFlight-outs that are out, and connections that carry one or come up for one: as many at all times.
     pub fn attempts_in_flight(&self) -> (usize, usize) {
-        let carries = |conn: &&Conn| match &conn.peer {
-            Peer::Member(link) => matches!(link.job, Some(Job::Call(_))),
+        let carries = |connection: &&Connection| match &connection.remote {
+            Remote::Member(link) => matches!(link.job, Some(Job::Attempt(_))),
             _ => false,
         };
-        let out = self.calls.values().filter(|call| call.out.is_some()).count();
-        (out, self.conns.values().filter(carries).count())
+        let out = self.rpcs.values().filter(|entry| entry.out.is_some()).count();
+        (out, self.connections.values().filter(carries).count())
     }
 
-    /// Call-outs that members answered well since the log told of them last, and the time that these took there.
+    /// RpcInFlight-outs that members answered well since the log told of them last, and the time that these took there.
     pub fn answered_attempts(&self) -> (u32, Span) {
-        (self.tally.ended[AttemptOutcome::Ok as usize], self.tally.answer_time)
+        (self.stats.ended[AttemptOutcome::Ok as usize], self.stats.answer_time)
     }
 
     /// Is there room for a further client?
@@ -406,51 +407,51 @@
 
     /// When `Turn` is due at the latest.
     pub fn wake_at(&self) -> Option<Time> {
-        let first = self.looks.first().map(|&(at, _)| at);
+        let first = self.deadlines.first().map(|&(at, _)| at);
         let deaf_at =
             self.stopping.filter(|_| !self.deaf).map(|since| since + self.limits.shutdown_accept_time);
-        let at_once = !self.parting.is_empty()
+        let at_once = !self.evicting.is_empty()
             || !self.denied.is_empty()
             || !self.again.is_empty()
             || !self.ready.is_empty();
-        let parting = at_once.then_some(Time::NEVER);
+        let evicting = at_once.then_some(Time::NEVER);
         let spans = self.limits.eviction_ages.iter();
         let longest = self.waiting.iter().zip(spans).filter_map(|(set, &span)| Some(set.first()?.0 + span));
         let place = longest.min().filter(|_| self.clients > self.limits.clients_before_eviction);
         let peers = self.peers.as_ref().map(|peers| peers.wake());
-        [first, self.core_wake, deaf_at, parting, place, peers].into_iter().flatten().min()
+        [first, self.router_wake_at, deaf_at, evicting, place, peers].into_iter().flatten().min()
     }
 
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         match event {
-            Event::Accepted(id) => self.accepted(now, id),
-            Event::Connected(id) => self.connected(id),
-            Event::Received(id, count, waited) => self.received(now, id, count, waited),
-            Event::MoreToRead(id) => self.unread(id),
-            Event::Drained(id) => self.drained(now, id),
-            Event::ReadToEnd(id) => self.quiet(now, id),
-            Event::Written(id, count) => self.written(now, id, count),
-            Event::Closed(id) => self.closed(now, id),
-            Event::ConnectDenied(id) => self.denied(now, id),
+            Event::Accepted(id) => self.on_accepted(now, id),
+            Event::Connected(id) => self.on_connected(id),
+            Event::Received(id, count, waited) => self.on_received(now, id, count, waited),
+            Event::MoreToRead(id) => self.on_more_to_read(id),
+            Event::Drained(id) => self.on_drained(now, id),
+            Event::ReadToEnd(id) => self.on_read_to_end(now, id),
+            Event::Written(id, count) => self.on_written(now, id, count),
+            Event::Closed(id) => self.on_closed(now, id),
+            Event::ConnectDenied(id) => self.on_connect_denied(now, id),
             Event::WriteBlocked(id) => {
-                self.link_is_stuck(id);
-                self.stuck(now, id);
+                self.on_query_write_blocked(id);
+                self.on_client_write_blocked(now, id);
             }
-            Event::ResourcesSampled(sample) => self.looked(now, sample),
-            Event::IterationWorked(busy, waiting) => self.worked(now, busy, waiting),
+            Event::ResourcesSampled(sample) => self.on_resources_sampled(now, sample),
+            Event::IterationWorked(busy, waiting) => self.on_iteration_worked(now, busy, waiting),
             Event::ListenerClosed => self.deaf = true,
             Event::Stalled(span) => {
-                if let Some(own) = &mut self.own {
+                if let Some(own) = &mut self.overload {
                     own.governor.record_stall(now);
                 }
                 tracing::warn!("stalled for {:.0} ms", span.secs() * 1e3);
                 self.behind = span;
             }
-            Event::DatagramReceived(from, bytes) => self.whispered(now, from, &bytes),
-            Event::ConfigurationReloaded(launch) => self.told(now, *launch),
-            Event::Terminate => self.terminate(now),
+            Event::DatagramReceived(from, bytes) => self.on_datagram(now, from, &bytes),
+            Event::ConfigurationReloaded(launch) => self.on_configuration_reloaded(now, *launch),
+            Event::Terminate => self.begin_shutdown(now),
             Event::Tick => {
-                self.turn(now);
+                self.tick(now);
                 self.behind = Span::ZERO;
             }
         }
@@ -460,107 +461,109 @@
         std::mem::take(&mut self.effects)
     }
 
-    fn turn(&mut self, now: Time) {
+    fn tick(&mut self, now: Time) {
         // Guards against statements begun for clients that have left: all that the batch read, ends too, comes first.
-        self.look_at_ready(now);
-        self.see_off();
-        self.connect_again();
-        while let Some(&(at, id)) = self.looks.first()
+        self.read_ready_clients(now);
+        self.request_final_reads();
+        self.retry_denied_connects();
+        while let Some(&(at, id)) = self.deadlines.first()
             && at <= now
         {
-            self.looks.pop_first();
-            let Some(conn) = self.conns.get_mut(&id) else { continue };
-            conn.looked_at = None;
-            match conn.deadline.take() {
+            self.deadlines.pop_first();
+            let Some(connection) = self.connections.get_mut(&id) else { continue };
+            connection.scheduled_at = None;
+            match connection.deadline.take() {
                 Some(deadline) if deadline > now => self.set_deadline(id, Some(deadline)),
-                Some(_) => self.expired(now, id),
+                Some(_) => self.on_deadline(now, id),
                 None => {}
             }
         }
-        self.make_place(now);
+        self.evict_excess_clients(now);
         if let Some(since) = self.stopping {
-            self.keep_stopping(now, since);
+            self.tick_shutdown(now, since);
         }
-        self.tend_peers(now);
+        self.tick_peers(now);
         self.router.set_clock_difference(self.reference_clock.difference(now));
         let upkeep = self.router.tick(now);
         for (rpc, decision) in upkeep.decisions {
-            self.carry_out(now, rpc, decision);
+            self.apply_decision(now, rpc, decision);
         }
         for member in upkeep.health_checks {
-            self.probe(now, member);
+            self.start_health_check(now, member);
         }
         if !upkeep.gossip.is_empty() {
-            self.whisper(now, &upkeep.gossip);
+            self.publish_updates(now, &upkeep.gossip);
         }
         if upkeep.poll_endpoints {
-            self.ask_list(now);
+            self.start_watch(now);
         }
         for member in upkeep.retired_members {
-            self.forget_member(member.0 as usize);
+            self.retire_member(member.0 as usize);
         }
         for note in upkeep.log_messages {
             tracing::info!("{}", self.names.expand_names(&note));
         }
-        self.tell_exceptions(upkeep.exceptions);
-        self.core_wake = upkeep.wake_at;
-        self.mind_the_door();
+        self.record_exceptions(upkeep.exceptions);
+        self.router_wake_at = upkeep.wake_at;
+        self.update_accepting();
         // Not before what the sockets tell next: a client may have left while it was answered.
         for id in std::mem::take(&mut self.again) {
-            if let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) {
+            if let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get_mut(&id) {
                 client.just_answered = false;
                 self.ready.push_back(id);
             }
         }
-        if now - self.tally.told_at >= self.limits.stats_interval {
-            self.tell_tally(now);
+        if now - self.stats.listed_at >= self.limits.stats_interval {
+            self.log_stats(now);
         }
     }
 
     // ---- connections of any kind
 
-    fn open(&mut self, id: ConnectionId, deadline: Option<Time>, peer: Peer) {
-        let conn = Conn {
+    fn add_connection(&mut self, id: ConnectionId, deadline: Option<Time>, remote: Remote) {
+        let connection = Connection {
             input: Buffer::default(),
             output: Buffer::default(),
             deadline: None,
-            looked_at: None,
+            scheduled_at: None,
             paused: false,
-            waited_for_room: false,
+            was_paused: false,
             unread: false,
             closing: false,
             denials: 0,
             held: 0,
-            peer,
+            remote,
         };
-        self.conns.insert(id, conn);
+        self.connections.insert(id, connection);
         self.set_deadline(id, deadline);
     }
 
     fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Time>) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        if conn.deadline == deadline {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if connection.deadline == deadline {
             return;
         }
-        conn.deadline = deadline;
-        let Some(at) = deadline.filter(|&at| conn.looked_at.is_none_or(|looked_at| at < looked_at)) else {
+        connection.deadline = deadline;
+        let Some(at) =
+            deadline.filter(|&at| connection.scheduled_at.is_none_or(|scheduled_at| at < scheduled_at))
+        else {
             return;
         };
-        if let Some(later) = conn.looked_at.replace(at) {
-            self.looks.remove(&(later, id));
+        if let Some(later) = connection.scheduled_at.replace(at) {
+            self.deadlines.remove(&(later, id));
         }
-        self.looks.insert((at, id));
+        self.deadlines.insert((at, id));
     }
 
-    fn connected(&mut self, id: ConnectionId) {
-        let Some(conn) = self.conns.get(&id) else { return };
+    fn on_connected(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
         let mut out = Vec::new();
-        match &conn.peer {
-            Peer::Client(_) => return,
-            Peer::Member(_) => pg::put_startup(&mut out, USER, DATABASE),
-            Peer::Discovery(_) => {
+        match &connection.remote {
+            Remote::Client(_) => return,
+            Remote::Member(_) => pg::put_startup(&mut out, USER, DATABASE),
+            Remote::Discovery(_) => {
                 // Where its list is older than the one here, the whole of it is wanted.
-                let from = if self.older { 0 } else { self.generation };
+                let from = if self.list_is_older { 0 } else { self.generation };
                 let call = discovery::call(&self.discovery.to_string(), from);
                 out.extend_from_slice(call.as_bytes());
             }
@@ -570,41 +573,41 @@
 
     /// Puts bytes on a connection's way out.
     fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
         self.effects.push(Effect::Write(id));
-        self.recount(id);
+        self.update_buffer_bytes(id);
     }
 
     /// Forgets a connection; nothing is told to anyone but the core's front.
-    fn drop_conn(&mut self, id: ConnectionId) {
-        self.wait_for(id, None);
-        let Some(conn) = self.conns.remove(&id) else { return };
-        if let Some(at) = conn.looked_at {
-            self.looks.remove(&(at, id));
+    fn close_connection(&mut self, id: ConnectionId) {
+        self.set_awaited(id, None);
+        let Some(connection) = self.connections.remove(&id) else { return };
+        if let Some(at) = connection.scheduled_at {
+            self.deadlines.remove(&(at, id));
         }
         self.effects.push(Effect::Close(id));
-        self.give_back(conn.held);
-        match &conn.peer {
-            Peer::Client(_) => {
-                self.unlooked = self.unlooked.saturating_sub(conn.input.len());
-                self.parting.retain(|&(parting, _)| parting != id);
+        self.release_buffer_bytes(connection.held);
+        match &connection.remote {
+            Remote::Client(_) => {
+                self.unread_client_bytes = self.unread_client_bytes.saturating_sub(connection.input.len());
+                self.evicting.retain(|&(evicting, _)| evicting != id);
                 self.clients -= 1;
                 if !self.accepting {
                     self.accepting = true;
                     self.effects.push(Effect::Accept(true));
                 }
             }
-            Peer::Member(link) => {
+            Remote::Member(link) => {
                 self.links -= 1;
                 if let Some(member) = self.members.get_mut(link.member) {
                     member.idle.retain(|&other| other != id);
                     member.coming.retain(|&other| other != id);
                     member.links = member.links.saturating_sub(1);
                 }
-                self.release_member(link.member);
+                self.release_member_index(link.member);
             }
-            Peer::Discovery(_) => {
+            Remote::Discovery(_) => {
                 self.watch = self.watch.filter(|&watch| watch != id);
                 self.late_watch = self.late_watch.filter(|&watch| watch != id);
                 self.old_watch = self.old_watch.filter(|&watch| watch != id);
@@ -613,59 +616,59 @@
     }
 
     /// The rings of a connection may have grown or shrunk.
-    fn recount(&mut self, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let held = conn.input.capacity() + conn.output.capacity();
-        let before = std::mem::replace(&mut conn.held, held);
-        self.rings += held.saturating_sub(before);
+    fn update_buffer_bytes(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let held = connection.input.capacity() + connection.output.capacity();
+        let before = std::mem::replace(&mut connection.held, held);
+        self.buffer_bytes += held.saturating_sub(before);
         if held < before {
-            self.give_back(before - held);
+            self.release_buffer_bytes(before - held);
         }
     }
 
     /// Memory of rings came free.
-    fn give_back(&mut self, bytes: usize) {
-        self.rings = self.rings.saturating_sub(bytes);
-        if bytes > 0 && self.rings < self.limits.client_buffers_total_bytes {
-            self.effects.extend(std::mem::take(&mut self.starved).into_iter().map(Effect::Read));
+    fn release_buffer_bytes(&mut self, bytes: usize) {
+        self.buffer_bytes = self.buffer_bytes.saturating_sub(bytes);
+        if bytes > 0 && self.buffer_bytes < self.limits.client_buffers_total_bytes {
+            self.effects.extend(std::mem::take(&mut self.waiting_for_memory).into_iter().map(Effect::Read));
         }
     }
 
-    fn received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.input.filled(count);
-        let paused = std::mem::take(&mut conn.waited_for_room);
-        match &mut conn.peer {
-            Peer::Client(client) => {
-                self.unlooked += count;
-                self.parting.retain(|&(parting, _)| parting != id);
+    fn on_received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.input.filled(count);
+        let paused = std::mem::take(&mut connection.was_paused);
+        match &mut connection.remote {
+            Remote::Client(client) => {
+                self.unread_client_bytes += count;
+                self.evicting.retain(|&(evicting, _)| evicting != id);
                 // Its kernel had kept something back, and may have more.
                 let refill = now + self.limits.refill_quiet_time;
                 client.refill = client.refill.map(|until| if now < until { refill } else { until });
                 // What waited for room of its own tells nothing of this router's pace.
                 client.came(if paused { now } else { now - waited.max(self.behind) }, count);
                 let passed_over = client.passes_over(count);
-                conn.input.consume(passed_over);
-                self.unlooked = self.unlooked.saturating_sub(passed_over);
+                connection.input.consume(passed_over);
+                self.unread_client_bytes = self.unread_client_bytes.saturating_sub(passed_over);
                 self.ready.push_back(id);
             }
-            Peer::Member(link) => {
+            Remote::Member(link) => {
                 link.kept = waited;
-                self.look_at_link(now, id);
+                self.read_member(now, id);
             }
-            Peer::Discovery(_) => self.look_at_watch(now, id),
+            Remote::Discovery(_) => self.read_watch(now, id),
         }
     }
 
-    fn written(&mut self, now: Time, id: ConnectionId, count: usize) {
+    fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
         let start = self.limits.buffer_initial_bytes;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.output.consume(count);
-        conn.output.shrink(start);
-        let (done, closing) = (conn.output.is_empty(), conn.closing);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.output.consume(count);
+        connection.output.shrink(start);
+        let (done, closing) = (connection.output.is_empty(), connection.closing);
         let mut out_until = None;
-        match &mut conn.peer {
-            Peer::Member(link) if link.unwritten > 0 => {
+        match &mut connection.remote {
+            Remote::Member(link) if link.unwritten > 0 => {
                 link.unsent &= count == 0;
                 link.unwritten = link.unwritten.saturating_sub(count);
                 if link.unwritten == 0 {
@@ -674,66 +677,66 @@
                 }
             }
             // Its next statement is looked at in the next turn: what was written may show that it has left.
-            Peer::Client(_) if done && !closing => self.again.push(id),
+            Remote::Client(_) if done && !closing => self.again.push(id),
             _ => {}
         }
-        let client = matches!(conn.peer, Peer::Client(_));
+        let client = matches!(connection.remote, Remote::Client(_));
         if out_until.is_some() {
             self.set_deadline(id, out_until);
         }
-        self.recount(id);
+        self.update_buffer_bytes(id);
         if client {
-            self.took_some(now, id, done);
+            self.on_client_wrote(now, id, done);
         }
         if done && closing {
-            self.drop_conn(id);
+            self.close_connection(id);
         }
     }
 
-    fn closed(&mut self, now: Time, id: ConnectionId) {
-        let Some(conn) = self.conns.get(&id) else { return };
-        match &conn.peer {
-            Peer::Client(_) => self.client_gone(now, id),
-            Peer::Member(link) => {
+    fn on_closed(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        match &connection.remote {
+            Remote::Client(_) => self.on_client_closed(now, id),
+            Remote::Member(link) => {
                 // A whole answer before the end counts, also without the member's ready.
-                let mut ended = link.ended_by_close();
+                let mut ended = link.outcome_on_close();
                 if self.faulty.is(Faulty::Resends) && ended == AttemptOutcome::ConnectionLost {
                     ended = AttemptOutcome::Unreachable;
                 }
-                self.link_over(now, id, ended);
+                self.end_member_connection(now, id, ended);
             }
-            Peer::Discovery(_) => self.watch_failed(now, id, "the connection has ended"),
+            Remote::Discovery(_) => self.watch_failed(now, id, "the connection has ended"),
         }
     }
 
     /// Guards the call to discovery, probes and call-outs against clients that fill the descriptors: one that
     /// rests makes place, or an idle link. Guards members against blame for what this router is short of.
-    fn denied(&mut self, now: Time, id: ConnectionId) {
+    fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let most = self.limits.evictions_per_denial;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.denials = conn.denials.saturating_add(1);
-        if conn.denials <= most && self.make_room(now) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.denials = connection.denials.saturating_add(1);
+        if connection.denials <= most && self.free_a_descriptor(now) {
             return self.denied.push(id);
         }
-        match self.conns.get(&id).map(|conn| &conn.peer) {
-            Some(Peer::Member(_)) => self.link_over(now, id, AttemptOutcome::NeverSent),
-            Some(Peer::Discovery(_)) => {
+        match self.connections.get(&id).map(|connection| &connection.remote) {
+            Some(Remote::Member(_)) => self.end_member_connection(now, id, AttemptOutcome::NeverSent),
+            Some(Remote::Discovery(_)) => {
                 self.denied_watch = Some(id);
                 self.set_deadline(id, Some(now + self.limits.denied_connect_backoff));
             }
-            _ => self.closed(now, id),
+            _ => self.on_closed(now, id),
         }
     }
 
     /// Something gives its descriptor up: a client that has rested for long, else an idle link, else any that
     /// rests.
-    fn make_room(&mut self, now: Time) -> bool {
-        if let Some(client) = self.rested(Some(now)) {
-            self.part_with(client);
-        } else if let Some(link) = self.longest_idle() {
-            self.drop_conn(link);
-        } else if let Some(client) = self.rested(None) {
-            self.part_with(client);
+    fn free_a_descriptor(&mut self, now: Time) -> bool {
+        if let Some(client) = self.evictable_client(Some(now)) {
+            self.evict(client);
+        } else if let Some(link) = self.longest_idle_connection() {
+            self.close_connection(link);
+        } else if let Some(client) = self.evictable_client(None) {
+            self.evict(client);
         } else {
             return false;
         }
@@ -741,11 +744,11 @@
     }
 
     /// What was denied is tried again, now that others have made place.
-    fn connect_again(&mut self) {
+    fn retry_denied_connects(&mut self) {
         for id in std::mem::take(&mut self.denied) {
-            let address = match self.conns.get(&id).map(|conn| &conn.peer) {
-                Some(Peer::Member(link)) => self.members.get(link.member).map(|member| member.address),
-                Some(Peer::Discovery(_)) => Some(self.discovery),
+            let address = match self.connections.get(&id).map(|connection| &connection.remote) {
+                Some(Remote::Member(link)) => self.members.get(link.member).map(|member| member.address),
+                Some(Remote::Discovery(_)) => Some(self.discovery),
                 _ => None,
             };
             self.effects.extend(address.map(|address| Effect::Connect(id, address)));
@@ -754,8 +757,8 @@
 
     /// Guards newcomers against links that rest, which make place for them, and against a door that stays
     /// shut once links, not clients, have gone.
-    fn mind_the_door(&mut self) {
-        let rests = |member: &Member| !member.idle.is_empty();
+    fn update_accepting(&mut self) {
+        let rests = |member: &MemberPool| !member.idle.is_empty();
         let room = self.clients + self.links < self.limits.connections || self.members.iter().any(rests);
         let wanted = room && self.clients < self.limits.clients_accepted;
         if wanted != self.accepting {
@@ -764,64 +767,64 @@
         }
     }
 
-    fn expired(&mut self, now: Time, id: ConnectionId) {
-        let Some(conn) = self.conns.get(&id) else { return };
-        match &conn.peer {
-            Peer::Client(client) => match client.phase {
-                Phase::Busy(rpc) => {
+    fn on_deadline(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        match &connection.remote {
+            Remote::Client(client) => match client.phase {
+                ClientPhase::InRpc(rpc) => {
                     // Guards rule 1 whatever the core says: the client's time is all but up.
                     tracing::debug!("an RPC was still held at its deadline");
-                    self.finish(now, rpc, Decision::Fail);
+                    self.answer_unserved(now, rpc, Decision::Fail);
                     rpc.abandon(&mut self.router);
                 }
-                _ if client.resting => self.read_on(now, id),
-                _ if !conn.closing && client.refill.is_some_and(|until| until <= now) => {
-                    self.refilled(now, id);
+                _ if client.resting => self.resume_reading(now, id),
+                _ if !connection.closing && client.refill.is_some_and(|until| until <= now) => {
+                    self.on_refill_timeout(now, id);
                 }
-                _ if self.starved.contains(&id) => self.pass_over(now, id),
+                _ if self.waiting_for_memory.contains(&id) => self.skip_statement(now, id),
                 // Memory came free while it waited for that: it has the time of any other.
-                _ if let Some((Waiting::Begun, since)) = client.waiting
+                _ if let Some((AwaitedInput::StatementRest, since)) = client.waiting
                     && now < since + self.limits.message_timeout =>
                 {
                     self.set_deadline(id, Some(since + self.limits.message_timeout));
                 }
-                _ if client.waiting.is_some() => self.part_with(id),
-                _ => self.drop_conn(id),
+                _ if client.waiting.is_some() => self.evict(id),
+                _ => self.close_connection(id),
             },
-            Peer::Member(link) => match link.job {
-                None => self.link_over(now, id, AttemptOutcome::Unreachable),
+            Remote::Member(link) => match link.job {
+                None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
                 Some(_) if !link.up && now < link.connect_until => {
                     // The job is given up unsent; the connection may still come up for another.
-                    self.release(now, id, AttemptOutcome::Unreachable);
+                    self.release_job(now, id, AttemptOutcome::Unreachable);
                 }
                 Some(_) if !link.up || link.unwritten > 0 => {
-                    self.link_over(now, id, AttemptOutcome::Unreachable)
+                    self.end_member_connection(now, id, AttemptOutcome::Unreachable)
                 }
                 // Guards the time left for another call-out against an answer that begins and does not end.
-                Some(_) if link.answering => self.malformed(now, id),
-                Some(_) => self.link_over(now, id, AttemptOutcome::TimedOut),
+                Some(_) if link.answering => self.on_malformed_message(now, id),
+                Some(_) => self.end_member_connection(now, id, AttemptOutcome::TimedOut),
             },
-            Peer::Discovery(_) if self.denied_watch.take() == Some(id) => {
-                if let Some(conn) = self.conns.get_mut(&id) {
-                    conn.denials = 0;
+            Remote::Discovery(_) if self.denied_watch.take() == Some(id) => {
+                if let Some(connection) = self.connections.get_mut(&id) {
+                    connection.denials = 0;
                 }
                 self.set_deadline(id, Some(now + self.limits.watch_answer_timeout));
                 self.effects.push(Effect::Connect(id, self.discovery));
             }
-            Peer::Discovery(_) => self.watch_is_silent(now, id),
+            Remote::Discovery(_) => self.on_watch_timeout(now, id),
         }
     }
 
     // ---- stopping
 
     /// Goes on serving what comes, and closes each connection once it is idle.
-    fn terminate(&mut self, now: Time) {
+    fn begin_shutdown(&mut self, now: Time) {
         if self.stopping.is_some() {
             return;
         }
-        tracing::info!("stopping: {} clients, {} rpcs", self.clients, self.calls.len());
+        tracing::info!("stopping: {} clients, {} rpcs", self.clients, self.rpcs.len());
         self.stopping = Some(now);
-        self.leave_peers(now);
+        self.leave_fleet(now);
         if self.faulty.is(Faulty::LosesAtStop) {
             self.effects.push(Effect::Exit);
         }
@@ -832,29 +835,30 @@
         }
     }
 
-    fn keep_stopping(&mut self, now: Time, since: Time) {
+    fn tick_shutdown(&mut self, now: Time, since: Time) {
         if !self.deaf && now - since >= self.limits.shutdown_accept_time {
             self.effects.push(Effect::StopListening);
         }
         // Guards what is owed to clients with more time than that: only who is owed nothing is closed. Who is in the middle
         // of a message has its time to end it, and is told no.
-        if self.is_ending(now) {
+        if self.is_past_accept_time(now) {
             let [opening, _, idle] = &self.waiting;
-            let nothing_sent =
-                |id: &ConnectionId| self.conns.get(id).is_some_and(|conn| conn.input.is_empty());
+            let nothing_sent = |id: &ConnectionId| {
+                self.connections.get(id).is_some_and(|connection| connection.input.is_empty())
+            };
             let rest: Vec<ConnectionId> =
                 opening.iter().chain(idle).map(|&(_, id)| id).filter(nothing_sent).collect();
-            rest.into_iter().for_each(|id| self.part_with(id));
+            rest.into_iter().for_each(|id| self.evict(id));
         }
     }
 
     /// It has been stopping for so long that nothing new is begun.
-    fn is_ending(&self, now: Time) -> bool {
+    fn is_past_accept_time(&self, now: Time) -> bool {
         self.stopping.is_some_and(|since| now - since >= self.limits.shutdown_accept_time)
     }
 }
 
 /// A position: Unix time in milliseconds.
-fn moment(ms: f64) -> Time {
+fn time_from_unix_ms(ms: f64) -> Time {
     Time::from_nanos((ms * 1e6) as i64)
 }
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -6,31 +6,31 @@
 use super::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Phase {
-    Opening,
+pub(super) enum ClientPhase {
+    Startup,
     Idle,
     /// Its RPC; the statement stands at the front of the input.
-    Busy(RpcId),
+    InRpc(RpcId),
 }
 
 /// A client that is owed nothing is waited for: to open, to end a statement that it has begun, or to begin one. In
 /// this order they make place for others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Waiting {
-    Opening,
-    Begun,
-    Idle,
+pub(super) enum AwaitedInput {
+    Startup,
+    StatementRest,
+    NextStatement,
 }
 
 pub(super) struct Client {
-    pub(super) phase: Phase,
+    pub(super) phase: ClientPhase,
     /// Faults since its last good statement. After one, nothing is read for a while.
     pub(super) faults: u32,
     pub(super) resting: bool,
     /// An extended-protocol message was turned away; all up to Sync is passed over.
     pub(super) until_sync: bool,
     /// What it is waited for, and since when.
-    pub(super) waiting: Option<(Waiting, Time)>,
+    pub(super) waiting: Option<(AwaitedInput, Time)>,
     pub(super) served: bool,
     /// It had sent more than there is room for; from when on its socket, empty since, counts as read to its end.
     pub(super) overran: bool,
@@ -96,10 +96,10 @@
     }
 }
 
-/// Ids of RPCs that are taken, kept for some time past their client's own, when nothing of them is out any more. Kept
+/// RpcIds of RPCs that are taken, kept for some time past their client's own, when nothing of them is out any more. Kept
 /// as hashes with a key of this run's own, which nobody can choose ids against.
 #[derive(Default)]
-pub(super) struct Ids {
+pub(super) struct RpcIds {
     key: foldhash::fast::RandomState,
     kept: FxHashSet<u64>,
     /// Those of RPCs that are open: they stay, however many come behind them.
@@ -111,9 +111,9 @@
 /// Secret keys by which clients may cancel: a keyed hash (SipHash) of the connection's id, with a key that the system's
 /// chance gave this process. Nothing is kept by connection, and who knows some of them knows no other.
 #[derive(Default)]
-pub(super) struct Keys(std::collections::hash_map::RandomState);
+pub(super) struct CancelKeys(std::collections::hash_map::RandomState);
 
-impl Keys {
+impl CancelKeys {
     pub(super) fn secret(&self, id: ConnectionId) -> u32 {
         (std::hash::BuildHasher::hash_one(&self.0, id.0) >> 32) as u32
     }
@@ -134,10 +134,10 @@
 const STEP: i64 = 128_000_000;
 
 impl Reducer {
-    pub(super) fn accepted(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn on_accepted(&mut self, now: Time, id: ConnectionId) {
         self.clients += 1;
         let client = Client {
-            phase: Phase::Opening,
+            phase: ClientPhase::Startup,
             faults: 0,
             resting: false,
             until_sync: false,
@@ -153,25 +153,25 @@
             marks: VecDeque::new(),
             with_members: Span::ZERO,
         };
-        self.open(id, Some(now + self.limits.message_timeout), Peer::Client(client));
-        self.wait_for(id, Some((Waiting::Opening, now)));
-        self.make_place(now);
+        self.add_connection(id, Some(now + self.limits.message_timeout), Remote::Client(client));
+        self.set_awaited(id, Some((AwaitedInput::Startup, now)));
+        self.evict_excess_clients(now);
         // Guards newcomers against links that merely rest.
         if self.clients + self.links > self.limits.connections
-            && let Some(link) = self.longest_idle()
+            && let Some(link) = self.longest_idle_connection()
         {
-            self.drop_conn(link);
+            self.close_connection(link);
         }
         let full = self.clients >= self.limits.clients_accepted
             || self.clients + self.links >= self.limits.connections;
         if self.accepting && full {
-            self.mind_the_door();
+            self.update_accepting();
         }
     }
 
     /// The client that is owed nothing and is to make place first; of those that have had their time, where
     /// it counts.
-    pub(super) fn rested(&self, now: Option<Time>) -> Option<ConnectionId> {
+    pub(super) fn evictable_client(&self, now: Option<Time>) -> Option<ConnectionId> {
         let sets = self.waiting.iter().zip(self.limits.eviction_ages);
         let first = |(set, span): (&BTreeSet<(Time, ConnectionId)>, Span)| {
             let &(since, id) = set.first()?;
@@ -180,8 +180,10 @@
         sets.filter_map(|(set, span)| first((set, span))).next()
     }
 
-    pub(super) fn wait_for(&mut self, id: ConnectionId, what: Option<(Waiting, Time)>) {
-        let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) else { return };
+    pub(super) fn set_awaited(&mut self, id: ConnectionId, what: Option<(AwaitedInput, Time)>) {
+        let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get_mut(&id) else {
+            return;
+        };
         if let Some((before, since)) = std::mem::replace(&mut client.waiting, what) {
             self.waiting[before as usize].remove(&(since, id));
         }
@@ -193,51 +195,53 @@
     /// Guards newcomers against crowds that take place and ask nothing: those that came and have not opened go first,
     /// and soon; then those in the middle of a statement; then those that have rested for a while. One just idle does
     /// not go: its client is likely to write again, which would cross the close.
-    pub(super) fn make_place(&mut self, now: Time) {
+    pub(super) fn evict_excess_clients(&mut self, now: Time) {
         for nth in 0..self.waiting.len() {
-            while self.clients > self.limits.clients_before_eviction + self.parting.len()
+            while self.clients > self.limits.clients_before_eviction + self.evicting.len()
                 && let Some(&(since, id)) = self.waiting[nth].first()
                 && now - since >= self.limits.eviction_ages[nth]
             {
-                self.part_with(id);
+                self.evict(id);
             }
         }
     }
 
     /// Are there more clients than are served? Those that have asked nothing whole are not counted.
-    pub(super) fn is_crowded(&mut self, now: Time) -> bool {
-        self.make_place(now);
+    pub(super) fn exceeds_client_limit(&mut self, now: Time) -> bool {
+        self.evict_excess_clients(now);
         let [opening, begun, _] = &self.waiting;
-        self.clients > self.limits.clients + self.parting.len() + opening.len() + begun.len()
+        self.clients > self.limits.clients + self.evicting.len() + opening.len() + begun.len()
     }
 
     /// Closes a client's connection soon. Guards against closing on a query that has come already and was not read yet:
     /// the socket is read now, and once more right before it is closed.
-    pub(super) fn part_with(&mut self, id: ConnectionId) {
-        let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get(&id) else { return };
+    pub(super) fn evict(&mut self, id: ConnectionId) {
+        let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get(&id) else {
+            return;
+        };
         if let Some((what, since)) = client.waiting {
             self.waiting[what as usize].remove(&(since, id));
         }
-        self.parting.push((id, client.waiting));
+        self.evicting.push((id, client.waiting));
         self.effects.push(Effect::Read(id));
     }
 
     /// Has all that are parted with looked at for the last time, each right before it is closed. Guards what came while
     /// the router stalled: against closes that wait for those of others, and against one that makes place in this turn.
-    pub(super) fn see_off(&mut self) {
-        self.effects.extend(self.parting.iter().map(|&(id, _)| Effect::CloseIfQuiet(id)));
+    pub(super) fn request_final_reads(&mut self) {
+        self.effects.extend(self.evicting.iter().map(|&(id, _)| Effect::CloseIfQuiet(id)));
     }
 
     /// Nothing came of the last look at a socket, or else it would not be parted with any more.
-    pub(super) fn quiet(&mut self, now: Time, id: ConnectionId) {
-        let Some(at) = self.parting.iter().position(|&(parting, _)| parting == id) else { return };
-        let Some(conn) = self.conns.get(&id) else { return };
+    pub(super) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
+        let Some(at) = self.evicting.iter().position(|&(evicting, _)| evicting == id) else { return };
+        let Some(connection) = self.connections.get(&id) else { return };
         // A read that failed for a moment is made again, and with it this look.
-        if conn.unread && !conn.paused {
+        if connection.unread && !connection.paused {
             return;
         }
-        let (_, waiting) = self.parting.remove(at);
-        if let Peer::Client(client) = &conn.peer
+        let (_, waiting) = self.evicting.remove(at);
+        if let Remote::Client(client) = &connection.remote
             && client.waiting.is_some()
             && client.waiting == waiting
         {
@@ -245,96 +249,98 @@
         }
     }
 
-    pub(super) fn client_gone(&mut self, now: Time, id: ConnectionId) {
-        let phase = match self.conns.get(&id).map(|conn| &conn.peer) {
-            Some(Peer::Client(client)) => client.phase,
+    pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
+        let phase = match self.connections.get(&id).map(|connection| &connection.remote) {
+            Some(Remote::Client(client)) => client.phase,
             _ => return,
         };
-        self.drop_conn(id);
-        let Phase::Busy(rpc) = phase else { return };
-        self.tally.left += 1;
+        self.close_connection(id);
+        let ClientPhase::InRpc(rpc) = phase else { return };
+        self.stats.left += 1;
         rpc.abandon(&mut self.router);
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        call.client = None;
-        let out = call.out;
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        entry.client = None;
+        let out = entry.out;
         match out {
-            None => self.forget_call(rpc),
+            None => self.remove_rpc(rpc),
             // A query that is out goes on, and tells of the member; one that is not out whole does not.
-            Some(link) => self.withdraw(now, link),
+            Some(link) => self.withdraw_job(now, link),
         }
     }
 
     /// Somebody asks to cancel what a client waits for now. With a key that no connection has nothing happens. What no
     /// byte of is out is answered at once, and never goes out; what is out is settled by its outcome, with no further
     /// attempt. What stands behind it goes on.
-    fn cancel(&mut self, now: Time, wanted: u32, secret: u32) {
+    fn cancel_rpc(&mut self, now: Time, wanted: u32, secret: u32) {
         // The newest connection with this process id: those before it are long over.
         let (last, id) = (self.last_id, u64::from(wanted) | self.last_id & !u64::from(u32::MAX));
         let id = ConnectionId(if id > last { id.wrapping_sub(1 << 32) } else { id });
         let fits = self.keys.fits(id, secret);
-        let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get(&id).filter(|_| fits) else {
+        let Some(Connection { remote: Remote::Client(client), .. }) =
+            self.connections.get(&id).filter(|_| fits)
+        else {
             return;
         };
-        let Phase::Busy(rpc) = client.phase else { return };
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        call.cancelled = true;
-        let writes = self.writes.get(call.method as usize).copied().unwrap_or(true);
-        let decision = if call.may_have_run && writes { Decision::Fail } else { Decision::AlreadyAnswered };
-        let out = call.out;
-        if out.is_some_and(|link| self.is_sent(link)) {
+        let ClientPhase::InRpc(rpc) = client.phase else { return };
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        entry.cancelled = true;
+        let writes = self.writes.get(entry.method as usize).copied().unwrap_or(true);
+        let decision = if entry.may_have_run && writes { Decision::Fail } else { Decision::AlreadyAnswered };
+        let out = entry.out;
+        if out.is_some_and(|link| self.is_query_sent(link)) {
             return;
         }
-        self.finish(now, rpc, decision);
+        self.answer_unserved(now, rpc, decision);
         rpc.abandon(&mut self.router);
         if let Some(link) = out {
-            self.withdraw(now, link);
+            self.withdraw_job(now, link);
         }
     }
 
-    pub(super) fn unread(&mut self, id: ConnectionId) {
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.unread = true;
+    pub(super) fn on_more_to_read(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.unread = true;
         }
     }
 
-    pub(super) fn drained(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn on_drained(&mut self, now: Time, id: ConnectionId) {
         let refill = now + self.limits.refill_quiet_time;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.paused = false;
-        if !std::mem::take(&mut conn.unread) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.paused = false;
+        if !std::mem::take(&mut connection.unread) {
             return;
         }
-        if let Peer::Client(client) = &mut conn.peer {
+        if let Remote::Client(client) = &mut connection.remote {
             client.refill = Some(refill).filter(|_| std::mem::take(&mut client.overran)).or(client.refill);
             self.ready.push_back(id);
         }
     }
 
     /// Its socket stayed empty: nothing stands behind what was read.
-    pub(super) fn refilled(&mut self, now: Time, id: ConnectionId) {
-        if let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) {
+    pub(super) fn on_refill_timeout(&mut self, now: Time, id: ConnectionId) {
+        if let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get_mut(&id) {
             client.refill = None;
         }
-        self.look_at_client(now, id);
+        self.read_client(now, id);
     }
 
-    pub(super) fn look_at_ready(&mut self, now: Time) {
+    pub(super) fn read_ready_clients(&mut self, now: Time) {
         while let Some(id) = self.ready.pop_front() {
-            self.look_at_client(now, id);
+            self.read_client(now, id);
         }
     }
 
     /// Reads what a client has sent, up to its next RPC.
-    pub(super) fn look_at_client(&mut self, now: Time, id: ConnectionId) {
-        let ending = self.is_ending(now);
+    pub(super) fn read_client(&mut self, now: Time, id: ConnectionId) {
+        let ending = self.is_past_accept_time(now);
         // Guards the others against one that has sent hundreds of statements at once.
         for _ in 0..self.limits.statements_per_iteration {
-            let Some(conn) = self.conns.get_mut(&id) else { return };
-            let Peer::Client(client) = &mut conn.peer else { return };
-            if conn.closing
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            let Remote::Client(client) = &mut connection.remote else { return };
+            if connection.closing
                 || client.resting
                 || client.just_answered
-                || matches!(client.phase, Phase::Busy(_))
+                || matches!(client.phase, ClientPhase::InRpc(_))
             {
                 return;
             }
@@ -342,21 +348,21 @@
             match client.passing_over {
                 Some(0) => {
                     client.passing_over = None;
-                    self.refuse(now, id, 0, Refusal::Memory);
+                    self.reject_statement(now, id, 0, Refusal::Memory);
                     continue;
                 }
                 Some(_) => return,
                 None => {}
             }
             // One that does not read its answers gets no more of them.
-            if conn.output.len() > self.limits.buffer_initial_bytes {
-                let deadline = conn.deadline.or(Some(now + self.limits.unread_answer_timeout));
+            if connection.output.len() > self.limits.buffer_initial_bytes {
+                let deadline = connection.deadline.or(Some(now + self.limits.unread_answer_timeout));
                 return self.set_deadline(id, deadline);
             }
             let mut out = Vec::new();
             let (mut close, mut fault) = (false, None);
-            let used = if client.phase == Phase::Opening {
-                match pg::opening(conn.input.whole(), self.limits.startup_message_bytes) {
+            let used = if client.phase == ClientPhase::Startup {
+                match pg::opening(connection.input.whole(), self.limits.startup_message_bytes) {
                     Ok(None) => 0,
                     Ok(Some((pg::Opening::Encryption, length))) => {
                         out.push(b'N');
@@ -364,32 +370,32 @@
                     }
                     Ok(Some((pg::Opening::Startup, length))) => {
                         pg::put_welcome(&mut out, process(id), self.keys.secret(id));
-                        client.phase = Phase::Idle;
+                        client.phase = ClientPhase::Idle;
                         length
                     }
                     // Told nothing, whatever becomes of it.
                     Ok(Some((pg::Opening::Cancel(process, secret), _))) => {
                         self.close_client(now, id);
-                        return self.cancel(now, process, secret);
+                        return self.cancel_rpc(now, process, secret);
                     }
                     Err(_) => {
                         pg::put_error(&mut out, "FATAL", "08P01", "malformed startup", None);
                         close = true;
-                        conn.input.len()
+                        connection.input.len()
                     }
                 }
             } else {
                 let most = self.limits.statement_bytes;
-                match pg::head(conn.input.whole()) {
+                match pg::head(connection.input.whole()) {
                     // Told by its head: to pass over all of it would be work for nothing.
                     Ok(Some((_, length))) if length > most => {
                         pg::put_error(&mut out, "FATAL", "54000", "the message is too long", None);
                         close = true;
-                        conn.input.len()
+                        connection.input.len()
                     }
-                    Ok(Some((_, length))) if conn.input.len() < length => 0,
+                    Ok(Some((_, length))) if connection.input.len() < length => 0,
                     Ok(Some((kind, length))) => {
-                        let body = conn.input.whole().get(5..length).unwrap_or_default();
+                        let body = connection.input.whole().get(5..length).unwrap_or_default();
                         match (kind, pg::statement(body)) {
                             (b'X', _) => close = true,
                             (b'S', _) => {
@@ -403,29 +409,29 @@
                             }
                             // Guards what SIGKILL would find unanswered: nothing is begun that late.
                             (b'Q', Ok(_)) if ending => {
-                                self.refuse(now, id, length, Refusal::Stopping);
+                                self.reject_statement(now, id, length, Refusal::Stopping);
                                 continue;
                             }
                             // Guards members against statements of a client that has left, where its end can't be
                             // seen: what it sent past its room is read and answered at once, up to its end. Harms
                             // one that stays and sends this much ahead.
-                            (b'Q', Ok(_)) if conn.paused => {
-                                self.tally.full += 1;
-                                self.refuse(now, id, length, Refusal::SentAhead);
+                            (b'Q', Ok(_)) if connection.paused => {
+                                self.stats.full += 1;
+                                self.reject_statement(now, id, length, Refusal::SentAhead);
                                 continue;
                             }
-                            (b'Q', Ok(_)) if conn.unread => {
-                                self.wait_for(id, None);
+                            (b'Q', Ok(_)) if connection.unread => {
+                                self.set_awaited(id, None);
                                 return self.set_deadline(id, None);
                             }
                             (b'Q', Ok(_)) if client.refill.is_some_and(|until| now < until) => {
                                 let until = client.refill;
-                                self.wait_for(id, None);
+                                self.set_awaited(id, None);
                                 return self.set_deadline(id, until);
                             }
                             (b'Q', Ok(_)) => {
                                 client.refill = None;
-                                self.take(now, id, length);
+                                self.accept_rpc(now, id, length);
                                 continue;
                             }
                             (b'Q', Err(_)) => {
@@ -449,15 +455,15 @@
                     Err(_) => {
                         pg::put_error(&mut out, "FATAL", "08P01", "malformed message", None);
                         close = true;
-                        conn.input.len()
+                        connection.input.len()
                     }
                 }
             };
             if let Some((code, text)) = fault {
-                self.turn_away(now, id, used, code, text);
+                self.answer_client_error(now, id, used, code, text);
                 continue;
             }
-            self.used(id, used);
+            self.consume_input(id, used);
             if !out.is_empty() {
                 self.write(id, &out);
             }
@@ -465,89 +471,89 @@
                 return self.close_client(now, id);
             }
             if used == 0 {
-                return self.client_waits(now, id);
+                return self.await_client_input(now, id);
             }
         }
         self.again.push(id);
     }
 
     /// Bytes of a client's input are done with.
-    pub(super) fn used(&mut self, id: ConnectionId, count: usize) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.input.consume(count);
-        conn.input.shrink(self.limits.buffer_initial_bytes);
-        if let Peer::Client(client) = &mut conn.peer {
+    pub(super) fn consume_input(&mut self, id: ConnectionId, count: usize) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.input.consume(count);
+        connection.input.shrink(self.limits.buffer_initial_bytes);
+        if let Remote::Client(client) = &mut connection.remote {
             client.is_done_with(count);
-            self.unlooked = self.unlooked.saturating_sub(count);
+            self.unread_client_bytes = self.unread_client_bytes.saturating_sub(count);
         }
-        if conn.paused && count > 0 {
-            conn.paused = false;
+        if connection.paused && count > 0 {
+            connection.paused = false;
             self.effects.push(Effect::Read(id));
         }
-        self.recount(id);
+        self.update_buffer_bytes(id);
     }
 
     /// Guards a statement that is whole at its socket, or will be, against waiting for memory past its client's time: none
     /// of it is kept, and it is pushed back once its last byte has come.
-    pub(super) fn pass_over(&mut self, now: Time, id: ConnectionId) {
-        self.starved.remove(&id);
+    pub(super) fn skip_statement(&mut self, now: Time, id: ConnectionId) {
+        self.waiting_for_memory.remove(&id);
         let message = self.limits.message_timeout;
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let held = conn.input.len();
-        let length = pg::head(conn.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
-        let Peer::Client(client) = &mut conn.peer else { return };
-        if client.phase != Phase::Idle || length <= held {
-            return self.part_with(id);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let held = connection.input.len();
+        let length = pg::head(connection.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
+        let Remote::Client(client) = &mut connection.remote else { return };
+        if client.phase != ClientPhase::Idle || length <= held {
+            return self.evict(id);
         }
         client.passing_over = Some(length - held);
         let since = client.waiting.map_or(now, |(_, since)| since);
-        self.used(id, held);
-        if let Some(conn) = self.conns.get_mut(&id) {
-            conn.input.shrink(0);
+        self.consume_input(id, held);
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.input.shrink(0);
         }
-        self.recount(id);
+        self.update_buffer_bytes(id);
         self.set_deadline(id, Some(since + message));
     }
 
     /// Closes once what it is owed is written, or not read for too long.
     pub(super) fn close_client(&mut self, now: Time, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.closing = true;
-        if conn.output.is_empty() {
-            self.drop_conn(id);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.closing = true;
+        if connection.output.is_empty() {
+            self.close_connection(id);
         } else {
             self.set_deadline(id, Some(now + self.limits.unread_answer_timeout));
         }
     }
 
     /// It has sent no whole message: idle, or in the middle of one.
-    pub(super) fn client_waits(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn await_client_input(&mut self, now: Time, id: ConnectionId) {
         let (message, unread) = (self.limits.message_timeout, self.limits.unread_answer_timeout);
         let idle = self.limits.client_idle_timeout;
         let stopping = self.stopping.is_some();
         // Guards the stop against one that asks nothing over and over.
         let over = self.stopping.is_some_and(|since| now - since >= self.limits.shutdown_accept_time);
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Peer::Client(client) = &mut conn.peer else { return };
-        if client.phase == Phase::Opening {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Remote::Client(client) = &mut connection.remote else { return };
+        if client.phase == ClientPhase::Startup {
             return;
         }
-        if !conn.input.is_empty() {
+        if !connection.input.is_empty() {
             // Its time runs from the first byte on.
             let since = match client.waiting {
-                Some((Waiting::Begun, since)) => since,
+                Some((AwaitedInput::StatementRest, since)) => since,
                 _ => now,
             };
-            self.wait_for(id, Some((Waiting::Begun, since)));
-            let starved = self.starved.contains(&id);
-            let within = if starved { self.limits.memory_wait_timeout } else { message };
+            self.set_awaited(id, Some((AwaitedInput::StatementRest, since)));
+            let waiting_for_memory = self.waiting_for_memory.contains(&id);
+            let within = if waiting_for_memory { self.limits.memory_wait_timeout } else { message };
             return self.set_deadline(id, Some(since + within));
         }
         let leaves = stopping && client.served;
         // Guards against closing one whose answer is not written yet; what it sends meanwhile is read.
-        if !conn.output.is_empty() {
-            let deadline = conn.deadline.or(Some(now + unread));
-            self.wait_for(id, None);
+        if !connection.output.is_empty() {
+            let deadline = connection.deadline.or(Some(now + unread));
+            self.set_awaited(id, None);
             return self.set_deadline(id, deadline);
         }
         if over {
@@ -556,29 +562,29 @@
         // Guards against connections kept open for good: an idle one is closed after a while, and holds no ring.
         let idle = if stopping { self.limits.shutdown_accept_time } else { idle };
         // Where memory is short it holds no ring meanwhile.
-        if self.rings > self.limits.client_buffers_total_bytes / 4 {
-            conn.input.shrink(0);
-            conn.output.shrink(0);
-            self.recount(id);
+        if self.buffer_bytes > self.limits.client_buffers_total_bytes / 4 {
+            connection.input.shrink(0);
+            connection.output.shrink(0);
+            self.update_buffer_bytes(id);
         }
-        self.wait_for(id, Some((Waiting::Idle, now)));
+        self.set_awaited(id, Some((AwaitedInput::NextStatement, now)));
         self.set_deadline(id, Some(now + idle));
         if leaves {
-            self.part_with(id);
+            self.evict(id);
         }
     }
 
     /// Takes the RPC whose statement, of this length, stands at the front of a client's input.
-    pub(super) fn take(&mut self, now: Time, id: ConnectionId, length: usize) {
+    pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
         let mut newcomer = false;
-        self.wait_for(id, None);
-        if let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) {
+        self.set_awaited(id, None);
+        if let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get_mut(&id) {
             newcomer = !std::mem::replace(&mut client.served, true);
         }
-        let surplus = newcomer && self.is_crowded(now);
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Peer::Client(client) = &mut conn.peer else { return };
-        let body = conn.input.whole().get(5..length).unwrap_or_default();
+        let surplus = newcomer && self.exceeds_client_limit(now);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Remote::Client(client) = &mut connection.remote else { return };
+        let body = connection.input.whole().get(5..length).unwrap_or_default();
         let (mut fleet_refuses, mut rank) = (false, 0);
         let read = pg::statement(body).map_err(|_| ("22021", "not text".to_owned())).and_then(|statement| {
             let comment = pg::comment(statement).map_err(|text| ("42601", text))?;
@@ -598,7 +604,7 @@
             let late = self.faulty.is(Faulty::AnswersLate);
             let due = if late { due + Span::from_millis(1000) } else { due };
             // One that is ahead of the clock here stays so: it is held against positions, not against the clock.
-            let last_write = comment.after_ms.filter(|&ms| ms > 0.0).map(|ms| now - moment(ms));
+            let last_write = comment.after_ms.filter(|&ms| ms > 0.0).map(|ms| now - time_from_unix_ms(ms));
             let resent = comment.resent;
             let mut arrival = Arrival {
                 method,
@@ -611,7 +617,7 @@
                 fleet_overload: None,
                 admission_draw: None,
             };
-            if let Some(own) = &mut self.own {
+            if let Some(own) = &mut self.overload {
                 own.governor.record_statement(now, came.map_or(Span::ZERO, |(_, own)| own), length);
                 let strain = own.governor.overload_state(now, method, &client.spent);
                 arrival.router_overload = Some(strain);
@@ -636,54 +642,56 @@
                 let session = if self.session_methods { key } else { comment.id };
                 let router = &self.router;
                 (fleet_refuses, rank) =
-                    peers.weigh(now, &mut arrival, session, |a, strain| router.priority(now, a, strain));
+                    peers.apply_fleet_admission(now, &mut arrival, session, |a, strain| {
+                        router.priority(now, a, strain)
+                    });
             }
             arrival.session = Some(key).filter(|_| self.session_methods && !self.carried).map(session);
             Ok((arrival, comment.wait_at, id))
         });
         let (arrival, wait_at, name) = match read {
             Ok(read) => read,
-            Err((code, text)) => return self.turn_away(now, id, length, code, &text),
+            Err((code, text)) => return self.answer_client_error(now, id, length, code, &text),
         };
         if surplus {
-            self.tally.crowded += 1;
+            self.stats.crowded += 1;
             // Told at once, so that it does not wait unanswered at the listener.
-            return self.refuse(now, id, length, Refusal::Crowded);
+            return self.reject_statement(now, id, length, Refusal::Crowded);
         }
-        if self.calls.len() >= self.limits.rpcs_in_flight {
-            self.tally.full += 1;
-            return self.refuse(now, id, length, Refusal::Full);
+        if self.rpcs.len() >= self.limits.rpcs_in_flight {
+            self.stats.full += 1;
+            return self.reject_statement(now, id, length, Refusal::Full);
         }
-        self.tally.taken += 1;
-        self.figured.taken += 1;
+        self.stats.taken += 1;
+        self.overload_counts.taken += 1;
         let due = arrival.deadline;
         client.faults = 0;
-        let bounded = self.bounded.get(arrival.method as usize).copied().unwrap_or(false);
+        let bounds_staleness = self.bounds_staleness.get(arrival.method as usize).copied().unwrap_or(false);
         let (rpc, decision) = self.router.accept(now, arrival);
         // Said no at once: nothing of it is kept, so that saying it stays cheap.
-        if let (Some(own), Decision::Reject { retry_after: come_back }) = (&mut self.own, decision) {
+        if let (Some(own), Decision::Reject { retry_after: come_back }) = (&mut self.overload, decision) {
             own.governor.record_rejected();
-            self.tally.shed += 1;
-            self.figured.shed += 1;
-            return self.push_back_at_once(id, length, come_back);
+            self.stats.shed += 1;
+            self.overload_counts.shed += 1;
+            return self.reject_without_state(id, length, come_back);
         }
         if let (true, Decision::Reject { retry_after: come_back }) = (fleet_refuses, decision) {
-            self.tally.shed += 1;
-            return self.push_back_at_once(id, length, come_back);
+            self.stats.shed += 1;
+            return self.reject_without_state(id, length, come_back);
         }
         self.ids.open.insert(name);
         self.ids.add(now, name, due + self.limits.retired_id_ttl, self.limits.retired_ids);
-        client.phase = Phase::Busy(rpc);
+        client.phase = ClientPhase::InRpc(rpc);
         let (method, group) = (arrival.method, arrival.group);
         let span = tracing::debug_span!("rpc", method, due_ms = (due - now).secs() * 1e3);
-        self.calls.insert(
+        self.rpcs.insert(
             rpc,
-            Call {
+            RpcInFlight {
                 client: Some(id),
                 taken: now,
                 own: Span::ZERO,
                 due,
-                bounded,
+                bounds_staleness,
                 method,
                 group,
                 rank,
@@ -699,21 +707,21 @@
             },
         );
         self.set_deadline(id, Some(due - self.limits.answer_margin * 0.5));
-        self.carry_out(now, rpc, decision);
+        self.apply_decision(now, rpc, decision);
     }
 
     /// Pushes back an RPC of which nothing is kept.
-    fn push_back_at_once(&mut self, id: ConnectionId, length: usize, come_back: Span) {
+    fn reject_without_state(&mut self, id: ConnectionId, length: usize, come_back: Span) {
         let mut out = std::mem::take(&mut self.scratch);
         out.clear();
-        pg::put_refusal(&mut out, "53300", OVERLOADED, after(come_back));
-        self.used(id, length);
+        pg::put_refusal(&mut out, "53300", OVERLOADED, retry_after_ms(come_back));
+        self.consume_input(id, length);
         self.write(id, &out);
         self.scratch = out;
     }
 
     /// Pushes back a statement that is not taken as an RPC, and names a time to come back.
-    fn refuse(&mut self, now: Time, id: ConnectionId, length: usize, refusal: Refusal) {
+    fn reject_statement(&mut self, now: Time, id: ConnectionId, length: usize, refusal: Refusal) {
         let (fatal, code, text) = match refusal {
             Refusal::Stopping => (false, "57P03", "the router stops"),
             Refusal::SentAhead => (false, "53300", "too much is sent ahead"),
@@ -721,7 +729,7 @@
             Refusal::Memory => (false, "53300", "memory is short"),
             Refusal::Crowded => (true, "53300", "too many connections"),
         };
-        let retry_after = after(self.router.retry_after());
+        let retry_after = retry_after_ms(self.router.retry_after());
         self.answer_error(now, id, length, ErrorAnswer { fatal, code, text, retry_after });
     }
 
@@ -734,7 +742,7 @@
         } else {
             pg::put_refusal(&mut out, code, text, retry_after);
         }
-        self.used(id, length);
+        self.consume_input(id, length);
         self.write(id, &out);
         if fatal {
             self.close_client(now, id);
@@ -743,28 +751,37 @@
 
     /// A statement with a fault of its own. Guards the time of the others against one that sends faults as fast as
     /// they are answered: each is told at once, what it sends next is read later, and after some it is closed.
-    pub(super) fn turn_away(&mut self, now: Time, id: ConnectionId, length: usize, code: &str, text: &str) {
-        let Some(Conn { peer: Peer::Client(client), .. }) = self.conns.get_mut(&id) else { return };
+    pub(super) fn answer_client_error(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        length: usize,
+        code: &str,
+        text: &str,
+    ) {
+        let Some(Connection { remote: Remote::Client(client), .. }) = self.connections.get_mut(&id) else {
+            return;
+        };
         client.faults += 1;
         let last = client.faults > self.limits.client_errors;
         client.resting = !last;
         let rest = self.limits.client_error_backoff * f64::from(1u32 << (client.faults - 1).min(8));
-        self.tally.faults += 1;
+        self.stats.faults += 1;
         self.answer_error(now, id, length, ErrorAnswer { fatal: last, code, text, retry_after: None });
         if !last {
-            self.wait_for(id, Some((Waiting::Begun, now)));
+            self.set_awaited(id, Some((AwaitedInput::StatementRest, now)));
             self.set_deadline(id, Some(now + rest));
         }
     }
 
     /// It has rested after a fault.
-    pub(super) fn read_on(&mut self, now: Time, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Peer::Client(client) = &mut conn.peer else { return };
+    pub(super) fn resume_reading(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Remote::Client(client) = &mut connection.remote else { return };
         client.resting = false;
-        conn.paused = false;
+        connection.paused = false;
         self.effects.push(Effect::Read(id));
-        self.look_at_client(now, id);
+        self.read_client(now, id);
     }
 }
 
@@ -786,7 +803,7 @@
     retry_after: Option<i64>,
 }
 
-impl Ids {
+impl RpcIds {
     pub(super) fn hash(&self, id: &str) -> u64 {
         std::hash::BuildHasher::hash_one(&self.key, id)
     }
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -12,7 +12,7 @@
 use ladderpass_routing::{MemberLoad, OverloadState};
 use std::fmt::Write;
 
-pub(super) struct Peers {
+pub(super) struct PeerLinks {
     membership: Membership,
     view: View,
     wake: Time,
@@ -21,11 +21,11 @@
     listed: usize,
     out: Vec<(SocketAddr, Vec<u8>)>,
     /// By this router's index of a group: the number that all know it by.
-    cells: Vec<u32>,
+    group_numbers: Vec<u32>,
     /// None: each router sheds for itself.
-    concert: Option<AdmissionController>,
+    admission: Option<AdmissionController>,
     /// None: further call-outs cost nothing.
-    budgets: Option<RetryBudget>,
+    retry_budget: Option<RetryBudget>,
     /// What this router has refused for all, and when the log told of it last.
     refused: u64,
     figures_at: Time,
@@ -40,8 +40,8 @@
 /// Bytes that go along with a datagram of the membership.
 const LOAD: usize = 150;
 
-impl Peers {
-    pub(super) fn new(now: Time, launch: &Launch) -> Option<Peers> {
+impl PeerLinks {
+    pub(super) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
         let peers = launch.operator.peers.as_ref()?;
         if peers.legacy_form {
             tracing::warn!(
@@ -53,17 +53,17 @@
         // Another chance than the core's, for routers with one seed: they must not draw the same order.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
         let membership = Membership::start(now, seed, own, &peers.listed, &peers.networks, settings);
-        Some(Peers {
+        Some(PeerLinks {
             view: membership.view(),
             wake: now,
             settled_at: now + SETTLES,
             listed: peers.listed.iter().filter(|&&address| address != peers.address).count() + 1,
-            concert: (launch.operator.shared_admission).then(|| {
+            admission: (launch.operator.shared_admission).then(|| {
                 AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert())
             }),
-            budgets: (launch.operator.shared_retry_budget)
+            retry_budget: (launch.operator.shared_retry_budget)
                 .then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
-            cells: Vec::new(),
+            group_numbers: Vec::new(),
             refused: 0,
             figures_at: now,
             figures_every: launch.operator.log.metrics_interval,
@@ -73,19 +73,19 @@
     }
 
     pub(super) fn wake(&self) -> Time {
-        self.concert.as_ref().map_or(self.wake, |concert| concert.wake_at().min(self.wake))
+        self.admission.as_ref().map_or(self.wake, |admission| admission.wake_at().min(self.wake))
     }
 
     /// What all refuse of its group, and its session's lot; told of as asked. Is it sure to be refused?
-    pub(super) fn weigh(
+    pub(super) fn apply_fleet_admission(
         &mut self,
         now: Time,
         arrival: &mut Arrival,
         session: &str,
         rank: impl Fn(&Arrival, &OverloadState) -> u32,
     ) -> (bool, u32) {
-        let Some((concert, group)) = self.shedding(arrival.group) else { return (false, 0) };
-        let (floor, pressure) = concert.threshold(group);
+        let Some((admission, group)) = self.admission_for(arrival.group) else { return (false, 0) };
+        let (floor, pressure) = admission.threshold(group);
         let strain = OverloadState {
             pressure,
             admission_threshold: floor,
@@ -94,7 +94,7 @@
             queueing_delay: Span::ZERO,
         };
         let rank = rank(arrival, &strain);
-        concert.record_offered(group, rank);
+        admission.record_offered(group, rank);
         let lot = admission_draw(session.as_bytes(), now);
         (arrival.fleet_overload, arrival.admission_draw) = (Some(strain), Some(lot));
         let refused = f64::from(rank) + lot < floor;
@@ -103,50 +103,51 @@
     }
 
     /// What all shed by, and the number that all know a group by.
-    fn shedding(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
-        Some((self.concert.as_mut()?, *self.cells.get(group as usize)?))
+    fn admission_for(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
+        Some((self.admission.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
     /// What further call-outs are paid from, likewise.
-    fn spending(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
-        Some((self.budgets.as_mut()?, *self.cells.get(group as usize)?))
+    fn retry_budget_for(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
+        Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
     /// The first call-out of an RPC goes.
     pub(super) fn first(&mut self, group: u32) {
-        if let Some((budgets, group)) = self.spending(group) {
-            budgets.record_first_attempt(group);
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.record_first_attempt(group);
         }
     }
 
     /// Is a further call-out of an RPC of this rank paid for?
     pub(super) fn pays(&mut self, group: u32, rank: u32) -> bool {
-        self.spending(group).is_none_or(|(budgets, group)| budgets.try_withdraw(group, rank))
+        self.retry_budget_for(group)
+            .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, rank))
     }
 
     /// One that was paid for was answered well.
     pub(super) fn helped(&mut self, group: u32) {
-        if let Some((budgets, group)) = self.spending(group) {
-            budgets.record_success(group);
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.record_success(group);
         }
     }
 
     /// One that was paid for is not made.
-    pub(super) fn gives_back(&mut self, group: u32) {
-        if let Some((budgets, group)) = self.spending(group) {
-            budgets.refund(group);
+    pub(super) fn refund_retry(&mut self, group: u32) {
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.refund(group);
         }
     }
 
     pub(super) fn served(&mut self, group: u32) {
-        if let Some((concert, group)) = self.shedding(group) {
-            concert.record_served(group);
+        if let Some((admission, group)) = self.admission_for(group) {
+            admission.record_served(group);
         }
     }
 
     pub(super) fn unsent(&mut self, group: u32) {
-        if let Some((concert, group)) = self.shedding(group) {
-            concert.record_unplaced(group);
+        if let Some((admission, group)) = self.admission_for(group) {
+            admission.record_unplaced(group);
         }
     }
 }
@@ -161,7 +162,7 @@
     pub fn admission_metrics(&self) -> Vec<ladderpass_admission::GroupMetrics> {
         self.peers
             .iter()
-            .filter_map(|peers| peers.concert.as_ref())
+            .filter_map(|peers| peers.admission.as_ref())
             .flat_map(AdmissionController::metrics)
             .collect()
     }
@@ -172,28 +173,28 @@
     }
 
     /// A datagram: a word on routers by its first byte, else words on members as all programs exchange them.
-    pub(super) fn whispered(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+    pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if bytes.first() == Some(&FIRST_BYTE) {
             peers.membership.on_datagram(now, from, bytes);
             let loads = peers.membership.take_piggybacked();
-            if let Some(concert) = &mut peers.concert {
-                loads.iter().for_each(|load| concert.on_reports(now, load));
+            if let Some(admission) = &mut peers.admission {
+                loads.iter().for_each(|load| admission.on_reports(now, load));
             }
-            return self.regard(now);
+            return self.apply_membership(now);
         }
         if !peers.membership.may_gossip(now, from) {
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
-        for news in self.circle.decode(text, now) {
+        for news in self.gossip_codec.decode(text, now) {
             self.router.on_peer_update(now, news);
         }
     }
 
     /// Words of the core for all other routers.
-    pub(super) fn whisper(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
-        let texts = self.circle.encode(news, &self.names);
+    pub(super) fn publish_updates(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
+        let texts = self.gossip_codec.encode(news, &self.names);
         let Some(peers) = self.peers.as_deref_mut() else { return };
         for to in peers.membership.gossip_targets(now) {
             peers.out.extend(texts.iter().map(|text| (to, text.clone().into_bytes())));
@@ -201,56 +202,58 @@
         self.effects.push(Effect::SendDatagrams);
     }
 
-    pub(super) fn tend_peers(&mut self, now: Time) {
-        self.tend_concert(now);
+    pub(super) fn tick_peers(&mut self, now: Time) {
+        self.tick_admission(now);
         let Some(peers) = self.peers.as_deref_mut().filter(|peers| peers.wake <= now) else { return };
         peers.membership.tick(now);
-        self.regard(now);
+        self.apply_membership(now);
     }
 
     /// What all routers reckon together goes to the core, and this one's words to the others.
-    fn tend_concert(&mut self, now: Time) {
+    fn tick_admission(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        let Some(concert) = peers.concert.as_mut().filter(|concert| concert.wake_at() <= now) else { return };
-        if peers.cells.len() != self.groups.len() {
-            peers.cells = vec![0; self.groups.len()];
+        let Some(admission) = peers.admission.as_mut().filter(|admission| admission.wake_at() <= now) else {
+            return;
+        };
+        if peers.group_numbers.len() != self.groups.len() {
+            peers.group_numbers = vec![0; self.groups.len()];
             for (&cell, &index) in &self.groups {
-                if let Some(number) = peers.cells.get_mut(index as usize) {
+                if let Some(number) = peers.group_numbers.get_mut(index as usize) {
                     *number = (cell ^ cell >> 32) as u32;
                 }
             }
         }
-        let cells = &peers.cells;
+        let group_numbers = &peers.group_numbers;
         // By the number that all know a group by.
-        let known = |group: u32| cells.get(group as usize).copied().unwrap_or_default();
+        let known = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
         let seen = self.router.member_loads(now).map(|seen| MemberLoad { group: known(seen.group), ..seen });
         let seen: Vec<MemberLoad> = seen.collect();
-        if let Some(facts) = concert.tick(now, &seen) {
+        if let Some(facts) = admission.tick(now, &seen) {
             facts
                 .in_flight
                 .iter()
                 .for_each(|&(member, limit)| self.router.set_concurrency_limit(member, limit));
         }
-        if let Some(budgets) = &mut peers.budgets {
+        if let Some(retry_budget) = &mut peers.retry_budget {
             let heard = |group| {
-                concert
+                admission
                     .peer_retry_rates(now, group)
                     .map(|(rates, weight)| (RetryRates::from_rates(rates), weight))
             };
-            budgets.rebalance(now, concert.alive_peers(), heard);
-            for &group in cells {
-                concert.set_retry_rates(group, budgets.own_rates(group).rates());
+            retry_budget.rebalance(now, admission.alive_peers(), heard);
+            for &group in group_numbers {
+                admission.set_retry_rates(group, retry_budget.own_rates(group).rates());
             }
         }
-        peers.membership.set_piggyback(concert.encode_reports(now, LOAD));
+        peers.membership.set_piggyback(admission.encode_reports(now, LOAD));
         if now - peers.figures_at < peers.figures_every {
             return;
         }
         peers.figures_at = now;
-        for figures in concert.metrics() {
+        for figures in admission.metrics() {
             tracing::info!(
                 target: "ladderpass::fleet",
-                "floor {:.2} in group {}: asked {:.0}, let in {:.0}, served {:.0}, unsent {:.0}; {} words, {} bounded, \
+                "floor {:.2} in group {}: asked {:.0}, let in {:.0}, served {:.0}, unsent {:.0}; {} words, {} bounds_staleness, \
                  {} alive; room {:.1}, part {:.3}; refused {}",
                 figures.threshold,
                 figures.group,
@@ -266,11 +269,11 @@
                 peers.refused
             );
         }
-        self.tell_budgets();
+        self.log_retry_budget();
     }
 
-    fn tell_budgets(&self) {
-        let figures = self.peers.iter().filter_map(|peers| peers.budgets.as_ref());
+    fn log_retry_budget(&self) {
+        let figures = self.peers.iter().filter_map(|peers| peers.retry_budget.as_ref());
         for figures in figures.flat_map(RetryBudget::metrics) {
             tracing::info!(
                 target: "ladderpass::fleet",
@@ -289,15 +292,15 @@
         }
     }
 
-    pub(super) fn leave_peers(&mut self, now: Time) {
+    pub(super) fn leave_fleet(&mut self, now: Time) {
         if let Some(peers) = self.peers.as_deref_mut() {
             peers.membership.leave(now);
-            self.regard(now);
+            self.apply_membership(now);
         }
     }
 
     /// Takes up what the membership has come to.
-    fn regard(&mut self, now: Time) {
+    fn apply_membership(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         peers.wake = peers.membership.wake_at();
         let out = peers.membership.take_outgoing();
@@ -321,8 +324,8 @@
         }
         let moved = (view.position, view.count, view.digest)
             != (peers.view.position, peers.view.count, peers.view.digest);
-        if let Some(concert) = &mut peers.concert {
-            concert.set_alive(peers.membership.peers(now).map(|peer| router_hash(peer.address)));
+        if let Some(admission) = &mut peers.admission {
+            admission.set_alive(peers.membership.peers(now).map(|peer| router_hash(peer.address)));
         }
         let came_or_went = changes.iter().any(|(_, change)| *change != Change::Suspected);
         peers.view = view;
@@ -338,7 +341,7 @@
     }
 
     /// What the log's figures say of the others.
-    pub(super) fn tell_peers(&self) {
+    pub(super) fn log_membership(&self) {
         let Some(peers) = &self.peers else { return };
         let (view, counts) = (peers.view, peers.membership.counts());
         tracing::info!(
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/rpcs.rs
@@ -10,14 +10,14 @@
 }
 
 /// An RPC that was taken and is unanswered, or has a call-out out.
-pub(super) struct Call {
+pub(super) struct RpcInFlight {
     pub(super) client: Option<ConnectionId>,
     /// Since when it is with the core and the members; what of that the router itself kept waiting.
     pub(super) taken: Time,
     pub(super) own: Span,
     pub(super) due: Time,
     /// Its data must not be older than a bound when it is sent.
-    pub(super) bounded: bool,
+    pub(super) bounds_staleness: bool,
     pub(super) method: u32,
     pub(super) group: u32,
     /// Where it stands among all by its utility, where routers shed as one; call-outs of it so far.
@@ -41,49 +41,50 @@
 }
 
 /// The time to come back as it is told, in milliseconds.
-pub(super) fn after(come_back: Span) -> Option<i64> {
+pub(super) fn retry_after_ms(come_back: Span) -> Option<i64> {
     Some(come_back.nanos() / 1_000_000).filter(|&ms| ms > 0)
 }
 
 /// Has its client sent more than can be read? Its end may stand behind that. Guards members against attempts, first or
 /// further, for one that has left unseen; harms one that stays and sends so much ahead.
-fn is_unseen(conns: &FxHashMap<ConnectionId, Conn>, client: Option<ConnectionId>) -> bool {
-    client.and_then(|client| conns.get(&client)).is_some_and(|conn| conn.paused)
+fn may_have_left(connections: &FxHashMap<ConnectionId, Connection>, client: Option<ConnectionId>) -> bool {
+    client.and_then(|client| connections.get(&client)).is_some_and(|connection| connection.paused)
 }
 
 impl Reducer {
-    pub(super) fn carry_out(&mut self, now: Time, rpc: RpcId, decision: Decision) {
+    pub(super) fn apply_decision(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         match decision {
-            Decision::Attempt { member, timeout: limit } => self.call_out(now, rpc, member, limit),
+            Decision::Attempt { member, timeout: limit } => self.start_attempt(now, rpc, member, limit),
             Decision::Queue | Decision::AlreadyAnswered => {}
-            Decision::Reject { .. } | Decision::Fail => self.finish(now, rpc, decision),
+            Decision::Reject { .. } | Decision::Fail => self.answer_unserved(now, rpc, decision),
         }
     }
 
     /// It has its final answer, and nothing of it is out.
-    pub(super) fn forget_call(&mut self, rpc: RpcId) {
-        if let Some(call) = self.calls.remove(&rpc) {
-            self.ids.close(call.name);
+    pub(super) fn remove_rpc(&mut self, rpc: RpcId) {
+        if let Some(entry) = self.rpcs.remove(&rpc) {
+            self.ids.close(entry.name);
         }
     }
 
-    pub(super) fn call_out(&mut self, now: Time, rpc: RpcId, member: MemberId, limit: Option<Span>) {
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        call.outs += 1;
-        call.paid = false;
-        let first = !std::mem::replace(&mut call.begun, true);
+    pub(super) fn start_attempt(&mut self, now: Time, rpc: RpcId, member: MemberId, limit: Option<Span>) {
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        entry.outs += 1;
+        entry.paid = false;
+        let first = !std::mem::replace(&mut entry.begun, true);
         if let (true, Some(peers)) = (first, &mut self.peers) {
-            peers.first(call.group);
+            peers.first(entry.group);
         }
-        let until = call.due - self.limits.answer_margin;
-        let unseen = is_unseen(&self.conns, call.client);
+        let until = entry.due - self.limits.answer_margin;
+        let unseen = may_have_left(&self.connections, entry.client);
         let until = limit.map_or(until, |limit| until.min(now + limit));
-        let job = Job::Call(rpc);
-        let link = if until > now && !unseen { self.reach(now, member.0 as usize, job, until) } else { None };
+        let job = Job::Attempt(rpc);
+        let link =
+            if until > now && !unseen { self.assign_job(now, member.0 as usize, job, until) } else { None };
         match link {
-            Some(link) if self.is_up(link) => self.send(now, link),
+            Some(link) if self.is_connected(link) => self.send_query(now, link),
             Some(_) => {}
-            None => self.call_ended(
+            None => self.on_attempt_ended(
                 now,
                 rpc,
                 Answer::default().outcome(member, AttemptOutcome::NeverSent, Span::ZERO),
@@ -93,7 +94,7 @@
 
     /// Guards against stale reads and a primary that never changes again: no member can be past the present, by what
     /// clocks may differ in; what says so, or is before all time, is no news.
-    fn plausible(&mut self, now: Time, position: Time) -> Option<Time> {
+    fn plausible_position(&mut self, now: Time, position: Time) -> Option<Time> {
         if position.nanos() <= 0 {
             return None;
         }
@@ -103,24 +104,24 @@
         Some(position).filter(|&position| position <= now + difference.behind + self.limits.max_clock_lead)
     }
 
-    pub(super) fn job_ended(
+    pub(super) fn on_job_ended(
         &mut self,
         now: Time,
         job: Job,
         mut outcome: AttemptResult,
         mut report: LoadReport,
     ) {
-        outcome.position = outcome.position.and_then(|position| self.plausible(now, position));
+        outcome.position = outcome.position.and_then(|position| self.plausible_position(now, position));
         // Guards against a member that has made no report yet: all it says is zero, its role too.
         if let Some(position) = report.position
-            && self.plausible(now, position).is_none()
+            && self.plausible_position(now, position).is_none()
         {
             report = LoadReport::default();
         }
         match job {
-            Job::Fence => {}
-            Job::Probe => {
-                count(&mut self.tally.probes, outcome.outcome);
+            Job::SyncQuery => {}
+            Job::HealthCheck => {
+                count_outcome(&mut self.stats.probes, outcome.outcome);
                 self.router.on_health_check_ended(
                     now,
                     outcome.member,
@@ -129,52 +130,52 @@
                     report,
                 );
             }
-            Job::Call(rpc) => self.call_ended(now, rpc, outcome),
+            Job::Attempt(rpc) => self.on_attempt_ended(now, rpc, outcome),
         }
     }
 
-    pub(super) fn call_ended(&mut self, now: Time, rpc: RpcId, mut outcome: AttemptResult) {
-        count(&mut self.tally.ended, outcome.outcome);
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        call.span.in_scope(|| {
+    pub(super) fn on_attempt_ended(&mut self, now: Time, rpc: RpcId, mut outcome: AttemptResult) {
+        count_outcome(&mut self.stats.ended, outcome.outcome);
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        entry.span.in_scope(|| {
             let took_ms = outcome.latency.secs() * 1e3;
             tracing::debug!(member = outcome.member.0, ended = ?outcome.outcome, took_ms, "call-out");
         });
-        call.out = None;
-        call.may_have_run |= !outcome.outcome.never_ran();
-        let answered = call.client.is_none();
-        let over = call.cancelled || is_unseen(&self.conns, call.client);
+        entry.out = None;
+        entry.may_have_run |= !outcome.outcome.never_ran();
+        let answered = entry.client.is_none();
+        let over = entry.cancelled || may_have_left(&self.connections, entry.client);
         outcome.retry_denied |= over;
         if outcome.outcome == AttemptOutcome::Ok {
-            self.tally.answer_time += outcome.latency;
+            self.stats.answer_time += outcome.latency;
         }
         outcome.rpc_complete = outcome.outcome == AttemptOutcome::Ok || answered;
         if outcome.outcome == AttemptOutcome::DecisionExpired {
             // No attempt was made: the retry budget pays for none after it.
-            call.outs = call.outs.saturating_sub(1);
+            entry.outs = entry.outs.saturating_sub(1);
         } else if let Some(peers) = &mut self.peers {
-            if outcome.outcome == AttemptOutcome::Ok && call.outs > 1 {
-                peers.helped(call.group);
+            if outcome.outcome == AttemptOutcome::Ok && entry.outs > 1 {
+                peers.helped(entry.group);
             } else if !outcome.rpc_complete && outcome.outcome != AttemptOutcome::NeverSent && !over {
-                call.paid = peers.pays(call.group, call.rank);
-                outcome.retry_denied = !call.paid;
+                entry.paid = peers.pays(entry.group, entry.rank);
+                outcome.retry_denied = !entry.paid;
             }
         }
         if answered {
-            self.forget_call(rpc);
+            self.remove_rpc(rpc);
         }
         let decision = rpc.on_attempt_ended(&mut self.router, now, outcome);
-        self.carry_out(now, rpc, decision);
+        self.apply_decision(now, rpc, decision);
     }
 
     /// Hands the answer at the front of a member's connection to the client that waits for it.
-    pub(super) fn pass_on(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        let (Some(client), method, group) = (call.client.take(), call.method, call.group) else { return };
-        let kept = now - call.taken - call.own;
-        let [Some(from), Some(to)] = self.conns.get_disjoint_mut([&id, &client]) else { return };
-        let Peer::Client(state) = &mut to.peer else { return };
-        if state.phase != Phase::Busy(rpc) {
+    pub(super) fn forward_answer(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        let (Some(client), method, group) = (entry.client.take(), entry.method, entry.group) else { return };
+        let kept = now - entry.taken - entry.own;
+        let [Some(from), Some(to)] = self.connections.get_disjoint_mut([&id, &client]) else { return };
+        let Remote::Client(state) = &mut to.remote else { return };
+        if state.phase != ClientPhase::InRpc(rpc) {
             return;
         }
         state.with_members += kept;
@@ -197,7 +198,7 @@
         if let Some(peers) = &mut self.peers {
             peers.served(group);
         }
-        if let Some(own) = &mut self.own {
+        if let Some(own) = &mut self.overload {
             own.governor.record_served(
                 now,
                 method,
@@ -205,51 +206,51 @@
             );
         }
         self.effects.push(Effect::Write(client));
-        self.recount(client);
-        self.answered(client);
+        self.update_buffer_bytes(client);
+        self.finish_statement(client);
     }
 
     /// The client's statement is done with; what it sent behind it is next.
-    pub(super) fn answered(&mut self, id: ConnectionId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        if let Peer::Client(client) = &mut conn.peer {
-            client.phase = Phase::Idle;
+    pub(super) fn finish_statement(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if let Remote::Client(client) = &mut connection.remote {
+            client.phase = ClientPhase::Idle;
             client.just_answered = true;
         }
-        let length = pg::head(conn.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
-        self.used(id, length);
+        let length = pg::head(connection.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
+        self.consume_input(id, length);
         self.set_deadline(id, None);
         self.again.push(id);
     }
 
     /// Writes the final answer of an RPC that is not served; `Done`: the core knows it no more, as it was cancelled.
-    pub(super) fn finish(&mut self, now: Time, rpc: RpcId, decision: Decision) {
-        let Some(call) = self.calls.get_mut(&rpc) else { return };
-        let client = call.client.take();
-        let (group, cancelled) = (call.group, call.cancelled);
-        if let (true, Some(peers)) = (std::mem::take(&mut call.paid), &mut self.peers) {
-            peers.gives_back(group);
+    pub(super) fn answer_unserved(&mut self, now: Time, rpc: RpcId, decision: Decision) {
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return };
+        let client = entry.client.take();
+        let (group, cancelled) = (entry.group, entry.cancelled);
+        if let (true, Some(peers)) = (std::mem::take(&mut entry.paid), &mut self.peers) {
+            peers.refund_retry(group);
         }
-        let kept = now - call.taken - call.own;
-        if call.out.is_none() {
-            self.forget_call(rpc);
+        let kept = now - entry.taken - entry.own;
+        if entry.out.is_none() {
+            self.remove_rpc(rpc);
         }
         let Some(client) = client else { return };
-        if let Some(Conn { peer: Peer::Client(state), .. }) = self.conns.get_mut(&client) {
+        if let Some(Connection { remote: Remote::Client(state), .. }) = self.connections.get_mut(&client) {
             state.with_members += kept;
         }
-        if let Some(own) = &mut self.own {
+        if let Some(own) = &mut self.overload {
             own.governor.record_rejected();
         }
         let mut out = Vec::new();
         match decision {
             // Where it may have had an effect the answer says no more than that, cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
-                self.tally.cancelled += 1;
+                self.stats.cancelled += 1;
                 pg::put_refusal(&mut out, "57014", "cancelled at the client's request", None);
             }
             Decision::Reject { retry_after: come_back } => {
-                self.tally.pushed_back += 1;
+                self.stats.pushed_back += 1;
                 if let Some(peers) = &mut self.peers {
                     peers.unsent(group);
                 }
@@ -257,15 +258,15 @@
                     &mut out,
                     "53300",
                     "pushed back: a further try is harmless",
-                    after(come_back),
+                    retry_after_ms(come_back),
                 );
             }
             _ => {
-                self.tally.aborted += 1;
+                self.stats.aborted += 1;
                 pg::put_refusal(&mut out, "58000", "aborted: it may have had an effect", None);
             }
         }
         self.write(client, &out);
-        self.answered(client);
+        self.finish_statement(client);
     }
 }
--- a/crates/ladderpass/src/reducer/tally.rs
+++ b/crates/ladderpass/src/reducer/stats.rs
@@ -8,7 +8,7 @@
 
 /// What the log tells now and then.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct Stats {
     pub(super) taken: u32,
     pub(super) pushed_back: u32,
     pub(super) aborted: u32,
@@ -26,7 +26,7 @@
     pub(super) connects: u32,
     pub(super) connect_time: Span,
     pub(super) answer_time: Span,
-    pub(super) told_at: Time,
+    pub(super) listed_at: Time,
     /// What did not go by the ordinary path, and how many examples of it were told.
     pub(super) exceptions: ExceptionCounts,
     pub(super) examples: usize,
@@ -36,10 +36,10 @@
 const MOST_EXAMPLES: usize = 8;
 
 impl Reducer {
-    pub(super) fn tell_tally(&mut self, now: Time) {
-        self.tell_peers();
+    pub(super) fn log_stats(&mut self, now: Time) {
+        self.log_membership();
         let (answers, answer_time) = self.answered_attempts();
-        let tally = std::mem::replace(&mut self.tally, Tally { told_at: now, ..Tally::default() });
+        let tally = std::mem::replace(&mut self.stats, Stats { listed_at: now, ..Stats::default() });
         tracing::info!(
             "taken {}, pushed back {}, aborted {}, left {}, cancelled {}, faulty {}, crowded {}, full {}, shed {}, slow {}; call-outs (ok, failed, overloaded, timed out, unreachable, \
              broken, withdrawn, void, absent, expired) {:?}, probes {:?}; {} connects of {:.1} ms, ok in {:.1} ms; \
@@ -65,8 +65,8 @@
             self.links,
             self.attempts_in_flight().1,
             self.member_count(),
-            self.calls.len(),
-            self.rings >> 10,
+            self.rpcs.len(),
+            self.buffer_bytes >> 10,
             tally.exceptions.given_up,
             tally.exceptions.spilled,
             tally.exceptions.passed_over,
@@ -74,18 +74,18 @@
     }
 
     /// Counts what did not go by the ordinary path, and tells the first few of it.
-    pub(super) fn tell_exceptions(&mut self, told: Exceptions) {
-        self.tally.exceptions.join(&told.counts);
+    pub(super) fn record_exceptions(&mut self, told: Exceptions) {
+        self.stats.exceptions.join(&told.counts);
         for unserved in &told.examples {
-            if self.tally.examples >= MOST_EXAMPLES {
+            if self.stats.examples >= MOST_EXAMPLES {
                 return;
             }
-            self.tally.examples += 1;
-            self.tell_example(unserved);
+            self.stats.examples += 1;
+            self.log_example(unserved);
         }
     }
 
-    fn tell_example(&self, unserved: &Unserved) {
+    fn log_example(&self, unserved: &Unserved) {
         let method = self.methods.iter().find(|(_, index)| **index == unserved.method);
         let method = method.map_or("unknown", |(name, _)| name.as_str());
         let milliseconds = |span: Span| span.nanos() / 1_000_000;
@@ -115,7 +115,7 @@
     }
 }
 
-pub(super) fn count(counts: &mut [u32; AttemptOutcome::COUNT], ended: AttemptOutcome) {
+pub(super) fn count_outcome(counts: &mut [u32; AttemptOutcome::COUNT], ended: AttemptOutcome) {
     if let Some(count) = counts.get_mut(ended as usize) {
         *count += 1;
     }
