--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -108,7 +108,7 @@
     let probed = probed.into_iter().map(|(at, took)| ((at - outcome.began).secs(), took)).collect();
     // One that was told to stop has until now answered its clients: it ends with the last of them.
     let mut ended = router.ended();
-    let stopping = router.log().iter().any(|line| line.contains("stopping: "));
+    let stopping = router.log().iter().any(|line| line.contains("stopping clients="));
     for _ in 0..if stopping { 100 } else { 0 } {
         if ended.is_some() {
             break;
@@ -216,7 +216,7 @@
 
     /// How often the router told of another level.
     pub fn level_changes(&self) -> usize {
-        self.log.iter().filter(|line| line.contains("own load")).count()
+        self.log.iter().filter(|line| line.contains("overload level changed")).count()
     }
 }
 
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -91,7 +91,7 @@
 /// The figures that a router has logged, by time since the first.
 pub fn figures(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
     let of_line = |line: &String| {
-        let (_, json) = line.split_once("figures {")?;
+        let (_, json) = line.split_once("metrics {")?;
         let end = json.find('}')?;
         let value: serde_json::Value =
             serde_json::from_str(&format!("{{{}}}", &json[..end].replace('\\', ""))).ok()?;
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -128,13 +128,13 @@
     (entry.sent - played.outcome.began).secs()
 }
 
-/// The number before a word in the lines of a router's floor, of its last `last` lines.
-fn figures(played: &Played, router: usize, word: &str, last: usize) -> Vec<f64> {
+/// The values of a field in a router's log lines on shared admission control, of the last `last` lines.
+fn figures(played: &Played, router: usize, field: &str, last: usize) -> Vec<f64> {
     let lines: Vec<&String> =
         played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet")).collect();
     let number = |line: &&&String| {
-        let before = line.split(word).next()?;
-        before.split_whitespace().last()?.parse().ok()
+        let (_, value) = line.split_once(&format!(" {field}="))?;
+        value.split_whitespace().next()?.parse().ok()
     };
     lines[lines.len().saturating_sub(last)..].iter().filter_map(|line| number(&line)).collect()
 }
@@ -252,7 +252,11 @@
         faulty > 10.0 * healthy.max(5.0),
     );
     let bounded = |played: &Played| {
-        mean(&(1..ROUTERS).map(|router| mean(&figures(played, router, " bounded", 8))).collect::<Vec<_>>())
+        mean(
+            &(1..ROUTERS)
+                .map(|router| mean(&figures(played, router, "clamped_reports", 8)))
+                .collect::<Vec<_>>(),
+        )
     };
     let (lied, honest) = (bounded(&tells), bounded(&fleet));
     table.ask(
@@ -261,7 +265,7 @@
         format!("words cut to the bound {lied:.2}, among honest ones {honest:.2}"),
         lied >= 0.8 && lied > 1.5 * honest,
     );
-    let words = |played: &Played| mean(&figures(played, 0, " words", 6));
+    let words = |played: &Played| mean(&figures(played, 0, "reports", 6));
     table.ask(
         "  keeps-the-deads-words",
         "told apart",
@@ -307,7 +311,7 @@
         .iter()
         .enumerate()
         .map(|(nth, name)| {
-            let floors = figures(&fleet, nth, " in group", usize::MAX);
+            let floors = figures(&fleet, nth, "threshold", usize::MAX);
             let at = |(n, floor): (usize, &f64)| (n as f64 * 0.25, *floor);
             (name.as_str(), floors.iter().enumerate().map(at).collect())
         })
--- a/crates/ladderpass-testbed/src/results.rs
+++ b/crates/ladderpass-testbed/src/results.rs
@@ -27,8 +27,8 @@
     for slice in &seen.outcome.slices {
         writeln!(out, "{}", json!({"kind": "slice", "slice": slice}))?;
     }
-    for (nth, line) in seen.log.iter().filter(|line| line.contains("figures {")).enumerate() {
-        if let Some((_, figures)) = line.split_once("figures ") {
+    for (nth, line) in seen.log.iter().filter(|line| line.contains("metrics {")).enumerate() {
+        if let Some((_, figures)) = line.split_once("metrics ") {
             let figures: Value = serde_json::from_str(figures).unwrap_or(Value::Null);
             writeln!(out, "{}", json!({"kind": "figures", "nth": nth, "figures": figures}))?;
         }
--- /dev/null
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -0,0 +1,179 @@
+//! Accepts RPCs: a client's statement is parsed, judged by the overload of this router and of all, and handed to the
+//! routing core.
+
+use super::Reducer;
+use super::client::ClientPhase;
+use super::connection_id::ConnectionId;
+use super::connections::{Connection, Remote};
+use super::overload::StatementCost;
+use super::rejections::{Rejection, StatementError};
+use super::rpc_table::RpcInFlight;
+use super::stats::Count;
+use super::time_from_unix_ms;
+use crate::faulty::Faulty;
+use crate::pg;
+use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time};
+use std::ops::Range;
+
+/// The longest wait that a statement may name: more than any client waits, and within what a time can hold.
+const MAX_WAIT_MS: f64 = 3.6e6;
+/// How late the faulty build answers.
+const FAULTY_LATENESS: Span = Span::from_millis(1000);
+
+/// A statement that can become an RPC.
+struct Statement {
+    arrival: Arrival,
+    /// Where it says how long its client waits.
+    wait_at: Range<usize>,
+    id_hash: u64,
+    /// Its priority, where routers shed load together.
+    priority: u32,
+    /// All routers reject RPCs of its priority in this group.
+    is_shed_by_fleet: bool,
+}
+
+impl Reducer {
+    /// Accepts the RPC whose statement, of this length, is at the front of a client's input, or rejects it.
+    pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
+        self.set_awaited(id, None);
+        let Some(client) = self.connections.client_mut(id) else { return };
+        let is_first = !std::mem::replace(&mut client.has_sent_statement, true);
+        let is_crowded = is_first && self.exceeds_client_limit(now);
+        let statement = match self.parse_statement(now, id, length) {
+            Ok(statement) => statement,
+            Err(error) => return self.answer_client_error(now, id, length, &error),
+        };
+        if is_crowded {
+            self.stats.count(Count::Crowded);
+            // It is told at once, rather than wait unanswered at the listener.
+            return self.reject_statement(now, id, length, Rejection::Crowded);
+        }
+        if self.rpcs.len() >= self.limits.rpcs_in_flight {
+            self.stats.count(Count::Full);
+            return self.reject_statement(now, id, length, Rejection::Full);
+        }
+        self.stats.count(Count::Accepted);
+        self.overload.record_accepted();
+        if let Some(client) = self.connections.client_mut(id) {
+            client.errors = 0;
+        }
+        let (rpc, decision) = self.router.accept(now, statement.arrival);
+        if let Decision::Reject { retry_after } = decision
+            && (self.overload.record_rejected_at_arrival() || statement.is_shed_by_fleet)
+        {
+            self.stats.count(Count::Shed);
+            return self.reject_at_arrival(id, length, retry_after);
+        }
+        self.begin_rpc(now, id, rpc, statement);
+        self.apply_decision(now, rpc, decision);
+    }
+
+    fn begin_rpc(&mut self, now: Time, id: ConnectionId, rpc: RpcId, statement: Statement) {
+        let Statement { arrival, wait_at, id_hash, priority, .. } = statement;
+        let Arrival { method, group, deadline, .. } = arrival;
+        let id_expires_at = deadline + self.limits.retired_id_ttl;
+        self.rpcs.reserve_id(now, id_hash, id_expires_at, self.limits.retired_ids);
+        if let Some(client) = self.connections.client_mut(id) {
+            client.phase = ClientPhase::InRpc(rpc);
+        }
+        let entry = RpcInFlight {
+            client: Some(id),
+            accepted_at: now,
+            waited_for_router: Span::ZERO,
+            deadline,
+            bounds_staleness: self.methods.bounds_staleness(method),
+            method,
+            group,
+            priority,
+            id_hash,
+            wait_at,
+            attempts: 0,
+            first_attempt_recorded: false,
+            retry_paid: false,
+            connection: None,
+            may_have_run: false,
+            cancelled: false,
+            span: tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3),
+        };
+        self.rpcs.insert(rpc, entry);
+        self.connections.set_deadline(id, Some(deadline - self.limits.answer_margin * 0.5));
+    }
+
+    fn parse_statement(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        length: usize,
+    ) -> Result<Statement, StatementError> {
+        let Some(Connection { input, remote: Remote::Client(client), .. }) = self.connections.get_mut(id)
+        else {
+            return Err(StatementError::new("08003", "the connection has ended"));
+        };
+        let body = input.whole().get(5..length).unwrap_or_default();
+        let text = pg::statement(body).map_err(|_| StatementError::new("22021", "not text"))?;
+        let comment = pg::comment(text).map_err(|text| StatementError::new("42601", text))?;
+        let method = self.methods.index(comment.method).ok_or_else(|| {
+            StatementError::new("22023", format!("unknown method {:?} in c", comment.method))
+        })?;
+        let group = self.endpoints.group(comment.group).ok_or_else(|| {
+            StatementError::new("22023", format!("unknown group {} in cluster", comment.group))
+        })?;
+        // The client's time runs from when it sent the statement, also while that waited behind others, or the process
+        // stalled.
+        let arrived = client.arrivals.arrival_of(now, length);
+        let waited = arrived.as_ref().map_or(Span::ZERO, |arrived| arrived.waited_for_router);
+        let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
+        let wait = Span::from_secs_f64(comment.wait_ms.min(MAX_WAIT_MS) / 1e3);
+        let lateness = if self.faulty.is(Faulty::AnswersLate) { FAULTY_LATENESS } else { Span::ZERO };
+        let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
+        let cost = StatementCost { waited, bytes: length };
+        if self.overload.assess(now, &self.router, &mut arrival, &mut client.usage, cost) {
+            let wait_at = comment.wait_at;
+            return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
+        }
+        let (is_write, key) = pg::form(comment.head)
+            .ok_or_else(|| StatementError::new("42601", "the statement has no form that is served"))?;
+        if self.methods.is_write(method) != Some(is_write) {
+            return Err(StatementError::new("42601", "the statement has not the form of its method"));
+        }
+        // At a member it would be a second copy of the RPC that has this id.
+        let id_hash = self.rpcs.hash_id(comment.id);
+        if self.rpcs.is_duplicate(id_hash) {
+            return Err(StatementError::new("23505", "its id is that of another RPC"));
+        }
+        let (mut is_shed_by_fleet, mut priority) = (false, 0);
+        if let Some(peers) = &mut self.peers {
+            let session = if self.methods.has_session_methods() { key } else { comment.id };
+            let router = &self.router;
+            let verdict = peers
+                .assess(now, &mut arrival, session, |arrival, state| router.priority(now, arrival, state));
+            (is_shed_by_fleet, priority) = (verdict.is_rejected, verdict.priority);
+        }
+        arrival.session = Some(key).filter(|_| self.methods.tracks_sessions()).map(session_index);
+        Ok(Statement { arrival, wait_at: comment.wait_at, id_hash, priority, is_shed_by_fleet })
+    }
+}
+
+fn arrival_of(now: Time, method: u32, group: u32, deadline: Time, comment: &pg::Comment<'_>) -> Arrival {
+    // A write ahead of the clock here stays ahead: it is compared with positions, not with the clock.
+    let last_write_ms = comment.after_ms.filter(|&ms| ms > 0.0);
+    Arrival {
+        method,
+        group,
+        deadline,
+        is_client_retry: comment.resent,
+        session: None,
+        last_write_age: last_write_ms.map(|ms| now - time_from_unix_ms(ms)),
+        router_overload: None,
+        fleet_overload: None,
+        admission_draw: None,
+    }
+}
+
+/// A small index for a session. Two sessions that share one see each other's writes, which is only stricter.
+fn session_index(key: &str) -> u32 {
+    let hash = key.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    });
+    (hash >> 48) as u32
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/attempts.rs
@@ -0,0 +1,122 @@
+//! Attempts of RPCs: each decision of the routing core is carried out, and each outcome is handed back to it. It decides
+//! what comes next.
+
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::connections::Connections;
+use super::member_connection::Job;
+use super::query_answer::unanswered_result;
+use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
+
+/// Has the client sent more than can be read? Its end may stand behind that. Prevents attempts for a client that has left
+/// unseen; one that stays and sends so much ahead is rejected too.
+fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
+    client.and_then(|client| connections.get(client)).is_some_and(|connection| connection.read_paused)
+}
+
+impl Reducer {
+    pub(super) fn apply_decision(&mut self, now: Time, rpc: RpcId, decision: Decision) {
+        match decision {
+            Decision::Attempt { member, timeout } => self.start_attempt(now, rpc, member, timeout),
+            Decision::Queue | Decision::AlreadyAnswered => {}
+            Decision::Reject { .. } | Decision::Fail => self.answer_unserved(now, rpc, decision),
+        }
+    }
+
+    fn start_attempt(&mut self, now: Time, rpc: RpcId, member: MemberId, timeout: Option<Span>) {
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        entry.attempts += 1;
+        entry.retry_paid = false;
+        let is_first = !std::mem::replace(&mut entry.first_attempt_recorded, true);
+        if let (true, Some(peers)) = (is_first, &mut self.peers) {
+            peers.record_first_attempt(entry.group);
+        }
+        let last = entry.deadline - self.limits.answer_margin;
+        let deadline = timeout.map_or(last, |timeout| last.min(now + timeout));
+        let is_possible = deadline > now && !may_have_left(&self.connections, entry.client);
+        let connection = match is_possible {
+            true => self.assign_job(now, member.0 as usize, Job::Attempt(rpc), deadline),
+            false => None,
+        };
+        match connection {
+            Some(id) if self.is_established(id) => self.send_query(now, id),
+            Some(_) => {}
+            None => {
+                let result = unanswered_result(member, AttemptOutcome::NeverSent, Span::ZERO);
+                self.on_attempt_ended(now, rpc, result);
+            }
+        }
+    }
+
+    pub(super) fn on_job_ended(
+        &mut self,
+        now: Time,
+        job: Job,
+        mut result: AttemptResult,
+        mut report: LoadReport,
+    ) {
+        result.position = result.position.and_then(|position| self.plausible_position(now, position));
+        // A member that has made no report yet sends zeros, also for its role.
+        if let Some(position) = report.position
+            && self.plausible_position(now, position).is_none()
+        {
+            report = LoadReport::default();
+        }
+        match job {
+            Job::SyncQuery => {}
+            Job::HealthCheck => {
+                self.stats.count_health_check(result.outcome);
+                let (member, outcome, latency) = (result.member, result.outcome, result.latency);
+                self.router.on_health_check_ended(now, member, outcome, latency, report);
+            }
+            Job::Attempt(rpc) => self.on_attempt_ended(now, rpc, result),
+        }
+    }
+
+    /// A position of a member, unless it is before all time, or further ahead than clocks may differ. Prevents stale reads,
+    /// and a primary that never changes again.
+    fn plausible_position(&mut self, now: Time, position: Time) -> Option<Time> {
+        if position.nanos() <= 0 {
+            return None;
+        }
+        self.reference_clock.record_position(now, position);
+        let difference = self.reference_clock.difference(now);
+        self.router.set_clock_difference(difference);
+        Some(position).filter(|&position| position <= now + difference.behind + self.limits.max_clock_lead)
+    }
+
+    fn on_attempt_ended(&mut self, now: Time, rpc: RpcId, mut result: AttemptResult) {
+        self.stats.count_attempt(result.outcome);
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        entry.span.in_scope(|| {
+            let took_ms = result.latency.secs() * 1e3;
+            tracing::debug!(member = result.member.0, outcome = ?result.outcome, took_ms, "attempt ended");
+        });
+        entry.connection = None;
+        entry.may_have_run |= !result.outcome.never_ran();
+        let is_ok = result.outcome == AttemptOutcome::Ok;
+        let is_answered = entry.client.is_none();
+        let is_over = entry.cancelled || may_have_left(&self.connections, entry.client);
+        result.retry_denied |= is_over;
+        if is_ok {
+            self.stats.add_answer_time(result.latency);
+        }
+        result.rpc_complete = is_ok || is_answered;
+        if result.outcome == AttemptOutcome::DecisionExpired {
+            // No attempt was made: the retry budget pays for none after it.
+            entry.attempts = entry.attempts.saturating_sub(1);
+        } else if let Some(peers) = &mut self.peers {
+            if is_ok && entry.attempts > 1 {
+                peers.record_retry_success(entry.group);
+            } else if !result.rpc_complete && result.outcome != AttemptOutcome::NeverSent && !is_over {
+                entry.retry_paid = peers.try_withdraw_retry(entry.group, entry.priority);
+                result.retry_denied = !entry.retry_paid;
+            }
+        }
+        if is_answered {
+            self.rpcs.remove(rpc);
+        }
+        let decision = rpc.on_attempt_ended(&mut self.router, now, result);
+        self.apply_decision(now, rpc, decision);
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/cancellation.rs
@@ -0,0 +1,82 @@
+//! RPCs whose clients give up: a cancel request, or the end of a client's connection.
+
+use super::Reducer;
+use super::client::ClientPhase;
+use super::connection_id::ConnectionId;
+use super::stats::Count;
+use ladderpass_routing::{Decision, Time};
+use std::hash::{BuildHasher, RandomState};
+
+/// Secret keys by which clients may cancel: a keyed hash (SipHash) of the connection's id, with a random key of this
+/// process. Nothing is kept by connection, and who knows some of the keys knows no other.
+#[derive(Default)]
+pub(super) struct CancelKeys(RandomState);
+
+/// What a cancel request names, and what the welcome has told that client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct CancelKey {
+    pub(super) process_id: u32,
+    pub(super) secret: u32,
+}
+
+impl CancelKeys {
+    pub(super) fn key(&self, id: ConnectionId) -> CancelKey {
+        CancelKey { process_id: id.0 as u32, secret: (self.0.hash_one(id.0) >> 32) as u32 }
+    }
+
+    /// Compares in the same time wherever the secrets differ, so that nobody can find one bit by bit.
+    fn is_valid(&self, id: ConnectionId, secret: u32) -> bool {
+        let differs = std::hint::black_box(self.key(id).secret ^ secret);
+        differs == 0
+    }
+}
+
+impl Reducer {
+    /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not sent whole is
+    /// taken back, and the client is answered at once. One that is sent is settled by its outcome, with no further
+    /// attempt.
+    pub(super) fn cancel_rpc(&mut self, now: Time, key: CancelKey) {
+        let id = self.newest_with_process_id(key.process_id);
+        let is_valid = self.cancel_keys.is_valid(id, key.secret);
+        let Some(client) = self.connections.client(id).filter(|_| is_valid) else { return };
+        let ClientPhase::InRpc(rpc) = client.phase else { return };
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        entry.cancelled = true;
+        let is_write = self.methods.is_write(entry.method).unwrap_or(true);
+        let decision =
+            if entry.may_have_run && is_write { Decision::Fail } else { Decision::AlreadyAnswered };
+        let connection = entry.connection;
+        if connection.is_some_and(|connection| self.is_query_sent(connection)) {
+            return;
+        }
+        self.answer_unserved(now, rpc, decision);
+        rpc.abandon(&mut self.router);
+        if let Some(connection) = connection {
+            self.withdraw_job(now, connection);
+        }
+    }
+
+    /// The newest connection whose id ends with this process id; those before it are long closed.
+    fn newest_with_process_id(&self, process_id: u32) -> ConnectionId {
+        let ConnectionId(last) = self.connections.last_id();
+        let id = u64::from(process_id) | last & !u64::from(u32::MAX);
+        ConnectionId(if id > last { id.wrapping_sub(1 << 32) } else { id })
+    }
+
+    /// A client's connection has ended. An attempt that is sent goes on, and says something of its member; one that is
+    /// not sent whole does not.
+    pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
+        let Some(client) = self.connections.client(id) else { return };
+        let phase = client.phase;
+        self.close_connection(id);
+        let ClientPhase::InRpc(rpc) = phase else { return };
+        self.stats.count(Count::ClientLeft);
+        rpc.abandon(&mut self.router);
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        entry.client = None;
+        match entry.connection {
+            None => self.rpcs.remove(rpc),
+            Some(connection) => self.withdraw_job(now, connection),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -0,0 +1,343 @@
+//! Reads what clients send: startup messages and statements, each client's up to its next RPC.
+
+use super::Reducer;
+use super::cancellation::CancelKey;
+use super::client::{AwaitedInput, Client, ClientPhase};
+use super::connection_id::ConnectionId;
+use super::connections::{Connection, Remote};
+use super::event::Effect;
+use super::rejections::{Rejection, StatementError};
+use super::rpc_answers::front_message_length;
+use super::stats::Count;
+use crate::buffer::Buffer;
+use crate::pg;
+use ladderpass_routing::Time;
+
+/// Is there more to read of a client in this iteration?
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    Continue,
+    Stop,
+}
+
+/// A message of a client.
+enum ClientMessage {
+    /// It has not arrived whole.
+    Incomplete,
+    /// It is answered with these bytes, and the connection is closed where the protocol asks for that.
+    Answered {
+        length: usize,
+        answer: Vec<u8>,
+        close: bool,
+    },
+    Invalid {
+        length: usize,
+        error: StatementError,
+    },
+    Cancel(CancelKey),
+    Statement {
+        length: usize,
+    },
+}
+
+impl ClientMessage {
+    fn fatal(length: usize, code: &str, text: &str) -> ClientMessage {
+        let mut answer = Vec::new();
+        pg::put_error(&mut answer, "FATAL", code, text, None);
+        ClientMessage::Answered { length, answer, close: true }
+    }
+
+    fn invalid(length: usize, code: &'static str, text: &str) -> ClientMessage {
+        ClientMessage::Invalid { length, error: StatementError::new(code, text) }
+    }
+}
+
+impl Reducer {
+    pub(super) fn read_ready_clients(&mut self, now: Time) {
+        while let Some(id) = self.clients.pop_ready() {
+            self.read_client(now, id);
+        }
+    }
+
+    /// Reads what a client has sent, up to its next RPC. One that has sent hundreds of statements at once goes on in the
+    /// next iteration, so that others have their turn.
+    pub(super) fn read_client(&mut self, now: Time, id: ConnectionId) {
+        for _ in 0..self.limits.statements_per_iteration {
+            if self.read_client_message(now, id) == Progress::Stop {
+                return;
+            }
+        }
+        self.clients.defer(id);
+    }
+
+    fn read_client_message(&mut self, now: Time, id: ConnectionId) -> Progress {
+        let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
+        let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
+        let is_busy = client.just_answered || matches!(client.phase, ClientPhase::InRpc(_));
+        if connection.closing || client.backing_off || is_busy {
+            return Progress::Stop;
+        }
+        // A skipped statement is answered once its last byte has arrived.
+        match client.skipping() {
+            Some(0) => {
+                client.stop_skipping();
+                self.reject_statement(now, id, 0, Rejection::Memory);
+                return Progress::Continue;
+            }
+            Some(_) => return Progress::Stop,
+            None => {}
+        }
+        // A client that does not read its answers gets no more of them.
+        if connection.output.len() > self.limits.buffer_initial_bytes {
+            let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
+            self.connections.set_deadline(id, deadline);
+            return Progress::Stop;
+        }
+        let message = if client.phase == ClientPhase::Startup {
+            let key = self.cancel_keys.key(id);
+            parse_startup(&mut connection.input, client, key, self.limits.startup_message_bytes)
+        } else {
+            parse_message(&mut connection.input, client, self.limits.statement_bytes)
+        };
+        self.on_client_message(now, id, message)
+    }
+
+    fn on_client_message(&mut self, now: Time, id: ConnectionId, message: ClientMessage) -> Progress {
+        match message {
+            ClientMessage::Incomplete => {
+                self.consume_input(id, 0);
+                self.await_client_input(now, id);
+                Progress::Stop
+            }
+            ClientMessage::Answered { length, answer, close } => {
+                self.consume_input(id, length);
+                if !answer.is_empty() {
+                    self.write(id, &answer);
+                }
+                if close {
+                    self.close_when_written(now, id);
+                    return Progress::Stop;
+                }
+                Progress::Continue
+            }
+            ClientMessage::Invalid { length, error } => {
+                self.answer_client_error(now, id, length, &error);
+                Progress::Continue
+            }
+            // It is told nothing, whatever becomes of it.
+            ClientMessage::Cancel(key) => {
+                self.close_when_written(now, id);
+                self.cancel_rpc(now, key);
+                Progress::Stop
+            }
+            ClientMessage::Statement { length } => self.on_statement(now, id, length),
+        }
+    }
+
+    /// A statement is whole. It becomes an RPC once the socket behind it was read until it was empty: prevents attempts for
+    /// a client that has left.
+    fn on_statement(&mut self, now: Time, id: ConnectionId, length: usize) -> Progress {
+        let is_past_accept_time = self.is_past_accept_time(now);
+        let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
+        let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
+        // Nothing is begun so late that SIGKILL would find it unanswered.
+        if is_past_accept_time {
+            self.reject_statement(now, id, length, Rejection::Stopping);
+            return Progress::Continue;
+        }
+        // Its end can't be seen behind what it has sent past its buffer: that is read and answered at once, up to the end.
+        if connection.read_paused {
+            self.stats.count(Count::Full);
+            self.reject_statement(now, id, length, Rejection::SentAhead);
+            return Progress::Continue;
+        }
+        let refill_until = client.refill_until.filter(|&until| now < until);
+        if connection.has_unread_bytes || refill_until.is_some() {
+            let deadline = if connection.has_unread_bytes { None } else { refill_until };
+            self.set_awaited(id, None);
+            self.connections.set_deadline(id, deadline);
+            return Progress::Stop;
+        }
+        client.refill_until = None;
+        self.accept_rpc(now, id, length);
+        Progress::Continue
+    }
+
+    /// Bytes at the front of a client's input are handled.
+    pub(super) fn consume_input(&mut self, id: ConnectionId, count: usize) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.input.consume(count);
+        connection.input.shrink(self.limits.buffer_initial_bytes);
+        if let Remote::Client(client) = &mut connection.remote {
+            client.arrivals.consume(count);
+            self.clients.subtract_unread_bytes(count);
+        }
+        if connection.read_paused && count > 0 {
+            connection.read_paused = false;
+            self.effects.push(Effect::Read(id));
+        }
+        self.update_buffer_bytes(id);
+    }
+
+    /// Memory was short for too long for the rest of a statement: none of it is kept, and it is rejected once its last
+    /// byte has arrived, within its client's time.
+    pub(super) fn skip_statement(&mut self, now: Time, id: ConnectionId) {
+        self.connections.stop_waiting_for_memory(id);
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let received = connection.input.len();
+        let length = front_message_length(&mut connection.input);
+        let Remote::Client(client) = &mut connection.remote else { return };
+        if client.phase != ClientPhase::Idle || length <= received {
+            return self.evict(id);
+        }
+        client.start_skipping(length - received);
+        let since = client.awaited.map_or(now, |(_, since)| since);
+        self.consume_input(id, received);
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.input.shrink(0);
+        }
+        self.update_buffer_bytes(id);
+        self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
+    }
+
+    /// The client has sent no whole message: it is idle, or in the middle of one.
+    fn await_client_input(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let Remote::Client(client) = &connection.remote else { return };
+        if client.phase == ClientPhase::Startup {
+            return;
+        }
+        if !connection.input.is_empty() {
+            // Its time runs from the first byte on.
+            let since = match client.awaited {
+                Some((AwaitedInput::StatementRest, since)) => since,
+                _ => now,
+            };
+            self.set_awaited(id, Some((AwaitedInput::StatementRest, since)));
+            let waits_for_memory = self.connections.is_waiting_for_memory(id);
+            let limits = &self.limits;
+            let timeout = if waits_for_memory { limits.memory_wait_timeout } else { limits.message_timeout };
+            return self.connections.set_deadline(id, Some(since + timeout));
+        }
+        // It is not closed before its answer is written; what it sends meanwhile is read.
+        if !connection.output.is_empty() {
+            let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
+            self.set_awaited(id, None);
+            return self.connections.set_deadline(id, deadline);
+        }
+        // Even one that sends messages without a statement over and over does not delay the end of the process.
+        if self.is_past_accept_time(now) {
+            return self.close_when_written(now, id);
+        }
+        self.await_next_statement(now, id);
+    }
+
+    /// The client is idle. It is closed after a while, and holds no buffer meanwhile where memory is short.
+    fn await_next_statement(&mut self, now: Time, id: ConnectionId) {
+        let is_stopping = self.shutdown.has_begun();
+        let timeout = match is_stopping {
+            true => self.limits.shutdown_accept_time,
+            false => self.limits.client_idle_timeout,
+        };
+        if self.connections.buffer_bytes() > self.limits.client_buffers_total_bytes / 4 {
+            if let Some(connection) = self.connections.get_mut(id) {
+                connection.input.shrink(0);
+                connection.output.shrink(0);
+            }
+            self.update_buffer_bytes(id);
+        }
+        self.set_awaited(id, Some((AwaitedInput::NextStatement, now)));
+        self.connections.set_deadline(id, Some(now + timeout));
+        let client = self.connections.client(id);
+        if is_stopping && client.is_some_and(|client| client.has_sent_statement) {
+            self.evict(id);
+        }
+    }
+
+    /// After an overrun the client's socket stayed empty: nothing stands behind what was read.
+    pub(super) fn on_refill_timeout(&mut self, now: Time, id: ConnectionId) {
+        if let Some(client) = self.connections.client_mut(id) {
+            client.refill_until = None;
+        }
+        self.read_client(now, id);
+    }
+
+    /// The pause after a client's error is over.
+    pub(super) fn resume_after_error(&mut self, now: Time, id: ConnectionId) {
+        let Some(Connection { read_paused, remote: Remote::Client(client), .. }) =
+            self.connections.get_mut(id)
+        else {
+            return;
+        };
+        client.backing_off = false;
+        *read_paused = false;
+        self.effects.push(Effect::Read(id));
+        self.read_client(now, id);
+    }
+}
+
+fn parse_startup(input: &mut Buffer, client: &mut Client, key: CancelKey, max_bytes: usize) -> ClientMessage {
+    let mut answer = Vec::new();
+    let length = match pg::opening(input.whole(), max_bytes) {
+        Ok(None) => return ClientMessage::Incomplete,
+        Ok(Some((pg::Opening::Encryption, length))) => {
+            answer.push(b'N');
+            length
+        }
+        Ok(Some((pg::Opening::Startup, length))) => {
+            pg::put_welcome(&mut answer, key.process_id, key.secret);
+            client.phase = ClientPhase::Idle;
+            length
+        }
+        Ok(Some((pg::Opening::Cancel(process_id, secret), _))) => {
+            return ClientMessage::Cancel(CancelKey { process_id, secret });
+        }
+        Err(_) => return ClientMessage::fatal(input.len(), "08P01", "malformed startup"),
+    };
+    ClientMessage::Answered { length, answer, close: false }
+}
+
+fn parse_message(input: &mut Buffer, client: &mut Client, max_bytes: usize) -> ClientMessage {
+    match pg::head(input.whole()) {
+        Ok(None) => ClientMessage::Incomplete,
+        Err(_) => ClientMessage::fatal(input.len(), "08P01", "malformed message"),
+        // Its head is enough: to receive all of it would be work for nothing.
+        Ok(Some((_, length))) if length > max_bytes => {
+            ClientMessage::fatal(input.len(), "54000", "the message is too long")
+        }
+        Ok(Some((_, length))) if input.len() < length => ClientMessage::Incomplete,
+        Ok(Some((kind, length))) => {
+            let body = input.whole().get(5..length).unwrap_or_default();
+            handle_message(client, kind, body, length)
+        }
+    }
+}
+
+/// Handles a whole message after startup; only simple queries are served.
+fn handle_message(client: &mut Client, kind: u8, body: &[u8], length: usize) -> ClientMessage {
+    let mut answer = Vec::new();
+    match (kind, pg::statement(body)) {
+        (b'X', _) => return ClientMessage::Answered { length, answer, close: true },
+        (b'S', _) => {
+            client.ignores_until_sync = false;
+            pg::put_ready(&mut answer);
+        }
+        _ if client.ignores_until_sync => {}
+        (b'Q', Ok(statement)) if statement.trim().trim_end_matches(';').is_empty() => {
+            pg::put(&mut answer, b'I', &[]);
+            pg::put_ready(&mut answer);
+        }
+        (b'Q', Ok(_)) => return ClientMessage::Statement { length },
+        (b'Q', Err(_)) => {
+            return ClientMessage::invalid(length, "22021", "the statement is not UTF-8 ended by a zero");
+        }
+        (b'P' | b'B' | b'E' | b'D' | b'C' | b'H', _) => {
+            pg::put_error(&mut answer, "ERROR", "0A000", "only simple queries are served", None);
+            client.ignores_until_sync = true;
+        }
+        (b'F', _) => return ClientMessage::invalid(length, "0A000", "only simple queries are served"),
+        (b'd' | b'c' | b'f', _) => {}
+        _ => return ClientMessage::fatal(length, "08P01", "unknown message"),
+    }
+    ClientMessage::Answered { length, answer, close: false }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/client_table.rs
@@ -0,0 +1,165 @@
+//! The clients of the router: their number, what is awaited from each, evictions under way, and whose input is to be
+//! read.
+//!
+//! A client that waits for an answer stands in no set, so it is never evicted. Each other client stands in the set of
+//! the input that is awaited from it, the longest first.
+
+use super::client::{Awaited, AwaitedInput, Client};
+use super::connection_id::ConnectionId;
+use ladderpass_routing::{Span, Time};
+use std::collections::{BTreeSet, VecDeque};
+
+/// The sets, in the order of eviction.
+const AWAITED_INPUTS: usize = 3;
+
+/// All clients.
+#[derive(Default)]
+pub(super) struct ClientTable {
+    count: usize,
+    awaiting: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUTS],
+    /// Clients that are closed unless their sockets still hold something, with what was awaited from them.
+    evicting: Vec<(ConnectionId, Option<Awaited>)>,
+    /// Clients whose input is to be read in this iteration.
+    ready: VecDeque<ConnectionId>,
+    /// Clients whose input is to be read in the next iteration: they have sent more statements than one reads, or
+    /// something behind the RPC that was just answered.
+    deferred: Vec<ConnectionId>,
+    /// Bytes in input buffers that were not read, or whose RPC is in flight.
+    unread_bytes: usize,
+}
+
+impl ClientTable {
+    pub(super) fn len(&self) -> usize {
+        self.count
+    }
+
+    pub(super) fn add(&mut self) {
+        self.count += 1;
+    }
+
+    /// Forgets a client, whose awaited input was cleared before, with so many bytes of input.
+    pub(super) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
+        self.subtract_unread_bytes(unread_bytes);
+        self.cancel_eviction(id);
+        self.count -= 1;
+    }
+
+    pub(super) fn set_awaited(&mut self, id: ConnectionId, client: &mut Client, awaited: Option<Awaited>) {
+        if let Some((before, since)) = std::mem::replace(&mut client.awaited, awaited) {
+            self.awaiting[before as usize].remove(&(since, id));
+        }
+        if let Some((input, since)) = awaited {
+            self.awaiting[input as usize].insert((since, id));
+        }
+    }
+
+    /// How many clients the router awaits each input from.
+    pub(super) fn awaited_counts(&self) -> [usize; AWAITED_INPUTS] {
+        self.awaiting.each_ref().map(BTreeSet::len)
+    }
+
+    /// Clients from which an input is awaited, and since when, the longest first.
+    pub(super) fn awaiting(&self, input: AwaitedInput) -> impl Iterator<Item = (Time, ConnectionId)> {
+        self.awaiting[input as usize].iter().copied()
+    }
+
+    /// Clients that have sent no statement that is complete.
+    pub(super) fn without_statement(&self) -> usize {
+        self.awaiting[AwaitedInput::Startup as usize].len()
+            + self.awaiting[AwaitedInput::StatementRest as usize].len()
+    }
+
+    /// The client to evict first. With a time, only one from which its input is awaited for longer than its age allows.
+    pub(super) fn first_evictable(
+        &self,
+        now: Option<Time>,
+        ages: &[Span; AWAITED_INPUTS],
+    ) -> Option<ConnectionId> {
+        self.awaiting.iter().zip(ages).find_map(|(set, &age)| {
+            let &(since, id) = set.first()?;
+            now.is_none_or(|now| now - since >= age).then_some(id)
+        })
+    }
+
+    /// The next client to evict while there are more than `limit`, besides those that are being evicted.
+    pub(super) fn next_in_excess(
+        &self,
+        now: Time,
+        limit: usize,
+        ages: &[Span; AWAITED_INPUTS],
+    ) -> Option<ConnectionId> {
+        if self.count <= limit + self.evicting.len() {
+            return None;
+        }
+        self.first_evictable(Some(now), ages)
+    }
+
+    /// When the next client may be evicted.
+    pub(super) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUTS]) -> Option<Time> {
+        self.awaiting.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
+    }
+
+    /// Takes a client out of its set; what is awaited from it is remembered.
+    pub(super) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
+        if let Some((input, since)) = awaited {
+            self.awaiting[input as usize].remove(&(since, id));
+        }
+        self.evicting.push((id, awaited));
+    }
+
+    pub(super) fn cancel_eviction(&mut self, id: ConnectionId) {
+        self.evicting.retain(|&(evicting, _)| evicting != id);
+    }
+
+    pub(super) fn is_evicting(&self, id: ConnectionId) -> bool {
+        self.evicting.iter().any(|&(evicting, _)| evicting == id)
+    }
+
+    /// Takes an eviction that can be completed, with what was awaited from the client when it began.
+    pub(super) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
+        let at = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
+        self.evicting.remove(at).1
+    }
+
+    pub(super) fn evicting(&self) -> impl Iterator<Item = ConnectionId> {
+        self.evicting.iter().map(|&(id, _)| id)
+    }
+
+    pub(super) fn evicting_count(&self) -> usize {
+        self.evicting.len()
+    }
+
+    pub(super) fn push_ready(&mut self, id: ConnectionId) {
+        self.ready.push_back(id);
+    }
+
+    pub(super) fn pop_ready(&mut self) -> Option<ConnectionId> {
+        self.ready.pop_front()
+    }
+
+    pub(super) fn defer(&mut self, id: ConnectionId) {
+        self.deferred.push(id);
+    }
+
+    pub(super) fn take_deferred(&mut self) -> Vec<ConnectionId> {
+        std::mem::take(&mut self.deferred)
+    }
+
+    /// Is something to be done before the next event?
+    pub(super) fn has_pending_work(&self) -> bool {
+        !self.evicting.is_empty() || !self.deferred.is_empty() || !self.ready.is_empty()
+    }
+
+    /// Bytes in input buffers that were not read, or whose RPC is in flight.
+    pub(super) fn unread_bytes(&self) -> usize {
+        self.unread_bytes
+    }
+
+    pub(super) fn add_unread_bytes(&mut self, count: usize) {
+        self.unread_bytes += count;
+    }
+
+    pub(super) fn subtract_unread_bytes(&mut self, count: usize) {
+        self.unread_bytes = self.unread_bytes.saturating_sub(count);
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/connection_events.rs
@@ -0,0 +1,246 @@
+//! Events of single connections: bytes received and written, connections established and closed.
+
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::connections::Remote;
+use super::event::Effect;
+use crate::faulty::Faulty;
+use crate::pg;
+use ladderpass_routing::{AttemptOutcome, Span, Time};
+
+const STARTUP_USER: &str = "ladderpass";
+const STARTUP_DATABASE: &str = "orders";
+
+impl Reducer {
+    /// Where the next bytes of a connection may be read to; empty where it must wait for space or memory.
+    pub fn read_buffer(&mut self, id: ConnectionId) -> &mut [u8] {
+        let is_memory_short = self.is_memory_short(id);
+        let limits = &self.limits;
+        let Some(connection) = self.connections.get_mut(id) else { return &mut [] };
+        let max_bytes = match connection.remote {
+            Remote::Client(ref client) if connection.closing || client.backing_off => 0,
+            Remote::Client(_) => limits.client_buffer_bytes,
+            Remote::Member(_) => limits.member_buffer_bytes,
+            Remote::Discovery(_) => limits.discovery_buffer_bytes,
+        };
+        let initial_bytes = limits.buffer_initial_bytes;
+        connection.read_paused =
+            is_memory_short || connection.input.spare(initial_bytes, max_bytes).is_empty();
+        let is_paused = connection.read_paused;
+        if is_memory_short {
+            self.connections.wait_for_memory(id);
+        }
+        if is_paused {
+            self.on_read_paused(id);
+            return &mut [];
+        }
+        self.update_buffer_bytes(id);
+        match self.connections.get_mut(id) {
+            Some(connection) => connection.input.spare(0, 0),
+            None => &mut [],
+        }
+    }
+
+    /// Must a full buffer wait for memory to grow? Where memory is short, statements wait before answers do; either way
+    /// their time goes on.
+    fn is_memory_short(&self, id: ConnectionId) -> bool {
+        let Some(connection) = self.connections.get(id) else { return false };
+        let limit = match connection.remote {
+            Remote::Client(_) => self.limits.client_buffers_total_bytes,
+            _ => self.limits.all_buffers_total_bytes,
+        };
+        let input = &connection.input;
+        let must_grow = input.len() == input.capacity() && input.len() >= self.limits.buffer_initial_bytes;
+        must_grow && self.connections.buffer_bytes() >= limit
+    }
+
+    fn on_read_paused(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        (connection.read_was_paused, connection.has_unread_bytes) = (true, true);
+        if let Remote::Client(client) = &mut connection.remote
+            && !connection.closing
+            && !client.backing_off
+        {
+            client.overran = true;
+            self.clients.push_ready(id);
+        }
+    }
+
+    /// What is to be written on a connection next.
+    pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
+        self.connections.get(id).map_or(&[], |connection| connection.output.front())
+    }
+
+    pub(super) fn add_connection(&mut self, id: ConnectionId, deadline: Option<Time>, remote: Remote) {
+        self.connections.insert(id, remote);
+        self.connections.set_deadline(id, deadline);
+    }
+
+    pub(super) fn on_connected(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let mut startup = Vec::new();
+        match &connection.remote {
+            Remote::Client(_) => return,
+            Remote::Member(_) => pg::put_startup(&mut startup, STARTUP_USER, STARTUP_DATABASE),
+            Remote::Discovery(_) => startup.extend_from_slice(self.discovery.request().as_bytes()),
+        }
+        self.write(id, &startup);
+    }
+
+    /// Puts bytes into a connection's output.
+    pub(super) fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
+        self.effects.push(Effect::Write(id));
+        self.update_buffer_bytes(id);
+    }
+
+    /// Closes a connection once its output is written, or was not read for too long.
+    pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.closing = true;
+        if connection.output.is_empty() {
+            self.close_connection(id);
+        } else {
+            self.connections.set_deadline(id, Some(now + self.limits.unread_answer_timeout));
+        }
+    }
+
+    /// Closes a connection and forgets it; its job or RPC is the caller's to end.
+    pub(super) fn close_connection(&mut self, id: ConnectionId) {
+        self.set_awaited(id, None);
+        let Some(connection) = self.connections.remove(id) else { return };
+        self.effects.push(Effect::Close(id));
+        if connection.buffer_bytes() > 0 {
+            self.resume_reads();
+        }
+        match &connection.remote {
+            Remote::Client(_) => {
+                self.clients.remove(id, connection.input.len());
+                self.resume_accepting();
+            }
+            Remote::Member(member) => {
+                self.members.remove_connection(member.member, id);
+                self.release_member_index(member.member);
+            }
+            Remote::Discovery(_) => self.discovery.remove_connection(id),
+        }
+    }
+
+    /// The buffers of a connection may have grown or shrunk.
+    pub(super) fn update_buffer_bytes(&mut self, id: ConnectionId) {
+        if self.connections.update_buffer_bytes(id) {
+            self.resume_reads();
+        }
+    }
+
+    /// Memory was freed: where there is enough, connections that wait for it are read on.
+    fn resume_reads(&mut self) {
+        if self.connections.buffer_bytes() < self.limits.client_buffers_total_bytes {
+            let waiting = self.connections.take_waiting_for_memory();
+            self.effects.extend(waiting.into_iter().map(Effect::Read));
+        }
+    }
+
+    pub(super) fn on_received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.input.filled(count);
+        let was_paused = std::mem::take(&mut connection.read_was_paused);
+        match &mut connection.remote {
+            Remote::Client(client) => {
+                self.clients.add_unread_bytes(count);
+                self.clients.cancel_eviction(id);
+                // Its kernel had kept something back, and may have more.
+                let refill_until = now + self.limits.refill_quiet_time;
+                client.refill_until =
+                    client.refill_until.map(|until| if now < until { refill_until } else { until });
+                // What waited for space in its own buffer says nothing of this router's pace.
+                let arrived_at = if was_paused { now } else { now - waited.max(self.stall) };
+                client.arrivals.record(arrived_at, count);
+                let skipped = client.skip_received(count);
+                connection.input.consume(skipped);
+                self.clients.subtract_unread_bytes(skipped);
+                self.clients.push_ready(id);
+            }
+            Remote::Member(member) => {
+                member.read_delay = waited;
+                self.read_member(now, id);
+            }
+            Remote::Discovery(_) => self.read_watch(now, id),
+        }
+    }
+
+    pub(super) fn on_more_to_read(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.has_unread_bytes = true;
+        }
+    }
+
+    pub(super) fn on_drained(&mut self, now: Time, id: ConnectionId) {
+        let refill_until = now + self.limits.refill_quiet_time;
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.read_paused = false;
+        if !std::mem::take(&mut connection.has_unread_bytes) {
+            return;
+        }
+        if let Remote::Client(client) = &mut connection.remote {
+            if std::mem::take(&mut client.overran) {
+                client.refill_until = Some(refill_until);
+            }
+            self.clients.push_ready(id);
+        }
+    }
+
+    pub(super) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        connection.output.consume(count);
+        connection.output.shrink(self.limits.buffer_initial_bytes);
+        let (is_done, is_closing) = (connection.output.is_empty(), connection.closing);
+        let mut is_client = false;
+        match &mut connection.remote {
+            Remote::Member(member) => {
+                if member.record_written(now, count) {
+                    let deadline = member.job_deadline;
+                    self.connections.set_deadline(id, Some(deadline));
+                }
+            }
+            Remote::Client(_) => {
+                is_client = true;
+                // Its next statement is read in the next iteration: the write may show that the client has left.
+                if is_done && !is_closing {
+                    self.clients.defer(id);
+                }
+            }
+            Remote::Discovery(_) => {}
+        }
+        self.update_buffer_bytes(id);
+        if is_client {
+            self.overload.record_client_read(now, id, is_done);
+        }
+        if is_done && is_closing {
+            self.close_connection(id);
+        }
+    }
+
+    pub(super) fn on_write_blocked(&mut self, now: Time, id: ConnectionId) {
+        self.on_query_write_blocked(id);
+        if self.connections.client(id).is_some() {
+            self.overload.record_write_blocked(now, id);
+        }
+    }
+
+    pub(super) fn on_closed(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        match &connection.remote {
+            Remote::Client(_) => self.on_client_closed(now, id),
+            Remote::Member(member) => {
+                let mut outcome = member.outcome_on_close();
+                if self.faulty.is(Faulty::Resends) && outcome == AttemptOutcome::ConnectionLost {
+                    outcome = AttemptOutcome::Unreachable;
+                }
+                self.end_member_connection(now, id, outcome);
+            }
+            Remote::Discovery(_) => self.on_watch_failed(now, id, "the connection has ended"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/connections.rs
@@ -0,0 +1,250 @@
+//! The connections of the router, whoever is on the other side: buffers, deadlines, and memory of all buffers.
+//!
+//! A deadline is scheduled in an ordered set. One that moves back stays scheduled at its earlier time and is checked
+//! there in vain once, which costs less than reordering the set at each step of an RPC.
+
+use super::client::Client;
+use super::connection_id::ConnectionId;
+use super::member_connection::MemberConnection;
+use crate::buffer::Buffer;
+use crate::discovery::Reader;
+use ladderpass_routing::Time;
+use rustc_hash::FxHashMap;
+use std::collections::BTreeSet;
+
+/// One connection.
+pub(super) struct Connection {
+    /// Bytes that were received and not yet handled.
+    pub(super) input: Buffer,
+    /// Bytes that are still to be written.
+    pub(super) output: Buffer,
+    /// Reading has stopped, as there was no space or no memory for more.
+    pub(super) read_paused: bool,
+    /// Reading had stopped before the bytes that are read next.
+    pub(super) read_was_paused: bool,
+    /// The socket was not read until it was empty: the end of the connection may be there unseen.
+    pub(super) has_unread_bytes: bool,
+    /// It is closed once its output is written.
+    pub(super) closing: bool,
+    /// How often the system denied it a descriptor.
+    pub(super) connect_denials: u8,
+    /// The other side, and the state that goes with it.
+    pub(super) remote: Remote,
+    deadline: Option<Time>,
+    /// When the deadline is checked next: no later than the deadline itself.
+    scheduled_at: Option<Time>,
+    /// Memory of both buffers, as last counted.
+    buffer_bytes: usize,
+}
+
+/// The other side of a connection.
+pub(super) enum Remote {
+    Client(Client),
+    Member(MemberConnection),
+    Discovery(Reader),
+}
+
+/// All connections by id. Ids are the router's own, so that nobody can choose them to collide in the map.
+#[derive(Default)]
+pub(super) struct Connections {
+    by_id: FxHashMap<ConnectionId, Connection>,
+    last_id: u64,
+    deadlines: BTreeSet<(Time, ConnectionId)>,
+    /// Memory of all buffers.
+    buffer_bytes: usize,
+    /// Connections that could not be read for want of memory.
+    waiting_for_memory: BTreeSet<ConnectionId>,
+}
+
+impl Connection {
+    fn new(remote: Remote) -> Connection {
+        Connection {
+            input: Buffer::default(),
+            output: Buffer::default(),
+            read_paused: false,
+            read_was_paused: false,
+            has_unread_bytes: false,
+            closing: false,
+            connect_denials: 0,
+            remote,
+            deadline: None,
+            scheduled_at: None,
+            buffer_bytes: 0,
+        }
+    }
+
+    pub(super) fn deadline(&self) -> Option<Time> {
+        self.deadline
+    }
+
+    /// Memory of both buffers, as last counted.
+    pub(super) fn buffer_bytes(&self) -> usize {
+        self.buffer_bytes
+    }
+}
+
+impl Connections {
+    pub(super) fn next_id(&mut self) -> ConnectionId {
+        self.last_id += 1;
+        ConnectionId(self.last_id)
+    }
+
+    /// The id that was given out last.
+    pub(super) fn last_id(&self) -> ConnectionId {
+        ConnectionId(self.last_id)
+    }
+
+    pub(super) fn insert(&mut self, id: ConnectionId, remote: Remote) {
+        self.by_id.insert(id, Connection::new(remote));
+    }
+
+    /// Removes a connection with its deadline, and its buffers from the memory that is counted.
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+        let connection = self.by_id.remove(&id)?;
+        if let Some(at) = connection.scheduled_at {
+            self.deadlines.remove(&(at, id));
+        }
+        self.buffer_bytes = self.buffer_bytes.saturating_sub(connection.buffer_bytes);
+        Some(connection)
+    }
+
+    pub(super) fn contains(&self, id: ConnectionId) -> bool {
+        self.by_id.contains_key(&id)
+    }
+
+    pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.by_id.get_mut(&id)
+    }
+
+    pub(super) fn pair_mut(
+        &mut self,
+        one: ConnectionId,
+        other: ConnectionId,
+    ) -> [Option<&mut Connection>; 2] {
+        self.by_id.get_disjoint_mut([&one, &other])
+    }
+
+    pub(super) fn client(&self, id: ConnectionId) -> Option<&Client> {
+        match &self.by_id.get(&id)?.remote {
+            Remote::Client(client) => Some(client),
+            _ => None,
+        }
+    }
+
+    pub(super) fn client_mut(&mut self, id: ConnectionId) -> Option<&mut Client> {
+        match &mut self.by_id.get_mut(&id)?.remote {
+            Remote::Client(client) => Some(client),
+            _ => None,
+        }
+    }
+
+    pub(super) fn member(&self, id: ConnectionId) -> Option<&MemberConnection> {
+        match &self.by_id.get(&id)?.remote {
+            Remote::Member(member) => Some(member),
+            _ => None,
+        }
+    }
+
+    pub(super) fn member_mut(&mut self, id: ConnectionId) -> Option<&mut MemberConnection> {
+        match &mut self.by_id.get_mut(&id)?.remote {
+            Remote::Member(member) => Some(member),
+            _ => None,
+        }
+    }
+
+    pub(super) fn discovery(&self, id: ConnectionId) -> Option<&Reader> {
+        match &self.by_id.get(&id)?.remote {
+            Remote::Discovery(reader) => Some(reader),
+            _ => None,
+        }
+    }
+
+    /// All connections to members, in no order.
+    pub(super) fn members(&self) -> impl Iterator<Item = (ConnectionId, &MemberConnection)> {
+        self.by_id.iter().filter_map(|(&id, connection)| match &connection.remote {
+            Remote::Member(member) => Some((id, member)),
+            _ => None,
+        })
+    }
+
+    pub(super) fn members_mut(&mut self) -> impl Iterator<Item = (ConnectionId, &mut MemberConnection)> {
+        self.by_id.iter_mut().filter_map(|(&id, connection)| match &mut connection.remote {
+            Remote::Member(member) => Some((id, member)),
+            _ => None,
+        })
+    }
+
+    pub(super) fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Time>) {
+        let Some(connection) = self.by_id.get_mut(&id) else { return };
+        if connection.deadline == deadline {
+            return;
+        }
+        connection.deadline = deadline;
+        let is_earlier = |&at: &Time| connection.scheduled_at.is_none_or(|scheduled_at| at < scheduled_at);
+        let Some(at) = deadline.filter(is_earlier) else { return };
+        if let Some(later) = connection.scheduled_at.replace(at) {
+            self.deadlines.remove(&(later, id));
+        }
+        self.deadlines.insert((at, id));
+    }
+
+    /// When a deadline is to be checked next.
+    pub(super) fn next_check_at(&self) -> Option<Time> {
+        self.deadlines.first().map(|&(at, _)| at)
+    }
+
+    /// A connection whose deadline has passed; the deadline is taken from it.
+    pub(super) fn pop_expired(&mut self, now: Time) -> Option<ConnectionId> {
+        while let Some(&(at, id)) = self.deadlines.first()
+            && at <= now
+        {
+            self.deadlines.pop_first();
+            let Some(connection) = self.by_id.get_mut(&id) else { continue };
+            connection.scheduled_at = None;
+            match connection.deadline.take() {
+                Some(deadline) if deadline > now => self.set_deadline(id, Some(deadline)),
+                Some(_) => return Some(id),
+                None => {}
+            }
+        }
+        None
+    }
+
+    /// Memory of all buffers.
+    pub(super) fn buffer_bytes(&self) -> usize {
+        self.buffer_bytes
+    }
+
+    /// Counts the memory of a connection's buffers again; true where it has shrunk.
+    pub(super) fn update_buffer_bytes(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.by_id.get_mut(&id) else { return false };
+        let bytes = connection.input.capacity() + connection.output.capacity();
+        let before = std::mem::replace(&mut connection.buffer_bytes, bytes);
+        self.buffer_bytes += bytes.saturating_sub(before);
+        if bytes < before {
+            self.buffer_bytes = self.buffer_bytes.saturating_sub(before - bytes);
+        }
+        bytes < before
+    }
+
+    pub(super) fn wait_for_memory(&mut self, id: ConnectionId) {
+        self.waiting_for_memory.insert(id);
+    }
+
+    pub(super) fn is_waiting_for_memory(&self, id: ConnectionId) -> bool {
+        self.waiting_for_memory.contains(&id)
+    }
+
+    pub(super) fn stop_waiting_for_memory(&mut self, id: ConnectionId) {
+        self.waiting_for_memory.remove(&id);
+    }
+
+    /// Takes all that wait for memory, in the order of their ids.
+    pub(super) fn take_waiting_for_memory(&mut self) -> BTreeSet<ConnectionId> {
+        std::mem::take(&mut self.waiting_for_memory)
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/deadlines.rs
@@ -0,0 +1,70 @@
+//! What happens at the deadline of a connection: it has one at most, for what it is used for at that time.
+
+use super::Reducer;
+use super::client::{AwaitedInput, ClientPhase};
+use super::connection_id::ConnectionId;
+use super::connections::Remote;
+use ladderpass_routing::{AttemptOutcome, Decision, Time};
+
+impl Reducer {
+    /// Handles all deadlines that have passed.
+    pub(super) fn handle_deadlines(&mut self, now: Time) {
+        while let Some(id) = self.connections.pop_expired(now) {
+            self.on_deadline(now, id);
+        }
+    }
+
+    fn on_deadline(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        match &connection.remote {
+            Remote::Client(_) => self.on_client_deadline(now, id),
+            Remote::Member(_) => self.on_member_deadline(now, id),
+            Remote::Discovery(_) => self.on_discovery_deadline(now, id),
+        }
+    }
+
+    fn on_client_deadline(&mut self, now: Time, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else { return };
+        let Remote::Client(client) = &connection.remote else { return };
+        match client.phase {
+            ClientPhase::InRpc(rpc) => {
+                // The client's time is all but up: it is answered whatever the routing core does.
+                tracing::debug!("RPC unanswered at its deadline");
+                self.answer_unserved(now, rpc, Decision::Fail);
+                rpc.abandon(&mut self.router);
+            }
+            _ if client.backing_off => self.resume_after_error(now, id),
+            _ if !connection.closing && client.refill_until.is_some_and(|until| until <= now) => {
+                self.on_refill_timeout(now, id);
+            }
+            _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
+            // Memory was freed while it waited for that: it has the time of any other.
+            _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited
+                && now < since + self.limits.message_timeout =>
+            {
+                self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
+            }
+            _ if client.awaited.is_some() => self.evict(id),
+            _ => self.close_connection(id),
+        }
+    }
+
+    fn on_member_deadline(&mut self, now: Time, id: ConnectionId) {
+        let Some(member) = self.connections.member(id) else { return };
+        match member.job {
+            None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
+            Some(_) if !member.is_established && now < member.connect_deadline => {
+                // The job is given up unsent; the connection may still be established for another.
+                self.release_job(now, id, AttemptOutcome::Unreachable);
+            }
+            Some(_) if !member.is_query_sent() => {
+                self.end_member_connection(now, id, AttemptOutcome::Unreachable);
+            }
+            // An answer that has begun and does not end would take the time for another attempt.
+            Some(_) if member.answer_has_begun => {
+                self.on_malformed_message(now, id);
+            }
+            Some(_) => self.end_member_connection(now, id, AttemptOutcome::TimedOut),
+        }
+    }
+}
--- a/crates/ladderpass/src/reducer/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/discovery_watch.rs
@@ -1,246 +1,337 @@
-//! The list: the watch of discovery, its move to another address, and members as the list tells them.
+//! The watch of discovery: its connections, silence and backoff, and its move to another address.
 //!
-//! It owns these invariants: one watch, at most one call before it that may still be answered, and at most one watch of
-//! another address that serves until it has answered; an index stands for one
-//! member until the core has forgotten it and its last connection is over. It must never judge a member: the core does.
+//! There is one current watch; at most one late request before it that may still be answered; and, after a move, at most
+//! one watch of the previous address, which serves until the new address has answered. When to poll is the routing
+//! core's decision.
 
-use super::*;
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::connections::{Connection, Remote};
+use super::event::Effect;
+use crate::discovery::{self, Listing, Reader};
+use crate::limits::Limits;
+use ladderpass_routing::{EndpointUpdate, Time};
+use std::net::SocketAddr;
 
-impl Reducer {
-    /// Takes over what a running process can. A new address of discovery is asked at once, whatever pause the core
-    /// had in mind.
-    pub(super) fn on_configuration_reloaded(&mut self, now: Time, launch: Launch) {
-        for key in self.fixed.differing(&launch.fixed) {
-            tracing::warn!("told anew: {key} has changed, which takes a restart");
-        }
-        tracing::info!("told anew: discovery is {}", launch.discovery);
-        self.limits = launch.limits;
-        self.reconfigure_overload(now, &launch.operator, launch.resource_limits);
-        if launch.discovery == self.discovery {
-            return;
+/// State of the watch.
+pub(super) struct DiscoveryWatch {
+    address: SocketAddr,
+    /// The endpoint list in use, as discovery counts them.
+    generation: u64,
+    /// When this list, or a later one, was received last.
+    received_at: Time,
+    /// What discovery has sent since is older.
+    offers_older_list: bool,
+    current: Option<ConnectionId>,
+    /// When the current watch was asked for.
+    requested_at: Time,
+    /// A request that is not answered yet, beside which the next one has been made, or is about to be.
+    late: Option<ConnectionId>,
+    /// The watch of the address that discovery had before.
+    previous: Option<ConnectionId>,
+    /// Discovery has another address, which has not answered yet.
+    is_moving: bool,
+    /// A watch that was denied a descriptor, while nothing could give one up.
+    denied: Option<ConnectionId>,
+    /// Since when a watch that had answered is silent, until another one answers.
+    silent_since: Option<Time>,
+}
+
+/// A list that the watch has received, before its entries are read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ListVerdict {
+    Accepted,
+    /// The new address counts from lower, and has sent mere changes.
+    ChangesOfAnotherList,
+    /// The first older list in a row.
+    Older,
+}
+
+impl DiscoveryWatch {
+    pub(super) fn new(now: Time, address: SocketAddr) -> DiscoveryWatch {
+        DiscoveryWatch {
+            address,
+            generation: 0,
+            received_at: now,
+            offers_older_list: false,
+            current: None,
+            requested_at: now,
+            late: None,
+            previous: None,
+            is_moving: false,
+            denied: None,
+            silent_since: None,
         }
-        self.discovery = launch.discovery;
+    }
+
+    pub(super) fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    pub(super) fn generation(&self) -> u64 {
+        self.generation
+    }
+
+    pub(super) fn set_generation(&mut self, generation: u64) {
+        self.generation = generation;
+    }
+
+    /// The request that opens a watch. Where discovery's list is older than the one here all of it is wanted.
+    pub(super) fn request(&self) -> String {
+        let from = if self.offers_older_list { 0 } else { self.generation };
+        discovery::call(&self.address.to_string(), from)
+    }
+
+    pub(super) fn remove_connection(&mut self, id: ConnectionId) {
+        for watch in [&mut self.current, &mut self.late, &mut self.previous] {
+            *watch = watch.filter(|&watch| watch != id);
+        }
+    }
+
+    pub(super) fn set_denied(&mut self, id: ConnectionId) {
+        self.denied = Some(id);
+    }
+
+    fn is_current(&self, id: ConnectionId) -> bool {
+        self.current == Some(id)
+    }
+
+    /// Discovery has moved. The current watch becomes the previous one if it has answered; gives the connections that are
+    /// of no use any more.
+    fn move_to(
+        &mut self,
+        address: SocketAddr,
+        has_answered: impl Fn(ConnectionId) -> bool,
+    ) -> Vec<ConnectionId> {
+        self.address = address;
         self.is_moving = true;
-        // The watch that has answered last goes on serving; one that is only asked for is of no use.
-        let of_no_use = match self.watch.take() {
-            Some(id) if self.watch_has_answered(id) => self.old_watch.replace(id),
-            asked_for => asked_for,
+        let unused = match self.current.take() {
+            Some(id) if has_answered(id) => self.previous.replace(id),
+            requested => requested,
         };
-        of_no_use.into_iter().chain(self.late_watch).for_each(|id| self.close_connection(id));
-        // By way of the core, so that a pause that it had in mind doesn't end in the middle of this entry.
+        unused.into_iter().chain(self.late).collect()
+    }
+
+    /// A list has arrived on a watch; true for the first one of discovery's new address.
+    fn record_answer(&mut self, id: ConnectionId) -> bool {
+        if self.is_current(id) {
+            self.silent_since = None;
+        }
+        self.is_current(id) && std::mem::take(&mut self.is_moving)
+    }
+
+    /// Judges a list by its generation, before its entries are read.
+    fn judge_list(
+        &mut self,
+        now: Time,
+        listing: &Listing,
+        is_first_after_move: bool,
+        limits: &Limits,
+    ) -> ListVerdict {
+        // The new address may count from lower, and its lists would be refused for ever: a complete one is taken as it
+        // is, changes are asked for again as a complete list.
+        if is_first_after_move && listing.generation < self.generation {
+            self.generation = 0;
+            if !listing.reset {
+                return ListVerdict::ChangesOfAnotherList;
+            }
+        }
+        match self.is_unconfirmed_older(now, listing, limits) {
+            true => ListVerdict::Older,
+            false => ListVerdict::Accepted,
+        }
+    }
+
+    /// Discovery may have started to count from the beginning, and its lists would be refused for ever. No list is late for
+    /// longer than the protocol allows: that long after the list here was received, an older one that is complete is taken
+    /// as it is. True for the first older one in a row: it may be a single one from long ago, so it is refused, and the
+    /// complete list asked for at once.
+    fn is_unconfirmed_older(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
+        let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
+        if !self.offers_older_list {
+            self.received_at = now;
+        } else if was_older && listing.reset && now - self.received_at >= limits.notified_within {
+            (self.generation, self.offers_older_list, self.received_at) = (0, false, now);
+        }
+        self.offers_older_list && !was_older
+    }
+
+    /// What the watch may miss does not count as notified yet.
+    fn is_silence_short(&self, now: Time, limits: &Limits) -> bool {
+        self.silent_since.is_some_and(|since| now - since <= limits.notified_within)
+    }
+}
+
+impl Reducer {
+    /// The generation of the endpoint list in use, as discovery counts them.
+    pub fn generation(&self) -> u64 {
+        self.discovery.generation()
+    }
+
+    /// Follows discovery to another address, which is polled at once, whatever backoff the routing core had in mind.
+    pub(super) fn move_watch(&mut self, now: Time, address: SocketAddr) {
+        if address == self.discovery.address {
+            return;
+        }
+        let connections = &self.connections;
+        let has_answered = |id| connections.discovery(id).is_some_and(Reader::has_read);
+        let unused = self.discovery.move_to(address, has_answered);
+        unused.into_iter().for_each(|id| self.close_connection(id));
+        // By way of the core, so that its backoff does not end in the middle of this request.
         self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: true });
     }
 
-    pub(super) fn watch_has_answered(&self, id: ConnectionId) -> bool {
-        matches!(self.connections.get(&id).map(|connection| &connection.remote), Some(Remote::Discovery(reader)) if reader.has_read())
+    fn has_answered(&self, id: ConnectionId) -> bool {
+        self.connections.discovery(id).is_some_and(Reader::has_read)
     }
 
-    fn is_within(&self, id: ConnectionId) -> bool {
-        matches!(self.connections.get(&id).map(|connection| &connection.remote), Some(Remote::Discovery(reader)) if reader.is_within())
+    /// Is the watch in the middle of a list?
+    fn is_within_list(&self, id: ConnectionId) -> bool {
+        self.connections.discovery(id).is_some_and(Reader::is_within)
     }
 
     pub(super) fn start_watch(&mut self, now: Time) {
-        if let Some(old) = self.watch {
-            self.close_connection(old);
+        if let Some(current) = self.discovery.current {
+            self.close_connection(current);
         }
         let id = self.next_id();
-        self.watch = Some(id);
-        self.asked_at = now;
-        self.add_connection(
-            id,
-            Some(now + self.limits.watch_answer_timeout),
-            Remote::Discovery(Reader::default()),
-        );
-        self.effects.push(Effect::Connect(id, self.discovery));
+        self.discovery.current = Some(id);
+        self.discovery.requested_at = now;
+        let deadline = now + self.limits.watch_answer_timeout;
+        self.add_connection(id, Some(deadline), Remote::Discovery(Reader::default()));
+        self.effects.push(Effect::Connect(id, self.discovery.address));
     }
 
+    /// Reads what discovery has sent.
     pub(super) fn read_watch(&mut self, now: Time, id: ConnectionId) {
-        // Guards against a list that begins and never ends: what goes on coming then is no news.
-        let mut moved_on = !self.is_within(id);
+        // A list that begins and never ends is no sign of life, however much of it arrives.
+        let mut has_progressed = !self.is_within_list(id);
         loop {
-            let Some(connection) = self.connections.get_mut(&id) else { return };
-            let Remote::Discovery(reader) = &mut connection.remote else { return };
-            match reader.next(&mut connection.input, self.limits.discovery_line_bytes) {
-                // A late call keeps the time that it has left.
-                Ok(None) if self.late_watch == Some(id) => return,
-                // Guards against a call that is answered with a head, or the beginning of a list, and no more: it may
-                // take as long as a watch may be silent, and goes on within the time of a first answer.
-                Ok(None) if !self.watch_has_answered(id) => {
-                    let most = self.asked_at + self.limits.watch_silence_timeout;
-                    return self.set_deadline(id, Some(most.min(now + self.limits.watch_answer_timeout)));
-                }
-                Ok(None) if moved_on || !self.is_within(id) => {
-                    return self.set_deadline(id, Some(now + self.limits.watch_silence_timeout));
-                }
-                Ok(None) => return,
+            let Some(Connection { input, remote: Remote::Discovery(reader), .. }) =
+                self.connections.get_mut(id)
+            else {
+                return;
+            };
+            match reader.next(input, self.limits.discovery_line_bytes) {
+                Ok(None) => return self.extend_watch_deadline(now, id, has_progressed),
                 Ok(Some(listing)) => {
-                    moved_on = true;
-                    if !self.adopt_first_answer(id) {
-                        return self.close_connection(id);
-                    }
-                    if self.watch == Some(id) {
-                        self.silent_since = None;
-                    }
-                    let first = self.watch == Some(id) && std::mem::take(&mut self.is_moving);
-                    // Guards against a list that counts from lower at discovery's new address, which would be refused
-                    // for ever: a whole one is taken as it is, mere changes are asked for again as a whole.
-                    if first && listing.generation < self.generation {
-                        self.generation = 0;
-                        if !listing.reset {
-                            return self.end_watch(now, id, "changes of another list", true);
-                        }
-                    }
-                    let meanwhile = self.old_watch == Some(id);
-                    if self.is_unconfirmed_older_list(now, &listing) {
-                        return self.end_watch(now, id, "an older list", true);
-                    }
-                    if let Err(fault) = self.apply_listing(now, &listing, false, meanwhile) {
-                        return self.watch_failed(now, id, &fault);
-                    }
-                    if let Some(old) = self.old_watch.filter(|_| first) {
-                        self.close_connection(old);
+                    has_progressed = true;
+                    if !self.on_listing(now, id, &listing) {
+                        return;
                     }
                 }
-                Err(discovery::Fault(fault)) => return self.watch_failed(now, id, &fault),
+                Err(discovery::Fault(reason)) => return self.on_watch_failed(now, id, &reason),
             }
         }
     }
 
-    /// Guards against a crowded discovery, which takes long for each call, and puts the next at the end of its line: of two
-    /// calls that which is answered first is the watch.
+    fn extend_watch_deadline(&mut self, now: Time, id: ConnectionId, has_progressed: bool) {
+        // A late request keeps the time that it has left.
+        if self.discovery.late == Some(id) {
+            return;
+        }
+        if !self.has_answered(id) {
+            // Answered with a head, or the beginning of a list: it may take as long as a watch may be silent, and the rest
+            // has the time of a first answer.
+            let last = self.discovery.requested_at + self.limits.watch_silence_timeout;
+            let deadline = last.min(now + self.limits.watch_answer_timeout);
+            return self.connections.set_deadline(id, Some(deadline));
+        }
+        if has_progressed || !self.is_within_list(id) {
+            let deadline = now + self.limits.watch_silence_timeout;
+            self.connections.set_deadline(id, Some(deadline));
+        }
+    }
+
+    /// Takes over a list; false where the watch has ended.
+    fn on_listing(&mut self, now: Time, id: ConnectionId, listing: &Listing) -> bool {
+        if !self.adopt_first_answer(id) {
+            self.close_connection(id);
+            return false;
+        }
+        let is_first_after_move = self.discovery.record_answer(id);
+        let refusal = match self.discovery.judge_list(now, listing, is_first_after_move, &self.limits) {
+            ListVerdict::Accepted => None,
+            ListVerdict::ChangesOfAnotherList => Some("changes of another list"),
+            ListVerdict::Older => Some("an older list"),
+        };
+        if let Some(reason) = refusal {
+            self.end_watch(now, id, reason, true);
+            return false;
+        }
+        let is_previous = self.discovery.previous == Some(id);
+        if let Err(error) = self.apply_listing(now, listing, false, is_previous) {
+            self.on_watch_failed(now, id, &error.to_string());
+            return false;
+        }
+        if let Some(previous) = self.discovery.previous.filter(|_| is_first_after_move) {
+            self.close_connection(previous);
+        }
+        true
+    }
+
+    /// A crowded discovery takes long for each request, and puts the next at the end of its queue: of two requests the one
+    /// that is answered first becomes the watch. False for one whose successor was answered before.
     fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
-        let Some(late) = self.late_watch else { return true };
+        let Some(late) = self.discovery.late else { return true };
         if late != id {
-            if self.watch == Some(id) {
+            if self.discovery.is_current(id) {
                 self.close_connection(late);
             }
             return true;
         }
-        let newer = self.watch.take();
-        if newer.is_some_and(|newer| self.watch_has_answered(newer)) {
-            self.watch = newer;
+        let newer = self.discovery.current.take();
+        if newer.is_some_and(|newer| self.has_answered(newer)) {
+            self.discovery.current = newer;
             return false;
         }
         newer.into_iter().for_each(|newer| self.close_connection(newer));
-        (self.watch, self.late_watch) = (Some(id), None);
+        (self.discovery.current, self.discovery.late) = (Some(id), None);
         true
     }
 
-    /// Guards against a discovery that has started to count anew, whose lists would be refused for ever. No list
-    /// is late for longer than the protocol lets news be: that long after the list here was told, an older one
-    /// that is whole is taken as it is. Guards as well against a single one from long ago: true for the first in
-    /// a row, which is refused, and the whole asked for at once.
-    fn is_unconfirmed_older_list(&mut self, now: Time, listing: &Listing) -> bool {
-        let before = std::mem::replace(&mut self.list_is_older, listing.generation < self.generation);
-        if !self.list_is_older {
-            self.listed_at = now;
-        } else if before && listing.reset && now - self.listed_at >= self.limits.notified_within {
-            (self.generation, self.list_is_older, self.listed_at) = (0, false, now);
-        }
-        self.list_is_older && !before
-    }
-
-    /// A watch that had answered has fallen silent, or a call that follows one has no answer: it is asked again at once,
-    /// for as long as what is missed doesn't count as told yet.
-    pub(super) fn on_watch_timeout(&mut self, now: Time, id: ConnectionId) {
-        if self.watch == Some(id) && self.watch_has_answered(id) {
-            self.silent_since = Some(now - self.limits.watch_silence_timeout);
-        }
-        let silent = self.silent_since.is_some_and(|since| now - since <= self.limits.notified_within);
-        let late_until = self.asked_at + self.limits.late_watch_timeout;
-        if self.watch == Some(id) && !self.watch_has_answered(id) && now < late_until {
-            tracing::warn!("the list: no answer yet");
-            self.late_watch.into_iter().for_each(|late| self.close_connection(late));
-            self.late_watch = self.watch.take();
-            self.set_deadline(id, Some(late_until));
+    /// The deadline of a watch has passed: it was denied a descriptor, or is silent.
+    pub(super) fn on_discovery_deadline(&mut self, now: Time, id: ConnectionId) {
+        if self.discovery.denied.take() != Some(id) {
+            return self.on_watch_silent(now, id);
+        }
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.connect_denials = 0;
+        }
+        let deadline = now + self.limits.watch_answer_timeout;
+        self.connections.set_deadline(id, Some(deadline));
+        self.effects.push(Effect::Connect(id, self.discovery.address));
+    }
+
+    /// A watch that had answered has fallen silent, or a request after one has no answer: discovery is polled again at
+    /// once, while what is missed does not count as notified yet.
+    fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
+        let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
+        if self.discovery.is_current(id) && !is_unanswered {
+            self.discovery.silent_since = Some(now - self.limits.watch_silence_timeout);
+        }
+        let silent = self.discovery.is_silence_short(now, &self.limits);
+        let late_until = self.discovery.requested_at + self.limits.late_watch_timeout;
+        if is_unanswered && now < late_until {
+            tracing::warn!("discovery watch: no answer yet");
+            self.discovery.late.into_iter().for_each(|late| self.close_connection(late));
+            self.discovery.late = self.discovery.current.take();
+            self.connections.set_deadline(id, Some(late_until));
             return self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
         }
         self.end_watch(now, id, "silence", silent);
     }
 
-    pub(super) fn watch_failed(&mut self, now: Time, id: ConnectionId, why: &str) {
-        self.end_watch(now, id, why, false);
+    pub(super) fn on_watch_failed(&mut self, now: Time, id: ConnectionId, reason: &str) {
+        self.end_watch(now, id, reason, false);
     }
 
-    fn end_watch(&mut self, now: Time, id: ConnectionId, why: &str, silent: bool) {
-        tracing::warn!("the list: {why}");
-        let before = self.old_watch == Some(id) || self.late_watch == Some(id);
+    fn end_watch(&mut self, now: Time, id: ConnectionId, reason: &str, silent: bool) {
+        tracing::warn!(reason, "discovery watch: ended");
+        let has_successor = self.discovery.previous == Some(id) || self.discovery.late == Some(id);
         self.close_connection(id);
-        // Its successor is being asked for already.
-        if before {
-            return;
+        if !has_successor {
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
         }
-        self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
-    }
-
-    pub(super) fn apply_listing(
-        &mut self,
-        now: Time,
-        listing: &Listing,
-        remembered: bool,
-        meanwhile: bool,
-    ) -> Result<(), String> {
-        if listing.generation < self.generation {
-            return Err(format!("generation {} after {}", listing.generation, self.generation));
-        }
-        let mut entries = Vec::with_capacity(listing.instances.len());
-        for instance in &listing.instances {
-            let address = instance.host_port.parse::<SocketAddr>();
-            let known = self.names.get(&instance.instance_id);
-            let index = match (known, address) {
-                (Some(index), Ok(address)) => {
-                    self.change_member_address(now, index as usize, address);
-                    if let Some(member) = self.members.get_mut(index as usize) {
-                        member.forgotten = false;
-                    }
-                    index
-                }
-                // One that goes needs no address, and one that is not known needs not go.
-                (Some(index), Err(_)) if instance.standing() == EndpointState::Removed => index,
-                (None, _) if instance.standing() == EndpointState::Removed => continue,
-                (None, Ok(address)) => {
-                    let index = self.names.intern(&instance.instance_id);
-                    let (idle, coming) = (Vec::new(), VecDeque::new());
-                    let member = MemberPool { address, idle, coming, links: 0, forgotten: false };
-                    match self.members.get_mut(index as usize) {
-                        Some(old) => *old = member,
-                        None => self.members.push(member),
-                    }
-                    index
-                }
-                (_, Err(_)) => return Err(format!("hostPort {:?} is no address", instance.host_port)),
-            };
-            entries.push(Endpoint {
-                member: MemberId(index),
-                group: group_index(&mut self.groups, instance.cell),
-                primary: instance.is_primary(),
-                state: match instance.standing() {
-                    EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
-                    standing => standing,
-                },
-                // By the clock here; none starts in the future.
-                started_at: instance
-                    .born()
-                    .map(|born| now.min(born - self.reference_clock.confirmed()))
-                    .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
-                machine_kind: self.kinds.intern(&instance.machine_type),
-                concurrency: instance.weight.filter(|&weight| self.sizes && weight > 0.0),
-                zone: if self.uses_zones { self.zones.intern(&instance.zone) } else { 0 },
-                id_hash: self.gossip_codec.id_hashes.insert(&instance.instance_id, index),
-            });
-        }
-        self.generation = listing.generation;
-        tracing::info!("list {}: {} entries, whole: {}", listing.generation, entries.len(), listing.reset);
-        // Guards against what the old watch tells being taken for the answer of the new address, which then would never
-        // be asked again.
-        let news = match (remembered || meanwhile, listing.reset) {
-            (true, false) if meanwhile => EndpointUpdate::ChangesDuringMove(&entries),
-            (true, _) => EndpointUpdate::Cached(&entries),
-            (false, true) => EndpointUpdate::Complete(&entries),
-            (false, false) => EndpointUpdate::Changes(&entries),
-        };
-        self.router.on_endpoint_update(now, news);
-        self.withdraw_from_inactive_members(now);
-        Ok(())
     }
 }
--- /dev/null
+++ b/crates/ladderpass/src/reducer/endpoint_list.rs
@@ -0,0 +1,148 @@
+//! Endpoint lists: their entries are read, members get indexes and addresses, and the routing core gets the update. It
+//! judges the members.
+
+use super::Reducer;
+use crate::discovery::{Instance, Listing};
+use crate::faulty::Faulty;
+use ladderpass_config::names::{NameIndex, group_index};
+use ladderpass_config::operator::Operator;
+use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Time};
+use std::collections::HashMap;
+use std::fmt::{self, Display, Formatter};
+use std::net::SocketAddr;
+
+/// Indexes of what endpoint lists name besides members.
+pub(super) struct EndpointIndexes {
+    /// By the bits of a group's number.
+    groups: HashMap<u64, u32>,
+    machine_kinds: NameIndex,
+    /// This router's own zone has the index zero.
+    zones: NameIndex,
+    uses_zones: bool,
+    /// Weights in the list are the members' concurrency.
+    weights_are_concurrency: bool,
+}
+
+/// Why a list is refused.
+#[derive(Debug)]
+pub(super) enum ListingError {
+    OlderGeneration { offered: u64, current: u64 },
+    InvalidAddress(String),
+}
+
+impl Display for ListingError {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            ListingError::OlderGeneration { offered, current } => {
+                write!(formatter, "generation {offered} after {current}")
+            }
+            ListingError::InvalidAddress(address) => write!(formatter, "hostPort {address:?} is no address"),
+        }
+    }
+}
+
+impl EndpointIndexes {
+    pub(super) fn new(operator: &Operator) -> EndpointIndexes {
+        let mut zones = NameIndex::default();
+        zones.intern(operator.zone.as_deref().unwrap_or_default());
+        EndpointIndexes {
+            groups: HashMap::new(),
+            machine_kinds: NameIndex::default(),
+            zones,
+            uses_zones: operator.zone.is_some(),
+            weights_are_concurrency: operator.weights_are_concurrency,
+        }
+    }
+
+    /// The index of a group by its number, if a list has named it.
+    pub(super) fn group(&self, number: f64) -> Option<u32> {
+        self.groups.get(&number.to_bits()).copied()
+    }
+
+    /// All groups, by the bits of their numbers.
+    pub(super) fn groups(&self) -> &HashMap<u64, u32> {
+        &self.groups
+    }
+}
+
+impl Reducer {
+    /// Takes over an endpoint list. `is_cached`: it was read from the configuration. `is_previous`: it comes from the
+    /// address that discovery had before.
+    pub(super) fn apply_listing(
+        &mut self,
+        now: Time,
+        listing: &Listing,
+        is_cached: bool,
+        is_previous: bool,
+    ) -> Result<(), ListingError> {
+        let (offered, current) = (listing.generation, self.discovery.generation());
+        if offered < current {
+            return Err(ListingError::OlderGeneration { offered, current });
+        }
+        let mut entries = Vec::with_capacity(listing.instances.len());
+        for instance in &listing.instances {
+            if let Some(member) = self.member_of(now, instance)? {
+                entries.push(self.endpoint_of(now, instance, member));
+            }
+        }
+        self.discovery.set_generation(offered);
+        tracing::info!(
+            generation = offered,
+            entries = entries.len(),
+            complete = listing.reset,
+            "endpoint list"
+        );
+        // A list of the previous address must not count as the answer of the new one, which would never be polled then.
+        let update = match (is_cached || is_previous, listing.reset) {
+            (true, false) if is_previous => EndpointUpdate::ChangesDuringMove(&entries),
+            (true, _) => EndpointUpdate::Cached(&entries),
+            (false, true) => EndpointUpdate::Complete(&entries),
+            (false, false) => EndpointUpdate::Changes(&entries),
+        };
+        self.router.on_endpoint_update(now, update);
+        self.withdraw_from_inactive_members(now);
+        Ok(())
+    }
+
+    /// The member of an entry, at the entry's address; None for one that is removed and not known.
+    fn member_of(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
+        let address = instance.host_port.parse::<SocketAddr>();
+        let known = self.members.names().get(&instance.instance_id);
+        let is_removed = instance.standing() == EndpointState::Removed;
+        match (known, address) {
+            (Some(index), Ok(address)) => {
+                self.change_member_address(now, index as usize, address);
+                self.members.set_retired(index as usize, false);
+                Ok(Some(index))
+            }
+            // One that is removed needs no address.
+            (Some(index), Err(_)) if is_removed => Ok(Some(index)),
+            (None, _) if is_removed => Ok(None),
+            (None, Ok(address)) => Ok(Some(self.members.add(&instance.instance_id, address))),
+            (_, Err(_)) => Err(ListingError::InvalidAddress(instance.host_port.clone())),
+        }
+    }
+
+    fn endpoint_of(&mut self, now: Time, instance: &Instance, member: u32) -> Endpoint {
+        let clock_difference = self.reference_clock.confirmed();
+        let indexes = &mut self.endpoints;
+        Endpoint {
+            member: MemberId(member),
+            group: group_index(&mut indexes.groups, instance.cell),
+            primary: instance.is_primary(),
+            state: match instance.standing() {
+                EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
+                state => state,
+            },
+            // By the clock here; no member starts in the future.
+            started_at: instance
+                .born()
+                .map(|born| now.min(born - clock_difference))
+                .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
+            machine_kind: indexes.machine_kinds.intern(&instance.machine_type),
+            concurrency: instance.weight.filter(|&weight| indexes.weights_are_concurrency && weight > 0.0),
+            zone: if indexes.uses_zones { indexes.zones.intern(&instance.zone) } else { 0 },
+            id_hash: self.gossip_codec.id_hashes.insert(&instance.instance_id, member),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/eviction.rs
@@ -0,0 +1,85 @@
+//! Eviction of clients that wait for no answer: they give their connections up where there are too many.
+
+use super::Reducer;
+use super::client::{Awaited, AwaitedInput, Client};
+use super::connection_id::ConnectionId;
+use super::connections::Remote;
+use super::event::Effect;
+use ladderpass_routing::Time;
+
+impl Reducer {
+    pub(super) fn on_accepted(&mut self, now: Time, id: ConnectionId) {
+        self.clients.add();
+        let deadline = now + self.limits.message_timeout;
+        self.add_connection(id, Some(deadline), Remote::Client(Client::new()));
+        self.set_awaited(id, Some((AwaitedInput::Startup, now)));
+        self.evict_excess_clients(now);
+        let connections = self.clients.len() + self.members.connection_count();
+        if connections > self.limits.connections
+            && let Some(idle) = self.longest_idle_connection()
+        {
+            self.close_connection(idle);
+        }
+        let connections = self.clients.len() + self.members.connection_count();
+        let is_full =
+            self.clients.len() >= self.limits.clients_accepted || connections >= self.limits.connections;
+        if is_full && self.accepts_clients() {
+            self.update_accepting();
+        }
+    }
+
+    pub(super) fn set_awaited(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
+        if let Some(client) = self.connections.client_mut(id) {
+            self.clients.set_awaited(id, client, awaited);
+        }
+    }
+
+    /// Evicts clients past the limit that have had their time: first those that have not started up, soon; then those in
+    /// the middle of a statement; then those idle for a while. A client that was just answered is likely to write again,
+    /// which would cross the close.
+    pub(super) fn evict_excess_clients(&mut self, now: Time) {
+        let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
+        while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
+            self.evict(id);
+        }
+    }
+
+    /// Are there more clients than are served? Those that have sent no whole statement are not counted.
+    pub(super) fn exceeds_client_limit(&mut self, now: Time) -> bool {
+        self.evict_excess_clients(now);
+        let uncounted = self.clients.evicting_count() + self.clients.without_statement();
+        self.clients.len() > self.limits.clients + uncounted
+    }
+
+    /// Closes a client's connection soon. Its socket is read now, and once more right before the close, as a query may
+    /// have arrived that was not read yet.
+    pub(super) fn evict(&mut self, id: ConnectionId) {
+        let Some(client) = self.connections.client(id) else { return };
+        self.clients.begin_eviction(id, client.awaited);
+        self.effects.push(Effect::Read(id));
+    }
+
+    /// Has the sockets of all that are being evicted read once more, each right before its close.
+    pub(super) fn request_final_reads(&mut self) {
+        self.effects.extend(self.clients.evicting().map(Effect::CloseIfQuiet));
+    }
+
+    /// The final read has found nothing, else the eviction was cancelled.
+    pub(super) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
+        if !self.clients.is_evicting(id) {
+            return;
+        }
+        let Some(connection) = self.connections.get(id) else { return };
+        // A read that failed for a moment is repeated, and the final read with it.
+        if connection.has_unread_bytes && !connection.read_paused {
+            return;
+        }
+        let awaited_before = self.clients.take_eviction(id);
+        if let Remote::Client(client) = &connection.remote
+            && client.awaited.is_some()
+            && client.awaited == awaited_before
+        {
+            self.close_when_written(now, id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/member_answers.rs
@@ -0,0 +1,155 @@
+//! Reads what members send: the end of their startup, and answers to queries. What can't be parsed is no answer, says
+//! nothing of the member, and closes the connection.
+
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::connections::{Connection, Remote};
+use super::load_report::read_load_report;
+use super::member_connection::{Job, MessageEffect};
+use crate::faulty::Faulty;
+use crate::pg;
+use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, Span, Time};
+
+impl Reducer {
+    /// Reads the messages that a member has sent.
+    pub(super) fn read_member(&mut self, now: Time, id: ConnectionId) {
+        while self.read_member_message(now, id) {}
+    }
+
+    /// Reads one message; false where there is none, or the connection is over.
+    fn read_member_message(&mut self, now: Time, id: ConnectionId) -> bool {
+        let Some(Connection { input, remote: Remote::Member(member), .. }) = self.connections.get_mut(id)
+        else {
+            return false;
+        };
+        member.last_received_at = now;
+        let has_job = member.is_established && member.job.is_some();
+        if self.faulty.is(Faulty::ReusesUnquiet) && member.is_established && member.job.is_none() {
+            return false;
+        }
+        if input.len() > member.scanned && has_job && !std::mem::replace(&mut member.answer_has_begun, true) {
+            let deadline = member.job_deadline.min(now + self.limits.partial_answer_timeout);
+            self.connections.set_deadline(id, Some(deadline));
+            return true;
+        }
+        let bytes = input.whole().get(member.scanned..).unwrap_or_default();
+        let (kind, body, length) = match pg::frame(bytes, self.limits.member_buffer_bytes) {
+            Ok(Some(frame)) => frame,
+            Ok(None) => return false,
+            Err(_) if self.faulty.is(Faulty::TrustsLengths) && member.answer.has_description() => {
+                member.answer.force_complete();
+                member.scanned = input.len();
+                self.on_answer_complete(now, id);
+                return false;
+            }
+            Err(_) => return self.on_malformed_message(now, id),
+        };
+        match member.on_message(kind, body, self.faulty.is(Faulty::PassesOnTornRows)) {
+            MessageEffect::Continue if has_job => member.scanned += length,
+            MessageEffect::Continue => input.consume(length),
+            MessageEffect::Established => {
+                input.consume(length);
+                self.on_member_established(now, id);
+            }
+            MessageEffect::AnswerComplete => {
+                member.scanned += length;
+                self.on_answer_complete(now, id);
+            }
+            MessageEffect::Ended(outcome) => {
+                self.end_member_connection(now, id, outcome);
+                return false;
+            }
+            MessageEffect::Malformed => return self.on_malformed_message(now, id),
+        }
+        true
+    }
+
+    /// Closes a connection on which a message has arrived that has no place there, or that does not end in time. False:
+    /// there is nothing more to read.
+    pub(super) fn on_malformed_message(&mut self, now: Time, id: ConnectionId) -> bool {
+        let Some(member) = self.connections.member(id) else { return false };
+        let outcome =
+            if member.is_query_sent() { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Unreachable };
+        tracing::warn!(
+            member = self.members.names().name(member.member as u32),
+            job = ?member.job,
+            unwritten_bytes = member.unwritten,
+            "malformed message from a member: connection closed"
+        );
+        self.end_member_connection(now, id, outcome);
+        false
+    }
+
+    /// The member has completed its startup.
+    fn on_member_established(&mut self, now: Time, id: ConnectionId) {
+        let Some(member) = self.connections.member(id) else { return };
+        let connect_began_at = member.connect_deadline - self.limits.connect_timeout;
+        self.stats.add_connect_time(now - connect_began_at);
+        self.members.remove_connecting(member.member, id);
+        if member.job.is_some() {
+            let deadline = member.job_deadline;
+            self.connections.set_deadline(id, Some(deadline));
+            self.send_query(now, id);
+        } else {
+            self.return_to_pool(now, id);
+        }
+    }
+
+    /// The member has answered the query of a connection's job, and is ready for the next one.
+    fn on_answer_complete(&mut self, now: Time, id: ConnectionId) {
+        let Some(member) = self.connections.member_mut(id) else { return };
+        let Some(job) = member.job.take() else { return };
+        let index = member.member;
+        // What this router itself kept waiting, the query before it was written and the answer before it was read, is no
+        // time of the member's.
+        let waited_for_router = member.write_delay + member.read_delay;
+        let latency = (now - member.assigned_at - waited_for_router).max(Span::from_nanos(1));
+        let mut answer = std::mem::take(&mut member.answer);
+        member.answer_has_begun = false;
+        let used = std::mem::take(&mut member.scanned);
+        if let Job::Attempt(rpc) = job
+            && let Some(entry) = self.rpcs.get_mut(rpc)
+        {
+            entry.waited_for_router += waited_for_router;
+        }
+        let outcome = answer.outcome();
+        let mut report = LoadReport::default();
+        match job {
+            Job::Attempt(rpc) if outcome == AttemptOutcome::Ok => self.forward_answer(now, id, rpc),
+            Job::Attempt(_) | Job::SyncQuery => {}
+            Job::HealthCheck => report = self.load_report(id),
+        }
+        if self.faulty.is(Faulty::IgnoresLag) {
+            report.position = report.position.map(|_| now);
+            answer.override_position(now);
+        }
+        self.consume_member_input(id, used);
+        if job == Job::SyncQuery {
+            return self.return_to_pool(now, id);
+        }
+        let result = answer.to_result(MemberId(index as u32), outcome, latency);
+        match self.faulty.is(Faulty::ReusesUnquiet) {
+            true => self.return_to_pool(now, id),
+            false => {
+                let deadline = now + self.limits.partial_answer_timeout;
+                self.set_job(now, id, Job::SyncQuery, deadline);
+            }
+        }
+        self.on_job_ended(now, job, result, report);
+    }
+
+    /// The load report at the front of a connection's input.
+    fn load_report(&mut self, id: ConnectionId) -> LoadReport {
+        let Some(connection) = self.connections.get_mut(id) else { return LoadReport::default() };
+        let max_bytes = self.limits.member_buffer_bytes;
+        read_load_report(connection.input.whole(), max_bytes, &self.report_columns)
+    }
+
+    fn consume_member_input(&mut self, id: ConnectionId, count: usize) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.input.consume(count);
+            connection.input.shrink(self.limits.buffer_initial_bytes);
+        }
+        self.update_buffer_bytes(id);
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -0,0 +1,188 @@
+//! Jobs of member connections: queries are written, withdrawn, and end with an outcome.
+
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::member_connection::Job;
+use crate::faulty::Faulty;
+use crate::pg;
+use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, RpcId, Span, Time};
+
+/// The query of a health check.
+const HEALTH_CHECK_QUERY: &str = "SHOW server_load";
+
+impl Reducer {
+    pub(super) fn set_job(&mut self, assigned_at: Time, id: ConnectionId, job: Job, deadline: Time) {
+        let Some(member) = self.connections.member_mut(id) else { return };
+        (member.job, member.assigned_at, member.job_deadline) = (Some(job), assigned_at, deadline);
+        member.write_delay = Span::ZERO;
+        let next = if member.is_established { deadline } else { deadline.min(member.connect_deadline) };
+        self.connections.set_deadline(id, Some(next));
+        if let Job::Attempt(rpc) = job
+            && let Some(entry) = self.rpcs.get_mut(rpc)
+        {
+            entry.connection = Some(id);
+        }
+    }
+
+    /// Writes the query of a connection's job, and an empty query behind it. The connection is used again once the member
+    /// has answered that one with nothing before it: a second answer, or noise, would go to the next RPC's client.
+    pub(super) fn send_query(&mut self, now: Time, id: ConnectionId) {
+        let Some(member) = self.connections.member(id) else { return };
+        let mut query = Vec::new();
+        match member.job {
+            // The empty query was written behind the query before it.
+            None | Some(Job::SyncQuery) => return,
+            Some(Job::HealthCheck) => pg::put_query(&mut query, &[HEALTH_CHECK_QUERY]),
+            Some(Job::Attempt(rpc)) => {
+                if let Err(outcome) = self.put_attempt_query(now, id, rpc, &mut query) {
+                    return outcome.into_iter().for_each(|outcome| self.release_job(now, id, outcome));
+                }
+            }
+        }
+        let length = query.len();
+        if !self.faulty.is(Faulty::ReusesUnquiet) {
+            pg::put_query(&mut query, &[""]);
+        }
+        self.write(id, &query);
+        let Some(connection) = self.connections.get(id) else { return };
+        let unwritten = connection.output.len() + length - query.len();
+        if let Some(member) = self.connections.member_mut(id) {
+            member.begin_query(now, unwritten);
+        }
+    }
+
+    /// Puts the statement of an RPC, with the time that is left. The error says how the attempt ends unsent; None where
+    /// there is no such RPC.
+    fn put_attempt_query(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        rpc: RpcId,
+        query: &mut Vec<u8>,
+    ) -> Result<(), Option<AttemptOutcome>> {
+        let (Some(member), Some(entry)) = (self.connections.member(id), self.rpcs.get(rpc)) else {
+            return Err(None);
+        };
+        let (member_id, deadline) = (MemberId(member.member as u32), member.job_deadline);
+        // What held at the decision may not hold any more: data that were new enough, and the window in which a repeat
+        // has no second effect.
+        let is_window_repeat = entry.may_have_run && self.methods.uses_idempotency_key(entry.method);
+        let expires = entry.bounds_staleness || is_window_repeat;
+        let is_late = expires && now - member.assigned_at > self.limits.fresh_send_timeout;
+        if is_late && !self.router.may_still_attempt(now, rpc, member_id) {
+            return Err(Some(AttemptOutcome::DecisionExpired));
+        }
+        let client = entry.client.and_then(|client| self.connections.get_mut(client));
+        let client = client.ok_or(Some(AttemptOutcome::Cancelled))?;
+        // It may have left unseen while the connection was established.
+        if client.read_paused {
+            return Err(Some(AttemptOutcome::NeverSent));
+        }
+        let frame = pg::frame(client.input.whole(), self.limits.statement_bytes);
+        let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
+        let wait_at = &entry.wait_at;
+        let parts = statement.and_then(|text| Some((text.get(..wait_at.start)?, text.get(wait_at.end..)?)));
+        let (before, after) = parts.ok_or(Some(AttemptOutcome::NeverSent))?;
+        let wait_ms = ((deadline - now).nanos() / 1_000_000).max(1).to_string();
+        pg::put_query(query, &[before, &wait_ms, after]);
+        Ok(())
+    }
+
+    /// The job of a connection has ended; the connection itself goes on.
+    pub(super) fn release_job(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
+        let Some(member) = self.connections.member_mut(id) else { return };
+        let Some(job) = member.job.take() else { return };
+        let (index, assigned_at) = (member.member, member.assigned_at);
+        let answer = std::mem::take(&mut member.answer);
+        let (is_established, connect_deadline) = (member.is_established, member.connect_deadline);
+        if is_established {
+            self.return_to_pool(now, id);
+        } else {
+            self.connections.set_deadline(id, Some(connect_deadline));
+            self.members.remove_connecting(index, id);
+        }
+        let result = answer.to_result(MemberId(index as u32), outcome, now - assigned_at);
+        self.on_job_ended(now, job, result, LoadReport::default());
+    }
+
+    /// The socket accepts no more of the query. A member that reads it late would go by a time left, and by data new
+    /// enough, that do not hold any more.
+    pub(super) fn on_query_write_blocked(&mut self, id: ConnectionId) {
+        let Some(member) = self.connections.member(id) else { return };
+        if !member.is_established || member.unwritten == 0 {
+            return;
+        }
+        let bounds_staleness = match member.job {
+            Some(Job::Attempt(rpc)) => self.rpcs.get(rpc).is_some_and(|entry| entry.bounds_staleness),
+            _ => false,
+        };
+        let timeout =
+            if bounds_staleness { self.limits.fresh_send_timeout } else { self.limits.write_timeout };
+        let deadline = member.job_deadline.min(member.queued_at + timeout);
+        self.connections.set_deadline(id, Some(deadline));
+    }
+
+    pub(super) fn is_query_sent(&self, id: ConnectionId) -> bool {
+        self.connections.member(id).is_some_and(|member| member.is_query_sent())
+    }
+
+    pub(super) fn is_established(&self, id: ConnectionId) -> bool {
+        self.connections.member(id).is_some_and(|member| member.is_established)
+    }
+
+    /// No client waits for the answer to a connection's job any more: a query that is not written whole is taken back. A
+    /// part of a query makes the connection useless, and never runs.
+    pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
+        let Some(member) = self.connections.member_mut(id) else { return };
+        match (member.is_established, member.nothing_written) {
+            (true, false) if member.unwritten > 0 => {
+                self.end_member_connection(now, id, AttemptOutcome::Cancelled);
+            }
+            (true, false) => {}
+            (true, true) => {
+                (member.unwritten, member.nothing_written) = (0, false);
+                if let Some(connection) = self.connections.get_mut(id) {
+                    connection.output.consume(connection.output.len());
+                }
+                self.release_job(now, id, AttemptOutcome::Cancelled);
+            }
+            (false, _) => self.release_job(now, id, AttemptOutcome::Cancelled),
+        }
+    }
+
+    /// Closes a connection to a member; its job ends so.
+    pub(super) fn end_member_connection(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
+        let Some(member) = self.connections.member_mut(id) else { return };
+        let (job, index, assigned_at) = (member.job.take(), member.member, member.assigned_at);
+        let answer = std::mem::take(&mut member.answer);
+        if outcome == AttemptOutcome::Ok
+            && let Some(Job::Attempt(rpc)) = job
+        {
+            self.forward_answer(now, id, rpc);
+        }
+        self.close_connection(id);
+        // A deadline shorter than that is the client's, and says nothing of the member.
+        if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
+            self.close_silent_connections(index, assigned_at);
+        }
+        let result = answer.to_result(MemberId(index as u32), outcome, now - assigned_at);
+        if let Some(job) = job {
+            self.on_job_ended(now, job, result, LoadReport::default());
+        }
+    }
+
+    pub(super) fn start_health_check(&mut self, now: Time, member: MemberId) {
+        let deadline = now + self.limits.health_check_timeout;
+        match self.assign_job(now, member.0 as usize, Job::HealthCheck, deadline) {
+            Some(id) if self.is_established(id) => self.send_query(now, id),
+            Some(_) => {}
+            None => self.router.on_health_check_ended(
+                now,
+                member,
+                AttemptOutcome::NeverSent,
+                Span::ZERO,
+                LoadReport::default(),
+            ),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/methods.rs
@@ -0,0 +1,86 @@
+//! The deployment's methods, as far as the reducer needs them.
+
+use ladderpass_config::DeploymentSettings;
+use ladderpass_routing::{Consistency, Idempotency, Method};
+use std::collections::HashMap;
+
+/// Methods by name and by index.
+pub(super) struct MethodTable {
+    index_by_name: HashMap<String, u32, foldhash::fast::RandomState>,
+    properties: Vec<MethodProperties>,
+    /// Some method reads what its session wrote.
+    has_session_methods: bool,
+    /// Statements carry the age of their session's last write, so the router need not remember it.
+    session_write_age_carried: bool,
+}
+
+struct MethodProperties {
+    /// Its data must be as new at the send as it was at the decision: its age is limited, or its session has written.
+    bounds_staleness: bool,
+    is_write: bool,
+    /// It may be repeated within a window only.
+    uses_idempotency_key: bool,
+}
+
+impl MethodProperties {
+    fn of(method: &Method) -> MethodProperties {
+        MethodProperties {
+            bounds_staleness: matches!(
+                method.consistency,
+                Consistency::BoundedStaleness(_) | Consistency::Session
+            ),
+            is_write: method.consistency == Consistency::Write,
+            uses_idempotency_key: matches!(method.idempotency, Idempotency::IdempotencyKey { .. }),
+        }
+    }
+}
+
+impl MethodTable {
+    pub(super) fn new(settings: &DeploymentSettings) -> MethodTable {
+        let methods = &settings.deployment.methods;
+        MethodTable {
+            index_by_name: settings.method_names.iter().cloned().zip(0..).collect(),
+            properties: methods.iter().map(MethodProperties::of).collect(),
+            has_session_methods: methods.iter().any(|method| method.consistency == Consistency::Session),
+            session_write_age_carried: settings.deployment.session_write_age_carried,
+        }
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.properties.len()
+    }
+
+    pub(super) fn index(&self, name: &str) -> Option<u32> {
+        self.index_by_name.get(name).copied()
+    }
+
+    pub(super) fn name(&self, index: u32) -> Option<&str> {
+        self.index_by_name.iter().find(|(_, known)| **known == index).map(|(name, _)| name.as_str())
+    }
+
+    pub(super) fn has_session_methods(&self) -> bool {
+        self.has_session_methods
+    }
+
+    /// Must the router remember when each session wrote?
+    pub(super) fn tracks_sessions(&self) -> bool {
+        self.has_session_methods && !self.session_write_age_carried
+    }
+
+    pub(super) fn bounds_staleness(&self, index: u32) -> bool {
+        self.get(index).is_some_and(|method| method.bounds_staleness)
+    }
+
+    /// None for an unknown method.
+    pub(super) fn is_write(&self, index: u32) -> Option<bool> {
+        self.get(index).map(|method| method.is_write)
+    }
+
+    pub(super) fn uses_idempotency_key(&self, index: u32) -> bool {
+        self.get(index).is_some_and(|method| method.uses_idempotency_key)
+    }
+
+    fn get(&self, index: u32) -> Option<&MethodProperties> {
+        self.properties.get(index as usize)
+    }
+}
--- a/crates/ladderpass/src/reducer/overload.rs
+++ b/crates/ladderpass/src/reducer/overload.rs
@@ -1,175 +1,276 @@
-//! The router's own state: what it measures of itself, handed to the governor; clients that read nothing; figures.
+//! This router's own overload: what it measures goes to the governor, whose state goes to the routing core with each
+//! arrival; clients that read no answers are closed; metrics are logged.
 //!
-//! It owns these invariants: without the operator's word none of it acts; a client stands among the slow ones while
-//! something that it is owed could not be written, and no longer. It must never refuse an RPC: the core does.
+//! Off unless the operator's file has an `overload` section. It rejects no RPC itself: the routing core does.
 
-use super::*;
+use super::Reducer;
+use super::connection_id::ConnectionId;
+use super::connections::Connections;
+use super::stats::Count;
 use ladderpass_config::operator::Operator;
-use ladderpass_overload::{Governor, OverloadEvent, ResourceLimits, ResourceSample};
+use ladderpass_overload::{ClientUsage, Governor, OverloadEvent, ResourceLimits, ResourceSample};
+use ladderpass_routing::{Arrival, Router, Span, Time};
+use rustc_hash::{FxHashMap, FxHashSet};
 
+/// Watches the load of this process, where the operator wants that.
 pub(super) struct OverloadMonitor {
-    pub(super) governor: Governor,
-    /// Clients whose sockets take no more of their answers, and since when they took nothing.
-    slow: FxHashMap<ConnectionId, Time>,
-    scheduled_at: Time,
-    figures_every: Span,
-    figures_at: Time,
+    active: Option<Box<ActiveMonitor>>,
+    /// RPCs accepted, and rejected for overload, since the metrics were logged last.
+    accepted: u32,
+    rejected: u32,
 }
 
-impl OverloadMonitor {
-    pub(super) fn new(
-        now: Time,
-        operator: &Operator,
-        allowance: ResourceLimits,
-        methods: usize,
-    ) -> Option<OverloadMonitor> {
+struct ActiveMonitor {
+    governor: Governor,
+    /// Clients whose sockets accept no more of their answers, and since when they read nothing.
+    slow_readers: FxHashMap<ConnectionId, Time>,
+    sampled_at: Time,
+    metrics_interval: Span,
+    metrics_logged_at: Time,
+}
+
+impl ActiveMonitor {
+    fn new(now: Time, operator: &Operator, limits: ResourceLimits, methods: usize) -> Option<ActiveMonitor> {
         let settings = operator.overload?;
-        Some(OverloadMonitor {
-            governor: Governor::new(now, settings, allowance, methods),
-            slow: FxHashMap::default(),
-            scheduled_at: now,
-            figures_every: operator.log.metrics_interval,
-            figures_at: now,
+        Some(ActiveMonitor {
+            governor: Governor::new(now, settings, limits, methods),
+            slow_readers: FxHashMap::default(),
+            sampled_at: now,
+            metrics_interval: operator.log.metrics_interval,
+            metrics_logged_at: now,
         })
     }
-}
 
-impl Reducer {
-    /// When the process is to be looked at next; None where the router does not watch itself.
-    pub fn next_sample_at(&self) -> Option<Time> {
-        self.overload.as_ref().map(|own| own.scheduled_at + own.governor.sample_interval())
+    /// Slow readers that are to be closed. Prevents clients that send and don't read from filling the memory: each has a
+    /// time limit, shorter where memory is short, and a limit of bytes. Before buffers affect anyone else the largest of
+    /// them go, once they have read nothing for a sample interval. Nobody else is closed for memory.
+    fn overdue_slow_readers(&mut self, now: Time, connections: &Connections) -> Vec<ConnectionId> {
+        let timeout = self.governor.slow_reader_timeout();
+        let max_bytes = self.governor.slow_reader_max_bytes();
+        self.slow_readers.retain(|&id, _| connections.contains(id));
+        let largest = self.largest_slow_readers(now, connections);
+        let is_overdue = |id: &ConnectionId, since: Time| {
+            now - since >= timeout
+                || largest.contains(id)
+                || connections.get(*id).is_some_and(|connection| connection.output.len() > max_bytes)
+        };
+        let overdue = self.slow_readers.iter().filter(|(id, since)| is_overdue(id, **since));
+        overdue.map(|(&id, _)| id).collect()
     }
 
-    /// How many connections to accept in one go.
-    pub fn accept_budget(&self) -> usize {
-        self.overload.as_ref().map_or(self.limits.accepts_per_event, |own| {
-            own.governor.accept_budget(self.limits.accepts_per_event)
-        })
+    /// The largest slow readers, as many as it takes to bring the memory of buffers down to where it affects nobody.
+    fn largest_slow_readers(&self, now: Time, connections: &Connections) -> FxHashSet<ConnectionId> {
+        let interval = self.governor.sample_interval();
+        let mut excess = connections.buffer_bytes().saturating_sub(self.governor.unpressured_buffer_bytes());
+        if excess == 0 {
+            return FxHashSet::default();
+        }
+        let stuck = self.slow_readers.iter().filter(|(_, since)| now - **since >= interval);
+        let mut by_size: Vec<(usize, ConnectionId)> =
+            stuck.filter_map(|(id, _)| Some((connections.get(*id)?.buffer_bytes(), *id))).collect();
+        by_size.sort_unstable_by(|one, other| other.cmp(one));
+        let needed = by_size.into_iter().take_while(|(bytes, _)| {
+            let is_needed = excess > 0;
+            excess = excess.saturating_sub(*bytes);
+            is_needed
+        });
+        needed.map(|(_, id)| id).collect()
+    }
+
+    fn log_level_changes(&mut self) {
+        for OverloadEvent::LevelChanged { before, after, pressure, dominant } in self.governor.take_events() {
+            let (before, after, dominant) = (before.name(), after.name(), dominant.name());
+            tracing::info!(
+                target: "ladderpass::overload", before, after, pressure, dominant, "overload level changed"
+            );
+        }
+    }
+}
+
+impl OverloadMonitor {
+    pub(super) fn new(
+        now: Time,
+        operator: &Operator,
+        limits: ResourceLimits,
+        methods: usize,
+    ) -> OverloadMonitor {
+        let active = ActiveMonitor::new(now, operator, limits, methods).map(Box::new);
+        OverloadMonitor { active, accepted: 0, rejected: 0 }
     }
 
-    /// Other settings of the operator hold from now on.
-    pub(super) fn reconfigure_overload(&mut self, now: Time, operator: &Operator, allowance: ResourceLimits) {
-        match (&mut self.overload, operator.overload) {
-            (Some(own), Some(settings)) => {
-                own.governor.reconfigure(now, settings, allowance);
-                own.figures_every = operator.log.metrics_interval;
+    /// Takes over other settings of the operator.
+    pub(super) fn reconfigure(
+        &mut self,
+        now: Time,
+        operator: &Operator,
+        limits: ResourceLimits,
+        methods: usize,
+    ) {
+        match (&mut self.active, operator.overload) {
+            (Some(active), Some(settings)) => {
+                active.governor.reconfigure(now, settings, limits);
+                active.metrics_interval = operator.log.metrics_interval;
             }
             (None, Some(_)) => {
-                self.overload =
-                    OverloadMonitor::new(now, operator, allowance, self.bounds_staleness.len()).map(Box::new);
+                self.active = ActiveMonitor::new(now, operator, limits, methods).map(Box::new);
             }
-            (Some(_), None) => self.overload = None,
+            (Some(_), None) => self.active = None,
             (None, None) => {}
         }
     }
 
-    pub(super) fn on_resources_sampled(&mut self, now: Time, mut sample: ResourceSample) {
-        self.close_slow_readers(now);
-        let buffer_bytes = self.buffer_bytes;
-        let Some(own) = &mut self.overload else { return };
-        own.scheduled_at = now;
-        sample.buffer_bytes = buffer_bytes;
-        own.governor.record_sample(now, sample);
-        self.log_level_changes();
-        self.log_overload_metrics(now);
+    pub(super) fn record_stall(&mut self, now: Time) {
+        if let Some(active) = &mut self.active {
+            active.governor.record_stall(now);
+        }
     }
 
-    /// A turn of the loop is over.
-    pub(super) fn on_iteration_worked(&mut self, now: Time, busy: Span, waiting: usize) {
-        let Some(own) = &mut self.overload else { return };
-        // What those have sent that read nothing is not looked at, however long it stands.
-        let input = |id| self.connections.get(id).map_or(0, |connection| connection.input.len());
-        let not_wanted: usize = own.slow.keys().map(input).sum();
-        own.governor.end_iteration(now, busy, waiting, self.unread_client_bytes.saturating_sub(not_wanted));
-        self.log_level_changes();
+    /// Counts a statement and gives its RPC the overload state to be judged by. True where its rejection is certain: to
+    /// look at it further would be work for nothing.
+    pub(super) fn assess(
+        &mut self,
+        now: Time,
+        router: &Router,
+        arrival: &mut Arrival,
+        usage: &mut ClientUsage,
+        statement: StatementCost,
+    ) -> bool {
+        let Some(active) = &mut self.active else { return false };
+        active.governor.record_statement(now, statement.waited, statement.bytes);
+        let state = active.governor.overload_state(now, arrival.method, usage);
+        arrival.router_overload = Some(state);
+        let priority = router.priority(now, arrival, &state);
+        active.governor.record_arrival(now, &state, priority, usage);
+        f64::from(priority + 1) <= state.admission_threshold
     }
 
-    fn log_level_changes(&mut self) {
-        let Some(own) = &mut self.overload else { return };
-        for OverloadEvent::LevelChanged { before, after: now, pressure, dominant: foremost } in
-            own.governor.take_events()
-        {
-            let (before, now, foremost) = (before.name(), now.name(), foremost.name());
-            tracing::info!(target: "ladderpass::overload", before, now, pressure, foremost, "own load");
+    pub(super) fn record_accepted(&mut self) {
+        self.accepted += 1;
+    }
+
+    /// An RPC was rejected as it arrived; true where this router's overload counts as the reason.
+    pub(super) fn record_rejected_at_arrival(&mut self) -> bool {
+        let Some(active) = &mut self.active else { return false };
+        active.governor.record_rejected();
+        self.rejected += 1;
+        true
+    }
+
+    /// An RPC that was accepted got no good answer.
+    pub(super) fn record_unserved(&mut self) {
+        if let Some(active) = &mut self.active {
+            active.governor.record_rejected();
         }
     }
 
-    fn log_overload_metrics(&mut self, now: Time) {
-        let (clients, calls) = (self.clients, self.rpcs.len());
-        let Some(own) = &mut self.overload else { return };
-        if now - own.figures_at < own.figures_every {
-            return;
+    /// An RPC was answered; `bytes` are those of the client's buffers.
+    pub(super) fn record_served(&mut self, now: Time, method: u32, bytes: impl FnOnce() -> usize) {
+        if let Some(active) = &mut self.active {
+            active.governor.record_served(now, method, bytes());
         }
-        own.figures_at = now;
-        let mut figures = own.governor.take_metrics();
-        figures.extend([
-            ("clients", clients as f64),
-            ("slow_readers", own.slow.len() as f64),
-            ("rpcs", calls as f64),
-            ("taken", f64::from(std::mem::take(&mut self.overload_counts.taken))),
-            ("shed", f64::from(std::mem::take(&mut self.overload_counts.shed))),
-        ]);
-        let text: Vec<String> =
-            figures.iter().map(|(name, value)| format!("\"{name}\":{value:.4}")).collect();
-        tracing::info!(target: "ladderpass::figures", "figures {{{}}}", text.join(","));
     }
 
-    /// The socket of a client takes no more for now.
-    pub(super) fn on_client_write_blocked(&mut self, now: Time, id: ConnectionId) {
-        if let Some(Connection { remote: Remote::Client(_), .. }) = self.connections.get(&id)
-            && let Some(own) = &mut self.overload
-        {
-            own.slow.entry(id).or_insert(now);
+    /// A client's socket accepts no more for now.
+    pub(super) fn record_write_blocked(&mut self, now: Time, client: ConnectionId) {
+        if let Some(active) = &mut self.active {
+            active.slow_readers.entry(client).or_insert(now);
         }
     }
 
-    /// A client has taken something of what it is owed; `done`: all of it.
-    pub(super) fn on_client_wrote(&mut self, now: Time, id: ConnectionId, done: bool) {
-        let Some(own) = &mut self.overload else { return };
-        if own.slow.is_empty() {
+    /// A client has read something of its answers, or all of it.
+    pub(super) fn record_client_read(&mut self, now: Time, client: ConnectionId, all: bool) {
+        let Some(active) = &mut self.active else { return };
+        if active.slow_readers.is_empty() {
             return;
         }
-        match own.slow.get_mut(&id) {
-            Some(_) if done => {
-                own.slow.remove(&id);
+        match active.slow_readers.get_mut(&client) {
+            Some(_) if all => {
+                active.slow_readers.remove(&client);
             }
             Some(since) => *since = now,
             None => {}
         }
     }
 
-    /// Guards memory against clients that ask and don't read: each is waited for, shorter where memory is short, and
-    /// holds so much at most. Before rings press on anyone else the largest of them go, once they have taken nothing for
-    /// a look. Their answers were given; nobody else is closed for memory.
-    fn close_slow_readers(&mut self, now: Time) {
-        let Some(own) = &mut self.overload else { return };
-        let (wait, most) = (own.governor.slow_reader_timeout(), own.governor.slow_reader_max_bytes());
-        let look = own.governor.sample_interval();
-        let connections = &self.connections;
-        own.slow.retain(|id, _| connections.contains_key(id));
-        let mut excess = self.buffer_bytes.saturating_sub(own.governor.unpressured_buffer_bytes());
-        let mut largest: Vec<(usize, ConnectionId)> = Vec::new();
-        if excess > 0 {
-            let still = own.slow.iter().filter(|(_, since)| now - **since >= look);
-            largest.extend(still.filter_map(|(id, _)| Some((connections.get(id)?.held, *id))));
-            largest.sort_unstable_by(|one, two| two.cmp(one));
+    /// An iteration of the event loop is over. `unread_bytes`: what clients have sent and is not handled.
+    pub(super) fn end_iteration(
+        &mut self,
+        now: Time,
+        busy: Span,
+        unread_sockets: usize,
+        unread_bytes: usize,
+        connections: &Connections,
+    ) {
+        let Some(active) = &mut self.active else { return };
+        // What slow readers have sent is not read, however long it waits.
+        let input_bytes =
+            |&id: &ConnectionId| connections.get(id).map_or(0, |connection| connection.input.len());
+        let of_slow_readers: usize = active.slow_readers.keys().map(input_bytes).sum();
+        let bytes = unread_bytes.saturating_sub(of_slow_readers);
+        active.governor.end_iteration(now, busy, unread_sockets, bytes);
+        active.log_level_changes();
+    }
+
+    fn record_sample(&mut self, now: Time, sample: ResourceSample) {
+        if let Some(active) = &mut self.active {
+            active.sampled_at = now;
+            active.governor.record_sample(now, sample);
+            active.log_level_changes();
         }
-        let crowding = largest.into_iter().take_while(|(held, _)| {
-            let needed = excess > 0;
-            excess = excess.saturating_sub(*held);
-            needed
-        });
-        let crowding: FxHashSet<ConnectionId> = crowding.map(|(_, id)| id).collect();
-        let over = |id: &ConnectionId, since: Time| {
-            now - since >= wait
-                || crowding.contains(id)
-                || connections.get(id).is_some_and(|connection| connection.output.len() > most)
-        };
-        let gone: Vec<ConnectionId> =
-            own.slow.iter().filter(|(id, since)| over(id, **since)).map(|(&id, _)| id).collect();
-        for id in gone {
-            tracing::debug!(target: "ladderpass::overload", "a client that reads nothing is closed");
-            self.stats.slow += 1;
+    }
+
+    fn log_metrics(&mut self, now: Time, clients: usize, rpcs: usize) {
+        let Some(active) = &mut self.active else { return };
+        if now - active.metrics_logged_at < active.metrics_interval {
+            return;
+        }
+        active.metrics_logged_at = now;
+        let mut metrics = active.governor.take_metrics();
+        metrics.extend([
+            ("clients", clients as f64),
+            ("slow_readers", active.slow_readers.len() as f64),
+            ("rpcs", rpcs as f64),
+            ("accepted", f64::from(std::mem::take(&mut self.accepted))),
+            ("shed", f64::from(std::mem::take(&mut self.rejected))),
+        ]);
+        let pairs: Vec<String> =
+            metrics.iter().map(|(name, value)| format!("\"{name}\":{value:.4}")).collect();
+        tracing::info!(target: "ladderpass::figures", "metrics {{{}}}", pairs.join(","));
+    }
+}
+
+/// What a statement costs the router before it is judged.
+pub(super) struct StatementCost {
+    /// How long the router kept it waiting.
+    pub(super) waited: Span,
+    pub(super) bytes: usize,
+}
+
+impl Reducer {
+    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
+    pub fn next_sample_at(&self) -> Option<Time> {
+        let active = self.overload.active.as_ref()?;
+        Some(active.sampled_at + active.governor.sample_interval())
+    }
+
+    /// How many connections to accept for one event.
+    pub fn accept_budget(&self) -> usize {
+        let most = self.limits.accepts_per_event;
+        self.overload.active.as_ref().map_or(most, |active| active.governor.accept_budget(most))
+    }
+
+    pub(super) fn on_resources_sampled(&mut self, now: Time, mut sample: ResourceSample) {
+        self.close_slow_readers(now);
+        sample.buffer_bytes = self.connections.buffer_bytes();
+        self.overload.record_sample(now, sample);
+        self.overload.log_metrics(now, self.clients.len(), self.rpcs.len());
+    }
+
+    fn close_slow_readers(&mut self, now: Time) {
+        let Some(active) = &mut self.overload.active else { return };
+        for id in active.overdue_slow_readers(now, &self.connections) {
+            tracing::debug!(target: "ladderpass::overload", client = id.0, "slow reader closed");
+            self.stats.count(Count::SlowReader);
             self.on_client_closed(now, id);
         }
     }
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -1,165 +1,264 @@
-//! The other routers: who is alive, what is said to them and heard from them.
+//! The other routers: membership, gossip on members, shared admission control and the shared retry budget.
 //!
-//! It owns these invariants: the core's idea of how many routers there are, and which of them this is, follows the
-//! membership's; words on members go to those that are alive and come from those that may speak. It must never judge who
-//! is alive, nor what a word is worth.
+//! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
+//! and is taken from those that may send it. Who is alive, and what gossip is worth, is judged elsewhere.
 
-use super::*;
-use ladderpass_admission::{AdmissionController, admission_draw};
-use ladderpass_membership::router_hash;
-use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter as Me, Membership, Settings, View};
+use super::Reducer;
+use super::event::Effect;
+use super::peer_log;
+use crate::launch::Launch;
+use ladderpass_admission::{AdmissionController, GroupMetrics, admission_draw};
+use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter, Membership, Settings, View, router_hash};
 use ladderpass_retry_budget::{RetryBudget, RetryRates};
-use ladderpass_routing::{MemberLoad, OverloadState};
-use std::fmt::Write;
+use ladderpass_routing::{Arrival, MemberLoad, MemberUpdate, OverloadState, Router, Span, Time};
+use std::collections::HashMap;
+use std::net::SocketAddr;
 
+/// A router that has just started has not found the others yet: until then those in its file count as alive.
+const SETTLING_TIME: Span = Span::from_millis(2000);
+/// Priorities for the shedding of all go by utility alone: each RPC costs the same.
+const UNIT_COST_SECS: f64 = 1e-4;
+/// Room for admission reports in a datagram of the membership.
+const PIGGYBACK_BYTES: usize = 150;
+
+/// State of the links to other routers.
 pub(super) struct PeerLinks {
     membership: Membership,
     view: View,
-    wake: Time,
-    /// Until then those that are listed count as there: a router that has just started has not found them yet.
+    wake_at: Time,
     settled_at: Time,
-    listed: usize,
-    out: Vec<(SocketAddr, Vec<u8>)>,
-    /// By this router's index of a group: the number that all know it by.
+    /// Routers in the operator's file, this one included.
+    listed_routers: usize,
+    outgoing: Vec<(SocketAddr, Vec<u8>)>,
+    /// By this router's index of a group: the number by which all routers know it.
     group_numbers: Vec<u32>,
     /// None: each router sheds for itself.
     admission: Option<AdmissionController>,
-    /// None: further call-outs cost nothing.
+    /// None: retries are free.
     retry_budget: Option<RetryBudget>,
-    /// What this router has refused for all, and when the log told of it last.
-    refused: u64,
-    figures_at: Time,
-    figures_every: Span,
+    /// RPCs that this router has rejected for all.
+    rejected: u64,
+    metrics_logged_at: Time,
+    metrics_interval: Span,
 }
 
-const SETTLES: Span = Span::from_millis(2000);
-/// Routers that one line of the log names.
-const NAMED: usize = 6;
-/// Ranks of the fleet go by utility alone: each RPC costs all the same.
-const UNIT: f64 = 1e-4;
-/// Bytes that go along with a datagram of the membership.
-const LOAD: usize = 150;
+/// What shared admission control says of an arrival.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct AdmissionVerdict {
+    pub(super) is_rejected: bool,
+    pub(super) priority: u32,
+}
 
 impl PeerLinks {
+    /// None where the operator's file names no peers.
     pub(super) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
-        let peers = launch.operator.peers.as_ref()?;
+        let operator = &launch.operator;
+        let peers = operator.peers.as_ref()?;
         if peers.legacy_form {
-            tracing::warn!(
-                "peers.me and peers.all are the form of before: write peers.listen and peers.listed"
-            );
+            tracing::warn!("peers.me and peers.all are deprecated: write peers.listen and peers.listed");
         }
-        let own = Me { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
+        let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
         let settings = Settings { faulty: launch.faulty.of_membership(), ..Settings::default() };
-        // Another chance than the core's, for routers with one seed: they must not draw the same order.
+        // Other random numbers than the routing core's: routers with one seed must not draw the same order.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
-        let membership = Membership::start(now, seed, own, &peers.listed, &peers.networks, settings);
+        let membership = Membership::start(now, seed, local, &peers.listed, &peers.networks, settings);
+        let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
+        let admission = operator
+            .shared_admission
+            .then(|| AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert()));
+        let retry_budget =
+            operator.shared_retry_budget.then(|| RetryBudget::start(now, launch.faulty.of_budgets()));
         Some(PeerLinks {
             view: membership.view(),
-            wake: now,
-            settled_at: now + SETTLES,
-            listed: peers.listed.iter().filter(|&&address| address != peers.address).count() + 1,
-            admission: (launch.operator.shared_admission).then(|| {
-                AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert())
-            }),
-            retry_budget: (launch.operator.shared_retry_budget)
-                .then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
+            wake_at: now,
+            settled_at: now + SETTLING_TIME,
+            listed_routers: others + 1,
+            outgoing: Vec::new(),
             group_numbers: Vec::new(),
-            refused: 0,
-            figures_at: now,
-            figures_every: launch.operator.log.metrics_interval,
+            admission,
+            retry_budget,
+            rejected: 0,
+            metrics_logged_at: now,
+            metrics_interval: operator.log.metrics_interval,
             membership,
-            out: Vec::new(),
         })
     }
 
-    pub(super) fn wake(&self) -> Time {
-        self.admission.as_ref().map_or(self.wake, |admission| admission.wake_at().min(self.wake))
+    pub(super) fn wake_at(&self) -> Time {
+        self.admission.as_ref().map_or(self.wake_at, |admission| admission.wake_at().min(self.wake_at))
     }
 
-    /// What all refuse of its group, and its session's lot; told of as asked. Is it sure to be refused?
-    pub(super) fn apply_fleet_admission(
+    /// Gives an arrival the overload state of all routers and its session's admission draw, and counts it as offered.
+    pub(super) fn assess(
         &mut self,
         now: Time,
         arrival: &mut Arrival,
         session: &str,
-        rank: impl Fn(&Arrival, &OverloadState) -> u32,
-    ) -> (bool, u32) {
-        let Some((admission, group)) = self.admission_for(arrival.group) else { return (false, 0) };
-        let (floor, pressure) = admission.threshold(group);
-        let strain = OverloadState {
+        priority: impl Fn(&Arrival, &OverloadState) -> u32,
+    ) -> AdmissionVerdict {
+        let Some((admission, group)) = self.admission_for(arrival.group) else {
+            return AdmissionVerdict::default();
+        };
+        let (threshold, pressure) = admission.threshold(group);
+        let state = OverloadState {
             pressure,
-            admission_threshold: floor,
-            cost_secs: UNIT,
+            admission_threshold: threshold,
+            cost_secs: UNIT_COST_SECS,
             exceeds_fair_share: false,
             queueing_delay: Span::ZERO,
         };
-        let rank = rank(arrival, &strain);
-        admission.record_offered(group, rank);
-        let lot = admission_draw(session.as_bytes(), now);
-        (arrival.fleet_overload, arrival.admission_draw) = (Some(strain), Some(lot));
-        let refused = f64::from(rank) + lot < floor;
-        self.refused += u64::from(refused);
-        (refused, rank)
+        let priority = priority(arrival, &state);
+        admission.record_offered(group, priority);
+        let draw = admission_draw(session.as_bytes(), now);
+        (arrival.fleet_overload, arrival.admission_draw) = (Some(state), Some(draw));
+        let is_rejected = f64::from(priority) + draw < threshold;
+        self.rejected += u64::from(is_rejected);
+        AdmissionVerdict { is_rejected, priority }
     }
 
-    /// What all shed by, and the number that all know a group by.
+    /// Admission control, and the number by which all routers know a group.
     fn admission_for(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
         Some((self.admission.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
-    /// What further call-outs are paid from, likewise.
+    /// The retry budget, likewise.
     fn retry_budget_for(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
         Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
-    /// The first call-out of an RPC goes.
-    pub(super) fn first(&mut self, group: u32) {
+    pub(super) fn record_first_attempt(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_first_attempt(group);
         }
     }
 
-    /// Is a further call-out of an RPC of this rank paid for?
-    pub(super) fn pays(&mut self, group: u32, rank: u32) -> bool {
+    /// Does the budget pay for a retry of an RPC of this priority?
+    pub(super) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
         self.retry_budget_for(group)
-            .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, rank))
+            .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
     }
 
-    /// One that was paid for was answered well.
-    pub(super) fn helped(&mut self, group: u32) {
+    /// A retry that was paid for was answered well.
+    pub(super) fn record_retry_success(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_success(group);
         }
     }
 
-    /// One that was paid for is not made.
+    /// A retry that was paid for is not made.
     pub(super) fn refund_retry(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.refund(group);
         }
     }
 
-    pub(super) fn served(&mut self, group: u32) {
+    pub(super) fn record_served(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_served(group);
         }
     }
 
-    pub(super) fn unsent(&mut self, group: u32) {
+    /// An RPC that was admitted was rejected later.
+    pub(super) fn record_unplaced(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_unplaced(group);
         }
     }
+
+    /// Takes up the groups that lists have named since.
+    fn update_group_numbers(&mut self, groups: &HashMap<u64, u32>) {
+        if self.group_numbers.len() == groups.len() {
+            return;
+        }
+        self.group_numbers = vec![0; groups.len()];
+        for (&bits, &index) in groups {
+            if let Some(number) = self.group_numbers.get_mut(index as usize) {
+                *number = (bits ^ bits >> 32) as u32;
+            }
+        }
+    }
+
+    /// Exchanges what all routers know of the load with the routing core, the retry budget and the other routers.
+    fn tick_admission(&mut self, now: Time, router: &mut Router, groups: &HashMap<u64, u32>) {
+        if self.admission.as_ref().is_none_or(|admission| admission.wake_at() > now) {
+            return;
+        }
+        self.update_group_numbers(groups);
+        let Some(admission) = &mut self.admission else { return };
+        let group_numbers = &self.group_numbers;
+        let number = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
+        let loads: Vec<MemberLoad> =
+            router.member_loads(now).map(|load| MemberLoad { group: number(load.group), ..load }).collect();
+        if let Some(limits) = admission.tick(now, &loads) {
+            for &(member, limit) in &limits.in_flight {
+                router.set_concurrency_limit(member, limit);
+            }
+        }
+        if let Some(retry_budget) = &mut self.retry_budget {
+            let peer_rates = |group| {
+                let rates = admission.peer_retry_rates(now, group);
+                rates.map(|(rates, weight)| (RetryRates::from_rates(rates), weight))
+            };
+            retry_budget.rebalance(now, admission.alive_peers(), peer_rates);
+            for &group in group_numbers {
+                admission.set_retry_rates(group, retry_budget.own_rates(group).rates());
+            }
+        }
+        self.membership.set_piggyback(admission.encode_reports(now, PIGGYBACK_BYTES));
+        if now - self.metrics_logged_at >= self.metrics_interval {
+            self.metrics_logged_at = now;
+            self.log_metrics();
+        }
+    }
+
+    fn log_metrics(&self) {
+        for metrics in self.admission.iter().flat_map(AdmissionController::metrics) {
+            peer_log::log_admission(&metrics, self.view.count, self.rejected);
+        }
+        for metrics in self.retry_budget.iter().flat_map(RetryBudget::metrics) {
+            peer_log::log_retry_budget(&metrics);
+        }
+    }
+
+    pub(super) fn log_membership(&self) {
+        peer_log::log_membership(&self.view, &self.membership);
+    }
+
+    /// Routers that count as alive: at least those of the file, until this one has had time to find them.
+    fn alive_count(&self, now: Time, view: &View) -> usize {
+        if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
+    }
+
+    /// Takes over the changes of the membership.
+    fn apply_changes(&mut self, now: Time, view: View) {
+        let changes = self.membership.take_changes();
+        if changes.is_empty() && view == self.view {
+            return;
+        }
+        for (peer, _) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
+            tracing::debug!(%peer, "router suspected");
+        }
+        let key = |view: &View| (view.position, view.count, view.digest);
+        let has_view_changed = key(&view) != key(&self.view);
+        if let Some(admission) = &mut self.admission {
+            admission.set_alive(self.membership.peers(now).map(|peer| router_hash(peer.address)));
+        }
+        let has_other_changes = changes.iter().any(|(_, change)| *change != Change::Suspected);
+        self.view = view;
+        if has_view_changed || has_other_changes {
+            peer_log::log_view(&view, &changes);
+        }
+    }
 }
 
 impl Reducer {
-    /// Routers that it takes for alive, itself among them, and a number for just these; None: it talks to nobody.
+    /// How many routers are alive, this one included, and a digest of just these; None without peers.
     pub fn fleet_view(&self) -> Option<(usize, u32)> {
         self.peers.as_ref().map(|peers| (peers.view.count, peers.view.digest))
     }
 
-    /// What all routers reckon together, by group.
-    pub fn admission_metrics(&self) -> Vec<ladderpass_admission::GroupMetrics> {
+    /// Metrics of shared admission control, by group.
+    pub fn admission_metrics(&self) -> Vec<GroupMetrics> {
         self.peers
             .iter()
             .filter_map(|peers| peers.admission.as_ref())
@@ -167,19 +266,19 @@
             .collect()
     }
 
-    /// Datagrams for other routers; they are taken as they are sent.
+    /// Takes the datagrams that are to be sent to other routers.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.peers.as_mut().map_or(Vec::new(), |peers| std::mem::take(&mut peers.out))
+        self.peers.as_mut().map_or(Vec::new(), |peers| std::mem::take(&mut peers.outgoing))
     }
 
-    /// A datagram: a word on routers by its first byte, else words on members as all programs exchange them.
+    /// A datagram: of the membership by its first byte, else gossip on members.
     pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if bytes.first() == Some(&FIRST_BYTE) {
             peers.membership.on_datagram(now, from, bytes);
-            let loads = peers.membership.take_piggybacked();
+            let reports = peers.membership.take_piggybacked();
             if let Some(admission) = &mut peers.admission {
-                loads.iter().for_each(|load| admission.on_reports(now, load));
+                reports.iter().for_each(|report| admission.on_reports(now, report));
             }
             return self.apply_membership(now);
         }
@@ -187,108 +286,28 @@
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
-        for news in self.gossip_codec.decode(text, now) {
-            self.router.on_peer_update(now, news);
+        for update in self.gossip_codec.decode(text, now) {
+            self.router.on_peer_update(now, update);
         }
     }
 
-    /// Words of the core for all other routers.
-    pub(super) fn publish_updates(&mut self, now: Time, news: &[ladderpass_routing::MemberUpdate]) {
-        let texts = self.gossip_codec.encode(news, &self.names);
+    /// Sends the routing core's updates on members to all other routers.
+    pub(super) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
+        let messages = self.gossip_codec.encode(updates, self.members.names());
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        for to in peers.membership.gossip_targets(now) {
-            peers.out.extend(texts.iter().map(|text| (to, text.clone().into_bytes())));
+        for target in peers.membership.gossip_targets(now) {
+            let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
+            peers.outgoing.extend(datagrams);
         }
         self.effects.push(Effect::SendDatagrams);
     }
 
     pub(super) fn tick_peers(&mut self, now: Time) {
-        self.tick_admission(now);
-        let Some(peers) = self.peers.as_deref_mut().filter(|peers| peers.wake <= now) else { return };
-        peers.membership.tick(now);
-        self.apply_membership(now);
-    }
-
-    /// What all routers reckon together goes to the core, and this one's words to the others.
-    fn tick_admission(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        let Some(admission) = peers.admission.as_mut().filter(|admission| admission.wake_at() <= now) else {
-            return;
-        };
-        if peers.group_numbers.len() != self.groups.len() {
-            peers.group_numbers = vec![0; self.groups.len()];
-            for (&cell, &index) in &self.groups {
-                if let Some(number) = peers.group_numbers.get_mut(index as usize) {
-                    *number = (cell ^ cell >> 32) as u32;
-                }
-            }
-        }
-        let group_numbers = &peers.group_numbers;
-        // By the number that all know a group by.
-        let known = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
-        let seen = self.router.member_loads(now).map(|seen| MemberLoad { group: known(seen.group), ..seen });
-        let seen: Vec<MemberLoad> = seen.collect();
-        if let Some(facts) = admission.tick(now, &seen) {
-            facts
-                .in_flight
-                .iter()
-                .for_each(|&(member, limit)| self.router.set_concurrency_limit(member, limit));
-        }
-        if let Some(retry_budget) = &mut peers.retry_budget {
-            let heard = |group| {
-                admission
-                    .peer_retry_rates(now, group)
-                    .map(|(rates, weight)| (RetryRates::from_rates(rates), weight))
-            };
-            retry_budget.rebalance(now, admission.alive_peers(), heard);
-            for &group in group_numbers {
-                admission.set_retry_rates(group, retry_budget.own_rates(group).rates());
-            }
-        }
-        peers.membership.set_piggyback(admission.encode_reports(now, LOAD));
-        if now - peers.figures_at < peers.figures_every {
-            return;
-        }
-        peers.figures_at = now;
-        for figures in admission.metrics() {
-            tracing::info!(
-                target: "ladderpass::fleet",
-                "floor {:.2} in group {}: asked {:.0}, let in {:.0}, served {:.0}, unsent {:.0}; {} words, {} bounds_staleness, \
-                 {} alive; room {:.1}, part {:.3}; refused {}",
-                figures.threshold,
-                figures.group,
-                figures.offered,
-                figures.admitted,
-                figures.served,
-                figures.unplaced,
-                figures.reports,
-                figures.clamped_reports,
-                peers.view.count,
-                figures.capacity,
-                figures.quota,
-                peers.refused
-            );
-        }
-        self.log_retry_budget();
-    }
-
-    fn log_retry_budget(&self) {
-        let figures = self.peers.iter().filter_map(|peers| peers.retry_budget.as_ref());
-        for figures in figures.flat_map(RetryBudget::metrics) {
-            tracing::info!(
-                target: "ladderpass::fleet",
-                "further call-outs in group {}: {:.3} of first ones may be paid; all: {:.0} first, {:.1} wanted, {:.1} paid, \
-                 {:.1} helped; part {:.2}, saved {:.2}; refused {}",
-                figures.group,
-                figures.ratio,
-                figures.fleet.first_attempts,
-                figures.fleet.retries_wanted,
-                figures.fleet.retries_granted,
-                figures.fleet.retries_succeeded,
-                figures.quota,
-                figures.balance,
-                figures.denied
-            );
+        peers.tick_admission(now, &mut self.router, self.endpoints.groups());
+        if peers.wake_at <= now {
+            peers.membership.tick(now);
+            self.apply_membership(now);
         }
     }
 
@@ -299,86 +318,23 @@
         }
     }
 
-    /// Takes up what the membership has come to.
+    /// Takes over what the membership has decided.
     fn apply_membership(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
-        peers.wake = peers.membership.wake_at();
-        let out = peers.membership.take_outgoing();
-        if !out.is_empty() {
-            peers.out.extend(out);
+        peers.wake_at = peers.membership.wake_at();
+        let outgoing = peers.membership.take_outgoing();
+        if !outgoing.is_empty() {
+            peers.outgoing.extend(outgoing);
             self.effects.push(Effect::SendDatagrams);
         }
         if peers.membership.take_address_conflict() {
-            tracing::warn!("fleet: another life of this address was heard; its clock may have gone back");
-        }
-        let view = peers.membership.view();
-        let settling = now < peers.settled_at;
-        let count = if settling { view.count.max(peers.listed) } else { view.count };
-        self.router.set_router_position(view.position as u32, count as u32);
-        let changes = peers.membership.take_changes();
-        if changes.is_empty() && view == peers.view {
-            return;
-        }
-        for (who, change) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
-            tracing::debug!("fleet: {who} {}", word(*change));
-        }
-        let moved = (view.position, view.count, view.digest)
-            != (peers.view.position, peers.view.count, peers.view.digest);
-        if let Some(admission) = &mut peers.admission {
-            admission.set_alive(peers.membership.peers(now).map(|peer| router_hash(peer.address)));
-        }
-        let came_or_went = changes.iter().any(|(_, change)| *change != Change::Suspected);
-        peers.view = view;
-        if moved || came_or_went {
-            tracing::info!(
-                "fleet: view {:08x} of {}, this is {}{}",
-                view.digest,
-                view.count,
-                view.position,
-                names(&changes)
+            tracing::warn!(
+                "another incarnation of this router's address was seen: its clock may have gone back"
             );
         }
+        let view = peers.membership.view();
+        let alive_count = peers.alive_count(now, &view);
+        self.router.set_router_position(view.position as u32, alive_count as u32);
+        peers.apply_changes(now, view);
     }
-
-    /// What the log's figures say of the others.
-    pub(super) fn log_membership(&self) {
-        let Some(peers) = &self.peers else { return };
-        let (view, counts) = (peers.view, peers.membership.counts());
-        tracing::info!(
-            "fleet: {} alive, {} suspected, {} gone, doubt {}; datagrams sent {} ({} bytes), heard {}, dropped {}",
-            view.count,
-            view.suspected,
-            view.gone,
-            peers.membership.local_health(),
-            counts.sent,
-            counts.bytes,
-            counts.received,
-            counts.dropped
-        );
-    }
-}
-
-fn word(change: Change) -> &'static str {
-    match change {
-        Change::Joined => "joined",
-        Change::Suspected => "is suspected",
-        Change::Refuted => "is back",
-        Change::Died => "died",
-        Change::Left => "left",
-    }
-}
-
-/// Who came and went, as far as there is room for it.
-fn names(changes: &[(SocketAddr, Change)]) -> String {
-    let told = changes.iter().filter(|(_, change)| *change != Change::Suspected);
-    let mut text = String::new();
-    for (who, change) in told.clone().take(NAMED) {
-        // Writing to a string can't fail.
-        let _ = write!(text, "; {who} {}", word(*change));
-    }
-    let more = told.count().saturating_sub(NAMED);
-    if more > 0 {
-        let _ = write!(text, "; {more} more");
-    }
-    text
 }
--- /dev/null
+++ b/crates/ladderpass/src/reducer/query_answer.rs
@@ -0,0 +1,117 @@
+//! What has arrived of a member's answer to one query: one row of one column, or an error, and what its parameters say
+//! of the member.
+
+use super::time_from_unix_ms;
+use crate::pg;
+use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
+
+/// An answer, as far as it has arrived.
+#[derive(Default)]
+pub(super) struct QueryAnswer {
+    has_description: bool,
+    has_row: bool,
+    is_command_complete: bool,
+    error: Option<pg::Refusal>,
+    role: Option<Role>,
+    position: Option<Time>,
+}
+
+impl QueryAnswer {
+    pub(super) fn has_description(&self) -> bool {
+        self.has_description
+    }
+
+    pub(super) fn has_error(&self) -> bool {
+        self.error.is_some()
+    }
+
+    pub(super) fn set_error(&mut self, error: pg::Refusal) {
+        self.error = Some(error);
+    }
+
+    /// The command is complete, whatever has arrived.
+    pub(super) fn complete(&mut self) {
+        self.is_command_complete = true;
+    }
+
+    /// In faulty builds: takes what has arrived for a complete answer with a row.
+    pub(super) fn force_complete(&mut self) {
+        (self.has_row, self.is_command_complete) = (true, true);
+    }
+
+    /// Only the member's ReadyForQuery is still to come.
+    pub(super) fn is_complete(&self) -> bool {
+        self.is_command_complete || self.error.is_some()
+    }
+
+    /// Adds a message of the result; false where it has no place in the answer.
+    pub(super) fn add_result_message(&mut self, kind: u8, body: &[u8], accepts_torn_rows: bool) -> bool {
+        if self.is_complete() {
+            return false;
+        }
+        match kind {
+            b'T' if !self.has_description && pg::describes_one(body) => self.has_description = true,
+            b'D' if self.has_description
+                && !self.has_row
+                && (matches!(pg::column(body), Ok(Some(_))) || accepts_torn_rows) =>
+            {
+                self.has_row = true;
+            }
+            b'C' if self.has_row && pg::completes_one(body) => self.is_command_complete = true,
+            _ => return false,
+        }
+        true
+    }
+
+    pub(super) fn set_parameter(&mut self, name: &str, value: &str) {
+        match name {
+            "node_role" => {
+                self.role = match value {
+                    "leader" => Some(Role::Primary),
+                    "follower" => Some(Role::Replica),
+                    _ => None,
+                }
+            }
+            "replay_position" => self.position = value.parse().ok().map(time_from_unix_ms),
+            _ => {}
+        }
+    }
+
+    /// In faulty builds: a member that tells a position tells this one.
+    pub(super) fn override_position(&mut self, position: Time) {
+        self.position = self.position.map(|_| position);
+    }
+
+    /// What a complete answer means for its attempt.
+    pub(super) fn outcome(&self) -> AttemptOutcome {
+        match self.error.as_ref().map(|error| error.code.as_str()) {
+            None => AttemptOutcome::Ok,
+            Some("25006" | "72000") => AttemptOutcome::NotServedHere,
+            Some("53300" | "57P03") => AttemptOutcome::Rejected,
+            Some(_) => AttemptOutcome::Failed,
+        }
+    }
+
+    /// The result of an attempt, with what the answer says of the member.
+    pub(super) fn to_result(
+        &self,
+        member: MemberId,
+        outcome: AttemptOutcome,
+        latency: Span,
+    ) -> AttemptResult {
+        AttemptResult {
+            member,
+            outcome,
+            latency,
+            rpc_complete: false,
+            retry_denied: false,
+            role: self.role,
+            position: self.position,
+        }
+    }
+}
+
+/// The result of an attempt of which no answer has arrived.
+pub(super) fn unanswered_result(member: MemberId, outcome: AttemptOutcome, latency: Span) -> AttemptResult {
+    QueryAnswer::default().to_result(member, outcome, latency)
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/rejections.rs
@@ -0,0 +1,124 @@
+//! Statements that do not become RPCs: rejected for want of something, or answered with an error of the client's own.
+//! None of them has an effect.
+
+use super::Reducer;
+use super::client::AwaitedInput;
+use super::connection_id::ConnectionId;
+use super::rpc_answers::retry_after_ms;
+use super::stats::Count;
+use crate::pg;
+use ladderpass_routing::{Span, Time};
+
+const OVERLOADED: &str = "pushed back: the router has too much to do";
+/// The pause after a client's errors doubles up to this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+
+/// Why a statement is rejected; its client may try again.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Rejection {
+    /// The process is about to end.
+    Stopping,
+    /// The client has sent more than its buffer holds.
+    SentAhead,
+    /// Too many RPCs are in flight.
+    Full,
+    Memory,
+    /// Too many clients are connected.
+    Crowded,
+}
+
+/// An error of the client's own, with its SQLSTATE code.
+pub(super) struct StatementError {
+    code: &'static str,
+    text: String,
+}
+
+impl StatementError {
+    pub(super) fn new(code: &'static str, text: impl Into<String>) -> StatementError {
+        StatementError { code, text: text.into() }
+    }
+}
+
+/// An ErrorResponse to a statement; a fatal one closes the connection.
+struct ErrorAnswer<'a> {
+    is_fatal: bool,
+    code: &'a str,
+    text: &'a str,
+    retry_after_ms: Option<i64>,
+}
+
+impl Rejection {
+    fn answer(self, retry_after_ms: Option<i64>) -> ErrorAnswer<'static> {
+        let (is_fatal, code, text) = match self {
+            Rejection::Stopping => (false, "57P03", "the router stops"),
+            Rejection::SentAhead => (false, "53300", "too much is sent ahead"),
+            Rejection::Full => (false, "53300", "too many RPCs are held"),
+            Rejection::Memory => (false, "53300", "memory is short"),
+            Rejection::Crowded => (true, "53300", "too many connections"),
+        };
+        ErrorAnswer { is_fatal, code, text, retry_after_ms }
+    }
+}
+
+impl Reducer {
+    /// Rejects an RPC of which nothing is kept, so that rejecting it stays cheap.
+    pub(super) fn reject_at_arrival(&mut self, id: ConnectionId, length: usize, retry_after: Span) {
+        let mut answer = std::mem::take(&mut self.scratch);
+        answer.clear();
+        pg::put_refusal(&mut answer, "53300", OVERLOADED, retry_after_ms(retry_after));
+        self.consume_input(id, length);
+        self.write(id, &answer);
+        self.scratch = answer;
+    }
+
+    /// Rejects a statement, and says after how long to retry.
+    pub(super) fn reject_statement(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        length: usize,
+        rejection: Rejection,
+    ) {
+        let retry_after_ms = retry_after_ms(self.router.retry_after());
+        self.answer_error(now, id, length, rejection.answer(retry_after_ms));
+    }
+
+    fn answer_error(&mut self, now: Time, id: ConnectionId, length: usize, answer: ErrorAnswer<'_>) {
+        let ErrorAnswer { is_fatal, code, text, retry_after_ms } = answer;
+        let mut out = Vec::new();
+        if is_fatal {
+            pg::put_error(&mut out, "FATAL", code, text, retry_after_ms);
+        } else {
+            pg::put_refusal(&mut out, code, text, retry_after_ms);
+        }
+        self.consume_input(id, length);
+        self.write(id, &out);
+        if is_fatal {
+            self.close_when_written(now, id);
+        }
+    }
+
+    /// Answers a statement with an error of its own. So that a client that sends errors as fast as they are answered does
+    /// not take the others' time, what it sends next is read after a pause, and after some errors it is closed.
+    pub(super) fn answer_client_error(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        length: usize,
+        error: &StatementError,
+    ) {
+        let Some(client) = self.connections.client_mut(id) else { return };
+        client.errors += 1;
+        let is_fatal = client.errors > self.limits.client_errors;
+        client.backing_off = !is_fatal;
+        let doublings = (client.errors - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let pause = self.limits.client_error_backoff * f64::from(1u32 << doublings);
+        self.stats.count(Count::ClientError);
+        let (code, text) = (error.code, error.text.as_str());
+        self.answer_error(now, id, length, ErrorAnswer { is_fatal, code, text, retry_after_ms: None });
+        if !is_fatal {
+            self.set_awaited(id, Some((AwaitedInput::StatementRest, now)));
+            self.connections.set_deadline(id, Some(now + pause));
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -0,0 +1,125 @@
+//! The final answer of each RPC: a member's answer is forwarded, or an error is written.
+
+use super::Reducer;
+use super::client::ClientPhase;
+use super::connection_id::ConnectionId;
+use super::connections::Remote;
+use super::event::Effect;
+use super::stats::Count;
+use crate::buffer::Buffer;
+use crate::faulty::Faulty;
+use crate::pg;
+use ladderpass_routing::{Decision, RpcId, Span, Time};
+
+/// A retry-after in milliseconds; none for less than one.
+pub(super) fn retry_after_ms(retry_after: Span) -> Option<i64> {
+    Some(retry_after.nanos() / 1_000_000).filter(|&ms| ms > 0)
+}
+
+/// The length of the message at the front of a buffer, whole or not; zero where there is none.
+pub(super) fn front_message_length(input: &mut Buffer) -> usize {
+    pg::head(input.whole()).ok().flatten().map_or(0, |(_, length)| length)
+}
+
+impl Reducer {
+    /// Forwards the answer at the front of a member's connection to the client that waits for it.
+    pub(super) fn forward_answer(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        let (Some(client), method, group) = (entry.client.take(), entry.method, entry.group) else { return };
+        let time_with_members = entry.time_with_members(now);
+        let [Some(from), Some(to)] = self.connections.pair_mut(id, client) else { return };
+        let Remote::Client(state) = &mut to.remote else { return };
+        if state.phase != ClientPhase::InRpc(rpc) {
+            return;
+        }
+        state.arrivals.add_time_with_members(time_with_members);
+        let initial_bytes = self.limits.buffer_initial_bytes;
+        push_result(from.input.whole(), &mut to.output, self.limits.member_buffer_bytes, initial_bytes);
+        if self.faulty.is(Faulty::AnswersTwice) {
+            let whole: Vec<u8> = to.output.whole().to_vec();
+            to.output.push(&whole, initial_bytes, usize::MAX);
+        }
+        if let Some(peers) = &mut self.peers {
+            peers.record_served(group);
+        }
+        self.overload.record_served(now, method, || to.output.len() + front_message_length(&mut to.input));
+        self.effects.push(Effect::Write(client));
+        self.update_buffer_bytes(client);
+        self.finish_statement(client);
+    }
+
+    /// Writes the final answer of an RPC that is not served. `AlreadyAnswered`: the routing core does not know it any
+    /// more, as it was cancelled.
+    pub(super) fn answer_unserved(&mut self, now: Time, rpc: RpcId, decision: Decision) {
+        let Some(entry) = self.rpcs.get_mut(rpc) else { return };
+        let client = entry.client.take();
+        let (group, cancelled) = (entry.group, entry.cancelled);
+        if let (true, Some(peers)) = (std::mem::take(&mut entry.retry_paid), &mut self.peers) {
+            peers.refund_retry(group);
+        }
+        let time_with_members = entry.time_with_members(now);
+        if entry.connection.is_none() {
+            self.rpcs.remove(rpc);
+        }
+        let Some(client) = client else { return };
+        if let Some(state) = self.connections.client_mut(client) {
+            state.arrivals.add_time_with_members(time_with_members);
+        }
+        self.overload.record_unserved();
+        let answer = self.unserved_answer(group, cancelled, decision);
+        self.write(client, &answer);
+        self.finish_statement(client);
+    }
+
+    fn unserved_answer(&mut self, group: u32, cancelled: bool, decision: Decision) -> Vec<u8> {
+        let mut answer = Vec::new();
+        match decision {
+            // Where it may have had an effect the answer says no more than that, cancelled or not.
+            Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
+                self.stats.count(Count::Cancelled);
+                pg::put_refusal(&mut answer, "57014", "cancelled at the client's request", None);
+            }
+            Decision::Reject { retry_after } => {
+                self.stats.count(Count::Rejected);
+                if let Some(peers) = &mut self.peers {
+                    peers.record_unplaced(group);
+                }
+                let text = "pushed back: a further try is harmless";
+                pg::put_refusal(&mut answer, "53300", text, retry_after_ms(retry_after));
+            }
+            _ => {
+                self.stats.count(Count::Failed);
+                pg::put_refusal(&mut answer, "58000", "aborted: it may have had an effect", None);
+            }
+        }
+        answer
+    }
+
+    /// The client's statement is answered; what it sent behind it is read in the next iteration.
+    fn finish_statement(&mut self, id: ConnectionId) {
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        if let Remote::Client(client) = &mut connection.remote {
+            client.phase = ClientPhase::Idle;
+            client.just_answered = true;
+        }
+        let length = front_message_length(&mut connection.input);
+        self.consume_input(id, length);
+        self.connections.set_deadline(id, None);
+        self.clients.defer(id);
+    }
+}
+
+/// Puts the result of an answer, without what else the member has sent, and a ReadyForQuery.
+fn push_result(mut answer: &[u8], output: &mut Buffer, max_bytes: usize, initial_bytes: usize) {
+    while let Ok(Some((kind, _, length))) = pg::frame(answer, max_bytes) {
+        let (message, rest) = answer.split_at(length);
+        if matches!(kind, b'T' | b'D' | b'C') {
+            output.push(message, initial_bytes, usize::MAX);
+        }
+        answer = rest;
+        if kind == b'Z' {
+            break;
+        }
+    }
+    output.push(pg::READY, initial_bytes, usize::MAX);
+}
--- a/crates/ladderpass/src/reducer/stats.rs
+++ b/crates/ladderpass/src/reducer/stats.rs
@@ -1,122 +1,235 @@
-//! What the log tells of this router's work: a line with all counts now and then, and a few examples of RPCs that were not
-//! served by the ordinary path, each with the reason.
-//!
-//! It owns the counts since the log told them last. It must never decide, nor tell more lines than its limit.
+//! Counts of this router's work, logged every `Limits::stats_interval`, and examples of RPCs that were not served by the
+//! ordinary path, each with its reason. The counts start again after each line.
 
-use super::*;
+use super::Reducer;
 use ladderpass_routing::reasons::{Exception, ExceptionCounts, Exceptions, PrimaryState, Reason, Unserved};
+use ladderpass_routing::{AttemptOutcome, Span, Time};
+use std::fmt::{self, Debug, Formatter};
 
-/// What the log tells now and then.
-#[derive(Default)]
+/// Most examples between two lines of counts.
+const MAX_EXAMPLES: usize = 8;
+
+const OUTCOMES: [AttemptOutcome; AttemptOutcome::COUNT] = [
+    AttemptOutcome::Ok,
+    AttemptOutcome::Failed,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Unreachable,
+    AttemptOutcome::ConnectionLost,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NeverSent,
+    AttemptOutcome::NotServedHere,
+    AttemptOutcome::DecisionExpired,
+];
+
+/// What is counted of clients and their RPCs.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Count {
+    Accepted,
+    Rejected,
+    /// Answered that it may have had an effect.
+    Failed,
+    /// Its client left before the answer.
+    ClientLeft,
+    Cancelled,
+    /// A statement with an error of its own.
+    ClientError,
+    /// Rejected as there are too many clients.
+    Crowded,
+    /// Rejected as too many RPCs are in flight, or as its client has sent too much ahead.
+    Full,
+    /// Rejected for the overload of this router, or of all.
+    Shed,
+    /// A client closed as it reads no answers.
+    SlowReader,
+}
+
+const COUNTS: usize = Count::SlowReader as usize + 1;
+
+/// Counts since the last line of them.
 pub(super) struct Stats {
-    pub(super) taken: u32,
-    pub(super) pushed_back: u32,
-    pub(super) aborted: u32,
-    pub(super) left: u32,
-    pub(super) cancelled: u32,
-    /// Statements turned away for a fault of their own, for want of connections, and for the bound of RPCs held.
-    pub(super) faults: u32,
-    pub(super) crowded: u32,
-    pub(super) full: u32,
-    /// Refused for the router's own load, and closed as they read nothing.
-    pub(super) shed: u32,
-    pub(super) slow: u32,
-    pub(super) ended: [u32; AttemptOutcome::COUNT],
-    pub(super) probes: [u32; AttemptOutcome::COUNT],
-    pub(super) connects: u32,
-    pub(super) connect_time: Span,
-    pub(super) answer_time: Span,
-    pub(super) listed_at: Time,
-    /// What did not go by the ordinary path, and how many examples of it were told.
-    pub(super) exceptions: ExceptionCounts,
-    pub(super) examples: usize,
+    counts: [u32; COUNTS],
+    attempts: OutcomeCounts,
+    health_checks: OutcomeCounts,
+    connects: u32,
+    connect_time: Span,
+    /// Time that members took for the attempts they answered well.
+    answer_time: Span,
+    logged_at: Time,
+    exceptions: ExceptionCounts,
+    /// Examples logged since.
+    examples: usize,
+}
+
+/// Attempts or health checks by outcome.
+#[derive(Clone, Copy, Default)]
+struct OutcomeCounts([u32; AttemptOutcome::COUNT]);
+
+impl OutcomeCounts {
+    fn add(&mut self, outcome: AttemptOutcome) {
+        if let Some(count) = self.0.get_mut(outcome as usize) {
+            *count += 1;
+        }
+    }
+
+    fn get(&self, outcome: AttemptOutcome) -> u32 {
+        self.0.get(outcome as usize).copied().unwrap_or_default()
+    }
 }
 
-/// Examples that the log tells between two lines of counts.
-const MOST_EXAMPLES: usize = 8;
+/// Outcomes that did not occur are left out.
+impl Debug for OutcomeCounts {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
+        let counted = OUTCOMES.iter().map(|&outcome| (outcome, self.get(outcome)));
+        formatter.debug_map().entries(counted.filter(|&(_, count)| count > 0)).finish()
+    }
+}
+
+impl Stats {
+    pub(super) fn new(now: Time) -> Stats {
+        Stats {
+            counts: [0; COUNTS],
+            attempts: OutcomeCounts::default(),
+            health_checks: OutcomeCounts::default(),
+            connects: 0,
+            connect_time: Span::ZERO,
+            answer_time: Span::ZERO,
+            logged_at: now,
+            exceptions: ExceptionCounts::default(),
+            examples: 0,
+        }
+    }
+
+    pub(super) fn count(&mut self, what: Count) {
+        self.counts[what as usize] += 1;
+    }
+
+    pub(super) fn count_attempt(&mut self, outcome: AttemptOutcome) {
+        self.attempts.add(outcome);
+    }
+
+    /// An attempt was answered well, and took that long at its member.
+    pub(super) fn add_answer_time(&mut self, span: Span) {
+        self.answer_time += span;
+    }
+
+    pub(super) fn count_health_check(&mut self, outcome: AttemptOutcome) {
+        self.health_checks.add(outcome);
+    }
+
+    pub(super) fn count_connect(&mut self) {
+        self.connects += 1;
+    }
+
+    pub(super) fn add_connect_time(&mut self, span: Span) {
+        self.connect_time += span;
+    }
+
+    /// Attempts that were answered well, and the time that they took at members.
+    pub(super) fn answered_attempts(&self) -> (u32, Span) {
+        (self.attempts.get(AttemptOutcome::Ok), self.answer_time)
+    }
+
+    pub(super) fn logged_at(&self) -> Time {
+        self.logged_at
+    }
+
+    fn get(&self, what: Count) -> u32 {
+        self.counts[what as usize]
+    }
+
+    /// Is a further example to be logged? It is counted then.
+    fn try_count_example(&mut self) -> bool {
+        let allowed = self.examples < MAX_EXAMPLES;
+        self.examples += usize::from(allowed);
+        allowed
+    }
+}
 
 impl Reducer {
+    /// Logs the counts and starts them again.
     pub(super) fn log_stats(&mut self, now: Time) {
-        self.log_membership();
-        let (answers, answer_time) = self.answered_attempts();
-        let tally = std::mem::replace(&mut self.stats, Stats { listed_at: now, ..Stats::default() });
+        if let Some(peers) = &self.peers {
+            peers.log_membership();
+        }
+        let stats = std::mem::replace(&mut self.stats, Stats::new(now));
+        let (answers, answer_time) = stats.answered_attempts();
         tracing::info!(
-            "taken {}, pushed back {}, aborted {}, left {}, cancelled {}, faulty {}, crowded {}, full {}, shed {}, slow {}; call-outs (ok, failed, overloaded, timed out, unreachable, \
-             broken, withdrawn, void, absent, expired) {:?}, probes {:?}; {} connects of {:.1} ms, ok in {:.1} ms; \
-             {} clients ({:?} are waited for: to open, to end, to begin), {} links ({} carry an RPC), {} members, {} rpcs, \
-             {} KiB; given up: {}; {} reads spilled past replicas: {}",
-            tally.taken,
-            tally.pushed_back,
-            tally.aborted,
-            tally.left,
-            tally.cancelled,
-            tally.faults,
-            tally.crowded,
-            tally.full,
-            tally.shed,
-            tally.slow,
-            tally.ended,
-            tally.probes,
-            tally.connects,
-            tally.connect_time.secs() * 1e3 / f64::from(tally.connects.max(1)),
-            answer_time.secs() * 1e3 / f64::from(answers.max(1)),
-            self.clients,
-            self.waiting.each_ref().map(BTreeSet::len),
-            self.links,
-            self.attempts_in_flight().1,
-            self.member_count(),
-            self.rpcs.len(),
-            self.buffer_bytes >> 10,
-            tally.exceptions.given_up,
-            tally.exceptions.spilled,
-            tally.exceptions.passed_over,
+            accepted = stats.get(Count::Accepted),
+            rejected = stats.get(Count::Rejected),
+            failed = stats.get(Count::Failed),
+            client_left = stats.get(Count::ClientLeft),
+            cancelled = stats.get(Count::Cancelled),
+            client_errors = stats.get(Count::ClientError),
+            crowded = stats.get(Count::Crowded),
+            full = stats.get(Count::Full),
+            shed = stats.get(Count::Shed),
+            slow_readers = stats.get(Count::SlowReader),
+            attempts = ?stats.attempts,
+            health_checks = ?stats.health_checks,
+            connects = stats.connects,
+            connect_ms = %mean_ms(stats.connect_time, stats.connects),
+            answer_ms = %mean_ms(answer_time, answers),
+            clients = self.clients.len(),
+            awaited = ?self.clients.awaited_counts(),
+            member_connections = self.members.connection_count(),
+            attempts_in_flight = self.attempts_in_flight().1,
+            members = self.member_count(),
+            rpcs = self.rpcs.len(),
+            buffer_kib = self.connections.buffer_bytes() >> 10,
+            given_up = stats.exceptions.given_up.to_string(),
+            spilled = stats.exceptions.spilled,
+            passed_over = stats.exceptions.passed_over.to_string(),
+            "stats"
         );
     }
 
-    /// Counts what did not go by the ordinary path, and tells the first few of it.
-    pub(super) fn record_exceptions(&mut self, told: Exceptions) {
-        self.stats.exceptions.join(&told.counts);
-        for unserved in &told.examples {
-            if self.stats.examples >= MOST_EXAMPLES {
+    /// Counts what did not go by the ordinary path, and logs the first few examples.
+    pub(super) fn record_exceptions(&mut self, exceptions: Exceptions) {
+        self.stats.exceptions.join(&exceptions.counts);
+        for unserved in &exceptions.examples {
+            if !self.stats.try_count_example() {
                 return;
             }
-            self.stats.examples += 1;
             self.log_example(unserved);
         }
     }
 
     fn log_example(&self, unserved: &Unserved) {
-        let method = self.methods.iter().find(|(_, index)| **index == unserved.method);
-        let method = method.map_or("unknown", |(name, _)| name.as_str());
-        let milliseconds = |span: Span| span.nanos() / 1_000_000;
-        tracing::info!(
-            "group {}: {method} {}; {} attempts in {} ms, {} ms left",
-            unserved.group,
-            account(&unserved.what),
-            unserved.attempts,
-            milliseconds(unserved.waited),
-            milliseconds(unserved.left),
-        );
+        let method = self.methods.name(unserved.method).unwrap_or("unknown");
+        let (group, attempts) = (unserved.group, unserved.attempts);
+        let waited_ms = whole_milliseconds(unserved.waited);
+        let left_ms = whole_milliseconds(unserved.left);
+        match &unserved.what {
+            Exception::Spilled(passed_over) => tracing::info!(
+                group,
+                method,
+                passed_over = passed_over.to_string(),
+                attempts,
+                waited_ms,
+                left_ms,
+                "read spilled to the primary"
+            ),
+            Exception::GivenUp { reason, primary } => {
+                let (reason, primary) = (reason.text(), primary_text(primary));
+                tracing::info!(group, method, reason, primary, attempts, waited_ms, left_ms, "RPC given up");
+            }
+        }
     }
 }
 
-/// What became of an RPC, in words.
-fn account(what: &Exception) -> String {
-    match what {
-        Exception::Spilled(passed_over) => format!("spilled to the primary past replicas: {passed_over}"),
-        Exception::GivenUp { reason, primary } => {
-            let primary = match primary {
-                PrimaryState::Unknown => "unknown",
-                PrimaryState::Eligible => "eligible",
-                PrimaryState::Ineligible(why) => why.text(),
-            };
-            format!("given up: {}; primary: {primary}", reason.text())
-        }
+fn primary_text(primary: &PrimaryState) -> &'static str {
+    match primary {
+        PrimaryState::Unknown => "unknown",
+        PrimaryState::Eligible => "eligible",
+        PrimaryState::Ineligible(why) => why.text(),
     }
 }
 
-pub(super) fn count_outcome(counts: &mut [u32; AttemptOutcome::COUNT], ended: AttemptOutcome) {
-    if let Some(count) = counts.get_mut(ended as usize) {
-        *count += 1;
-    }
+fn whole_milliseconds(span: Span) -> i64 {
+    span.nanos() / 1_000_000
+}
+
+fn mean_ms(total: Span, count: u32) -> String {
+    format!("{:.1}", total.secs() * 1e3 / f64::from(count.max(1)))
 }
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -137,10 +137,10 @@
     );
     let floors = |router: usize| {
         let lines = played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet"));
-        lines.filter(|line| !line.contains("floor 0.00")).count()
+        lines.filter(|line| !line.contains("threshold=0.00 ")).count()
     };
     assert!(floors(0) > 3 && floors(2) > 3, "no floor at all: the load presses on nothing");
-    let paid = |line: &&String| line.contains("further call-outs in group") && !line.contains(" 0.0 wanted");
+    let paid = |line: &&String| line.contains("retry budget group=") && !line.contains("retries_wanted=0.0 ");
     assert!(played.logs[0].iter().any(|line| paid(&line)), "no further call-out was asked for");
     let (first, further) = played.callouts(3.0, 9.0);
     assert!(further <= first / 2 + 12, "{further} of {first}");
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -261,7 +261,7 @@
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
     std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
     hang_up(&process);
-    until("told anew: discovery is");
+    until("configuration reloaded discovery=");
     let _ = (process.kill(), process.wait(), std::fs::remove_file(told), std::fs::remove_file(operator));
 }
 
