--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -107,7 +107,7 @@
     let rules = ["{name: r, link: discovery, when: {message: Chunk}, do: {truncate: {keep: 2}}, times: 2}"];
     let (seen, left) = play(6, &rules, vec![]);
     assert!(
-        left.record.len() == 2 && seen.log.iter().any(|line| line.contains("the list: ")),
+        left.record.len() == 2 && seen.log.iter().any(|line| line.contains("discovery watch: ")),
         "{:?}",
         seen.log
     );
@@ -150,7 +150,7 @@
     let (seen, _) = play(9, &[], deeds);
     let after = seen.outcome.began + Span::from_millis(1000);
     assert!(!seen.truth.ran.iter().any(|ran| ran.member == 1 && ran.at > after), "its drain was undone");
-    assert!(seen.log.iter().any(|line| line.contains("the list: ")), "{:?}", seen.log);
+    assert!(seen.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", seen.log);
 }
 
 #[test]
@@ -170,7 +170,7 @@
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(left.expect("it ran").never_fired, Vec::<String>::new());
     // Discovery is heard of every second: 4.5 s without a sign end the watch.
-    assert!(seen.log.iter().any(|line| line.contains("the list: ")), "{:?}", seen.log);
+    assert!(seen.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", seen.log);
     let last = seen.counts(6.0, 6.9);
     assert!(last.ok * 100 >= last.due * 95, "{last:?}");
 }
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -121,7 +121,10 @@
     ];
     let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), deeds);
     assert_all_answered(&seen);
-    assert!(seen.log.iter().any(|line| line.contains("told anew: discovery is")), "SIGHUP was taken");
+    assert!(
+        seen.log.iter().any(|line| line.contains("configuration reloaded discovery=")),
+        "SIGHUP was taken"
+    );
     assert!(seen.outcome.total().pushed_back > 100 && seen.outcome.total().ok > 300);
     assert_eq!(seen.ended, None, "it runs on");
     // SIGTERM in the middle: what was taken is answered, then the process ends well.
