--- /dev/null
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -0,0 +1,340 @@
+//! The other routers: membership, gossip on members, shared admission control and the shared retry budget.
+//!
+//! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
+//! and is taken from those that may send it. Who is alive, and what gossip is worth, is judged elsewhere.
+
+use super::Reducer;
+use super::event::Effect;
+use super::peer_log;
+use crate::launch::Launch;
+use ladderpass_admission::{AdmissionController, GroupMetrics, admission_draw};
+use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter, Membership, Settings, View, router_hash};
+use ladderpass_retry_budget::{RetryBudget, RetryRates};
+use ladderpass_routing::{Arrival, MemberLoad, MemberUpdate, OverloadState, Router, Span, Time};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// A router that has just started has not found the others yet: until then those in its file count as alive.
+const SETTLING_TIME: Span = Span::from_millis(2000);
+/// Priorities for the shedding of all go by utility alone: each RPC costs the same.
+const UNIT_COST_SECS: f64 = 1e-4;
+/// Room for admission reports in a datagram of the membership.
+const PIGGYBACK_BYTES: usize = 150;
+
+/// State of the links to other routers.
+pub(super) struct PeerLinks {
+    membership: Membership,
+    view: View,
+    wake_at: Time,
+    settled_at: Time,
+    /// Routers in the operator's file, this one included.
+    listed_routers: usize,
+    outgoing: Vec<(SocketAddr, Vec<u8>)>,
+    /// By this router's index of a group: the number by which all routers know it.
+    group_numbers: Vec<u32>,
+    /// None: each router sheds for itself.
+    admission: Option<AdmissionController>,
+    /// None: retries are free.
+    retry_budget: Option<RetryBudget>,
+    /// RPCs that this router has rejected for all.
+    rejected: u64,
+    metrics_logged_at: Time,
+    metrics_interval: Span,
+}
+
+/// What shared admission control says of an arrival.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct AdmissionVerdict {
+    pub(super) is_rejected: bool,
+    pub(super) priority: u32,
+}
+
+impl PeerLinks {
+    /// None where the operator's file names no peers.
+    pub(super) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
+        let operator = &launch.operator;
+        let peers = operator.peers.as_ref()?;
+        if peers.legacy_form {
+            tracing::warn!("peers.me and peers.all are deprecated: write peers.listen and peers.listed");
+        }
+        let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
+        let settings = Settings { faulty: launch.faulty.of_membership(), ..Settings::default() };
+        // Other random numbers than the routing core's: routers with one seed must not draw the same order.
+        let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
+        let membership = Membership::start(now, seed, local, &peers.listed, &peers.networks, settings);
+        let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
+        let admission = operator
+            .shared_admission
+            .then(|| AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert()));
+        let retry_budget =
+            operator.shared_retry_budget.then(|| RetryBudget::start(now, launch.faulty.of_budgets()));
+        Some(PeerLinks {
+            view: membership.view(),
+            wake_at: now,
+            settled_at: now + SETTLING_TIME,
+            listed_routers: others + 1,
+            outgoing: Vec::new(),
+            group_numbers: Vec::new(),
+            admission,
+            retry_budget,
+            rejected: 0,
+            metrics_logged_at: now,
+            metrics_interval: operator.log.metrics_interval,
+            membership,
+        })
+    }
+
+    pub(super) fn wake_at(&self) -> Time {
+        self.admission.as_ref().map_or(self.wake_at, |admission| admission.wake_at().min(self.wake_at))
+    }
+
+    /// Gives an arrival the overload state of all routers and its session's admission draw, and counts it as offered.
+    pub(super) fn assess(
+        &mut self,
+        now: Time,
+        arrival: &mut Arrival,
+        session: &str,
+        priority: impl Fn(&Arrival, &OverloadState) -> u32,
+    ) -> AdmissionVerdict {
+        let Some((admission, group)) = self.admission_for(arrival.group) else {
+            return AdmissionVerdict::default();
+        };
+        let (threshold, pressure) = admission.threshold(group);
+        let state = OverloadState {
+            pressure,
+            admission_threshold: threshold,
+            cost_secs: UNIT_COST_SECS,
+            exceeds_fair_share: false,
+            queueing_delay: Span::ZERO,
+        };
+        let priority = priority(arrival, &state);
+        admission.record_offered(group, priority);
+        let draw = admission_draw(session.as_bytes(), now);
+        (arrival.fleet_overload, arrival.admission_draw) = (Some(state), Some(draw));
+        let is_rejected = f64::from(priority) + draw < threshold;
+        self.rejected += u64::from(is_rejected);
+        AdmissionVerdict { is_rejected, priority }
+    }
+
+    /// Admission control, and the number by which all routers know a group.
+    fn admission_for(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
+        Some((self.admission.as_mut()?, *self.group_numbers.get(group as usize)?))
+    }
+
+    /// The retry budget, likewise.
+    fn retry_budget_for(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
+        Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
+    }
+
+    pub(super) fn record_first_attempt(&mut self, group: u32) {
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.record_first_attempt(group);
+        }
+    }
+
+    /// Does the budget pay for a retry of an RPC of this priority?
+    pub(super) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
+        self.retry_budget_for(group)
+            .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
+    }
+
+    /// A retry that was paid for was answered well.
+    pub(super) fn record_retry_success(&mut self, group: u32) {
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.record_success(group);
+        }
+    }
+
+    /// A retry that was paid for is not made.
+    pub(super) fn refund_retry(&mut self, group: u32) {
+        if let Some((retry_budget, group)) = self.retry_budget_for(group) {
+            retry_budget.refund(group);
+        }
+    }
+
+    pub(super) fn record_served(&mut self, group: u32) {
+        if let Some((admission, group)) = self.admission_for(group) {
+            admission.record_served(group);
+        }
+    }
+
+    /// An RPC that was admitted was rejected later.
+    pub(super) fn record_unplaced(&mut self, group: u32) {
+        if let Some((admission, group)) = self.admission_for(group) {
+            admission.record_unplaced(group);
+        }
+    }
+
+    /// Takes up the groups that lists have named since.
+    fn update_group_numbers(&mut self, groups: &HashMap<u64, u32>) {
+        if self.group_numbers.len() == groups.len() {
+            return;
+        }
+        self.group_numbers = vec![0; groups.len()];
+        for (&bits, &index) in groups {
+            if let Some(number) = self.group_numbers.get_mut(index as usize) {
+                *number = (bits ^ bits >> 32) as u32;
+            }
+        }
+    }
+
+    /// Exchanges what all routers know of the load with the routing core, the retry budget and the other routers.
+    fn tick_admission(&mut self, now: Time, router: &mut Router, groups: &HashMap<u64, u32>) {
+        if self.admission.as_ref().is_none_or(|admission| admission.wake_at() > now) {
+            return;
+        }
+        self.update_group_numbers(groups);
+        let Some(admission) = &mut self.admission else { return };
+        let group_numbers = &self.group_numbers;
+        let number = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
+        let loads: Vec<MemberLoad> =
+            router.member_loads(now).map(|load| MemberLoad { group: number(load.group), ..load }).collect();
+        if let Some(limits) = admission.tick(now, &loads) {
+            for &(member, limit) in &limits.in_flight {
+                router.set_concurrency_limit(member, limit);
+            }
+        }
+        if let Some(retry_budget) = &mut self.retry_budget {
+            let peer_rates = |group| {
+                let rates = admission.peer_retry_rates(now, group);
+                rates.map(|(rates, weight)| (RetryRates::from_array(rates), weight))
+            };
+            retry_budget.rebalance(now, admission.alive_peers(), peer_rates);
+            for &group in group_numbers {
+                admission.set_retry_rates(group, retry_budget.own_rates(group).to_array());
+            }
+        }
+        self.membership.set_piggyback(admission.encode_reports(now, PIGGYBACK_BYTES));
+        if now - self.metrics_logged_at >= self.metrics_interval {
+            self.metrics_logged_at = now;
+            self.log_metrics();
+        }
+    }
+
+    fn log_metrics(&self) {
+        for metrics in self.admission.iter().flat_map(AdmissionController::metrics) {
+            peer_log::log_admission(&metrics, self.view.count, self.rejected);
+        }
+        for metrics in self.retry_budget.iter().flat_map(RetryBudget::metrics) {
+            peer_log::log_retry_budget(&metrics);
+        }
+    }
+
+    pub(super) fn log_membership(&self) {
+        peer_log::log_membership(&self.view, &self.membership);
+    }
+
+    /// Routers that count as alive: at least those of the file, until this one has had time to find them.
+    fn alive_count(&self, now: Time, view: &View) -> usize {
+        if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
+    }
+
+    /// Takes over the changes of the membership.
+    fn apply_changes(&mut self, now: Time, view: View) {
+        let changes = self.membership.take_changes();
+        if changes.is_empty() && view == self.view {
+            return;
+        }
+        for (peer, _) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
+            tracing::debug!(%peer, "router suspected");
+        }
+        let key = |view: &View| (view.position, view.count, view.digest);
+        let has_view_changed = key(&view) != key(&self.view);
+        if let Some(admission) = &mut self.admission {
+            admission.set_alive(self.membership.peers(now).map(|peer| router_hash(peer.address)));
+        }
+        let has_other_changes = changes.iter().any(|(_, change)| *change != Change::Suspected);
+        self.view = view;
+        if has_view_changed || has_other_changes {
+            peer_log::log_view(&view, &changes);
+        }
+    }
+}
+
+impl Reducer {
+    /// How many routers are alive, this one included, and a digest of just these; None without peers.
+    pub fn fleet_view(&self) -> Option<(usize, u32)> {
+        self.peers.as_ref().map(|peers| (peers.view.count, peers.view.digest))
+    }
+
+    /// Metrics of shared admission control, by group.
+    pub fn admission_metrics(&self) -> Vec<GroupMetrics> {
+        self.peers
+            .iter()
+            .filter_map(|peers| peers.admission.as_ref())
+            .flat_map(AdmissionController::metrics)
+            .collect()
+    }
+
+    /// Takes the datagrams that are to be sent to other routers.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        self.peers.as_mut().map_or(Vec::new(), |peers| std::mem::take(&mut peers.outgoing))
+    }
+
+    /// A datagram: of the membership by its first byte, else gossip on members.
+    pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        if bytes.first() == Some(&FIRST_BYTE) {
+            peers.membership.on_datagram(now, from, bytes);
+            let reports = peers.membership.take_piggybacked();
+            if let Some(admission) = &mut peers.admission {
+                reports.iter().for_each(|report| admission.on_reports(now, report));
+            }
+            return self.apply_membership(now);
+        }
+        if !peers.membership.may_gossip(now, from) {
+            return;
+        }
+        let Ok(text) = std::str::from_utf8(bytes) else { return };
+        for update in self.gossip_codec.decode(text, now) {
+            self.router.on_peer_update(now, update);
+        }
+    }
+
+    /// Sends the routing core's updates on members to all other routers.
+    pub(super) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
+        let messages = self.gossip_codec.encode(updates, self.members.names());
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        for target in peers.membership.gossip_targets(now) {
+            let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
+            peers.outgoing.extend(datagrams);
+        }
+        self.effects.push(Effect::SendDatagrams);
+    }
+
+    pub(super) fn tick_peers(&mut self, now: Time) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        peers.tick_admission(now, &mut self.router, self.endpoints.groups());
+        if peers.wake_at <= now {
+            peers.membership.tick(now);
+            self.apply_membership(now);
+        }
+    }
+
+    pub(super) fn leave_fleet(&mut self, now: Time) {
+        if let Some(peers) = self.peers.as_deref_mut() {
+            peers.membership.leave(now);
+            self.apply_membership(now);
+        }
+    }
+
+    /// Takes over what the membership has decided.
+    fn apply_membership(&mut self, now: Time) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        peers.wake_at = peers.membership.wake_at();
+        let outgoing = peers.membership.take_outgoing();
+        if !outgoing.is_empty() {
+            peers.outgoing.extend(outgoing);
+            self.effects.push(Effect::SendDatagrams);
+        }
+        if peers.membership.take_address_conflict() {
+            tracing::warn!(
+                "another incarnation of this router's address was seen: its clock may have gone back"
+            );
+        }
+        let view = peers.membership.view();
+        let alive_count = peers.alive_count(now, &view);
+        self.router.set_router_position(view.position as u32, alive_count as u32);
+        peers.apply_changes(now, view);
+    }
+}
