--- a/crates/ladderpass-config/src/error_list.rs
+++ b/crates/ladderpass-config/src/error_list.rs
@@ -1,6 +1,7 @@
 //! All errors of one reading, in the order in which they were found.
 //!
-//! An operator corrects a file in one go, so a reader goes on after an error where it can and collects the rest here.
+//! An operator corrects a file in one go, so a reader goes on after an error where it can, and
+//! collects all of them here.
 
 use std::fmt::Display;
 
@@ -52,11 +53,6 @@
         self.errors.is_empty()
     }
 
-    /// The distinct lines that the errors print, in the order in which they were found.
-    pub fn lines(&self) -> &[String] {
-        &self.lines
-    }
-
     /// Ends a reading.
     ///
     /// # Errors
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -14,6 +14,7 @@
 pub use errors::{OperatorFileError, OperatorFileErrors, ValueProblem};
 pub use peers::Peers;
 
+use errors::FoundErrors;
 use file::{FleetSection, LogSection, MembersSection, OperatorFile};
 use ladderpass_overload::Settings;
 use ladderpass_routing::Span;
@@ -64,55 +65,46 @@
     if is_blank(text) {
         return Ok(Operator::default());
     }
-    let mut errors = OperatorFileErrors::default();
+    let mut errors = FoundErrors::default();
     let mut operator = Operator::default();
-    let ParsedFile { file, is_complete } = parse_file(text, &mut errors);
+    let ParsedFile { file, is_complete } = parse_file(text, &mut errors.values);
     if let Some(file) = file {
-        let mut combination_errors = OperatorFileErrors::default();
-        read_sections(file, &mut operator, &mut errors, &mut combination_errors);
-        // Where a key could not be read, one that goes with it may only seem to be missing.
-        if is_complete {
-            errors.extend(combination_errors, |error| error);
-        }
+        read_sections(file, &mut operator, &mut errors);
+    }
+    let FoundErrors { mut values, combinations } = errors;
+    // Where a key could not be read, one that goes with it may only seem to be missing.
+    if is_complete {
+        values.extend(combinations, |error| error);
     }
-    errors.into_result().map(|()| operator)
+    values.into_result().map(|()| operator)
 }
 
-/// Checks each section. `combination_errors` takes what is wrong between two keys: one is missing, or they exclude
-/// each other.
-fn read_sections(
-    file: OperatorFile,
-    operator: &mut Operator,
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
-) {
+fn read_sections(file: OperatorFile, operator: &mut Operator, errors: &mut FoundErrors) {
     if let Some(log) = file.log {
         read_log(log, &mut operator.log, errors);
     }
     operator.overload = match file.overload {
-        Some(overload) if overload.enabled != Some(false) => {
-            Some(read_overload(overload, errors, combination_errors))
-        }
+        Some(overload) if overload.enabled != Some(false) => Some(read_overload(overload, errors)),
         _ => None,
     };
     let has_peers = file.peers.is_some();
-    operator.peers = file.peers.and_then(|peers| read_peers(peers, errors, combination_errors));
+    operator.peers = file.peers.and_then(|peers| read_peers(peers, errors));
     if let Some(fleet) = file.fleet {
-        read_fleet(&fleet, has_peers, operator, combination_errors);
+        read_fleet(&fleet, has_peers, operator, errors);
     }
     if let Some(members) = file.members {
         read_members(members, operator, errors);
     }
 }
 
-fn read_log(section: LogSection, log: &mut Log, errors: &mut OperatorFileErrors) {
+fn read_log(section: LogSection, log: &mut Log, errors: &mut FoundErrors) {
     if let Some(format) = section.format {
         match format.value.as_str() {
             "text" => log.json = false,
             "json" => log.json = true,
             other => {
                 let problem = ValueProblem::LogFormat(other.to_owned());
-                errors.push(OperatorFileError::at(&format, "log.format", problem));
+                errors.values.push(OperatorFileError::at(&format, "log.format", problem));
             }
         }
     }
@@ -120,29 +112,24 @@
     errors.ok_or_push(set_duration(&mut log.metrics_interval, "log.figures", interval, 100..=3_600_000));
 }
 
-fn read_fleet(
-    section: &FleetSection,
-    has_peers: bool,
-    operator: &mut Operator,
-    combination_errors: &mut OperatorFileErrors,
-) {
+fn read_fleet(section: &FleetSection, has_peers: bool, operator: &mut Operator, errors: &mut FoundErrors) {
     operator.shared_admission = section.shared_admission.value;
     if operator.shared_admission && !has_peers {
         let problem = ValueProblem::SharedAdmissionWithoutPeers;
-        combination_errors.push(OperatorFileError::at(&section.shared_admission, "fleet.sheds", problem));
+        errors.combinations.push(OperatorFileError::at(&section.shared_admission, "fleet.sheds", problem));
     }
     if let Some(shared_retry_budget) = &section.shared_retry_budget {
         operator.shared_retry_budget = shared_retry_budget.value;
         if operator.shared_retry_budget && !operator.shared_admission {
             let problem = ValueProblem::SharedBudgetWithoutAdmission;
-            combination_errors.push(OperatorFileError::at(shared_retry_budget, "fleet.budgets", problem));
+            errors.combinations.push(OperatorFileError::at(shared_retry_budget, "fleet.budgets", problem));
         }
     }
 }
 
-fn read_members(section: MembersSection, operator: &mut Operator, errors: &mut OperatorFileErrors) {
+fn read_members(section: MembersSection, operator: &mut Operator, errors: &mut FoundErrors) {
     if let Some(zone) = section.zone.as_ref().filter(|zone| zone.value.trim().is_empty()) {
-        errors.push(OperatorFileError::at(zone, "members.zone", ValueProblem::EmptyZone));
+        errors.values.push(OperatorFileError::at(zone, "members.zone", ValueProblem::EmptyZone));
     }
     operator.zone = section.zone.map(|zone| zone.value);
     operator.weights_are_concurrency = section.weights_are_concurrency.unwrap_or(false);
--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -48,6 +48,22 @@
     }
 }
 
+/// The errors that were found in a file so far.
+#[derive(Default)]
+pub(super) struct FoundErrors {
+    /// What is wrong with single keys.
+    pub(super) values: OperatorFileErrors,
+    /// What is wrong between two keys: one is missing, or they exclude each other.
+    pub(super) combinations: OperatorFileErrors,
+}
+
+impl FoundErrors {
+    /// The value of a key, if it is allowed; else its error is added.
+    pub(super) fn ok_or_push<T>(&mut self, value: Result<T, OperatorFileError>) -> Option<T> {
+        self.values.ok_or_push(value)
+    }
+}
+
 /// The line in the file at which a value stands, from 1 on.
 pub(super) fn line<T>(value: &Spanned<T>) -> u64 {
     value.referenced.line()
@@ -104,7 +120,7 @@
     /// The address that other routers send to is not given.
     #[error("missing; allowed is address:port")]
     MissingAddress,
-    /// An address stands in the list a second time.
+    /// An address is in the list a second time.
     #[error("{0} stands twice; allowed is once")]
     DuplicateAddress(SocketAddr),
     /// A list has too many addresses.
--- a/crates/ladderpass-config/src/operator/overload.rs
+++ b/crates/ladderpass-config/src/operator/overload.rs
@@ -1,6 +1,6 @@
 //! The section `overload`: thresholds and periods of the overload governor, by default those of its package.
 
-use super::errors::{OperatorFileError, OperatorFileErrors, ValueProblem, line};
+use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::{DelayBand, OverloadSection, ShareBand};
 use super::units::{set_duration, set_share, set_slow_reader_bytes};
 use ladderpass_overload::{Band, Settings};
@@ -13,15 +13,11 @@
 const MIN_FAIR_SHARE_MULTIPLE: f64 = 1.0;
 const MAX_FAIR_SHARE_MULTIPLE: f64 = 1000.0;
 
-/// The settings of the section. Errors between two keys go to `combination_errors`.
-pub(super) fn read_overload(
-    section: OverloadSection,
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
-) -> Settings {
+/// The settings of the section.
+pub(super) fn read_overload(section: OverloadSection, errors: &mut FoundErrors) -> Settings {
     let mut settings = Settings::default();
     if let Some(band) = section.delay {
-        set_delay_band(&mut settings.delay, band, errors, combination_errors);
+        set_delay_band(&mut settings.delay, band, errors);
     }
     for (key, band, field, max) in [
         ("overload.cpu", section.cpu, &mut settings.cpu, MAX_CPU_SHARE),
@@ -30,7 +26,7 @@
         ("overload.descriptors", section.descriptors, &mut settings.descriptors, MAX_SHARE),
     ] {
         if let Some(band) = band {
-            set_share_band(field, key, band, max, errors, combination_errors);
+            set_share_band(field, key, band, max, errors);
         }
     }
     for (key, value, field, allowed_ms) in [
@@ -53,12 +49,7 @@
     settings
 }
 
-fn set_delay_band(
-    field: &mut Band,
-    band: DelayBand,
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
-) {
+fn set_delay_band(field: &mut Band, band: DelayBand, errors: &mut FoundErrors) {
     let mut from = Span::from_secs_f64(field.from);
     let mut full = Span::from_secs_f64(field.full);
     let last_line = band.full.as_ref().or(band.from.as_ref()).map(line);
@@ -66,24 +57,17 @@
     let full_read = errors.ok_or_push(set_duration(&mut full, "overload.delay.full", band.full, 1..=10_000));
     if from_read.and(full_read).is_some() {
         let band = rising_band("overload.delay", from.secs(), full.secs(), last_line);
-        *field = combination_errors.ok_or_push(band).unwrap_or(*field);
+        *field = errors.combinations.ok_or_push(band).unwrap_or(*field);
     }
 }
 
-fn set_share_band(
-    field: &mut Band,
-    key: &str,
-    band: ShareBand,
-    max: f64,
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
-) {
+fn set_share_band(field: &mut Band, key: &str, band: ShareBand, max: f64, errors: &mut FoundErrors) {
     let (mut from, mut full) = (field.from, field.full);
     let last_line = band.full.as_ref().or(band.from.as_ref()).map(line);
     let from_read = errors.ok_or_push(set_share(&mut from, &format!("{key}.from"), band.from, max));
     let full_read = errors.ok_or_push(set_share(&mut full, &format!("{key}.full"), band.full, max));
     if from_read.and(full_read).is_some() {
-        *field = combination_errors.ok_or_push(rising_band(key, from, full, last_line)).unwrap_or(*field);
+        *field = errors.combinations.ok_or_push(rising_band(key, from, full, last_line)).unwrap_or(*field);
     }
 }
 
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -1,6 +1,6 @@
 //! The section `peers`: the routers that exchange gossip, and the section's legacy form.
 
-use super::errors::{OperatorFileError, OperatorFileErrors, ValueProblem, line};
+use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::PeersSection;
 use super::units::{parse_address, parse_network};
 use serde_saphyr::Spanned;
@@ -13,7 +13,7 @@
 pub struct Peers {
     /// Where this router receives datagrams.
     pub listen: SocketAddr,
-    /// Where the others send to; differs from `listen` behind address translation.
+    /// Where the others send to; may differ from `listen`, as behind address translation.
     pub address: SocketAddr,
     /// Where others may be found; those that are found name the rest.
     pub listed: Vec<SocketAddr>,
@@ -23,17 +23,12 @@
     pub legacy_form: bool,
 }
 
-/// The peers of the section; none where no address of this router could be read. Errors between two keys go to
-/// `combination_errors`.
-pub(super) fn read_peers(
-    section: PeersSection,
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
-) -> Option<Peers> {
+/// The peers of the section; none where no address of this router could be read.
+pub(super) fn read_peers(section: PeersSection, errors: &mut FoundErrors) -> Option<Peers> {
     if let (Some(index), Some(list)) = (&section.legacy_index, &section.legacy_list) {
-        return read_legacy_peers(index, list, errors, combination_errors);
+        return read_legacy_peers(index, list, errors);
     }
-    check_form(&section, combination_errors);
+    check_form(&section, errors);
     let listen =
         section.listen.as_ref().and_then(|text| errors.ok_or_push(parse_address(text, "peers.listen")));
     let address =
@@ -42,7 +37,7 @@
     let networks = section.networks.unwrap_or_default();
     if let Some(listen) = section.listen.as_ref().filter(|_| listed.is_empty() && networks.is_empty()) {
         let problem = ValueProblem::NoOtherRouters;
-        combination_errors.push(OperatorFileError::at(listen, "peers.listed", problem));
+        errors.combinations.push(OperatorFileError::at(listen, "peers.listed", problem));
     }
     let networks =
         networks.iter().filter_map(|text| errors.ok_or_push(parse_network(text, "peers.networks"))).collect();
@@ -52,17 +47,17 @@
 }
 
 /// Checks that the address of this router is given, and no single key of the legacy form.
-fn check_form(section: &PeersSection, combination_errors: &mut OperatorFileErrors) {
+fn check_form(section: &PeersSection, errors: &mut FoundErrors) {
     let legacy_line =
         section.legacy_index.as_ref().map(line).or(section.legacy_list.iter().flatten().next().map(line));
     if let Some(line) = legacy_line {
         let problem = ValueProblem::IncompleteLegacyForm;
-        combination_errors.push(OperatorFileError::at_line(line, "peers", problem));
+        errors.combinations.push(OperatorFileError::at_line(line, "peers", problem));
     } else if section.listen.is_none() {
         let first_value = section.address.as_ref().or(section.listed.iter().flatten().next());
         let line = first_value.map_or(0, line);
         let problem = ValueProblem::MissingAddress;
-        combination_errors.push(OperatorFileError::at_line(line, "peers.listen", problem));
+        errors.combinations.push(OperatorFileError::at_line(line, "peers.listen", problem));
     }
 }
 
@@ -70,31 +65,30 @@
 fn read_legacy_peers(
     index: &Spanned<u32>,
     list: &[Spanned<String>],
-    errors: &mut OperatorFileErrors,
-    combination_errors: &mut OperatorFileErrors,
+    errors: &mut FoundErrors,
 ) -> Option<Peers> {
     let listed = parse_addresses(list, "peers.all", errors);
     if list.len() < 2 {
         let problem = ValueProblem::LegacyListLength { count: list.len(), max: MAX_ADDRESSES };
-        combination_errors.push(OperatorFileError::at(index, "peers.all", problem));
+        errors.combinations.push(OperatorFileError::at(index, "peers.all", problem));
     } else if index.value as usize >= list.len() {
         let problem = ValueProblem::LegacyIndex { index: index.value, last: list.len() - 1 };
-        combination_errors.push(OperatorFileError::at(index, "peers.me", problem));
+        errors.combinations.push(OperatorFileError::at(index, "peers.me", problem));
     }
     let own = listed.get(index.value as usize).copied()?;
     Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
 /// The distinct addresses of a list; errors of the others are added to `errors`.
-fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut OperatorFileErrors) -> Vec<SocketAddr> {
+fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut FoundErrors) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for text in texts {
         let Some(address) = errors.ok_or_push(parse_address(text, key)) else { continue };
         if addresses.contains(&address) {
-            errors.push(OperatorFileError::at(text, key, ValueProblem::DuplicateAddress(address)));
+            errors.values.push(OperatorFileError::at(text, key, ValueProblem::DuplicateAddress(address)));
         } else if addresses.len() == MAX_ADDRESSES {
             let problem = ValueProblem::TooManyAddresses { max: MAX_ADDRESSES };
-            errors.push(OperatorFileError::at(text, key, problem));
+            errors.values.push(OperatorFileError::at(text, key, problem));
             break;
         } else {
             addresses.push(address);
--- a/crates/ladderpass-config/src/settings.rs
+++ b/crates/ladderpass-config/src/settings.rs
@@ -1,6 +1,7 @@
 //! Wire shape of the settings object: the users' keys, mapped here and nowhere else onto the terms of the field.
 //!
-//! Durations are whole nanoseconds. Unknown keys are ignored. serde prints the names of the structs in its errors.
+//! Durations are whole nanoseconds. Unknown keys are ignored. serde prints the names of the structs in
+//! its errors, so they keep the names that operators have seen.
 
 use serde::Deserialize;
 
--- a/crates/ladderpass-simulator-adapter/src/events.rs
+++ b/crates/ladderpass-simulator-adapter/src/events.rs
@@ -1,7 +1,7 @@
 //! Event lines of the simulator: its words, mapped here and nowhere else onto the terms of the field.
 //!
 //! Times and durations are whole nanoseconds where a name has no other unit. Unknown fields are ignored. serde prints the
-//! names of the structs in its errors.
+//! names of the structs in its errors, so they stay.
 
 use crate::errors::{EventError, EventProblem};
 use ladderpass_routing::{AttemptOutcome, EndpointState, Role};
--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -28,7 +28,7 @@
     pub(super) settings_json: Value,
 }
 
-/// Wire shape of the file. Errors of serde print the structs' names.
+/// Wire shape of the file. serde prints the struct's name in its errors, so it keeps the name that operators have seen.
 #[derive(Deserialize)]
 struct Told {
     discovery: Option<String>,
