--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -14,7 +14,7 @@
 
 const DISCOVERY_ADDRESS: &str = "RELAY_DISCOVERY";
 
-/// Whom a router is and where it connects, by the variables; none for one that is missing or wrong.
+/// The values of the variables that every router needs; none for one that is missing or wrong.
 pub(super) struct Environment {
     pub(super) name: Option<String>,
     pub(super) listen: Option<SocketAddr>,
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -229,7 +229,7 @@
 };
 
 impl Limits {
-    /// The limits of a router that may use so much memory, in MiB, and so many descriptors.
+    /// The limits of a router that may use `memory_mb` MiB of memory and may open `descriptors`.
     pub fn of(memory_mb: u64, descriptors: usize, settings: &DeploymentSettings) -> Limits {
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20);
         let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
