--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -1,7 +1,7 @@
-//! The sockets of connections: one set of the kernel's that the loop watches as a single source, and what each read
-//! tells of when its bytes came.
+//! The connections' sockets, by connection id, in one epoll set that the event loop watches as a single source.
 //!
-//! It owns the sockets. It must never look into bytes, nor decide when to read or write.
+//! The table owns the sockets and knows which of them are ready. It doesn't look into bytes, and doesn't decide when to
+//! read or write.
 
 use crate::reducer::ConnectionId;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
@@ -13,10 +13,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The kernel's set, as the loop's source.
-pub struct Set(Epoll);
+/// Events taken from the kernel by one call.
+const EVENTS_PER_CALL: usize = 1024;
 
-impl AsFd for Set {
+/// The epoll set, as a source of the event loop.
+pub struct EpollSet(Epoll);
+
+impl AsFd for EpollSet {
     fn as_fd(&self) -> BorrowedFd<'_> {
         self.0.0.as_fd()
     }
@@ -24,156 +27,217 @@
 
 /// A client's, a member's or discovery's connection.
 pub struct Connection {
+    /// Its socket.
     pub stream: TcpStream,
-    /// It is coming up: its first writability tells how that went.
+    /// The connect is under way: the first time that it is writable shows how that went.
     pub connecting: bool,
-    /// Opened by this router.
-    pub ours: bool,
-    /// It was not read to its end the last time.
+    /// Opened by this router: to a member, or to discovery.
+    pub is_outbound: bool,
+    /// The last read did not empty the socket.
     pub unread: bool,
-    /// All that it holds unread has come since then.
-    pub quiet_until: Instant,
-    /// What it has told and was not looked at yet: it stands in line once.
-    told: Option<Ready>,
-    /// Room for the time at which the kernel had the bytes.
-    stamp: Vec<u8>,
+    /// All bytes that its socket holds came after this.
+    pub empty_until: Instant,
+    /// What the kernel reported and is still to be handled. While there is any, the connection is queued once.
+    pending: Option<Readiness>,
+    /// Space for the kernel's receive timestamp.
+    timestamp_space: Vec<u8>,
+}
+
+/// Bytes that were read from a connection.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedBytes {
+    /// How many; none at the end of the stream.
+    pub count: usize,
+    /// When the last of them came, by the kernel's wall clock.
+    pub timestamp: Option<Duration>,
 }
 
-/// Who has told something that is to be looked at.
+/// Whose connection has become ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
+    /// One that this router opened.
     Member,
+    /// One that a client opened.
     Client,
-    /// A client that has ended its sending. It is told at once, also where it stands in line already.
+    /// A client that has closed its side. Reported at once, also when the connection is queued already.
     ClosedClient,
 }
 
-/// What a socket tells.
+/// What a connection is ready for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ready {
+pub struct Readiness {
+    /// There are bytes to read.
     pub readable: bool,
+    /// There is space to write.
     pub writable: bool,
-    /// The other side has ended it, or it is broken: it is read to its end.
-    pub ended: bool,
+    /// The other side has closed it, or it is broken: it is to be read to its end.
+    pub closed: bool,
+}
+
+/// A stream that epoll could not watch, and why.
+#[derive(Debug, thiserror::Error)]
+#[error("connection can't be watched: {source}")]
+pub struct RegisterError {
+    /// The stream, which is still open.
+    pub stream: TcpStream,
+    /// Why it can't be watched.
+    pub source: io::Error,
 }
 
 /// All connections, by their ids.
 pub struct ConnectionTable {
-    set: Rc<Set>,
+    epoll: Rc<EpollSet>,
     // The ids are this router's own: nobody can choose them so that they collide.
     connections: FxHashMap<ConnectionId, Connection>,
-    /// When the set was asked last, and told all that it had.
+    /// When the kernel was asked last, and gave all events that it had.
     polled_at: Instant,
     events: Vec<EpollEvent>,
 }
 
 impl Connection {
-    /// `quiet_until`: nothing had come on it before that.
-    pub fn new(stream: TcpStream, ours: bool, quiet_until: Instant) -> Connection {
-        // Without stamps the time in the kernel counts as none, which is what it was taken for before.
-        if let Err(fault) = setsockopt(&stream, sockopt::ReceiveTimestampns, &true) {
-            tracing::debug!("no time of arrival from the kernel: {fault}");
+    /// A connection on which nothing had come before `empty_until`.
+    pub fn new(stream: TcpStream, is_outbound: bool, empty_until: Instant) -> Connection {
+        // Without timestamps the time in the kernel counts as zero.
+        if let Err(error) = setsockopt(&stream, sockopt::ReceiveTimestampns, &true) {
+            tracing::debug!(%error, "no receive timestamps");
+        }
+        Connection {
+            stream,
+            connecting: is_outbound,
+            is_outbound,
+            unread: false,
+            empty_until,
+            pending: None,
+            timestamp_space: nix::cmsg_space!(nix::sys::time::TimeSpec),
         }
-        let stamp = nix::cmsg_space!(nix::sys::time::TimeSpec);
-        Connection { stream, connecting: ours, ours, unread: false, quiet_until, told: None, stamp }
     }
 
-    /// How many bytes were read, and when the last of them came, by the kernel's wall clock.
-    pub fn read(&mut self, room: &mut [u8]) -> io::Result<(usize, Option<Duration>)> {
-        let mut parts = [IoSliceMut::new(room)];
+    /// Reads once.
+    ///
+    /// # Errors
+    ///
+    /// The system's error, also where there is nothing to read yet.
+    pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<ReceivedBytes> {
+        let mut parts = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
-        let message = recvmsg::<()>(fd, &mut parts, Some(&mut self.stamp), MsgFlags::empty())?;
-        // The bytes have been read, whatever became of the stamp.
-        let stamps = message.cmsgs().into_iter().flatten();
-        let stamp = stamps.filter_map(|told| match told {
-            ControlMessageOwned::ScmTimestampns(stamp) => Some(Duration::from(stamp)),
+        let message = recvmsg::<()>(fd, &mut parts, Some(&mut self.timestamp_space), MsgFlags::empty())?;
+        // The bytes have been read, whether or not the timestamp can be.
+        let timestamps = message.cmsgs().into_iter().flatten().filter_map(|control| match control {
+            ControlMessageOwned::ScmTimestampns(timestamp) => Some(Duration::from(timestamp)),
             _ => None,
         });
-        Ok((message.bytes, stamp.last()))
+        Ok(ReceivedBytes { count: message.bytes, timestamp: timestamps.last() })
+    }
+
+    /// Adds what the kernel reported; tells whose event it is, if the connection has to be queued for it.
+    fn record_event(&mut self, flags: EpollFlags, polled_at: Instant) -> Option<EventSource> {
+        // Had what is reported now been there at the last poll, it would have been reported then.
+        if self.pending.is_none() && !self.unread {
+            self.empty_until = self.empty_until.max(polled_at);
+        }
+        let closed = flags.intersects(EpollFlags::EPOLLERR | EpollFlags::EPOLLHUP | EpollFlags::EPOLLRDHUP);
+        let source = match self.is_outbound {
+            false if closed => Some(EventSource::ClosedClient),
+            _ if self.pending.is_some() => None,
+            true => Some(EventSource::Member),
+            false => Some(EventSource::Client),
+        };
+        let before = self.pending.unwrap_or_default();
+        self.pending = Some(Readiness {
+            readable: before.readable || flags.contains(EpollFlags::EPOLLIN),
+            writable: before.writable || flags.contains(EpollFlags::EPOLLOUT),
+            closed: before.closed || closed,
+        });
+        source
     }
 }
 
 impl ConnectionTable {
+    /// An empty table.
+    ///
+    /// # Errors
+    ///
+    /// The system's error where there can be no epoll set.
     pub fn new() -> io::Result<ConnectionTable> {
-        let set = Rc::new(Set(Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?));
-        let events = vec![EpollEvent::empty(); 1024];
-        Ok(ConnectionTable { set, connections: FxHashMap::default(), polled_at: Instant::now(), events })
+        Ok(ConnectionTable {
+            epoll: Rc::new(EpollSet(Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?)),
+            connections: FxHashMap::default(),
+            polled_at: Instant::now(),
+            events: vec![EpollEvent::empty(); EVENTS_PER_CALL],
+        })
     }
 
-    pub fn set(&self) -> Rc<Set> {
-        self.set.clone()
+    /// The epoll set, to be watched by the event loop.
+    pub fn epoll(&self) -> Rc<EpollSet> {
+        self.epoll.clone()
     }
 
-    /// Has it watched; gives it back where the kernel can't.
-    pub fn add(&mut self, id: ConnectionId, connection: Connection) -> Result<(), (Connection, io::Error)> {
+    /// Has a connection watched.
+    ///
+    /// # Errors
+    ///
+    /// The stream and the system's error where it can't be watched.
+    pub fn add(&mut self, id: ConnectionId, connection: Connection) -> Result<(), RegisterError> {
         let flags = EpollFlags::EPOLLIN | EpollFlags::EPOLLOUT | EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLET;
-        match self.set.0.add(&connection.stream, EpollEvent::new(flags, id.0)) {
+        match self.epoll.0.add(&connection.stream, EpollEvent::new(flags, id.0)) {
             Ok(()) => {
                 self.connections.insert(id, connection);
                 Ok(())
             }
-            Err(fault) => Err((connection, fault.into())),
+            Err(error) => Err(RegisterError { stream: connection.stream, source: error.into() }),
         }
     }
 
+    /// How many connections there are.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
+    /// The connection with this id.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
+    /// The connection with this id.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
-    /// Closes it, which takes it out of the set.
+    /// Closes a connection, which takes it out of the epoll set too.
     pub fn remove(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
-    /// Since when what the sockets have to tell has not been asked for.
+    /// When all that the kernel had to report was known last.
     pub fn polled_at(&self) -> Instant {
         self.polled_at
     }
 
-    /// The set had nothing to tell then.
-    pub fn was_quiet(&mut self, at: Instant) {
+    /// The kernel had nothing to report at that time.
+    pub fn record_no_events(&mut self, at: Instant) {
         self.polled_at = self.polled_at.max(at);
     }
 
-    /// Puts each that is ready in line, without waiting. One that stands there already is not put in again: else those
-    /// that are busy would fill it. All that the kernel has is taken, but not more than there are sockets: an end that
-    /// waits behind a thousand others is known as soon as theirs.
-    pub fn harvest(&mut self, mut stand: impl FnMut(ConnectionId, EventSource)) -> io::Result<()> {
+    /// Hands each connection that has become ready to `enqueue`, without waiting. One that is queued already is not
+    /// queued again, or busy connections would fill the queue. All events that the kernel has are taken, but no more
+    /// than there are sockets: a close behind a thousand other events is known as soon as those.
+    ///
+    /// # Errors
+    ///
+    /// The system's error where the kernel can't be asked.
+    pub fn poll(&mut self, mut enqueue: impl FnMut(ConnectionId, EventSource)) -> io::Result<()> {
         let began = Instant::now();
         for _ in 0..=self.connections.len() / self.events.len() {
-            let count = match self.set.0.wait(&mut self.events, EpollTimeout::ZERO) {
+            let count = match self.epoll.0.wait(&mut self.events, EpollTimeout::ZERO) {
                 Err(nix::errno::Errno::EINTR) => return Ok(()),
                 count => count?,
             };
             for event in self.events.iter().take(count) {
-                let (id, flags) = (ConnectionId(event.data()), event.events());
+                let id = ConnectionId(event.data());
                 let Some(connection) = self.connections.get_mut(&id) else { continue };
-                // What it tells now it would have told then, had it been there.
-                if connection.told.is_none() && !connection.unread {
-                    connection.quiet_until = connection.quiet_until.max(self.polled_at);
-                }
-                let over = EpollFlags::EPOLLERR | EpollFlags::EPOLLHUP;
-                let before = connection.told.unwrap_or_default();
-                let ended = flags.intersects(over | EpollFlags::EPOLLRDHUP);
-                match connection.ours {
-                    false if ended => stand(id, EventSource::ClosedClient),
-                    _ if connection.told.is_some() => {}
-                    true => stand(id, EventSource::Member),
-                    false => stand(id, EventSource::Client),
+                if let Some(source) = connection.record_event(event.events(), self.polled_at) {
+                    enqueue(id, source);
                 }
-                connection.told = Some(Ready {
-                    readable: before.readable || flags.contains(EpollFlags::EPOLLIN),
-                    writable: before.writable || flags.contains(EpollFlags::EPOLLOUT),
-                    ended: before.ended || ended,
-                });
             }
             if count < self.events.len() {
                 self.polled_at = began;
@@ -183,9 +247,9 @@
         Ok(())
     }
 
-    /// It is looked at: what it has told, and itself.
-    pub fn take(&mut self, id: ConnectionId) -> Option<(Ready, &mut Connection)> {
+    /// Takes what a connection is ready for, with the connection.
+    pub fn take_readiness(&mut self, id: ConnectionId) -> Option<(Readiness, &mut Connection)> {
         let connection = self.connections.get_mut(&id)?;
-        Some((connection.told.take()?, connection))
+        Some((connection.pending.take()?, connection))
     }
 }
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -4,8 +4,8 @@
 //! It owns nothing after that. It must never keep what it has read, and no other file may read the environment.
 
 use crate::discovery::Listing;
-use crate::failures::passes_at_start;
 use crate::faulty::{self, Faulty};
+use crate::io_errors::is_transient_at_start;
 use crate::limits::Limits;
 use ladderpass_config::operator::{self, Operator};
 use ladderpass_config::{DeploymentSettings, Faults};
@@ -98,7 +98,9 @@
         let until = Instant::now() + START_PATIENCE;
         let config = variable("RELAY_CONFIG");
         for path in [config.as_deref().map(Path::new), own].into_iter().flatten() {
-            while std::fs::read(path).is_err_and(|fault| passes_at_start(&fault)) && Instant::now() < until {
+            while std::fs::read(path).is_err_and(|fault| is_transient_at_start(&fault))
+                && Instant::now() < until
+            {
                 std::thread::sleep(START_REST);
             }
         }
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -5,6 +5,7 @@
 use clap::{Parser, Subcommand};
 use ladderpass::{launch, sockets};
 use ladderpass_config::operator::Log;
+use std::fmt::Display;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::Targets;
@@ -62,16 +63,22 @@
     }
     let log = read.as_ref().map_or(Log::default(), |launch| launch.operator.log);
     start_log(log.json);
-    let done = read.and_then(|launch| sockets::run(launch, cli.operator));
-    match done {
+    let launch = match read {
+        Ok(launch) => launch,
+        Err(errors) => return exit_with_errors(&errors),
+    };
+    match sockets::run(launch, cli.operator) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            fault.lines().for_each(|fault| tracing::error!("{fault}"));
-            ExitCode::FAILURE
-        }
+        Err(error) => exit_with_errors(&error),
     }
 }
 
+/// Logs what is wrong, a line each.
+fn exit_with_errors(errors: &impl Display) -> ExitCode {
+    errors.to_string().lines().for_each(|error| tracing::error!("{error}"));
+    ExitCode::FAILURE
+}
+
 /// Lines on standard error; a span is told when it ends, with its time. Spans are made at debug only.
 fn start_log(json: bool) {
     let told = std::env::var("RUST_LOG").unwrap_or_default();
--- /dev/null
+++ b/crates/ladderpass/src/sockets/accept.rs
@@ -0,0 +1,94 @@
+//! Takes clients from the listener, as far as the reducer has room for them.
+
+use super::connection_io::ReadMode;
+use super::deferred::AcceptedClient;
+use super::server::Server;
+use crate::io_errors::is_resource_exhausted;
+use crate::reducer::Event;
+use std::io::ErrorKind;
+use std::time::Instant;
+
+/// What became of the clients that wait at the listener.
+enum AcceptOutcome {
+    /// None waits any more.
+    AllAccepted,
+    /// More may wait than one go accepts.
+    MoreWaiting,
+    /// The next one can't be accepted now.
+    Blocked,
+}
+
+impl Server {
+    /// Accepts clients, a limited number in one go. Some waited for so long that they have left: epoll tells.
+    pub(super) fn accept_clients(&mut self) {
+        self.accept_batch();
+    }
+
+    /// Closes the listener once all clients that wait there are in: their RPCs count as accepted. Where there is no room
+    /// for them yet, the reducer asks again.
+    pub(super) fn stop_listening(&mut self) {
+        loop {
+            match self.accept_batch() {
+                AcceptOutcome::MoreWaiting => {}
+                AcceptOutcome::Blocked => return,
+                AcceptOutcome::AllAccepted => break,
+            }
+        }
+        self.listener.close();
+        self.apply(Event::ListenerClosed);
+    }
+
+    /// Takes a client in. Its requests must not be lost: where its socket can't be registered now, that is retried.
+    pub(super) fn admit_client(&mut self, client: AcceptedClient) {
+        let AcceptedClient { id, stream } = client;
+        if let Err(error) = self.register(id, stream, false) {
+            tracing::warn!(error = %error.source, "accepted client can't be registered yet");
+            self.deferred.registrations.push(AcceptedClient { id, stream: error.stream });
+            return;
+        }
+        self.apply(Event::Accepted(id));
+        self.read(id, ReadMode::UntilBlocked);
+        // One that had closed while it waited gives its descriptor back before the next one takes one.
+        self.close_if_requested(id);
+    }
+
+    fn accept_batch(&mut self) -> AcceptOutcome {
+        let outcome = self.accept_while_possible();
+        self.on_connections_ready();
+        outcome
+    }
+
+    fn accept_while_possible(&mut self) -> AcceptOutcome {
+        self.check_stall();
+        let Some(listener) = self.listener.socket() else { return AcceptOutcome::AllAccepted };
+        if !self.deferred.registrations.is_empty() {
+            return AcceptOutcome::Blocked;
+        }
+        for _ in 0..self.reducer.accept_budget() {
+            if !self.reducer.accepts_clients() {
+                return AcceptOutcome::Blocked;
+            }
+            let asked_at = Instant::now();
+            match listener.accept() {
+                Ok((stream, _)) => {
+                    let id = self.reducer.next_id();
+                    self.admit_client(AcceptedClient { id, stream });
+                    if !self.deferred.registrations.is_empty() {
+                        return AcceptOutcome::Blocked;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    self.listener.record_empty(asked_at);
+                    return AcceptOutcome::AllAccepted;
+                }
+                Err(error) if !is_resource_exhausted(&error) => tracing::debug!(%error, "accept failed"),
+                Err(error) => {
+                    tracing::warn!(%error, "accept failed, listener suspended until a connection closes");
+                    self.listener.suspend();
+                    return AcceptOutcome::Blocked;
+                }
+            }
+        }
+        AcceptOutcome::MoreWaiting
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -0,0 +1,215 @@
+//! Connects, reads, writes and closes connections, straight from and into the reducer's buffers.
+
+use super::server::Server;
+use crate::connection_table::{Connection, ReceivedBytes, RegisterError};
+use crate::io_errors::{is_resource_exhausted, is_transient};
+use crate::reducer::{ConnectionId, Effect, Event};
+use ladderpass_routing::Span;
+use nix::errno::Errno;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io::{self, ErrorKind, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Instant;
+
+/// When a socket counts as read to its end.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum ReadMode {
+    /// After a read that has not filled its buffer: the kernel reports what comes later.
+    UntilShortRead,
+    /// Once the kernel says that there is nothing: a close may stand behind a short read.
+    UntilBlocked,
+}
+
+/// What a single read of a connection leads to.
+enum ReadStep {
+    /// There may be more.
+    Continue,
+    /// The socket was empty after a read that began at that time.
+    Drained(Instant),
+    /// Nothing more is read now: closed, no space in the buffer, or the call failed.
+    Stop,
+}
+
+impl Server {
+    /// Begins a connect. A failure is an event as well.
+    pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
+        let registered = begin_connect(address)
+            .and_then(|stream| self.register(id, stream, true).map_err(|error| error.source));
+        if let Err(error) = registered {
+            tracing::debug!(%address, %error, "connect failed");
+            let exhausted = is_resource_exhausted(&error);
+            self.apply(if exhausted { Event::ConnectDenied(id) } else { Event::Closed(id) });
+        }
+    }
+
+    /// Adds a connection to those that are watched.
+    pub(super) fn register(
+        &mut self,
+        id: ConnectionId,
+        stream: TcpStream,
+        is_outbound: bool,
+    ) -> Result<(), RegisterError> {
+        if let Err(source) = stream.set_nonblocking(true) {
+            return Err(RegisterError { stream, source });
+        }
+        // Without it answers may come a little later, and no more.
+        if let Err(error) = stream.set_nodelay(true) {
+            tracing::debug!(%error, "TCP_NODELAY not set");
+        }
+        let empty_until = if is_outbound { Instant::now() } else { self.listener.empty_at() };
+        self.connections.add(id, Connection::new(stream, is_outbound, empty_until))
+    }
+
+    /// Handles ready connections, a limited number in one go: a large batch would delay timers, deadlines and members'
+    /// answers. The rest is handled after the reducer's next tick.
+    pub(super) fn handle_ready_connections(&mut self) {
+        for _ in 0..self.limits.sockets_per_iteration {
+            let Some(id) = self.ready.pop_front() else { return };
+            self.handle_ready_connection(id);
+        }
+    }
+
+    fn handle_ready_connection(&mut self, id: ConnectionId) {
+        let Some((ready, connection)) = self.connections.take_readiness(id) else { return };
+        let is_outbound = connection.is_outbound;
+        if connection.connecting {
+            match connection.stream.take_error() {
+                Ok(None) if ready.writable => {
+                    connection.connecting = false;
+                    self.apply(Event::Connected(id));
+                }
+                Ok(None) => return,
+                Ok(Some(_)) | Err(_) => return self.apply(Event::Closed(id)),
+            }
+        }
+        // The close of a client was applied when it was polled.
+        if ready.closed && !is_outbound {
+            return;
+        }
+        if ready.writable {
+            self.write(id);
+        }
+        if ready.readable || ready.closed {
+            self.read(id, if ready.closed { ReadMode::UntilBlocked } else { ReadMode::UntilShortRead });
+        }
+    }
+
+    /// Reads what is there, as far as the reducer has space, and up to a number of reads: a client that sends without
+    /// end must not starve the others. Where that leaves something unread, the reducer is told once the socket has been
+    /// read to its end after all.
+    pub(super) fn read(&mut self, id: ConnectionId, mode: ReadMode) {
+        for _ in 0..self.limits.reads_per_event {
+            match self.read_once(id, mode) {
+                ReadStep::Continue => {}
+                ReadStep::Drained(asked_at) => return self.on_drained(id, asked_at),
+                ReadStep::Stop => return,
+            }
+        }
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.unread = true;
+            self.apply(Event::MoreToRead(id));
+            self.partly_read.push(id);
+        }
+    }
+
+    fn read_once(&mut self, id: ConnectionId, mode: ReadMode) -> ReadStep {
+        let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
+        else {
+            return ReadStep::Stop;
+        };
+        let buffer = self.reducer.read_buffer(id);
+        if buffer.is_empty() {
+            connection.unread = true;
+            return ReadStep::Stop;
+        }
+        let wanted = buffer.len();
+        let asked_at = Instant::now();
+        match connection.read(buffer) {
+            Ok(ReceivedBytes { count: 0, .. }) => self.apply(Event::Closed(id)),
+            Ok(ReceivedBytes { count, timestamp }) => {
+                let empty_until = connection.empty_until;
+                let waited = timestamp.map_or(Span::ZERO, |at| self.clock.time_in_kernel(at, empty_until));
+                self.apply(Event::Received(id, count, waited));
+                let is_drained = count < wanted && mode == ReadMode::UntilShortRead;
+                return if is_drained { ReadStep::Drained(asked_at) } else { ReadStep::Continue };
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStep::Drained(asked_at),
+            Err(error) if error.kind() == ErrorKind::Interrupted => return ReadStep::Continue,
+            Err(error) if is_transient(&error) => {
+                connection.unread = true;
+                self.deferred.reads.push(id);
+                self.apply(Event::MoreToRead(id));
+            }
+            Err(_) => self.apply(Event::Closed(id)),
+        }
+        ReadStep::Stop
+    }
+
+    /// The socket was empty after a read that began at `asked_at`.
+    fn on_drained(&mut self, id: ConnectionId, asked_at: Instant) {
+        let was_unread = self.connections.get_mut(id).is_some_and(|connection| {
+            connection.empty_until = asked_at;
+            std::mem::take(&mut connection.unread)
+        });
+        if was_unread {
+            self.apply(Event::Drained(id));
+        }
+    }
+
+    /// Writes all that there is, as far as the socket takes it.
+    pub(super) fn write(&mut self, id: ConnectionId) {
+        loop {
+            let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
+            else {
+                return;
+            };
+            let bytes = self.reducer.outgoing(id);
+            if bytes.is_empty() {
+                return;
+            }
+            match connection.stream.write(bytes) {
+                Ok(count) => self.apply(Event::Written(id, count)),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return self.apply(Event::WriteBlocked(id));
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                // The kernel reports no event for space that there was all along.
+                Err(error) if is_transient(&error) => return self.deferred.writes.push(id),
+                Err(_) => return self.apply(Event::Closed(id)),
+            }
+        }
+    }
+
+    /// Closes a connection; its descriptor may let the listener go on.
+    pub(super) fn close(&mut self, id: ConnectionId) {
+        if self.connections.remove(id) {
+            self.listener.on_descriptor_released();
+        }
+    }
+
+    /// Carries out the close of a connection, if the reducer asked for it, ahead of all other effects.
+    pub(super) fn close_if_requested(&mut self, id: ConnectionId) {
+        if let Some(nth) = self.effects.iter().rposition(|effect| *effect == Effect::Close(id)) {
+            self.effects.remove(nth);
+            self.close(id);
+        }
+    }
+
+    /// Reads a connection to its end, and closes it if the reducer then asks for that, with nothing done in between: no
+    /// statement that has come meanwhile is lost.
+    pub(super) fn close_if_quiet(&mut self, id: ConnectionId) {
+        self.read(id, ReadMode::UntilBlocked);
+        self.apply(Event::ReadToEnd(id));
+        self.close_if_requested(id);
+    }
+}
+
+/// Opens a socket whose connect goes on in the background.
+fn begin_connect(address: SocketAddr) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    match socket.connect(&address.into()) {
+        Err(error) if error.raw_os_error() != Some(Errno::EINPROGRESS as i32) => Err(error),
+        _ => Ok(socket.into()),
+    }
+}
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -1,67 +1,79 @@
-//! What the process uses: time of the processor and of the loop, memory, descriptors.
+//! What the process uses: CPU time, busy time of the event loop, memory, file descriptors.
 //!
-//! It owns the readings since the last sample. It must never judge them: `ladderpass-overload` does.
+//! It measures since the last sample, and judges nothing: `ladderpass-overload` does.
 
+use super::clock::span;
 use ladderpass_overload::ResourceSample;
-use ladderpass_routing::Span;
 use nix::sys::resource::{UsageWho, getrusage};
 use nix::sys::time::TimeValLike;
 use std::fs::File;
 use std::os::unix::fs::FileExt;
 use std::time::{Duration, Instant};
 
+/// Descriptors that are no connections: standard streams, event loop, epoll, signals, listener, peers, `statm`.
+const OTHER_DESCRIPTORS: usize = 10;
+const PAGE_BYTES: usize = 4096;
+
 /// What the process has used since the last sample.
 pub(super) struct ResourceUsage {
-    /// Since when the loop has not been waiting.
-    pub(super) awake: Option<Instant>,
-    pub(super) busy: Duration,
-    at: Instant,
+    /// Since when the event loop has not been waiting.
+    awake_since: Option<Instant>,
+    busy: Duration,
+    sampled_at: Instant,
     cpu: Duration,
+    /// None where it can't be read: the memory of the buffers is then all that is known.
     statm: Option<File>,
 }
 
-/// Descriptors that are no connections: the standard streams, the loop's own, signals, listener, this file.
-const OTHERS: usize = 10;
-const PAGE: usize = 4096;
-
 impl ResourceUsage {
-    pub(super) fn new() -> ResourceUsage {
+    pub(super) fn start() -> ResourceUsage {
         ResourceUsage {
-            awake: None,
+            awake_since: None,
             busy: Duration::ZERO,
-            at: Instant::now(),
-            cpu: cpu(),
-            // Where it can't be read, memory of the rings alone tells.
+            sampled_at: Instant::now(),
+            cpu: cpu_time(),
             statm: File::open("/proc/self/statm").ok(),
         }
     }
 
-    pub(super) fn take(&mut self, connections: usize) -> ResourceSample {
-        let (at, cpu) = (Instant::now(), cpu());
-        let span = |time: Duration| Span::from_nanos(time.as_nanos() as i64);
+    /// The event loop no longer waits.
+    pub(super) fn mark_awake(&mut self) {
+        self.awake_since.get_or_insert_with(Instant::now);
+    }
+
+    /// The event loop is about to wait; gives how long it has been busy.
+    pub(super) fn mark_waiting(&mut self) -> Duration {
+        let busy = self.awake_since.take().map_or(Duration::ZERO, |since| since.elapsed());
+        self.busy += busy;
+        busy
+    }
+
+    /// What was used since the sample before this one.
+    pub(super) fn sample(&mut self, connections: usize) -> ResourceSample {
+        let (now, cpu) = (Instant::now(), cpu_time());
         let sample = ResourceSample {
-            wall: span(at - self.at),
+            wall: span(now - self.sampled_at),
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
-            resident_bytes: self.resident().unwrap_or(0),
+            resident_bytes: self.resident_bytes().unwrap_or(0),
             buffer_bytes: 0,
-            descriptors: connections + OTHERS,
+            descriptors: connections + OTHER_DESCRIPTORS,
             runnable_wait: 0,
         };
-        (self.at, self.cpu) = (at, cpu);
+        (self.sampled_at, self.cpu) = (now, cpu);
         sample
     }
 
-    fn resident(&self) -> Option<usize> {
+    fn resident_bytes(&self) -> Option<usize> {
         let mut text = [0; 128];
         let count = self.statm.as_ref()?.read_at(&mut text, 0).ok()?;
         let text = std::str::from_utf8(text.get(..count)?).ok()?;
-        Some(text.split_whitespace().nth(1)?.parse::<usize>().ok()? * PAGE)
+        Some(text.split_whitespace().nth(1)?.parse::<usize>().ok()? * PAGE_BYTES)
     }
 }
 
-/// CPU time that this process has used.
-fn cpu() -> Duration {
+/// CPU time that the process has used, in user and system mode.
+fn cpu_time() -> Duration {
     let Ok(usage) = getrusage(UsageWho::RUSAGE_SELF) else { return Duration::ZERO };
     let micros = usage.user_time().num_microseconds() + usage.system_time().num_microseconds();
     Duration::from_micros(micros.max(0) as u64)
--- /dev/null
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -0,0 +1,185 @@
+//! The state that all iterations of the event loop share, and the way of events to the reducer.
+
+use super::clock::{Clock, span};
+use super::datagrams::{MAX_DATAGRAM_BYTES, PeerSocket};
+use super::deferred::DeferredCalls;
+use super::listener::{Listener, RegisteredListener};
+use super::reload::ConfigurationReload;
+use super::resource_usage::ResourceUsage;
+use crate::connection_table::{ConnectionTable, EventSource};
+use crate::launch::Launch;
+use crate::limits::Limits;
+use crate::reducer::{ConnectionId, Effect, Event, Reducer};
+use calloop::LoopHandle;
+use std::collections::VecDeque;
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+/// A running router: its sockets, its reducer, and what is to be done next.
+pub(super) struct Server {
+    pub(super) clock: Clock,
+    pub(super) reducer: Reducer,
+    pub(super) connections: ConnectionTable,
+    pub(super) listener: Listener<Server>,
+    /// None where the operator's file names no peers.
+    pub(super) peer_socket: Option<PeerSocket>,
+    pub(super) reload: ConfigurationReload,
+    pub(super) usage: ResourceUsage,
+    pub(super) limits: EventLoopLimits,
+    /// Calls that failed for a moment.
+    pub(super) deferred: DeferredCalls,
+    /// What the reducer asked for and was not carried out yet.
+    pub(super) effects: Vec<Effect>,
+    /// The reducer got events since its last tick.
+    pub(super) has_pending_events: bool,
+    /// Connections that are ready and were not handled yet: those of members first, then those of clients.
+    pub(super) ready: VecDeque<ConnectionId>,
+    /// Connections with more to read than one go reads.
+    pub(super) partly_read: Vec<ConnectionId>,
+    /// Connections were polled in this iteration.
+    pub(super) polled: bool,
+    /// When the event loop was to be awake at the latest.
+    pub(super) wake_by: Option<Instant>,
+    /// The reducer asked to exit.
+    pub(super) is_exiting: bool,
+}
+
+/// The sockets that a server starts with.
+pub(super) struct Sockets {
+    pub(super) connections: ConnectionTable,
+    pub(super) listener: RegisteredListener,
+    pub(super) peer_socket: Option<PeerSocket>,
+}
+
+/// How much is done in one go, and how long the event loop waits.
+pub(super) struct EventLoopLimits {
+    /// Reads from one connection, and events handled, before others have their turn.
+    pub(super) reads_per_event: usize,
+    pub(super) sockets_per_iteration: usize,
+    pub(super) max_wait: Duration,
+    pub(super) stall_threshold: Duration,
+    /// Connections are polled again before any deadline counts if the last poll is older.
+    pub(super) max_poll_age: Duration,
+    pub(super) failed_call_backoff: Duration,
+    pub(super) failure_timeout: Duration,
+}
+
+impl EventLoopLimits {
+    fn of(limits: &Limits) -> EventLoopLimits {
+        EventLoopLimits {
+            reads_per_event: limits.reads_per_event,
+            sockets_per_iteration: limits.sockets_per_iteration,
+            max_wait: limits.max_poll_wait,
+            stall_threshold: limits.stall_threshold,
+            max_poll_age: limits.max_poll_age,
+            failed_call_backoff: limits.failed_call_backoff,
+            failure_timeout: limits.event_loop_failure_timeout,
+        }
+    }
+}
+
+impl Server {
+    pub(super) fn start(
+        launch: Launch,
+        operator_file: Option<PathBuf>,
+        handle: LoopHandle<'static, Server>,
+        sockets: Sockets,
+    ) -> Server {
+        let exhausted_backoff =
+            Duration::from_nanos(launch.limits.denied_connect_backoff.nanos().max(0) as u64);
+        let limits = EventLoopLimits::of(&launch.limits);
+        let reload = ConfigurationReload::new(operator_file, launch.limits.reread);
+        let clock = Clock::start(launch.clock_offset);
+        let reducer = Reducer::start(clock.now(), launch);
+        Server {
+            clock,
+            reducer,
+            connections: sockets.connections,
+            listener: Listener::new(handle, sockets.listener, exhausted_backoff),
+            peer_socket: sockets.peer_socket,
+            reload,
+            usage: ResourceUsage::start(),
+            limits,
+            deferred: DeferredCalls::default(),
+            effects: Vec::new(),
+            has_pending_events: false,
+            ready: VecDeque::new(),
+            partly_read: Vec::new(),
+            polled: false,
+            wake_by: None,
+            is_exiting: false,
+        }
+    }
+
+    /// Hands an event to the reducer, and keeps the effects that it asks for.
+    pub(super) fn apply(&mut self, event: Event) {
+        let now = self.clock.now();
+        self.has_pending_events = !matches!(event, Event::Tick);
+        let effects = self.reducer.handle(now, event);
+        self.effects.extend(effects);
+    }
+
+    /// Reports a stall: the first event of a batch comes long after the event loop was to be awake.
+    pub(super) fn check_stall(&mut self) {
+        self.usage.mark_awake();
+        let late = self.wake_by.take().map(|by| Instant::now().saturating_duration_since(by));
+        if let Some(late) = late.filter(|&late| late >= self.limits.stall_threshold) {
+            self.apply(Event::Stalled(span(late + self.limits.max_wait)));
+        }
+    }
+
+    /// The event loop says that connections are ready.
+    pub(super) fn on_connections_ready(&mut self) {
+        self.check_stall();
+        self.poll_connections();
+    }
+
+    /// Queues connections that are ready. An answer of a member ends work under way, a statement of a client begins
+    /// some: so members come first. Closes of clients are applied at once, however long the queue is: nothing that
+    /// such a client sent before is begun, so members don't work on RPCs whose clients have left.
+    pub(super) fn poll_connections(&mut self) {
+        self.polled = true;
+        let mut closed_clients = Vec::new();
+        let ready = &mut self.ready;
+        let polled = self.connections.poll(|id, source| match source {
+            EventSource::Member => ready.push_front(id),
+            EventSource::Client => ready.push_back(id),
+            EventSource::ClosedClient => closed_clients.push(id),
+        });
+        if let Err(error) = polled {
+            tracing::error!(%error, "connections can't be polled");
+        }
+        for id in closed_clients {
+            self.apply(Event::Closed(id));
+        }
+    }
+
+    /// Takes datagrams of other routers, a limited number in one go so that a flood can't hold up the loop. Which
+    /// senders count is the reducer's decision.
+    pub(super) fn receive_datagrams(&mut self) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..self.limits.sockets_per_iteration {
+            let Some(socket) = &self.peer_socket else { return };
+            let Some(datagram) = socket.receive(&mut buffer) else { return };
+            self.apply(Event::DatagramReceived(datagram.from, datagram.bytes));
+        }
+    }
+
+    /// Reads the configuration after SIGHUP.
+    pub(super) fn reload_configuration(&mut self) {
+        let launch = self.reload.reload();
+        self.on_configuration_read(launch);
+    }
+
+    /// Retries a reload that failed, if that is due.
+    pub(super) fn retry_reload(&mut self) {
+        let launch = self.reload.retry_if_due();
+        self.on_configuration_read(launch);
+    }
+
+    fn on_configuration_read(&mut self, launch: Option<Launch>) {
+        if let Some(launch) = launch {
+            self.apply(Event::ConfigurationReloaded(Box::new(launch)));
+        }
+    }
+}
--- a/crates/ladderpass/src/sockets/start.rs
+++ b/crates/ladderpass/src/sockets/start.rs
@@ -1,118 +1,149 @@
-//! The start: all that the loop waits for is opened, and opened again where a call failed for a moment.
-//!
-//! It owns the order in which these are opened. It must never take an event: the loop does.
+//! The start: opens all that the event loop waits for, and tries again where a call failed for a moment.
 
-use super::Front;
+use super::datagrams::{self, PeerSocket};
+use super::listener::{self, RegisteredListener};
+use super::server::{Server, Sockets};
 use crate::connection_table::ConnectionTable;
-use crate::failures::passes_at_start;
+use crate::io_errors::is_transient_at_start;
 use crate::launch::Launch;
 use crate::reducer::Event;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::SocketAddr;
+use std::os::fd::AsFd;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// All that the loop waits for.
-pub(super) struct Sources {
-    pub(super) event_loop: EventLoop<'static, Front>,
-    pub(super) connections: ConnectionTable,
-    pub(super) listener: Rc<TcpListener>,
-    pub(super) token: RegistrationToken,
-    /// The socket of the messages between routers.
-    pub(super) peers: Option<Rc<UdpSocket>>,
+/// The step of a start that failed, and why.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The event loop, its epoll set of connections, or their registration.
+    #[error("event loop: {0}")]
+    EventLoop(#[source] io::Error),
+    /// The handler of SIGTERM, SIGINT and SIGHUP.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The UDP socket for messages between routers.
+    #[error("peers.listen: {address}: {source}")]
+    PeerSocket {
+        /// Where it was to be bound.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The socket that clients connect to.
+    #[error("RELAY_LISTEN: {address}: {source}")]
+    Listen {
+        /// Where it was to listen.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The registration of that socket with the event loop.
+    #[error("listener: {0}")]
+    Listener(#[source] io::Error),
 }
 
-/// What could not be opened, and why.
-struct Unopened {
-    what: String,
-    fault: io::Error,
+impl StartError {
+    /// Whether the same start may succeed a little later.
+    fn is_transient(&self) -> bool {
+        match self {
+            StartError::EventLoop(error)
+            | StartError::Signals(error)
+            | StartError::Listener(error)
+            | StartError::PeerSocket { source: error, .. }
+            | StartError::Listen { source: error, .. } => is_transient_at_start(error),
+        }
+    }
 }
 
-/// Guards a start against calls that fail for a moment, and against an address whose last holder is about to end.
-pub(super) fn open_patiently(launch: &Launch) -> Result<Sources, String> {
-    let until = Instant::now() + launch.limits.start_retry_timeout;
+/// The event loop, and the sockets that it waits for.
+pub(super) struct StartedSockets {
+    pub(super) event_loop: EventLoop<'static, Server>,
+    pub(super) sockets: Sockets,
+}
+
+/// Opens all sockets. Errors that may pass are retried for a while, as the address may belong to a process that is
+/// about to end.
+pub(super) fn open_with_retries(launch: &Launch) -> Result<StartedSockets, StartError> {
+    let give_up_at = Instant::now() + launch.limits.start_retry_timeout;
     loop {
-        match open_sources(launch) {
-            Ok(sources) => return Ok(sources),
-            Err(Unopened { what, fault }) if passes_at_start(&fault) && Instant::now() < until => {
-                tracing::warn!("{what}: {fault}; tried again");
+        match open(launch) {
+            Err(error) if error.is_transient() && Instant::now() < give_up_at => {
+                tracing::warn!(%error, "start failed, retrying");
                 std::thread::sleep(launch.limits.start_retry_interval);
             }
-            Err(Unopened { what, fault }) => return Err(format!("{what}: {fault}")),
+            done => return done,
         }
     }
 }
 
-fn open_sources(launch: &Launch) -> Result<Sources, Unopened> {
-    let named = |what: &str| {
-        let what = what.to_owned();
-        move |fault: io::Error| Unopened { what, fault }
-    };
-    let event_loop: EventLoop<'static, Front> =
-        EventLoop::try_new().map_err(of_loop).map_err(named("event loop"))?;
+fn open(launch: &Launch) -> Result<StartedSockets, StartError> {
+    let event_loop: EventLoop<'static, Server> =
+        EventLoop::try_new().map_err(system_error).map_err(StartError::EventLoop)?;
     let handle = event_loop.handle();
-    let connections = ConnectionTable::new().map_err(named("event loop"))?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]);
-    let signals = signals.map_err(of_loop).map_err(named("signals"))?;
-    let inserted = handle.insert_source(signals, |event, (), front: &mut Front| match event.signal() {
-        Signal::SIGHUP => front.read_again(),
-        _ => front.apply(Event::Terminate),
-    });
-    inserted.map_err(|fault| of_loop(fault.error)).map_err(named("signals"))?;
-    let peers = launch.operator.peers.as_ref().map(|peers| open_peers(&handle, peers.listen)).transpose()?;
-    let address = launch.fixed.listen;
-    let listener =
-        listen(address, launch.limits.backlog).map_err(named(&format!("RELAY_LISTEN: {address}")))?;
-    let listener = Rc::new(listener);
-    let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
-    let inserted = handle.insert_source(source, |_, _, front: &mut Front| {
-        front.accept();
-        Ok(PostAction::Continue)
-    });
-    let token = inserted.map_err(|fault| of_loop(fault.error)).map_err(named("listener"))?;
-    let source = Generic::new(connections.set(), Interest::READ, Mode::Level);
-    let inserted = handle.insert_source(source, |_, _, front: &mut Front| {
-        front.harvest();
-        Ok(PostAction::Continue)
+    let connections = ConnectionTable::new().map_err(StartError::EventLoop)?;
+    register_signals(&handle).map_err(StartError::Signals)?;
+    let peers = launch.operator.peers.as_ref();
+    let peer_socket = peers.map(|peers| open_peer_socket(&handle, peers.listen)).transpose()?;
+    let listener = open_listener(&handle, launch.fixed.listen, launch.limits.backlog)?;
+    watch(&handle, connections.epoll(), Server::on_connections_ready).map_err(StartError::EventLoop)?;
+    Ok(StartedSockets { event_loop, sockets: Sockets { connections, listener, peer_socket } })
+}
+
+fn register_signals(handle: &LoopHandle<'static, Server>) -> io::Result<()> {
+    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).map_err(system_error)?;
+    let inserted = handle.insert_source(signals, |event, (), server: &mut Server| match event.signal() {
+        Signal::SIGHUP => server.reload_configuration(),
+        _ => server.apply(Event::Terminate),
     });
-    inserted.map_err(|fault| of_loop(fault.error)).map_err(named("event loop"))?;
-    Ok(Sources { event_loop, connections, listener, token, peers })
+    inserted.map(|_| ()).map_err(|refused| system_error(refused.error))
 }
 
-/// Opens the socket of the messages between routers.
-fn open_peers(handle: &LoopHandle<'static, Front>, own: SocketAddr) -> Result<Rc<UdpSocket>, Unopened> {
-    let open = || -> io::Result<Rc<UdpSocket>> {
-        let socket = UdpSocket::bind(own)?;
-        socket.set_nonblocking(true)?;
-        let socket = Rc::new(socket);
-        let source = Generic::new(socket.clone(), Interest::READ, Mode::Level);
-        let inserted = handle.insert_source(source, |_, _, front: &mut Front| {
-            front.receive_datagrams();
-            Ok(PostAction::Continue)
-        });
-        inserted.map_err(|fault| of_loop(fault.error))?;
-        Ok(socket)
+fn open_peer_socket(
+    handle: &LoopHandle<'static, Server>,
+    address: SocketAddr,
+) -> Result<PeerSocket, StartError> {
+    let open = || -> io::Result<PeerSocket> {
+        let socket = Rc::new(datagrams::bind(address)?);
+        watch(handle, socket.clone(), Server::receive_datagrams)?;
+        Ok(PeerSocket::new(socket))
     };
-    open().map_err(|fault| Unopened { what: format!("peers.listen: {own}"), fault })
+    open().map_err(|source| StartError::PeerSocket { address, source })
 }
 
-/// The system's own error, where the loop hands one on.
-fn of_loop(fault: calloop::Error) -> io::Error {
-    match fault {
-        calloop::Error::IoError(fault) => fault,
-        other => io::Error::other(other),
-    }
+fn open_listener(
+    handle: &LoopHandle<'static, Server>,
+    address: SocketAddr,
+    backlog: i32,
+) -> Result<RegisteredListener, StartError> {
+    let socket =
+        listener::listen(address, backlog).map_err(|source| StartError::Listen { address, source })?;
+    let socket = Rc::new(socket);
+    let token = watch(handle, socket.clone(), Server::accept_clients).map_err(StartError::Listener)?;
+    Ok(RegisteredListener { socket, token })
 }
 
-fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    socket.set_reuse_address(true)?;
-    socket.set_nonblocking(true)?;
-    socket.bind(&address.into())?;
-    socket.listen(backlog)?;
-    Ok(socket.into())
+/// Has `on_ready` called whenever `source` has something to read.
+fn watch<F: AsFd + 'static>(
+    handle: &LoopHandle<'static, Server>,
+    source: F,
+    on_ready: fn(&mut Server),
+) -> io::Result<RegistrationToken> {
+    let source = Generic::new(source, Interest::READ, Mode::Level);
+    let inserted = handle.insert_source(source, move |_, _, server: &mut Server| {
+        on_ready(server);
+        Ok(PostAction::Continue)
+    });
+    inserted.map_err(|refused| system_error(refused.error))
+}
+
+/// The system's own error, where the event loop passes one on.
+fn system_error(error: calloop::Error) -> io::Error {
+    match error {
+        calloop::Error::IoError(error) => error,
+        other => io::Error::other(other),
+    }
 }
--- a/crates/ladderpass/tests/arrival.rs
+++ b/crates/ladderpass/tests/arrival.rs
@@ -1,6 +1,6 @@
 //! How long bytes waited in the kernel, by stamps of a wall clock that is stepped at the worst instants.
 
-use ladderpass::arrival::WallClock;
+use ladderpass::wall_clock::WallClock;
 use std::time::Duration;
 
 const HOUR: u64 = 3_600_000;
@@ -17,20 +17,20 @@
 #[test]
 fn without_a_step_the_stamp_tells() {
     let mut clock = WallClock::default();
-    clock.is_read(ms(1000), noon(1000));
-    assert_eq!(clock.waited(ms(1000), noon(970), ms(50)), ms(30));
-    assert_eq!(clock.waited(ms(9000), noon(7500), ms(2000)), ms(1500));
+    clock.record_reading(ms(1000), noon(1000));
+    assert_eq!(clock.time_in_kernel(ms(1000), noon(970), ms(50)), ms(30));
+    assert_eq!(clock.time_in_kernel(ms(9000), noon(7500), ms(2000)), ms(1500));
 }
 
 #[test]
 fn nothing_waits_for_longer_than_it_can_have_or_for_less_than_no_time() {
     let mut clock = WallClock::default();
-    clock.is_read(ms(1000), noon(1000));
-    assert_eq!(clock.waited(ms(1000), noon(1001), ms(50)), ms(0));
+    clock.record_reading(ms(1000), noon(1000));
+    assert_eq!(clock.time_in_kernel(ms(1000), noon(1001), ms(50)), ms(0));
     // No clock that was read fits these: they may have waited for all of it.
-    assert_eq!(clock.waited(ms(1000), noon(100), ms(50)), ms(50));
-    assert_eq!(clock.waited(ms(1000), noon(60_000), ms(50)), ms(50));
-    assert_eq!(WallClock::default().waited(ms(1000), noon(1000), ms(50)), ms(50));
+    assert_eq!(clock.time_in_kernel(ms(1000), noon(100), ms(50)), ms(50));
+    assert_eq!(clock.time_in_kernel(ms(1000), noon(60_000), ms(50)), ms(50));
+    assert_eq!(WallClock::default().time_in_kernel(ms(1000), noon(1000), ms(50)), ms(50));
 }
 
 /// Forward and back, by seconds and by an hour; stamped before the step and after it, and read after it.
@@ -40,14 +40,30 @@
         for ahead in [true, false] {
             let stepped = |after: u64| if ahead { noon(after) + ms(step) } else { noon(after) - ms(step) };
             let mut clock = WallClock::default();
-            clock.is_read(ms(1000), noon(1000));
-            clock.is_read(ms(1400), stepped(1400));
-            assert_eq!(clock.waited(ms(1400), noon(1100), ms(400)), ms(300), "before, {step} {ahead}");
-            assert_eq!(clock.waited(ms(1400), stepped(1390), ms(400)), ms(10), "after, {step} {ahead}");
+            clock.record_reading(ms(1000), noon(1000));
+            clock.record_reading(ms(1400), stepped(1400));
+            assert_eq!(
+                clock.time_in_kernel(ms(1400), noon(1100), ms(400)),
+                ms(300),
+                "before, {step} {ahead}"
+            );
+            assert_eq!(
+                clock.time_in_kernel(ms(1400), stepped(1390), ms(400)),
+                ms(10),
+                "after, {step} {ahead}"
+            );
             // Set right again while more waits.
-            clock.is_read(ms(1800), noon(1800));
-            assert_eq!(clock.waited(ms(1800), stepped(1500), ms(400)), ms(300), "between, {step} {ahead}");
-            assert_eq!(clock.waited(ms(1800), noon(1790), ms(400)), ms(10), "right again, {step} {ahead}");
+            clock.record_reading(ms(1800), noon(1800));
+            assert_eq!(
+                clock.time_in_kernel(ms(1800), stepped(1500), ms(400)),
+                ms(300),
+                "between, {step} {ahead}"
+            );
+            assert_eq!(
+                clock.time_in_kernel(ms(1800), noon(1790), ms(400)),
+                ms(10),
+                "right again, {step} {ahead}"
+            );
         }
     }
 }
@@ -56,9 +72,9 @@
 #[test]
 fn an_old_step_tells_nothing() {
     let mut clock = WallClock::default();
-    clock.is_read(ms(0), noon(0));
-    clock.is_read(ms(10), noon(1010));
-    clock.is_read(ms(11_000), noon(12_000));
+    clock.record_reading(ms(0), noon(0));
+    clock.record_reading(ms(10), noon(1010));
+    clock.record_reading(ms(11_000), noon(12_000));
     // It waited for 1.5 s; by the clock before the step it would be 0.5 s.
-    assert_eq!(clock.waited(ms(11_000), noon(10_500), ms(2000)), ms(1500));
+    assert_eq!(clock.time_in_kernel(ms(11_000), noon(10_500), ms(2000)), ms(1500));
 }
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -250,14 +250,14 @@
             break line;
         }
     };
-    until("listens on");
+    until(" listening ");
     std::fs::write(&operator, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
     let hang_up = |process: &Child| {
         let pid = nix::unistd::Pid::from_raw(process.id() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
     };
     hang_up(&process);
-    let line = until("kept as it was");
+    let line = until("configuration not reloaded");
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
     std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
     hang_up(&process);
--- a/crates/ladderpass/tests/failing/mod.rs
+++ b/crates/ladderpass/tests/failing/mod.rs
@@ -155,7 +155,8 @@
         // As the program's log: one that can't be written is not told on standard error, which would panic.
         log.with_max_level(tracing::Level::INFO).log_internal_errors(false).init();
         let launch = Launch::read_at_start(|key| std::env::var(key).ok(), None);
-        launch.and_then(|launch| ladderpass::sockets::run(launch, None))
+        let launch = launch.map_err(|errors| errors.to_string());
+        launch.and_then(|launch| ladderpass::sockets::run(launch, None).map_err(|error| error.to_string()))
     });
     let done = done.join().expect("the router does not panic");
     if let Err(fault) = &done {
