--- a/crates/ladderpass/src/buffer.rs
+++ b/crates/ladderpass/src/buffer.rs
@@ -1,8 +1,10 @@
-//! A ring of bytes, one a direction a connection: starts small, grows to a bound, shrinks when it is idle.
+//! A ring buffer of bytes, one for each direction of a connection: starts small, grows up to a limit, and gives its
+//! memory back when it is empty.
 //!
-//! It owns its bytes and their order. It must never parse them, touch a socket, or grow past the bound that it
-//! is handed.
+//! It keeps bytes and their order. It doesn't parse them, touches no socket, and never grows past the limit that the
+//! caller gives.
 
+/// A ring buffer. Sizes are in bytes.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -11,24 +13,26 @@
 }
 
 impl Buffer {
+    /// Bytes that it holds.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether it holds none.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Memory that it holds.
+    /// Memory that it takes.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Free space to read into, in one piece; empty when it is full at `bound`. A full ring doubles, from
-    /// `start` on.
-    pub fn spare(&mut self, start: usize, bound: usize) -> &mut [u8] {
+    /// Contiguous free space to read into; empty when the buffer is full at `limit`. A full buffer doubles its size,
+    /// from `initial` on.
+    pub fn spare(&mut self, initial: usize, limit: usize) -> &mut [u8] {
         if self.len == self.bytes.len() {
-            self.resize(self.len.saturating_mul(2).max(start).min(bound));
+            self.resize(self.len.saturating_mul(2).max(initial).min(limit));
         }
         let size = self.bytes.len();
         let tail = self.head + self.len;
@@ -40,42 +44,42 @@
         self.bytes.get_mut(free).unwrap_or_default()
     }
 
-    /// `count` bytes were written at the front of what `spare` gave.
+    /// Adds `count` bytes that were written at the front of the space from [`Buffer::spare`].
     pub fn filled(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
 
-    /// Appends all of it, or nothing where that would exceed `bound`.
-    pub fn push(&mut self, bytes: &[u8], start: usize, bound: usize) -> bool {
+    /// Appends all of `bytes`, or nothing where that would exceed `limit`.
+    pub fn push(&mut self, bytes: &[u8], initial: usize, limit: usize) -> bool {
         let wanted = self.len + bytes.len();
-        if wanted > bound {
+        if wanted > limit {
             return false;
         }
         if wanted > self.bytes.len() {
-            self.resize(wanted.next_power_of_two().max(start).min(bound.max(wanted)));
+            self.resize(wanted.next_power_of_two().max(initial).min(limit.max(wanted)));
         }
         let mut rest = bytes;
         while !rest.is_empty() {
-            let spare = self.spare(start, bound);
+            let spare = self.spare(initial, limit);
             let count = rest.len().min(spare.len());
             if count == 0 {
                 return false;
             }
-            let (now, later) = rest.split_at(count);
-            spare[..count].copy_from_slice(now);
+            let (fitting, remaining) = rest.split_at(count);
+            spare[..count].copy_from_slice(fitting);
             self.filled(count);
-            rest = later;
+            rest = remaining;
         }
         true
     }
 
-    /// The first bytes that stand in one piece, to be written out.
+    /// The first bytes, as far as they are contiguous, to be written out.
     pub fn front(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.bytes.len());
         self.bytes.get(self.head..end).unwrap_or_default()
     }
 
-    /// All its bytes in one piece, to be parsed.
+    /// All bytes, made contiguous, to be parsed.
     pub fn whole(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -84,7 +88,7 @@
         self.front()
     }
 
-    /// Drops bytes from the front.
+    /// Drops `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
@@ -95,9 +99,9 @@
         };
     }
 
-    /// Gives back what it grew beyond `start`, if it holds nothing.
-    pub fn shrink(&mut self, start: usize) {
-        if self.len == 0 && self.bytes.len() > start {
+    /// Gives its memory back if it is empty and has grown beyond `initial`.
+    pub fn shrink(&mut self, initial: usize) {
+        if self.len == 0 && self.bytes.len() > initial {
             *self = Buffer::default();
         }
     }
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -1,45 +1,64 @@
-//! Deliberately faulty routers, one switch each: what the checkers of the rules are tried on. No release has the feature.
-//!
-//! It owns the switches. It must never be on in a build without the feature `faulty`.
+//! Deliberately faulty routers: one switch each, set by `LADDERPASS_FAULTY`. The invariant checkers are tested against
+//! them. Only builds with the feature `faulty` have them, and no release is one.
 
-use ladderpass_admission as concert;
+use ladderpass_admission as admission;
 use ladderpass_membership as membership;
-use ladderpass_retry_budget as budgets;
+use ladderpass_retry_budget as retry_budget;
 use ladderpass_routing::Span;
+use thiserror::Error;
 
+/// What a router does wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
+    /// Nothing.
     #[default]
     Nowhere,
-    /// Takes a write whose connection ended behind it for one that never ran.
+    /// Takes a write whose connection was lost for one that never ran, and sends it again.
     Resends,
+    /// Answers a client twice.
     AnswersTwice,
-    /// Goes on with an RPC for a second past its client's time.
+    /// Goes on with an RPC for a second past its client's deadline.
     AnswersLate,
-    /// Passes on a row whose column is not as long as it says.
+    /// Forwards a row whose column is not as long as it says.
     PassesOnTornRows,
-    /// Takes every position that it is told for the present.
+    /// Takes every reported position for up to date.
     IgnoresLag,
-    /// Goes on sending to members that want nothing new, and to cold ones as to warm ones.
+    /// Goes on sending to draining members.
     IgnoresDrains,
+    /// Sends as much to members that are warming up as to the others.
     IgnoresWarmUp,
-    /// Uses a connection again that may still hold an answer.
+    /// Uses a connection again on which an answer may still be under way.
     ReusesUnquiet,
-    /// Serves what there is where a length can't be.
+    /// Forwards what there is of a message whose length is impossible.
     TrustsLengths,
-    /// Ends at SIGTERM with what it holds.
+    /// Exits at SIGTERM with RPCs in flight.
     LosesAtStop,
-    /// A fault of its idea of who is alive.
+    /// A fault of the membership protocol.
     Membership(membership::Faulty),
-    /// One of its part in what all routers shed.
-    Concert(concert::Faulty),
-    /// One of its part in what all routers may spend.
-    Budgets(budgets::Faulty),
+    /// A fault of the shared admission control.
+    Admission(admission::Faulty),
+    /// A fault of the shared retry budget.
+    RetryBudget(retry_budget::Faulty),
+}
+
+/// An environment variable for faulty routers that can't be read.
+#[derive(Debug, Error)]
+pub enum FaultyError {
+    /// It names no fault.
+    #[error("LADDERPASS_FAULTY: {0:?} is no switch")]
+    UnknownSwitch(String),
+    /// It is no number of milliseconds.
+    #[error("LADDERPASS_CLOCK_MS: {0:?} is no number")]
+    ClockOffset(String),
 }
 
 impl Faulty {
-    /// By its name in `LADDERPASS_FAULTY`.
-    pub fn read(name: Option<String>) -> Result<Faulty, String> {
+    /// The fault with this name in `LADDERPASS_FAULTY`.
+    ///
+    /// # Errors
+    ///
+    /// There is no such name.
+    pub fn read(name: Option<String>) -> Result<Faulty, FaultyError> {
         match name.as_deref().filter(|_| cfg!(feature = "faulty")) {
             None => Ok(Faulty::Nowhere),
             Some("resends") => Ok(Faulty::Resends),
@@ -58,33 +77,41 @@
             }
             Some("forgets-incarnations") => Ok(Faulty::Membership(membership::Faulty::IgnoresIncarnations)),
             Some("keeps-the-deads-turns") => Ok(Faulty::Membership(membership::Faulty::CountsDeadRouters)),
-            Some("ignores-the-floor") => Ok(Faulty::Concert(concert::Faulty::IgnoresThreshold)),
-            Some("tells-tenfold") => Ok(Faulty::Concert(concert::Faulty::ReportsTenfold)),
-            Some("keeps-the-deads-words") => Ok(Faulty::Concert(concert::Faulty::KeepsReportsOfDeadRouters)),
-            Some("spends-without-asking") => Ok(Faulty::Budgets(budgets::Faulty::SpendsWithoutAsking)),
-            Some("never-gives-back") => Ok(Faulty::Budgets(budgets::Faulty::NeverRefunds)),
-            Some(other) => Err(format!("LADDERPASS_FAULTY: {other:?} is no switch")),
+            Some("ignores-the-floor") => Ok(Faulty::Admission(admission::Faulty::IgnoresThreshold)),
+            Some("tells-tenfold") => Ok(Faulty::Admission(admission::Faulty::ReportsTenfold)),
+            Some("keeps-the-deads-words") => {
+                Ok(Faulty::Admission(admission::Faulty::KeepsReportsOfDeadRouters))
+            }
+            Some("spends-without-asking") => {
+                Ok(Faulty::RetryBudget(retry_budget::Faulty::SpendsWithoutAsking))
+            }
+            Some("never-gives-back") => Ok(Faulty::RetryBudget(retry_budget::Faulty::NeverRefunds)),
+            Some(other) => Err(FaultyError::UnknownSwitch(other.to_owned())),
         }
     }
 
-    /// Never without the feature, which lets the compiler leave the fault out.
+    /// Whether the router has this fault. Never without the feature, so that the compiler leaves the fault out.
     pub fn is(self, other: Faulty) -> bool {
         cfg!(feature = "faulty") && self == other
     }
-    pub fn of_budgets(self) -> budgets::Faulty {
+
+    /// The fault of the shared retry budget, if that is where it is.
+    pub fn of_budgets(self) -> retry_budget::Faulty {
         match self {
-            Faulty::Budgets(faulty) if cfg!(feature = "faulty") => faulty,
-            _ => budgets::Faulty::Nowhere,
+            Faulty::RetryBudget(faulty) if cfg!(feature = "faulty") => faulty,
+            _ => retry_budget::Faulty::Nowhere,
         }
     }
 
-    pub fn of_concert(self) -> concert::Faulty {
+    /// The fault of the shared admission control, if that is where it is.
+    pub fn of_concert(self) -> admission::Faulty {
         match self {
-            Faulty::Concert(faulty) if cfg!(feature = "faulty") => faulty,
-            _ => concert::Faulty::Nowhere,
+            Faulty::Admission(faulty) if cfg!(feature = "faulty") => faulty,
+            _ => admission::Faulty::Nowhere,
         }
     }
 
+    /// The fault of the membership protocol, if that is where it is.
     pub fn of_membership(self) -> membership::Faulty {
         match self {
             Faulty::Membership(faulty) if cfg!(feature = "faulty") => faulty,
@@ -93,9 +120,13 @@
     }
 }
 
-/// How far the wall clock of a build for the lab is off, by `LADDERPASS_CLOCK_MS`: a machine whose clock was stepped.
-pub fn clock(told: Option<String>) -> Result<Span, String> {
-    let Some(text) = told.filter(|_| cfg!(feature = "faulty")) else { return Ok(Span::ZERO) };
-    let ms = text.parse::<i32>().map_err(|_| format!("LADDERPASS_CLOCK_MS: {text:?} is no number"))?;
+/// How far the wall clock is off by `LADDERPASS_CLOCK_MS`: a machine whose clock was stepped. Zero without the feature.
+///
+/// # Errors
+///
+/// The value is no number of milliseconds.
+pub fn clock_offset(value: Option<String>) -> Result<Span, FaultyError> {
+    let Some(text) = value.filter(|_| cfg!(feature = "faulty")) else { return Ok(Span::ZERO) };
+    let ms = text.parse::<i32>().map_err(|_| FaultyError::ClockOffset(text))?;
     Ok(Span::from_millis(i64::from(ms)))
 }
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -127,8 +127,10 @@
             let launch = Launch::of(name, listen, discovery, &faults.keep(text)?);
             faults.keep(launch.map_err(|told| each(&told, named)))
         });
-        let faulty = faults.keep(Faulty::read(variable("LADDERPASS_FAULTY")));
-        let clock = faults.keep(faulty::clock(variable("LADDERPASS_CLOCK_MS")));
+        let faulty =
+            faults.keep(Faulty::read(variable("LADDERPASS_FAULTY")).map_err(|error| error.to_string()));
+        let clock = faults
+            .keep(faulty::clock_offset(variable("LADDERPASS_CLOCK_MS")).map_err(|error| error.to_string()));
         let operator = own.and_then(|path| {
             let named = |fault: &str| format!("{}: {fault}", path.display());
             let text = std::fs::read_to_string(path).map_err(|fault| named(&fault.to_string()));
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -1,6 +1,4 @@
-//! The router's process: its command line, its log, and the start.
-//!
-//! It must never hold anything that outlives the start.
+//! The router's process: its command line, its log, and its start.
 
 use clap::{Parser, Subcommand};
 use ladderpass::{launch, sockets};
@@ -48,22 +46,22 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let read = launch::Launch::read_at_start(|key| std::env::var(key).ok(), cli.operator.as_deref());
+    let configuration = launch::Launch::read_at_start(|key| std::env::var(key).ok(), cli.operator.as_deref());
     if let Some(Command::Check) = cli.command {
-        return match read {
+        return match configuration {
             Ok(launch) => {
                 print!("{}", launch.summary());
                 ExitCode::SUCCESS
             }
-            Err(fault) => {
-                eprintln!("{fault}");
+            Err(errors) => {
+                eprintln!("{errors}");
                 ExitCode::FAILURE
             }
         };
     }
-    let log = read.as_ref().map_or(Log::default(), |launch| launch.operator.log);
+    let log = configuration.as_ref().map_or(Log::default(), |launch| launch.operator.log);
     start_log(log.json);
-    let launch = match read {
+    let launch = match configuration {
         Ok(launch) => launch,
         Err(errors) => return exit_with_errors(&errors),
     };
@@ -79,13 +77,13 @@
     ExitCode::FAILURE
 }
 
-/// Lines on standard error; a span is told when it ends, with its time. Spans are made at debug only.
+/// Logs to standard error. A span is logged when it closes, with its duration; spans are made at debug only.
 fn start_log(json: bool) {
-    let told = std::env::var("RUST_LOG").unwrap_or_default();
-    let targets = if told.is_empty() { "info" } else { &told };
-    let (targets, fault) = match targets.parse::<Targets>() {
+    let filter = std::env::var("RUST_LOG").unwrap_or_default();
+    let filter = if filter.is_empty() { "info" } else { &filter };
+    let (targets, parse_error) = match filter.parse::<Targets>() {
         Ok(targets) => (targets, None),
-        Err(fault) => (Targets::new().with_default(tracing::Level::INFO), Some(fault)),
+        Err(error) => (Targets::new().with_default(tracing::Level::INFO), Some(error)),
     };
     let lines =
         tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_span_events(FmtSpan::CLOSE);
@@ -94,7 +92,7 @@
         true => registry.with(lines.json()).init(),
         false => registry.with(lines.with_ansi(false)).init(),
     }
-    if let Some(fault) = fault {
-        tracing::warn!("RUST_LOG: {fault}; allowed are levels, and target=level; info holds");
+    if let Some(error) = parse_error {
+        tracing::warn!(%error, "RUST_LOG is neither a level nor target=level, using info");
     }
 }
--- /dev/null
+++ b/crates/ladderpass/src/pg/error_response.rs
@@ -0,0 +1,68 @@
+//! ErrorResponse messages: those of members are read, and the router's own are written.
+
+use super::frame::put_ready;
+use super::{Malformed, split_text};
+use std::io::Write;
+
+/// Length of an SQLSTATE.
+const CODE_BYTES: usize = 5;
+
+/// What an ErrorResponse says, as far as it matters here.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub struct Refusal {
+    /// Its SQLSTATE.
+    pub code: String,
+    /// The connection is over with it.
+    pub fatal: bool,
+    /// Its text for people.
+    pub message: String,
+}
+
+/// Reads an ErrorResponse.
+///
+/// # Errors
+///
+/// The body is no list of fields with an SQLSTATE.
+pub fn refusal(mut body: &[u8]) -> Result<Refusal, Malformed> {
+    let mut refusal = Refusal::default();
+    loop {
+        match body {
+            [0] if refusal.code.len() == CODE_BYTES => return Ok(refusal),
+            [field, rest @ ..] if *field != 0 => {
+                let (value, rest) = split_text(rest)?;
+                match field {
+                    b'C' => refusal.code = String::from_utf8_lossy(value).into_owned(),
+                    b'S' | b'V' => refusal.fatal |= matches!(value, b"FATAL" | b"PANIC"),
+                    b'M' => refusal.message = String::from_utf8_lossy(value).into_owned(),
+                    _ => {}
+                }
+                body = rest;
+            }
+            _ => return Err(Malformed),
+        }
+    }
+}
+
+/// Appends an ErrorResponse; `detail` goes into the field D.
+pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, detail: Option<i64>) {
+    let start = out.len();
+    out.extend_from_slice(b"E\0\0\0\0");
+    for (field, text) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)] {
+        out.push(field);
+        out.extend_from_slice(text.as_bytes());
+        out.push(0);
+    }
+    if let Some(detail) = detail {
+        // Writing to a vector can't fail.
+        let _ = write!(out, "D{detail}\0");
+    }
+    out.push(0);
+    let length = (out.len() - start - 1) as u32;
+    out[start + 1..start + 5].copy_from_slice(&length.to_be_bytes());
+}
+
+/// Appends an ErrorResponse after which the connection goes on.
+pub fn put_refusal(out: &mut Vec<u8>, code: &str, message: &str, detail: Option<i64>) {
+    put_error(out, "ERROR", code, message, detail);
+    put_ready(out);
+}
--- /dev/null
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -0,0 +1,70 @@
+//! The first message on a connection, which has no type byte, and what answers it.
+
+use super::frame::{put, put_ready};
+use super::{Malformed, read_u32};
+
+const PROTOCOL_3_0: u32 = 3 << 16;
+const CANCEL_REQUEST: u32 = 80_877_102;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSSENC_REQUEST: u32 = 80_877_104;
+
+/// What the first message asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Opening {
+    /// A session.
+    Startup,
+    /// TLS or GSS encryption; the answer is one byte, no.
+    Encryption,
+    /// To cancel the statement of the connection with this process id and secret key.
+    Cancel(u32, u32),
+}
+
+/// The first message and its length; None until all of it is there.
+///
+/// # Errors
+///
+/// These bytes begin no such message, or one of more than `max_bytes`.
+pub fn opening(bytes: &[u8], max_bytes: usize) -> Result<Option<(Opening, usize)>, Malformed> {
+    let Some(length) = read_u32(bytes) else { return Ok(None) };
+    let length = length as usize;
+    if length < 8 || length > max_bytes {
+        return Err(Malformed);
+    }
+    let Some(message) = bytes.get(..length) else { return Ok(None) };
+    let opening = match message.get(4..).and_then(read_u32) {
+        Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => Opening::Encryption,
+        Some(CANCEL_REQUEST) if length == 16 => {
+            let number = |from| message.get(from..).and_then(read_u32).ok_or(Malformed);
+            Opening::Cancel(number(8)?, number(12)?)
+        }
+        // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
+        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message.ends_with(&[0]) => Opening::Startup,
+        _ => return Err(Malformed),
+    };
+    Ok(Some((opening, length)))
+}
+
+/// Appends the answer to a client's startup: no password asked, parameters, the key for cancel requests, ready.
+pub fn put_welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
+    put(out, b'R', &[&[0; 4]]);
+    for (name, value) in [
+        ("server_version", "16.0"),
+        ("server_encoding", "UTF8"),
+        ("client_encoding", "UTF8"),
+        ("DateStyle", "ISO, MDY"),
+        ("integer_datetimes", "on"),
+        ("standard_conforming_strings", "on"),
+    ] {
+        put(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+    }
+    put(out, b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]);
+    put_ready(out);
+}
+
+/// Appends the startup message that a router sends to a member.
+pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
+    let body = format!("user\0{user}\0database\0{database}\0\0");
+    out.extend_from_slice(&(8 + body.len() as u32).to_be_bytes());
+    out.extend_from_slice(&PROTOCOL_3_0.to_be_bytes());
+    out.extend_from_slice(body.as_bytes());
+}
--- /dev/null
+++ b/crates/ladderpass/src/pg/statement_comment.rs
@@ -0,0 +1,135 @@
+//! The comment at a statement's end, by which a client describes its RPC: `/* id=...,c=...,d=...,cluster=... */`.
+
+use std::ops::Range;
+use thiserror::Error;
+
+/// Longest id that is accepted.
+const MAX_ID_BYTES: usize = 64;
+/// Longest number that is accepted.
+const MAX_NUMBER_BYTES: usize = 20;
+
+/// What a statement says of itself in its comment.
+#[derive(Debug, PartialEq)]
+pub struct Comment<'a> {
+    /// The RPC's id (`id`).
+    pub id: &'a str,
+    /// Its method (`c`).
+    pub method: &'a str,
+    /// How long the client waits for the answer, in milliseconds (`d`).
+    pub wait_ms: f64,
+    /// Where the value of `d` stands in the statement.
+    pub wait_at: Range<usize>,
+    /// Its group of members (`cluster`).
+    pub group: f64,
+    /// The client has sent it before (`r`).
+    pub resent: bool,
+    /// The position that its data must have reached, in milliseconds (`after`).
+    pub after_ms: Option<f64>,
+    /// The statement before the comment, which is not checked here.
+    pub head: &'a str,
+}
+
+/// What is wrong with a comment. Clients get this text.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum CommentError {
+    /// The statement does not end with a comment.
+    #[error("the statement has no comment at its end")]
+    NoComment,
+    /// A name occurs twice.
+    #[error("{0} stands twice in the comment")]
+    Duplicate(String),
+    /// A name that must be there is not.
+    #[error("{0} is missing in the comment")]
+    Missing(&'static str),
+    /// The id is too long, or not printable ASCII without spaces.
+    #[error("id is no short word in the comment")]
+    BadId,
+    /// A value is not a decimal number of digits and a point.
+    #[error("{0} is no number in the comment")]
+    NotANumber(&'static str),
+}
+
+/// The pairs of a comment as they are read.
+#[derive(Default)]
+struct Pairs<'a> {
+    id: Option<&'a str>,
+    method: Option<&'a str>,
+    wait: Option<Wait>,
+    group: Option<f64>,
+    resent: Option<bool>,
+    after_ms: Option<f64>,
+}
+
+/// The value of `d`, and where it stands.
+struct Wait {
+    ms: f64,
+    at: Range<usize>,
+}
+
+/// Reads the comment at a statement's end.
+///
+/// # Errors
+///
+/// What is wrong with it, in the words that the client gets.
+pub fn comment(statement: &str) -> Result<Comment<'_>, CommentError> {
+    let trimmed = statement.trim_end().trim_end_matches(';').trim_end();
+    let inner = trimmed.strip_suffix("*/").ok_or(CommentError::NoComment)?;
+    let start = inner.rfind("/*").ok_or(CommentError::NoComment)? + 2;
+    let pairs = read_pairs(inner, start)?;
+    let id = pairs.id.filter(|id| !id.is_empty()).ok_or(CommentError::Missing("id"))?;
+    if id.len() > MAX_ID_BYTES || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return Err(CommentError::BadId);
+    }
+    let wait = pairs.wait.ok_or(CommentError::Missing("d"))?;
+    Ok(Comment {
+        id,
+        method: pairs.method.filter(|name| !name.is_empty()).ok_or(CommentError::Missing("c"))?,
+        wait_ms: wait.ms,
+        wait_at: wait.at,
+        group: pairs.group.ok_or(CommentError::Missing("cluster"))?,
+        resent: pairs.resent.unwrap_or(false),
+        after_ms: pairs.after_ms,
+        head: statement.get(..start - 2).unwrap_or_default(),
+    })
+}
+
+/// Reads the pairs of the comment whose inside begins at `start`. Unknown names are passed over.
+fn read_pairs(inner: &str, start: usize) -> Result<Pairs<'_>, CommentError> {
+    let mut pairs = Pairs::default();
+    let mut pair_start = start;
+    for pair in inner.get(start..).unwrap_or_default().split(',') {
+        let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
+        let (name, value) = (name.trim(), value.trim());
+        let is_duplicate = match name {
+            "id" => pairs.id.replace(value).is_some(),
+            "c" => pairs.method.replace(value).is_some(),
+            "d" => {
+                let from = value_start(inner, pair, pair_start);
+                let wait = Wait { ms: read_number("d", value)?, at: from..from + value.len() };
+                pairs.wait.replace(wait).is_some()
+            }
+            "cluster" => pairs.group.replace(read_number("cluster", value)?).is_some(),
+            "r" => pairs.resent.replace(value == "1").is_some(),
+            "after" if !value.is_empty() => pairs.after_ms.replace(read_number("after", value)?).is_some(),
+            _ => false,
+        };
+        if is_duplicate {
+            return Err(CommentError::Duplicate(name.to_owned()));
+        }
+        pair_start += pair.len() + 1;
+    }
+    Ok(pairs)
+}
+
+/// Where the value begins of the pair that begins at `pair_start`: after the sign and spaces.
+fn value_start(inner: &str, pair: &str, pair_start: usize) -> usize {
+    let from = pair_start + pair.find('=').map_or(0, |equals| equals + 1);
+    from + inner.get(from..).map_or(0, |rest| rest.len() - rest.trim_start().len())
+}
+
+fn read_number(name: &'static str, value: &str) -> Result<f64, CommentError> {
+    let is_plain =
+        value.len() <= MAX_NUMBER_BYTES && value.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let number = value.parse::<f64>().ok().filter(|number| is_plain && number.is_finite());
+    number.ok_or(CommentError::NotANumber(name))
+}
--- /dev/null
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -0,0 +1,58 @@
+//! Which statements are passed on: an INSERT of a key and a value in hex, or a SELECT by key.
+//!
+//! A member closes the connection on a statement that it can't read, which would look like a failure of the member.
+
+/// Tokens of each form: an empty one stands for any identifier, a quote for any quoted text.
+const SELECT: [&str; 8] = ["SELECT", "", "FROM", "", "WHERE", "", "=", "'"];
+const INSERT: [&str; 16] =
+    ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
+
+/// Whether the statement writes, and its key without the quotes; None where it has neither form.
+pub fn form(statement: &str) -> Option<(bool, &str)> {
+    let mut rest = statement;
+    let writes = statement.trim_start().starts_with(['I', 'i']);
+    let mut quoted = Vec::new();
+    for &wanted in if writes { &INSERT[..] } else { &SELECT } {
+        let token = take_token(&mut rest)?;
+        let is_identifier = token.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_');
+        match wanted {
+            "" if is_identifier => {}
+            "'" if token.starts_with('\'') => quoted.push(token.get(1..token.len() - 1)?),
+            _ if !wanted.is_empty() && token.eq_ignore_ascii_case(wanted) => {}
+            _ => return None,
+        }
+    }
+    let value_is_hex = quoted.get(1).is_none_or(|value| {
+        let digits = value.strip_prefix("\\x").unwrap_or("-");
+        digits.len() % 2 == 0 && digits.bytes().all(|byte| byte.is_ascii_hexdigit())
+    });
+    (value_is_hex && rest.trim().is_empty()).then_some((writes, *quoted.first()?))
+}
+
+/// Takes a word, a quoted text with its quotes, or a single sign off the front.
+fn take_token<'a>(rest: &mut &'a str) -> Option<&'a str> {
+    let text = rest.trim_start();
+    let first = text.chars().next()?;
+    let end = if first == '\'' {
+        end_of_quoted(text)?
+    } else if first.is_ascii_alphanumeric() || first == '_' {
+        text.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(text.len())
+    } else {
+        first.len_utf8()
+    };
+    let (token, later) = text.split_at_checked(end)?;
+    *rest = later;
+    Some(token)
+}
+
+/// Where the quoted text ends that begins here. Two quotes in a row stand for one.
+fn end_of_quoted(text: &str) -> Option<usize> {
+    let mut end = 1;
+    loop {
+        end += text.get(end..)?.find('\'')? + 1;
+        if !text.get(end..)?.starts_with('\'') {
+            return Some(end);
+        }
+        end += 1;
+    }
+}
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -581,7 +581,7 @@
         let body = conn.input.whole().get(5..length).unwrap_or_default();
         let (mut fleet_refuses, mut rank) = (false, 0);
         let read = pg::statement(body).map_err(|_| ("22021", "not text".to_owned())).and_then(|statement| {
-            let comment = pg::comment(statement).map_err(|text| ("42601", text))?;
+            let comment = pg::comment(statement).map_err(|error| ("42601", error.to_string()))?;
             let method = *(self.methods)
                 .get(comment.method)
                 .ok_or_else(|| ("22023", format!("unknown method {:?} in c", comment.method)))?;
--- a/crates/ladderpass/src/reducer/watch.rs
+++ b/crates/ladderpass/src/reducer/watch.rs
@@ -97,7 +97,7 @@
                         self.drop_conn(old);
                     }
                 }
-                Err(discovery::Fault(fault)) => return self.watch_failed(now, id, &fault),
+                Err(error) => return self.watch_failed(now, id, &error.to_string()),
             }
         }
     }
