--- a/crates/ladderpass/src/buffer.rs
+++ b/crates/ladderpass/src/buffer.rs
@@ -30,7 +30,7 @@
 
     /// Contiguous free space to read into; empty when the buffer is full at `limit`. A full buffer doubles its size,
     /// from `initial` on.
-    pub fn spare(&mut self, initial: usize, limit: usize) -> &mut [u8] {
+    pub fn free_space(&mut self, initial: usize, limit: usize) -> &mut [u8] {
         if self.len == self.bytes.len() {
             self.resize(self.len.saturating_mul(2).max(initial).min(limit));
         }
@@ -44,13 +44,13 @@
         self.bytes.get_mut(free).unwrap_or_default()
     }
 
-    /// Adds `count` bytes that were written at the front of the space from [`Buffer::spare`].
-    pub fn filled(&mut self, count: usize) {
+    /// Adds `count` bytes that were written at the front of the space from [`Buffer::free_space`].
+    pub fn commit(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
 
     /// Appends all of `bytes`, or nothing where that would exceed `limit`.
-    pub fn push(&mut self, bytes: &[u8], initial: usize, limit: usize) -> bool {
+    pub fn append(&mut self, bytes: &[u8], initial: usize, limit: usize) -> bool {
         let wanted = self.len + bytes.len();
         if wanted > limit {
             return false;
@@ -60,32 +60,32 @@
         }
         let mut rest = bytes;
         while !rest.is_empty() {
-            let spare = self.spare(initial, limit);
-            let count = rest.len().min(spare.len());
+            let free = self.free_space(initial, limit);
+            let count = rest.len().min(free.len());
             if count == 0 {
                 return false;
             }
             let (fitting, remaining) = rest.split_at(count);
-            spare[..count].copy_from_slice(fitting);
-            self.filled(count);
+            free[..count].copy_from_slice(fitting);
+            self.commit(count);
             rest = remaining;
         }
         true
     }
 
     /// The first bytes, as far as they are contiguous, to be written out.
-    pub fn front(&self) -> &[u8] {
+    pub fn first_slice(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.bytes.len());
         self.bytes.get(self.head..end).unwrap_or_default()
     }
 
     /// All bytes, made contiguous, to be parsed.
-    pub fn whole(&mut self) -> &[u8] {
+    pub fn make_contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
             self.head = 0;
         }
-        self.front()
+        self.first_slice()
     }
 
     /// Drops `count` bytes from the front.
@@ -100,7 +100,7 @@
     }
 
     /// Gives its memory back if it is empty and has grown beyond `initial`.
-    pub fn shrink(&mut self, initial: usize) {
+    pub fn shrink_if_empty(&mut self, initial: usize) {
         if self.len == 0 && self.bytes.len() > initial {
             *self = Buffer::default();
         }
@@ -110,7 +110,7 @@
         if size <= self.bytes.len() {
             return;
         }
-        self.whole();
+        self.make_contiguous();
         if self.head > 0 {
             self.bytes.copy_within(self.head..self.head + self.len, 0);
             self.head = 0;
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -67,7 +67,7 @@
 
 impl Instance {
     /// Its state, in the terms of the routing core.
-    pub fn standing(&self) -> EndpointState {
+    pub fn state(&self) -> EndpointState {
         match self.lifecycle {
             Lifecycle::Serving => EndpointState::Active,
             Lifecycle::Draining => EndpointState::Draining,
@@ -76,7 +76,7 @@
     }
 
     /// When its process started, by its own clock.
-    pub fn born(&self) -> Option<Time> {
+    pub fn started_at(&self) -> Option<Time> {
         (self.started_at_ms > 0.0).then(|| Time::from_nanos((self.started_at_ms * 1e6) as i64))
     }
 
@@ -87,7 +87,7 @@
 }
 
 /// The HTTP request that opens a watch: what has changed since this generation, and whatever changes later.
-pub fn call(host: &str, generation: u64) -> String {
+pub fn watch_request(host: &str, generation: u64) -> String {
     format!("GET /catalog/members?watch=1&from={generation} HTTP/1.1\r\nHost: {host}\r\nAccept: */*\r\n\r\n")
 }
 
@@ -146,7 +146,7 @@
 
 /// Reads the response of one watch as its bytes come.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct WatchReader {
     position: Position,
     line: Vec<u8>,
     has_read: bool,
@@ -176,14 +176,14 @@
     }
 }
 
-impl Reader {
+impl WatchReader {
     /// Whether a line has been read that is not empty.
-    pub fn has_read(&self) -> bool {
+    pub fn has_read_listing(&self) -> bool {
         self.has_read
     }
 
     /// Whether the bytes so far end in the middle of an object.
-    pub fn is_within(&self) -> bool {
+    pub fn is_within_object(&self) -> bool {
         self.nesting.depth > 0
     }
 
@@ -192,7 +192,7 @@
     /// # Errors
     ///
     /// The response has ended, can't be read, or has a line of more than `max_line_bytes`.
-    pub fn next(
+    pub fn read_listing(
         &mut self,
         buffer: &mut Buffer,
         max_line_bytes: usize,
@@ -221,7 +221,7 @@
     fn read_head(&mut self, buffer: &mut Buffer) -> Result<Step, WatchError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
-        let parsed = response.parse(buffer.whole()).map_err(WatchError::Head)?;
+        let parsed = response.parse(buffer.make_contiguous()).map_err(WatchError::Head)?;
         let httparse::Status::Complete(length) = parsed else { return Ok(Step::NeedsMoreBytes) };
         if response.code != Some(200) {
             return Err(WatchError::Status(response.code.unwrap_or(0)));
@@ -238,7 +238,7 @@
     }
 
     fn read_chunk_head(&mut self, buffer: &mut Buffer) -> Result<Step, WatchError> {
-        let bytes = buffer.whole();
+        let bytes = buffer.make_contiguous();
         match httparse::parse_chunk_size(bytes) {
             Ok(httparse::Status::Complete((_, 0))) => Err(WatchError::Ended),
             Ok(httparse::Status::Complete((length, size))) => {
@@ -261,7 +261,7 @@
         left: usize,
         max_line_bytes: usize,
     ) -> Result<Step, WatchError> {
-        let bytes = buffer.whole();
+        let bytes = buffer.make_contiguous();
         if bytes.is_empty() {
             return Ok(Step::NeedsMoreBytes);
         }
@@ -289,7 +289,7 @@
     }
 
     fn read_chunk_end(&mut self, buffer: &mut Buffer) -> Result<Step, WatchError> {
-        match buffer.whole() {
+        match buffer.make_contiguous() {
             [b'\r', b'\n', ..] => {
                 buffer.consume(2);
                 Ok(self.advance(Position::ChunkHead))
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -20,7 +20,7 @@
     /// Goes on with an RPC for a second past its client's deadline.
     AnswersLate,
     /// Forwards a row whose column is not as long as it says.
-    PassesOnTornRows,
+    ForwardsTornRows,
     /// Takes every reported position for up to date.
     IgnoresLag,
     /// Goes on sending to draining members.
@@ -28,11 +28,11 @@
     /// Sends as much to members that are warming up as to the others.
     IgnoresWarmUp,
     /// Uses a connection again on which an answer may still be under way.
-    ReusesUnquiet,
+    ReusesBusyConnections,
     /// Forwards what there is of a message whose length is impossible.
     TrustsLengths,
     /// Exits at SIGTERM with RPCs in flight.
-    LosesAtStop,
+    DropsRequestsAtStop,
     /// A fault of the membership protocol.
     Membership(membership::Faulty),
     /// A fault of the shared admission control.
@@ -64,13 +64,13 @@
             Some("resends") => Ok(Faulty::Resends),
             Some("answers-twice") => Ok(Faulty::AnswersTwice),
             Some("answers-late") => Ok(Faulty::AnswersLate),
-            Some("passes-on-torn-rows") => Ok(Faulty::PassesOnTornRows),
+            Some("passes-on-torn-rows") => Ok(Faulty::ForwardsTornRows),
             Some("ignores-lag") => Ok(Faulty::IgnoresLag),
             Some("ignores-drains") => Ok(Faulty::IgnoresDrains),
             Some("ignores-warm-up") => Ok(Faulty::IgnoresWarmUp),
-            Some("reuses-unquiet") => Ok(Faulty::ReusesUnquiet),
+            Some("reuses-unquiet") => Ok(Faulty::ReusesBusyConnections),
             Some("trusts-lengths") => Ok(Faulty::TrustsLengths),
-            Some("loses-at-stop") => Ok(Faulty::LosesAtStop),
+            Some("loses-at-stop") => Ok(Faulty::DropsRequestsAtStop),
             Some("never-suspects") => Ok(Faulty::Membership(membership::Faulty::NeverSuspects)),
             Some("believes-the-first-rumour") => {
                 Ok(Faulty::Membership(membership::Faulty::ConfirmsImmediately))
@@ -96,7 +96,7 @@
     }
 
     /// The fault of the shared retry budget, if that is where it is.
-    pub fn of_budgets(self) -> retry_budget::Faulty {
+    pub fn retry_budget(self) -> retry_budget::Faulty {
         match self {
             Faulty::RetryBudget(faulty) if cfg!(feature = "faulty") => faulty,
             _ => retry_budget::Faulty::Nowhere,
@@ -104,7 +104,7 @@
     }
 
     /// The fault of the shared admission control, if that is where it is.
-    pub fn of_concert(self) -> admission::Faulty {
+    pub fn admission(self) -> admission::Faulty {
         match self {
             Faulty::Admission(faulty) if cfg!(feature = "faulty") => faulty,
             _ => admission::Faulty::Nowhere,
@@ -112,7 +112,7 @@
     }
 
     /// The fault of the membership protocol, if that is where it is.
-    pub fn of_membership(self) -> membership::Faulty {
+    pub fn membership(self) -> membership::Faulty {
         match self {
             Faulty::Membership(faulty) if cfg!(feature = "faulty") => faulty,
             _ => membership::Faulty::Nowhere,
--- a/crates/ladderpass/src/pg.rs
+++ b/crates/ladderpass/src/pg.rs
@@ -10,13 +10,16 @@
 mod statement_comment;
 mod statement_form;
 
-pub use error_response::{Refusal, put_error, put_refusal, refusal};
-pub use frame::{Frame, READY, frame, head, put, put_ready};
-pub use load_report::report;
-pub use query::{column, completes_one, describes_one, parameter, put_query, statement};
-pub use startup::{Opening, opening, put_startup, put_welcome};
-pub use statement_comment::{Comment, CommentError, comment};
-pub use statement_form::form;
+pub use error_response::{ErrorResponse, parse_error_response, put_error, put_recoverable_error};
+pub use frame::{Frame, READY, parse_frame, parse_frame_header, put_frame, put_ready};
+pub use load_report::parse_load_report;
+pub use query::{
+    is_single_column_description, is_single_row_completion, parse_parameter_status, parse_query,
+    parse_single_column, put_query,
+};
+pub use startup::{InitialMessage, parse_initial_message, put_startup, put_startup_reply};
+pub use statement_comment::{CommentError, StatementComment, parse_comment};
+pub use statement_form::parse_statement_form;
 
 use thiserror::Error;
 
--- a/crates/ladderpass/src/pg/error_response.rs
+++ b/crates/ladderpass/src/pg/error_response.rs
@@ -9,7 +9,7 @@
 
 /// What an ErrorResponse says, as far as it matters here.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Refusal {
+pub struct ErrorResponse {
     /// Its SQLSTATE.
     pub code: String,
     /// The connection is over with it.
@@ -23,17 +23,17 @@
 /// # Errors
 ///
 /// The body is no list of fields with an SQLSTATE.
-pub fn refusal(mut body: &[u8]) -> Result<Refusal, Malformed> {
-    let mut refusal = Refusal::default();
+pub fn parse_error_response(mut body: &[u8]) -> Result<ErrorResponse, Malformed> {
+    let mut response = ErrorResponse::default();
     loop {
         match body {
-            [0] if refusal.code.len() == CODE_BYTES => return Ok(refusal),
+            [0] if response.code.len() == CODE_BYTES => return Ok(response),
             [field, rest @ ..] if *field != 0 => {
                 let (value, rest) = split_text(rest)?;
                 match field {
-                    b'C' => refusal.code = String::from_utf8_lossy(value).into_owned(),
-                    b'S' | b'V' => refusal.fatal |= matches!(value, b"FATAL" | b"PANIC"),
-                    b'M' => refusal.message = String::from_utf8_lossy(value).into_owned(),
+                    b'C' => response.code = String::from_utf8_lossy(value).into_owned(),
+                    b'S' | b'V' => response.fatal |= matches!(value, b"FATAL" | b"PANIC"),
+                    b'M' => response.message = String::from_utf8_lossy(value).into_owned(),
                     _ => {}
                 }
                 body = rest;
@@ -62,7 +62,7 @@
 }
 
 /// Appends an ErrorResponse after which the connection goes on.
-pub fn put_refusal(out: &mut Vec<u8>, code: &str, message: &str, detail: Option<i64>) {
+pub fn put_recoverable_error(out: &mut Vec<u8>, code: &str, message: &str, detail: Option<i64>) {
     put_error(out, "ERROR", code, message, detail);
     put_ready(out);
 }
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -13,7 +13,7 @@
 /// # Errors
 ///
 /// These bytes begin no frame.
-pub fn head(bytes: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
+pub fn parse_frame_header(bytes: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
     let (Some(&kind), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
         return Ok(None);
     };
@@ -29,8 +29,8 @@
 /// # Errors
 ///
 /// These bytes begin no frame, or one of more than `max_bytes`.
-pub fn frame(bytes: &[u8], max_bytes: usize) -> Result<Option<Frame<'_>>, Malformed> {
-    match head(bytes)? {
+pub fn parse_frame(bytes: &[u8], max_bytes: usize) -> Result<Option<Frame<'_>>, Malformed> {
+    match parse_frame_header(bytes)? {
         Some((_, length)) if length > max_bytes => Err(Malformed),
         Some((kind, length)) => Ok(bytes.get(5..length).map(|body| (kind, body, length))),
         None => Ok(None),
@@ -38,7 +38,7 @@
 }
 
 /// Appends a frame to `out`.
-pub fn put(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
+pub fn put_frame(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(kind);
     out.extend_from_slice(&(length as u32).to_be_bytes());
--- a/crates/ladderpass/src/pg/query.rs
+++ b/crates/ladderpass/src/pg/query.rs
@@ -1,6 +1,6 @@
 //! Queries and the messages of their results, as far as a router looks into them.
 
-use super::frame::put;
+use super::frame::put_frame;
 use super::{Malformed, read_u32, split_text};
 use std::borrow::Cow;
 
@@ -9,7 +9,7 @@
 /// # Errors
 ///
 /// The body is not one text in UTF-8, ended by a zero.
-pub fn statement(body: &[u8]) -> Result<&str, Malformed> {
+pub fn parse_query(body: &[u8]) -> Result<&str, Malformed> {
     match split_text(body)? {
         (statement, []) => std::str::from_utf8(statement).map_err(|_| Malformed),
         _ => Err(Malformed),
@@ -19,7 +19,7 @@
 /// Appends a Query message; its statement is given in parts.
 pub fn put_query(out: &mut Vec<u8>, statement: &[&str]) {
     let parts: Vec<&[u8]> = statement.iter().map(|part| part.as_bytes()).chain([&b"\0"[..]]).collect();
-    put(out, b'Q', &parts);
+    put_frame(out, b'Q', &parts);
 }
 
 /// Name and value of a ParameterStatus message.
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// The body is not two texts, each ended by a zero.
-pub fn parameter(body: &[u8]) -> Result<(Cow<'_, str>, Cow<'_, str>), Malformed> {
+pub fn parse_parameter_status(body: &[u8]) -> Result<(Cow<'_, str>, Cow<'_, str>), Malformed> {
     let (name, rest) = split_text(body)?;
     match split_text(rest)? {
         (value, []) => Ok((String::from_utf8_lossy(name), String::from_utf8_lossy(value))),
@@ -36,7 +36,7 @@
 }
 
 /// Whether it is a RowDescription of just one column.
-pub fn describes_one(body: &[u8]) -> bool {
+pub fn is_single_column_description(body: &[u8]) -> bool {
     // After a column's name: table, number, type, size, modifier and format.
     const FIXED_BYTES: usize = 18;
     let Some(rest) = body.strip_prefix(&[0, 1]) else { return false };
@@ -44,7 +44,7 @@
 }
 
 /// Whether it is the CommandComplete of one row.
-pub fn completes_one(body: &[u8]) -> bool {
+pub fn is_single_row_completion(body: &[u8]) -> bool {
     matches!(body, b"SELECT 1\0" | b"INSERT 0 1\0" | b"SHOW\0")
 }
 
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// There are more columns, or the column is not as long as it says.
-pub fn column(body: &[u8]) -> Result<Option<&[u8]>, Malformed> {
+pub fn parse_single_column(body: &[u8]) -> Result<Option<&[u8]>, Malformed> {
     const NULL: u32 = u32::MAX;
     let [0, 1, rest @ ..] = body else { return Err(Malformed) };
     let length = read_u32(rest).ok_or(Malformed)?;
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -1,6 +1,6 @@
 //! The first message on a connection, which has no type byte, and what answers it.
 
-use super::frame::{put, put_ready};
+use super::frame::{put_frame, put_ready};
 use super::{Malformed, read_u32};
 
 const PROTOCOL_3_0: u32 = 3 << 16;
@@ -10,7 +10,7 @@
 
 /// What the first message asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub enum InitialMessage {
     /// A session.
     Startup,
     /// TLS or GSS encryption; the answer is one byte, no.
@@ -24,29 +24,32 @@
 /// # Errors
 ///
 /// These bytes begin no such message, or one of more than `max_bytes`.
-pub fn opening(bytes: &[u8], max_bytes: usize) -> Result<Option<(Opening, usize)>, Malformed> {
+pub fn parse_initial_message(
+    bytes: &[u8],
+    max_bytes: usize,
+) -> Result<Option<(InitialMessage, usize)>, Malformed> {
     let Some(length) = read_u32(bytes) else { return Ok(None) };
     let length = length as usize;
     if length < 8 || length > max_bytes {
         return Err(Malformed);
     }
     let Some(message) = bytes.get(..length) else { return Ok(None) };
-    let opening = match message.get(4..).and_then(read_u32) {
-        Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => Opening::Encryption,
+    let message_kind = match message.get(4..).and_then(read_u32) {
+        Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => InitialMessage::Encryption,
         Some(CANCEL_REQUEST) if length == 16 => {
             let number = |from| message.get(from..).and_then(read_u32).ok_or(Malformed);
-            Opening::Cancel(number(8)?, number(12)?)
+            InitialMessage::Cancel(number(8)?, number(12)?)
         }
         // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
-        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message.ends_with(&[0]) => Opening::Startup,
+        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message.ends_with(&[0]) => InitialMessage::Startup,
         _ => return Err(Malformed),
     };
-    Ok(Some((opening, length)))
+    Ok(Some((message_kind, length)))
 }
 
 /// Appends the answer to a client's startup: no password asked, parameters, the key for cancel requests, ready.
-pub fn put_welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
-    put(out, b'R', &[&[0; 4]]);
+pub fn put_startup_reply(out: &mut Vec<u8>, process: u32, secret: u32) {
+    put_frame(out, b'R', &[&[0; 4]]);
     for (name, value) in [
         ("server_version", "16.0"),
         ("server_encoding", "UTF8"),
@@ -55,9 +58,9 @@
         ("integer_datetimes", "on"),
         ("standard_conforming_strings", "on"),
     ] {
-        put(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+        put_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
     }
-    put(out, b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]);
+    put_frame(out, b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]);
     put_ready(out);
 }
 
--- a/crates/ladderpass/src/pg/statement_comment.rs
+++ b/crates/ladderpass/src/pg/statement_comment.rs
@@ -10,7 +10,7 @@
 
 /// What a statement says of itself in its comment.
 #[derive(Debug, PartialEq)]
-pub struct Comment<'a> {
+pub struct StatementComment<'a> {
     /// The RPC's id (`id`).
     pub id: &'a str,
     /// Its method (`c`).
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// What is wrong with it, in the words that the client gets.
-pub fn comment(statement: &str) -> Result<Comment<'_>, CommentError> {
+pub fn parse_comment(statement: &str) -> Result<StatementComment<'_>, CommentError> {
     let trimmed = statement.trim_end().trim_end_matches(';').trim_end();
     let inner = trimmed.strip_suffix("*/").ok_or(CommentError::NoComment)?;
     let start = inner.rfind("/*").ok_or(CommentError::NoComment)? + 2;
@@ -81,7 +81,7 @@
         return Err(CommentError::BadId);
     }
     let wait = pairs.wait.ok_or(CommentError::Missing("d"))?;
-    Ok(Comment {
+    Ok(StatementComment {
         id,
         method: pairs.method.filter(|name| !name.is_empty()).ok_or(CommentError::Missing("c"))?,
         wait_ms: wait.ms,
--- a/crates/ladderpass/src/pg/statement_form.rs
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -8,7 +8,7 @@
     ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
 
 /// Whether the statement writes, and its key without the quotes; None where it has neither form.
-pub fn form(statement: &str) -> Option<(bool, &str)> {
+pub fn parse_statement_form(statement: &str) -> Option<(bool, &str)> {
     let mut rest = statement;
     let writes = statement.trim_start().starts_with(['I', 'i']);
     let mut quoted = Vec::new();
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -6,7 +6,7 @@
 //! socket; and it must never decide where or when an RPC goes: the core does.
 
 use crate::buffer::Buffer;
-use crate::discovery::{self, Listing, Reader};
+use crate::discovery::{self, Listing, WatchReader};
 use crate::faulty::Faulty;
 use crate::launch::{Fixed, Launch};
 use crate::limits::Limits;
@@ -129,7 +129,7 @@
 enum Peer {
     Client(Client),
     Member(Link),
-    Discovery(Reader),
+    Discovery(WatchReader),
 }
 
 /// What the figures tell since they were told last.
@@ -342,7 +342,7 @@
         let grown =
             conn.input.len() == conn.input.capacity() && conn.input.len() >= limits.buffer_initial_bytes;
         let short = grown && self.rings >= memory;
-        conn.paused = short || conn.input.spare(limits.buffer_initial_bytes, bound).is_empty();
+        conn.paused = short || conn.input.free_space(limits.buffer_initial_bytes, bound).is_empty();
         if short {
             self.starved.insert(id);
         }
@@ -359,14 +359,14 @@
         }
         self.recount(id);
         match self.conns.get_mut(&id) {
-            Some(conn) => conn.input.spare(0, 0),
+            Some(conn) => conn.input.free_space(0, 0),
             None => &mut [],
         }
     }
 
     /// What is to be written on a connection next.
     pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
-        self.conns.get(&id).map_or(&[], |conn| conn.output.front())
+        self.conns.get(&id).map_or(&[], |conn| conn.output.first_slice())
     }
 
     /// Members that it keeps in mind.
@@ -561,7 +561,7 @@
             Peer::Discovery(_) => {
                 // Where its list is older than the one here, the whole of it is wanted.
                 let from = if self.older { 0 } else { self.generation };
-                let call = discovery::call(&self.discovery.to_string(), from);
+                let call = discovery::watch_request(&self.discovery.to_string(), from);
                 out.extend_from_slice(call.as_bytes());
             }
         }
@@ -571,7 +571,7 @@
     /// Puts bytes on a connection's way out.
     fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
+        conn.output.append(bytes, self.limits.buffer_initial_bytes, usize::MAX);
         self.effects.push(Effect::Write(id));
         self.recount(id);
     }
@@ -633,7 +633,7 @@
 
     fn received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.input.filled(count);
+        conn.input.commit(count);
         let paused = std::mem::take(&mut conn.waited_for_room);
         match &mut conn.peer {
             Peer::Client(client) => {
@@ -661,7 +661,7 @@
         let start = self.limits.buffer_initial_bytes;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.output.consume(count);
-        conn.output.shrink(start);
+        conn.output.shrink_if_empty(start);
         let (done, closing) = (conn.output.is_empty(), conn.closing);
         let mut out_until = None;
         match &mut conn.peer {
@@ -822,7 +822,7 @@
         tracing::info!("stopping: {} clients, {} rpcs", self.clients, self.calls.len());
         self.stopping = Some(now);
         self.leave_peers(now);
-        if self.faulty.is(Faulty::LosesAtStop) {
+        if self.faulty.is(Faulty::DropsRequestsAtStop) {
             self.effects.push(Effect::Exit);
         }
         // One just answered is likely to write again, which would cross the close: it is served, or rests first.
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/calls.rs
@@ -178,21 +178,21 @@
             return;
         }
         state.with_members += kept;
-        let mut rest = from.input.whole();
-        while let Ok(Some((kind, _, length))) = pg::frame(rest, self.limits.member_buffer_bytes) {
+        let mut rest = from.input.make_contiguous();
+        while let Ok(Some((kind, _, length))) = pg::parse_frame(rest, self.limits.member_buffer_bytes) {
             let (frame, later) = rest.split_at(length);
             if matches!(kind, b'T' | b'D' | b'C') {
-                to.output.push(frame, self.limits.buffer_initial_bytes, usize::MAX);
+                to.output.append(frame, self.limits.buffer_initial_bytes, usize::MAX);
             }
             rest = later;
             if kind == b'Z' {
                 break;
             }
         }
-        to.output.push(pg::READY, self.limits.buffer_initial_bytes, usize::MAX);
+        to.output.append(pg::READY, self.limits.buffer_initial_bytes, usize::MAX);
         if self.faulty.is(Faulty::AnswersTwice) {
-            let whole: Vec<u8> = to.output.whole().to_vec();
-            to.output.push(&whole, self.limits.buffer_initial_bytes, usize::MAX);
+            let whole: Vec<u8> = to.output.make_contiguous().to_vec();
+            to.output.append(&whole, self.limits.buffer_initial_bytes, usize::MAX);
         }
         if let Some(peers) = &mut self.peers {
             peers.served(group);
@@ -201,7 +201,7 @@
             own.governor.record_served(
                 now,
                 method,
-                to.output.len() + pg::head(to.input.whole()).map_or(0, length_of),
+                to.output.len() + pg::parse_frame_header(to.input.make_contiguous()).map_or(0, length_of),
             );
         }
         self.effects.push(Effect::Write(client));
@@ -216,7 +216,10 @@
             client.phase = Phase::Idle;
             client.just_answered = true;
         }
-        let length = pg::head(conn.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
+        let length = pg::parse_frame_header(conn.input.make_contiguous())
+            .ok()
+            .flatten()
+            .map_or(0, |(_, length)| length);
         self.used(id, length);
         self.set_deadline(id, None);
         self.again.push(id);
@@ -246,14 +249,14 @@
             // Where it may have had an effect the answer says no more than that, cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
                 self.tally.cancelled += 1;
-                pg::put_refusal(&mut out, "57014", "cancelled at the client's request", None);
+                pg::put_recoverable_error(&mut out, "57014", "cancelled at the client's request", None);
             }
             Decision::Reject { retry_after: come_back } => {
                 self.tally.pushed_back += 1;
                 if let Some(peers) = &mut self.peers {
                     peers.unsent(group);
                 }
-                pg::put_refusal(
+                pg::put_recoverable_error(
                     &mut out,
                     "53300",
                     "pushed back: a further try is harmless",
@@ -262,7 +265,7 @@
             }
             _ => {
                 self.tally.aborted += 1;
-                pg::put_refusal(&mut out, "58000", "aborted: it may have had an effect", None);
+                pg::put_recoverable_error(&mut out, "58000", "aborted: it may have had an effect", None);
             }
         }
         self.write(client, &out);
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -356,19 +356,22 @@
             let mut out = Vec::new();
             let (mut close, mut fault) = (false, None);
             let used = if client.phase == Phase::Opening {
-                match pg::opening(conn.input.whole(), self.limits.startup_message_bytes) {
+                match pg::parse_initial_message(
+                    conn.input.make_contiguous(),
+                    self.limits.startup_message_bytes,
+                ) {
                     Ok(None) => 0,
-                    Ok(Some((pg::Opening::Encryption, length))) => {
+                    Ok(Some((pg::InitialMessage::Encryption, length))) => {
                         out.push(b'N');
                         length
                     }
-                    Ok(Some((pg::Opening::Startup, length))) => {
-                        pg::put_welcome(&mut out, process(id), self.keys.secret(id));
+                    Ok(Some((pg::InitialMessage::Startup, length))) => {
+                        pg::put_startup_reply(&mut out, process(id), self.keys.secret(id));
                         client.phase = Phase::Idle;
                         length
                     }
                     // Told nothing, whatever becomes of it.
-                    Ok(Some((pg::Opening::Cancel(process, secret), _))) => {
+                    Ok(Some((pg::InitialMessage::Cancel(process, secret), _))) => {
                         self.close_client(now, id);
                         return self.cancel(now, process, secret);
                     }
@@ -380,7 +383,7 @@
                 }
             } else {
                 let most = self.limits.statement_bytes;
-                match pg::head(conn.input.whole()) {
+                match pg::parse_frame_header(conn.input.make_contiguous()) {
                     // Told by its head: to pass over all of it would be work for nothing.
                     Ok(Some((_, length))) if length > most => {
                         pg::put_error(&mut out, "FATAL", "54000", "the message is too long", None);
@@ -389,8 +392,8 @@
                     }
                     Ok(Some((_, length))) if conn.input.len() < length => 0,
                     Ok(Some((kind, length))) => {
-                        let body = conn.input.whole().get(5..length).unwrap_or_default();
-                        match (kind, pg::statement(body)) {
+                        let body = conn.input.make_contiguous().get(5..length).unwrap_or_default();
+                        match (kind, pg::parse_query(body)) {
                             (b'X', _) => close = true,
                             (b'S', _) => {
                                 client.until_sync = false;
@@ -398,7 +401,7 @@
                             }
                             _ if client.until_sync => {}
                             (b'Q', Ok(statement)) if statement.trim().trim_end_matches(';').is_empty() => {
-                                pg::put(&mut out, b'I', &[]);
+                                pg::put_frame(&mut out, b'I', &[]);
                                 pg::put_ready(&mut out);
                             }
                             // Guards what SIGKILL would find unanswered: nothing is begun that late.
@@ -475,7 +478,7 @@
     pub(super) fn used(&mut self, id: ConnectionId, count: usize) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.input.consume(count);
-        conn.input.shrink(self.limits.buffer_initial_bytes);
+        conn.input.shrink_if_empty(self.limits.buffer_initial_bytes);
         if let Peer::Client(client) = &mut conn.peer {
             client.is_done_with(count);
             self.unlooked = self.unlooked.saturating_sub(count);
@@ -494,7 +497,10 @@
         let message = self.limits.message_timeout;
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let held = conn.input.len();
-        let length = pg::head(conn.input.whole()).ok().flatten().map_or(0, |(_, length)| length);
+        let length = pg::parse_frame_header(conn.input.make_contiguous())
+            .ok()
+            .flatten()
+            .map_or(0, |(_, length)| length);
         let Peer::Client(client) = &mut conn.peer else { return };
         if client.phase != Phase::Idle || length <= held {
             return self.part_with(id);
@@ -503,7 +509,7 @@
         let since = client.waiting.map_or(now, |(_, since)| since);
         self.used(id, held);
         if let Some(conn) = self.conns.get_mut(&id) {
-            conn.input.shrink(0);
+            conn.input.shrink_if_empty(0);
         }
         self.recount(id);
         self.set_deadline(id, Some(since + message));
@@ -557,8 +563,8 @@
         let idle = if stopping { self.limits.shutdown_accept_time } else { idle };
         // Where memory is short it holds no ring meanwhile.
         if self.rings > self.limits.client_buffers_total_bytes / 4 {
-            conn.input.shrink(0);
-            conn.output.shrink(0);
+            conn.input.shrink_if_empty(0);
+            conn.output.shrink_if_empty(0);
             self.recount(id);
         }
         self.wait_for(id, Some((Waiting::Idle, now)));
@@ -578,69 +584,70 @@
         let surplus = newcomer && self.is_crowded(now);
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Peer::Client(client) = &mut conn.peer else { return };
-        let body = conn.input.whole().get(5..length).unwrap_or_default();
+        let body = conn.input.make_contiguous().get(5..length).unwrap_or_default();
         let (mut fleet_refuses, mut rank) = (false, 0);
-        let read = pg::statement(body).map_err(|_| ("22021", "not text".to_owned())).and_then(|statement| {
-            let comment = pg::comment(statement).map_err(|error| ("42601", error.to_string()))?;
-            let method = *(self.methods)
-                .get(comment.method)
-                .ok_or_else(|| ("22023", format!("unknown method {:?} in c", comment.method)))?;
-            let group = *(self.groups)
-                .get(&comment.group.to_bits())
-                .ok_or_else(|| ("22023", format!("unknown group {} in cluster", comment.group)))?;
-            // An hour is more than any client waits, and within what a clock can add.
-            // Guards against an answer past the client's time after the process stalled.
-            let wait = Span::from_secs_f64(comment.wait_ms.min(3.6e6) / 1e3);
-            // Guards against an answer after its client has left: its time runs from when it sent the statement, also
-            // while that stood behind others. One whose time is over by then is told so at once.
-            let came = client.came_at(now, length);
-            let due = came.map_or(now - self.behind, |(came, _)| came) + wait;
-            let late = self.faulty.is(Faulty::AnswersLate);
-            let due = if late { due + Span::from_millis(1000) } else { due };
-            // One that is ahead of the clock here stays so: it is held against positions, not against the clock.
-            let last_write = comment.after_ms.filter(|&ms| ms > 0.0).map(|ms| now - moment(ms));
-            let resent = comment.resent;
-            let mut arrival = Arrival {
-                method,
-                group,
-                deadline: due,
-                is_client_retry: resent,
-                session: None,
-                last_write_age: last_write,
-                router_overload: None,
-                fleet_overload: None,
-                admission_draw: None,
-            };
-            if let Some(own) = &mut self.own {
-                own.governor.record_statement(now, came.map_or(Span::ZERO, |(_, own)| own), length);
-                let strain = own.governor.overload_state(now, method, &client.spent);
-                arrival.router_overload = Some(strain);
-                let rank = self.router.priority(now, &arrival, &strain);
-                own.governor.record_arrival(now, &strain, rank, &mut client.spent);
-                // Sure to be refused: to look further would be work for nothing.
-                if f64::from(rank + 1) <= strain.admission_threshold {
-                    return Ok((arrival, comment.wait_at, 0));
+        let read =
+            pg::parse_query(body).map_err(|_| ("22021", "not text".to_owned())).and_then(|statement| {
+                let comment = pg::parse_comment(statement).map_err(|error| ("42601", error.to_string()))?;
+                let method = *(self.methods)
+                    .get(comment.method)
+                    .ok_or_else(|| ("22023", format!("unknown method {:?} in c", comment.method)))?;
+                let group = *(self.groups)
+                    .get(&comment.group.to_bits())
+                    .ok_or_else(|| ("22023", format!("unknown group {} in cluster", comment.group)))?;
+                // An hour is more than any client waits, and within what a clock can add.
+                // Guards against an answer past the client's time after the process stalled.
+                let wait = Span::from_secs_f64(comment.wait_ms.min(3.6e6) / 1e3);
+                // Guards against an answer after its client has left: its time runs from when it sent the statement, also
+                // while that stood behind others. One whose time is over by then is told so at once.
+                let came = client.came_at(now, length);
+                let due = came.map_or(now - self.behind, |(came, _)| came) + wait;
+                let late = self.faulty.is(Faulty::AnswersLate);
+                let due = if late { due + Span::from_millis(1000) } else { due };
+                // One that is ahead of the clock here stays so: it is held against positions, not against the clock.
+                let last_write = comment.after_ms.filter(|&ms| ms > 0.0).map(|ms| now - moment(ms));
+                let resent = comment.resent;
+                let mut arrival = Arrival {
+                    method,
+                    group,
+                    deadline: due,
+                    is_client_retry: resent,
+                    session: None,
+                    last_write_age: last_write,
+                    router_overload: None,
+                    fleet_overload: None,
+                    admission_draw: None,
+                };
+                if let Some(own) = &mut self.own {
+                    own.governor.record_statement(now, came.map_or(Span::ZERO, |(_, own)| own), length);
+                    let strain = own.governor.overload_state(now, method, &client.spent);
+                    arrival.router_overload = Some(strain);
+                    let rank = self.router.priority(now, &arrival, &strain);
+                    own.governor.record_arrival(now, &strain, rank, &mut client.spent);
+                    // Sure to be refused: to look further would be work for nothing.
+                    if f64::from(rank + 1) <= strain.admission_threshold {
+                        return Ok((arrival, comment.wait_at, 0));
+                    }
                 }
-            }
-            let (writes, key) = pg::form(comment.head)
-                .ok_or(("42601", "the statement has no form that is served".to_owned()))?;
-            if self.writes.get(method as usize).is_none_or(|&of_method| of_method != writes) {
-                return Err(("42601", "the statement has not the form of its method".to_owned()));
-            }
-            // Guards rule 2: at a member it would be a second copy of the RPC that has this id.
-            let id = self.ids.hash(comment.id);
-            if self.ids.contains(id) {
-                return Err(("23505", "its id is that of another RPC".to_owned()));
-            }
-            if let Some(peers) = &mut self.peers {
-                let session = if self.session_methods { key } else { comment.id };
-                let router = &self.router;
-                (fleet_refuses, rank) =
-                    peers.weigh(now, &mut arrival, session, |a, strain| router.priority(now, a, strain));
-            }
-            arrival.session = Some(key).filter(|_| self.session_methods && !self.carried).map(session);
-            Ok((arrival, comment.wait_at, id))
-        });
+                let (writes, key) = pg::parse_statement_form(comment.head)
+                    .ok_or(("42601", "the statement has no form that is served".to_owned()))?;
+                if self.writes.get(method as usize).is_none_or(|&of_method| of_method != writes) {
+                    return Err(("42601", "the statement has not the form of its method".to_owned()));
+                }
+                // Guards rule 2: at a member it would be a second copy of the RPC that has this id.
+                let id = self.ids.hash(comment.id);
+                if self.ids.contains(id) {
+                    return Err(("23505", "its id is that of another RPC".to_owned()));
+                }
+                if let Some(peers) = &mut self.peers {
+                    let session = if self.session_methods { key } else { comment.id };
+                    let router = &self.router;
+                    (fleet_refuses, rank) =
+                        peers.weigh(now, &mut arrival, session, |a, strain| router.priority(now, a, strain));
+                }
+                arrival.session = Some(key).filter(|_| self.session_methods && !self.carried).map(session);
+                Ok((arrival, comment.wait_at, id))
+            });
         let (arrival, wait_at, name) = match read {
             Ok(read) => read,
             Err((code, text)) => return self.turn_away(now, id, length, code, &text),
@@ -706,7 +713,7 @@
     fn push_back_at_once(&mut self, id: ConnectionId, length: usize, come_back: Span) {
         let mut out = std::mem::take(&mut self.scratch);
         out.clear();
-        pg::put_refusal(&mut out, "53300", OVERLOADED, after(come_back));
+        pg::put_recoverable_error(&mut out, "53300", OVERLOADED, after(come_back));
         self.used(id, length);
         self.write(id, &out);
         self.scratch = out;
@@ -732,7 +739,7 @@
         if fatal {
             pg::put_error(&mut out, "FATAL", code, text, retry_after);
         } else {
-            pg::put_refusal(&mut out, code, text, retry_after);
+            pg::put_recoverable_error(&mut out, code, text, retry_after);
         }
         self.used(id, length);
         self.write(id, &out);
--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -50,7 +50,7 @@
     pub(super) described: bool,
     pub(super) row: bool,
     pub(super) complete: bool,
-    pub(super) refusal: Option<pg::Refusal>,
+    pub(super) refusal: Option<pg::ErrorResponse>,
     pub(super) role: Option<Role>,
     pub(super) position: Option<Time>,
 }
@@ -172,8 +172,8 @@
                 if client.paused {
                     return self.release(now, id, AttemptOutcome::NeverSent);
                 }
-                let frame = pg::frame(client.input.whole(), self.limits.statement_bytes);
-                let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
+                let frame = pg::parse_frame(client.input.make_contiguous(), self.limits.statement_bytes);
+                let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::parse_query(body).ok());
                 let parts = statement
                     .and_then(|text| Some((text.get(..call.wait_at.start)?, text.get(call.wait_at.end..)?)));
                 let Some((before, after)) = parts else {
@@ -187,7 +187,7 @@
         // the connection is used again once the member has answered an empty query with nothing before it. That one
         // goes out together with the query, and is worked on after it.
         let length = query.len();
-        if !self.faulty.is(Faulty::ReusesUnquiet) {
+        if !self.faulty.is(Faulty::ReusesBusyConnections) {
             pg::put_query(&mut query, &[""]);
         }
         self.write(id, &query);
@@ -399,7 +399,7 @@
             let Some(conn) = self.conns.get_mut(&id) else { return };
             let Peer::Member(link) = &mut conn.peer else { return };
             link.heard = now;
-            if self.faulty.is(Faulty::ReusesUnquiet) && link.up && link.job.is_none() {
+            if self.faulty.is(Faulty::ReusesBusyConnections) && link.up && link.job.is_none() {
                 return;
             }
             if conn.input.len() > link.scanned
@@ -411,9 +411,9 @@
                 self.set_deadline(id, Some(until));
                 continue;
             }
-            let bytes = conn.input.whole();
+            let bytes = conn.input.make_contiguous();
             let rest = bytes.get(link.scanned..).unwrap_or_default();
-            let (kind, body, length) = match pg::frame(rest, self.limits.member_buffer_bytes) {
+            let (kind, body, length) = match pg::parse_frame(rest, self.limits.member_buffer_bytes) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return,
                 Err(_) if self.faulty.is(Faulty::TrustsLengths) && link.answer.described => {
@@ -426,10 +426,10 @@
             let working = link.up && link.job.is_some();
             let fence = link.job == Some(Job::Fence);
             let whole = link.answer.is_whole();
-            let torn = self.faulty.is(Faulty::PassesOnTornRows);
+            let torn = self.faulty.is(Faulty::ForwardsTornRows);
             match (kind, working) {
                 (b'N', _) | (b'S', false) => {}
-                (b'S', true) => match pg::parameter(body) {
+                (b'S', true) => match pg::parse_parameter_status(body) {
                     Ok((name, value)) => link.answer.parameter(&name, &value),
                     Err(_) => return self.malformed(now, id),
                 },
@@ -444,7 +444,7 @@
                     continue;
                 }
                 (b'E', _) if link.answer.refusal.is_none() && !fence => {
-                    let Ok(refusal) = pg::refusal(body) else { return self.malformed(now, id) };
+                    let Ok(refusal) = pg::parse_error_response(body) else { return self.malformed(now, id) };
                     let fatal = refusal.fatal;
                     link.answer.refusal = Some(refusal);
                     // Guards against a connection kept with the rest of a query still to be written.
@@ -456,7 +456,10 @@
                 (b'I', true) if fence && link.unwritten == 0 && !whole => link.answer.complete = true,
                 _ if fence && kind != b'Z' => return self.malformed(now, id),
                 (b'T', true)
-                    if link.unwritten == 0 && !whole && !link.answer.described && pg::describes_one(body) =>
+                    if link.unwritten == 0
+                        && !whole
+                        && !link.answer.described
+                        && pg::is_single_column_description(body) =>
                 {
                     link.answer.described = true;
                 }
@@ -464,11 +467,11 @@
                     if link.answer.described
                         && !whole
                         && !link.answer.row
-                        && (matches!(pg::column(body), Ok(Some(_))) || torn) =>
+                        && (matches!(pg::parse_single_column(body), Ok(Some(_))) || torn) =>
                 {
                     link.answer.row = true;
                 }
-                (b'C', true) if link.answer.row && !whole && pg::completes_one(body) => {
+                (b'C', true) if link.answer.row && !whole && pg::is_single_row_completion(body) => {
                     link.answer.complete = true;
                 }
                 (b'Z', true) if whole && matches!(body, b"I" | b"T" | b"E") => {
@@ -541,7 +544,8 @@
             Job::Call(rpc) if ended == AttemptOutcome::Ok => self.pass_on(now, id, rpc),
             Job::Call(_) | Job::Fence => {}
             Job::Probe => {
-                report = read_report(conn.input.whole(), self.limits.member_buffer_bytes, &self.columns);
+                report =
+                    read_report(conn.input.make_contiguous(), self.limits.member_buffer_bytes, &self.columns);
             }
         }
         if self.faulty.is(Faulty::IgnoresLag) {
@@ -549,7 +553,7 @@
         }
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.input.consume(used);
-            conn.input.shrink(self.limits.buffer_initial_bytes);
+            conn.input.shrink_if_empty(self.limits.buffer_initial_bytes);
         }
         self.recount(id);
         let mut outcome = answer.outcome(MemberId(index as u32), ended, took);
@@ -559,7 +563,7 @@
         if job == Job::Fence {
             return self.rest(now, id);
         }
-        match self.faulty.is(Faulty::ReusesUnquiet) {
+        match self.faulty.is(Faulty::ReusesBusyConnections) {
             true => self.rest(now, id),
             false => self.give(now, id, Job::Fence, now + self.limits.partial_answer_timeout),
         }
@@ -644,11 +648,13 @@
 
 /// The load report in the row of an answer; none where it is not of the columns it should have, or can't be so.
 fn read_report(mut bytes: &[u8], most: usize, columns: &[String]) -> LoadReport {
-    while let Ok(Some((kind, body, length))) = pg::frame(bytes, most) {
-        if let (b'D', Ok(Some(value))) = (kind, pg::column(body)) {
+    while let Ok(Some((kind, body, length))) = pg::parse_frame(bytes, most) {
+        if let (b'D', Ok(Some(value))) = (kind, pg::parse_single_column(body)) {
             let text = String::from_utf8_lossy(value);
             tracing::debug!("report {text}");
-            return pg::report(&text).and_then(|pairs| of_columns(&pairs, columns)).unwrap_or_default();
+            return pg::parse_load_report(&text)
+                .and_then(|pairs| of_columns(&pairs, columns))
+                .unwrap_or_default();
         }
         bytes = bytes.get(length..).unwrap_or_default();
     }
--- a/crates/ladderpass/src/reducer/peers.rs
+++ b/crates/ladderpass/src/reducer/peers.rs
@@ -49,7 +49,7 @@
             );
         }
         let own = Me { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
-        let settings = Settings { faulty: launch.faulty.of_membership(), ..Settings::default() };
+        let settings = Settings { faulty: launch.faulty.membership(), ..Settings::default() };
         // Another chance than the core's, for routers with one seed: they must not draw the same order.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
         let membership = Membership::start(now, seed, own, &peers.listed, &peers.networks, settings);
@@ -59,10 +59,10 @@
             settled_at: now + SETTLES,
             listed: peers.listed.iter().filter(|&&address| address != peers.address).count() + 1,
             concert: (launch.operator.shared_admission).then(|| {
-                AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert())
+                AdmissionController::start(now, router_hash(peers.address), launch.faulty.admission())
             }),
             budgets: (launch.operator.shared_retry_budget)
-                .then(|| RetryBudget::start(now, launch.faulty.of_budgets())),
+                .then(|| RetryBudget::start(now, launch.faulty.retry_budget())),
             cells: Vec::new(),
             refused: 0,
             figures_at: now,
--- a/crates/ladderpass/src/reducer/watch.rs
+++ b/crates/ladderpass/src/reducer/watch.rs
@@ -32,11 +32,11 @@
     }
 
     pub(super) fn has_answered(&self, id: ConnectionId) -> bool {
-        matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.has_read())
+        matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.has_read_listing())
     }
 
     fn is_within(&self, id: ConnectionId) -> bool {
-        matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.is_within())
+        matches!(self.conns.get(&id).map(|conn| &conn.peer), Some(Peer::Discovery(reader)) if reader.is_within_object())
     }
 
     pub(super) fn ask_list(&mut self, now: Time) {
@@ -46,7 +46,7 @@
         let id = self.next_id();
         self.watch = Some(id);
         self.asked_at = now;
-        self.open(id, Some(now + self.limits.watch_answer_timeout), Peer::Discovery(Reader::default()));
+        self.open(id, Some(now + self.limits.watch_answer_timeout), Peer::Discovery(WatchReader::default()));
         self.effects.push(Effect::Connect(id, self.discovery));
     }
 
@@ -56,7 +56,7 @@
         loop {
             let Some(conn) = self.conns.get_mut(&id) else { return };
             let Peer::Discovery(reader) = &mut conn.peer else { return };
-            match reader.next(&mut conn.input, self.limits.discovery_line_bytes) {
+            match reader.read_listing(&mut conn.input, self.limits.discovery_line_bytes) {
                 // A late call keeps the time that it has left.
                 Ok(None) if self.late_watch == Some(id) => return,
                 // Guards against a call that is answered with a head, or the beginning of a list, and no more: it may
@@ -192,8 +192,8 @@
                     index
                 }
                 // One that goes needs no address, and one that is not known needs not go.
-                (Some(index), Err(_)) if instance.standing() == EndpointState::Removed => index,
-                (None, _) if instance.standing() == EndpointState::Removed => continue,
+                (Some(index), Err(_)) if instance.state() == EndpointState::Removed => index,
+                (None, _) if instance.state() == EndpointState::Removed => continue,
                 (None, Ok(address)) => {
                     let index = self.names.intern(&instance.instance_id);
                     let (idle, coming) = (Vec::new(), VecDeque::new());
@@ -210,13 +210,13 @@
                 member: MemberId(index),
                 group: group_index(&mut self.groups, instance.cell),
                 primary: instance.is_primary(),
-                state: match instance.standing() {
+                state: match instance.state() {
                     EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
                     standing => standing,
                 },
                 // By the clock here; none starts in the future.
                 started_at: instance
-                    .born()
+                    .started_at()
                     .map(|born| now.min(born - self.reference_clock.confirmed()))
                     .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
                 machine_kind: self.kinds.intern(&instance.machine_type),
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -490,31 +490,31 @@
             let count = usize::from(byte >> 2);
             match byte % 4 {
                 0 => {
-                    let room = ring.spare(16, 128);
+                    let room = ring.free_space(16, 128);
                     let count = count.min(room.len());
                     room[..count].iter_mut().for_each(|slot| {
                         next = next.wrapping_add(1);
                         *slot = next;
                         model.push_back(next);
                     });
-                    ring.filled(count);
+                    ring.commit(count);
                 }
                 1 => {
                     let bytes: Vec<u8> = (0..count).map(|n| n as u8).collect();
                     let fits = model.len() + count <= 128;
-                    assert_eq!(ring.push(&bytes, 16, 128), fits);
+                    assert_eq!(ring.append(&bytes, 16, 128), fits);
                     model.extend(bytes.iter().filter(|_| fits));
                 }
                 2 => {
                     ring.consume(count);
                     model.drain(..count.min(model.len()));
-                    ring.shrink(16);
+                    ring.shrink_if_empty(16);
                 }
-                _ => assert!(ring.whole().iter().eq(model.iter())),
+                _ => assert!(ring.make_contiguous().iter().eq(model.iter())),
             }
             assert_eq!(ring.len(), model.len());
             assert!(ring.capacity() <= 128);
-            assert!(ring.front().iter().eq(model.iter().take(ring.front().len())));
+            assert!(ring.first_slice().iter().eq(model.iter().take(ring.first_slice().len())));
         }
         true
     }
@@ -533,13 +533,18 @@
         }
         for from in 0..bytes.len() {
             let rest = &bytes[from..];
-            let _ = (pg::opening(rest, 10_000), pg::refusal(rest), pg::column(rest), pg::parameter(rest));
-            if let Ok(Some((_, _, length))) = pg::frame(rest, 1000) {
-                assert!(!matches!(pg::frame(&rest[..length - 1], 1000), Ok(Some(_))));
+            let _ = (
+                pg::parse_initial_message(rest, 10_000),
+                pg::parse_error_response(rest),
+                pg::parse_single_column(rest),
+                pg::parse_parameter_status(rest),
+            );
+            if let Ok(Some((_, _, length))) = pg::parse_frame(rest, 1000) {
+                assert!(!matches!(pg::parse_frame(&rest[..length - 1], 1000), Ok(Some(_))));
             }
             let text = String::from_utf8_lossy(rest);
-            let _ = pg::report(&text);
-            if let Ok(comment) = pg::comment(&text) {
+            let _ = pg::parse_load_report(&text);
+            if let Ok(comment) = pg::parse_comment(&text) {
                 assert_eq!(text[comment.wait_at].parse::<f64>().ok(), Some(comment.wait_ms));
             }
         }
@@ -566,10 +571,10 @@
             rest = &rest[size..];
         }
         let read = |answer: &[u8], whole: bool| {
-            let (mut reader, mut ring, mut found) = (discovery::Reader::default(), Buffer::default(), 0);
+            let (mut reader, mut ring, mut found) = (discovery::WatchReader::default(), Buffer::default(), 0);
             for byte in answer {
-                assert!(ring.push(&[*byte], 64, 4096));
-                while let Some(listing) = reader.next(&mut ring, 1000).ok()? {
+                assert!(ring.append(&[*byte], 64, 4096));
+                while let Some(listing) = reader.read_listing(&mut ring, 1000).ok()? {
                     assert!(listing.generation == found || !whole);
                     found += 1;
                 }
