--- a/crates/ladderpass/src/pg.rs
+++ b/crates/ladderpass/src/pg.rs
@@ -11,15 +11,15 @@
 mod statement_form;
 
 pub use error_response::{ErrorResponse, parse_error_response, put_error, put_recoverable_error};
-pub use frame::{Frame, READY, parse_frame, parse_frame_header, put_frame, put_ready};
+pub use frame::{Frame, FrameHeader, READY, parse_frame, parse_frame_header, put_frame, put_ready};
 pub use load_report::parse_load_report;
 pub use query::{
-    is_single_column_description, is_single_row_completion, parse_parameter_status, parse_query,
-    parse_single_column, put_query,
+    ParameterStatus, is_single_column_description, is_single_row_completion, parse_parameter_status,
+    parse_query, parse_single_column, put_query,
 };
-pub use startup::{InitialMessage, parse_initial_message, put_startup, put_startup_reply};
+pub use startup::{InitialFrame, InitialMessage, parse_initial_message, put_startup, put_startup_reply};
 pub use statement_comment::{CommentError, StatementComment, parse_comment};
-pub use statement_form::parse_statement_form;
+pub use statement_form::{StatementForm, parse_statement_form};
 
 use thiserror::Error;
 
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -5,15 +5,35 @@
 /// A ReadyForQuery message outside of any transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
 
-/// A frame: its type, its body, and how many bytes it takes.
-pub type Frame<'a> = (u8, &'a [u8], usize);
+/// The type byte and the length.
+const HEADER_BYTES: usize = 5;
+
+/// The first five bytes of a frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FrameHeader {
+    /// The type byte.
+    pub kind: u8,
+    /// How many bytes the frame takes, the type byte included.
+    pub length: usize,
+}
+
+/// A whole frame.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Frame<'a> {
+    /// The type byte.
+    pub kind: u8,
+    /// What follows type and length.
+    pub body: &'a [u8],
+    /// How many bytes the frame takes, the type byte included.
+    pub length: usize,
+}
 
 /// The type and whole length of the frame that begins here, by its first five bytes alone; None until they are there.
 ///
 /// # Errors
 ///
 /// These bytes begin no frame.
-pub fn parse_frame_header(bytes: &[u8]) -> Result<Option<(u8, usize)>, Malformed> {
+pub fn parse_frame_header(bytes: &[u8]) -> Result<Option<FrameHeader>, Malformed> {
     let (Some(&kind), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
         return Ok(None);
     };
@@ -21,7 +41,7 @@
     if length < 4 || length > i32::MAX as u32 || !kind.is_ascii_alphabetic() {
         return Err(Malformed);
     }
-    Ok(Some((kind, length as usize + 1)))
+    Ok(Some(FrameHeader { kind, length: length as usize + 1 }))
 }
 
 /// The frame that begins here; None until all of it is there.
@@ -31,8 +51,10 @@
 /// These bytes begin no frame, or one of more than `max_bytes`.
 pub fn parse_frame(bytes: &[u8], max_bytes: usize) -> Result<Option<Frame<'_>>, Malformed> {
     match parse_frame_header(bytes)? {
-        Some((_, length)) if length > max_bytes => Err(Malformed),
-        Some((kind, length)) => Ok(bytes.get(5..length).map(|body| (kind, body, length))),
+        Some(FrameHeader { length, .. }) if length > max_bytes => Err(Malformed),
+        Some(FrameHeader { kind, length }) => {
+            Ok(bytes.get(HEADER_BYTES..length).map(|body| Frame { kind, body, length }))
+        }
         None => Ok(None),
     }
 }
--- a/crates/ladderpass/src/pg/query.rs
+++ b/crates/ladderpass/src/pg/query.rs
@@ -22,15 +22,26 @@
     put_frame(out, b'Q', &parts);
 }
 
-/// Name and value of a ParameterStatus message.
+/// A setting of a member's connection.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ParameterStatus<'a> {
+    /// Its name.
+    pub name: Cow<'a, str>,
+    /// Its value.
+    pub value: Cow<'a, str>,
+}
+
+/// Reads a ParameterStatus message.
 ///
 /// # Errors
 ///
 /// The body is not two texts, each ended by a zero.
-pub fn parse_parameter_status(body: &[u8]) -> Result<(Cow<'_, str>, Cow<'_, str>), Malformed> {
+pub fn parse_parameter_status(body: &[u8]) -> Result<ParameterStatus<'_>, Malformed> {
     let (name, rest) = split_text(body)?;
     match split_text(rest)? {
-        (value, []) => Ok((String::from_utf8_lossy(name), String::from_utf8_lossy(value))),
+        (value, []) => {
+            Ok(ParameterStatus { name: String::from_utf8_lossy(name), value: String::from_utf8_lossy(value) })
+        }
         _ => Err(Malformed),
     }
 }
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -15,8 +15,22 @@
     Startup,
     /// TLS or GSS encryption; the answer is one byte, no.
     Encryption,
-    /// To cancel the statement of the connection with this process id and secret key.
-    Cancel(u32, u32),
+    /// To cancel the statement of another connection.
+    Cancel {
+        /// The process id that the other connection was given.
+        process: u32,
+        /// The secret key that it was given.
+        secret: u32,
+    },
+}
+
+/// An initial message, and how many bytes it takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InitialFrame {
+    /// What it asks for.
+    pub message: InitialMessage,
+    /// How many bytes it takes.
+    pub length: usize,
 }
 
 /// The first message and its length; None until all of it is there.
@@ -24,27 +38,24 @@
 /// # Errors
 ///
 /// These bytes begin no such message, or one of more than `max_bytes`.
-pub fn parse_initial_message(
-    bytes: &[u8],
-    max_bytes: usize,
-) -> Result<Option<(InitialMessage, usize)>, Malformed> {
+pub fn parse_initial_message(bytes: &[u8], max_bytes: usize) -> Result<Option<InitialFrame>, Malformed> {
     let Some(length) = read_u32(bytes) else { return Ok(None) };
     let length = length as usize;
     if length < 8 || length > max_bytes {
         return Err(Malformed);
     }
-    let Some(message) = bytes.get(..length) else { return Ok(None) };
-    let message_kind = match message.get(4..).and_then(read_u32) {
+    let Some(whole) = bytes.get(..length) else { return Ok(None) };
+    let message = match whole.get(4..).and_then(read_u32) {
         Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => InitialMessage::Encryption,
         Some(CANCEL_REQUEST) if length == 16 => {
-            let number = |from| message.get(from..).and_then(read_u32).ok_or(Malformed);
-            InitialMessage::Cancel(number(8)?, number(12)?)
+            let number = |from| whole.get(from..).and_then(read_u32).ok_or(Malformed);
+            InitialMessage::Cancel { process: number(8)?, secret: number(12)? }
         }
         // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
-        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message.ends_with(&[0]) => InitialMessage::Startup,
+        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && whole.ends_with(&[0]) => InitialMessage::Startup,
         _ => return Err(Malformed),
     };
-    Ok(Some((message_kind, length)))
+    Ok(Some(InitialFrame { message, length }))
 }
 
 /// Appends the answer to a client's startup: no password asked, parameters, the key for cancel requests, ready.
--- a/crates/ladderpass/src/pg/statement_form.rs
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -7,8 +7,17 @@
 const INSERT: [&str; 16] =
     ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
 
-/// Whether the statement writes, and its key without the quotes; None where it has neither form.
-pub fn parse_statement_form(statement: &str) -> Option<(bool, &str)> {
+/// What the form of a statement shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StatementForm<'a> {
+    /// It is an INSERT.
+    pub writes: bool,
+    /// The key, without the quotes around it.
+    pub key: &'a str,
+}
+
+/// The form of a statement; None where it has neither.
+pub fn parse_statement_form(statement: &str) -> Option<StatementForm<'_>> {
     let mut rest = statement;
     let writes = statement.trim_start().starts_with(['I', 'i']);
     let mut quoted = Vec::new();
@@ -26,7 +35,8 @@
         let digits = value.strip_prefix("\\x").unwrap_or("-");
         digits.len() % 2 == 0 && digits.bytes().all(|byte| byte.is_ascii_hexdigit())
     });
-    (value_is_hex && rest.trim().is_empty()).then_some((writes, *quoted.first()?))
+    let key = *quoted.first()?;
+    (value_is_hex && rest.trim().is_empty()).then_some(StatementForm { writes, key })
 }
 
 /// Takes a word, a quoted text with its quotes, or a single sign off the front.
--- a/crates/ladderpass/src/reducer/calls.rs
+++ b/crates/ladderpass/src/reducer/calls.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-fn length_of(head: Option<(u8, usize)>) -> usize {
-    head.map_or(0, |(_, length)| length)
+fn length_of(head: Option<pg::FrameHeader>) -> usize {
+    head.map_or(0, |header| header.length)
 }
 
 /// An RPC that was taken and is unanswered, or has a call-out out.
@@ -179,7 +179,9 @@
         }
         state.with_members += kept;
         let mut rest = from.input.make_contiguous();
-        while let Ok(Some((kind, _, length))) = pg::parse_frame(rest, self.limits.member_buffer_bytes) {
+        while let Ok(Some(pg::Frame { kind, length, .. })) =
+            pg::parse_frame(rest, self.limits.member_buffer_bytes)
+        {
             let (frame, later) = rest.split_at(length);
             if matches!(kind, b'T' | b'D' | b'C') {
                 to.output.append(frame, self.limits.buffer_initial_bytes, usize::MAX);
@@ -219,7 +221,7 @@
         let length = pg::parse_frame_header(conn.input.make_contiguous())
             .ok()
             .flatten()
-            .map_or(0, |(_, length)| length);
+            .map_or(0, |header| header.length);
         self.used(id, length);
         self.set_deadline(id, None);
         self.again.push(id);
--- a/crates/ladderpass/src/reducer/clients.rs
+++ b/crates/ladderpass/src/reducer/clients.rs
@@ -361,17 +361,20 @@
                     self.limits.startup_message_bytes,
                 ) {
                     Ok(None) => 0,
-                    Ok(Some((pg::InitialMessage::Encryption, length))) => {
+                    Ok(Some(pg::InitialFrame { message: pg::InitialMessage::Encryption, length })) => {
                         out.push(b'N');
                         length
                     }
-                    Ok(Some((pg::InitialMessage::Startup, length))) => {
+                    Ok(Some(pg::InitialFrame { message: pg::InitialMessage::Startup, length })) => {
                         pg::put_startup_reply(&mut out, process(id), self.keys.secret(id));
                         client.phase = Phase::Idle;
                         length
                     }
                     // Told nothing, whatever becomes of it.
-                    Ok(Some((pg::InitialMessage::Cancel(process, secret), _))) => {
+                    Ok(Some(pg::InitialFrame {
+                        message: pg::InitialMessage::Cancel { process, secret },
+                        ..
+                    })) => {
                         self.close_client(now, id);
                         return self.cancel(now, process, secret);
                     }
@@ -385,13 +388,13 @@
                 let most = self.limits.statement_bytes;
                 match pg::parse_frame_header(conn.input.make_contiguous()) {
                     // Told by its head: to pass over all of it would be work for nothing.
-                    Ok(Some((_, length))) if length > most => {
+                    Ok(Some(pg::FrameHeader { length, .. })) if length > most => {
                         pg::put_error(&mut out, "FATAL", "54000", "the message is too long", None);
                         close = true;
                         conn.input.len()
                     }
-                    Ok(Some((_, length))) if conn.input.len() < length => 0,
-                    Ok(Some((kind, length))) => {
+                    Ok(Some(pg::FrameHeader { length, .. })) if conn.input.len() < length => 0,
+                    Ok(Some(pg::FrameHeader { kind, length })) => {
                         let body = conn.input.make_contiguous().get(5..length).unwrap_or_default();
                         match (kind, pg::parse_query(body)) {
                             (b'X', _) => close = true,
@@ -500,7 +503,7 @@
         let length = pg::parse_frame_header(conn.input.make_contiguous())
             .ok()
             .flatten()
-            .map_or(0, |(_, length)| length);
+            .map_or(0, |header| header.length);
         let Peer::Client(client) = &mut conn.peer else { return };
         if client.phase != Phase::Idle || length <= held {
             return self.part_with(id);
@@ -629,7 +632,7 @@
                         return Ok((arrival, comment.wait_at, 0));
                     }
                 }
-                let (writes, key) = pg::parse_statement_form(comment.head)
+                let pg::StatementForm { writes, key } = pg::parse_statement_form(comment.head)
                     .ok_or(("42601", "the statement has no form that is served".to_owned()))?;
                 if self.writes.get(method as usize).is_none_or(|&of_method| of_method != writes) {
                     return Err(("42601", "the statement has not the form of its method".to_owned()));
--- a/crates/ladderpass/src/reducer/members.rs
+++ b/crates/ladderpass/src/reducer/members.rs
@@ -173,7 +173,7 @@
                     return self.release(now, id, AttemptOutcome::NeverSent);
                 }
                 let frame = pg::parse_frame(client.input.make_contiguous(), self.limits.statement_bytes);
-                let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::parse_query(body).ok());
+                let statement = frame.ok().flatten().and_then(|frame| pg::parse_query(frame.body).ok());
                 let parts = statement
                     .and_then(|text| Some((text.get(..call.wait_at.start)?, text.get(call.wait_at.end..)?)));
                 let Some((before, after)) = parts else {
@@ -413,16 +413,17 @@
             }
             let bytes = conn.input.make_contiguous();
             let rest = bytes.get(link.scanned..).unwrap_or_default();
-            let (kind, body, length) = match pg::parse_frame(rest, self.limits.member_buffer_bytes) {
-                Ok(Some(frame)) => frame,
-                Ok(None) => return,
-                Err(_) if self.faulty.is(Faulty::TrustsLengths) && link.answer.described => {
-                    (link.answer.row, link.answer.complete) = (true, true);
-                    link.scanned = conn.input.len();
-                    return self.answer_whole(now, id);
-                }
-                Err(_) => return self.malformed(now, id),
-            };
+            let pg::Frame { kind, body, length } =
+                match pg::parse_frame(rest, self.limits.member_buffer_bytes) {
+                    Ok(Some(frame)) => frame,
+                    Ok(None) => return,
+                    Err(_) if self.faulty.is(Faulty::TrustsLengths) && link.answer.described => {
+                        (link.answer.row, link.answer.complete) = (true, true);
+                        link.scanned = conn.input.len();
+                        return self.answer_whole(now, id);
+                    }
+                    Err(_) => return self.malformed(now, id),
+                };
             let working = link.up && link.job.is_some();
             let fence = link.job == Some(Job::Fence);
             let whole = link.answer.is_whole();
@@ -430,7 +431,7 @@
             match (kind, working) {
                 (b'N', _) | (b'S', false) => {}
                 (b'S', true) => match pg::parse_parameter_status(body) {
-                    Ok((name, value)) => link.answer.parameter(&name, &value),
+                    Ok(status) => link.answer.parameter(&status.name, &status.value),
                     Err(_) => return self.malformed(now, id),
                 },
                 (b'R', false) if !link.up && body == [0; 4] => {}
@@ -648,7 +649,7 @@
 
 /// The load report in the row of an answer; none where it is not of the columns it should have, or can't be so.
 fn read_report(mut bytes: &[u8], most: usize, columns: &[String]) -> LoadReport {
-    while let Ok(Some((kind, body, length))) = pg::parse_frame(bytes, most) {
+    while let Ok(Some(pg::Frame { kind, body, length })) = pg::parse_frame(bytes, most) {
         if let (b'D', Ok(Some(value))) = (kind, pg::parse_single_column(body)) {
             let text = String::from_utf8_lossy(value);
             tracing::debug!("report {text}");
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -539,7 +539,7 @@
                 pg::parse_single_column(rest),
                 pg::parse_parameter_status(rest),
             );
-            if let Ok(Some((_, _, length))) = pg::parse_frame(rest, 1000) {
+            if let Ok(Some(pg::Frame { length, .. })) = pg::parse_frame(rest, 1000) {
                 assert!(!matches!(pg::parse_frame(&rest[..length - 1], 1000), Ok(Some(_))));
             }
             let text = String::from_utf8_lossy(rest);
