--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -12,8 +12,8 @@
 pub use errors::{AddressError, ConfigFileError, LaunchError, LaunchErrors};
 
 use crate::discovery::Listing;
-use crate::failures::passes_at_start;
 use crate::faulty::Faulty;
+use crate::io_errors::is_transient_at_start;
 use crate::limits::Limits;
 use environment::{CONFIG_PATH, Environment, FaultInjection, LISTEN_ADDRESS, ROUTER_NAME};
 use file::{ConfigFile, parse_config_file};
@@ -99,7 +99,7 @@
         let give_up_at = Instant::now() + START_RETRY_TIMEOUT;
         let config_path = variable(CONFIG_PATH);
         for path in [config_path.as_deref().map(Path::new), operator_path].into_iter().flatten() {
-            while std::fs::read(path).is_err_and(|error| passes_at_start(&error))
+            while std::fs::read(path).is_err_and(|error| is_transient_at_start(&error))
                 && Instant::now() < give_up_at
             {
                 std::thread::sleep(START_RETRY_INTERVAL);
--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -49,7 +49,7 @@
         errors: &mut LaunchErrors,
     ) -> FaultInjection {
         let faulty = Faulty::read(variable("LADDERPASS_FAULTY"));
-        let clock_offset = faulty::clock(variable("LADDERPASS_CLOCK_MS"));
+        let clock_offset = faulty::clock_offset(variable("LADDERPASS_CLOCK_MS"));
         FaultInjection {
             faulty: errors.ok_or_push(faulty.map_err(LaunchError::FaultInjection)),
             clock_offset: errors.ok_or_push(clock_offset.map_err(LaunchError::FaultInjection)),
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -1,6 +1,7 @@
 //! Errors of the configuration that a router starts with. Each prints as one line with the variable or the file, the key
 //! and what is allowed.
 
+use crate::faulty::FaultyError;
 use ladderpass_config::operator::OperatorFileError;
 use ladderpass_config::{ErrorList, JsonError, SettingsError};
 use std::fmt::Display;
@@ -53,7 +54,7 @@
     },
     /// A variable of builds for fault injection, with its name.
     #[error("{0}")]
-    FaultInjection(String),
+    FaultInjection(#[from] FaultyError),
 }
 
 /// One thing that is wrong with the file that `RELAY_CONFIG` names.
--- /dev/null
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -0,0 +1,84 @@
+//! The first message on a connection, which has no type byte, and what answers it.
+
+use super::frame::{put_frame, put_ready};
+use super::{Malformed, read_u32};
+
+const PROTOCOL_3_0: u32 = 3 << 16;
+const CANCEL_REQUEST: u32 = 80_877_102;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSSENC_REQUEST: u32 = 80_877_104;
+
+/// What the first message asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum InitialMessage {
+    /// A session.
+    Startup,
+    /// TLS or GSS encryption; the answer is one byte, no.
+    Encryption,
+    /// To cancel the statement of another connection.
+    Cancel {
+        /// The process id that the other connection was given.
+        process: u32,
+        /// The secret key that it was given.
+        secret: u32,
+    },
+}
+
+/// An initial message, and how many bytes it takes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct InitialFrame {
+    /// What it asks for.
+    pub message: InitialMessage,
+    /// How many bytes it takes.
+    pub length: usize,
+}
+
+/// The first message and its length; None until all of it is there.
+///
+/// # Errors
+///
+/// These bytes begin no such message, or one of more than `max_bytes`.
+pub fn parse_initial_message(bytes: &[u8], max_bytes: usize) -> Result<Option<InitialFrame>, Malformed> {
+    let Some(length) = read_u32(bytes) else { return Ok(None) };
+    let length = length as usize;
+    if length < 8 || length > max_bytes {
+        return Err(Malformed);
+    }
+    let Some(whole) = bytes.get(..length) else { return Ok(None) };
+    let message = match whole.get(4..).and_then(read_u32) {
+        Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => InitialMessage::Encryption,
+        Some(CANCEL_REQUEST) if length == 16 => {
+            let number = |from| whole.get(from..).and_then(read_u32).ok_or(Malformed);
+            InitialMessage::Cancel { process: number(8)?, secret: number(12)? }
+        }
+        // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
+        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && whole.ends_with(&[0]) => InitialMessage::Startup,
+        _ => return Err(Malformed),
+    };
+    Ok(Some(InitialFrame { message, length }))
+}
+
+/// Appends the answer to a client's startup: no password asked, parameters, the key for cancel requests, ready.
+pub fn put_startup_reply(out: &mut Vec<u8>, process: u32, secret: u32) {
+    put_frame(out, b'R', &[&[0; 4]]);
+    for (name, value) in [
+        ("server_version", "16.0"),
+        ("server_encoding", "UTF8"),
+        ("client_encoding", "UTF8"),
+        ("DateStyle", "ISO, MDY"),
+        ("integer_datetimes", "on"),
+        ("standard_conforming_strings", "on"),
+    ] {
+        put_frame(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+    }
+    put_frame(out, b'K', &[&process.to_be_bytes(), &secret.to_be_bytes()]);
+    put_ready(out);
+}
+
+/// Appends the startup message that a router sends to a member.
+pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
+    let body = format!("user\0{user}\0database\0{database}\0\0");
+    out.extend_from_slice(&(8 + body.len() as u32).to_be_bytes());
+    out.extend_from_slice(&PROTOCOL_3_0.to_be_bytes());
+    out.extend_from_slice(body.as_bytes());
+}
--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -109,9 +109,10 @@
         else {
             return Err(StatementError::new("08003", "the connection has ended"));
         };
-        let body = input.whole().get(5..length).unwrap_or_default();
-        let text = pg::statement(body).map_err(|_| StatementError::new("22021", "not text"))?;
-        let comment = pg::comment(text).map_err(|text| StatementError::new("42601", text))?;
+        let body = input.make_contiguous().get(5..length).unwrap_or_default();
+        let text = pg::parse_query(body).map_err(|_| StatementError::new("22021", "not text"))?;
+        let comment =
+            pg::parse_comment(text).map_err(|error| StatementError::new("42601", error.to_string()))?;
         let method = self.methods.index(comment.method).ok_or_else(|| {
             StatementError::new("22023", format!("unknown method {:?} in c", comment.method))
         })?;
@@ -131,7 +132,7 @@
             let wait_at = comment.wait_at;
             return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
         }
-        let (is_write, key) = pg::form(comment.head)
+        let pg::StatementForm { writes: is_write, key } = pg::parse_statement_form(comment.head)
             .ok_or_else(|| StatementError::new("42601", "the statement has no form that is served"))?;
         if self.methods.is_write(method) != Some(is_write) {
             return Err(StatementError::new("42601", "the statement has not the form of its method"));
@@ -154,7 +155,13 @@
     }
 }
 
-fn arrival_of(now: Time, method: u32, group: u32, deadline: Time, comment: &pg::Comment<'_>) -> Arrival {
+fn arrival_of(
+    now: Time,
+    method: u32,
+    group: u32,
+    deadline: Time,
+    comment: &pg::StatementComment<'_>,
+) -> Arrival {
     // A write ahead of the clock here stays ahead: it is compared with positions, not with the clock.
     let last_write_ms = comment.after_ms.filter(|&ms| ms > 0.0);
     Arrival {
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -167,7 +167,7 @@
     pub(super) fn consume_input(&mut self, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.consume(count);
-        connection.input.shrink(self.limits.buffer_initial_bytes);
+        connection.input.shrink_if_empty(self.limits.buffer_initial_bytes);
         if let Remote::Client(client) = &mut connection.remote {
             client.arrivals.consume(count);
             self.clients.subtract_unread_bytes(count);
@@ -194,7 +194,7 @@
         let since = client.awaited.map_or(now, |(_, since)| since);
         self.consume_input(id, received);
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.input.shrink(0);
+            connection.input.shrink_if_empty(0);
         }
         self.update_buffer_bytes(id);
         self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
@@ -241,8 +241,8 @@
         };
         if self.connections.buffer_bytes() > self.limits.client_buffers_total_bytes / 4 {
             if let Some(connection) = self.connections.get_mut(id) {
-                connection.input.shrink(0);
-                connection.output.shrink(0);
+                connection.input.shrink_if_empty(0);
+                connection.output.shrink_if_empty(0);
             }
             self.update_buffer_bytes(id);
         }
@@ -278,18 +278,21 @@
 
 fn parse_startup(input: &mut Buffer, client: &mut Client, key: CancelKey, max_bytes: usize) -> ClientMessage {
     let mut answer = Vec::new();
-    let length = match pg::opening(input.whole(), max_bytes) {
+    let length = match pg::parse_initial_message(input.make_contiguous(), max_bytes) {
         Ok(None) => return ClientMessage::Incomplete,
-        Ok(Some((pg::Opening::Encryption, length))) => {
+        Ok(Some(pg::InitialFrame { message: pg::InitialMessage::Encryption, length })) => {
             answer.push(b'N');
             length
         }
-        Ok(Some((pg::Opening::Startup, length))) => {
-            pg::put_welcome(&mut answer, key.process_id, key.secret);
+        Ok(Some(pg::InitialFrame { message: pg::InitialMessage::Startup, length })) => {
+            pg::put_startup_reply(&mut answer, key.process_id, key.secret);
             client.phase = ClientPhase::Idle;
             length
         }
-        Ok(Some((pg::Opening::Cancel(process_id, secret), _))) => {
+        Ok(Some(pg::InitialFrame {
+            message: pg::InitialMessage::Cancel { process: process_id, secret },
+            ..
+        })) => {
             return ClientMessage::Cancel(CancelKey { process_id, secret });
         }
         Err(_) => return ClientMessage::fatal(input.len(), "08P01", "malformed startup"),
@@ -298,16 +301,16 @@
 }
 
 fn parse_message(input: &mut Buffer, client: &mut Client, max_bytes: usize) -> ClientMessage {
-    match pg::head(input.whole()) {
+    match pg::parse_frame_header(input.make_contiguous()) {
         Ok(None) => ClientMessage::Incomplete,
         Err(_) => ClientMessage::fatal(input.len(), "08P01", "malformed message"),
         // Its head is enough: to receive all of it would be work for nothing.
-        Ok(Some((_, length))) if length > max_bytes => {
+        Ok(Some(pg::FrameHeader { length, .. })) if length > max_bytes => {
             ClientMessage::fatal(input.len(), "54000", "the message is too long")
         }
-        Ok(Some((_, length))) if input.len() < length => ClientMessage::Incomplete,
-        Ok(Some((kind, length))) => {
-            let body = input.whole().get(5..length).unwrap_or_default();
+        Ok(Some(pg::FrameHeader { length, .. })) if input.len() < length => ClientMessage::Incomplete,
+        Ok(Some(pg::FrameHeader { kind, length })) => {
+            let body = input.make_contiguous().get(5..length).unwrap_or_default();
             handle_message(client, kind, body, length)
         }
     }
@@ -316,7 +319,7 @@
 /// Handles a whole message after startup; only simple queries are served.
 fn handle_message(client: &mut Client, kind: u8, body: &[u8], length: usize) -> ClientMessage {
     let mut answer = Vec::new();
-    match (kind, pg::statement(body)) {
+    match (kind, pg::parse_query(body)) {
         (b'X', _) => return ClientMessage::Answered { length, answer, close: true },
         (b'S', _) => {
             client.ignores_until_sync = false;
@@ -324,7 +327,7 @@
         }
         _ if client.ignores_until_sync => {}
         (b'Q', Ok(statement)) if statement.trim().trim_end_matches(';').is_empty() => {
-            pg::put(&mut answer, b'I', &[]);
+            pg::put_frame(&mut answer, b'I', &[]);
             pg::put_ready(&mut answer);
         }
         (b'Q', Ok(_)) => return ClientMessage::Statement { length },
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/connection_events.rs
@@ -25,7 +25,7 @@
         };
         let initial_bytes = limits.buffer_initial_bytes;
         connection.read_paused =
-            is_memory_short || connection.input.spare(initial_bytes, max_bytes).is_empty();
+            is_memory_short || connection.input.free_space(initial_bytes, max_bytes).is_empty();
         let is_paused = connection.read_paused;
         if is_memory_short {
             self.connections.wait_for_memory(id);
@@ -36,7 +36,7 @@
         }
         self.update_buffer_bytes(id);
         match self.connections.get_mut(id) {
-            Some(connection) => connection.input.spare(0, 0),
+            Some(connection) => connection.input.free_space(0, 0),
             None => &mut [],
         }
     }
@@ -68,7 +68,7 @@
 
     /// What is to be written on a connection next.
     pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
-        self.connections.get(id).map_or(&[], |connection| connection.output.front())
+        self.connections.get(id).map_or(&[], |connection| connection.output.first_slice())
     }
 
     pub(super) fn add_connection(&mut self, id: ConnectionId, deadline: Option<Time>, remote: Remote) {
@@ -90,7 +90,7 @@
     /// Puts bytes into a connection's output.
     pub(super) fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.output.push(bytes, self.limits.buffer_initial_bytes, usize::MAX);
+        connection.output.append(bytes, self.limits.buffer_initial_bytes, usize::MAX);
         self.effects.push(Effect::Write(id));
         self.update_buffer_bytes(id);
     }
@@ -144,7 +144,7 @@
 
     pub(super) fn on_received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.input.filled(count);
+        connection.input.commit(count);
         let was_paused = std::mem::take(&mut connection.read_was_paused);
         match &mut connection.remote {
             Remote::Client(client) => {
@@ -194,7 +194,7 @@
     pub(super) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.consume(count);
-        connection.output.shrink(self.limits.buffer_initial_bytes);
+        connection.output.shrink_if_empty(self.limits.buffer_initial_bytes);
         let (is_done, is_closing) = (connection.output.is_empty(), connection.closing);
         let mut is_client = false;
         match &mut connection.remote {
--- a/crates/ladderpass/src/reducer/connections.rs
+++ b/crates/ladderpass/src/reducer/connections.rs
@@ -7,7 +7,7 @@
 use super::connection_id::ConnectionId;
 use super::member_connection::MemberConnection;
 use crate::buffer::Buffer;
-use crate::discovery::Reader;
+use crate::discovery::WatchReader;
 use ladderpass_routing::Time;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
 pub(super) enum Remote {
     Client(Client),
     Member(MemberConnection),
-    Discovery(Reader),
+    Discovery(WatchReader),
 }
 
 /// All connections by id. Ids are the router's own, so that nobody can choose them to collide in the map.
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(super) fn discovery(&self, id: ConnectionId) -> Option<&Reader> {
+    pub(super) fn discovery(&self, id: ConnectionId) -> Option<&WatchReader> {
         match &self.by_id.get(&id)?.remote {
             Remote::Discovery(reader) => Some(reader),
             _ => None,
--- a/crates/ladderpass/src/reducer/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/discovery_watch.rs
@@ -8,7 +8,7 @@
 use super::connection_id::ConnectionId;
 use super::connections::{Connection, Remote};
 use super::event::Effect;
-use crate::discovery::{self, Listing, Reader};
+use crate::discovery::{self, Listing, WatchReader};
 use crate::limits::Limits;
 use ladderpass_routing::{EndpointUpdate, Time};
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     /// The request that opens a watch. Where discovery's list is older than the one here all of it is wanted.
     pub(super) fn request(&self) -> String {
         let from = if self.offers_older_list { 0 } else { self.generation };
-        discovery::call(&self.address.to_string(), from)
+        discovery::watch_request(&self.address.to_string(), from)
     }
 
     pub(super) fn remove_connection(&mut self, id: ConnectionId) {
@@ -174,7 +174,7 @@
             return;
         }
         let connections = &self.connections;
-        let has_answered = |id| connections.discovery(id).is_some_and(Reader::has_read);
+        let has_answered = |id| connections.discovery(id).is_some_and(WatchReader::has_read_listing);
         let unused = self.discovery.move_to(address, has_answered);
         unused.into_iter().for_each(|id| self.close_connection(id));
         // By way of the core, so that its backoff does not end in the middle of this request.
@@ -182,12 +182,12 @@
     }
 
     fn has_answered(&self, id: ConnectionId) -> bool {
-        self.connections.discovery(id).is_some_and(Reader::has_read)
+        self.connections.discovery(id).is_some_and(WatchReader::has_read_listing)
     }
 
     /// Is the watch in the middle of a list?
     fn is_within_list(&self, id: ConnectionId) -> bool {
-        self.connections.discovery(id).is_some_and(Reader::is_within)
+        self.connections.discovery(id).is_some_and(WatchReader::is_within_object)
     }
 
     pub(super) fn start_watch(&mut self, now: Time) {
@@ -198,7 +198,7 @@
         self.discovery.current = Some(id);
         self.discovery.requested_at = now;
         let deadline = now + self.limits.watch_answer_timeout;
-        self.add_connection(id, Some(deadline), Remote::Discovery(Reader::default()));
+        self.add_connection(id, Some(deadline), Remote::Discovery(WatchReader::default()));
         self.effects.push(Effect::Connect(id, self.discovery.address));
     }
 
@@ -212,7 +212,7 @@
             else {
                 return;
             };
-            match reader.next(input, self.limits.discovery_line_bytes) {
+            match reader.read_listing(input, self.limits.discovery_line_bytes) {
                 Ok(None) => return self.extend_watch_deadline(now, id, has_progressed),
                 Ok(Some(listing)) => {
                     has_progressed = true;
@@ -220,7 +220,7 @@
                         return;
                     }
                 }
-                Err(discovery::Fault(reason)) => return self.on_watch_failed(now, id, &reason),
+                Err(error) => return self.on_watch_failed(now, id, &error.to_string()),
             }
         }
     }
--- a/crates/ladderpass/src/reducer/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/endpoint_list.rs
@@ -108,7 +108,7 @@
     fn member_of(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
         let address = instance.host_port.parse::<SocketAddr>();
         let known = self.members.names().get(&instance.instance_id);
-        let is_removed = instance.standing() == EndpointState::Removed;
+        let is_removed = instance.state() == EndpointState::Removed;
         match (known, address) {
             (Some(index), Ok(address)) => {
                 self.change_member_address(now, index as usize, address);
@@ -130,13 +130,13 @@
             member: MemberId(member),
             group: group_index(&mut indexes.groups, instance.cell),
             primary: instance.is_primary(),
-            state: match instance.standing() {
+            state: match instance.state() {
                 EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
                 state => state,
             },
             // By the clock here; no member starts in the future.
             started_at: instance
-                .born()
+                .started_at()
                 .map(|born| now.min(born - clock_difference))
                 .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
             machine_kind: indexes.machine_kinds.intern(&instance.machine_type),
--- a/crates/ladderpass/src/reducer/load_report.rs
+++ b/crates/ladderpass/src/reducer/load_report.rs
@@ -6,11 +6,11 @@
 
 /// The load report in the row of an answer; an empty one where it lacks one of the columns, or can't be parsed.
 pub(super) fn read_load_report(mut answer: &[u8], max_bytes: usize, columns: &[String]) -> LoadReport {
-    while let Ok(Some((kind, body, length))) = pg::frame(answer, max_bytes) {
-        if let (b'D', Ok(Some(value))) = (kind, pg::column(body)) {
+    while let Ok(Some(pg::Frame { kind, body, length })) = pg::parse_frame(answer, max_bytes) {
+        if let (b'D', Ok(Some(value))) = (kind, pg::parse_single_column(body)) {
             let text = String::from_utf8_lossy(value);
             tracing::debug!(%text, "load report");
-            let pairs = pg::report(&text);
+            let pairs = pg::parse_load_report(&text);
             return pairs.and_then(|pairs| load_report_from(&pairs, columns)).unwrap_or_default();
         }
         answer = answer.get(length..).unwrap_or_default();
--- a/crates/ladderpass/src/reducer/member_answers.rs
+++ b/crates/ladderpass/src/reducer/member_answers.rs
@@ -24,7 +24,7 @@
         };
         member.last_received_at = now;
         let has_job = member.is_established && member.job.is_some();
-        if self.faulty.is(Faulty::ReusesUnquiet) && member.is_established && member.job.is_none() {
+        if self.faulty.is(Faulty::ReusesBusyConnections) && member.is_established && member.job.is_none() {
             return false;
         }
         if input.len() > member.scanned && has_job && !std::mem::replace(&mut member.answer_has_begun, true) {
@@ -32,8 +32,8 @@
             self.connections.set_deadline(id, Some(deadline));
             return true;
         }
-        let bytes = input.whole().get(member.scanned..).unwrap_or_default();
-        let (kind, body, length) = match pg::frame(bytes, self.limits.member_buffer_bytes) {
+        let bytes = input.make_contiguous().get(member.scanned..).unwrap_or_default();
+        let pg::Frame { kind, body, length } = match pg::parse_frame(bytes, self.limits.member_buffer_bytes) {
             Ok(Some(frame)) => frame,
             Ok(None) => return false,
             Err(_) if self.faulty.is(Faulty::TrustsLengths) && member.answer.has_description() => {
@@ -44,7 +44,7 @@
             }
             Err(_) => return self.on_malformed_message(now, id),
         };
-        match member.on_message(kind, body, self.faulty.is(Faulty::PassesOnTornRows)) {
+        match member.on_message(kind, body, self.faulty.is(Faulty::ForwardsTornRows)) {
             MessageEffect::Continue if has_job => member.scanned += length,
             MessageEffect::Continue => input.consume(length),
             MessageEffect::Established => {
@@ -128,7 +128,7 @@
             return self.return_to_pool(now, id);
         }
         let result = answer.to_result(MemberId(index as u32), outcome, latency);
-        match self.faulty.is(Faulty::ReusesUnquiet) {
+        match self.faulty.is(Faulty::ReusesBusyConnections) {
             true => self.return_to_pool(now, id),
             false => {
                 let deadline = now + self.limits.partial_answer_timeout;
@@ -142,13 +142,13 @@
     fn load_report(&mut self, id: ConnectionId) -> LoadReport {
         let Some(connection) = self.connections.get_mut(id) else { return LoadReport::default() };
         let max_bytes = self.limits.member_buffer_bytes;
-        read_load_report(connection.input.whole(), max_bytes, &self.report_columns)
+        read_load_report(connection.input.make_contiguous(), max_bytes, &self.report_columns)
     }
 
     fn consume_member_input(&mut self, id: ConnectionId, count: usize) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.input.consume(count);
-            connection.input.shrink(self.limits.buffer_initial_bytes);
+            connection.input.shrink_if_empty(self.limits.buffer_initial_bytes);
         }
         self.update_buffer_bytes(id);
     }
--- a/crates/ladderpass/src/reducer/member_connection.rs
+++ b/crates/ladderpass/src/reducer/member_connection.rs
@@ -133,8 +133,8 @@
         let is_complete = self.answer.is_complete();
         match (kind, self.job) {
             (b'N', _) | (b'S', None) => {}
-            (b'S', Some(_)) => match pg::parameter(body) {
-                Ok((name, value)) => self.answer.set_parameter(&name, &value),
+            (b'S', Some(_)) => match pg::parse_parameter_status(body) {
+                Ok(pg::ParameterStatus { name, value }) => self.answer.set_parameter(&name, &value),
                 Err(_) => return MessageEffect::Malformed,
             },
             (b'E', job) if job != Some(Job::SyncQuery) && !self.answer.has_error() => {
@@ -173,7 +173,7 @@
     /// An error ends the connection where it does not answer a query that is written whole: the rest of that query could
     /// not be taken back.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
-        let Ok(error) = pg::refusal(body) else { return MessageEffect::Malformed };
+        let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
         let is_fatal = error.fatal;
         self.answer.set_error(error);
         let answers_query = self.is_established && self.job.is_some() && self.unwritten == 0;
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -40,7 +40,7 @@
             }
         }
         let length = query.len();
-        if !self.faulty.is(Faulty::ReusesUnquiet) {
+        if !self.faulty.is(Faulty::ReusesBusyConnections) {
             pg::put_query(&mut query, &[""]);
         }
         self.write(id, &query);
@@ -78,8 +78,8 @@
         if client.read_paused {
             return Err(Some(AttemptOutcome::NeverSent));
         }
-        let frame = pg::frame(client.input.whole(), self.limits.statement_bytes);
-        let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
+        let frame = pg::parse_frame(client.input.make_contiguous(), self.limits.statement_bytes);
+        let statement = frame.ok().flatten().and_then(|frame| pg::parse_query(frame.body).ok());
         let wait_at = &entry.wait_at;
         let parts = statement.and_then(|text| Some((text.get(..wait_at.start)?, text.get(wait_at.end..)?)));
         let (before, after) = parts.ok_or(Some(AttemptOutcome::NeverSent))?;
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -58,16 +58,16 @@
             tracing::warn!("peers.me and peers.all are deprecated: write peers.listen and peers.listed");
         }
         let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
-        let settings = Settings { faulty: launch.faulty.of_membership(), ..Settings::default() };
+        let settings = Settings { faulty: launch.faulty.membership(), ..Settings::default() };
         // Other random numbers than the routing core's: routers with one seed must not draw the same order.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
         let membership = Membership::start(now, seed, local, &peers.listed, &peers.networks, settings);
         let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
         let admission = operator
             .shared_admission
-            .then(|| AdmissionController::start(now, router_hash(peers.address), launch.faulty.of_concert()));
+            .then(|| AdmissionController::start(now, router_hash(peers.address), launch.faulty.admission()));
         let retry_budget =
-            operator.shared_retry_budget.then(|| RetryBudget::start(now, launch.faulty.of_budgets()));
+            operator.shared_retry_budget.then(|| RetryBudget::start(now, launch.faulty.retry_budget()));
         Some(PeerLinks {
             view: membership.view(),
             wake_at: now,
--- a/crates/ladderpass/src/reducer/query_answer.rs
+++ b/crates/ladderpass/src/reducer/query_answer.rs
@@ -11,7 +11,7 @@
     has_description: bool,
     has_row: bool,
     is_command_complete: bool,
-    error: Option<pg::Refusal>,
+    error: Option<pg::ErrorResponse>,
     role: Option<Role>,
     position: Option<Time>,
 }
@@ -25,7 +25,7 @@
         self.error.is_some()
     }
 
-    pub(super) fn set_error(&mut self, error: pg::Refusal) {
+    pub(super) fn set_error(&mut self, error: pg::ErrorResponse) {
         self.error = Some(error);
     }
 
@@ -50,14 +50,16 @@
             return false;
         }
         match kind {
-            b'T' if !self.has_description && pg::describes_one(body) => self.has_description = true,
+            b'T' if !self.has_description && pg::is_single_column_description(body) => {
+                self.has_description = true
+            }
             b'D' if self.has_description
                 && !self.has_row
-                && (matches!(pg::column(body), Ok(Some(_))) || accepts_torn_rows) =>
+                && (matches!(pg::parse_single_column(body), Ok(Some(_))) || accepts_torn_rows) =>
             {
                 self.has_row = true;
             }
-            b'C' if self.has_row && pg::completes_one(body) => self.is_command_complete = true,
+            b'C' if self.has_row && pg::is_single_row_completion(body) => self.is_command_complete = true,
             _ => return false,
         }
         true
--- a/crates/ladderpass/src/reducer/rejections.rs
+++ b/crates/ladderpass/src/reducer/rejections.rs
@@ -65,7 +65,7 @@
     pub(super) fn reject_at_arrival(&mut self, id: ConnectionId, length: usize, retry_after: Span) {
         let mut answer = std::mem::take(&mut self.scratch);
         answer.clear();
-        pg::put_refusal(&mut answer, "53300", OVERLOADED, retry_after_ms(retry_after));
+        pg::put_recoverable_error(&mut answer, "53300", OVERLOADED, retry_after_ms(retry_after));
         self.consume_input(id, length);
         self.write(id, &answer);
         self.scratch = answer;
@@ -89,7 +89,7 @@
         if is_fatal {
             pg::put_error(&mut out, "FATAL", code, text, retry_after_ms);
         } else {
-            pg::put_refusal(&mut out, code, text, retry_after_ms);
+            pg::put_recoverable_error(&mut out, code, text, retry_after_ms);
         }
         self.consume_input(id, length);
         self.write(id, &out);
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -18,7 +18,7 @@
 
 /// The length of the message at the front of a buffer, whole or not; zero where there is none.
 pub(super) fn front_message_length(input: &mut Buffer) -> usize {
-    pg::head(input.whole()).ok().flatten().map_or(0, |(_, length)| length)
+    pg::parse_frame_header(input.make_contiguous()).ok().flatten().map_or(0, |header| header.length)
 }
 
 impl Reducer {
@@ -34,10 +34,15 @@
         }
         state.arrivals.add_time_with_members(time_with_members);
         let initial_bytes = self.limits.buffer_initial_bytes;
-        push_result(from.input.whole(), &mut to.output, self.limits.member_buffer_bytes, initial_bytes);
+        push_result(
+            from.input.make_contiguous(),
+            &mut to.output,
+            self.limits.member_buffer_bytes,
+            initial_bytes,
+        );
         if self.faulty.is(Faulty::AnswersTwice) {
-            let whole: Vec<u8> = to.output.whole().to_vec();
-            to.output.push(&whole, initial_bytes, usize::MAX);
+            let whole: Vec<u8> = to.output.make_contiguous().to_vec();
+            to.output.append(&whole, initial_bytes, usize::MAX);
         }
         if let Some(peers) = &mut self.peers {
             peers.record_served(group);
@@ -77,7 +82,7 @@
             // Where it may have had an effect the answer says no more than that, cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
                 self.stats.count(Count::Cancelled);
-                pg::put_refusal(&mut answer, "57014", "cancelled at the client's request", None);
+                pg::put_recoverable_error(&mut answer, "57014", "cancelled at the client's request", None);
             }
             Decision::Reject { retry_after } => {
                 self.stats.count(Count::Rejected);
@@ -85,11 +90,11 @@
                     peers.record_unplaced(group);
                 }
                 let text = "pushed back: a further try is harmless";
-                pg::put_refusal(&mut answer, "53300", text, retry_after_ms(retry_after));
+                pg::put_recoverable_error(&mut answer, "53300", text, retry_after_ms(retry_after));
             }
             _ => {
                 self.stats.count(Count::Failed);
-                pg::put_refusal(&mut answer, "58000", "aborted: it may have had an effect", None);
+                pg::put_recoverable_error(&mut answer, "58000", "aborted: it may have had an effect", None);
             }
         }
         answer
@@ -111,15 +116,15 @@
 
 /// Puts the result of an answer, without what else the member has sent, and a ReadyForQuery.
 fn push_result(mut answer: &[u8], output: &mut Buffer, max_bytes: usize, initial_bytes: usize) {
-    while let Ok(Some((kind, _, length))) = pg::frame(answer, max_bytes) {
+    while let Ok(Some(pg::Frame { kind, length, .. })) = pg::parse_frame(answer, max_bytes) {
         let (message, rest) = answer.split_at(length);
         if matches!(kind, b'T' | b'D' | b'C') {
-            output.push(message, initial_bytes, usize::MAX);
+            output.append(message, initial_bytes, usize::MAX);
         }
         answer = rest;
         if kind == b'Z' {
             break;
         }
     }
-    output.push(pg::READY, initial_bytes, usize::MAX);
+    output.append(pg::READY, initial_bytes, usize::MAX);
 }
--- a/crates/ladderpass/src/reducer/shutdown.rs
+++ b/crates/ladderpass/src/reducer/shutdown.rs
@@ -47,7 +47,7 @@
         tracing::info!(clients = self.clients.len(), rpcs = self.rpcs.len(), "stopping");
         self.shutdown.began_at = Some(now);
         self.leave_fleet(now);
-        if self.faulty.is(Faulty::LosesAtStop) {
+        if self.faulty.is(Faulty::DropsRequestsAtStop) {
             self.effects.push(Effect::Exit);
         }
         // A client just answered is likely to write again, which would cross the close: it is served, or idle first.
--- a/crates/ladderpass/tests/failing/mod.rs
+++ b/crates/ladderpass/tests/failing/mod.rs
@@ -156,7 +156,7 @@
         log.with_max_level(tracing::Level::INFO).log_internal_errors(false).init();
         let launch = Launch::read_at_start(|key| std::env::var(key).ok(), None);
         let launch = launch.map_err(|errors| errors.to_string());
-        launch.and_then(|launch| ladderpass::sockets::run(launch, None))
+        launch.and_then(|launch| ladderpass::sockets::run(launch, None).map_err(|error| error.to_string()))
     });
     let done = done.join().expect("the router does not panic");
     if let Err(fault) = &done {
