--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -1,6 +1,6 @@
 //! Attempts: what is recorded when one starts, and what its result shows of the member.
 //!
-//! What follows for the RPC, a retry or its final answer, is decided in `retry` and `selection`.
+//! What follows for the RPC, a retry or its final answer, is decided in `retry`, `rejection` and `selection`.
 
 use crate::concurrency_limit;
 use crate::gossip;
@@ -98,8 +98,8 @@
     result.outcome == AttemptOutcome::Ok && consistency == Consistency::Write
 }
 
-/// The session's later reads must see a write that may have run. Without a reported commit it is taken to have committed
-/// by now.
+/// The session's later reads must see a write that may have run. Without a reported commit it is taken to have
+/// committed by now.
 fn record_session_write(
     state: &mut RouterState,
     now: Time,
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -2,8 +2,8 @@
 //!
 //! The limit follows the shortest answer time over the present one: it grows while answers are as quick as without
 //! load, and shrinks as they get slower. It is reduced at most once a round trip, since attempts sent before the last
-//! reduction only show the same congestion again. Routers with too little traffic for a limit to bind take the same share of
-//! their reads from a member that all of them know to be overloaded.
+//! reduction only show the same congestion again. Routers with too little traffic for a limit to bind take the same
+//! share of their reads from a member that all of them know to be overloaded.
 
 use crate::load::{self, LAST_TWO_SECONDS};
 use crate::state::member::ObservedBy;
@@ -18,7 +18,7 @@
 const MIN_LIMIT: f64 = 0.1;
 /// The limit after a rejection or a time-out, as a share of the one before.
 const LIMIT_SHARE_AFTER_REJECTION: f64 = 0.65;
-/// Weight of the limit of before against the one that an answer suggests.
+/// Weight of the present limit against the one that an answer suggests.
 const LIMIT_SMOOTHING: f64 = 0.75;
 
 /// A member is overloaded above this multiple of what it works on at once, or above this latency ratio.
@@ -34,8 +34,8 @@
     limit.clamp(MIN_INITIAL_LIMIT, MAX_INITIAL_LIMIT)
 }
 
-/// Is there room for this RPC within this share of the member's limit? A limit below one is enforced by
-/// pauses between attempts, so that many routers with little traffic don't overload the member together.
+/// Is there room for this RPC within this share of the member's limit? A limit below one is enforced by pauses between
+/// attempts, so that many routers with little traffic don't overload the member together.
 pub fn has_room(state: &RouterState, now: Time, index: usize, rpc: RpcId, share: f64) -> bool {
     let member = state.topology.member(index);
     let limit = member.concurrency_limit * share;
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -98,7 +98,7 @@
     if !keeps_state {
         member.set_endpoint_state(now, entry.state);
     }
-    member.warming_up_since = member.warming_up_since.max(entry.started_at);
+    member.started_at = member.started_at.max(entry.started_at);
     let seen_as_replica = member_time - member.replica_seen_at < MAX_LIST_DELAY;
     member.listed_as_primary = entry.primary && tells_role && !seen_as_replica;
 }
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -27,7 +27,7 @@
     let member = state.topology.member_mut(index);
     if is_ejected(member) {
         if now - member.failing_since > RESTARTED_AFTER_ABSENCE {
-            member.warming_up_since = Some(now);
+            member.started_at = Some(now);
         }
         state.output.log_messages.push(format!("#{index} readmitted"));
     }
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -1,6 +1,6 @@
 //! The queue of pending RPCs of a group: those that could be sent nowhere yet, or wait for an answer about a member.
 //!
-//! They are examined in the order of utility for the work they cost, the newest first among equals: clients of the
+//! They are examined in the order of utility for the work that they cost, the newest first among equals: clients of the
 //! others may soon give up. One that could be sent nowhere leaves the queue after a share of its client's time, so that
 //! the client has time for a retry.
 
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -67,20 +67,21 @@
 
 /// Why no further attempt of this RPC is to be made, if so.
 pub fn reason_to_give_up(state: &RouterState, now: Time, rpc: RpcId) -> Option<GiveUpReason> {
-    let attempts = &state.rpcs[rpc];
+    let accepted = &state.rpcs[rpc];
     if !retry::may_run(state, now, rpc) {
         return Some(GiveUpReason::MayHaveRun);
     }
-    if attempts.attempts >= state.deployment.max_attempts {
+    if accepted.attempts >= state.deployment.max_attempts {
         return Some(GiveUpReason::NoAttemptLeft);
     }
-    let was_examined = attempts.attempts > 0 || attempts.is_pending;
-    let answer_takes = if was_examined { state.method_of(rpc).typical } else { Span::ZERO };
+    // An RPC that has just arrived is given up only once it is too late for any answer.
+    let has_just_arrived = accepted.attempts == 0 && !accepted.is_pending;
+    let answer_takes = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
     if now + answer_takes >= state.useful_until(rpc) {
         return Some(GiveUpReason::TooLate);
     }
-    let deadline_is_near = now + state.deployment.tick * TICKS_BEFORE_DEADLINE >= attempts.arrival.deadline;
-    (pending::queued_too_long(attempts, now) || deadline_is_near).then_some(GiveUpReason::OutOfTime)
+    let deadline_is_near = now + state.deployment.tick * TICKS_BEFORE_DEADLINE >= accepted.arrival.deadline;
+    (pending::queued_too_long(accepted, now) || deadline_is_near).then_some(GiveUpReason::OutOfTime)
 }
 
 /// Gives the final answer to an RPC that will not be served here.
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: a member that has started gets a share of the traffic that rises to its full one.
 //!
 //! The share is `slow_start_capacity` at its start and grows linearly to 1 over `slow_start_duration`. It is
-//! enforced by credit: each RPC that this router accepts pays a fraction of an attempt to each member in slow start, and an
-//! attempt there costs one. Credit comes evenly, also for RPCs that were queued, and if each router keeps its share,
-//! so does their sum.
+//! enforced by credit: each RPC that this router accepts pays a fraction of an attempt to each member in slow start, and
+//! an attempt there costs one. Credit comes evenly, also for RPCs that were queued. If each router stays within its
+//! share, so does their sum.
 
 use crate::health_check_schedule::HEALTH_CHECK_WAIT;
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
@@ -25,7 +25,7 @@
 /// The share of its capacity that a member in slow start is sure to have, from 0 to 1; none once it has all of it.
 pub fn capacity_share(state: &RouterState, now: Time, member: &Member) -> Option<f64> {
     let duration = state.deployment.slow_start_duration.secs();
-    let age = (now - member.warming_up_since? - state.clock.ahead).secs().max(0.0);
+    let age = (now - member.started_at? - state.clock.ahead).secs().max(0.0);
     let initial = state.deployment.slow_start_capacity;
     (age < duration).then(|| initial + (1.0 - initial) * age / duration)
 }
@@ -47,7 +47,8 @@
 }
 
 /// The credit, in attempts, that one accepted RPC pays a member with this share of its capacity: of a fair share of
-/// the group at its largest, or of all writes where it is the primary and these are more, less a margin for random variation.
+/// the group at its largest, or of all writes where it is the primary and these are more, less a margin for random
+/// variation.
 fn credit_per_rpc(
     state: &RouterState,
     group: usize,
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -71,8 +71,8 @@
     /// Share of the reads, from 0 to 1, that may go there; less while it is overloaded.
     pub read_share: f64,
     pub read_share_updated_at: Time,
-    /// Start of its slow start; none once the member is known not to be in one.
-    pub warming_up_since: Option<Time>,
+    /// When it started, and began its slow start; none where no start is known.
+    pub started_at: Option<Time>,
     /// Attempts that it may get from this router during slow start, and the fraction of a further one.
     pub slow_start_credit: f64,
     /// When the credit last reached a whole attempt.
@@ -128,7 +128,7 @@
             next_health_check_at: Time::NEVER,
             read_share: 1.0,
             read_share_updated_at: Time::NEVER,
-            warming_up_since: None,
+            started_at: None,
             slow_start_credit: 0.0,
             slow_start_credit_at: Time::NEVER,
             concurrency_limit,
