--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -2,7 +2,11 @@
 //!
 //! `handle(now, Event)` changes the state and returns the effects that it asks for. The reducer makes no system call,
 //! reads no clock and holds no socket. Where and when an RPC goes is decided by the routing core, `Router`; the reducer
-//! carries that out. Each module owns a part of the state, in a struct whose fields no other module can write.
+//! carries that out.
+//!
+//! The state is composed of tables, each in the module of its name with fields that no other module can write:
+//! `Connections`, `ClientTable`, `RpcTable`, `MemberPools`, `DiscoveryWatch`, `PeerLinks`, `OverloadMonitor`, `Stats`.
+//! The other modules handle events by mechanism and change the tables by their methods.
 
 mod accept_rpc;
 mod attempts;
@@ -36,6 +40,7 @@
 mod rpc_table;
 mod shutdown;
 mod stats;
+mod unix_time;
 
 pub use connection_id::ConnectionId;
 pub use event::{Effect, Event};
@@ -288,8 +293,3 @@
         self.router_wake_at = upkeep.wake_at;
     }
 }
-
-/// The time that so many milliseconds of Unix time stand for, as positions are sent.
-fn time_from_unix_ms(ms: f64) -> Time {
-    Time::from_nanos((ms * 1e6) as i64)
-}
--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -7,9 +7,9 @@
 use super::connections::{Connection, Remote};
 use super::overload::StatementCost;
 use super::rejections::{Rejection, StatementError};
-use super::rpc_table::RpcInFlight;
+use super::rpc_table::{RpcDescription, RpcInFlight};
 use super::stats::Count;
-use super::time_from_unix_ms;
+use super::unix_time::time_from_unix_ms;
 use crate::faulty::Faulty;
 use crate::pg;
 use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time};
@@ -76,10 +76,7 @@
         if let Some(client) = self.connections.client_mut(id) {
             client.phase = ClientPhase::InRpc(rpc);
         }
-        let entry = RpcInFlight {
-            client: Some(id),
-            accepted_at: now,
-            waited_for_router: Span::ZERO,
+        let description = RpcDescription {
             deadline,
             bounds_staleness: self.methods.bounds_staleness(method),
             method,
@@ -87,15 +84,9 @@
             priority,
             id_hash,
             wait_at,
-            attempts: 0,
-            first_attempt_recorded: false,
-            retry_paid: false,
-            connection: None,
-            may_have_run: false,
-            cancelled: false,
-            span: tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3),
         };
-        self.rpcs.insert(rpc, entry);
+        let span = tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3);
+        self.rpcs.insert(rpc, RpcInFlight::new(now, id, description, span));
         self.connections.set_deadline(id, Some(deadline - self.limits.answer_margin * 0.5));
     }
 
--- a/crates/ladderpass/src/reducer/attempts.rs
+++ b/crates/ladderpass/src/reducer/attempts.rs
@@ -6,6 +6,7 @@
 use super::connections::Connections;
 use super::member_connection::Job;
 use super::query_answer::unanswered_result;
+use super::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
 /// Has the client sent more than can be read? Its end may stand behind that. Prevents attempts for a client that has left
@@ -25,15 +26,15 @@
 
     fn start_attempt(&mut self, now: Time, rpc: RpcId, member: MemberId, timeout: Option<Span>) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        entry.attempts += 1;
-        entry.retry_paid = false;
-        let is_first = !std::mem::replace(&mut entry.first_attempt_recorded, true);
+        let is_first = entry.begin_attempt();
+        let (client, deadline, group) =
+            (entry.client(), entry.description().deadline, entry.description().group);
         if let (true, Some(peers)) = (is_first, &mut self.peers) {
-            peers.record_first_attempt(entry.group);
+            peers.record_first_attempt(group);
         }
-        let last = entry.deadline - self.limits.answer_margin;
+        let last = deadline - self.limits.answer_margin;
         let deadline = timeout.map_or(last, |timeout| last.min(now + timeout));
-        let is_possible = deadline > now && !may_have_left(&self.connections, entry.client);
+        let is_possible = deadline > now && !may_have_left(&self.connections, client);
         let connection = match is_possible {
             true => self.assign_job(now, member.0 as usize, Job::Attempt(rpc), deadline),
             false => None,
@@ -88,15 +89,14 @@
     fn on_attempt_ended(&mut self, now: Time, rpc: RpcId, mut result: AttemptResult) {
         self.stats.count_attempt(result.outcome);
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        entry.span.in_scope(|| {
+        entry.span().in_scope(|| {
             let took_ms = result.latency.secs() * 1e3;
             tracing::debug!(member = result.member.0, outcome = ?result.outcome, took_ms, "attempt ended");
         });
-        entry.connection = None;
-        entry.may_have_run |= !result.outcome.never_ran();
+        entry.end_attempt(result.outcome);
         let is_ok = result.outcome == AttemptOutcome::Ok;
-        let is_answered = entry.client.is_none();
-        let is_over = entry.cancelled || may_have_left(&self.connections, entry.client);
+        let is_answered = entry.client().is_none();
+        let is_over = entry.is_cancelled() || may_have_left(&self.connections, entry.client());
         result.retry_denied |= is_over;
         if is_ok {
             self.stats.add_answer_time(result.latency);
@@ -104,13 +104,15 @@
         result.rpc_complete = is_ok || is_answered;
         if result.outcome == AttemptOutcome::DecisionExpired {
             // No attempt was made: the retry budget pays for none after it.
-            entry.attempts = entry.attempts.saturating_sub(1);
+            entry.discount_attempt();
         } else if let Some(peers) = &mut self.peers {
-            if is_ok && entry.attempts > 1 {
-                peers.record_retry_success(entry.group);
+            if is_ok && entry.attempts() > 1 {
+                peers.record_retry_success(entry.description().group);
             } else if !result.rpc_complete && result.outcome != AttemptOutcome::NeverSent && !is_over {
-                entry.retry_paid = peers.try_withdraw_retry(entry.group, entry.priority);
-                result.retry_denied = !entry.retry_paid;
+                let RpcDescription { group, priority, .. } = *entry.description();
+                let is_paid = peers.try_withdraw_retry(group, priority);
+                entry.set_retry_paid(is_paid);
+                result.retry_denied = !is_paid;
             }
         }
         if is_answered {
--- a/crates/ladderpass/src/reducer/cancellation.rs
+++ b/crates/ladderpass/src/reducer/cancellation.rs
@@ -41,11 +41,11 @@
         let Some(client) = self.connections.client(id).filter(|_| is_valid) else { return };
         let ClientPhase::InRpc(rpc) = client.phase else { return };
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        entry.cancelled = true;
-        let is_write = self.methods.is_write(entry.method).unwrap_or(true);
+        entry.cancel();
+        let is_write = self.methods.is_write(entry.description().method).unwrap_or(true);
         let decision =
-            if entry.may_have_run && is_write { Decision::Fail } else { Decision::AlreadyAnswered };
-        let connection = entry.connection;
+            if entry.may_have_run() && is_write { Decision::Fail } else { Decision::AlreadyAnswered };
+        let connection = entry.connection();
         if connection.is_some_and(|connection| self.is_query_sent(connection)) {
             return;
         }
@@ -73,8 +73,8 @@
         self.stats.count(Count::ClientLeft);
         rpc.abandon(&mut self.router);
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        entry.client = None;
-        match entry.connection {
+        entry.take_client();
+        match entry.connection() {
             None => self.rpcs.remove(rpc),
             Some(connection) => self.withdraw_job(now, connection),
         }
--- a/crates/ladderpass/src/reducer/member_answers.rs
+++ b/crates/ladderpass/src/reducer/member_answers.rs
@@ -110,7 +110,7 @@
         if let Job::Attempt(rpc) = job
             && let Some(entry) = self.rpcs.get_mut(rpc)
         {
-            entry.waited_for_router += waited_for_router;
+            entry.add_wait_for_router(waited_for_router);
         }
         let outcome = answer.outcome();
         let mut report = LoadReport::default();
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -20,7 +20,7 @@
         if let Job::Attempt(rpc) = job
             && let Some(entry) = self.rpcs.get_mut(rpc)
         {
-            entry.connection = Some(id);
+            entry.set_connection(id);
         }
     }
 
@@ -64,15 +64,16 @@
             return Err(None);
         };
         let (member_id, deadline) = (MemberId(member.member as u32), member.job_deadline);
+        let description = entry.description();
         // What held at the decision may not hold any more: data that were new enough, and the window in which a repeat
         // has no second effect.
-        let is_window_repeat = entry.may_have_run && self.methods.uses_idempotency_key(entry.method);
-        let expires = entry.bounds_staleness || is_window_repeat;
+        let is_window_repeat = entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
+        let expires = description.bounds_staleness || is_window_repeat;
         let is_late = expires && now - member.assigned_at > self.limits.fresh_send_timeout;
         if is_late && !self.router.may_still_attempt(now, rpc, member_id) {
             return Err(Some(AttemptOutcome::DecisionExpired));
         }
-        let client = entry.client.and_then(|client| self.connections.get_mut(client));
+        let client = entry.client().and_then(|client| self.connections.get_mut(client));
         let client = client.ok_or(Some(AttemptOutcome::Cancelled))?;
         // It may have left unseen while the connection was established.
         if client.read_paused {
@@ -80,7 +81,7 @@
         }
         let frame = pg::frame(client.input.whole(), self.limits.statement_bytes);
         let statement = frame.ok().flatten().and_then(|(_, body, _)| pg::statement(body).ok());
-        let wait_at = &entry.wait_at;
+        let wait_at = &description.wait_at;
         let parts = statement.and_then(|text| Some((text.get(..wait_at.start)?, text.get(wait_at.end..)?)));
         let (before, after) = parts.ok_or(Some(AttemptOutcome::NeverSent))?;
         let wait_ms = ((deadline - now).nanos() / 1_000_000).max(1).to_string();
@@ -113,7 +114,9 @@
             return;
         }
         let bounds_staleness = match member.job {
-            Some(Job::Attempt(rpc)) => self.rpcs.get(rpc).is_some_and(|entry| entry.bounds_staleness),
+            Some(Job::Attempt(rpc)) => {
+                self.rpcs.get(rpc).is_some_and(|entry| entry.description().bounds_staleness)
+            }
             _ => false,
         };
         let timeout =
--- a/crates/ladderpass/src/reducer/query_answer.rs
+++ b/crates/ladderpass/src/reducer/query_answer.rs
@@ -1,7 +1,7 @@
 //! What has arrived of a member's answer to one query: one row of one column, or an error, and what its parameters say
 //! of the member.
 
-use super::time_from_unix_ms;
+use super::unix_time::time_from_unix_ms;
 use crate::pg;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
 
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -5,6 +5,7 @@
 use super::connection_id::ConnectionId;
 use super::connections::Remote;
 use super::event::Effect;
+use super::rpc_table::RpcDescription;
 use super::stats::Count;
 use crate::buffer::Buffer;
 use crate::faulty::Faulty;
@@ -25,7 +26,8 @@
     /// Forwards the answer at the front of a member's connection to the client that waits for it.
     pub(super) fn forward_answer(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        let (Some(client), method, group) = (entry.client.take(), entry.method, entry.group) else { return };
+        let Some(client) = entry.take_client() else { return };
+        let RpcDescription { method, group, .. } = *entry.description();
         let time_with_members = entry.time_with_members(now);
         let [Some(from), Some(to)] = self.connections.pair_mut(id, client) else { return };
         let Remote::Client(state) = &mut to.remote else { return };
@@ -52,13 +54,13 @@
     /// more, as it was cancelled.
     pub(super) fn answer_unserved(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        let client = entry.client.take();
-        let (group, cancelled) = (entry.group, entry.cancelled);
-        if let (true, Some(peers)) = (std::mem::take(&mut entry.retry_paid), &mut self.peers) {
+        let client = entry.take_client();
+        let (group, is_cancelled) = (entry.description().group, entry.is_cancelled());
+        if let (true, Some(peers)) = (entry.take_retry_paid(), &mut self.peers) {
             peers.refund_retry(group);
         }
         let time_with_members = entry.time_with_members(now);
-        if entry.connection.is_none() {
+        if entry.connection().is_none() {
             self.rpcs.remove(rpc);
         }
         let Some(client) = client else { return };
@@ -66,16 +68,16 @@
             state.arrivals.add_time_with_members(time_with_members);
         }
         self.overload.record_unserved();
-        let answer = self.unserved_answer(group, cancelled, decision);
+        let answer = self.unserved_answer(group, is_cancelled, decision);
         self.write(client, &answer);
         self.finish_statement(client);
     }
 
-    fn unserved_answer(&mut self, group: u32, cancelled: bool, decision: Decision) -> Vec<u8> {
+    fn unserved_answer(&mut self, group: u32, is_cancelled: bool, decision: Decision) -> Vec<u8> {
         let mut answer = Vec::new();
         match decision {
             // Where it may have had an effect the answer says no more than that, cancelled or not.
-            Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
+            Decision::Reject { .. } | Decision::AlreadyAnswered if is_cancelled => {
                 self.stats.count(Count::Cancelled);
                 pg::put_refusal(&mut answer, "57014", "cancelled at the client's request", None);
             }
--- a/crates/ladderpass/src/reducer/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/rpc_table.rs
@@ -2,18 +2,13 @@
 
 use super::connection_id::ConnectionId;
 use super::rpc_ids::RpcIds;
-use ladderpass_routing::{RpcId, Span, Time};
+use ladderpass_routing::{AttemptOutcome, RpcId, Span, Time};
 use rustc_hash::FxHashMap;
 use std::ops::Range;
 
-/// An RPC that was accepted and has no answer, or has an attempt in flight.
-pub(super) struct RpcInFlight {
-    /// The client that waits for its answer. It is taken out together with the answer that is written to it, so there is
-    /// never a second one.
-    pub(super) client: Option<ConnectionId>,
-    pub(super) accepted_at: Time,
-    /// How long the router itself kept it waiting since then.
-    pub(super) waited_for_router: Span,
+/// What does not change of an RPC.
+#[derive(Clone, Debug)]
+pub(super) struct RpcDescription {
     pub(super) deadline: Time,
     /// Its data must be as new at the send as it was at the decision.
     pub(super) bounds_staleness: bool,
@@ -25,26 +20,128 @@
     pub(super) id_hash: u64,
     /// Where the statement says how long its client waits.
     pub(super) wait_at: Range<usize>,
-    pub(super) attempts: u32,
+}
+
+/// An RPC that was accepted and has no answer, or has an attempt in flight.
+pub(super) struct RpcInFlight {
+    description: RpcDescription,
+    /// The client that waits for its answer.
+    client: Option<ConnectionId>,
+    accepted_at: Time,
+    /// How long the router itself kept it waiting since then.
+    waited_for_router: Span,
+    attempts: u32,
     /// The retry budget knows of its first attempt.
-    pub(super) first_attempt_recorded: bool,
+    first_attempt_recorded: bool,
     /// The retry budget has paid for an attempt that is not made yet.
-    pub(super) retry_paid: bool,
+    retry_paid: bool,
     /// The connection that carries its attempt, or is to.
-    pub(super) connection: Option<ConnectionId>,
+    connection: Option<ConnectionId>,
     /// An attempt of it may have run without a good answer.
-    pub(super) may_have_run: bool,
+    may_have_run: bool,
     /// Its client has asked to cancel it: no further attempt begins.
-    pub(super) cancelled: bool,
+    is_cancelled: bool,
     /// Its life and its attempts, at debug level only.
-    pub(super) span: tracing::Span,
+    span: tracing::Span,
 }
 
 impl RpcInFlight {
+    pub(super) fn new(
+        now: Time,
+        client: ConnectionId,
+        description: RpcDescription,
+        span: tracing::Span,
+    ) -> RpcInFlight {
+        RpcInFlight {
+            description,
+            client: Some(client),
+            accepted_at: now,
+            waited_for_router: Span::ZERO,
+            attempts: 0,
+            first_attempt_recorded: false,
+            retry_paid: false,
+            connection: None,
+            may_have_run: false,
+            is_cancelled: false,
+            span,
+        }
+    }
+
+    pub(super) fn description(&self) -> &RpcDescription {
+        &self.description
+    }
+
+    pub(super) fn client(&self) -> Option<ConnectionId> {
+        self.client
+    }
+
+    /// Takes the client out, for the one answer that is written to it, or as it has left. There is no second answer.
+    pub(super) fn take_client(&mut self) -> Option<ConnectionId> {
+        self.client.take()
+    }
+
     /// How long members have kept it.
     pub(super) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
+
+    pub(super) fn add_wait_for_router(&mut self, span: Span) {
+        self.waited_for_router += span;
+    }
+
+    /// An attempt begins; true for the first one.
+    pub(super) fn begin_attempt(&mut self) -> bool {
+        self.attempts += 1;
+        self.retry_paid = false;
+        !std::mem::replace(&mut self.first_attempt_recorded, true)
+    }
+
+    pub(super) fn set_connection(&mut self, connection: ConnectionId) {
+        self.connection = Some(connection);
+    }
+
+    pub(super) fn connection(&self) -> Option<ConnectionId> {
+        self.connection
+    }
+
+    pub(super) fn end_attempt(&mut self, outcome: AttemptOutcome) {
+        self.connection = None;
+        self.may_have_run |= !outcome.never_ran();
+    }
+
+    /// The attempt that has ended does not count as one.
+    pub(super) fn discount_attempt(&mut self) {
+        self.attempts = self.attempts.saturating_sub(1);
+    }
+
+    pub(super) fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    pub(super) fn set_retry_paid(&mut self, is_paid: bool) {
+        self.retry_paid = is_paid;
+    }
+
+    /// Has the retry budget paid for an attempt that will not be made? It is to be refunded then.
+    pub(super) fn take_retry_paid(&mut self) -> bool {
+        std::mem::take(&mut self.retry_paid)
+    }
+
+    pub(super) fn may_have_run(&self) -> bool {
+        self.may_have_run
+    }
+
+    pub(super) fn cancel(&mut self) {
+        self.is_cancelled = true;
+    }
+
+    pub(super) fn is_cancelled(&self) -> bool {
+        self.is_cancelled
+    }
+
+    pub(super) fn span(&self) -> &tracing::Span {
+        &self.span
+    }
 }
 
 /// All RPCs in flight, and their ids.
@@ -93,7 +190,7 @@
     /// Removes an RPC that has its final answer and no attempt in flight.
     pub(super) fn remove(&mut self, rpc: RpcId) {
         if let Some(entry) = self.in_flight.remove(&rpc) {
-            self.ids.close(entry.id_hash);
+            self.ids.close(entry.description.id_hash);
         }
     }
 }
