--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -163,7 +163,7 @@
     /// RPCs with an attempt in flight, and connections that carry an attempt or are established for one: always as many.
     pub fn attempts_in_flight(&self) -> (usize, usize) {
         let carries_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt(_)));
-        let connections = self.connections.members().filter(|(_, member)| carries_attempt(member.job));
+        let connections = self.connections.members().filter(|(_, member)| carries_attempt(member.job()));
         (self.rpcs.attempts(), connections.count())
     }
 
@@ -258,7 +258,7 @@
         // Not before the next events: a client may have left while it was answered.
         for id in self.clients.take_deferred() {
             if let Some(client) = self.connections.client_mut(id) {
-                client.just_answered = false;
+                client.end_iteration();
                 self.clients.push_ready(id);
             }
         }
--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -2,7 +2,6 @@
 //! routing core.
 
 use super::Reducer;
-use super::client::ClientPhase;
 use super::connection_id::ConnectionId;
 use super::connections::{Connection, Remote};
 use super::overload::StatementCost;
@@ -37,7 +36,7 @@
     pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
         self.set_awaited(id, None);
         let Some(client) = self.connections.client_mut(id) else { return };
-        let is_first = !std::mem::replace(&mut client.has_sent_statement, true);
+        let is_first = client.record_statement();
         let is_crowded = is_first && self.exceeds_client_limit(now);
         let statement = match self.parse_statement(now, id, length) {
             Ok(statement) => statement,
@@ -55,7 +54,7 @@
         self.stats.count(Count::Accepted);
         self.overload.record_accepted();
         if let Some(client) = self.connections.client_mut(id) {
-            client.errors = 0;
+            client.clear_errors();
         }
         let (rpc, decision) = self.router.accept(now, statement.arrival);
         if let Decision::Reject { retry_after } = decision
@@ -74,7 +73,7 @@
         let id_expires_at = deadline + self.limits.retired_id_ttl;
         self.rpcs.reserve_id(now, id_hash, id_expires_at, self.limits.retired_ids);
         if let Some(client) = self.connections.client_mut(id) {
-            client.phase = ClientPhase::InRpc(rpc);
+            client.begin_rpc(rpc);
         }
         let description = RpcDescription {
             deadline,
@@ -111,14 +110,14 @@
         })?;
         // The client's time runs from when it sent the statement, also while that waited behind others, or the process
         // stalled.
-        let arrived = client.arrivals.arrival_of(now, length);
+        let arrived = client.arrival_of(now, length);
         let waited = arrived.as_ref().map_or(Span::ZERO, |arrived| arrived.waited_for_router);
         let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
         let wait = Span::from_secs_f64(comment.wait_ms.min(MAX_WAIT_MS) / 1e3);
         let lateness = if self.faulty.is(Faulty::AnswersLate) { FAULTY_LATENESS } else { Span::ZERO };
         let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
         let cost = StatementCost { waited, bytes: length };
-        if self.overload.assess(now, &self.router, &mut arrival, &mut client.usage, cost) {
+        if self.overload.assess(now, &self.router, &mut arrival, client.usage_mut(), cost) {
             let wait_at = comment.wait_at;
             return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
         }
--- a/crates/ladderpass/src/reducer/cancellation.rs
+++ b/crates/ladderpass/src/reducer/cancellation.rs
@@ -39,7 +39,7 @@
         let id = self.newest_with_process_id(key.process_id);
         let is_valid = self.cancel_keys.is_valid(id, key.secret);
         let Some(client) = self.connections.client(id).filter(|_| is_valid) else { return };
-        let ClientPhase::InRpc(rpc) = client.phase else { return };
+        let ClientPhase::InRpc(rpc) = client.phase() else { return };
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
         entry.cancel();
         let is_write = self.methods.is_write(entry.description().method).unwrap_or(true);
@@ -67,7 +67,7 @@
     /// not sent whole does not.
     pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
-        let phase = client.phase;
+        let phase = client.phase();
         self.close_connection(id);
         let ClientPhase::InRpc(rpc) = phase else { return };
         self.stats.count(Count::ClientLeft);
--- a/crates/ladderpass/src/reducer/client.rs
+++ b/crates/ladderpass/src/reducer/client.rs
@@ -1,8 +1,8 @@
 //! State of one client's connection.
 
-use super::input_arrivals::InputArrivals;
+use super::input_arrivals::{Arrived, InputArrivals};
 use ladderpass_overload::ClientUsage;
-use ladderpass_routing::{RpcId, Time};
+use ladderpass_routing::{RpcId, Span, Time};
 
 /// Where a client stands in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,26 +28,26 @@
 
 /// A client.
 pub(super) struct Client {
-    pub(super) phase: ClientPhase,
+    phase: ClientPhase,
     /// Errors of its own since its last good statement.
-    pub(super) errors: u32,
+    errors: u32,
     /// After an error nothing is read from it for a while.
-    pub(super) backing_off: bool,
+    is_backing_off: bool,
     /// An extended-protocol message was rejected; all messages up to Sync are ignored.
-    pub(super) ignores_until_sync: bool,
-    pub(super) awaited: Option<Awaited>,
-    /// It has sent at least one statement.
-    pub(super) has_sent_statement: bool,
+    ignores_until_sync: bool,
+    /// In step with the sets of `ClientTable`, which alone changes it.
+    awaited: Option<Awaited>,
+    has_sent_statement: bool,
     /// It had sent more than its buffer holds.
-    pub(super) overran: bool,
+    has_overrun: bool,
     /// After an overrun: from then on its socket, empty since, counts as read to its end.
-    pub(super) refill_until: Option<Time>,
+    refill_until: Option<Time>,
     /// In this iteration: what it sent behind its RPC waits for the next one, as writing the answer may show that the
     /// client has left.
-    pub(super) just_answered: bool,
+    is_just_answered: bool,
     /// What it used of the router lately.
-    pub(super) usage: ClientUsage,
-    pub(super) arrivals: InputArrivals,
+    usage: ClientUsage,
+    arrivals: InputArrivals,
     /// Bytes still to come of a statement for which there is no memory; none of it is kept.
     skipping: Option<usize>,
 }
@@ -57,19 +57,143 @@
         Client {
             phase: ClientPhase::Startup,
             errors: 0,
-            backing_off: false,
+            is_backing_off: false,
             ignores_until_sync: false,
             awaited: None,
             has_sent_statement: false,
-            overran: false,
+            has_overrun: false,
             refill_until: None,
-            just_answered: false,
+            is_just_answered: false,
             usage: ClientUsage::default(),
             arrivals: InputArrivals::default(),
             skipping: None,
         }
     }
 
+    pub(super) fn phase(&self) -> ClientPhase {
+        self.phase
+    }
+
+    /// May its next message be read in this iteration?
+    pub(super) fn is_ready(&self) -> bool {
+        !self.is_backing_off && !self.is_just_answered && !matches!(self.phase, ClientPhase::InRpc(_))
+    }
+
+    pub(super) fn complete_startup(&mut self) {
+        self.phase = ClientPhase::Idle;
+    }
+
+    pub(super) fn begin_rpc(&mut self, rpc: RpcId) {
+        self.phase = ClientPhase::InRpc(rpc);
+    }
+
+    pub(super) fn finish_rpc(&mut self) {
+        self.phase = ClientPhase::Idle;
+        self.is_just_answered = true;
+    }
+
+    /// The iteration in which it was answered is over.
+    pub(super) fn end_iteration(&mut self) {
+        self.is_just_answered = false;
+    }
+
+    /// It has sent a statement; true for the first one.
+    pub(super) fn record_statement(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_sent_statement, true)
+    }
+
+    pub(super) fn has_sent_statement(&self) -> bool {
+        self.has_sent_statement
+    }
+
+    /// Counts an error of its own; it backs off unless there are too many. Gives the errors so far.
+    pub(super) fn record_error(&mut self, max_errors: u32) -> u32 {
+        self.errors += 1;
+        self.is_backing_off = self.errors <= max_errors;
+        self.errors
+    }
+
+    pub(super) fn clear_errors(&mut self) {
+        self.errors = 0;
+    }
+
+    pub(super) fn is_backing_off(&self) -> bool {
+        self.is_backing_off
+    }
+
+    pub(super) fn end_backoff(&mut self) {
+        self.is_backing_off = false;
+    }
+
+    pub(super) fn ignore_until_sync(&mut self) {
+        self.ignores_until_sync = true;
+    }
+
+    pub(super) fn sync(&mut self) {
+        self.ignores_until_sync = false;
+    }
+
+    pub(super) fn ignores_until_sync(&self) -> bool {
+        self.ignores_until_sync
+    }
+
+    pub(super) fn awaited(&self) -> Option<Awaited> {
+        self.awaited
+    }
+
+    /// For `ClientTable` alone, which has the sets.
+    pub(super) fn replace_awaited(&mut self, awaited: Option<Awaited>) -> Option<Awaited> {
+        std::mem::replace(&mut self.awaited, awaited)
+    }
+
+    /// It has sent more than its buffer holds.
+    pub(super) fn record_overrun(&mut self) {
+        self.has_overrun = true;
+    }
+
+    /// Its socket was read until it was empty. After an overrun its kernel may have kept something back until then.
+    pub(super) fn record_drained(&mut self, refill_until: Time) {
+        if std::mem::take(&mut self.has_overrun) {
+            self.refill_until = Some(refill_until);
+        }
+    }
+
+    /// Until when more is expected at its socket after an overrun, if that is still to come.
+    pub(super) fn refill_pending(&self, now: Time) -> Option<Time> {
+        self.refill_until.filter(|&until| now < until)
+    }
+
+    /// Nothing more was found at its socket after an overrun.
+    pub(super) fn is_refill_over(&self, now: Time) -> bool {
+        self.refill_until.is_some_and(|until| until <= now)
+    }
+
+    pub(super) fn clear_refill(&mut self) {
+        self.refill_until = None;
+    }
+
+    /// So many bytes were received; more may follow until `refill_until` where it had overrun its buffer.
+    pub(super) fn record_received(&mut self, now: Time, arrived_at: Time, count: usize, refill_until: Time) {
+        self.refill_until = self.refill_until.map(|until| if now < until { refill_until } else { until });
+        self.arrivals.record(arrived_at, count);
+    }
+
+    pub(super) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
+        self.arrivals.arrival_of(now, count)
+    }
+
+    pub(super) fn consume(&mut self, count: usize) {
+        self.arrivals.consume(count);
+    }
+
+    pub(super) fn add_time_with_members(&mut self, span: Span) {
+        self.arrivals.add_time_with_members(span);
+    }
+
+    pub(super) fn usage_mut(&mut self) -> &mut ClientUsage {
+        &mut self.usage
+    }
+
     /// From now on so many bytes are not kept: they are the rest of a statement for which there is no memory.
     pub(super) fn start_skipping(&mut self, count: usize) {
         self.skipping = Some(count);
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -73,8 +73,7 @@
     fn read_client_message(&mut self, now: Time, id: ConnectionId) -> Progress {
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
         let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
-        let is_busy = client.just_answered || matches!(client.phase, ClientPhase::InRpc(_));
-        if connection.closing || client.backing_off || is_busy {
+        if connection.closing || !client.is_ready() {
             return Progress::Stop;
         }
         // A skipped statement is answered once its last byte has arrived.
@@ -93,7 +92,7 @@
             self.connections.set_deadline(id, deadline);
             return Progress::Stop;
         }
-        let message = if client.phase == ClientPhase::Startup {
+        let message = if client.phase() == ClientPhase::Startup {
             let key = self.cancel_keys.key(id);
             parse_startup(&mut connection.input, client, key, self.limits.startup_message_bytes)
         } else {
@@ -151,14 +150,14 @@
             self.reject_statement(now, id, length, Rejection::SentAhead);
             return Progress::Continue;
         }
-        let refill_until = client.refill_until.filter(|&until| now < until);
+        let refill_until = client.refill_pending(now);
         if connection.has_unread_bytes || refill_until.is_some() {
             let deadline = if connection.has_unread_bytes { None } else { refill_until };
             self.set_awaited(id, None);
             self.connections.set_deadline(id, deadline);
             return Progress::Stop;
         }
-        client.refill_until = None;
+        client.clear_refill();
         self.accept_rpc(now, id, length);
         Progress::Continue
     }
@@ -169,7 +168,7 @@
         connection.input.consume(count);
         connection.input.shrink(self.limits.buffer_initial_bytes);
         if let Remote::Client(client) = &mut connection.remote {
-            client.arrivals.consume(count);
+            client.consume(count);
             self.clients.subtract_unread_bytes(count);
         }
         if connection.read_paused && count > 0 {
@@ -187,11 +186,11 @@
         let received = connection.input.len();
         let length = front_message_length(&mut connection.input);
         let Remote::Client(client) = &mut connection.remote else { return };
-        if client.phase != ClientPhase::Idle || length <= received {
+        if client.phase() != ClientPhase::Idle || length <= received {
             return self.evict(id);
         }
         client.start_skipping(length - received);
-        let since = client.awaited.map_or(now, |(_, since)| since);
+        let since = client.awaited().map_or(now, |(_, since)| since);
         self.consume_input(id, received);
         if let Some(connection) = self.connections.get_mut(id) {
             connection.input.shrink(0);
@@ -204,12 +203,12 @@
     fn await_client_input(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let Remote::Client(client) = &connection.remote else { return };
-        if client.phase == ClientPhase::Startup {
+        if client.phase() == ClientPhase::Startup {
             return;
         }
         if !connection.input.is_empty() {
             // Its time runs from the first byte on.
-            let since = match client.awaited {
+            let since = match client.awaited() {
                 Some((AwaitedInput::StatementRest, since)) => since,
                 _ => now,
             };
@@ -249,7 +248,7 @@
         self.set_awaited(id, Some((AwaitedInput::NextStatement, now)));
         self.connections.set_deadline(id, Some(now + timeout));
         let client = self.connections.client(id);
-        if is_stopping && client.is_some_and(|client| client.has_sent_statement) {
+        if is_stopping && client.is_some_and(|client| client.has_sent_statement()) {
             self.evict(id);
         }
     }
@@ -257,7 +256,7 @@
     /// After an overrun the client's socket stayed empty: nothing stands behind what was read.
     pub(super) fn on_refill_timeout(&mut self, now: Time, id: ConnectionId) {
         if let Some(client) = self.connections.client_mut(id) {
-            client.refill_until = None;
+            client.clear_refill();
         }
         self.read_client(now, id);
     }
@@ -269,7 +268,7 @@
         else {
             return;
         };
-        client.backing_off = false;
+        client.end_backoff();
         *read_paused = false;
         self.effects.push(Effect::Read(id));
         self.read_client(now, id);
@@ -286,7 +285,7 @@
         }
         Ok(Some((pg::Opening::Startup, length))) => {
             pg::put_welcome(&mut answer, key.process_id, key.secret);
-            client.phase = ClientPhase::Idle;
+            client.complete_startup();
             length
         }
         Ok(Some((pg::Opening::Cancel(process_id, secret), _))) => {
@@ -319,10 +318,10 @@
     match (kind, pg::statement(body)) {
         (b'X', _) => return ClientMessage::Answered { length, answer, close: true },
         (b'S', _) => {
-            client.ignores_until_sync = false;
+            client.sync();
             pg::put_ready(&mut answer);
         }
-        _ if client.ignores_until_sync => {}
+        _ if client.ignores_until_sync() => {}
         (b'Q', Ok(statement)) if statement.trim().trim_end_matches(';').is_empty() => {
             pg::put(&mut answer, b'I', &[]);
             pg::put_ready(&mut answer);
@@ -333,7 +332,7 @@
         }
         (b'P' | b'B' | b'E' | b'D' | b'C' | b'H', _) => {
             pg::put_error(&mut answer, "ERROR", "0A000", "only simple queries are served", None);
-            client.ignores_until_sync = true;
+            client.ignore_until_sync();
         }
         (b'F', _) => return ClientMessage::invalid(length, "0A000", "only simple queries are served"),
         (b'd' | b'c' | b'f', _) => {}
--- a/crates/ladderpass/src/reducer/client_table.rs
+++ b/crates/ladderpass/src/reducer/client_table.rs
@@ -45,7 +45,7 @@
     }
 
     pub(super) fn set_awaited(&mut self, id: ConnectionId, client: &mut Client, awaited: Option<Awaited>) {
-        if let Some((before, since)) = std::mem::replace(&mut client.awaited, awaited) {
+        if let Some((before, since)) = client.replace_awaited(awaited) {
             self.awaiting[before as usize].remove(&(since, id));
         }
         if let Some((input, since)) = awaited {
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/connection_events.rs
@@ -18,7 +18,7 @@
         let limits = &self.limits;
         let Some(connection) = self.connections.get_mut(id) else { return &mut [] };
         let max_bytes = match connection.remote {
-            Remote::Client(ref client) if connection.closing || client.backing_off => 0,
+            Remote::Client(ref client) if connection.closing || client.is_backing_off() => 0,
             Remote::Client(_) => limits.client_buffer_bytes,
             Remote::Member(_) => limits.member_buffer_bytes,
             Remote::Discovery(_) => limits.discovery_buffer_bytes,
@@ -59,9 +59,9 @@
         (connection.read_was_paused, connection.has_unread_bytes) = (true, true);
         if let Remote::Client(client) = &mut connection.remote
             && !connection.closing
-            && !client.backing_off
+            && !client.is_backing_off()
         {
-            client.overran = true;
+            client.record_overrun();
             self.clients.push_ready(id);
         }
     }
@@ -120,8 +120,8 @@
                 self.resume_accepting();
             }
             Remote::Member(member) => {
-                self.members.remove_connection(member.member, id);
-                self.release_member_index(member.member);
+                self.members.remove_connection(member.member(), id);
+                self.release_member_index(member.member());
             }
             Remote::Discovery(_) => self.discovery.remove_connection(id),
         }
@@ -150,20 +150,17 @@
             Remote::Client(client) => {
                 self.clients.add_unread_bytes(count);
                 self.clients.cancel_eviction(id);
-                // Its kernel had kept something back, and may have more.
                 let refill_until = now + self.limits.refill_quiet_time;
-                client.refill_until =
-                    client.refill_until.map(|until| if now < until { refill_until } else { until });
                 // What waited for space in its own buffer says nothing of this router's pace.
                 let arrived_at = if was_paused { now } else { now - waited.max(self.stall) };
-                client.arrivals.record(arrived_at, count);
+                client.record_received(now, arrived_at, count, refill_until);
                 let skipped = client.skip_received(count);
                 connection.input.consume(skipped);
                 self.clients.subtract_unread_bytes(skipped);
                 self.clients.push_ready(id);
             }
             Remote::Member(member) => {
-                member.read_delay = waited;
+                member.set_read_delay(waited);
                 self.read_member(now, id);
             }
             Remote::Discovery(_) => self.read_watch(now, id),
@@ -184,9 +181,7 @@
             return;
         }
         if let Remote::Client(client) = &mut connection.remote {
-            if std::mem::take(&mut client.overran) {
-                client.refill_until = Some(refill_until);
-            }
+            client.record_drained(refill_until);
             self.clients.push_ready(id);
         }
     }
@@ -200,7 +195,7 @@
         match &mut connection.remote {
             Remote::Member(member) => {
                 if member.record_written(now, count) {
-                    let deadline = member.job_deadline;
+                    let deadline = member.job_deadline();
                     self.connections.set_deadline(id, Some(deadline));
                 }
             }
--- a/crates/ladderpass/src/reducer/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/connection_limits.rs
@@ -68,7 +68,7 @@
     pub(super) fn retry_denied_connects(&mut self) {
         for id in std::mem::take(&mut self.connection_limits.denied_connects) {
             let address = match self.connections.get(id).map(|connection| &connection.remote) {
-                Some(Remote::Member(member)) => self.members.address(member.member),
+                Some(Remote::Member(member)) => self.members.address(member.member()),
                 Some(Remote::Discovery(_)) => Some(self.discovery.address()),
                 _ => None,
             };
--- a/crates/ladderpass/src/reducer/deadlines.rs
+++ b/crates/ladderpass/src/reducer/deadlines.rs
@@ -26,34 +26,34 @@
     fn on_client_deadline(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let Remote::Client(client) = &connection.remote else { return };
-        match client.phase {
+        match client.phase() {
             ClientPhase::InRpc(rpc) => {
                 // The client's time is all but up: it is answered whatever the routing core does.
                 tracing::debug!("RPC unanswered at its deadline");
                 self.answer_unserved(now, rpc, Decision::Fail);
                 rpc.abandon(&mut self.router);
             }
-            _ if client.backing_off => self.resume_after_error(now, id),
-            _ if !connection.closing && client.refill_until.is_some_and(|until| until <= now) => {
+            _ if client.is_backing_off() => self.resume_after_error(now, id),
+            _ if !connection.closing && client.is_refill_over(now) => {
                 self.on_refill_timeout(now, id);
             }
             _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
             // Memory was freed while it waited for that: it has the time of any other.
-            _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited
+            _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited()
                 && now < since + self.limits.message_timeout =>
             {
                 self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
             }
-            _ if client.awaited.is_some() => self.evict(id),
+            _ if client.awaited().is_some() => self.evict(id),
             _ => self.close_connection(id),
         }
     }
 
     fn on_member_deadline(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
-        match member.job {
+        match member.job() {
             None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
-            Some(_) if !member.is_established && now < member.connect_deadline => {
+            Some(_) if !member.is_established() && now < member.connect_deadline() => {
                 // The job is given up unsent; the connection may still be established for another.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
@@ -61,7 +61,7 @@
                 self.end_member_connection(now, id, AttemptOutcome::Unreachable);
             }
             // An answer that has begun and does not end would take the time for another attempt.
-            Some(_) if member.answer_has_begun => {
+            Some(_) if member.has_answer_begun() => {
                 self.on_malformed_message(now, id);
             }
             Some(_) => self.end_member_connection(now, id, AttemptOutcome::TimedOut),
--- a/crates/ladderpass/src/reducer/eviction.rs
+++ b/crates/ladderpass/src/reducer/eviction.rs
@@ -55,7 +55,7 @@
     /// have arrived that was not read yet.
     pub(super) fn evict(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
-        self.clients.begin_eviction(id, client.awaited);
+        self.clients.begin_eviction(id, client.awaited());
         self.effects.push(Effect::Read(id));
     }
 
@@ -76,8 +76,8 @@
         }
         let awaited_before = self.clients.take_eviction(id);
         if let Remote::Client(client) = &connection.remote
-            && client.awaited.is_some()
-            && client.awaited == awaited_before
+            && client.awaited().is_some()
+            && client.awaited() == awaited_before
         {
             self.close_when_written(now, id);
         }
--- a/crates/ladderpass/src/reducer/member_answers.rs
+++ b/crates/ladderpass/src/reducer/member_answers.rs
@@ -5,10 +5,10 @@
 use super::connection_id::ConnectionId;
 use super::connections::{Connection, Remote};
 use super::load_report::read_load_report;
-use super::member_connection::{Job, MessageEffect};
+use super::member_connection::{AnsweredJob, Job, MessageEffect};
 use crate::faulty::Faulty;
 use crate::pg;
-use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, Span, Time};
+use ladderpass_routing::{AttemptOutcome, LoadReport, Time};
 
 impl Reducer {
     /// Reads the messages that a member has sent.
@@ -22,37 +22,36 @@
         else {
             return false;
         };
-        member.last_received_at = now;
-        let has_job = member.is_established && member.job.is_some();
-        if self.faulty.is(Faulty::ReusesUnquiet) && member.is_established && member.job.is_none() {
+        member.record_received(now);
+        let has_job = member.has_established_job();
+        if self.faulty.is(Faulty::ReusesUnquiet) && member.is_established() && member.job().is_none() {
             return false;
         }
-        if input.len() > member.scanned && has_job && !std::mem::replace(&mut member.answer_has_begun, true) {
-            let deadline = member.job_deadline.min(now + self.limits.partial_answer_timeout);
+        let input_bytes = input.len();
+        if member.begins_answer(input_bytes) {
+            let deadline = member.job_deadline().min(now + self.limits.partial_answer_timeout);
             self.connections.set_deadline(id, Some(deadline));
             return true;
         }
-        let bytes = input.whole().get(member.scanned..).unwrap_or_default();
+        let bytes = input.whole().get(member.scanned()..).unwrap_or_default();
         let (kind, body, length) = match pg::frame(bytes, self.limits.member_buffer_bytes) {
             Ok(Some(frame)) => frame,
             Ok(None) => return false,
-            Err(_) if self.faulty.is(Faulty::TrustsLengths) && member.answer.has_description() => {
-                member.answer.force_complete();
-                member.scanned = input.len();
+            Err(_) if self.faulty.is(Faulty::TrustsLengths) && member.force_complete(input_bytes) => {
                 self.on_answer_complete(now, id);
                 return false;
             }
             Err(_) => return self.on_malformed_message(now, id),
         };
         match member.on_message(kind, body, self.faulty.is(Faulty::PassesOnTornRows)) {
-            MessageEffect::Continue if has_job => member.scanned += length,
+            MessageEffect::Continue if has_job => member.add_scanned(length),
             MessageEffect::Continue => input.consume(length),
             MessageEffect::Established => {
                 input.consume(length);
                 self.on_member_established(now, id);
             }
             MessageEffect::AnswerComplete => {
-                member.scanned += length;
+                member.add_scanned(length);
                 self.on_answer_complete(now, id);
             }
             MessageEffect::Ended(outcome) => {
@@ -71,9 +70,9 @@
         let outcome =
             if member.is_query_sent() { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Unreachable };
         tracing::warn!(
-            member = self.members.names().name(member.member as u32),
-            job = ?member.job,
-            unwritten_bytes = member.unwritten,
+            member = self.members.names().name(member.member() as u32),
+            job = ?member.job(),
+            unwritten_bytes = member.unwritten(),
             "malformed message from a member: connection closed"
         );
         self.end_member_connection(now, id, outcome);
@@ -83,11 +82,11 @@
     /// The member has completed its startup.
     fn on_member_established(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
-        let connect_began_at = member.connect_deadline - self.limits.connect_timeout;
+        let connect_began_at = member.connect_deadline() - self.limits.connect_timeout;
         self.stats.add_connect_time(now - connect_began_at);
-        self.members.remove_connecting(member.member, id);
-        if member.job.is_some() {
-            let deadline = member.job_deadline;
+        self.members.remove_connecting(member.member(), id);
+        if member.job().is_some() {
+            let deadline = member.job_deadline();
             self.connections.set_deadline(id, Some(deadline));
             self.send_query(now, id);
         } else {
@@ -98,15 +97,8 @@
     /// The member has answered the query of a connection's job, and is ready for the next one.
     fn on_answer_complete(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        let Some(job) = member.job.take() else { return };
-        let index = member.member;
-        // What this router itself kept waiting, the query before it was written and the answer before it was read, is no
-        // time of the member's.
-        let waited_for_router = member.write_delay + member.read_delay;
-        let latency = (now - member.assigned_at - waited_for_router).max(Span::from_nanos(1));
-        let mut answer = std::mem::take(&mut member.answer);
-        member.answer_has_begun = false;
-        let used = std::mem::take(&mut member.scanned);
+        let Some(answered) = member.take_answered_job(now) else { return };
+        let AnsweredJob { job, member, mut answer, input_bytes, latency, waited_for_router } = answered;
         if let Job::Attempt(rpc) = job
             && let Some(entry) = self.rpcs.get_mut(rpc)
         {
@@ -123,11 +115,11 @@
             report.position = report.position.map(|_| now);
             answer.override_position(now);
         }
-        self.consume_member_input(id, used);
+        self.consume_member_input(id, input_bytes);
         if job == Job::SyncQuery {
             return self.return_to_pool(now, id);
         }
-        let result = answer.to_result(MemberId(index as u32), outcome, latency);
+        let result = answer.to_result(member, outcome, latency);
         match self.faulty.is(Faulty::ReusesUnquiet) {
             true => self.return_to_pool(now, id),
             false => {
--- a/crates/ladderpass/src/reducer/member_connection.rs
+++ b/crates/ladderpass/src/reducer/member_connection.rs
@@ -3,7 +3,7 @@
 
 use super::query_answer::QueryAnswer;
 use crate::pg;
-use ladderpass_routing::{AttemptOutcome, RpcId, Span, Time};
+use ladderpass_routing::{AttemptOutcome, MemberId, RpcId, Span, Time};
 
 /// What a connection to a member is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,33 +18,66 @@
 /// A connection to a member.
 pub(super) struct MemberConnection {
     /// The member's index.
-    pub(super) member: usize,
+    member: usize,
     /// The member has completed its startup.
-    pub(super) is_established: bool,
-    pub(super) job: Option<Job>,
-    pub(super) assigned_at: Time,
+    is_established: bool,
+    connect_deadline: Time,
+    job: Option<Job>,
+    assigned_at: Time,
     /// When the job is given up.
-    pub(super) job_deadline: Time,
-    pub(super) connect_deadline: Time,
+    job_deadline: Time,
     /// Bytes of the query that are not yet written to the socket, without the empty query behind it.
-    pub(super) unwritten: usize,
+    unwritten: usize,
     /// No byte of the query has been written.
-    pub(super) nothing_written: bool,
+    is_nothing_written: bool,
     /// When the query was handed over to be written.
-    pub(super) queued_at: Time,
+    queued_at: Time,
     /// How long this router kept the query from being written.
-    pub(super) write_delay: Span,
+    write_delay: Span,
     /// How long what was read last had waited to be read.
-    pub(super) read_delay: Span,
+    read_delay: Span,
     /// Bytes of the input that are already parsed.
-    pub(super) scanned: usize,
-    pub(super) answer: QueryAnswer,
+    scanned: usize,
+    answer: QueryAnswer,
     /// Bytes of the answer have arrived.
-    pub(super) answer_has_begun: bool,
-    pub(super) idle_since: Time,
-    pub(super) last_received_at: Time,
+    has_answer_begun: bool,
+    idle_since: Time,
+    last_received_at: Time,
     /// Not to be used again, as the member's address has changed.
-    pub(super) is_retired: bool,
+    is_retired: bool,
+}
+
+/// A job that has left its connection.
+pub(super) struct EndedJob {
+    pub(super) job: Option<Job>,
+    pub(super) member: MemberId,
+    pub(super) assigned_at: Time,
+    pub(super) answer: QueryAnswer,
+}
+
+/// A job whose answer is complete.
+pub(super) struct AnsweredJob {
+    pub(super) job: Job,
+    pub(super) member: MemberId,
+    pub(super) answer: QueryAnswer,
+    /// Bytes of the input that the answer takes.
+    pub(super) input_bytes: usize,
+    /// Time of the member's: without what this router kept waiting, the query before it was written and the answer
+    /// before it was read.
+    pub(super) latency: Span,
+    pub(super) waited_for_router: Span,
+}
+
+/// How far a query has got that is to be withdrawn.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Withdrawal {
+    /// The connection is not established: nothing is queued.
+    NotQueued,
+    /// No byte of it was written; it is to be taken out of the output.
+    Queued,
+    PartlyWritten,
+    /// The connection has no query that is not written whole.
+    Written,
 }
 
 /// What a message from a member leads to.
@@ -68,29 +101,183 @@
         MemberConnection {
             member,
             is_established: false,
+            connect_deadline,
             job: None,
             assigned_at: now,
             job_deadline,
-            connect_deadline,
             unwritten: 0,
-            nothing_written: false,
+            is_nothing_written: false,
             queued_at: now,
             write_delay: Span::ZERO,
             read_delay: Span::ZERO,
             scanned: 0,
             answer: QueryAnswer::default(),
-            answer_has_begun: false,
+            has_answer_begun: false,
             idle_since: now,
             last_received_at: Time::NEVER,
             is_retired: false,
         }
     }
 
+    /// The member's index.
+    pub(super) fn member(&self) -> usize {
+        self.member
+    }
+
+    pub(super) fn is_established(&self) -> bool {
+        self.is_established
+    }
+
+    pub(super) fn connect_deadline(&self) -> Time {
+        self.connect_deadline
+    }
+
+    pub(super) fn job(&self) -> Option<Job> {
+        self.job
+    }
+
+    pub(super) fn assigned_at(&self) -> Time {
+        self.assigned_at
+    }
+
+    pub(super) fn job_deadline(&self) -> Time {
+        self.job_deadline
+    }
+
+    pub(super) fn unwritten(&self) -> usize {
+        self.unwritten
+    }
+
+    /// Gives it a job; returns the deadline of the connection.
+    pub(super) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
+        (self.job, self.assigned_at, self.job_deadline) = (Some(job), assigned_at, deadline);
+        self.write_delay = Span::ZERO;
+        if self.is_established { deadline } else { deadline.min(self.connect_deadline) }
+    }
+
+    /// Takes the job, with nothing of its answer.
+    pub(super) fn take_job(&mut self) -> Option<Job> {
+        self.job.take()
+    }
+
+    /// Takes the job, with what has arrived of its answer.
+    pub(super) fn end_job(&mut self) -> EndedJob {
+        EndedJob {
+            job: self.job.take(),
+            member: MemberId(self.member as u32),
+            assigned_at: self.assigned_at,
+            answer: std::mem::take(&mut self.answer),
+        }
+    }
+
+    /// Takes the job whose answer is complete.
+    pub(super) fn take_answered_job(&mut self, now: Time) -> Option<AnsweredJob> {
+        let job = self.job.take()?;
+        let waited_for_router = self.write_delay + self.read_delay;
+        self.has_answer_begun = false;
+        Some(AnsweredJob {
+            job,
+            member: MemberId(self.member as u32),
+            answer: std::mem::take(&mut self.answer),
+            input_bytes: std::mem::take(&mut self.scanned),
+            latency: (now - self.assigned_at - waited_for_router).max(Span::from_nanos(1)),
+            waited_for_router,
+        })
+    }
+
+    pub(super) fn set_idle(&mut self, now: Time) {
+        self.idle_since = now;
+    }
+
+    pub(super) fn idle_since(&self) -> Time {
+        self.idle_since
+    }
+
+    /// The member's address has changed.
+    pub(super) fn retire(&mut self) {
+        self.is_retired = true;
+    }
+
+    pub(super) fn is_retired(&self) -> bool {
+        self.is_retired
+    }
+
+    pub(super) fn set_read_delay(&mut self, delay: Span) {
+        self.read_delay = delay;
+    }
+
+    pub(super) fn record_received(&mut self, now: Time) {
+        self.last_received_at = now;
+    }
+
+    pub(super) fn last_received_at(&self) -> Time {
+        self.last_received_at
+    }
+
+    pub(super) fn has_established_job(&self) -> bool {
+        self.is_established && self.job.is_some()
+    }
+
+    /// With so many bytes of input: do the first bytes of an answer stand there? True once an answer.
+    pub(super) fn begins_answer(&mut self, input_bytes: usize) -> bool {
+        input_bytes > self.scanned
+            && self.has_established_job()
+            && !std::mem::replace(&mut self.has_answer_begun, true)
+    }
+
+    pub(super) fn has_answer_begun(&self) -> bool {
+        self.has_answer_begun
+    }
+
+    /// Bytes of the input that are already parsed.
+    pub(super) fn scanned(&self) -> usize {
+        self.scanned
+    }
+
+    pub(super) fn add_scanned(&mut self, count: usize) {
+        self.scanned += count;
+    }
+
+    /// In faulty builds: takes all input for a complete answer, if it has begun as one.
+    pub(super) fn force_complete(&mut self, input_bytes: usize) -> bool {
+        let has_description = self.answer.has_description();
+        if has_description {
+            self.answer.force_complete();
+            self.scanned = input_bytes;
+        }
+        has_description
+    }
+
+    /// When the query is to be written whole, `timeout` after it was queued at the latest; None if it is.
+    pub(super) fn write_deadline(&self, timeout: Span) -> Option<Time> {
+        let is_writing = self.is_established && self.unwritten > 0;
+        is_writing.then(|| self.job_deadline.min(self.queued_at + timeout))
+    }
+
+    /// It carries an attempt of which no byte was sent to the member.
+    pub(super) fn has_unsent_attempt(&self) -> bool {
+        let is_unsent = !self.is_established || self.is_nothing_written && self.unwritten > 0;
+        matches!(self.job, Some(Job::Attempt(_))) && is_unsent
+    }
+
+    /// Takes its query back as far as that is possible.
+    pub(super) fn withdraw_query(&mut self) -> Withdrawal {
+        match (self.is_established, self.is_nothing_written) {
+            (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
+            (true, false) => Withdrawal::Written,
+            (true, true) => {
+                (self.unwritten, self.is_nothing_written) = (0, false);
+                Withdrawal::Queued
+            }
+            (false, _) => Withdrawal::NotQueued,
+        }
+    }
+
     /// The query of its job is to be written; so many bytes of output end with it.
     pub(super) fn begin_query(&mut self, now: Time, unwritten: usize) {
         (self.unwritten, self.scanned, self.answer) = (unwritten, 0, QueryAnswer::default());
-        (self.queued_at, self.write_delay, self.nothing_written) = (now, Span::ZERO, true);
-        self.answer_has_begun = false;
+        (self.queued_at, self.write_delay, self.is_nothing_written) = (now, Span::ZERO, true);
+        self.has_answer_begun = false;
     }
 
     /// So many bytes of output were written; true where they complete the query.
@@ -98,7 +285,7 @@
         if self.unwritten == 0 {
             return false;
         }
-        self.nothing_written &= count == 0;
+        self.is_nothing_written &= count == 0;
         self.unwritten = self.unwritten.saturating_sub(count);
         if self.unwritten == 0 {
             self.write_delay += now - self.queued_at;
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -2,7 +2,7 @@
 
 use super::Reducer;
 use super::connection_id::ConnectionId;
-use super::member_connection::Job;
+use super::member_connection::{EndedJob, Job, Withdrawal};
 use crate::faulty::Faulty;
 use crate::pg;
 use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, RpcId, Span, Time};
@@ -13,9 +13,7 @@
 impl Reducer {
     pub(super) fn set_job(&mut self, assigned_at: Time, id: ConnectionId, job: Job, deadline: Time) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        (member.job, member.assigned_at, member.job_deadline) = (Some(job), assigned_at, deadline);
-        member.write_delay = Span::ZERO;
-        let next = if member.is_established { deadline } else { deadline.min(member.connect_deadline) };
+        let next = member.assign(assigned_at, job, deadline);
         self.connections.set_deadline(id, Some(next));
         if let Job::Attempt(rpc) = job
             && let Some(entry) = self.rpcs.get_mut(rpc)
@@ -29,7 +27,7 @@
     pub(super) fn send_query(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let mut query = Vec::new();
-        match member.job {
+        match member.job() {
             // The empty query was written behind the query before it.
             None | Some(Job::SyncQuery) => return,
             Some(Job::HealthCheck) => pg::put_query(&mut query, &[HEALTH_CHECK_QUERY]),
@@ -63,13 +61,13 @@
         let (Some(member), Some(entry)) = (self.connections.member(id), self.rpcs.get(rpc)) else {
             return Err(None);
         };
-        let (member_id, deadline) = (MemberId(member.member as u32), member.job_deadline);
+        let (member_id, deadline) = (MemberId(member.member() as u32), member.job_deadline());
         let description = entry.description();
         // What held at the decision may not hold any more: data that were new enough, and the window in which a repeat
         // has no second effect.
         let is_window_repeat = entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
         let expires = description.bounds_staleness || is_window_repeat;
-        let is_late = expires && now - member.assigned_at > self.limits.fresh_send_timeout;
+        let is_late = expires && now - member.assigned_at() > self.limits.fresh_send_timeout;
         if is_late && !self.router.may_still_attempt(now, rpc, member_id) {
             return Err(Some(AttemptOutcome::DecisionExpired));
         }
@@ -92,17 +90,19 @@
     /// The job of a connection has ended; the connection itself goes on.
     pub(super) fn release_job(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        let Some(job) = member.job.take() else { return };
-        let (index, assigned_at) = (member.member, member.assigned_at);
-        let answer = std::mem::take(&mut member.answer);
-        let (is_established, connect_deadline) = (member.is_established, member.connect_deadline);
+        if member.job().is_none() {
+            return;
+        }
+        let (is_established, connect_deadline) = (member.is_established(), member.connect_deadline());
+        let index = member.member();
+        let EndedJob { job: Some(job), member, assigned_at, answer } = member.end_job() else { return };
         if is_established {
             self.return_to_pool(now, id);
         } else {
             self.connections.set_deadline(id, Some(connect_deadline));
             self.members.remove_connecting(index, id);
         }
-        let result = answer.to_result(MemberId(index as u32), outcome, now - assigned_at);
+        let result = answer.to_result(member, outcome, now - assigned_at);
         self.on_job_ended(now, job, result, LoadReport::default());
     }
 
@@ -110,10 +110,7 @@
     /// enough, that do not hold any more.
     pub(super) fn on_query_write_blocked(&mut self, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
-        if !member.is_established || member.unwritten == 0 {
-            return;
-        }
-        let bounds_staleness = match member.job {
+        let bounds_staleness = match member.job() {
             Some(Job::Attempt(rpc)) => {
                 self.rpcs.get(rpc).is_some_and(|entry| entry.description().bounds_staleness)
             }
@@ -121,8 +118,9 @@
         };
         let timeout =
             if bounds_staleness { self.limits.fresh_send_timeout } else { self.limits.write_timeout };
-        let deadline = member.job_deadline.min(member.queued_at + timeout);
-        self.connections.set_deadline(id, Some(deadline));
+        if let Some(deadline) = member.write_deadline(timeout) {
+            self.connections.set_deadline(id, Some(deadline));
+        }
     }
 
     pub(super) fn is_query_sent(&self, id: ConnectionId) -> bool {
@@ -130,34 +128,31 @@
     }
 
     pub(super) fn is_established(&self, id: ConnectionId) -> bool {
-        self.connections.member(id).is_some_and(|member| member.is_established)
+        self.connections.member(id).is_some_and(|member| member.is_established())
     }
 
     /// No client waits for the answer to a connection's job any more: a query that is not written whole is taken back. A
     /// part of a query makes the connection useless, and never runs.
     pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        match (member.is_established, member.nothing_written) {
-            (true, false) if member.unwritten > 0 => {
-                self.end_member_connection(now, id, AttemptOutcome::Cancelled);
-            }
-            (true, false) => {}
-            (true, true) => {
-                (member.unwritten, member.nothing_written) = (0, false);
+        match member.withdraw_query() {
+            Withdrawal::PartlyWritten => self.end_member_connection(now, id, AttemptOutcome::Cancelled),
+            Withdrawal::Written => {}
+            Withdrawal::Queued => {
                 if let Some(connection) = self.connections.get_mut(id) {
                     connection.output.consume(connection.output.len());
                 }
                 self.release_job(now, id, AttemptOutcome::Cancelled);
             }
-            (false, _) => self.release_job(now, id, AttemptOutcome::Cancelled),
+            Withdrawal::NotQueued => self.release_job(now, id, AttemptOutcome::Cancelled),
         }
     }
 
     /// Closes a connection to a member; its job ends so.
     pub(super) fn end_member_connection(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        let (job, index, assigned_at) = (member.job.take(), member.member, member.assigned_at);
-        let answer = std::mem::take(&mut member.answer);
+        let index = member.member();
+        let EndedJob { job, member, assigned_at, answer } = member.end_job();
         if outcome == AttemptOutcome::Ok
             && let Some(Job::Attempt(rpc)) = job
         {
@@ -168,7 +163,7 @@
         if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
             self.close_silent_connections(index, assigned_at);
         }
-        let result = answer.to_result(MemberId(index as u32), outcome, now - assigned_at);
+        let result = answer.to_result(member, outcome, now - assigned_at);
         if let Some(job) = job {
             self.on_job_ended(now, job, result, LoadReport::default());
         }
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/member_pools.rs
@@ -212,8 +212,9 @@
 
     /// The member connection that is idle for longest.
     pub(super) fn longest_idle_connection(&self) -> Option<ConnectionId> {
-        let since =
-            |&id: &ConnectionId| self.connections.member(id).map_or(Time::NEVER, |member| member.idle_since);
+        let since = |&id: &ConnectionId| {
+            self.connections.member(id).map_or(Time::NEVER, |member| member.idle_since())
+        };
         self.members.longest_idle().min_by_key(since)
     }
 
@@ -221,17 +222,17 @@
     /// idle.
     pub(super) fn return_to_pool(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
-        member.idle_since = now;
-        if member.is_retired {
+        member.set_idle(now);
+        if member.is_retired() {
             return self.close_connection(id);
         }
-        let index = member.member;
+        let index = member.member();
         if let Some(connecting) = self.members.pop_connecting(index)
             && let Some(other) = self.connections.member_mut(connecting)
-            && let Some(job) = other.job.take()
+            && let Some(job) = other.take_job()
         {
-            let (assigned_at, deadline) = (other.assigned_at, other.job_deadline);
-            let connect_deadline = other.connect_deadline;
+            let (assigned_at, deadline) = (other.assigned_at(), other.job_deadline());
+            let connect_deadline = other.connect_deadline();
             self.connections.set_deadline(connecting, Some(connect_deadline));
             self.set_job(assigned_at, id, job, deadline);
             return self.send_query(now, id);
@@ -244,7 +245,7 @@
     /// that vanished leaves them open, and a write into one may never be answered.
     pub(super) fn close_silent_connections(&mut self, index: usize, since: Time) {
         let is_silent = |&&id: &&ConnectionId| {
-            self.connections.member(id).is_some_and(|member| member.last_received_at < since)
+            self.connections.member(id).is_some_and(|member| member.last_received_at() < since)
         };
         let silent: Vec<ConnectionId> = self.members.idle(index).iter().filter(is_silent).copied().collect();
         for id in silent {
@@ -266,14 +267,15 @@
         }
         self.close_idle_connections(index);
         let mut connecting = Vec::new();
-        for (id, member) in self.connections.members_mut().filter(|(_, member)| member.member == index) {
-            member.is_retired = true;
-            connecting.extend(Some(id).filter(|_| !member.is_established));
+        for (id, member) in self.connections.members_mut().filter(|(_, member)| member.member() == index) {
+            member.retire();
+            connecting.extend(Some(id).filter(|_| !member.is_established()));
         }
         connecting.sort();
         for id in connecting {
             let Some(member) = self.connections.member_mut(id) else { continue };
-            let (job, deadline, assigned_at) = (member.job.take(), member.job_deadline, member.assigned_at);
+            let (job, deadline, assigned_at) =
+                (member.take_job(), member.job_deadline(), member.assigned_at());
             self.close_connection(id);
             let Some(job) = job else { continue };
             if self.assign_job(now, index, job, deadline).is_none() {
@@ -290,11 +292,8 @@
         let is_inactive = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let inactive: FxHashSet<usize> = (0..self.members.len()).filter(is_inactive).collect();
         inactive.iter().for_each(|&index| self.close_idle_connections(index));
-        let is_unsent_attempt = |member: &MemberConnection| {
-            inactive.contains(&member.member)
-                && matches!(member.job, Some(Job::Attempt(_)))
-                && (!member.is_established || member.nothing_written && member.unwritten > 0)
-        };
+        let is_unsent_attempt =
+            |member: &MemberConnection| inactive.contains(&member.member()) && member.has_unsent_attempt();
         let unsent = self.connections.members().filter(|(_, member)| is_unsent_attempt(member));
         let mut unsent: Vec<ConnectionId> = unsent.map(|(id, _)| id).collect();
         unsent.sort();
--- a/crates/ladderpass/src/reducer/rejections.rs
+++ b/crates/ladderpass/src/reducer/rejections.rs
@@ -108,10 +108,9 @@
         error: &StatementError,
     ) {
         let Some(client) = self.connections.client_mut(id) else { return };
-        client.errors += 1;
-        let is_fatal = client.errors > self.limits.client_errors;
-        client.backing_off = !is_fatal;
-        let doublings = (client.errors - 1).min(MAX_BACKOFF_DOUBLINGS);
+        let errors = client.record_error(self.limits.client_errors);
+        let is_fatal = !client.is_backing_off();
+        let doublings = (errors - 1).min(MAX_BACKOFF_DOUBLINGS);
         let pause = self.limits.client_error_backoff * f64::from(1u32 << doublings);
         self.stats.count(Count::ClientError);
         let (code, text) = (error.code, error.text.as_str());
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -31,10 +31,10 @@
         let time_with_members = entry.time_with_members(now);
         let [Some(from), Some(to)] = self.connections.pair_mut(id, client) else { return };
         let Remote::Client(state) = &mut to.remote else { return };
-        if state.phase != ClientPhase::InRpc(rpc) {
+        if state.phase() != ClientPhase::InRpc(rpc) {
             return;
         }
-        state.arrivals.add_time_with_members(time_with_members);
+        state.add_time_with_members(time_with_members);
         let initial_bytes = self.limits.buffer_initial_bytes;
         push_result(from.input.whole(), &mut to.output, self.limits.member_buffer_bytes, initial_bytes);
         if self.faulty.is(Faulty::AnswersTwice) {
@@ -65,7 +65,7 @@
         }
         let Some(client) = client else { return };
         if let Some(state) = self.connections.client_mut(client) {
-            state.arrivals.add_time_with_members(time_with_members);
+            state.add_time_with_members(time_with_members);
         }
         self.overload.record_unserved();
         let answer = self.unserved_answer(group, is_cancelled, decision);
@@ -101,8 +101,7 @@
     fn finish_statement(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Remote::Client(client) = &mut connection.remote {
-            client.phase = ClientPhase::Idle;
-            client.just_answered = true;
+            client.finish_rpc();
         }
         let length = front_message_length(&mut connection.input);
         self.consume_input(id, length);
