--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -2,14 +2,13 @@
 //! routing core.
 
 use super::Reducer;
-use super::client::ClientPhase;
 use super::connection_id::ConnectionId;
 use super::connections::{Connection, Remote};
 use super::overload::StatementCost;
 use super::rejections::{Rejection, StatementError};
-use super::rpc_table::RpcInFlight;
+use super::rpc_table::{RpcDescription, RpcInFlight};
 use super::stats::Count;
-use super::time_from_unix_ms;
+use super::unix_time::time_from_unix_ms;
 use crate::faulty::Faulty;
 use crate::pg;
 use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time};
@@ -37,7 +36,7 @@
     pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
         self.set_awaited(id, None);
         let Some(client) = self.connections.client_mut(id) else { return };
-        let is_first = !std::mem::replace(&mut client.has_sent_statement, true);
+        let is_first = client.record_statement();
         let is_crowded = is_first && self.exceeds_client_limit(now);
         let statement = match self.parse_statement(now, id, length) {
             Ok(statement) => statement,
@@ -55,7 +54,7 @@
         self.stats.count(Count::Accepted);
         self.overload.record_accepted();
         if let Some(client) = self.connections.client_mut(id) {
-            client.errors = 0;
+            client.clear_errors();
         }
         let (rpc, decision) = self.router.accept(now, statement.arrival);
         if let Decision::Reject { retry_after } = decision
@@ -74,12 +73,9 @@
         let id_expires_at = deadline + self.limits.retired_id_ttl;
         self.rpcs.reserve_id(now, id_hash, id_expires_at, self.limits.retired_ids);
         if let Some(client) = self.connections.client_mut(id) {
-            client.phase = ClientPhase::InRpc(rpc);
+            client.begin_rpc(rpc);
         }
-        let entry = RpcInFlight {
-            client: Some(id),
-            accepted_at: now,
-            waited_for_router: Span::ZERO,
+        let description = RpcDescription {
             deadline,
             bounds_staleness: self.methods.bounds_staleness(method),
             method,
@@ -87,15 +83,9 @@
             priority,
             id_hash,
             wait_at,
-            attempts: 0,
-            first_attempt_recorded: false,
-            retry_paid: false,
-            connection: None,
-            may_have_run: false,
-            cancelled: false,
-            span: tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3),
         };
-        self.rpcs.insert(rpc, entry);
+        let span = tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3);
+        self.rpcs.insert(rpc, RpcInFlight::new(now, id, description, span));
         self.connections.set_deadline(id, Some(deadline - self.limits.answer_margin * 0.5));
     }
 
@@ -121,14 +111,14 @@
         })?;
         // The client's time runs from when it sent the statement, also while that waited behind others, or the process
         // stalled.
-        let arrived = client.arrivals.arrival_of(now, length);
+        let arrived = client.arrival_of(now, length);
         let waited = arrived.as_ref().map_or(Span::ZERO, |arrived| arrived.waited_for_router);
         let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
         let wait = Span::from_secs_f64(comment.wait_ms.min(MAX_WAIT_MS) / 1e3);
         let lateness = if self.faulty.is(Faulty::AnswersLate) { FAULTY_LATENESS } else { Span::ZERO };
         let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
         let cost = StatementCost { waited, bytes: length };
-        if self.overload.assess(now, &self.router, &mut arrival, &mut client.usage, cost) {
+        if self.overload.assess(now, &self.router, &mut arrival, client.usage_mut(), cost) {
             let wait_at = comment.wait_at;
             return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
         }
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -5,6 +5,7 @@
 use super::connection_id::ConnectionId;
 use super::connections::Remote;
 use super::event::Effect;
+use super::rpc_table::RpcDescription;
 use super::stats::Count;
 use crate::buffer::Buffer;
 use crate::faulty::Faulty;
@@ -25,14 +26,15 @@
     /// Forwards the answer at the front of a member's connection to the client that waits for it.
     pub(super) fn forward_answer(&mut self, now: Time, id: ConnectionId, rpc: RpcId) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        let (Some(client), method, group) = (entry.client.take(), entry.method, entry.group) else { return };
+        let Some(client) = entry.take_client() else { return };
+        let RpcDescription { method, group, .. } = *entry.description();
         let time_with_members = entry.time_with_members(now);
         let [Some(from), Some(to)] = self.connections.pair_mut(id, client) else { return };
         let Remote::Client(state) = &mut to.remote else { return };
-        if state.phase != ClientPhase::InRpc(rpc) {
+        if state.phase() != ClientPhase::InRpc(rpc) {
             return;
         }
-        state.arrivals.add_time_with_members(time_with_members);
+        state.add_time_with_members(time_with_members);
         let initial_bytes = self.limits.buffer_initial_bytes;
         push_result(
             from.input.make_contiguous(),
@@ -57,30 +59,30 @@
     /// more, as it was cancelled.
     pub(super) fn answer_unserved(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
-        let client = entry.client.take();
-        let (group, cancelled) = (entry.group, entry.cancelled);
-        if let (true, Some(peers)) = (std::mem::take(&mut entry.retry_paid), &mut self.peers) {
+        let client = entry.take_client();
+        let (group, is_cancelled) = (entry.description().group, entry.is_cancelled());
+        if let (true, Some(peers)) = (entry.take_retry_paid(), &mut self.peers) {
             peers.refund_retry(group);
         }
         let time_with_members = entry.time_with_members(now);
-        if entry.connection.is_none() {
+        if entry.connection().is_none() {
             self.rpcs.remove(rpc);
         }
         let Some(client) = client else { return };
         if let Some(state) = self.connections.client_mut(client) {
-            state.arrivals.add_time_with_members(time_with_members);
+            state.add_time_with_members(time_with_members);
         }
         self.overload.record_unserved();
-        let answer = self.unserved_answer(group, cancelled, decision);
+        let answer = self.unserved_answer(group, is_cancelled, decision);
         self.write(client, &answer);
         self.finish_statement(client);
     }
 
-    fn unserved_answer(&mut self, group: u32, cancelled: bool, decision: Decision) -> Vec<u8> {
+    fn unserved_answer(&mut self, group: u32, is_cancelled: bool, decision: Decision) -> Vec<u8> {
         let mut answer = Vec::new();
         match decision {
             // Where it may have had an effect the answer says no more than that, cancelled or not.
-            Decision::Reject { .. } | Decision::AlreadyAnswered if cancelled => {
+            Decision::Reject { .. } | Decision::AlreadyAnswered if is_cancelled => {
                 self.stats.count(Count::Cancelled);
                 pg::put_recoverable_error(&mut answer, "57014", "cancelled at the client's request", None);
             }
@@ -104,8 +106,7 @@
     fn finish_statement(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Remote::Client(client) = &mut connection.remote {
-            client.phase = ClientPhase::Idle;
-            client.just_answered = true;
+            client.finish_rpc();
         }
         let length = front_message_length(&mut connection.input);
         self.consume_input(id, length);
