--- /dev/null
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -0,0 +1,159 @@
+//! Connections of a load: opened, written, read, and replaced when a router ends them.
+
+use super::generator::{ClientConnection, ClientKind, LoadGenerator, PartialAnswer};
+use ladderpass_emulator::{now, proto};
+use ladderpass_routing::{Span, Time};
+use mio::net::TcpStream;
+use mio::{Interest, Token};
+use rand::Rng;
+use rand_distr::Exp1;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::SocketAddr;
+
+/// `EINPROGRESS`: a non-blocking connect has begun.
+const CONNECT_IN_PROGRESS: i32 = 115;
+/// Before several routers, a lost connection is opened again after this long.
+const RECONNECT_DELAY: Span = Span::from_millis(50);
+/// Small, so that unread answers wait in the router and not in the kernel.
+const SLOW_READER_RECEIVE_BYTES: usize = 4096;
+
+impl LoadGenerator<'_> {
+    /// Opens lost connections again, and moves idle roaming ones to another router.
+    pub fn reconnect_due(&mut self, now: Time) -> io::Result<()> {
+        while let Some(first) = self.reconnects.first_entry()
+            && first.key().0 <= now
+        {
+            let (index, kind) = first.remove();
+            self.clients[index] = Some(self.connect(kind, index)?);
+        }
+        for index in 0..self.clients.len() {
+            let moves = |client: &ClientConnection| {
+                client.in_flight.is_empty() && client.moves_at.is_some_and(|moves_at| moves_at <= now)
+            };
+            if self.clients[index].as_ref().is_some_and(moves) {
+                self.clients[index] = Some(self.connect(ClientKind::Normal, index)?);
+            }
+        }
+        Ok(())
+    }
+
+    /// Opens the connection of a client to a router that the front draws.
+    pub fn connect(&mut self, kind: ClientKind, index: usize) -> io::Result<ClientConnection> {
+        let several = self.front.routers.len() > 1;
+        let router = self.front.draw_router(&mut self.rng);
+        let roams = several && (index as f64) < self.front.roaming * self.plan.connections as f64;
+        let stay: f64 = if roams { self.rng.sample(Exp1) } else { 0.0 };
+        let moves_at = roams.then(|| now() + self.front.stays * stay);
+        let mut stream = connect_stream(self.front.routers[router], kind)?;
+        self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
+        let mut output = Vec::new();
+        proto::put_startup(&mut output);
+        Ok(ClientConnection {
+            stream,
+            kind,
+            router,
+            moves_at,
+            ready: false,
+            in_flight: VecDeque::new(),
+            answer: PartialAnswer::default(),
+            input: Vec::new(),
+            output,
+            written: 0,
+            has_output: true,
+        })
+    }
+
+    /// Writes what a connection has to send, as far as the socket takes it.
+    pub fn write(&mut self, index: usize) {
+        let Some(client) = self.clients[index].as_mut() else { return };
+        while client.written < client.output.len() {
+            match client.stream.write(&client.output[client.written..]) {
+                Ok(count) => client.written += count,
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                    client.has_output = false;
+                    return;
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => {
+                    return self.connection_lost(index, error.kind() == ErrorKind::ConnectionRefused);
+                }
+            }
+        }
+        client.output.clear();
+        (client.written, client.has_output) = (0, false);
+    }
+
+    /// Reads and handles what a connection has received; `closed` if the router has ended it.
+    pub fn read(&mut self, index: usize, closed: bool) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        self.read_with(index, closed, &mut buffer);
+        self.read_buffer = buffer;
+    }
+
+    fn read_with(&mut self, index: usize, closed: bool, buffer: &mut [u8]) {
+        loop {
+            let Some(client) = self.clients[index].as_mut() else { return };
+            if client.kind == ClientKind::SlowReader && !closed {
+                return;
+            }
+            match client.stream.read(buffer) {
+                Ok(0) => return self.connection_lost(index, false),
+                Ok(count) => {
+                    client.input.extend_from_slice(&buffer[..count]);
+                    self.handle_input(index);
+                    if count < buffer.len() && !closed {
+                        return;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => {
+                    return self.connection_lost(index, error.kind() == ErrorKind::ConnectionRefused);
+                }
+            }
+        }
+    }
+
+    /// A connection has ended, and its RPCs in flight stay unanswered. A new connection takes its place.
+    fn connection_lost(&mut self, index: usize, refused: bool) {
+        let Some(client) = self.clients[index].take() else { return };
+        let now = now();
+        for rpc in client.in_flight {
+            if let Some(entry) = self.journal_entry(rpc.number) {
+                (entry.lost, entry.refused) = (Some(now), refused);
+            }
+            if !rpc.flood {
+                self.in_flight -= 1;
+                if !rpc.abandoned {
+                    self.count(rpc.due, rpc.method, |counts| counts.unanswered += 1);
+                }
+            }
+        }
+        if now >= self.ends || client.kind == ClientKind::SlowReader {
+            return;
+        }
+        if self.front.is_single() {
+            self.clients[index] = self.connect(client.kind, index).ok();
+        } else {
+            self.last_number += 1;
+            self.reconnects.insert((now + RECONNECT_DELAY, self.last_number), (index, client.kind));
+        }
+    }
+}
+
+fn connect_stream(router: SocketAddr, kind: ClientKind) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::for_address(router), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_nonblocking(true)?;
+    if kind == ClientKind::SlowReader {
+        socket.set_recv_buffer_size(SLOW_READER_RECEIVE_BYTES)?;
+    }
+    match socket.connect(&router.into()) {
+        Err(error) if error.raw_os_error() != Some(CONNECT_IN_PROGRESS) => return Err(error),
+        _ => {}
+    }
+    let stream = TcpStream::from_std(socket.into());
+    stream.set_nodelay(true)?;
+    Ok(stream)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -0,0 +1,52 @@
+//! Load generator: clients that send RPCs to one or several routers, and the record of what became of each RPC.
+//!
+//! Arrivals are open (at drawn times, whether or not earlier RPCs are answered) or closed (each connection sends again
+//! once it is answered). Latencies count from when an RPC was due, not from when it was sent, so that a stalled router
+//! can't hide the RPCs that would have come meanwhile (coordinated omission). The load uses nothing that a router says
+//! about itself.
+
+mod answers;
+mod connections;
+mod event_loop;
+mod front;
+mod generator;
+mod outcome;
+mod plan;
+mod prober;
+mod sending;
+
+pub use front::{Down, Front};
+pub use outcome::{Counts, Entry, Outcome, SLICE, Slice, histogram};
+pub use plan::{Pace, Plan};
+pub use prober::{Prober, until_ready};
+
+use generator::LoadGenerator;
+use ladderpass_emulator::Scenario;
+use std::io;
+use std::net::SocketAddr;
+
+/// Runs a plan against one router. `on_progress` gets the seconds since the start about every [`SLICE`].
+///
+/// # Errors
+/// If the poller fails, or a connection can't be opened for another reason than that nobody listens.
+pub fn run(
+    scenario: &Scenario,
+    router: SocketAddr,
+    plan: &Plan,
+    on_progress: impl FnMut(f64),
+) -> io::Result<Outcome> {
+    run_before(scenario, &Front::single(router), plan, on_progress)
+}
+
+/// Runs a plan against the routers behind a front. `on_progress` gets the seconds since the start about every [`SLICE`].
+///
+/// # Errors
+/// As [`run`].
+pub fn run_before(
+    scenario: &Scenario,
+    front: &Front,
+    plan: &Plan,
+    on_progress: impl FnMut(f64),
+) -> io::Result<Outcome> {
+    LoadGenerator::new(scenario, front, plan)?.run(on_progress)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/load/prober.rs
@@ -0,0 +1,92 @@
+//! A client beside the load that sends empty queries, to measure how long the router's event loop takes.
+
+use ladderpass_emulator::{now, proto};
+use ladderpass_routing::{Span, Time};
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
+use std::time::Duration;
+
+/// A query unanswered for this long ends the prober.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A running prober.
+pub struct Prober {
+    thread: JoinHandle<Vec<(Time, Span)>>,
+    stop: Arc<AtomicBool>,
+}
+
+impl Prober {
+    /// Connects to a router and sends it an empty query each `every`, from a thread of its own.
+    ///
+    /// # Errors
+    /// If the router can't be reached, or does not welcome the connection.
+    pub fn start(router: SocketAddr, every: Duration) -> io::Result<Prober> {
+        let mut stream = TcpStream::connect(router)?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        let mut startup = Vec::new();
+        proto::put_startup(&mut startup);
+        stream.write_all(&startup)?;
+        until_ready(&mut stream)?;
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = stop.clone();
+        let thread = std::thread::spawn(move || probe(stream, every, &stopped));
+        Ok(Prober { thread, stop })
+    }
+
+    /// Ends it: when each query was due, and how long after that it was answered.
+    pub fn stop(self) -> Vec<(Time, Span)> {
+        self.stop.store(true, Ordering::Relaxed);
+        self.thread.join().unwrap_or_default()
+    }
+}
+
+fn probe(mut stream: TcpStream, every: Duration, stopped: &AtomicBool) -> Vec<(Time, Span)> {
+    let mut delays = Vec::new();
+    let mut empty_query = Vec::new();
+    proto::put_query(&mut empty_query, "");
+    let mut due = now();
+    while !stopped.load(Ordering::Relaxed) {
+        let result = stream.write_all(&empty_query).and_then(|()| until_ready(&mut stream));
+        let answered_at = now();
+        // A stall counts for each query that would have been sent meanwhile.
+        loop {
+            delays.push((due, answered_at - due));
+            due = due + Span::from_nanos(every.as_nanos() as i64);
+            if due > answered_at || result.is_err() {
+                break;
+            }
+        }
+        if result.is_err() {
+            break;
+        }
+        std::thread::sleep(Duration::from_nanos((due - now()).nanos().max(0) as u64));
+    }
+    delays
+}
+
+/// Reads up to the next ReadyForQuery.
+///
+/// # Errors
+/// If the connection fails, or ends before it.
+pub fn until_ready(stream: &mut TcpStream) -> io::Result<()> {
+    let mut input = Vec::new();
+    let mut chunk = [0; 4096];
+    loop {
+        let mut parsed = 0;
+        while let Some((kind, _, length)) = proto::frame(&input[parsed..]) {
+            parsed += length;
+            if kind == b'Z' {
+                return Ok(());
+            }
+        }
+        input.drain(..parsed);
+        match stream.read(&mut chunk)? {
+            0 => return Err(ErrorKind::UnexpectedEof.into()),
+            count => input.extend_from_slice(&chunk[..count]),
+        }
+    }
+}
