--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -1,6 +1,8 @@
-//! One run on the test bed: a fleet, a router on a core of its own, a load, a prober; and what all of them saw.
+//! A testbed run: an emulated fleet, a router on a core of its own, a load and a prober, and the record of what all of
+//! them saw.
 //!
-//! It owns the order in which these start and stop. It must never reuse a fleet whose truth another run filled.
+//! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
+//! nothing of another run.
 
 use crate::joint::{Absence, Drained, History, Started};
 use crate::load::{self, Outcome, Plan, Prober};
@@ -18,155 +20,195 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
+/// What a run has recorded.
 pub struct Seen {
+    /// What the clients saw.
     pub outcome: Outcome,
-    /// Of the prober: when it asked, in seconds of the load, and how long the router took to come round.
+    /// The prober's queries: when each was due, in seconds of the load, and how long after that it was answered.
     probed: Vec<(f64, Span)>,
+    /// What the members saw.
     pub truth: Truth,
     /// CPU seconds of the router over the load.
     pub cpu: f64,
+    /// Resident memory of the router at the end of the load, in bytes.
     pub resident: u64,
+    /// Lines that the router has logged.
     pub log: Vec<String>,
-    /// The router had ended before it was stopped.
+    /// Set if the router had ended before it was stopped; within, its exit code, if it has one.
     pub ended: Option<Option<i32>>,
-    /// RPCs a second that a member which starts cold bears once it is warm.
+    /// RPCs a second that a cold member can serve once it is warm.
     pub bears: f64,
     scenario: Scenario,
     seed: u64,
+    /// Statements and answers that the fault tool passed on.
     passed: Vec<Passed>,
+    /// The start of the fault tool, from which the times of `passed` count.
     tool_began: Time,
     absences: Vec<Absence>,
     drained: Vec<Drained>,
 }
 
-/// What a member bears that starts cold, if the run says nothing else.
-const BEARS: f64 = 1000.0;
+/// Default of [`Seen::bears`].
+const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
+const PROBE_INTERVAL: Duration = Duration::from_millis(1);
+/// How often, and with what pause, a router that is shutting down is checked for its end before it is stopped.
+const SHUTDOWN_CHECKS: usize = 100;
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// What a router logs when it begins its shutdown.
+const SHUTDOWN_LOG_TEXT: &str = "stopping clients=";
 
-/// Something that happens at a time of the run, in seconds from its start.
+/// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
 pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &Running) + 'a>);
 
-pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<Deed<'_>>) -> io::Result<Seen> {
-    run_with(scenario, start, plan, deeds, |_| {})
+/// Runs a load against one router, with fault events.
+///
+/// # Errors
+/// If the fleet, the router or the load can't be started.
+pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<Deed<'_>>) -> io::Result<Seen> {
+    run_with(scenario, start, plan, events, |_| {})
 }
 
-/// `tell` hears how far the run is, in seconds.
+/// As [`run`]; `on_progress` gets the seconds since the start of the load.
+///
+/// # Errors
+/// As [`run`].
 pub fn run_with(
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
-    deeds: Vec<Deed<'_>>,
-    tell: impl FnMut(f64),
+    events: Vec<Deed<'_>>,
+    on_progress: impl FnMut(f64),
 ) -> io::Result<Seen> {
-    run_through(scenario, start, plan, None, deeds, tell).map(|(seen, _)| seen)
+    run_through(scenario, start, plan, None, events, on_progress).map(|(seen, _)| seen)
 }
 
-/// What passes between the router and all others goes through the fault tool, where there are rules: on links named
-/// `member-N` and `discovery`.
+/// As [`run_with`]. If there are rules, even if empty, the router's connections to members and discovery go through the
+/// fault tool, on links named `member-N` and `discovery`; then it returns what the tool has recorded too.
+///
+/// # Errors
+/// As [`run`], and if the fault tool can't be started.
 pub fn run_through(
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
     rules: Option<Vec<Rule>>,
-    mut deeds: Vec<Deed<'_>>,
-    mut tell: impl FnMut(f64),
+    mut events: Vec<Deed<'_>>,
+    mut on_progress: impl FnMut(f64),
 ) -> io::Result<(Seen, Option<Left>)> {
     if let Some(cpu) = start.cpu {
         keep_off(cpu)?;
     }
-    let kept = Scenario { history: true, ..scenario.clone() };
     let plan = &Plan { journal: true, ..plan.clone() };
-    let fleet = Running::start(kept, plan.seed, Ipv4Addr::LOCALHOST)?;
-    let (mut members, mut discovery) = (fleet.addresses.clone(), fleet.discovery);
-    let faults = match rules {
-        None => None,
-        Some(rules) => {
-            let links = links(&members, discovery);
-            let faults = driver::Running::start(
-                faults::Plan { seed: plan.seed, links, rules, ..faults::Plan::default() },
-                None,
-            )?;
-            faults.say("watch").map_err(io::Error::other)?;
-            let mut addresses = faults.addresses.clone();
-            discovery = addresses.pop().unwrap_or(discovery);
-            fleet.present(&addresses);
-            members = addresses;
-            Some(faults)
-        }
+    let with_history = Scenario { history: true, ..scenario.clone() };
+    let fleet = Running::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let upstream = match rules {
+        None => Upstream { members: fleet.addresses.clone(), discovery: fleet.discovery, fault_tool: None },
+        Some(rules) => Upstream::through_fault_tool(&fleet, rules, plan.seed)?,
     };
-    let mut router = Router::start_before(scenario, &members, discovery, start, plan.seed)?;
-    let prober = Prober::start(router.address, Duration::from_millis(1))?;
-    let before = router.used().0;
-    let outcome = load::run(scenario, router.address, plan, |at| {
-        for (_, deed) in deeds.iter_mut().filter(|(when, _)| *when <= at) {
-            deed(&router, &fleet);
+    let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
+    let prober = Prober::start(router.address, PROBE_INTERVAL)?;
+    let (cpu_before, _) = router.used();
+    let outcome = load::run(scenario, router.address, plan, |secs| {
+        for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
+            act(&router, &fleet);
         }
-        deeds.retain(|(when, _)| *when > at);
-        tell(at);
+        events.retain(|(when, _)| *when > secs);
+        on_progress(secs);
     })?;
-    let (after, resident) = router.used();
+    let (cpu_after, resident) = router.used();
     let probed = prober.stop();
-    let probed = probed.into_iter().map(|(at, took)| ((at - outcome.began).secs(), took)).collect();
-    // One that was told to stop has until now answered its clients: it ends with the last of them.
-    let mut ended = router.ended();
-    let stopping = router.log().iter().any(|line| line.contains("stopping clients="));
-    for _ in 0..if stopping { 100 } else { 0 } {
-        if ended.is_some() {
-            break;
-        }
-        std::thread::sleep(Duration::from_millis(20));
-        ended = router.ended();
-    }
-    let ends = router.told_to_end().map(|from| Absence {
-        router: 0,
-        from,
-        to: Time::from_nanos(i64::MAX / 2),
-        planned: true,
-    });
+    let probed = probed.into_iter().map(|(due, took)| ((due - outcome.began).secs(), took)).collect();
+    let ended = wait_for_shutdown(&mut router);
+    let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
-    let mut left = faults.map(driver::Running::stop);
+    let mut left = upstream.fault_tool.map(driver::Running::stop);
     let drained = fleet.drained().into_iter().map(|(at, router, member)| Drained { router, member, at });
     let seen = Seen {
         outcome,
         probed,
         drained: drained.collect(),
         truth: fleet.stop(),
-        cpu: after - before,
+        cpu: cpu_after - cpu_before,
         resident,
         log,
         ended,
-        bears: BEARS,
+        bears: WARM_MEMBER_RPCS_PER_SECOND,
         scenario: scenario.clone(),
         seed: plan.seed,
         tool_began: left.as_ref().map_or(Time::default(), |left| left.began),
         passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.passed)),
-        absences: ends.into_iter().collect(),
+        absences,
     };
     Ok((seen, left))
 }
 
-/// The links that stand before a fleet.
+/// Where the router reaches the fleet: directly, or through the fault tool.
+struct Upstream {
+    members: Vec<SocketAddr>,
+    discovery: SocketAddr,
+    fault_tool: Option<driver::Running>,
+}
+
+impl Upstream {
+    /// Starts the fault tool before a fleet, whose discovery then gives the tool's addresses.
+    fn through_fault_tool(fleet: &Running, rules: Vec<Rule>, seed: u64) -> io::Result<Upstream> {
+        let links = links(&fleet.addresses, fleet.discovery);
+        let plan = faults::Plan { seed, links, rules, ..faults::Plan::default() };
+        let fault_tool = driver::Running::start(plan, None)?;
+        fault_tool.say("watch").map_err(io::Error::other)?;
+        let mut members = fault_tool.addresses.clone();
+        let discovery = members.pop().unwrap_or(fleet.discovery);
+        fleet.present(&members);
+        Ok(Upstream { members, discovery, fault_tool: Some(fault_tool) })
+    }
+}
+
+/// Gives a router that is shutting down the time to end with its last client. Returns its exit code if it has ended.
+fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
+    let mut ended = router.ended();
+    let is_shutting_down = router.log().iter().any(|line| line.contains(SHUTDOWN_LOG_TEXT));
+    for _ in 0..if is_shutting_down { SHUTDOWN_CHECKS } else { 0 } {
+        if ended.is_some() {
+            break;
+        }
+        std::thread::sleep(SHUTDOWN_CHECK_INTERVAL);
+        ended = router.ended();
+    }
+    ended
+}
+
+/// The absence of a router from its first SIGTERM on.
+fn shutdown_absence(router: &Router) -> Option<Absence> {
+    router.told_to_end().map(|from| Absence {
+        router: 0,
+        from,
+        to: Time::from_nanos(i64::MAX / 2),
+        planned: true,
+    })
+}
+
+/// The links of the fault tool before a fleet: its members in order, then discovery.
 pub fn links(members: &[SocketAddr], discovery: SocketAddr) -> Vec<LinkShape> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let member = |(nth, &to): (usize, &SocketAddr)| LinkShape {
-        name: format!("member-{nth}"),
+    let member_link = |(index, &to): (usize, &SocketAddr)| LinkShape {
+        name: format!("member-{index}"),
         listen,
         to,
         talk: Talk::Postgres,
     };
-    let mut links: Vec<LinkShape> = members.iter().enumerate().map(member).collect();
+    let mut links: Vec<LinkShape> = members.iter().enumerate().map(member_link).collect();
     links.push(LinkShape { name: "discovery".into(), listen, to: discovery, talk: Talk::Http });
     links
 }
 
 impl Seen {
-    /// What breaks a rule, by the joint history, with answers that may come so much after their clients' time; and what a
-    /// client was sent that no history can hold. Empty where all hold.
+    /// Violations as text, and the first protocol errors that clients saw. `answers` is as in [`Seen::violations`].
     pub fn broken(&self, answers: Span) -> Vec<String> {
-        let rule = |violation: Violation| violation.to_string();
         let faults = self.outcome.faults.iter().take(3).map(|fault| format!("rule 1: {fault}"));
-        faults.chain(self.violations(answers).into_iter().map(rule)).collect()
+        faults.chain(self.violations(answers).iter().map(Violation::to_string)).collect()
     }
 
+    /// What the history checker finds, if answers may come `answers` after their deadline.
     pub fn violations(&self, answers: Span) -> Vec<Violation> {
         let members = self.scenario.members();
         let links = (0..members).map(|member| (member, (0, member as u32))).collect();
@@ -188,39 +230,40 @@
         history.broken()
     }
 
-    /// Loop delay between two times of the load, in microseconds.
+    /// Delays of the router's event loop in `from..to`, in seconds of the load; in microseconds.
     pub fn delays(&self, from: f64, to: f64) -> Histogram<u64> {
         let mut delays = load::histogram();
-        for (_, took) in self.probed.iter().filter(|(at, _)| (from..to).contains(at)) {
+        for (_, took) in self.probed.iter().filter(|(secs, _)| (from..to).contains(secs)) {
             delays.saturating_record((took.nanos() / 1000).max(1) as u64);
         }
         delays
     }
 
+    /// A quantile of [`Seen::delays`], in milliseconds.
     pub fn delay_ms(&self, quantile: f64, from: f64, to: f64) -> f64 {
         self.delays(from, to).value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// When the router took longest to come round, and how long, in milliseconds.
+    /// The longest delay of the router's event loop: when, in seconds of the load, and how long, in milliseconds.
     pub fn slowest(&self) -> (f64, f64) {
         let slowest = self.probed.iter().max_by_key(|(_, took)| *took);
-        slowest.map_or((0.0, 0.0), |(at, took)| (*at, took.secs() * 1e3))
+        slowest.map_or((0.0, 0.0), |(secs, took)| (*secs, took.secs() * 1e3))
     }
 
-    /// What became of RPCs that were due between two times of the load.
+    /// What became of RPCs that were due in `from..to`, in seconds of the load.
     pub fn counts(&self, from: f64, to: f64) -> load::Counts {
         let mut total = load::Counts::default();
         self.outcome.within(from, to).flat_map(|slice| &slice.counts).for_each(|counts| total.add(counts));
         total
     }
 
-    /// How often the router told of another level.
+    /// How often the router logged a change of its overload level.
     pub fn level_changes(&self) -> usize {
         self.log.iter().filter(|line| line.contains("overload level changed")).count()
     }
 }
 
-/// A plan of open arrivals.
+/// A plan of open arrivals: phases with their seconds and RPCs a second.
 pub fn open(seed: u64, phases: &[(f64, f64)]) -> Plan {
     Plan {
         pace: load::Pace::Open(
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -1,8 +1,8 @@
-//! The five rules over the joint history of all clients, routers and members: what clients were told, what passed at the
-//! fault tool beside each router, and what members saw.
+//! History checker: the five invariants over one history of all clients, routers and members.
 //!
-//! It owns how these accounts become events for the checkers, and what a client can't be owed: an answer of a router
-//! that was killed or stalled. It must never judge by a router's own words, nor excuse a router that runs.
+//! Its inputs are what clients were answered, what the fault tool passed on beside each router, and what members saw; it
+//! uses nothing that a router says about itself. It turns these records into events for the checkers of
+//! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
 
 use crate::load::Entry;
 use ladderpass_emulator::{Scenario, Truth};
@@ -11,45 +11,66 @@
     Answer, Checker, Cold, Drains, Effects, Event, Grace, OneAnswer, Stale, Violation, What,
 };
 use ladderpass_routing::{Span, Time};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A time in which a router can't answer: from a kill to its next start, while it is frozen, or while its clients are cut
 /// off from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Absence {
+    /// Index of the router.
     pub router: usize,
+    /// Its first moment.
     pub from: Time,
+    /// Its last moment.
     pub to: Time,
-    /// It was told to end: what it had taken by then is owed all the same.
+    /// A graceful shutdown: RPCs sent before it must be answered all the same.
     pub planned: bool,
 }
 
-/// A router was told that a member wants nothing new.
+/// A router was notified that a member drains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Drained {
+    /// Index of the router.
     pub router: usize,
+    /// Number of the member.
     pub member: u32,
+    /// When the router was notified.
     pub at: Time,
 }
 
-/// A member that starts cold, and what it bears.
+/// A member that starts cold, and what it can serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Started {
+    /// When it starts.
     pub at: Time,
+    /// Number of the member.
     pub member: u32,
+    /// RPCs a second that it can serve once it is warm.
     pub capacity: f64,
+    /// Fraction of the capacity at its start.
     pub cold_from: f64,
+    /// From its start until it has its whole capacity.
     pub warm_within: Span,
+    /// The window over which too many RPCs overload it.
     pub overload_for: Span,
 }
 
+/// As the routers' settings give the warm-up.
+const WARM_WITHIN: Span = Span::from_millis(10_000);
+const COLD_CAPACITY_FRACTION: f64 = 0.2;
+
 impl Started {
-    /// The members of a fleet that start cold, as routers are told of warming up.
+    /// The members of a fleet that start cold.
     pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<Started> {
-        let warm_within = Span::from_millis(10_000);
         let overload_for = Span::from_secs_f64(scenario.overload_ms / 1e3);
-        let started =
-            |&member: &u32| Started { at, member, capacity, cold_from: 0.2, warm_within, overload_for };
+        let started = |&member: &u32| Started {
+            at,
+            member,
+            capacity,
+            cold_from: COLD_CAPACITY_FRACTION,
+            warm_within: WARM_WITHIN,
+            overload_for,
+        };
         scenario.cold.iter().map(started).collect()
     }
 
@@ -59,164 +80,197 @@
     }
 }
 
-/// Rule 4 by what came to the members that started cold, from whichever router; and how many roots of what one bore lay
-/// at most between what it got and that, beyond the few that are put down to chance.
+/// Checks rule 4 (cold members) over the attempts that came to members from all routers. Returns the violations, and how
+/// far above its capacity the worst window of a member was, in square roots of that capacity ([`Cold::roots`]).
 pub fn cold_at_members(started: &[Started], truth: &Truth) -> (Vec<Violation>, f64) {
-    let came = (0..).zip(&truth.came);
-    let came =
-        came.map(|(rpc, came)| Event { at: came.at, what: What::CalledOut { rpc, member: came.member } });
+    let numbered = (0..).zip(&truth.came);
+    let attempts =
+        numbered.map(|(rpc, came)| Event { at: came.at, what: What::CalledOut { rpc, member: came.member } });
     let mut cold = Cold::default();
-    let broken = run_by(started.iter().map(Started::event).chain(came).collect(), &mut cold);
-    (broken, cold.roots())
+    let violations =
+        check_events_with(started.iter().map(Started::event).chain(attempts).collect(), &mut cold);
+    (violations, cold.roots())
 }
 
+/// The records of a run, as one history.
 pub struct History<'a> {
+    /// The fleet and its methods.
     pub scenario: &'a Scenario,
-    /// By router: the links that it calls members by, as the tool numbers them.
+    /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
     pub links: &'a HashMap<usize, (usize, u32)>,
+    /// Seed of the load, which is part of its RPCs' ids.
     pub seed: u64,
+    /// What clients saw.
     pub journal: &'a [Entry],
+    /// What the fault tool passed on; empty without the tool.
     pub passed: &'a [Passed],
-    /// The tool's start, from which `passed` counts.
+    /// The start of the fault tool, from which the times of `passed` count.
     pub tool_began: Time,
+    /// What members saw.
     pub truth: &'a Truth,
+    /// When routers could not answer.
     pub absences: &'a [Absence],
+    /// When routers were notified that members drain.
     pub drained: &'a [Drained],
+    /// Members that started cold.
     pub started: &'a [Started],
+    /// Tolerances of the checkers.
     pub grace: Grace,
 }
 
-/// After a router is back its clients may hear late answers of before.
-const BACK: Span = Span::from_millis(200);
+/// How long after an absence a router may still answer late.
+const AFTER_ABSENCE: Span = Span::from_millis(200);
+/// The history ends this long after the last deadline, so that every RPC has had its time.
+const END_AFTER_LAST_DEADLINE: Span = Span::from_millis(10_000);
+/// The rule of wrong answers to writes.
+const EFFECTS_RULE: u8 = 2;
 
-impl History<'_> {
-    fn number(&self, id: &str) -> Option<u64> {
-        let (seed, number) = id.split_once('-')?;
-        (u64::from_str_radix(seed, 16) == Ok(self.seed)).then_some(())?;
-        u64::from_str_radix(number, 16).ok()
+/// An attempt's begin or end, as the fault tool saw it.
+struct Passage {
+    at: Time,
+    router: usize,
+    member: u32,
+    rpc: u64,
+    begins: bool,
+}
+
+impl Passage {
+    fn event(&self) -> Event {
+        let (rpc, member) = (self.rpc, self.member);
+        let what =
+            if self.begins { What::CalledOut { rpc, member } } else { What::CallOutOver { rpc, member } };
+        Event { at: self.at, what }
     }
+}
 
-    /// All five rules. Events of one time stand in the order in which they are caused.
+impl History<'_> {
+    /// All violations of the five rules.
     pub fn broken(&self) -> Vec<Violation> {
-        let mut broken = Vec::new();
-        broken.extend(run(self.of_clients(), OneAnswer::new(self.grace)));
-        broken.extend(run(self.of_effects(), Effects::default()));
-        let routers: std::collections::BTreeSet<usize> =
-            self.drained.iter().map(|drained| drained.router).collect();
-        for router in routers {
-            broken.extend(run(self.of_drains(router), Drains::new(self.grace)));
+        let mut violations = Vec::new();
+        violations.extend(check_events(self.answer_events(), OneAnswer::new(self.grace)));
+        violations.extend(check_events(self.effect_events(), Effects::default()));
+        let drained_routers: BTreeSet<usize> = self.drained.iter().map(|drained| drained.router).collect();
+        for router in drained_routers {
+            violations.extend(check_events(self.drain_events(router), Drains::new(self.grace)));
         }
-        broken.extend(run(self.of_cold(None), Cold::default()));
-        broken.extend(run(self.of_reads(), Stale::new(self.grace)));
-        broken.extend(self.lies());
-        broken
+        violations.extend(check_events(self.cold_events(None), Cold::default()));
+        violations.extend(check_events(self.read_events(), Stale::new(self.grace)));
+        violations.extend(self.wrong_write_answers());
+        violations
     }
 
-    /// Rule 4 over what a single router alone has sent.
+    /// Violations of rule 4 by the attempts of one router alone.
     pub fn cold_by(&self, router: usize) -> Vec<Violation> {
-        run(self.of_cold(Some(router)), Cold::default())
+        check_events(self.cold_events(Some(router)), Cold::default())
+    }
+
+    /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
+    fn rpc_number(&self, id: &str) -> Option<u64> {
+        let (seed, number) = id.split_once('-')?;
+        (u64::from_str_radix(seed, 16) == Ok(self.seed)).then_some(())?;
+        u64::from_str_radix(number, 16).ok()
     }
 
-    fn taken(&self, entry: &Entry) -> Event {
+    fn sent_event(&self, entry: &Entry) -> Event {
         let method = self.scenario.methods.get(entry.method);
-        let bound = method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
+        let max_staleness =
+            method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what = What::Taken { rpc: entry.number, due: entry.until, once, bound };
+        let what = What::Taken { rpc: entry.number, due: entry.until, once, bound: max_staleness };
         Event { at: entry.sent, what }
     }
 
-    /// Could its router not answer at some time while its client waited?
+    /// Was its router absent at some time while its client waited?
     fn is_excused(&self, entry: &Entry) -> bool {
-        let ends = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
-        let until = ends.min(entry.until + self.grace.answer);
-        let meets = |absence: &&Absence| {
-            let after = !absence.planned || entry.sent >= absence.from;
+        let ended = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
+        let waited_until = ended.min(entry.until + self.grace.answer);
+        let excuses = |absence: &&Absence| {
+            let applies = !absence.planned || entry.sent >= absence.from;
             absence.router == entry.router
-                && absence.from <= until
-                && entry.sent <= absence.to + BACK
-                && after
+                && absence.from <= waited_until
+                && entry.sent <= absence.to + AFTER_ABSENCE
+                && applies
         };
-        self.absences.iter().find(meets).is_some()
+        self.absences.iter().find(excuses).is_some()
     }
 
-    fn of_clients(&self) -> Vec<Event> {
+    /// Rule 1: what each client sent, and how it was answered.
+    fn answer_events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for entry in self.journal {
             let rpc = entry.number;
-            events.push(self.taken(entry));
-            let in_time = |at: Time| at <= entry.until + self.grace.answer;
-            let excused = self.is_excused(entry);
+            events.push(self.sent_event(entry));
+            let is_in_time = |at: Time| at <= entry.until + self.grace.answer;
+            let is_excused = self.is_excused(entry);
             match entry.answered {
-                Some((at, answer, made_for)) if in_time(at) || !excused => {
+                Some((at, answer, made_for)) if is_in_time(at) || !is_excused => {
                     events.push(Event { at, what: What::Answered { rpc, answer, made_for } });
                 }
-                _ if excused => events.push(Event { at: entry.sent, what: What::Left { rpc } }),
+                _ if is_excused => events.push(Event { at: entry.sent, what: What::Left { rpc } }),
                 _ => {}
             }
         }
-        // All have had their time.
-        let end = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
-        events.push(Event { at: end + Span::from_millis(10_000), what: What::Left { rpc: u64::MAX } });
+        let last_deadline = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
+        let at = last_deadline + END_AFTER_LAST_DEADLINE;
+        events.push(Event { at, what: What::Left { rpc: u64::MAX } });
         events
     }
 
-    fn passings(&self) -> impl Iterator<Item = (Time, usize, u32, u64, bool)> {
+    fn passages(&self) -> impl Iterator<Item = Passage> {
         self.passed.iter().filter_map(|passed| {
             let &(router, member) = self.links.get(&passed.link)?;
             let at = self.tool_began + (passed.at - Time::from_nanos(0));
-            Some((at, router, member, self.number(&passed.id)?, passed.begins))
+            Some(Passage { at, router, member, rpc: self.rpc_number(&passed.id)?, begins: passed.begins })
         })
     }
 
-    fn of_effects(&self) -> Vec<Event> {
-        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.taken(entry)).collect();
+    /// Rule 2: attempts, and which of them members rejected or ran.
+    fn effect_events(&self) -> Vec<Event> {
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
         if self.passed.is_empty() {
-            // Without the tool a call-out shows where it came to a member, and not when it was over for its router.
+            // Without the fault tool only the arrival at a member is known, and not the end of the attempt.
             for came in self.truth.came.iter().filter(|came| !came.turned_away) {
-                let Some(rpc) = self.number(&came.id) else { continue };
+                let Some(rpc) = self.rpc_number(&came.id) else { continue };
                 let (at, member) = (came.at, came.member);
                 events.push(Event { at, what: What::CalledOut { rpc, member } });
                 events.push(Event { at, what: What::CallOutOver { rpc, member } });
             }
         }
-        for (at, _, member, rpc, begins) in self.passings() {
-            let what =
-                if begins { What::CalledOut { rpc, member } } else { What::CallOutOver { rpc, member } };
-            events.push(Event { at, what });
-        }
+        events.extend(self.passages().map(|passage| passage.event()));
         for came in self.truth.came.iter().filter(|came| came.turned_away) {
-            let Some(rpc) = self.number(&came.id) else { continue };
+            let Some(rpc) = self.rpc_number(&came.id) else { continue };
             events.push(Event { at: came.at, what: What::TurnedAway { rpc, member: came.member } });
         }
         for ran in &self.truth.ran {
-            let Some(rpc) = self.number(&ran.id) else { continue };
+            let Some(rpc) = self.rpc_number(&ran.id) else { continue };
             events.push(Event { at: ran.at, what: What::Ran { rpc, member: ran.member } });
         }
         events
     }
 
-    fn of_drains(&self, router: usize) -> Vec<Event> {
-        let told = self.drained.iter().filter(|drained| drained.router == router);
-        let told =
-            told.map(|drained| Event { at: drained.at, what: What::Draining { member: drained.member } });
-        let own = self.passings().filter(|&(_, by, .., begins)| by == router && begins);
-        let own = own.map(|(at, _, member, rpc, _)| Event { at, what: What::CalledOut { rpc, member } });
-        told.chain(own).collect()
+    /// Rule 3: when a router was notified of drains, and its attempts.
+    fn drain_events(&self, router: usize) -> Vec<Event> {
+        let notified = self.drained.iter().filter(|drained| drained.router == router);
+        let notified =
+            notified.map(|drained| Event { at: drained.at, what: What::Draining { member: drained.member } });
+        let attempts = self.passages().filter(|passage| passage.router == router && passage.begins);
+        notified.chain(attempts.map(|passage| passage.event())).collect()
     }
 
-    fn of_cold(&self, router: Option<usize>) -> Vec<Event> {
+    /// Rule 4: starts of cold members, and the attempts of one router or of all.
+    fn cold_events(&self, router: Option<usize>) -> Vec<Event> {
         let started = self.started.iter().map(Started::event);
-        let sent =
-            self.passings().filter(|&(_, by, .., begins)| begins && router.is_none_or(|one| one == by));
-        let sent = sent.map(|(at, _, member, rpc, _)| Event { at, what: What::CalledOut { rpc, member } });
-        started.chain(sent).collect()
+        let attempts = self
+            .passages()
+            .filter(|passage| passage.begins && router.is_none_or(|router| router == passage.router));
+        started.chain(attempts.map(|passage| passage.event())).collect()
     }
 
-    /// A read counts as sent when it came to the member, whose data is looked at in that moment.
-    fn of_reads(&self) -> Vec<Event> {
-        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.taken(entry)).collect();
+    /// Rule 5: reads, and the position of the member when each arrived there.
+    fn read_events(&self) -> Vec<Event> {
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
         for came in self.truth.came.iter().filter(|came| !came.turned_away) {
-            let Some(rpc) = self.number(&came.id) else { continue };
+            let Some(rpc) = self.rpc_number(&came.id) else { continue };
             let (at, member, position) = (came.at, came.member, came.position);
             events.push(Event { at, what: What::Reached { member, position } });
             events.push(Event { at, what: What::CalledOut { rpc, member } });
@@ -224,14 +278,14 @@
         events
     }
 
-    /// Writes whose answer does not hold: ok though it never ran, pushed back though it did.
-    fn lies(&self) -> Vec<Violation> {
+    /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
+    fn wrong_write_answers(&self) -> Vec<Violation> {
         let ran: BTreeMap<u64, u32> =
-            self.truth.ran.iter().filter_map(|ran| Some((self.number(&ran.id)?, ran.member))).collect();
-        let mut broken = Vec::new();
+            self.truth.ran.iter().filter_map(|ran| Some((self.rpc_number(&ran.id)?, ran.member))).collect();
+        let mut violations = Vec::new();
         for entry in self.journal {
-            let writes = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
-            let Some((at, answer, made_for)) = entry.answered.filter(|_| writes) else { continue };
+            let is_write = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
+            let Some((at, answer, made_for)) = entry.answered.filter(|_| is_write) else { continue };
             let (rpc, member) = (Some(entry.number), ran.get(&entry.number).copied());
             let text = match (answer, member) {
                 (Answer::Ok, None) => "is answered ok and never ran",
@@ -240,14 +294,20 @@
             };
             let text = format!("write {:x} {text}", entry.number);
             let what = What::Answered { rpc: entry.number, answer, made_for };
-            broken.push(Violation { rule: 2, rpc, member, text, proof: vec![Event { at, what }] });
+            violations.push(Violation {
+                rule: EFFECTS_RULE,
+                rpc,
+                member,
+                text,
+                proof: vec![Event { at, what }],
+            });
         }
-        broken
+        violations
     }
 }
 
-/// What is caused first stands first, where two have one time.
-fn order(what: &What) -> u8 {
+/// Order of events at the same time: causes before their effects.
+fn causal_order(what: &What) -> u8 {
     match what {
         What::Started { .. } | What::Draining { .. } | What::Serving { .. } | What::Primary { .. } => 0,
         What::Taken { .. } => 1,
@@ -261,14 +321,14 @@
     }
 }
 
-fn run(events: Vec<Event>, mut checker: impl Checker) -> Vec<Violation> {
-    run_by(events, &mut checker)
+fn check_events(events: Vec<Event>, mut checker: impl Checker) -> Vec<Violation> {
+    check_events_with(events, &mut checker)
 }
 
-fn run_by(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
-    events.sort_by_key(|event| (event.at, order(&event.what)));
-    let mut broken = Vec::new();
-    events.iter().for_each(|event| checker.see(event, &mut broken));
-    checker.end(events.last().map_or(Time::default(), |event| event.at), &mut broken);
-    broken
+fn check_events_with(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
+    events.sort_by_key(|event| (event.at, causal_order(&event.what)));
+    let mut violations = Vec::new();
+    events.iter().for_each(|event| checker.see(event, &mut violations));
+    checker.end(events.last().map_or(Time::default(), |event| event.at), &mut violations);
+    violations
 }
--- a/crates/ladderpass-testbed/src/router.rs
+++ b/crates/ladderpass-testbed/src/router.rs
@@ -1,9 +1,10 @@
-//! A router as a process of its own before the emulated fleet: started, pinned, watched, stopped.
+//! A router as a child process: its settings are written, it is started, pinned to a core, observed and stopped.
 //!
-//! It owns the process and the files that it is told by. It must never end a process that it has not started.
+//! It owns the process and the temporary files of its settings, and ends only processes that it has started.
 
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_routing::Time;
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -11,34 +12,41 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, OnceLock};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
 /// How a router is started.
 #[derive(Clone, Debug)]
 pub struct Start {
+    /// The program.
     pub binary: PathBuf,
+    /// Cores, memory and sockets that its settings allow it.
     pub allowed: Allowed,
-    /// The text of its operator's file, if it gets one.
+    /// Text of its operator's file, if it gets one.
     pub operator: Option<String>,
+    /// The core that it is pinned to, if any.
     pub cpu: Option<usize>,
-    /// Its log goes to the terminal too.
+    /// Print its log to stderr too.
     pub loud: bool,
+    /// `RUST_LOG` of the process.
     pub log: String,
-    /// A switch of a router built to be faulty.
+    /// `LADDERPASS_FAULTY` of a build with the feature `faulty`.
     pub faulty: Option<String>,
-    /// How far its wall clock is off; a build for the lab alone has it.
+    /// Offset of its wall clock in milliseconds; needs a build with the feature `faulty`.
     pub clock_ms: i32,
-    /// Where it listens; an address of its own, if not said.
+    /// Where it listens; without it, an address of [`own_address`].
     pub listen: Option<SocketAddr>,
-    /// Arguments before all others, and further variables: for a program that is more than the router.
+    /// Arguments before all others, for a program that is more than the router.
     pub arguments: Vec<String>,
+    /// Further environment variables.
     pub variables: Vec<(String, String)>,
 }
 
 impl Start {
+    /// A router with default limits and nothing optional.
     pub fn new(binary: &Path) -> Start {
         Start {
             binary: binary.to_owned(),
@@ -56,61 +64,90 @@
     }
 }
 
+/// A running router. It is killed when this is dropped.
 pub struct Router {
     process: Child,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Temporary files of its settings, which are removed when it ends.
     files: Vec<PathBuf>,
+    /// Lines that it has logged.
     pub lines: Arc<Mutex<Vec<String>>>,
-    reader: Option<std::thread::JoinHandle<()>>,
-    /// When it was told to end.
-    told_to_end: Mutex<Option<ladderpass_routing::Time>>,
+    log_reader: Option<JoinHandle<()>>,
+    /// When it got its first SIGTERM.
+    terminated_at: Mutex<Option<Time>>,
 }
 
-/// Ports that no system gives by itself, so that none is taken between its choice and a router's start.
+/// Below the range of ephemeral ports, so that the system gives none away between its choice and a router's start.
 const PORTS: std::ops::Range<u32> = 15_000..32_000;
+const MAX_PORT_TRIES: usize = 64;
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the last lines of an ended process may take through the pipe.
+const LOG_FLUSH_WAIT: Duration = Duration::from_millis(20);
+const LAST_LINES: usize = 5;
+/// Fields of `/proc/PID/stat`, counted from behind the process's name.
+const STAT_USER_TICKS: usize = 11;
+const STAT_SYSTEM_TICKS: usize = 12;
+const STAT_RESIDENT_PAGES: usize = 21;
+const TICKS_PER_SECOND: f64 = 100.0;
+const PAGE_BYTES: f64 = 4096.0;
 
-/// An address of this process's own, so that no other run gets it in between; the port is free for TCP and for UDP.
+/// A loopback address whose port is free for TCP and for UDP. It depends on this process's id, so that other processes of
+/// the testbed choose others.
+///
+/// # Errors
+/// If none of several candidates is free.
 pub fn own_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let pid = std::process::id();
-    let mut fault = None;
-    for _ in 0..64 {
-        let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = PORTS.start + pid.wrapping_mul(509).wrapping_add(nth) % (PORTS.end - PORTS.start);
-        let own = format!("127.{}.{}.{}:{port}", 1 + pid / 250 % 250, pid % 250, 1 + nth % 250);
-        let own: SocketAddr = own.parse().map_err(io::Error::other)?;
-        match check_free(own) {
-            Ok(()) => return Ok(own),
-            Err(taken) => fault = Some(taken),
+    let mut last_error = None;
+    for _ in 0..MAX_PORT_TRIES {
+        let index = NEXT.fetch_add(1, Ordering::Relaxed);
+        let port = PORTS.start + pid.wrapping_mul(509).wrapping_add(index) % (PORTS.end - PORTS.start);
+        let address = format!("127.{}.{}.{}:{port}", 1 + pid / 250 % 250, pid % 250, 1 + index % 250);
+        let address: SocketAddr = address.parse().map_err(io::Error::other)?;
+        match check_free(address) {
+            Ok(()) => return Ok(address),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(fault.unwrap_or_else(|| io::Error::other("no port is free")))
+    Err(last_error.unwrap_or_else(|| io::Error::other("no port is free")))
 }
 
-/// Is an address free, for TCP and for UDP? It is bound and never listened on: a child that another thread is starting
-/// inherits the socket until it becomes its own program, and a listener would take connections there that nobody serves.
+/// Checks that an address is free for TCP and for UDP. It is bound and never listened on: a child process that another
+/// thread starts inherits the socket until its exec, and a listener would accept connections that nobody serves.
 fn check_free(address: SocketAddr) -> io::Result<()> {
     let stream = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // As the router does: bound sockets with it don't bar each other while none listens.
+    // The router sets it too: then bound sockets don't block each other while none listens.
     stream.set_reuse_address(true)?;
     stream.bind(&address.into())?;
     UdpSocket::bind(address).map(drop)
 }
 
-fn file(text: &str, ending: &str) -> io::Result<PathBuf> {
+fn write_temporary_file(text: &str, extension: &str) -> io::Result<PathBuf> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let nth = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("ladderpass-testbed-{}-{nth}.{ending}", std::process::id()));
+    let index = NEXT.fetch_add(1, Ordering::Relaxed);
+    let name = format!("ladderpass-testbed-{}-{index}.{extension}", std::process::id());
+    let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text)?;
     Ok(path)
 }
 
 impl Router {
+    /// Starts a router before a fleet, and waits until it serves.
+    ///
+    /// # Errors
+    /// If it can't be started, ends at once, or does not serve in time.
     pub fn start(scenario: &Scenario, fleet: &Running, start: &Start, seed: u64) -> io::Result<Router> {
         Router::start_before(scenario, &fleet.addresses, fleet.discovery, start, seed)
     }
 
-    /// Before members and discovery at these addresses, whoever stands there.
+    /// Starts a router that reaches members and discovery at these addresses, and waits until it serves.
+    ///
+    /// # Errors
+    /// As [`Router::start`].
     pub fn start_before(
         scenario: &Scenario,
         members: &[SocketAddr],
@@ -123,7 +160,10 @@
         Ok(router)
     }
 
-    /// The same without waiting for it: several come up together.
+    /// As [`Router::start_before`] without the wait, so that several can start at once.
+    ///
+    /// # Errors
+    /// If its settings can't be written, or its process can't be started or pinned.
     pub fn spawn(
         scenario: &Scenario,
         members: &[SocketAddr],
@@ -132,12 +172,13 @@
         seed: u64,
     ) -> io::Result<Router> {
         let address = start.listen.map_or_else(own_address, Ok)?;
-        let told = file(&scenario.told(ladderpass_emulator::now(), seed, &start.allowed, members), "json")?;
-        let mut files = vec![told.clone()];
+        let settings = scenario.told(ladderpass_emulator::now(), seed, &start.allowed, members);
+        let settings = write_temporary_file(&settings, "json")?;
+        let mut files = vec![settings.clone()];
         let mut command = Command::new(&start.binary);
         command.args(&start.arguments).envs(start.variables.iter().cloned());
         command.env("RELAY_NAME", "lab").env("RELAY_LISTEN", address.to_string());
-        command.env("RELAY_DISCOVERY", discovery.to_string()).env("RELAY_CONFIG", &told);
+        command.env("RELAY_DISCOVERY", discovery.to_string()).env("RELAY_CONFIG", &settings);
         command.env("RUST_LOG", &start.log).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         if let Some(switch) = &start.faulty {
             command.env("LADDERPASS_FAULTY", switch);
@@ -146,45 +187,43 @@
             command.env("LADDERPASS_CLOCK_MS", start.clock_ms.to_string());
         }
         if let Some(text) = &start.operator {
-            let operator = file(text, "yaml")?;
+            let operator = write_temporary_file(text, "yaml")?;
             command.arg("--operator").arg(&operator);
             files.push(operator);
         }
         let mut process = command
             .spawn()
-            .map_err(|fault| io::Error::new(fault.kind(), format!("{}: {fault}", start.binary.display())))?;
+            .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", start.binary.display())))?;
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let reader = process.stderr.take().map(|stderr| {
+        let log_reader = process.stderr.take().map(|stderr| {
             let (lines, loud) = (lines.clone(), start.loud);
-            std::thread::spawn(move || {
-                for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    if loud {
-                        eprintln!("{line}");
-                    }
-                    lines.lock().expect("no holder panics").push(line);
-                }
-            })
+            std::thread::spawn(move || read_log(stderr, &lines, loud))
         });
-        let router = Router { process, address, files, lines, reader, told_to_end: Mutex::default() };
+        let router = Router { process, address, files, lines, log_reader, terminated_at: Mutex::default() };
         if let Some(cpu) = start.cpu {
             pin(router.pid(), cpu)?;
         }
         Ok(router)
     }
 
+    /// Its process id.
     pub fn pid(&self) -> Pid {
         Pid::from_raw(self.process.id() as i32)
     }
 
+    /// Waits until it answers an empty query.
+    ///
+    /// # Errors
+    /// If it ends before, does not listen in time, or its first answer fails.
     pub fn wait_until_it_serves(&mut self) -> io::Result<()> {
-        let until = Instant::now() + Duration::from_secs(10);
+        let give_up_at = Instant::now() + START_TIMEOUT;
         loop {
             if let Ok(mut stream) = TcpStream::connect(self.address) {
-                let mut out = Vec::new();
-                proto::put_startup(&mut out);
-                proto::put_query(&mut out, "");
-                stream.set_read_timeout(Some(Duration::from_secs(2)))?;
-                stream.write_all(&out)?;
+                let mut output = Vec::new();
+                proto::put_startup(&mut output);
+                proto::put_query(&mut output, "");
+                stream.set_read_timeout(Some(FIRST_ANSWER_TIMEOUT))?;
+                stream.write_all(&output)?;
                 return crate::load::until_ready(&mut stream);
             }
             if let Some(status) = self.process.try_wait()? {
@@ -193,61 +232,67 @@
                     self.last_lines()
                 )));
             }
-            if Instant::now() > until {
+            if Instant::now() > give_up_at {
                 return Err(io::Error::other(format!("the router does not listen: {}", self.last_lines())));
             }
-            std::thread::sleep(Duration::from_millis(5));
+            std::thread::sleep(CONNECT_RETRY_INTERVAL);
         }
     }
 
-    /// What it said last.
+    /// The last lines of its log.
     pub fn last_lines(&self) -> String {
-        // What it wrote before it ended may still be on its way.
-        std::thread::sleep(Duration::from_millis(20));
+        std::thread::sleep(LOG_FLUSH_WAIT);
         let lines = self.lines.lock().expect("no holder panics");
-        lines[lines.len().saturating_sub(5)..].join("; ")
+        lines[lines.len().saturating_sub(LAST_LINES)..].join("; ")
     }
 
-    /// CPU time that it has used, in seconds, and its resident memory in bytes.
+    /// CPU time that it has used, in seconds, and its resident memory, in bytes.
     pub fn used(&self) -> (f64, u64) {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).unwrap_or_default();
-        let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
-        let fields: Vec<f64> = after.split_whitespace().map(|field| field.parse().unwrap_or(0.0)).collect();
-        let ticks = fields.get(11).unwrap_or(&0.0) + fields.get(12).unwrap_or(&0.0);
-        // The kernel counts in hundredths of a second, and in pages of 4 KiB.
-        (ticks / 100.0, (fields.get(21).unwrap_or(&0.0) * 4096.0) as u64)
+        let behind_name = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
+        let fields: Vec<f64> =
+            behind_name.split_whitespace().map(|field| field.parse().unwrap_or(0.0)).collect();
+        let field = |index: usize| fields.get(index).copied().unwrap_or(0.0);
+        let ticks = field(STAT_USER_TICKS) + field(STAT_SYSTEM_TICKS);
+        (ticks / TICKS_PER_SECOND, (field(STAT_RESIDENT_PAGES) * PAGE_BYTES) as u64)
     }
 
+    /// Sends it a signal.
+    ///
+    /// # Errors
+    /// If its process is no more.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         if signal == Signal::SIGTERM {
-            self.told_to_end.lock().expect("no holder panics").get_or_insert_with(ladderpass_emulator::now);
+            self.terminated_at.lock().expect("no holder panics").get_or_insert_with(ladderpass_emulator::now);
         }
         Ok(kill(self.pid(), signal)?)
     }
 
-    pub fn told_to_end(&self) -> Option<ladderpass_routing::Time> {
-        *self.told_to_end.lock().expect("no holder panics")
+    /// When it got its first SIGTERM.
+    pub fn told_to_end(&self) -> Option<Time> {
+        *self.terminated_at.lock().expect("no holder panics")
     }
 
-    /// Has it ended? With its exit code.
+    /// Set if its process has ended; within, the exit code, or none if a signal ended it.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         self.process.try_wait().ok().flatten().map(|status| status.code())
     }
 
+    /// Lines that it has logged.
     pub fn log(&self) -> Vec<String> {
         self.lines.lock().expect("no holder panics").clone()
     }
 
-    /// Stops it for good; what it has logged.
+    /// Kills it, and returns the lines that it has logged.
     pub fn stop(mut self) -> Vec<String> {
         self.end();
         self.log()
     }
 
     fn end(&mut self) {
-        // A process that has ended already is no fault.
+        // It may have ended already.
         let _ = (self.process.kill(), self.process.wait());
-        if let Some(reader) = self.reader.take() {
+        if let Some(reader) = self.log_reader.take() {
             let _ = reader.join();
         }
         for file in self.files.drain(..) {
@@ -262,25 +307,40 @@
     }
 }
 
-/// Keeps a process, or this thread (0), on one core.
+fn read_log(stderr: ChildStderr, lines: &Mutex<Vec<String>>, loud: bool) {
+    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+        if loud {
+            eprintln!("{line}");
+        }
+        lines.lock().expect("no holder panics").push(line);
+    }
+}
+
+/// Pins a process, or this thread (0), to one core.
+///
+/// # Errors
+/// If there is no such process or core.
 pub fn pin(pid: Pid, cpu: usize) -> io::Result<()> {
     let mut set = CpuSet::new();
     set.set(cpu)?;
     Ok(sched_setaffinity(pid, &set)?)
 }
 
-/// Keeps this thread, and those that it starts, off one core, where there is another.
+/// Keeps this thread, and those that it starts, off one core, if there is another.
+///
+/// # Errors
+/// If the affinity can't be set.
 pub fn keep_off(cpu: usize) -> io::Result<()> {
-    // What this process had at first: a set read again later would be the one that was set here.
-    static FIRST: OnceLock<CpuSet> = OnceLock::new();
-    let first = FIRST.get_or_init(|| sched_getaffinity(Pid::from_raw(0)).unwrap_or_default());
-    let mut others = *first;
+    // Read once: a later call would read what an earlier one has set.
+    static INITIAL: OnceLock<CpuSet> = OnceLock::new();
+    let initial = INITIAL.get_or_init(|| sched_getaffinity(Pid::from_raw(0)).unwrap_or_default());
+    let mut others = *initial;
     others.unset(cpu)?;
-    let some = (0..CpuSet::count()).any(|other| others.is_set(other).unwrap_or(false));
-    Ok(sched_setaffinity(Pid::from_raw(0), if some { &others } else { first })?)
+    let has_others = (0..CpuSet::count()).any(|other| others.is_set(other).unwrap_or(false));
+    Ok(sched_setaffinity(Pid::from_raw(0), if has_others { &others } else { initial })?)
 }
 
-/// How many cores the machine has; told once, before any thread is kept off one.
+/// How many cores the machine has. Read once: [`keep_off`] would change it later.
 pub fn cores() -> usize {
     static CORES: OnceLock<usize> = OnceLock::new();
     *CORES.get_or_init(|| std::thread::available_parallelism().map_or(1, usize::from))
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -1,4 +1,4 @@
-//! The joint history: what becomes of the accounts of clients, the fault tool and members, by small made-up ones.
+//! The history checker, on small made-up records of clients, the fault tool and members.
 
 use ladderpass_emulator::truth::{Came, Ran};
 use ladderpass_emulator::{Scenario, Truth};
@@ -19,7 +19,7 @@
     Entry { number, router: 0, method, sent: at(sent), until, answered, lost: None, refused: false }
 }
 
-struct World {
+struct RecordedRun {
     scenario: Scenario,
     journal: Vec<Entry>,
     passed: Vec<Passed>,
@@ -30,9 +30,9 @@
     links: HashMap<usize, (usize, u32)>,
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl RecordedRun {
+    fn new() -> RecordedRun {
+        RecordedRun {
             scenario: Scenario::default(),
             journal: vec![entry(1, 0, 0, Some((10, Answer::Ok))), entry(2, 1, 5, Some((20, Answer::Ok)))],
             passed: vec![],
@@ -56,7 +56,7 @@
         self.truth.ran.push(Ran { at, member, id, method: 1, writes: true, position: at });
     }
 
-    fn rules(&self) -> Vec<u8> {
+    fn violated_rules(&self) -> Vec<u8> {
         self.history().broken().iter().map(|violation| violation.rule).collect()
     }
 
@@ -78,83 +78,83 @@
 }
 
 #[test]
-fn a_good_history_breaks_nothing_and_a_lost_answer_is_excused_of_a_killed_router_alone() {
-    let mut world = World::new();
-    world.pass(6, 0, 2, true);
-    world.ran(8, 0, 2);
-    world.pass(10, 0, 2, false);
-    assert_eq!(world.rules(), [0u8; 0]);
-    world.journal.push(Entry { lost: Some(at(300)), ..entry(3, 0, 200, None) });
-    assert_eq!(world.rules(), [1]);
-    world.absences.push(Absence { router: 1, from: at(290), to: at(900), planned: false });
-    assert_eq!(world.rules(), [1]);
-    let ended = Absence { router: 0, from: at(290), to: at(900), planned: true };
-    world.absences.push(ended);
-    assert_eq!(world.rules(), [1], "told to end, it answers what it has taken");
-    world.absences.push(Absence { planned: false, ..ended });
-    assert_eq!(world.rules(), [0u8; 0]);
-    // One that was sent when it was back is owed its answer.
-    world.journal.push(entry(4, 0, 1500, None));
-    assert_eq!(world.rules(), [1]);
+fn a_valid_history_has_no_violation_and_a_lost_answer_is_excused_only_by_an_absence() {
+    let mut run = RecordedRun::new();
+    run.pass(6, 0, 2, true);
+    run.ran(8, 0, 2);
+    run.pass(10, 0, 2, false);
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    run.journal.push(Entry { lost: Some(at(300)), ..entry(3, 0, 200, None) });
+    assert_eq!(run.violated_rules(), [1]);
+    run.absences.push(Absence { router: 1, from: at(290), to: at(900), planned: false });
+    assert_eq!(run.violated_rules(), [1]);
+    let shutdown = Absence { router: 0, from: at(290), to: at(900), planned: true };
+    run.absences.push(shutdown);
+    assert_eq!(run.violated_rules(), [1], "a router that shuts down must answer what it has accepted");
+    run.absences.push(Absence { planned: false, ..shutdown });
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    // An RPC sent after the router was back must be answered.
+    run.journal.push(entry(4, 0, 1500, None));
+    assert_eq!(run.violated_rules(), [1]);
 }
 
 #[test]
-fn an_effect_twice_by_two_routers_is_found_and_one_turned_away_is_none() {
-    let mut world = World::new();
-    world.pass(6, 0, 2, true);
-    world.ran(7, 0, 2);
-    world.pass(8, 0, 2, false);
-    world.pass(9, 2, 2, true);
-    assert_eq!(world.rules(), [2]);
-    world.ran(10, 0, 2);
-    assert_eq!(world.rules(), [2, 2]);
-    let mut world = World::new();
-    world.pass(6, 0, 2, true);
+fn a_write_run_twice_by_two_routers_is_found_and_a_rejected_attempt_has_no_effect() {
+    let mut run = RecordedRun::new();
+    run.pass(6, 0, 2, true);
+    run.ran(7, 0, 2);
+    run.pass(8, 0, 2, false);
+    run.pass(9, 2, 2, true);
+    assert_eq!(run.violated_rules(), [2]);
+    run.ran(10, 0, 2);
+    assert_eq!(run.violated_rules(), [2, 2]);
+    let mut run = RecordedRun::new();
+    run.pass(6, 0, 2, true);
     let (id, position) = ("1-2".into(), at(7));
-    world.truth.came.push(Came { at: at(7), member: 0, id, position, turned_away: true });
-    world.pass(8, 0, 2, false);
-    world.pass(9, 2, 2, true);
-    world.ran(10, 0, 2);
-    assert_eq!(world.rules(), [0u8; 0]);
-    world.journal[1].answered = Some((at(20), Answer::PushedBack, None));
-    assert_eq!(world.rules(), [2]);
+    run.truth.came.push(Came { at: at(7), member: 0, id, position, turned_away: true });
+    run.pass(8, 0, 2, false);
+    run.pass(9, 2, 2, true);
+    run.ran(10, 0, 2);
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    run.journal[1].answered = Some((at(20), Answer::PushedBack, None));
+    assert_eq!(run.violated_rules(), [2]);
 }
 
 #[test]
-fn a_drain_counts_from_when_each_router_was_told() {
-    let mut world = World::new();
-    world.ran(1, 0, 2);
-    world.drained = vec![Drained { router: 1, member: 1, at: at(100) }];
-    world.pass(500, 1, 1, true);
-    assert_eq!(world.rules(), [0u8; 0]);
-    world.pass(600, 3, 1, true);
-    // The same RPC goes out twice at once there, which is of another rule.
-    assert_eq!(world.rules(), [2, 3]);
+fn a_drain_counts_from_when_each_router_was_notified() {
+    let mut run = RecordedRun::new();
+    run.ran(1, 0, 2);
+    run.drained = vec![Drained { router: 1, member: 1, at: at(100) }];
+    run.pass(500, 1, 1, true);
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    run.pass(600, 3, 1, true);
+    // The same RPC has two attempts at once, which violates rule 2.
+    assert_eq!(run.violated_rules(), [2, 3]);
 }
 
 #[test]
-fn a_cold_member_is_pushed_over_by_the_sum_though_each_alone_keeps_its_ramp() {
-    let mut world = World::new();
-    world.ran(1, 0, 2);
+fn a_cold_member_is_overloaded_by_two_routers_that_each_keep_its_ramp() {
+    let mut run = RecordedRun::new();
+    run.ran(1, 0, 2);
     let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(500));
     let (at_start, capacity, cold_from) = (at(0), 100.0, 0.2);
-    world.started = vec![Started { at: at_start, member: 1, capacity, cold_from, warm_within, overload_for }];
-    // 19 are allowed: 36 by both, 18 by each.
+    run.started = vec![Started { at: at_start, member: 1, capacity, cold_from, warm_within, overload_for }];
+    // 19 are allowed; both send 36, each sends 18.
     for n in 0..36 {
         let number = 100 + n as u64;
-        world.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
-        world.pass(n * 10, if n % 2 == 0 { 1 } else { 3 }, number, true);
-        world.pass(n * 10 + 5, if n % 2 == 0 { 1 } else { 3 }, number, false);
+        run.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
+        run.pass(n * 10, if n % 2 == 0 { 1 } else { 3 }, number, true);
+        run.pass(n * 10 + 5, if n % 2 == 0 { 1 } else { 3 }, number, false);
     }
-    assert_eq!(world.rules(), [4]);
-    let history = world.history();
+    assert_eq!(run.violated_rules(), [4]);
+    let history = run.history();
     assert!(history.cold_by(0).is_empty() && history.cold_by(1).is_empty());
 }
 
 #[test]
-fn a_stale_read_is_found_by_what_the_member_had() {
-    let mut world = World::new();
-    world.ran(1, 0, 2);
+fn a_stale_read_is_found_by_the_position_of_the_member() {
+    let mut run = RecordedRun::new();
+    run.ran(1, 0, 2);
     let came = |ms: i64, old: i64| Came {
         at: at(ms),
         member: 1,
@@ -162,20 +162,20 @@
         position: at(ms - old),
         turned_away: false,
     };
-    world.truth.came.push(came(5, 1900));
-    assert_eq!(world.rules(), [0u8; 0]);
-    world.truth.came.push(came(6, 2500));
-    // The best that it was known to have reached counts.
-    assert_eq!(world.rules(), [0u8; 0]);
-    world.truth.came = vec![came(6, 2500)];
-    world.truth.ran.clear();
-    world.journal.truncate(1);
-    assert_eq!(world.rules(), [5]);
+    run.truth.came.push(came(5, 1900));
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    run.truth.came.push(came(6, 2500));
+    // The best position that the member was known to have counts.
+    assert_eq!(run.violated_rules(), [0u8; 0]);
+    run.truth.came = vec![came(6, 2500)];
+    run.truth.ran.clear();
+    run.journal.truncate(1);
+    assert_eq!(run.violated_rules(), [5]);
 }
 
-/// By the members alone, whoever sent it; and how near it came.
+/// From the members' records alone, whichever router sent the attempt.
 #[test]
-fn what_came_to_a_cold_member_is_counted_over_all_routers() {
+fn attempts_at_a_cold_member_are_counted_over_all_routers() {
     let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(3000));
     let started =
         Started { at: at(0), member: 1, capacity: 100.0, cold_from: 0.2, warm_within, overload_for };
@@ -185,7 +185,7 @@
             |nth| Came { at: at(0), member: 1, id: id(nth), position: at(0), turned_away: nth % 2 == 0 };
         Truth { came: (0..count).map(came).collect(), ..Truth::default() }
     };
-    // It bears 60 in the window that ends at its start, and 77.5 with what is put down to chance.
+    // Its capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for chance.
     let (broken, roots) = cold_at_members(&[started], &came(77));
     assert!(broken.is_empty() && (1.9..2.0).contains(&roots), "{roots}");
     assert_eq!(cold_at_members(&[started], &came(78)).0.len(), 1);
