--- /dev/null
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -0,0 +1,54 @@
+//! Places that fault events name (`rN`, `member-N`, `discovery`, `front`), and the links between them.
+
+use super::file::Drill;
+
+/// Where a link starts or ends.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum Place {
+    Router(usize),
+    Member(usize),
+    Discovery,
+    Front,
+}
+
+impl Drill {
+    pub(super) fn place(&self, name: &str) -> Option<Place> {
+        if let Some(router) = self.router(name) {
+            return Some(Place::Router(router));
+        }
+        match name {
+            "discovery" => return Some(Place::Discovery),
+            "front" => return Some(Place::Front),
+            _ => {}
+        }
+        let member: usize = name.strip_prefix("member-")?.parse().ok()?;
+        (member < self.scenario.members()).then_some(Place::Member(member))
+    }
+
+    /// The name of the fault tool's link between two places; none between two routers, which have datagrams alone.
+    pub fn link(&self, one: &str, other: &str) -> Option<String> {
+        match (self.place(one)?, self.place(other)?) {
+            (Place::Router(router), Place::Member(member))
+            | (Place::Member(member), Place::Router(router)) => Some(format!("r{router}>member-{member}")),
+            (Place::Router(router), Place::Discovery) | (Place::Discovery, Place::Router(router)) => {
+                Some(format!("r{router}>discovery"))
+            }
+            (Place::Router(router), Place::Front) | (Place::Front, Place::Router(router)) => {
+                Some(format!("front>r{router}"))
+            }
+            _ => None,
+        }
+    }
+
+    /// Names of the links that cross the sides of a split.
+    pub fn split_links(&self, sides: &[Vec<String>]) -> Vec<String> {
+        let mut links = Vec::new();
+        for (index, side) in sides.iter().enumerate() {
+            for other in sides.iter().skip(index + 1) {
+                let pairs = side.iter().flat_map(|one| other.iter().map(move |two| (one, two)));
+                links.extend(pairs.filter_map(|(one, two)| self.link(one, two)));
+            }
+        }
+        links
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -0,0 +1,230 @@
+//! Fault events of a drill: each is begun at its time, and ended if it lasts.
+
+use super::interrupt::check_interrupted;
+use super::testbed::{CHECK_INTERVAL, DrillTestbed};
+use crate::drill::{Deed, Drill};
+use crate::joint::Drained;
+use ladderpass_emulator::{Input, now};
+use ladderpass_fault_injection::{DatagramRule, Deed as DatagramFault, driver};
+use nix::sys::signal::Signal;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::ScopedJoinHandle;
+use std::time::{Duration, Instant};
+
+/// How long a load takes from its start until its first RPC can be due.
+const LOAD_START_DELAY: Duration = Duration::from_millis(100);
+
+/// The begin or the end of a fault event.
+struct ScheduledStep {
+    at_s: f64,
+    /// Index of the event in the drill.
+    event: usize,
+    begins: bool,
+}
+
+/// All steps, the earliest last.
+fn schedule(drill: &Drill) -> Vec<ScheduledStep> {
+    let mut steps = Vec::new();
+    for (index, event) in drill.deeds.iter().enumerate() {
+        steps.push(ScheduledStep { at_s: event.at, event: index, begins: true });
+        if event.lasts > 0.0 {
+            steps.push(ScheduledStep { at_s: event.at + event.lasts, event: index, begins: false });
+        }
+    }
+    steps.sort_by(|one, other| one.at_s.total_cmp(&other.at_s));
+    steps.reverse();
+    steps
+}
+
+impl DrillTestbed<'_> {
+    /// Carries out all fault events at their times, until the load is over. Sets `stop` if one fails.
+    pub fn run_events<T>(&mut self, load: &ScopedJoinHandle<'_, T>, stop: &AtomicBool) -> io::Result<()> {
+        let mut steps = schedule(self.drill);
+        let began = Instant::now() + LOAD_START_DELAY;
+        while !load.is_finished() {
+            check_interrupted().inspect_err(|_| stop.store(true, Ordering::Relaxed))?;
+            let elapsed_s = Instant::now().saturating_duration_since(began).as_secs_f64();
+            while let Some(step) = steps.pop_if(|step| step.at_s <= elapsed_s) {
+                self.run_step(&step).inspect_err(|_| stop.store(true, Ordering::Relaxed))?;
+            }
+            std::thread::sleep(CHECK_INTERVAL);
+        }
+        Ok(())
+    }
+
+    fn run_step(&mut self, step: &ScheduledStep) -> io::Result<()> {
+        let event = &self.drill.deeds[step.event];
+        let name = if step.begins { event.name() } else { format!("end of {}", event.name()) };
+        self.done.push((now(), name));
+        if step.begins { self.begin_event(step.event, event) } else { self.end_event(step.event, event) }
+    }
+
+    fn begin_event(&mut self, index: usize, event: &Deed) -> io::Result<()> {
+        self.signal_routers(event)?;
+        for router in self.routers_named(&event.start) {
+            self.restart_router(router, event.clock_ms)?;
+        }
+        for _ in 0..event.hog {
+            self.start_cpu_hog();
+        }
+        self.cut_links(event)?;
+        for rule in datagram_rules(index, event) {
+            if let Some(mesh) = &self.router_links.mesh {
+                mesh.add(rule).map_err(io::Error::other)?;
+            }
+        }
+        if let Some(rule) = &event.rule {
+            let rule = serde_json::to_string(rule).map_err(io::Error::other)?;
+            self.router_links.say(&format!("add {rule}")).map_err(io::Error::other)?;
+        }
+        self.change_fleet(event);
+        Ok(())
+    }
+
+    fn end_event(&mut self, index: usize, event: &Deed) -> io::Result<()> {
+        for router in self.routers_named(&event.freeze) {
+            self.signal(router, Signal::SIGCONT)?;
+            self.end_absences(router);
+        }
+        if event.hog > 0 {
+            self.stop_cpu_hogs();
+        }
+        for link in self.links_cut_by(event) {
+            self.tool_of(&link).say(&format!("heal {link}")).map_err(io::Error::other)?;
+            if let Some(router) = self.router_of_client_link(&link) {
+                self.end_absences(router);
+            }
+        }
+        for rule in datagram_rules(index, event) {
+            if let Some(mesh) = &self.router_links.mesh {
+                mesh.lift(&rule.name);
+            }
+        }
+        Ok(())
+    }
+
+    fn signal_routers(&mut self, event: &Deed) -> io::Result<()> {
+        for router in self.routers_named(&event.kill) {
+            self.kill_router(router);
+        }
+        for router in self.routers_named(&event.freeze) {
+            self.signal(router, Signal::SIGSTOP)?;
+            self.begin_absence(router, false);
+        }
+        for router in self.routers_named(&event.term) {
+            self.terminating[router] = true;
+            self.down.went(router);
+            self.begin_absence(router, true);
+            self.signal(router, Signal::SIGTERM)?;
+        }
+        for router in self.routers_named(&event.hup) {
+            self.signal(router, Signal::SIGHUP)?;
+        }
+        Ok(())
+    }
+
+    fn start_cpu_hog(&mut self) {
+        let stop = Arc::new(AtomicBool::new(false));
+        self.cpu_hogs.push(stop.clone());
+        std::thread::spawn(move || {
+            let mut sum = 0u64;
+            while !stop.load(Ordering::Relaxed) {
+                sum = std::hint::black_box(sum.wrapping_mul(31).wrapping_add(7));
+            }
+        });
+    }
+
+    fn cut_links(&mut self, event: &Deed) -> io::Result<()> {
+        for link in self.links_cut_by(event) {
+            self.tool_of(&link).say(&format!("cut {link}")).map_err(io::Error::other)?;
+            if let Some(router) = self.router_of_client_link(&link) {
+                self.begin_absence(router, false);
+            }
+        }
+        Ok(())
+    }
+
+    /// Changes of members and of what discovery sends.
+    fn change_fleet(&mut self, event: &Deed) {
+        if let Some(member) = event.drain {
+            self.fleet.drain(member);
+            let at = now();
+            let notified = (0..self.drill.routers).map(|router| Drained { router, member, at });
+            self.drained.extend(notified);
+        }
+        if let Some(member) = event.ends {
+            self.fleet.tell(member, Input::Dies);
+        }
+        if let Some(member) = event.begins {
+            self.fleet.tell(member, Input::Starts);
+        }
+        if let Some((router, line)) = &event.line
+            && let Some(router) = self.drill.router(router)
+        {
+            self.fleet.say(router, line);
+        }
+    }
+
+    fn routers_named(&self, names: &[String]) -> Vec<usize> {
+        names.iter().filter_map(|name| self.drill.router(name)).collect()
+    }
+
+    /// Links that an event cuts.
+    fn links_cut_by(&self, event: &Deed) -> Vec<String> {
+        let mut links = self.drill.split_links(&event.split);
+        links.extend(event.cut.iter().filter_map(|(one, other)| self.drill.link(one, other)));
+        links
+    }
+
+    fn tool_of(&self, link: &str) -> &driver::Running {
+        if link.starts_with("front>") { &self.client_links } else { &self.router_links }
+    }
+
+    /// The router of a link between clients and routers.
+    fn router_of_client_link(&self, link: &str) -> Option<usize> {
+        link.strip_prefix("front>").and_then(|name| self.drill.router(name))
+    }
+}
+
+/// What an event does to datagrams among routers.
+fn datagram_rules(index: usize, event: &Deed) -> Vec<DatagramRule> {
+    let drop_all = |name: String| DatagramRule {
+        name,
+        from: Vec::new(),
+        to: Vec::new(),
+        both: false,
+        split: Vec::new(),
+        after_ms: 0,
+        for_ms: 0,
+        part: 1.0,
+        deed: DatagramFault::Drop,
+    };
+    let is_router = |name: &&String| name.starts_with('r');
+    let mut rules = Vec::new();
+    if !event.split.is_empty() {
+        let routers = |side: &Vec<String>| side.iter().filter(is_router).cloned().collect();
+        let split: Vec<Vec<String>> = event.split.iter().map(routers).collect();
+        // Limited to the routers on a side: those on none reach all.
+        let on_a_side: Vec<String> = split.iter().flatten().cloned().collect();
+        rules.push(DatagramRule {
+            from: on_a_side.clone(),
+            to: on_a_side,
+            split,
+            ..drop_all(format!("deed-{index}-split"))
+        });
+    }
+    for (pair, (one, other)) in event.cut.iter().enumerate() {
+        if is_router(&one) && is_router(&other) {
+            let (from, to) = (vec![one.clone()], vec![other.clone()]);
+            let rule = drop_all(format!("deed-{index}-cut-{pair}"));
+            rules.push(DatagramRule { from, to, both: true, ..rule });
+        }
+    }
+    if !event.mute.is_empty() {
+        rules.push(DatagramRule { from: event.mute.clone(), ..drop_all(format!("deed-{index}-mute")) });
+    }
+    rules.extend(event.datagrams.clone());
+    rules
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -0,0 +1,116 @@
+//! Plays a drill: starts fleet, fault tools and routers, runs the load and the fault events, and checks the history.
+//!
+//! All processes and threads end with the drill, however it ends. The routers' logs are used for their views of each
+//! other alone; all else is judged by what clients, members and fault tools saw.
+
+mod events;
+mod interrupt;
+mod played;
+mod start;
+mod testbed;
+mod view;
+
+pub use interrupt::interrupted;
+pub use played::Played;
+pub use start::Programs;
+pub use view::{Viewed, viewed};
+
+use super::Drill;
+use crate::bed::open;
+use crate::load::{self, Front, Outcome, Plan};
+use ladderpass_routing::Span;
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::Duration;
+use testbed::DrillTestbed;
+
+/// How long the last views take to be logged.
+const LOG_FLUSH_WAIT: Duration = Duration::from_millis(50);
+
+/// Plays a drill.
+///
+/// # Errors
+/// If the drill is not valid, a program is missing, a process can't be started, or ctrl-C interrupts it.
+pub fn play(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<Played> {
+    play_with(drill, programs, seed, |_| {})
+}
+
+/// Plays a drill. `on_progress` gets the seconds since the start of the load.
+///
+/// # Errors
+/// As [`play`].
+pub fn play_with(
+    drill: &Drill,
+    programs: Programs<'_>,
+    seed: u64,
+    on_progress: impl FnMut(f64) + Send,
+) -> io::Result<Played> {
+    drill.check().map_err(io::Error::other)?;
+    let mut testbed = DrillTestbed::start(drill, programs, seed)?;
+    let settled = testbed.wait_until_settled()?;
+    std::thread::sleep(Duration::from_secs_f64(drill.rests_s));
+    let sent_before = testbed.datagrams_sent();
+    testbed.note_cpu_before_load();
+    let (outcome, greedy) = run_loads_and_events(&mut testbed, on_progress)?;
+    std::thread::sleep(LOG_FLUSH_WAIT);
+    let sent = sent_before.into_iter().zip(testbed.datagrams_sent()).collect();
+    Ok(Played { greedy, ..testbed.finish(outcome, settled, sent) })
+}
+
+/// Runs the load through the routers, the greedy load if there is one, and the fault events meanwhile.
+fn run_loads_and_events(
+    testbed: &mut DrillTestbed<'_>,
+    on_progress: impl FnMut(f64) + Send,
+) -> io::Result<(Outcome, Option<Outcome>)> {
+    let (drill, seed) = (testbed.drill, testbed.seed);
+    let scenario = &drill.scenario;
+    let stop = Arc::new(AtomicBool::new(false));
+    let plan = &load_plan(drill, seed, &stop);
+    let front = &Front {
+        routers: testbed.client_links.addresses.clone(),
+        weights: drill.weights(),
+        roaming: drill.roaming,
+        stays: Span::from_secs_f64(drill.stays_s),
+        notices: Span::from_millis(drill.notices_ms as i64),
+        down: testbed.down.clone(),
+    };
+    let greedy_plan = &greedy_load_plan(drill, seed, &stop);
+    let members = &testbed.fleet.addresses;
+    let greedy_front = &Front { routers: members.clone(), ..Front::single(members[0]) };
+    let (outcome, greedy, events) = std::thread::scope(|scope| {
+        let greedy = (drill.greedy > 0.0)
+            .then(|| scope.spawn(move || load::run_before(scenario, greedy_front, greedy_plan, |_| {})));
+        let load = scope.spawn(move || load::run_before(scenario, front, plan, on_progress));
+        let events = testbed.run_events(&load, &stop);
+        stop.fetch_or(events.is_err(), Ordering::Relaxed);
+        let outcome = load.join().unwrap_or_else(|_| Err(io::Error::other("the load failed")));
+        let greedy = greedy.and_then(|greedy| greedy.join().ok());
+        (outcome, greedy, events)
+    });
+    events?;
+    Ok((outcome?, greedy.transpose()?))
+}
+
+fn load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
+    Plan {
+        connections: drill.clients,
+        pipeline: 1,
+        deadline: Span::from_millis(i64::from(drill.deadline_ms)),
+        repeats: drill.repeats,
+        journal: true,
+        stop: Some(stop.clone()),
+        ..open(seed, &drill.phases)
+    }
+}
+
+/// The load of clients that go straight to the members.
+fn greedy_load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
+    Plan {
+        connections: drill.clients * 2,
+        pipeline: 1,
+        deadline: Span::from_millis(i64::from(drill.deadline_ms)),
+        stop: Some(stop.clone()),
+        ..open(!seed, &[(drill.secs(), drill.greedy)])
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -0,0 +1,256 @@
+//! The processes of a drill: fleet, fault tools and routers; which routers are absent, and since when.
+
+use super::interrupt::check_interrupted;
+use super::start::{Programs, start_of};
+use super::view::{Viewed, viewed};
+use crate::drill::Drill;
+use crate::joint::{Absence, Drained};
+use crate::load::Down;
+use crate::router::{Router, Start, own_address};
+use ladderpass_emulator::{Running, Scenario, now};
+use ladderpass_fault_injection::driver;
+use ladderpass_fault_injection::plan::LinkShape;
+use ladderpass_fault_injection::{End, Plan, Sent, Talk};
+use ladderpass_routing::{Span, Time};
+use nix::sys::signal::Signal;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::time::{Duration, Instant};
+
+/// How often the drill checks the time, its routers' views and ctrl-C.
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// The longest wait for routers that can't or needn't agree on a view, in seconds.
+const MAX_BLIND_SETTLE_S: f64 = 2.0;
+/// Seeds of the routers' settings begin here, above the drill's own.
+const ROUTER_SEED_OFFSET: u64 = 1000;
+
+/// What runs in a drill. Everything in it ends when it is dropped.
+pub(super) struct DrillTestbed<'a> {
+    pub drill: &'a Drill,
+    pub programs: Programs<'a>,
+    pub seed: u64,
+    pub fleet: Running,
+    /// The fault tool between clients and routers.
+    pub client_links: driver::Running,
+    /// The fault tool between routers, members and discovery, and among routers.
+    pub router_links: driver::Running,
+    /// By router: the addresses of the fault tool that lead to members.
+    pub members: Vec<Vec<SocketAddr>>,
+    /// By router: the address of the fault tool that leads to discovery.
+    pub discoveries: Vec<SocketAddr>,
+    pub starts: Vec<Start>,
+    /// None while a router is not running.
+    pub routers: Vec<Option<Router>>,
+    /// By router: the logs of its processes that have ended.
+    pub logs: Vec<Vec<String>>,
+    pub down: Arc<Down>,
+    pub absences: Vec<Absence>,
+    pub drained: Vec<Drained>,
+    /// Fault events that have begun or ended.
+    pub done: Vec<(Time, String)>,
+    /// Stops of the threads that burn CPU.
+    pub cpu_hogs: Vec<Arc<AtomicBool>>,
+    /// By router: CPU seconds used before the load.
+    pub cpu_before: Vec<f64>,
+    /// By router: it has got a SIGTERM.
+    pub terminating: Vec<bool>,
+}
+
+impl<'a> DrillTestbed<'a> {
+    /// Starts all processes, and waits until the routers serve.
+    pub fn start(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<DrillTestbed<'a>> {
+        let scenario = Scenario { history: true, ..drill.scenario.clone() };
+        let fleet = Running::start_listed(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
+        let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
+        let client_links = start_client_links(&addresses, seed)?;
+        let router_links = start_router_links(&fleet, &addresses, seed)?;
+        let advertised = router_links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
+        router_links.say("watch").map_err(io::Error::other)?;
+        let member_count = drill.scenario.members();
+        let (mut members, mut discoveries) = (Vec::new(), Vec::new());
+        for (router, links) in router_links.addresses.chunks(member_count + 1).enumerate() {
+            let (of_members, discovery) = links.split_at(member_count);
+            fleet.present_by(router, of_members);
+            members.push(of_members.to_vec());
+            discoveries.extend_from_slice(discovery);
+        }
+        let starts = (0..drill.routers)
+            .map(|router| start_of(drill, programs, router, addresses[router], &advertised))
+            .collect::<io::Result<Vec<_>>>()?;
+        let mut testbed = DrillTestbed {
+            drill,
+            programs,
+            seed,
+            fleet,
+            client_links,
+            router_links,
+            members,
+            discoveries,
+            starts,
+            routers: (0..drill.routers).map(|_| None).collect(),
+            logs: vec![Vec::new(); drill.routers],
+            down: Arc::default(),
+            absences: Vec::new(),
+            drained: Vec::new(),
+            done: Vec::new(),
+            cpu_hogs: Vec::new(),
+            cpu_before: vec![0.0; drill.routers],
+            terminating: vec![false; drill.routers],
+        };
+        testbed.start_routers()?;
+        Ok(testbed)
+    }
+
+    /// All at once, as after a power cut.
+    fn start_routers(&mut self) -> io::Result<()> {
+        for router in 0..self.drill.routers {
+            self.routers[router] = Some(self.spawn_router(router)?);
+        }
+        for router in self.routers.iter_mut().flatten() {
+            router.wait_until_it_serves()?;
+        }
+        Ok(())
+    }
+
+    fn spawn_router(&self, router: usize) -> io::Result<Router> {
+        let seed = self.seed.wrapping_add(ROUTER_SEED_OFFSET + router as u64);
+        let (scenario, start) = (&self.drill.scenario, &self.starts[router]);
+        Router::spawn(scenario, &self.members[router], self.discoveries[router], start, seed)
+            .map_err(|error| with_router_name(router, &error))
+    }
+
+    /// Waits until all routers have the same view of all of them. Returns how long that took, or none if it did not
+    /// happen in time or is not to be expected.
+    pub fn wait_until_settled(&self) -> io::Result<Option<Span>> {
+        let are_alike = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
+        if !self.drill.peers || !are_alike {
+            std::thread::sleep(Duration::from_secs_f64(self.drill.settles_s.min(MAX_BLIND_SETTLE_S)));
+            return Ok(None);
+        }
+        let began = Instant::now();
+        let max_wait = Duration::from_secs_f64(self.drill.settles_s);
+        while began.elapsed() < max_wait {
+            check_interrupted()?;
+            if self.have_same_view() {
+                return Ok(Some(Span::from_nanos(began.elapsed().as_nanos() as i64)));
+            }
+            std::thread::sleep(CHECK_INTERVAL);
+        }
+        Ok(None)
+    }
+
+    /// Is the last view of each router the same, with all routers in it?
+    fn have_same_view(&self) -> bool {
+        let last_view = |router: &Router| router.log().iter().rev().find_map(|line| viewed(line));
+        let views: Vec<Option<Viewed>> =
+            self.routers.iter().map(|router| router.as_ref().and_then(last_view)).collect();
+        let Some(first) = views.first().cloned().flatten() else { return false };
+        let is_same = |view: &Option<Viewed>| {
+            view.as_ref().is_some_and(|view| (view.digest, view.count) == (first.digest, first.count))
+        };
+        first.count == self.drill.routers && views.iter().all(is_same)
+    }
+
+    /// By router: datagrams that it has sent so far.
+    pub fn datagrams_sent(&self) -> Vec<Sent> {
+        self.router_links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.sent())
+    }
+
+    /// Notes the CPU time that each router has used so far.
+    pub fn note_cpu_before_load(&mut self) {
+        for (before, router) in self.cpu_before.iter_mut().zip(&self.routers) {
+            *before = router.as_ref().map_or(0.0, |router| router.used().0);
+        }
+    }
+
+    /// Sends a signal to a router, if it runs.
+    pub fn signal(&self, router: usize, signal: Signal) -> io::Result<()> {
+        match &self.routers[router] {
+            Some(router) => router.signal(signal),
+            None => Ok(()),
+        }
+    }
+
+    /// A router can't answer from now on.
+    pub fn begin_absence(&mut self, router: usize, planned: bool) {
+        let (from, to) = (now(), Time::from_nanos(i64::MAX / 2));
+        self.absences.push(Absence { router, from, to, planned });
+    }
+
+    /// A router can answer again.
+    pub fn end_absences(&mut self, router: usize) {
+        let now = now();
+        let is_open = |absence: &&mut Absence| absence.router == router && absence.to > now;
+        self.absences.iter_mut().filter(is_open).for_each(|absence| absence.to = now);
+    }
+
+    /// Kills a router, if it runs. The front learns of it once it is gone.
+    pub fn kill_router(&mut self, router: usize) {
+        if let Some(running) = self.routers[router].take() {
+            self.begin_absence(router, false);
+            self.logs[router].extend(running.stop());
+            self.down.went(router);
+        }
+    }
+
+    /// Starts a router at its old address, with a clock offset, after killing it if it still runs.
+    pub fn restart_router(&mut self, router: usize, clock_ms: i32) -> io::Result<()> {
+        self.kill_router(router);
+        self.starts[router].clock_ms = clock_ms;
+        if clock_ms != 0
+            && let Some(faulty) = self.programs.faulty
+        {
+            self.starts[router].binary = faulty.to_owned();
+        }
+        let mut started = self.spawn_router(router)?;
+        started.wait_until_it_serves().map_err(|error| with_router_name(router, &error))?;
+        self.routers[router] = Some(started);
+        (self.terminating[router], self.cpu_before[router]) = (false, 0.0);
+        self.down.came(router);
+        self.end_absences(router);
+        Ok(())
+    }
+
+    /// Stops the threads that burn CPU.
+    pub fn stop_cpu_hogs(&mut self) {
+        self.cpu_hogs.drain(..).for_each(|stop| stop.store(true, Ordering::Relaxed));
+    }
+}
+
+fn with_router_name(router: usize, error: &io::Error) -> io::Error {
+    io::Error::new(error.kind(), format!("r{router}: {error}"))
+}
+
+fn any_loopback_port() -> SocketAddr {
+    SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
+}
+
+fn start_client_links(routers: &[SocketAddr], seed: u64) -> io::Result<driver::Running> {
+    let link = |(router, &to): (usize, &SocketAddr)| LinkShape {
+        name: format!("front>r{router}"),
+        listen: any_loopback_port(),
+        to,
+        talk: Talk::Postgres,
+    };
+    let links = routers.iter().enumerate().map(link).collect();
+    driver::Running::start(Plan { seed, links, ..Default::default() }, None)
+}
+
+/// For each router in order, links to its members and to its discovery, and a datagram address.
+fn start_router_links(fleet: &Running, routers: &[SocketAddr], seed: u64) -> io::Result<driver::Running> {
+    let listen = any_loopback_port();
+    let (mut links, mut ends) = (Vec::new(), Vec::new());
+    for (router, address) in routers.iter().enumerate() {
+        for (member, &to) in fleet.addresses.iter().enumerate() {
+            let name = format!("r{router}>member-{member}");
+            links.push(LinkShape { name, listen, to, talk: Talk::Postgres });
+        }
+        let to = fleet.discoveries[router];
+        links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, talk: Talk::Http });
+        // Datagrams go to the port of the router's listener; `own_address` has checked that it is free for UDP too.
+        ends.push(End { name: format!("r{router}"), address: listen, to: *address });
+    }
+    driver::Running::start(Plan { seed, links, ends, ..Default::default() }, None)
+}
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -1,35 +1,47 @@
-//! What a drill came to: a table, JSON lines and charts by time.
-//!
-//! It owns how a drill's results look. It must never change one.
+//! Reports of a drill: counts, a table for people, JSON lines, and charts over time.
 
 use super::Drill;
 use super::play::Played;
 use crate::charts::{self, Line};
-use crate::load::Counts;
+use crate::load::{Counts, Slice};
 use ladderpass_invariants::Answer;
 use ladderpass_routing::{Span, Time};
+use serde_json::json;
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Seconds of the load.
+/// Slices a second, to turn counts of a slice into rates.
+const SLICES_PER_SECOND: f64 = 10.0;
+/// Violations that the table shows at most.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
+
+/// Attempts that came to members.
+#[derive(Clone, Copy, Debug, Default)]
+struct AttemptCounts {
+    first: usize,
+    retries: usize,
+}
+
+/// Seconds from the start of the load.
 fn secs(played: &Played, at: Time) -> f64 {
     (at - played.outcome.began).secs()
 }
 
 impl Played {
-    /// What became of the RPCs that were sent to these routers.
+    /// What became of the RPCs that were sent to some routers.
     pub fn of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
         let grace = Span::from_millis(i64::from(drill.grace_ms));
         for entry in self.outcome.journal.iter().filter(|entry| routers.contains(&entry.router)) {
             counts.due += 1;
-            let soft = drill.scenario.methods.get(entry.method).map_or(0.0, |method| method.soft_deadline_ms);
+            let method = drill.scenario.methods.get(entry.method);
+            let soft_deadline_ms = method.map_or(0.0, |method| method.soft_deadline_ms);
             match entry.answered {
                 Some((at, ..)) if at > entry.until + grace => counts.late += 1,
                 Some((at, Answer::Ok, _)) => {
                     counts.ok += 1;
-                    counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft / 1e3));
+                    counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3));
                 }
                 Some((_, Answer::PushedBack, _)) => counts.pushed_back += 1,
                 Some((_, Answer::Aborted, _)) => counts.aborted += 1,
@@ -39,7 +51,7 @@
         counts
     }
 
-    /// How many routers each counts on, by time: the steps of its view.
+    /// How many routers a router believed to be alive, as steps over seconds.
     pub fn counts(&self, router: usize) -> Vec<(f64, f64)> {
         let mut points: Vec<(f64, f64)> = Vec::new();
         for view in self.views.get(router).into_iter().flatten() {
@@ -52,156 +64,173 @@
         points
     }
 
-    /// Call-outs that a member began, by tenth of a second.
+    /// Attempts a second that a member ran, over seconds.
     pub fn work(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
         for ran in self.truth.ran.iter().filter(|ran| ran.member == member) {
-            let nth = (secs(self, ran.at) * 10.0).floor();
-            if nth >= 0.0
-                && let Some(slice) = slices.get_mut(nth as usize)
+            let index = (secs(self, ran.at) * SLICES_PER_SECOND).floor();
+            if index >= 0.0
+                && let Some(slice) = slices.get_mut(index as usize)
             {
-                *slice += 10.0;
+                *slice += SLICES_PER_SECOND;
             }
         }
-        slices.into_iter().enumerate().map(|(nth, rate)| (nth as f64 / 10.0, rate)).collect()
+        let point = |(index, rate): (usize, f64)| (index as f64 / SLICES_PER_SECOND, rate);
+        slices.into_iter().enumerate().map(point).collect()
     }
 
+    /// Utility a second, over seconds.
     pub fn utility(&self) -> Vec<(f64, f64)> {
-        self.outcome.slices.iter().map(|slice| (slice.at_s, slice.utility * 10.0)).collect()
+        self.outcome.slices.iter().map(|slice| (slice.at_s, slice.utility * SLICES_PER_SECOND)).collect()
     }
 
+    /// Rejections a second of a method, over seconds.
     pub fn pushed_back(&self, method: usize) -> Vec<(f64, f64)> {
-        let rate = |slice: &crate::load::Slice| {
-            slice.counts.get(method).map_or(0.0, |counts| counts.pushed_back as f64 * 10.0)
+        let rate = |slice: &Slice| {
+            slice.counts.get(method).map_or(0.0, |counts| counts.pushed_back as f64 * SLICES_PER_SECOND)
         };
         self.outcome.slices.iter().map(|slice| (slice.at_s, rate(slice))).collect()
     }
 
-    /// A line a thing, for people.
+    /// A table for people, one fact a line.
     pub fn table(&self, drill: &Drill) -> String {
-        let total = self.outcome.total();
-        let lost = self.outcome.journal.iter().filter(|entry| entry.lost.is_some()).count();
-        let mut lines = vec![
-            format!(
-                "RPCs {}, ok {}, pushed back {}, aborted {}, late {}, unanswered {}, unsent {}; connections ended under {lost}",
-                total.due,
-                total.ok,
-                total.pushed_back,
-                total.aborted,
-                total.late,
-                total.unanswered,
-                total.unsent
-            ),
-            {
-                let (first, further) = self.callouts(f64::MIN, f64::MAX);
-                let part = further as f64 / first.max(1) as f64;
-                format!(
-                    "call-outs that came {}, further ones {further} ({part:.3} of first ones); that ran {}",
-                    first + further,
-                    self.truth.ran.len()
-                )
-            },
-        ];
+        let mut lines = vec![self.rpcs_line(), self.attempts_line()];
         if let Some(settled) = self.settled {
             lines.push(format!("the routers found each other within {:.2} s", settled.secs()));
         }
         for (at, name) in &self.done {
             lines.push(format!("{:6.2} s  {name}", secs(self, *at)));
         }
-        for router in 0..drill.routers {
-            let last = self.views.get(router).and_then(|views| views.last());
-            let view =
-                last.map_or("none".to_owned(), |view| format!("{:08x} of {}", view.digest, view.count));
-            let sent = self.sent.get(router).map_or(0, |(from, to)| to.datagrams - from.datagrams);
-            lines.push(format!(
-                "r{router}: {}, view {view}, {} views in all, {:.1} datagrams a second, CPU {:.2} s",
-                if self.alive[router] { "runs" } else { "ended" },
-                self.views.get(router).map_or(0, Vec::len),
-                sent as f64 / drill.secs().max(1e-9),
-                self.cpu[router],
-            ));
-        }
+        lines.extend((0..drill.routers).map(|router| self.router_line(drill, router)));
         lines.extend(self.datagram_hits.iter().map(|(name, hits)| format!("{name} acted {hits} times")));
         lines.extend(self.fallen.iter().map(|text| format!("FALLEN {text}")));
         lines.push(format!("{} rules broken", self.violations.len()));
-        lines.extend(self.violations.iter().take(10).map(|violation| format!("BROKEN {violation}")));
+        let violations = self.violations.iter().take(MAX_VIOLATIONS_SHOWN);
+        lines.extend(violations.map(|violation| format!("BROKEN {violation}")));
         lines.join("\n")
     }
 
-    /// Call-outs that came to members within seconds of the load, first ones and further ones of the same RPC, as the
-    /// members saw them.
+    fn rpcs_line(&self) -> String {
+        let total = self.outcome.total();
+        let lost = self.outcome.journal.iter().filter(|entry| entry.lost.is_some()).count();
+        format!(
+            "RPCs {}, ok {}, pushed back {}, aborted {}, late {}, unanswered {}, unsent {}; connections ended under {lost}",
+            total.due, total.ok, total.pushed_back, total.aborted, total.late, total.unanswered, total.unsent
+        )
+    }
+
+    fn attempts_line(&self) -> String {
+        let AttemptCounts { first, retries } = self.attempts(f64::MIN, f64::MAX);
+        let retry_ratio = retries as f64 / first.max(1) as f64;
+        format!(
+            "call-outs that came {}, further ones {retries} ({retry_ratio:.3} of first ones); that ran {}",
+            first + retries,
+            self.truth.ran.len()
+        )
+    }
+
+    fn router_line(&self, drill: &Drill, router: usize) -> String {
+        let last = self.views.get(router).and_then(|views| views.last());
+        let view = last.map_or("none".to_owned(), |view| format!("{:08x} of {}", view.digest, view.count));
+        let sent = self.sent.get(router).map_or(0, |(before, after)| after.datagrams - before.datagrams);
+        format!(
+            "r{router}: {}, view {view}, {} views in all, {:.1} datagrams a second, CPU {:.2} s",
+            if self.alive[router] { "runs" } else { "ended" },
+            self.views.get(router).map_or(0, Vec::len),
+            sent as f64 / drill.secs().max(1e-9),
+            self.cpu[router],
+        )
+    }
+
+    /// Attempts that came to members in `from..to`, in seconds of the load: first ones, and further ones of the same RPC.
     pub fn callouts(&self, from: f64, to: f64) -> (usize, usize) {
-        let mut seen: HashMap<&str, (u32, bool)> = HashMap::new();
-        let (mut first, mut further) = (0, 0);
+        let AttemptCounts { first, retries } = self.attempts(from, to);
+        (first, retries)
+    }
+
+    fn attempts(&self, from: f64, to: f64) -> AttemptCounts {
+        let mut previous: HashMap<&str, (u32, bool)> = HashMap::new();
+        let mut counts = AttemptCounts::default();
         for came in &self.truth.came {
-            let before = seen.insert(&came.id, (came.member, came.turned_away));
-            // One that waited there past its time is on the record twice: when it came, and when it was given up.
+            let before = previous.insert(&came.id, (came.member, came.turned_away));
+            // An attempt that queued there past its deadline has two records: when it came, and when it was rejected.
             if before == Some((came.member, false)) && came.turned_away {
                 continue;
             }
             if (from..to).contains(&secs(self, came.at)) {
-                *(if before.is_some() { &mut further } else { &mut first }) += 1;
+                *(if before.is_some() { &mut counts.retries } else { &mut counts.first }) += 1;
             }
         }
-        (first, further)
+        counts
+    }
+
+    /// Writes `drill.jsonl` and the charts to a folder.
+    ///
+    /// # Errors
+    /// If a file can't be written.
+    pub fn write(&self, drill: &Drill, folder: &Path) -> io::Result<()> {
+        std::fs::create_dir_all(folder)?;
+        self.write_lines(&folder.join("drill.jsonl"))?;
+        self.write_charts(drill, folder)
     }
 
-    /// JSON lines and charts to a folder.
-    pub fn write(&self, drill: &Drill, out: &Path) -> io::Result<()> {
-        std::fs::create_dir_all(out)?;
-        let mut file = io::BufWriter::new(std::fs::File::create(out.join("drill.jsonl"))?);
+    fn write_lines(&self, path: &Path) -> io::Result<()> {
+        let mut file = io::BufWriter::new(std::fs::File::create(path)?);
         for slice in &self.outcome.slices {
             writeln!(file, "{}", serde_json::to_string(slice).map_err(io::Error::other)?)?;
         }
         for (at, name) in &self.done {
-            writeln!(file, "{}", serde_json::json!({"at_s": secs(self, *at), "deed": name}))?;
+            writeln!(file, "{}", json!({"at_s": secs(self, *at), "deed": name}))?;
         }
         for (router, views) in self.views.iter().enumerate() {
             for view in views {
-                let line = serde_json::json!({"at_s": secs(self, view.at), "router": router,
-                    "view": format!("{:08x}", view.digest), "count": view.count});
+                let digest = format!("{:08x}", view.digest);
+                let at_s = secs(self, view.at);
+                let line = json!({"at_s": at_s, "router": router, "view": digest, "count": view.count});
                 writeln!(file, "{line}")?;
             }
         }
         for (at, member) in &self.truth.probes {
-            writeln!(file, "{}", serde_json::json!({"at_s": secs(self, *at), "probed": member}))?;
+            writeln!(file, "{}", json!({"at_s": secs(self, *at), "probed": member}))?;
         }
         for entry in &self.outcome.journal {
             let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), format!("{answer:?}")));
-            let line = serde_json::json!({"sent_s": secs(self, entry.sent), "rpc": entry.number, "router": entry.router, "until_s": secs(self, entry.until), "lost_s": entry.lost.map(|at| secs(self, at)),
-                "method": entry.method, "answered": answered});
+            let line = json!({
+                "sent_s": secs(self, entry.sent),
+                "rpc": entry.number,
+                "router": entry.router,
+                "until_s": secs(self, entry.until),
+                "lost_s": entry.lost.map(|at| secs(self, at)),
+                "method": entry.method,
+                "answered": answered,
+            });
             writeln!(file, "{line}")?;
         }
         for violation in &self.violations {
-            writeln!(file, "{}", serde_json::json!({"broken": violation.to_string()}))?;
+            writeln!(file, "{}", json!({"broken": violation.to_string()}))?;
         }
-        file.flush()?;
-        let names: Vec<String> = (0..drill.routers).map(|nth| format!("r{nth}")).collect();
+        file.flush()
+    }
+
+    fn write_charts(&self, drill: &Drill, folder: &Path) -> io::Result<()> {
+        let names: Vec<String> = (0..drill.routers).map(|router| format!("r{router}")).collect();
         let views: Vec<Line<'_>> =
-            names.iter().enumerate().map(|(nth, name)| (name.as_str(), self.counts(nth))).collect();
+            names.iter().enumerate().map(|(router, name)| (name.as_str(), self.counts(router))).collect();
         if views.iter().any(|(_, points)| !points.is_empty()) {
-            charts::lines(
-                &out.join("views.svg"),
-                "How many routers each counts on",
-                ("seconds", "routers"),
-                &views,
-                false,
-            )?;
+            let axes = ("seconds", "routers");
+            charts::lines(&folder.join("views.svg"), "How many routers each counts on", axes, &views, false)?;
         }
+        let per_second = ("seconds", "a second");
         let served: Vec<Line<'_>> = vec![("utility served", self.utility())];
-        charts::lines(&out.join("utility.svg"), "Utility", ("seconds", "a second"), &served, false)?;
-        let methods: Vec<Line<'_>> = drill
-            .scenario
-            .methods
-            .iter()
-            .enumerate()
-            .map(|(nth, method)| (method.name.as_str(), self.pushed_back(nth)))
-            .collect();
-        charts::lines(&out.join("pushed-back.svg"), "Pushed back", ("seconds", "a second"), &methods, false)?;
+        charts::lines(&folder.join("utility.svg"), "Utility", per_second, &served, false)?;
+        let methods = drill.scenario.methods.iter().enumerate();
+        let rejections: Vec<Line<'_>> =
+            methods.map(|(index, method)| (method.name.as_str(), self.pushed_back(index))).collect();
+        charts::lines(&folder.join("pushed-back.svg"), "Pushed back", per_second, &rejections, false)?;
         let names: Vec<String> =
             (0..drill.scenario.members()).map(|member| format!("member {member}")).collect();
         let work: Vec<Line<'_>> =
             names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.work(member))).collect();
-        charts::lines(&out.join("work.svg"), "Begun at members", ("seconds", "a second"), &work, false)
+        charts::lines(&folder.join("work.svg"), "Begun at members", per_second, &work, false)
     }
 }
