--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/hollow/clients.rs
@@ -0,0 +1,66 @@
+//! Clients of simulated routers: each statement goes over an idle connection, or a new one.
+
+use super::counts::About;
+use super::simulation::{Connection, Peer, World};
+use ladderpass::reducer::{ConnectionId, Event};
+use ladderpass_emulator::proto;
+use rand::Rng;
+
+/// Connections of clients to one router at most.
+const MAX_CLIENTS: usize = 256;
+const READ_METHOD: &str = "board";
+const WRITE_METHOD: &str = "move";
+
+impl World {
+    /// Sends a router a statement of a group and method that are drawn.
+    pub(super) fn send_drawn_statement(&mut self, router: usize) {
+        let group = self.rng.random_range(0..self.shape.groups);
+        let is_write = self.rng.random_range(0.0..1.0) < self.shape.writes;
+        self.ask_of(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
+    }
+
+    /// Sends a router a statement.
+    pub fn ask_of(&mut self, router: usize, method: &str, group: usize) {
+        if self.routers[router].reducer.is_none() {
+            return;
+        }
+        let Some(client) = self.routers[router].idle_clients.pop().or_else(|| self.open_client(router))
+        else {
+            self.counts[router].crowded += 1;
+            return;
+        };
+        self.last_statement += 1;
+        let comment =
+            format!("/* id={router:x}-{:x},c={method},d=1000,cluster={group} */", self.last_statement);
+        let statement = if method == WRITE_METHOD {
+            format!("INSERT INTO entries (ref, payload) VALUES ('k', '\\x9f03') RETURNING payload {comment}")
+        } else {
+            format!("SELECT payload FROM entries WHERE ref = 'k' {comment}")
+        };
+        let mut query = Vec::new();
+        proto::put_query(&mut query, &statement);
+        self.counts[router].statements += 1;
+        self.deliver(router, client, &query);
+    }
+
+    /// Opens a connection, unless there are too many.
+    fn open_client(&mut self, router: usize) -> Option<ConnectionId> {
+        let connections = &mut self.routers[router].connections;
+        let is_client = |connection: &&Connection| matches!(connection.peer, Peer::Client { .. });
+        if connections.values().filter(is_client).count() >= MAX_CLIENTS {
+            return None;
+        }
+        let id = self.routers[router].reducer.as_mut()?.next_id();
+        let peer = Peer::Client { welcomed: false, input: Vec::new() };
+        let connection = Connection { peer, unread: Vec::new() };
+        self.routers[router].connections.insert(id, connection);
+        self.apply(router, Event::Accepted(id), About::Data);
+        let mut startup = Vec::new();
+        proto::put_startup(&mut startup);
+        self.deliver(router, id, &startup);
+        self.tick(router);
+        // It is not idle: it takes the statement for which it was opened.
+        self.routers[router].idle_clients.retain(|&idle| idle != id);
+        Some(id)
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/hollow/connections.rs
@@ -0,0 +1,152 @@
+//! Connections of simulated routers: to members, to discovery, and from clients.
+
+use super::counts::About;
+use super::member::HEALTH_CHECK;
+use super::settings::{Endpoint, endpoint_at};
+use super::simulation::{Connection, ConnectionKey, Peer, SimulationEvent, World};
+use ladderpass::reducer::{ConnectionId, Event};
+use ladderpass_emulator::proto;
+use ladderpass_routing::{Span, Time};
+use std::net::SocketAddr;
+
+/// How long a member works on what it is sent.
+const SERVICE_TIME: Span = Span::from_millis(1);
+
+impl World {
+    /// When an answer to what is sent now arrives, without service time.
+    pub(super) fn round_trip_at(&self) -> Time {
+        self.now + self.shape.way * 2.0
+    }
+
+    /// A router opens a connection to a member or to discovery.
+    pub(super) fn connect(&mut self, key: ConnectionKey, address: SocketAddr) {
+        self.counts[key.router].connects += 1;
+        let at = self.round_trip_at();
+        let peer = match endpoint_at(address) {
+            Some(Endpoint::Member(member)) => {
+                let result = match self.members.get(member) {
+                    Some(member) if member.up => SimulationEvent::Connected(key),
+                    _ => SimulationEvent::Closed(key),
+                };
+                // A member whose machine is gone, or in a region that is cut off, does not answer.
+                let hangs = self.members.get(member).is_some_and(|member| member.hangs);
+                if self.reaches_member(key.router, member) && !hangs {
+                    self.schedule(at, result);
+                }
+                Peer::Member { member, startup_read: false, input: Vec::new() }
+            }
+            _ => {
+                self.counts[key.router].watches += 1;
+                let is_up = self.discovery_up;
+                let result =
+                    if is_up { SimulationEvent::Connected(key) } else { SimulationEvent::Closed(key) };
+                self.schedule(at, result);
+                Peer::Discovery { watching: false }
+            }
+        };
+        let connection = Connection { peer, unread: Vec::new() };
+        self.routers[key.router].connections.insert(key.id, connection);
+    }
+
+    fn reaches_member(&self, router: usize, member: usize) -> bool {
+        self.is_reachable(self.zone(router), self.zone_of_member(member))
+    }
+
+    /// Bytes that a router has written come to the far end of a connection.
+    pub(super) fn receive_from_router(&mut self, key: ConnectionKey, bytes: &[u8]) {
+        let Some(connection) = self.connection_mut(key) else { return };
+        match &mut connection.peer {
+            Peer::Discovery { watching } => {
+                let is_first = !std::mem::replace(watching, true);
+                if is_first {
+                    self.begin_watch(key);
+                }
+            }
+            Peer::Client { .. } => self.receive_as_client(key, bytes),
+            Peer::Member { .. } => self.receive_as_member(key, bytes),
+        }
+    }
+
+    fn receive_as_client(&mut self, key: ConnectionKey, bytes: &[u8]) {
+        let Some(Connection { peer: Peer::Client { welcomed, input }, .. }) =
+            self.routers[key.router].connections.get_mut(&key.id)
+        else {
+            return;
+        };
+        input.extend_from_slice(bytes);
+        let mut parsed = 0;
+        let (mut answers, mut errors) = (0, 0);
+        while let Some((kind, _, length)) = proto::frame(&input[parsed..]) {
+            parsed += length;
+            answers += u64::from(kind == b'Z');
+            errors += u64::from(kind == b'E');
+        }
+        input.drain(..parsed);
+        // The first ReadyForQuery ends the welcome.
+        if answers > 0 && !std::mem::replace(welcomed, true) {
+            answers -= 1;
+        }
+        self.counts[key.router].answered += answers.saturating_sub(errors);
+        self.counts[key.router].refused += errors;
+        if answers > 0 {
+            self.routers[key.router].idle_clients.push(key.id);
+        }
+    }
+
+    fn receive_as_member(&mut self, key: ConnectionKey, bytes: &[u8]) {
+        let now = self.now;
+        let Some(Connection { peer: Peer::Member { member, startup_read, input }, .. }) =
+            self.routers[key.router].connections.get_mut(&key.id)
+        else {
+            return;
+        };
+        let member = *member;
+        input.extend_from_slice(bytes);
+        let (mut parsed, mut reply) = (0, Vec::new());
+        if !*startup_read && let Some(length) = proto::startup(input) {
+            (*startup_read, parsed) = (true, length);
+            proto::put_welcome(&mut reply);
+        }
+        let mut health_checks = 0;
+        while let Some((_, body, length)) = proto::frame(&input[parsed..]) {
+            parsed += length;
+            let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
+            health_checks += u64::from(statement == HEALTH_CHECK);
+            self.members[member].answer(now, statement, &mut reply);
+        }
+        input.drain(..parsed);
+        self.counts[key.router].probes += health_checks;
+        let answers = self.members[member].up && !self.members[member].hangs;
+        if !reply.is_empty() && answers && self.reaches_member(key.router, member) {
+            let at = self.round_trip_at() + SERVICE_TIME;
+            self.schedule(at, SimulationEvent::Bytes(key, reply));
+        }
+    }
+
+    /// Bytes come to a router, as far as its read buffer has room; the rest stays unread.
+    pub(super) fn deliver(&mut self, router: usize, id: ConnectionId, bytes: &[u8]) {
+        let about = match self.routers[router].connections.get_mut(&id) {
+            None => return,
+            Some(connection) => {
+                connection.unread.extend_from_slice(bytes);
+                if matches!(connection.peer, Peer::Discovery { .. }) { About::List } else { About::Data }
+            }
+        };
+        loop {
+            let receiver = &mut self.routers[router];
+            let (Some(reducer), Some(connection)) =
+                (&mut receiver.reducer, receiver.connections.get_mut(&id))
+            else {
+                return;
+            };
+            let buffer = reducer.read_buffer(id);
+            let count = buffer.len().min(connection.unread.len());
+            if count == 0 {
+                return;
+            }
+            buffer[..count].copy_from_slice(&connection.unread[..count]);
+            connection.unread.drain(..count);
+            self.apply(router, Event::Received(id, count, Span::ZERO), about);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/hollow/member.rs
@@ -0,0 +1,48 @@
+//! A simulated member: it answers statements, health checks and sync queries at once.
+
+use ladderpass_emulator::proto;
+use ladderpass_routing::{Span, Time};
+
+/// The statement of a health check.
+pub(super) const HEALTH_CHECK: &str = "SHOW server_load";
+/// read_only_sql_transaction: a write at a replica.
+const READ_ONLY: &str = "25006";
+
+/// A simulated member.
+#[derive(Clone, Copy, Debug)]
+pub struct Member {
+    /// It accepts connections.
+    pub up: bool,
+    /// It accepts connections and statements and answers nothing.
+    pub hangs: bool,
+    /// It is the primary of its group.
+    pub primary: bool,
+    /// How far its data are behind.
+    pub lag: Span,
+}
+
+impl Member {
+    /// Appends the answer to a statement.
+    pub(super) fn answer(&self, now: Time, statement: &str, reply: &mut Vec<u8>) {
+        let position = now + Span::from_nanos(-self.lag.nanos());
+        match statement {
+            "" => {
+                proto::put(reply, b'I', &[]);
+                proto::put_ready(reply);
+            }
+            HEALTH_CHECK => {
+                let position_s = position.nanos() as f64 / 1e9;
+                let report = format!("x0={position_s:.6},x1={},q=0", u8::from(self.primary));
+                proto::put_row(reply, report.as_bytes(), false, self.primary, None);
+            }
+            statement => {
+                let is_write = statement.starts_with("INSERT");
+                if is_write && !self.primary {
+                    return proto::put_error(reply, "ERROR", READ_ONLY);
+                }
+                let id = proto::comment(statement).map_or("", |comment| comment.id);
+                proto::put_row(reply, id.as_bytes(), is_write, self.primary, Some(position));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/hollow/mod.rs
@@ -0,0 +1,20 @@
+//! Simulated routers: many real reducers in one process, with a simulated clock, network, members, discovery and clients.
+//!
+//! All that routers decide and send to each other is the program's own code. The simulation decides who reaches whom and
+//! when bytes arrive, and counts what is sent. The same shape and seed give the same simulation.
+
+mod clients;
+mod connections;
+mod counts;
+mod discovery;
+mod event_loop;
+mod member;
+mod settings;
+mod shape;
+mod simulation;
+
+pub use counts::{About, Cost, Counts, Flow, thread_time};
+pub use member::Member;
+pub use settings::{config, launch, member_id, router_address};
+pub use shape::{REGION_OF_ZONE, Shape, ZONES};
+pub use simulation::World;
