--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -0,0 +1,39 @@
+//! Slopes of a router's data path: idle clients, statements, connections to members, and ticks of its event loop.
+//!
+//! Counts come from the router's own code in simulated time (`world`), CPU of a statement and memory from a real process
+//! (`process`). `figures` works out the reference size from the slopes.
+
+mod figures;
+pub mod process;
+mod process_slopes;
+mod reducer_slopes;
+mod reference_size;
+mod size;
+mod statement;
+mod tables;
+pub mod world;
+
+pub use figures::figures;
+pub use process_slopes::Settings;
+pub use reducer_slopes::{idle_turn, probe_pass, pure, steady};
+pub use reference_size::{CLIENTS, GROUPS, MEMBERS, ROUTERS, STATEMENTS};
+pub use size::size;
+pub use tables::tables;
+
+use super::slope::Slope;
+use process_slopes::{idle_client_slopes, member_slopes, statement_slopes};
+
+/// Measures all slopes. Those that can't be measured are left out, and the reason goes to standard error.
+pub fn measure(seed: u64, settings: &Settings) -> Vec<Slope> {
+    let mut slopes = pure(seed, settings.long).unwrap_or_else(|error| {
+        eprintln!("data path, pure: {error}");
+        Vec::new()
+    });
+    for part in [idle_client_slopes, statement_slopes, member_slopes] {
+        match part(seed, settings) {
+            Ok(further) => slopes.extend(further),
+            Err(error) => eprintln!("data path, processes: {error}"),
+        }
+    }
+    slopes
+}
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -1,55 +1,67 @@
-//! A real router as a process of its own, before the emulated fleet, with clients that rest or ask at a pace:
-//! its memory and its CPU time, as the kernel counts them.
-//!
-//! It owns the clients' sockets. It must never raise a limit of the machine, nor count time that the process
-//! waited.
+//! A real router process before an emulated fleet, with idle clients or a paced load: its memory, descriptors and CPU time,
+//! as the kernel counts them. Limits of the machine are used as they are.
 
+use super::statement::query;
+use crate::load::until_ready;
 use crate::router::{Router, Start};
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_emulator::{Running, Scenario, proto};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
-use std::io::{self, Read, Write};
+use std::io::{self, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// A fleet and a router; both end when it is dropped.
 pub struct Bed {
     fleet: Option<Running>,
     router: Option<Router>,
     groups: u32,
 }
 
-/// How statements come to connections.
+/// How statements are spread over connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
-    /// Over so many that stay.
+    /// In turn over this many, which stay open.
     Kept(usize),
-    /// Each over one of its own, that its client closes once it is answered.
+    /// Each over a new one, which its client closes once it is answered.
     Anew,
-    /// Over so many by chance; one that the router has closed meanwhile is opened anew.
+    /// At random over this many; one that the router has closed is opened again.
     ByChance(usize),
 }
 
-/// What came of a pace.
+/// What became of the statements of a paced load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Seen {
+    /// Length of the measured time, in seconds.
     pub secs: f64,
+    /// Statements that were sent.
     pub asked: f64,
+    /// Connections that were opened for them.
     pub opened: f64,
+    /// Statements that failed.
     pub failed: f64,
     /// CPU seconds of the router.
     pub cpu: f64,
-    /// From asked to answered, its opening with it: the sum, in seconds.
+    /// Sum of the latencies, with the time to open a connection, in seconds.
     pub waited: f64,
 }
 
-/// Threads that ask; more would only take the router's time on a machine that is shared.
-const ASKERS: u64 = 4;
+/// Threads of clients. More would only take CPU time from the router.
+const CLIENT_THREADS: u64 = 4;
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+const PAGE_KIB: f64 = 4.0;
+/// One in this many statements is a write.
+const WRITE_ONE_IN: i32 = 5;
 
 impl Bed {
+    /// Starts both. `memory_mb` and `sockets` are limits in the router's settings.
+    ///
+    /// # Errors
+    /// If one of them can't be started.
     pub fn start(binary: &Path, groups: u32, memory_mb: u64, sockets: usize, seed: u64) -> io::Result<Bed> {
         let scenario = Scenario { groups, ..Scenario::default() };
         let fleet = Running::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
@@ -63,42 +75,55 @@
         self.router.as_ref().map(|router| router.address).ok_or_else(|| io::Error::other("it has ended"))
     }
 
-    fn of_process(&self, file: &str) -> io::Result<String> {
+    /// A path of the router's process under `/proc`.
+    fn proc_path(&self, name: &str) -> PathBuf {
         let pid = self.router.as_ref().map_or(0, |router| router.pid().as_raw());
-        std::fs::read_to_string(format!("/proc/{pid}/{file}"))
+        PathBuf::from(format!("/proc/{pid}/{name}"))
     }
 
     /// CPU seconds that the router has used, all its threads together.
+    ///
+    /// # Errors
+    /// If it has ended.
     pub fn cpu(&self) -> io::Result<f64> {
-        let pid = self.router.as_ref().map_or(0, |router| router.pid().as_raw());
         let mut nanos = 0.0;
-        for task in std::fs::read_dir(format!("/proc/{pid}/task"))? {
+        for task in std::fs::read_dir(self.proc_path("task"))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
             nanos += text.split_whitespace().next().and_then(|nanos| nanos.parse().ok()).unwrap_or(0.0);
         }
         Ok(nanos / 1e9)
     }
 
-    /// KiB in memory, without the kernel's for its sockets.
+    /// Resident memory in KiB, without the kernel's socket buffers.
+    ///
+    /// # Errors
+    /// If the router has ended.
     pub fn resident(&self) -> io::Result<f64> {
-        let text = self.of_process("statm")?;
+        let text = std::fs::read_to_string(self.proc_path("statm"))?;
         let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<f64>().ok());
-        Ok(pages.unwrap_or(0.0) * 4.0)
+        Ok(pages.unwrap_or(0.0) * PAGE_KIB)
     }
 
+    /// File descriptors that the router has open.
+    ///
+    /// # Errors
+    /// If it has ended.
     pub fn descriptors(&self) -> io::Result<f64> {
-        let pid = self.router.as_ref().map_or(0, |router| router.pid().as_raw());
-        Ok(std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as f64)
+        Ok(std::fs::read_dir(self.proc_path("fd"))?.count() as f64)
     }
 
-    /// So many clients that open and rest.
+    /// Opens connections of clients, which stay idle.
+    ///
+    /// # Errors
+    /// If one can't be opened.
     pub fn rest(&self, clients: usize) -> io::Result<Vec<TcpStream>> {
         let address = self.address()?;
-        let part = |nth: usize| -> io::Result<Vec<TcpStream>> {
-            (nth..clients).step_by(ASKERS as usize).map(|_| open(address)).collect()
+        let open_part = |thread: usize| -> io::Result<Vec<TcpStream>> {
+            (thread..clients).step_by(CLIENT_THREADS as usize).map(|_| open(address)).collect()
         };
         std::thread::scope(|scope| {
-            let threads: Vec<_> = (0..ASKERS as usize).map(|nth| scope.spawn(move || part(nth))).collect();
+            let threads: Vec<_> =
+                (0..CLIENT_THREADS as usize).map(|thread| scope.spawn(move || open_part(thread))).collect();
             let mut all = Vec::new();
             for thread in threads {
                 all.extend(thread.join().map_err(|_| io::Error::other("a client's thread fell"))??);
@@ -107,69 +132,43 @@
         })
     }
 
-    /// Statements at a pace, a fifth of them writes, to groups by chance; what came of those after the first
-    /// while.
+    /// Sends statements to random groups, at `rate` a second, for `warm` and then `span`. Returns what became of those of
+    /// `span`.
+    ///
+    /// # Errors
+    /// If the router has ended.
     pub fn ask(&self, way: Way, rate: f64, warm: Duration, span: Duration) -> io::Result<Seen> {
-        let (address, groups) = (self.address()?, u64::from(self.groups));
-        static NEXT: AtomicU64 = AtomicU64::new(1);
         let began = Instant::now();
-        let (from, ends) = (began + warm, began + warm + span);
-        let asker = |nth: u64| -> io::Result<Seen> {
-            let mut seen = Seen::default();
-            let kept = match way {
-                Way::Kept(count) | Way::ByChance(count) => (count as u64).div_ceil(ASKERS).max(1) as usize,
-                Way::Anew => 1,
-            };
-            let mut streams: VecDeque<Option<TcpStream>> = (0..kept).map(|_| None).collect();
-            let mut chance = SmallRng::seed_from_u64(nth);
-            for turn in 0u64.. {
-                let due = began + Duration::from_secs_f64((turn * ASKERS + nth) as f64 / rate);
-                if due >= ends {
-                    break;
-                }
-                std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                let id = NEXT.fetch_add(1, Ordering::Relaxed);
-                let query = super::query(id, chance.random_range(0..groups), chance.random_range(0..5) == 0);
-                let at = Instant::now();
-                if let Way::ByChance(_) = way {
-                    streams.swap(0, chance.random_range(0..kept));
-                }
-                let stream = streams.pop_front().flatten().filter(is_open);
-                let opened = stream.is_none();
-                let asked = stream.map_or_else(|| open(address), Ok).and_then(|mut stream| {
-                    stream.write_all(&query)?;
-                    until_ready(&mut stream)?;
-                    Ok(stream)
-                });
-                let failed = asked.is_err();
-                streams.push_back(asked.ok().filter(|_| way != Way::Anew));
-                if at >= from {
-                    seen.asked += 1.0;
-                    seen.opened += f64::from(u8::from(opened));
-                    seen.failed += f64::from(u8::from(failed));
-                    seen.waited += at.elapsed().as_secs_f64();
-                }
-            }
-            Ok(seen)
+        let measured_from = began + warm;
+        let load = PacedLoad {
+            address: self.address()?,
+            groups: u64::from(self.groups),
+            way,
+            rate,
+            began,
+            measured_from,
+            ends: began + warm + span,
         };
+        let load = &load;
         std::thread::scope(|scope| {
-            let threads: Vec<_> = (0..ASKERS).map(|nth| scope.spawn(move || asker(nth))).collect();
-            std::thread::sleep(from.saturating_duration_since(Instant::now()));
-            let (before, at) = (self.cpu()?, Instant::now());
-            let mut all = Seen::default();
+            let threads: Vec<_> =
+                (0..CLIENT_THREADS).map(|thread| scope.spawn(move || load.run_thread(thread))).collect();
+            std::thread::sleep(measured_from.saturating_duration_since(Instant::now()));
+            let (cpu_before, from) = (self.cpu()?, Instant::now());
+            let mut total = Seen::default();
             for thread in threads {
-                let seen = thread.join().map_err(|_| io::Error::other("an asker's thread fell"))??;
-                all.asked += seen.asked;
-                all.opened += seen.opened;
-                all.failed += seen.failed;
-                all.waited += seen.waited;
+                let seen = thread.join().map_err(|_| io::Error::other("an asker's thread fell"))?;
+                total.asked += seen.asked;
+                total.opened += seen.opened;
+                total.failed += seen.failed;
+                total.waited += seen.waited;
             }
-            (all.cpu, all.secs) = (self.cpu()? - before, at.elapsed().as_secs_f64());
-            Ok(all)
+            (total.cpu, total.secs) = (self.cpu()? - cpu_before, from.elapsed().as_secs_f64());
+            Ok(total)
         })
     }
 
-    /// What the router's log told.
+    /// Lines that the router has logged.
     pub fn log(&self) -> Vec<String> {
         self.router.as_ref().map(Router::log).unwrap_or_default()
     }
@@ -182,10 +181,68 @@
     }
 }
 
+/// Statements at a pace, shared by the threads of clients.
+struct PacedLoad {
+    address: SocketAddr,
+    groups: u64,
+    way: Way,
+    /// Statements a second, of all threads.
+    rate: f64,
+    began: Instant,
+    measured_from: Instant,
+    ends: Instant,
+}
+
+impl PacedLoad {
+    /// Sends the statements of one thread, each once the one before is answered.
+    fn run_thread(&self, thread: u64) -> Seen {
+        static NEXT_ID: AtomicU64 = AtomicU64::new(1);
+        let mut seen = Seen::default();
+        let connections = match self.way {
+            Way::Kept(count) | Way::ByChance(count) => {
+                (count as u64).div_ceil(CLIENT_THREADS).max(1) as usize
+            }
+            Way::Anew => 1,
+        };
+        let mut streams: VecDeque<Option<TcpStream>> = (0..connections).map(|_| None).collect();
+        let mut rng = SmallRng::seed_from_u64(thread);
+        for round in 0u64.. {
+            let due =
+                self.began + Duration::from_secs_f64((round * CLIENT_THREADS + thread) as f64 / self.rate);
+            if due >= self.ends {
+                break;
+            }
+            std::thread::sleep(due.saturating_duration_since(Instant::now()));
+            let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+            let query = query(id, rng.random_range(0..self.groups), rng.random_range(0..WRITE_ONE_IN) == 0);
+            let sent_at = Instant::now();
+            if let Way::ByChance(_) = self.way {
+                streams.swap(0, rng.random_range(0..connections));
+            }
+            let open_stream = streams.pop_front().flatten().filter(is_open);
+            let opened = open_stream.is_none();
+            let answered = open_stream.map_or_else(|| open(self.address), Ok).and_then(|mut stream| {
+                stream.write_all(&query)?;
+                until_ready(&mut stream)?;
+                Ok(stream)
+            });
+            let failed = answered.is_err();
+            streams.push_back(answered.ok().filter(|_| self.way != Way::Anew));
+            if sent_at >= self.measured_from {
+                seen.asked += 1.0;
+                seen.opened += f64::from(u8::from(opened));
+                seen.failed += f64::from(u8::from(failed));
+                seen.waited += sent_at.elapsed().as_secs_f64();
+            }
+        }
+        seen
+    }
+}
+
 fn open(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(Duration::from_secs(3)))?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
     let mut startup = Vec::new();
     proto::put_startup(&mut startup);
     stream.write_all(&startup)?;
@@ -193,27 +250,9 @@
     Ok(stream)
 }
 
-/// Has the router not closed it?
+/// Is a connection open, with nothing to read?
 pub fn is_open(stream: &TcpStream) -> bool {
-    let looked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
-    let waits = matches!(&looked, Err(fault) if fault.kind() == io::ErrorKind::WouldBlock);
-    stream.set_nonblocking(false).is_ok() && waits
-}
-
-fn until_ready(stream: &mut TcpStream) -> io::Result<()> {
-    let (mut inbox, mut chunk) = (Vec::new(), [0; 4096]);
-    loop {
-        let mut used = 0;
-        while let Some((kind, _, length)) = proto::frame(inbox.get(used..).unwrap_or_default()) {
-            used += length;
-            if kind == b'Z' {
-                return Ok(());
-            }
-        }
-        inbox.drain(..used);
-        match stream.read(&mut chunk)? {
-            0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            count => inbox.extend_from_slice(chunk.get(..count).unwrap_or_default()),
-        }
-    }
+    let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
+    let is_idle = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+    stream.set_nonblocking(false).is_ok() && is_idle
 }
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -0,0 +1,92 @@
+//! Slopes that are measured on a real router process: memory, descriptors and CPU.
+
+use super::process::{Bed, Way};
+use super::reducer_slopes::median;
+use super::world::OF_GROUP;
+use crate::capacity::slope::Slope;
+use std::io;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Over which the CPU of idle clients is measured.
+const IDLE_CPU_SPAN: Duration = Duration::from_millis(800);
+
+/// How much is measured.
+#[derive(Clone, Debug)]
+pub struct Settings {
+    /// The long form, for docs/CAPACITY.md; else the short one, for the proof.
+    pub long: bool,
+    /// The router's binary. Without one the slopes of real processes are left out.
+    pub router: Option<PathBuf>,
+}
+
+/// Memory, descriptors and CPU of idle clients.
+pub(super) fn idle_client_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
+    let Some(router) = &settings.router else { return Ok(Vec::new()) };
+    let (mut memory, mut descriptors, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
+    for clients in [500, 1000, 2000, 4000] {
+        // So much memory that the router frees no buffer for lack of it.
+        let bed = Bed::start(router, 1, 2048, 20_000, seed)?;
+        let streams = bed.rest(clients)?;
+        memory.push((clients as f64, bed.resident()?));
+        descriptors.push((clients as f64, bed.descriptors()?));
+        if settings.long {
+            // Shorter than the idle timeout: none is closed yet.
+            let before = bed.cpu()?;
+            std::thread::sleep(IDLE_CPU_SPAN);
+            cpu.push((clients as f64, (bed.cpu()? - before) / IDLE_CPU_SPAN.as_secs_f64() * 1e3));
+        }
+        drop(streams);
+    }
+    let slope = |name, y, points| Slope { name, x: "resting clients", y, points };
+    let mut slopes = vec![
+        slope("resting_memory", "KiB resident", memory),
+        slope("resting_descriptors", "descriptors", descriptors),
+    ];
+    if !cpu.is_empty() {
+        slopes.push(slope("resting_cpu", "ms of CPU a second", cpu));
+    }
+    Ok(slopes)
+}
+
+/// CPU of statements on connections that stay, and on new ones. Runs of the two alternate, so that other load of the
+/// machine affects both alike; a point is the median of its runs.
+pub(super) fn statement_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
+    let Some(router) = &settings.router else { return Ok(Vec::new()) };
+    let (repeats, warm, span) = match settings.long {
+        true => (5, Duration::from_millis(500), Duration::from_millis(3000)),
+        false => (3, Duration::from_millis(50), Duration::from_millis(350)),
+    };
+    let bed = Bed::start(router, 1, 192, 20_000, seed)?;
+    let ways = [("statement_cpu_kept", Way::Kept(16)), ("statement_cpu_anew", Way::Anew)];
+    let mut points = [Vec::new(), Vec::new()];
+    for rate in [200.0, 400.0, 800.0] {
+        let mut runs = [Vec::new(), Vec::new()];
+        for _ in 0..repeats {
+            for ((_, way), runs) in ways.iter().zip(&mut runs) {
+                let seen = bed.ask(*way, rate, warm, span)?;
+                runs.push((seen.asked / seen.secs, seen.cpu / seen.secs * 1e3));
+            }
+        }
+        for (points, runs) in points.iter_mut().zip(runs) {
+            let (x, y) = runs.into_iter().unzip();
+            points.push((median(x), median(y)));
+        }
+    }
+    let slope = |((name, _), points)| Slope { name, x: "statements/s", y: "ms of CPU a second", points };
+    Ok(ways.into_iter().zip(points).map(slope).collect())
+}
+
+/// Memory by members, each of which the router has been connected to.
+pub(super) fn member_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
+    let Some(router) = &settings.router else { return Ok(Vec::new()) };
+    let mut points = Vec::new();
+    for groups in [26, 52, 104, 208] {
+        let bed = Bed::start(router, groups, 2048, 20_000, seed)?;
+        // Health checks and statements of all groups reach all members.
+        let rate = f64::from(groups) * 8.0;
+        bed.ask(Way::Kept(16), rate.min(800.0), Duration::ZERO, Duration::from_millis(1500))?;
+        points.push((f64::from(groups * OF_GROUP), bed.resident()?));
+    }
+    Ok(vec![Slope { name: "member_memory", x: "members", y: "KiB resident", points }])
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -0,0 +1,140 @@
+//! Tables of what the slopes don't show, where the router's behaviour is not linear; of its code in simulated time.
+
+use super::reducer_slopes::{probe_pass, steady};
+use super::reference_size::{CLIENTS, MEMBERS};
+use super::world::{Shape, World};
+use ladderpass_routing::Span;
+
+const WARM_UP: Span = Span::from_millis(15_000);
+const SPAN: Span = Span::from_millis(40_000);
+
+/// All tables.
+///
+/// # Errors
+/// If a simulation can't be started.
+pub fn tables(seed: u64) -> Result<String, String> {
+    let base = Shape::of(78);
+    let mut text = client_idle_table(&base, seed)?;
+    text += &answer_time_table(&base, seed)?;
+    text += &staleness_table(&base, seed)?;
+    text += &full_members_table(&base, seed)?;
+    text += &startup_table(seed)?;
+    text += &probe_pass_table(seed)?;
+    Ok(text)
+}
+
+/// By idle timeout of clients.
+fn client_idle_table(base: &Shape, seed: u64) -> Result<String, String> {
+    let mut text =
+        String::from("| rest until closed, s | opened anew, of statements | open of 5,900 | refused |\n");
+    text += "|---|---|---|---|\n";
+    for idle in [2.1, 5.0, 10.0, 30.0, 60.0] {
+        let shape = Shape { client_idle: Some(Span::from_secs_f64(idle)), ..base.clone() };
+        let counts = steady(&shape, Span::from_secs_f64(idle.max(15.0)), SPAN, seed)?;
+        let (opened, open) =
+            (counts.opened / counts.statements, counts.clients / base.clients as f64 * CLIENTS);
+        text += &format!("| {idle} | {:.1}% | {open:.0} | {:.0} |\n", opened * 100.0, counts.refused);
+    }
+    Ok(text)
+}
+
+/// By answer time of members.
+fn answer_time_table(base: &Shape, seed: u64) -> Result<String, String> {
+    let mut text = String::new();
+    text += "\n| answer time, ms | connections a pair | most of a pair | made a second at 940 | refused |\n";
+    text += "|---|---|---|---|---|\n";
+    for ms in [1, 5, 20, 50, 200, 400] {
+        let counts = steady(&Shape { answer: Span::from_millis(ms), ..base.clone() }, WARM_UP, SPAN, seed)?;
+        let (pairs, anew) = (base.members() as f64, counts.connects / counts.secs);
+        text += &format!(
+            "| {ms} | {:.3} | {} | {:.2} | {:.2}% |\n",
+            counts.links / pairs,
+            counts.most_links,
+            anew / pairs * MEMBERS,
+            counts.refused / (counts.served + counts.refused).max(1.0) * 100.0
+        );
+    }
+    Ok(text)
+}
+
+/// By rate of statements and maximum staleness of reads.
+fn staleness_table(base: &Shape, seed: u64) -> Result<String, String> {
+    let mut text = String::new();
+    text +=
+        "\n| statements a pair and s | data no older than, s | reads at the primary | probes a statement ";
+    text += "| mean wait, ms | connections a pair | refused |\n|---|---|---|---|---|---|---|\n";
+    for (rate, bound) in
+        [(0.05, 2.0), (0.14, 2.0), (0.553, 0.8), (0.553, 2.0), (0.553, 5.0), (2.2, 2.0), (8.8, 2.0)]
+    {
+        let shape = Shape { rate: rate * base.members() as f64, bound_ms: bound * 1e3, ..base.clone() };
+        let counts = steady(&shape, WARM_UP, SPAN, seed)?;
+        let answered = (counts.served + counts.refused).max(1.0);
+        text += &format!(
+            "| {rate} | {bound} | {:.1}% | {:.2} | {:.2} | {:.3} | {:.2}% |\n",
+            counts.reads_at_primary / counts.reads * 100.0,
+            counts.probes / counts.statements,
+            counts.waited / answered * 1e3,
+            counts.links / base.members() as f64,
+            counts.refused / answered * 100.0,
+        );
+    }
+    Ok(text)
+}
+
+/// By members that have no connection left for the router.
+fn full_members_table(base: &Shape, seed: u64) -> Result<String, String> {
+    let mut text = String::new();
+    text +=
+        "\n| members full for this router | statements refused | reads at the primary | connects/s at 940 ";
+    text += "| mean wait, ms |\n|---|---|---|---|---|\n";
+    for full in [0.0, 0.1, 0.36, 0.79] {
+        let counts = steady(&Shape { full, ..base.clone() }, WARM_UP, SPAN, seed)?;
+        let answered = (counts.served + counts.refused).max(1.0);
+        text += &format!(
+            "| {:.0}% | {:.1}% | {:.1}% | {:.1} | {:.2} |\n",
+            full * 100.0,
+            counts.refused / answered * 100.0,
+            counts.reads_at_primary / counts.reads * 100.0,
+            counts.connects / counts.secs / base.members() as f64 * MEMBERS,
+            counts.waited / answered * 1e3,
+        );
+    }
+    Ok(text)
+}
+
+/// The first seconds of a router at the reference size.
+fn startup_table(seed: u64) -> Result<String, String> {
+    let mut text = String::new();
+    text +=
+        "\n| second after the start, at the size | connects | probes | statements served | mean wait, ms |\n";
+    text += "|---|---|---|---|---|\n";
+    let mut world = World::new(&Shape::of(313), seed)?;
+    for second in 1..=10 {
+        let counts = world.run(Span::from_millis(1000));
+        text += &format!(
+            "| {second} | {:.0} | {:.0} | {:.0} | {:.2} |\n",
+            counts.connects,
+            counts.probes,
+            counts.served,
+            counts.waited / counts.served.max(1.0) * 1e3
+        );
+    }
+    Ok(text)
+}
+
+/// Ticks with health checks, with and without sharing them among routers.
+fn probe_pass_table(seed: u64) -> Result<String, String> {
+    let mut text = String::new();
+    text += "\n| members | us of CPU of a pass, each alone | where probes are shared |\n|---|---|---|\n";
+    for groups in [39, 78, 156, 313] {
+        let alone = Shape::of(groups);
+        let shared = Shape { shares_probes: true, ..alone.clone() };
+        text += &format!(
+            "| {} | {:.1} | {:.1} |\n",
+            alone.members(),
+            probe_pass(&alone, 9, seed)?,
+            probe_pass(&shared, 9, seed)?
+        );
+    }
+    Ok(text)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world/counts.rs
@@ -0,0 +1,66 @@
+//! What a simulation counts, and the CPU clock.
+
+use nix::time::{ClockId, clock_gettime};
+
+const CLOCK_SAMPLES: usize = 2000;
+
+/// What was counted over a time.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Counts {
+    /// Length of the time, in seconds.
+    pub secs: f64,
+    /// Statements that clients sent.
+    pub statements: f64,
+    /// Statements that were answered with a row.
+    pub served: f64,
+    /// Statements that were answered otherwise, or whose connection was closed.
+    pub refused: f64,
+    /// Reads among the statements.
+    pub reads: f64,
+    /// Reads that came to a primary.
+    pub reads_at_primary: f64,
+    /// Statements whose client had to open a connection first.
+    pub opened: f64,
+    /// Idle clients whose connection the router closed.
+    pub closed: f64,
+    /// Connections to members that were opened.
+    pub connects: f64,
+    /// Health checks that came to members.
+    pub probes: f64,
+    /// Queries to members, with health checks and sync queries.
+    pub queries: f64,
+    /// Bytes of these queries.
+    pub bytes: f64,
+    /// Ticks of the event loop.
+    pub turns: f64,
+    /// CPU seconds in ticks.
+    pub cpu_turns: f64,
+    /// CPU seconds in all other events.
+    pub cpu_else: f64,
+    /// Mean number of connections to members.
+    pub links: f64,
+    /// The most connections to any one member.
+    pub most_links: f64,
+    /// Mean number of open connections of clients.
+    pub clients: f64,
+    /// Sum of the latencies of statements, in seconds.
+    pub waited: f64,
+    /// The longest of these, in seconds.
+    pub longest: f64,
+}
+
+/// The CPU time of this thread, in seconds.
+pub fn cpu() -> f64 {
+    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
+        .map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
+}
+
+/// What reading that clock adds to a measured time, in seconds: the least of several samples.
+pub(super) fn clock_overhead_s() -> f64 {
+    let mut least = f64::INFINITY;
+    for _ in 0..CLOCK_SAMPLES {
+        let before = cpu();
+        least = least.min(cpu() - before);
+    }
+    least
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world/simulation.rs
@@ -0,0 +1,289 @@
+//! State and time of a simulation: its queue of events, and the router's event loop.
+
+use super::counts::{Counts, clock_overhead_s, cpu};
+use super::shape::{OF_GROUP, Shape};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
+use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Router, Span, Time};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use rand_distr::Exp1;
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+
+/// When each simulation starts.
+const EPOCH: Time = Time::from_nanos(1_796_000_000_000_000_000);
+/// The program's event loop ticks at least this often.
+const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
+/// From one end of a connection to the other.
+pub(super) const LATENCY: Span = Span::from_nanos(200_000);
+pub(super) const ROUND_TRIP: Span = Span::from_nanos(400_000);
+const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
+/// An HTTP chunk with an empty line.
+const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
+
+#[derive(Default)]
+pub(super) struct Client {
+    pub connection: Option<ConnectionId>,
+    pub welcomed: bool,
+    pub input: Vec<u8>,
+    /// Sent once it is welcomed.
+    pub pending_query: Option<Vec<u8>>,
+    /// When it sent the statement that waits for an answer.
+    pub sent_at: Option<Time>,
+}
+
+/// A connection of the router.
+#[derive(Default)]
+pub(super) struct MemberConnection {
+    /// None for discovery.
+    pub member: Option<usize>,
+    pub startup_read: bool,
+    pub input: Vec<u8>,
+}
+
+pub(super) enum SimulationEvent {
+    ClientStatement,
+    Connected(ConnectionId),
+    Bytes(ConnectionId, Vec<u8>),
+    WatchHeartbeat(ConnectionId),
+    Closed(ConnectionId),
+}
+
+/// A simulation of one router.
+pub struct World {
+    /// The router's own code.
+    pub reducer: Reducer,
+    /// Simulated time.
+    pub now: Time,
+    pub(super) shape: Shape,
+    pub(super) discovery: SocketAddr,
+    pub(super) members: HashMap<SocketAddr, usize>,
+    /// Events by time, and by a number that keeps those of one time in the order in which they were scheduled.
+    pub(super) queue: BTreeMap<(Time, u64), SimulationEvent>,
+    /// The number given last, to an event or a statement.
+    pub(super) last_number: u64,
+    pub(super) clients: Vec<Client>,
+    pub(super) client_of_connection: HashMap<ConnectionId, usize>,
+    pub(super) connections: HashMap<ConnectionId, MemberConnection>,
+    /// By member: how many connections the router has to it.
+    pub(super) connections_of_member: Vec<u32>,
+    /// By member: it has no connection left.
+    pub(super) rejects: Vec<bool>,
+    effects: Vec<Effect>,
+    pub(super) rng: SmallRng,
+    pub(super) counts: Counts,
+    pub(super) clock_overhead_s: f64,
+}
+
+impl World {
+    /// Prepares a simulation.
+    ///
+    /// # Errors
+    /// If the router's settings can't be written or read.
+    pub fn new(shape: &Shape, seed: u64) -> Result<World, String> {
+        let now = EPOCH;
+        let launch = shape.launch(now, seed)?;
+        let mut members = HashMap::new();
+        for (member, instance) in launch.cached_endpoints.instances.iter().enumerate() {
+            let address = instance.host_port.parse().map_err(|_| "an address of its own".to_owned())?;
+            members.insert(address, member);
+        }
+        let discovery = launch.discovery;
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let full = (0..members.len()).map(|_| shape.full > 0.0 && rng.random::<f64>() < shape.full);
+        let mut world = World {
+            connections_of_member: vec![0; members.len()],
+            rejects: full.collect(),
+            reducer: Reducer::start(now, launch),
+            now,
+            shape: shape.clone(),
+            discovery,
+            members,
+            queue: BTreeMap::new(),
+            last_number: 0,
+            clients: (0..shape.clients).map(|_| Client::default()).collect(),
+            client_of_connection: HashMap::new(),
+            connections: HashMap::new(),
+            effects: Vec::new(),
+            rng,
+            counts: Counts::default(),
+            clock_overhead_s: clock_overhead_s(),
+        };
+        if shape.rate > 0.0 {
+            let gap = world.draw_gap();
+            world.schedule(gap, SimulationEvent::ClientStatement);
+        }
+        Ok(world)
+    }
+
+    /// Runs for a time, and returns what was counted meanwhile.
+    pub fn run(&mut self, span: Span) -> Counts {
+        self.counts = Counts::default();
+        let (began, ends) = (self.now, self.now + span);
+        self.run_event_loop();
+        loop {
+            let next = self.queue.first_key_value().map_or(ends, |(&(at, _), _)| at);
+            let wake = self.reducer.wake_at().unwrap_or(ends);
+            let latest_tick = self.now + MAX_TICK_INTERVAL;
+            let at = next.min(wake.max(self.now)).min(latest_tick).min(ends);
+            self.count_connections((at - self.now).secs());
+            self.now = at;
+            if at >= ends {
+                break;
+            }
+            while let Some(first) = self.queue.first_entry()
+                && first.key().0 <= at
+            {
+                let event = first.remove();
+                self.handle_event(event);
+            }
+            self.run_event_loop();
+        }
+        let mut counts = self.counts;
+        counts.secs = (self.now - began).secs();
+        counts.links /= counts.secs;
+        counts.clients /= counts.secs;
+        counts
+    }
+
+    /// Adds what is open now, for a time in seconds.
+    fn count_connections(&mut self, secs: f64) {
+        let to_members = &self.connections_of_member;
+        self.counts.links += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
+        self.counts.clients += secs * self.client_of_connection.len() as f64;
+        let most = to_members.iter().copied().max().unwrap_or(0);
+        self.counts.most_links = self.counts.most_links.max(f64::from(most));
+    }
+
+    /// Opens the connections of all clients, which stay idle.
+    pub fn open_all(&mut self) {
+        for index in 0..self.clients.len() {
+            self.open_client(index);
+            self.run_event_loop();
+        }
+    }
+
+    /// A routing core alone, with the endpoint list of a shape, and its time.
+    ///
+    /// # Errors
+    /// As [`World::new`].
+    pub fn core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
+        let now = EPOCH;
+        let launch = shape.launch(now, seed)?;
+        let mut router = Router::start(now, seed, launch.settings.deployment);
+        let entries: Vec<Endpoint> = (0..shape.members() as u32)
+            .map(|member| Endpoint {
+                member: MemberId(member),
+                group: member / OF_GROUP,
+                machine_kind: 0,
+                zone: 0,
+                id_hash: member,
+                concurrency: None,
+                state: EndpointState::Active,
+                started_at: None,
+                primary: member % OF_GROUP == 0,
+            })
+            .collect();
+        router.on_endpoint_update(now, EndpointUpdate::Complete(&entries));
+        Ok((router, now))
+    }
+
+    /// Mean CPU seconds of a tick with nothing to do, over a number of ticks.
+    pub fn idle_turn(&mut self, turns: usize) -> f64 {
+        let before = cpu();
+        for _ in 0..turns {
+            self.reducer.handle(self.now, Event::Tick);
+        }
+        (cpu() - before) / turns as f64
+    }
+
+    pub(super) fn draw_gap(&mut self) -> Span {
+        let gap: f64 = self.rng.sample(Exp1);
+        Span::from_secs_f64(gap / self.shape.rate)
+    }
+
+    pub(super) fn schedule(&mut self, after: Span, event: SimulationEvent) {
+        self.last_number += 1;
+        self.queue.insert((self.now + after, self.last_number), event);
+    }
+
+    /// Carries out effects and ticks in turn, as the program's event loop does, until nothing is written any more.
+    pub(super) fn run_event_loop(&mut self) {
+        loop {
+            self.carry_out();
+            self.apply(Event::Tick);
+            if !self.carry_out() {
+                return;
+            }
+        }
+    }
+
+    pub(super) fn apply(&mut self, event: Event) {
+        let is_tick = matches!(event, Event::Tick);
+        let before = cpu();
+        let effects = self.reducer.handle(self.now, event);
+        let took = (cpu() - before - self.clock_overhead_s).max(0.0);
+        if is_tick {
+            self.counts.turns += 1.0;
+            self.counts.cpu_turns += took;
+        } else {
+            self.counts.cpu_else += took;
+        }
+        self.effects.extend(effects);
+    }
+
+    /// Carries out all effects. Was anything written?
+    fn carry_out(&mut self) -> bool {
+        let mut has_written = false;
+        while !self.effects.is_empty() {
+            for effect in std::mem::take(&mut self.effects) {
+                match effect {
+                    Effect::Connect(id, address) => self.connect(id, address),
+                    Effect::Write(id) => has_written |= self.write(id),
+                    Effect::Close(id) => self.close(id),
+                    Effect::CloseIfQuiet(id) => {
+                        let effects = self.reducer.handle(self.now, Event::ReadToEnd(id));
+                        self.effects.extend(effects);
+                    }
+                    Effect::Read(_)
+                    | Effect::Accept(_)
+                    | Effect::SendDatagrams
+                    | Effect::StopListening
+                    | Effect::Exit => {}
+                }
+            }
+        }
+        has_written
+    }
+
+    fn handle_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::ClientStatement => {
+                self.send_statement();
+                let gap = self.draw_gap();
+                self.schedule(gap, SimulationEvent::ClientStatement);
+            }
+            SimulationEvent::Connected(id) => {
+                if self.connections.contains_key(&id) {
+                    self.apply(Event::Connected(id));
+                }
+            }
+            SimulationEvent::Bytes(id, bytes) => {
+                if self.connections.contains_key(&id) || self.client_of_connection.contains_key(&id) {
+                    self.deliver(id, &bytes);
+                }
+            }
+            SimulationEvent::Closed(id) => {
+                if self.connections.contains_key(&id) {
+                    self.apply(Event::Closed(id));
+                }
+            }
+            SimulationEvent::WatchHeartbeat(id) => {
+                if self.connections.contains_key(&id) {
+                    self.deliver(id, HEARTBEAT);
+                    self.schedule(HEARTBEAT_INTERVAL, SimulationEvent::WatchHeartbeat(id));
+                }
+            }
+        }
+    }
+}
