--- a/crates/ladderpass-invariants/src/drains.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,14 +1,17 @@
-//! Rule 3: drains are kept. A member that wants nothing new gets nothing new from when that was told.
+//! Rule 3: a draining member gets no new attempt once its drain has been published.
 
 use crate::{Checker, Event, Grace, MemberNo, Violation, What};
 use std::collections::HashMap;
 
+/// Checks rule 3.
 pub struct Drains {
     grace: Grace,
+    /// Draining members, with the event that published it.
     draining: HashMap<MemberNo, Event>,
 }
 
 impl Drains {
+    /// A checker of a history that is yet to begin.
     pub fn new(grace: Grace) -> Drains {
         Drains { grace, draining: HashMap::new() }
     }
@@ -24,11 +27,11 @@
                 self.draining.remove(&member);
             }
             What::CalledOut { rpc, member } => {
-                let Some(told) = self.draining.get(&member) else { return };
-                if event.at > told.at + self.grace.news {
+                let Some(published) = self.draining.get(&member) else { return };
+                if event.at > published.at + self.grace.news {
                     let text = format!("RPC {rpc:x} goes to member {member}, which wants nothing new");
                     let (rpc, member) = (Some(rpc), Some(member));
-                    broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*told, *event] });
+                    broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
                 }
             }
             _ => {}
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -1,74 +1,83 @@
-//! Rule 2: no effect twice, and one call-out of an RPC at a time.
+//! Rule 2: no effect happens twice, and an RPC has at most one attempt in flight.
 
 use crate::{Checker, Event, RpcId, Violation, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
+/// What runs this long after the client's deadline is still attributed to its RPC.
+const TRACK_AFTER_DEADLINE: Span = Span::from_millis(10_000);
+
+/// Checks rule 2.
 #[derive(Default)]
 pub struct Effects {
-    rpcs: HashMap<RpcId, Kept>,
-    until: BTreeSet<(Time, RpcId)>,
+    rpcs: HashMap<RpcId, RpcState>,
+    /// When each RPC is forgotten.
+    forget_at: BTreeSet<(Time, RpcId)>,
 }
 
-struct Kept {
-    once: bool,
-    out: Option<Event>,
-    /// A call-out that ended without having run can't have had an effect.
-    ran: Option<Event>,
-    /// Sent, and not known to have been turned away unseen.
-    sent: Option<Event>,
+struct RpcState {
+    run_once: bool,
+    /// The attempt in flight.
+    in_flight: Option<Event>,
+    /// The last execution that began.
+    executed: Option<Event>,
+    /// The last attempt that was sent, unless it was rejected: it may have run.
+    may_have_run: Option<Event>,
 }
 
-/// What runs this long after the client's time is still laid to its RPC.
-const AFTER: Span = Span::from_millis(10_000);
-
-impl Checker for Effects {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        while let Some(&(at, rpc)) = self.until.first()
-            && at < event.at
+impl Effects {
+    fn forget_expired(&mut self, now: Time) {
+        while let Some(&(at, rpc)) = self.forget_at.first()
+            && at < now
         {
-            self.until.pop_first();
+            self.forget_at.pop_first();
             self.rpcs.remove(&rpc);
         }
-        let mut breaks = |rpc, member, text: String, proof| {
+    }
+}
+
+impl Checker for Effects {
+    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        self.forget_expired(event.at);
+        let mut report = |rpc, member, text: String, proof| {
             broken.push(Violation { rule: 2, rpc: Some(rpc), member: Some(member), text, proof });
         };
         match event.what {
             What::Taken { rpc, due, once, .. } => {
-                let kept = Kept { once, out: None, ran: None, sent: None };
-                if self.rpcs.insert(rpc, kept).is_none() {
-                    self.until.insert((due + AFTER, rpc));
+                let state = RpcState { run_once: once, in_flight: None, executed: None, may_have_run: None };
+                if self.rpcs.insert(rpc, state).is_none() {
+                    self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
                 }
             }
             What::CalledOut { rpc, member } => {
-                let Some(kept) = self.rpcs.get_mut(&rpc) else { return };
-                if let Some(first) = kept.out {
+                let Some(state) = self.rpcs.get_mut(&rpc) else { return };
+                if let Some(first) = state.in_flight {
                     let text = format!("RPC {rpc:x} is called out while a call-out of it is out");
-                    breaks(rpc, member, text, vec![first, *event]);
-                } else if let (true, Some(first)) = (kept.once, kept.sent) {
-                    // Also where the first did not run after all: nobody could know.
+                    report(rpc, member, text, vec![first, *event]);
+                } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
+                    // Also where the first did not run after all: the router could not know.
                     let text = format!("RPC {rpc:x} is sent again though it may have run");
-                    breaks(rpc, member, text, vec![first, *event]);
+                    report(rpc, member, text, vec![first, *event]);
                 }
-                (kept.out, kept.sent) = (Some(*event), Some(*event));
+                (state.in_flight, state.may_have_run) = (Some(*event), Some(*event));
             }
             What::CallOutOver { rpc, .. } => {
-                if let Some(kept) = self.rpcs.get_mut(&rpc) {
-                    kept.out = None;
+                if let Some(state) = self.rpcs.get_mut(&rpc) {
+                    state.in_flight = None;
                 }
             }
-            // Turned away unseen: it never ran there, and may be sent again.
+            // It never ran there, and may be sent again.
             What::TurnedAway { rpc, .. } => {
-                if let Some(kept) = self.rpcs.get_mut(&rpc) {
-                    (kept.out, kept.sent) = (None, None);
+                if let Some(state) = self.rpcs.get_mut(&rpc) {
+                    (state.in_flight, state.may_have_run) = (None, None);
                 }
             }
             What::Ran { rpc, member } => {
-                let Some(kept) = self.rpcs.get_mut(&rpc) else { return };
-                if let (true, Some(first)) = (kept.once, kept.ran) {
-                    breaks(rpc, member, format!("RPC {rpc:x} has its effect twice"), vec![first, *event]);
+                let Some(state) = self.rpcs.get_mut(&rpc) else { return };
+                if let (true, Some(first)) = (state.run_once, state.executed) {
+                    report(rpc, member, format!("RPC {rpc:x} has its effect twice"), vec![first, *event]);
                 }
-                kept.ran = Some(*event);
+                state.executed = Some(*event);
             }
             _ => {}
         }
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,102 +1,110 @@
-//! Rule 1: each RPC taken gets exactly one final answer in its client's time, and nothing is sent after it.
+//! Rule 1: each accepted RPC gets exactly one final answer before its client's deadline, and nothing after it.
 
 use crate::{Answer, Checker, Event, Grace, RpcId, Violation, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
+/// A second answer this long after the client's deadline is still attributed to its RPC.
+const TRACK_AFTER_DEADLINE: Span = Span::from_millis(5000);
+
+/// Checks rule 1.
 pub struct OneAnswer {
     grace: Grace,
-    rpcs: HashMap<RpcId, Kept>,
-    /// When each is looked at for the last time.
-    until: BTreeSet<(Time, RpcId)>,
+    rpcs: HashMap<RpcId, RpcState>,
+    /// When each RPC is checked next: at its deadline for an answer, later to be forgotten.
+    checks: BTreeSet<(Time, RpcId)>,
 }
 
-struct Kept {
-    taken: Event,
-    due: Time,
+struct RpcState {
+    accepted: Event,
+    deadline: Time,
     answered: Option<Event>,
-    left: bool,
+    /// The client left, or its missing answer has been reported.
+    settled: bool,
 }
 
-/// A second answer this long after the client's time is still laid to its RPC.
-const AFTER: Span = Span::from_millis(5000);
-
 impl OneAnswer {
+    /// A checker of a history that is yet to begin.
     pub fn new(grace: Grace) -> OneAnswer {
-        OneAnswer { grace, rpcs: HashMap::new(), until: BTreeSet::new() }
+        OneAnswer { grace, rpcs: HashMap::new(), checks: BTreeSet::new() }
     }
 
-    fn broken(rpc: RpcId, text: String, proof: Vec<Event>) -> Violation {
+    fn violation(rpc: RpcId, text: String, proof: Vec<Event>) -> Violation {
         Violation { rule: 1, rpc: Some(rpc), member: None, text, proof }
     }
 
-    /// Those whose time is over by now.
-    fn pass(&mut self, now: Time, broken: &mut Vec<Violation>) {
-        while let Some(&(at, rpc)) = self.until.first()
+    /// Reports RPCs that passed their deadline without an answer, and forgets old ones.
+    fn expire(&mut self, now: Time, broken: &mut Vec<Violation>) {
+        while let Some(&(at, rpc)) = self.checks.first()
             && at < now
         {
-            self.until.pop_first();
-            let Some(kept) = self.rpcs.get(&rpc) else { continue };
-            if kept.answered.is_none() && !kept.left {
-                broken.push(Self::broken(
-                    rpc,
-                    format!("RPC {rpc:x} has no answer in its time"),
-                    vec![kept.taken],
-                ));
+            self.checks.pop_first();
+            let Some(state) = self.rpcs.get(&rpc) else { continue };
+            if state.answered.is_none() && !state.settled {
+                let text = format!("RPC {rpc:x} has no answer in its time");
+                broken.push(Self::violation(rpc, text, vec![state.accepted]));
             }
-            let forget = kept.due + self.grace.answer + AFTER;
-            if at < forget {
-                // Kept for a while, for an answer that comes too late or twice.
-                if let Some(kept) = self.rpcs.get_mut(&rpc) {
-                    kept.left = true;
+            let forget_at = state.deadline + self.grace.answer + TRACK_AFTER_DEADLINE;
+            if at < forget_at {
+                // Still tracked, for an answer that comes too late or twice.
+                if let Some(state) = self.rpcs.get_mut(&rpc) {
+                    state.settled = true;
                 }
-                self.until.insert((forget, rpc));
+                self.checks.insert((forget_at, rpc));
             } else {
                 self.rpcs.remove(&rpc);
             }
         }
     }
+
+    fn on_accepted(&mut self, rpc: RpcId, deadline: Time, event: &Event) {
+        let state = RpcState { accepted: *event, deadline, answered: None, settled: false };
+        if self.rpcs.insert(rpc, state).is_none() {
+            self.checks.insert((deadline + self.grace.answer, rpc));
+        }
+    }
+
+    /// The violation that an answer proves, if any.
+    fn on_answered(
+        &mut self,
+        rpc: RpcId,
+        answer: Answer,
+        made_for: Option<RpcId>,
+        event: &Event,
+    ) -> Option<Violation> {
+        let Some(state) = self.rpcs.get_mut(&rpc) else {
+            let text = format!("an answer to RPC {rpc:x}, which nobody waits for");
+            return Some(Self::violation(rpc, text, vec![*event]));
+        };
+        if let Some(first) = state.answered {
+            let text = format!("RPC {rpc:x} is answered twice");
+            return Some(Self::violation(rpc, text, vec![state.accepted, first, *event]));
+        }
+        state.answered = Some(*event);
+        let proof = vec![state.accepted, *event];
+        if event.at > state.deadline + self.grace.answer {
+            let late_ms = (event.at - state.deadline).secs() * 1e3;
+            let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms past its time");
+            Some(Self::violation(rpc, text, proof))
+        } else if answer == Answer::Ok && made_for.is_some_and(|other| other != rpc) {
+            Some(Self::violation(rpc, format!("RPC {rpc:x} is served the value of another"), proof))
+        } else {
+            None
+        }
+    }
 }
 
 impl Checker for OneAnswer {
     fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        self.pass(event.at, broken);
+        self.expire(event.at, broken);
         match event.what {
-            What::Taken { rpc, due, .. } => {
-                let kept = Kept { taken: *event, due, answered: None, left: false };
-                if self.rpcs.insert(rpc, kept).is_none() {
-                    self.until.insert((due + self.grace.answer, rpc));
-                }
-            }
+            What::Taken { rpc, due, .. } => self.on_accepted(rpc, due, event),
             What::Answered { rpc, answer, made_for } => {
-                let Some(kept) = self.rpcs.get_mut(&rpc) else {
-                    let text = format!("an answer to RPC {rpc:x}, which nobody waits for");
-                    return broken.push(Self::broken(rpc, text, vec![*event]));
-                };
-                let proof = vec![kept.taken, *event];
-                if let Some(first) = kept.answered {
-                    let text = format!("RPC {rpc:x} is answered twice");
-                    return broken.push(Self::broken(rpc, text, vec![kept.taken, first, *event]));
-                }
-                kept.answered = Some(*event);
-                if event.at > kept.due + self.grace.answer {
-                    let late = (event.at - kept.due).secs() * 1e3;
-                    broken.push(Self::broken(
-                        rpc,
-                        format!("RPC {rpc:x} is answered {late:.0} ms past its time"),
-                        proof,
-                    ));
-                } else if answer == Answer::Ok && made_for.is_some_and(|other| other != rpc) {
-                    broken.push(Self::broken(
-                        rpc,
-                        format!("RPC {rpc:x} is served the value of another"),
-                        proof,
-                    ));
-                }
+                broken.extend(self.on_answered(rpc, answer, made_for, event));
             }
             What::Left { rpc } => {
-                if let Some(kept) = self.rpcs.get_mut(&rpc) {
-                    kept.left = true;
+                if let Some(state) = self.rpcs.get_mut(&rpc) {
+                    state.settled = true;
                 }
             }
             _ => {}
@@ -104,7 +112,7 @@
     }
 
     fn end(&mut self, at: Time, broken: &mut Vec<Violation>) {
-        self.pass(at, broken);
+        self.expire(at, broken);
     }
 
     fn kept(&self) -> usize {
--- /dev/null
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -0,0 +1,116 @@
+//! Rule 4: no member in slow start is overloaded. In any window of the settings' overload time a member gets no more RPCs,
+//! summed over all routers, than it can serve by its age, plus a margin for chance: two square roots of that number
+//! (two standard deviations of a Poisson process), and two.
+
+use crate::{Checker, Event, MemberNo, Violation, What};
+use ladderpass_routing::{Span, Time};
+use std::collections::{HashMap, VecDeque};
+
+/// Windows are checked that end up to this long after a member is warm.
+const CHECK_AFTER_WARM: Span = Span::from_millis(500);
+/// Margin for chance, in square roots of the expected number of RPCs.
+const MARGIN_ROOTS: f64 = 2.0;
+/// Margin for chance, in RPCs.
+const MARGIN_RPCS: f64 = 2.0;
+
+/// Checks rule 4.
+#[derive(Default)]
+pub struct Cold {
+    members: HashMap<MemberNo, MemberState>,
+    /// The largest excess of a window over what the member can serve and `MARGIN_RPCS`, in square roots of the former.
+    max_excess: Option<f64>,
+}
+
+impl Cold {
+    /// The largest excess of a window, in square roots of what the member can serve; up to `MARGIN_ROOTS` is allowed.
+    /// Negative infinity where no attempt went to a member in slow start.
+    pub fn roots(&self) -> f64 {
+        self.max_excess.unwrap_or(f64::NEG_INFINITY)
+    }
+
+    fn on_attempt(&mut self, rpc: u64, member: MemberNo, event: &Event) -> Option<Violation> {
+        let state = self.members.get_mut(&member)?;
+        if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM {
+            self.members.remove(&member);
+            return None;
+        }
+        // Of all windows with this attempt and none later, the one that ends with it holds the most.
+        state.window.push_back(event.at);
+        while state.window.front().is_some_and(|&at| event.at - at >= state.overload_window) {
+            state.window.pop_front();
+        }
+        let expected = state.window_capacity(event.at);
+        let limit = expected + MARGIN_ROOTS * expected.sqrt() + MARGIN_RPCS;
+        let excess = (state.window.len() as f64 - expected - MARGIN_RPCS) / expected.sqrt().max(1e-9);
+        self.max_excess = Some(self.max_excess.map_or(excess, |before| before.max(excess)));
+        let unreported = state.reported.is_none_or(|reported| event.at - reported > state.overload_window);
+        let overloaded = state.window.len() as f64 > limit;
+        if !overloaded || !unreported {
+            return None;
+        }
+        state.reported = Some(event.at);
+        let (count, secs) = (state.window.len(), state.overload_window.secs());
+        let text = format!(
+            "cold member {member} gets {count} RPCs within {secs} s and bears {expected:.1}, {limit:.1} by chance"
+        );
+        let proof = vec![state.started, *event];
+        Some(Violation { rule: 4, rpc: Some(rpc), member: Some(member), text, proof })
+    }
+}
+
+struct MemberState {
+    started: Event,
+    /// RPCs a second once it is warm.
+    capacity: f64,
+    initial_fraction: f64,
+    warm_up_time: Span,
+    overload_window: Span,
+    /// Times of the attempts in the current window.
+    window: VecDeque<Time>,
+    /// When a violation was last reported: once a window.
+    reported: Option<Time>,
+}
+
+impl MemberState {
+    /// The integral of the capacity up to an age in seconds, in seconds of full capacity. Before its start the member
+    /// counts as at its start, so that a burst right after the start may use the budget of a whole window.
+    fn cumulative_capacity(&self, age: f64) -> f64 {
+        let warm = self.warm_up_time.secs().max(1e-9);
+        let ramp = age.clamp(0.0, warm);
+        self.initial_fraction * age.min(warm)
+            + (1.0 - self.initial_fraction) * ramp * ramp / (2.0 * warm)
+            + (age - warm).max(0.0)
+    }
+
+    /// How many RPCs it can serve in the window that ends at a time.
+    fn window_capacity(&self, at: Time) -> f64 {
+        let age = (at - self.started.at).secs();
+        let window = self.overload_window.secs();
+        self.capacity * (self.cumulative_capacity(age) - self.cumulative_capacity(age - window))
+    }
+}
+
+impl Checker for Cold {
+    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        match event.what {
+            What::Started { member, capacity, cold_from, warm_within, overload_for } => {
+                let state = MemberState {
+                    started: *event,
+                    capacity,
+                    initial_fraction: cold_from,
+                    warm_up_time: warm_within,
+                    overload_window: overload_for,
+                    window: VecDeque::new(),
+                    reported: None,
+                };
+                self.members.insert(member, state);
+            }
+            What::CalledOut { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            _ => {}
+        }
+    }
+
+    fn kept(&self) -> usize {
+        self.members.len() + self.members.values().map(|state| state.window.len()).sum::<usize>()
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -0,0 +1,85 @@
+//! Rule 5: no stale read. A read with a maximum staleness goes to no replica whose data was older when it was sent.
+
+use crate::{Checker, Event, Grace, MemberNo, RpcId, Violation, What};
+use ladderpass_routing::{Span, Time};
+use std::collections::{BTreeSet, HashMap, VecDeque};
+
+/// An attempt this long after the client's deadline is still attributed to its RPC.
+const TRACK_AFTER_DEADLINE: Span = Span::from_millis(1000);
+/// How many of a member's latest positions are tracked.
+const MAX_POSITIONS_PER_MEMBER: usize = 64;
+
+/// Checks rule 5.
+pub struct Stale {
+    grace: Grace,
+    max_staleness: HashMap<RpcId, Span>,
+    /// When each RPC is forgotten.
+    forget_at: BTreeSet<(Time, RpcId)>,
+    members: HashMap<MemberNo, MemberState>,
+}
+
+#[derive(Default)]
+struct MemberState {
+    primary: bool,
+    /// Latest positions, each with the time of its report.
+    positions: VecDeque<(Time, Time)>,
+}
+
+impl Stale {
+    /// A checker of a history that is yet to begin.
+    pub fn new(grace: Grace) -> Stale {
+        Stale { grace, max_staleness: HashMap::new(), forget_at: BTreeSet::new(), members: HashMap::new() }
+    }
+
+    fn forget_expired(&mut self, now: Time) {
+        while let Some(&(at, rpc)) = self.forget_at.first()
+            && at < now
+        {
+            self.forget_at.pop_first();
+            self.max_staleness.remove(&rpc);
+        }
+    }
+
+    /// The violation that an attempt proves, if any.
+    fn on_attempt(&self, rpc: RpcId, member: MemberNo, event: &Event) -> Option<Violation> {
+        let max_staleness = *self.max_staleness.get(&rpc)?;
+        let state = self.members.get(&member)?;
+        // A member without any reported position can't be proven stale.
+        let position = state.positions.iter().map(|&(_, position)| position).max()?;
+        if state.primary || position + max_staleness + self.grace.position >= event.at {
+            return None;
+        }
+        let age_ms = (event.at - position).secs() * 1e3;
+        let text = format!(
+            "RPC {rpc:x} goes to replica {member}, whose data is {age_ms:.0} ms old, past its {:.0} ms",
+            max_staleness.secs() * 1e3
+        );
+        Some(Violation { rule: 5, rpc: Some(rpc), member: Some(member), text, proof: vec![*event] })
+    }
+}
+
+impl Checker for Stale {
+    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        self.forget_expired(event.at);
+        match event.what {
+            What::Taken { rpc, due, bound: Some(bound), .. } => {
+                self.max_staleness.insert(rpc, bound);
+                self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
+            }
+            What::Primary { member, primary } => self.members.entry(member).or_default().primary = primary,
+            What::Reached { member, position } => {
+                let state = self.members.entry(member).or_default();
+                state.positions.push_back((event.at, position));
+                while state.positions.len() > MAX_POSITIONS_PER_MEMBER {
+                    state.positions.pop_front();
+                }
+            }
+            What::CalledOut { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            _ => {}
+        }
+    }
+
+    fn kept(&self) -> usize {
+        self.max_staleness.len() + self.members.len()
+    }
+}
--- a/crates/ladderpass-invariants/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule broken by a history of a few events, kept by its neighbour; and long random histories that keep all.
+//! Each rule: a short history that breaks it beside one that just keeps it; and long random histories that keep all.
 
 use ladderpass_invariants::{Answer, Event, Grace, Violation, What, all, check};
 use ladderpass_routing::{Span, Time};
@@ -8,20 +8,20 @@
     Time::from_nanos(1_000_000_000_000) + Span::from_millis(ms)
 }
 
-fn history(events: &[(i64, What)]) -> Vec<Violation> {
+fn violations(events: &[(i64, What)]) -> Vec<Violation> {
     let events: Vec<Event> = events.iter().map(|&(ms, what)| Event { at: at(ms), what }).collect();
     check(&events, Grace::default())
 }
 
-fn rules(events: &[(i64, What)]) -> Vec<u8> {
-    history(events).into_iter().map(|violation| violation.rule).collect()
+fn broken_rules(events: &[(i64, What)]) -> Vec<u8> {
+    violations(events).into_iter().map(|violation| violation.rule).collect()
 }
 
-fn taken(rpc: u64) -> What {
+fn accepted(rpc: u64) -> What {
     What::Taken { rpc, due: at(100), once: true, bound: None }
 }
 
-fn ok(rpc: u64) -> What {
+fn answered_ok(rpc: u64) -> What {
     What::Answered { rpc, answer: Answer::Ok, made_for: Some(rpc) }
 }
 
@@ -29,108 +29,145 @@
 
 #[test]
 fn one_answer_in_time() {
-    assert_eq!(rules(&[(0, taken(1)), (150, ok(1)), (9000, END)]), []);
+    assert_eq!(broken_rules(&[(0, accepted(1)), (150, answered_ok(1)), (9000, END)]), []);
     assert_eq!(
-        rules(&[(0, taken(1)), (151, ok(1)), (9000, END)]),
+        broken_rules(&[(0, accepted(1)), (151, answered_ok(1)), (9000, END)]),
         [1, 1],
         "no answer in time, then one past it"
     );
-    assert_eq!(rules(&[(0, taken(1)), (9000, END)]), [1]);
-    assert_eq!(rules(&[(0, taken(1)), (50, What::Left { rpc: 1 }), (9000, END)]), []);
-    assert_eq!(rules(&[(0, taken(1)), (10, ok(1)), (11, ok(1))]), [1]);
-    assert_eq!(rules(&[(0, taken(1)), (10, ok(1)), (2000, ok(1))]), [1], "also long after");
-    assert_eq!(rules(&[(10, ok(7))]), [1]);
+    assert_eq!(broken_rules(&[(0, accepted(1)), (9000, END)]), [1]);
+    assert_eq!(broken_rules(&[(0, accepted(1)), (50, What::Left { rpc: 1 }), (9000, END)]), []);
+    assert_eq!(broken_rules(&[(0, accepted(1)), (10, answered_ok(1)), (11, answered_ok(1))]), [1]);
+    assert_eq!(
+        broken_rules(&[(0, accepted(1)), (10, answered_ok(1)), (2000, answered_ok(1))]),
+        [1],
+        "also long after"
+    );
+    assert_eq!(broken_rules(&[(10, answered_ok(7))]), [1]);
     let other = What::Answered { rpc: 1, answer: Answer::Ok, made_for: Some(2) };
-    assert_eq!(rules(&[(0, taken(1)), (10, other)]), [1]);
-    let broken = history(&[(0, taken(1)), (10, ok(1)), (11, ok(1))]);
+    assert_eq!(broken_rules(&[(0, accepted(1)), (10, other)]), [1]);
+    let broken = violations(&[(0, accepted(1)), (10, answered_ok(1)), (11, answered_ok(1))]);
     assert_eq!((broken[0].rpc, broken[0].proof.len()), (Some(1), 3));
 }
 
 #[test]
-fn no_effect_twice_and_one_call_out_at_a_time() {
-    let (out, over, ran) = (
+fn no_effect_twice_and_one_attempt_at_a_time() {
+    let (sent, ended, ran) = (
         |member| What::CalledOut { rpc: 1, member },
         |member| What::CallOutOver { rpc: 1, member },
         |member| What::Ran { rpc: 1, member },
     );
-    assert_eq!(rules(&[(0, taken(1)), (1, out(0)), (2, ran(0)), (3, over(0)), (4, ok(1))]), []);
     assert_eq!(
-        rules(&[(0, taken(1)), (1, out(0)), (2, over(0)), (3, out(1)), (4, ok(1))]),
+        broken_rules(&[(0, accepted(1)), (1, sent(0)), (2, ran(0)), (3, ended(0)), (4, answered_ok(1))]),
+        []
+    );
+    assert_eq!(
+        broken_rules(&[(0, accepted(1)), (1, sent(0)), (2, ended(0)), (3, sent(1)), (4, answered_ok(1))]),
         [2],
         "it may have run"
     );
-    assert_eq!(rules(&[(0, taken(1)), (1, out(0)), (2, ran(0)), (3, ran(1)), (4, ok(1))]), [2]);
-    let away = What::TurnedAway { rpc: 1, member: 0 };
-    assert_eq!(rules(&[(0, taken(1)), (1, out(0)), (2, away), (3, out(1)), (4, ok(1))]), [], "it never ran");
+    assert_eq!(
+        broken_rules(&[(0, accepted(1)), (1, sent(0)), (2, ran(0)), (3, ran(1)), (4, answered_ok(1))]),
+        [2]
+    );
+    let rejected = What::TurnedAway { rpc: 1, member: 0 };
+    assert_eq!(
+        broken_rules(&[(0, accepted(1)), (1, sent(0)), (2, rejected), (3, sent(1)), (4, answered_ok(1))]),
+        [],
+        "it never ran"
+    );
     let read = What::Taken { rpc: 1, due: at(100), once: false, bound: None };
-    assert_eq!(rules(&[(0, read), (1, out(0)), (2, over(0)), (3, out(1)), (4, ok(1))]), []);
-    assert_eq!(rules(&[(0, read), (1, out(0)), (3, out(1)), (4, ok(1))]), [2], "two at a time");
+    assert_eq!(
+        broken_rules(&[(0, read), (1, sent(0)), (2, ended(0)), (3, sent(1)), (4, answered_ok(1))]),
+        []
+    );
+    assert_eq!(
+        broken_rules(&[(0, read), (1, sent(0)), (3, sent(1)), (4, answered_ok(1))]),
+        [2],
+        "two at a time"
+    );
 }
 
 #[test]
-fn drains_are_kept() {
-    let out = |member| What::CalledOut { rpc: 1, member };
+fn draining_members_get_no_new_attempt() {
+    let sent = |member| What::CalledOut { rpc: 1, member };
     let drain = What::Draining { member: 2 };
-    assert_eq!(rules(&[(0, drain), (1, taken(1)), (40, out(2)), (60, ok(1))]), [], "it was on the way");
-    assert_eq!(rules(&[(0, drain), (1, taken(1)), (51, out(2)), (60, ok(1))]), [3]);
-    assert_eq!(rules(&[(0, drain), (1, taken(1)), (51, out(1)), (60, ok(1))]), []);
     assert_eq!(
-        rules(&[(0, drain), (5, What::Serving { member: 2 }), (6, taken(1)), (70, out(2)), (71, ok(1))]),
+        broken_rules(&[(0, drain), (1, accepted(1)), (40, sent(2)), (60, answered_ok(1))]),
+        [],
+        "the update may still be on its way"
+    );
+    assert_eq!(broken_rules(&[(0, drain), (1, accepted(1)), (51, sent(2)), (60, answered_ok(1))]), [3]);
+    assert_eq!(broken_rules(&[(0, drain), (1, accepted(1)), (51, sent(1)), (60, answered_ok(1))]), []);
+    assert_eq!(
+        broken_rules(&[
+            (0, drain),
+            (5, What::Serving { member: 2 }),
+            (6, accepted(1)),
+            (70, sent(2)),
+            (71, answered_ok(1))
+        ]),
         []
     );
 }
 
 #[test]
-fn cold_members_get_what_they_bear() {
+fn members_in_slow_start_get_no_more_than_they_can_serve() {
     let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(500));
     let started = What::Started { member: 1, capacity: 100.0, cold_from: 0.2, warm_within, overload_for };
-    let calls = |every: i64, from: i64| {
+    let attempts = |every: i64, from: i64| {
         let mut events = vec![(0, started)];
         events.extend((0..200).map(|nth| (from + nth * every, What::CalledOut { rpc: 1, member: 1 })));
-        rules(&events)
+        broken_rules(&events)
     };
-    assert_eq!(calls(50, 0), [], "20 a second at first");
-    assert_eq!(calls(10, 0).first(), Some(&4), "100 a second at first");
-    assert_eq!(calls(10, 10_600), [], "warm");
+    assert_eq!(attempts(50, 0), [], "20 a second at first");
+    assert_eq!(attempts(10, 0).first(), Some(&4), "100 a second at first");
+    assert_eq!(attempts(10, 10_600), [], "warm");
 }
 
-/// The bound at its edge: 2 roots and 2 beyond what a member bears in the time that the settings name, in any window.
+/// The limit at its edge: two square roots and two RPCs beyond what the member can serve, in any overload window.
 #[test]
-fn cold_members_get_two_roots_and_two_more_in_the_settings_time() {
+fn the_margin_is_two_roots_and_two_rpcs_in_any_overload_window() {
     let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(3000));
     let started = What::Started { member: 1, capacity: 100.0, cold_from: 0.2, warm_within, overload_for };
-    // At 4 s it bears 0.2 + 0.8 x 0.4 of its capacity, over the 3 s before 0.4 on average: 120, with chance 143.9.
+    // At 4 s it serves 0.2 + 0.8 x 0.4 of its capacity, over the 3 s before 0.4 on average: 120 RPCs, with the margin 143.9.
     let at_once = |count: usize, ms: i64| {
-        let calls = std::iter::repeat_n((ms, What::CalledOut { rpc: 1, member: 1 }), count);
-        rules(&[(0, started)].into_iter().chain(calls).collect::<Vec<_>>())
+        let attempts = std::iter::repeat_n((ms, What::CalledOut { rpc: 1, member: 1 }), count);
+        broken_rules(&[(0, started)].into_iter().chain(attempts).collect::<Vec<_>>())
     };
     assert_eq!((at_once(143, 4000), at_once(144, 4000)), (vec![], vec![4]));
-    // Right after its start it has the budget of a whole window, of what it bears then: 60, with chance 77.5.
+    // Right after its start it has the budget of a whole window at its initial capacity: 60, with the margin 77.5.
     assert_eq!((at_once(77, 0), at_once(78, 0)), (vec![], vec![4]));
-    // What came a whole window ago counts no more, a millisecond less and it does.
+    // An attempt of a whole window ago no longer counts; a millisecond less and it does.
     let twice = |later: i64| {
-        let call = |ms| (ms, What::CalledOut { rpc: 1, member: 1 });
-        let calls = [vec![call(500); 61], vec![call(later); 70]].concat();
-        rules(&[vec![(0, started)], calls].concat())
+        let attempt = |ms| (ms, What::CalledOut { rpc: 1, member: 1 });
+        let attempts = [vec![attempt(500); 61], vec![attempt(later); 70]].concat();
+        broken_rules(&[vec![(0, started)], attempts].concat())
     };
     assert_eq!((twice(3500), twice(3499)), (vec![], vec![4]));
 }
 
 #[test]
-fn reads_go_to_no_replica_past_their_bound() {
+fn reads_go_to_no_replica_past_their_maximum_staleness() {
     let read = What::Taken { rpc: 1, due: at(5000), once: false, bound: Some(Span::from_millis(500)) };
     let reached = |ms| What::Reached { member: 1, position: at(ms) };
-    let out = What::CalledOut { rpc: 1, member: 1 };
-    assert_eq!(rules(&[(0, reached(0)), (1, read), (600, out), (601, ok(1))]), []);
-    assert_eq!(rules(&[(0, reached(0)), (1, read), (601, out), (602, ok(1))]), [5]);
-    assert_eq!(rules(&[(0, reached(0)), (1, read), (550, reached(500)), (601, out), (602, ok(1))]), []);
+    let sent = What::CalledOut { rpc: 1, member: 1 };
+    assert_eq!(broken_rules(&[(0, reached(0)), (1, read), (600, sent), (601, answered_ok(1))]), []);
+    assert_eq!(broken_rules(&[(0, reached(0)), (1, read), (601, sent), (602, answered_ok(1))]), [5]);
+    assert_eq!(
+        broken_rules(&[(0, reached(0)), (1, read), (550, reached(500)), (601, sent), (602, answered_ok(1))]),
+        []
+    );
     let primary = What::Primary { member: 1, primary: true };
-    assert_eq!(rules(&[(0, reached(0)), (0, primary), (1, read), (900, out), (901, ok(1))]), []);
+    assert_eq!(
+        broken_rules(&[(0, reached(0)), (0, primary), (1, read), (900, sent), (901, answered_ok(1))]),
+        []
+    );
 }
 
 quickcheck! {
-    /// A history that keeps the rules is told to keep them, however long; and memory does not grow with it.
-    fn a_good_history_passes_in_bounded_memory(seeds: Vec<(u8, bool, u8)>) -> bool {
+    /// A history that keeps the rules passes however long it is, and memory does not grow with it.
+    fn a_valid_history_passes_in_bounded_memory(seeds: Vec<(u8, bool, u8)>) -> bool {
         let mut checkers = all(Grace::default());
         let mut broken = Vec::new();
         let mut now = 0;
@@ -149,7 +186,7 @@
                     let event = Event { at: at(now + later), what };
                     checkers.iter_mut().for_each(|checker| checker.see(&event, &mut broken));
                 }
-                // Twelve seconds of a hundred milliseconds each, and some more, for each checker.
+                // An RPC every 100 ms, each tracked for about twelve seconds, and some margin.
                 assert!(checkers.iter().all(|checker| checker.kept() < 150));
             }
         }
