--- a/crates/ladderpass-emulator/src/lib.rs
+++ b/crates/ladderpass-emulator/src/lib.rs
@@ -1,8 +1,12 @@
-//! An emulated fleet for tests, loads and experiments: members with cores, queues and logs, and a discovery service.
+//! Emulated members and an emulated discovery service, for tests, loads and experiments: members with cores, queues and
+//! replication logs, behind the protocols that the router speaks.
 //!
-//! `model` is pure: inputs and the time in, outputs out, chance from a seed. `loopback` drives it on sockets with the
-//! protocols that the router speaks. `scenario` is what one YAML file tells; `truth` is what ran where, for checkers. It
-//! must never know a router's beliefs, nor be used by one.
+//! - `model` is pure: requests and the time in, replies out, random draws from a seed.
+//! - `loopback` drives it on sockets.
+//! - `scenario` is the YAML file that describes the members.
+//! - `truth` records what ran where, for the history checkers.
+//!
+//! The emulator knows nothing of a router's state, and no router uses it.
 
 pub mod clock;
 pub mod loopback;
--- /dev/null
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -0,0 +1,362 @@
+//! The event loop of one thread: its listeners and connections, requests decoded for the model and replies encoded.
+
+use super::shared::{Command, Owner, Shared};
+use crate::clock::now;
+use crate::model::{Ask, Conn, Input, Output, Reply};
+use crate::proto;
+use ladderpass_routing::{Span, Time};
+use mio::net::{TcpListener, TcpStream};
+use mio::{Events, Interest, Poll, Token};
+use std::collections::HashMap;
+use std::io::{self, ErrorKind, Read, Write};
+use std::sync::Arc;
+use std::sync::mpsc::Receiver;
+use std::time::Duration;
+
+/// The token of the thread's waker.
+pub const WAKE: Token = Token(usize::MAX);
+/// Limit of what a connection may buffer, in each direction.
+const MAX_BUFFERED_BYTES: usize = 4 << 20;
+const READ_BUFFER_BYTES: usize = 16 << 10;
+const EVENTS_PER_POLL: usize = 1024;
+
+struct Connection {
+    stream: TcpStream,
+    owner: Owner,
+    /// The startup message has arrived.
+    opened: bool,
+    /// A watch of an endpoint list.
+    watching: bool,
+    input: Vec<u8>,
+    output: Vec<u8>,
+    /// To be closed once the output is written.
+    closing: bool,
+}
+
+pub struct Driver {
+    thread: usize,
+    poll: Poll,
+    shared: Arc<Shared>,
+    listeners: Vec<(Owner, TcpListener)>,
+    connections: HashMap<usize, Connection>,
+    last_token: usize,
+    commands: Receiver<Command>,
+    watch_interval: Span,
+    /// Connections with output to be written.
+    to_write: Vec<usize>,
+    read_buffer: Vec<u8>,
+}
+
+impl Driver {
+    /// Registers the listeners; `watch_interval` is the pause between the empty lines of a watch.
+    pub fn new(
+        thread: usize,
+        poll: Poll,
+        shared: Arc<Shared>,
+        mut listeners: Vec<(Owner, TcpListener)>,
+        commands: Receiver<Command>,
+        watch_interval: Span,
+    ) -> io::Result<Driver> {
+        for (token, (_, listener)) in listeners.iter_mut().enumerate() {
+            poll.registry().register(listener, Token(token), Interest::READABLE)?;
+        }
+        Ok(Driver {
+            thread,
+            poll,
+            shared,
+            last_token: listeners.len(),
+            listeners,
+            connections: HashMap::new(),
+            commands,
+            watch_interval,
+            to_write: Vec::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+        })
+    }
+
+    /// Runs until `Command::Stop`.
+    pub fn run(&mut self) -> io::Result<()> {
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
+        let mut next_watch_line = now() + self.watch_interval;
+        let mut model_wake: Option<Time> = None;
+        loop {
+            let until = model_wake.map_or(next_watch_line, |wake| wake.min(next_watch_line));
+            let wait = Duration::from_nanos((until - now()).nanos().max(0) as u64);
+            match self.poll.poll(&mut events, Some(wait)) {
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                result => result?,
+            }
+            self.handle_events(&events)?;
+            if self.handle_commands() {
+                return Ok(());
+            }
+            model_wake = self.shared.advance(self.thread);
+            self.encode_replies();
+            if now() >= next_watch_line {
+                next_watch_line = now() + self.watch_interval;
+                self.send_to_watches(None, "\n");
+            }
+            for index in std::mem::take(&mut self.to_write) {
+                self.write(index);
+            }
+        }
+    }
+
+    fn handle_events(&mut self, events: &Events) -> io::Result<()> {
+        for event in events {
+            match event.token() {
+                WAKE => {}
+                Token(index) if index < self.listeners.len() => self.accept(index)?,
+                Token(index) => {
+                    if event.is_writable() {
+                        self.write(index);
+                    }
+                    if event.is_readable() || event.is_read_closed() {
+                        self.read(index, event.is_read_closed());
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Whether the thread is to stop.
+    fn handle_commands(&mut self) -> bool {
+        while let Ok(command) = self.commands.try_recv() {
+            match command {
+                Command::Stop => return true,
+                Command::SendLine(list, line) => self.send_to_watches(Some(list), &line),
+                Command::Crash(member) => {
+                    self.connections.retain(|_, connection| connection.owner != Owner::Member(member));
+                }
+            }
+        }
+        false
+    }
+
+    /// The model's number of a connection: unique over all threads.
+    fn connection_id(&self, index: usize) -> Conn {
+        Conn((index * self.shared.thread_count() + self.thread) as u64)
+    }
+
+    fn accept(&mut self, listener: usize) -> io::Result<()> {
+        loop {
+            let mut stream = match self.listeners[listener].1.accept() {
+                Ok((stream, _)) => stream,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                // Out of descriptors: the peer's connect fails or waits, as with any member.
+                Err(_) => return Ok(()),
+            };
+            stream.set_nodelay(true)?;
+            self.last_token += 1;
+            let token = Token(self.last_token);
+            self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
+            let owner = self.listeners[listener].0;
+            // The listener of a crashed member stays open: it accepts and closes at once.
+            if matches!(owner, Owner::Member(member) if !self.shared.model().is_alive(member)) {
+                continue;
+            }
+            let connection = Connection {
+                stream,
+                owner,
+                opened: false,
+                watching: false,
+                input: Vec::new(),
+                output: Vec::new(),
+                closing: false,
+            };
+            self.connections.insert(self.last_token, connection);
+        }
+    }
+
+    /// `read_closed`: the end of the stream is there too, behind what a short read gives.
+    fn read(&mut self, index: usize, read_closed: bool) {
+        let mut buffer = std::mem::take(&mut self.read_buffer);
+        let is_open = self.read_input(index, read_closed, &mut buffer);
+        self.read_buffer = buffer;
+        if is_open {
+            self.handle_input(index);
+        }
+    }
+
+    /// Reads all that is there; whether the connection is still open.
+    fn read_input(&mut self, index: usize, read_closed: bool, buffer: &mut [u8]) -> bool {
+        loop {
+            let Some(connection) = self.connections.get_mut(&index) else { return false };
+            match connection.stream.read(buffer) {
+                Ok(0) => {
+                    self.close(index);
+                    return false;
+                }
+                Ok(count) => {
+                    connection.input.extend_from_slice(&buffer[..count]);
+                    if connection.input.len() > MAX_BUFFERED_BYTES {
+                        self.close(index);
+                        return false;
+                    }
+                    if count < buffer.len() && !read_closed {
+                        return true;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.close(index);
+                    return false;
+                }
+            }
+        }
+    }
+
+    fn handle_input(&mut self, index: usize) {
+        let Some(connection) = self.connections.get_mut(&index) else { return };
+        let input = std::mem::take(&mut connection.input);
+        let used = match connection.owner {
+            Owner::Member(member) => self.handle_requests(index, member, &input),
+            Owner::Discovery(list) => self.start_watch(index, list, &input),
+        };
+        self.encode_replies();
+        if let Some(connection) = self.connections.get_mut(&index) {
+            connection.input = input;
+            connection.input.drain(..used);
+        }
+        self.write(index);
+    }
+
+    /// Gives the complete requests of a router to the model; returns how many bytes they were.
+    fn handle_requests(&mut self, index: usize, member: u32, input: &[u8]) -> usize {
+        let id = self.connection_id(index);
+        let Some(connection) = self.connections.get_mut(&index) else { return 0 };
+        let mut used = 0;
+        if !connection.opened {
+            let Some(length) = proto::startup(input) else { return 0 };
+            connection.opened = true;
+            used = length;
+            self.shared.apply(self.thread, member, Input::Opened(id));
+        }
+        while let Some((kind, body, length)) = proto::frame(input.get(used..).unwrap_or_default()) {
+            used += length;
+            let Some(request) = self.decode_request(kind, body) else {
+                self.close(index);
+                return used;
+            };
+            self.shared.apply(self.thread, member, Input::Asked(id, request));
+        }
+        used
+    }
+
+    /// The request of a frame, if it is one.
+    fn decode_request(&self, kind: u8, body: &[u8]) -> Option<Ask> {
+        let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
+        match (kind, statement) {
+            (b'Q', "") => Some(Ask::Nothing),
+            (b'Q', "SHOW server_load") => Some(Ask::Load),
+            (b'Q', statement) => {
+                let comment = proto::comment(statement)?;
+                let method = self.shared.scenario.method(comment.method).unwrap_or(usize::MAX) as u32;
+                let id = comment.id.into();
+                Some(Ask::Statement { id, method, wait: comment.wait, after: comment.after })
+            }
+            _ => None,
+        }
+    }
+
+    /// Answers a watch's HTTP request with the complete list; returns how many bytes the request was.
+    fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
+        let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") else { return 0 };
+        if let Some(connection) = self.connections.get_mut(&index) {
+            connection.output.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            connection.watching = true;
+        }
+        let line = self.shared.list_line(list, None);
+        self.send_chunk(index, &line);
+        end + 4
+    }
+
+    /// Sends a line to all watches of a list, or of all lists.
+    fn send_to_watches(&mut self, list: Option<usize>, line: &str) {
+        let is_of_list =
+            |connection: &Connection| list.is_none_or(|list| connection.owner == Owner::Discovery(list));
+        let watches =
+            self.connections.iter().filter(|(_, connection)| connection.watching && is_of_list(connection));
+        for index in watches.map(|(&index, _)| index).collect::<Vec<_>>() {
+            self.send_chunk(index, line);
+        }
+    }
+
+    fn send_chunk(&mut self, index: usize, line: &str) {
+        if let Some(connection) = self.connections.get_mut(&index) {
+            connection.output.extend_from_slice(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
+            self.to_write.push(index);
+        }
+    }
+
+    /// Encodes the model's replies into the output of their connections.
+    fn encode_replies(&mut self) {
+        for output in self.shared.take_outbox(self.thread) {
+            self.encode_reply(output);
+        }
+    }
+
+    fn encode_reply(&mut self, output: Output) {
+        let index = output.conn.0 as usize / self.shared.thread_count();
+        let Some(connection) = self.connections.get_mut(&index) else { return };
+        let out = &mut connection.output;
+        match output.reply {
+            Reply::Welcome => proto::put_welcome(out),
+            Reply::Nothing => {
+                proto::put(out, b'I', &[]);
+                proto::put_ready(out);
+            }
+            Reply::Report { position, primary, waiting } => {
+                let position_secs = position.nanos() as f64 / 1e9;
+                let text = format!("x0={position_secs:.6},x1={},q={waiting}", u8::from(primary));
+                proto::put_row(out, text.as_bytes(), false, primary, None);
+            }
+            Reply::Row { id, method, primary, position } => {
+                let method = self.shared.scenario.methods.get(method as usize);
+                let (size, writes) = method.map_or((0, false), |method| (method.value_bytes, method.writes));
+                // The value begins with the RPC's id, so that a client can tell for whom it was made.
+                let mut value = id.into_string().into_bytes();
+                value.resize(size.max(value.len()), b'.');
+                proto::put_row(out, &value, writes, primary, Some(position));
+            }
+            Reply::Refused(sqlstate) => proto::put_error(out, "ERROR", sqlstate),
+            Reply::Fatal(sqlstate) => {
+                proto::put_error(out, "FATAL", sqlstate);
+                connection.closing = true;
+            }
+        }
+        self.to_write.push(index);
+    }
+
+    fn write(&mut self, index: usize) {
+        let Some(connection) = self.connections.get_mut(&index) else { return };
+        while !connection.output.is_empty() {
+            match connection.stream.write(&connection.output) {
+                Ok(count) => {
+                    connection.output.drain(..count);
+                }
+                Err(error)
+                    if error.kind() == ErrorKind::WouldBlock
+                        && connection.output.len() <= MAX_BUFFERED_BYTES =>
+                {
+                    return;
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return self.close(index),
+            }
+        }
+        if connection.closing {
+            self.close(index);
+        }
+    }
+
+    fn close(&mut self, index: usize) {
+        if let Some(Connection { owner: Owner::Member(member), .. }) = self.connections.remove(&index) {
+            let id = self.connection_id(index);
+            self.shared.apply(self.thread, member, Input::Closed(id));
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-emulator/src/model/messages.rs
@@ -0,0 +1,86 @@
+//! What crosses the model's boundary: inputs of connections and members, and the replies to them.
+
+use ladderpass_routing::{Span, Time};
+
+/// A connection to a member, by a number that the driver assigns.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Conn(pub u64);
+
+/// One request on a connection.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Ask {
+    /// An empty query.
+    Nothing,
+    /// A health check: asks for the load report.
+    Load,
+    /// A statement of an RPC.
+    Statement {
+        /// Id of the RPC.
+        id: Box<str>,
+        /// Index of the method in the scenario.
+        method: u32,
+        /// How long it may wait in the member's queue.
+        wait: Span,
+        /// The position that the member's data must have reached.
+        after: Option<Time>,
+    },
+}
+
+/// What happens to a member.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Input {
+    /// A connection's startup message has arrived.
+    Opened(Conn),
+    /// A request has arrived on a connection.
+    Asked(Conn, Ask),
+    /// A connection was closed by its client.
+    Closed(Conn),
+    /// The member crashes, and its connections with it, until `Starts`.
+    Dies,
+    /// The member accepts connections again.
+    Starts,
+    /// The member becomes the primary of its group; the primary before becomes a replica.
+    Rises,
+}
+
+/// What a member answers to one request.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Reply {
+    /// The connection is open.
+    Welcome,
+    /// The answer to an empty query.
+    Nothing,
+    /// The load report.
+    Report {
+        /// Position of the member's data.
+        position: Time,
+        /// Whether it is the primary of its group.
+        primary: bool,
+        /// Statements in its queue.
+        waiting: usize,
+    },
+    /// The result of a statement.
+    Row {
+        /// Id of the RPC.
+        id: Box<str>,
+        /// Index of the method in the scenario.
+        method: u32,
+        /// Whether the member is the primary of its group.
+        primary: bool,
+        /// Position of the member's data.
+        position: Time,
+    },
+    /// An error with this SQLSTATE; the connection stays open.
+    Refused(&'static str),
+    /// An error with this SQLSTATE that ends the connection.
+    Fatal(&'static str),
+}
+
+/// A reply on its connection.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Output {
+    /// Where the reply goes.
+    pub conn: Conn,
+    /// The reply.
+    pub reply: Reply,
+}
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -1,28 +1,30 @@
-//! PostgreSQL's wire protocol, version 3, as members and clients of the emulated fleet speak it.
-//!
-//! It owns the shape of messages: bytes in, values out, and back. It must never keep state between calls.
+//! PostgreSQL's wire protocol, version 3, as the emulated members and their clients speak it: bytes in, values out, and
+//! back. It keeps no state between calls.
 
 use ladderpass_routing::{Span, Time};
 
-/// The frame at the front: its type, its body and its length; None until all of it is there, or where it can't be one.
+/// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where the
+/// bytes can't be a frame.
 pub fn frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let (&kind, rest) = bytes.split_first()?;
     let length = u32::from_be_bytes(*rest.first_chunk::<4>()?) as usize + 1;
     Some((kind, bytes.get(5..length)?, length))
 }
 
-/// The length of the startup message at the front, once all of it is there.
+/// The length of the startup message at the start of the bytes, once it is complete.
 pub fn startup(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
     bytes.get(..length).map(<[u8]>::len)
 }
 
+/// Appends a client's startup message.
 pub fn put_startup(out: &mut Vec<u8>) {
     let body = b"\0\x03\0\0user\0web\0database\0orders\0\0";
     out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
     out.extend_from_slice(body);
 }
 
+/// Appends a frame of this type, whose body is these parts.
 pub fn put(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(kind);
@@ -30,14 +32,17 @@
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
 
+/// Appends ReadyForQuery.
 pub fn put_ready(out: &mut Vec<u8>) {
     put(out, b'Z', &[b"I"]);
 }
 
+/// Appends a simple query.
 pub fn put_query(out: &mut Vec<u8>, statement: &str) {
     put(out, b'Q', &[statement.as_bytes(), b"\0"]);
 }
 
+/// Appends a member's answer to a startup message.
 pub fn put_welcome(out: &mut Vec<u8>) {
     put(out, b'R', &[&[0; 4]]);
     put(out, b'S', &[b"server_version\x0016.0\0"]);
@@ -45,7 +50,8 @@
     put_ready(out);
 }
 
-/// A row of one column with its tag, and what the member says of itself.
+/// Appends a row of one column with its command tag, and the member's role and position (in milliseconds) as parameter
+/// statuses.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8], writes: bool, primary: bool, position: Option<Time>) {
     put(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
     put(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
@@ -59,6 +65,7 @@
     put_ready(out);
 }
 
+/// Appends an ErrorResponse with this SQLSTATE, and ReadyForQuery unless the severity is `FATAL`.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str) {
     put(out, b'E', &[format!("S{severity}\0V{severity}\0C{code}\0Mthe member says no\0\0").as_bytes()]);
     if severity != "FATAL" {
@@ -66,22 +73,27 @@
     }
 }
 
-/// One field of an ErrorResponse.
+/// One field of an ErrorResponse's body, by its type byte.
 pub fn field(body: &[u8], name: u8) -> Option<&str> {
     let mut fields = body.split(|&byte| byte == 0);
     let found = fields.find(|field| field.first() == Some(&name))?;
     std::str::from_utf8(found.get(1..)?).ok()
 }
 
-/// The comment at a statement's end, as far as a member needs it.
+/// The comment at a statement's end, as far as a member reads it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comment<'a> {
+    /// Key `id`: id of the RPC.
     pub id: &'a str,
+    /// Key `c`: name of the method.
     pub method: &'a str,
+    /// Key `d`, in milliseconds: how long the statement may wait.
     pub wait: Span,
+    /// Key `after`, in milliseconds: the position that the member must have reached.
     pub after: Option<Time>,
 }
 
+/// The comment of a statement, if it has one with the needed keys.
 pub fn comment(statement: &str) -> Option<Comment<'_>> {
     let (_, comment) = statement.rsplit_once("/*")?;
     let (comment, _) = comment.rsplit_once("*/")?;
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -1,60 +1,76 @@
-//! What one YAML file tells of a fleet: groups, members, log, methods; checked once, with faults that name the key.
-//!
-//! It owns the file's form, and what a router in front of that fleet is told. It must never hold state.
+//! The YAML file that describes the emulated members: groups, replication, methods. It is checked once, and an error names
+//! the key. From it come the endpoint list and the configuration of a router in front of the members.
 
 use ladderpass_routing::{Span, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
+const MAX_GROUPS: u32 = 1000;
+const MAX_REPLICAS: u32 = 100;
+const MAX_VALUE_BYTES: usize = 64 << 10;
+const DEFAULT_VALUE_BYTES: usize = 16;
+
+/// The members, their replication and the methods of one run. Field names are the keys of the YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
+    /// Groups, each of a primary and its replicas.
     pub groups: u32,
     /// Replicas of each group, beside its primary.
     pub replicas: u32,
-    /// RPCs that a member works on at once, and that may wait there.
+    /// Statements that a member runs at once.
     pub cores: usize,
+    /// Statements that may wait at a member.
     pub queue: usize,
-    /// Connections that a member holds at most, and what a new one takes until it is welcomed.
+    /// Connections that a member accepts at most.
     pub connections: usize,
+    /// From a connection's startup message until it is open.
     pub connect_ms: f64,
-    /// From a commit until a replica has it, and what applying it takes there on its one thread.
+    /// From a commit until a replica has received it.
     pub log_ms: f64,
+    /// How long a replica's one thread takes to apply a commit.
     pub apply_ms: f64,
-    /// Empty lines of a watch.
+    /// Pause between the empty lines of a watch.
     pub watch_every_ms: f64,
-    /// Each call-out that comes is kept, for a judge.
+    /// Record each attempt and health check that arrives, for a history checker.
     pub history: bool,
-    /// Members that start with the fleet, and are cold.
+    /// Members that start with the emulator and need a slow start, by index.
     pub cold: Vec<u32>,
-    /// How long one falls over by what it gets, as routers are told.
+    /// The window in which a member in slow start is overloaded, as the routers' settings give it.
     pub overload_ms: f64,
-    /// How many routers there are, as they are told.
+    /// How many routers there are, as the routers' settings give it.
     pub routers: u32,
+    /// Kinds of RPC.
     pub methods: Vec<MethodShape>,
 }
 
+/// A kind of RPC. Field names are the keys of the YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MethodShape {
+    /// Its name, unique in the scenario.
     pub name: String,
+    /// It writes: only a primary runs it.
     #[serde(default)]
     pub writes: bool,
-    /// Bound on the age of a read's data; without one any data will do.
+    /// Maximum staleness of a read's data; without it any data will do.
     pub max_age_ms: Option<f64>,
-    /// Work at a member: the mean of an exponential distribution; 0 is answered at once.
+    /// Work at a member: the mean of an exponential distribution; with 0 it is answered at once.
     #[serde(default)]
     pub work_ms: f64,
-    #[serde(default = "few")]
+    /// Size of the value in an answer.
+    #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
+    /// After this an answer earns a part of its utility, or none.
     pub soft_deadline_ms: f64,
+    /// What an answer in time is worth.
     pub utility: f64,
-    /// Of what arrives, in parts of the sum of all shares.
+    /// Its part of all RPCs, relative to the sum of all shares.
     pub share: f64,
 }
 
-fn few() -> usize {
-    16
+fn default_value_bytes() -> usize {
+    DEFAULT_VALUE_BYTES
 }
 
 impl Default for Scenario {
@@ -89,23 +105,32 @@
 }
 
 impl Scenario {
-    /// Reads and checks; the fault is one line.
+    /// Reads a YAML text and checks it.
+    ///
+    /// # Errors
+    ///
+    /// One line that names the key that is wrong.
     pub fn read(text: &str) -> Result<Scenario, String> {
-        let one_line = |fault: String| fault.split_whitespace().collect::<Vec<_>>().join(" ");
+        let one_line = |text: String| text.split_whitespace().collect::<Vec<_>>().join(" ");
         let value: serde_json::Value =
-            serde_saphyr::from_str(text).map_err(|fault| one_line(fault.to_string()))?;
+            serde_saphyr::from_str(text).map_err(|error| one_line(error.to_string()))?;
         let scenario: Scenario = serde_path_to_error::deserialize(value)
-            .map_err(|fault| one_line(format!("{}: {}", fault.path(), fault.inner())))?;
+            .map_err(|error| one_line(format!("{}: {}", error.path(), error.inner())))?;
         scenario.check()?;
         Ok(scenario)
     }
 
+    /// Checks the values.
+    ///
+    /// # Errors
+    ///
+    /// One line that names the key that is wrong.
     pub fn check(&self) -> Result<(), String> {
-        let positive = |key: &str, value: f64| match value {
+        let check_number = |key: &str, value: f64| match value {
             value if value.is_finite() && value >= 0.0 => Ok(()),
             value => Err(format!("{key}: {value} is not a number from 0 on")),
         };
-        if self.groups == 0 || self.groups > 1000 || self.replicas > 100 {
+        if self.groups == 0 || self.groups > MAX_GROUPS || self.replicas > MAX_REPLICAS {
             return Err("groups, replicas: 1 to 1000 groups of at most 100 replicas are allowed".into());
         }
         if self.cores == 0 {
@@ -121,54 +146,69 @@
             ("watch_every_ms", self.watch_every_ms),
             ("overload_ms", self.overload_ms),
         ] {
-            positive(key, value)?;
+            check_number(key, value)?;
         }
         for method in &self.methods {
             let key = |name: &str| format!("methods.{}.{name}", method.name);
-            positive(&key("work_ms"), method.work_ms)?;
-            positive(&key("soft_deadline_ms"), method.soft_deadline_ms)?;
-            positive(&key("utility"), method.utility)?;
-            positive(&key("share"), method.share)?;
-            if method.value_bytes > 64 << 10 {
+            check_number(&key("work_ms"), method.work_ms)?;
+            check_number(&key("soft_deadline_ms"), method.soft_deadline_ms)?;
+            check_number(&key("utility"), method.utility)?;
+            check_number(&key("share"), method.share)?;
+            if method.value_bytes > MAX_VALUE_BYTES {
                 return Err(format!("{}: {} is more than 65536", key("value_bytes"), method.value_bytes));
             }
         }
         Ok(())
     }
 
+    /// Members of each group.
     pub fn members_of_group(&self) -> u32 {
         self.replicas + 1
     }
 
+    /// Members of all groups.
     pub fn members(&self) -> usize {
         (self.groups * self.members_of_group()) as usize
     }
 
+    /// The index of a method.
     pub fn method(&self, name: &str) -> Option<usize> {
         self.methods.iter().position(|method| method.name == name)
     }
 
+    /// The mean work of a method at a member.
     pub fn work(&self, method: usize) -> Span {
         Span::from_secs_f64(self.methods.get(method).map_or(0.0, |method| method.work_ms) / 1e3)
     }
 
-    /// The entries of the list, as discovery tells them.
+    /// The entries of the endpoint list, as discovery publishes them. `now` is when members in slow start started.
     pub fn entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
         let now_ms = now.nanos() / 1_000_000;
-        let entry = |(index, address): (usize, &SocketAddr)| {
-            let (group, nth) =
-                (index as u32 / self.members_of_group(), index as u32 % self.members_of_group());
+        let entry = |(index, address): (u32, &SocketAddr)| {
+            let (group, place) = (index / self.members_of_group(), index % self.members_of_group());
             serde_json::json!({
-                "instanceId": format!("m-{group}-{nth}"), "hostPort": address.to_string(), "zone": "a",
-                "machineType": "k", "cell": group, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": if self.cold.contains(&(index as u32)) { now_ms } else { 0 },
-                "role": if nth == 0 { "leader" } else { "follower" },
+                "instanceId": format!("m-{group}-{place}"), "hostPort": address.to_string(), "zone": "a",
+                "machineType": "k", "cell": group, "lifecycle": "SERVING", "weight": 1.0,
+                "startedAtMs": if self.cold.contains(&index) { now_ms } else { 0 },
+                "role": if place == 0 { "leader" } else { "follower" },
             })
         };
-        addresses.iter().enumerate().map(entry).collect()
+        (0..).zip(addresses).map(entry).collect()
     }
 
-    /// What a router before this fleet is told: the JSON of its configuration.
+    /// The configuration of a router in front of these members, as JSON.
     pub fn told(&self, now: Time, seed: u64, limits: &Allowed, addresses: &[SocketAddr]) -> String {
+        serde_json::json!({
+            "seed": format!("{seed:x}"),
+            "limits": {"cores": limits.cores, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+            "known": {"generation": 1, "reset": true, "instances": self.entries(now, addresses)},
+            "settings": self.router_settings(),
+        })
+        .to_string()
+    }
+
+    /// The deployment's settings of these members and methods; durations in nanoseconds.
+    fn router_settings(&self) -> serde_json::Value {
         let services: Vec<_> = self
             .methods
             .iter()
@@ -179,37 +219,35 @@
                 })
             })
             .collect();
-        let level = |method: &MethodShape| match (method.writes, method.max_age_ms) {
+        let read_level = |method: &MethodShape| match (method.writes, method.max_age_ms) {
             (true, _) => "write",
             (false, Some(_)) => "bounded",
             (false, None) => "any",
         };
-        let levels: Vec<_> = self.methods.iter().map(level).collect();
-        let ages: Vec<_> =
+        let read_levels: Vec<_> = self.methods.iter().map(read_level).collect();
+        let max_ages: Vec<_> =
             self.methods.iter().map(|method| method.max_age_ms.map(|ms| (ms * 1e6) as i64)).collect();
         serde_json::json!({
-            "seed": format!("{seed:x}"),
-            "limits": {"cores": limits.cores, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            "known": {"generation": 1, "reset": true, "instances": self.entries(now, addresses)},
-            "settings": {
-                "Allowed": {"AttemptsCap": 6, "ConnIdle": 15_000_000_000i64, "ConnectTimeout": 1_000_000_000i64,
-                    "MaxRetryAfter": 500_000_000i64, "Probes": true, "RetryAfter": true},
-                "Balancers": self.routers,
-                "Contract": {"ColdFrom": 0.2, "MustAskIn": 10_000_000_000i64, "OverloadFor": (self.overload_ms * 1e6) as i64,
-                    "WarmWithin": 10_000_000_000i64},
-                "Extra": {"Checks": "off", "MaxAge": ages, "ProgressTold": true, "ReadLevel": levels,
-                    "RoleInList": "late", "Tokens": "carried"},
-                "RegistryMode": "subscribe", "Report": {"Columns": ["x0", "x1", "q"]}, "Services": services,
-                "Tick": 5_000_000,
-            },
-        }).to_string()
+            "Allowed": {"AttemptsCap": 6, "ConnIdle": 15_000_000_000i64, "ConnectTimeout": 1_000_000_000i64,
+                "MaxRetryAfter": 500_000_000i64, "Probes": true, "RetryAfter": true},
+            "Balancers": self.routers,
+            "Contract": {"ColdFrom": 0.2, "MustAskIn": 10_000_000_000i64,
+                "OverloadFor": (self.overload_ms * 1e6) as i64, "WarmWithin": 10_000_000_000i64},
+            "Extra": {"Checks": "off", "MaxAge": max_ages, "ProgressTold": true, "ReadLevel": read_levels,
+                "RoleInList": "late", "Tokens": "carried"},
+            "RegistryMode": "subscribe", "Report": {"Columns": ["x0", "x1", "q"]}, "Services": services,
+            "Tick": 5_000_000,
+        })
     }
 }
 
 /// The machine that a router is given.
 #[derive(Clone, Copy, Debug)]
 pub struct Allowed {
+    /// CPU cores.
     pub cores: f64,
+    /// Memory in megabytes.
     pub memory_mb: u64,
+    /// Open sockets.
     pub sockets: usize,
 }
--- a/crates/ladderpass-emulator/src/truth.rs
+++ b/crates/ladderpass-emulator/src/truth.rs
@@ -1,46 +1,62 @@
-//! What ran where, as the members saw it: the record that checkers compare with what clients were told.
-//!
-//! It owns the record alone. It must never be read by a model or a router to decide something.
+//! The execution log: what ran where, as the members observed it. Checkers compare it with what clients received; neither
+//! the model nor a router decides anything by it.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
 
-/// One call-out that a member began.
+/// One attempt that a member began to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ran {
+    /// When it began.
     pub at: Time,
+    /// Index of the member.
     pub member: u32,
+    /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
+    /// Index of the method in the scenario.
     pub method: u32,
+    /// Whether the method writes.
     pub writes: bool,
     /// The position of the member's data when it began.
     pub position: Time,
 }
 
-/// A call-out came to a member: what its data reached then, and whether it was turned away unseen.
+/// One attempt that arrived at a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Came {
+    /// When it arrived, or when it expired in the member's queue.
     pub at: Time,
+    /// Index of the member.
     pub member: u32,
+    /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
+    /// The position of the member's data then.
     pub position: Time,
+    /// It was rejected and never ran.
     pub turned_away: bool,
 }
 
+/// What all members of a run observed.
 #[derive(Debug, Default)]
 pub struct Truth {
+    /// Each attempt that began to run.
     pub ran: Vec<Ran>,
-    /// Each call-out that came, where the scenario asks for its history.
+    /// Each attempt that arrived, where the scenario's `history` is on.
     pub came: Vec<Came>,
-    /// Each probe that came to a member, likewise.
+    /// Each health check that arrived, as its time and the member's index, where the scenario's `history` is on.
     pub probes: Vec<(Time, u32)>,
-    /// Call-outs that were turned away unseen, and such as came too late to begin.
+    /// Attempts rejected because the queue was full.
     pub turned_away: u64,
+    /// Attempts that expired in the queue.
     pub over_before: u64,
 }
 
 impl Truth {
-    /// One JSON object a line.
+    /// Writes the executions, one JSON object a line.
+    ///
+    /// # Errors
+    ///
+    /// What the writer returns.
     pub fn write_lines(&self, out: &mut impl Write) -> io::Result<()> {
         for ran in &self.ran {
             let line = serde_json::json!({
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model of members: what it answers, and what holds whatever comes.
+//! The model of members: what it answers, and its invariants under random inputs.
 
 use ladderpass_emulator::{Ask, Conn, Input, Model, Output, Reply, Scenario};
 use ladderpass_routing::{Span, Time};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_connection_answers_in_order_and_replicas_lag_and_refuse_writes() {
+fn a_connection_answers_in_order_and_replicas_lag_and_reject_writes() {
     let scenario = Scenario { log_ms: 20.0, ..Scenario::default() };
     let mut model = Model::new(at(0), scenario, 1);
     for (member, conn) in [(0, Conn(1)), (1, Conn(2))] {
@@ -43,23 +43,23 @@
 }
 
 quickcheck! {
-    /// Whatever comes: no more RPCs run at once than there are cores, positions don't go back, no statement is
-    /// answered twice, and what was turned away did not run.
+    /// Under random inputs no more RPCs run at once than there are cores, positions don't go back, no statement is
+    /// answered twice, and a rejected one did not run.
     fn members_keep_their_invariants(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut scenario = Scenario { cores: 2, queue: 3, ..Scenario::default() };
         scenario.methods.iter_mut().for_each(|method| method.work_ms = 5.0);
         let mut model = Model::new(at(0), scenario, 7);
-        let (mut now, mut asked, mut answered, mut refused) = (at(0), 0, 0, 0);
+        let (mut now, mut requested, mut answered, mut rejected) = (at(0), 0, 0, 0);
         let mut latest = [Time::NEVER; 3];
-        for (number, (what, who, later)) in (0u64..).zip(steps) {
-            now = now + Span::from_millis(i64::from(later % 8));
-            let (member, conn) = (u32::from(who % 3), Conn(u64::from(who % 3) * 8 + u64::from(who / 3 % 8)));
-            match what % 5 {
+        for (number, (input, address, gap)) in (0u64..).zip(steps) {
+            now = now + Span::from_millis(i64::from(gap % 8));
+            let (member, conn) = (u32::from(address % 3), Conn(u64::from(address % 3) * 8 + u64::from(address / 3 % 8)));
+            match input % 5 {
                 0 => model.apply(now, member, Input::Opened(conn)),
                 1 | 2 => {
-                    asked += 1;
-                    let ask = statement(&number.to_string(), u32::from(what / 5 % 2));
-                    model.apply(now, member, Input::Asked(conn, ask));
+                    requested += 1;
+                    let request = statement(&number.to_string(), u32::from(input / 5 % 2));
+                    model.apply(now, member, Input::Asked(conn, request));
                 }
                 3 => model.apply(now, member, Input::Asked(conn, Ask::Load)),
                 _ => model.apply(now, member, Input::Closed(conn)),
@@ -67,7 +67,7 @@
             for output in model.outputs() {
                 match output.reply {
                     Reply::Row { .. } => answered += 1,
-                    Reply::Refused(_) => refused += 1,
+                    Reply::Refused(_) => rejected += 1,
                     Reply::Report { position, .. } => {
                         let latest = &mut latest[(output.conn.0 / 8) as usize];
                         assert!(position >= *latest);
@@ -77,8 +77,8 @@
                 }
             }
             let mut members = 0..model.scenario().members() as u32;
-            assert!(members.all(|member| model.at_work(member) <= 2 && model.crowd(member).1 <= 4));
+            assert!(members.all(|member| model.at_work(member) <= 2 && model.queued(member) <= 4));
         }
-        answered + refused <= asked && model.truth.ran.len() + refused <= asked && answered <= model.truth.ran.len()
+        answered + rejected <= requested && model.truth.ran.len() + rejected <= requested && answered <= model.truth.ran.len()
     }
 }
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -1,9 +1,9 @@
-//! Scenarios: what is refused names its key.
+//! Scenarios: an error names the key that is wrong.
 
 use ladderpass_emulator::Scenario;
 
 #[test]
-fn faults_name_the_key() {
+fn errors_name_the_key() {
     for (text, wanted) in [
         ("cores: 0", "cores"),
         ("groups: x", "groups"),
@@ -15,8 +15,8 @@
             "methods.a.value_bytes",
         ),
     ] {
-        let fault = Scenario::read(text).expect_err(text);
-        assert!(fault.contains(wanted) && !fault.contains('\n'), "{text}: {fault}");
+        let error = Scenario::read(text).expect_err(text);
+        assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
     assert_eq!(Scenario::read("replicas: 4").expect("allowed").members(), 5);
 }
