--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,6 +1,7 @@
 //! Rule 3: a draining member gets no new attempt once its drain has been published.
 
-use crate::{Checker, Event, Grace, MemberNo, Violation, What};
+use crate::checker::{Checker, Grace, Violation};
+use crate::history::{Event, MemberNo, What};
 use std::collections::HashMap;
 
 /// Checks rule 3.
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -1,6 +1,7 @@
 //! Rule 2: no effect happens twice, and an RPC has at most one attempt in flight.
 
-use crate::{Checker, Event, RpcId, Violation, What};
+use crate::checker::{Checker, Violation};
+use crate::history::{Event, RpcId, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,6 +1,7 @@
 //! Rule 1: each accepted RPC gets exactly one final answer before its client's deadline, and nothing after it.
 
-use crate::{Answer, Checker, Event, Grace, RpcId, Violation, What};
+use crate::checker::{Checker, Grace, Violation};
+use crate::history::{Answer, Event, RpcId, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -2,7 +2,8 @@
 //! summed over all routers, than it can serve by its age, plus a margin for chance: two square roots of that number
 //! (two standard deviations of a Poisson process), and two.
 
-use crate::{Checker, Event, MemberNo, Violation, What};
+use crate::checker::{Checker, Violation};
+use crate::history::{Event, MemberNo, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -1,6 +1,7 @@
 //! Rule 5: no stale read. A read with a maximum staleness goes to no replica whose data was older when it was sent.
 
-use crate::{Checker, Event, Grace, MemberNo, RpcId, Violation, What};
+use crate::checker::{Checker, Grace, Violation};
+use crate::history::{Event, MemberNo, RpcId, What};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
