--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -1,113 +1,122 @@
-//! Control while it runs: one line asks, one answers, over a unix socket. `add RULE` (YAML on one line), `lift NAME`,
-//! `list`, `wait NAME N MS`, `stats`, `cut LINK`, `heal LINK`, `watch`.
-//!
-//! It owns the words. It must never change the engine but by its own calls.
+//! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`, `list`,
+//! `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
 
 use crate::engine::{Do, Engine};
+use crate::errors::{ControlError, EngineError};
 use crate::plan::Rule;
 use ladderpass_routing::{Span, Time};
 
-/// A line that was asked.
+/// A command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Asked {
+    /// Adds a rule.
     Add(Box<Rule>),
+    /// Ends the rule of this name.
     Lift(String),
+    /// Lists the rules.
     List,
-    /// Until that rule has acted so often, for so long at most.
+    /// Answers once the rule of this name has acted so often, or the time is over.
     Wait(String, u64, Span),
+    /// Counts connections, bytes and decisions.
     Stats,
-    /// Nothing goes through that link, either way, until it is healed.
+    /// Nothing passes that link, either way, until it is healed.
     Cut(String),
+    /// Ends a cut.
     Heal(String),
-    /// What passes of RPCs is kept, for a judge.
+    /// Notes attempts of RPCs, for a history checker.
     Watch,
 }
 
-/// What is answered to a line.
+/// The answer to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
+    /// This line.
     Now(String),
-    /// It is looked at again: until when, and what for.
+    /// Once the rule of this name has acted so often, until this time at most.
     Later(Time, String, u64),
 }
 
-pub fn read(line: &str) -> Result<Asked, String> {
+/// Parses a command.
+///
+/// # Errors
+///
+/// What is wrong with the line.
+pub fn read(line: &str) -> Result<Asked, ControlError> {
     let (word, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
     let rest = rest.trim();
     match (word, rest) {
-        ("add", rule) => Ok(Asked::Add(Box::new(Rule::read(rule).map_err(|fault| format!("add: {fault}"))?))),
+        ("add", rule) => Ok(Asked::Add(Box::new(Rule::read(rule).map_err(ControlError::Rule)?))),
         ("lift", name) if !name.is_empty() => Ok(Asked::Lift(name.to_owned())),
         ("list", "") => Ok(Asked::List),
         ("stats", "") => Ok(Asked::Stats),
         ("watch", "") => Ok(Asked::Watch),
         ("cut", link) if !link.is_empty() => Ok(Asked::Cut(link.to_owned())),
         ("heal", link) if !link.is_empty() => Ok(Asked::Heal(link.to_owned())),
-        ("wait", rest) => {
-            let words: Vec<&str> = rest.split_whitespace().collect();
-            let [name, hits, ms] = words[..] else { return Err("wait: allowed is wait NAME HITS MS".into()) };
-            let hits = hits.parse().map_err(|_| format!("wait: HITS {hits:?} is no number"))?;
-            let ms: u32 = ms.parse().map_err(|_| format!("wait: MS {ms:?} is no number of milliseconds"))?;
-            Ok(Asked::Wait(name.to_owned(), hits, Span::from_millis(i64::from(ms))))
-        }
-        (other, _) => Err(format!(
-            "{other:?}; allowed are add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK, watch"
-        )),
+        ("wait", rest) => read_wait(rest),
+        (other, _) => Err(ControlError::UnknownCommand(other.to_owned())),
     }
 }
 
-/// Carries a line out; with what is to be done to connections.
+fn read_wait(words: &str) -> Result<Asked, ControlError> {
+    let words: Vec<&str> = words.split_whitespace().collect();
+    let [name, hits, ms] = words[..] else { return Err(ControlError::WaitForm) };
+    let hits = hits.parse().map_err(|_| ControlError::WaitHits(hits.to_owned()))?;
+    let ms: u32 = ms.parse().map_err(|_| ControlError::WaitMs(ms.to_owned()))?;
+    Ok(Asked::Wait(name.to_owned(), hits, Span::from_millis(i64::from(ms))))
+}
+
+/// Carries out a line; returns the answer, and what is to be done to connections.
 pub fn carry_out(engine: &mut Engine, now: Time, line: &str) -> (Reply, Vec<Do>) {
-    let error = |fault: String| (Reply::Now(format!("error {fault}")), Vec::new());
-    match read(line) {
-        Err(fault) => error(fault),
-        Ok(Asked::Add(rule)) => match engine.add(*rule) {
-            Ok(()) => (Reply::Now("ok".into()), Vec::new()),
-            Err(fault) => error(format!("add: {fault}")),
-        },
-        Ok(Asked::Lift(name)) => match engine.lift(now, &name) {
-            Ok(todo) => (Reply::Now("ok".into()), todo),
-            Err(fault) => error(format!("lift: {fault}")),
-        },
-        Ok(Asked::Cut(link)) => match engine.cut(&link) {
-            Ok(()) => (Reply::Now("ok".into()), Vec::new()),
-            Err(fault) => error(format!("cut: {fault}")),
-        },
-        Ok(Asked::Heal(link)) => match engine.heal(now, &link) {
-            Ok(todo) => (Reply::Now("ok".into()), todo),
-            Err(fault) => error(format!("heal: {fault}")),
-        },
-        Ok(Asked::Watch) => {
-            engine.watch();
-            (Reply::Now("ok".into()), Vec::new())
+    match read(line).and_then(|command| execute(engine, now, command)) {
+        Ok(done) => done,
+        Err(error) => (Reply::Now(format!("error {error}")), Vec::new()),
+    }
+}
+
+fn execute(engine: &mut Engine, now: Time, command: Asked) -> Result<(Reply, Vec<Do>), ControlError> {
+    let rejected = |command| move |source: EngineError| ControlError::Rejected { command, source };
+    let ok = || Reply::Now("ok".into());
+    match command {
+        Asked::Add(rule) => {
+            engine.add(*rule).map_err(rejected("add"))?;
+            Ok((ok(), Vec::new()))
         }
-        Ok(Asked::List) => {
-            let rules: Vec<String> = engine
-                .list()
-                .into_iter()
-                .map(|(name, hits, live)| format!("{name} {hits} {}", if live { "live" } else { "over" }))
-                .collect();
-            (Reply::Now(format!("ok {}", rules.join("; "))), Vec::new())
+        Asked::Lift(name) => Ok((ok(), engine.lift(now, &name).map_err(rejected("lift"))?)),
+        Asked::Cut(link) => {
+            engine.cut(&link).map_err(rejected("cut"))?;
+            Ok((ok(), Vec::new()))
         }
-        Ok(Asked::Stats) => {
-            let (conns, bytes) = engine.stats();
-            (
-                Reply::Now(format!(
-                    "ok connections {conns}, bytes {bytes}, decisions {}",
-                    engine.record().len()
-                )),
-                Vec::new(),
-            )
+        Asked::Heal(link) => Ok((ok(), engine.heal(now, &link).map_err(rejected("heal"))?)),
+        Asked::Watch => {
+            engine.watch();
+            Ok((ok(), Vec::new()))
         }
-        Ok(Asked::Wait(name, hits, most)) => {
+        Asked::List => Ok((list(engine), Vec::new())),
+        Asked::Stats => Ok((stats(engine), Vec::new())),
+        Asked::Wait(name, hits, longest) => {
             if !engine.list().iter().any(|(other, ..)| *other == name) {
-                return error(format!("wait: there is no rule {name:?}"));
+                return Err(ControlError::WaitRule(name));
             }
-            (Reply::Later(now + most, name, hits), Vec::new())
+            Ok((Reply::Later(now + longest, name, hits), Vec::new()))
         }
     }
 }
 
-/// Has it acted so often?
+fn list(engine: &Engine) -> Reply {
+    let rule = |(name, hits, live): (&str, u64, bool)| {
+        format!("{name} {hits} {}", if live { "live" } else { "over" })
+    };
+    let rules: Vec<String> = engine.list().into_iter().map(rule).collect();
+    Reply::Now(format!("ok {}", rules.join("; ")))
+}
+
+fn stats(engine: &Engine) -> Reply {
+    let (connections, bytes) = engine.stats();
+    let decisions = engine.record().len();
+    Reply::Now(format!("ok connections {connections}, bytes {bytes}, decisions {decisions}"))
+}
+
+/// Whether a rule has acted so often.
 pub fn is_met(engine: &Engine, name: &str, hits: u64) -> bool {
     engine.list().iter().any(|(other, acted, _)| *other == name && *acted >= hits)
 }
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -0,0 +1,146 @@
+//! The control socket: lines of those that connect to it, and answers that wait for a rule.
+
+use crate::control;
+use crate::engine::Engine;
+use ladderpass_routing::{Span, Time};
+use mio::net::{UnixListener, UnixStream};
+use mio::{Interest, Registry, Token};
+use std::collections::HashMap;
+use std::io::{self, ErrorKind, Read, Write};
+use std::path::{Path, PathBuf};
+
+/// The token of the listener.
+pub const CONTROL: Token = Token(1);
+/// How often rules are looked at while a client waits for one.
+const WAIT_POLL_INTERVAL: Span = Span::from_millis(2);
+const MAX_LINE_BYTES: usize = 64 << 10;
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// The listener; its socket file is removed with it.
+pub struct ControlSocket {
+    listener: UnixListener,
+    path: PathBuf,
+}
+
+struct ControlClient {
+    stream: UnixStream,
+    input: Vec<u8>,
+    wait: Option<Wait>,
+}
+
+/// A client waits for a rule.
+pub struct Wait {
+    pub until: Time,
+    pub rule: String,
+    pub hits: u64,
+}
+
+/// The clients of the control socket, by their token.
+#[derive(Default)]
+pub struct ControlClients {
+    clients: HashMap<usize, ControlClient>,
+}
+
+impl ControlSocket {
+    /// Binds the socket; one that an earlier run left, and that nobody serves, is replaced.
+    pub fn bind(path: &Path, registry: &Registry) -> io::Result<ControlSocket> {
+        if path.exists() && std::os::unix::net::UnixStream::connect(path).is_err() {
+            std::fs::remove_file(path)?;
+        }
+        let named = |error: io::Error| io::Error::new(error.kind(), format!("{}: {error}", path.display()));
+        let mut listener = UnixListener::bind(path).map_err(named)?;
+        registry.register(&mut listener, CONTROL, Interest::READABLE)?;
+        Ok(ControlSocket { listener, path: path.to_owned() })
+    }
+
+    /// The next client that has connected.
+    pub fn accept(&self) -> Option<UnixStream> {
+        self.listener.accept().ok().map(|(stream, _)| stream)
+    }
+}
+
+impl Drop for ControlSocket {
+    fn drop(&mut self) {
+        // A file that is gone already is no error.
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
+
+impl ControlClients {
+    pub fn add(&mut self, index: usize, stream: UnixStream) {
+        self.clients.insert(index, ControlClient { stream, input: Vec::new(), wait: None });
+    }
+
+    pub fn contains(&self, index: usize) -> bool {
+        self.clients.contains_key(&index)
+    }
+
+    /// When the rules that clients wait for must be looked at.
+    pub fn next_check(&self, now: Time) -> Option<Time> {
+        self.clients.values().any(|client| client.wait.is_some()).then(|| now + WAIT_POLL_INTERVAL)
+    }
+
+    /// Reads all that a client has sent; whether it is still there.
+    pub fn read(&mut self, index: usize) -> bool {
+        let mut chunk = [0; READ_BUFFER_BYTES];
+        loop {
+            let Some(client) = self.clients.get_mut(&index) else { return false };
+            match client.stream.read(&mut chunk) {
+                Ok(0) => break,
+                Ok(count) => {
+                    client.input.extend_from_slice(&chunk[..count]);
+                    if client.input.len() > MAX_LINE_BYTES {
+                        self.reply(index, "error the line is too long");
+                        break;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => break,
+            }
+        }
+        self.clients.remove(&index);
+        false
+    }
+
+    /// The next complete line of a client that waits for nothing.
+    pub fn next_line(&mut self, index: usize) -> Option<String> {
+        let client = self.clients.get_mut(&index).filter(|client| client.wait.is_none())?;
+        let end = client.input.iter().position(|&byte| byte == b'\n')?;
+        let line: Vec<u8> = client.input.drain(..=end).collect();
+        Some(String::from_utf8_lossy(&line).into_owned())
+    }
+
+    pub fn reply(&mut self, index: usize, text: &str) {
+        if let Some(client) = self.clients.get_mut(&index) {
+            // A client that has gone needs no answer.
+            let _ = client.stream.write_all(format!("{text}\n").as_bytes());
+        }
+    }
+
+    pub fn set_wait(&mut self, index: usize, wait: Wait) {
+        if let Some(client) = self.clients.get_mut(&index) {
+            client.wait = Some(wait);
+        }
+    }
+
+    /// The clients whose wait is over, each with its answer.
+    pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<(usize, &'static str)> {
+        let answer = |client: &ControlClient| {
+            let wait = client.wait.as_ref()?;
+            match control::is_met(engine, &wait.rule, wait.hits) {
+                true => Some("ok"),
+                false => (now >= wait.until).then_some("error wait: the time is over"),
+            }
+        };
+        self.clients.iter().filter_map(|(&index, client)| Some((index, answer(client)?))).collect()
+    }
+
+    /// Answers a client that has waited.
+    pub fn end_wait(&mut self, index: usize, answer: &str) {
+        self.reply(index, answer);
+        if let Some(client) = self.clients.get_mut(&index) {
+            client.wait = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -0,0 +1,386 @@
+//! The event loop: listeners, both sockets of each connection, and operations that wait for their time.
+
+use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
+use super::endpoint::{Endpoint, EndpointPair};
+use super::run_summary::Left;
+use crate::control::{self, Reply};
+use crate::engine::{Conn, Do, Engine, What};
+use crate::plan::{Plan, Side};
+use ladderpass_routing::Time;
+use mio::net::{TcpListener, TcpStream};
+use mio::{Events, Interest, Poll, Registry, Token};
+use std::collections::{BTreeMap, HashMap};
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Receiver, Sender};
+use std::time::{Duration, Instant};
+
+/// The token of the waker.
+pub const WAKE: Token = Token(0);
+/// The token of the first link's listener.
+const FIRST_LINK: usize = 2;
+const READ_BUFFER_BYTES: usize = 16 << 10;
+const EVENTS_PER_POLL: usize = 1024;
+
+/// A line of the process that runs the tool.
+pub struct LocalCommand {
+    pub line: String,
+    pub answer: Sender<String>,
+}
+
+pub struct EventLoop {
+    poll: Poll,
+    engine: Engine,
+    /// Where each link forwards to.
+    targets: Vec<SocketAddr>,
+    listeners: Vec<TcpListener>,
+    control: Option<ControlSocket>,
+    started: Instant,
+    last_token: usize,
+    endpoints: HashMap<usize, Endpoint>,
+    pairs: HashMap<Conn, EndpointPair>,
+    /// Operations that wait for their time, in the order of the engine.
+    delayed: BTreeMap<(Time, u64), Do>,
+    delayed_count: u64,
+    control_clients: ControlClients,
+    commands: Receiver<LocalCommand>,
+}
+
+/// Binds the listeners of a plan's links.
+pub fn listen(plan: &Plan, registry: &Registry) -> io::Result<Vec<TcpListener>> {
+    let mut listeners = Vec::new();
+    for (index, link) in plan.links.iter().enumerate() {
+        let named = |error: io::Error| io::Error::new(error.kind(), format!("link {}: {error}", link.name));
+        let mut listener = TcpListener::bind(link.listen).map_err(named)?;
+        registry.register(&mut listener, Token(FIRST_LINK + index), Interest::READABLE)?;
+        listeners.push(listener);
+    }
+    Ok(listeners)
+}
+
+impl EventLoop {
+    pub fn new(
+        plan: Plan,
+        poll: Poll,
+        listeners: Vec<TcpListener>,
+        control: Option<ControlSocket>,
+        commands: Receiver<LocalCommand>,
+    ) -> EventLoop {
+        EventLoop {
+            started: Instant::now(),
+            last_token: FIRST_LINK + plan.links.len(),
+            targets: plan.links.iter().map(|link| link.to).collect(),
+            engine: Engine::new(Time::from_nanos(0), plan),
+            poll,
+            listeners,
+            control,
+            endpoints: HashMap::new(),
+            pairs: HashMap::new(),
+            delayed: BTreeMap::new(),
+            delayed_count: 0,
+            control_clients: ControlClients::default(),
+            commands,
+        }
+    }
+
+    /// Closes the control socket, and gives what the run leaves behind.
+    pub fn finish(&mut self, began: Time) -> Left {
+        self.control = None;
+        Left {
+            record: self.engine.record().to_vec(),
+            passed: self.engine.passed(),
+            began,
+            never_fired: self.engine.never_fired().into_iter().map(str::to_owned).collect(),
+        }
+    }
+
+    /// Time since the start.
+    fn now(&self) -> Time {
+        Time::from_nanos(self.started.elapsed().as_nanos() as i64)
+    }
+
+    pub fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
+        while !stop.load(Ordering::Relaxed) {
+            let now = self.now();
+            let due = self.delayed.first_key_value().map(|(&(at, _), _)| at);
+            let wake = due.into_iter().chain(self.control_clients.next_check(now)).min();
+            let wait = wake.map(|at| Duration::from_nanos((at - now).nanos().max(0) as u64));
+            match self.poll.poll(&mut events, wait) {
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                result => result?,
+            }
+            self.handle_events(&events)?;
+            let now = self.now();
+            self.execute_due(now);
+            for (index, answer) in self.control_clients.ended_waits(now, &self.engine) {
+                self.control_clients.end_wait(index, answer);
+                self.serve_control_client(index);
+            }
+        }
+        Ok(())
+    }
+
+    fn handle_events(&mut self, events: &Events) -> io::Result<()> {
+        for event in events {
+            match event.token() {
+                WAKE => self.run_local_commands(),
+                CONTROL => self.accept_control_clients()?,
+                Token(index) if index < FIRST_LINK + self.listeners.len() => {
+                    self.accept(index - FIRST_LINK)?;
+                }
+                Token(index) if self.control_clients.contains(index) => self.serve_control_client(index),
+                Token(index) => {
+                    if event.is_writable() {
+                        self.write(index);
+                    }
+                    if event.is_readable() || event.is_read_closed() {
+                        self.read(index);
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn next_token(&mut self) -> usize {
+        self.last_token += 1;
+        self.last_token
+    }
+
+    fn accept(&mut self, link: usize) -> io::Result<()> {
+        loop {
+            let stream = match self.listeners[link].accept() {
+                Ok((stream, _)) => stream,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                // Out of descriptors, or closed already: as if it had been refused.
+                Err(_) => return Ok(()),
+            };
+            let (conn, forwarded, operations) = self.engine.opened(self.now(), link);
+            self.pairs.insert(conn, EndpointPair::default());
+            self.add_endpoint(conn, Side::Client, stream)?;
+            if forwarded {
+                match TcpStream::connect(self.targets[link]) {
+                    Ok(stream) => self.add_endpoint(conn, Side::Server, stream)?,
+                    Err(_) => self.close(conn, false),
+                }
+            }
+            self.schedule(operations);
+        }
+    }
+
+    fn add_endpoint(&mut self, conn: Conn, side: Side, mut stream: TcpStream) -> io::Result<()> {
+        // Fails harmlessly on one that is still connecting.
+        let _ = stream.set_nodelay(true);
+        let index = self.next_token();
+        self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
+        self.endpoints.insert(index, Endpoint::new(stream, conn, side));
+        if let Some(pair) = self.pairs.get_mut(&conn) {
+            pair.endpoints[side as usize] = Some(index);
+        }
+        Ok(())
+    }
+
+    /// Executes delayed operations whose time has come, in their order.
+    fn execute_due(&mut self, now: Time) {
+        while let Some(entry) = self.delayed.first_entry()
+            && entry.key().0 <= now
+        {
+            let operation = entry.remove();
+            if let (What::Send(side, bytes), Some(pair)) =
+                (&operation.what, self.pairs.get_mut(&operation.conn))
+            {
+                pair.delayed_bytes[*side as usize] -= bytes.len();
+            }
+            self.execute(operation);
+        }
+    }
+
+    /// Executes the operations whose time has come, and delays the others.
+    fn schedule(&mut self, operations: Vec<Do>) {
+        let now = self.now();
+        // Keeps the order of a direction: an earlier operation may have become due meanwhile.
+        self.execute_due(now);
+        for operation in operations {
+            // An operation behind a delayed one has a later time, so it is delayed too.
+            if operation.at <= now {
+                self.execute(operation);
+                continue;
+            }
+            if let (What::Send(side, bytes), Some(pair)) =
+                (&operation.what, self.pairs.get_mut(&operation.conn))
+            {
+                pair.delayed_bytes[*side as usize] += bytes.len();
+            }
+            self.delayed_count += 1;
+            self.delayed.insert((operation.at, self.delayed_count), operation);
+        }
+    }
+
+    /// The token of one side of a connection.
+    fn endpoint(&self, conn: Conn, side: Side) -> Option<usize> {
+        self.pairs.get(&conn).and_then(|pair| pair.endpoints[side as usize])
+    }
+
+    fn execute(&mut self, operation: Do) {
+        let conn = operation.conn;
+        match operation.what {
+            What::Send(side, bytes) => {
+                let Some(index) = self.endpoint(conn, side) else { return };
+                if let Some(endpoint) = self.endpoints.get_mut(&index) {
+                    endpoint.output.extend(bytes);
+                }
+                self.write(index);
+                // The sender may have been paused for these bytes.
+                if let Some(sender) = self.endpoint(conn, side.other())
+                    && self.endpoints.get(&sender).is_some_and(|endpoint| endpoint.paused)
+                {
+                    self.read(sender);
+                }
+            }
+            What::End(side) => {
+                let Some(index) = self.endpoint(conn, side) else { return };
+                if let Some(endpoint) = self.endpoints.get_mut(&index) {
+                    endpoint.ending = true;
+                }
+                self.write(index);
+            }
+            What::Close => self.close(conn, false),
+            What::Reset => self.close(conn, true),
+        }
+    }
+
+    fn close(&mut self, conn: Conn, reset: bool) {
+        let Some(pair) = self.pairs.remove(&conn) else { return };
+        for index in pair.endpoints.into_iter().flatten() {
+            let Some(mut endpoint) = self.endpoints.remove(&index) else { continue };
+            if reset {
+                // With a linger time of zero the kernel closes by a reset.
+                let _ = socket2::SockRef::from(&endpoint.stream).set_linger(Some(Duration::ZERO));
+            } else {
+                let rest: Vec<u8> = endpoint.output.drain(..).collect();
+                let _ = endpoint.stream.write(&rest);
+            }
+        }
+        let now = self.now();
+        self.engine.closed(now, conn);
+    }
+
+    fn read(&mut self, index: usize) {
+        let mut chunk = [0; READ_BUFFER_BYTES];
+        loop {
+            let now = self.now();
+            let Some(endpoint) = self.endpoints.get(&index) else { return };
+            let (conn, side) = (endpoint.conn, endpoint.side);
+            if endpoint.ended {
+                return;
+            }
+            let may_read = self.engine.wants(conn, side, self.unsent_bytes(conn, side));
+            let Some(endpoint) = self.endpoints.get_mut(&index) else { return };
+            endpoint.paused = !may_read;
+            if !may_read {
+                return;
+            }
+            let operations = match endpoint.stream.read(&mut chunk) {
+                Ok(0) => {
+                    endpoint.ended = true;
+                    self.engine.ended(now, conn, side)
+                }
+                Ok(count) => self.engine.came(now, conn, side, &chunk[..count]),
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                    return;
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(_) => return self.close(conn, true),
+            };
+            self.schedule(operations);
+        }
+    }
+
+    /// Bytes from a side that are delayed or not yet written.
+    fn unsent_bytes(&self, conn: Conn, sender: Side) -> usize {
+        let receiver = sender.other();
+        let delayed = self.pairs.get(&conn).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
+        let receiver = self.endpoint(conn, receiver).and_then(|index| self.endpoints.get(&index));
+        delayed + receiver.map_or(0, |endpoint| endpoint.output.len())
+    }
+
+    fn write(&mut self, index: usize) {
+        let Some(endpoint) = self.endpoints.get_mut(&index) else { return };
+        let conn = endpoint.conn;
+        while !endpoint.output.is_empty() {
+            let (front, _) = endpoint.output.as_slices();
+            match endpoint.stream.write(front) {
+                Ok(count) => {
+                    endpoint.output.drain(..count);
+                }
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
+                    return;
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return self.close(conn, true),
+            }
+        }
+        if endpoint.ending {
+            // Fails harmlessly on a socket that is closed already.
+            let _ = endpoint.stream.shutdown(std::net::Shutdown::Write);
+            endpoint.ending = false;
+        }
+        if self.is_over(conn) {
+            self.close(conn, false);
+        }
+    }
+
+    /// Both sides have ended, and nothing is left to be sent, now or later.
+    fn is_over(&self, conn: Conn) -> bool {
+        let Some(pair) = self.pairs.get(&conn).filter(|pair| pair.delayed_bytes == [0, 0]) else {
+            return false;
+        };
+        let is_over = |index: Option<usize>| {
+            let endpoint = index.and_then(|index| self.endpoints.get(&index));
+            endpoint.is_none_or(|endpoint| endpoint.ended && endpoint.output.is_empty())
+        };
+        pair.endpoints.into_iter().all(is_over)
+    }
+
+    fn run_local_commands(&mut self) {
+        while let Ok(command) = self.commands.try_recv() {
+            let now = self.now();
+            let (reply, operations) = control::carry_out(&mut self.engine, now, &command.line);
+            self.schedule(operations);
+            let text = match reply {
+                Reply::Now(text) => text,
+                Reply::Later(..) => "error wait is for the control's socket".into(),
+            };
+            // A caller that did not wait needs no answer.
+            let _ = command.answer.send(text);
+        }
+    }
+
+    fn accept_control_clients(&mut self) -> io::Result<()> {
+        while let Some(mut stream) = self.control.as_ref().and_then(ControlSocket::accept) {
+            let index = self.next_token();
+            self.poll.registry().register(&mut stream, Token(index), Interest::READABLE)?;
+            self.control_clients.add(index, stream);
+        }
+        Ok(())
+    }
+
+    fn serve_control_client(&mut self, index: usize) {
+        if !self.control_clients.read(index) {
+            return;
+        }
+        while let Some(line) = self.control_clients.next_line(index) {
+            let now = self.now();
+            let (reply, operations) = control::carry_out(&mut self.engine, now, &line);
+            self.schedule(operations);
+            match reply {
+                Reply::Now(text) => self.control_clients.reply(index, &text),
+                Reply::Later(until, rule, hits) => {
+                    self.control_clients.set_wait(index, Wait { until, rule, hits });
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -0,0 +1,72 @@
+//! A rule of the engine, with its counts: whether a unit triggers it.
+
+use super::operation::Conn;
+use crate::plan::{Rule, Side};
+use crate::stream::Unit;
+use std::collections::HashMap;
+
+pub struct ActiveRule {
+    pub rule: Rule,
+    /// Index of the rule's link, if it names one.
+    link: Option<usize>,
+    /// Units that matched, by link.
+    matches: HashMap<usize, u64>,
+    /// How often it has acted.
+    pub hits: u64,
+    pub lifted: bool,
+}
+
+/// A unit, and where and when it passes.
+pub struct Occurrence<'a> {
+    pub connection: Conn,
+    pub sender: Side,
+    pub unit: &'a Unit,
+    /// The opening of a connection, in place of a unit.
+    pub opens: bool,
+    /// Milliseconds since the engine's start.
+    pub elapsed_ms: i64,
+}
+
+impl ActiveRule {
+    pub fn new(rule: Rule, link: Option<usize>) -> ActiveRule {
+        ActiveRule { rule, link, matches: HashMap::new(), hits: 0, lifted: false }
+    }
+
+    /// It has acted as often as it may.
+    pub fn is_spent(&self) -> bool {
+        self.rule.times > 0 && self.hits >= self.rule.times
+    }
+
+    /// Counts a unit that matches; whether the rule acts on it. `acted` names the rules that have acted.
+    pub fn record_match(&mut self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
+        if !self.matches(occurrence, acted) {
+            return false;
+        }
+        let count = self.matches.entry(occurrence.connection.link).or_default();
+        *count += 1;
+        let acts = *count >= self.rule.when.nth.unwrap_or(1) && !self.is_spent();
+        if acts {
+            self.hits += 1;
+        }
+        acts
+    }
+
+    fn matches(&self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
+        let when = &self.rule.when;
+        let Occurrence { connection, sender, unit, opens, elapsed_ms } = *occurrence;
+        let holds = |text: &String| {
+            let text = text.as_bytes();
+            !text.is_empty() && unit.bytes.windows(text.len()).any(|part| part == text)
+        };
+        !self.lifted
+            && when.opens == opens
+            && (opens || when.from == sender)
+            && self.link.is_none_or(|link| link == connection.link)
+            && when.connection.is_none_or(|number| number == connection.number)
+            && when.message.as_ref().is_none_or(|kind| kind == unit.kind)
+            && when.byte.is_none_or(|byte| (unit.at..unit.at + unit.bytes.len() as u64).contains(&byte))
+            && when.holds.as_ref().is_none_or(holds)
+            && when.after_ms.is_none_or(|ms| elapsed_ms >= ms as i64)
+            && when.seen.as_ref().is_none_or(|other| acted.contains(other))
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -0,0 +1,37 @@
+//! Connections, and the operations on them that the engine asks the driver for.
+
+use crate::plan::Side;
+use ladderpass_routing::Time;
+
+/// A connection of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Conn {
+    /// Index of the link in the plan.
+    pub link: usize,
+    /// Number of the connection on that link, from 1 on.
+    pub number: u64,
+}
+
+/// An operation on a connection, at a time.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Do {
+    /// The connection.
+    pub conn: Conn,
+    /// Not before.
+    pub at: Time,
+    /// The operation.
+    pub what: What,
+}
+
+/// What is done to a connection.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum What {
+    /// Bytes are sent to this side.
+    Send(Side, Vec<u8>),
+    /// The direction towards this side ends.
+    End(Side),
+    /// Both ends are closed.
+    Close,
+    /// Both ends are reset.
+    Reset,
+}
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,14 +1,14 @@
-//! `ladderpass-fault-injection`: links between sockets, and what is done to them on command.
-//!
-//! It owns the command line alone.
+//! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command line.
 
 use clap::{Parser, Subcommand};
 use ladderpass_fault_injection::driver::Running;
+use ladderpass_fault_injection::errors::{PlanError, RecordError};
 use ladderpass_fault_injection::{Plan, difference, record};
-use std::io::{BufRead, BufReader, Write};
+use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// Faults between sockets on loopback, at an exact byte or message, the same each time from a seed
 #[derive(Parser)]
@@ -46,72 +46,95 @@
     Replay { plan: PathBuf, record: PathBuf },
 }
 
+/// Why a command failed.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error("{}: {source}", path.display())]
+    File { path: PathBuf, source: io::Error },
+    #[error("{}: {source}", path.display())]
+    Plan { path: PathBuf, source: PlanError },
+    #[error("{}: {source}", path.display())]
+    Record { path: PathBuf, source: RecordError },
+    #[error("{0}")]
+    Start(io::Error),
+    /// The answer of a running tool.
+    #[error("{0}")]
+    Rejected(String),
+    #[error("it has ended without an answer")]
+    NoAnswer,
+    #[error("the records differ at {0}")]
+    RecordsDiffer(String),
+}
+
 fn main() -> ExitCode {
     match run(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("ladderpass-fault-injection: {fault}");
+        Err(error) => {
+            eprintln!("ladderpass-fault-injection: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn text(path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|fault| format!("{}: {fault}", path.display()))
+fn read_file(path: &Path) -> Result<String, CliError> {
+    std::fs::read_to_string(path).map_err(|source| CliError::File { path: path.to_owned(), source })
 }
 
-fn plan(path: &Path) -> Result<Plan, String> {
-    Plan::read(&text(path)?).map_err(|fault| format!("{}: {fault}", path.display()))
+fn read_plan(path: &Path) -> Result<Plan, CliError> {
+    Plan::read(&read_file(path)?).map_err(|source| CliError::Plan { path: path.to_owned(), source })
 }
 
-/// Plays it until standard input ends; what it decided.
-fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, String> {
+/// Plays a plan until standard input ends; returns its decisions.
+fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
     let names: Vec<String> = plan.links.iter().map(|link| link.name.clone()).collect();
-    let running = Running::start(plan, control).map_err(|fault| fault.to_string())?;
+    let running = Running::start(plan, control).map_err(CliError::Start)?;
     for (name, address) in names.iter().zip(&running.addresses) {
         println!("{name} {address}");
     }
     let mut line = String::new();
-    while std::io::stdin().read_line(&mut line).is_ok_and(|count| count > 0) {}
-    let left = running.stop();
-    for name in &left.never_fired {
+    while io::stdin().read_line(&mut line).is_ok_and(|count| count > 0) {}
+    let summary = running.stop();
+    for name in &summary.never_fired {
         eprintln!("rule {name} never fired");
     }
-    Ok(left.record)
+    Ok(summary.record)
 }
 
-fn run(command: Command) -> Result<(), String> {
+fn run(command: Command) -> Result<(), CliError> {
     match command {
-        Command::Run { plan: path, control, record } => {
-            let decided = play(plan(&path)?, control.as_deref())?;
-            let Some(to) = record else { return Ok(()) };
-            std::fs::write(&to, record::lines(&decided)).map_err(|fault| format!("{}: {fault}", to.display()))
+        Command::Run { plan, control, record } => {
+            let decisions = play(read_plan(&plan)?, control.as_deref())?;
+            let Some(path) = record else { return Ok(()) };
+            std::fs::write(&path, record::lines(&decisions)).map_err(|source| CliError::File { path, source })
         }
-        Command::Check { plan: path } => {
-            let plan = plan(&path)?;
+        Command::Check { plan } => {
+            let plan = read_plan(&plan)?;
             println!("{} links, {} rules, seed {}", plan.links.len(), plan.rules.len(), plan.seed);
             Ok(())
         }
-        Command::Ctl { socket, words } => {
-            let fault = |fault: std::io::Error| format!("{}: {fault}", socket.display());
-            let mut stream = UnixStream::connect(&socket).map_err(fault)?;
-            writeln!(stream, "{}", words.join(" ")).map_err(fault)?;
-            let mut answer = String::new();
-            BufReader::new(stream).read_line(&mut answer).map_err(fault)?;
-            match answer.trim().split_once(' ') {
-                Some(("error", why)) => Err(why.to_owned()),
-                _ if answer.is_empty() => Err("it has ended without an answer".into()),
-                _ => {
-                    println!("{}", answer.trim());
-                    Ok(())
-                }
-            }
+        Command::Ctl { socket, words } => send_command(&socket, &words),
+        Command::Replay { plan, record } => {
+            let before = record::read(&read_file(&record)?)
+                .map_err(|source| CliError::Record { path: record, source })?;
+            let now = play(read_plan(&plan)?, None)?;
+            difference(&before, &now).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
         }
-        Command::Replay { plan: path, record } => {
-            let before =
-                record::read(&text(&record)?).map_err(|fault| format!("{}: {fault}", record.display()))?;
-            let now = play(plan(&path)?, None)?;
-            difference(&before, &now).map_or(Ok(()), |differ| Err(format!("the records differ at {differ}")))
+    }
+}
+
+/// Sends a line to a running tool, and prints its answer.
+fn send_command(socket: &Path, words: &[String]) -> Result<(), CliError> {
+    let failed = |source: io::Error| CliError::File { path: socket.to_owned(), source };
+    let mut stream = UnixStream::connect(socket).map_err(failed)?;
+    writeln!(stream, "{}", words.join(" ")).map_err(failed)?;
+    let mut answer = String::new();
+    BufReader::new(stream).read_line(&mut answer).map_err(failed)?;
+    match answer.trim().split_once(' ') {
+        Some(("error", why)) => Err(CliError::Rejected(why.to_owned())),
+        _ if answer.is_empty() => Err(CliError::NoAnswer),
+        _ => {
+            println!("{}", answer.trim());
+            Ok(())
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/mesh.rs
+++ b/crates/ladderpass-fault-injection/src/mesh.rs
@@ -1,9 +1,9 @@
-//! The sockets of datagrams: one an end, which hears what is sent to that end and sends what that end says to others, so
-//! that each sees the others at the addresses it knows.
-//!
-//! It owns the bytes that wait for their time. It must never decide what happens to them: `datagrams` does.
+//! The sockets of datagrams: one for each end. It receives what others send to that end, and sends what that end sends to
+//! others, so that each end sees the others at the addresses it knows. What happens to a datagram is decided by `datagrams`.
 
-use crate::datagrams::{DatagramRule, Mesh, MeshPlan, Sent};
+use crate::datagrams::{Mesh, Sent};
+use crate::errors::PlanError;
+use crate::plan::{DatagramRule, MeshPlan};
 use ladderpass_routing::Span;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -11,77 +11,91 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 const WAKE: Token = Token(usize::MAX);
-/// Datagrams that may be late at once: what is past this is lost, as on any way that is full.
-const MOST: usize = 100_000;
+/// Datagrams that may be delayed at once; beyond it they are lost, as on any path that is full.
+const MAX_DELAYED: usize = 100_000;
+const MAX_DATAGRAM_BYTES: usize = 2048;
+const EVENTS_PER_POLL: usize = 256;
 
+/// The datagram part of a tool, on a thread of its own, until it is dropped.
 pub struct RunningMesh {
     mesh: Arc<Mutex<Mesh>>,
-    begun: Instant,
+    started: Instant,
     stop: Arc<AtomicBool>,
     waker: Waker,
     thread: Option<std::thread::JoinHandle<()>>,
-    /// Where the tool listens for each end: port 0 of the plan stands for any free one.
+    /// Where the tool listens for each end; port 0 of the plan stands for any free one.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl RunningMesh {
+    /// Starts a plan.
+    ///
+    /// # Errors
+    ///
+    /// If the plan is not valid, or a socket or the thread can't be made.
     pub fn start(plan: MeshPlan) -> io::Result<RunningMesh> {
         plan.check().map_err(io::Error::other)?;
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
         let (mut sockets, mut addresses) = (Vec::new(), Vec::new());
-        let mut by_to = HashMap::new();
-        for (nth, end) in plan.ends.iter().enumerate() {
-            let named = |fault: io::Error| io::Error::new(fault.kind(), format!("end {}: {fault}", end.name));
+        let mut end_by_address = HashMap::new();
+        for (index, end) in plan.ends.iter().enumerate() {
+            let named = |error: io::Error| io::Error::new(error.kind(), format!("end {}: {error}", end.name));
             let mut socket = UdpSocket::bind(end.address).map_err(named)?;
             addresses.push(socket.local_addr()?);
-            poll.registry().register(&mut socket, Token(nth), Interest::READABLE)?;
-            by_to.insert(end.to, nth);
+            poll.registry().register(&mut socket, Token(index), Interest::READABLE)?;
+            end_by_address.insert(end.to, index);
             sockets.push(socket);
         }
-        let to: Vec<SocketAddr> = plan.ends.iter().map(|end| end.to).collect();
+        let targets: Vec<SocketAddr> = plan.ends.iter().map(|end| end.to).collect();
         let mesh = Arc::new(Mutex::new(Mesh::new(plan)));
-        let (stop, begun) = (Arc::new(AtomicBool::new(false)), Instant::now());
-        let mut driver =
-            Driver { poll, sockets, by_to, to, mesh: mesh.clone(), begun, late: BTreeMap::new() };
+        let (stop, started) = (Arc::new(AtomicBool::new(false)), Instant::now());
+        let mut event_loop = EventLoop {
+            poll,
+            sockets,
+            end_by_address,
+            targets,
+            mesh: mesh.clone(),
+            started,
+            delayed: BTreeMap::new(),
+            delayed_count: 0,
+        };
         let stopped = stop.clone();
         let thread = std::thread::Builder::new().name("mesh".into()).spawn(move || {
-            if let Err(fault) = driver.run(&stopped) {
-                eprintln!("ladderpass-fault-injection: datagrams: {fault}");
+            if let Err(error) = event_loop.run(&stopped) {
+                eprintln!("ladderpass-fault-injection: datagrams: {error}");
             }
         })?;
-        Ok(RunningMesh { mesh, begun, stop, waker, thread: Some(thread), addresses })
+        Ok(RunningMesh { mesh, started, stop, waker, thread: Some(thread), addresses })
     }
 
-    fn now(&self) -> Span {
-        Span::from_nanos(self.begun.elapsed().as_nanos() as i64)
-    }
-
-    fn mesh(&self) -> std::sync::MutexGuard<'_, Mesh> {
-        self.mesh.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-    }
-
-    /// A rule whose time counts from now on.
-    pub fn add(&self, rule: DatagramRule) -> Result<(), String> {
-        let now = self.now();
-        self.mesh().add(now, rule)
+    /// Adds a rule, whose time counts from now on.
+    ///
+    /// # Errors
+    ///
+    /// If the rule is not valid, or an active one has its name.
+    pub fn add(&self, rule: DatagramRule) -> Result<(), PlanError> {
+        let now = since(self.started);
+        lock(&self.mesh).add(now, rule)
     }
 
+    /// Ends a rule; whether one of this name was active.
     pub fn lift(&self, name: &str) -> bool {
-        self.mesh().lift(name)
+        lock(&self.mesh).lift(name)
     }
 
     /// What each end has sent by now, in the order of the plan.
     pub fn sent(&self) -> Vec<Sent> {
-        self.mesh().sent().to_vec()
+        lock(&self.mesh).sent().to_vec()
     }
 
+    /// How often each rule has acted, by its name.
     pub fn hits(&self) -> Vec<(String, u64)> {
-        self.mesh().hits().map(|(name, hits)| (name.to_owned(), hits)).collect()
+        lock(&self.mesh).hits().map(|(name, hits)| (name.to_owned(), hits)).collect()
     }
 }
 
@@ -96,82 +110,94 @@
     }
 }
 
-struct Driver {
+fn lock(mesh: &Mutex<Mesh>) -> MutexGuard<'_, Mesh> {
+    mesh.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+}
+
+fn since(started: Instant) -> Span {
+    Span::from_nanos(started.elapsed().as_nanos() as i64)
+}
+
+struct Datagram {
+    from: usize,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+struct EventLoop {
     poll: Poll,
+    /// By end.
     sockets: Vec<UdpSocket>,
-    by_to: HashMap<SocketAddr, usize>,
-    to: Vec<SocketAddr>,
+    end_by_address: HashMap<SocketAddr, usize>,
+    /// Where each end is.
+    targets: Vec<SocketAddr>,
     mesh: Arc<Mutex<Mesh>>,
-    begun: Instant,
-    /// By when: from which end to which, and what.
-    late: BTreeMap<(Span, u64), (usize, usize, Vec<u8>)>,
+    started: Instant,
+    /// Delayed datagrams by their time, and by the order in which they arrived.
+    delayed: BTreeMap<(Span, u64), Datagram>,
+    delayed_count: u64,
 }
 
-impl Driver {
-    fn now(&self) -> Span {
-        Span::from_nanos(self.begun.elapsed().as_nanos() as i64)
-    }
-
+impl EventLoop {
     fn run(&mut self, stop: &AtomicBool) -> io::Result<()> {
-        let mut events = Events::with_capacity(256);
-        let mut number = 0;
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !stop.load(Ordering::Relaxed) {
-            let due = self.late.first_key_value().map(|(&(at, _), _)| at);
-            let wait = due.map(|at| Duration::from_nanos((at - self.now()).nanos().max(0) as u64));
+            let due = self.delayed.first_key_value().map(|(&(at, _), _)| at);
+            let wait = due.map(|at| Duration::from_nanos((at - since(self.started)).nanos().max(0) as u64));
             match self.poll.poll(&mut events, wait) {
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
-                done => done?,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                result => result?,
             }
             for event in &events {
                 if event.token() != WAKE {
-                    self.read(event.token().0, &mut number);
+                    self.read(event.token().0);
                 }
             }
-            let now = self.now();
-            while let Some(first) = self.late.first_entry()
+            let now = since(self.started);
+            while let Some(first) = self.delayed.first_entry()
                 && first.key().0 <= now
             {
-                let (from, to, bytes) = first.remove();
-                self.pass_on(from, to, &bytes);
+                let datagram = first.remove();
+                self.forward(datagram.from, datagram.to, &datagram.bytes);
             }
         }
         Ok(())
     }
 
-    fn read(&mut self, to: usize, number: &mut u64) {
-        let mut room = [0; 2048];
+    /// Receives what others have sent to an end.
+    fn read(&mut self, to: usize) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let Some(socket) = self.sockets.get(to) else { return };
-            let (count, from) = match socket.recv_from(&mut room) {
-                Ok(got) => got,
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
+            let (count, sender) = match socket.recv_from(&mut buffer) {
+                Ok(received) => received,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(_) => return,
             };
-            // A stranger's goes on as it is, from the address that it was sent to: nobody is known there.
-            let Some(&from) = self.by_to.get(&from) else {
-                self.pass_on(to, to, &room[..count]);
+            let bytes = &buffer[..count];
+            // From an unknown sender: it passes as it is, from the receiver's own address, which no end uses as its own.
+            let Some(&from) = self.end_by_address.get(&sender) else {
+                self.forward(to, to, bytes);
                 continue;
             };
-            let now = self.now();
-            let copies = {
-                let mut mesh = self.mesh.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-                mesh.came(now, from, to, count)
-            };
-            for late in copies {
-                if late <= Span::ZERO {
-                    self.pass_on(from, to, &room[..count]);
-                } else if self.late.len() < MOST {
-                    *number += 1;
-                    self.late.insert((now + late, *number), (from, to, room[..count].to_vec()));
+            let now = since(self.started);
+            let delays = lock(&self.mesh).came(now, from, to, count);
+            for delay in delays {
+                if delay <= Span::ZERO {
+                    self.forward(from, to, bytes);
+                } else if self.delayed.len() < MAX_DELAYED {
+                    self.delayed_count += 1;
+                    let datagram = Datagram { from, to, bytes: bytes.to_vec() };
+                    self.delayed.insert((now + delay, self.delayed_count), datagram);
                 }
             }
         }
     }
 
-    /// One that can't be sent is lost.
-    fn pass_on(&self, from: usize, to: usize, bytes: &[u8]) {
-        if let (Some(socket), Some(&to)) = (self.sockets.get(from), self.to.get(to)) {
-            let _ = socket.send_to(bytes, to);
+    /// Sends a datagram to an end from the address by which its sender is known. One that can't be sent is lost.
+    fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
+        if let (Some(socket), Some(&target)) = (self.sockets.get(from), self.targets.get(to)) {
+            let _ = socket.send_to(bytes, target);
         }
     }
 }
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/random.rs
@@ -0,0 +1,29 @@
+//! Random draws that depend on a seed and on what they are for, not on what else has happened.
+
+use crate::plan::Spread;
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use rand_distr::Exp1;
+
+/// An odd constant close to 2^64 over the golden ratio, as in Fibonacci hashing.
+const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const ROTATION: u32 = 29;
+
+/// Mixes one more part into a seed.
+pub fn mix(seed: u64, part: u64) -> u64 {
+    (seed ^ part).wrapping_mul(MULTIPLIER).rotate_left(ROTATION)
+}
+
+/// A generator for the draws that these parts name.
+pub fn generator(seed: u64, parts: [u64; 4]) -> SmallRng {
+    SmallRng::seed_from_u64(parts.into_iter().fold(seed, mix))
+}
+
+/// A factor with the mean 1.
+pub fn factor(random: &mut SmallRng, spread: Spread) -> f64 {
+    match spread {
+        Spread::Constant => 1.0,
+        Spread::Uniform => random.random::<f64>() * 2.0,
+        Spread::Exponential => random.sample(Exp1),
+    }
+}
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -1,27 +1,32 @@
-//! A record of each decision, without times: the same plan against the same traffic gives the same record.
-//!
-//! It owns the form, and how two records are compared. Connections are told apart by their number on their link, so that
-//! what the kernel makes of several at once does not show.
+//! A record of each decision, without times: the same plan against the same traffic gives the same record. Connections are
+//! identified by their number on their link, so that the order in which the kernel serves several does not matter.
 
+use crate::errors::RecordError;
 use crate::plan::Side;
 use serde::{Deserialize, Serialize};
 
+/// One action of a rule on one unit of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Decision {
+    /// Name of the link.
     pub link: String,
-    /// The n-th connection of that link, from 1 on.
+    /// Number of the connection on that link, from 1 on.
     pub conn: u64,
+    /// Who sent the unit.
     pub side: Side,
-    /// Where in its direction the unit begins, and what it is.
+    /// Where in its direction the unit begins, in bytes.
     pub byte: u64,
+    /// Kind of the unit.
     pub kind: String,
+    /// Name of the rule.
     pub rule: String,
+    /// Name of the action.
     pub action: String,
-    /// What chance has decided of it: places, bits, microseconds.
+    /// What was drawn for it: places, bits, microseconds.
     pub drawn: Vec<u64>,
 }
 
-/// One JSON object a line, in an order of its own.
+/// One JSON object a line, sorted.
 pub fn lines(record: &[Decision]) -> String {
     let mut sorted: Vec<&Decision> = record.iter().collect();
     sorted.sort();
@@ -29,24 +34,29 @@
     sorted.iter().map(line).collect()
 }
 
-pub fn read(text: &str) -> Result<Vec<Decision>, String> {
-    let line = |(nth, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|fault| format!("line {}: {fault}", nth + 1))
+/// Reads what `lines` has written.
+///
+/// # Errors
+///
+/// The first line that is no decision.
+pub fn read(text: &str) -> Result<Vec<Decision>, RecordError> {
+    let parse = |(index, line): (usize, &str)| {
+        serde_json::from_str(line).map_err(|source| RecordError { line: index + 1, source })
     };
-    text.lines().enumerate().map(line).collect()
+    text.lines().enumerate().map(parse).collect()
 }
 
-/// The first difference between two records, told by both sides; None where there is none.
+/// The first line in which two records differ, with both forms of it; None where they are the same.
 pub fn difference(one: &[Decision], two: &[Decision]) -> Option<String> {
     let (one, two) = (lines(one), lines(two));
     let (mut ones, mut twos) = (one.lines(), two.lines());
-    for nth in 1.. {
+    for number in 1.. {
         match (ones.next(), twos.next()) {
             (None, None) => return None,
             (one, two) if one == two => {}
             (one, two) => {
                 let (one, two) = (one.unwrap_or("(ends)"), two.unwrap_or("(ends)"));
-                return Some(format!("line {nth}: {one} against {two}"));
+                return Some(format!("line {number}: {one} against {two}"));
             }
         }
     }
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -1,161 +1,182 @@
-//! Messages in a stream of bytes: PostgreSQL v3 frames, HTTP/1.1 heads and chunks; or bytes as they come.
-//!
-//! It owns where messages begin and end. However bytes are sliced on the way, the units are the same, which is what makes a
-//! run repeat itself. What can't be a message passes unchanged from there on.
+//! Finds messages in a stream of bytes: PostgreSQL v3 frames, HTTP/1.1 heads and chunks; or bytes as they arrive. However
+//! the bytes are split into reads, the messages are the same, which makes runs repeatable. From the first bytes on that
+//! can't be a message, a stream passes as plain bytes.
 
 use crate::talk::{Side, Talk};
 
-/// A part of the stream that rules can hit: a whole message, or bytes that belong to none.
+/// A part of a stream that rules can act on: a complete message, or bytes that belong to none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unit {
-    /// Where in its direction it begins.
+    /// Where in its direction it begins, in bytes.
     pub at: u64,
+    /// A message's name, or `bytes`, `rest` or `cut` where it is none.
     pub kind: &'static str,
+    /// Its bytes.
     pub bytes: Vec<u8>,
 }
 
-/// Longest message that is held to be whole; a longer one passes in pieces.
+/// The longest message that is buffered until it is complete; a longer one passes in pieces.
 pub const WHOLE: usize = 256 << 10;
 
+/// The longest chunk size line of HTTP.
+const MAX_CHUNK_HEAD_BYTES: usize = 64;
+
+/// Finds the messages of one direction of a connection.
 #[derive(Debug)]
 pub struct Scanner {
     talk: Talk,
     side: Side,
     at: u64,
-    kept: Vec<u8>,
-    place: Place,
+    buffer: Vec<u8>,
+    expected: Expected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Place {
+enum Expected {
     /// The first message, which has no type byte, or an HTTP head.
     First,
-    Messages,
-    /// The rest of a message too long to be held.
+    Message,
+    /// The rest of a message too long to be buffered, in bytes.
     Rest(u64),
-    /// What can't be read: as it comes.
-    Lost,
+    /// Anything: it passes as it arrives.
+    Bytes,
 }
 
 impl Scanner {
+    /// A scanner of what `side` sends on a connection, from its first byte on.
     pub fn new(talk: Talk, side: Side) -> Scanner {
-        // Servers of PostgreSQL begin with frames; the one byte that answers a wish for TLS is no frame, and passes as lost.
-        let place = match (talk, side) {
-            (Talk::Raw, _) => Place::Lost,
-            (Talk::Postgres, Side::Server) => Place::Messages,
-            _ => Place::First,
+        // PostgreSQL servers begin with frames; the one byte that answers an SSLRequest is none, and passes as bytes.
+        let expected = match (talk, side) {
+            (Talk::Raw, _) => Expected::Bytes,
+            (Talk::Postgres, Side::Server) => Expected::Message,
+            _ => Expected::First,
         };
-        Scanner { talk, side, at: 0, kept: Vec::new(), place }
+        Scanner { talk, side, at: 0, buffer: Vec::new(), expected }
     }
 
-    /// Bytes that are held until their message is whole.
+    /// Bytes that are buffered until their message is complete.
     pub fn held(&self) -> usize {
-        self.kept.len()
+        self.buffer.len()
     }
 
+    /// Takes the next bytes; gives the units that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Unit> {
-        self.kept.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut units = Vec::new();
-        while !self.kept.is_empty() {
-            let (kind, length) = match self.place {
-                Place::Lost => ("bytes", self.kept.len()),
-                Place::Rest(left) => {
-                    let here = self.kept.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    let left = left - here as u64;
-                    self.place = if left == 0 { Place::Messages } else { Place::Rest(left) };
-                    ("rest", here)
+        while !self.buffer.is_empty() {
+            let (kind, length) = match self.expected {
+                Expected::Bytes => ("bytes", self.buffer.len()),
+                Expected::Rest(left) => {
+                    let available = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    let left = left - available as u64;
+                    self.expected = if left == 0 { Expected::Message } else { Expected::Rest(left) };
+                    ("rest", available)
                 }
-                Place::First | Place::Messages => match self.next() {
-                    Next::Whole(kind, length) => {
-                        self.place = Place::Messages;
+                Expected::First | Expected::Message => match self.next() {
+                    Next::Complete(kind, length) => {
+                        self.expected = Expected::Message;
                         (kind, length)
                     }
-                    Next::More => break,
-                    // Its head alone is told by its kind, so that the unit does not depend on how much was there.
-                    Next::Long(kind, head, whole) => {
-                        self.place = Place::Rest(whole - head as u64);
+                    Next::Incomplete => break,
+                    // Only its head gets its kind, so that the unit does not depend on how much has arrived.
+                    Next::TooLong(kind, head, length) => {
+                        self.expected = Expected::Rest(length - head as u64);
                         (kind, head)
                     }
-                    Next::No => {
-                        self.place = Place::Lost;
+                    Next::NoMessage => {
+                        self.expected = Expected::Bytes;
                         continue;
                     }
                 },
             };
-            let rest = self.kept.split_off(length);
-            let bytes = std::mem::replace(&mut self.kept, rest);
+            let rest = self.buffer.split_off(length);
+            let bytes = std::mem::replace(&mut self.buffer, rest);
             units.push(Unit { at: self.at, kind, bytes });
             self.at += length as u64;
         }
         units
     }
 
-    /// What is left when its sender has ended: a message cut short.
+    /// What is buffered when the sender has ended its direction: a message cut short.
     pub fn end(&mut self) -> Option<Unit> {
-        let bytes = std::mem::take(&mut self.kept);
+        let bytes = std::mem::take(&mut self.buffer);
         let at = self.at;
         self.at += bytes.len() as u64;
         (!bytes.is_empty()).then_some(Unit { at, kind: "cut", bytes })
     }
 
     fn next(&self) -> Next {
-        match (self.talk, self.place) {
-            (Talk::Postgres, Place::First) => match self.kept.first_chunk::<4>() {
-                None => Next::More,
-                Some(four) => Next::of("Startup", u64::from(u32::from_be_bytes(*four)), 4, self.kept.len()),
+        match (self.talk, self.expected) {
+            (Talk::Postgres, Expected::First) => match self.buffer.first_chunk::<4>() {
+                None => Next::Incomplete,
+                Some(four) => {
+                    Next::from_length("Startup", u64::from(u32::from_be_bytes(*four)), 4, self.buffer.len())
+                }
             },
             (Talk::Postgres, _) => {
                 let (Some(&kind), Some(four)) =
-                    (self.kept.first(), self.kept.get(1..).and_then(|rest| rest.first_chunk::<4>()))
+                    (self.buffer.first(), self.buffer.get(1..).and_then(|rest| rest.first_chunk::<4>()))
                 else {
-                    return Next::More;
+                    return Next::Incomplete;
                 };
                 if !kind.is_ascii_alphabetic() {
-                    return Next::No;
+                    return Next::NoMessage;
                 }
                 let length = u64::from(u32::from_be_bytes(*four));
-                Next::of(frame_kind(self.side, kind), length + 1, 5, self.kept.len())
+                Next::from_length(frame_kind(self.side, kind), length + 1, 5, self.buffer.len())
             }
-            (Talk::Http, Place::First) => match self.kept.windows(4).position(|four| four == b"\r\n\r\n") {
-                Some(end) => Next::Whole("Head", end + 4),
-                None if self.kept.len() > WHOLE => Next::No,
-                None => Next::More,
-            },
-            // Behind a call's head nothing is expected; behind an answer's stand chunks.
-            (Talk::Http, _) if self.side == Side::Client => Next::No,
+            (Talk::Http, Expected::First) => {
+                match self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
+                    Some(end) => Next::Complete("Head", end + 4),
+                    None if self.buffer.len() > WHOLE => Next::NoMessage,
+                    None => Next::Incomplete,
+                }
+            }
+            // A request has a head alone; behind that of a response come chunks.
+            (Talk::Http, _) if self.side == Side::Client => Next::NoMessage,
             (Talk::Http, _) => {
-                let Some(end) = self.kept.windows(2).position(|two| two == b"\r\n") else {
-                    return if self.kept.len() > 64 { Next::No } else { Next::More };
+                let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") else {
+                    return if self.buffer.len() > MAX_CHUNK_HEAD_BYTES {
+                        Next::NoMessage
+                    } else {
+                        Next::Incomplete
+                    };
                 };
-                let head = std::str::from_utf8(&self.kept[..end]).unwrap_or("-");
+                let head = std::str::from_utf8(&self.buffer[..end]).unwrap_or("-");
                 match u64::from_str_radix(head.split(';').next().unwrap_or("-").trim(), 16) {
-                    Ok(size) => {
-                        Next::of("Chunk", size.saturating_add(end as u64 + 4), end + 2, self.kept.len())
-                    }
-                    Err(_) => Next::No,
+                    Ok(size) => Next::from_length(
+                        "Chunk",
+                        size.saturating_add(end as u64 + 4),
+                        end + 2,
+                        self.buffer.len(),
+                    ),
+                    Err(_) => Next::NoMessage,
                 }
             }
-            (Talk::Raw, _) => Next::No,
+            (Talk::Raw, _) => Next::NoMessage,
         }
     }
 }
 
+/// What stands at the start of the buffer.
 enum Next {
-    Whole(&'static str, usize),
-    More,
-    /// Longer than what is held: with the length of its head, and of all of it.
-    Long(&'static str, usize, u64),
-    No,
+    /// A complete message: its kind and length.
+    Complete(&'static str, usize),
+    /// The start of a message.
+    Incomplete,
+    /// A message too long to be buffered: its kind, the length of its head, and its whole length.
+    TooLong(&'static str, usize, u64),
+    NoMessage,
 }
 
 impl Next {
-    /// A message of this length, with a head of at least so much.
-    fn of(kind: &'static str, length: u64, head: usize, here: usize) -> Next {
+    /// A message of this length, of which `head` bytes are the least and `buffered` are there.
+    fn from_length(kind: &'static str, length: u64, head: usize, buffered: usize) -> Next {
         match length {
-            length if length < head as u64 || length > u64::from(u32::MAX) => Next::No,
-            length if length > WHOLE as u64 => Next::Long(kind, head, length),
-            length if length <= here as u64 => Next::Whole(kind, length as usize),
-            _ => Next::More,
+            length if length < head as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
+            length if length > WHOLE as u64 => Next::TooLong(kind, head, length),
+            length if length <= buffered as u64 => Next::Complete(kind, length as usize),
+            _ => Next::Incomplete,
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/talk.rs
+++ b/crates/ladderpass-fault-injection/src/talk.rs
@@ -1,19 +1,20 @@
-//! What is spoken on a link, and by whom.
-//!
-//! It owns the words for both. It must never hold a rule or bytes.
+//! The protocol of a link, its two sides, and the kinds of messages that rules can name.
 
 use serde::{Deserialize, Serialize};
 
-/// Who has sent bytes: the one that connected to the link, or the one that the link leads to.
+/// The sender of bytes: who connected to the link, or whom the link forwards to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Side {
+    /// Who connected to the link.
     Client,
+    /// Whom the link forwards to.
     #[default]
     Server,
 }
 
 impl Side {
+    /// The side that receives what this one sends.
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
@@ -22,17 +23,20 @@
     }
 }
 
-/// What is spoken on a link.
+/// The protocol of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Talk {
+    /// PostgreSQL's wire protocol, version 3.
     #[default]
     Postgres,
+    /// HTTP/1.1, as heads and chunks.
     Http,
+    /// Bytes without messages.
     Raw,
 }
 
-/// Every kind that a rule may name.
+/// Every kind of message that a rule may name.
 pub const KINDS: [&str; 22] = [
     "Startup",
     "Query",
--- a/crates/ladderpass-fault-injection/tests/datagrams.rs
+++ b/crates/ladderpass-fault-injection/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams: what a rule cuts, chance that repeats itself, and faults that name their key.
+//! Datagrams: what a rule cuts, random draws that repeat, and errors that name the key.
 
 use ladderpass_fault_injection::datagrams::Mesh;
 use ladderpass_fault_injection::{MeshPlan, Sent};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_cut_is_one_way_or_both_by_name_or_by_side_and_ends() {
+fn a_cut_is_one_way_or_both_by_name_or_by_side_and_can_be_lifted() {
     let mut one = mesh("[{name: a, from: [r0], to: [r1, r2], after_ms: 100, for_ms: 100, do: drop}]");
     assert!(passes(&mut one, 50, 0, 1) && passes(&mut one, 200, 0, 1));
     assert!(!passes(&mut one, 150, 0, 1) && !passes(&mut one, 150, 0, 2));
@@ -37,26 +37,26 @@
 }
 
 #[test]
-fn chance_is_the_same_for_a_seed_whatever_else_is_sent() {
+fn draws_are_the_same_for_a_seed_whatever_else_is_sent() {
     let rules = "[{name: a, part: 0.3, do: drop}, {name: b, part: 0.5, do: {duplicate: {ms: 5}}}, {name: c, do: {reorder: {ms: 20}}}]";
     let (mut one, mut two) = (mesh(rules), mesh(rules));
     let alone: Vec<_> = (0..300).map(|n| one.came(at(n), 0, 1, 10)).collect();
-    let among: Vec<_> = (0..300)
+    let beside_others: Vec<_> = (0..300)
         .map(|n| {
             two.came(at(n), 2, 3, 10);
             two.came(at(n), 0, 1, 10)
         })
         .collect();
-    assert_eq!(alone, among);
+    assert_eq!(alone, beside_others);
     let lost = alone.iter().filter(|copies| copies.is_empty()).count();
     let twice = alone.iter().filter(|copies| copies.len() == 2).count();
     assert!((60..120).contains(&lost) && (70..140).contains(&twice), "{lost} {twice}");
-    assert!(alone.iter().flatten().all(|late| *late < at(25)));
+    assert!(alone.iter().flatten().all(|delay| *delay < at(25)));
     assert_eq!(one.sent()[0], Sent { datagrams: 300, bytes: 3000 });
 }
 
 #[test]
-fn faults_name_the_key() {
+fn errors_name_the_key() {
     let ends = "ends: [{name: a, address: '127.0.0.1:1', to: '127.0.0.1:2'}]";
     for (text, wanted) in [
         ("ends: [{name: a, address: '10.0.0.1:1', to: '127.0.0.1:2'}]".to_owned(), "ends[0].address"),
@@ -65,7 +65,7 @@
         (format!("{ends}\nrules: [{{name: r, do: {{delay: {{ms: -1}}}}}}]"), "do.ms"),
         (format!("{ends}\nrules: [{{name: r, do: vanish}}]"), "rules[0].do"),
     ] {
-        let fault = MeshPlan::read(&text).expect_err(&text);
-        assert!(fault.contains(wanted) && !fault.contains('\n'), "{text}: {fault}");
+        let error = MeshPlan::read(&text).expect_err(&text).to_string();
+        assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
 }
--- a/crates/ladderpass-fault-injection/tests/driver.rs
+++ b/crates/ladderpass-fault-injection/tests/driver.rs
@@ -1,14 +1,13 @@
-//! The sockets: what passes when both sides have ended.
+//! The sockets: delayed bytes when both sides have ended, and their order.
 
 use ladderpass_fault_injection::Plan;
 use ladderpass_fault_injection::driver::Running;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
-/// An answer that comes in late pieces is passed whole though its server and its client have ended their
-/// sending already.
+/// A response in delayed pieces passes completely though both sides have ended their directions already.
 #[test]
-fn what_is_late_passes_though_both_sides_have_ended() {
+fn delayed_bytes_pass_though_both_sides_have_ended() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let links = format!(
         "links: [{{name: a, listen: '127.0.0.1:0', to: '{}', talk: raw}}]\n",
@@ -31,9 +30,9 @@
     assert_eq!((answer.len(), answers.join().expect("it answers")), (100, b"asked".to_vec()));
 }
 
-/// Late by less than the tool needs to read on: what comes behind it, on time, still goes behind it.
+/// A delay shorter than the tool needs to read on: what arrives behind it without a delay is still sent behind it.
 #[test]
-fn what_is_late_by_a_hair_keeps_its_place() {
+fn bytes_with_a_very_short_delay_keep_their_order() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a port");
     let links = format!(
         "links: [{{name: a, listen: '127.0.0.1:0', to: '{}', talk: raw}}]\n",
@@ -49,6 +48,6 @@
         drop(answers);
         let mut got = Vec::new();
         stream.read_to_end(&mut got).expect("to its end");
-        assert!(got == sent, "play {nth}: {} of {} bytes, or in another order", got.len(), sent.len());
+        assert!(got == sent, "run {nth}: {} of {} bytes, or in another order", got.len(), sent.len());
     }
 }
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The pure part: each action on a stream of messages, and that runs repeat themselves.
+//! The pure part: each action on a stream of messages, and that runs repeat.
 
 use ladderpass_fault_injection::record::lines;
 use ladderpass_fault_injection::{Do, Engine, Plan, Side, What, difference};
@@ -13,8 +13,8 @@
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// An answer: description, row, tag, ready.
-fn answer(value: &[u8]) -> Vec<u8> {
+/// A response: description, row, tag, ready.
+fn response(value: &[u8]) -> Vec<u8> {
     [frame(b'T', b"cols"), frame(b'D', value), frame(b'C', b"INSERT 0 1\0"), frame(b'Z', b"I")].concat()
 }
 
@@ -22,11 +22,12 @@
     let links = "links:\n  - {name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}\n";
     Engine::new(
         at(0),
-        Plan::read(&format!("{links}rules:\n{rules}")).unwrap_or_else(|fault| panic!("{fault}")),
+        Plan::read(&format!("{links}rules:\n{rules}")).unwrap_or_else(|error| panic!("{error}")),
     )
 }
 
-/// What reaches the client of a first connection when the server sends this, in slices; with what else is done.
+/// What reaches the client of a first connection when the server sends `bytes` in slices, the other operations, and the
+/// record.
 fn passed(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<What>, String) {
     let mut engine = engine(rules);
     let (conn, _, _) = engine.opened(at(0), 0);
@@ -43,23 +44,23 @@
 }
 
 #[test]
-fn each_action_does_what_it_says() {
-    let two = [answer(b"one"), answer(b"two")].concat();
+fn each_action_changes_the_stream_as_documented() {
+    let two = [response(b"one"), response(b"two")].concat();
     let all = |rule: &str| passed(&format!("  - {rule}\n"), &two, 7);
     let row = |value: &[u8]| frame(b'D', value);
-    assert_eq!(all("{name: r, when: {message: DataRow, nth: 9}, do: drop}").0, two, "nothing fits");
+    assert_eq!(all("{name: r, when: {message: DataRow, nth: 9}, do: drop}").0, two, "nothing matches");
     let (out, ..) = all("{name: r, when: {message: DataRow, holds: two}, do: drop}");
     assert_eq!(out.len(), two.len() - row(b"two").len());
     let (out, ..) = all("{name: r, when: {message: CommandComplete}, do: swallow}");
-    assert_eq!(out, [frame(b'T', b"cols"), row(b"one"), answer(b"two")].concat());
+    assert_eq!(out, [frame(b'T', b"cols"), row(b"one"), response(b"two")].concat());
     let (out, ..) = all("{name: r, when: {message: ReadyForQuery}, do: silence}");
-    assert_eq!(out, two[..answer(b"one").len() - 6]);
+    assert_eq!(out, two[..response(b"one").len() - 6]);
     let (out, ..) = all("{name: r, when: {message: DataRow}, do: duplicate}");
     assert_eq!(out.len(), two.len() + row(b"one").len());
     let (out, ..) = all("{name: r, when: {message: RowDescription}, do: repeat}");
-    assert_eq!(out, [answer(b"one"), two.clone()].concat());
+    assert_eq!(out, [response(b"one"), two.clone()].concat());
     let (out, ..) = all("{name: r, when: {message: RowDescription}, do: reorder}");
-    assert_eq!(out, [answer(b"two"), answer(b"one")].concat());
+    assert_eq!(out, [response(b"two"), response(b"one")].concat());
     let (out, ..) = all("{name: r, when: {message: ReadyForQuery}, do: {noise: {bytes: 5}}}");
     assert_eq!(out.len(), two.len() + 5);
     let (out, ..) = all("{name: r, when: {message: DataRow}, do: {garble: {bytes: 1}}}");
@@ -91,23 +92,23 @@
         "  - {name: r, when: {message: DataRow}, do: {delay: {ms: 20}}}\n  - {name: s, when: {message: CommandComplete}, do: {slice: {gap_ms: 1}}}\n",
     );
     let (conn, ..) = engine.opened(at(0), 0);
-    let todo = engine.came(at(0), conn, Side::Server, &answer(b"one"));
+    let todo = engine.came(at(0), conn, Side::Server, &response(b"one"));
     let times: Vec<i64> = todo.iter().map(|one| (one.at - at(0)).nanos() / 1_000_000).collect();
     assert_eq!((times[0], times[1], times[2], times.last()), (0, 20, 20, Some(&36)), "{times:?}");
     assert!(times.is_sorted() && todo.len() == 3 + 16);
     let mut engine = self::engine("  - {name: r, when: {message: DataRow}, do: hold}\n");
     let (conn, ..) = engine.opened(at(0), 0);
     assert_eq!(
-        engine.came(at(0), conn, Side::Server, &answer(b"one")).len(),
+        engine.came(at(0), conn, Side::Server, &response(b"one")).len(),
         1,
-        "what stands before it goes on"
+        "what is before it passes"
     );
     assert!(engine.lift(at(5), "q").is_err());
     let todo = engine.lift(at(5), "r").expect("it is there");
     assert!(
-        matches!(&todo[..], [Do { what: What::Send(Side::Client, bytes), .. }] if bytes.len() == answer(b"one").len() - 9)
+        matches!(&todo[..], [Do { what: What::Send(Side::Client, bytes), .. }] if bytes.len() == response(b"one").len() - 9)
     );
-    // Held without end, its sender is read no more.
+    // Held without end: at the limit the sender is no longer read.
     let mut engine = self::engine("  - {name: r, do: hold}\n");
     let (conn, ..) = engine.opened(at(0), 0);
     while engine.wants(conn, Side::Server, 0) {
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn triggers_count_by_connection_by_what_was_seen_and_at_the_opening() {
+fn triggers_by_connection_by_another_rule_and_at_the_opening() {
     let rules = "  - {name: first, when: {connection: 2, message: Query, from: client}, do: drop}\n  \
                  - {name: then, when: {seen: first, message: DataRow}, do: drop}\n  \
                  - {name: refused, when: {opens: true, connection: 3}, do: refuse}\n  \
@@ -129,15 +130,19 @@
     let mut engine = engine(rules);
     let startup = [&8u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat();
     let query = [startup, frame(b'Q', b"x\0")].concat();
-    let (one, leads, _) = engine.opened(at(0), 0);
-    assert!(leads);
+    let (one, forwarded, _) = engine.opened(at(0), 0);
+    assert!(forwarded);
     assert_eq!(engine.came(at(0), one, Side::Client, &query).len(), 2);
-    assert_eq!(engine.came(at(0), one, Side::Server, &answer(b"v")).len(), 4, "nothing was seen yet");
+    assert_eq!(
+        engine.came(at(0), one, Side::Server, &response(b"v")).len(),
+        4,
+        "the other rule has not acted yet"
+    );
     let (two, ..) = engine.opened(at(0), 0);
     assert_eq!(engine.came(at(0), two, Side::Client, &query).len(), 1);
-    assert_eq!(engine.came(at(0), one, Side::Server, &answer(b"v")).len(), 3, "on any link");
-    let (_, leads, todo) = engine.opened(at(0), 0);
-    assert!(!leads && todo[0].what == What::Reset);
+    assert_eq!(engine.came(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
+    let (_, forwarded, todo) = engine.opened(at(0), 0);
+    assert!(!forwarded && todo[0].what == What::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
     assert_eq!(engine.list()[0], ("first", 1, false));
     assert!(
@@ -148,10 +153,10 @@
 }
 
 quickcheck! {
-    /// The same plan against the same traffic gives the same record and the same bytes, however the kernel slices.
-    fn a_run_repeats_itself(seed: u64, values: Vec<Vec<u8>>, slice: usize) -> bool {
+    /// The same plan against the same traffic gives the same record and the same bytes, however the bytes are sliced.
+    fn a_run_is_repeatable(seed: u64, values: Vec<Vec<u8>>, slice: usize) -> bool {
         let links = Plan::read("links: [{name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}]").expect("a plan").links;
-        let bytes: Vec<u8> = values.iter().flat_map(|value| answer(value)).collect();
+        let bytes: Vec<u8> = values.iter().flat_map(|value| response(value)).collect();
         let run = |slice: usize| {
             let mut engine = Engine::new(at(0), Plan::drawn(seed, 12, links.clone()));
             let (conn, ..) = engine.opened(at(0), 0);
@@ -163,7 +168,7 @@
         one.0 == two.0
     }
 
-    /// Without rules nothing is changed.
+    /// Without rules the bytes are unchanged.
     fn without_rules_bytes_pass(bytes: Vec<u8>, slice: usize) -> bool {
         let mut engine = engine(" []\n");
         let (conn, ..) = engine.opened(at(0), 0);
--- a/crates/ladderpass-fault-injection/tests/plan.rs
+++ b/crates/ladderpass-fault-injection/tests/plan.rs
@@ -1,11 +1,11 @@
-//! Plans: what is refused names its key, and a seed draws the same rules each time.
+//! Plans: an error names the key, and a seed draws the same rules each time.
 
 use ladderpass_fault_injection::Plan;
 
 const LINK: &str = "links: [{name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}]\n";
 
 #[test]
-fn a_fault_names_its_key() {
+fn errors_name_the_key() {
     for (text, wanted) in [
         ("links: [{name: a, listen: '127.0.0.1:0', to: '10.0.0.1:5432'}]", "links[0].to"),
         ("links: [{name: a, listen: here, to: '127.0.0.1:5432'}]", "listen"),
@@ -20,8 +20,8 @@
         ("rules: [{name: a, do: drop}, {name: a, do: drop}]", "twice"),
         ("colour: red", "colour"),
     ] {
-        let fault = Plan::read(text).expect_err(text);
-        assert!(fault.contains(wanted) && !fault.contains('\n'), "{text}: {fault}");
+        let error = Plan::read(text).expect_err(text).to_string();
+        assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
 }
 
--- a/crates/ladderpass-fault-injection/tests/stream.rs
+++ b/crates/ladderpass-fault-injection/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Messages in a stream of bytes, however these are sliced.
+//! Messages in a stream of bytes, however it is sliced.
 
 use ladderpass_fault_injection::stream::{Scanner, Unit, WHOLE};
 use ladderpass_fault_injection::{Side, Talk};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn kinds_are_told_and_what_is_no_message_passes() {
+fn messages_get_their_kinds_and_other_bytes_pass() {
     let startup = [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], &[0; 4]].concat();
     let bytes = [startup, frame(b'Q', b"x\0"), frame(b'X', b"")].concat();
     let kinds: Vec<_> =
@@ -35,7 +35,7 @@
     let bytes = b"HTTP/1.1 200 OK\r\n\r\n5\r\nhello\r\n1\r\n\n\r\nzz\r\n";
     let kinds: Vec<_> = units(Talk::Http, Side::Server, bytes, &[]).iter().map(|unit| unit.kind).collect();
     assert_eq!(kinds, ["Head", "Chunk", "Chunk", "bytes"]);
-    // One too long to be held passes, and what comes after it is found again.
+    // A message too long to be buffered passes, and the next one is found again.
     let bytes = [frame(b'D', &vec![0; WHOLE * 2]), frame(b'Z', b"I")].concat();
     let found = units(Talk::Postgres, Side::Server, &bytes, &[255; 10]);
     assert_eq!(found.last().map(|unit| unit.kind), Some("ReadyForQuery"));
