--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -18,6 +18,17 @@
     Aborted,
 }
 
+impl Answer {
+    /// Its word in reports, which does not change with the names here.
+    pub fn report_word(self) -> &'static str {
+        match self {
+            Answer::Ok => "Ok",
+            Answer::PushedBack => "PushedBack",
+            Answer::Aborted => "Aborted",
+        }
+    }
+}
+
 /// What was observed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum What {
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -167,7 +167,7 @@
             writeln!(file, "{}", serde_json::json!({"at_s": secs(self, *at), "probed": member}))?;
         }
         for entry in &self.outcome.journal {
-            let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), format!("{answer:?}")));
+            let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), answer.report_word()));
             let line = serde_json::json!({"sent_s": secs(self, entry.sent), "rpc": entry.number, "router": entry.router, "until_s": secs(self, entry.until), "lost_s": entry.lost.map(|at| secs(self, at)),
                 "method": entry.method, "answered": answered});
             writeln!(file, "{line}")?;
