--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,35 +1,35 @@
 //! Rule 3: a draining member gets no new attempt once its drain has been published.
 
-use crate::checker::{Checker, Grace, Violation};
-use crate::history::{Event, MemberNo, What};
+use crate::checker::{Checker, Tolerance, Violation};
+use crate::history::{Event, EventKind, MemberIndex};
 use std::collections::HashMap;
 
 /// Checks rule 3.
 pub struct Drains {
-    grace: Grace,
+    tolerance: Tolerance,
     /// Draining members, with the event that published it.
-    draining: HashMap<MemberNo, Event>,
+    draining: HashMap<MemberIndex, Event>,
 }
 
 impl Drains {
     /// A checker of a history that is yet to begin.
-    pub fn new(grace: Grace) -> Drains {
-        Drains { grace, draining: HashMap::new() }
+    pub fn new(tolerance: Tolerance) -> Drains {
+        Drains { tolerance, draining: HashMap::new() }
     }
 }
 
 impl Checker for Drains {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        match event.what {
-            What::Draining { member } => {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        match event.kind {
+            EventKind::Draining { member } => {
                 self.draining.entry(member).or_insert(*event);
             }
-            What::Serving { member } => {
+            EventKind::Serving { member } => {
                 self.draining.remove(&member);
             }
-            What::CalledOut { rpc, member } => {
+            EventKind::AttemptSent { rpc, member } => {
                 let Some(published) = self.draining.get(&member) else { return };
-                if event.at > published.at + self.grace.news {
+                if event.at > published.at + self.tolerance.endpoint_update {
                     let text = format!("RPC {rpc:x} goes to member {member}, which wants nothing new");
                     let (rpc, member) = (Some(rpc), Some(member));
                     broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
@@ -39,7 +39,7 @@
         }
     }
 
-    fn kept(&self) -> usize {
+    fn tracked(&self) -> usize {
         self.draining.len()
     }
 }
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -1,7 +1,7 @@
 //! Rule 2: no effect happens twice, and an RPC has at most one attempt in flight.
 
 use crate::checker::{Checker, Violation};
-use crate::history::{Event, RpcId, What};
+use crate::history::{Event, EventKind, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
@@ -38,19 +38,19 @@
 }
 
 impl Checker for Effects {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         self.forget_expired(event.at);
         let mut report = |rpc, member, text: String, proof| {
             broken.push(Violation { rule: 2, rpc: Some(rpc), member: Some(member), text, proof });
         };
-        match event.what {
-            What::Taken { rpc, due, once, .. } => {
+        match event.kind {
+            EventKind::Accepted { rpc, deadline: due, run_once: once, .. } => {
                 let state = RpcState { run_once: once, in_flight: None, executed: None, may_have_run: None };
                 if self.rpcs.insert(rpc, state).is_none() {
                     self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
                 }
             }
-            What::CalledOut { rpc, member } => {
+            EventKind::AttemptSent { rpc, member } => {
                 let Some(state) = self.rpcs.get_mut(&rpc) else { return };
                 if let Some(first) = state.in_flight {
                     let text = format!("RPC {rpc:x} is called out while a call-out of it is out");
@@ -62,18 +62,18 @@
                 }
                 (state.in_flight, state.may_have_run) = (Some(*event), Some(*event));
             }
-            What::CallOutOver { rpc, .. } => {
+            EventKind::AttemptEnded { rpc, .. } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.in_flight = None;
                 }
             }
             // It never ran there, and may be sent again.
-            What::TurnedAway { rpc, .. } => {
+            EventKind::Rejected { rpc, .. } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     (state.in_flight, state.may_have_run) = (None, None);
                 }
             }
-            What::Ran { rpc, member } => {
+            EventKind::Executed { rpc, member } => {
                 let Some(state) = self.rpcs.get_mut(&rpc) else { return };
                 if let (true, Some(first)) = (state.run_once, state.executed) {
                     report(rpc, member, format!("RPC {rpc:x} has its effect twice"), vec![first, *event]);
@@ -84,7 +84,7 @@
         }
     }
 
-    fn kept(&self) -> usize {
+    fn tracked(&self) -> usize {
         self.rpcs.len()
     }
 }
--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -5,7 +5,7 @@
 /// An RPC of the history.
 pub type RpcId = u64;
 /// A member, by its place in the endpoint list.
-pub type MemberNo = u32;
+pub type MemberIndex = u32;
 
 /// The final answer of an RPC, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,9 +13,9 @@
     /// The result of the statement.
     Ok,
     /// It did not run.
-    PushedBack,
+    Rejected,
     /// It may have run: its effect is unknown.
-    Aborted,
+    Failed,
 }
 
 impl Answer {
@@ -23,25 +23,25 @@
     pub fn report_word(self) -> &'static str {
         match self {
             Answer::Ok => "Ok",
-            Answer::PushedBack => "PushedBack",
-            Answer::Aborted => "Aborted",
+            Answer::Rejected => "PushedBack",
+            Answer::Failed => "Aborted",
         }
     }
 }
 
 /// What was observed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum What {
+pub enum EventKind {
     /// A client's statement was received completely.
-    Taken {
+    Accepted {
         /// The RPC that begins.
         rpc: RpcId,
         /// When its client gives up.
-        due: Time,
+        deadline: Time,
         /// Its effect must not happen twice.
-        once: bool,
+        run_once: bool,
         /// A replica's data must not be older than this when an attempt is sent there.
-        bound: Option<Span>,
+        max_staleness: Option<Span>,
     },
     /// A client was answered.
     Answered {
@@ -53,72 +53,72 @@
         made_for: Option<RpcId>,
     },
     /// The client disconnected: no answer is due any more.
-    Left {
+    ClientLeft {
         /// Its RPC.
         rpc: RpcId,
     },
     /// The last byte of an attempt has reached the member's machine, or the fault injection in front of it.
-    CalledOut {
+    AttemptSent {
         /// The RPC that is attempted.
         rpc: RpcId,
         /// Where it was sent.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// That attempt has ended, as its connection shows: answered, rejected, or connection lost.
-    CallOutOver {
+    AttemptEnded {
         /// The RPC that was attempted.
         rpc: RpcId,
         /// Where it was sent.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// A member rejected an attempt before running it.
-    TurnedAway {
+    Rejected {
         /// The RPC that was attempted.
         rpc: RpcId,
         /// Who rejected it.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// A member began to run an attempt: it has its effect.
-    Ran {
+    Executed {
         /// The RPC that runs.
         rpc: RpcId,
         /// Where it runs.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// Discovery published that a member is draining.
     Draining {
         /// The member that accepts nothing new.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// Discovery published that a member serves again.
     Serving {
         /// The member that accepts RPCs.
-        member: MemberNo,
+        member: MemberIndex,
     },
     /// A member started and needs a slow start.
     Started {
         /// The member that warms up.
-        member: MemberNo,
+        member: MemberIndex,
         /// RPCs a second once it is warm.
         capacity: f64,
         /// Fraction of `capacity` that it has at its start.
-        cold_from: f64,
+        initial_fraction: f64,
         /// How long it takes to warm up.
-        warm_within: Span,
+        warm_up_time: Span,
         /// The window in which too many RPCs overload it.
-        overload_for: Span,
+        overload_window: Span,
     },
     /// A member has applied its log up to a position.
-    Reached {
+    PositionReached {
         /// The member whose position it is.
-        member: MemberNo,
+        member: MemberIndex,
         /// All that was committed up to then is applied.
         position: Time,
     },
     /// A member became or ceased to be the primary of its group, whose data is always current.
     Primary {
         /// The member whose role it is.
-        member: MemberNo,
+        member: MemberIndex,
         /// Whether it is the primary from now on.
         primary: bool,
     },
@@ -130,5 +130,5 @@
     /// When it was observed, as Unix time.
     pub at: Time,
     /// What was observed.
-    pub what: What,
+    pub kind: EventKind,
 }
--- a/crates/ladderpass-invariants/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -12,22 +12,22 @@
 mod slow_start;
 mod staleness;
 
-pub use checker::{Checker, Grace, Violation};
+pub use checker::{Checker, Tolerance, Violation};
 pub use draining::Drains;
 pub use effects::Effects;
-pub use history::{Answer, Event, MemberNo, RpcId, What};
+pub use history::{Answer, Event, EventKind, MemberIndex, RpcId};
 pub use one_answer::OneAnswer;
-pub use slow_start::Cold;
-pub use staleness::Stale;
+pub use slow_start::SlowStart;
+pub use staleness::Staleness;
 
 use ladderpass_routing::Time;
 
 /// Checks all five rules over one history.
-pub fn check(history: &[Event], grace: Grace) -> Vec<Violation> {
+pub fn check_history(history: &[Event], tolerance: Tolerance) -> Vec<Violation> {
     let mut broken = Vec::new();
-    let mut checkers = all(grace);
+    let mut checkers = all_checkers(tolerance);
     for event in history {
-        checkers.iter_mut().for_each(|checker| checker.see(event, &mut broken));
+        checkers.iter_mut().for_each(|checker| checker.observe(event, &mut broken));
     }
     let end = history.last().map_or(Time::default(), |event| event.at);
     checkers.iter_mut().for_each(|checker| checker.end(end, &mut broken));
@@ -35,12 +35,12 @@
 }
 
 /// A checker of each rule, by the rule's number.
-pub fn all(grace: Grace) -> Vec<Box<dyn Checker>> {
+pub fn all_checkers(tolerance: Tolerance) -> Vec<Box<dyn Checker>> {
     vec![
-        Box::new(OneAnswer::new(grace)),
+        Box::new(OneAnswer::new(tolerance)),
         Box::new(Effects::default()),
-        Box::new(Drains::new(grace)),
-        Box::new(Cold::default()),
-        Box::new(Stale::new(grace)),
+        Box::new(Drains::new(tolerance)),
+        Box::new(SlowStart::default()),
+        Box::new(Staleness::new(tolerance)),
     ]
 }
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,7 +1,7 @@
 //! Rule 1: each accepted RPC gets exactly one final answer before its client's deadline, and nothing after it.
 
-use crate::checker::{Checker, Grace, Violation};
-use crate::history::{Answer, Event, RpcId, What};
+use crate::checker::{Checker, Tolerance, Violation};
+use crate::history::{Answer, Event, EventKind, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
@@ -10,7 +10,7 @@
 
 /// Checks rule 1.
 pub struct OneAnswer {
-    grace: Grace,
+    tolerance: Tolerance,
     rpcs: HashMap<RpcId, RpcState>,
     /// When each RPC is checked next: at its deadline for an answer, later to be forgotten.
     checks: BTreeSet<(Time, RpcId)>,
@@ -26,8 +26,8 @@
 
 impl OneAnswer {
     /// A checker of a history that is yet to begin.
-    pub fn new(grace: Grace) -> OneAnswer {
-        OneAnswer { grace, rpcs: HashMap::new(), checks: BTreeSet::new() }
+    pub fn new(tolerance: Tolerance) -> OneAnswer {
+        OneAnswer { tolerance, rpcs: HashMap::new(), checks: BTreeSet::new() }
     }
 
     fn violation(rpc: RpcId, text: String, proof: Vec<Event>) -> Violation {
@@ -45,7 +45,7 @@
                 let text = format!("RPC {rpc:x} has no answer in its time");
                 broken.push(Self::violation(rpc, text, vec![state.accepted]));
             }
-            let forget_at = state.deadline + self.grace.answer + TRACK_AFTER_DEADLINE;
+            let forget_at = state.deadline + self.tolerance.answer + TRACK_AFTER_DEADLINE;
             if at < forget_at {
                 // Still tracked, for an answer that comes too late or twice.
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
@@ -61,7 +61,7 @@
     fn on_accepted(&mut self, rpc: RpcId, deadline: Time, event: &Event) {
         let state = RpcState { accepted: *event, deadline, answered: None, settled: false };
         if self.rpcs.insert(rpc, state).is_none() {
-            self.checks.insert((deadline + self.grace.answer, rpc));
+            self.checks.insert((deadline + self.tolerance.answer, rpc));
         }
     }
 
@@ -83,7 +83,7 @@
         }
         state.answered = Some(*event);
         let proof = vec![state.accepted, *event];
-        if event.at > state.deadline + self.grace.answer {
+        if event.at > state.deadline + self.tolerance.answer {
             let late_ms = (event.at - state.deadline).secs() * 1e3;
             let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms past its time");
             Some(Self::violation(rpc, text, proof))
@@ -96,14 +96,14 @@
 }
 
 impl Checker for OneAnswer {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         self.expire(event.at, broken);
-        match event.what {
-            What::Taken { rpc, due, .. } => self.on_accepted(rpc, due, event),
-            What::Answered { rpc, answer, made_for } => {
+        match event.kind {
+            EventKind::Accepted { rpc, deadline: due, .. } => self.on_accepted(rpc, due, event),
+            EventKind::Answered { rpc, answer, made_for } => {
                 broken.extend(self.on_answered(rpc, answer, made_for, event));
             }
-            What::Left { rpc } => {
+            EventKind::ClientLeft { rpc } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.settled = true;
                 }
@@ -116,7 +116,7 @@
         self.expire(at, broken);
     }
 
-    fn kept(&self) -> usize {
+    fn tracked(&self) -> usize {
         self.rpcs.len()
     }
 }
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -3,7 +3,7 @@
 //! (two standard deviations of a Poisson process), and two.
 
 use crate::checker::{Checker, Violation};
-use crate::history::{Event, MemberNo, What};
+use crate::history::{Event, EventKind, MemberIndex};
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
@@ -16,20 +16,20 @@
 
 /// Checks rule 4.
 #[derive(Default)]
-pub struct Cold {
-    members: HashMap<MemberNo, MemberState>,
+pub struct SlowStart {
+    members: HashMap<MemberIndex, MemberState>,
     /// The largest excess of a window over what the member can serve and `MARGIN_RPCS`, in square roots of the former.
     max_excess: Option<f64>,
 }
 
-impl Cold {
+impl SlowStart {
     /// The largest excess of a window, in square roots of what the member can serve; up to `MARGIN_ROOTS` is allowed.
     /// Negative infinity where no attempt went to a member in slow start.
-    pub fn roots(&self) -> f64 {
+    pub fn max_excess(&self) -> f64 {
         self.max_excess.unwrap_or(f64::NEG_INFINITY)
     }
 
-    fn on_attempt(&mut self, rpc: u64, member: MemberNo, event: &Event) -> Option<Violation> {
+    fn on_attempt(&mut self, rpc: u64, member: MemberIndex, event: &Event) -> Option<Violation> {
         let state = self.members.get_mut(&member)?;
         if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM {
             self.members.remove(&member);
@@ -91,10 +91,16 @@
     }
 }
 
-impl Checker for Cold {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        match event.what {
-            What::Started { member, capacity, cold_from, warm_within, overload_for } => {
+impl Checker for SlowStart {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        match event.kind {
+            EventKind::Started {
+                member,
+                capacity,
+                initial_fraction: cold_from,
+                warm_up_time: warm_within,
+                overload_window: overload_for,
+            } => {
                 let state = MemberState {
                     started: *event,
                     capacity,
@@ -106,12 +112,12 @@
                 };
                 self.members.insert(member, state);
             }
-            What::CalledOut { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            EventKind::AttemptSent { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
             _ => {}
         }
     }
 
-    fn kept(&self) -> usize {
+    fn tracked(&self) -> usize {
         self.members.len() + self.members.values().map(|state| state.window.len()).sum::<usize>()
     }
 }
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -1,7 +1,7 @@
 //! Rule 5: no stale read. A read with a maximum staleness goes to no replica whose data was older when it was sent.
 
-use crate::checker::{Checker, Grace, Violation};
-use crate::history::{Event, MemberNo, RpcId, What};
+use crate::checker::{Checker, Tolerance, Violation};
+use crate::history::{Event, EventKind, MemberIndex, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -11,12 +11,12 @@
 const MAX_POSITIONS_PER_MEMBER: usize = 64;
 
 /// Checks rule 5.
-pub struct Stale {
-    grace: Grace,
+pub struct Staleness {
+    tolerance: Tolerance,
     max_staleness: HashMap<RpcId, Span>,
     /// When each RPC is forgotten.
     forget_at: BTreeSet<(Time, RpcId)>,
-    members: HashMap<MemberNo, MemberState>,
+    members: HashMap<MemberIndex, MemberState>,
 }
 
 #[derive(Default)]
@@ -26,10 +26,15 @@
     positions: VecDeque<(Time, Time)>,
 }
 
-impl Stale {
+impl Staleness {
     /// A checker of a history that is yet to begin.
-    pub fn new(grace: Grace) -> Stale {
-        Stale { grace, max_staleness: HashMap::new(), forget_at: BTreeSet::new(), members: HashMap::new() }
+    pub fn new(tolerance: Tolerance) -> Staleness {
+        Staleness {
+            tolerance,
+            max_staleness: HashMap::new(),
+            forget_at: BTreeSet::new(),
+            members: HashMap::new(),
+        }
     }
 
     fn forget_expired(&mut self, now: Time) {
@@ -42,12 +47,12 @@
     }
 
     /// The violation that an attempt proves, if any.
-    fn on_attempt(&self, rpc: RpcId, member: MemberNo, event: &Event) -> Option<Violation> {
+    fn on_attempt(&self, rpc: RpcId, member: MemberIndex, event: &Event) -> Option<Violation> {
         let max_staleness = *self.max_staleness.get(&rpc)?;
         let state = self.members.get(&member)?;
         // A member without any reported position can't be proven stale.
         let position = state.positions.iter().map(|&(_, position)| position).max()?;
-        if state.primary || position + max_staleness + self.grace.position >= event.at {
+        if state.primary || position + max_staleness + self.tolerance.position >= event.at {
             return None;
         }
         let age_ms = (event.at - position).secs() * 1e3;
@@ -59,28 +64,30 @@
     }
 }
 
-impl Checker for Stale {
-    fn see(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+impl Checker for Staleness {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         self.forget_expired(event.at);
-        match event.what {
-            What::Taken { rpc, due, bound: Some(bound), .. } => {
+        match event.kind {
+            EventKind::Accepted { rpc, deadline: due, max_staleness: Some(bound), .. } => {
                 self.max_staleness.insert(rpc, bound);
                 self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
             }
-            What::Primary { member, primary } => self.members.entry(member).or_default().primary = primary,
-            What::Reached { member, position } => {
+            EventKind::Primary { member, primary } => {
+                self.members.entry(member).or_default().primary = primary
+            }
+            EventKind::PositionReached { member, position } => {
                 let state = self.members.entry(member).or_default();
                 state.positions.push_back((event.at, position));
                 while state.positions.len() > MAX_POSITIONS_PER_MEMBER {
                     state.positions.pop_front();
                 }
             }
-            What::CalledOut { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            EventKind::AttemptSent { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
             _ => {}
         }
     }
 
-    fn kept(&self) -> usize {
+    fn tracked(&self) -> usize {
         self.max_staleness.len() + self.members.len()
     }
 }
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::*;
-use ladderpass_invariants::{Checker, Cold, Event, Violation, What};
+use ladderpass_invariants::{Checker, Event, EventKind, SlowStart, Violation};
 use ladderpass_routing::*;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
@@ -144,8 +144,8 @@
 
     fn on_decision(&mut self, ms: i64, router: usize, rpc: RpcId, decision: Decision) {
         if let Some(member) = sent_to(decision) {
-            let what = What::CalledOut { rpc: self.events.len() as u64, member };
-            self.events.push(Event { at: at(ms), what });
+            let what = EventKind::AttemptSent { rpc: self.events.len() as u64, member };
+            self.events.push(Event { at: at(ms), kind: what });
             let latency_ms = (-(1.0 - self.random.generate::<f64>()).ln() * MEAN_LATENCY_MS as f64) as i64;
             let ends = ms + (1 + latency_ms / STEP_MS) * STEP_MS;
             self.attempts.entry(ends).or_default().push(Attempt { router, rpc, member });
@@ -165,8 +165,14 @@
                     (self.case.capacity * self.case.multiple, self.deployment.slow_start_capacity);
                 let (warm_within, overload_for) =
                     (self.deployment.slow_start_duration, self.deployment.overload_window);
-                let what = What::Started { member, capacity, cold_from, warm_within, overload_for };
-                self.events.push(Event { at: at(ms), what });
+                let what = EventKind::Started {
+                    member,
+                    capacity,
+                    initial_fraction: cold_from,
+                    warm_up_time: warm_within,
+                    overload_window: overload_for,
+                };
+                self.events.push(Event { at: at(ms), kind: what });
             }
         }
         if let Some((_, count)) = self.case.restart.filter(|&(when, _)| when == ms) {
@@ -236,10 +242,12 @@
     for ms in (0..=model.case.lasts).step_by(STEP_MS as usize) {
         model.step(ms);
     }
-    let (mut checker, mut violations) = (Cold::default(), Vec::new());
-    model.events.iter().for_each(|event| checker.see(event, &mut violations));
-    let goes_to_starting = |event: &&Event| match event.what {
-        What::CalledOut { member, .. } => event.at >= at(STARTS) && model.case.starting.contains(&member),
+    let (mut checker, mut violations) = (SlowStart::default(), Vec::new());
+    model.events.iter().for_each(|event| checker.observe(event, &mut violations));
+    let goes_to_starting = |event: &&Event| match event.kind {
+        EventKind::AttemptSent { member, .. } => {
+            event.at >= at(STARTS) && model.case.starting.contains(&member)
+        }
         _ => false,
     };
     let to_starting = model.events.iter().filter(goes_to_starting).count();
--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -12,7 +12,7 @@
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_fault_injection::plan::LinkShape;
 use ladderpass_fault_injection::{Rule, Talk};
-use ladderpass_invariants::{Grace, Violation};
+use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -171,7 +171,7 @@
         let members = self.scenario.members();
         let links = (0..members).map(|member| (member, (0, member as u32))).collect();
         let started = Started::all(&self.scenario, self.outcome.began, self.bears);
-        let grace = Grace { answer: answers, ..Grace::default() };
+        let grace = Tolerance { answer: answers, ..Tolerance::default() };
         let history = History {
             scenario: &self.scenario,
             links: &links,
--- a/crates/ladderpass-testbed/src/drill/play.rs
+++ b/crates/ladderpass-testbed/src/drill/play.rs
@@ -12,7 +12,7 @@
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
 use ladderpass_fault_injection::{DatagramRule, Deed as Done, End, Sent, Talk};
-use ladderpass_invariants::{Grace, Violation};
+use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use nix::sys::signal::Signal;
 use std::collections::HashMap;
@@ -501,7 +501,8 @@
         let fleet_started = self.fleet.started();
         let truth = self.fleet.stop();
         let started = Started::all(&self.drill.scenario, fleet_started, self.drill.bears);
-        let grace = Grace { answer: Span::from_millis(i64::from(self.drill.grace_ms)), ..Grace::default() };
+        let grace =
+            Tolerance { answer: Span::from_millis(i64::from(self.drill.grace_ms)), ..Tolerance::default() };
         let history = History {
             scenario: &self.drill.scenario,
             links: &links,
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -31,8 +31,8 @@
                     counts.ok += 1;
                     counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft / 1e3));
                 }
-                Some((_, Answer::PushedBack, _)) => counts.pushed_back += 1,
-                Some((_, Answer::Aborted, _)) => counts.aborted += 1,
+                Some((_, Answer::Rejected, _)) => counts.pushed_back += 1,
+                Some((_, Answer::Failed, _)) => counts.aborted += 1,
                 None => counts.unanswered += 1,
             }
         }
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -8,7 +8,7 @@
 use ladderpass_emulator::{Scenario, Truth};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{
-    Answer, Checker, Cold, Drains, Effects, Event, Grace, OneAnswer, Stale, Violation, What,
+    Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
 };
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, HashMap};
@@ -55,7 +55,16 @@
 
     fn event(&self) -> Event {
         let Started { at, member, capacity, cold_from, warm_within, overload_for } = *self;
-        Event { at, what: What::Started { member, capacity, cold_from, warm_within, overload_for } }
+        Event {
+            at,
+            kind: EventKind::Started {
+                member,
+                capacity,
+                initial_fraction: cold_from,
+                warm_up_time: warm_within,
+                overload_window: overload_for,
+            },
+        }
     }
 }
 
@@ -63,11 +72,11 @@
 /// at most between what it got and that, beyond the few that are put down to chance.
 pub fn cold_at_members(started: &[Started], truth: &Truth) -> (Vec<Violation>, f64) {
     let came = (0..).zip(&truth.came);
-    let came =
-        came.map(|(rpc, came)| Event { at: came.at, what: What::CalledOut { rpc, member: came.member } });
-    let mut cold = Cold::default();
+    let came = came
+        .map(|(rpc, came)| Event { at: came.at, kind: EventKind::AttemptSent { rpc, member: came.member } });
+    let mut cold = SlowStart::default();
     let broken = run_by(started.iter().map(Started::event).chain(came).collect(), &mut cold);
-    (broken, cold.roots())
+    (broken, cold.max_excess())
 }
 
 pub struct History<'a> {
@@ -83,7 +92,7 @@
     pub absences: &'a [Absence],
     pub drained: &'a [Drained],
     pub started: &'a [Started],
-    pub grace: Grace,
+    pub grace: Tolerance,
 }
 
 /// After a router is back its clients may hear late answers of before.
@@ -106,23 +115,28 @@
         for router in routers {
             broken.extend(run(self.of_drains(router), Drains::new(self.grace)));
         }
-        broken.extend(run(self.of_cold(None), Cold::default()));
-        broken.extend(run(self.of_reads(), Stale::new(self.grace)));
+        broken.extend(run(self.of_cold(None), SlowStart::default()));
+        broken.extend(run(self.of_reads(), Staleness::new(self.grace)));
         broken.extend(self.lies());
         broken
     }
 
     /// Rule 4 over what a single router alone has sent.
     pub fn cold_by(&self, router: usize) -> Vec<Violation> {
-        run(self.of_cold(Some(router)), Cold::default())
+        run(self.of_cold(Some(router)), SlowStart::default())
     }
 
     fn taken(&self, entry: &Entry) -> Event {
         let method = self.scenario.methods.get(entry.method);
         let bound = method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what = What::Taken { rpc: entry.number, due: entry.until, once, bound };
-        Event { at: entry.sent, what }
+        let what = EventKind::Accepted {
+            rpc: entry.number,
+            deadline: entry.until,
+            run_once: once,
+            max_staleness: bound,
+        };
+        Event { at: entry.sent, kind: what }
     }
 
     /// Could its router not answer at some time while its client waited?
@@ -148,15 +162,18 @@
             let excused = self.is_excused(entry);
             match entry.answered {
                 Some((at, answer, made_for)) if in_time(at) || !excused => {
-                    events.push(Event { at, what: What::Answered { rpc, answer, made_for } });
+                    events.push(Event { at, kind: EventKind::Answered { rpc, answer, made_for } });
                 }
-                _ if excused => events.push(Event { at: entry.sent, what: What::Left { rpc } }),
+                _ if excused => events.push(Event { at: entry.sent, kind: EventKind::ClientLeft { rpc } }),
                 _ => {}
             }
         }
         // All have had their time.
         let end = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
-        events.push(Event { at: end + Span::from_millis(10_000), what: What::Left { rpc: u64::MAX } });
+        events.push(Event {
+            at: end + Span::from_millis(10_000),
+            kind: EventKind::ClientLeft { rpc: u64::MAX },
+        });
         events
     }
 
@@ -175,32 +192,36 @@
             for came in self.truth.came.iter().filter(|came| !came.turned_away) {
                 let Some(rpc) = self.number(&came.id) else { continue };
                 let (at, member) = (came.at, came.member);
-                events.push(Event { at, what: What::CalledOut { rpc, member } });
-                events.push(Event { at, what: What::CallOutOver { rpc, member } });
+                events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
+                events.push(Event { at, kind: EventKind::AttemptEnded { rpc, member } });
             }
         }
         for (at, _, member, rpc, begins) in self.passings() {
-            let what =
-                if begins { What::CalledOut { rpc, member } } else { What::CallOutOver { rpc, member } };
-            events.push(Event { at, what });
+            let what = if begins {
+                EventKind::AttemptSent { rpc, member }
+            } else {
+                EventKind::AttemptEnded { rpc, member }
+            };
+            events.push(Event { at, kind: what });
         }
         for came in self.truth.came.iter().filter(|came| came.turned_away) {
             let Some(rpc) = self.number(&came.id) else { continue };
-            events.push(Event { at: came.at, what: What::TurnedAway { rpc, member: came.member } });
+            events.push(Event { at: came.at, kind: EventKind::Rejected { rpc, member: came.member } });
         }
         for ran in &self.truth.ran {
             let Some(rpc) = self.number(&ran.id) else { continue };
-            events.push(Event { at: ran.at, what: What::Ran { rpc, member: ran.member } });
+            events.push(Event { at: ran.at, kind: EventKind::Executed { rpc, member: ran.member } });
         }
         events
     }
 
     fn of_drains(&self, router: usize) -> Vec<Event> {
         let told = self.drained.iter().filter(|drained| drained.router == router);
-        let told =
-            told.map(|drained| Event { at: drained.at, what: What::Draining { member: drained.member } });
+        let told = told
+            .map(|drained| Event { at: drained.at, kind: EventKind::Draining { member: drained.member } });
         let own = self.passings().filter(|&(_, by, .., begins)| by == router && begins);
-        let own = own.map(|(at, _, member, rpc, _)| Event { at, what: What::CalledOut { rpc, member } });
+        let own =
+            own.map(|(at, _, member, rpc, _)| Event { at, kind: EventKind::AttemptSent { rpc, member } });
         told.chain(own).collect()
     }
 
@@ -208,7 +229,8 @@
         let started = self.started.iter().map(Started::event);
         let sent =
             self.passings().filter(|&(_, by, .., begins)| begins && router.is_none_or(|one| one == by));
-        let sent = sent.map(|(at, _, member, rpc, _)| Event { at, what: What::CalledOut { rpc, member } });
+        let sent =
+            sent.map(|(at, _, member, rpc, _)| Event { at, kind: EventKind::AttemptSent { rpc, member } });
         started.chain(sent).collect()
     }
 
@@ -218,8 +240,8 @@
         for came in self.truth.came.iter().filter(|came| !came.turned_away) {
             let Some(rpc) = self.number(&came.id) else { continue };
             let (at, member, position) = (came.at, came.member, came.position);
-            events.push(Event { at, what: What::Reached { member, position } });
-            events.push(Event { at, what: What::CalledOut { rpc, member } });
+            events.push(Event { at, kind: EventKind::PositionReached { member, position } });
+            events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
         }
         events
     }
@@ -235,29 +257,32 @@
             let (rpc, member) = (Some(entry.number), ran.get(&entry.number).copied());
             let text = match (answer, member) {
                 (Answer::Ok, None) => "is answered ok and never ran",
-                (Answer::PushedBack, Some(_)) => "is pushed back and ran",
+                (Answer::Rejected, Some(_)) => "is pushed back and ran",
                 _ => continue,
             };
             let text = format!("write {:x} {text}", entry.number);
-            let what = What::Answered { rpc: entry.number, answer, made_for };
-            broken.push(Violation { rule: 2, rpc, member, text, proof: vec![Event { at, what }] });
+            let what = EventKind::Answered { rpc: entry.number, answer, made_for };
+            broken.push(Violation { rule: 2, rpc, member, text, proof: vec![Event { at, kind: what }] });
         }
         broken
     }
 }
 
 /// What is caused first stands first, where two have one time.
-fn order(what: &What) -> u8 {
+fn order(what: &EventKind) -> u8 {
     match what {
-        What::Started { .. } | What::Draining { .. } | What::Serving { .. } | What::Primary { .. } => 0,
-        What::Taken { .. } => 1,
-        What::Reached { .. } => 2,
-        What::CalledOut { .. } => 3,
-        What::Ran { .. } => 4,
-        What::TurnedAway { .. } => 5,
-        What::CallOutOver { .. } => 6,
-        What::Answered { .. } => 7,
-        What::Left { .. } => 8,
+        EventKind::Started { .. }
+        | EventKind::Draining { .. }
+        | EventKind::Serving { .. }
+        | EventKind::Primary { .. } => 0,
+        EventKind::Accepted { .. } => 1,
+        EventKind::PositionReached { .. } => 2,
+        EventKind::AttemptSent { .. } => 3,
+        EventKind::Executed { .. } => 4,
+        EventKind::Rejected { .. } => 5,
+        EventKind::AttemptEnded { .. } => 6,
+        EventKind::Answered { .. } => 7,
+        EventKind::ClientLeft { .. } => 8,
     }
 }
 
@@ -266,9 +291,9 @@
 }
 
 fn run_by(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
-    events.sort_by_key(|event| (event.at, order(&event.what)));
+    events.sort_by_key(|event| (event.at, order(&event.kind)));
     let mut broken = Vec::new();
-    events.iter().for_each(|event| checker.see(event, &mut broken));
+    events.iter().for_each(|event| checker.observe(event, &mut broken));
     checker.end(events.last().map_or(Time::default(), |event| event.at), &mut broken);
     broken
 }
--- a/crates/ladderpass-testbed/src/load.rs
+++ b/crates/ladderpass-testbed/src/load.rs
@@ -803,8 +803,8 @@
         if let Some(entry) = self.entry(out.number) {
             let answer = match (ok, pushed) {
                 (true, _) => Answer::Ok,
-                (_, true) => Answer::PushedBack,
-                _ => Answer::Aborted,
+                (_, true) => Answer::Rejected,
+                _ => Answer::Failed,
             };
             // A second answer to one would be nobody's, which is counted as such.
             entry.answered = Some((at, answer, told.row.flatten()));
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -116,7 +116,7 @@
         .iter()
         .filter(|entry| entry.router == router && secs_of(played, entry) > 2.0)
         .filter_map(|entry| match entry.answered {
-            Some((at, Answer::PushedBack, _)) => Some((at - entry.sent).secs() * 1e3),
+            Some((at, Answer::Rejected, _)) => Some((at - entry.sent).secs() * 1e3),
             _ => None,
         })
         .collect();
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -3,7 +3,7 @@
 use ladderpass_emulator::truth::{Came, Ran};
 use ladderpass_emulator::{Scenario, Truth};
 use ladderpass_fault_injection::engine::Passed;
-use ladderpass_invariants::{Answer, Grace};
+use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
 use ladderpass_testbed::load::Entry;
@@ -72,7 +72,7 @@
             absences: &self.absences,
             drained: &self.drained,
             started: &self.started,
-            grace: Grace::default(),
+            grace: Tolerance::default(),
         }
     }
 }
@@ -116,7 +116,7 @@
     world.pass(9, 2, 2, true);
     world.ran(10, 0, 2);
     assert_eq!(world.rules(), [0u8; 0]);
-    world.journal[1].answered = Some((at(20), Answer::PushedBack, None));
+    world.journal[1].answered = Some((at(20), Answer::Rejected, None));
     assert_eq!(world.rules(), [2]);
 }
 
