--- a/crates/ladderpass-emulator/src/truth.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -6,7 +6,7 @@
 
 /// One attempt that a member began to run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct Execution {
     /// When it began.
     pub at: Time,
     /// Index of the member.
@@ -23,7 +23,7 @@
 
 /// One attempt that arrived at a member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Came {
+pub struct Arrival {
     /// When it arrived, or when it expired in the member's queue.
     pub at: Time,
     /// Index of the member.
@@ -33,35 +33,35 @@
     /// The position of the member's data then.
     pub position: Time,
     /// It was rejected and never ran.
-    pub turned_away: bool,
+    pub rejected: bool,
 }
 
 /// What all members of a run observed.
 #[derive(Debug, Default)]
-pub struct Truth {
+pub struct ExecutionLog {
     /// Each attempt that began to run.
-    pub ran: Vec<Ran>,
+    pub executions: Vec<Execution>,
     /// Each attempt that arrived, where the scenario's `history` is on.
-    pub came: Vec<Came>,
+    pub arrivals: Vec<Arrival>,
     /// Each health check that arrived, as its time and the member's index, where the scenario's `history` is on.
-    pub probes: Vec<(Time, u32)>,
+    pub health_checks: Vec<(Time, u32)>,
     /// Attempts rejected because the queue was full.
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Attempts that expired in the queue.
-    pub over_before: u64,
+    pub expired: u64,
 }
 
-impl Truth {
+impl ExecutionLog {
     /// Writes the executions, one JSON object a line.
     ///
     /// # Errors
     ///
     /// What the writer returns.
     pub fn write_lines(&self, out: &mut impl Write) -> io::Result<()> {
-        for ran in &self.ran {
+        for execution in &self.executions {
             let line = serde_json::json!({
-                "at_ms": ran.at.nanos() as f64 / 1e6, "member": ran.member, "id": &*ran.id, "method": ran.method,
-                "writes": ran.writes, "position_ms": ran.position.nanos() as f64 / 1e6,
+                "at_ms": execution.at.nanos() as f64 / 1e6, "member": execution.member, "id": &*execution.id, "method": execution.method,
+                "writes": execution.writes, "position_ms": execution.position.nanos() as f64 / 1e6,
             });
             writeln!(out, "{line}")?;
         }
--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -6,9 +6,9 @@
 
 pub use crate::clock::now;
 
+use crate::execution_log::ExecutionLog;
 use crate::model::Input;
 use crate::scenario::Scenario;
-use crate::truth::Truth;
 use driver::{Driver, WAKE};
 use ladderpass_routing::{Span, Time};
 use mio::net::TcpListener;
@@ -29,7 +29,7 @@
 const NO_THREAD: usize = usize::MAX;
 
 /// An emulator that runs on threads of its own, until it is stopped or dropped.
-pub struct Running {
+pub struct RunningEmulator {
     /// Addresses of the members, by their index.
     pub addresses: Vec<SocketAddr>,
     /// Address of the first discovery service.
@@ -41,14 +41,14 @@
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningEmulator {
     /// Starts the members and one discovery service on this address, at ports of the system's choice.
     ///
     /// # Errors
     ///
     /// If a socket, a poll or a thread can't be made.
-    pub fn start(scenario: Scenario, seed: u64, address: Ipv4Addr) -> io::Result<Running> {
-        Running::start_listed(scenario, seed, address, 1)
+    pub fn start(scenario: Scenario, seed: u64, address: Ipv4Addr) -> io::Result<RunningEmulator> {
+        RunningEmulator::start_with_lists(scenario, seed, address, 1)
     }
 
     /// Starts with several discovery services, so that routers can reach the members at different addresses.
@@ -56,25 +56,25 @@
     /// # Errors
     ///
     /// If a socket, a poll or a thread can't be made.
-    pub fn start_listed(
+    pub fn start_with_lists(
         scenario: Scenario,
         seed: u64,
         address: Ipv4Addr,
         lists: usize,
-    ) -> io::Result<Running> {
-        let thread_count = MAX_THREADS.min(scenario.members());
+    ) -> io::Result<RunningEmulator> {
+        let thread_count = MAX_THREADS.min(scenario.member_count());
         let polls = (0..thread_count).map(|_| Poll::new()).collect::<io::Result<Vec<_>>>()?;
         let wakers =
             polls.iter().map(|poll| Waker::new(poll.registry(), WAKE)).collect::<io::Result<Vec<_>>>()?;
         let bind = || TcpListener::bind(SocketAddr::V4(SocketAddrV4::new(address, 0)));
         let listeners =
-            (0..scenario.members() + lists.max(1)).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
+            (0..scenario.member_count() + lists.max(1)).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
         let mut addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
-        let discoveries = addresses.split_off(scenario.members());
+        let discoveries = addresses.split_off(scenario.member_count());
         let discovery = *discoveries.first().ok_or_else(|| io::Error::other("no listener"))?;
         let list = EndpointList { addresses: addresses.clone(), draining: BTreeSet::new(), generation: 1 };
         let watch_interval = Span::from_secs_f64(scenario.watch_every_ms.max(MIN_WATCH_INTERVAL_MS) / 1e3);
-        let listeners = assign_to_threads(listeners, scenario.members(), thread_count);
+        let listeners = assign_to_threads(listeners, scenario.member_count(), thread_count);
         let shared = Arc::new(Shared::new(scenario, seed, vec![list; discoveries.len()], wakers));
         let (mut commands, mut threads) = (Vec::new(), Vec::new());
         for (thread, (poll, listeners)) in polls.into_iter().zip(listeners).enumerate() {
@@ -83,19 +83,19 @@
             let driver = Driver::new(thread, poll, shared.clone(), listeners, receiver, watch_interval)?;
             threads.push(spawn(thread, driver)?);
         }
-        Ok(Running { addresses, discovery, discoveries, commands, shared, threads })
+        Ok(RunningEmulator { addresses, discovery, discoveries, commands, shared, threads })
     }
 
     /// Sets the members' addresses in all endpoint lists, for example those of proxies in front of the members. Only
     /// watches that begin later see them.
-    pub fn present(&self, addresses: &[SocketAddr]) {
+    pub fn set_addresses(&self, addresses: &[SocketAddr]) {
         for list in 0..self.discoveries.len() {
-            self.present_by(list, addresses);
+            self.set_list_addresses(list, addresses);
         }
     }
 
     /// Sets the members' addresses in one endpoint list.
-    pub fn present_by(&self, list: usize, addresses: &[SocketAddr]) {
+    pub fn set_list_addresses(&self, list: usize, addresses: &[SocketAddr]) {
         self.shared.set_addresses(list, addresses);
     }
 
@@ -103,38 +103,38 @@
     pub fn drain(&self, member: u32) {
         for list in 0..self.discoveries.len() {
             self.shared.mark_draining(list, member);
-            self.say(list, &self.shared.list_line(list, Some(member)));
+            self.send_line(list, &self.shared.list_line(list, Some(member)));
             self.shared.record_drain(list, member);
         }
     }
 
     /// When it started.
-    pub fn started(&self) -> Time {
+    pub fn started_at(&self) -> Time {
         self.shared.started_at
     }
 
     /// The drains published by now: when, by which list, of which member.
-    pub fn drained(&self) -> Vec<(Time, usize, u32)> {
+    pub fn drains(&self) -> Vec<(Time, usize, u32)> {
         self.shared.drains()
     }
 
     /// Sends a line, as it is, to the watches of a list.
-    pub fn say(&self, list: usize, line: &str) {
+    pub fn send_line(&self, list: usize, line: &str) {
         self.send(|| Command::SendLine(list, line.to_owned()));
     }
 
     /// Something happens to a member.
-    pub fn tell(&self, member: u32, input: Input) {
-        if input == Input::Dies {
+    pub fn apply(&self, member: u32, input: Input) {
+        if input == Input::Crash {
             self.send(|| Command::Crash(member));
         }
         self.shared.apply(NO_THREAD, member, input);
     }
 
     /// Stops it, and gives what ran where.
-    pub fn stop(mut self) -> Truth {
+    pub fn stop(mut self) -> ExecutionLog {
         self.join();
-        std::mem::take(&mut self.shared.model().truth)
+        std::mem::take(&mut self.shared.model().execution_log)
     }
 
     fn send(&self, command: impl Fn() -> Command) {
@@ -152,7 +152,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningEmulator {
     fn drop(&mut self) {
         self.join();
     }
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -2,7 +2,7 @@
 
 use super::shared::{Command, Owner, Shared};
 use crate::clock::now;
-use crate::model::{Ask, Conn, Input, Output, Reply};
+use crate::model::{ConnectionId, Input, Output, Reply, Request};
 use crate::proto;
 use ladderpass_routing::{Span, Time};
 use mio::net::{TcpListener, TcpStream};
@@ -135,8 +135,8 @@
     }
 
     /// The model's number of a connection: unique over all threads.
-    fn connection_id(&self, index: usize) -> Conn {
-        Conn((index * self.shared.thread_count() + self.thread) as u64)
+    fn connection_id(&self, index: usize) -> ConnectionId {
+        ConnectionId((index * self.shared.thread_count() + self.thread) as u64)
     }
 
     fn accept(&mut self, listener: usize) -> io::Result<()> {
@@ -230,33 +230,38 @@
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
         let mut used = 0;
         if !connection.opened {
-            let Some(length) = proto::startup(input) else { return 0 };
+            let Some(length) = proto::parse_startup(input) else { return 0 };
             connection.opened = true;
             used = length;
-            self.shared.apply(self.thread, member, Input::Opened(id));
+            self.shared.apply(self.thread, member, Input::ConnectionOpened(id));
         }
-        while let Some((kind, body, length)) = proto::frame(input.get(used..).unwrap_or_default()) {
+        while let Some((kind, body, length)) = proto::parse_frame(input.get(used..).unwrap_or_default()) {
             used += length;
             let Some(request) = self.decode_request(kind, body) else {
                 self.close(index);
                 return used;
             };
-            self.shared.apply(self.thread, member, Input::Asked(id, request));
+            self.shared.apply(self.thread, member, Input::RequestReceived(id, request));
         }
         used
     }
 
     /// The request of a frame, if it is one.
-    fn decode_request(&self, kind: u8, body: &[u8]) -> Option<Ask> {
+    fn decode_request(&self, kind: u8, body: &[u8]) -> Option<Request> {
         let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
         match (kind, statement) {
-            (b'Q', "") => Some(Ask::Nothing),
-            (b'Q', "SHOW server_load") => Some(Ask::Load),
+            (b'Q', "") => Some(Request::EmptyQuery),
+            (b'Q', "SHOW server_load") => Some(Request::LoadReport),
             (b'Q', statement) => {
-                let comment = proto::comment(statement)?;
-                let method = self.shared.scenario.method(comment.method).unwrap_or(usize::MAX) as u32;
+                let comment = proto::parse_comment(statement)?;
+                let method = self.shared.scenario.method_index(comment.method).unwrap_or(usize::MAX) as u32;
                 let id = comment.id.into();
-                Some(Ask::Statement { id, method, wait: comment.wait, after: comment.after })
+                Some(Request::Statement {
+                    id,
+                    method,
+                    wait: comment.wait,
+                    min_position: comment.min_position,
+                })
             }
             _ => None,
         }
@@ -300,18 +305,18 @@
     }
 
     fn encode_reply(&mut self, output: Output) {
-        let index = output.conn.0 as usize / self.shared.thread_count();
+        let index = output.connection.0 as usize / self.shared.thread_count();
         let Some(connection) = self.connections.get_mut(&index) else { return };
         let out = &mut connection.output;
         match output.reply {
-            Reply::Welcome => proto::put_welcome(out),
-            Reply::Nothing => {
-                proto::put(out, b'I', &[]);
+            Reply::ConnectionReady => proto::put_startup_response(out),
+            Reply::EmptyQueryResponse => {
+                proto::put_message(out, b'I', &[]);
                 proto::put_ready(out);
             }
-            Reply::Report { position, primary, waiting } => {
+            Reply::LoadReport { position, primary, queued } => {
                 let position_secs = position.nanos() as f64 / 1e9;
-                let text = format!("x0={position_secs:.6},x1={},q={waiting}", u8::from(primary));
+                let text = format!("x0={position_secs:.6},x1={},q={queued}", u8::from(primary));
                 proto::put_row(out, text.as_bytes(), false, primary, None);
             }
             Reply::Row { id, method, primary, position } => {
@@ -322,8 +327,8 @@
                 value.resize(size.max(value.len()), b'.');
                 proto::put_row(out, &value, writes, primary, Some(position));
             }
-            Reply::Refused(sqlstate) => proto::put_error(out, "ERROR", sqlstate),
-            Reply::Fatal(sqlstate) => {
+            Reply::Error(sqlstate) => proto::put_error(out, "ERROR", sqlstate),
+            Reply::FatalError(sqlstate) => {
                 proto::put_error(out, "FATAL", sqlstate);
                 connection.closing = true;
             }
@@ -356,7 +361,7 @@
     fn close(&mut self, index: usize) {
         if let Some(Connection { owner: Owner::Member(member), .. }) = self.connections.remove(&index) {
             let id = self.connection_id(index);
-            self.shared.apply(self.thread, member, Input::Closed(id));
+            self.shared.apply(self.thread, member, Input::ConnectionClosed(id));
         }
     }
 }
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -91,7 +91,7 @@
         let mut model = self.model();
         model.advance(now());
         self.distribute(thread, &mut model);
-        model.wake()
+        model.next_wake()
     }
 
     /// Takes the replies for a thread's connections.
@@ -100,8 +100,8 @@
     }
 
     fn distribute(&self, thread: usize, model: &mut Model) {
-        for output in model.outputs() {
-            let owner = output.conn.0 as usize % self.outboxes.len();
+        for output in model.take_outputs() {
+            let owner = output.connection.0 as usize % self.outboxes.len();
             lock(&self.outboxes[owner]).push(output);
             if owner != thread {
                 // A thread that has ended has no connections left.
@@ -114,7 +114,7 @@
     pub fn list_line(&self, list: usize, only: Option<u32>) -> String {
         let lists = lock(&self.lists);
         let Some(list) = lists.get(list) else { return String::new() };
-        let mut entries = self.scenario.entries(self.started_at, &list.addresses);
+        let mut entries = self.scenario.endpoint_entries(self.started_at, &list.addresses);
         for &member in &list.draining {
             if let Some(entry) = entries.get_mut(member as usize) {
                 entry["lifecycle"] = "DRAINING".into();
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -7,10 +7,10 @@
 mod member;
 mod messages;
 
-pub use messages::{Ask, Conn, Input, Output, Reply};
+pub use messages::{ConnectionId, Input, Output, Reply, Request};
 
+use crate::execution_log::{Arrival, Execution, ExecutionLog};
 use crate::scenario::Scenario;
-use crate::truth::{Came, Ran, Truth};
 use ladderpass_routing::{Span, Time};
 use member::{Connection, Member, QueuedStatement};
 use rand::rngs::SmallRng;
@@ -29,8 +29,8 @@
 /// What a member does later.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Welcome(Conn),
-    Completed { connection: Conn, id: Box<str>, method: u32 },
+    Welcome(ConnectionId),
+    Completed { connection: ConnectionId, id: Box<str>, method: u32 },
 }
 
 /// All members of a scenario.
@@ -43,24 +43,24 @@
     random: SmallRng,
     outputs: Vec<Output>,
     /// What ran where by now.
-    pub truth: Truth,
+    pub execution_log: ExecutionLog,
 }
 
 impl Model {
     /// All members of the scenario, up and without connections; the first of each group is its primary.
     pub fn new(now: Time, scenario: Scenario, seed: u64) -> Model {
-        let group_size = scenario.members_of_group();
+        let group_size = scenario.group_size();
         let member = |index: usize| {
             Member::new(now, index as u32 / group_size, (index as u32).is_multiple_of(group_size))
         };
         Model {
-            members: (0..scenario.members()).map(member).collect(),
+            members: (0..scenario.member_count()).map(member).collect(),
             scenario,
             timers: BinaryHeap::new(),
             timers_set: 0,
             random: SmallRng::seed_from_u64(seed),
             outputs: Vec::new(),
-            truth: Truth::default(),
+            execution_log: ExecutionLog::default(),
         }
     }
 
@@ -70,12 +70,12 @@
     }
 
     /// When `advance` must be called next.
-    pub fn wake(&self) -> Option<Time> {
+    pub fn next_wake(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Takes the replies since the last call.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -91,7 +91,7 @@
 
     /// Statements that run at a member.
     #[doc(hidden)]
-    pub fn at_work(&self, member: u32) -> usize {
+    pub fn running(&self, member: u32) -> usize {
         self.members.get(member as usize).map_or(0, |state| state.running)
     }
 
@@ -100,8 +100,8 @@
         self.advance(now);
         let Some(state) = self.members.get_mut(member as usize) else { return };
         match input {
-            Input::Opened(connection) => self.open(now, member, connection),
-            Input::Asked(connection, request) => {
+            Input::ConnectionOpened(connection) => self.open(now, member, connection),
+            Input::RequestReceived(connection, request) => {
                 let Some(open) = state.connections.get_mut(&connection) else { return };
                 if open.busy {
                     open.pipelined.push_back(request);
@@ -109,17 +109,17 @@
                     self.answer(now, member, connection, request);
                 }
             }
-            Input::Closed(connection) => {
+            Input::ConnectionClosed(connection) => {
                 // What is queued for it never runs; what runs goes on.
                 state.connections.remove(&connection);
                 state.queue.retain(|statement| statement.connection != connection);
             }
-            Input::Dies => {
+            Input::Crash => {
                 state.crash();
                 self.timers.retain(|Reverse((_, _, timer_member, _))| *timer_member != member);
             }
-            Input::Starts => state.alive = true,
-            Input::Rises => {
+            Input::Restart => state.alive = true,
+            Input::BecomePrimary => {
                 let group = state.group;
                 for (index, other) in (0..).zip(&mut self.members) {
                     if other.group == group {
@@ -132,13 +132,13 @@
 
     /// Lets everything happen that is due by now.
     pub fn advance(&mut self, now: Time) {
-        while self.wake().is_some_and(|at| at <= now)
+        while self.next_wake().is_some_and(|at| at <= now)
             && let Some(Reverse((at, _, member, timer))) = self.timers.pop()
         {
             match timer {
                 Timer::Welcome(connection) => {
                     if self.is_open(member, connection) {
-                        self.outputs.push(Output { conn: connection, reply: Reply::Welcome });
+                        self.outputs.push(Output { connection, reply: Reply::ConnectionReady });
                     }
                 }
                 Timer::Completed { connection, id, method } => {
@@ -152,15 +152,15 @@
         }
     }
 
-    fn open(&mut self, now: Time, member: u32, connection: Conn) {
+    fn open(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
-            self.outputs.push(Output { conn: connection, reply: Reply::Fatal(TOO_MANY) });
+            self.outputs.push(Output { connection, reply: Reply::FatalError(TOO_MANY) });
             return;
         }
         state.connections.insert(connection, Connection::default());
         match Span::from_secs_f64(self.scenario.connect_ms / 1e3) {
-            Span::ZERO => self.outputs.push(Output { conn: connection, reply: Reply::Welcome }),
+            Span::ZERO => self.outputs.push(Output { connection, reply: Reply::ConnectionReady }),
             connect_time => self.set_timer(now + connect_time, member, Timer::Welcome(connection)),
         }
     }
@@ -170,7 +170,7 @@
         self.timers.push(Reverse((at, self.timers_set, member, timer)));
     }
 
-    fn is_open(&self, member: u32, connection: Conn) -> bool {
+    fn is_open(&self, member: u32, connection: ConnectionId) -> bool {
         self.members.get(member as usize).is_some_and(|state| state.connections.contains_key(&connection))
     }
 
@@ -178,26 +178,26 @@
         self.scenario.methods.get(method as usize).is_some_and(|method| method.writes)
     }
 
-    fn answer(&mut self, now: Time, member: u32, connection: Conn, request: Ask) {
+    fn answer(&mut self, now: Time, member: u32, connection: ConnectionId, request: Request) {
         let position = self.position(now, member);
         let Some(state) = self.members.get(member as usize) else { return };
-        let (primary, waiting) = (state.primary, state.queue.len());
+        let (primary, queued) = (state.primary, state.queue.len());
         let reply = match request {
-            Ask::Nothing => Reply::Nothing,
-            Ask::Load => {
+            Request::EmptyQuery => Reply::EmptyQueryResponse,
+            Request::LoadReport => {
                 if self.scenario.history {
-                    self.truth.probes.push((now, member));
+                    self.execution_log.health_checks.push((now, member));
                 }
-                Reply::Report { position, primary, waiting }
+                Reply::LoadReport { position, primary, queued }
             }
-            Ask::Statement { id, method, wait, after } => {
-                let rejection = self.rejection(member, method, after, position);
+            Request::Statement { id, method, wait, min_position } => {
+                let rejection = self.rejection(member, method, min_position, position);
                 if self.scenario.history {
-                    let (id, turned_away) = (id.clone(), rejection.is_some());
-                    self.truth.came.push(Came { at: now, member, id, position, turned_away });
+                    let (id, rejected) = (id.clone(), rejection.is_some());
+                    self.execution_log.arrivals.push(Arrival { at: now, member, id, position, rejected });
                 }
                 match rejection {
-                    Some(sqlstate) => Reply::Refused(sqlstate),
+                    Some(sqlstate) => Reply::Error(sqlstate),
                     None => {
                         let expires_at = now + wait;
                         self.enqueue(member, QueuedStatement { connection, id, method, expires_at });
@@ -206,7 +206,7 @@
                 }
             }
         };
-        self.outputs.push(Output { conn: connection, reply });
+        self.outputs.push(Output { connection, reply });
     }
 
     /// The SQLSTATE with which a member rejects a statement, if it does.
@@ -214,17 +214,17 @@
         &mut self,
         member: u32,
         method: u32,
-        after: Option<Time>,
+        min_position: Option<Time>,
         position: Time,
     ) -> Option<&'static str> {
         let writes = self.writes(method);
         let state = self.members.get(member as usize)?;
         if writes && !state.primary {
             Some(READ_ONLY)
-        } else if after.is_some_and(|after| after > position) {
+        } else if min_position.is_some_and(|needed| needed > position) {
             Some(POSITION_NOT_REACHED)
         } else if state.queue.len() >= self.scenario.queue {
-            self.truth.turned_away += 1;
+            self.execution_log.rejected += 1;
             Some(TOO_MANY)
         } else {
             None
@@ -250,17 +250,30 @@
             let Some(statement) = state.queue.pop_front() else { return };
             let QueuedStatement { connection, id, method, expires_at } = statement;
             if expires_at < now {
-                self.truth.over_before += 1;
+                self.execution_log.expired += 1;
                 if self.scenario.history {
-                    self.truth.came.push(Came { at: now, member, id, position, turned_away: true });
+                    self.execution_log.arrivals.push(Arrival {
+                        at: now,
+                        member,
+                        id,
+                        position,
+                        rejected: true,
+                    });
                 }
-                self.outputs.push(Output { conn: connection, reply: Reply::Refused(TOO_MANY) });
+                self.outputs.push(Output { connection, reply: Reply::Error(TOO_MANY) });
                 self.answer_pipelined(now, member, connection);
                 continue;
             }
             let writes = self.writes(method);
-            self.truth.ran.push(Ran { at: now, member, id: id.clone(), method, writes, position });
-            let work = self.scenario.work(method as usize);
+            self.execution_log.executions.push(Execution {
+                at: now,
+                member,
+                id: id.clone(),
+                method,
+                writes,
+                position,
+            });
+            let work = self.scenario.mean_work(method as usize);
             if work == Span::ZERO {
                 self.complete(now, member, connection, id, method);
                 continue;
@@ -273,28 +286,27 @@
         }
     }
 
-    fn complete(&mut self, now: Time, member: u32, connection: Conn, id: Box<str>, method: u32) {
+    fn complete(&mut self, now: Time, member: u32, connection: ConnectionId, id: Box<str>, method: u32) {
         if self.writes(method) {
             self.commit(now, member);
         }
         let position = self.position(now, member);
         let primary = self.members.get(member as usize).is_some_and(|state| state.primary);
         if self.is_open(member, connection) {
-            self.outputs
-                .push(Output { conn: connection, reply: Reply::Row { id, method, primary, position } });
+            self.outputs.push(Output { connection, reply: Reply::Row { id, method, primary, position } });
             self.answer_pipelined(now, member, connection);
         }
     }
 
     /// A connection's statement has ended: the requests behind it are next.
-    fn answer_pipelined(&mut self, now: Time, member: u32, connection: Conn) {
+    fn answer_pipelined(&mut self, now: Time, member: u32, connection: ConnectionId) {
         loop {
             let Some(state) = self.members.get_mut(member as usize) else { return };
             let Some(open) = state.connections.get_mut(&connection) else { return };
             open.busy = false;
             let Some(request) = open.pipelined.pop_front() else { return };
             // A statement makes the connection busy and comes back here by itself; others are answered at once.
-            let is_statement = matches!(request, Ask::Statement { .. });
+            let is_statement = matches!(request, Request::Statement { .. });
             self.answer(now, member, connection, request);
             if is_statement {
                 return;
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -1,6 +1,6 @@
 //! State of one emulated member: its connections, its queue and its replication log.
 
-use super::messages::{Ask, Conn};
+use super::messages::{ConnectionId, Request};
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
@@ -11,7 +11,7 @@
     /// Statements that run now, each on a core.
     pub running: usize,
     pub queue: VecDeque<QueuedStatement>,
-    pub connections: HashMap<Conn, Connection>,
+    pub connections: HashMap<ConnectionId, Connection>,
     log: ReplicationLog,
 }
 
@@ -20,12 +20,12 @@
 pub struct Connection {
     /// One of its statements runs or is queued; `pipelined` waits for it.
     pub busy: bool,
-    pub pipelined: VecDeque<Ask>,
+    pub pipelined: VecDeque<Request>,
 }
 
 /// A statement that waits for a core.
 pub struct QueuedStatement {
-    pub connection: Conn,
+    pub connection: ConnectionId,
     pub id: Box<str>,
     pub method: u32,
     /// When it expires.
--- a/crates/ladderpass-emulator/src/model/messages.rs
+++ b/crates/ladderpass-emulator/src/model/messages.rs
@@ -4,15 +4,15 @@
 
 /// A connection to a member, by a number that the driver assigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Conn(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// One request on a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum Request {
     /// An empty query.
-    Nothing,
+    EmptyQuery,
     /// A health check: asks for the load report.
-    Load,
+    LoadReport,
     /// A statement of an RPC.
     Statement {
         /// Id of the RPC.
@@ -22,7 +22,7 @@
         /// How long it may wait in the member's queue.
         wait: Span,
         /// The position that the member's data must have reached.
-        after: Option<Time>,
+        min_position: Option<Time>,
     },
 }
 
@@ -30,34 +30,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A connection's startup message has arrived.
-    Opened(Conn),
+    ConnectionOpened(ConnectionId),
     /// A request has arrived on a connection.
-    Asked(Conn, Ask),
+    RequestReceived(ConnectionId, Request),
     /// A connection was closed by its client.
-    Closed(Conn),
-    /// The member crashes, and its connections with it, until `Starts`.
-    Dies,
+    ConnectionClosed(ConnectionId),
+    /// The member crashes, and its connections with it, until `Restart`.
+    Crash,
     /// The member accepts connections again.
-    Starts,
+    Restart,
     /// The member becomes the primary of its group; the primary before becomes a replica.
-    Rises,
+    BecomePrimary,
 }
 
 /// What a member answers to one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The connection is open.
-    Welcome,
+    ConnectionReady,
     /// The answer to an empty query.
-    Nothing,
+    EmptyQueryResponse,
     /// The load report.
-    Report {
+    LoadReport {
         /// Position of the member's data.
         position: Time,
         /// Whether it is the primary of its group.
         primary: bool,
         /// Statements in its queue.
-        waiting: usize,
+        queued: usize,
     },
     /// The result of a statement.
     Row {
@@ -71,16 +71,16 @@
         position: Time,
     },
     /// An error with this SQLSTATE; the connection stays open.
-    Refused(&'static str),
+    Error(&'static str),
     /// An error with this SQLSTATE that ends the connection.
-    Fatal(&'static str),
+    FatalError(&'static str),
 }
 
 /// A reply on its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
     /// Where the reply goes.
-    pub conn: Conn,
+    pub connection: ConnectionId,
     /// The reply.
     pub reply: Reply,
 }
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -5,14 +5,14 @@
 
 /// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where the
 /// bytes can't be a frame.
-pub fn frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
+pub fn parse_frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let (&kind, rest) = bytes.split_first()?;
     let length = u32::from_be_bytes(*rest.first_chunk::<4>()?) as usize + 1;
     Some((kind, bytes.get(5..length)?, length))
 }
 
 /// The length of the startup message at the start of the bytes, once it is complete.
-pub fn startup(bytes: &[u8]) -> Option<usize> {
+pub fn parse_startup(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
     bytes.get(..length).map(<[u8]>::len)
 }
@@ -25,7 +25,7 @@
 }
 
 /// Appends a frame of this type, whose body is these parts.
-pub fn put(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
+pub fn put_message(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(kind);
     out.extend_from_slice(&(length as u32).to_be_bytes());
@@ -34,47 +34,51 @@
 
 /// Appends ReadyForQuery.
 pub fn put_ready(out: &mut Vec<u8>) {
-    put(out, b'Z', &[b"I"]);
+    put_message(out, b'Z', &[b"I"]);
 }
 
 /// Appends a simple query.
 pub fn put_query(out: &mut Vec<u8>, statement: &str) {
-    put(out, b'Q', &[statement.as_bytes(), b"\0"]);
+    put_message(out, b'Q', &[statement.as_bytes(), b"\0"]);
 }
 
 /// Appends a member's answer to a startup message.
-pub fn put_welcome(out: &mut Vec<u8>) {
-    put(out, b'R', &[&[0; 4]]);
-    put(out, b'S', &[b"server_version\x0016.0\0"]);
-    put(out, b'K', &[&[0; 8]]);
+pub fn put_startup_response(out: &mut Vec<u8>) {
+    put_message(out, b'R', &[&[0; 4]]);
+    put_message(out, b'S', &[b"server_version\x0016.0\0"]);
+    put_message(out, b'K', &[&[0; 8]]);
     put_ready(out);
 }
 
 /// Appends a row of one column with its command tag, and the member's role and position (in milliseconds) as parameter
 /// statuses.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8], writes: bool, primary: bool, position: Option<Time>) {
-    put(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
-    put(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
-    put(out, b'C', &[if writes { b"INSERT 0 1\0" } else { b"SELECT 1\0" }]);
+    put_message(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
+    put_message(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
+    put_message(out, b'C', &[if writes { b"INSERT 0 1\0" } else { b"SELECT 1\0" }]);
     let role: &[u8] = if primary { b"leader\0" } else { b"follower\0" };
-    put(out, b'S', &[b"node_role\0", role]);
+    put_message(out, b'S', &[b"node_role\0", role]);
     if let Some(position) = position {
         let text = format!("{:.3}\0", position.nanos() as f64 / 1e6);
-        put(out, b'S', &[b"replay_position\0", text.as_bytes()]);
+        put_message(out, b'S', &[b"replay_position\0", text.as_bytes()]);
     }
     put_ready(out);
 }
 
 /// Appends an ErrorResponse with this SQLSTATE, and ReadyForQuery unless the severity is `FATAL`.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str) {
-    put(out, b'E', &[format!("S{severity}\0V{severity}\0C{code}\0Mthe member says no\0\0").as_bytes()]);
+    put_message(
+        out,
+        b'E',
+        &[format!("S{severity}\0V{severity}\0C{code}\0Mthe member says no\0\0").as_bytes()],
+    );
     if severity != "FATAL" {
         put_ready(out);
     }
 }
 
 /// One field of an ErrorResponse's body, by its type byte.
-pub fn field(body: &[u8], name: u8) -> Option<&str> {
+pub fn error_field(body: &[u8], name: u8) -> Option<&str> {
     let mut fields = body.split(|&byte| byte == 0);
     let found = fields.find(|field| field.first() == Some(&name))?;
     std::str::from_utf8(found.get(1..)?).ok()
@@ -90,22 +94,22 @@
     /// Key `d`, in milliseconds: how long the statement may wait.
     pub wait: Span,
     /// Key `after`, in milliseconds: the position that the member must have reached.
-    pub after: Option<Time>,
+    pub min_position: Option<Time>,
 }
 
 /// The comment of a statement, if it has one with the needed keys.
-pub fn comment(statement: &str) -> Option<Comment<'_>> {
+pub fn parse_comment(statement: &str) -> Option<Comment<'_>> {
     let (_, comment) = statement.rsplit_once("/*")?;
     let (comment, _) = comment.rsplit_once("*/")?;
-    let (mut id, mut method, mut wait, mut after) = (None, None, None, None);
+    let (mut id, mut method, mut wait, mut min_position) = (None, None, None, None);
     for (name, value) in comment.split(',').filter_map(|pair| pair.trim().split_once('=')) {
         match name {
             "id" => id = Some(value),
             "c" => method = Some(value),
             "d" => wait = value.parse::<f64>().ok().map(|ms| Span::from_secs_f64(ms / 1e3)),
-            "after" => after = value.parse::<f64>().ok().map(|ms| Time::from_nanos((ms * 1e6) as i64)),
+            "after" => min_position = value.parse::<f64>().ok().map(|ms| Time::from_nanos((ms * 1e6) as i64)),
             _ => {}
         }
     }
-    Some(Comment { id: id?, method: method?, wait: wait?, after })
+    Some(Comment { id: id?, method: method?, wait: wait?, min_position })
 }
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -41,13 +41,13 @@
     /// How many routers there are, as the routers' settings give it.
     pub routers: u32,
     /// Kinds of RPC.
-    pub methods: Vec<MethodShape>,
+    pub methods: Vec<MethodSettings>,
 }
 
 /// A kind of RPC. Field names are the keys of the YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct MethodShape {
+pub struct MethodSettings {
     /// Its name, unique in the scenario.
     pub name: String,
     /// It writes: only a primary runs it.
@@ -75,7 +75,7 @@
 
 impl Default for Scenario {
     fn default() -> Scenario {
-        let method = |name: &str, writes, utility, share, value_bytes| MethodShape {
+        let method = |name: &str, writes, utility, share, value_bytes| MethodSettings {
             name: name.to_owned(),
             writes,
             max_age_ms: (!writes).then_some(2000.0),
@@ -162,30 +162,30 @@
     }
 
     /// Members of each group.
-    pub fn members_of_group(&self) -> u32 {
+    pub fn group_size(&self) -> u32 {
         self.replicas + 1
     }
 
     /// Members of all groups.
-    pub fn members(&self) -> usize {
-        (self.groups * self.members_of_group()) as usize
+    pub fn member_count(&self) -> usize {
+        (self.groups * self.group_size()) as usize
     }
 
     /// The index of a method.
-    pub fn method(&self, name: &str) -> Option<usize> {
+    pub fn method_index(&self, name: &str) -> Option<usize> {
         self.methods.iter().position(|method| method.name == name)
     }
 
     /// The mean work of a method at a member.
-    pub fn work(&self, method: usize) -> Span {
+    pub fn mean_work(&self, method: usize) -> Span {
         Span::from_secs_f64(self.methods.get(method).map_or(0.0, |method| method.work_ms) / 1e3)
     }
 
     /// The entries of the endpoint list, as discovery publishes them. `now` is when members in slow start started.
-    pub fn entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
+    pub fn endpoint_entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
         let now_ms = now.nanos() / 1_000_000;
         let entry = |(index, address): (u32, &SocketAddr)| {
-            let (group, place) = (index / self.members_of_group(), index % self.members_of_group());
+            let (group, place) = (index / self.group_size(), index % self.group_size());
             serde_json::json!({
                 "instanceId": format!("m-{group}-{place}"), "hostPort": address.to_string(), "zone": "a",
                 "machineType": "k", "cell": group, "lifecycle": "SERVING", "weight": 1.0,
@@ -197,11 +197,17 @@
     }
 
     /// The configuration of a router in front of these members, as JSON.
-    pub fn told(&self, now: Time, seed: u64, limits: &Allowed, addresses: &[SocketAddr]) -> String {
+    pub fn router_config(
+        &self,
+        now: Time,
+        seed: u64,
+        limits: &RouterLimits,
+        addresses: &[SocketAddr],
+    ) -> String {
         serde_json::json!({
             "seed": format!("{seed:x}"),
             "limits": {"cores": limits.cores, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            "known": {"generation": 1, "reset": true, "instances": self.entries(now, addresses)},
+            "known": {"generation": 1, "reset": true, "instances": self.endpoint_entries(now, addresses)},
             "settings": self.router_settings(),
         })
         .to_string()
@@ -219,7 +225,7 @@
                 })
             })
             .collect();
-        let read_level = |method: &MethodShape| match (method.writes, method.max_age_ms) {
+        let read_level = |method: &MethodSettings| match (method.writes, method.max_age_ms) {
             (true, _) => "write",
             (false, Some(_)) => "bounded",
             (false, None) => "any",
@@ -243,7 +249,7 @@
 
 /// The machine that a router is given.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed {
+pub struct RouterLimits {
     /// CPU cores.
     pub cores: f64,
     /// Memory in megabytes.
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -1,11 +1,11 @@
 //! The model of members: what it answers, and its invariants under random inputs.
 
-use ladderpass_emulator::{Ask, Conn, Input, Model, Output, Reply, Scenario};
+use ladderpass_emulator::{ConnectionId, Input, Model, Output, Reply, Request, Scenario};
 use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
 
-fn statement(id: &str, method: u32) -> Ask {
-    Ask::Statement { id: id.into(), method, wait: Span::from_millis(100), after: None }
+fn statement(id: &str, method: u32) -> Request {
+    Request::Statement { id: id.into(), method, wait: Span::from_millis(100), min_position: None }
 }
 
 fn at(ms: i64) -> Time {
@@ -16,30 +16,32 @@
 fn a_connection_answers_in_order_and_replicas_lag_and_reject_writes() {
     let scenario = Scenario { log_ms: 20.0, ..Scenario::default() };
     let mut model = Model::new(at(0), scenario, 1);
-    for (member, conn) in [(0, Conn(1)), (1, Conn(2))] {
-        model.apply(at(0), member, Input::Opened(conn));
-        model.apply(at(1), member, Input::Asked(conn, statement(&format!("w{member}"), 1)));
-        model.apply(at(1), member, Input::Asked(conn, Ask::Nothing));
-        model.apply(at(2), member, Input::Asked(conn, Ask::Load));
+    for (member, conn) in [(0, ConnectionId(1)), (1, ConnectionId(2))] {
+        model.apply(at(0), member, Input::ConnectionOpened(conn));
+        model.apply(at(1), member, Input::RequestReceived(conn, statement(&format!("w{member}"), 1)));
+        model.apply(at(1), member, Input::RequestReceived(conn, Request::EmptyQuery));
+        model.apply(at(2), member, Input::RequestReceived(conn, Request::LoadReport));
     }
-    let replies: Vec<Reply> = model.outputs().into_iter().map(|output| output.reply).collect();
+    let replies: Vec<Reply> = model.take_outputs().into_iter().map(|output| output.reply).collect();
     assert!(matches!(
         &replies[..],
         [
-            Reply::Welcome,
+            Reply::ConnectionReady,
             Reply::Row { .. },
-            Reply::Nothing,
-            Reply::Report { primary: true, .. },
-            Reply::Welcome,
-            Reply::Refused("25006"),
-            Reply::Nothing,
-            Reply::Report { primary: false, position, .. },
+            Reply::EmptyQueryResponse,
+            Reply::LoadReport { primary: true, .. },
+            Reply::ConnectionReady,
+            Reply::Error("25006"),
+            Reply::EmptyQueryResponse,
+            Reply::LoadReport { primary: false, position, .. },
         ] if *position < at(1)
     ));
-    model.apply(at(30), 1, Input::Asked(Conn(2), Ask::Load));
-    let [Output { reply: Reply::Report { position, .. }, .. }] = &model.outputs()[..] else { panic!() };
+    model.apply(at(30), 1, Input::RequestReceived(ConnectionId(2), Request::LoadReport));
+    let [Output { reply: Reply::LoadReport { position, .. }, .. }] = &model.take_outputs()[..] else {
+        panic!()
+    };
     assert!(*position >= at(1), "the log has been applied");
-    assert_eq!(model.truth.ran.len(), 1);
+    assert_eq!(model.execution_log.executions.len(), 1);
 }
 
 quickcheck! {
@@ -53,32 +55,34 @@
         let mut latest = [Time::NEVER; 3];
         for (number, (input, address, gap)) in (0u64..).zip(steps) {
             now = now + Span::from_millis(i64::from(gap % 8));
-            let (member, conn) = (u32::from(address % 3), Conn(u64::from(address % 3) * 8 + u64::from(address / 3 % 8)));
+            let member = u32::from(address % 3);
+            let conn = ConnectionId(u64::from(address % 3) * 8 + u64::from(address / 3 % 8));
             match input % 5 {
-                0 => model.apply(now, member, Input::Opened(conn)),
+                0 => model.apply(now, member, Input::ConnectionOpened(conn)),
                 1 | 2 => {
                     requested += 1;
                     let request = statement(&number.to_string(), u32::from(input / 5 % 2));
-                    model.apply(now, member, Input::Asked(conn, request));
+                    model.apply(now, member, Input::RequestReceived(conn, request));
                 }
-                3 => model.apply(now, member, Input::Asked(conn, Ask::Load)),
-                _ => model.apply(now, member, Input::Closed(conn)),
+                3 => model.apply(now, member, Input::RequestReceived(conn, Request::LoadReport)),
+                _ => model.apply(now, member, Input::ConnectionClosed(conn)),
             }
-            for output in model.outputs() {
+            for output in model.take_outputs() {
                 match output.reply {
                     Reply::Row { .. } => answered += 1,
-                    Reply::Refused(_) => rejected += 1,
-                    Reply::Report { position, .. } => {
-                        let latest = &mut latest[(output.conn.0 / 8) as usize];
+                    Reply::Error(_) => rejected += 1,
+                    Reply::LoadReport { position, .. } => {
+                        let latest = &mut latest[(output.connection.0 / 8) as usize];
                         assert!(position >= *latest);
                         *latest = position;
                     }
                     _ => {}
                 }
             }
-            let mut members = 0..model.scenario().members() as u32;
-            assert!(members.all(|member| model.at_work(member) <= 2 && model.queued(member) <= 4));
+            let mut members = 0..model.scenario().member_count() as u32;
+            assert!(members.all(|member| model.running(member) <= 2 && model.queued(member) <= 4));
         }
-        answered + rejected <= requested && model.truth.ran.len() + rejected <= requested && answered <= model.truth.ran.len()
+        let executed = model.execution_log.executions.len();
+        answered + rejected <= requested && executed + rejected <= requested && answered <= executed
     }
 }
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -18,5 +18,5 @@
         let error = Scenario::read(text).expect_err(text);
         assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
-    assert_eq!(Scenario::read("replicas: 4").expect("allowed").members(), 5);
+    assert_eq!(Scenario::read("replicas: 4").expect("allowed").member_count(), 5);
 }
--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -6,7 +6,7 @@
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use hdrhistogram::Histogram;
-use ladderpass_emulator::{Running, Scenario, Truth};
+use ladderpass_emulator::{ExecutionLog, RunningEmulator, Scenario};
 use ladderpass_fault_injection as faults;
 use ladderpass_fault_injection::driver::{self, Left};
 use ladderpass_fault_injection::engine::Passed;
@@ -22,7 +22,7 @@
     pub outcome: Outcome,
     /// Of the prober: when it asked, in seconds of the load, and how long the router took to come round.
     probed: Vec<(f64, Span)>,
-    pub truth: Truth,
+    pub truth: ExecutionLog,
     /// CPU seconds of the router over the load.
     pub cpu: f64,
     pub resident: u64,
@@ -43,7 +43,7 @@
 const BEARS: f64 = 1000.0;
 
 /// Something that happens at a time of the run, in seconds from its start.
-pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &Running) + 'a>);
+pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
 
 pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<Deed<'_>>) -> io::Result<Seen> {
     run_with(scenario, start, plan, deeds, |_| {})
@@ -75,7 +75,7 @@
     }
     let kept = Scenario { history: true, ..scenario.clone() };
     let plan = &Plan { journal: true, ..plan.clone() };
-    let fleet = Running::start(kept, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let fleet = RunningEmulator::start(kept, plan.seed, Ipv4Addr::LOCALHOST)?;
     let (mut members, mut discovery) = (fleet.addresses.clone(), fleet.discovery);
     let faults = match rules {
         None => None,
@@ -88,7 +88,7 @@
             faults.say("watch").map_err(io::Error::other)?;
             let mut addresses = faults.addresses.clone();
             discovery = addresses.pop().unwrap_or(discovery);
-            fleet.present(&addresses);
+            fleet.set_addresses(&addresses);
             members = addresses;
             Some(faults)
         }
@@ -124,7 +124,7 @@
     });
     let log = router.stop();
     let mut left = faults.map(driver::Running::stop);
-    let drained = fleet.drained().into_iter().map(|(at, router, member)| Drained { router, member, at });
+    let drained = fleet.drains().into_iter().map(|(at, router, member)| Drained { router, member, at });
     let seen = Seen {
         outcome,
         probed,
@@ -168,7 +168,7 @@
     }
 
     pub fn violations(&self, answers: Span) -> Vec<Violation> {
-        let members = self.scenario.members();
+        let members = self.scenario.member_count();
         let links = (0..members).map(|member| (member, (0, member as u32))).collect();
         let started = Started::all(&self.scenario, self.outcome.began, self.bears);
         let grace = Tolerance { answer: answers, ..Tolerance::default() };
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -5,8 +5,8 @@
 //! waited.
 
 use crate::router::{Router, Start};
-use ladderpass_emulator::scenario::Allowed;
-use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::RouterLimits;
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 pub struct Bed {
-    fleet: Option<Running>,
+    fleet: Option<RunningEmulator>,
     router: Option<Router>,
     groups: u32,
 }
@@ -52,8 +52,8 @@
 impl Bed {
     pub fn start(binary: &Path, groups: u32, memory_mb: u64, sockets: usize, seed: u64) -> io::Result<Bed> {
         let scenario = Scenario { groups, ..Scenario::default() };
-        let fleet = Running::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
-        let allowed = Allowed { cores: 1.0, memory_mb, sockets };
+        let fleet = RunningEmulator::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
+        let allowed = RouterLimits { cores: 1.0, memory_mb, sockets };
         let start = Start { allowed, ..Start::new(binary) };
         let router = Router::start(&scenario, &fleet, &start, seed)?;
         Ok(Bed { fleet: Some(fleet), router: Some(router), groups })
@@ -178,7 +178,7 @@
 impl Drop for Bed {
     fn drop(&mut self) {
         self.router.take().map(Router::stop);
-        self.fleet.take().map(Running::stop);
+        self.fleet.take().map(RunningEmulator::stop);
     }
 }
 
@@ -204,7 +204,7 @@
     let (mut inbox, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         let mut used = 0;
-        while let Some((kind, _, length)) = proto::frame(inbox.get(used..).unwrap_or_default()) {
+        while let Some((kind, _, length)) = proto::parse_frame(inbox.get(used..).unwrap_or_default()) {
             used += length;
             if kind == b'Z' {
                 return Ok(());
--- a/crates/ladderpass-testbed/src/capacity/data_path/world.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world.rs
@@ -6,7 +6,7 @@
 
 use ladderpass::launch::Launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_emulator::{Scenario, proto};
 use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Router, Span, Time};
 use nix::time::{ClockId, clock_gettime};
@@ -167,10 +167,10 @@
         for method in scenario.methods.iter_mut().filter(|method| !method.writes) {
             method.max_age_ms = Some(self.bound_ms);
         }
-        let allowed = Allowed { cores: 1.0, memory_mb: self.memory_mb, sockets: self.sockets };
+        let allowed = RouterLimits { cores: 1.0, memory_mb: self.memory_mb, sockets: self.sockets };
         let address = |nth: usize| SocketAddr::from(([10, 9, (nth >> 8) as u8, nth as u8], 5432));
         let addresses: Vec<SocketAddr> = (0..self.members()).map(address).collect();
-        let text = scenario.told(now, seed, &allowed, &addresses);
+        let text = scenario.router_config(now, seed, &allowed, &addresses);
         let mut told: serde_json::Value = serde_json::from_str(&text).map_err(|fault| fault.to_string())?;
         told["settings"]["Balancers"] = self.routers.into();
         static NEXT: AtomicU32 = AtomicU32::new(0);
@@ -413,7 +413,7 @@
         let client = &mut self.clients[index];
         client.inbox.extend_from_slice(bytes);
         let (mut used, mut served) = (0, false);
-        while let Some((kind, _, length)) = proto::frame(client.inbox.get(used..).unwrap_or_default()) {
+        while let Some((kind, _, length)) = proto::parse_frame(client.inbox.get(used..).unwrap_or_default()) {
             used += length;
             served |= kind == b'D';
             match (kind, client.welcomed) {
@@ -451,7 +451,7 @@
         let mut used = 0;
         let mut said = Vec::new();
         if !link.opened {
-            let Some(length) = proto::startup(&link.inbox) else { return };
+            let Some(length) = proto::parse_startup(&link.inbox) else { return };
             (link.opened, used) = (true, length);
             let mut welcome = Vec::new();
             if self.full.get(member).copied().unwrap_or(false) {
@@ -460,12 +460,12 @@
                 self.plan(WAY + WAY, Happening::Says(id, welcome));
                 return self.plan(WAY * 2.0, Happening::Ends(id));
             }
-            proto::put_welcome(&mut welcome);
+            proto::put_startup_response(&mut welcome);
             said.push((WAY + WAY, welcome));
         }
         // What stands behind a query is answered after it.
         let mut after = WAY + WAY;
-        while let Some((_, body, length)) = proto::frame(link.inbox.get(used..).unwrap_or_default()) {
+        while let Some((_, body, length)) = proto::parse_frame(link.inbox.get(used..).unwrap_or_default()) {
             used += length;
             self.counts.queries += 1.0;
             self.counts.bytes += length as f64;
@@ -474,7 +474,7 @@
             let mut answer = Vec::new();
             match statement {
                 "" => {
-                    proto::put(&mut answer, b'I', &[]);
+                    proto::put_message(&mut answer, b'I', &[]);
                     proto::put_ready(&mut answer);
                 }
                 "SHOW server_load" => {
--- a/crates/ladderpass-testbed/src/capacity/hollow.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow.rs
@@ -7,7 +7,7 @@
 
 use ladderpass::launch::Launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_emulator::{Scenario, proto};
 use ladderpass_routing::{Span, Time};
 use nix::time::{ClockId, clock_gettime};
@@ -328,8 +328,8 @@
 /// The configuration of all of a world's routers, in a file.
 pub fn config(shape: &Shape, known: &str) -> io::Result<std::path::PathBuf> {
     let scenario = Scenario { groups: shape.groups as u32, ..Scenario::default() };
-    let allowed = Allowed { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
-    let text = scenario.told(EPOCH, shape.seed, &allowed, &[]);
+    let allowed = RouterLimits { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
+    let text = scenario.router_config(EPOCH, shape.seed, &allowed, &[]);
     file("told.json", &text.replace("\"instances\":[]", &format!("\"instances\":[{known}]")))
 }
 
@@ -736,7 +736,7 @@
                 input.extend_from_slice(bytes);
                 let mut used = 0;
                 let (mut answers, mut errors) = (0, 0);
-                while let Some((kind, _, length)) = proto::frame(&input[used..]) {
+                while let Some((kind, _, length)) = proto::parse_frame(&input[used..]) {
                     used += length;
                     answers += u64::from(kind == b'Z');
                     errors += u64::from(kind == b'E');
@@ -756,12 +756,12 @@
                 input.extend_from_slice(bytes);
                 let input = std::mem::take(input);
                 let (mut used, mut reply) = (0, Vec::new());
-                if !*opened && let Some(length) = proto::startup(&input) {
+                if !*opened && let Some(length) = proto::parse_startup(&input) {
                     (*opened, used) = (true, length);
-                    proto::put_welcome(&mut reply);
+                    proto::put_startup_response(&mut reply);
                 }
                 let mut probes = 0;
-                while let Some((_, body, length)) = proto::frame(&input[used..]) {
+                while let Some((_, body, length)) = proto::parse_frame(&input[used..]) {
                     used += length;
                     let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
                     probes += u64::from(statement == "SHOW server_load");
@@ -856,7 +856,7 @@
         let position = now + Span::from_nanos(-self.lag.nanos());
         match statement {
             "" => {
-                proto::put(reply, b'I', &[]);
+                proto::put_message(reply, b'I', &[]);
                 proto::put_ready(reply);
             }
             "SHOW server_load" => {
@@ -869,7 +869,7 @@
                 if writes && !self.primary {
                     return proto::put_error(reply, "ERROR", "25006");
                 }
-                let id = proto::comment(statement).map_or("", |comment| comment.id);
+                let id = proto::parse_comment(statement).map_or("", |comment| comment.id);
                 proto::put_row(reply, id.as_bytes(), writes, self.primary, Some(position));
             }
         }
--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -27,7 +27,7 @@
 
 fn links(scenario: &Scenario) -> Vec<LinkShape> {
     let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    bed::links(&vec![nobody; scenario.members()], nobody)
+    bed::links(&vec![nobody; scenario.member_count()], nobody)
 }
 
 /// Can a router answer for what comes of it? Not for a value garbled within its length, which passes for a value; nor for
--- a/crates/ladderpass-testbed/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -244,8 +244,8 @@
             }
         }
         let members = [deed.drain, deed.ends, deed.begins];
-        match members.into_iter().flatten().find(|&member| member as usize >= self.scenario.members()) {
-            Some(member) => Err(format!("member {member}; there are {}", self.scenario.members())),
+        match members.into_iter().flatten().find(|&member| member as usize >= self.scenario.member_count()) {
+            Some(member) => Err(format!("member {member}; there are {}", self.scenario.member_count())),
             None => Ok(()),
         }
     }
@@ -270,7 +270,7 @@
             _ => {}
         }
         let member: usize = name.strip_prefix("member-")?.parse().ok()?;
-        (member < self.scenario.members()).then_some(Place::Member(member))
+        (member < self.scenario.member_count()).then_some(Place::Member(member))
     }
 
     /// The links of routers and clients between two places, by name; and whether routers are among them that talk to
--- a/crates/ladderpass-testbed/src/drill/play.rs
+++ b/crates/ladderpass-testbed/src/drill/play.rs
@@ -7,7 +7,7 @@
 use crate::joint::{Absence, Drained, History, Started};
 use crate::load::{self, Down, Front, Outcome, Plan};
 use crate::router::{Router, Start, own_address};
-use ladderpass_emulator::{Input, Running, Truth, now};
+use ladderpass_emulator::{ExecutionLog, Input, RunningEmulator, now};
 use ladderpass_fault_injection as faults;
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
@@ -46,7 +46,7 @@
     pub outcome: Outcome,
     /// Of those that went straight to the members.
     pub greedy: Option<Outcome>,
-    pub truth: Truth,
+    pub truth: ExecutionLog,
     pub violations: Vec<Violation>,
     /// By router: violations of rule 4 by what it alone sent.
     pub cold_alone: Vec<usize>,
@@ -92,7 +92,7 @@
     drill: &'a Drill,
     programs: Programs<'a>,
     seed: u64,
-    fleet: Running,
+    fleet: RunningEmulator,
     /// The links of the front, and those of the routers.
     fronts: driver::Running,
     links: driver::Running,
@@ -180,7 +180,7 @@
 impl<'a> Stage<'a> {
     fn set(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<Stage<'a>> {
         let scenario = ladderpass_emulator::Scenario { history: true, ..drill.scenario.clone() };
-        let fleet = Running::start_listed(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
+        let fleet = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
         let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
         let front = |(nth, &to): (usize, &SocketAddr)| LinkShape {
@@ -192,7 +192,7 @@
         let links = addresses.iter().enumerate().map(front).collect();
         let fronts = driver::Running::start(faults::Plan { seed, links, ..Default::default() }, None)?;
         let (mut links, mut ends) = (Vec::new(), Vec::new());
-        let members = drill.scenario.members();
+        let members = drill.scenario.member_count();
         for (nth, address) in addresses.iter().enumerate() {
             for (member, &to) in fleet.addresses.iter().enumerate() {
                 let name = format!("r{nth}>member-{member}");
@@ -210,7 +210,7 @@
         let (mut all_members, mut discoveries) = (Vec::new(), Vec::new());
         for nth in 0..drill.routers {
             let (of_members, discovery) = own(nth).split_at(members);
-            fleet.present_by(nth, of_members);
+            fleet.set_list_addresses(nth, of_members);
             all_members.push(of_members.to_vec());
             discoveries.extend_from_slice(discovery);
         }
@@ -388,15 +388,15 @@
             }
         }
         if let Some(member) = deed.ends {
-            self.fleet.tell(member, Input::Dies);
+            self.fleet.apply(member, Input::Crash);
         }
         if let Some(member) = deed.begins {
-            self.fleet.tell(member, Input::Starts);
+            self.fleet.apply(member, Input::Restart);
         }
         if let Some((router, line)) = &deed.line
             && let Some(router) = self.drill.router(router)
         {
-            self.fleet.say(router, line);
+            self.fleet.send_line(router, line);
         }
         Ok(())
     }
@@ -491,14 +491,14 @@
         let mesh = self.links.mesh.as_ref();
         let datagram_hits = mesh.map_or(Vec::new(), |mesh| mesh.hits());
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(told_address).collect();
-        let members = self.drill.scenario.members();
+        let members = self.drill.scenario.member_count();
         let place = |link: usize| (link / (members + 1), (link % (members + 1)) as u32);
         let links: HashMap<usize, (usize, u32)> = (0..self.drill.routers * (members + 1))
             .map(|link| (link, place(link)))
             .filter(|(_, (_, member))| (*member as usize) < members)
             .collect();
         let left = self.links.stop();
-        let fleet_started = self.fleet.started();
+        let fleet_started = self.fleet.started_at();
         let truth = self.fleet.stop();
         let started = Started::all(&self.drill.scenario, fleet_started, self.drill.bears);
         let grace =
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -55,7 +55,7 @@
     /// Call-outs that a member began, by tenth of a second.
     pub fn work(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
-        for ran in self.truth.ran.iter().filter(|ran| ran.member == member) {
+        for ran in self.truth.executions.iter().filter(|ran| ran.member == member) {
             let nth = (secs(self, ran.at) * 10.0).floor();
             if nth >= 0.0
                 && let Some(slice) = slices.get_mut(nth as usize)
@@ -98,7 +98,7 @@
                 format!(
                     "call-outs that came {}, further ones {further} ({part:.3} of first ones); that ran {}",
                     first + further,
-                    self.truth.ran.len()
+                    self.truth.executions.len()
                 )
             },
         ];
@@ -133,10 +133,10 @@
     pub fn callouts(&self, from: f64, to: f64) -> (usize, usize) {
         let mut seen: HashMap<&str, (u32, bool)> = HashMap::new();
         let (mut first, mut further) = (0, 0);
-        for came in &self.truth.came {
-            let before = seen.insert(&came.id, (came.member, came.turned_away));
+        for came in &self.truth.arrivals {
+            let before = seen.insert(&came.id, (came.member, came.rejected));
             // One that waited there past its time is on the record twice: when it came, and when it was given up.
-            if before == Some((came.member, false)) && came.turned_away {
+            if before == Some((came.member, false)) && came.rejected {
                 continue;
             }
             if (from..to).contains(&secs(self, came.at)) {
@@ -163,7 +163,7 @@
                 writeln!(file, "{line}")?;
             }
         }
-        for (at, member) in &self.truth.probes {
+        for (at, member) in &self.truth.health_checks {
             writeln!(file, "{}", serde_json::json!({"at_s": secs(self, *at), "probed": member}))?;
         }
         for entry in &self.outcome.journal {
@@ -199,7 +199,7 @@
             .collect();
         charts::lines(&out.join("pushed-back.svg"), "Pushed back", ("seconds", "a second"), &methods, false)?;
         let names: Vec<String> =
-            (0..drill.scenario.members()).map(|member| format!("member {member}")).collect();
+            (0..drill.scenario.member_count()).map(|member| format!("member {member}")).collect();
         let work: Vec<Line<'_>> =
             names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.work(member))).collect();
         charts::lines(&out.join("work.svg"), "Begun at members", ("seconds", "a second"), &work, false)
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -5,7 +5,7 @@
 //! that was killed or stalled. It must never judge by a router's own words, nor excuse a router that runs.
 
 use crate::load::Entry;
-use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{
     Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
@@ -70,8 +70,8 @@
 
 /// Rule 4 by what came to the members that started cold, from whichever router; and how many roots of what one bore lay
 /// at most between what it got and that, beyond the few that are put down to chance.
-pub fn cold_at_members(started: &[Started], truth: &Truth) -> (Vec<Violation>, f64) {
-    let came = (0..).zip(&truth.came);
+pub fn cold_at_members(started: &[Started], truth: &ExecutionLog) -> (Vec<Violation>, f64) {
+    let came = (0..).zip(&truth.arrivals);
     let came = came
         .map(|(rpc, came)| Event { at: came.at, kind: EventKind::AttemptSent { rpc, member: came.member } });
     let mut cold = SlowStart::default();
@@ -88,7 +88,7 @@
     pub passed: &'a [Passed],
     /// The tool's start, from which `passed` counts.
     pub tool_began: Time,
-    pub truth: &'a Truth,
+    pub truth: &'a ExecutionLog,
     pub absences: &'a [Absence],
     pub drained: &'a [Drained],
     pub started: &'a [Started],
@@ -189,7 +189,7 @@
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.taken(entry)).collect();
         if self.passed.is_empty() {
             // Without the tool a call-out shows where it came to a member, and not when it was over for its router.
-            for came in self.truth.came.iter().filter(|came| !came.turned_away) {
+            for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
                 let Some(rpc) = self.number(&came.id) else { continue };
                 let (at, member) = (came.at, came.member);
                 events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
@@ -204,11 +204,11 @@
             };
             events.push(Event { at, kind: what });
         }
-        for came in self.truth.came.iter().filter(|came| came.turned_away) {
+        for came in self.truth.arrivals.iter().filter(|came| came.rejected) {
             let Some(rpc) = self.number(&came.id) else { continue };
             events.push(Event { at: came.at, kind: EventKind::Rejected { rpc, member: came.member } });
         }
-        for ran in &self.truth.ran {
+        for ran in &self.truth.executions {
             let Some(rpc) = self.number(&ran.id) else { continue };
             events.push(Event { at: ran.at, kind: EventKind::Executed { rpc, member: ran.member } });
         }
@@ -237,7 +237,7 @@
     /// A read counts as sent when it came to the member, whose data is looked at in that moment.
     fn of_reads(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.taken(entry)).collect();
-        for came in self.truth.came.iter().filter(|came| !came.turned_away) {
+        for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
             let Some(rpc) = self.number(&came.id) else { continue };
             let (at, member, position) = (came.at, came.member, came.position);
             events.push(Event { at, kind: EventKind::PositionReached { member, position } });
@@ -248,8 +248,12 @@
 
     /// Writes whose answer does not hold: ok though it never ran, pushed back though it did.
     fn lies(&self) -> Vec<Violation> {
-        let ran: BTreeMap<u64, u32> =
-            self.truth.ran.iter().filter_map(|ran| Some((self.number(&ran.id)?, ran.member))).collect();
+        let ran: BTreeMap<u64, u32> = self
+            .truth
+            .executions
+            .iter()
+            .filter_map(|ran| Some((self.number(&ran.id)?, ran.member)))
+            .collect();
         let mut broken = Vec::new();
         for entry in self.journal {
             let writes = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
--- a/crates/ladderpass-testbed/src/load.rs
+++ b/crates/ladderpass-testbed/src/load.rs
@@ -740,7 +740,7 @@
         let mut used = 0;
         loop {
             let Some(client) = self.clients[index].as_mut() else { return };
-            let Some((kind, body, length)) = proto::frame(client.input.get(used..).unwrap_or_default())
+            let Some((kind, body, length)) = proto::parse_frame(client.input.get(used..).unwrap_or_default())
             else {
                 break;
             };
@@ -763,8 +763,8 @@
                     client.told.row = Some(number);
                 }
                 b'E' => {
-                    client.told.code = proto::field(body, b'C').map(str::to_owned);
-                    client.told.come_back = proto::field(body, b'D').and_then(|text| text.parse().ok());
+                    client.told.code = proto::error_field(body, b'C').map(str::to_owned);
+                    client.told.come_back = proto::error_field(body, b'D').and_then(|text| text.parse().ok());
                 }
                 b'Z' if !client.opened => client.opened = true,
                 b'Z' => {
@@ -933,7 +933,7 @@
     let mut chunk = [0; 4096];
     loop {
         let mut used = 0;
-        while let Some((kind, _, length)) = proto::frame(&input[used..]) {
+        while let Some((kind, _, length)) = proto::parse_frame(&input[used..]) {
             used += length;
             if kind == b'Z' {
                 return Ok(());
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -3,7 +3,7 @@
 //! It owns the command line alone. It must never be needed by a router that serves.
 
 use clap::{Args, Parser, Subcommand};
-use ladderpass_emulator::{Running, Scenario};
+use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_routing::Span;
 use ladderpass_testbed::capacity::control;
 use ladderpass_testbed::capacity::hollow::Shape;
@@ -342,7 +342,7 @@
 fn up(bed: &BedArgs) -> Result<(), String> {
     let scenario = scenario(bed)?;
     let told = |fault: std::io::Error| fault.to_string();
-    let fleet = Running::start(scenario.clone(), bed.seed, Ipv4Addr::LOCALHOST).map_err(told)?;
+    let fleet = RunningEmulator::start(scenario.clone(), bed.seed, Ipv4Addr::LOCALHOST).map_err(told)?;
     let mut start = start(bed)?;
     start.loud = true;
     let mut router = router::Router::start(&scenario, &fleet, &start, bed.seed).map_err(told)?;
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -5,7 +5,7 @@
 use crate::bed::{self, Deed, Seen, open};
 use crate::load::{self, until_ready};
 use crate::router::Start;
-use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::{Decision, Plan, Rule, difference};
 use ladderpass_routing::{Span, Time};
@@ -99,14 +99,14 @@
 
 /// What acts in a row on any router, and how often: its plan, else what the row does to the fleet.
 fn acted(row: &Row, seen: &Seen, decisions: usize) -> (usize, &'static str) {
-    let ran = |member| seen.truth.ran.iter().filter(|ran| ran.member == member).count();
+    let ran = |member| seen.truth.executions.iter().filter(|ran| ran.member == member).count();
     match row {
         Row { cold: [_, ..], .. } => {
             (row.cold.iter().map(|member| ran(*member)).sum(), "RPCs began at the cold members")
         }
         Row { drains: Some(member), .. } => (ran(*member), "RPCs began at the member before its drain"),
         Row { plan: [], .. } if row.log_ms > 100.0 => {
-            let spilt = seen.truth.ran.iter().filter(|ran| !ran.writes && ran.member == 0);
+            let spilt = seen.truth.executions.iter().filter(|ran| !ran.writes && ran.member == 0);
             (spilt.count(), "reads went to the primary, replicas being too old")
         }
         Row { plan: [], .. } => (seen.outcome.total().ok as usize, "answers could have come twice"),
@@ -180,11 +180,11 @@
         }
         input.extend_from_slice(&chunk[..count]);
         let mut out = Vec::new();
-        if !opened && let Some(length) = proto::startup(&input) {
+        if !opened && let Some(length) = proto::parse_startup(&input) {
             (input, opened) = (input.split_off(length), true);
-            proto::put_welcome(&mut out);
+            proto::put_startup_response(&mut out);
         }
-        while opened && let Some((_, _, length)) = proto::frame(&input) {
+        while opened && let Some((_, _, length)) = proto::parse_frame(&input) {
             input = input.split_off(length);
             proto::put_row(&mut out, &[b'.'; 256], false, true, Some(Time::from_nanos(0)));
         }
@@ -306,7 +306,7 @@
     let mut scenario = Scenario::default();
     scenario.methods[0].name = "large".into();
     scenario.methods[0].value_bytes = 65_536;
-    let fleet = Running::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
+    let fleet = RunningEmulator::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
     let links = bed::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
     let tool = driver::Running::start(Plan { seed, links, ..Plan::default() }, None)?;
     let (direct, through) = (pace(fleet.addresses[0])?, pace(tool.addresses[0])?);
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -106,8 +106,8 @@
     };
     let played = play(&drill, programs, seed)?;
     let from = played.outcome.began;
-    let probes = played.truth.probes.iter().filter(|(at, _)| *at >= from + SETTLED).count();
-    Ok(probes as f64 / drill.scenario.members() as f64 / (drill.secs() - SETTLED.secs()))
+    let probes = played.truth.health_checks.iter().filter(|(at, _)| *at >= from + SETTLED).count();
+    Ok(probes as f64 / drill.scenario.member_count() as f64 / (drill.secs() - SETTLED.secs()))
 }
 
 /// Further call-outs as a part of first ones, by the members.
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -66,7 +66,7 @@
 /// RPCs within a window before each time, and what is allowed then, of the first member that started cold.
 fn windows(played: &Played) -> Option<(Points, Points)> {
     let started = played.started.first()?;
-    let came = played.truth.came.iter().filter(|came| came.member == started.member);
+    let came = played.truth.arrivals.iter().filter(|came| came.member == started.member);
     let times: Vec<Time> = came.map(|came| came.at).collect();
     let (warm, window) = (started.warm_within.secs(), started.overload_for.secs());
     let (mut got, mut most) = (Vec::new(), Vec::new());
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -183,7 +183,7 @@
     for member in 0..members as u32 {
         let mut times: Vec<f64> = played
             .truth
-            .probes
+            .health_checks
             .iter()
             .filter(|(_, of)| *of == member)
             .map(|(at, _)| secs(played, *at))
@@ -451,7 +451,7 @@
     kept(&mut table, "kills, freeze, deafness, loss, split", long);
     prove_faulty(&mut table, &measured.shown);
     prove_joint(&mut table, &measured.joint);
-    let members = drill.scenario.members();
+    let members = drill.scenario.member_count();
     let (ours, keeps, earlier) = &measured.thinned;
     kept(&mut table, "a third of nine killed", ours);
     let taken = |played: &Played| {
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -170,7 +170,7 @@
     );
     let broken = with.broken(Span::from_millis(50));
     let told = if broken.is_empty() {
-        format!("none in {} call-outs", with.truth.ran.len())
+        format!("none in {} call-outs", with.truth.executions.len())
     } else {
         broken.join("; ")
     };
--- a/crates/ladderpass-testbed/src/router.rs
+++ b/crates/ladderpass-testbed/src/router.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the process and the files that it is told by. It must never end a process that it has not started.
 
-use ladderpass_emulator::scenario::Allowed;
-use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::RouterLimits;
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Start {
     pub binary: PathBuf,
-    pub allowed: Allowed,
+    pub allowed: RouterLimits,
     /// The text of its operator's file, if it gets one.
     pub operator: Option<String>,
     pub cpu: Option<usize>,
@@ -42,7 +42,7 @@
     pub fn new(binary: &Path) -> Start {
         Start {
             binary: binary.to_owned(),
-            allowed: Allowed { cores: 1.0, memory_mb: 192, sockets: 4096 },
+            allowed: RouterLimits { cores: 1.0, memory_mb: 192, sockets: 4096 },
             operator: None,
             cpu: None,
             loud: false,
@@ -106,7 +106,12 @@
 }
 
 impl Router {
-    pub fn start(scenario: &Scenario, fleet: &Running, start: &Start, seed: u64) -> io::Result<Router> {
+    pub fn start(
+        scenario: &Scenario,
+        fleet: &RunningEmulator,
+        start: &Start,
+        seed: u64,
+    ) -> io::Result<Router> {
         Router::start_before(scenario, &fleet.addresses, fleet.discovery, start, seed)
     }
 
@@ -132,7 +137,8 @@
         seed: u64,
     ) -> io::Result<Router> {
         let address = start.listen.map_or_else(own_address, Ok)?;
-        let told = file(&scenario.told(ladderpass_emulator::now(), seed, &start.allowed, members), "json")?;
+        let told =
+            file(&scenario.router_config(ladderpass_emulator::now(), seed, &start.allowed, members), "json")?;
         let mut files = vec![told.clone()];
         let mut command = Command::new(&start.binary);
         command.args(&start.arguments).envs(start.variables.iter().cloned());
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -1,7 +1,7 @@
 //! The joint history: what becomes of the accounts of clients, the fault tool and members, by small made-up ones.
 
-use ladderpass_emulator::truth::{Came, Ran};
-use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_emulator::execution_log::{Arrival, Execution};
+use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
@@ -23,7 +23,7 @@
     scenario: Scenario,
     journal: Vec<Entry>,
     passed: Vec<Passed>,
-    truth: Truth,
+    truth: ExecutionLog,
     absences: Vec<Absence>,
     drained: Vec<Drained>,
     started: Vec<Started>,
@@ -36,7 +36,7 @@
             scenario: Scenario::default(),
             journal: vec![entry(1, 0, 0, Some((10, Answer::Ok))), entry(2, 1, 5, Some((20, Answer::Ok)))],
             passed: vec![],
-            truth: Truth::default(),
+            truth: ExecutionLog::default(),
             absences: vec![],
             drained: vec![],
             started: vec![],
@@ -51,9 +51,9 @@
 
     fn ran(&mut self, ms: i64, member: u32, number: u64) {
         let (at, id) = (at(ms), format!("1-{number:x}").into_boxed_str());
-        let came = Came { at, member, id: id.clone(), position: at, turned_away: false };
-        self.truth.came.push(came);
-        self.truth.ran.push(Ran { at, member, id, method: 1, writes: true, position: at });
+        let came = Arrival { at, member, id: id.clone(), position: at, rejected: false };
+        self.truth.arrivals.push(came);
+        self.truth.executions.push(Execution { at, member, id, method: 1, writes: true, position: at });
     }
 
     fn rules(&self) -> Vec<u8> {
@@ -111,7 +111,7 @@
     let mut world = World::new();
     world.pass(6, 0, 2, true);
     let (id, position) = ("1-2".into(), at(7));
-    world.truth.came.push(Came { at: at(7), member: 0, id, position, turned_away: true });
+    world.truth.arrivals.push(Arrival { at: at(7), member: 0, id, position, rejected: true });
     world.pass(8, 0, 2, false);
     world.pass(9, 2, 2, true);
     world.ran(10, 0, 2);
@@ -155,20 +155,20 @@
 fn a_stale_read_is_found_by_what_the_member_had() {
     let mut world = World::new();
     world.ran(1, 0, 2);
-    let came = |ms: i64, old: i64| Came {
+    let came = |ms: i64, old: i64| Arrival {
         at: at(ms),
         member: 1,
         id: "1-1".into(),
         position: at(ms - old),
-        turned_away: false,
+        rejected: false,
     };
-    world.truth.came.push(came(5, 1900));
+    world.truth.arrivals.push(came(5, 1900));
     assert_eq!(world.rules(), [0u8; 0]);
-    world.truth.came.push(came(6, 2500));
+    world.truth.arrivals.push(came(6, 2500));
     // The best that it was known to have reached counts.
     assert_eq!(world.rules(), [0u8; 0]);
-    world.truth.came = vec![came(6, 2500)];
-    world.truth.ran.clear();
+    world.truth.arrivals = vec![came(6, 2500)];
+    world.truth.executions.clear();
     world.journal.truncate(1);
     assert_eq!(world.rules(), [5]);
 }
@@ -182,8 +182,8 @@
     let came = |count: usize| {
         let id = |nth: usize| format!("1-{nth:x}").into_boxed_str();
         let came =
-            |nth| Came { at: at(0), member: 1, id: id(nth), position: at(0), turned_away: nth % 2 == 0 };
-        Truth { came: (0..count).map(came).collect(), ..Truth::default() }
+            |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
+        ExecutionLog { arrivals: (0..count).map(came).collect(), ..ExecutionLog::default() }
     };
     // It bears 60 in the window that ends at its start, and 77.5 with what is put down to chance.
     let (broken, roots) = cold_at_members(&[started], &came(77));
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -144,12 +144,17 @@
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
-    let deeds: Vec<Deed<'_>> =
-        vec![(0.5, Box::new(|_, fleet| fleet.drain(1))), (0.9, Box::new(move |_, fleet| fleet.say(0, old)))];
+    let deeds: Vec<Deed<'_>> = vec![
+        (0.5, Box::new(|_, fleet| fleet.drain(1))),
+        (0.9, Box::new(move |_, fleet| fleet.send_line(0, old))),
+    ];
     // Rule 3 is judged over all that passes: the drain holds whatever the old list says.
     let (seen, _) = play(9, &[], deeds);
     let after = seen.outcome.began + Span::from_millis(1000);
-    assert!(!seen.truth.ran.iter().any(|ran| ran.member == 1 && ran.at > after), "its drain was undone");
+    assert!(
+        !seen.truth.executions.iter().any(|ran| ran.member == 1 && ran.at > after),
+        "its drain was undone"
+    );
     assert!(seen.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", seen.log);
 }
 
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -1,7 +1,7 @@
 //! The move: routers of the old shape, which tell each other nothing, and of the new one, before the same members. The
 //! rules are judged by `ladderpass-invariants` over what ran, and neither kind may starve the other.
 
-use ladderpass_emulator::{Running, Scenario};
+use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_routing::Time;
 use ladderpass_testbed::bed::open;
 use ladderpass_testbed::drill::Drill;
@@ -124,7 +124,7 @@
 fn a_router_of_the_new_shape_tells_the_others_what_members_told_it() {
     let _alone = alone();
     let scenario = Scenario::default();
-    let fleet = Running::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
+    let fleet = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
     let other = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
     other.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
     let (own, others) = (free(1)[0], other.local_addr().expect("bound"));
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -11,7 +11,7 @@
 use failing::{Failure, Step};
 use judge::{Ends, KILL_AFTER, judge, signal};
 use ladderpass_emulator::Scenario;
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
 use ladderpass_testbed::bed::{self, Deed, links, open};
@@ -116,7 +116,7 @@
     }));
     let mut start = failing::start(&life.failures, &life.steps);
     let sockets = if life.crowd > 0 { 256 } else { 1024 };
-    start.allowed = Allowed { cores: 1.0, memory_mb: 64, sockets };
+    start.allowed = RouterLimits { cores: 1.0, memory_mb: 64, sockets };
     let kill_at = life.term_at + life.deadline + KILL_AFTER;
     let phases = [(secs(kill_at) + 0.3, 150.0)];
     let plan =
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -13,7 +13,7 @@
 use ladderpass::launch::Launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_emulator::Scenario;
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::bed::{Deed, open, run};
 use ladderpass_testbed::load::Plan;
@@ -164,7 +164,8 @@
     let Life { call, after, every, lasts, .. } = *life;
     let hold = Failure { after, every, count: HOLDS, ..Failure::hold(call, lasts) };
     let mut start = failing::start(&[hold], &[]);
-    start.allowed = Allowed { cores: 1.0, memory_mb: 64, sockets: if life.crowd > 0 { 256 } else { 1024 } };
+    start.allowed =
+        RouterLimits { cores: 1.0, memory_mb: 64, sockets: if life.crowd > 0 { 256 } else { 1024 } };
     let kill_at = TERM_AT + (DEADLINE + KILL_AFTER).secs();
     let phases = [(kill_at + 0.3, 150.0)];
     let plan = Plan { connections: 40, pipeline: 4, deadline: DEADLINE, ..open(life.seed, &phases) };
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -88,6 +88,6 @@
         let started = Started::all(&scenario, seen.outcome.began, MEMBER_BEARS);
         let (broken, _) = cold_at_members(&started, &seen.truth);
         assert!(broken.is_empty(), "{ahead} ms ahead: {}", broken[0]);
-        assert!(seen.truth.came.iter().any(|came| came.member > 0), "{ahead} ms ahead: none is used");
+        assert!(seen.truth.arrivals.iter().any(|came| came.member > 0), "{ahead} ms ahead: none is used");
     }
 }
