--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -1,7 +1,7 @@
 //! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`, `list`,
 //! `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
 
-use crate::engine::{Do, Engine};
+use crate::engine::{Do, Engine, RuleState};
 use crate::errors::{ControlError, EngineError};
 use crate::plan::Rule;
 use ladderpass_routing::{Span, Time};
@@ -15,8 +15,15 @@
     Lift(String),
     /// Lists the rules.
     List,
-    /// Answers once the rule of this name has acted so often, or the time is over.
-    Wait(String, u64, Span),
+    /// Answers once a rule has acted so often, or the time is over.
+    Wait {
+        /// Name of the rule.
+        rule: String,
+        /// How often it must have acted.
+        hits: u64,
+        /// How long to wait at most.
+        timeout: Span,
+    },
     /// Counts connections, bytes and decisions.
     Stats,
     /// Nothing passes that link, either way, until it is healed.
@@ -32,8 +39,15 @@
 pub enum Reply {
     /// This line.
     Now(String),
-    /// Once the rule of this name has acted so often, until this time at most.
-    Later(Time, String, u64),
+    /// Once a rule has acted so often.
+    Later {
+        /// Not later than this.
+        until: Time,
+        /// Name of the rule.
+        rule: String,
+        /// How often it must have acted.
+        hits: u64,
+    },
 }
 
 /// Parses a command.
@@ -62,7 +76,7 @@
     let [name, hits, ms] = words[..] else { return Err(ControlError::WaitForm) };
     let hits = hits.parse().map_err(|_| ControlError::WaitHits(hits.to_owned()))?;
     let ms: u32 = ms.parse().map_err(|_| ControlError::WaitMs(ms.to_owned()))?;
-    Ok(Asked::Wait(name.to_owned(), hits, Span::from_millis(i64::from(ms))))
+    Ok(Asked::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
 }
 
 /// Carries out a line; returns the answer, and what is to be done to connections.
@@ -93,17 +107,17 @@
         }
         Asked::List => Ok((list(engine), Vec::new())),
         Asked::Stats => Ok((stats(engine), Vec::new())),
-        Asked::Wait(name, hits, longest) => {
-            if !engine.list().iter().any(|(other, ..)| *other == name) {
-                return Err(ControlError::WaitRule(name));
+        Asked::Wait { rule, hits, timeout } => {
+            if !engine.list().iter().any(|state| state.name == rule) {
+                return Err(ControlError::WaitRule(rule));
             }
-            Ok((Reply::Later(now + longest, name, hits), Vec::new()))
+            Ok((Reply::Later { until: now + timeout, rule, hits }, Vec::new()))
         }
     }
 }
 
 fn list(engine: &Engine) -> Reply {
-    let rule = |(name, hits, live): (&str, u64, bool)| {
+    let rule = |RuleState { name, hits, live }: RuleState<'_>| {
         format!("{name} {hits} {}", if live { "live" } else { "over" })
     };
     let rules: Vec<String> = engine.list().into_iter().map(rule).collect();
@@ -118,5 +132,5 @@
 
 /// Whether a rule has acted so often.
 pub fn is_met(engine: &Engine, name: &str, hits: u64) -> bool {
-    engine.list().iter().any(|(other, acted, _)| *other == name && *acted >= hits)
+    engine.list().iter().any(|state| state.name == name && state.hits >= hits)
 }
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -157,16 +157,17 @@
                 // Out of descriptors, or closed already: as if it had been refused.
                 Err(_) => return Ok(()),
             };
-            let (conn, forwarded, operations) = self.engine.opened(self.now(), link);
+            let opened = self.engine.opened(self.now(), link);
+            let conn = opened.connection;
             self.pairs.insert(conn, EndpointPair::default());
             self.add_endpoint(conn, Side::Client, stream)?;
-            if forwarded {
+            if opened.forwarded {
                 match TcpStream::connect(self.targets[link]) {
                     Ok(stream) => self.add_endpoint(conn, Side::Server, stream)?,
                     Err(_) => self.close(conn, false),
                 }
             }
-            self.schedule(operations);
+            self.schedule(opened.operations);
         }
     }
 
@@ -351,7 +352,7 @@
             self.schedule(operations);
             let text = match reply {
                 Reply::Now(text) => text,
-                Reply::Later(..) => "error wait is for the control's socket".into(),
+                Reply::Later { .. } => "error wait is for the control's socket".into(),
             };
             // A caller that did not wait needs no answer.
             let _ = command.answer.send(text);
@@ -377,7 +378,7 @@
             self.schedule(operations);
             match reply {
                 Reply::Now(text) => self.control_clients.reply(index, &text),
-                Reply::Later(until, rule, hits) => {
+                Reply::Later { until, rule, hits } => {
                     self.control_clients.set_wait(index, Wait { until, rule, hits });
                 }
             }
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -10,7 +10,8 @@
 mod operation;
 mod rpc_watch;
 
-pub use operation::{Conn, Do, What};
+pub use active_rule::RuleState;
+pub use operation::{Conn, Do, Opened, What};
 pub use rpc_watch::Passed;
 
 use crate::errors::EngineError;
@@ -185,10 +186,9 @@
         found.ok_or_else(|| EngineError::UnknownLink(name.to_owned()))
     }
 
-    /// Each rule's name, how often it has acted, and whether it still may.
-    pub fn list(&self) -> Vec<(&str, u64, bool)> {
-        let state = |active: &ActiveRule| !active.lifted && !active.is_spent();
-        self.rules.iter().map(|active| (active.rule.name.as_str(), active.hits, state(active))).collect()
+    /// The state of each rule, in the order in which they were added.
+    pub fn list(&self) -> Vec<RuleState<'_>> {
+        self.rules.iter().map(ActiveRule::state).collect()
     }
 
     /// Rules that have never acted.
@@ -215,8 +215,8 @@
         direction.silent || late + connection.stalled.bytes[side as usize] + direction.held_bytes() < BOUND
     }
 
-    /// A connection has been accepted on a link: its number, whether it is forwarded, and what is done to it.
-    pub fn opened(&mut self, now: Time, link: usize) -> (Conn, bool, Vec<Do>) {
+    /// A connection has been accepted on a link.
+    pub fn opened(&mut self, now: Time, link: usize) -> Opened {
         self.opened[link] += 1;
         let conn = Conn { link, number: self.opened[link] };
         let talk = self.plan.links[link].talk;
@@ -224,16 +224,16 @@
         let connection = Connection { directions, over: false, stalled: Stalled::default() };
         self.connections.insert(conn, connection);
         let unit = Unit { at: 0, kind: "open", bytes: Vec::new() };
-        let (mut forwarded, mut todo) = (true, Vec::new());
+        let (mut forwarded, mut operations) = (true, Vec::new());
         for index in self.triggered_rules(now, conn, Side::Client, &unit, true) {
             let refused = self.rules[index].rule.action == Action::Refuse;
             self.record_decision(index, conn, Side::Client, &unit, Vec::new());
             forwarded = false;
             if refused {
-                todo.push(Do { conn, at: now, what: What::Reset });
+                operations.push(Do { conn, at: now, what: What::Reset });
             }
         }
-        (conn, forwarded, todo)
+        Opened { connection: conn, forwarded, operations }
     }
 
     /// Bytes have arrived from a side.
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -16,6 +16,17 @@
     pub lifted: bool,
 }
 
+/// What has become of a rule.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RuleState<'a> {
+    /// Name of the rule.
+    pub name: &'a str,
+    /// How often it has acted.
+    pub hits: u64,
+    /// Whether it may still act.
+    pub live: bool,
+}
+
 /// A unit, and where and when it passes.
 pub struct Occurrence<'a> {
     pub connection: Conn,
@@ -32,8 +43,13 @@
         ActiveRule { rule, link, matches: HashMap::new(), hits: 0, lifted: false }
     }
 
+    pub fn state(&self) -> RuleState<'_> {
+        let live = !self.lifted && !self.is_spent();
+        RuleState { name: &self.rule.name, hits: self.hits, live }
+    }
+
     /// It has acted as often as it may.
-    pub fn is_spent(&self) -> bool {
+    fn is_spent(&self) -> bool {
         self.rule.times > 0 && self.hits >= self.rule.times
     }
 
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -23,6 +23,17 @@
     pub what: What,
 }
 
+/// A connection that was accepted on a link.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Opened {
+    /// The connection.
+    pub connection: Conn,
+    /// Whether it is forwarded.
+    pub forwarded: bool,
+    /// What is done to it.
+    pub operations: Vec<Do>,
+}
+
 /// What is done to a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum What {
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -1,5 +1,6 @@
 //! The pure part: each action on a stream of messages, and that runs repeat.
 
+use ladderpass_fault_injection::engine::{Opened, RuleState};
 use ladderpass_fault_injection::record::lines;
 use ladderpass_fault_injection::{Do, Engine, Plan, Side, What, difference};
 use ladderpass_routing::{Span, Time};
@@ -30,7 +31,7 @@
 /// record.
 fn passed(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<What>, String) {
     let mut engine = engine(rules);
-    let (conn, _, _) = engine.opened(at(0), 0);
+    let conn = engine.opened(at(0), 0).connection;
     let todo: Vec<Do> =
         bytes.chunks(slice).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
     let (mut out, mut other) = (Vec::new(), Vec::new());
@@ -91,13 +92,13 @@
     let mut engine = engine(
         "  - {name: r, when: {message: DataRow}, do: {delay: {ms: 20}}}\n  - {name: s, when: {message: CommandComplete}, do: {slice: {gap_ms: 1}}}\n",
     );
-    let (conn, ..) = engine.opened(at(0), 0);
+    let conn = engine.opened(at(0), 0).connection;
     let todo = engine.came(at(0), conn, Side::Server, &response(b"one"));
     let times: Vec<i64> = todo.iter().map(|one| (one.at - at(0)).nanos() / 1_000_000).collect();
     assert_eq!((times[0], times[1], times[2], times.last()), (0, 20, 20, Some(&36)), "{times:?}");
     assert!(times.is_sorted() && todo.len() == 3 + 16);
     let mut engine = self::engine("  - {name: r, when: {message: DataRow}, do: hold}\n");
-    let (conn, ..) = engine.opened(at(0), 0);
+    let conn = engine.opened(at(0), 0).connection;
     assert_eq!(
         engine.came(at(0), conn, Side::Server, &response(b"one")).len(),
         1,
@@ -110,13 +111,13 @@
     );
     // Held without end: at the limit the sender is no longer read.
     let mut engine = self::engine("  - {name: r, do: hold}\n");
-    let (conn, ..) = engine.opened(at(0), 0);
+    let conn = engine.opened(at(0), 0).connection;
     while engine.wants(conn, Side::Server, 0) {
         engine.came(at(0), conn, Side::Server, &frame(b'D', &[0; 60_000]));
     }
     let rate = "  - {name: r, do: {rate: {bytes_per_s: 1000}}}\n";
     let mut engine = self::engine(rate);
-    let (conn, ..) = engine.opened(at(0), 0);
+    let conn = engine.opened(at(0), 0).connection;
     let todo = engine.came(at(0), conn, Side::Server, &frame(b'D', &[0; 495]));
     assert_eq!(todo[0].at, at(500));
 }
@@ -130,7 +131,7 @@
     let mut engine = engine(rules);
     let startup = [&8u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat();
     let query = [startup, frame(b'Q', b"x\0")].concat();
-    let (one, forwarded, _) = engine.opened(at(0), 0);
+    let Opened { connection: one, forwarded, .. } = engine.opened(at(0), 0);
     assert!(forwarded);
     assert_eq!(engine.came(at(0), one, Side::Client, &query).len(), 2);
     assert_eq!(
@@ -138,13 +139,13 @@
         4,
         "the other rule has not acted yet"
     );
-    let (two, ..) = engine.opened(at(0), 0);
+    let two = engine.opened(at(0), 0).connection;
     assert_eq!(engine.came(at(0), two, Side::Client, &query).len(), 1);
     assert_eq!(engine.came(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
-    let (_, forwarded, todo) = engine.opened(at(0), 0);
+    let Opened { forwarded, operations: todo, .. } = engine.opened(at(0), 0);
     assert!(!forwarded && todo[0].what == What::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
-    assert_eq!(engine.list()[0], ("first", 1, false));
+    assert_eq!(engine.list()[0], RuleState { name: "first", hits: 1, live: false });
     assert!(
         engine
             .add(ladderpass_fault_injection::Rule::read("{name: never, do: drop}").expect("a rule"))
@@ -159,7 +160,7 @@
         let bytes: Vec<u8> = values.iter().flat_map(|value| response(value)).collect();
         let run = |slice: usize| {
             let mut engine = Engine::new(at(0), Plan::drawn(seed, 12, links.clone()));
-            let (conn, ..) = engine.opened(at(0), 0);
+            let conn = engine.opened(at(0), 0).connection;
             let todo: Vec<Do> = bytes.chunks(slice).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
             (todo, engine.record().to_vec())
         };
@@ -171,7 +172,7 @@
     /// Without rules the bytes are unchanged.
     fn without_rules_bytes_pass(bytes: Vec<u8>, slice: usize) -> bool {
         let mut engine = engine(" []\n");
-        let (conn, ..) = engine.opened(at(0), 0);
+        let conn = engine.opened(at(0), 0).connection;
         let mut todo: Vec<Do> = bytes.chunks(slice % 20 + 1).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
         todo.extend(engine.ended(at(2), conn, Side::Server));
         let mut out = Vec::new();
