--- a/crates/ladderpass-emulator/src/lib.rs
+++ b/crates/ladderpass-emulator/src/lib.rs
@@ -1,18 +1,22 @@
-//! An emulated fleet for tests, loads and experiments: members with cores, queues and logs, and a discovery service.
+//! Emulated members and an emulated discovery service, for tests, loads and experiments: members with cores, queues and
+//! replication logs, behind the protocols that the router speaks.
 //!
-//! `model` is pure: inputs and the time in, outputs out, chance from a seed. `loopback` drives it on sockets with the
-//! protocols that the router speaks. `scenario` is what one YAML file tells; `truth` is what ran where, for checkers. It
-//! must never know a router's beliefs, nor be used by one.
+//! - `model` is pure: requests and the time in, replies out, random draws from a seed.
+//! - `loopback` drives it on sockets.
+//! - `scenario` is the YAML file that describes the members.
+//! - `execution_log` records what ran where, for the history checkers.
+//!
+//! The emulator knows nothing of a router's state, and no router uses it.
 
 pub mod clock;
+pub mod execution_log;
 pub mod loopback;
 pub mod model;
 pub mod proto;
 pub mod scenario;
-pub mod truth;
 
 pub use clock::now;
-pub use loopback::Running;
-pub use model::{Ask, Conn, Input, Model, Output, Reply};
+pub use execution_log::ExecutionLog;
+pub use loopback::RunningEmulator;
+pub use model::{ConnectionId, Input, Model, Output, Reply, Request};
 pub use scenario::Scenario;
-pub use truth::Truth;
--- /dev/null
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -0,0 +1,45 @@
+//! Rule 3: a draining member gets no new attempt once its drain has been published.
+
+use crate::checker::{Checker, Tolerance, Violation};
+use crate::history::{Event, EventKind, MemberIndex};
+use std::collections::HashMap;
+
+/// Checks rule 3.
+pub struct Drains {
+    tolerance: Tolerance,
+    /// Draining members, with the event that published it.
+    draining: HashMap<MemberIndex, Event>,
+}
+
+impl Drains {
+    /// A checker of a history that is yet to begin.
+    pub fn new(tolerance: Tolerance) -> Drains {
+        Drains { tolerance, draining: HashMap::new() }
+    }
+}
+
+impl Checker for Drains {
+    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+        match event.kind {
+            EventKind::Draining { member } => {
+                self.draining.entry(member).or_insert(*event);
+            }
+            EventKind::Serving { member } => {
+                self.draining.remove(&member);
+            }
+            EventKind::AttemptSent { rpc, member } => {
+                let Some(published) = self.draining.get(&member) else { return };
+                if event.at > published.at + self.tolerance.endpoint_update {
+                    let text = format!("RPC {rpc:x} goes to member {member}, which wants nothing new");
+                    let (rpc, member) = (Some(rpc), Some(member));
+                    broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn tracked(&self) -> usize {
+        self.draining.len()
+    }
+}
--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -8,13 +8,13 @@
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use hdrhistogram::Histogram;
-use ladderpass_emulator::{Running, Scenario, Truth};
+use ladderpass_emulator::{ExecutionLog, RunningEmulator, Scenario};
 use ladderpass_fault_injection as faults;
 use ladderpass_fault_injection::driver::{self, Left};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_fault_injection::plan::LinkShape;
 use ladderpass_fault_injection::{Rule, Talk};
-use ladderpass_invariants::{Grace, Violation};
+use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -27,7 +27,7 @@
     /// The prober's queries: when each was due, in seconds of the load, and how long after that it was answered.
     probed: Vec<(f64, Span)>,
     /// What the members saw.
-    pub truth: Truth,
+    pub truth: ExecutionLog,
     /// CPU seconds of the router over the load.
     pub cpu: f64,
     /// Resident memory of the router at the end of the load, in bytes.
@@ -58,7 +58,7 @@
 const SHUTDOWN_LOG_TEXT: &str = "stopping clients=";
 
 /// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
-pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &Running) + 'a>);
+pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
 
 /// Runs a load against one router, with fault events.
 ///
@@ -100,7 +100,7 @@
     }
     let plan = &Plan { journal: true, ..plan.clone() };
     let with_history = Scenario { history: true, ..scenario.clone() };
-    let fleet = Running::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let fleet = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
     let upstream = match rules {
         None => Upstream { members: fleet.addresses.clone(), discovery: fleet.discovery, fault_tool: None },
         Some(rules) => Upstream::through_fault_tool(&fleet, rules, plan.seed)?,
@@ -122,7 +122,7 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut left = upstream.fault_tool.map(driver::Running::stop);
-    let drained = fleet.drained().into_iter().map(|(at, router, member)| Drained { router, member, at });
+    let drained = fleet.drains().into_iter().map(|(at, router, member)| Drained { router, member, at });
     let seen = Seen {
         outcome,
         probed,
@@ -151,14 +151,14 @@
 
 impl Upstream {
     /// Starts the fault tool before a fleet, whose discovery then gives the tool's addresses.
-    fn through_fault_tool(fleet: &Running, rules: Vec<Rule>, seed: u64) -> io::Result<Upstream> {
+    fn through_fault_tool(fleet: &RunningEmulator, rules: Vec<Rule>, seed: u64) -> io::Result<Upstream> {
         let links = links(&fleet.addresses, fleet.discovery);
         let plan = faults::Plan { seed, links, rules, ..faults::Plan::default() };
         let fault_tool = driver::Running::start(plan, None)?;
         fault_tool.say("watch").map_err(io::Error::other)?;
         let mut members = fault_tool.addresses.clone();
         let discovery = members.pop().unwrap_or(fleet.discovery);
-        fleet.present(&members);
+        fleet.set_addresses(&members);
         Ok(Upstream { members, discovery, fault_tool: Some(fault_tool) })
     }
 }
@@ -210,10 +210,10 @@
 
     /// What the history checker finds, if answers may come `answers` after their deadline.
     pub fn violations(&self, answers: Span) -> Vec<Violation> {
-        let members = self.scenario.members();
+        let members = self.scenario.member_count();
         let links = (0..members).map(|member| (member, (0, member as u32))).collect();
         let started = Started::all(&self.scenario, self.outcome.began, self.bears);
-        let grace = Grace { answer: answers, ..Grace::default() };
+        let grace = Tolerance { answer: answers, ..Tolerance::default() };
         let history = History {
             scenario: &self.scenario,
             links: &links,
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -4,8 +4,8 @@
 use super::statement::query;
 use crate::load::until_ready;
 use crate::router::{Router, Start};
-use ladderpass_emulator::scenario::Allowed;
-use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::RouterLimits;
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
 
 /// A fleet and a router; both end when it is dropped.
 pub struct Bed {
-    fleet: Option<Running>,
+    fleet: Option<RunningEmulator>,
     router: Option<Router>,
     groups: u32,
 }
@@ -64,8 +64,8 @@
     /// If one of them can't be started.
     pub fn start(binary: &Path, groups: u32, memory_mb: u64, sockets: usize, seed: u64) -> io::Result<Bed> {
         let scenario = Scenario { groups, ..Scenario::default() };
-        let fleet = Running::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
-        let allowed = Allowed { cores: 1.0, memory_mb, sockets };
+        let fleet = RunningEmulator::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
+        let allowed = RouterLimits { cores: 1.0, memory_mb, sockets };
         let start = Start { allowed, ..Start::new(binary) };
         let router = Router::start(&scenario, &fleet, &start, seed)?;
         Ok(Bed { fleet: Some(fleet), router: Some(router), groups })
@@ -177,7 +177,7 @@
 impl Drop for Bed {
     fn drop(&mut self) {
         self.router.take().map(Router::stop);
-        self.fleet.take().map(Running::stop);
+        self.fleet.take().map(RunningEmulator::stop);
     }
 }
 
--- a/crates/ladderpass-testbed/src/capacity/data_path/world/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world/connections.rs
@@ -60,7 +60,8 @@
         let client = &mut self.clients[index];
         client.input.extend_from_slice(bytes);
         let (mut parsed, mut served) = (0, false);
-        while let Some((kind, _, length)) = proto::frame(client.input.get(parsed..).unwrap_or_default()) {
+        while let Some((kind, _, length)) = proto::parse_frame(client.input.get(parsed..).unwrap_or_default())
+        {
             parsed += length;
             served |= kind == b'D';
             match (kind, client.welcomed) {
@@ -97,20 +98,20 @@
         let mut parsed = 0;
         let mut answers = Vec::new();
         if !connection.startup_read {
-            let Some(length) = proto::startup(&connection.input) else { return };
+            let Some(length) = proto::parse_startup(&connection.input) else { return };
             (connection.startup_read, parsed) = (true, length);
             if self.rejects.get(member).copied().unwrap_or(false) {
                 connection.input.clear();
                 return self.reject_connection(id);
             }
             let mut welcome = Vec::new();
-            proto::put_welcome(&mut welcome);
+            proto::put_startup_response(&mut welcome);
             answers.push((ROUND_TRIP, welcome));
         }
         let mut input = std::mem::take(&mut connection.input);
         // Queries are answered one after the other.
         let mut answered_after = ROUND_TRIP;
-        while let Some((_, body, length)) = proto::frame(input.get(parsed..).unwrap_or_default()) {
+        while let Some((_, body, length)) = proto::parse_frame(input.get(parsed..).unwrap_or_default()) {
             parsed += length;
             self.counts.queries += 1.0;
             self.counts.bytes += length as f64;
@@ -133,7 +134,7 @@
         let mut answer = Vec::new();
         match statement {
             "" => {
-                proto::put(&mut answer, b'I', &[]);
+                proto::put_message(&mut answer, b'I', &[]);
                 proto::put_ready(&mut answer);
             }
             HEALTH_CHECK => {
--- a/crates/ladderpass-testbed/src/capacity/data_path/world/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/world/shape.rs
@@ -2,7 +2,7 @@
 
 use ladderpass::launch::Launch;
 use ladderpass_emulator::Scenario;
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_routing::{Span, Time};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -68,10 +68,10 @@
         for method in scenario.methods.iter_mut().filter(|method| !method.writes) {
             method.max_age_ms = Some(self.bound_ms);
         }
-        let allowed = Allowed { cores: 1.0, memory_mb: self.memory_mb, sockets: self.sockets };
+        let allowed = RouterLimits { cores: 1.0, memory_mb: self.memory_mb, sockets: self.sockets };
         let address = |member: usize| SocketAddr::from(([10, 9, (member >> 8) as u8, member as u8], 5432));
         let addresses: Vec<SocketAddr> = (0..self.members()).map(address).collect();
-        let text = scenario.told(now, seed, &allowed, &addresses);
+        let text = scenario.router_config(now, seed, &allowed, &addresses);
         let mut settings: serde_json::Value =
             serde_json::from_str(&text).map_err(|error| error.to_string())?;
         settings["settings"]["Balancers"] = self.routers.into();
--- a/crates/ladderpass-testbed/src/capacity/hollow/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow/connections.rs
@@ -76,7 +76,7 @@
         input.extend_from_slice(bytes);
         let mut parsed = 0;
         let (mut answers, mut errors) = (0, 0);
-        while let Some((kind, _, length)) = proto::frame(&input[parsed..]) {
+        while let Some((kind, _, length)) = proto::parse_frame(&input[parsed..]) {
             parsed += length;
             answers += u64::from(kind == b'Z');
             errors += u64::from(kind == b'E');
@@ -103,12 +103,12 @@
         let member = *member;
         input.extend_from_slice(bytes);
         let (mut parsed, mut reply) = (0, Vec::new());
-        if !*startup_read && let Some(length) = proto::startup(input) {
+        if !*startup_read && let Some(length) = proto::parse_startup(input) {
             (*startup_read, parsed) = (true, length);
-            proto::put_welcome(&mut reply);
+            proto::put_startup_response(&mut reply);
         }
         let mut health_checks = 0;
-        while let Some((_, body, length)) = proto::frame(&input[parsed..]) {
+        while let Some((_, body, length)) = proto::parse_frame(&input[parsed..]) {
             parsed += length;
             let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
             health_checks += u64::from(statement == HEALTH_CHECK);
--- a/crates/ladderpass-testbed/src/capacity/hollow/member.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow/member.rs
@@ -27,7 +27,7 @@
         let position = now + Span::from_nanos(-self.lag.nanos());
         match statement {
             "" => {
-                proto::put(reply, b'I', &[]);
+                proto::put_message(reply, b'I', &[]);
                 proto::put_ready(reply);
             }
             HEALTH_CHECK => {
@@ -40,7 +40,7 @@
                 if is_write && !self.primary {
                     return proto::put_error(reply, "ERROR", READ_ONLY);
                 }
-                let id = proto::comment(statement).map_or("", |comment| comment.id);
+                let id = proto::parse_comment(statement).map_or("", |comment| comment.id);
                 proto::put_row(reply, id.as_bytes(), is_write, self.primary, Some(position));
             }
         }
--- a/crates/ladderpass-testbed/src/capacity/hollow/settings.rs
+++ b/crates/ladderpass-testbed/src/capacity/hollow/settings.rs
@@ -3,7 +3,7 @@
 use super::shape::Shape;
 use ladderpass::launch::Launch;
 use ladderpass_emulator::Scenario;
-use ladderpass_emulator::scenario::Allowed;
+use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_routing::Time;
 use std::fmt::Write as _;
 use std::io;
@@ -118,8 +118,8 @@
 /// If the file can't be written.
 pub fn config(shape: &Shape, known: &str) -> io::Result<PathBuf> {
     let scenario = Scenario { groups: shape.groups as u32, ..Scenario::default() };
-    let allowed = Allowed { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
-    let text = scenario.told(EPOCH, shape.seed, &allowed, &[]);
+    let allowed = RouterLimits { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
+    let text = scenario.router_config(EPOCH, shape.seed, &allowed, &[]);
     let text = text.replace("\"instances\":[]", &format!("\"instances\":[{known}]"));
     write_temporary_file("told.json", &text)
 }
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -174,8 +174,8 @@
             }
         }
         let members = [event.drain, event.ends, event.begins];
-        match members.into_iter().flatten().find(|&member| member as usize >= self.scenario.members()) {
-            Some(member) => Err(format!("member {member}; there are {}", self.scenario.members())),
+        match members.into_iter().flatten().find(|&member| member as usize >= self.scenario.member_count()) {
+            Some(member) => Err(format!("member {member}; there are {}", self.scenario.member_count())),
             None => Ok(()),
         }
     }
--- a/crates/ladderpass-testbed/src/drill/places.rs
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -22,7 +22,7 @@
             _ => {}
         }
         let member: usize = name.strip_prefix("member-")?.parse().ok()?;
-        (member < self.scenario.members()).then_some(Place::Member(member))
+        (member < self.scenario.member_count()).then_some(Place::Member(member))
     }
 
     /// The name of the fault tool's link between two places; none between two routers, which have datagrams alone.
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -155,15 +155,15 @@
             self.drained.extend(notified);
         }
         if let Some(member) = event.ends {
-            self.fleet.tell(member, Input::Dies);
+            self.fleet.apply(member, Input::Crash);
         }
         if let Some(member) = event.begins {
-            self.fleet.tell(member, Input::Starts);
+            self.fleet.apply(member, Input::Restart);
         }
         if let Some((router, line)) = &event.line
             && let Some(router) = self.drill.router(router)
         {
-            self.fleet.say(router, line);
+            self.fleet.send_line(router, line);
         }
     }
 
--- a/crates/ladderpass-testbed/src/drill/play/played.rs
+++ b/crates/ladderpass-testbed/src/drill/play/played.rs
@@ -6,9 +6,9 @@
 use crate::joint::{Absence, History, Started};
 use crate::load::Outcome;
 use crate::router::Router;
-use ladderpass_emulator::Truth;
+use ladderpass_emulator::ExecutionLog;
 use ladderpass_fault_injection::Sent;
-use ladderpass_invariants::{Grace, Violation};
+use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     /// What the clients saw that went straight to the members.
     pub greedy: Option<Outcome>,
     /// What the members saw.
-    pub truth: Truth,
+    pub truth: ExecutionLog,
     /// What the history checker found.
     pub violations: Vec<Violation>,
     /// By router: violations of rule 4 by its own attempts alone.
@@ -71,10 +71,11 @@
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(advertised_address).collect();
         let links = self.member_links();
         let left = self.router_links.stop();
-        let fleet_started = self.fleet.started();
+        let fleet_started = self.fleet.started_at();
         let truth = self.fleet.stop();
         let started = Started::all(&self.drill.scenario, fleet_started, self.drill.bears);
-        let grace = Grace { answer: Span::from_millis(i64::from(self.drill.grace_ms)), ..Grace::default() };
+        let grace =
+            Tolerance { answer: Span::from_millis(i64::from(self.drill.grace_ms)), ..Tolerance::default() };
         let history = History {
             scenario: &self.drill.scenario,
             links: &links,
@@ -136,7 +137,7 @@
     /// The links to members, by number in the fault tool: router and member. Each router has a link to each member, and
     /// then one to discovery.
     fn member_links(&self) -> HashMap<usize, (usize, u32)> {
-        let members = self.drill.scenario.members();
+        let members = self.drill.scenario.member_count();
         let links_per_router = members + 1;
         let router_and_member = |link: usize| (link / links_per_router, (link % links_per_router) as u32);
         (0..self.drill.routers * links_per_router)
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -7,7 +7,7 @@
 use crate::joint::{Absence, Drained};
 use crate::load::Down;
 use crate::router::{Router, Start, own_address};
-use ladderpass_emulator::{Running, Scenario, now};
+use ladderpass_emulator::{RunningEmulator, Scenario, now};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
 use ladderpass_fault_injection::{End, Plan, Sent, Talk};
@@ -31,7 +31,7 @@
     pub drill: &'a Drill,
     pub programs: Programs<'a>,
     pub seed: u64,
-    pub fleet: Running,
+    pub fleet: RunningEmulator,
     /// The fault tool between clients and routers.
     pub client_links: driver::Running,
     /// The fault tool between routers, members and discovery, and among routers.
@@ -62,17 +62,17 @@
     /// Starts all processes, and waits until the routers serve.
     pub fn start(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<DrillTestbed<'a>> {
         let scenario = Scenario { history: true, ..drill.scenario.clone() };
-        let fleet = Running::start_listed(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
+        let fleet = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
         let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
         let client_links = start_client_links(&addresses, seed)?;
         let router_links = start_router_links(&fleet, &addresses, seed)?;
         let advertised = router_links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
         router_links.say("watch").map_err(io::Error::other)?;
-        let member_count = drill.scenario.members();
+        let member_count = drill.scenario.member_count();
         let (mut members, mut discoveries) = (Vec::new(), Vec::new());
         for (router, links) in router_links.addresses.chunks(member_count + 1).enumerate() {
             let (of_members, discovery) = links.split_at(member_count);
-            fleet.present_by(router, of_members);
+            fleet.set_list_addresses(router, of_members);
             members.push(of_members.to_vec());
             discoveries.extend_from_slice(discovery);
         }
@@ -239,7 +239,11 @@
 }
 
 /// For each router in order, links to its members and to its discovery, and a datagram address.
-fn start_router_links(fleet: &Running, routers: &[SocketAddr], seed: u64) -> io::Result<driver::Running> {
+fn start_router_links(
+    fleet: &RunningEmulator,
+    routers: &[SocketAddr],
+    seed: u64,
+) -> io::Result<driver::Running> {
     let listen = any_loopback_port();
     let (mut links, mut ends) = (Vec::new(), Vec::new());
     for (router, address) in routers.iter().enumerate() {
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -43,8 +43,8 @@
                     counts.ok += 1;
                     counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3));
                 }
-                Some((_, Answer::PushedBack, _)) => counts.pushed_back += 1,
-                Some((_, Answer::Aborted, _)) => counts.aborted += 1,
+                Some((_, Answer::Rejected, _)) => counts.pushed_back += 1,
+                Some((_, Answer::Failed, _)) => counts.aborted += 1,
                 None => counts.unanswered += 1,
             }
         }
@@ -67,7 +67,7 @@
     /// Attempts a second that a member ran, over seconds.
     pub fn work(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
-        for ran in self.truth.ran.iter().filter(|ran| ran.member == member) {
+        for ran in self.truth.executions.iter().filter(|ran| ran.member == member) {
             let index = (secs(self, ran.at) * SLICES_PER_SECOND).floor();
             if index >= 0.0
                 && let Some(slice) = slices.get_mut(index as usize)
@@ -125,7 +125,7 @@
         format!(
             "call-outs that came {}, further ones {retries} ({retry_ratio:.3} of first ones); that ran {}",
             first + retries,
-            self.truth.ran.len()
+            self.truth.executions.len()
         )
     }
 
@@ -151,10 +151,10 @@
     fn attempts(&self, from: f64, to: f64) -> AttemptCounts {
         let mut previous: HashMap<&str, (u32, bool)> = HashMap::new();
         let mut counts = AttemptCounts::default();
-        for came in &self.truth.came {
-            let before = previous.insert(&came.id, (came.member, came.turned_away));
+        for came in &self.truth.arrivals {
+            let before = previous.insert(&came.id, (came.member, came.rejected));
             // An attempt that queued there past its deadline has two records: when it came, and when it was rejected.
-            if before == Some((came.member, false)) && came.turned_away {
+            if before == Some((came.member, false)) && came.rejected {
                 continue;
             }
             if (from..to).contains(&secs(self, came.at)) {
@@ -190,11 +190,11 @@
                 writeln!(file, "{line}")?;
             }
         }
-        for (at, member) in &self.truth.probes {
+        for (at, member) in &self.truth.health_checks {
             writeln!(file, "{}", json!({"at_s": secs(self, *at), "probed": member}))?;
         }
         for entry in &self.outcome.journal {
-            let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), format!("{answer:?}")));
+            let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), answer.report_word()));
             let line = json!({
                 "sent_s": secs(self, entry.sent),
                 "rpc": entry.number,
@@ -228,7 +228,7 @@
             methods.map(|(index, method)| (method.name.as_str(), self.pushed_back(index))).collect();
         charts::lines(&folder.join("pushed-back.svg"), "Pushed back", per_second, &rejections, false)?;
         let names: Vec<String> =
-            (0..drill.scenario.members()).map(|member| format!("member {member}")).collect();
+            (0..drill.scenario.member_count()).map(|member| format!("member {member}")).collect();
         let work: Vec<Line<'_>> =
             names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.work(member))).collect();
         charts::lines(&folder.join("work.svg"), "Begun at members", per_second, &work, false)
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -5,10 +5,10 @@
 //! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
 
 use crate::load::Entry;
-use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{
-    Answer, Checker, Cold, Drains, Effects, Event, Grace, OneAnswer, Stale, Violation, What,
+    Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
 };
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -76,20 +76,29 @@
 
     fn event(&self) -> Event {
         let Started { at, member, capacity, cold_from, warm_within, overload_for } = *self;
-        Event { at, what: What::Started { member, capacity, cold_from, warm_within, overload_for } }
+        Event {
+            at,
+            kind: EventKind::Started {
+                member,
+                capacity,
+                initial_fraction: cold_from,
+                warm_up_time: warm_within,
+                overload_window: overload_for,
+            },
+        }
     }
 }
 
 /// Checks rule 4 (cold members) over the attempts that came to members from all routers. Returns the violations, and how
 /// far above its capacity the worst window of a member was, in square roots of that capacity ([`Cold::roots`]).
-pub fn cold_at_members(started: &[Started], truth: &Truth) -> (Vec<Violation>, f64) {
-    let numbered = (0..).zip(&truth.came);
-    let attempts =
-        numbered.map(|(rpc, came)| Event { at: came.at, what: What::CalledOut { rpc, member: came.member } });
-    let mut cold = Cold::default();
+pub fn cold_at_members(started: &[Started], truth: &ExecutionLog) -> (Vec<Violation>, f64) {
+    let numbered = (0..).zip(&truth.arrivals);
+    let attempts = numbered
+        .map(|(rpc, came)| Event { at: came.at, kind: EventKind::AttemptSent { rpc, member: came.member } });
+    let mut cold = SlowStart::default();
     let violations =
         check_events_with(started.iter().map(Started::event).chain(attempts).collect(), &mut cold);
-    (violations, cold.roots())
+    (violations, cold.max_excess())
 }
 
 /// The records of a run, as one history.
@@ -107,7 +116,7 @@
     /// The start of the fault tool, from which the times of `passed` count.
     pub tool_began: Time,
     /// What members saw.
-    pub truth: &'a Truth,
+    pub truth: &'a ExecutionLog,
     /// When routers could not answer.
     pub absences: &'a [Absence],
     /// When routers were notified that members drain.
@@ -115,7 +124,7 @@
     /// Members that started cold.
     pub started: &'a [Started],
     /// Tolerances of the checkers.
-    pub grace: Grace,
+    pub grace: Tolerance,
 }
 
 /// How long after an absence a router may still answer late.
@@ -137,9 +146,12 @@
 impl Passage {
     fn event(&self) -> Event {
         let (rpc, member) = (self.rpc, self.member);
-        let what =
-            if self.begins { What::CalledOut { rpc, member } } else { What::CallOutOver { rpc, member } };
-        Event { at: self.at, what }
+        let what = if self.begins {
+            EventKind::AttemptSent { rpc, member }
+        } else {
+            EventKind::AttemptEnded { rpc, member }
+        };
+        Event { at: self.at, kind: what }
     }
 }
 
@@ -153,15 +165,15 @@
         for router in drained_routers {
             violations.extend(check_events(self.drain_events(router), Drains::new(self.grace)));
         }
-        violations.extend(check_events(self.cold_events(None), Cold::default()));
-        violations.extend(check_events(self.read_events(), Stale::new(self.grace)));
+        violations.extend(check_events(self.cold_events(None), SlowStart::default()));
+        violations.extend(check_events(self.read_events(), Staleness::new(self.grace)));
         violations.extend(self.wrong_write_answers());
         violations
     }
 
     /// Violations of rule 4 by the attempts of one router alone.
     pub fn cold_by(&self, router: usize) -> Vec<Violation> {
-        check_events(self.cold_events(Some(router)), Cold::default())
+        check_events(self.cold_events(Some(router)), SlowStart::default())
     }
 
     /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
@@ -176,8 +188,13 @@
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what = What::Taken { rpc: entry.number, due: entry.until, once, bound: max_staleness };
-        Event { at: entry.sent, what }
+        let what = EventKind::Accepted {
+            rpc: entry.number,
+            deadline: entry.until,
+            run_once: once,
+            max_staleness: max_staleness,
+        };
+        Event { at: entry.sent, kind: what }
     }
 
     /// Was its router absent at some time while its client waited?
@@ -204,15 +221,15 @@
             let is_excused = self.is_excused(entry);
             match entry.answered {
                 Some((at, answer, made_for)) if is_in_time(at) || !is_excused => {
-                    events.push(Event { at, what: What::Answered { rpc, answer, made_for } });
+                    events.push(Event { at, kind: EventKind::Answered { rpc, answer, made_for } });
                 }
-                _ if is_excused => events.push(Event { at: entry.sent, what: What::Left { rpc } }),
+                _ if is_excused => events.push(Event { at: entry.sent, kind: EventKind::ClientLeft { rpc } }),
                 _ => {}
             }
         }
         let last_deadline = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
-        events.push(Event { at, what: What::Left { rpc: u64::MAX } });
+        events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
         events
     }
 
@@ -229,21 +246,21 @@
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
         if self.passed.is_empty() {
             // Without the fault tool only the arrival at a member is known, and not the end of the attempt.
-            for came in self.truth.came.iter().filter(|came| !came.turned_away) {
+            for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
                 let Some(rpc) = self.rpc_number(&came.id) else { continue };
                 let (at, member) = (came.at, came.member);
-                events.push(Event { at, what: What::CalledOut { rpc, member } });
-                events.push(Event { at, what: What::CallOutOver { rpc, member } });
+                events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
+                events.push(Event { at, kind: EventKind::AttemptEnded { rpc, member } });
             }
         }
         events.extend(self.passages().map(|passage| passage.event()));
-        for came in self.truth.came.iter().filter(|came| came.turned_away) {
+        for came in self.truth.arrivals.iter().filter(|came| came.rejected) {
             let Some(rpc) = self.rpc_number(&came.id) else { continue };
-            events.push(Event { at: came.at, what: What::TurnedAway { rpc, member: came.member } });
+            events.push(Event { at: came.at, kind: EventKind::Rejected { rpc, member: came.member } });
         }
-        for ran in &self.truth.ran {
+        for ran in &self.truth.executions {
             let Some(rpc) = self.rpc_number(&ran.id) else { continue };
-            events.push(Event { at: ran.at, what: What::Ran { rpc, member: ran.member } });
+            events.push(Event { at: ran.at, kind: EventKind::Executed { rpc, member: ran.member } });
         }
         events
     }
@@ -251,8 +268,8 @@
     /// Rule 3: when a router was notified of drains, and its attempts.
     fn drain_events(&self, router: usize) -> Vec<Event> {
         let notified = self.drained.iter().filter(|drained| drained.router == router);
-        let notified =
-            notified.map(|drained| Event { at: drained.at, what: What::Draining { member: drained.member } });
+        let notified = notified
+            .map(|drained| Event { at: drained.at, kind: EventKind::Draining { member: drained.member } });
         let attempts = self.passages().filter(|passage| passage.router == router && passage.begins);
         notified.chain(attempts.map(|passage| passage.event())).collect()
     }
@@ -269,19 +286,23 @@
     /// Rule 5: reads, and the position of the member when each arrived there.
     fn read_events(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
-        for came in self.truth.came.iter().filter(|came| !came.turned_away) {
+        for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
             let Some(rpc) = self.rpc_number(&came.id) else { continue };
             let (at, member, position) = (came.at, came.member, came.position);
-            events.push(Event { at, what: What::Reached { member, position } });
-            events.push(Event { at, what: What::CalledOut { rpc, member } });
+            events.push(Event { at, kind: EventKind::PositionReached { member, position } });
+            events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
         }
         events
     }
 
     /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
     fn wrong_write_answers(&self) -> Vec<Violation> {
-        let ran: BTreeMap<u64, u32> =
-            self.truth.ran.iter().filter_map(|ran| Some((self.rpc_number(&ran.id)?, ran.member))).collect();
+        let ran: BTreeMap<u64, u32> = self
+            .truth
+            .executions
+            .iter()
+            .filter_map(|ran| Some((self.rpc_number(&ran.id)?, ran.member)))
+            .collect();
         let mut violations = Vec::new();
         for entry in self.journal {
             let is_write = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
@@ -289,17 +310,17 @@
             let (rpc, member) = (Some(entry.number), ran.get(&entry.number).copied());
             let text = match (answer, member) {
                 (Answer::Ok, None) => "is answered ok and never ran",
-                (Answer::PushedBack, Some(_)) => "is pushed back and ran",
+                (Answer::Rejected, Some(_)) => "is pushed back and ran",
                 _ => continue,
             };
             let text = format!("write {:x} {text}", entry.number);
-            let what = What::Answered { rpc: entry.number, answer, made_for };
+            let what = EventKind::Answered { rpc: entry.number, answer, made_for };
             violations.push(Violation {
                 rule: EFFECTS_RULE,
                 rpc,
                 member,
                 text,
-                proof: vec![Event { at, what }],
+                proof: vec![Event { at, kind: what }],
             });
         }
         violations
@@ -307,17 +328,20 @@
 }
 
 /// Order of events at the same time: causes before their effects.
-fn causal_order(what: &What) -> u8 {
+fn causal_order(what: &EventKind) -> u8 {
     match what {
-        What::Started { .. } | What::Draining { .. } | What::Serving { .. } | What::Primary { .. } => 0,
-        What::Taken { .. } => 1,
-        What::Reached { .. } => 2,
-        What::CalledOut { .. } => 3,
-        What::Ran { .. } => 4,
-        What::TurnedAway { .. } => 5,
-        What::CallOutOver { .. } => 6,
-        What::Answered { .. } => 7,
-        What::Left { .. } => 8,
+        EventKind::Started { .. }
+        | EventKind::Draining { .. }
+        | EventKind::Serving { .. }
+        | EventKind::Primary { .. } => 0,
+        EventKind::Accepted { .. } => 1,
+        EventKind::PositionReached { .. } => 2,
+        EventKind::AttemptSent { .. } => 3,
+        EventKind::Executed { .. } => 4,
+        EventKind::Rejected { .. } => 5,
+        EventKind::AttemptEnded { .. } => 6,
+        EventKind::Answered { .. } => 7,
+        EventKind::ClientLeft { .. } => 8,
     }
 }
 
@@ -326,9 +350,9 @@
 }
 
 fn check_events_with(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
-    events.sort_by_key(|event| (event.at, causal_order(&event.what)));
+    events.sort_by_key(|event| (event.at, causal_order(&event.kind)));
     let mut violations = Vec::new();
-    events.iter().for_each(|event| checker.see(event, &mut violations));
+    events.iter().for_each(|event| checker.observe(event, &mut violations));
     checker.end(events.last().map_or(Time::default(), |event| event.at), &mut violations);
     violations
 }
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -19,7 +19,8 @@
         let mut parsed = 0;
         loop {
             let Some(client) = self.clients[index].as_mut() else { return };
-            let Some((kind, body, length)) = proto::frame(client.input.get(parsed..).unwrap_or_default())
+            let Some((kind, body, length)) =
+                proto::parse_frame(client.input.get(parsed..).unwrap_or_default())
             else {
                 break;
             };
@@ -32,9 +33,9 @@
                     client.answer.row = Some(row_rpc_number(body));
                 }
                 b'E' => {
-                    client.answer.error_code = proto::field(body, b'C').map(str::to_owned);
+                    client.answer.error_code = proto::error_field(body, b'C').map(str::to_owned);
                     client.answer.retry_after_ms =
-                        proto::field(body, b'D').and_then(|text| text.parse().ok());
+                        proto::error_field(body, b'D').and_then(|text| text.parse().ok());
                 }
                 b'Z' if !client.ready => client.ready = true,
                 b'Z' => {
@@ -65,7 +66,7 @@
             let flood = &mut self.outcome.flood;
             match kind {
                 Answer::Ok => flood.ok += 1,
-                Answer::PushedBack => flood.pushed_back += 1,
+                Answer::Rejected => flood.pushed_back += 1,
                 _ => flood.aborted += 1,
             }
             return;
@@ -78,7 +79,7 @@
         }
         match kind {
             Answer::Ok => self.record_ok(now, &rpc),
-            Answer::PushedBack => self.record_rejection(now, &rpc, answer.retry_after_ms.unwrap_or(0)),
+            Answer::Rejected => self.record_rejection(now, &rpc, answer.retry_after_ms.unwrap_or(0)),
             _ => self.count(rpc.due, rpc.method, |counts| counts.aborted += 1),
         }
     }
@@ -135,8 +136,8 @@
     fn kind(&self) -> Answer {
         match self.error_code.as_deref() {
             None if self.row.is_some() => Answer::Ok,
-            Some(code) if REJECTION_CODES.contains(&code) => Answer::PushedBack,
-            _ => Answer::Aborted,
+            Some(code) if REJECTION_CODES.contains(&code) => Answer::Rejected,
+            _ => Answer::Failed,
         }
     }
 }
--- a/crates/ladderpass-testbed/src/load/prober.rs
+++ b/crates/ladderpass-testbed/src/load/prober.rs
@@ -77,7 +77,7 @@
     let mut chunk = [0; 4096];
     loop {
         let mut parsed = 0;
-        while let Some((kind, _, length)) = proto::frame(&input[parsed..]) {
+        while let Some((kind, _, length)) = proto::parse_frame(&input[parsed..]) {
             parsed += length;
             if kind == b'Z' {
                 return Ok(());
--- a/crates/ladderpass-testbed/src/router.rs
+++ b/crates/ladderpass-testbed/src/router.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the process and the temporary files of its settings, and ends only processes that it has started.
 
-use ladderpass_emulator::scenario::Allowed;
-use ladderpass_emulator::{Running, Scenario, proto};
+use ladderpass_emulator::scenario::RouterLimits;
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use ladderpass_routing::Time;
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::sys::signal::{Signal, kill};
@@ -24,7 +24,7 @@
     /// The program.
     pub binary: PathBuf,
     /// Cores, memory and sockets that its settings allow it.
-    pub allowed: Allowed,
+    pub allowed: RouterLimits,
     /// Text of its operator's file, if it gets one.
     pub operator: Option<String>,
     /// The core that it is pinned to, if any.
@@ -50,7 +50,7 @@
     pub fn new(binary: &Path) -> Start {
         Start {
             binary: binary.to_owned(),
-            allowed: Allowed { cores: 1.0, memory_mb: 192, sockets: 4096 },
+            allowed: RouterLimits { cores: 1.0, memory_mb: 192, sockets: 4096 },
             operator: None,
             cpu: None,
             loud: false,
@@ -140,7 +140,12 @@
     ///
     /// # Errors
     /// If it can't be started, ends at once, or does not serve in time.
-    pub fn start(scenario: &Scenario, fleet: &Running, start: &Start, seed: u64) -> io::Result<Router> {
+    pub fn start(
+        scenario: &Scenario,
+        fleet: &RunningEmulator,
+        start: &Start,
+        seed: u64,
+    ) -> io::Result<Router> {
         Router::start_before(scenario, &fleet.addresses, fleet.discovery, start, seed)
     }
 
@@ -172,7 +177,7 @@
         seed: u64,
     ) -> io::Result<Router> {
         let address = start.listen.map_or_else(own_address, Ok)?;
-        let settings = scenario.told(ladderpass_emulator::now(), seed, &start.allowed, members);
+        let settings = scenario.router_config(ladderpass_emulator::now(), seed, &start.allowed, members);
         let settings = write_temporary_file(&settings, "json")?;
         let mut files = vec![settings.clone()];
         let mut command = Command::new(&start.binary);
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -1,9 +1,9 @@
 //! The history checker, on small made-up records of clients, the fault tool and members.
 
-use ladderpass_emulator::truth::{Came, Ran};
-use ladderpass_emulator::{Scenario, Truth};
+use ladderpass_emulator::execution_log::{Arrival, Execution};
+use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::Passed;
-use ladderpass_invariants::{Answer, Grace};
+use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
 use ladderpass_testbed::load::Entry;
@@ -23,7 +23,7 @@
     scenario: Scenario,
     journal: Vec<Entry>,
     passed: Vec<Passed>,
-    truth: Truth,
+    truth: ExecutionLog,
     absences: Vec<Absence>,
     drained: Vec<Drained>,
     started: Vec<Started>,
@@ -36,7 +36,7 @@
             scenario: Scenario::default(),
             journal: vec![entry(1, 0, 0, Some((10, Answer::Ok))), entry(2, 1, 5, Some((20, Answer::Ok)))],
             passed: vec![],
-            truth: Truth::default(),
+            truth: ExecutionLog::default(),
             absences: vec![],
             drained: vec![],
             started: vec![],
@@ -51,9 +51,9 @@
 
     fn ran(&mut self, ms: i64, member: u32, number: u64) {
         let (at, id) = (at(ms), format!("1-{number:x}").into_boxed_str());
-        let came = Came { at, member, id: id.clone(), position: at, turned_away: false };
-        self.truth.came.push(came);
-        self.truth.ran.push(Ran { at, member, id, method: 1, writes: true, position: at });
+        let came = Arrival { at, member, id: id.clone(), position: at, rejected: false };
+        self.truth.arrivals.push(came);
+        self.truth.executions.push(Execution { at, member, id, method: 1, writes: true, position: at });
     }
 
     fn violated_rules(&self) -> Vec<u8> {
@@ -72,7 +72,7 @@
             absences: &self.absences,
             drained: &self.drained,
             started: &self.started,
-            grace: Grace::default(),
+            grace: Tolerance::default(),
         }
     }
 }
@@ -111,12 +111,12 @@
     let mut run = RecordedRun::new();
     run.pass(6, 0, 2, true);
     let (id, position) = ("1-2".into(), at(7));
-    run.truth.came.push(Came { at: at(7), member: 0, id, position, turned_away: true });
+    run.truth.arrivals.push(Arrival { at: at(7), member: 0, id, position, rejected: true });
     run.pass(8, 0, 2, false);
     run.pass(9, 2, 2, true);
     run.ran(10, 0, 2);
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.journal[1].answered = Some((at(20), Answer::PushedBack, None));
+    run.journal[1].answered = Some((at(20), Answer::Rejected, None));
     assert_eq!(run.violated_rules(), [2]);
 }
 
@@ -155,20 +155,20 @@
 fn a_stale_read_is_found_by_the_position_of_the_member() {
     let mut run = RecordedRun::new();
     run.ran(1, 0, 2);
-    let came = |ms: i64, old: i64| Came {
+    let came = |ms: i64, old: i64| Arrival {
         at: at(ms),
         member: 1,
         id: "1-1".into(),
         position: at(ms - old),
-        turned_away: false,
+        rejected: false,
     };
-    run.truth.came.push(came(5, 1900));
+    run.truth.arrivals.push(came(5, 1900));
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.truth.came.push(came(6, 2500));
+    run.truth.arrivals.push(came(6, 2500));
     // The best position that the member was known to have counts.
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.truth.came = vec![came(6, 2500)];
-    run.truth.ran.clear();
+    run.truth.arrivals = vec![came(6, 2500)];
+    run.truth.executions.clear();
     run.journal.truncate(1);
     assert_eq!(run.violated_rules(), [5]);
 }
@@ -182,8 +182,8 @@
     let came = |count: usize| {
         let id = |nth: usize| format!("1-{nth:x}").into_boxed_str();
         let came =
-            |nth| Came { at: at(0), member: 1, id: id(nth), position: at(0), turned_away: nth % 2 == 0 };
-        Truth { came: (0..count).map(came).collect(), ..Truth::default() }
+            |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
+        ExecutionLog { arrivals: (0..count).map(came).collect(), ..ExecutionLog::default() }
     };
     // Its capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for chance.
     let (broken, roots) = cold_at_members(&[started], &came(77));
