--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -192,7 +192,7 @@
             rpc: entry.number,
             deadline: entry.until,
             run_once: once,
-            max_staleness: max_staleness,
+            max_staleness,
         };
         Event { at: entry.sent, kind: what }
     }
