--- a/crates/ladderpass/src/pg.rs
+++ b/crates/ladderpass/src/pg.rs
@@ -5,6 +5,7 @@
 mod error_response;
 mod frame;
 mod load_report;
+mod primitives;
 mod query;
 mod startup;
 mod statement_comment;
@@ -13,6 +14,7 @@
 pub use error_response::{ErrorResponse, parse_error_response, put_error, put_recoverable_error};
 pub use frame::{Frame, FrameHeader, READY, parse_frame, parse_frame_header, put_frame, put_ready};
 pub use load_report::parse_load_report;
+pub use primitives::Malformed;
 pub use query::{
     ParameterStatus, is_single_column_description, is_single_row_completion, parse_parameter_status,
     parse_query, parse_single_column, put_query,
@@ -20,21 +22,3 @@
 pub use startup::{InitialFrame, InitialMessage, parse_initial_message, put_startup, put_startup_reply};
 pub use statement_comment::{CommentError, StatementComment, parse_comment};
 pub use statement_form::{StatementForm, parse_statement_form};
-
-use thiserror::Error;
-
-/// Bytes that can't be a message.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("malformed message")]
-pub struct Malformed;
-
-fn read_u32(bytes: &[u8]) -> Option<u32> {
-    bytes.first_chunk::<4>().map(|four| u32::from_be_bytes(*four))
-}
-
-/// A text ended by a zero, and what follows it.
-fn split_text(bytes: &[u8]) -> Result<(&[u8], &[u8]), Malformed> {
-    let end = bytes.iter().position(|&byte| byte == 0).ok_or(Malformed)?;
-    let (text, rest) = bytes.split_at(end);
-    Ok((text, rest.get(1..).unwrap_or_default()))
-}
--- a/crates/ladderpass/src/pg/error_response.rs
+++ b/crates/ladderpass/src/pg/error_response.rs
@@ -1,7 +1,7 @@
 //! ErrorResponse messages: those of members are read, and the router's own are written.
 
 use super::frame::put_ready;
-use super::{Malformed, split_text};
+use super::primitives::{Malformed, split_text};
 use std::io::Write;
 
 /// Length of an SQLSTATE.
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -1,6 +1,6 @@
 //! Frames: one type byte, a length of four bytes, and a body.
 
-use super::{Malformed, read_u32};
+use super::primitives::{Malformed, read_u32};
 
 /// A ReadyForQuery message outside of any transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
--- a/crates/ladderpass/src/pg/query.rs
+++ b/crates/ladderpass/src/pg/query.rs
@@ -1,7 +1,7 @@
 //! Queries and the messages of their results, as far as a router looks into them.
 
 use super::frame::put_frame;
-use super::{Malformed, read_u32, split_text};
+use super::primitives::{Malformed, read_u32, split_text};
 use std::borrow::Cow;
 
 /// The statement of a Query message.
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -1,7 +1,7 @@
 //! The first message on a connection, which has no type byte, and what answers it.
 
 use super::frame::{put_frame, put_ready};
-use super::{Malformed, read_u32};
+use super::primitives::{Malformed, read_u32};
 
 const PROTOCOL_3_0: u32 = 3 << 16;
 const CANCEL_REQUEST: u32 = 80_877_102;
