--- a/crates/ladderpass/tests/arrival.rs
+++ b/crates/ladderpass/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! How long bytes waited in the kernel, by stamps of a wall clock that is stepped at the worst instants.
+//! How long bytes waited in the kernel, by timestamps of a wall clock that is stepped at the worst moments.
 
 use ladderpass::wall_clock::WallClock;
 use std::time::Duration;
@@ -9,41 +9,41 @@
     Duration::from_millis(ms)
 }
 
-/// The wall clock is at noon when the monotonic one is at zero.
-fn noon(after: u64) -> Duration {
+/// The wall clock, which is at noon when the monotonic one is at zero.
+fn wall(after: u64) -> Duration {
     ms(12 * HOUR + after)
 }
 
 #[test]
 fn without_a_step_the_stamp_tells() {
     let mut clock = WallClock::default();
-    clock.record_reading(ms(1000), noon(1000));
-    assert_eq!(clock.time_in_kernel(ms(1000), noon(970), ms(50)), ms(30));
-    assert_eq!(clock.time_in_kernel(ms(9000), noon(7500), ms(2000)), ms(1500));
+    clock.record_reading(ms(1000), wall(1000));
+    assert_eq!(clock.time_in_kernel(ms(1000), wall(970), ms(50)), ms(30));
+    assert_eq!(clock.time_in_kernel(ms(9000), wall(7500), ms(2000)), ms(1500));
 }
 
 #[test]
 fn nothing_waits_for_longer_than_it_can_have_or_for_less_than_no_time() {
     let mut clock = WallClock::default();
-    clock.record_reading(ms(1000), noon(1000));
-    assert_eq!(clock.time_in_kernel(ms(1000), noon(1001), ms(50)), ms(0));
-    // No clock that was read fits these: they may have waited for all of it.
-    assert_eq!(clock.time_in_kernel(ms(1000), noon(100), ms(50)), ms(50));
-    assert_eq!(clock.time_in_kernel(ms(1000), noon(60_000), ms(50)), ms(50));
-    assert_eq!(WallClock::default().time_in_kernel(ms(1000), noon(1000), ms(50)), ms(50));
+    clock.record_reading(ms(1000), wall(1000));
+    assert_eq!(clock.time_in_kernel(ms(1000), wall(1001), ms(50)), ms(0));
+    // No recorded offset fits these timestamps: the answer is the maximum.
+    assert_eq!(clock.time_in_kernel(ms(1000), wall(100), ms(50)), ms(50));
+    assert_eq!(clock.time_in_kernel(ms(1000), wall(60_000), ms(50)), ms(50));
+    assert_eq!(WallClock::default().time_in_kernel(ms(1000), wall(1000), ms(50)), ms(50));
 }
 
-/// Forward and back, by seconds and by an hour; stamped before the step and after it, and read after it.
+/// Steps forward and back, by seconds and by an hour; timestamps from before and after the step, read after it.
 #[test]
 fn a_step_makes_nothing_older_or_younger() {
     for step in [500, 5000, 40_000, HOUR] {
         for ahead in [true, false] {
-            let stepped = |after: u64| if ahead { noon(after) + ms(step) } else { noon(after) - ms(step) };
+            let stepped = |after: u64| if ahead { wall(after) + ms(step) } else { wall(after) - ms(step) };
             let mut clock = WallClock::default();
-            clock.record_reading(ms(1000), noon(1000));
+            clock.record_reading(ms(1000), wall(1000));
             clock.record_reading(ms(1400), stepped(1400));
             assert_eq!(
-                clock.time_in_kernel(ms(1400), noon(1100), ms(400)),
+                clock.time_in_kernel(ms(1400), wall(1100), ms(400)),
                 ms(300),
                 "before, {step} {ahead}"
             );
@@ -52,15 +52,15 @@
                 ms(10),
                 "after, {step} {ahead}"
             );
-            // Set right again while more waits.
-            clock.record_reading(ms(1800), noon(1800));
+            // The clock is corrected while more bytes wait.
+            clock.record_reading(ms(1800), wall(1800));
             assert_eq!(
                 clock.time_in_kernel(ms(1800), stepped(1500), ms(400)),
                 ms(300),
                 "between, {step} {ahead}"
             );
             assert_eq!(
-                clock.time_in_kernel(ms(1800), noon(1790), ms(400)),
+                clock.time_in_kernel(ms(1800), wall(1790), ms(400)),
                 ms(10),
                 "right again, {step} {ahead}"
             );
@@ -68,13 +68,13 @@
     }
 }
 
-/// A step is remembered for as long as something stamped before it may lie unread, and no longer.
+/// An earlier offset is used for as long as bytes from before the step may be unread, and no longer.
 #[test]
 fn an_old_step_tells_nothing() {
     let mut clock = WallClock::default();
-    clock.record_reading(ms(0), noon(0));
-    clock.record_reading(ms(10), noon(1010));
-    clock.record_reading(ms(11_000), noon(12_000));
-    // It waited for 1.5 s; by the clock before the step it would be 0.5 s.
-    assert_eq!(clock.time_in_kernel(ms(11_000), noon(10_500), ms(2000)), ms(1500));
+    clock.record_reading(ms(0), wall(0));
+    clock.record_reading(ms(10), wall(1010));
+    clock.record_reading(ms(11_000), wall(12_000));
+    // The bytes waited for 1.5 s; by the offset before the step it would be 0.5 s.
+    assert_eq!(clock.time_in_kernel(ms(11_000), wall(10_500), ms(2000)), ms(1500));
 }
--- a/crates/ladderpass/tests/check.rs
+++ b/crates/ladderpass/tests/check.rs
@@ -1,16 +1,16 @@
-//! `ladderpass check` and a start that is told wrong: all faults at once, each one line with where it stands.
+//! `ladderpass check`, and a start with a wrong configuration: all errors at once, each in one line with its place.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A file of a test's own.
-fn file(name: &str, text: &str) -> PathBuf {
+/// A file of this test's own.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
     std::fs::write(&path, text).expect("writes");
     path
 }
 
-/// With these variables and no others of the router's.
+/// Runs the program with these variables and no others of the router's.
 fn run(variables: &[(&str, &str)], arguments: &[&str]) -> (Vec<String>, Output) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     for key in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG", "RUST_LOG"] {
@@ -24,8 +24,8 @@
 const OPERATOR: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
                         dealy: {from: 1ms}\n  fair: 0\npeers:\n  listen: here\n  listed: [127.0.0.1:1, there]\n";
 
-/// Line, key, and what is allowed, of each of them.
-const WANTED: [[&str; 3]; 7] = [
+/// Line, key and allowed values that each error names.
+const EXPECTED: [[&str; 3]; 7] = [
     ["line 2: ", "log.format", "text and json"],
     ["line 3: ", "overlaod", "allowed are log, overload, peers"],
     ["line 6: ", "overload.delay.from", "written with their unit"],
@@ -37,7 +37,7 @@
 
 #[test]
 fn what_is_not_set_hides_no_fault_of_the_operators_file() {
-    let path = file("operator", OPERATOR);
+    let path = write_file("operator", OPERATOR);
     let path_text = path.to_str().expect("plain");
     let (faults, output) = run(&[], &["check", "--operator", path_text]);
     assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0));
@@ -48,21 +48,21 @@
             "{key}: {faults:#?}"
         );
     }
-    for wanted in WANTED {
+    for wanted in EXPECTED {
         let named = |fault: &&String| {
             fault.starts_with(&format!("{path_text}: {}", wanted[0]))
                 && wanted.iter().all(|part| fault.contains(part))
         };
         assert_eq!(faults.iter().filter(named).count(), 1, "{wanted:?}: {faults:#?}");
     }
-    assert_eq!(faults.len(), variables.len() + WANTED.len(), "{faults:#?}");
+    assert_eq!(faults.len(), variables.len() + EXPECTED.len(), "{faults:#?}");
     std::fs::remove_file(path).expect("its own file");
 }
 
 #[test]
 fn faults_of_the_platforms_file_stand_beside_the_others() {
-    let operator = file("beside", "overload: {fair: 0}\n");
-    let platform = file(
+    let operator = write_file("beside", "overload: {fair: 0}\n");
+    let platform = write_file(
         "platform",
         r#"{"seed": "xx", "limits": {"memory_mb": 0, "sockets": 3, "cores": 0},
             "known": {"generation": 1, "instances": []}, "settings": {}}"#,
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -1,35 +1,35 @@
-//! Several processes of the program, with faults between them: what the others believe of one that dies, stands still,
-//! is heard by none or starts anew, and what a drill does when it can't go on. What is asked for holds on any machine,
-//! however slow.
+//! Several router processes with faults between them: what the others believe of one that dies, is paused, is cut off or
+//! starts again, and what a drill does when it can't go on. The assertions hold on any machine, however slow.
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{Played, Programs, play};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs: loads beside each other would miss their deadlines.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn wait_for_turn() -> MutexGuard<'static, ()> {
+    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn programs() -> Programs<'static> {
     Programs { router: Path::new(env!("CARGO_BIN_EXE_ladderpass")), faulty: None, earlier: None }
 }
 
-/// Answers may be late on a slow machine: who is answered, and that no rule breaks, is what is asked for.
-fn played(text: &str) -> (Drill, Played) {
-    let mut drill = Drill::read(text).unwrap_or_else(|fault| panic!("{fault}"));
+/// Plays a drill and checks that no invariant is broken. Answers may be late, as the machine may be slow.
+fn play_drill(text: &str) -> (Drill, Played) {
+    let mut drill = Drill::read(text).unwrap_or_else(|error| panic!("{error}"));
     (drill.grace_ms, drill.deadline_ms, drill.settles_s) = (2000, 2000, 20.0);
-    let played = play(&drill, programs(), 1).unwrap_or_else(|fault| panic!("{fault}"));
-    let told: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
-    assert_eq!(told, Vec::<String>::new());
+    let played = play(&drill, programs(), 1).unwrap_or_else(|error| panic!("{error}"));
+    let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
+    assert_eq!(violations, Vec::<String>::new());
     assert_eq!(played.fallen, Vec::<String>::new());
     (drill, played)
 }
 
-/// What a router said of another, in its order.
-fn said(played: &Played, viewer: usize, of: usize) -> Vec<&str> {
+/// What a router logged of another, in order.
+fn views_of(played: &Played, viewer: usize, of: usize) -> Vec<&str> {
     let names = played.views[viewer].iter().flat_map(|view| &view.names);
     names.filter(|(who, _)| *who == played.addresses[of]).map(|(_, what)| what.as_str()).collect()
 }
@@ -45,37 +45,38 @@
 
 #[test]
 fn one_is_killed_and_started_again_and_one_stands_still() {
-    let _alone = alone();
-    let (_, played) = played(
+    let _turn = wait_for_turn();
+    let (_, played) = play_drill(
         "{routers: 5, phases: [[10, 60]], clients: 40, deeds: [{at: 0.5, kill: [r1]}, {at: 0.5, freeze: [r2], for: 4}, {at: 5, start: [r1]}]}",
     );
     assert!(played.settled.is_some());
     for viewer in [0, 3, 4] {
         for of in [1, 2] {
-            // One that contradicts a later suspicion is told as back once more.
-            let said = said(&played, viewer, of);
-            assert!(said.contains(&"died") && said.last() == Some(&"is back"), "{said:?}");
+            // A router that refutes a later suspicion is logged as back once more.
+            let views = views_of(&played, viewer, of);
+            assert!(views.contains(&"died") && views.last() == Some(&"is back"), "{views:?}");
         }
     }
     assert_agreed(&played, 5);
 }
 
-/// SIGTERM is said, so nobody has to find it.
+/// A router announces its SIGTERM, so that nobody has to detect it.
 #[test]
 fn one_that_ends_says_so_and_its_clients_go_elsewhere() {
-    let _alone = alone();
-    let (_, played) = played("{routers: 4, phases: [[4, 60]], clients: 40, deeds: [{at: 1, term: [r3]}]}");
-    let told: Vec<_> = (0..3).map(|viewer| said(&played, viewer, 3).last().copied()).collect();
-    assert!(told.contains(&Some("left")), "{told:?}");
+    let _turn = wait_for_turn();
+    let (_, played) =
+        play_drill("{routers: 4, phases: [[4, 60]], clients: 40, deeds: [{at: 1, term: [r3]}]}");
+    let last: Vec<_> = (0..3).map(|viewer| views_of(&played, viewer, 3).last().copied()).collect();
+    assert!(last.contains(&Some("left")), "{last:?}");
     assert!(!played.alive[3]);
     assert_agreed(&played, 3);
 }
 
-/// Both sides reach all members: each goes on by itself, and no rule breaks in either.
+/// Both sides reach all members: each goes on by itself, and no invariant is broken in either.
 #[test]
 fn a_split_leaves_two_fleets_that_become_one_again() {
-    let _alone = alone();
-    let (_, played) = played(
+    let _turn = wait_for_turn();
+    let (_, played) = play_drill(
         "{routers: 5, phases: [[12, 60]], clients: 40, deeds: [{at: 0.5, split: [[r0, r1], [r2, r3, r4]], for: 6}]}",
     );
     let least =
@@ -87,8 +88,8 @@
 /// One router by itself, cut off from members: it answers its clients all the same.
 #[test]
 fn one_that_is_cut_off_from_all_still_answers() {
-    let _alone = alone();
-    let (drill, played) = played(
+    let _turn = wait_for_turn();
+    let (drill, played) = play_drill(
         "{routers: 3, phases: [[5, 60]], clients: 40, roaming: 0, deeds: [{at: 1, split: [[r2], [r0, r1, member-0, member-1, member-2, discovery]], for: 3}]}",
     );
     let cut_off = played.of(&drill, &[2]);
@@ -98,8 +99,8 @@
 
 #[test]
 fn datagrams_lost_doubled_late_and_overtaken_change_no_view() {
-    let _alone = alone();
-    let (_, played) = played(
+    let _turn = wait_for_turn();
+    let (_, played) = play_drill(
         "{routers: 4, phases: [[6, 60]], clients: 40, deeds: [\
          {at: 0.2, datagrams: {name: lost, part: 0.15, do: drop}}, \
          {at: 0.2, datagrams: {name: twice, part: 0.3, do: {duplicate: {ms: 30}}}}, \
@@ -113,8 +114,8 @@
 /// Forty processes in the same second, on as many cores as there are.
 #[test]
 fn forty_started_at_once_find_each_other() {
-    let _alone = alone();
-    let (_, played) = played("{routers: 40, phases: [[1, 40]], clients: 40, roaming: 0}");
+    let _turn = wait_for_turn();
+    let (_, played) = play_drill("{routers: 40, phases: [[1, 40]], clients: 40, roaming: 0}");
     assert!(
         played.settled.is_some(),
         "{:?}",
@@ -123,40 +124,42 @@
     assert_agreed(&played, 40);
 }
 
-/// Overload answered as one while parts fail: two in five killed at the peak, one that stands still with an old floor, one
-/// whose words nobody hears, one that has no words at all, cold members, and a router with eight times what others have.
+/// Shared admission control under overload while parts fail: two in five routers killed at the peak, one paused with an
+/// old admission threshold, one whose updates get lost, one without gossip, members that warm up, and one router with eight
+/// times the load of the others.
 #[test]
 fn the_fleet_sheds_as_one_while_parts_fail_and_keeps_the_rules() {
-    let _alone = alone();
-    let (drill, played) = played(
+    let _turn = wait_for_turn();
+    let (drill, played) = play_drill(
         "{routers: 6, uneven: 8, phases: [[9, 250]], clients: 300, quiet: [r3], \
          operator: \"fleet: {sheds: true, budgets: true}\\nlog: {figures: 250ms}\", scenario: {cores: 1, queue: 4, cold: [2], methods: [\
          {name: board, max_age_ms: 2000, work_ms: 20, soft_deadline_ms: 800, utility: 2, share: 0.9}, \
          {name: move, writes: true, work_ms: 20, soft_deadline_ms: 800, utility: 8, share: 0.1}]}, \
          deeds: [{at: 1, mute: [r2], for: 3}, {at: 3, kill: [r4, r5]}, {at: 5, freeze: [r1], for: 3}]}",
     );
-    let floors = |router: usize| {
+    let thresholds = |router: usize| {
         let lines = played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet"));
         lines.filter(|line| !line.contains("floor 0.00")).count()
     };
-    assert!(floors(0) > 3 && floors(2) > 3, "no floor at all: the load presses on nothing");
-    let paid = |line: &&String| line.contains("further call-outs in group") && !line.contains(" 0.0 wanted");
-    assert!(played.logs[0].iter().any(|line| paid(&line)), "no further call-out was asked for");
+    assert!(thresholds(0) > 3 && thresholds(2) > 3, "no admission threshold at all: there is no overload");
+    let names_retries =
+        |line: &&String| line.contains("further call-outs in group") && !line.contains(" 0.0 wanted");
+    assert!(played.logs[0].iter().any(|line| names_retries(&line)), "no retry was wanted");
     let (first, further) = played.callouts(3.0, 9.0);
     assert!(further <= first / 2 + 12, "{further} of {first}");
     let all = played.of(&drill, &[0, 1, 2, 3, 4, 5]);
     assert!(all.pushed_back > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
 
-/// A group without a primary presses; the floor is its own, and the other group's RPCs are served.
+/// A group without a primary is overloaded; the admission threshold is its own, and the other group's RPCs are served.
 #[test]
 fn a_group_without_a_primary_makes_no_floor_for_another() {
-    let _alone = alone();
-    let (_, played) = played(
+    let _turn = wait_for_turn();
+    let (_, played) = play_drill(
         "{routers: 3, phases: [[6, 60]], clients: 40, operator: \"fleet: {sheds: true}\\nlog: {figures: 250ms}\", \
          scenario: {groups: 2}, deeds: [{at: 1, ends: 0}]}",
     );
-    // Groups go by turns with the numbers of RPCs: those of the second one are the odd ones.
+    // RPCs alternate between the groups: those of the second group have odd numbers.
     let of_second = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
     let served = of_second
         .clone()
@@ -167,11 +170,11 @@
 
 #[test]
 fn a_router_that_does_not_start_is_told_with_its_last_lines() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("allowed");
-    let fault = play(&drill, programs(), 1).err().expect("it can't start").to_string();
-    assert!(fault.contains("colour"), "{fault}");
+    let error = play(&drill, programs(), 1).err().expect("it can't start").to_string();
+    assert!(error.contains("colour"), "{error}");
     let drill = Drill::read("{routers: 2, deeds: [{at: 0.2, start: [r1]}], faulty: {r1: resends}}");
-    let fault = play(&drill.expect("allowed"), programs(), 1).err().expect("there is no such program");
-    assert!(fault.to_string().contains("r1 needs --faulty"), "{fault}");
+    let error = play(&drill.expect("allowed"), programs(), 1).err().expect("there is no such program");
+    assert!(error.to_string().contains("r1 needs --faulty"), "{error}");
 }
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The binary over loopback, against the fake members and discovery of `common/fake_servers.rs`.
+//! The program over loopback, with the fake members and the fake discovery of `common/fake_servers.rs`.
 
 mod common;
 
@@ -21,10 +21,10 @@
         let text = statement(&id.to_string(), method, 30_000, "1");
         let (kinds, row) = execute(&mut client, &text);
         assert_eq!(kinds, b"TDCZ");
-        let (n, heard) = router.statements.recv().expect("a member was asked");
+        let (n, forwarded) = router.statements.recv().expect("a member was asked");
         assert_eq!(n == 0, method == "write");
         assert_eq!(&row[6..], format!("from {n}").as_bytes());
-        assert_eq!(id_and_rest(&heard), id_and_rest(&text));
+        assert_eq!(id_and_rest(&forwarded), id_and_rest(&text));
     }
     assert!(router.statements.try_recv().is_err(), "each was sent once");
 }
@@ -51,7 +51,7 @@
 
 #[test]
 fn what_may_have_run_is_not_sent_again() {
-    // Replicas refuse reads, which never ran; the primary dies on every write, which may have run.
+    // Replicas reject reads, which never ran; the primary closes the connection on a write, which may have run.
     let router = router(|n, text| match (n, text.contains("INSERT")) {
         (0, true) => None,
         (0, false) => Some(row(b"spilled", "leader", now_ms())),
@@ -69,7 +69,7 @@
 #[test]
 fn bad_frames_close_one_connection_and_encryption_is_declined() {
     let router = router(|n, _| Some(row(b"v", role(n), now_ms())));
-    let mut held = router.client();
+    let mut other = router.client();
     for junk in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
         let mut client = TcpStream::connect(&router.address).expect("it listens");
         client.write_all(junk).expect("written");
@@ -81,7 +81,7 @@
     let mut answer = [0];
     client.read_exact(&mut answer).expect("one byte");
     assert_eq!(&answer, b"N");
-    assert_eq!(execute(&mut held, &statement("1", "read", 30_000, "1")).0, b"TDCZ");
+    assert_eq!(execute(&mut other, &statement("1", "read", 30_000, "1")).0, b"TDCZ");
 }
 
 #[test]
@@ -100,8 +100,8 @@
     assert!(router.process.wait().expect("it ends").success());
 }
 
-/// SIGHUP ended the process once. Now a broken file changes nothing, and a good one moves the watch: the list of the
-/// new address counts, though it counts from lower.
+/// SIGHUP once ended the process. Now a broken file changes nothing, and a good one moves the watch: the list of the new
+/// address is accepted, although its generations are lower.
 #[test]
 fn told_anew_it_keeps_serving_and_follows_discovery_to_another_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
@@ -122,11 +122,11 @@
         thread::sleep(Duration::from_millis(50));
         assert_eq!(value(broken.len()), b"old");
     }
-    let (sender, _heard) = channel();
+    let (sender, _statements) = channel();
     let moved = fake_member(0, |_, _| Some(row(b"new", "leader", now_ms())), sender);
     let list = format!(r#"{{"generation":0,"reset":true,"instances":[{}]}}"#, instance(0, &moved, "SERVING"));
-    let told = format!("\"discovery\":\"{}\",\"seed\":\"8c", fake_discovery(list));
-    std::fs::write(&router.config_file, good.replace("\"seed\":\"8c", &told)).expect("written");
+    let discovery_key = format!("\"discovery\":\"{}\",\"seed\":\"8c", fake_discovery(list));
+    std::fs::write(&router.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
     (0..3).for_each(|_| router.signal("HUP"));
     let before = std::time::Instant::now();
     while value(before.elapsed().as_millis() as usize + 1_000_000) != b"new" {
@@ -136,8 +136,8 @@
     assert!(router.process.try_wait().expect("a process").is_none(), "it goes on");
 }
 
-/// More clients than there is room for, most of them silent, wait at the listener when the stop comes: what was asked
-/// is answered all the same.
+/// More clients than the router can accept, most of them silent, wait at the listener at SIGTERM: statements among them
+/// are answered all the same.
 #[test]
 fn a_planned_stop_takes_in_all_that_waits_at_a_crowded_door() {
     let mut router = router_with(
@@ -183,62 +183,78 @@
         (good.replace("\"ConnIdle\":15000000000", "\"ConnIdle\":-1"), "127.0.0.1:0", "Allowed.ConnIdle"),
         (good.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
     ] {
-        let told = temp_file(&text);
-        let output = router_command(listen, "127.0.0.1:1", &told).output().expect("it starts");
-        std::fs::remove_file(told).expect("its own file");
+        let config_file = temp_file(&text);
+        let output = router_command(listen, "127.0.0.1:1", &config_file).output().expect("it starts");
+        std::fs::remove_file(config_file).expect("its own file");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && log.lines().count() == 1 && log.contains(key), "{key}: {log}");
     }
 }
 
-/// What `check` says, on standard output and error, with its exit code.
-fn check(operator: Option<&str>, change: fn(String) -> String) -> (String, String, Option<i32>) {
+/// What `ladderpass check` prints.
+struct CheckOutput {
+    summary: String,
+    errors: String,
+    exit_code: Option<i32>,
+}
+
+/// Runs `ladderpass check` with this operator's file and a changed configuration.
+fn check(operator: Option<&str>, change: fn(String) -> String) -> CheckOutput {
     let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
-    let told = temp_file(&change(router_config(&members)));
-    let mut command = router_command("127.0.0.1:6432", "127.0.0.1:8500", &told);
+    let config_file = temp_file(&change(router_config(&members)));
+    let mut command = router_command("127.0.0.1:6432", "127.0.0.1:8500", &config_file);
     command.arg("check").stdout(Stdio::piped());
     let operator = operator.map(temp_file);
     if let Some(path) = &operator {
         command.arg("--operator").arg(path);
     }
     let output = command.output().expect("it starts");
-    for path in [Some(told), operator].into_iter().flatten() {
+    for path in [Some(config_file), operator].into_iter().flatten() {
         let _ = std::fs::remove_file(path);
     }
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    (text(output.stdout), text(output.stderr), output.status.code())
+    CheckOutput { summary: text(output.stdout), errors: text(output.stderr), exit_code: output.status.code() }
 }
 
 #[test]
 fn check_says_what_holds_with_its_defaults_or_names_the_key() {
-    let (told, faults, code) = check(None, |config| config);
-    assert_eq!((faults.as_str(), code), ("", Some(0)));
-    assert!(told.contains("overload") && told.contains("off") && told.contains("method write"), "{told}");
-    let (told, _, code) = check(Some("overload: {fair: 7}\n"), |config| config);
-    assert!(told.contains("7 fair shares") && told.contains("from 8 ms full 30 ms"), "{told}");
-    assert_eq!(code, Some(0));
-    let (told, faults, code) = check(Some("log: {format: json}\noverload:\n  fair: none\n"), |config| config);
-    assert_eq!((told.as_str(), code, faults.trim_end().lines().count()), ("", Some(1), 1), "{faults}");
-    assert!(faults.contains("line 3") && faults.contains("fair"), "{faults}");
-    let (_, faults, code) = check(None, |config| config.replace(r#""memory_mb":192"#, r#""memory_mb":0"#));
-    assert!(code == Some(1) && faults.contains("limits.memory_mb"), "{faults}");
+    let CheckOutput { summary, errors, exit_code } = check(None, |config| config);
+    assert_eq!((errors.as_str(), exit_code), ("", Some(0)));
+    assert!(
+        summary.contains("overload") && summary.contains("off") && summary.contains("method write"),
+        "{summary}"
+    );
+    let CheckOutput { summary, exit_code, .. } = check(Some("overload: {fair: 7}\n"), |config| config);
+    assert!(summary.contains("7 fair shares") && summary.contains("from 8 ms full 30 ms"), "{summary}");
+    assert_eq!(exit_code, Some(0));
+    let CheckOutput { summary, errors, exit_code } =
+        check(Some("log: {format: json}\noverload:\n  fair: none\n"), |config| config);
+    assert_eq!(
+        (summary.as_str(), exit_code, errors.trim_end().lines().count()),
+        ("", Some(1), 1),
+        "{errors}"
+    );
+    assert!(errors.contains("line 3") && errors.contains("fair"), "{errors}");
+    let CheckOutput { errors, exit_code, .. } =
+        check(None, |config| config.replace(r#""memory_mb":192"#, r#""memory_mb":0"#));
+    assert!(exit_code == Some(1) && errors.contains("limits.memory_mb"), "{errors}");
     let unknown = router_command("127.0.0.1:6432", "127.0.0.1:8500", &PathBuf::new()).arg("serv").output();
     assert_eq!(unknown.expect("it starts").status.code(), Some(2));
 }
 
 /// The operator's file is read again at SIGHUP; a wrong one changes nothing but the log.
 ///
-/// What happened: once in 186 runs beside 16 busy processes the log ended before what is waited for; the run's log was not
-/// kept. What disturbs it: the router's port was one that the system gives, given back at once, so that a fake server of
+/// What happened: once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of the run was not
+/// saved. The cause: the router's port was one that the system gives, given back at once, so that a fake server of
 /// another test may get it before the router; the router then tries for 5 s and ends. With a listener put there on
 /// purpose the test fails with that message; of 200,000 ports given back so 343 came again within the next 12 that were
 /// asked for. The port is one that the system does not give now (`router_address`).
 #[test]
 fn a_wrong_operators_file_at_sighup_leaves_the_old_one() {
-    let (sender, _heard) = channel();
+    let (sender, _statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, |_, _| None, sender.clone())).collect();
-    let (told, operator) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
-    let mut command = router_command(&router_address(), &fake_discovery(NO_CHANGE.to_owned()), &told);
+    let (config_file, operator) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
+    let mut command = router_command(&router_address(), &fake_discovery(NO_CHANGE.to_owned()), &config_file);
     let mut process =
         command.arg("--operator").arg(&operator).env("RUST_LOG", "info").spawn().expect("it starts");
     let mut lines = BufReader::new(process.stderr.take().expect("its log")).lines().map_while(Result::ok);
@@ -262,25 +278,26 @@
     std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
     hang_up(&process);
     until("told anew: discovery is");
-    let _ = (process.kill(), process.wait(), std::fs::remove_file(told), std::fs::remove_file(operator));
+    let _ =
+        (process.kill(), process.wait(), std::fs::remove_file(config_file), std::fs::remove_file(operator));
 }
 
-/// A log that nobody takes: standard error on a full disk, or a pipe whose reader has gone.
+/// A log that nobody reads: standard error on a full disk, or a pipe whose reader has gone.
 ///
-/// It holds. It is here as the router that `failing_calls` makes of its own binary ended with a panic there once its log was
-/// at `info`: its log told a write that failed on standard error, which panics where that fails too. The program's does not.
+/// It passes. It is here because the router that `failing_calls` makes of its own binary panicked there once its log was
+/// at `info`: it reported a failed log write on standard error, which panics where that fails too. The program does not.
 #[test]
 fn a_log_that_nobody_takes_ends_no_process() {
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
     for log in [Stdio::from(full), Stdio::piped()] {
-        let (sender, heard) = channel();
+        let (sender, statements) = channel();
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
         let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
-        let mut router = router_logging_to(log, &members, heard, |config| config);
+        let mut router = router_logging_to(log, &members, statements, |config| config);
         // Of the pipe, the reader has gone.
         drop(router.process.stderr.take());
         let mut client = router.client();
-        // It logs what it is told anew.
+        // It logs the reload.
         router.signal("HUP");
         thread::sleep(Duration::from_millis(100));
         assert_eq!(execute(&mut client, &statement("1", "write", 30_000, "1")).0, b"TDCZ");
--- a/crates/ladderpass/tests/endings.rs
+++ b/crates/ladderpass/tests/endings.rs
@@ -1,6 +1,6 @@
-//! What ends at the wrong instant, every time, over real connections on loopback (`docs/endings.md`). The test itself is
-//! client, member and discovery, so that nothing comes before it says so; a router that is to find several things at
-//! once is halted while they happen.
+//! Connections, watches and processes that end at the worst moment, each time, over real connections on loopback
+//! (`docs/endings.md`). The test is client, members and discovery, and decides when each byte is sent; to make several
+//! things happen at once for the router, it pauses the process.
 
 mod common;
 mod router_harness;
@@ -17,9 +17,9 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-// ---- the list
+// ---- the endpoint list
 
-/// Where settings say that lists are pushed no watch was ever opened, and drains were never heard of.
+/// With pushed lists no watch was ever opened once, and drains were never known.
 #[test]
 fn a_list_that_is_pushed_is_watched_and_watched_again() {
     let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
@@ -51,7 +51,7 @@
     assert_eq!(harness.next_rpc(1).0, "1");
 }
 
-/// What a silent watch would have told counts as told 6 s later. Both it and its successor say nothing more.
+/// What a silent watch would have sent must be known 6 s later. Both this watch and the next fall silent.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
@@ -64,7 +64,7 @@
     assert!(since.elapsed() < Duration::from_millis(5500), "a third time after {:?}", since.elapsed());
 }
 
-/// Lines that go on coming inside an object that never ends are no news.
+/// Lines inside an object that never ends count as silence.
 #[test]
 fn a_list_that_never_ends_is_a_silent_one() {
     let mut harness = start_harness(|config| config);
@@ -77,8 +77,8 @@
     }
 }
 
-/// A new address twice, and the call to each ends without an answer. What the old watch tells meanwhile counts, and does
-/// not stand for that call: it is made again. Once it did, and the new address was never asked again.
+/// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
+/// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
 #[test]
 fn hang_up_twice_follows_the_last_address() {
     let mut harness = start_harness(|config| config);
@@ -107,8 +107,8 @@
     harness.assert_write_succeeds("2");
 }
 
-/// The new address answers with a head and empty lines, and no list: that is no answer, and the call is made again in
-/// time. Once it never was.
+/// The new address answers with a head and empty lines, and no list: that is no answer, and it is polled again in time.
+/// Once it never was.
 #[test]
 fn a_new_address_that_has_no_list_to_tell_is_asked_again() {
     let harness = start_harness(|config| config);
@@ -128,8 +128,8 @@
     }
 }
 
-/// Discovery counts anew from lower: late lists are refused, but not for longer than news may be late, from when the list
-/// here was told.
+/// Discovery starts again with lower generations: older lists are rejected, but not for longer than a change may be late,
+/// from when the current list was received.
 #[test]
 fn a_discovery_that_counts_anew_is_believed_in_the_end() {
     let mut harness = start_harness(|config| config);
@@ -157,8 +157,8 @@
     }
 }
 
-/// Three RPCs wait for their connection when their member's address changes: they go to the new one, and none counts as
-/// a miss of the member, which would leave it out.
+/// Three RPCs wait for their connection when their member's address changes: they go to the new address, and none counts
+/// as a failure of the member, which would eject it.
 #[test]
 fn what_waits_for_a_connection_goes_to_the_new_address() {
     let mut harness = start_harness(|config| config);
@@ -180,9 +180,9 @@
     clients.iter_mut().for_each(|client| assert_eq!(read_answer(client).0, b"TDCZ"));
 }
 
-// ---- clients that leave while they wait
+// ---- clients that leave while their RPCs wait
 
-/// Statement and end come together: on a new connection, and on one that was served before.
+/// Statement and close arrive together: on a new connection, and on one that was served before.
 #[test]
 fn a_client_that_asks_and_goes_in_one_instant_is_not_sent_on() {
     let mut harness = start_harness(|config| config);
@@ -199,7 +199,7 @@
     harness.assert_write_succeeds("3");
 }
 
-/// Half of an end is an end: nobody can tell them apart before bytes are written.
+/// A half close counts as a close: nobody can tell them apart before bytes are written.
 #[test]
 fn half_of_a_clients_end_is_its_end() {
     let mut harness = start_harness(|config| config);
@@ -213,7 +213,7 @@
     assert!(next_frame(&mut half).is_none());
 }
 
-/// After a fault nothing is read for a while, and its end was not seen either.
+/// After an error of the client nothing is read for a while, and its close once went unseen too.
 #[test]
 fn a_client_that_goes_while_it_rests_after_a_fault_is_not_sent_on() {
     let mut harness = start_harness(|config| config);
@@ -230,8 +230,8 @@
     }
 }
 
-/// Plays this eight times: a client asks for an RPC, sends `behind` as far as the kernel takes it, and leaves, by a close
-/// and by half of one in turn, 0.12 s before its RPC is answered. How many statements of the rest the member gets.
+/// Eight times: a client sends an RPC, then `behind` as far as the kernel takes it, and leaves, by a close and a half
+/// close in turn, 0.12 s before its RPC is answered. How many of the later statements the member gets.
 fn sent_on_behind(behind: impl Fn(usize) -> Vec<u8>) -> usize {
     let mut harness = start_harness(|config| config);
     let mut gone = 0;
@@ -251,7 +251,7 @@
     gone
 }
 
-/// Sends as far as the kernel takes it, and leaves; half of a close keeps the connection. That was 0.12 s ago then.
+/// Sends as far as the kernel takes it, and leaves; a half close keeps the connection. Returns 0.12 s after that.
 fn sends_and_leaves(
     harness: &RouterHarness,
     mut client: TcpStream,
@@ -275,20 +275,20 @@
     (0..count).flat_map(|nth| query(&statement(nth))).collect()
 }
 
-/// Its ring is full with what stands behind its first RPC, and its end stands behind that.
+/// The client's buffer is full with what follows its first RPC, and the close comes after that.
 #[test]
 fn a_client_that_goes_with_a_full_ring_is_not_sent_on() {
     assert_eq!(sent_on_behind(|round| statements_behind(round, 72)), 0);
 }
 
-/// It has sent more than ring and socket hold, so that the kernel keeps its end back: what it sent is read and answered
-/// up to its end, and nothing of it is begun. After half of a close no reset tells that it has left.
+/// The client has sent more than buffer and socket hold, so that the kernel holds its close back: its bytes are read up to
+/// the close, and no RPC among them is started. After a half close no reset shows that it has left.
 #[test]
 fn a_client_whose_end_is_kept_back_is_found_out() {
     assert_eq!(sent_on_behind(|round| statements_behind(round, 1000)), 0);
 }
 
-/// Likewise, and the member that has its first RPC turns it away: no other member gets it.
+/// The same, and the member that has its first RPC rejects it: no other member gets it.
 #[test]
 fn nothing_follows_a_failed_attempt_of_a_client_whose_end_is_kept_back() {
     let mut harness = start_harness(|config| config);
@@ -301,8 +301,8 @@
     assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
 }
 
-/// One that stays is served: all that it has sent ahead where there is room for that; past it some are pushed back, each is
-/// answered, and once all is read the rest is served.
+/// A client that stays is served: all that it has sent ahead as far as there is space; beyond that some statements are
+/// rejected, each is answered, and once all is read the rest is served.
 #[test]
 fn a_client_that_sends_much_ahead_and_stays_is_answered() {
     for (count, all) in [(60, true), (160, false)] {
@@ -329,7 +329,7 @@
     }
 }
 
-/// What members get after the leave, in `clients_that_leave_in_one_burst_are_not_sent_on`.
+/// What members get after the clients have left, in `clients_that_leave_in_one_burst_are_not_sent_on`.
 #[derive(Debug, Default, PartialEq)]
 struct Begun {
     first: usize,
@@ -338,10 +338,9 @@
     late: usize,
 }
 
-/// 2,000 clients leave in one burst, by a cancel, a close, a reset, or half of a close, while of six members two hang, two have
-/// connections that are still to come up, and one turns away what it has. The router stands still meanwhile for 0.15 s,
-/// and then finds all ends at once, with what the members have said before them: none of what waited is begun, nor a
-/// further attempt made.
+/// 2,000 clients leave in one burst, by a cancel, a close, a reset or a half close, while of six members two hang, two have
+/// connections that are not established yet, and one rejects what it has. The router stalls meanwhile for 0.15 s, and then
+/// finds all closes at once, with what members have sent before them: no pending RPC is started, and none is retried.
 #[test]
 fn clients_that_leave_in_one_burst_are_not_sent_on() {
     const MANY: usize = 2000;
@@ -362,7 +361,7 @@
         }
         clients.push((nth, stream));
     }
-    // Members 1 and 2 welcome nobody yet; 0 and 3 get as much as goes out at first, as do 4 and 5, which say no more.
+    // Members 1 and 2 don't answer startups yet; 0 and 3 get what is sent at first, as do 4 and 5, which send no more.
     let mut coming: Vec<Vec<TcpStream>> = (0..6).map(|_| Vec::new()).collect();
     let mut out: Vec<Vec<(String, TcpStream)>> = (0..6).map(|_| Vec::new()).collect();
     let quiet = Instant::now() + Duration::from_millis(1500);
@@ -444,13 +443,13 @@
     harness.settle();
 }
 
-/// The connection comes up once the client has left.
+/// The connection is established once the client has left.
 #[test]
 fn a_client_that_goes_before_the_connection_is_up_is_not_sent_on() {
     goes_before_the_connection_is_up(|_| None);
 }
 
-/// `copied`: what stays open of the client's socket.
+/// `copied`: a copy of the client's socket that stays open.
 fn goes_before_the_connection_is_up(copied: fn(&TcpStream) -> Option<TcpStream>) {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
@@ -465,20 +464,19 @@
     drop(copy);
 }
 
-/// The same where a copy of the client's socket stays open, as in a child that is about to become its own program.
+/// The same where a copy of the client's socket stays open, as in a child process before its exec.
 ///
-/// What happened: beside 16 busy processes a write was sent whose client had been dropped (one of 11 whole runs). Why: the
-/// kernel ends a connection with the last copy of its socket, and other tests start routers meanwhile, whose processes
-/// hold a copy of each socket here until they become their own program. What showed it: in the run that failed the drop
-/// took 0.5 us, where one that ends a connection takes 25 us, and the write went out 9.6 ms after it; with a child
-/// that took 60 ms to start it went out in 15 of 15 runs, and with `close` in none of 15. The router can't know: no end
-/// had come.
+/// What happened: beside 16 busy processes a write was sent whose client had been dropped (one of 11 whole runs). The cause:
+/// the kernel closes a connection with the last copy of its socket, and other tests start routers meanwhile, whose processes
+/// have a copy of each socket here until their exec. The evidence: in the run that failed the drop took 0.5 us, where one
+/// that closes a connection takes 25 us, and the write was sent 9.6 ms after it; with a child that took 60 ms to start it was
+/// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
 #[test]
 fn a_client_that_closes_is_gone_though_a_copy_of_its_socket_is_open() {
     goes_before_the_connection_is_up(|client| Some(client.try_clone().expect("it can")));
 }
 
-/// The welcome is read: with it comes the key by which to cancel.
+/// Reads the answer to the startup, with the key for cancel requests.
 fn welcomed(client: &mut TcpStream) -> (u32, u32) {
     let mut frames = Vec::new();
     while frames.last().is_none_or(|(kind, _)| *kind != b'Z') {
@@ -487,7 +485,7 @@
     cancel_key(&frames)
 }
 
-/// Somebody asks to cancel; once the connection is closed, with nothing told, the router has seen it.
+/// Sends a cancel request; once its connection is closed, without an answer, the router has handled it.
 fn cancels(harness: &RouterHarness, key: (u32, u32)) {
     let mut other = TcpStream::connect(&harness.address).expect("it listens");
     other.set_read_timeout(Some(PATIENCE)).expect("it can");
@@ -497,7 +495,8 @@
     assert_eq!(told, b"");
 }
 
-/// Its client cancels it before the connection is up: one answer at once, and it is never sent. The next one is served.
+/// The client cancels before the connection is established: one answer at once, and the RPC is never sent. The next one is
+/// served.
 #[test]
 fn what_is_cancelled_before_the_connection_is_up_is_not_sent_on() {
     let mut harness = start_harness(|config| config);
@@ -519,7 +518,8 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// Held in the core as the primary has enough: who leaves is not sent on when there is room. The figure of `docs/results.md`.
+/// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
+/// figure of `docs/results.md`.
 #[test]
 fn clients_that_leave_while_they_are_held_are_not_sent_on() {
     let mut harness = start_harness(|config| {
@@ -535,7 +535,7 @@
     }
     let asked: Vec<usize> = out.iter().map(|(id, _)| id.parse().expect("a number")).collect();
     assert!((1..29).contains(&asked.len()), "some are held, not {:?}", asked);
-    // All but the last of those that are held leave.
+    // All but the last of the clients with pending RPCs leave.
     let held: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
     let last = *held.last().expect("some are held");
     let mut clients: Vec<Option<TcpStream>> = stay.into_iter().map(Some).collect();
@@ -553,7 +553,7 @@
 
 // ---- drains
 
-/// Its connection is still to come up when its member fades: it goes elsewhere at once, and nothing goes to that one.
+/// The connection is not established yet when its member drains: the RPC goes elsewhere at once, and that member gets none.
 #[test]
 fn a_drain_calls_back_what_waits_for_its_connection() {
     let mut harness = start_harness(|config| config);
@@ -574,7 +574,7 @@
 
 // ---- the stop
 
-/// The process ended 10 s after SIGTERM, whatever it owed.
+/// The process once exited 10 s after SIGTERM, whatever was unanswered.
 #[test]
 fn a_stop_waits_for_clients_that_have_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
@@ -590,7 +590,7 @@
     harness.assert_clean_exit();
 }
 
-/// What it is told anew while it stops changes nothing for who is owed an answer.
+/// A reload while the router stops changes nothing for clients that wait for an answer.
 #[test]
 fn hang_up_during_the_stop_loses_nothing() {
     let mut harness = start_harness(|config| config);
@@ -608,7 +608,7 @@
     harness.assert_clean_exit();
 }
 
-/// One that sends without end can't keep it from ending, and those that wait at the door when it stops are served.
+/// A client that sends without end can't keep the router from exiting, and clients that wait at the listener are served.
 #[test]
 fn what_waits_at_the_listener_at_the_stop_is_served() {
     let mut harness = start_harness(|config| config);
@@ -629,7 +629,7 @@
 
 // ---- connections
 
-/// Connections that were reset while they waited at the listener bar nobody.
+/// Connections that were reset while they waited at the listener block no other.
 #[test]
 fn resets_at_the_listener_bar_nobody() {
     let mut harness = start_harness(|config| config);
@@ -642,7 +642,7 @@
     harness.assert_write_succeeds("1");
 }
 
-/// The time of an idle connection is over when its next statement is there already: it is taken.
+/// The idle time-out of a connection ends when its next statement has already arrived: that is accepted.
 #[test]
 fn an_idle_close_that_crosses_a_query_yields() {
     let mut harness = start_harness(|config| config);
@@ -658,7 +658,7 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// A whole answer counts, though the member's end stands right behind it.
+/// A complete answer counts, although the member closes right after it.
 #[test]
 fn a_members_end_right_behind_its_answer_spoils_nothing() {
     let mut harness = start_harness(|config| config);
@@ -672,7 +672,7 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// Answer and client's end cross: nobody gets it, and the connection to the member goes on in step.
+/// An answer and its client's close cross: nobody gets the answer, and the connection to the member stays in step.
 #[test]
 fn an_answer_that_crosses_its_clients_end_goes_to_nobody_else() {
     let mut harness = start_harness(|config| config);
@@ -698,7 +698,7 @@
     assert!(value.ends_with(b"v") && !value.ends_with(b"another"));
 }
 
-/// A member that ends its idle connection just when the next RPC comes: that end is seen first, and the RPC goes out once.
+/// A member closes its idle connection just when the next RPC comes: the close is seen first, and the RPC is sent once.
 #[test]
 fn a_members_idle_end_that_crosses_a_statement_is_seen_first() {
     let mut harness = start_harness(|config| config);
@@ -727,7 +727,7 @@
     command.args(["-c", shell]).arg(program).envs(envs);
 }
 
-/// Out of descriptors: those at the door wait, and are served once some are free again.
+/// No descriptors left: clients at the listener wait, and are served once some are free again.
 #[test]
 fn those_at_the_door_are_served_once_there_are_descriptors_again() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limited);
@@ -740,7 +740,7 @@
     harness.assert_write_succeeds("2");
 }
 
-/// Clients that say nothing have all descriptors that there are for them: call-outs get theirs.
+/// Silent clients have all descriptors that clients may have: attempts get theirs.
 #[test]
 fn call_outs_have_descriptors_beside_clients_that_take_all() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limited);
@@ -757,8 +757,8 @@
     drop(many);
 }
 
-/// No descriptor for a connection to a member, and nobody that could make place: that is no miss of the
-/// member's. The RPC is answered at once, and the next goes through.
+/// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
+/// The RPC is answered at once, and the next one is served.
 #[test]
 fn a_member_is_not_blamed_for_descriptors_that_are_short() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
@@ -771,7 +771,7 @@
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
         assert!(status.expect("util-linux is there").success());
     };
-    // The client that has settled is closed by now, or rests, and would make place.
+    // The client of `settle` is closed by now, or idle, and could be closed for it.
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
@@ -787,8 +787,8 @@
     harness.assert_write_succeeds("after");
 }
 
-/// Those that had gone before they were let in hold no descriptor: each gives its own back before the next
-/// has one.
+/// Clients that had left before they were accepted have no descriptor: each releases its own before the next one is
+/// accepted.
 #[test]
 fn the_gone_at_the_door_take_no_descriptors() {
     let log = temp_file("");
@@ -807,8 +807,8 @@
     assert!(!said.contains("Too many open files"), "{said}");
 }
 
-/// Idle clients come without end while discovery is down, to a process with fewer descriptors than the
-/// platform says: within 6 s of discovery's return it is called.
+/// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
+/// connects to discovery within 6 s of its return.
 #[test]
 fn discovery_is_called_in_time_though_idle_clients_fill_the_descriptors() {
     for count in [24, 100] {
@@ -828,12 +828,12 @@
     }
 }
 
-/// Holds as many connections as it can get, and asks nothing; half of them open.
+/// Opens as many connections as it can and sends no statement; half of them complete the startup.
 fn crowd(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            // One that has ended reads as such; another has the welcome to read, or nothing.
+            // A closed one reads as such; any other has its startup's answer to read, or nothing.
             idle.retain_mut(|stream| match stream.read(&mut [0; 512]) {
                 Ok(count) => count > 0,
                 Err(fault) => fault.kind() == ErrorKind::WouldBlock,
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment, over real connections: each RPC is answered, no
-//! rule breaks, and the process goes on (`docs/terms-audit.md`). The router is this test binary itself, started again.
+//! System calls that fail for a moment, over real connections: each RPC is answered, no rule is broken, and the process
+//! goes on (`docs/terms-audit.md`). The router is this test binary itself, started again.
 
 mod common;
 mod failing_syscalls;
@@ -22,17 +22,18 @@
     failing_syscalls::serve_if_planned();
 }
 
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs: loads beside each other would miss their deadlines.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn wait_for_turn() -> MutexGuard<'static, ()> {
+    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 const DEADLINE: Span = Span::from_millis(1500);
 
-/// What a load of two seconds saw of a router whose calls fail, from its start on or later.
-fn seen(start: &Start) -> Seen {
-    let _alone = alone();
+/// Runs a load of two seconds against a router whose calls fail.
+fn run_load(start: &Start) -> Seen {
+    let _turn = wait_for_turn();
     let plan = Plan { connections: 60, deadline: DEADLINE, ..open(5, &[(2.0, 300.0)]) };
     let seen = bed::run(&Scenario::default(), start, &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
@@ -40,56 +41,56 @@
     seen
 }
 
-/// Each RPC is served in its time.
-fn play(start: &Start) -> Seen {
-    let seen = seen(start);
-    let (total, told) = (seen.outcome.total(), seen.log.join("\n"));
-    assert_eq!(seen.broken(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{told}");
-    assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}\n{told}");
-    assert_eq!(total.ok, total.due, "{total:?}\n{told}");
+/// The same; each RPC is served before its deadline.
+fn assert_all_served(start: &Start) -> Seen {
+    let seen = run_load(start);
+    let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
+    assert_eq!(seen.broken(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
+    assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}\n{log}");
+    assert_eq!(total.ok, total.due, "{total:?}\n{log}");
     seen
 }
 
-/// All of the failures have been, or the run shows nothing.
-fn play_failing(failures: &[FailingSyscall]) {
-    let seen = play(&failing_syscalls::start(failures, &[]));
+/// The same with these failures, which must all have happened: otherwise the run shows nothing.
+fn assert_all_served_despite(failures: &[FailingSyscall]) {
+    let seen = assert_all_served(&failing_syscalls::start(failures, &[]));
     let all = seen.log.iter().filter(|line| line.contains("all failures of call")).count();
     assert_eq!(all, failures.len(), "{}", seen.log.join("\n"));
 }
 
-/// These errors of one call, so many each, while clients and members connect.
-fn play_errors(call: i64, errors: &[i32], count: u64) {
+/// The same with these errors of one call, so many each, while clients and members connect.
+fn assert_all_served_despite_errors(call: i64, errors: &[i32], count: u64) {
     let failure = |&errno: &i32| FailingSyscall {
         after: Duration::ZERO,
         every: 2,
         count,
         ..FailingSyscall::of(call, errno)
     };
-    play_failing(&errors.iter().map(failure).collect::<Vec<_>>());
+    assert_all_served_despite(&errors.iter().map(failure).collect::<Vec<_>>());
 }
 
 #[test]
 fn calls_that_do_not_fail_change_nothing() {
     let failure = FailingSyscall { count: 0, ..FailingSyscall::of(libc::SYS_recvmsg, libc::ENOMEM) };
-    play(&failing_syscalls::start(&[failure], &[]));
+    assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
-/// The loop arms its sources anew each time that it waits.
+/// The event loop arms its sources again for each wait.
 #[test]
 fn the_loop_goes_on_where_its_sources_can_not_be_armed() {
-    play_failing(&[FailingSyscall::of(libc::SYS_epoll_ctl, libc::ENOMEM)]);
+    assert_all_served_despite(&[FailingSyscall::of(libc::SYS_epoll_ctl, libc::ENOMEM)]);
 }
 
 #[test]
 fn a_read_that_fails_for_want_of_memory_is_made_again() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    play_failing(&errors.map(|errno| FailingSyscall::of(libc::SYS_recvmsg, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_recvmsg, errno)));
 }
 
 #[test]
 fn a_write_that_fails_for_want_of_memory_is_made_again() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    play_failing(&errors.map(|errno| FailingSyscall::of(libc::SYS_sendto, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_sendto, errno)));
 }
 
 #[test]
@@ -99,7 +100,7 @@
     };
     let errors =
         [ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM, EPROTO, ETIMEDOUT];
-    play_errors(libc::SYS_accept4, &errors, 3);
+    assert_all_served_despite_errors(libc::SYS_accept4, &errors, 3);
 }
 
 #[test]
@@ -112,9 +113,9 @@
         count: 8,
         ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
     };
-    play_failing(&[libc::ENOMEM, libc::ENOSPC].map(failure));
-    // A client that has asked already is answered on that connection: the load above would open another.
-    let _alone = alone();
+    assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
+    // A client that has sent its statement is answered on that connection; the load above would open another one.
+    let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
         let failure = FailingSyscall {
@@ -123,8 +124,8 @@
             count: 5,
             ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
         };
-        let router = Lone::start(&[failure], &discovery);
-        assert!(router.is_served_within(Duration::from_secs(5)));
+        let router = RouterWithoutMembers::start(&[failure], &discovery);
+        assert!(router.accepts_within(Duration::from_secs(5)));
         std::thread::sleep(Duration::from_millis(1100));
         let mut client = std::net::TcpStream::connect(&router.address).expect("it listens");
         client.set_read_timeout(Some(Duration::from_secs(5))).expect("it can");
@@ -139,25 +140,25 @@
 fn a_member_that_can_not_be_called_for_a_moment_is_called_again() {
     use libc::{EADDRNOTAVAIL, EAGAIN, ECONNREFUSED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE};
     use libc::{ENOBUFS, ENOMEM, ETIMEDOUT};
-    play_errors(libc::SYS_connect, &[EADDRNOTAVAIL, EAGAIN, ECONNREFUSED], 1);
-    play_errors(libc::SYS_connect, &[EHOSTUNREACH, EINTR, ENETUNREACH], 1);
-    play_errors(libc::SYS_connect, &[ENOBUFS, ENOMEM, ETIMEDOUT], 1);
-    play_errors(libc::SYS_socket, &[EMFILE, ENFILE], 1);
-    play_errors(libc::SYS_socket, &[ENOBUFS, ENOMEM], 1);
+    assert_all_served_despite_errors(libc::SYS_connect, &[EADDRNOTAVAIL, EAGAIN, ECONNREFUSED], 1);
+    assert_all_served_despite_errors(libc::SYS_connect, &[EHOSTUNREACH, EINTR, ENETUNREACH], 1);
+    assert_all_served_despite_errors(libc::SYS_connect, &[ENOBUFS, ENOMEM, ETIMEDOUT], 1);
+    assert_all_served_despite_errors(libc::SYS_socket, &[EMFILE, ENFILE], 1);
+    assert_all_served_despite_errors(libc::SYS_socket, &[ENOBUFS, ENOMEM], 1);
 }
 
 #[test]
 fn options_that_can_not_be_set_or_read_for_a_moment_cost_nothing() {
-    play_errors(libc::SYS_setsockopt, &[libc::ENOBUFS, libc::ENOMEM], 3);
-    play_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
+    assert_all_served_despite_errors(libc::SYS_setsockopt, &[libc::ENOBUFS, libc::ENOMEM], 3);
+    assert_all_served_despite_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
 }
 
-/// Whichever of these calls the loop and the sockets wait with.
+/// The event loop and the sockets wait by one of these calls.
 #[test]
 fn a_wait_that_is_interrupted_is_made_again() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
     let failures = calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::of(call, libc::EINTR) });
-    let seen = play(&failing_syscalls::start(&failures, &[]));
+    let seen = assert_all_served(&failing_syscalls::start(&failures, &[]));
     assert!(seen.log.iter().any(|line| line.contains("all failures of call")), "{}", seen.log.join("\n"));
 }
 
@@ -169,39 +170,39 @@
         every: 1,
         ..FailingSyscall::of(libc::SYS_write, errno)
     };
-    play(&failing_syscalls::start(&errors.map(at_once), &[]));
+    assert_all_served(&failing_syscalls::start(&errors.map(at_once), &[]));
 }
 
-/// A connection that breaks shows in all of these ways; it costs what is out on it, and no more, and nothing runs twice.
+/// A lost connection shows by any of these errors; only the RPC in flight on it is lost, and nothing runs twice.
 #[test]
 fn a_broken_connection_costs_no_more_than_itself() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
         let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE];
         let failures =
             errors.map(|errno| FailingSyscall { every: 40, count: 3, ..FailingSyscall::of(call, errno) });
-        let seen = seen(&failing_syscalls::start(&failures, &[]));
-        let broken = seen.violations(Span::from_millis(50));
-        assert!(broken.iter().all(|violation| violation.rule == 1), "{broken:?}");
+        let seen = run_load(&failing_syscalls::start(&failures, &[]));
+        let violations = seen.violations(Span::from_millis(50));
+        assert!(violations.iter().all(|violation| violation.rule == 1), "{violations:?}");
         let total = seen.outcome.total();
         assert!(total.due - total.ok <= 2 * 3 * failures.len() as u64, "{total:?}");
     }
 }
 
-/// A router without members, before a discovery of the test's.
-struct Lone {
+/// A router without members, whose discovery is the test.
+struct RouterWithoutMembers {
     process: Child,
     config: std::path::PathBuf,
     address: String,
 }
 
-impl Drop for Lone {
+impl Drop for RouterWithoutMembers {
     fn drop(&mut self) {
         let _ = (self.process.kill(), self.process.wait(), std::fs::remove_file(&self.config));
     }
 }
 
-impl Lone {
-    fn start(failures: &[FailingSyscall], discovery: &TcpListener) -> Lone {
+impl RouterWithoutMembers {
+    fn start(failures: &[FailingSyscall], discovery: &TcpListener) -> RouterWithoutMembers {
         let start = failing_syscalls::start(failures, &[]);
         let config = temp_file(&router_config(&[]));
         let address = common::router_address();
@@ -209,10 +210,10 @@
         command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", &address).env("RELAY_CONFIG", &config);
         command.env("RELAY_DISCOVERY", discovery.local_addr().expect("an address").to_string());
         let process = command.spawn().expect("it starts");
-        Lone { process, config, address }
+        RouterWithoutMembers { process, config, address }
     }
 
-    fn is_served_within(&self, patience: Duration) -> bool {
+    fn accepts_within(&self, patience: Duration) -> bool {
         let until = Instant::now() + patience;
         while Instant::now() < until {
             if std::net::TcpStream::connect(&self.address).is_ok() {
@@ -224,7 +225,8 @@
     }
 }
 
-fn called_within(discovery: &TcpListener, patience: Duration) -> bool {
+/// Whether the router connects to discovery in this time.
+fn is_watched_within(discovery: &TcpListener, patience: Duration) -> bool {
     discovery.set_nonblocking(true).expect("it can");
     let until = Instant::now() + patience;
     while Instant::now() < until {
@@ -236,30 +238,30 @@
     false
 }
 
-/// What the new discovery has counts as told 4 s after SIGHUP, though the file could not be read at once.
+/// The list of the new discovery applies 4 s after SIGHUP, although the file could not be read at once.
 #[test]
 fn a_configuration_that_can_not_be_read_for_a_moment_is_read_again() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let [first, second] =
         [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a port"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::EIO, libc::EINTR, libc::ENOMEM] {
         let failure = FailingSyscall { every: 1, count: 5, ..FailingSyscall::of(libc::SYS_openat, errno) };
-        let router = Lone::start(&[failure], &first);
-        assert!(called_within(&first, Duration::from_secs(5)), "it starts");
+        let router = RouterWithoutMembers::start(&[failure], &first);
+        assert!(is_watched_within(&first, Duration::from_secs(5)), "it starts");
         std::thread::sleep(Duration::from_millis(1200));
         let good = std::fs::read_to_string(&router.config).expect("its file");
         let moved = format!("{{\"discovery\":\"{}\",", second.local_addr().expect("an address"));
         std::fs::write(&router.config, good.replacen('{', &moved, 1)).expect("written");
         let pid = nix::unistd::Pid::from_raw(router.process.id() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
-        assert!(called_within(&second, Duration::from_secs(2)), "error {errno}");
+        assert!(is_watched_within(&second, Duration::from_secs(2)), "error {errno}");
     }
 }
 
-/// Nor does any of the calls that a start makes refuse it.
+/// A start survives a failure of any call that it makes.
 #[test]
 fn calls_that_fail_at_the_start_refuse_nothing() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
     let at_start = |call, errno| FailingSyscall {
         after: Duration::ZERO,
@@ -276,8 +278,8 @@
         at_start(libc::SYS_openat, libc::ENFILE),
         at_start(libc::SYS_signalfd4, libc::ENOMEM),
     ] {
-        let router = Lone::start(&[failure], &discovery);
-        assert!(router.is_served_within(Duration::from_secs(5)), "{failure:?}");
-        assert!(called_within(&discovery, Duration::from_secs(5)), "{failure:?}");
+        let router = RouterWithoutMembers::start(&[failure], &discovery);
+        assert!(router.accepts_within(Duration::from_secs(5)), "{failure:?}");
+        assert!(is_watched_within(&discovery, Duration::from_secs(5)), "{failure:?}");
     }
 }
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -1,5 +1,5 @@
-//! The binary behind the fault tool, before the emulated fleet: failures between sockets at an exact message. What is asked
-//! for holds on any machine, however slow: who is answered and how, and what ran.
+//! The program behind the fault injection proxy, with emulated members: failures between sockets at an exact message. The
+//! assertions hold on any machine, however slow: who is answered and how, and what ran.
 
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
@@ -12,17 +12,18 @@
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs: loads beside each other would miss their deadlines.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn wait_for_turn() -> MutexGuard<'static, ()> {
+    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// A load of two seconds through these rules. Whatever they do, no rule of the account may break, and each client is
+/// Runs a load of two seconds through these fault rules. Whatever they do, no invariant may be broken, and each client is
 /// answered.
-fn play(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, Left) {
+fn run_load(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, Left) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
-    let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|fault| panic!("{rule}: {fault}"));
+    let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|error| panic!("{rule}: {error}"));
     let rules = rules.iter().map(read).collect();
     let plan = Plan {
         connections: 400,
@@ -32,7 +33,7 @@
     };
     let scenario = Scenario::default();
     let done = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
-    let (seen, left) = done.unwrap_or_else(|fault| panic!("{fault}"));
+    let (seen, left) = done.unwrap_or_else(|error| panic!("{error}"));
     let left = left.expect("it ran");
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(left.never_fired, Vec::<String>::new(), "a plan that does nothing shows nothing");
@@ -42,7 +43,7 @@
     (seen, left)
 }
 
-/// Each such write was answered, as aborted, and ran once: it is not sent again, and not waited for to the end.
+/// Each such write was answered as failed and ran once: it is not sent again, and not waited for until its deadline.
 fn assert_aborted(seen: &Seen, most: u64) {
     let writes = seen.outcome.of(1);
     assert!((1..=most).contains(&writes.aborted), "{writes:?}");
@@ -50,33 +51,33 @@
 
 #[test]
 fn without_rules_the_tool_changes_nothing() {
-    let _alone = alone();
-    let (seen, left) = play(1, &[], vec![]);
+    let _turn = wait_for_turn();
+    let (seen, left) = run_load(1, &[], vec![]);
     let total = seen.outcome.total();
     assert_eq!((total.ok, left.record.len()), (total.due, 0), "{total:?}");
 }
 
 #[test]
 fn a_half_close_after_a_write_ran_and_before_its_acknowledgement_aborts_it_at_once() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rule = "{name: r, link: member-0, when: {message: CommandComplete, holds: INSERT, nth: 20}, \
                 do: {half_close: {side: server}}, times: 3}";
-    let (seen, left) = play(2, &[rule], vec![]);
+    let (seen, left) = run_load(2, &[rule], vec![]);
     assert_eq!(left.record.len(), 3);
     assert_aborted(&seen, 3);
 }
 
 #[test]
 fn a_swallowed_acknowledgement_is_no_reason_to_send_again() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rule = "{name: r, link: member-0, when: {message: CommandComplete, holds: INSERT, nth: 20}, do: swallow, times: 3}";
-    let (seen, _) = play(3, &[rule], vec![]);
+    let (seen, _) = run_load(3, &[rule], vec![]);
     assert_aborted(&seen, 3);
 }
 
 #[test]
 fn spoilt_rows_lengths_and_second_copies_are_served_to_nobody() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rules = [
         "{name: length, when: {message: DataRow, nth: 50}, do: flip_length, times: 5}",
         "{name: twice, when: {message: ReadyForQuery, nth: 100}, do: duplicate, times: 5}",
@@ -84,7 +85,7 @@
         "{name: cut, when: {message: DataRow, nth: 200}, do: {truncate: {keep: 3}}, times: 5}",
         "{name: probe, when: {message: DataRow, holds: x0=, nth: 1}, do: flip_length, times: 2}",
     ];
-    let (seen, left) = play(4, &rules, vec![]);
+    let (seen, left) = run_load(4, &rules, vec![]);
     assert!(left.record.len() >= 20, "{}", left.record.len());
     let reads = seen.outcome.of(0);
     assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
@@ -92,20 +93,20 @@
 
 #[test]
 fn silence_resets_and_refusals_of_all_members_at_once_leave_nobody_waiting() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rules = [
         "{name: silent, link: member-1, when: {message: ReadyForQuery, nth: 20}, do: silence, times: 4}",
         "{name: reset, when: {after_ms: 900, message: ReadyForQuery}, do: reset, times: 30}",
         "{name: refused, when: {seen: reset, opens: true}, do: refuse, times: 20}",
     ];
-    play(5, &rules, vec![]);
+    run_load(5, &rules, vec![]);
 }
 
 #[test]
 fn discovery_cut_inside_a_chunk_is_asked_again() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rules = ["{name: r, link: discovery, when: {message: Chunk}, do: {truncate: {keep: 2}}, times: 2}"];
-    let (seen, left) = play(6, &rules, vec![]);
+    let (seen, left) = run_load(6, &rules, vec![]);
     assert!(
         left.record.len() == 2 && seen.log.iter().any(|line| line.contains("the list: ")),
         "{:?}",
@@ -115,23 +116,23 @@
 
 #[test]
 fn faults_during_sighup_lose_nothing() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let deeds: Vec<Deed<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs")))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
-    play(7, &rules, deeds);
+    run_load(7, &rules, deeds);
 }
 
 #[test]
 fn a_cut_inside_a_length_field_is_no_answer() {
-    let _alone = alone();
-    // Behind the kind of a message stand four bytes of length: cut after one, two and three of them.
+    let _turn = wait_for_turn();
+    // After the type byte come four bytes of length: cut after one, two and three of them.
     let rules = [
         "{name: one, when: {message: RowDescription, nth: 30}, do: {truncate: {keep: 2}}, times: 4}",
         "{name: two, when: {message: DataRow, nth: 60}, do: {truncate: {keep: 3}}, times: 4}",
         "{name: three, when: {message: CommandComplete, nth: 90}, do: {truncate: {keep: 4}}, times: 4}",
     ];
-    let (seen, left) = play(8, &rules, vec![]);
+    let (seen, left) = run_load(8, &rules, vec![]);
     assert_eq!(left.record.len(), 12);
     let reads = seen.outcome.of(0);
     assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
@@ -139,15 +140,15 @@
 
 #[test]
 fn a_watch_that_goes_back_a_generation_is_not_believed() {
-    let _alone = alone();
-    // The drain is told first, in generation 2; then comes an older list, in which all serve.
+    let _turn = wait_for_turn();
+    // First the drain, in generation 2; then an older list, in which all members serve.
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
     let deeds: Vec<Deed<'_>> =
         vec![(0.5, Box::new(|_, fleet| fleet.drain(1))), (0.9, Box::new(move |_, fleet| fleet.say(0, old)))];
-    // Rule 3 is judged over all that passes: the drain holds whatever the old list says.
-    let (seen, _) = play(9, &[], deeds);
+    // Rule 3 is checked over the whole run: the drain applies whatever the old list says.
+    let (seen, _) = run_load(9, &[], deeds);
     let after = seen.outcome.began + Span::from_millis(1000);
     assert!(!seen.truth.ran.iter().any(|ran| ran.member == 1 && ran.at > after), "its drain was undone");
     assert!(seen.log.iter().any(|line| line.contains("the list: ")), "{:?}", seen.log);
@@ -155,21 +156,21 @@
 
 #[test]
 fn silence_past_every_bound_is_noticed_and_asked_about_anew() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rules = [
         "{name: watch, link: discovery, when: {message: Chunk, nth: 2}, do: silence}",
         "{name: member, link: member-2, when: {message: ReadyForQuery, nth: 30}, do: silence, times: 20}",
     ]
-    .map(|rule| Rule::read(rule).unwrap_or_else(|fault| panic!("{fault}")));
+    .map(|rule| Rule::read(rule).unwrap_or_else(|error| panic!("{error}")));
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let plan =
         Plan { connections: 60, pipeline: 1, deadline: Span::from_millis(2000), ..open(10, &[(7.0, 60.0)]) };
     let (seen, left) =
         bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
-            .unwrap_or_else(|fault| panic!("{fault}"));
+            .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(left.expect("it ran").never_fired, Vec::<String>::new());
-    // Discovery is heard of every second: 4.5 s without a sign end the watch.
+    // Discovery sends a line every second: 4.5 s of silence end the watch.
     assert!(seen.log.iter().any(|line| line.contains("the list: ")), "{:?}", seen.log);
     let last = seen.counts(6.0, 6.9);
     assert!(last.ok * 100 >= last.due * 95, "{last:?}");
@@ -177,12 +178,12 @@
 
 #[test]
 fn faults_during_sigterm_lose_nothing_that_was_taken() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let rules = [
         "{name: late, when: {after_ms: 500, message: RowDescription}, do: {delay: {ms: 150}}, times: 0}",
         "{name: reset, when: {after_ms: 900, message: DataRow, nth: 20}, do: reset, times: 10}",
     ]
-    .map(|rule| Rule::read(rule).unwrap_or_else(|fault| panic!("{fault}")));
+    .map(|rule| Rule::read(rule).unwrap_or_else(|error| panic!("{error}")));
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let plan = Plan {
         connections: 200,
@@ -194,14 +195,14 @@
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let (seen, _) =
         bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
-            .unwrap_or_else(|fault| panic!("{fault}"));
+            .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
 }
 
 #[test]
 fn the_same_seed_draws_the_same_plan_and_whatever_it_is_no_rule_breaks() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     for seed in [21, 22] {
         let links =
             bed::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
@@ -213,10 +214,10 @@
             deadline: Span::from_millis(2000),
             ..open(seed, &[(2.0, 300.0)])
         };
-        // Bytes garbled within a value pass for a value: nobody between can tell.
+        // Garbled bytes within a value can't be detected on the way.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
         let (seen, _) = bed::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
-            .unwrap_or_else(|fault| panic!("{fault}"));
+            .unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
         assert_eq!(seen.outcome.total().unanswered, 0, "seed {seed}");
     }
--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Reads whose connection to a member comes up after more than a tick.
+//! Reads whose connection to a member is established after more than a tick.
 //!
 //! What happened: beside 16 busy processes about every other run of `end_to_end` failed (119 of 255): a read went to the
 //! primary while two replicas stood, and a read with 30 s left got an error at once. Why: a bounded read that has waited
@@ -19,37 +19,37 @@
 use std::time::Duration;
 
 /// A tick of these settings is 5 ms.
-const COMES_UP_AFTER: Duration = Duration::from_millis(30);
-const ANSWERS_AFTER: Duration = Duration::from_millis(100);
-/// Connections that rest are closed after 0.8 of this, and all have been after that rest.
-const IDLE: &str = "\"ConnIdle\":50000000";
-const REST: Duration = Duration::from_millis(100);
-/// At once: fewer than a member may have in flight before more is known of it.
+const STARTUP_DELAY: Duration = Duration::from_millis(30);
+const ANSWER_DELAY: Duration = Duration::from_millis(100);
+/// Idle connections are closed after 0.8 of this, so after the pause below there is none.
+const IDLE_TIMEOUT: &str = "\"ConnIdle\":50000000";
+const IDLE_PAUSE: Duration = Duration::from_millis(100);
+/// Reads sent at once: fewer than a new member may have in flight.
 const READS: usize = 2;
 
-/// A router before a primary and a replica whose connections come up late.
-fn router_before_a_late_replica(attempts: &str) -> Router {
+/// A router with a primary and a replica whose connections are established late.
+fn router_with_late_replica(attempts: &str) -> Router {
     let answer: Answer = |n, _| {
-        thread::sleep(ANSWERS_AFTER);
+        thread::sleep(ANSWER_DELAY);
         Some(row(b"v", role(n), now_ms()))
     };
-    let (sender, heard) = channel();
+    let (sender, statements) = channel();
     let members =
-        [fake_member(0, answer, sender.clone()), slow_fake_member(COMES_UP_AFTER, 1, answer, sender.clone())];
-    let change = |told: String| {
-        let told = told.replace("\"ConnIdle\":15000000000", IDLE);
-        told.replace("\"AttemptsCap\":6", attempts)
+        [fake_member(0, answer, sender.clone()), slow_fake_member(STARTUP_DELAY, 1, answer, sender.clone())];
+    let change = |config: String| {
+        let config = config.replace("\"ConnIdle\":15000000000", IDLE_TIMEOUT);
+        config.replace("\"AttemptsCap\":6", attempts)
     };
-    router_with_members(&members, heard, change)
+    router_with_members(&members, statements, change)
 }
 
-/// Reads at once, for which there is no connection: each is answered, and these members got them.
+/// Sends reads at once while no member has a connection: each is answered; the members that got them.
 fn members_asked_by(router: &Router, reads: usize) -> Vec<usize> {
     let mut clients: Vec<_> = (0..reads).map(|_| router.client()).collect();
-    // The replica is known to be up to date from here on.
+    // From here on the replica is known to be up to date.
     assert_eq!(execute(&mut clients[0], &statement("first", "read", 30_000, "1")).0, b"TDCZ");
     router.statements.recv().expect("a member was asked");
-    thread::sleep(REST);
+    thread::sleep(IDLE_PAUSE);
     for (nth, client) in clients.iter_mut().enumerate() {
         let read = query(&statement(&nth.to_string(), "read", 30_000, "1"));
         client.write_all(&read).expect("the router reads");
@@ -64,16 +64,16 @@
 
 #[test]
 fn a_read_goes_to_its_replica_once_the_connection_is_up() {
-    let router = router_before_a_late_replica("\"AttemptsCap\":6");
+    let router = router_with_late_replica("\"AttemptsCap\":6");
     let asked = members_asked_by(&router, READS);
     assert_eq!(asked.len(), READS, "each was sent once");
     assert!(!asked.contains(&0), "a read went to the primary: {asked:?}");
 }
 
-/// What was never sent is no attempt: the one that the settings allow is left.
+/// What was never sent is no attempt: the only one that the settings allow is still available.
 #[test]
 fn a_connection_that_comes_up_late_uses_up_no_attempt() {
-    let router = router_before_a_late_replica("\"AttemptsCap\":1");
+    let router = router_with_late_replica("\"AttemptsCap\":1");
     let asked = members_asked_by(&router, READS);
     assert_eq!(asked.len(), READS, "each was sent once");
 }
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -1,5 +1,5 @@
-//! The binary under its own overload, before the emulated fleet: the hard cases that need sockets and a process. What is
-//! asked for holds on any machine, however slow: who is answered and how, never how fast.
+//! The program under its own overload, with emulated members: the hard cases that need sockets and a process. The
+//! assertions hold on any machine, however slow: who is answered and how, never how fast.
 
 use ladderpass_emulator::{Input, Scenario};
 use ladderpass_routing::Span;
@@ -12,21 +12,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// One at a time: each is a load of its own.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by the test that runs: each is a load of its own.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn wait_for_turn() -> MutexGuard<'static, ()> {
+    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Sheds all that ranks low from the first look on: memory is said to be short.
+/// Sheds all RPCs of low priority from the first sample on: memory counts as short.
 const SHORT: &str = "overload:\n  memory: {from: 0.001, full: 0.08}\n";
 
 fn start(operator: &str) -> Start {
     Start { operator: Some(operator.to_owned()), ..Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass"))) }
 }
 
-/// A load that a slow build on one core bears too, with patient clients.
+/// A load that a slow build on one core can serve too, with long deadlines.
 fn gentle(seed: u64, phases: &[(f64, f64)]) -> Plan {
     Plan { connections: 50, deadline: Span::from_millis(4000), ..open(seed, phases) }
 }
@@ -45,7 +45,7 @@
 
 #[test]
 fn without_the_operators_file_nothing_is_shed() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let mut start = start(SHORT);
     start.operator = None;
     let seen = run(&Scenario::default(), &start, &gentle(1, &[(1.0, 500.0)]), vec![]);
@@ -55,8 +55,8 @@
 
 #[test]
 fn under_pressure_reads_go_before_writes_and_each_is_told_when_to_come_back() {
-    let _alone = alone();
-    // Four fifths of the work are reads: what pressure takes is reads alone, until it takes more than all of them.
+    let _turn = wait_for_turn();
+    // Four fifths of the work are reads: only reads are shed, until more than all of them would be.
     let short = "overload:\n  memory: {from: 0.001, full: 0.2}\n";
     let seen = run(&Scenario::default(), &start(short), &gentle(2, &[(2.0, 500.0)]), vec![]);
     assert_all_answered(&seen);
@@ -67,27 +67,27 @@
     assert!(seen.outcome.come_back_ms.max() > seen.outcome.come_back_ms.min() + 10, "spread by chance");
 }
 
-/// What happened: beside 16 busy processes too few of the hundred stood in the way (0 and 14 here, 6 before; 20 are asked
-/// for). Why: the router was pressed by the delay of its loop, whose core others had, and shed the very statements whose
-/// answers were to fill their sockets. What showed it, in the figures of such a run: "own load before=calm now=shedding foremost=delay",
-/// "delay_ms 34.5, stolen 0.34, taken 200, shed 200". Shedding is what it is there for; here it takes the test's premise
-/// away. So the delay presses from 2 s on in this test alone, and none of the hundred may be shed.
+/// What happened: beside 16 busy processes too few of the hundred blocked their connections (0 and 14 here, 6 before; 20 are
+/// required). The cause: the router was overloaded by the delay of its event loop, as others used its core, and shed the very
+/// statements whose answers were to fill their sockets. The evidence, in the metrics of such a run: "own load before=calm
+/// now=shedding foremost=delay", "delay_ms 34.5, stolen 0.34, taken 200, shed 200". Shedding is right there, but takes away the
+/// test's premise. So delay counts as overload from 2 s on in this test alone, and none of the hundred may be shed.
 #[test]
 fn a_hundred_clients_that_never_read_are_closed_and_the_others_served() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let mut scenario = Scenario::default();
     scenario.methods[0].value_bytes = 64 << 10;
     let mut start =
         start("log: {figures: 100ms}\noverload: {slow_reader: 500ms, delay: {from: 2s, full: 4s}}\n");
     start.allowed.memory_mb = 64;
-    // They come first; then the others.
+    // They connect first, the others later.
     let plan = Plan { slow_readers: 100, ..gentle(3, &[(3.5, 0.0), (2.5, 100.0)]) };
     let seen = run(&scenario, &start, &plan, vec![]);
     assert_all_answered(&seen);
     let after = seen.counts(5.0, 6.0);
     assert!(after.due > 50 && after.ok == after.due, "once they are gone: {after:?}");
     assert!(seen.resident < 64 << 20, "{} bytes", seen.resident);
-    // An end behind what is not read never arrives there: the router's own figures tell that they are gone.
+    // A close after unread bytes never arrives there: the router's own metrics show that they are closed.
     let slow = charts::figures(&seen.log, "slow_readers", 0.1);
     let most = slow.iter().map(|figure| figure.1).fold(0.0, f64::max);
     let shed: f64 = charts::figures(&seen.log, "shed", 0.1).iter().map(|figure| figure.1).sum();
@@ -100,7 +100,7 @@
 
 #[test]
 fn one_flood_among_polite_clients_is_what_is_shed() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let plan = Plan { floods: 1, flood_depth: 400, ..gentle(4, &[(0.5, 400.0), (2.0, 400.0)]) };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, vec![]);
     assert_all_answered(&seen);
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let deeds: Vec<Deed<'_>> = vec![
         (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
         (1.0, Box::new(|_, fleet| fleet.tell(1, Input::Dies))),
@@ -124,7 +124,7 @@
     assert!(seen.log.iter().any(|line| line.contains("told anew: discovery is")), "SIGHUP was taken");
     assert!(seen.outcome.total().pushed_back > 100 && seen.outcome.total().ok > 300);
     assert_eq!(seen.ended, None, "it runs on");
-    // SIGTERM in the middle: what was taken is answered, then the process ends well.
+    // SIGTERM in the middle: what was accepted is answered, then the process exits with success.
     let deeds: Vec<Deed<'_>> =
         vec![(1.0, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let plan = Plan { connections: 50, ..gentle(6, &[(1.2, 500.0)]) };
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_stall_of_800_ms_is_answered_for() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let deeds: Vec<Deed<'_>> = vec![
         (1.0, Box::new(|router, _| router.signal(Signal::SIGSTOP).expect("it runs"))),
         (1.8, Box::new(|router, _| router.signal(Signal::SIGCONT).expect("it is stopped"))),
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_hog_on_the_same_core_costs_no_answer() {
-    let _alone = alone();
+    let _turn = wait_for_turn();
     let core = ladderpass_testbed::router::cores() - 1;
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
--- a/crates/ladderpass/tests/ready.rs
+++ b/crates/ladderpass/tests/ready.rs
@@ -1,6 +1,6 @@
-//! Real processes that start at once with 940 members remembered, a third of which hang, discovery down or silent:
-//! how long until each lets a client in and serves it, and what its start takes. `LADDERPASS_READY=300,64,FILE` plays
-//! it with so many processes of so many descriptors each, of that program; a dozen of this one else.
+//! Real processes that start at once with 940 members in the cached list, a third of which hang, discovery down or silent:
+//! how long until each accepts a client and serves it, and what the start costs. `LADDERPASS_READY=300,64,FILE` runs it
+//! with 300 processes of that program and 64 descriptors each; otherwise it is a dozen of this one.
 
 mod common;
 
@@ -18,20 +18,20 @@
 
 const MEMBERS: usize = 940;
 const READY: Duration = Duration::from_secs(10);
-/// Threads of members; each holds one address of leaders, one of followers, and two of those that hang.
+/// Threads of fake members; each has one address of leaders, one of followers, and two of members that hang.
 const THREADS: usize = 6;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Leader,
     Follower,
-    /// Takes connections and says nothing.
+    /// Accepts connections and sends nothing.
     Silent,
-    /// Takes none: they wait in the kernel, and hang once its line is full.
+    /// Accepts none: they wait in the kernel, and hang once its queue is full.
     Deaf,
 }
 
-/// The members' fake servers, many at one address; for each member the address to tell, and what they were asked.
+/// Fake members, many at one address: the address of each member, and how many health checks they got.
 struct Members {
     addresses: Vec<String>,
     probes: Arc<AtomicUsize>,
@@ -48,10 +48,10 @@
             at[*kind as usize].push(listener.local_addr().expect("an address"));
         }
         let probes = probes.clone();
-        // It ends with the test's process.
+        // The thread ends with the test's process.
         thread::spawn(move || serve(&listeners, &probes).expect("it can"));
     }
-    // Of each group the leader and one follower are well; all second followers hang.
+    // In each group the leader and one follower serve; all second followers hang.
     let kind = |n: usize| match n % 6 {
         0 | 3 => Kind::Leader,
         1 | 4 => Kind::Follower,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Answers what has come; false once the connection has ended.
+/// Answers what has arrived; false once the connection has closed.
 fn converse(kind: Kind, stream: &mut TcpStream, heard: &mut Vec<u8>, probes: &AtomicUsize) -> bool {
     let mut room = [0; 4096];
     match stream.read(&mut room) {
@@ -102,7 +102,7 @@
         Err(fault) => return fault.kind() == std::io::ErrorKind::WouldBlock,
     }
     let mut out = Vec::new();
-    // The opening has no kind, and is shorter than 16 MB.
+    // The startup message has no type byte, and is shorter than 16 MB.
     if heard.first() == Some(&0) {
         let length =
             heard.get(..4).map_or(4, |head| u32::from_be_bytes([head[0], head[1], head[2], head[3]]));
@@ -136,7 +136,7 @@
     told: PathBuf,
     welcomed: Duration,
     served: Duration,
-    /// Its processor time by then, and the most memory that it had, in MB.
+    /// Its CPU time by then, and its peak memory in MB.
     cpu: Duration,
     resident: f64,
 }
@@ -193,7 +193,7 @@
     start
 }
 
-/// The median, the ninth tenth and the most.
+/// The median, the ninth decile and the maximum.
 fn spread(mut of: Vec<f64>) -> String {
     of.sort_by(f64::total_cmp);
     let at = |part: f64| of[((of.len() - 1) as f64 * part) as usize];
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Seeded random runs: the reducer against a small world without sockets, with the rules checked after every
-//! step; the parsers and the ring split and damaged at every byte. Then a few plain cases.
+//! Seeded random runs: the reducer in a small simulation without sockets, with the invariants checked after every step; the
+//! parsers and the ring buffer with input split and damaged at every byte. Then a few plain cases.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A client: what it has sent, and what has come back.
+/// A client: what it has sent, and what it has received.
 #[derive(Default)]
 struct Client {
     due: Vec<Time>,
@@ -22,31 +22,31 @@
     ids: Vec<String>,
     inbox: Vec<u8>,
     answers: usize,
-    /// When the last of them came.
+    /// When the last answer came.
     answered_at: Option<Time>,
-    /// It broke the protocol: nothing is owed any more.
-    junk: bool,
+    /// It broke the protocol: no answer is due any more.
+    broke_protocol: bool,
 }
 
 /// The other side of a connection to a member.
 #[derive(Default)]
 struct Peer {
     up: bool,
-    welcomed: bool,
+    startup_done: bool,
     inbox: Vec<u8>,
     asked: Option<String>,
-    /// An empty query stands behind that.
-    fenced: bool,
+    /// An empty query follows that one.
+    fence_queued: bool,
 }
 
-struct World {
+struct Simulation {
     reducer: Reducer,
     pressed: bool,
     now: Time,
-    dice: VecDeque<u8>,
+    choices: VecDeque<u8>,
     clients: BTreeMap<ConnectionId, Client>,
     peers: BTreeMap<ConnectionId, Peer>,
-    /// Ports of the members that connections go to.
+    /// Ports of the members, by connection.
     ports: BTreeMap<ConnectionId, u16>,
     watches: Vec<(ConnectionId, bool)>,
     /// By id of an RPC: its statement without `d`, whether it may run only once, and whether it may have run.
@@ -55,34 +55,34 @@
     exited: bool,
 }
 
-fn launched() -> launch::Launch {
-    launched_with(|text| text)
+fn default_launch() -> launch::Launch {
+    launch_changed_by(|text| text)
 }
 
-fn launched_with(change: impl Fn(String) -> String) -> launch::Launch {
+fn launch_changed_by(change: impl Fn(String) -> String) -> launch::Launch {
     let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
     launch_with_config(&change(router_config(&members)))
 }
 
-impl World {
-    /// A router that watches itself, and is pressed as the dice have it.
-    fn pressed(dice: Vec<u8>) -> World {
-        let mut launch = launched();
+impl Simulation {
+    /// A router that watches its own load, with overload as the choices have it.
+    fn pressed(choices: Vec<u8>) -> Simulation {
+        let mut launch = default_launch();
         launch.operator = operator::read("overload: {slow_reader: 100ms}").expect("allowed");
-        World { pressed: true, ..World::of(dice, launch) }
+        Simulation { pressed: true, ..Simulation::of(choices, launch) }
     }
 
-    fn new(dice: Vec<u8>) -> World {
-        World::of(dice, launched())
+    fn new(choices: Vec<u8>) -> Simulation {
+        Simulation::of(choices, default_launch())
     }
 
-    fn of(dice: Vec<u8>, launch: launch::Launch) -> World {
+    fn of(choices: Vec<u8>, launch: launch::Launch) -> Simulation {
         let now = Time::from_nanos(1_796_000_000_000_000_000);
-        World {
+        Simulation {
             reducer: Reducer::start(now, launch),
             pressed: false,
             now,
-            dice: dice.into(),
+            choices: choices.into(),
             clients: BTreeMap::new(),
             peers: BTreeMap::new(),
             ports: BTreeMap::new(),
@@ -94,7 +94,7 @@
     }
 
     fn roll(&mut self, sides: usize) -> usize {
-        usize::from(self.dice.pop_front().unwrap_or(0)) % sides.max(1)
+        usize::from(self.choices.pop_front().unwrap_or(0)) % sides.max(1)
     }
 
     fn any<T: Copy>(&mut self, of: Vec<T>) -> Option<T> {
@@ -111,7 +111,7 @@
         for effect in effects {
             match effect {
                 Effect::Connect(id, address) if address.port() == 8500 => {
-                    // One that was denied is tried again.
+                    // A denied connect is retried.
                     self.watches.retain(|(watch, _)| *watch != id);
                     self.watches.push((id, false));
                 }
@@ -120,19 +120,19 @@
                     self.peers.insert(id, Peer::default());
                 }
                 // Now and then a socket takes nothing for a while.
-                Effect::Write(_) if self.dice.len() % 5 == 4 => {}
+                Effect::Write(_) if self.choices.len() % 5 == 4 => {}
                 Effect::Write(id) => self.write(id),
                 Effect::Close(id) => {
                     self.peers.remove(&id);
                     self.watches.retain(|(watch, _)| *watch != id);
                     if let Some(client) = self.clients.remove(&id) {
                         let owed = client.due.len() > client.answers;
-                        assert!(client.junk || !owed, "rule 1: closed on a client that waits");
+                        assert!(client.broke_protocol || !owed, "rule 1: closed on a client that waits");
                     }
                 }
                 Effect::Exit => self.exited = true,
                 Effect::StopListening => self.apply(Event::ListenerClosed),
-                // A socket holds nothing beyond what was fed.
+                // A socket holds nothing beyond what was handed over.
                 Effect::Read(id) => self.apply(Event::Drained(id)),
                 Effect::CloseIfQuiet(id) => self.apply(Event::ReadToEnd(id)),
                 Effect::Accept(_) | Effect::SendDatagrams => {}
@@ -146,22 +146,22 @@
             if let Some(client) = self.clients.get_mut(&id) {
                 client.inbox.extend_from_slice(&bytes);
                 let (found, _) = frames(&client.inbox);
-                // The welcome ends with a ready too; a fatal error has none.
+                // The startup's answer ends with a ready too; a fatal error has none.
                 let ends = |(kind, body): &&(u8, Vec<u8>)| *kind == b'Z' || body.starts_with(b"SFATAL");
                 let ready = found.iter().filter(ends).count().saturating_sub(1);
-                assert!(client.junk || ready <= client.due.len(), "rule 1: two answers");
+                assert!(client.broke_protocol || ready <= client.due.len(), "rule 1: two answers");
                 for (nth, answer) in found.split_inclusive(|(kind, _)| *kind == b'Z').skip(1).enumerate() {
                     let value = answer.iter().find(|(kind, _)| *kind == b'D').map(|(_, body)| &body[6..]);
                     let wanted = client.ids.get(nth).map(String::as_bytes);
-                    let own = client.junk || value.is_none() || wanted.is_none() || value == wanted;
+                    let own = client.broke_protocol || value.is_none() || wanted.is_none() || value == wanted;
                     assert!(own, "rule 1: served what was made for another");
                 }
-                // What waits behind another RPC has its time from when it was sent, and its turn after that one.
+                // The deadline of a statement behind another runs from when it was sent; its turn is after the other.
                 let turn = client.answered_at.map_or(self.now, |at| at + Span::from_millis(10));
                 for (nth, due) in client.due.iter().enumerate().take(ready).skip(client.answers) {
                     let behind = nth > client.answers || self.now <= turn && client.answered_at.is_some();
                     let in_time = self.now <= *due || behind;
-                    assert!(client.junk || in_time, "rule 1: an answer past the client's time");
+                    assert!(client.broke_protocol || in_time, "rule 1: an answer past the client's time");
                 }
                 if ready > client.answers {
                     client.answered_at = Some(self.now);
@@ -169,7 +169,7 @@
                 client.answers = ready;
             } else if let Some(peer) = self.peers.get_mut(&id) {
                 peer.inbox.extend_from_slice(&bytes);
-                if peer.welcomed {
+                if peer.startup_done {
                     let (found, used) = frames(&peer.inbox);
                     peer.inbox.drain(..used);
                     found.into_iter().for_each(|(kind, body)| self.asked(id, kind, &body));
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A whole query has reached a member.
+    /// A complete query has reached a member.
     fn asked(&mut self, id: ConnectionId, kind: u8, body: &[u8]) {
         let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
         let (rpc, rest) = id_and_rest(&text);
@@ -194,44 +194,44 @@
         }
         let peer = self.peers.get_mut(&id).expect("it is there");
         if text.is_empty() {
-            assert!(peer.asked.is_some() && !peer.fenced, "an empty query stands behind a query");
-            peer.fenced = true;
+            assert!(peer.asked.is_some() && !peer.fence_queued, "an empty query stands behind a query");
+            peer.fence_queued = true;
             return;
         }
-        assert!(peer.asked.is_none() && !peer.fenced, "two at once on a connection");
+        assert!(peer.asked.is_none() && !peer.fence_queued, "two at once on a connection");
         peer.asked = Some(text);
     }
 
-    /// A connection to a member comes up, with nothing asked on it but what goes out with that.
+    /// A connection to a member is established, with nothing in flight but what is sent with that.
     fn come_up(&mut self, id: ConnectionId) {
-        self.peers.insert(id, Peer { up: true, welcomed: true, ..Peer::default() });
+        self.peers.insert(id, Peer { up: true, startup_done: true, ..Peer::default() });
         self.apply(Event::Connected(id));
         self.write(id);
         self.peers.get_mut(&id).expect("it came up").inbox.clear();
         let peer = self.peers.get_mut(&id).expect("it came up");
-        (peer.asked, peer.fenced) = (None, false);
+        (peer.asked, peer.fence_queued) = (None, false);
         self.feed(id, &welcome());
         self.write(id);
     }
 
-    /// Bytes come in, as far as there is room, in pieces.
+    /// Bytes arrive, as far as there is space, in pieces.
     fn feed(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let most = 1 + self.roll(40) * 7;
-            let room = self.reducer.read_buffer(id);
-            let count = room.len().min(bytes.len()).min(most);
+            let space = self.reducer.read_buffer(id);
+            let count = space.len().min(bytes.len()).min(most);
             if count == 0 {
                 return;
             }
             let (now, later) = bytes.split_at(count);
-            room[..count].copy_from_slice(now);
+            space[..count].copy_from_slice(now);
             bytes = later;
             self.apply(Event::Received(id, count, Span::ZERO));
         }
     }
 
-    /// What came is a batch of its own: the reducer has its turn after it.
-    fn hand(&mut self, id: ConnectionId, bytes: &[u8]) {
+    /// What arrived is a batch of its own: the reducer's tick follows it.
+    fn receive(&mut self, id: ConnectionId, bytes: &[u8]) {
         self.feed(id, bytes);
         self.apply(Event::Tick);
     }
@@ -262,15 +262,15 @@
                 let what = self.roll(4);
                 if what == 0 && self.clients[&id].inbox.contains(&b'K') {
                     let (process, secret) = self.key_of(id);
-                    return self.cancels((process, secret ^ u32::from(self.dice.len().is_multiple_of(3))));
+                    return self.cancels((process, secret ^ u32::from(self.choices.len().is_multiple_of(3))));
                 }
                 if what < 2 {
                     self.clients.remove(&id);
                     return self.apply(Event::Closed(id));
                 }
-                self.clients.get_mut(&id).expect("it is there").junk = true;
-                let junk: Vec<u8> = (0..self.roll(30)).map(|_| self.roll(256) as u8).collect();
-                self.feed(id, &junk);
+                self.clients.get_mut(&id).expect("it is there").broke_protocol = true;
+                let broke_protocol: Vec<u8> = (0..self.roll(30)).map(|_| self.roll(256) as u8).collect();
+                self.feed(id, &broke_protocol);
             }
             6..=8 => self.member_acts(),
             9 => self.list_acts(),
@@ -302,12 +302,12 @@
         assert_eq!(out, links, "call-outs that are out, and connections that carry one");
     }
 
-    /// What a client's welcome says.
+    /// Process id and secret key in the answer to a client's startup.
     fn key_of(&self, client: ConnectionId) -> (u32, u32) {
         cancel_key(&frames(&self.clients[&client].inbox).0)
     }
 
-    /// Somebody asks to cancel, on a connection of its own: told nothing, and closed.
+    /// Sends a cancel request on a connection of its own, which is closed without an answer.
     fn cancels(&mut self, key: (u32, u32)) {
         let id = self.reducer.next_id();
         self.apply(Event::Accepted(id));
@@ -340,13 +340,13 @@
             peer.up = what != 1;
             return self.apply(if what == 1 { Event::ConnectDenied(id) } else { Event::Connected(id) });
         }
-        if !peer.welcomed {
-            peer.welcomed = true;
+        if !peer.startup_done {
+            peer.startup_done = true;
             peer.inbox.clear();
             return self.feed(id, &welcome());
         }
         let Some(asked) = peer.asked.take() else {
-            if std::mem::take(&mut peer.fenced) {
+            if std::mem::take(&mut peer.fence_queued) {
                 self.feed(id, &empty_query_response());
             } else if what == 1 {
                 self.feed(id, &row(b"early", "leader", position));
@@ -359,7 +359,7 @@
             1 => error_response("53300"),
             2 => error_response("25006"),
             3 => error_response("XX000"),
-            // Spoilt: a row of two columns, half an answer, a value of 3 GB, a tag of none.
+            // Damaged: a row of two columns, half an answer, a value of 3 GB, an unknown tag.
             4 => frame(b'D', b"\0\x02"),
             5 => good[..20].to_vec(),
             6 => [&good[..37], b"D\xbb\0\0\0\0\x01\xb9\0\0\0v"].concat(),
@@ -368,7 +368,7 @@
                 let report = format!("x0={}.5,x1={}", position / 1000, what % 2);
                 row(report.as_bytes(), "follower", position)
             }
-            // Good, with a second copy or noise just behind; and a position that no member can have.
+            // Good, with a second copy or noise right behind; and a position that no member can have.
             8 => [&good[..], &good].concat(),
             9 => [&good[..], b"\x07noise"].concat(),
             10 => row(rpc.as_bytes(), "follower", position + 3_600_000),
@@ -382,7 +382,7 @@
         self.feed(id, &answer);
     }
 
-    /// The first watch comes up, and is answered.
+    /// The first watch is opened, and answered.
     fn open_watch(&mut self, id: ConnectionId) {
         self.watches[0].1 = true;
         self.apply(Event::Connected(id));
@@ -423,59 +423,60 @@
 
 #[test]
 fn rules_hold_after_every_step() {
-    runs(300, 1500, |dice| rules_hold(World::new(dice)));
+    runs(300, 1500, |choices| rules_hold(Simulation::new(choices)));
 }
 
 #[test]
 fn rules_hold_after_every_step_while_the_router_sheds() {
-    runs(300, 1500, |dice| rules_hold(World::pressed(dice)));
+    runs(300, 1500, |choices| rules_hold(Simulation::pressed(choices)));
 }
 
-fn rules_hold(mut world: World) -> bool {
-    let stops = world.dice.front().is_some_and(|&first| first % 3 == 0);
-    while !world.dice.is_empty() && !world.exited {
-        world.step();
+fn rules_hold(mut simulation: Simulation) -> bool {
+    let stops = simulation.choices.front().is_some_and(|&first| first % 3 == 0);
+    while !simulation.choices.is_empty() && !simulation.exited {
+        simulation.step();
     }
     if stops {
-        world.apply(Event::Terminate);
+        simulation.apply(Event::Terminate);
     }
-    // What was taken is answered in its time, whatever the members do; one that stops then exits.
+    // What was accepted is answered before its deadline, whatever the members do; a router that stops then exits.
     for _ in 0..2500 {
-        world.pass(Span::from_millis(5));
+        simulation.pass(Span::from_millis(5));
     }
-    let owed = world.clients.values().filter(|c| !c.junk && c.answers < c.due.len()).count();
+    let owed = simulation.clients.values().filter(|c| !c.broke_protocol && c.answers < c.due.len()).count();
     assert_eq!(owed, 0, "rule 1: left without an answer");
-    assert!(!stops || world.exited, "it stops");
+    assert!(!stops || simulation.exited, "it stops");
     true
 }
 
-/// A client that takes nothing of a large answer is closed when its time is over, and gives its memory back; one that
-/// takes some now and then is not.
+/// A client that reads nothing of a large answer is closed at its time-out, and its memory released; one that reads some
+/// now and then is not.
 #[test]
 fn a_client_that_reads_nothing_is_closed_and_one_that_reads_slowly_is_not() {
     for reads in [false, true] {
-        let (mut world, client, link) = one_call_in(World::pressed(vec![255; 600]), "read");
-        let position = world.now.nanos() as u64 / 1_000_000;
-        world.peers.get_mut(&link).expect("it is there").asked = None;
+        let (mut simulation, client, link) = one_call_in(Simulation::pressed(vec![255; 600]), "read");
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.peers.get_mut(&link).expect("it is there").asked = None;
         let value = row(&[b'v'; 60_000], "follower", position);
         let mut rest = &value[..];
         while !rest.is_empty() {
-            let room = world.reducer.read_buffer(link);
-            let count = room.len().min(rest.len());
-            room[..count].copy_from_slice(&rest[..count]);
+            let space = simulation.reducer.read_buffer(link);
+            let count = space.len().min(rest.len());
+            space[..count].copy_from_slice(&rest[..count]);
             rest = &rest[count..];
-            world.reducer.handle(world.now, Event::Received(link, count, Span::ZERO));
+            simulation.reducer.handle(simulation.now, Event::Received(link, count, Span::ZERO));
         }
-        assert!(world.reducer.outgoing(client).len() > 50_000, "the answer is there");
+        assert!(simulation.reducer.outgoing(client).len() > 50_000, "the answer is there");
         let mut closed = false;
         for nth in 0..20 {
-            world.now = world.now + Span::from_millis(50);
-            let mut effects = world.reducer.handle(world.now, Event::WriteBlocked(client));
+            simulation.now = simulation.now + Span::from_millis(50);
+            let mut effects = simulation.reducer.handle(simulation.now, Event::WriteBlocked(client));
             if reads && nth % 2 == 0 {
-                effects.extend(world.reducer.handle(world.now, Event::Written(client, 10)));
+                effects.extend(simulation.reducer.handle(simulation.now, Event::Written(client, 10)));
             }
-            effects
-                .extend(world.reducer.handle(world.now, Event::ResourcesSampled(ResourceSample::default())));
+            effects.extend(
+                simulation.reducer.handle(simulation.now, Event::ResourcesSampled(ResourceSample::default())),
+            );
             closed |= effects.contains(&Effect::Close(client));
         }
         assert_eq!(closed, !reads);
@@ -484,50 +485,50 @@
 
 #[test]
 fn a_ring_keeps_bytes_in_order_and_to_its_bound() {
-    fn property(dice: Vec<u8>) -> bool {
-        let (mut ring, mut model, mut next) = (Buffer::default(), VecDeque::new(), 0u8);
-        for byte in dice {
+    fn property(choices: Vec<u8>) -> bool {
+        let (mut buffer, mut model, mut next) = (Buffer::default(), VecDeque::new(), 0u8);
+        for byte in choices {
             let count = usize::from(byte >> 2);
             match byte % 4 {
                 0 => {
-                    let room = ring.free_space(16, 128);
-                    let count = count.min(room.len());
-                    room[..count].iter_mut().for_each(|slot| {
+                    let space = buffer.free_space(16, 128);
+                    let count = count.min(space.len());
+                    space[..count].iter_mut().for_each(|slot| {
                         next = next.wrapping_add(1);
                         *slot = next;
                         model.push_back(next);
                     });
-                    ring.commit(count);
+                    buffer.commit(count);
                 }
                 1 => {
                     let bytes: Vec<u8> = (0..count).map(|n| n as u8).collect();
                     let fits = model.len() + count <= 128;
-                    assert_eq!(ring.append(&bytes, 16, 128), fits);
+                    assert_eq!(buffer.append(&bytes, 16, 128), fits);
                     model.extend(bytes.iter().filter(|_| fits));
                 }
                 2 => {
-                    ring.consume(count);
+                    buffer.consume(count);
                     model.drain(..count.min(model.len()));
-                    ring.shrink_if_empty(16);
+                    buffer.shrink_if_empty(16);
                 }
-                _ => assert!(ring.make_contiguous().iter().eq(model.iter())),
+                _ => assert!(buffer.make_contiguous().iter().eq(model.iter())),
             }
-            assert_eq!(ring.len(), model.len());
-            assert!(ring.capacity() <= 128);
-            assert!(ring.first_slice().iter().eq(model.iter().take(ring.first_slice().len())));
+            assert_eq!(buffer.len(), model.len());
+            assert!(buffer.capacity() <= 128);
+            assert!(buffer.first_slice().iter().eq(model.iter().take(buffer.first_slice().len())));
         }
         true
     }
     runs(300, 400, property);
 }
 
-/// Whatever comes, the parsers say so without a panic; and no frame is seen before its last byte.
+/// Whatever arrives, the parsers report it without a panic; and no frame is found before its last byte.
 #[test]
 fn frames_and_comments_take_anything() {
-    fn property(dice: Vec<u8>) -> bool {
+    fn property(choices: Vec<u8>) -> bool {
         let mut bytes =
             [query(&statement("7", "read", 480, "1")), error_response("53300"), row(b"v", "x", 1)].concat();
-        for pair in dice.chunks_exact(2) {
+        for pair in choices.chunks_exact(2) {
             let at = usize::from(pair[0]) * bytes.len() / 256;
             bytes[at] = pair[1];
         }
@@ -555,14 +556,14 @@
 
 #[test]
 fn a_watch_reads_the_same_however_it_is_split() {
-    fn property(dice: Vec<u8>) -> bool {
+    fn property(choices: Vec<u8>) -> bool {
         let line = |n: usize| {
             format!("{{\"generation\":{n},\"instances\":[{}]}}\n", instance(n, "1.2.3.4:5", "SERVING"))
         };
         let body: String = (0..3).map(line).collect();
         let mut answer = b"HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n".to_vec();
         let mut rest = body.as_bytes();
-        let mut cuts = dice.iter();
+        let mut cuts = choices.iter();
         while !rest.is_empty() {
             let size = (1 + cuts.next().map_or(90, |&cut| usize::from(cut))).min(rest.len());
             answer.extend_from_slice(format!("{size:x}\r\n").as_bytes());
@@ -571,10 +572,11 @@
             rest = &rest[size..];
         }
         let read = |answer: &[u8], whole: bool| {
-            let (mut reader, mut ring, mut found) = (discovery::WatchReader::default(), Buffer::default(), 0);
+            let (mut reader, mut buffer, mut found) =
+                (discovery::WatchReader::default(), Buffer::default(), 0);
             for byte in answer {
-                assert!(ring.append(&[*byte], 64, 4096));
-                while let Some(listing) = reader.read_listing(&mut ring, 1000).ok()? {
+                assert!(buffer.append(&[*byte], 64, 4096));
+                while let Some(listing) = reader.read_listing(&mut buffer, 1000).ok()? {
                     assert!(listing.generation == found || !whole);
                     found += 1;
                 }
@@ -582,33 +584,33 @@
             Some(found)
         };
         assert_eq!(read(&answer, true), Some(3));
-        let damaged = dice.first().map_or(0, |&at| usize::from(at) * answer.len() / 256);
-        answer[damaged] = dice.last().copied().unwrap_or(0);
+        let damaged = choices.first().map_or(0, |&at| usize::from(at) * answer.len() / 256);
+        answer[damaged] = choices.last().copied().unwrap_or(0);
         read(&answer, false);
         true
     }
     runs(200, 30, property);
 }
 
-/// Takes a client in, and hands it this; what comes back, less the welcome, by frame.
-fn said(bytes: &[u8]) -> (Vec<(u8, Vec<u8>)>, bool) {
-    let mut world = World::new(vec![255; 600]);
-    let id = world.reducer.next_id();
-    world.clients.insert(id, Client { junk: true, ..Client::default() });
-    world.apply(Event::Accepted(id));
-    world.hand(id, &startup());
-    world.write(id);
-    let Some(client) = world.clients.get_mut(&id) else { return (Vec::new(), true) };
+/// Accepts a client that sends these bytes; what it receives after the startup, by frame, and whether it was closed.
+fn exchange(bytes: &[u8]) -> (Vec<(u8, Vec<u8>)>, bool) {
+    let mut simulation = Simulation::new(vec![255; 600]);
+    let id = simulation.reducer.next_id();
+    simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
+    simulation.apply(Event::Accepted(id));
+    simulation.receive(id, &startup());
+    simulation.write(id);
+    let Some(client) = simulation.clients.get_mut(&id) else { return (Vec::new(), true) };
     client.inbox.clear();
-    world.hand(id, bytes);
-    // What comes next is read once it has rested after a fault.
-    (0..25).for_each(|_| world.pass(Span::from_millis(5)));
-    world.hand(id, &query(""));
-    let mut inbox = world.reducer.outgoing(id).to_vec();
-    if let Some(client) = world.clients.get(&id) {
+    simulation.receive(id, bytes);
+    // Later bytes are read once the backoff after an error has passed.
+    (0..25).for_each(|_| simulation.pass(Span::from_millis(5)));
+    simulation.receive(id, &query(""));
+    let mut inbox = simulation.reducer.outgoing(id).to_vec();
+    if let Some(client) = simulation.clients.get(&id) {
         inbox.splice(..0, client.inbox.iter().copied());
     }
-    (frames(&inbox).0, !world.clients.contains_key(&id))
+    (frames(&inbox).0, !simulation.clients.contains_key(&id))
 }
 
 #[test]
@@ -628,81 +630,85 @@
         (frame(b'Q', b"\xff\0"), "22021"),
         ([frame(b'P', b"\0\0\0\0"), frame(b'B', b""), frame(b'S', b"")].concat(), "0A000"),
     ] {
-        let (answer, closed) = said(&bytes);
+        let (answer, closed) = exchange(&bytes);
         let kinds: Vec<u8> = answer.iter().map(|(kind, _)| *kind).collect();
         assert_eq!((kinds.as_slice(), closed), (&b"EZIZ"[..], false), "{wanted}");
         assert_eq!(sqlstate(&answer[0].1), wanted);
     }
-    // Out of step, or too long, which its head tells: it alone is closed.
-    assert!(said(b"Q\x03\x93\x87\x04SELECT").1);
-    assert!(said(&[b'Q', 0, 0, 0, 1]).1);
-    assert!(said(&frame(b'!', b"")).1);
-    assert!(said(&frame(b'X', b"")).1);
+    // Out of step, or too long by its header: only that client is closed.
+    assert!(exchange(b"Q\x03\x93\x87\x04SELECT").1);
+    assert!(exchange(&[b'Q', 0, 0, 0, 1]).1);
+    assert!(exchange(&frame(b'!', b"")).1);
+    assert!(exchange(&frame(b'X', b"")).1);
 }
 
-/// A world in which `count` clients have each sent this, in one batch.
-fn crowd(count: usize, bytes: impl Fn(usize) -> Vec<u8>) -> World {
-    let mut world = World::new(vec![255; 600]);
+/// A simulation in which `count` clients have each sent this, in one batch.
+fn crowd(count: usize, bytes: impl Fn(usize) -> Vec<u8>) -> Simulation {
+    let mut simulation = Simulation::new(vec![255; 600]);
     for nth in 0..count {
         let bytes = bytes(nth);
-        let id = world.reducer.next_id();
-        let due = Some(world.now + Span::from_millis(480)).filter(|_| !bytes.is_empty());
-        world.clients.insert(id, Client { due: due.into_iter().collect(), ..Client::default() });
-        world.apply(Event::Accepted(id));
-        world.feed(id, &startup());
-        world.write(id);
-        world.feed(id, &bytes);
-        world.write(id);
+        let id = simulation.reducer.next_id();
+        let due = Some(simulation.now + Span::from_millis(480)).filter(|_| !bytes.is_empty());
+        simulation.clients.insert(id, Client { due: due.into_iter().collect(), ..Client::default() });
+        simulation.apply(Event::Accepted(id));
+        simulation.feed(id, &startup());
+        simulation.write(id);
+        simulation.feed(id, &bytes);
+        simulation.write(id);
     }
-    world.pass(Span::ZERO);
-    world
+    simulation.pass(Span::ZERO);
+    simulation
 }
 
 #[test]
 fn past_the_bound_rested_clients_make_place_and_busy_ones_do_not() {
-    let bound = launched().limits.clients;
+    let bound = default_launch().limits.clients;
     let read = |id: usize| query(&statement(&id.to_string(), "read", 480, "1"));
-    // All busy: each further one is told at once and closed; none that waits is.
+    // All are busy: each further client gets an error at once and is closed; none of those that wait is.
     assert_eq!(crowd(bound + 40, read).clients.len(), bound);
-    // All idle, but just so: none is closed. Once they have rested all go that are too many, but the one whose query
-    // is found at the socket in between: it stays and is served.
-    let mut world = crowd(bound, read);
-    (0..49).for_each(|_| world.pass(Span::from_millis(5)));
-    let ids: Vec<ConnectionId> = world.clients.keys().copied().collect();
+    // All are idle, but not for long: none is closed. Later all that are too many are closed, except the one whose query
+    // is found at its socket in between: it stays and is served.
+    let mut simulation = crowd(bound, read);
+    (0..49).for_each(|_| simulation.pass(Span::from_millis(5)));
+    let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
     assert_eq!(ids.len(), bound);
-    world.now = world.now + Span::from_millis(110);
-    let id = world.reducer.next_id();
-    world.clients.insert(id, Client::default());
-    world.apply(Event::Accepted(id));
-    world.clients.get_mut(&ids[0]).expect("idle").due.push(world.now + Span::from_millis(480));
-    world.feed(ids[0], &read(bound));
-    world.pass(Span::ZERO);
-    let eased = launched().limits.clients_before_eviction;
-    assert!(world.clients.contains_key(&ids[0]) && world.clients.contains_key(&id));
-    assert!((eased..eased + 3).contains(&world.clients.len()), "{} of {eased}", world.clients.len());
+    simulation.now = simulation.now + Span::from_millis(110);
+    let id = simulation.reducer.next_id();
+    simulation.clients.insert(id, Client::default());
+    simulation.apply(Event::Accepted(id));
+    simulation.clients.get_mut(&ids[0]).expect("idle").due.push(simulation.now + Span::from_millis(480));
+    simulation.feed(ids[0], &read(bound));
+    simulation.pass(Span::ZERO);
+    let eased = default_launch().limits.clients_before_eviction;
+    assert!(simulation.clients.contains_key(&ids[0]) && simulation.clients.contains_key(&id));
+    assert!(
+        (eased..eased + 3).contains(&simulation.clients.len()),
+        "{} of {eased}",
+        simulation.clients.len()
+    );
 }
 
 #[test]
 fn memory_of_all_rings_stays_within_its_bound() {
-    let limits = launched().limits;
-    let mut world = crowd(limits.clients, |_| Vec::new());
-    let ids: Vec<ConnectionId> = world.clients.keys().copied().collect();
+    let limits = default_launch().limits;
+    let mut simulation = crowd(limits.clients, |_| Vec::new());
+    let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
     let mut held = 0;
     for &id in &ids {
-        // All but the end of a statement as long as may be.
+        // All but the end of a statement of the maximum length.
         let mut statement = [&b"Q"[..], &(limits.statement_bytes as u32 - 1).to_be_bytes()].concat();
         statement.resize(limits.statement_bytes - 1, b' ');
         let mut rest = &statement[..];
         while !rest.is_empty() {
-            let room = world.reducer.read_buffer(id);
-            let count = room.len().min(rest.len());
+            let space = simulation.reducer.read_buffer(id);
+            let count = space.len().min(rest.len());
             if count == 0 {
                 break;
             }
-            room[..count].copy_from_slice(&rest[..count]);
+            space[..count].copy_from_slice(&rest[..count]);
             rest = &rest[count..];
             held += count;
-            world.apply(Event::Received(id, count, Span::ZERO));
+            simulation.apply(Event::Received(id, count, Span::ZERO));
         }
     }
     let bound = limits.client_buffers_total_bytes;
@@ -710,14 +716,14 @@
     // Those that wait read on once others are gone.
     let mut woken = Vec::new();
     for &id in &ids[..ids.len() / 2] {
-        woken.extend(world.reducer.handle(world.now, Event::Closed(id)));
+        woken.extend(simulation.reducer.handle(simulation.now, Event::Closed(id)));
     }
     let last = ids[ids.len() - 1];
-    assert!(woken.contains(&Effect::Read(last)) && !world.reducer.read_buffer(last).is_empty());
+    assert!(woken.contains(&Effect::Read(last)) && !simulation.reducer.read_buffer(last).is_empty());
 }
 
-/// A read is sent within a tick of its decision, or where what is known of the member is still new enough; else it is
-/// decided anew. A write may wait for its connection.
+/// A read is sent within a tick of its decision, or where the member is still known to be fresh enough; otherwise it is
+/// decided again. A write may wait for its connection.
 #[test]
 fn a_bounded_read_that_waited_for_its_connection_is_sent_where_its_decision_still_holds() {
     let bound_ms = 800;
@@ -730,59 +736,62 @@
         ("write", 0, true),
     ] {
         let text = |nth: usize| statement(&nth.to_string(), method, 2000, "1");
-        let mut world = crowd(8, |nth| query(&text(nth)));
+        let mut simulation = crowd(8, |nth| query(&text(nth)));
         let told = (0..8).map(|nth| (nth.to_string(), (id_and_rest(&text(nth)).1, true, false)));
-        world.statements.extend(told);
-        let position = (world.now.nanos() / 1_000_000) as u64 - age_ms;
-        let probed: Vec<ConnectionId> = world.peers.keys().copied().collect();
+        simulation.statements.extend(told);
+        let position = (simulation.now.nanos() / 1_000_000) as u64 - age_ms;
+        let probed: Vec<ConnectionId> = simulation.peers.keys().copied().collect();
         for (nth, &id) in probed.iter().enumerate() {
-            world.come_up(id);
-            world.peers.get_mut(&id).expect("it came up").asked = None;
+            simulation.come_up(id);
+            simulation.peers.get_mut(&id).expect("it came up").asked = None;
             let seconds = position as f64 / 1e3;
             let report = format!("x0={seconds:.3},x1={}", u8::from(nth == 0));
-            world.feed(id, &row(report.as_bytes(), "follower", position));
-            world.write(id);
+            simulation.feed(id, &row(report.as_bytes(), "follower", position));
+            simulation.write(id);
         }
-        world.pass(Span::ZERO);
-        let late: Vec<ConnectionId> = world.peers.keys().filter(|id| !probed.contains(id)).copied().collect();
+        simulation.pass(Span::ZERO);
+        let late: Vec<ConnectionId> =
+            simulation.peers.keys().filter(|id| !probed.contains(id)).copied().collect();
         assert!(!late.is_empty(), "some wait for a connection: {method}, {age_ms} ms");
-        world.now = world.now + Span::from_millis(waited_ms as i64);
-        // What waited for the first of them; decided anew, it may go out on one that comes up later.
-        world.come_up(late[0]);
-        let asked = world.peers[&late[0]].asked.is_some();
+        simulation.now = simulation.now + Span::from_millis(waited_ms as i64);
+        // Waited for the first connection; decided again, it may be sent on one that is established later.
+        simulation.come_up(late[0]);
+        let asked = simulation.peers[&late[0]].asked.is_some();
         assert_eq!(asked, sent, "{method}, of data {age_ms} ms old");
     }
 }
 
-/// A world of one client with this statement, whose first call-out is out at a member; with that connection.
-fn one_call(method: &str) -> (World, ConnectionId, ConnectionId) {
-    one_call_in(World::new(vec![255; 600]), method)
+/// A simulation of one client with this statement, whose first attempt is in flight at a member; with that connection.
+fn one_call(method: &str) -> (Simulation, ConnectionId, ConnectionId) {
+    one_call_in(Simulation::new(vec![255; 600]), method)
 }
 
-fn one_call_in(mut world: World, method: &str) -> (World, ConnectionId, ConnectionId) {
+fn one_call_in(mut simulation: Simulation, method: &str) -> (Simulation, ConnectionId, ConnectionId) {
     let text = statement("7", method, 2000, "1");
-    let position = world.now.nanos() as u64 / 1_000_000;
-    world.statements.insert("7".to_owned(), (id_and_rest(&text).1, method == "write", false));
-    let client = world.reducer.next_id();
-    let due = vec![world.now + Span::from_millis(2000)];
-    world.clients.insert(client, Client { due, ids: vec!["7".to_owned()], ..Client::default() });
-    world.apply(Event::Accepted(client));
-    world.feed(client, &[startup(), query(&text)].concat());
+    let position = simulation.now.nanos() as u64 / 1_000_000;
+    simulation.statements.insert("7".to_owned(), (id_and_rest(&text).1, method == "write", false));
+    let client = simulation.reducer.next_id();
+    let due = vec![simulation.now + Span::from_millis(2000)];
+    simulation.clients.insert(client, Client { due, ids: vec!["7".to_owned()], ..Client::default() });
+    simulation.apply(Event::Accepted(client));
+    simulation.feed(client, &[startup(), query(&text)].concat());
     for _ in 0..20 {
-        world.pass(Span::from_millis(5));
-        for id in world.peers.keys().copied().collect::<Vec<_>>() {
-            if !world.peers.get(&id).is_some_and(|peer| peer.up) {
-                world.come_up(id);
+        simulation.pass(Span::from_millis(5));
+        for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
+            if !simulation.peers.get(&id).is_some_and(|peer| peer.up) {
+                simulation.come_up(id);
             }
-            let Some(peer) = world.peers.get_mut(&id) else { continue };
+            let Some(peer) = simulation.peers.get_mut(&id) else { continue };
             match peer.asked.as_deref() {
                 Some("SHOW server_load") => {
                     let report = format!("x0={}.9,x1={}", position / 1000, u8::from(method == "write"));
                     peer.asked = None;
-                    world.feed(id, &row(report.as_bytes(), "follower", position));
+                    simulation.feed(id, &row(report.as_bytes(), "follower", position));
+                }
+                Some(_) => return (simulation, client, id),
+                None if std::mem::take(&mut peer.fence_queued) => {
+                    simulation.feed(id, &empty_query_response())
                 }
-                Some(_) => return (world, client, id),
-                None if std::mem::take(&mut peer.fenced) => world.feed(id, &empty_query_response()),
                 None => {}
             }
         }
@@ -790,26 +799,26 @@
     panic!("it is not sent");
 }
 
-/// Two statements come in one piece. The first is answered late and the second never by a member: its own time, which
-/// runs from when it was sent, is over 400 ms later, and not 400 ms after its turn came; its client has left by then.
+/// Two statements arrive in one piece. The first is answered late and the second never by a member: its deadline, which
+/// runs from when it was sent, is 400 ms later, and not 400 ms after its turn came; its client has left by then.
 #[test]
 fn a_statement_behind_another_is_answered_in_the_time_that_runs_from_when_it_was_sent() {
     for served_after in [100, 300, 390, 700] {
-        let (mut world, client, link) = one_call("read");
+        let (mut simulation, client, link) = one_call("read");
         let text = statement("9", "read", 400, "1");
-        world.statements.insert("9".to_owned(), (id_and_rest(&text).1, false, false));
-        let state = world.clients.get_mut(&client).expect("it is there");
-        let due = world.now + Span::from_millis(400);
+        simulation.statements.insert("9".to_owned(), (id_and_rest(&text).1, false, false));
+        let state = simulation.clients.get_mut(&client).expect("it is there");
+        let due = simulation.now + Span::from_millis(400);
         (state.due, state.ids) = (vec![state.due[0], due], vec!["7".to_owned(), "9".to_owned()]);
-        world.feed(client, &query(&text));
-        let position = world.now.nanos() as u64 / 1_000_000;
+        simulation.feed(client, &query(&text));
+        let position = simulation.now.nanos() as u64 / 1_000_000;
         for step in 0..=180 {
-            world.pass(Span::from_millis(5));
+            simulation.pass(Span::from_millis(5));
             if step * 5 == served_after {
-                world.feed(link, &row(b"7", "follower", position));
-                world.write(client);
+                simulation.feed(link, &row(b"7", "follower", position));
+                simulation.write(client);
             }
-            let state = &world.clients[&client];
+            let state = &simulation.clients[&client];
             let turn = served_after.max(400) + 10;
             assert!(
                 step * 5 < turn || state.answers == 2,
@@ -820,36 +829,39 @@
     }
 }
 
-/// A connection is not used again before it has proven quiet: what comes behind an answer is no other RPC's answer.
+/// A connection is not used again before nothing more can follow: bytes behind an answer are no other RPC's answer.
 #[test]
 fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
-        let (mut world, client, link) = one_call("read");
-        world.peers.get_mut(&link).expect("it is there").asked = None;
-        world.feed(link, &row(b"7", "follower", 1));
-        world.write(client);
-        assert_eq!(world.clients[&client].answers, 1);
-        assert!(world.peers[&link].fenced, "an empty query stands behind the one that was answered");
-        world.feed(link, &surplus);
-        world.feed(link, &empty_query_response());
-        assert!(!world.peers.contains_key(&link));
+        let (mut simulation, client, link) = one_call("read");
+        simulation.peers.get_mut(&link).expect("it is there").asked = None;
+        simulation.feed(link, &row(b"7", "follower", 1));
+        simulation.write(client);
+        assert_eq!(simulation.clients[&client].answers, 1);
+        assert!(
+            simulation.peers[&link].fence_queued,
+            "an empty query stands behind the one that was answered"
+        );
+        simulation.feed(link, &surplus);
+        simulation.feed(link, &empty_query_response());
+        assert!(!simulation.peers.contains_key(&link));
     }
 }
 
-/// What this router keeps waiting, a query before it is written and an answer before it is read, is not the member's
-/// time: else a busy router takes idle members for jammed.
+/// The time that a query waits here to be written, and an answer to be read, does not count as the member's: otherwise a
+/// busy router would take idle members for overloaded.
 #[test]
 fn a_members_answer_time_is_without_what_the_router_kept_waiting() {
-    let (mut world, client, link) = one_call("read");
-    let before = world.reducer.answered_attempts();
-    world.now = world.now + Span::from_millis(300);
-    let answer = row(b"7", "follower", world.now.nanos() as u64 / 1_000_000);
-    let room = world.reducer.read_buffer(link);
-    room[..answer.len()].copy_from_slice(&answer);
-    world.apply(Event::Received(link, answer.len(), Span::from_millis(299)));
-    world.write(client);
-    assert_eq!(world.clients[&client].answers, 1);
-    let (count, time) = world.reducer.answered_attempts();
+    let (mut simulation, client, link) = one_call("read");
+    let before = simulation.reducer.answered_attempts();
+    simulation.now = simulation.now + Span::from_millis(300);
+    let answer = row(b"7", "follower", simulation.now.nanos() as u64 / 1_000_000);
+    let space = simulation.reducer.read_buffer(link);
+    space[..answer.len()].copy_from_slice(&answer);
+    simulation.apply(Event::Received(link, answer.len(), Span::from_millis(299)));
+    simulation.write(client);
+    assert_eq!(simulation.clients[&client].answers, 1);
+    let (count, time) = simulation.reducer.answered_attempts();
     assert_eq!(count, before.0 + 1);
     assert!(
         time - before.1 < Span::from_millis(20),
@@ -857,114 +869,117 @@
     );
 }
 
-/// An answer that begins and does not end leaves time for another call-out.
-/// Its client leaves before a byte of its query is written, or with a part of it: it never reaches the member whole. Over
-/// loopback the kernel takes every statement at once, so the socket that takes none stands here.
+/// An answer that begins and does not end leaves time for another attempt.
+/// The client leaves before a byte of its query is written, or with part of it written: the member never gets all of it.
+/// Over loopback the kernel takes every statement at once, so the socket that takes none is simulated.
 #[test]
 fn what_is_not_written_whole_when_its_client_goes_never_is() {
     for written in [0, 10] {
-        let (mut world, _, link) = one_call("write");
-        let position = world.now.nanos() as u64 / 1_000_000;
-        world.hand(link, &[row(b"7", "leader", position), empty_query_response()].concat());
-        let client = world.reducer.next_id();
-        world.clients.insert(client, Client { junk: true, ..Client::default() });
-        world.apply(Event::Accepted(client));
+        let (mut simulation, _, link) = one_call("write");
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+        let client = simulation.reducer.next_id();
+        simulation.clients.insert(client, Client { broke_protocol: true, ..Client::default() });
+        simulation.apply(Event::Accepted(client));
         let bytes = [startup(), query(&statement("8", "write", 2000, "1"))].concat();
-        world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
+        simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
         // Nobody carries out what the reducer asks for: the socket takes nothing.
         for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
-            world.reducer.handle(world.now, event);
+            simulation.reducer.handle(simulation.now, event);
         }
-        let out = String::from_utf8_lossy(world.reducer.outgoing(link)).into_owned();
+        let out = String::from_utf8_lossy(simulation.reducer.outgoing(link)).into_owned();
         assert!(out.contains("id=8,"), "{out}");
         if written > 0 {
-            world.reducer.handle(world.now, Event::Written(link, written));
+            simulation.reducer.handle(simulation.now, Event::Written(link, written));
         }
-        let effects = world.reducer.handle(world.now, Event::Closed(client));
+        let effects = simulation.reducer.handle(simulation.now, Event::Closed(client));
         assert_eq!(effects.contains(&Effect::Close(link)), written > 0, "a part makes it useless");
-        assert!(world.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        let (out, links) = world.reducer.attempts_in_flight();
+        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        let (out, links) = simulation.reducer.attempts_in_flight();
         assert_eq!((out, links), (0, 0));
     }
 }
 
-/// The socket to a member takes a part of a statement, or none, and no more: what the statement tells of the time that is
-/// left, and a read's data being fresh enough, must hold when its last byte is written. So it is taken back in time.
+/// The socket to a member takes part of a statement, or none: the time left that the statement names, and the freshness of a
+/// read's data, must hold when its last byte is written. So the attempt is withdrawn in time.
 #[test]
 fn what_a_socket_does_not_take_in_time_is_taken_back() {
     for (method, within) in [("write", 100), ("read", 5)] {
         for written in [0, 10] {
-            let (mut world, client, link) = one_call(method);
-            let position = world.now.nanos() as u64 / 1_000_000;
-            world.hand(link, &[row(b"7", "leader", position), empty_query_response()].concat());
-            world.write(client);
-            world.clients.get_mut(&client).expect("it is there").junk = true;
+            let (mut simulation, client, link) = one_call(method);
+            let position = simulation.now.nanos() as u64 / 1_000_000;
+            simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+            simulation.write(client);
+            simulation.clients.get_mut(&client).expect("it is there").broke_protocol = true;
             let bytes = query(&statement("8", method, 2000, "1"));
-            world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
+            simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
             // Nobody carries out what the reducer asks for.
             for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
-                world.reducer.handle(world.now, event);
+                simulation.reducer.handle(simulation.now, event);
             }
-            let has_it =
-                |&&id: &&ConnectionId| String::from_utf8_lossy(world.reducer.outgoing(id)).contains("id=8,");
-            let Some(&link) = world.peers.keys().find(has_it) else { panic!("{method}: it is not sent") };
+            let has_it = |&&id: &&ConnectionId| {
+                String::from_utf8_lossy(simulation.reducer.outgoing(id)).contains("id=8,")
+            };
+            let Some(&link) = simulation.peers.keys().find(has_it) else {
+                panic!("{method}: it is not sent")
+            };
             if written > 0 {
-                world.reducer.handle(world.now, Event::Written(link, written));
+                simulation.reducer.handle(simulation.now, Event::Written(link, written));
             }
-            world.reducer.handle(world.now, Event::WriteBlocked(link));
-            let late = world.now + Span::from_millis(within + 1);
-            let effects = world.reducer.handle(late, Event::Tick);
+            simulation.reducer.handle(simulation.now, Event::WriteBlocked(link));
+            let late = simulation.now + Span::from_millis(within + 1);
+            let effects = simulation.reducer.handle(late, Event::Tick);
             assert!(effects.contains(&Effect::Close(link)), "{method}, {written} written: {effects:?}");
         }
     }
 }
 
-/// What a session wrote last is held against what a member has reached, not against this router's clock, which may be
-/// behind both: all members tell positions of 0.8 s ahead, which is short of the write.
+/// A session's last write is compared with the positions of members, not with this router's clock, which may be behind both:
+/// all members report positions 0.8 s ahead, which is still before the write.
 #[test]
 fn a_session_sees_its_write_though_the_clock_is_behind() {
     for (short_by, port) in [(100_i64, 7000), (-100, 7001)] {
         let session = |text: String| text.replace("[\"bounded\",\"write\"]", "[\"session\",\"write\"]");
-        let mut world = World::of(vec![255; 600], launched_with(session));
-        let client = world.reducer.next_id();
-        world.clients.insert(client, Client { junk: true, ..Client::default() });
-        world.apply(Event::Accepted(client));
-        let reached = world.now.nanos() / 1_000_000 + 800;
+        let mut simulation = Simulation::of(vec![255; 600], launch_changed_by(session));
+        let client = simulation.reducer.next_id();
+        simulation.clients.insert(client, Client { broke_protocol: true, ..Client::default() });
+        simulation.apply(Event::Accepted(client));
+        let reached = simulation.now.nanos() / 1_000_000 + 800;
         let last_write = format!(",cluster=1,after={} */", reached + short_by);
         let text = statement("7", "read", 2000, "1").replace(",cluster=1 */", &last_write);
-        world.statements.insert("7".to_owned(), (id_and_rest(&text).1, false, false));
-        world.hand(client, &startup());
+        simulation.statements.insert("7".to_owned(), (id_and_rest(&text).1, false, false));
+        simulation.receive(client, &startup());
         for _ in 0..6 {
-            world.pass(Span::from_millis(5));
-            for id in world.peers.keys().copied().collect::<Vec<_>>() {
-                if !world.peers[&id].up {
-                    world.come_up(id);
+            simulation.pass(Span::from_millis(5));
+            for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
+                if !simulation.peers[&id].up {
+                    simulation.come_up(id);
                 }
-                let Some(peer) = world.peers.get_mut(&id) else { continue };
+                let Some(peer) = simulation.peers.get_mut(&id) else { continue };
                 if peer.asked.take().is_some() {
-                    let leads = world.ports[&id] == 7000;
+                    let leads = simulation.ports[&id] == 7000;
                     let report =
                         format!("x0={}.{:03},x1={}", reached / 1000, reached % 1000, u8::from(leads));
-                    world.feed(id, &row(report.as_bytes(), "follower", 0));
-                } else if std::mem::take(&mut peer.fenced) {
-                    world.feed(id, &empty_query_response());
+                    simulation.feed(id, &row(report.as_bytes(), "follower", 0));
+                } else if std::mem::take(&mut peer.fence_queued) {
+                    simulation.feed(id, &empty_query_response());
                 }
             }
         }
-        world.hand(client, &query(&text));
-        world.pass(Span::ZERO);
+        simulation.receive(client, &query(&text));
+        simulation.pass(Span::ZERO);
         let asked = |(id, peer): (&ConnectionId, &Peer)| {
             let it = peer.asked.as_deref().is_some_and(|text| text.contains("id=7,"));
-            it.then(|| world.ports[id])
+            it.then(|| simulation.ports[id])
         };
-        let went: Vec<u16> = world.peers.iter().filter_map(asked).map(|port| port.min(7001)).collect();
+        let went: Vec<u16> = simulation.peers.iter().filter_map(asked).map(|port| port.min(7001)).collect();
         assert_eq!(went, [port], "short by {short_by} ms");
     }
 }
 
-/// The answers that a client has, by the types of their frames and the code of an error.
-fn answers_of(world: &World, client: ConnectionId) -> Vec<(Vec<u8>, String)> {
-    let found = frames(&world.clients[&client].inbox).0;
+/// A client's answers, by the types of their frames and the SQLSTATE of an error.
+fn answers_of(simulation: &Simulation, client: ConnectionId) -> Vec<(Vec<u8>, String)> {
+    let found = frames(&simulation.clients[&client].inbox).0;
     let told = |answer: &[(u8, Vec<u8>)]| {
         let error =
             answer.iter().find(|(kind, _)| *kind == b'E').map_or(String::new(), |(_, body)| sqlstate(body));
@@ -981,103 +996,103 @@
     (b"EZ".to_vec(), code.to_owned())
 }
 
-/// Each key is another, and one that differs by a bit, or is of no connection, or comes when nothing is asked, is nothing.
+/// Keys differ; one that differs by a bit, or is of no connection, or comes without an RPC in flight, has no effect.
 #[test]
 fn a_cancel_counts_with_the_key_of_its_connection_alone() {
-    let (mut world, client, link) = one_call("read");
-    let (process, secret) = world.key_of(client);
+    let (mut simulation, client, link) = one_call("read");
+    let (process, secret) = simulation.key_of(client);
     for bit in 0..32 {
-        world.cancels((process, secret ^ 1 << bit));
-        world.cancels((process ^ 1 << bit, secret));
+        simulation.cancels((process, secret ^ 1 << bit));
+        simulation.cancels((process ^ 1 << bit, secret));
     }
-    let other = world.reducer.next_id();
-    world.clients.insert(other, Client::default());
-    world.apply(Event::Accepted(other));
-    world.hand(other, &startup());
-    world.write(other);
-    let idle = world.key_of(other);
+    let other = simulation.reducer.next_id();
+    simulation.clients.insert(other, Client::default());
+    simulation.apply(Event::Accepted(other));
+    simulation.receive(other, &startup());
+    simulation.write(other);
+    let idle = simulation.key_of(other);
     assert!(idle.1 != secret && idle.0 != process);
-    world.cancels(idle);
-    world.cancels((process, idle.1));
-    assert_eq!(answers_of(&world, client), []);
-    world.peers.get_mut(&link).expect("it is there").asked = None;
-    world.hand(link, &row(b"7", "follower", 1));
-    world.cancels((process, secret));
-    world.pass(Span::ZERO);
-    assert_eq!((answers_of(&world, client), answers_of(&world, other)), (vec![served()], vec![]));
+    simulation.cancels(idle);
+    simulation.cancels((process, idle.1));
+    assert_eq!(answers_of(&simulation, client), []);
+    simulation.peers.get_mut(&link).expect("it is there").asked = None;
+    simulation.receive(link, &row(b"7", "follower", 1));
+    simulation.cancels((process, secret));
+    simulation.pass(Span::ZERO);
+    assert_eq!((answers_of(&simulation, client), answers_of(&simulation, other)), (vec![served()], vec![]));
 }
 
-/// Held as no member has said anything yet: answered at once, and never sent. What stands behind it goes on.
+/// Pending, as no member has answered anything yet: answered at once, and never sent. What follows it goes on.
 #[test]
 fn what_is_held_and_cancelled_is_answered_at_once_and_what_stands_behind_it_goes_on() {
-    let mut world = World::new(vec![255; 600]);
-    let client = world.reducer.next_id();
-    let due = vec![world.now + Span::from_millis(2000); 2];
+    let mut simulation = Simulation::new(vec![255; 600]);
+    let client = simulation.reducer.next_id();
+    let due = vec![simulation.now + Span::from_millis(2000); 2];
     let ids = vec!["7".to_owned(), "8".to_owned()];
-    world.clients.insert(client, Client { due, ids, ..Client::default() });
-    world.apply(Event::Accepted(client));
+    simulation.clients.insert(client, Client { due, ids, ..Client::default() });
+    simulation.apply(Event::Accepted(client));
     let texts = [statement("7", "write", 2000, "1"), statement("8", "write", 2000, "1")];
     for text in &texts {
-        world.statements.insert(id_and_rest(text).0, (id_and_rest(text).1, true, false));
+        simulation.statements.insert(id_and_rest(text).0, (id_and_rest(text).1, true, false));
     }
-    world.hand(client, &[startup(), query(&texts[0]), query(&texts[1])].concat());
-    world.write(client);
-    assert_eq!(answers_of(&world, client), []);
-    world.cancels(world.key_of(client));
-    assert_eq!(answers_of(&world, client), [unserved("57014")]);
+    simulation.receive(client, &[startup(), query(&texts[0]), query(&texts[1])].concat());
+    simulation.write(client);
+    assert_eq!(answers_of(&simulation, client), []);
+    simulation.cancels(simulation.key_of(client));
+    assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
     for _ in 0..200 {
-        world.pass(Span::from_millis(5));
-        let position = world.now.nanos() as u64 / 1_000_000;
-        for id in world.peers.keys().copied().collect::<Vec<_>>() {
-            let Some(peer) = world.peers.get_mut(&id) else { continue };
+        simulation.pass(Span::from_millis(5));
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
+            let Some(peer) = simulation.peers.get_mut(&id) else { continue };
             if !peer.up {
-                world.come_up(id);
+                simulation.come_up(id);
             } else if let Some(asked) = peer.asked.take() {
                 assert_ne!(id_and_rest(&asked).0, "7", "it was cancelled");
                 let report = format!("x0={}.9,x1=1", position / 1000);
                 let value = if asked == "SHOW server_load" { report } else { id_and_rest(&asked).0 };
-                world.feed(id, &row(value.as_bytes(), "leader", position));
-            } else if std::mem::take(&mut peer.fenced) {
-                world.feed(id, &empty_query_response());
+                simulation.feed(id, &row(value.as_bytes(), "leader", position));
+            } else if std::mem::take(&mut peer.fence_queued) {
+                simulation.feed(id, &empty_query_response());
             }
         }
     }
-    assert_eq!(answers_of(&world, client), [unserved("57014"), served()]);
+    assert_eq!(answers_of(&simulation, client), [unserved("57014"), served()]);
 }
 
-/// Its query is not written, or not whole: answered at once, and nothing more of it goes out.
+/// Its query is not written, or only in part: answered at once, and no more of it is sent.
 #[test]
 fn what_is_not_written_whole_when_it_is_cancelled_never_is() {
     for written in [0, 10] {
-        let (mut world, _, link) = one_call("write");
-        let position = world.now.nanos() as u64 / 1_000_000;
-        world.hand(link, &[row(b"7", "leader", position), empty_query_response()].concat());
-        let client = world.reducer.next_id();
-        let due = vec![world.now + Span::from_millis(2000)];
-        world.clients.insert(client, Client { due, ..Client::default() });
-        world.apply(Event::Accepted(client));
-        world.hand(client, &startup());
-        world.write(client);
+        let (mut simulation, _, link) = one_call("write");
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+        let client = simulation.reducer.next_id();
+        let due = vec![simulation.now + Span::from_millis(2000)];
+        simulation.clients.insert(client, Client { due, ..Client::default() });
+        simulation.apply(Event::Accepted(client));
+        simulation.receive(client, &startup());
+        simulation.write(client);
         let bytes = query(&statement("8", "write", 2000, "1"));
-        world.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
+        simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
         for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
-            world.reducer.handle(world.now, event);
+            simulation.reducer.handle(simulation.now, event);
         }
-        assert!(String::from_utf8_lossy(world.reducer.outgoing(link)).contains("id=8,"));
+        assert!(String::from_utf8_lossy(simulation.reducer.outgoing(link)).contains("id=8,"));
         if written > 0 {
-            world.reducer.handle(world.now, Event::Written(link, written));
+            simulation.reducer.handle(simulation.now, Event::Written(link, written));
         }
-        world.cancels(world.key_of(client));
-        assert_eq!(!world.peers.contains_key(&link), written > 0, "a part makes it useless");
-        assert!(world.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        assert_eq!(world.reducer.attempts_in_flight(), (0, 0));
-        world.write(client);
-        assert_eq!(answers_of(&world, client), [unserved("57014")]);
+        simulation.cancels(simulation.key_of(client));
+        assert_eq!(!simulation.peers.contains_key(&link), written > 0, "a part makes it useless");
+        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(simulation.reducer.attempts_in_flight(), (0, 0));
+        simulation.write(client);
+        assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
     }
 }
 
-/// What is out is settled by its outcome: served if it is good; else nothing follows it, and the answer says whether it may
-/// have had an effect.
+/// An attempt in flight is settled by its outcome: served if it is good; otherwise nothing follows it, and the answer says
+/// whether it may have had an effect.
 #[test]
 fn no_attempt_follows_the_one_that_is_out_when_it_is_cancelled() {
     for (method, ends, wanted) in [
@@ -1088,170 +1103,171 @@
         ("read", "broken", unserved("57014")),
         ("write", "broken", unserved("58000")),
     ] {
-        let (mut world, client, link) = one_call(method);
-        let position = world.now.nanos() as u64 / 1_000_000;
-        world.cancels(world.key_of(client));
-        world.cancels(world.key_of(client));
-        assert_eq!(answers_of(&world, client), [], "it is out");
-        world.peers.get_mut(&link).expect("it is there").asked = None;
+        let (mut simulation, client, link) = one_call(method);
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.cancels(simulation.key_of(client));
+        simulation.cancels(simulation.key_of(client));
+        assert_eq!(answers_of(&simulation, client), [], "it is out");
+        simulation.peers.get_mut(&link).expect("it is there").asked = None;
         match ends {
-            "well" => {
-                world.hand(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position))
-            }
-            "refused" => world.hand(link, &error_response("53300")),
+            "well" => simulation
+                .receive(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position)),
+            "refused" => simulation.receive(link, &error_response("53300")),
             _ => {
-                world.peers.remove(&link);
-                world.apply(Event::Closed(link));
+                simulation.peers.remove(&link);
+                simulation.apply(Event::Closed(link));
             }
         }
-        world.pass(Span::ZERO);
-        assert_eq!(answers_of(&world, client), [wanted], "{method} {ends}");
+        simulation.pass(Span::ZERO);
+        assert_eq!(answers_of(&simulation, client), [wanted], "{method} {ends}");
         for _ in 0..100 {
-            world.pass(Span::from_millis(5));
+            simulation.pass(Span::from_millis(5));
             let asked = |peer: &Peer| peer.asked.as_ref().is_some_and(|asked| asked.contains("id=7,"));
-            assert!(!world.peers.values().any(asked), "{method} {ends}: a further attempt");
+            assert!(!simulation.peers.values().any(asked), "{method} {ends}: a further attempt");
         }
     }
 }
 
-/// Ids of RPCs that are open stay known, however many with a longer time come behind them.
+/// Ids of open RPCs stay known, however many with later deadlines follow them.
 #[test]
 fn an_id_that_is_open_is_not_forgotten_for_others() {
-    let mut launch = launched();
+    let mut launch = default_launch();
     launch.limits.retired_ids = 2;
-    let (mut world, client, _) = one_call_in(World::of(vec![255; 600], launch), "write");
+    let (mut simulation, client, _) = one_call_in(Simulation::of(vec![255; 600], launch), "write");
     for nth in 100..110 {
-        let other = world.reducer.next_id();
-        world.clients.insert(other, Client { junk: true, ..Client::default() });
-        world.apply(Event::Accepted(other));
+        let other = simulation.reducer.next_id();
+        simulation.clients.insert(other, Client { broke_protocol: true, ..Client::default() });
+        simulation.apply(Event::Accepted(other));
         let text = statement(&nth.to_string(), "read", 3_000_000, "1");
-        world.statements.insert(nth.to_string(), (id_and_rest(&text).1, false, false));
-        world.hand(other, &[startup(), query(&text)].concat());
+        simulation.statements.insert(nth.to_string(), (id_and_rest(&text).1, false, false));
+        simulation.receive(other, &[startup(), query(&text)].concat());
     }
-    let again = world.reducer.next_id();
-    world.clients.insert(again, Client { junk: true, ..Client::default() });
-    world.apply(Event::Accepted(again));
-    world.hand(again, &[startup(), query(&statement("7", "write", 2000, "1"))].concat());
-    world.write(again);
-    let (told, _) = frames(&world.clients[&again].inbox);
+    let again = simulation.reducer.next_id();
+    simulation.clients.insert(again, Client { broke_protocol: true, ..Client::default() });
+    simulation.apply(Event::Accepted(again));
+    simulation.receive(again, &[startup(), query(&statement("7", "write", 2000, "1"))].concat());
+    simulation.write(again);
+    let (told, _) = frames(&simulation.clients[&again].inbox);
     assert_eq!(
         told.iter().find(|(kind, _)| *kind == b'E').map(|(_, body)| sqlstate(body)),
         Some("23505".into())
     );
-    assert_eq!(world.clients[&client].answers, 0, "it is still open");
+    assert_eq!(simulation.clients[&client].answers, 0, "it is still open");
 }
 
 #[test]
 fn half_an_answer_ends_its_call_out_soon() {
-    let (mut world, client, link) = one_call("read");
-    world.feed(link, &row(b"7", "follower", 1)[..40]);
-    (0..60).for_each(|_| world.pass(Span::from_millis(5)));
-    assert!(!world.peers.contains_key(&link), "given up");
-    assert_eq!(world.clients[&client].answers, 0, "a read that may go elsewhere");
-    let (mut world, client, link) = one_call("write");
-    world.feed(link, &row(b"7", "leader", 1)[..40]);
-    (0..60).for_each(|_| world.pass(Span::from_millis(5)));
-    assert_eq!(world.clients[&client].answers, 1, "a write that may have run");
+    let (mut simulation, client, link) = one_call("read");
+    simulation.feed(link, &row(b"7", "follower", 1)[..40]);
+    (0..60).for_each(|_| simulation.pass(Span::from_millis(5)));
+    assert!(!simulation.peers.contains_key(&link), "given up");
+    assert_eq!(simulation.clients[&client].answers, 0, "a read that may go elsewhere");
+    let (mut simulation, client, link) = one_call("write");
+    simulation.feed(link, &row(b"7", "leader", 1)[..40]);
+    (0..60).for_each(|_| simulation.pass(Span::from_millis(5)));
+    assert_eq!(simulation.clients[&client].answers, 1, "a write that may have run");
 }
 
 #[test]
 fn an_id_that_is_open_is_not_taken_twice() {
-    let mut world = crowd(2, |_| query(&statement("7", "read", 480, "1")));
-    let told: Vec<String> = (world.clients.values())
+    let mut simulation = crowd(2, |_| query(&statement("7", "read", 480, "1")));
+    let told: Vec<String> = (simulation.clients.values())
         .flat_map(|client| frames(&client.inbox).0)
         .filter(|(kind, _)| *kind == b'E')
         .map(|(_, body)| sqlstate(&body))
         .collect();
     assert_eq!(told, ["23505"]);
-    world.pass(Span::ZERO);
-    assert_eq!(world.clients.len(), 2);
+    simulation.pass(Span::ZERO);
+    assert_eq!(simulation.clients.len(), 2);
 }
 
-/// One that goes on with faults is told each at once, is read ever later and closed in the end.
+/// A client that goes on with errors gets each at once, is read ever later and closed in the end.
 #[test]
 fn a_client_full_of_faults_is_slowed_and_closed() {
-    let mut world = crowd(0, |_| Vec::new());
-    let id = world.reducer.next_id();
-    world.clients.insert(id, Client { junk: true, ..Client::default() });
-    world.apply(Event::Accepted(id));
-    world.hand(id, &[startup(), query("SELECT 1").repeat(100)].concat());
-    world.write(id);
-    assert_eq!(world.clients[&id].answers, 1, "the first at once");
-    (0..200).for_each(|_| world.pass(Span::from_millis(5)));
-    assert!(!world.clients.contains_key(&id));
+    let mut simulation = crowd(0, |_| Vec::new());
+    let id = simulation.reducer.next_id();
+    simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
+    simulation.apply(Event::Accepted(id));
+    simulation.receive(id, &[startup(), query("SELECT 1").repeat(100)].concat());
+    simulation.write(id);
+    assert_eq!(simulation.clients[&id].answers, 1, "the first at once");
+    (0..200).for_each(|_| simulation.pass(Span::from_millis(5)));
+    assert!(!simulation.clients.contains_key(&id));
 }
 
-/// Crowds that say nothing, or half a statement, make place within a moment; idle ones are closed after a while.
+/// Many clients that send nothing, or half a statement, are closed for others soon; idle ones are closed after a while.
 #[test]
 fn those_that_ask_nothing_whole_make_place_and_leave() {
-    let limits = launched().limits;
+    let limits = default_launch().limits;
     for (sent, after) in [(&b""[..], 60), (&b"Q\0\0"[..], 260)] {
-        let mut world = crowd(0, |_| Vec::new());
+        let mut simulation = crowd(0, |_| Vec::new());
         let mut accepting = true;
         while accepting {
-            let id = world.reducer.next_id();
-            let effects = world.reducer.handle(world.now, Event::Accepted(id));
+            let id = simulation.reducer.next_id();
+            let effects = simulation.reducer.handle(simulation.now, Event::Accepted(id));
             accepting = !effects.contains(&Effect::Accept(false));
-            world.clients.insert(id, Client { junk: true, ..Client::default() });
+            simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
             if !sent.is_empty() {
-                world.hand(id, &[startup().as_slice(), sent].concat());
+                simulation.receive(id, &[startup().as_slice(), sent].concat());
             }
         }
-        assert!(world.clients.len() >= limits.clients_accepted);
-        assert!(world.reducer.wake_at().is_some_and(|at| at <= world.now + Span::from_millis(after)));
-        world.pass(Span::from_millis(after));
-        assert!(world.clients.len() <= limits.clients_before_eviction, "{after}");
-        (0..500).for_each(|_| world.pass(Span::from_millis(5)));
-        assert_eq!(world.clients.len(), 0, "all are told or closed within 2.5 s");
+        assert!(simulation.clients.len() >= limits.clients_accepted);
+        assert!(
+            simulation.reducer.wake_at().is_some_and(|at| at <= simulation.now + Span::from_millis(after))
+        );
+        simulation.pass(Span::from_millis(after));
+        assert!(simulation.clients.len() <= limits.clients_before_eviction, "{after}");
+        (0..500).for_each(|_| simulation.pass(Span::from_millis(5)));
+        assert_eq!(simulation.clients.len(), 0, "all are told or closed within 2.5 s");
     }
 }
 
-/// Nodes are replaced by new ones with new ids all day: none of the tables grows with them.
+/// Members are replaced by new ones with new ids all day: none of the tables grows with them.
 #[test]
 fn members_replaced_for_hours_do_not_pile_up() {
-    let mut world = crowd(0, |_| Vec::new());
+    let mut simulation = crowd(0, |_| Vec::new());
     for generation in 2..200 {
-        // As the protocol has it, an empty line comes every 2 s.
+        // By the protocol an empty line comes every 2 s.
         for _ in 0..2 {
-            world.now = world.now + Span::from_millis(2000);
-            if let Some(&(id, true)) = world.watches.first() {
-                world.feed(id, b"1\r\n\n\r\n");
+            simulation.now = simulation.now + Span::from_millis(2000);
+            if let Some(&(id, true)) = simulation.watches.first() {
+                simulation.feed(id, b"1\r\n\n\r\n");
             }
-            world.pass(Span::ZERO);
+            simulation.pass(Span::ZERO);
         }
-        let Some((id, up)) = world.watches.first().copied() else { continue };
+        let Some((id, up)) = simulation.watches.first().copied() else { continue };
         if !up {
-            world.open_watch(id);
+            simulation.open_watch(id);
         }
         let entry = |n: usize, lifecycle| instance(n, "127.0.0.1:7000", lifecycle);
         let entries = [entry(generation + 3, "SERVING"), entry(generation, "DELETED")].join(",");
         let line = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entries}]}}\n");
-        world.feed(id, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
+        simulation.feed(id, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
     }
-    assert!(world.reducer.member_count() < 30, "{} members", world.reducer.member_count());
+    assert!(simulation.reducer.member_count() < 30, "{} members", simulation.reducer.member_count());
 }
 
-/// Clients that ask once on each connection and keep it never shut the door on the next ones.
+/// Clients that send one statement on each connection and keep it never keep the next ones out.
 #[test]
 fn connections_that_asked_once_and_stay_do_not_bar_newcomers() {
-    let bound = launched().limits.clients_before_eviction + 30;
-    let mut world = crowd(0, |_| Vec::new());
+    let bound = default_launch().limits.clients_before_eviction + 30;
+    let mut simulation = crowd(0, |_| Vec::new());
     let mut next = 0;
     for _ in 0..200 {
         for _ in 0..10 {
-            let id = world.reducer.next_id();
-            let due = vec![world.now + Span::from_millis(60)];
-            world.clients.insert(id, Client { due, ..Client::default() });
-            world.apply(Event::Accepted(id));
+            let id = simulation.reducer.next_id();
+            let due = vec![simulation.now + Span::from_millis(60)];
+            simulation.clients.insert(id, Client { due, ..Client::default() });
+            simulation.apply(Event::Accepted(id));
             next += 1;
-            world.feed(id, &[startup(), query(&statement(&next.to_string(), "read", 60, "1"))].concat());
-            world.write(id);
+            simulation.feed(id, &[startup(), query(&statement(&next.to_string(), "read", 60, "1"))].concat());
+            simulation.write(id);
         }
-        (0..4).for_each(|_| world.pass(Span::from_millis(5)));
+        (0..4).for_each(|_| simulation.pass(Span::from_millis(5)));
         assert!(
-            world.reducer.accepts_clients() && world.clients.len() < bound,
+            simulation.reducer.accepts_clients() && simulation.clients.len() < bound,
             "{} clients",
-            world.clients.len()
+            simulation.clients.len()
         );
     }
 }
--- a/crates/ladderpass/tests/terms.rs
+++ b/crates/ladderpass/tests/terms.rs
@@ -1,5 +1,5 @@
-//! Clauses of the operators' pages at their extremes, over real connections (`docs/terms-audit.md`): the earliest and the
-//! latest moment, twice, in series, with a second trouble inside the window.
+//! Clauses of the operators' pages at their extremes, over real connections (`docs/terms-audit.md`): at the earliest and the
+//! latest moment, twice, in series, with a second failure inside the window.
 
 mod common;
 mod router_harness;
@@ -16,16 +16,16 @@
     Duration::from_millis(ms)
 }
 
-/// The value of `d` in a statement.
-fn told_time(statement: &str) -> u64 {
+/// The value of `d` in a statement, in milliseconds.
+fn wait_in(statement: &str) -> u64 {
     let (_, rest) = statement.split_once(",d=").expect("it has a time");
     rest.split(|c: char| !c.is_ascii_digit()).next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
 // ---- effects
 
-/// Repeats are dropped by the group for so long after the first send that may have run. The second attempt waits for its
-/// connection until that is over: it is not sent.
+/// The group drops retries for so long after the first attempt that may have run. The second attempt waits for its
+/// connection until that window is over: it is not sent.
 #[test]
 fn a_repeat_that_waited_for_its_connection_past_the_window_is_not_sent() {
     let window = "\"Effect\":\"token\",\"DedupScope\":\"cell\",\"KeyTtl\":600000000";
@@ -34,32 +34,32 @@
     client.write_all(&query(&statement("1", "write", 5000, "1"))).expect("the router reads");
     let (_, link) = harness.next_rpc(0);
     let sent = Instant::now();
-    // It may have run: the connection ends with no answer.
+    // It may have run: the connection closes without an answer.
     close(link);
     let mut late = harness.accept_member_connection(0);
     sleep(ms(900).saturating_sub(sent.elapsed()));
     late.write_all(&welcome()).expect("the router waits for it");
     late.set_read_timeout(Some(ms(500))).expect("it can");
-    let mut came = Vec::new();
-    let _ = late.read_to_end(&mut came);
-    assert!(!came.contains(&b'Q'), "a repeat after {:?}", sent.elapsed());
+    let mut received = Vec::new();
+    let _ = late.read_to_end(&mut received);
+    assert!(!received.contains(&b'Q'), "a retry after {:?}", sent.elapsed());
     assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "58000".to_owned()));
 }
 
 // ---- bad clients
 
-/// A client is owed an error or a close within this from when it connected, or stopped in the middle of a request.
-const TOLD_WITHIN: Duration = Duration::from_millis(3000);
+/// A client gets an error or a close within this after it connected, or stopped in the middle of a request.
+const REJECTED_WITHIN: Duration = Duration::from_millis(3000);
 
-/// How long a client that sends this, a piece each 0.4 s, and then stays waits for an error or its end.
-fn told_after(harness: &RouterHarness, pieces: &[Vec<u8>]) -> Option<Duration> {
+/// How long a client that sends these pieces, one every 0.4 s, and then waits gets no error and no close.
+fn rejected_after(harness: &RouterHarness, pieces: &[Vec<u8>]) -> Option<Duration> {
     let mut stream = TcpStream::connect(&harness.address).expect("it listens");
     stream.set_read_timeout(Some(ms(20))).expect("it can");
     let began = Instant::now();
     let mut left = pieces.iter();
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
     let mut next_at = began;
-    while began.elapsed() < TOLD_WITHIN + ms(2500) {
+    while began.elapsed() < REJECTED_WITHIN + ms(2500) {
         if Instant::now() >= next_at {
             next_at = Instant::now() + ms(400);
             if let Some(piece) = left.next() {
@@ -70,7 +70,7 @@
         match stream.read(&mut chunk) {
             Ok(0) => return Some(began.elapsed()),
             Ok(count) => input.extend_from_slice(&chunk[..count]),
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return Some(began.elapsed()),
         }
         if frames(&input).0.iter().any(|(kind, _)| *kind == b'E') {
@@ -119,18 +119,18 @@
         ("hundreds of bad commands at once", opened(query("DROP TABLE entries").repeat(500))),
         ("a whole statement and half of one", opened([query("x"), query(&good)[..30].to_vec()].concat())),
     ];
-    let told = |(what, pieces): (&str, Vec<Vec<u8>>)| {
-        let after = told_after(&harness, &pieces);
-        after.is_none_or(|after| after > TOLD_WITHIN).then(|| format!("{what}: {after:?}"))
+    let late_case = |(what, pieces): (&str, Vec<Vec<u8>>)| {
+        let after = rejected_after(&harness, &pieces);
+        after.is_none_or(|after| after > REJECTED_WITHIN).then(|| format!("{what}: {after:?}"))
     };
     let late: Vec<String> = std::thread::scope(|scope| {
-        let threads: Vec<_> = cases.into_iter().map(|case| scope.spawn(|| told(case))).collect();
+        let threads: Vec<_> = cases.into_iter().map(|case| scope.spawn(|| late_case(case))).collect();
         threads.into_iter().filter_map(|thread| thread.join().expect("no panic")).collect()
     });
     assert_eq!(late, Vec::<String>::new());
 }
 
-/// Next to none is left: answered in that time, as pushed back or aborted, and the connection goes on.
+/// With hardly any time left a request is rejected or fails within that time, and the connection goes on.
 #[test]
 fn a_request_with_hardly_any_time_left_is_answered() {
     let harness = start_harness(|config| config);
@@ -146,9 +146,9 @@
     }
 }
 
-// ---- further attempts
+// ---- retries
 
-/// A further attempt is told what is left then. Its client resets its connection while that one is held: nothing follows.
+/// A retry tells the member how much of the client's time is left then.
 #[test]
 fn a_further_attempt_is_told_what_is_left() {
     let mut harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":1900000000"));
@@ -163,11 +163,11 @@
     second.write_all(&welcome()).expect("it reads");
     let (_, body) = next_frame(&mut second).expect("a query");
     let left = 2000_u64.saturating_sub(sent.elapsed().as_millis() as u64);
-    let told = told_time(&String::from_utf8(body).expect("text"));
-    assert!(told <= left + 150, "told {told} ms where {left} ms are left");
+    let wait = wait_in(&String::from_utf8(body).expect("text"));
+    assert!(wait <= left + 150, "a wait of {wait} ms where {left} ms are left");
 }
 
-/// Its connection is reset, not ended, while its RPC waits for a member's connection.
+/// The client's connection is reset, not closed, while its RPC waits for a member's connection.
 #[test]
 fn a_client_that_resets_its_connection_is_not_sent_on() {
     let mut harness = start_harness(|config| config);
@@ -178,16 +178,16 @@
     sleep(ms(100));
     late.write_all(&welcome()).expect("it reads");
     late.set_read_timeout(Some(ms(300))).expect("it can");
-    let mut came = Vec::new();
-    let _ = late.read_to_end(&mut came);
-    assert!(!came.contains(&b'Q'), "an attempt begins after its client has gone");
+    let mut received = Vec::new();
+    let _ = late.read_to_end(&mut received);
+    assert!(!received.contains(&b'Q'), "an attempt starts after its client has left");
     harness.idle_connections[0].push(late);
 }
 
 // ---- configurations
 
-/// Five new configurations in quick succession, the file half written at one of the signals: the last one counts, and
-/// its discovery is heard within 4 s. Those before it are silent.
+/// Five new configurations in quick succession, the file half written at one of the signals: the last one applies, and
+/// the list of its discovery within 4 s. The discoveries before it are silent.
 #[test]
 fn new_configurations_in_quick_succession_are_followed_to_the_last() {
     let mut harness = start_harness(|config| config);
@@ -221,13 +221,13 @@
 
 // ---- pushed lists
 
-/// What the agent has counts as told at once, and binds after a grace of 0.25 s: a watch that breaks, five times in a
-/// row, is back within it each time.
+/// With pushed lists a change binds 0.25 s after discovery has it: a watch that is lost five times in a row is open again
+/// within that each time.
 #[test]
 fn a_watch_of_a_pushed_list_is_back_within_a_short_grace() {
     let grace = "\"DrainGrace\":250000000,\"OverloadFor\"";
-    let mut harness = start_harness(|told| {
-        told.replace("\"subscribe\"", "\"automatic\"").replace("\"OverloadFor\"", grace)
+    let mut harness = start_harness(|config| {
+        config.replace("\"subscribe\"", "\"automatic\"").replace("\"OverloadFor\"", grace)
     });
     for _ in 0..5 {
         harness.watch = None;
@@ -236,8 +236,8 @@
         assert!(since.elapsed() < ms(200), "after {:?}", since.elapsed());
     }
     harness.send_listing("", false);
-    let fading = instance(0, &harness.member_address(0), "DRAINING");
-    harness.send_listing(&fading, false);
+    let draining = instance(0, &harness.member_address(0), "DRAINING");
+    harness.send_listing(&draining, false);
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "write", 400, "1"))).expect("the router reads");
@@ -246,8 +246,8 @@
 
 // ---- discovery
 
-/// Discovery works through its calls in turn, and answers each within the 2 s after which it would turn it away. A change
-/// counts as told 6 s after it had it and could be reached, whatever became of the calls before.
+/// Discovery answers each watch within the 2 s after which it would reject it. A change applies 6 s after discovery had it
+/// and could be reached, whatever became of the watches before.
 #[test]
 fn a_discovery_that_takes_long_for_each_call_is_heard() {
     for takes in [1300, 1600, 1900] {
@@ -260,11 +260,11 @@
         let discovery = harness.discovery.try_clone().expect("it can");
         std::thread::spawn(move || {
             loop {
-                let mut call = accept_connection(&discovery);
+                let mut watch = accept_connection(&discovery);
                 let answer = answer.clone();
                 std::thread::spawn(move || {
                     sleep(ms(takes));
-                    let _ = call.write_all(answer.as_bytes());
+                    let _ = watch.write_all(answer.as_bytes());
                     sleep(ms(20_000));
                 });
             }
@@ -272,8 +272,8 @@
         harness.watch = None;
         let since = Instant::now();
         let mut nth = 1;
-        let told = loop {
-            assert!(since.elapsed() < ms(6000), "{takes} ms a call: not told yet");
+        let notified_after = loop {
+            assert!(since.elapsed() < ms(6000), "{takes} ms a watch: not notified yet");
             nth += 1;
             let mut client = harness.client();
             client.write_all(&query(&write_statement(&nth.to_string()))).expect("the router reads");
@@ -282,20 +282,20 @@
                 _ => sleep(ms(50)),
             }
         };
-        println!("{takes} ms a call: told after {told:?}");
+        println!("{takes} ms a watch: notified after {notified_after:?}");
     }
 }
 
-// ---- refusals
+// ---- rejections
 
-/// A refusal names a time to come back where the settings allow it, also of what was never taken as an RPC.
+/// A rejection has a retry-after where the settings allow it, also for a statement that was never accepted as an RPC.
 #[test]
 fn a_refusal_names_a_time_to_come_back() {
     let mut harness =
         start_harness(|config| config.replace("\"AttemptsCap\":6", "\"AttemptsCap\":6,\"MostHeld\":1"));
     let (mut first, mut second) = (harness.client(), harness.client());
     first.write_all(&query(&write_statement("1"))).expect("the router reads");
-    let (_, _held) = harness.next_rpc(0);
+    let (_, _in_flight) = harness.next_rpc(0);
     second.write_all(&query(&write_statement("2"))).expect("the router reads");
     let (kind, body) = next_frame(&mut second).expect("an answer");
     assert_eq!((kind, sqlstate(&body).as_str()), (b'E', "53300"));
@@ -306,8 +306,8 @@
 
 // ---- memory
 
-/// More whole statements at once than there is memory for, and members hang: each is answered, by its time and half a
-/// second at the latest, though the router could not read all of them before.
+/// More complete statements at once than there is memory for, while members hang: each is answered, at the latest half a
+/// second after its deadline, although the router could not read all of them before.
 #[test]
 fn statements_that_memory_is_short_for_are_answered() {
     let harness = start_harness(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":32"));
@@ -318,7 +318,7 @@
             let text = statement(&format!("{nth}"), "write", 2500, "1");
             let bytes = query(&text.replace("\\x9f03", &format!("\\x{value}")));
             std::thread::spawn(move || {
-                client.write_all(&bytes).map_err(|fault| format!("unsent: {fault}"))?;
+                client.write_all(&bytes).map_err(|error| format!("unsent: {error}"))?;
                 let sent = Instant::now();
                 let (kinds, code) = read_answer(&mut client);
                 match (kinds.ends_with(b"Z"), sent.elapsed() < ms(3000)) {
@@ -339,36 +339,36 @@
 
 // ---- the stop
 
-/// What a client of a router that stops has sent, and what came of it.
+/// What a client of a router that stops has sent, and what was answered.
 struct Sender {
     stream: TcpStream,
     sent: Vec<Instant>,
     answers: usize,
     input: Vec<u8>,
-    /// Its connection was ended in order, or was broken.
-    over: Option<bool>,
+    /// Whether its connection was closed in order (true) or lost.
+    closed_in_order: Option<bool>,
 }
 
 impl Sender {
     fn new(stream: TcpStream) -> Sender {
         stream.set_nonblocking(true).expect("it can");
-        Sender { stream, sent: Vec::new(), answers: 0, input: Vec::new(), over: None }
+        Sender { stream, sent: Vec::new(), answers: 0, input: Vec::new(), closed_in_order: None }
     }
 
     fn send(&mut self, bytes: &[u8]) {
-        if self.over.is_none() && self.stream.write_all(bytes).is_ok() {
+        if self.closed_in_order.is_none() && self.stream.write_all(bytes).is_ok() {
             self.sent.push(Instant::now());
         }
     }
 
     fn read(&mut self) {
         let mut chunk = [0; 4096];
-        while self.over.is_none() {
+        while self.closed_in_order.is_none() {
             match self.stream.read(&mut chunk) {
-                Ok(0) => self.over = Some(true),
+                Ok(0) => self.closed_in_order = Some(true),
                 Ok(count) => self.input.extend_from_slice(&chunk[..count]),
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => self.over = Some(false),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(_) => self.closed_in_order = Some(false),
             }
         }
         let (found, used) = frames(&self.input);
@@ -376,19 +376,19 @@
         self.input.drain(..used);
     }
 
-    /// What the router owes it at the kill: what it left unanswered on an open connection, or read and then ended in
-    /// order. A break may have crossed a request, which its client sends once more.
-    fn owed(&self) -> &[Instant] {
-        match self.over {
+    /// When the requests were sent that must have been answered by the kill: those unanswered on a connection that is open
+    /// or was closed in order. A reset may have crossed a request, which its client sends again.
+    fn unanswered(&self) -> &[Instant] {
+        match self.closed_in_order {
             Some(false) => &[],
             _ => &self.sent[self.answers.min(self.sent.len())..],
         }
     }
 }
 
-/// SIGKILL may come as early as the longest deadline and 0.7 s after SIGTERM, and members hang through all of it: what
-/// came more than 0.7 s after SIGTERM is answered by then. One client sends on without a pause, one opened late and rests
-/// until then, one has opened nothing yet.
+/// SIGKILL may come as early as the longest deadline and 0.7 s after SIGTERM, and members hang all the time: what was sent
+/// more than 0.7 s after SIGTERM is answered by then. One client sends without a pause, one connected late and is idle
+/// until then, one has not sent its startup message yet.
 #[test]
 fn a_kill_at_the_earliest_moment_finds_nothing_unanswered() {
     let deadline = 400;
@@ -403,7 +403,7 @@
     harness.signal(Signal::SIGTERM);
     let mut late = None;
     let mut nth = 0;
-    let mut in_time = |sender: &mut Sender| {
+    let mut send_next = |sender: &mut Sender| {
         nth += 1;
         sender.send(&text(nth));
     };
@@ -411,19 +411,19 @@
     let mut links = Vec::new();
     while began.elapsed() < ms(deadline + 700) {
         links.extend(accept_connection_within(&harness.members[0], ms(1)));
-        in_time(&mut busy);
+        send_next(&mut busy);
         if late.is_none() && began.elapsed() > ms(350) {
             late = Some(Sender::new(harness.client()));
         }
         if let Some(late) = late.as_mut().filter(|_| !late_sent && began.elapsed() > ms(850)) {
             late.read();
-            in_time(late);
+            send_next(late);
             late_sent = true;
         }
         if !unopened_sent && began.elapsed() > ms(850) {
             unopened.read();
             unopened.send(&[startup(), text(100_000)].concat());
-            // The welcome counts as an answer.
+            // The end of the startup counts as an answer.
             unopened.sent.extend(unopened.sent.last().copied());
             unopened_sent = true;
         }
@@ -436,7 +436,7 @@
     sleep(ms(50));
     let late = late.expect("it came");
     for (name, sender) in [("busy", busy), ("late", late), ("unopened", unopened)] {
-        let after: Vec<Duration> = sender.owed().iter().map(|sent| *sent - began).collect();
+        let after: Vec<Duration> = sender.unanswered().iter().map(|sent| *sent - began).collect();
         let lost = after.iter().filter(|&&after| after > ms(700)).count();
         assert_eq!(lost, 0, "{name}: sent {}, answered {}: {after:?}", sender.sent.len(), sender.answers);
     }
