--- a/crates/ladderpass/tests/told.rs
+++ b/crates/ladderpass/tests/told.rs
@@ -1,5 +1,5 @@
-//! A change counts as told 6 s after discovery had it and could be reached: the reducer against a discovery
-//! without sockets that goes and comes back, on a clock of its own, by every way in which a call can end.
+//! A change of the list must be known 6 s after discovery had it and could be reached: the reducer against a simulated
+//! discovery that goes down and comes back, on a clock of its own, for each way in which a watch can end.
 
 mod common;
 
@@ -11,21 +11,20 @@
 
 use std::collections::BTreeMap;
 
-/// It is 6 s that are allowed; what is left is for a process that has to wait for its turn.
-const BOUND: i64 = 5500;
-/// A call from before the return may be answered 1.4 s after it, with an older list that is taken; then comes
-/// silence.
-const BOUND_OF_OLDER: i64 = 5900;
-/// The slowest answer of a discovery that can be reached: it turns a call away after 2 s.
-const ANSWERS_WITHIN: u64 = 1950;
-/// Where one is an older list that is taken, and silence follows: with 1.95 s each the worst of 60 seeds is 6.1 s.
-const OLDER_WITHIN: u64 = 1400;
+/// 6 s are allowed; the rest is for a process that has to wait for its CPU.
+const LIMIT_MS: i64 = 5500;
+/// A watch from before the return may be answered 1.4 s after it with an older list that is accepted, and fall silent then.
+const LIMIT_WITH_OLDER_LIST_MS: i64 = 5900;
+/// The slowest answer of a discovery that can be reached: it rejects a watch after 2 s.
+const MAX_ANSWER_MS: u64 = 1950;
+/// The same where an older list is accepted and silence follows: with 1.95 s each the worst of 60 seeds is 6.1 s.
+const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
 const SEEDS: u64 = 60;
 
-/// How a call ends while discovery is away.
+/// How a watch ends while discovery is away.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ending {
-    /// The first packet is never answered.
+    /// The connect is never answered.
     NeverUp,
     /// It connects, and never answers.
     Hangs,
@@ -37,11 +36,11 @@
     Status,
     NotChunked,
     SpoiltLine,
-    /// A head, and then its end.
+    /// A response head, and then a close.
     EndsEarly,
-    /// A head, and then nothing.
+    /// A response head, and then nothing.
     HeadAlone,
-    /// A head, and empty lines for ever.
+    /// A response head, and empty lines for ever.
     EmptyLines,
     /// A list that begins, and then nothing, or bytes for ever.
     HalfAList,
@@ -72,7 +71,7 @@
     Any,
 ];
 
-/// What stood when discovery went.
+/// The state when discovery goes down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Before {
     /// The process starts while it is away.
@@ -82,14 +81,14 @@
     SilentWatch,
     /// It has moved: SIGHUP, while the old address serves on with nothing new.
     HangUp,
-    /// SIGHUP in the middle of an outage of the old address, mostly while a call is out.
+    /// SIGHUP in the middle of an outage of the old address, mostly while a watch is being opened.
     HangUpInCall,
 }
 
 const BEFORE: [Before; 5] =
     [Before::Start, Before::Watch, Before::SilentWatch, Before::HangUp, Before::HangUpInCall];
 
-/// How the list comes, by the settings: asked within `MustAskIn`, or pushed with this `DrainGrace`.
+/// How the list is delivered, by the settings: polled within `MustAskIn`, or pushed with this `DrainGrace`.
 #[derive(Clone, Copy, Debug)]
 enum Mode {
     Asked(i64),
@@ -102,7 +101,7 @@
 const OLD_PORT: u16 = 8500;
 const NEW_PORT: u16 = 8600;
 
-fn launched(mode: Mode, seed: u64, port: u16) -> launch::Launch {
+fn launch_with(mode: Mode, seed: u64, port: u16) -> launch::Launch {
     let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
     let text = router_config(&members)
         .replace("\"Probes\":true", "\"Probes\":false")
@@ -130,37 +129,37 @@
     launch.unwrap_or_else(|fault| panic!("{fault}"))
 }
 
-/// What happens to a call, or to discovery.
+/// What discovery does on a watch.
 #[derive(Clone, Debug)]
-enum Deed {
+enum DiscoveryEvent {
     Up,
     Bytes(Vec<u8>),
-    /// What discovery has to tell.
+    /// It sends the list that it has.
     Answer,
-    /// The same bytes again and again, so often.
+    /// It sends the same bytes at this interval.
     Trickle(Vec<u8>, Span),
     Ends,
     Denied,
 }
 
-struct World {
+struct Simulation {
     reducer: Reducer,
     now: Time,
-    chance: WyRand,
+    random: WyRand,
     ending: Ending,
-    answers_within: u64,
-    /// What discovery counts from after its return, and whether it tells the whole list to all.
+    max_answer_ms: u64,
+    /// The generation that discovery has after its return, and whether it sends the whole list to all.
     counts_from: u64,
     whole: bool,
-    /// What the last call asked for.
+    /// The generation that the last watch asked for.
     asked_from: u64,
     /// The port that is away, from when to when.
     away: (u16, Time, Time),
-    /// Open calls and watches, with the port that they went to.
+    /// Open watches, with the port that they connected to.
     calls: BTreeMap<ConnectionId, u16>,
-    deeds: BTreeMap<(Time, u64), (ConnectionId, Deed)>,
+    events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
     last: u64,
-    /// When calls were made.
+    /// When watches were opened.
     made: Vec<(Time, u16)>,
     /// When the change of the return was read.
     read_at: Option<Time>,
@@ -188,20 +187,24 @@
     chunk(&format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n"))
 }
 
-impl World {
-    fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> World {
-        World {
-            reducer: Reducer::start(start(), launched(mode, seed, OLD_PORT)),
+impl Simulation {
+    fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> Simulation {
+        Simulation {
+            reducer: Reducer::start(start(), launch_with(mode, seed, OLD_PORT)),
             now: start(),
-            chance: WyRand::new_seed(seed),
+            random: WyRand::new_seed(seed),
             ending,
-            answers_within: if ending == Ending::OlderList { OLDER_WITHIN } else { ANSWERS_WITHIN },
+            max_answer_ms: if ending == Ending::OlderList {
+                MAX_ANSWER_OF_OLDER_LIST_MS
+            } else {
+                MAX_ANSWER_MS
+            },
             counts_from: 9,
             whole: true,
             asked_from: 0,
             away,
             calls: BTreeMap::new(),
-            deeds: BTreeMap::new(),
+            events: BTreeMap::new(),
             last: 0,
             made: Vec::new(),
             read_at: None,
@@ -212,15 +215,15 @@
         self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
     }
 
-    fn after(&mut self, span: Span, id: ConnectionId, deed: Deed) {
+    fn after(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
         self.last += 1;
-        self.deeds.insert((self.now + span, self.last), (id, deed));
+        self.events.insert((self.now + span, self.last), (id, event));
     }
 
     fn apply(&mut self, event: Event) {
         for effect in self.reducer.handle(self.now, event) {
             match effect {
-                Effect::Connect(id, address) => self.asked(id, address.port()),
+                Effect::Connect(id, address) => self.on_connect(id, address.port()),
                 Effect::Close(id) => _ = self.calls.remove(&id),
                 Effect::Write(id) => {
                     let text = String::from_utf8_lossy(self.reducer.outgoing(id)).into_owned();
@@ -236,186 +239,195 @@
         }
     }
 
-    /// A call is made, and what comes of it is settled.
-    fn asked(&mut self, id: ConnectionId, port: u16) {
+    /// A watch is opened; draws how it ends.
+    fn on_connect(&mut self, id: ConnectionId, port: u16) {
         self.made.push((self.now, port));
         self.calls.insert(id, port);
-        let little = ms(self.chance.generate_range(0..40));
+        let little = ms(self.random.generate_range(0..40));
         if !self.is_away(port) {
-            self.after(little, id, Deed::Up);
-            let within = ms(self.chance.generate_range(40..self.answers_within) as i64);
-            self.after(within, id, Deed::Answer);
-            return self.after(within, id, Deed::Trickle(chunk("\n"), ms(2000)));
+            self.after(little, id, DiscoveryEvent::Up);
+            let within = ms(self.random.generate_range(40..self.max_answer_ms) as i64);
+            self.after(within, id, DiscoveryEvent::Answer);
+            return self.after(within, id, DiscoveryEvent::Trickle(chunk("\n"), ms(2000)));
         }
         let ending = match self.ending {
-            Any => ENDINGS[self.chance.generate_range(0..ENDINGS.len() - 1)],
+            Any => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
             ending => ending,
         };
-        let later = little + ms(self.chance.generate_range(0..1400));
+        let later = little + ms(self.random.generate_range(0..1400));
         if !matches!(ending, NeverUp | Refused | Denied) {
-            self.after(little, id, Deed::Up);
+            self.after(little, id, DiscoveryEvent::Up);
         }
-        let bytes = |bytes: &[u8]| Deed::Bytes(bytes.to_vec());
+        let bytes = |bytes: &[u8]| DiscoveryEvent::Bytes(bytes.to_vec());
         match ending {
             NeverUp | Hangs | Any => {}
-            Refused => self.after(little, id, Deed::Ends),
-            Denied => self.after(Span::ZERO, id, Deed::Denied),
-            Reset => self.after(later, id, Deed::Ends),
+            Refused => self.after(little, id, DiscoveryEvent::Ends),
+            Denied => self.after(Span::ZERO, id, DiscoveryEvent::Denied),
+            Reset => self.after(later, id, DiscoveryEvent::Ends),
             Status => self.after(later, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
             NotChunked => self.after(later, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")),
-            SpoiltLine => self.after(later, id, Deed::Bytes([HEAD, &chunk("{\"generation\":}\n")].concat())),
+            SpoiltLine => {
+                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":}\n")].concat()))
+            }
             EndsEarly => {
                 self.after(little, id, bytes(HEAD));
-                self.after(later, id, Deed::Ends);
+                self.after(later, id, DiscoveryEvent::Ends);
             }
             HeadAlone => self.after(later, id, bytes(HEAD)),
             EmptyLines => {
                 self.after(little, id, bytes(HEAD));
-                self.after(later, id, Deed::Trickle(chunk("\n"), ms(700)));
+                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(700)));
+            }
+            HalfAList => {
+                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()))
             }
-            HalfAList => self.after(later, id, Deed::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat())),
             ListForEver => {
-                self.after(little, id, Deed::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()));
-                self.after(later, id, Deed::Trickle(chunk("\n"), ms(300)));
+                self.after(
+                    little,
+                    id,
+                    DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()),
+                );
+                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(300)));
             }
-            OlderList => self.after(later, id, Deed::Bytes([HEAD, &list(0, 3, true)].concat())),
+            OlderList => self.after(later, id, DiscoveryEvent::Bytes([HEAD, &list(0, 3, true)].concat())),
         }
     }
 
-    fn done(&mut self, id: ConnectionId, deed: Deed) {
-        // What a discovery that hangs would have told is lost with the call, whenever it comes back.
+    fn carry_out(&mut self, id: ConnectionId, event: DiscoveryEvent) {
+        // What a silent discovery would have sent is lost with the watch, whenever it comes back.
         let Some(&port) = self.calls.get(&id) else { return };
-        match deed {
-            Deed::Up => self.apply(Event::Connected(id)),
-            Deed::Bytes(bytes) => {
-                let room = self.reducer.read_buffer(id);
-                room[..bytes.len()].copy_from_slice(&bytes);
+        match event {
+            DiscoveryEvent::Up => self.apply(Event::Connected(id)),
+            DiscoveryEvent::Bytes(bytes) => {
+                let buffer = self.reducer.read_buffer(id);
+                buffer[..bytes.len()].copy_from_slice(&bytes);
                 self.apply(Event::Received(id, bytes.len(), Span::ZERO));
             }
-            Deed::Answer => {
+            DiscoveryEvent::Answer => {
                 let (generation, count) = match port == self.away.0 && self.now >= self.away.2 {
                     true => (self.counts_from, 4),
                     false => (5, 3),
                 };
                 let whole = self.whole || self.asked_from == 0;
-                self.done(id, Deed::Bytes([HEAD, &list(generation, count, whole)].concat()));
+                self.carry_out(id, DiscoveryEvent::Bytes([HEAD, &list(generation, count, whole)].concat()));
             }
-            Deed::Trickle(bytes, every) => {
-                self.done(id, Deed::Bytes(bytes.clone()));
-                self.after(every, id, Deed::Trickle(bytes, every));
+            DiscoveryEvent::Trickle(bytes, every) => {
+                self.carry_out(id, DiscoveryEvent::Bytes(bytes.clone()));
+                self.after(every, id, DiscoveryEvent::Trickle(bytes, every));
             }
-            Deed::Ends => {
+            DiscoveryEvent::Ends => {
                 self.calls.remove(&id);
                 self.apply(Event::Closed(id));
             }
-            Deed::Denied => {
+            DiscoveryEvent::Denied => {
                 self.calls.remove(&id);
                 self.apply(Event::ConnectDenied(id));
             }
         }
     }
 
-    /// Plays on until then.
-    fn play(&mut self, until: Time) {
+    /// Runs until then.
+    fn run(&mut self, until: Time) {
         loop {
             self.apply(Event::Tick);
             if self.read_at.is_none() && self.reducer.member_count() > 3 {
                 self.read_at = Some(self.now);
             }
-            let deed = self.deeds.first_key_value().map(|(&(at, _), _)| at);
-            let next = [deed, self.reducer.wake_at()].into_iter().flatten().min().unwrap_or(until);
-            let next = next.max(self.now + if deed == Some(next) { Span::ZERO } else { ms(1) });
+            let event = self.events.first_key_value().map(|(&(at, _), _)| at);
+            let next = [event, self.reducer.wake_at()].into_iter().flatten().min().unwrap_or(until);
+            let next = next.max(self.now + if event == Some(next) { Span::ZERO } else { ms(1) });
             if next > until {
                 self.now = until;
                 return;
             }
             self.now = next;
-            while let Some(((at, last), _)) = self.deeds.first_key_value().map(|(key, _)| (*key, ()))
+            while let Some(((at, last), _)) = self.events.first_key_value().map(|(key, _)| (*key, ()))
                 && at <= self.now
             {
-                let (id, deed) = self.deeds.remove(&(at, last)).expect("it is the first");
-                self.done(id, deed);
+                let (id, event) = self.events.remove(&(at, last)).expect("it is the first");
+                self.carry_out(id, event);
             }
         }
     }
 
-    /// Watches that stand say nothing more.
-    fn falls_silent(&mut self) {
-        self.deeds.clear();
+    /// Open watches send nothing more.
+    fn silence_watches(&mut self) {
+        self.events.clear();
     }
 
-    fn closes(&mut self, port: u16) {
+    fn close_watches(&mut self, port: u16) {
         let open = self.calls.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
-        open.collect::<Vec<_>>().into_iter().for_each(|id| self.done(id, Deed::Ends));
+        open.collect::<Vec<_>>().into_iter().for_each(|id| self.carry_out(id, DiscoveryEvent::Ends));
     }
 
-    fn goes(&mut self, silently: bool) {
-        if silently { self.falls_silent() } else { self.closes(OLD_PORT) }
+    fn take_discovery_down(&mut self, silently: bool) {
+        if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
     }
 
-    fn hang_up(&mut self, mode: Mode, seed: u64) {
-        self.apply(Event::ConfigurationReloaded(Box::new(launched(mode, seed, NEW_PORT))));
+    fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
+        self.apply(Event::ConfigurationReloaded(Box::new(launch_with(mode, seed, NEW_PORT))));
     }
 }
 
 /// How long after the return the change was read; None: not within 30 s.
-fn told_after(mode: Mode, before: Before, ending: Ending, seed: u64) -> Option<i64> {
-    let mut chance = WyRand::new_seed(seed.wrapping_mul(77));
-    let calm = ms(3000 + chance.generate_range(0..3000));
-    // Long enough for any pause to grow, or short.
-    let outage = ms(if chance.generate::<bool>() {
-        chance.generate_range(100..40_000)
+fn notified_after(mode: Mode, before: Before, ending: Ending, seed: u64) -> Option<i64> {
+    let mut random = WyRand::new_seed(seed.wrapping_mul(77));
+    let calm = ms(3000 + random.generate_range(0..3000));
+    // Long enough for each backoff to grow, or short.
+    let outage = ms(if random.generate::<bool>() {
+        random.generate_range(100..40_000)
     } else {
-        chance.generate_range(100..9000)
+        random.generate_range(100..9000)
     });
     let goes = if before == Before::Start { start() } else { start() + calm };
     let port = if matches!(before, Before::HangUp | Before::HangUpInCall) { NEW_PORT } else { OLD_PORT };
     let back = goes + outage;
-    let mut world = World::new(mode, seed, ending, (port, goes, back));
-    world.play(goes);
+    let mut simulation = Simulation::new(mode, seed, ending, (port, goes, back));
+    simulation.run(goes);
     match before {
         Before::Start => {}
-        Before::Watch => world.goes(false),
-        Before::SilentWatch => world.goes(true),
+        Before::Watch => simulation.take_discovery_down(false),
+        Before::SilentWatch => simulation.take_discovery_down(true),
         Before::HangUp => {
-            world.hang_up(mode, seed);
-            // As the platform has it, the old address closes what is open after 1.5 s; or it serves on.
-            if chance.generate() {
-                world.play((world.now + ms(1500)).min(back));
-                world.closes(OLD_PORT);
+            simulation.reload_with_new_address(mode, seed);
+            // The old address closes its watches after 1.5 s, as the platform says; or it serves on.
+            if random.generate() {
+                simulation.run((simulation.now + ms(1500)).min(back));
+                simulation.close_watches(OLD_PORT);
             }
         }
         Before::HangUpInCall => {
-            world.away.0 = OLD_PORT;
-            world.goes(chance.generate());
+            simulation.away.0 = OLD_PORT;
+            simulation.take_discovery_down(random.generate());
             let most = (outage.nanos() / 1_000_000).min(9000);
-            let at = world.now + ms(chance.generate_range(0..most as u64) as i64);
-            world.play(at);
-            world.away.0 = NEW_PORT;
-            world.hang_up(mode, seed);
+            let at = simulation.now + ms(random.generate_range(0..most as u64) as i64);
+            simulation.run(at);
+            simulation.away.0 = NEW_PORT;
+            simulation.reload_with_new_address(mode, seed);
         }
     }
-    world.play(back + ms(30_000));
-    world.read_at.map(|at| {
+    simulation.run(back + ms(30_000));
+    simulation.read_at.map(|at| {
         assert!(at >= back, "the change was there before the return");
         (at - back).nanos() / 1_000_000
     })
 }
 
-/// The table of docs/endings.md: what stood before, by how calls end, by how the list comes.
+/// The table of docs/endings.md: the state before, by how watches end, by how the list is delivered.
 #[test]
 fn a_change_is_read_in_time_after_the_return_however_calls_ended() {
     let mut late = Vec::new();
     for before in BEFORE {
         for ending in ENDINGS {
             for mode in MODES {
-                let after =
-                    (1..=SEEDS).map(|seed| (told_after(mode, before, ending, seed).unwrap_or(99_999), seed));
+                let after = (1..=SEEDS)
+                    .map(|seed| (notified_after(mode, before, ending, seed).unwrap_or(99_999), seed));
                 let (worst, seed) = after.max().expect("there are seeds");
                 if std::env::var("TOLD_TABLE").is_ok() {
                     println!("{before:?} {ending:?} {mode:?}: {worst} ms, seed {seed}");
                 }
-                let bound = if matches!(ending, OlderList | Any) { BOUND_OF_OLDER } else { BOUND };
+                let bound =
+                    if matches!(ending, OlderList | Any) { LIMIT_WITH_OLDER_LIST_MS } else { LIMIT_MS };
                 if worst > bound {
                     late.push(format!("{before:?}, {ending:?}, {mode:?}: {worst} ms with seed {seed}"));
                 }
@@ -425,8 +437,8 @@
     assert!(late.is_empty(), "{} of {} cases:\n{}", late.len(), 15 * 5 * 5, late.join("\n"));
 }
 
-/// Discovery is away for longer than lists may be late, and counts from lower when it is back: what it tells
-/// is no late list, and counts once it has told it twice, the second time as a whole.
+/// Discovery is away for longer than lists may be late, and has a lower generation when it is back: its list is accepted
+/// once it has been sent twice, the second time as a whole.
 #[test]
 fn a_discovery_that_comes_back_and_counts_anew_is_believed_in_time() {
     for (whole, seed) in
@@ -435,28 +447,28 @@
         let gone = start() + ms(5000);
         let back = gone + ms(6000 + seed as i64 * 137);
         let ending = if seed % 3 == 0 { Hangs } else { Refused };
-        let world = World::new(Mode::Asked(60_000), seed, ending, (OLD_PORT, gone, back));
-        let mut world = World { counts_from: 2, whole, answers_within: 500, ..world };
-        world.play(gone);
-        world.goes(seed % 2 == 0);
-        world.play(back + ms(30_000));
-        let after = world.read_at.map_or(99_999, |at| (at - back).nanos() / 1_000_000);
-        assert!((0..BOUND).contains(&after), "read after {after} ms, whole: {whole}, seed {seed}");
+        let simulation = Simulation::new(Mode::Asked(60_000), seed, ending, (OLD_PORT, gone, back));
+        let mut simulation = Simulation { counts_from: 2, whole, max_answer_ms: 500, ..simulation };
+        simulation.run(gone);
+        simulation.take_discovery_down(seed % 2 == 0);
+        simulation.run(back + ms(30_000));
+        let after = simulation.read_at.map_or(99_999, |at| (at - back).nanos() / 1_000_000);
+        assert!((0..LIMIT_MS).contains(&after), "read after {after} ms, whole: {whole}, seed {seed}");
     }
 }
 
-/// All routers lose discovery in one instant. Calls of the fleet by 100 ms from then on; a router's a second.
-fn calls_of_a_fleet(mode: Mode, ending: Ending) -> (Vec<usize>, f64) {
+/// All routers lose discovery at once: watches opened by the fleet in each 100 ms from then on, and per router and second.
+fn fleet_watches(mode: Mode, ending: Ending) -> (Vec<usize>, f64) {
     const FLEET: u64 = 460;
     const OUTAGE: i64 = 30_000;
     let gone = start() + ms(5000);
     let mut bins = vec![0; (OUTAGE / 100) as usize];
     for seed in 1..=FLEET {
-        let mut world = World::new(mode, seed, ending, (OLD_PORT, gone, gone + ms(OUTAGE)));
-        world.play(gone);
-        world.goes(false);
-        world.play(gone + ms(OUTAGE - 1));
-        for (at, _) in world.made.iter().filter(|(at, _)| *at >= gone) {
+        let mut simulation = Simulation::new(mode, seed, ending, (OLD_PORT, gone, gone + ms(OUTAGE)));
+        simulation.run(gone);
+        simulation.take_discovery_down(false);
+        simulation.run(gone + ms(OUTAGE - 1));
+        for (at, _) in simulation.made.iter().filter(|(at, _)| *at >= gone) {
             bins[((*at - gone).nanos() / 100_000_000) as usize] += 1;
         }
     }
@@ -464,8 +476,8 @@
     (bins, a_second)
 }
 
-/// The fleet's calls stay apart, and few: in no 100 ms of an outage more than a fifth of the routers, or half
-/// where a call is due within a part of 1 s; and by router and second of it as the bound has it.
+/// The fleet's watches stay spread out and few: in each 100 ms of an outage at most a fifth of the routers, or half where
+/// a watch is due within part of 1 s; and per router and second at most the given rate.
 #[test]
 fn a_whole_fleet_stays_apart_and_does_not_hammer() {
     for (mode, ending, most, most_a_second) in [
@@ -476,7 +488,7 @@
         (Mode::Asked(1000), Refused, 230, 3.2),
         (Mode::Pushed(1000), Refused, 230, 3.2),
     ] {
-        let (bins, a_second) = calls_of_a_fleet(mode, ending);
+        let (bins, a_second) = fleet_watches(mode, ending);
         let crowd = bins.iter().max().copied().unwrap_or(0);
         println!(
             "{mode:?} {ending:?}: at most {crowd} of 460 in 100 ms, {a_second:.3} calls a second by router"
