--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -188,12 +188,8 @@
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what = EventKind::Accepted {
-            rpc: entry.number,
-            deadline: entry.until,
-            run_once: once,
-            max_staleness,
-        };
+        let what =
+            EventKind::Accepted { rpc: entry.number, deadline: entry.until, run_once: once, max_staleness };
         Event { at: entry.sent, kind: what }
     }
 
--- a/crates/ladderpass/tests/recorded_bytes.rs
+++ b/crates/ladderpass/tests/recorded_bytes.rs
@@ -77,7 +77,7 @@
 
 fn launch(router: usize, seed: u64) -> ladderpass::launch::Launch {
     let members: Vec<String> = (0..MEMBERS).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
-    let mut launch = launch_of(&told(&members));
+    let mut launch = launch_with_config(&router_config(&members));
     launch.seed = seed ^ router as u64;
     let addresses: Vec<String> = (0..ROUTERS).map(|n| format!("'127.0.0.1:{}'", router_port(n))).collect();
     let own = &addresses[router];
@@ -301,7 +301,11 @@
     fn member_answers(&mut self, router: usize, id: ConnectionId, number: usize, query: &str) {
         if query.is_empty() {
             // Answered in order: behind the answer before it, which takes at most 30 ms.
-            return self.schedule(router, Span::from_millis(31), Scheduled::Bytes(id, nothing()));
+            return self.schedule(
+                router,
+                Span::from_millis(31),
+                Scheduled::Bytes(id, empty_query_response()),
+            );
         }
         let now_ms = self.now.nanos() as u64 / 1_000_000;
         let lag_ms = if number == 0 { 0 } else { u64::from(self.below(1200)) };
@@ -313,13 +317,13 @@
             row(report.as_bytes(), role, position)
         } else {
             match self.below(30) {
-                0 => refused("53300"),
-                1 => refused("25006"),
-                2 => refused("72000"),
-                3 => refused("XX000"),
+                0 => error_response("53300"),
+                1 => error_response("25006"),
+                2 => error_response("72000"),
+                3 => error_response("XX000"),
                 4 => return self.schedule_within(router, 20, Scheduled::Closed(id)),
                 5 => return,
-                6 => message(b'D', b"\0\x02"),
+                6 => frame(b'D', b"\0\x02"),
                 _ => row(id_and_rest(query).0.as_bytes(), role, position),
             }
         };
@@ -427,7 +431,7 @@
             2 => query(&statement(&rpc, "unknown", deadline_ms, "1")),
             3 => query(&statement(&rpc, method, deadline_ms, "77")),
             4 => query(&text.replace("cluster=1", "cluster=1,retry=1")),
-            5 => message(b'P', b"\0\0\0\0"),
+            5 => frame(b'P', b"\0\0\0\0"),
             6 => [query(&text), query(&statement(&format!("{rpc}f"), "read", deadline_ms, "1"))].concat(),
             _ => query(&text),
         };
@@ -435,7 +439,7 @@
             0 => self.schedule_within(router, 20, Scheduled::Closed(id)),
             1 => {
                 if let Some(Remote::Client { received, .. }) = self.routers[router].remotes.get(&id) {
-                    let (process, secret) = key_in(&frames(received).0);
+                    let (process, secret) = cancel_key(&frames(received).0);
                     self.schedule_within(router, 20, Scheduled::ClientCancels(process, secret));
                 }
             }
