--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -1,14 +1,14 @@
 //! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`, `list`,
 //! `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
 
-use crate::engine::{Do, Engine, RuleState};
+use crate::engine::{Engine, RuleState, ScheduledOperation};
 use crate::errors::{ControlError, EngineError};
 use crate::plan::Rule;
 use ladderpass_routing::{Span, Time};
 
 /// A command.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
+pub enum Command {
     /// Adds a rule.
     Add(Box<Rule>),
     /// Ends the rule of this name.
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// This line.
-    Now(String),
+    Immediate(String),
     /// Once a rule has acted so often.
-    Later {
+    Deferred {
         /// Not later than this.
         until: Time,
         /// Name of the rule.
@@ -55,63 +55,67 @@
 /// # Errors
 ///
 /// What is wrong with the line.
-pub fn read(line: &str) -> Result<Asked, ControlError> {
+pub fn read(line: &str) -> Result<Command, ControlError> {
     let (word, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
     let rest = rest.trim();
     match (word, rest) {
-        ("add", rule) => Ok(Asked::Add(Box::new(Rule::read(rule).map_err(ControlError::Rule)?))),
-        ("lift", name) if !name.is_empty() => Ok(Asked::Lift(name.to_owned())),
-        ("list", "") => Ok(Asked::List),
-        ("stats", "") => Ok(Asked::Stats),
-        ("watch", "") => Ok(Asked::Watch),
-        ("cut", link) if !link.is_empty() => Ok(Asked::Cut(link.to_owned())),
-        ("heal", link) if !link.is_empty() => Ok(Asked::Heal(link.to_owned())),
+        ("add", rule) => Ok(Command::Add(Box::new(Rule::read(rule).map_err(ControlError::Rule)?))),
+        ("lift", name) if !name.is_empty() => Ok(Command::Lift(name.to_owned())),
+        ("list", "") => Ok(Command::List),
+        ("stats", "") => Ok(Command::Stats),
+        ("watch", "") => Ok(Command::Watch),
+        ("cut", link) if !link.is_empty() => Ok(Command::Cut(link.to_owned())),
+        ("heal", link) if !link.is_empty() => Ok(Command::Heal(link.to_owned())),
         ("wait", rest) => read_wait(rest),
         (other, _) => Err(ControlError::UnknownCommand(other.to_owned())),
     }
 }
 
-fn read_wait(words: &str) -> Result<Asked, ControlError> {
+fn read_wait(words: &str) -> Result<Command, ControlError> {
     let words: Vec<&str> = words.split_whitespace().collect();
     let [name, hits, ms] = words[..] else { return Err(ControlError::WaitForm) };
     let hits = hits.parse().map_err(|_| ControlError::WaitHits(hits.to_owned()))?;
     let ms: u32 = ms.parse().map_err(|_| ControlError::WaitMs(ms.to_owned()))?;
-    Ok(Asked::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
+    Ok(Command::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
 }
 
 /// Carries out a line; returns the answer, and what is to be done to connections.
-pub fn carry_out(engine: &mut Engine, now: Time, line: &str) -> (Reply, Vec<Do>) {
+pub fn carry_out(engine: &mut Engine, now: Time, line: &str) -> (Reply, Vec<ScheduledOperation>) {
     match read(line).and_then(|command| execute(engine, now, command)) {
         Ok(done) => done,
-        Err(error) => (Reply::Now(format!("error {error}")), Vec::new()),
+        Err(error) => (Reply::Immediate(format!("error {error}")), Vec::new()),
     }
 }
 
-fn execute(engine: &mut Engine, now: Time, command: Asked) -> Result<(Reply, Vec<Do>), ControlError> {
+fn execute(
+    engine: &mut Engine,
+    now: Time,
+    command: Command,
+) -> Result<(Reply, Vec<ScheduledOperation>), ControlError> {
     let rejected = |command| move |source: EngineError| ControlError::Rejected { command, source };
-    let ok = || Reply::Now("ok".into());
+    let ok = || Reply::Immediate("ok".into());
     match command {
-        Asked::Add(rule) => {
-            engine.add(*rule).map_err(rejected("add"))?;
+        Command::Add(rule) => {
+            engine.add_rule(*rule).map_err(rejected("add"))?;
             Ok((ok(), Vec::new()))
         }
-        Asked::Lift(name) => Ok((ok(), engine.lift(now, &name).map_err(rejected("lift"))?)),
-        Asked::Cut(link) => {
+        Command::Lift(name) => Ok((ok(), engine.lift_rule(now, &name).map_err(rejected("lift"))?)),
+        Command::Cut(link) => {
             engine.cut(&link).map_err(rejected("cut"))?;
             Ok((ok(), Vec::new()))
         }
-        Asked::Heal(link) => Ok((ok(), engine.heal(now, &link).map_err(rejected("heal"))?)),
-        Asked::Watch => {
-            engine.watch();
+        Command::Heal(link) => Ok((ok(), engine.heal(now, &link).map_err(rejected("heal"))?)),
+        Command::Watch => {
+            engine.start_watch();
             Ok((ok(), Vec::new()))
         }
-        Asked::List => Ok((list(engine), Vec::new())),
-        Asked::Stats => Ok((stats(engine), Vec::new())),
-        Asked::Wait { rule, hits, timeout } => {
-            if !engine.list().iter().any(|state| state.name == rule) {
+        Command::List => Ok((list(engine), Vec::new())),
+        Command::Stats => Ok((stats(engine), Vec::new())),
+        Command::Wait { rule, hits, timeout } => {
+            if !engine.rule_states().iter().any(|state| state.name == rule) {
                 return Err(ControlError::WaitRule(rule));
             }
-            Ok((Reply::Later { until: now + timeout, rule, hits }, Vec::new()))
+            Ok((Reply::Deferred { until: now + timeout, rule, hits }, Vec::new()))
         }
     }
 }
@@ -120,17 +124,17 @@
     let rule = |RuleState { name, hits, live }: RuleState<'_>| {
         format!("{name} {hits} {}", if live { "live" } else { "over" })
     };
-    let rules: Vec<String> = engine.list().into_iter().map(rule).collect();
-    Reply::Now(format!("ok {}", rules.join("; ")))
+    let rules: Vec<String> = engine.rule_states().into_iter().map(rule).collect();
+    Reply::Immediate(format!("ok {}", rules.join("; ")))
 }
 
 fn stats(engine: &Engine) -> Reply {
     let (connections, bytes) = engine.stats();
     let decisions = engine.record().len();
-    Reply::Now(format!("ok connections {connections}, bytes {bytes}, decisions {decisions}"))
+    Reply::Immediate(format!("ok connections {connections}, bytes {bytes}, decisions {decisions}"))
 }
 
 /// Whether a rule has acted so often.
-pub fn is_met(engine: &Engine, name: &str, hits: u64) -> bool {
-    engine.list().iter().any(|state| state.name == name && state.hits >= hits)
+pub fn has_acted(engine: &Engine, name: &str, hits: u64) -> bool {
+    engine.rule_states().iter().any(|state| state.name == name && state.hits >= hits)
 }
--- a/crates/ladderpass-fault-injection/src/mesh.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -1,9 +1,9 @@
 //! The sockets of datagrams: one for each end. It receives what others send to that end, and sends what that end sends to
 //! others, so that each end sees the others at the addresses it knows. What happens to a datagram is decided by `datagrams`.
 
-use crate::datagrams::{Mesh, Sent};
+use crate::datagrams::{DatagramEngine, TrafficCounts};
 use crate::errors::PlanError;
-use crate::plan::{DatagramRule, MeshPlan};
+use crate::plan::{DatagramPlan, DatagramRule};
 use ladderpass_routing::Span;
 use mio::net::UdpSocket;
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -21,8 +21,8 @@
 const EVENTS_PER_POLL: usize = 256;
 
 /// The datagram part of a tool, on a thread of its own, until it is dropped.
-pub struct RunningMesh {
-    mesh: Arc<Mutex<Mesh>>,
+pub struct RunningDatagrams {
+    engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
     stop: Arc<AtomicBool>,
     waker: Waker,
@@ -31,13 +31,13 @@
     pub addresses: Vec<SocketAddr>,
 }
 
-impl RunningMesh {
+impl RunningDatagrams {
     /// Starts a plan.
     ///
     /// # Errors
     ///
     /// If the plan is not valid, or a socket or the thread can't be made.
-    pub fn start(plan: MeshPlan) -> io::Result<RunningMesh> {
+    pub fn start(plan: DatagramPlan) -> io::Result<RunningDatagrams> {
         plan.check().map_err(io::Error::other)?;
         let poll = Poll::new()?;
         let waker = Waker::new(poll.registry(), WAKE)?;
@@ -52,14 +52,14 @@
             sockets.push(socket);
         }
         let targets: Vec<SocketAddr> = plan.ends.iter().map(|end| end.to).collect();
-        let mesh = Arc::new(Mutex::new(Mesh::new(plan)));
+        let engine = Arc::new(Mutex::new(DatagramEngine::new(plan)));
         let (stop, started) = (Arc::new(AtomicBool::new(false)), Instant::now());
         let mut event_loop = EventLoop {
             poll,
             sockets,
             end_by_address,
             targets,
-            mesh: mesh.clone(),
+            engine: engine.clone(),
             started,
             delayed: BTreeMap::new(),
             delayed_count: 0,
@@ -70,7 +70,7 @@
                 eprintln!("ladderpass-fault-injection: datagrams: {error}");
             }
         })?;
-        Ok(RunningMesh { mesh, started, stop, waker, thread: Some(thread), addresses })
+        Ok(RunningDatagrams { engine, started, stop, waker, thread: Some(thread), addresses })
     }
 
     /// Adds a rule, whose time counts from now on.
@@ -78,28 +78,28 @@
     /// # Errors
     ///
     /// If the rule is not valid, or an active one has its name.
-    pub fn add(&self, rule: DatagramRule) -> Result<(), PlanError> {
+    pub fn add_rule(&self, rule: DatagramRule) -> Result<(), PlanError> {
         let now = since(self.started);
-        lock(&self.mesh).add(now, rule)
+        lock(&self.engine).add_rule(now, rule)
     }
 
     /// Ends a rule; whether one of this name was active.
-    pub fn lift(&self, name: &str) -> bool {
-        lock(&self.mesh).lift(name)
+    pub fn lift_rule(&self, name: &str) -> bool {
+        lock(&self.engine).lift_rule(name)
     }
 
     /// What each end has sent by now, in the order of the plan.
-    pub fn sent(&self) -> Vec<Sent> {
-        lock(&self.mesh).sent().to_vec()
+    pub fn traffic(&self) -> Vec<TrafficCounts> {
+        lock(&self.engine).traffic().to_vec()
     }
 
     /// How often each rule has acted, by its name.
     pub fn hits(&self) -> Vec<(String, u64)> {
-        lock(&self.mesh).hits().map(|(name, hits)| (name.to_owned(), hits)).collect()
+        lock(&self.engine).hits().map(|(name, hits)| (name.to_owned(), hits)).collect()
     }
 }
 
-impl Drop for RunningMesh {
+impl Drop for RunningDatagrams {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         // A thread that has ended needs no waking.
@@ -110,8 +110,8 @@
     }
 }
 
-fn lock(mesh: &Mutex<Mesh>) -> MutexGuard<'_, Mesh> {
-    mesh.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn lock(engine: &Mutex<DatagramEngine>) -> MutexGuard<'_, DatagramEngine> {
+    engine.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 fn since(started: Instant) -> Span {
@@ -131,7 +131,7 @@
     end_by_address: HashMap<SocketAddr, usize>,
     /// Where each end is.
     targets: Vec<SocketAddr>,
-    mesh: Arc<Mutex<Mesh>>,
+    engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
     /// Delayed datagrams by their time, and by the order in which they arrived.
     delayed: BTreeMap<(Span, u64), Datagram>,
@@ -181,7 +181,7 @@
                 continue;
             };
             let now = since(self.started);
-            let delays = lock(&self.mesh).came(now, from, to, count);
+            let delays = lock(&self.engine).on_datagram(now, from, to, count);
             for delay in delays {
                 if delay <= Span::ZERO {
                     self.forward(from, to, bytes);
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -7,7 +7,7 @@
 
 use crate::errors::{PlanError, PlanProblem};
 use crate::plan::datagrams::MAX_DELAY_MS;
-use crate::plan::{DatagramRule, Deed, End, MeshPlan};
+use crate::plan::{DatagramAction, DatagramPlan, DatagramRule, End};
 use crate::random;
 use ladderpass_routing::Span;
 use rand::Rng;
@@ -16,7 +16,7 @@
 
 /// What an end has sent in all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct TrafficCounts {
     /// Datagrams, whether they arrived or not.
     pub datagrams: u64,
     /// Their bytes.
@@ -32,23 +32,23 @@
 }
 
 /// The ends and rules of a plan; times are since its start.
-pub struct Mesh {
+pub struct DatagramEngine {
     seed: u64,
     ends: Vec<End>,
     rules: Vec<ActiveRule>,
     /// By end.
-    sent: Vec<Sent>,
+    traffic: Vec<TrafficCounts>,
     /// Datagrams by sender and receiver.
     datagrams: HashMap<(usize, usize), u64>,
 }
 
-impl Mesh {
+impl DatagramEngine {
     /// The plan's rules count their time from the start.
-    pub fn new(plan: MeshPlan) -> Mesh {
+    pub fn new(plan: DatagramPlan) -> DatagramEngine {
         let activate = |rule| ActiveRule { rule, added_at: Span::ZERO, hits: 0, lifted: false };
-        Mesh {
+        DatagramEngine {
             seed: plan.seed,
-            sent: vec![Sent::default(); plan.ends.len()],
+            traffic: vec![TrafficCounts::default(); plan.ends.len()],
             rules: plan.rules.into_iter().map(activate).collect(),
             ends: plan.ends,
             datagrams: HashMap::new(),
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// If the rule is not valid, or an active one has its name.
-    pub fn add(&mut self, now: Span, rule: DatagramRule) -> Result<(), PlanError> {
+    pub fn add_rule(&mut self, now: Span, rule: DatagramRule) -> Result<(), PlanError> {
         rule.check(&self.ends)?;
         if self.rules.iter().any(|active| active.rule.name == rule.name && !active.lifted) {
             return Err(PlanError::invalid("name", PlanProblem::DuplicateName(rule.name)));
@@ -75,7 +75,7 @@
     }
 
     /// Ends a rule; whether one of this name was active.
-    pub fn lift(&mut self, name: &str) -> bool {
+    pub fn lift_rule(&mut self, name: &str) -> bool {
         let active = self.rules.iter_mut().filter(|active| active.rule.name == name && !active.lifted);
         active.map(|active| active.lifted = true).count() > 0
     }
@@ -86,8 +86,8 @@
     }
 
     /// What each end has sent, in the order of the plan.
-    pub fn sent(&self) -> &[Sent] {
-        &self.sent
+    pub fn traffic(&self) -> &[TrafficCounts] {
+        &self.traffic
     }
 
     fn matches(&self, active: &ActiveRule, now: Span, from: usize, to: usize) -> bool {
@@ -113,10 +113,10 @@
     }
 
     /// A datagram of `bytes` bytes: the delay of each copy of it, none where it is lost.
-    pub fn came(&mut self, now: Span, from: usize, to: usize, bytes: usize) -> Vec<Span> {
-        if let Some(sent) = self.sent.get_mut(from) {
-            sent.datagrams += 1;
-            sent.bytes += bytes as u64;
+    pub fn on_datagram(&mut self, now: Span, from: usize, to: usize, bytes: usize) -> Vec<Span> {
+        if let Some(traffic) = self.traffic.get_mut(from) {
+            traffic.datagrams += 1;
+            traffic.bytes += bytes as u64;
         }
         let number = self.datagrams.entry((from, to)).or_default();
         *number += 1;
@@ -129,11 +129,11 @@
             let parts = [index as u64 + 1, from as u64 + 1, to as u64 + 1, number];
             let mut random = random::generator(self.seed, parts);
             let active = &mut self.rules[index];
-            if random.random::<f64>() >= active.rule.part {
+            if random.random::<f64>() >= active.rule.probability {
                 continue;
             }
             active.hits += 1;
-            act(&active.rule.deed, &mut random, &mut copies);
+            act(&active.rule.action, &mut random, &mut copies);
             if copies.is_empty() {
                 return copies;
             }
@@ -143,19 +143,19 @@
 }
 
 /// Changes the delays of a datagram's copies.
-fn act(deed: &Deed, random: &mut SmallRng, copies: &mut Vec<Span>) {
+fn act(action: &DatagramAction, random: &mut SmallRng, copies: &mut Vec<Span>) {
     let from_ms = |ms: f64| Span::from_secs_f64(ms / 1e3);
-    match *deed {
-        Deed::Drop => copies.clear(),
-        Deed::Delay { ms: mean, spread } => {
-            let delay = from_ms((mean * random::factor(random, spread)).min(MAX_DELAY_MS));
+    match *action {
+        DatagramAction::Drop => copies.clear(),
+        DatagramAction::Delay { ms: mean, distribution } => {
+            let delay = from_ms((mean * random::factor(random, distribution)).min(MAX_DELAY_MS));
             copies.iter_mut().for_each(|copy| *copy += delay);
         }
-        Deed::Duplicate { ms: gap } => {
+        DatagramAction::Duplicate { ms: gap } => {
             let second = copies.first().copied().unwrap_or(Span::ZERO) + from_ms(gap);
             copies.push(second);
         }
-        Deed::Reorder { ms: longest } => {
+        DatagramAction::Reorder { ms: longest } => {
             let delay = from_ms(longest * random.random::<f64>());
             copies.iter_mut().for_each(|copy| *copy += delay);
         }
--- a/crates/ladderpass-fault-injection/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -6,10 +6,10 @@
 mod event_loop;
 mod run_summary;
 
-pub use run_summary::Left;
+pub use run_summary::RunSummary;
 
+use crate::datagram_driver::RunningDatagrams;
 use crate::errors::CommandError;
-use crate::mesh::RunningMesh;
 use crate::plan::Plan;
 use control_socket::ControlSocket;
 use event_loop::{EventLoop, LocalCommand, WAKE};
@@ -27,25 +27,26 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A tool that runs on a thread of its own, until it is stopped or dropped.
-pub struct Running {
+pub struct RunningTool {
     /// Where each link listens, in the order of the plan.
     pub addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
     waker: Arc<Waker>,
     commands: Sender<LocalCommand>,
-    thread: Option<std::thread::JoinHandle<Left>>,
+    thread: Option<std::thread::JoinHandle<RunSummary>>,
     /// The datagram part, where the plan has one.
-    pub mesh: Option<RunningMesh>,
+    pub datagrams: Option<RunningDatagrams>,
 }
 
-impl Running {
+impl RunningTool {
     /// Starts a plan; `control` is the path of the control socket.
     ///
     /// # Errors
     ///
     /// If a socket or the thread can't be made.
-    pub fn start(plan: Plan, control: Option<&Path>) -> io::Result<Running> {
-        let mesh = (!plan.ends.is_empty()).then(|| RunningMesh::start(plan.mesh())).transpose()?;
+    pub fn start(plan: Plan, control: Option<&Path>) -> io::Result<RunningTool> {
+        let datagrams =
+            (!plan.ends.is_empty()).then(|| RunningDatagrams::start(plan.datagram_plan())).transpose()?;
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
         let (commands, receiver) = channel();
@@ -55,16 +56,16 @@
         let control = control.map(|path| ControlSocket::bind(path, poll.registry())).transpose()?;
         let stop = Arc::new(AtomicBool::new(false));
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let began = Time::from_nanos(unix.as_nanos() as i64);
+        let started_at = Time::from_nanos(unix.as_nanos() as i64);
         let mut event_loop = EventLoop::new(plan, poll, listeners, control, receiver);
         let stopped = stop.clone();
         let thread = std::thread::Builder::new().name("faults".into()).spawn(move || {
             if let Err(error) = event_loop.run(&stopped) {
                 eprintln!("ladderpass-fault-injection: {error}");
             }
-            event_loop.finish(began)
+            event_loop.finish(started_at)
         })?;
-        Ok(Running { addresses, stop, waker, commands, thread: Some(thread), mesh })
+        Ok(RunningTool { addresses, stop, waker, commands, thread: Some(thread), datagrams })
     }
 
     /// Carries out a line of the control socket's commands, but for `wait`; returns its answer.
@@ -72,7 +73,7 @@
     /// # Errors
     ///
     /// If the tool has ended, or rejects the command.
-    pub fn say(&self, line: &str) -> Result<String, CommandError> {
+    pub fn send_command(&self, line: &str) -> Result<String, CommandError> {
         let (answer, answered) = channel();
         let command = LocalCommand { line: line.to_owned(), answer };
         self.commands.send(command).map_err(|_| CommandError::Ended)?;
@@ -85,11 +86,11 @@
     }
 
     /// Stops it; connections are closed.
-    pub fn stop(mut self) -> Left {
+    pub fn stop(mut self) -> RunSummary {
         self.join().unwrap_or_default()
     }
 
-    fn join(&mut self) -> Option<Left> {
+    fn join(&mut self) -> Option<RunSummary> {
         self.stop.store(true, Ordering::Relaxed);
         // A thread that has ended needs no waking.
         let _ = self.waker.wake();
@@ -97,7 +98,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningTool {
     fn drop(&mut self) {
         self.join();
     }
--- a/crates/ladderpass-fault-injection/src/driver/control_socket.rs
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -128,7 +128,7 @@
     pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<(usize, &'static str)> {
         let answer = |client: &ControlClient| {
             let wait = client.wait.as_ref()?;
-            match control::is_met(engine, &wait.rule, wait.hits) {
+            match control::has_acted(engine, &wait.rule, wait.hits) {
                 true => Some("ok"),
                 false => (now >= wait.until).then_some("error wait: the time is over"),
             }
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -1,6 +1,6 @@
 //! The two sockets of a connection.
 
-use crate::engine::Conn;
+use crate::engine::ConnectionId;
 use crate::plan::Side;
 use mio::net::TcpStream;
 use std::collections::VecDeque;
@@ -8,7 +8,7 @@
 /// One socket of a connection.
 pub struct Endpoint {
     pub stream: TcpStream,
-    pub conn: Conn,
+    pub conn: ConnectionId,
     pub side: Side,
     pub output: VecDeque<u8>,
     /// Its write direction ends once the output is written.
@@ -28,7 +28,7 @@
 }
 
 impl Endpoint {
-    pub fn new(stream: TcpStream, conn: Conn, side: Side) -> Endpoint {
+    pub fn new(stream: TcpStream, conn: ConnectionId, side: Side) -> Endpoint {
         let output = VecDeque::new();
         Endpoint { stream, conn, side, output, ending: false, ended: false, paused: false }
     }
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -2,9 +2,9 @@
 
 use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
 use super::endpoint::{Endpoint, EndpointPair};
-use super::run_summary::Left;
+use super::run_summary::RunSummary;
 use crate::control::{self, Reply};
-use crate::engine::{Conn, Do, Engine, What};
+use crate::engine::{ConnectionId, Engine, Operation, ScheduledOperation};
 use crate::plan::{Plan, Side};
 use ladderpass_routing::Time;
 use mio::net::{TcpListener, TcpStream};
@@ -39,9 +39,9 @@
     started: Instant,
     last_token: usize,
     endpoints: HashMap<usize, Endpoint>,
-    pairs: HashMap<Conn, EndpointPair>,
+    pairs: HashMap<ConnectionId, EndpointPair>,
     /// Operations that wait for their time, in the order of the engine.
-    delayed: BTreeMap<(Time, u64), Do>,
+    delayed: BTreeMap<(Time, u64), ScheduledOperation>,
     delayed_count: u64,
     control_clients: ControlClients,
     commands: Receiver<LocalCommand>,
@@ -85,12 +85,12 @@
     }
 
     /// Closes the control socket, and gives what the run leaves behind.
-    pub fn finish(&mut self, began: Time) -> Left {
+    pub fn finish(&mut self, started_at: Time) -> RunSummary {
         self.control = None;
-        Left {
+        RunSummary {
             record: self.engine.record().to_vec(),
-            passed: self.engine.passed(),
-            began,
+            attempts: self.engine.take_attempts(),
+            started_at,
             never_fired: self.engine.never_fired().into_iter().map(str::to_owned).collect(),
         }
     }
@@ -157,7 +157,7 @@
                 // Out of descriptors, or closed already: as if it had been refused.
                 Err(_) => return Ok(()),
             };
-            let opened = self.engine.opened(self.now(), link);
+            let opened = self.engine.on_accepted(self.now(), link);
             let conn = opened.connection;
             self.pairs.insert(conn, EndpointPair::default());
             self.add_endpoint(conn, Side::Client, stream)?;
@@ -171,7 +171,7 @@
         }
     }
 
-    fn add_endpoint(&mut self, conn: Conn, side: Side, mut stream: TcpStream) -> io::Result<()> {
+    fn add_endpoint(&mut self, conn: ConnectionId, side: Side, mut stream: TcpStream) -> io::Result<()> {
         // Fails harmlessly on one that is still connecting.
         let _ = stream.set_nodelay(true);
         let index = self.next_token();
@@ -188,46 +188,46 @@
         while let Some(entry) = self.delayed.first_entry()
             && entry.key().0 <= now
         {
-            let operation = entry.remove();
-            if let (What::Send(side, bytes), Some(pair)) =
-                (&operation.what, self.pairs.get_mut(&operation.conn))
+            let scheduled = entry.remove();
+            if let (Operation::Send(side, bytes), Some(pair)) =
+                (&scheduled.operation, self.pairs.get_mut(&scheduled.connection))
             {
                 pair.delayed_bytes[*side as usize] -= bytes.len();
             }
-            self.execute(operation);
+            self.execute(scheduled);
         }
     }
 
     /// Executes the operations whose time has come, and delays the others.
-    fn schedule(&mut self, operations: Vec<Do>) {
+    fn schedule(&mut self, operations: Vec<ScheduledOperation>) {
         let now = self.now();
         // Keeps the order of a direction: an earlier operation may have become due meanwhile.
         self.execute_due(now);
-        for operation in operations {
+        for scheduled in operations {
             // An operation behind a delayed one has a later time, so it is delayed too.
-            if operation.at <= now {
-                self.execute(operation);
+            if scheduled.at <= now {
+                self.execute(scheduled);
                 continue;
             }
-            if let (What::Send(side, bytes), Some(pair)) =
-                (&operation.what, self.pairs.get_mut(&operation.conn))
+            if let (Operation::Send(side, bytes), Some(pair)) =
+                (&scheduled.operation, self.pairs.get_mut(&scheduled.connection))
             {
                 pair.delayed_bytes[*side as usize] += bytes.len();
             }
             self.delayed_count += 1;
-            self.delayed.insert((operation.at, self.delayed_count), operation);
+            self.delayed.insert((scheduled.at, self.delayed_count), scheduled);
         }
     }
 
     /// The token of one side of a connection.
-    fn endpoint(&self, conn: Conn, side: Side) -> Option<usize> {
+    fn endpoint(&self, conn: ConnectionId, side: Side) -> Option<usize> {
         self.pairs.get(&conn).and_then(|pair| pair.endpoints[side as usize])
     }
 
-    fn execute(&mut self, operation: Do) {
-        let conn = operation.conn;
-        match operation.what {
-            What::Send(side, bytes) => {
+    fn execute(&mut self, scheduled: ScheduledOperation) {
+        let conn = scheduled.connection;
+        match scheduled.operation {
+            Operation::Send(side, bytes) => {
                 let Some(index) = self.endpoint(conn, side) else { return };
                 if let Some(endpoint) = self.endpoints.get_mut(&index) {
                     endpoint.output.extend(bytes);
@@ -240,19 +240,19 @@
                     self.read(sender);
                 }
             }
-            What::End(side) => {
+            Operation::EndDirection(side) => {
                 let Some(index) = self.endpoint(conn, side) else { return };
                 if let Some(endpoint) = self.endpoints.get_mut(&index) {
                     endpoint.ending = true;
                 }
                 self.write(index);
             }
-            What::Close => self.close(conn, false),
-            What::Reset => self.close(conn, true),
+            Operation::Close => self.close(conn, false),
+            Operation::Reset => self.close(conn, true),
         }
     }
 
-    fn close(&mut self, conn: Conn, reset: bool) {
+    fn close(&mut self, conn: ConnectionId, reset: bool) {
         let Some(pair) = self.pairs.remove(&conn) else { return };
         for index in pair.endpoints.into_iter().flatten() {
             let Some(mut endpoint) = self.endpoints.remove(&index) else { continue };
@@ -265,7 +265,7 @@
             }
         }
         let now = self.now();
-        self.engine.closed(now, conn);
+        self.engine.on_closed(now, conn);
     }
 
     fn read(&mut self, index: usize) {
@@ -277,7 +277,7 @@
             if endpoint.ended {
                 return;
             }
-            let may_read = self.engine.wants(conn, side, self.unsent_bytes(conn, side));
+            let may_read = self.engine.may_read(conn, side, self.unsent_bytes(conn, side));
             let Some(endpoint) = self.endpoints.get_mut(&index) else { return };
             endpoint.paused = !may_read;
             if !may_read {
@@ -286,9 +286,9 @@
             let operations = match endpoint.stream.read(&mut chunk) {
                 Ok(0) => {
                     endpoint.ended = true;
-                    self.engine.ended(now, conn, side)
+                    self.engine.on_end(now, conn, side)
                 }
-                Ok(count) => self.engine.came(now, conn, side, &chunk[..count]),
+                Ok(count) => self.engine.on_bytes(now, conn, side, &chunk[..count]),
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     return;
                 }
@@ -300,7 +300,7 @@
     }
 
     /// Bytes from a side that are delayed or not yet written.
-    fn unsent_bytes(&self, conn: Conn, sender: Side) -> usize {
+    fn unsent_bytes(&self, conn: ConnectionId, sender: Side) -> usize {
         let receiver = sender.other();
         let delayed = self.pairs.get(&conn).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
         let receiver = self.endpoint(conn, receiver).and_then(|index| self.endpoints.get(&index));
@@ -334,7 +334,7 @@
     }
 
     /// Both sides have ended, and nothing is left to be sent, now or later.
-    fn is_over(&self, conn: Conn) -> bool {
+    fn is_over(&self, conn: ConnectionId) -> bool {
         let Some(pair) = self.pairs.get(&conn).filter(|pair| pair.delayed_bytes == [0, 0]) else {
             return false;
         };
@@ -351,8 +351,8 @@
             let (reply, operations) = control::carry_out(&mut self.engine, now, &command.line);
             self.schedule(operations);
             let text = match reply {
-                Reply::Now(text) => text,
-                Reply::Later { .. } => "error wait is for the control's socket".into(),
+                Reply::Immediate(text) => text,
+                Reply::Deferred { .. } => "error wait is for the control's socket".into(),
             };
             // A caller that did not wait needs no answer.
             let _ = command.answer.send(text);
@@ -377,8 +377,8 @@
             let (reply, operations) = control::carry_out(&mut self.engine, now, &line);
             self.schedule(operations);
             match reply {
-                Reply::Now(text) => self.control_clients.reply(index, &text),
-                Reply::Later { until, rule, hits } => {
+                Reply::Immediate(text) => self.control_clients.reply(index, &text),
+                Reply::Deferred { until, rule, hits } => {
                     self.control_clients.set_wait(index, Wait { until, rule, hits });
                 }
             }
--- a/crates/ladderpass-fault-injection/src/driver/run_summary.rs
+++ b/crates/ladderpass-fault-injection/src/driver/run_summary.rs
@@ -1,18 +1,18 @@
 //! What a run leaves behind.
 
-use crate::engine::Passed;
+use crate::engine::AttemptEvent;
 use crate::record::Decision;
 use ladderpass_routing::Time;
 
 /// What a run leaves behind.
 #[derive(Default)]
-pub struct Left {
+pub struct RunSummary {
     /// All decisions.
     pub record: Vec<Decision>,
     /// Names of the rules that never acted.
     pub never_fired: Vec<String>,
     /// Attempts of RPCs since the command `watch`; times since the tool's start.
-    pub passed: Vec<Passed>,
+    pub attempts: Vec<AttemptEvent>,
     /// When the tool started, as Unix time.
-    pub began: Time,
+    pub started_at: Time,
 }
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -11,8 +11,8 @@
 mod rpc_watch;
 
 pub use active_rule::RuleState;
-pub use operation::{Conn, Do, Opened, What};
-pub use rpc_watch::Passed;
+pub use operation::{ConnectionId, Opened, Operation, ScheduledOperation};
+pub use rpc_watch::AttemptEvent;
 
 use crate::errors::EngineError;
 use crate::plan::{Action, Plan, Rule, Side};
@@ -27,7 +27,7 @@
 use std::collections::HashMap;
 
 /// Bytes of one direction that may be held or delayed before its sender is no longer read.
-pub const BOUND: usize = 512 << 10;
+pub const MAX_HELD_BYTES: usize = 512 << 10;
 
 struct Connection {
     /// By sender.
@@ -53,7 +53,7 @@
     plan: Plan,
     started_at: Time,
     rules: Vec<ActiveRule>,
-    connections: HashMap<Conn, Connection>,
+    connections: HashMap<ConnectionId, Connection>,
     /// Connections opened by now, by link.
     opened: Vec<u64>,
     record: Vec<Decision>,
@@ -95,7 +95,7 @@
     /// # Errors
     ///
     /// If the rule is not valid, or an active one has its name.
-    pub fn add(&mut self, rule: Rule) -> Result<(), EngineError> {
+    pub fn add_rule(&mut self, rule: Rule) -> Result<(), EngineError> {
         rule.check(&self.plan)?;
         if self.rules.iter().any(|active| active.rule.name == rule.name && !active.lifted) {
             return Err(EngineError::DuplicateRule(rule.name));
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// If no rule of this name is active.
-    pub fn lift(&mut self, now: Time, name: &str) -> Result<Vec<Do>, EngineError> {
+    pub fn lift_rule(&mut self, now: Time, name: &str) -> Result<Vec<ScheduledOperation>, EngineError> {
         let found = self.rules.iter().position(|active| active.rule.name == name && !active.lifted);
         let index = found.ok_or_else(|| EngineError::UnknownRule(name.to_owned()))?;
         self.rules[index].lifted = true;
@@ -122,24 +122,32 @@
                 direction.held_by = None;
                 let bytes = std::mem::take(&mut direction.held);
                 if !bytes.is_empty() {
-                    todo.push(Do { conn, at: now, what: What::Send(to, bytes) });
+                    todo.push(ScheduledOperation {
+                        connection: conn,
+                        at: now,
+                        operation: Operation::Send(to, bytes),
+                    });
                 }
                 if direction.ended {
-                    todo.push(Do { conn, at: now, what: What::End(to) });
+                    todo.push(ScheduledOperation {
+                        connection: conn,
+                        at: now,
+                        operation: Operation::EndDirection(to),
+                    });
                 }
             }
         }
-        todo.sort_by_key(|operation| operation.conn);
+        todo.sort_by_key(|scheduled| scheduled.connection);
         Ok(todo)
     }
 
     /// Notes the attempts of RPCs from now on.
-    pub fn watch(&mut self) {
+    pub fn start_watch(&mut self) {
         self.rpc_watch.start();
     }
 
-    /// Takes the attempts noted since `watch`, and stops noting them.
-    pub fn passed(&mut self) -> Vec<Passed> {
+    /// Takes the attempts noted since `start_watch`, and stops noting them.
+    pub fn take_attempts(&mut self) -> Vec<AttemptEvent> {
         self.rpc_watch.take()
     }
 
@@ -159,13 +167,13 @@
     /// # Errors
     ///
     /// If there is no such link.
-    pub fn heal(&mut self, now: Time, link: &str) -> Result<Vec<Do>, EngineError> {
+    pub fn heal(&mut self, now: Time, link: &str) -> Result<Vec<ScheduledOperation>, EngineError> {
         let index = self.link_index(link)?;
         let mut todo = Vec::new();
         if !std::mem::take(&mut self.cut[index]) {
             return Ok(todo);
         }
-        let mut conns: Vec<Conn> =
+        let mut conns: Vec<ConnectionId> =
             self.connections.keys().filter(|conn| conn.link == index).copied().collect();
         conns.sort_unstable();
         for conn in conns {
@@ -187,7 +195,7 @@
     }
 
     /// The state of each rule, in the order in which they were added.
-    pub fn list(&self) -> Vec<RuleState<'_>> {
+    pub fn rule_states(&self) -> Vec<RuleState<'_>> {
         self.rules.iter().map(ActiveRule::state).collect()
     }
 
@@ -208,36 +216,47 @@
     }
 
     /// Whether a side may be read on. `late` is how many of its bytes the driver has yet to send.
-    pub fn wants(&self, conn: Conn, side: Side, late: usize) -> bool {
+    pub fn may_read(&self, conn: ConnectionId, side: Side, late: usize) -> bool {
         let Some(connection) = self.connections.get(&conn) else { return false };
         let direction = &connection.directions[side as usize];
         // A silent direction is read and dropped: its sender must not notice.
-        direction.silent || late + connection.stalled.bytes[side as usize] + direction.held_bytes() < BOUND
+        direction.silent
+            || late + connection.stalled.bytes[side as usize] + direction.held_bytes() < MAX_HELD_BYTES
     }
 
     /// A connection has been accepted on a link.
-    pub fn opened(&mut self, now: Time, link: usize) -> Opened {
+    pub fn on_accepted(&mut self, now: Time, link: usize) -> Opened {
         self.opened[link] += 1;
-        let conn = Conn { link, number: self.opened[link] };
-        let talk = self.plan.links[link].talk;
-        let directions = [Direction::new(talk, Side::Client), Direction::new(talk, Side::Server)];
+        let conn = ConnectionId { link, number: self.opened[link] };
+        let protocol = self.plan.links[link].protocol;
+        let directions = [Direction::new(protocol, Side::Client), Direction::new(protocol, Side::Server)];
         let connection = Connection { directions, over: false, stalled: Stalled::default() };
         self.connections.insert(conn, connection);
-        let unit = Unit { at: 0, kind: "open", bytes: Vec::new() };
+        let unit = Unit { offset: 0, kind: "open", bytes: Vec::new() };
         let (mut forwarded, mut operations) = (true, Vec::new());
         for index in self.triggered_rules(now, conn, Side::Client, &unit, true) {
             let refused = self.rules[index].rule.action == Action::Refuse;
             self.record_decision(index, conn, Side::Client, &unit, Vec::new());
             forwarded = false;
             if refused {
-                operations.push(Do { conn, at: now, what: What::Reset });
+                operations.push(ScheduledOperation {
+                    connection: conn,
+                    at: now,
+                    operation: Operation::Reset,
+                });
             }
         }
         Opened { connection: conn, forwarded, operations }
     }
 
     /// Bytes have arrived from a side.
-    pub fn came(&mut self, now: Time, conn: Conn, side: Side, bytes: &[u8]) -> Vec<Do> {
+    pub fn on_bytes(
+        &mut self,
+        now: Time,
+        conn: ConnectionId,
+        side: Side,
+        bytes: &[u8],
+    ) -> Vec<ScheduledOperation> {
         self.bytes += bytes.len() as u64;
         let Some(connection) = self.connections.get_mut(&conn) else { return Vec::new() };
         let units = connection.directions[side as usize].scanner.feed(bytes);
@@ -259,7 +278,7 @@
     }
 
     /// A side has ended its direction.
-    pub fn ended(&mut self, now: Time, conn: Conn, side: Side) -> Vec<Do> {
+    pub fn on_end(&mut self, now: Time, conn: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
         if side == Side::Client {
             self.rpc_watch.on_ended(now, conn);
         }
@@ -272,7 +291,7 @@
         self.end_direction(now, conn, side)
     }
 
-    fn end_direction(&mut self, now: Time, conn: Conn, side: Side) -> Vec<Do> {
+    fn end_direction(&mut self, now: Time, conn: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
         let mut todo = Vec::new();
         let Some(connection) = self.connections.get_mut(&conn) else { return todo };
         if let Some(unit) = connection.directions[side as usize].scanner.end() {
@@ -283,16 +302,24 @@
         direction.ended = true;
         let at = direction.free_at.max(now);
         if let Some(bytes) = direction.take_postponed() {
-            todo.push(Do { conn, at, what: What::Send(side.other(), bytes) });
+            todo.push(ScheduledOperation {
+                connection: conn,
+                at,
+                operation: Operation::Send(side.other(), bytes),
+            });
         }
         if direction.held_by.is_none() && !direction.silent {
-            todo.push(Do { conn, at, what: What::End(side.other()) });
+            todo.push(ScheduledOperation {
+                connection: conn,
+                at,
+                operation: Operation::EndDirection(side.other()),
+            });
         }
         todo
     }
 
     /// Both sockets of a connection are closed.
-    pub fn closed(&mut self, now: Time, conn: Conn) {
+    pub fn on_closed(&mut self, now: Time, conn: ConnectionId) {
         self.rpc_watch.on_ended(now, conn);
         self.connections.remove(&conn);
     }
@@ -301,14 +328,14 @@
     fn triggered_rules(
         &mut self,
         now: Time,
-        connection: Conn,
+        connection: ConnectionId,
         sender: Side,
         unit: &Unit,
         opens: bool,
     ) -> Vec<usize> {
         let elapsed_ms = (now - self.started_at).nanos() / 1_000_000;
         // Only where some rule waits for another one.
-        let needed = self.rules.iter().any(|active| active.rule.when.seen.is_some());
+        let needed = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
         let acted = self.rules.iter().filter(|active| needed && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
         let occurrence = Occurrence { connection, sender, unit, opens, elapsed_ms };
@@ -318,13 +345,20 @@
             .collect()
     }
 
-    fn record_decision(&mut self, index: usize, conn: Conn, side: Side, unit: &Unit, drawn: Vec<u64>) {
+    fn record_decision(
+        &mut self,
+        index: usize,
+        conn: ConnectionId,
+        side: Side,
+        unit: &Unit,
+        drawn: Vec<u64>,
+    ) {
         let rule = &self.rules[index].rule;
         self.record.push(Decision {
             link: self.plan.links[conn.link].name.clone(),
             conn: conn.number,
             side,
-            byte: unit.at,
+            byte: unit.offset,
             kind: unit.kind.to_owned(),
             rule: rule.name.clone(),
             action: rule.action.name().to_owned(),
@@ -333,14 +367,21 @@
     }
 
     /// The generator of a rule's draws for a unit.
-    fn random(&self, index: usize, conn: Conn, unit: &Unit) -> SmallRng {
+    fn random(&self, index: usize, conn: ConnectionId, unit: &Unit) -> SmallRng {
         let name = self.rules[index].rule.name.bytes();
         let name_hash = name.fold(0, |hash, byte| random::mix(hash, u64::from(byte)));
-        random::generator(self.plan.seed, [name_hash, conn.link as u64, conn.number, unit.at])
+        random::generator(self.plan.seed, [name_hash, conn.link as u64, conn.number, unit.offset])
     }
 
     /// Passes a unit to the other side, after the rules that it triggers.
-    fn pass_unit(&mut self, now: Time, conn: Conn, sender: Side, unit: Unit, todo: &mut Vec<Do>) {
+    fn pass_unit(
+        &mut self,
+        now: Time,
+        conn: ConnectionId,
+        sender: Side,
+        unit: Unit,
+        todo: &mut Vec<ScheduledOperation>,
+    ) {
         if self.connections.get(&conn).is_none_or(|connection| connection.over) {
             return;
         }
@@ -369,13 +410,20 @@
 
 impl Connection {
     /// Schedules what passes in place of a unit.
-    fn send(&mut self, now: Time, conn: Conn, sender: Side, passage: Passage, todo: &mut Vec<Do>) {
+    fn send(
+        &mut self,
+        now: Time,
+        conn: ConnectionId,
+        sender: Side,
+        passage: Passage,
+        todo: &mut Vec<ScheduledOperation>,
+    ) {
         let direction = &mut self.directions[sender as usize];
         let mut at = direction.free_at.max(now) + passage.delay;
-        if let Some(what) = passage.end_before {
+        if let Some(operation) = passage.end_before {
             // After a half-close the other direction goes on.
-            let ends_both = matches!(what, What::Close | What::Reset);
-            todo.push(Do { conn, at, what });
+            let ends_both = matches!(operation, Operation::Close | Operation::Reset);
+            todo.push(ScheduledOperation { connection: conn, at, operation });
             if ends_both {
                 self.over = true;
                 return;
@@ -383,12 +431,16 @@
         }
         for piece in passage.pieces.into_iter().filter(|piece| !piece.is_empty()) {
             at = direction.passed_at(at, &piece);
-            todo.push(Do { conn, at, what: What::Send(sender.other(), piece) });
+            todo.push(ScheduledOperation {
+                connection: conn,
+                at,
+                operation: Operation::Send(sender.other(), piece),
+            });
             at = at + passage.gap;
         }
         direction.free_at = at;
-        if let Some(what) = passage.end_after {
-            todo.push(Do { conn, at, what });
+        if let Some(operation) = passage.end_after {
+            todo.push(ScheduledOperation { connection: conn, at, operation });
             self.over = true;
         }
     }
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -1,6 +1,6 @@
 //! A rule of the engine, with its counts: whether a unit triggers it.
 
-use super::operation::Conn;
+use super::operation::ConnectionId;
 use crate::plan::{Rule, Side};
 use crate::stream::Unit;
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
 
 /// A unit, and where and when it passes.
 pub struct Occurrence<'a> {
-    pub connection: Conn,
+    pub connection: ConnectionId,
     pub sender: Side,
     pub unit: &'a Unit,
     /// The opening of a connection, in place of a unit.
@@ -80,9 +80,11 @@
             && self.link.is_none_or(|link| link == connection.link)
             && when.connection.is_none_or(|number| number == connection.number)
             && when.message.as_ref().is_none_or(|kind| kind == unit.kind)
-            && when.byte.is_none_or(|byte| (unit.at..unit.at + unit.bytes.len() as u64).contains(&byte))
-            && when.holds.as_ref().is_none_or(holds)
+            && when
+                .byte
+                .is_none_or(|byte| (unit.offset..unit.offset + unit.bytes.len() as u64).contains(&byte))
+            && when.contains.as_ref().is_none_or(holds)
             && when.after_ms.is_none_or(|ms| elapsed_ms >= ms as i64)
-            && when.seen.as_ref().is_none_or(|other| acted.contains(other))
+            && when.after_rule.as_ref().is_none_or(|other| acted.contains(other))
     }
 }
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -1,9 +1,9 @@
 //! State of one direction of a connection, and what passes in place of one unit of it.
 
-use super::operation::What;
-use crate::plan::{Action, Side, Talk};
+use super::operation::Operation;
+use crate::plan::{Action, Protocol, Side};
 use crate::random;
-use crate::stream::{Scanner, Unit};
+use crate::stream::{MessageScanner, Unit};
 use ladderpass_routing::{Span, Time};
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -13,7 +13,7 @@
 const LENGTH_BITS: usize = 32;
 
 pub struct Direction {
-    pub scanner: Scanner,
+    pub scanner: MessageScanner,
     /// No unit is sent before.
     pub free_at: Time,
     /// The rule that holds everything, by its index.
@@ -42,8 +42,8 @@
     pub delay: Span,
     /// Pause behind each piece.
     pub gap: Span,
-    pub end_before: Option<What>,
-    pub end_after: Option<What>,
+    pub end_before: Option<Operation>,
+    pub end_after: Option<Operation>,
 }
 
 impl Passage {
@@ -65,9 +65,9 @@
 }
 
 impl Direction {
-    pub fn new(talk: Talk, sender: Side) -> Direction {
+    pub fn new(protocol: Protocol, sender: Side) -> Direction {
         Direction {
-            scanner: Scanner::new(talk, sender),
+            scanner: MessageScanner::new(protocol, sender),
             free_at: Time::NEVER,
             held_by: None,
             held: Vec::new(),
@@ -102,8 +102,8 @@
     ) -> Vec<u64> {
         let mut drawn = Vec::new();
         match *action {
-            Action::Delay { ms, spread } => {
-                let factor = random::factor(random, spread);
+            Action::Delay { ms, distribution } => {
+                let factor = random::factor(random, distribution);
                 drawn.push((ms * factor * 1e3) as u64);
                 passage.delay += Span::from_secs_f64(ms * factor / 1e3);
             }
@@ -116,9 +116,9 @@
             Action::Drop => passage.pieces.clear(),
             Action::Swallow => self.swallowing = true,
             Action::Silence => self.silent = true,
-            Action::HalfClose { side } => passage.end_before = Some(What::End(side.other())),
-            Action::Close => passage.end_before = Some(What::Close),
-            Action::Reset => passage.end_before = Some(What::Reset),
+            Action::HalfClose { side } => passage.end_before = Some(Operation::EndDirection(side.other())),
+            Action::Close => passage.end_before = Some(Operation::Close),
+            Action::Reset => passage.end_before = Some(Operation::Reset),
             Action::Garble { bytes } => {
                 passage.edit(|message| drawn = garble(message, bytes, random));
             }
@@ -134,7 +134,7 @@
             }
             Action::Truncate { keep } => {
                 passage.edit(|message| message.truncate(keep as usize));
-                passage.end_after = Some(What::Close);
+                passage.end_after = Some(Operation::Close);
             }
             Action::Repeat => self.copy = self.copy.take().or(Some(Vec::new())),
             Action::Reorder => self.postponing = self.postponed.is_none(),
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -5,7 +5,7 @@
 
 /// A connection of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Conn {
+pub struct ConnectionId {
     /// Index of the link in the plan.
     pub link: usize,
     /// Number of the connection on that link, from 1 on.
@@ -14,33 +14,33 @@
 
 /// An operation on a connection, at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Do {
+pub struct ScheduledOperation {
     /// The connection.
-    pub conn: Conn,
+    pub connection: ConnectionId,
     /// Not before.
     pub at: Time,
     /// The operation.
-    pub what: What,
+    pub operation: Operation,
 }
 
 /// A connection that was accepted on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened {
     /// The connection.
-    pub connection: Conn,
+    pub connection: ConnectionId,
     /// Whether it is forwarded.
     pub forwarded: bool,
     /// What is done to it.
-    pub operations: Vec<Do>,
+    pub operations: Vec<ScheduledOperation>,
 }
 
 /// What is done to a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Operation {
     /// Bytes are sent to this side.
     Send(Side, Vec<u8>),
     /// The direction towards this side ends.
-    End(Side),
+    EndDirection(Side),
     /// Both ends are closed.
     Close,
     /// Both ends are reset.
--- a/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
+++ b/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
@@ -1,7 +1,7 @@
 //! What a watch notes of RPCs: when a statement arrived from whoever connected, and when its answer left or its connection
 //! ended. Judged here, between both sides, one attempt at a time does not depend on what either side believes.
 
-use super::operation::Conn;
+use super::operation::ConnectionId;
 use crate::plan::Side;
 use crate::stream::Unit;
 use ladderpass_routing::Time;
@@ -9,7 +9,7 @@
 
 /// The start or the end of an attempt, as the tool saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Passed {
+pub struct AttemptEvent {
     /// When, since the tool's start.
     pub at: Time,
     /// Index of the link in the plan.
@@ -23,9 +23,9 @@
 /// Notes attempts once it is started.
 #[derive(Default)]
 pub struct RpcWatch {
-    noted: Option<Vec<Passed>>,
+    noted: Option<Vec<AttemptEvent>>,
     /// The RPC on each connection whose statement passed and whose answer has not.
-    in_flight: HashMap<Conn, String>,
+    in_flight: HashMap<ConnectionId, String>,
 }
 
 impl RpcWatch {
@@ -34,12 +34,12 @@
     }
 
     /// Takes what was noted, and stops.
-    pub fn take(&mut self) -> Vec<Passed> {
+    pub fn take(&mut self) -> Vec<AttemptEvent> {
         self.noted.take().unwrap_or_default()
     }
 
     /// Notes what a unit shows of an RPC.
-    pub fn on_unit(&mut self, at: Time, connection: Conn, sender: Side, unit: &Unit) {
+    pub fn on_unit(&mut self, at: Time, connection: ConnectionId, sender: Side, unit: &Unit) {
         if self.noted.is_none() {
             return;
         }
@@ -55,15 +55,15 @@
     }
 
     /// The connection's attempt has ended: answered, or given up by whoever connected.
-    pub fn on_ended(&mut self, at: Time, connection: Conn) {
+    pub fn on_ended(&mut self, at: Time, connection: ConnectionId) {
         if let Some(id) = self.in_flight.remove(&connection) {
             self.note(at, connection, id, false);
         }
     }
 
-    fn note(&mut self, at: Time, connection: Conn, id: String, begins: bool) {
+    fn note(&mut self, at: Time, connection: ConnectionId, id: String, begins: bool) {
         if let Some(noted) = &mut self.noted {
-            noted.push(Passed { at, link: connection.link, id, begins });
+            noted.push(AttemptEvent { at, link: connection.link, id, begins });
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,9 +1,9 @@
 //! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command line.
 
 use clap::{Parser, Subcommand};
-use ladderpass_fault_injection::driver::Running;
+use ladderpass_fault_injection::driver::RunningTool;
 use ladderpass_fault_injection::errors::{PlanError, RecordError};
-use ladderpass_fault_injection::{Plan, difference, record};
+use ladderpass_fault_injection::{Plan, first_difference, record};
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
@@ -87,7 +87,7 @@
 /// Plays a plan until standard input ends; returns its decisions.
 fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
     let names: Vec<String> = plan.links.iter().map(|link| link.name.clone()).collect();
-    let running = Running::start(plan, control).map_err(CliError::Start)?;
+    let running = RunningTool::start(plan, control).map_err(CliError::Start)?;
     for (name, address) in names.iter().zip(&running.addresses) {
         println!("{name} {address}");
     }
@@ -117,7 +117,7 @@
             let before = record::read(&read_file(&record)?)
                 .map_err(|source| CliError::Record { path: record, source })?;
             let now = play(read_plan(&plan)?, None)?;
-            difference(&before, &now).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
+            first_difference(&before, &now).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -7,9 +7,9 @@
 mod drawn;
 mod yaml;
 
-pub use crate::talk::{Side, Talk};
-pub use datagrams::{DatagramRule, Deed, End, MeshPlan};
-pub use distribution::Spread;
+pub use crate::protocol::{Protocol, Side};
+pub use datagrams::{DatagramAction, DatagramPlan, DatagramRule, End};
+pub use distribution::Distribution;
 
 use crate::errors::PlanError;
 use serde::{Deserialize, Serialize};
@@ -27,14 +27,15 @@
     /// Where it forwards to, on loopback.
     pub to: SocketAddr,
     /// The protocol spoken on it.
-    #[serde(default)]
-    pub talk: Talk,
+    #[serde(default, rename = "talk")]
+    pub protocol: Protocol,
 }
 
 /// When a rule acts: all conditions that are given must hold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct When {
+// `expecting` keeps the text of an error for a wrong plan.
+#[serde(deny_unknown_fields, default, expecting = "struct When")]
+pub struct Trigger {
     /// Who sent the bytes.
     pub from: Side,
     /// The n-th connection of a link, from 1 on.
@@ -42,7 +43,8 @@
     /// A kind of message, such as `DataRow` or `Chunk`.
     pub message: Option<String>,
     /// A text in the message: an id, a method, a tag.
-    pub holds: Option<String>,
+    #[serde(rename = "holds")]
+    pub contains: Option<String>,
     /// The message that holds this byte of the direction, from 0 on.
     pub byte: Option<u64>,
     /// From the n-th match on, counted over all connections of a link.
@@ -50,7 +52,8 @@
     /// Not before this many milliseconds after the start.
     pub after_ms: Option<u64>,
     /// Not before this other rule has acted.
-    pub seen: Option<String>,
+    #[serde(rename = "seen")]
+    pub after_rule: Option<String>,
     /// The opening of a connection, instead of bytes on it.
     pub opens: bool,
 }
@@ -64,8 +67,8 @@
         /// Mean of the delay, in milliseconds.
         ms: f64,
         /// Distribution of the delay.
-        #[serde(default = "Spread::constant")]
-        spread: Spread,
+        #[serde(default = "Distribution::constant", rename = "spread")]
+        distribution: Distribution,
     },
     /// From it on the direction's rate is limited.
     Rate {
@@ -174,7 +177,7 @@
     pub link: Option<String>,
     /// When it acts.
     #[serde(default)]
-    pub when: When,
+    pub when: Trigger,
     /// What it does.
     #[serde(rename = "do")]
     pub action: Action,
@@ -200,7 +203,8 @@
     /// Who sends and receives datagrams.
     pub ends: Vec<End>,
     /// What is done to datagrams.
-    pub datagrams: Vec<DatagramRule>,
+    #[serde(rename = "datagrams")]
+    pub datagram_rules: Vec<DatagramRule>,
 }
 
 impl Plan {
@@ -216,8 +220,8 @@
     }
 
     /// The part that concerns datagrams.
-    pub fn mesh(&self) -> MeshPlan {
-        MeshPlan { seed: self.seed, ends: self.ends.clone(), rules: self.datagrams.clone() }
+    pub fn datagram_plan(&self) -> DatagramPlan {
+        DatagramPlan { seed: self.seed, ends: self.ends.clone(), rules: self.datagram_rules.clone() }
     }
 }
 
--- a/crates/ladderpass-fault-injection/src/plan/checks.rs
+++ b/crates/ladderpass-fault-injection/src/plan/checks.rs
@@ -2,7 +2,7 @@
 
 use super::{Action, Plan, Rule};
 use crate::errors::{PlanError, PlanProblem};
-use crate::talk::KINDS;
+use crate::protocol::MESSAGE_KINDS;
 
 /// The longest delay of an action, in milliseconds.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
@@ -28,7 +28,7 @@
                 return Err(PlanError::invalid(format!("links[{index}].name"), problem));
             }
         }
-        self.mesh().check_under("datagrams")?;
+        self.datagram_plan().check_under("datagrams")?;
         for (index, rule) in self.rules.iter().enumerate() {
             rule.check(self).map_err(|error| error.within(&format!("rules[{index}]")))?;
             if self.rules[..index].iter().any(|other| other.name == rule.name) {
@@ -62,12 +62,12 @@
             return Err(PlanError::invalid("link", PlanProblem::UnknownLink(link.clone())));
         }
         if let Some(kind) = &self.when.message
-            && !KINDS.contains(&kind.as_str())
+            && !MESSAGE_KINDS.contains(&kind.as_str())
         {
-            let problem = PlanProblem::UnknownName { name: kind.clone(), allowed: KINDS.join(", ") };
+            let problem = PlanProblem::UnknownName { name: kind.clone(), allowed: MESSAGE_KINDS.join(", ") };
             return Err(PlanError::invalid("when.message", problem));
         }
-        if let Some(other) = &self.when.seen
+        if let Some(other) = &self.when.after_rule
             && (*other == self.name || !plan.rules.iter().any(|rule| rule.name == *other))
         {
             return Err(PlanError::invalid("when.seen", PlanProblem::UnknownRule(other.clone())));
@@ -83,7 +83,7 @@
             _ => {}
         }
         if self.when.opens
-            && (self.when.message.is_some() || self.when.holds.is_some() || self.when.byte.is_some())
+            && (self.when.message.is_some() || self.when.contains.is_some() || self.when.byte.is_some())
         {
             return Err(PlanError::invalid("when.opens", PlanProblem::NoBytesAtOpening));
         }
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -1,7 +1,7 @@
 //! The part of a plan that concerns datagrams: the ends that exchange them, and rules. Field names are the keys of the file
 //! unless an attribute gives another.
 
-use super::distribution::Spread;
+use super::distribution::Distribution;
 use super::yaml::parse_yaml;
 use crate::errors::{PlanError, PlanProblem};
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 /// What a rule does to a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Deed {
+pub enum DatagramAction {
     /// It is lost.
     Drop,
     /// It arrives later.
@@ -33,8 +33,8 @@
         /// Mean of the delay, in milliseconds.
         ms: f64,
         /// Distribution of the delay.
-        #[serde(default = "Spread::constant")]
-        spread: Spread,
+        #[serde(default = "Distribution::constant", rename = "spread")]
+        distribution: Distribution,
     },
     /// It arrives twice.
     Duplicate {
@@ -52,7 +52,7 @@
     1.0
 }
 
-/// A rule for datagrams. Field names are the keys of the plan, but for `deed`.
+/// A rule for datagrams. Field names are the keys of the plan unless an attribute gives another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DatagramRule {
@@ -77,17 +77,17 @@
     #[serde(default)]
     pub for_ms: u64,
     /// Probability of acting on a datagram that matches.
-    #[serde(default = "always")]
-    pub part: f64,
+    #[serde(default = "always", rename = "part")]
+    pub probability: f64,
     /// What it does.
     #[serde(rename = "do")]
-    pub deed: Deed,
+    pub action: DatagramAction,
 }
 
 /// The part of a plan that concerns datagrams.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct MeshPlan {
+pub struct DatagramPlan {
     /// Seed of all random draws.
     pub seed: u64,
     /// Who sends and receives datagrams.
@@ -110,12 +110,14 @@
             let problem = PlanProblem::UnknownName { name: name.clone(), allowed: known.join(", ") };
             return Err(PlanError::invalid("from, to, split", problem));
         }
-        if !(0.0..=1.0).contains(&self.part) {
-            let problem = PlanProblem::OutOfRange { value: self.part, allowed: "0 to 1" };
+        if !(0.0..=1.0).contains(&self.probability) {
+            let problem = PlanProblem::OutOfRange { value: self.probability, allowed: "0 to 1" };
             return Err(PlanError::invalid("part", problem));
         }
-        match self.deed {
-            Deed::Delay { ms, .. } | Deed::Duplicate { ms } | Deed::Reorder { ms }
+        match self.action {
+            DatagramAction::Delay { ms, .. }
+            | DatagramAction::Duplicate { ms }
+            | DatagramAction::Reorder { ms }
                 if !(0.0..=MAX_DELAY_MS).contains(&ms) =>
             {
                 let problem = PlanProblem::OutOfRange { value: ms, allowed: "0 to 60000" };
@@ -126,14 +128,14 @@
     }
 }
 
-impl MeshPlan {
+impl DatagramPlan {
     /// Reads YAML and checks it.
     ///
     /// # Errors
     ///
     /// The first key that is wrong.
-    pub fn read(text: &str) -> Result<MeshPlan, PlanError> {
-        let plan: MeshPlan = parse_yaml(text)?;
+    pub fn read(text: &str) -> Result<DatagramPlan, PlanError> {
+        let plan: DatagramPlan = parse_yaml(text)?;
         plan.check()?;
         Ok(plan)
     }
--- a/crates/ladderpass-fault-injection/src/plan/distribution.rs
+++ b/crates/ladderpass-fault-injection/src/plan/distribution.rs
@@ -5,7 +5,7 @@
 /// Distribution of a random delay, by its mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Spread {
+pub enum Distribution {
     /// Always the mean.
     Constant,
     /// From 0 to twice the mean.
@@ -14,9 +14,9 @@
     Exponential,
 }
 
-impl Spread {
+impl Distribution {
     /// What holds where a plan does not say.
-    pub(super) fn constant() -> Spread {
-        Spread::Constant
+    pub(super) fn constant() -> Distribution {
+        Distribution::Constant
     }
 }
--- a/crates/ladderpass-fault-injection/src/plan/drawn.rs
+++ b/crates/ladderpass-fault-injection/src/plan/drawn.rs
@@ -1,6 +1,6 @@
 //! Plans with random rules, for combinations that nobody would write down.
 
-use super::{Action, LinkShape, Plan, Rule, Side, Spread, Talk, When};
+use super::{Action, Distribution, LinkShape, Plan, Protocol, Rule, Side, Trigger};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -20,7 +20,7 @@
 
 fn random_rule(random: &mut SmallRng, index: usize, links: &[LinkShape]) -> Rule {
     let link = links.get(random.random_range(0..links.len().max(1)));
-    let is_http = link.is_some_and(|link| link.talk == Talk::Http);
+    let is_http = link.is_some_and(|link| link.protocol == Protocol::Http);
     let kinds: &[&str] = if is_http {
         &["Head", "Chunk"]
     } else {
@@ -32,14 +32,14 @@
     };
     let action = random_action(random);
     let nth = Some(random.random_range(1..MAX_NTH));
-    let when = When { from, message: Some(kind.to_owned()), nth, ..When::default() };
+    let when = Trigger { from, message: Some(kind.to_owned()), nth, ..Trigger::default() };
     let times = TIMES[random.random_range(0..TIMES.len())];
     Rule { name: format!("drawn-{index}"), link: link.map(|link| link.name.clone()), when, action, times }
 }
 
 fn random_action(random: &mut SmallRng) -> Action {
     match random.random_range(0..14) {
-        0 => Action::Delay { ms: random.random_range(1.0..300.0), spread: Spread::Exponential },
+        0 => Action::Delay { ms: random.random_range(1.0..300.0), distribution: Distribution::Exponential },
         1 => Action::Rate { bytes_per_s: random.random_range(200..20_000) },
         2 => Action::Slice { gap_ms: random.random_range(0.0..2.0) },
         3 => Action::Drop,
--- a/crates/ladderpass-fault-injection/src/talk.rs
+++ b/crates/ladderpass-fault-injection/src/protocol.rs
@@ -26,7 +26,7 @@
 /// The protocol of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Talk {
+pub enum Protocol {
     /// PostgreSQL's wire protocol, version 3.
     #[default]
     Postgres,
@@ -37,7 +37,7 @@
 }
 
 /// Every kind of message that a rule may name.
-pub const KINDS: [&str; 22] = [
+pub const MESSAGE_KINDS: [&str; 22] = [
     "Startup",
     "Query",
     "Parse",
--- a/crates/ladderpass-fault-injection/src/random.rs
+++ b/crates/ladderpass-fault-injection/src/random.rs
@@ -1,6 +1,6 @@
 //! Random draws that depend on a seed and on what they are for, not on what else has happened.
 
-use crate::plan::Spread;
+use crate::plan::Distribution;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::Exp1;
@@ -20,10 +20,10 @@
 }
 
 /// A factor with the mean 1.
-pub fn factor(random: &mut SmallRng, spread: Spread) -> f64 {
-    match spread {
-        Spread::Constant => 1.0,
-        Spread::Uniform => random.random::<f64>() * 2.0,
-        Spread::Exponential => random.sample(Exp1),
+pub fn factor(random: &mut SmallRng, distribution: Distribution) -> f64 {
+    match distribution {
+        Distribution::Constant => 1.0,
+        Distribution::Uniform => random.random::<f64>() * 2.0,
+        Distribution::Exponential => random.sample(Exp1),
     }
 }
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -47,7 +47,7 @@
 }
 
 /// The first line in which two records differ, with both forms of it; None where they are the same.
-pub fn difference(one: &[Decision], two: &[Decision]) -> Option<String> {
+pub fn first_difference(one: &[Decision], two: &[Decision]) -> Option<String> {
     let (one, two) = (lines(one), lines(two));
     let (mut ones, mut twos) = (one.lines(), two.lines());
     for number in 1.. {
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -2,13 +2,13 @@
 //! the bytes are split into reads, the messages are the same, which makes runs repeatable. From the first bytes on that
 //! can't be a message, a stream passes as plain bytes.
 
-use crate::talk::{Side, Talk};
+use crate::protocol::{Protocol, Side};
 
 /// A part of a stream that rules can act on: a complete message, or bytes that belong to none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unit {
     /// Where in its direction it begins, in bytes.
-    pub at: u64,
+    pub offset: u64,
     /// A message's name, or `bytes`, `rest` or `cut` where it is none.
     pub kind: &'static str,
     /// Its bytes.
@@ -16,17 +16,17 @@
 }
 
 /// The longest message that is buffered until it is complete; a longer one passes in pieces.
-pub const WHOLE: usize = 256 << 10;
+pub const MAX_BUFFERED_MESSAGE_BYTES: usize = 256 << 10;
 
 /// The longest chunk size line of HTTP.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
 
 /// Finds the messages of one direction of a connection.
 #[derive(Debug)]
-pub struct Scanner {
-    talk: Talk,
+pub struct MessageScanner {
+    protocol: Protocol,
     side: Side,
-    at: u64,
+    offset: u64,
     buffer: Vec<u8>,
     expected: Expected,
 }
@@ -42,20 +42,20 @@
     Bytes,
 }
 
-impl Scanner {
+impl MessageScanner {
     /// A scanner of what `side` sends on a connection, from its first byte on.
-    pub fn new(talk: Talk, side: Side) -> Scanner {
+    pub fn new(protocol: Protocol, side: Side) -> MessageScanner {
         // PostgreSQL servers begin with frames; the one byte that answers an SSLRequest is none, and passes as bytes.
-        let expected = match (talk, side) {
-            (Talk::Raw, _) => Expected::Bytes,
-            (Talk::Postgres, Side::Server) => Expected::Message,
+        let expected = match (protocol, side) {
+            (Protocol::Raw, _) => Expected::Bytes,
+            (Protocol::Postgres, Side::Server) => Expected::Message,
             _ => Expected::First,
         };
-        Scanner { talk, side, at: 0, buffer: Vec::new(), expected }
+        MessageScanner { protocol, side, offset: 0, buffer: Vec::new(), expected }
     }
 
     /// Bytes that are buffered until their message is complete.
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
@@ -91,8 +91,8 @@
             };
             let rest = self.buffer.split_off(length);
             let bytes = std::mem::replace(&mut self.buffer, rest);
-            units.push(Unit { at: self.at, kind, bytes });
-            self.at += length as u64;
+            units.push(Unit { offset: self.offset, kind, bytes });
+            self.offset += length as u64;
         }
         units
     }
@@ -100,20 +100,20 @@
     /// What is buffered when the sender has ended its direction: a message cut short.
     pub fn end(&mut self) -> Option<Unit> {
         let bytes = std::mem::take(&mut self.buffer);
-        let at = self.at;
-        self.at += bytes.len() as u64;
-        (!bytes.is_empty()).then_some(Unit { at, kind: "cut", bytes })
+        let offset = self.offset;
+        self.offset += bytes.len() as u64;
+        (!bytes.is_empty()).then_some(Unit { offset, kind: "cut", bytes })
     }
 
     fn next(&self) -> Next {
-        match (self.talk, self.expected) {
-            (Talk::Postgres, Expected::First) => match self.buffer.first_chunk::<4>() {
+        match (self.protocol, self.expected) {
+            (Protocol::Postgres, Expected::First) => match self.buffer.first_chunk::<4>() {
                 None => Next::Incomplete,
                 Some(four) => {
                     Next::from_length("Startup", u64::from(u32::from_be_bytes(*four)), 4, self.buffer.len())
                 }
             },
-            (Talk::Postgres, _) => {
+            (Protocol::Postgres, _) => {
                 let (Some(&kind), Some(four)) =
                     (self.buffer.first(), self.buffer.get(1..).and_then(|rest| rest.first_chunk::<4>()))
                 else {
@@ -125,16 +125,16 @@
                 let length = u64::from(u32::from_be_bytes(*four));
                 Next::from_length(frame_kind(self.side, kind), length + 1, 5, self.buffer.len())
             }
-            (Talk::Http, Expected::First) => {
+            (Protocol::Http, Expected::First) => {
                 match self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
                     Some(end) => Next::Complete("Head", end + 4),
-                    None if self.buffer.len() > WHOLE => Next::NoMessage,
+                    None if self.buffer.len() > MAX_BUFFERED_MESSAGE_BYTES => Next::NoMessage,
                     None => Next::Incomplete,
                 }
             }
             // A request has a head alone; behind that of a response come chunks.
-            (Talk::Http, _) if self.side == Side::Client => Next::NoMessage,
-            (Talk::Http, _) => {
+            (Protocol::Http, _) if self.side == Side::Client => Next::NoMessage,
+            (Protocol::Http, _) => {
                 let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") else {
                     return if self.buffer.len() > MAX_CHUNK_HEAD_BYTES {
                         Next::NoMessage
@@ -153,7 +153,7 @@
                     Err(_) => Next::NoMessage,
                 }
             }
-            (Talk::Raw, _) => Next::NoMessage,
+            (Protocol::Raw, _) => Next::NoMessage,
         }
     }
 }
@@ -174,7 +174,7 @@
     fn from_length(kind: &'static str, length: u64, head: usize, buffered: usize) -> Next {
         match length {
             length if length < head as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
-            length if length > WHOLE as u64 => Next::TooLong(kind, head, length),
+            length if length > MAX_BUFFERED_MESSAGE_BYTES as u64 => Next::TooLong(kind, head, length),
             length if length <= buffered as u64 => Next::Complete(kind, length as usize),
             _ => Next::Incomplete,
         }
--- a/crates/ladderpass-fault-injection/tests/mesh.rs
+++ b/crates/ladderpass-fault-injection/tests/datagram_driver.rs
@@ -1,7 +1,7 @@
 //! Datagrams and cut links over loopback: the addresses that ends see, and what a cut holds back.
 
-use ladderpass_fault_injection::driver::Running;
-use ladderpass_fault_injection::{Plan, RunningMesh};
+use ladderpass_fault_injection::driver::RunningTool;
+use ladderpass_fault_injection::{Plan, RunningDatagrams};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
@@ -32,23 +32,23 @@
         two.local_addr().expect("bound")
     );
     let plan = Plan::read(&text).expect("allowed");
-    let mesh = RunningMesh::start(plan.mesh()).expect("it starts");
+    let datagrams = RunningDatagrams::start(plan.datagram_plan()).expect("it starts");
     one.send_to(b"hello", public_two).expect("sent");
     assert_eq!(receive(&two), Some((b"hello".to_vec(), public_one)));
     two.send_to(b"there", public_one).expect("sent");
     assert_eq!(receive(&one), Some((b"there".to_vec(), public_two)));
     let rule = |text: &str| serde_json::from_str(text).expect("a rule");
-    mesh.add(rule(r#"{"name": "cut", "from": ["a"], "do": "drop"}"#)).expect("allowed");
+    datagrams.add_rule(rule(r#"{"name": "cut", "from": ["a"], "do": "drop"}"#)).expect("allowed");
     one.send_to(b"lost", public_two).expect("sent");
     two.send_to(b"back", public_one).expect("sent");
     assert_eq!(receive(&one).map(|(bytes, _)| bytes), Some(b"back".to_vec()));
     assert_eq!(receive(&two), None);
-    assert!(mesh.lift("cut"));
-    mesh.add(rule(r#"{"name": "twice", "do": {"duplicate": {"ms": 20}}}"#)).expect("allowed");
+    assert!(datagrams.lift_rule("cut"));
+    datagrams.add_rule(rule(r#"{"name": "twice", "do": {"duplicate": {"ms": 20}}}"#)).expect("allowed");
     one.send_to(b"again", public_two).expect("sent");
     assert!(receive(&two).is_some() && receive(&two).is_some() && receive(&two).is_none());
-    assert_eq!(mesh.sent()[0].datagrams, 3);
-    assert_eq!(mesh.hits(), [("cut".to_owned(), 1), ("twice".to_owned(), 1)]);
+    assert_eq!(datagrams.traffic()[0].datagrams, 3);
+    assert_eq!(datagrams.hits(), [("cut".to_owned(), 1), ("twice".to_owned(), 1)]);
     // A datagram of an unknown sender comes from the receiver's own address.
     let stranger = socket();
     stranger.send_to(b"boo", public_two).expect("sent");
@@ -60,7 +60,7 @@
     let server = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let to = server.local_addr().expect("bound");
     let text = format!("{{links: [{{name: l, listen: '127.0.0.1:0', to: '{to}', talk: raw}}]}}");
-    let tool = Running::start(Plan::read(&text).expect("allowed"), None).expect("it starts");
+    let tool = RunningTool::start(Plan::read(&text).expect("allowed"), None).expect("it starts");
     let mut client = TcpStream::connect(tool.addresses[0]).expect("it listens");
     let (mut served, _) = server.accept().expect("it leads on");
     for stream in [&client, &served] {
@@ -69,14 +69,14 @@
     let mut buffer = [0; 16];
     client.write_all(b"one").expect("written");
     assert_eq!(served.read(&mut buffer).expect("it came"), 3);
-    tool.say("cut l").expect("it is there");
+    tool.send_command("cut l").expect("it is there");
     client.write_all(b"two").expect("written");
     served.write_all(b"three").expect("written");
     assert!(served.read(&mut buffer).is_err() && client.read(&mut buffer).is_err());
-    tool.say("heal l").expect("it is there");
+    tool.send_command("heal l").expect("it is there");
     assert_eq!(served.read(&mut buffer).expect("it came"), 3);
     assert_eq!(client.read(&mut buffer).expect("it came"), 5);
-    assert!(tool.say("cut m").is_err());
+    assert!(tool.send_command("cut m").is_err());
 }
 
 #[test]
@@ -87,7 +87,7 @@
         "{{links: [{{name: l, listen: '127.0.0.1:0', to: '{to}', talk: raw}}], \
          rules: [{{name: r, when: {{opens: true}}, do: refuse, times: 2000}}]}}"
     );
-    let tool = Running::start(Plan::read(&text).expect("allowed"), None).expect("it starts");
+    let tool = RunningTool::start(Plan::read(&text).expect("allowed"), None).expect("it starts");
     let address = tool.addresses[0];
     let refused: usize = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..20)
--- a/crates/ladderpass-fault-injection/tests/datagrams.rs
+++ b/crates/ladderpass-fault-injection/tests/datagrams.rs
@@ -1,50 +1,50 @@
 //! Datagrams: what a rule cuts, random draws that repeat, and errors that name the key.
 
-use ladderpass_fault_injection::datagrams::Mesh;
-use ladderpass_fault_injection::{MeshPlan, Sent};
+use ladderpass_fault_injection::datagrams::DatagramEngine;
+use ladderpass_fault_injection::{DatagramPlan, TrafficCounts};
 use ladderpass_routing::Span;
 
-fn mesh(rules: &str) -> Mesh {
+fn engine(rules: &str) -> DatagramEngine {
     let ends: Vec<String> = (0..4)
         .map(|n| format!("{{name: r{n}, address: '127.0.0.1:{}', to: '127.0.0.2:{}'}}", 100 + n, 100 + n))
         .collect();
     let text = format!("{{seed: 7, ends: [{}], rules: {rules}}}", ends.join(", "));
-    Mesh::new(MeshPlan::read(&text).expect("allowed"))
+    DatagramEngine::new(DatagramPlan::read(&text).expect("allowed"))
 }
 
 fn at(ms: i64) -> Span {
     Span::from_millis(ms)
 }
 
-fn passes(mesh: &mut Mesh, ms: i64, from: usize, to: usize) -> bool {
-    !mesh.came(at(ms), from, to, 10).is_empty()
+fn passes(engine: &mut DatagramEngine, ms: i64, from: usize, to: usize) -> bool {
+    !engine.on_datagram(at(ms), from, to, 10).is_empty()
 }
 
 #[test]
 fn a_cut_is_one_way_or_both_by_name_or_by_side_and_can_be_lifted() {
-    let mut one = mesh("[{name: a, from: [r0], to: [r1, r2], after_ms: 100, for_ms: 100, do: drop}]");
+    let mut one = engine("[{name: a, from: [r0], to: [r1, r2], after_ms: 100, for_ms: 100, do: drop}]");
     assert!(passes(&mut one, 50, 0, 1) && passes(&mut one, 200, 0, 1));
     assert!(!passes(&mut one, 150, 0, 1) && !passes(&mut one, 150, 0, 2));
     assert!(passes(&mut one, 150, 1, 0) && passes(&mut one, 150, 0, 3));
-    let mut both = mesh("[{name: a, from: [r0], to: [r1], both: true, do: drop}]");
+    let mut both = engine("[{name: a, from: [r0], to: [r1], both: true, do: drop}]");
     assert!(!passes(&mut both, 0, 0, 1) && !passes(&mut both, 0, 1, 0) && passes(&mut both, 0, 1, 2));
-    let mut split = mesh("[{name: a, split: [[r0, r1], [r2]], do: drop}]");
+    let mut split = engine("[{name: a, split: [[r0, r1], [r2]], do: drop}]");
     let got: Vec<bool> =
         [(0, 1), (0, 2), (2, 1), (3, 0)].map(|(from, to)| passes(&mut split, 0, from, to)).to_vec();
     assert_eq!(got, [true, false, false, false]);
     assert_eq!(split.hits().next(), Some(("a", 3)));
-    assert!(split.lift("a") && !split.lift("a") && passes(&mut split, 0, 0, 2));
+    assert!(split.lift_rule("a") && !split.lift_rule("a") && passes(&mut split, 0, 0, 2));
 }
 
 #[test]
 fn draws_are_the_same_for_a_seed_whatever_else_is_sent() {
     let rules = "[{name: a, part: 0.3, do: drop}, {name: b, part: 0.5, do: {duplicate: {ms: 5}}}, {name: c, do: {reorder: {ms: 20}}}]";
-    let (mut one, mut two) = (mesh(rules), mesh(rules));
-    let alone: Vec<_> = (0..300).map(|n| one.came(at(n), 0, 1, 10)).collect();
+    let (mut one, mut two) = (engine(rules), engine(rules));
+    let alone: Vec<_> = (0..300).map(|n| one.on_datagram(at(n), 0, 1, 10)).collect();
     let beside_others: Vec<_> = (0..300)
         .map(|n| {
-            two.came(at(n), 2, 3, 10);
-            two.came(at(n), 0, 1, 10)
+            two.on_datagram(at(n), 2, 3, 10);
+            two.on_datagram(at(n), 0, 1, 10)
         })
         .collect();
     assert_eq!(alone, beside_others);
@@ -52,7 +52,7 @@
     let twice = alone.iter().filter(|copies| copies.len() == 2).count();
     assert!((60..120).contains(&lost) && (70..140).contains(&twice), "{lost} {twice}");
     assert!(alone.iter().flatten().all(|delay| *delay < at(25)));
-    assert_eq!(one.sent()[0], Sent { datagrams: 300, bytes: 3000 });
+    assert_eq!(one.traffic()[0], TrafficCounts { datagrams: 300, bytes: 3000 });
 }
 
 #[test]
@@ -65,7 +65,7 @@
         (format!("{ends}\nrules: [{{name: r, do: {{delay: {{ms: -1}}}}}}]"), "do.ms"),
         (format!("{ends}\nrules: [{{name: r, do: vanish}}]"), "rules[0].do"),
     ] {
-        let error = MeshPlan::read(&text).expect_err(&text).to_string();
+        let error = DatagramPlan::read(&text).expect_err(&text).to_string();
         assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
 }
--- a/crates/ladderpass-fault-injection/tests/driver.rs
+++ b/crates/ladderpass-fault-injection/tests/driver.rs
@@ -1,7 +1,7 @@
 //! The sockets: delayed bytes when both sides have ended, and their order.
 
 use ladderpass_fault_injection::Plan;
-use ladderpass_fault_injection::driver::Running;
+use ladderpass_fault_injection::driver::RunningTool;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
@@ -14,7 +14,7 @@
         server.local_addr().expect("bound")
     );
     let rules = "rules: [{name: s, do: {slice: {gap_ms: 2}}}]\n";
-    let tool = Running::start(Plan::read(&(links + rules)).expect("allowed"), None).expect("it starts");
+    let tool = RunningTool::start(Plan::read(&(links + rules)).expect("allowed"), None).expect("it starts");
     let answers = std::thread::spawn(move || {
         let (mut stream, _) = server.accept().expect("it comes");
         let mut asked = Vec::new();
@@ -39,7 +39,7 @@
         server.local_addr().expect("bound")
     );
     let rules = "rules: [{name: d, when: {byte: 0}, do: {delay: {ms: 0.005}}, times: 0}]\n";
-    let tool = Running::start(Plan::read(&(links + rules)).expect("allowed"), None).expect("it starts");
+    let tool = RunningTool::start(Plan::read(&(links + rules)).expect("allowed"), None).expect("it starts");
     let sent: Vec<u8> = (0..60_000u32).flat_map(u32::to_be_bytes).collect();
     for nth in 0..50 {
         let mut stream = TcpStream::connect(tool.addresses[0]).expect("it listens");
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -2,7 +2,7 @@
 
 use ladderpass_fault_injection::engine::{Opened, RuleState};
 use ladderpass_fault_injection::record::lines;
-use ladderpass_fault_injection::{Do, Engine, Plan, Side, What, difference};
+use ladderpass_fault_injection::{Engine, Operation, Plan, ScheduledOperation, Side, first_difference};
 use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
 
@@ -29,15 +29,15 @@
 
 /// What reaches the client of a first connection when the server sends `bytes` in slices, the other operations, and the
 /// record.
-fn passed(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<What>, String) {
+fn passed(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<Operation>, String) {
     let mut engine = engine(rules);
-    let conn = engine.opened(at(0), 0).connection;
-    let todo: Vec<Do> =
-        bytes.chunks(slice).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
+    let conn = engine.on_accepted(at(0), 0).connection;
+    let todo: Vec<ScheduledOperation> =
+        bytes.chunks(slice).flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
     let (mut out, mut other) = (Vec::new(), Vec::new());
     for one in todo {
-        match one.what {
-            What::Send(Side::Client, bytes) => out.extend(bytes),
+        match one.operation {
+            Operation::Send(Side::Client, bytes) => out.extend(bytes),
             what => other.push(what),
         }
     }
@@ -74,11 +74,11 @@
     let differ: Vec<usize> = (0..out.len()).filter(|&nth| out[nth] != two[nth]).collect();
     assert!(differ.len() == 1 && (10..14).contains(&differ[0]), "{differ:?}");
     let (out, other, _) = all("{name: r, when: {message: DataRow}, do: {truncate: {keep: 2}}}");
-    assert_eq!((out.len(), &other[..]), (11, &[What::Close][..]));
+    assert_eq!((out.len(), &other[..]), (11, &[Operation::Close][..]));
     let (out, other, _) =
         all("{name: r, when: {message: CommandComplete}, do: {half_close: {side: server}}}");
-    assert_eq!((out.len(), &other[..]), (two.len(), &[What::End(Side::Client)][..]));
-    for (action, what) in [("close", What::Close), ("reset", What::Reset)] {
+    assert_eq!((out.len(), &other[..]), (two.len(), &[Operation::EndDirection(Side::Client)][..]));
+    for (action, what) in [("close", Operation::Close), ("reset", Operation::Reset)] {
         let (out, other, _) = all(&format!("{{name: r, when: {{message: CommandComplete}}, do: {action}}}"));
         assert_eq!((out, other), ([frame(b'T', b"cols"), row(b"one")].concat(), vec![what]));
     }
@@ -92,33 +92,32 @@
     let mut engine = engine(
         "  - {name: r, when: {message: DataRow}, do: {delay: {ms: 20}}}\n  - {name: s, when: {message: CommandComplete}, do: {slice: {gap_ms: 1}}}\n",
     );
-    let conn = engine.opened(at(0), 0).connection;
-    let todo = engine.came(at(0), conn, Side::Server, &response(b"one"));
+    let conn = engine.on_accepted(at(0), 0).connection;
+    let todo = engine.on_bytes(at(0), conn, Side::Server, &response(b"one"));
     let times: Vec<i64> = todo.iter().map(|one| (one.at - at(0)).nanos() / 1_000_000).collect();
     assert_eq!((times[0], times[1], times[2], times.last()), (0, 20, 20, Some(&36)), "{times:?}");
     assert!(times.is_sorted() && todo.len() == 3 + 16);
     let mut engine = self::engine("  - {name: r, when: {message: DataRow}, do: hold}\n");
-    let conn = engine.opened(at(0), 0).connection;
+    let conn = engine.on_accepted(at(0), 0).connection;
     assert_eq!(
-        engine.came(at(0), conn, Side::Server, &response(b"one")).len(),
+        engine.on_bytes(at(0), conn, Side::Server, &response(b"one")).len(),
         1,
         "what is before it passes"
     );
-    assert!(engine.lift(at(5), "q").is_err());
-    let todo = engine.lift(at(5), "r").expect("it is there");
-    assert!(
-        matches!(&todo[..], [Do { what: What::Send(Side::Client, bytes), .. }] if bytes.len() == response(b"one").len() - 9)
-    );
+    assert!(engine.lift_rule(at(5), "q").is_err());
+    let todo = engine.lift_rule(at(5), "r").expect("it is there");
+    assert!(matches!(&todo[..], [ScheduledOperation { operation: Operation::Send(Side::Client, bytes), .. }]
+            if bytes.len() == response(b"one").len() - 9));
     // Held without end: at the limit the sender is no longer read.
     let mut engine = self::engine("  - {name: r, do: hold}\n");
-    let conn = engine.opened(at(0), 0).connection;
-    while engine.wants(conn, Side::Server, 0) {
-        engine.came(at(0), conn, Side::Server, &frame(b'D', &[0; 60_000]));
+    let conn = engine.on_accepted(at(0), 0).connection;
+    while engine.may_read(conn, Side::Server, 0) {
+        engine.on_bytes(at(0), conn, Side::Server, &frame(b'D', &[0; 60_000]));
     }
     let rate = "  - {name: r, do: {rate: {bytes_per_s: 1000}}}\n";
     let mut engine = self::engine(rate);
-    let conn = engine.opened(at(0), 0).connection;
-    let todo = engine.came(at(0), conn, Side::Server, &frame(b'D', &[0; 495]));
+    let conn = engine.on_accepted(at(0), 0).connection;
+    let todo = engine.on_bytes(at(0), conn, Side::Server, &frame(b'D', &[0; 495]));
     assert_eq!(todo[0].at, at(500));
 }
 
@@ -131,24 +130,24 @@
     let mut engine = engine(rules);
     let startup = [&8u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat();
     let query = [startup, frame(b'Q', b"x\0")].concat();
-    let Opened { connection: one, forwarded, .. } = engine.opened(at(0), 0);
+    let Opened { connection: one, forwarded, .. } = engine.on_accepted(at(0), 0);
     assert!(forwarded);
-    assert_eq!(engine.came(at(0), one, Side::Client, &query).len(), 2);
+    assert_eq!(engine.on_bytes(at(0), one, Side::Client, &query).len(), 2);
     assert_eq!(
-        engine.came(at(0), one, Side::Server, &response(b"v")).len(),
+        engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(),
         4,
         "the other rule has not acted yet"
     );
-    let two = engine.opened(at(0), 0).connection;
-    assert_eq!(engine.came(at(0), two, Side::Client, &query).len(), 1);
-    assert_eq!(engine.came(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
-    let Opened { forwarded, operations: todo, .. } = engine.opened(at(0), 0);
-    assert!(!forwarded && todo[0].what == What::Reset);
+    let two = engine.on_accepted(at(0), 0).connection;
+    assert_eq!(engine.on_bytes(at(0), two, Side::Client, &query).len(), 1);
+    assert_eq!(engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
+    let Opened { forwarded, operations: todo, .. } = engine.on_accepted(at(0), 0);
+    assert!(!forwarded && todo[0].operation == Operation::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
-    assert_eq!(engine.list()[0], RuleState { name: "first", hits: 1, live: false });
+    assert_eq!(engine.rule_states()[0], RuleState { name: "first", hits: 1, live: false });
     assert!(
         engine
-            .add(ladderpass_fault_injection::Rule::read("{name: never, do: drop}").expect("a rule"))
+            .add_rule(ladderpass_fault_injection::Rule::read("{name: never, do: drop}").expect("a rule"))
             .is_err()
     );
 }
@@ -160,24 +159,28 @@
         let bytes: Vec<u8> = values.iter().flat_map(|value| response(value)).collect();
         let run = |slice: usize| {
             let mut engine = Engine::new(at(0), Plan::drawn(seed, 12, links.clone()));
-            let conn = engine.opened(at(0), 0).connection;
-            let todo: Vec<Do> = bytes.chunks(slice).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
+            let conn = engine.on_accepted(at(0), 0).connection;
+            let parts = bytes.chunks(slice);
+            let todo: Vec<ScheduledOperation> =
+                parts.flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
             (todo, engine.record().to_vec())
         };
         let (one, two) = (run(bytes.len().max(1)), run(slice % 50 + 1));
-        assert_eq!(difference(&one.1, &two.1), None);
+        assert_eq!(first_difference(&one.1, &two.1), None);
         one.0 == two.0
     }
 
     /// Without rules the bytes are unchanged.
     fn without_rules_bytes_pass(bytes: Vec<u8>, slice: usize) -> bool {
         let mut engine = engine(" []\n");
-        let conn = engine.opened(at(0), 0).connection;
-        let mut todo: Vec<Do> = bytes.chunks(slice % 20 + 1).flat_map(|part| engine.came(at(1), conn, Side::Server, part)).collect();
-        todo.extend(engine.ended(at(2), conn, Side::Server));
+        let conn = engine.on_accepted(at(0), 0).connection;
+        let parts = bytes.chunks(slice % 20 + 1);
+        let mut todo: Vec<ScheduledOperation> =
+            parts.flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
+        todo.extend(engine.on_end(at(2), conn, Side::Server));
         let mut out = Vec::new();
         for one in todo {
-            if let What::Send(Side::Client, bytes) = one.what {
+            if let Operation::Send(Side::Client, bytes) = one.operation {
                 out.extend(bytes);
             }
         }
--- a/crates/ladderpass-fault-injection/tests/stream.rs
+++ b/crates/ladderpass-fault-injection/tests/stream.rs
@@ -1,15 +1,15 @@
 //! Messages in a stream of bytes, however it is sliced.
 
-use ladderpass_fault_injection::stream::{Scanner, Unit, WHOLE};
-use ladderpass_fault_injection::{Side, Talk};
+use ladderpass_fault_injection::stream::{MAX_BUFFERED_MESSAGE_BYTES, MessageScanner, Unit};
+use ladderpass_fault_injection::{Protocol, Side};
 use quickcheck::quickcheck;
 
 fn frame(kind: u8, body: &[u8]) -> Vec<u8> {
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-fn units(talk: Talk, side: Side, bytes: &[u8], slices: &[u8]) -> Vec<Unit> {
-    let mut scanner = Scanner::new(talk, side);
+fn units(protocol: Protocol, side: Side, bytes: &[u8], slices: &[u8]) -> Vec<Unit> {
+    let mut scanner = MessageScanner::new(protocol, side);
     let (mut rest, mut found, mut nth) = (bytes, Vec::new(), 0);
     while !rest.is_empty() {
         let count = slices.get(nth).map_or(rest.len(), |&slice| usize::from(slice) + 1).min(rest.len());
@@ -26,18 +26,19 @@
     let startup = [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], &[0; 4]].concat();
     let bytes = [startup, frame(b'Q', b"x\0"), frame(b'X', b"")].concat();
     let kinds: Vec<_> =
-        units(Talk::Postgres, Side::Client, &bytes, &[]).iter().map(|unit| unit.kind).collect();
+        units(Protocol::Postgres, Side::Client, &bytes, &[]).iter().map(|unit| unit.kind).collect();
     assert_eq!(kinds, ["Startup", "Query", "Terminate"]);
     let bytes = [frame(b'T', b"1"), frame(b'D', b"22"), b"\x07noise".to_vec()].concat();
-    let found = units(Talk::Postgres, Side::Server, &bytes, &[]);
-    let kinds: Vec<_> = found.iter().map(|unit| (unit.kind, unit.at)).collect();
+    let found = units(Protocol::Postgres, Side::Server, &bytes, &[]);
+    let kinds: Vec<_> = found.iter().map(|unit| (unit.kind, unit.offset)).collect();
     assert_eq!(kinds, [("RowDescription", 0), ("DataRow", 6), ("bytes", 13)]);
     let bytes = b"HTTP/1.1 200 OK\r\n\r\n5\r\nhello\r\n1\r\n\n\r\nzz\r\n";
-    let kinds: Vec<_> = units(Talk::Http, Side::Server, bytes, &[]).iter().map(|unit| unit.kind).collect();
+    let kinds: Vec<_> =
+        units(Protocol::Http, Side::Server, bytes, &[]).iter().map(|unit| unit.kind).collect();
     assert_eq!(kinds, ["Head", "Chunk", "Chunk", "bytes"]);
     // A message too long to be buffered passes, and the next one is found again.
-    let bytes = [frame(b'D', &vec![0; WHOLE * 2]), frame(b'Z', b"I")].concat();
-    let found = units(Talk::Postgres, Side::Server, &bytes, &[255; 10]);
+    let bytes = [frame(b'D', &vec![0; MAX_BUFFERED_MESSAGE_BYTES * 2]), frame(b'Z', b"I")].concat();
+    let found = units(Protocol::Postgres, Side::Server, &bytes, &[255; 10]);
     assert_eq!(found.last().map(|unit| unit.kind), Some("ReadyForQuery"));
 }
 
@@ -47,8 +48,8 @@
         let kinds = b"TDCZESI";
         let frames = bodies.iter().enumerate().flat_map(|(nth, body)| frame(kinds[nth % kinds.len()], body));
         let bytes: Vec<u8> = frames.chain(junk).collect();
-        let whole = units(Talk::Postgres, Side::Server, &bytes, &[]);
-        let sliced = units(Talk::Postgres, Side::Server, &bytes, &slices);
+        let whole = units(Protocol::Postgres, Side::Server, &bytes, &[]);
+        let sliced = units(Protocol::Postgres, Side::Server, &bytes, &slices);
         let same = |units: &[Unit]| units.iter().filter(|u| !matches!(u.kind, "bytes" | "rest")).cloned().collect::<Vec<_>>();
         let text = |units: &[Unit]| units.iter().flat_map(|unit| unit.bytes.clone()).collect::<Vec<u8>>();
         same(&whole) == same(&sliced) && text(&whole) == bytes && text(&sliced) == bytes
--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -8,10 +8,10 @@
 use hdrhistogram::Histogram;
 use ladderpass_emulator::{ExecutionLog, RunningEmulator, Scenario};
 use ladderpass_fault_injection as faults;
-use ladderpass_fault_injection::driver::{self, Left};
-use ladderpass_fault_injection::engine::Passed;
+use ladderpass_fault_injection::driver::{self, RunSummary};
+use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_fault_injection::plan::LinkShape;
-use ladderpass_fault_injection::{Rule, Talk};
+use ladderpass_fault_injection::{Protocol, Rule};
 use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::io;
@@ -33,7 +33,7 @@
     pub bears: f64,
     scenario: Scenario,
     seed: u64,
-    passed: Vec<Passed>,
+    passed: Vec<AttemptEvent>,
     tool_began: Time,
     absences: Vec<Absence>,
     drained: Vec<Drained>,
@@ -69,7 +69,7 @@
     rules: Option<Vec<Rule>>,
     mut deeds: Vec<Deed<'_>>,
     mut tell: impl FnMut(f64),
-) -> io::Result<(Seen, Option<Left>)> {
+) -> io::Result<(Seen, Option<RunSummary>)> {
     if let Some(cpu) = start.cpu {
         keep_off(cpu)?;
     }
@@ -81,11 +81,11 @@
         None => None,
         Some(rules) => {
             let links = links(&members, discovery);
-            let faults = driver::Running::start(
+            let faults = driver::RunningTool::start(
                 faults::Plan { seed: plan.seed, links, rules, ..faults::Plan::default() },
                 None,
             )?;
-            faults.say("watch").map_err(io::Error::other)?;
+            faults.send_command("watch").map_err(io::Error::other)?;
             let mut addresses = faults.addresses.clone();
             discovery = addresses.pop().unwrap_or(discovery);
             fleet.set_addresses(&addresses);
@@ -123,7 +123,7 @@
         planned: true,
     });
     let log = router.stop();
-    let mut left = faults.map(driver::Running::stop);
+    let mut left = faults.map(driver::RunningTool::stop);
     let drained = fleet.drains().into_iter().map(|(at, router, member)| Drained { router, member, at });
     let seen = Seen {
         outcome,
@@ -137,8 +137,8 @@
         bears: BEARS,
         scenario: scenario.clone(),
         seed: plan.seed,
-        tool_began: left.as_ref().map_or(Time::default(), |left| left.began),
-        passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.passed)),
+        tool_began: left.as_ref().map_or(Time::default(), |left| left.started_at),
+        passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.attempts)),
         absences: ends.into_iter().collect(),
     };
     Ok((seen, left))
@@ -151,10 +151,10 @@
         name: format!("member-{nth}"),
         listen,
         to,
-        talk: Talk::Postgres,
+        protocol: Protocol::Postgres,
     };
     let mut links: Vec<LinkShape> = members.iter().enumerate().map(member).collect();
-    links.push(LinkShape { name: "discovery".into(), listen, to: discovery, talk: Talk::Http });
+    links.push(LinkShape { name: "discovery".into(), listen, to: discovery, protocol: Protocol::Http });
     links
 }
 
--- a/crates/ladderpass-testbed/src/drill/play.rs
+++ b/crates/ladderpass-testbed/src/drill/play.rs
@@ -11,7 +11,7 @@
 use ladderpass_fault_injection as faults;
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
-use ladderpass_fault_injection::{DatagramRule, Deed as Done, End, Sent, Talk};
+use ladderpass_fault_injection::{DatagramAction as Done, DatagramRule, End, Protocol, TrafficCounts};
 use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use nix::sys::signal::Signal;
@@ -58,7 +58,7 @@
     /// By router: where the others send datagrams to it.
     pub addresses: Vec<SocketAddr>,
     /// Datagrams of each router, at the start of the load and at its end.
-    pub sent: Vec<(Sent, Sent)>,
+    pub sent: Vec<(TrafficCounts, TrafficCounts)>,
     pub datagram_hits: Vec<(String, u64)>,
     /// CPU seconds of each router over the load.
     pub cpu: Vec<f64>,
@@ -94,8 +94,8 @@
     seed: u64,
     fleet: RunningEmulator,
     /// The links of the front, and those of the routers.
-    fronts: driver::Running,
-    links: driver::Running,
+    fronts: driver::RunningTool,
+    links: driver::RunningTool,
     members: Vec<Vec<SocketAddr>>,
     discoveries: Vec<SocketAddr>,
     starts: Vec<Start>,
@@ -126,7 +126,7 @@
     let mut stage = Stage::set(drill, programs, seed)?;
     let settled = stage.settle()?;
     std::thread::sleep(Duration::from_secs_f64(drill.rests_s));
-    let mesh = |stage: &Stage<'_>| stage.links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.sent());
+    let mesh = |stage: &Stage<'_>| stage.links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.traffic());
     let sent_before = mesh(&stage);
     for nth in 0..drill.routers {
         stage.cpu_before[nth] = stage.routers[nth].as_ref().map_or(0.0, |router| router.used().0);
@@ -187,25 +187,26 @@
             name: format!("front>r{nth}"),
             listen,
             to,
-            talk: Talk::Postgres,
+            protocol: Protocol::Postgres,
         };
         let links = addresses.iter().enumerate().map(front).collect();
-        let fronts = driver::Running::start(faults::Plan { seed, links, ..Default::default() }, None)?;
+        let fronts = driver::RunningTool::start(faults::Plan { seed, links, ..Default::default() }, None)?;
         let (mut links, mut ends) = (Vec::new(), Vec::new());
         let members = drill.scenario.member_count();
         for (nth, address) in addresses.iter().enumerate() {
             for (member, &to) in fleet.addresses.iter().enumerate() {
                 let name = format!("r{nth}>member-{member}");
-                links.push(LinkShape { name, listen, to, talk: Talk::Postgres });
+                links.push(LinkShape { name, listen, to, protocol: Protocol::Postgres });
             }
             let to = fleet.discoveries[nth];
-            links.push(LinkShape { name: format!("r{nth}>discovery"), listen, to, talk: Talk::Http });
+            links.push(LinkShape { name: format!("r{nth}>discovery"), listen, to, protocol: Protocol::Http });
             // The same port for datagrams: nobody else has the address.
             ends.push(End { name: format!("r{nth}"), address: listen, to: *address });
         }
-        let links = driver::Running::start(faults::Plan { seed, links, ends, ..Default::default() }, None)?;
-        let told = links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
-        links.say("watch").map_err(io::Error::other)?;
+        let links =
+            driver::RunningTool::start(faults::Plan { seed, links, ends, ..Default::default() }, None)?;
+        let told = links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
+        links.send_command("watch").map_err(io::Error::other)?;
         let own = |nth: usize| &links.addresses[nth * (members + 1)..(nth + 1) * (members + 1)];
         let (mut all_members, mut discoveries) = (Vec::new(), Vec::new());
         for nth in 0..drill.routers {
@@ -363,7 +364,7 @@
                 }
             });
         }
-        let cut = |links: &driver::Running, link: &str| links.say(&format!("cut {link}"));
+        let cut = |links: &driver::RunningTool, link: &str| links.send_command(&format!("cut {link}"));
         for link in self.links_of(deed) {
             let tool = if link.starts_with("front>") { &self.fronts } else { &self.links };
             cut(tool, &link).map_err(io::Error::other)?;
@@ -372,13 +373,13 @@
             }
         }
         for rule in datagram_rules(nth, deed) {
-            if let Some(mesh) = &self.links.mesh {
-                mesh.add(rule).map_err(io::Error::other)?;
+            if let Some(mesh) = &self.links.datagrams {
+                mesh.add_rule(rule).map_err(io::Error::other)?;
             }
         }
         if let Some(rule) = &deed.rule {
             let text = serde_json::to_string(rule).map_err(io::Error::other)?;
-            self.links.say(&format!("add {text}")).map_err(io::Error::other)?;
+            self.links.send_command(&format!("add {text}")).map_err(io::Error::other)?;
         }
         if let Some(member) = deed.drain {
             self.fleet.drain(member);
@@ -411,14 +412,14 @@
         }
         for link in self.links_of(deed) {
             let tool = if link.starts_with("front>") { &self.fronts } else { &self.links };
-            tool.say(&format!("heal {link}")).map_err(io::Error::other)?;
+            tool.send_command(&format!("heal {link}")).map_err(io::Error::other)?;
             if let Some(router) = link.strip_prefix("front>").and_then(|name| self.drill.router(name)) {
                 self.back(router);
             }
         }
         for rule in datagram_rules(nth, deed) {
-            if let Some(mesh) = &self.links.mesh {
-                mesh.lift(&rule.name);
+            if let Some(mesh) = &self.links.datagrams {
+                mesh.lift_rule(&rule.name);
             }
         }
         Ok(())
@@ -469,7 +470,12 @@
         Ok(())
     }
 
-    fn end(mut self, outcome: Outcome, settled: Option<Span>, sent: Vec<(Sent, Sent)>) -> io::Result<Played> {
+    fn end(
+        mut self,
+        outcome: Outcome,
+        settled: Option<Span>,
+        sent: Vec<(TrafficCounts, TrafficCounts)>,
+    ) -> io::Result<Played> {
         let (mut cpu, mut alive, mut fallen) = (Vec::new(), Vec::new(), Vec::new());
         for nth in 0..self.drill.routers {
             let before = self.cpu_before[nth];
@@ -488,7 +494,7 @@
             fallen.push(line.clone());
         }
         self.hogs.drain(..).for_each(|hog| hog.store(true, Ordering::Relaxed));
-        let mesh = self.links.mesh.as_ref();
+        let mesh = self.links.datagrams.as_ref();
         let datagram_hits = mesh.map_or(Vec::new(), |mesh| mesh.hits());
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(told_address).collect();
         let members = self.drill.scenario.member_count();
@@ -508,8 +514,8 @@
             links: &links,
             seed: self.seed,
             journal: &outcome.journal,
-            passed: &left.passed,
-            tool_began: left.began,
+            passed: &left.attempts,
+            tool_began: left.started_at,
             truth: &truth,
             absences: &self.absences,
             drained: &self.drained,
@@ -554,8 +560,8 @@
         split: Vec::new(),
         after_ms: 0,
         for_ms: 0,
-        part: 1.0,
-        deed: Done::Drop,
+        probability: 1.0,
+        action: Done::Drop,
     };
     let is_router = |name: &&String| name.starts_with('r');
     let mut rules = Vec::new();
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -6,7 +6,7 @@
 
 use crate::load::Entry;
 use ladderpass_emulator::{ExecutionLog, Scenario};
-use ladderpass_fault_injection::engine::Passed;
+use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{
     Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
 };
@@ -85,7 +85,7 @@
     pub links: &'a HashMap<usize, (usize, u32)>,
     pub seed: u64,
     pub journal: &'a [Entry],
-    pub passed: &'a [Passed],
+    pub passed: &'a [AttemptEvent],
     /// The tool's start, from which `passed` counts.
     pub tool_began: Time,
     pub truth: &'a ExecutionLog,
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -7,7 +7,7 @@
 use crate::router::Start;
 use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use ladderpass_fault_injection::driver;
-use ladderpass_fault_injection::{Decision, Plan, Rule, difference};
+use ladderpass_fault_injection::{Decision, Plan, Rule, first_difference};
 use ladderpass_routing::{Span, Time};
 use nix::sys::signal::Signal;
 use std::io::{self, Read, Write};
@@ -200,7 +200,7 @@
     let links =
         bed::links(&[listener.local_addr()?], SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))[..1].to_vec();
     let plan = Plan { seed, links, rules, ..Plan::default() };
-    let tool = driver::Running::start(plan, None)?;
+    let tool = driver::RunningTool::start(plan, None)?;
     let mut stream = TcpStream::connect(tool.addresses[0])?;
     // Guards against a member or a tool that hangs; harms where the plan's delays add up to more.
     stream.set_read_timeout(Some(std::time::Duration::from_secs(30)))?;
@@ -294,21 +294,21 @@
         plays.map(|seed| scope.spawn(move || recorded(seed, drawn(seed)))).map(super::lane)
     });
     let (one, two, other) = (one?, two?, other?);
-    let differ = difference(&one, &two);
+    let differ = first_difference(&one, &two);
     let told = differ.clone().unwrap_or_else(|| format!("{} decisions, the same", one.len()));
     table.ask("the same seed twice", "the same recording", told, differ.is_none() && !one.is_empty());
     table.ask(
         "another seed",
         "another recording",
         format!("{} decisions", other.len()),
-        difference(&one, &other).is_some(),
+        first_difference(&one, &other).is_some(),
     );
     let mut scenario = Scenario::default();
     scenario.methods[0].name = "large".into();
     scenario.methods[0].value_bytes = 65_536;
     let fleet = RunningEmulator::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
     let links = bed::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
-    let tool = driver::Running::start(Plan { seed, links, ..Plan::default() }, None)?;
+    let tool = driver::RunningTool::start(Plan { seed, links, ..Plan::default() }, None)?;
     let (direct, through) = (pace(fleet.addresses[0])?, pace(tool.addresses[0])?);
     table.tell(
         "round trip, median and 99th",
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -6,7 +6,7 @@
 use crate::drill::play::{Played, Programs, play};
 use crate::drill::{Deed, Drill};
 use ladderpass_emulator::Scenario;
-use ladderpass_fault_injection::{DatagramRule, Deed as Done};
+use ladderpass_fault_injection::{DatagramAction as Done, DatagramRule};
 use ladderpass_routing::Time;
 use std::collections::BTreeMap;
 use std::io;
@@ -18,7 +18,17 @@
 
 fn datagrams(name: &str, from: &[&str], part: f64, deed: Done) -> DatagramRule {
     let (from, to, split) = (named(from), Vec::new(), Vec::new());
-    DatagramRule { name: name.into(), from, to, both: false, split, after_ms: 0, for_ms: 0, part, deed }
+    DatagramRule {
+        name: name.into(),
+        from,
+        to,
+        both: false,
+        split,
+        after_ms: 0,
+        for_ms: 0,
+        probability: part,
+        action: deed,
+    }
 }
 
 const ROUTERS: usize = 10;
@@ -202,7 +212,7 @@
 
 /// One drill that shows each fault of a membership: a kill, what the dead said coming late, a fifth lost.
 fn short_drill(switch: Option<&str>) -> Drill {
-    let late = datagrams("late", &["r3"], 0.6, Done::Delay { ms: 4000.0, spread: constant() });
+    let late = datagrams("late", &["r3"], 0.6, Done::Delay { ms: 4000.0, distribution: constant() });
     let faulty = switch.map(|switch| (0..8).map(|nth| (format!("r{nth}"), switch.to_owned())).collect());
     Drill {
         routers: 8,
@@ -218,8 +228,8 @@
     }
 }
 
-fn constant() -> ladderpass_fault_injection::plan::Spread {
-    ladderpass_fault_injection::plan::Spread::Constant
+fn constant() -> ladderpass_fault_injection::plan::Distribution {
+    ladderpass_fault_injection::plan::Distribution::Constant
 }
 
 /// What the short drill shows: who found the kill, false alarms, whether the dead came back, and how many are counted.
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -109,7 +109,7 @@
 
 /// Datagrams and bytes that a router of a drill sent a second, on average.
 fn datagrams_of(drill: &Drill, played: &Played) -> (f64, f64) {
-    let per = |of: fn(&ladderpass_fault_injection::Sent) -> u64| {
+    let per = |of: fn(&ladderpass_fault_injection::TrafficCounts) -> u64| {
         let sum: u64 = played.sent.iter().map(|(from, to)| of(to) - of(from)).sum();
         sum as f64 / drill.routers as f64 / drill.secs()
     };
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -2,7 +2,7 @@
 
 use ladderpass_emulator::execution_log::{Arrival, Execution};
 use ladderpass_emulator::{ExecutionLog, Scenario};
-use ladderpass_fault_injection::engine::Passed;
+use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
@@ -22,7 +22,7 @@
 struct World {
     scenario: Scenario,
     journal: Vec<Entry>,
-    passed: Vec<Passed>,
+    passed: Vec<AttemptEvent>,
     truth: ExecutionLog,
     absences: Vec<Absence>,
     drained: Vec<Drained>,
@@ -46,7 +46,7 @@
 
     fn pass(&mut self, ms: i64, link: usize, number: u64, begins: bool) {
         let at = Time::from_nanos(ms * 1_000_000);
-        self.passed.push(Passed { at, link, id: format!("1-{number:x}"), begins });
+        self.passed.push(AttemptEvent { at, link, id: format!("1-{number:x}"), begins });
     }
 
     fn ran(&mut self, ms: i64, member: u32, number: u64) {
--- a/crates/ladderpass-testbed/tests/recordings.rs
+++ b/crates/ladderpass-testbed/tests/recordings.rs
@@ -1,6 +1,6 @@
 //! What the fault tool records: the same again for the same seed, whatever its rules make of what is asked.
 
-use ladderpass_fault_injection::{Decision, Rule, difference};
+use ladderpass_fault_injection::{Decision, Rule, first_difference};
 use ladderpass_testbed::prove::faults::recorded;
 
 const SEED: u64 = 129_771;
@@ -17,7 +17,7 @@
     };
     let first = all();
     for nth in 0..TRIES {
-        assert_eq!(difference(&first, &all()), None, "play {nth}");
+        assert_eq!(first_difference(&first, &all()), None, "play {nth}");
     }
     assert_eq!(first.len(), wanted, "all of it was recorded");
 }
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -3,7 +3,7 @@
 
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
-use ladderpass_fault_injection::driver::Left;
+use ladderpass_fault_injection::driver::RunSummary;
 use ladderpass_routing::Span;
 use ladderpass_testbed::bed::{self, Deed, Seen, open};
 use ladderpass_testbed::load::Plan;
@@ -20,7 +20,7 @@
 
 /// A load of two seconds through these rules. Whatever they do, no rule of the account may break, and each client is
 /// answered.
-fn play(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, Left) {
+fn play(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, RunSummary) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|fault| panic!("{rule}: {fault}"));
     let rules = rules.iter().map(read).collect();
