--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -6,6 +6,7 @@
 //! on what else happens.
 
 mod active_rule;
+mod connection;
 mod direction;
 mod operation;
 mod rpc_watch;
@@ -20,6 +21,7 @@
 use crate::record::Decision;
 use crate::stream::Unit;
 use active_rule::{ActiveRule, Occurrence};
+use connection::{Connection, Stalled};
 use direction::{Direction, Passage};
 use ladderpass_routing::Time;
 use rand::rngs::SmallRng;
@@ -29,25 +31,6 @@
 /// Bytes of one direction that may be held or delayed before its sender is no longer read.
 pub const MAX_HELD_BYTES: usize = 512 << 10;
 
-struct Connection {
-    /// By sender.
-    directions: [Direction; 2],
-    /// Closed or reset by a rule: nothing passes any more.
-    over: bool,
-    stalled: Stalled,
-}
-
-/// What arrived while the link was cut.
-#[derive(Default)]
-struct Stalled {
-    /// Units with their sender, in their order.
-    units: Vec<(Side, Unit)>,
-    /// Bytes of them, by sender.
-    bytes: [usize; 2],
-    /// Senders that ended their direction.
-    ends: Vec<Side>,
-}
-
 /// The links and rules of a plan.
 pub struct Engine {
     plan: Plan,
@@ -407,41 +390,3 @@
         connection.send(now, conn, sender, passage, todo);
     }
 }
-
-impl Connection {
-    /// Schedules what passes in place of a unit.
-    fn send(
-        &mut self,
-        now: Time,
-        conn: ConnectionId,
-        sender: Side,
-        passage: Passage,
-        todo: &mut Vec<ScheduledOperation>,
-    ) {
-        let direction = &mut self.directions[sender as usize];
-        let mut at = direction.free_at.max(now) + passage.delay;
-        if let Some(operation) = passage.end_before {
-            // After a half-close the other direction goes on.
-            let ends_both = matches!(operation, Operation::Close | Operation::Reset);
-            todo.push(ScheduledOperation { connection: conn, at, operation });
-            if ends_both {
-                self.over = true;
-                return;
-            }
-        }
-        for piece in passage.pieces.into_iter().filter(|piece| !piece.is_empty()) {
-            at = direction.passed_at(at, &piece);
-            todo.push(ScheduledOperation {
-                connection: conn,
-                at,
-                operation: Operation::Send(sender.other(), piece),
-            });
-            at = at + passage.gap;
-        }
-        direction.free_at = at;
-        if let Some(operation) = passage.end_after {
-            todo.push(ScheduledOperation { connection: conn, at, operation });
-            self.over = true;
-        }
-    }
-}
--- /dev/null
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -0,0 +1,64 @@
+//! State of one connection: its two directions, and what is stalled while its link is cut.
+
+use super::direction::{Direction, Passage};
+use super::operation::{ConnectionId, Operation, ScheduledOperation};
+use crate::plan::Side;
+use crate::stream::Unit;
+use ladderpass_routing::Time;
+
+pub struct Connection {
+    /// By sender.
+    pub directions: [Direction; 2],
+    /// Closed or reset by a rule: nothing passes any more.
+    pub over: bool,
+    pub stalled: Stalled,
+}
+
+/// What arrived while the link was cut.
+#[derive(Default)]
+pub struct Stalled {
+    /// Units with their sender, in their order.
+    pub units: Vec<(Side, Unit)>,
+    /// Bytes of them, by sender.
+    pub bytes: [usize; 2],
+    /// Senders that ended their direction.
+    pub ends: Vec<Side>,
+}
+
+impl Connection {
+    /// Schedules what passes in place of a unit.
+    pub fn send(
+        &mut self,
+        now: Time,
+        conn: ConnectionId,
+        sender: Side,
+        passage: Passage,
+        todo: &mut Vec<ScheduledOperation>,
+    ) {
+        let direction = &mut self.directions[sender as usize];
+        let mut at = direction.free_at.max(now) + passage.delay;
+        if let Some(operation) = passage.end_before {
+            // After a half-close the other direction goes on.
+            let ends_both = matches!(operation, Operation::Close | Operation::Reset);
+            todo.push(ScheduledOperation { connection: conn, at, operation });
+            if ends_both {
+                self.over = true;
+                return;
+            }
+        }
+        for piece in passage.pieces.into_iter().filter(|piece| !piece.is_empty()) {
+            at = direction.passed_at(at, &piece);
+            todo.push(ScheduledOperation {
+                connection: conn,
+                at,
+                operation: Operation::Send(sender.other(), piece),
+            });
+            at = at + passage.gap;
+        }
+        direction.free_at = at;
+        if let Some(operation) = passage.end_after {
+            todo.push(ScheduledOperation { connection: conn, at, operation });
+            self.over = true;
+        }
+    }
+}
