--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Marks a member as draining in a list; watches are not told here.
+    /// Marks a member as draining in a list; watches are not notified here.
     pub fn mark_draining(&self, list: usize, member: u32) {
         if let Some(list) = lock(&self.lists).get_mut(list) {
             list.draining.insert(member);
