--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/bed.rs
@@ -10,10 +10,10 @@
 use hdrhistogram::Histogram;
 use ladderpass_emulator::{ExecutionLog, RunningEmulator, Scenario};
 use ladderpass_fault_injection as faults;
-use ladderpass_fault_injection::driver::{self, Left};
-use ladderpass_fault_injection::engine::Passed;
+use ladderpass_fault_injection::driver::{self, RunSummary};
+use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_fault_injection::plan::LinkShape;
-use ladderpass_fault_injection::{Rule, Talk};
+use ladderpass_fault_injection::{Protocol, Rule};
 use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::io;
@@ -41,7 +41,7 @@
     scenario: Scenario,
     seed: u64,
     /// Statements and answers that the fault tool passed on.
-    passed: Vec<Passed>,
+    passed: Vec<AttemptEvent>,
     /// The start of the fault tool, from which the times of `passed` count.
     tool_began: Time,
     absences: Vec<Absence>,
@@ -94,7 +94,7 @@
     rules: Option<Vec<Rule>>,
     mut events: Vec<Deed<'_>>,
     mut on_progress: impl FnMut(f64),
-) -> io::Result<(Seen, Option<Left>)> {
+) -> io::Result<(Seen, Option<RunSummary>)> {
     if let Some(cpu) = start.cpu {
         keep_off(cpu)?;
     }
@@ -121,7 +121,7 @@
     let ended = wait_for_shutdown(&mut router);
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
-    let mut left = upstream.fault_tool.map(driver::Running::stop);
+    let mut left = upstream.fault_tool.map(driver::RunningTool::stop);
     let drained = fleet.drains().into_iter().map(|(at, router, member)| Drained { router, member, at });
     let seen = Seen {
         outcome,
@@ -135,8 +135,8 @@
         bears: WARM_MEMBER_RPCS_PER_SECOND,
         scenario: scenario.clone(),
         seed: plan.seed,
-        tool_began: left.as_ref().map_or(Time::default(), |left| left.began),
-        passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.passed)),
+        tool_began: left.as_ref().map_or(Time::default(), |left| left.started_at),
+        passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.attempts)),
         absences,
     };
     Ok((seen, left))
@@ -146,7 +146,7 @@
 struct Upstream {
     members: Vec<SocketAddr>,
     discovery: SocketAddr,
-    fault_tool: Option<driver::Running>,
+    fault_tool: Option<driver::RunningTool>,
 }
 
 impl Upstream {
@@ -154,8 +154,8 @@
     fn through_fault_tool(fleet: &RunningEmulator, rules: Vec<Rule>, seed: u64) -> io::Result<Upstream> {
         let links = links(&fleet.addresses, fleet.discovery);
         let plan = faults::Plan { seed, links, rules, ..faults::Plan::default() };
-        let fault_tool = driver::Running::start(plan, None)?;
-        fault_tool.say("watch").map_err(io::Error::other)?;
+        let fault_tool = driver::RunningTool::start(plan, None)?;
+        fault_tool.send_command("watch").map_err(io::Error::other)?;
         let mut members = fault_tool.addresses.clone();
         let discovery = members.pop().unwrap_or(fleet.discovery);
         fleet.set_addresses(&members);
@@ -194,10 +194,10 @@
         name: format!("member-{index}"),
         listen,
         to,
-        talk: Talk::Postgres,
+        protocol: Protocol::Postgres,
     };
     let mut links: Vec<LinkShape> = members.iter().enumerate().map(member_link).collect();
-    links.push(LinkShape { name: "discovery".into(), listen, to: discovery, talk: Talk::Http });
+    links.push(LinkShape { name: "discovery".into(), listen, to: discovery, protocol: Protocol::Http });
     links
 }
 
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -5,7 +5,7 @@
 use crate::drill::{Deed, Drill};
 use crate::joint::Drained;
 use ladderpass_emulator::{Input, now};
-use ladderpass_fault_injection::{DatagramRule, Deed as DatagramFault, driver};
+use ladderpass_fault_injection::{DatagramAction as DatagramFault, DatagramRule, driver};
 use nix::sys::signal::Signal;
 use std::io;
 use std::sync::Arc;
@@ -71,13 +71,13 @@
         }
         self.cut_links(event)?;
         for rule in datagram_rules(index, event) {
-            if let Some(mesh) = &self.router_links.mesh {
-                mesh.add(rule).map_err(io::Error::other)?;
+            if let Some(mesh) = &self.router_links.datagrams {
+                mesh.add_rule(rule).map_err(io::Error::other)?;
             }
         }
         if let Some(rule) = &event.rule {
             let rule = serde_json::to_string(rule).map_err(io::Error::other)?;
-            self.router_links.say(&format!("add {rule}")).map_err(io::Error::other)?;
+            self.router_links.send_command(&format!("add {rule}")).map_err(io::Error::other)?;
         }
         self.change_fleet(event);
         Ok(())
@@ -92,14 +92,14 @@
             self.stop_cpu_hogs();
         }
         for link in self.links_cut_by(event) {
-            self.tool_of(&link).say(&format!("heal {link}")).map_err(io::Error::other)?;
+            self.tool_of(&link).send_command(&format!("heal {link}")).map_err(io::Error::other)?;
             if let Some(router) = self.router_of_client_link(&link) {
                 self.end_absences(router);
             }
         }
         for rule in datagram_rules(index, event) {
-            if let Some(mesh) = &self.router_links.mesh {
-                mesh.lift(&rule.name);
+            if let Some(mesh) = &self.router_links.datagrams {
+                mesh.lift_rule(&rule.name);
             }
         }
         Ok(())
@@ -138,7 +138,7 @@
 
     fn cut_links(&mut self, event: &Deed) -> io::Result<()> {
         for link in self.links_cut_by(event) {
-            self.tool_of(&link).say(&format!("cut {link}")).map_err(io::Error::other)?;
+            self.tool_of(&link).send_command(&format!("cut {link}")).map_err(io::Error::other)?;
             if let Some(router) = self.router_of_client_link(&link) {
                 self.begin_absence(router, false);
             }
@@ -178,7 +178,7 @@
         links
     }
 
-    fn tool_of(&self, link: &str) -> &driver::Running {
+    fn tool_of(&self, link: &str) -> &driver::RunningTool {
         if link.starts_with("front>") { &self.client_links } else { &self.router_links }
     }
 
@@ -198,8 +198,8 @@
         split: Vec::new(),
         after_ms: 0,
         for_ms: 0,
-        part: 1.0,
-        deed: DatagramFault::Drop,
+        probability: 1.0,
+        action: DatagramFault::Drop,
     };
     let is_router = |name: &&String| name.starts_with('r');
     let mut rules = Vec::new();
--- a/crates/ladderpass-testbed/src/drill/play/played.rs
+++ b/crates/ladderpass-testbed/src/drill/play/played.rs
@@ -7,7 +7,7 @@
 use crate::load::Outcome;
 use crate::router::Router;
 use ladderpass_emulator::ExecutionLog;
-use ladderpass_fault_injection::Sent;
+use ladderpass_fault_injection::TrafficCounts;
 use ladderpass_invariants::{Tolerance, Violation};
 use ladderpass_routing::{Span, Time};
 use std::collections::HashMap;
@@ -37,7 +37,7 @@
     /// By router: where the others send datagrams to it.
     pub addresses: Vec<SocketAddr>,
     /// By router: its datagrams before the load and after it.
-    pub sent: Vec<(Sent, Sent)>,
+    pub sent: Vec<(TrafficCounts, TrafficCounts)>,
     /// Rules on datagrams, by name, with how many datagrams each has changed.
     pub datagram_hits: Vec<(String, u64)>,
     /// By router: CPU seconds over the load.
@@ -63,10 +63,15 @@
 
 impl DrillTestbed<'_> {
     /// Stops everything, and checks the history.
-    pub fn finish(mut self, outcome: Outcome, settled: Option<Span>, sent: Vec<(Sent, Sent)>) -> Played {
+    pub fn finish(
+        mut self,
+        outcome: Outcome,
+        settled: Option<Span>,
+        sent: Vec<(TrafficCounts, TrafficCounts)>,
+    ) -> Played {
         let RouterEnds { cpu, alive, fallen } = self.stop_routers();
         self.stop_cpu_hogs();
-        let mesh = self.router_links.mesh.as_ref();
+        let mesh = self.router_links.datagrams.as_ref();
         let datagram_hits = mesh.map_or(Vec::new(), |mesh| mesh.hits());
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(advertised_address).collect();
         let links = self.member_links();
@@ -81,8 +86,8 @@
             links: &links,
             seed: self.seed,
             journal: &outcome.journal,
-            passed: &left.passed,
-            tool_began: left.began,
+            passed: &left.attempts,
+            tool_began: left.started_at,
             truth: &truth,
             absences: &self.absences,
             drained: &self.drained,
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -10,7 +10,7 @@
 use ladderpass_emulator::{RunningEmulator, Scenario, now};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
-use ladderpass_fault_injection::{End, Plan, Sent, Talk};
+use ladderpass_fault_injection::{End, Plan, Protocol, TrafficCounts};
 use ladderpass_routing::{Span, Time};
 use nix::sys::signal::Signal;
 use std::io;
@@ -33,9 +33,9 @@
     pub seed: u64,
     pub fleet: RunningEmulator,
     /// The fault tool between clients and routers.
-    pub client_links: driver::Running,
+    pub client_links: driver::RunningTool,
     /// The fault tool between routers, members and discovery, and among routers.
-    pub router_links: driver::Running,
+    pub router_links: driver::RunningTool,
     /// By router: the addresses of the fault tool that lead to members.
     pub members: Vec<Vec<SocketAddr>>,
     /// By router: the address of the fault tool that leads to discovery.
@@ -66,8 +66,8 @@
         let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
         let client_links = start_client_links(&addresses, seed)?;
         let router_links = start_router_links(&fleet, &addresses, seed)?;
-        let advertised = router_links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
-        router_links.say("watch").map_err(io::Error::other)?;
+        let advertised = router_links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
+        router_links.send_command("watch").map_err(io::Error::other)?;
         let member_count = drill.scenario.member_count();
         let (mut members, mut discoveries) = (Vec::new(), Vec::new());
         for (router, links) in router_links.addresses.chunks(member_count + 1).enumerate() {
@@ -154,8 +154,8 @@
     }
 
     /// By router: datagrams that it has sent so far.
-    pub fn datagrams_sent(&self) -> Vec<Sent> {
-        self.router_links.mesh.as_ref().map_or(Vec::new(), |mesh| mesh.sent())
+    pub fn datagrams_sent(&self) -> Vec<TrafficCounts> {
+        self.router_links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.traffic())
     }
 
     /// Notes the CPU time that each router has used so far.
@@ -227,15 +227,15 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-fn start_client_links(routers: &[SocketAddr], seed: u64) -> io::Result<driver::Running> {
+fn start_client_links(routers: &[SocketAddr], seed: u64) -> io::Result<driver::RunningTool> {
     let link = |(router, &to): (usize, &SocketAddr)| LinkShape {
         name: format!("front>r{router}"),
         listen: any_loopback_port(),
         to,
-        talk: Talk::Postgres,
+        protocol: Protocol::Postgres,
     };
     let links = routers.iter().enumerate().map(link).collect();
-    driver::Running::start(Plan { seed, links, ..Default::default() }, None)
+    driver::RunningTool::start(Plan { seed, links, ..Default::default() }, None)
 }
 
 /// For each router in order, links to its members and to its discovery, and a datagram address.
@@ -243,18 +243,18 @@
     fleet: &RunningEmulator,
     routers: &[SocketAddr],
     seed: u64,
-) -> io::Result<driver::Running> {
+) -> io::Result<driver::RunningTool> {
     let listen = any_loopback_port();
     let (mut links, mut ends) = (Vec::new(), Vec::new());
     for (router, address) in routers.iter().enumerate() {
         for (member, &to) in fleet.addresses.iter().enumerate() {
             let name = format!("r{router}>member-{member}");
-            links.push(LinkShape { name, listen, to, talk: Talk::Postgres });
+            links.push(LinkShape { name, listen, to, protocol: Protocol::Postgres });
         }
         let to = fleet.discoveries[router];
-        links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, talk: Talk::Http });
+        links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, protocol: Protocol::Http });
         // Datagrams go to the port of the router's listener; `own_address` has checked that it is free for UDP too.
         ends.push(End { name: format!("r{router}"), address: listen, to: *address });
     }
-    driver::Running::start(Plan { seed, links, ends, ..Default::default() }, None)
+    driver::RunningTool::start(Plan { seed, links, ends, ..Default::default() }, None)
 }
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/joint.rs
@@ -6,7 +6,7 @@
 
 use crate::load::Entry;
 use ladderpass_emulator::{ExecutionLog, Scenario};
-use ladderpass_fault_injection::engine::Passed;
+use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{
     Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
 };
@@ -112,7 +112,7 @@
     /// What clients saw.
     pub journal: &'a [Entry],
     /// What the fault tool passed on; empty without the tool.
-    pub passed: &'a [Passed],
+    pub passed: &'a [AttemptEvent],
     /// The start of the fault tool, from which the times of `passed` count.
     pub tool_began: Time,
     /// What members saw.
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -3,7 +3,7 @@
 
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
-use ladderpass_fault_injection::driver::Left;
+use ladderpass_fault_injection::driver::RunSummary;
 use ladderpass_routing::Span;
 use ladderpass_testbed::bed::{self, Deed, Seen, open};
 use ladderpass_testbed::load::Plan;
@@ -21,7 +21,7 @@
 
 /// Runs a load of two seconds through these fault rules. Whatever they do, no invariant may be broken, and each client is
 /// answered.
-fn run_load(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, Left) {
+fn run_load(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, RunSummary) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|error| panic!("{rule}: {error}"));
     let rules = rules.iter().map(read).collect();
