--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -16,13 +16,13 @@
     /// It has had as many attempts as are allowed.
     NoAttemptLeft,
     /// The front could not make the attempt: it had no connection, or lost sight of the client.
-    NotMade,
+    AttemptNotMade,
     /// Several members have answered it with an error.
-    AtFault,
+    FaultyRequest,
     /// The retry budget does not allow a further attempt.
-    Unpaid,
+    RetryBudgetExhausted,
     /// No capacity was idle, and a repeat that the client has marked gets no other.
-    NothingIdle,
+    NoIdleCapacity,
 }
 
 /// Why a member could not get an RPC.
@@ -39,7 +39,7 @@
     /// It is in slow start, or overloaded, and has had its share.
     SlowStart,
     /// Its concurrency limit is reached.
-    NoRoom,
+    AtConcurrencyLimit,
     /// Its position is not known to be recent enough.
     Stale,
 }
@@ -58,10 +58,10 @@
         GiveUpReason::TooLate,
         GiveUpReason::OutOfTime,
         GiveUpReason::NoAttemptLeft,
-        GiveUpReason::NotMade,
-        GiveUpReason::AtFault,
-        GiveUpReason::Unpaid,
-        GiveUpReason::NothingIdle,
+        GiveUpReason::AttemptNotMade,
+        GiveUpReason::FaultyRequest,
+        GiveUpReason::RetryBudgetExhausted,
+        GiveUpReason::NoIdleCapacity,
     ];
 
     fn text(self) -> &'static str {
@@ -70,10 +70,10 @@
             GiveUpReason::TooLate => "too late",
             GiveUpReason::OutOfTime => "out of time",
             GiveUpReason::NoAttemptLeft => "no attempt left",
-            GiveUpReason::NotMade => "not made",
-            GiveUpReason::AtFault => "at fault itself",
-            GiveUpReason::Unpaid => "over the retry budget",
-            GiveUpReason::NothingIdle => "nothing idle for a repeat",
+            GiveUpReason::AttemptNotMade => "not made",
+            GiveUpReason::FaultyRequest => "at fault itself",
+            GiveUpReason::RetryBudgetExhausted => "over the retry budget",
+            GiveUpReason::NoIdleCapacity => "nothing idle for a repeat",
         }
     }
 }
@@ -85,7 +85,7 @@
         Ineligible::TooSlow,
         Ineligible::TriedBefore,
         Ineligible::SlowStart,
-        Ineligible::NoRoom,
+        Ineligible::AtConcurrencyLimit,
         Ineligible::Stale,
     ];
 
@@ -96,7 +96,7 @@
             Ineligible::TooSlow => "too slow",
             Ineligible::TriedBefore => "tried before",
             Ineligible::SlowStart => "slow start",
-            Ineligible::NoRoom => "no room",
+            Ineligible::AtConcurrencyLimit => "no room",
             Ineligible::Stale => "stale",
         }
     }
@@ -128,7 +128,7 @@
     }
 
     /// Adds the counts of another.
-    pub fn join(&mut self, other: &Counts<R>) {
+    pub fn merge(&mut self, other: &Counts<R>) {
         self.counts.iter_mut().zip(other.counts).for_each(|(count, more)| *count += more);
     }
 }
@@ -146,7 +146,7 @@
 
 /// An RPC that was not served by the ordinary path, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unserved {
+pub struct UnservedRpc {
     /// Index of its group.
     pub group: u32,
     /// Index of its method.
@@ -156,9 +156,9 @@
     /// Time since it was accepted.
     pub waited: Span,
     /// Time until its deadline.
-    pub left: Span,
+    pub time_left: Span,
     /// What happened to it.
-    pub what: Exception,
+    pub exception: Exception,
 }
 
 /// Could the primary have got an RPC that was given up?
@@ -199,10 +199,10 @@
 
 impl ExceptionCounts {
     /// Adds the counts of another.
-    pub fn join(&mut self, other: &ExceptionCounts) {
-        self.given_up.join(&other.given_up);
+    pub fn merge(&mut self, other: &ExceptionCounts) {
+        self.given_up.merge(&other.given_up);
         self.spilled += other.spilled;
-        self.passed_over.join(&other.passed_over);
+        self.passed_over.merge(&other.passed_over);
     }
 }
 
@@ -212,7 +212,7 @@
     /// How many.
     pub counts: ExceptionCounts,
     /// The first few of them.
-    pub examples: Vec<Unserved>,
+    pub examples: Vec<UnservedRpc>,
 }
 
 /// Most examples between two ticks.
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -5,7 +5,7 @@
 
 use crate::eligibility;
 use crate::pending;
-use crate::reasons::{Counts, Exception, GiveUpReason, Ineligible, PrimaryState, Unserved};
+use crate::reasons::{Counts, Exception, GiveUpReason, Ineligible, PrimaryState, UnservedRpc};
 use crate::retry;
 use crate::state::router_state::RouterState;
 use crate::time::{Span, Time};
@@ -116,7 +116,7 @@
 pub fn log_spill(state: &mut RouterState, now: Time, rpc: RpcId, passed_over: Counts<Ineligible>) {
     let exceptions = &mut state.output.exceptions;
     exceptions.counts.spilled += 1;
-    exceptions.counts.passed_over.join(&passed_over);
+    exceptions.counts.passed_over.merge(&passed_over);
     if exceptions.wants_example() {
         log_example(state, now, rpc, Exception::Spilled(passed_over));
     }
@@ -124,12 +124,12 @@
 
 fn log_example(state: &mut RouterState, now: Time, rpc: RpcId, what: Exception) {
     let rpc = &state.rpcs[rpc];
-    state.output.exceptions.examples.push(Unserved {
+    state.output.exceptions.examples.push(UnservedRpc {
         group: rpc.arrival.group,
         method: rpc.arrival.method,
         attempts: rpc.attempts,
         waited: now - rpc.accepted_at,
-        left: rpc.arrival.deadline - now,
-        what,
+        time_left: rpc.arrival.deadline - now,
+        exception: what,
     });
 }
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -47,12 +47,12 @@
 /// Why the result of an attempt is the end of its RPC, if it is; else the RPC is selected a member again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
-        return Some(GiveUpReason::NotMade);
+        return Some(GiveUpReason::AttemptNotMade);
     }
     if is_faulty(rpc) {
-        return Some(GiveUpReason::AtFault);
+        return Some(GiveUpReason::FaultyRequest);
     }
-    result.retry_denied.then_some(GiveUpReason::Unpaid)
+    result.retry_denied.then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
 /// Is it a repeat that the client has marked? It competes with first requests, which have more utility.
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -75,7 +75,7 @@
         health_check_schedule::request_check(state, now, index);
     }
     if retry::is_client_retry(state, rpc) && !waits_for_report {
-        return rejection::give_up(state, now, rpc, GiveUpReason::NothingIdle);
+        return rejection::give_up(state, now, rpc, GiveUpReason::NoIdleCapacity);
     }
     pending::enqueue(state, rpc)
 }
@@ -150,7 +150,7 @@
         if concurrency_limit::has_room(state, now, index, rpc, share) {
             search.selected = Some(rank);
         } else {
-            search.passed_over.add(Ineligible::NoRoom);
+            search.passed_over.add(Ineligible::AtConcurrencyLimit);
         }
     }
     search
--- a/crates/ladderpass/src/reducer/stats.rs
+++ b/crates/ladderpass/src/reducer/stats.rs
@@ -2,7 +2,9 @@
 //! ordinary path, each with its reason. The counts start again after each line.
 
 use super::Reducer;
-use ladderpass_routing::reasons::{Exception, ExceptionCounts, Exceptions, PrimaryState, Reason, Unserved};
+use ladderpass_routing::reasons::{
+    Exception, ExceptionCounts, Exceptions, PrimaryState, Reason, UnservedRpc,
+};
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 use std::fmt::{self, Debug, Formatter};
 
@@ -186,7 +188,7 @@
 
     /// Counts what did not go by the ordinary path, and logs the first few examples.
     pub(super) fn record_exceptions(&mut self, exceptions: Exceptions) {
-        self.stats.exceptions.join(&exceptions.counts);
+        self.stats.exceptions.merge(&exceptions.counts);
         for unserved in &exceptions.examples {
             if !self.stats.try_count_example() {
                 return;
@@ -195,12 +197,12 @@
         }
     }
 
-    fn log_example(&self, unserved: &Unserved) {
+    fn log_example(&self, unserved: &UnservedRpc) {
         let method = self.methods.name(unserved.method).unwrap_or("unknown");
         let (group, attempts) = (unserved.group, unserved.attempts);
         let waited_ms = whole_milliseconds(unserved.waited);
-        let left_ms = whole_milliseconds(unserved.left);
-        match &unserved.what {
+        let left_ms = whole_milliseconds(unserved.time_left);
+        match &unserved.exception {
             Exception::Spilled(passed_over) => tracing::info!(
                 group,
                 method,
