--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -44,7 +44,7 @@
         };
         if is_crowded {
             self.stats.count(Count::Crowded);
-            // It is told at once, rather than wait unanswered at the listener.
+            // Accepted and rejected with an error, rather than left unanswered at the listener.
             return self.reject_statement(now, id, length, Rejection::Crowded);
         }
         if self.rpcs.len() >= self.limits.rpcs_in_flight {
--- a/crates/ladderpass/src/reducer/cancellation.rs
+++ b/crates/ladderpass/src/reducer/cancellation.rs
@@ -8,11 +8,11 @@
 use std::hash::{BuildHasher, RandomState};
 
 /// Secret keys by which clients may cancel: a keyed hash (SipHash) of the connection's id, with a random key of this
-/// process. Nothing is kept by connection, and who knows some of the keys knows no other.
+/// process. There is no state per connection, and some keys reveal no other.
 #[derive(Default)]
 pub(super) struct CancelKeys(RandomState);
 
-/// What a cancel request names, and what the welcome has told that client.
+/// What a client got in its BackendKeyData, and names in a cancel request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CancelKey {
     pub(super) process_id: u32,
--- a/crates/ladderpass/src/reducer/client.rs
+++ b/crates/ladderpass/src/reducer/client.rs
@@ -48,7 +48,7 @@
     /// What it used of the router lately.
     usage: ClientUsage,
     arrivals: InputArrivals,
-    /// Bytes still to come of a statement for which there is no memory; none of it is kept.
+    /// Bytes still to come of a statement for which there is no memory: they are dropped.
     skipping: Option<usize>,
 }
 
@@ -194,7 +194,7 @@
         &mut self.usage
     }
 
-    /// From now on so many bytes are not kept: they are the rest of a statement for which there is no memory.
+    /// So many bytes that follow are dropped: they are the rest of a statement for which there is no memory.
     pub(super) fn start_skipping(&mut self, count: usize) {
         self.skipping = Some(count);
     }
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -123,7 +123,7 @@
                 self.answer_client_error(now, id, length, &error);
                 Progress::Continue
             }
-            // It is told nothing, whatever becomes of it.
+            // The protocol has no answer to a cancel request.
             ClientMessage::Cancel(key) => {
                 self.close_when_written(now, id);
                 self.cancel_rpc(now, key);
@@ -178,8 +178,8 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Memory was short for too long for the rest of a statement: none of it is kept, and it is rejected once its last
-    /// byte has arrived, within its client's time.
+    /// Memory was short for too long for the rest of a statement: its bytes are dropped as they arrive, and it is rejected
+    /// after the last one, within its client's time.
     pub(super) fn skip_statement(&mut self, now: Time, id: ConnectionId) {
         self.connections.stop_waiting_for_memory(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -19,7 +19,7 @@
     MoreToRead(ConnectionId),
     /// After `MoreToRead`, or a full buffer: the socket was read until it was empty.
     Drained(ConnectionId),
-    /// The socket was read once more for `Effect::CloseIfQuiet`; what it held was reported before this.
+    /// The socket was read once more for `Effect::CloseIfQuiet`; its bytes were reported before this.
     ReadToEnd(ConnectionId),
     /// So many bytes of `Reducer::outgoing` were written.
     Written(ConnectionId, usize),
--- a/crates/ladderpass/src/reducer/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/input_arrivals.rs
@@ -3,7 +3,7 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::VecDeque;
 
-/// Most batches that are told apart for one client. Bytes past them count as arrived with the batch before, which errs
+/// Most batches that are recorded for one client. Bytes past them count as arrived with the batch before, which errs
 /// on the side of less time.
 const MAX_BATCHES: usize = 64;
 
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -63,8 +63,8 @@
         };
         let (member_id, deadline) = (MemberId(member.member() as u32), member.job_deadline());
         let description = entry.description();
-        // What held at the decision may not hold any more: data that were new enough, and the window in which a repeat
-        // has no second effect.
+        // What was true at the decision may have changed: the data may be too old now, and the window may be over in which
+        // a repeat has no second effect.
         let is_window_repeat = entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
         let expires = description.bounds_staleness || is_window_repeat;
         let is_late = expires && now - member.assigned_at() > self.limits.fresh_send_timeout;
