--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -39,9 +39,10 @@
     let attempt = OpenAttempt { sent_at, method: arrival.method };
     let method = &state.methods[arrival.method as usize];
     let member = state.topology.member(index);
-    // A client that gave up early shows nothing of the member either.
+    // A timeout after less than an overdue answer takes is the client's own, and says nothing about the member; nor does
+    // an answer that was lost in the network.
     let ended_early = result.latency < method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
-    let is_lost = (ended_early || load::is_lost(state, now, member, attempt))
+    let says_nothing_of_member = (ended_early || load::is_lost(state, now, member, attempt))
         && result.outcome == AttemptOutcome::TimedOut;
     // A member that reports its role is up, whatever else it answers.
     if result.role.is_some() || matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::NotServedHere) {
@@ -49,9 +50,9 @@
     }
     let is_ok = result.outcome == AttemptOutcome::Ok;
     state.topology.member_mut(index).record_attempt_ended(attempt, is_ok);
-    record_outcome(state, now, index, result.outcome, sent_at, is_lost);
+    record_outcome(state, now, index, result.outcome, sent_at, says_nothing_of_member);
     let mut latency_ratio = 0.0;
-    if matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && !is_lost {
+    if matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && !says_nothing_of_member {
         latency_ratio = load::record_answer(state, now, index, attempt, result.latency);
         concurrency_limit::follow_latency(state, now, index, sent_at, ObservedBy::ThisRouter);
     }
@@ -66,7 +67,7 @@
     index: usize,
     outcome: AttemptOutcome,
     sent_at: Time,
-    is_lost: bool,
+    says_nothing_of_member: bool,
 ) {
     let member = state.topology.member_mut(index);
     match outcome {
@@ -76,7 +77,7 @@
         }
         AttemptOutcome::Rejected | AttemptOutcome::TimedOut => {
             member.failures.record(now, 1.0);
-            if !is_lost {
+            if !says_nothing_of_member {
                 concurrency_limit::reduce_after_rejection(state, now, index, sent_at);
             }
         }
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -16,7 +16,7 @@
 const MAX_INITIAL_LIMIT: f64 = 4.0;
 const MIN_INITIAL_LIMIT: f64 = 0.5;
 const MIN_LIMIT: f64 = 0.1;
-/// The limit after a rejection or a time-out, as a share of the one before.
+/// The limit after a rejection or a timeout, as a share of the one before.
 const LIMIT_SHARE_AFTER_REJECTION: f64 = 0.65;
 /// Weight of the present limit against the one that an answer suggests.
 const LIMIT_SMOOTHING: f64 = 0.75;
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -14,12 +14,12 @@
 use crate::types::{Endpoint, EndpointState, EndpointUpdate, PrimaryInList};
 use nanorand::Rng;
 
-/// A member that was removed for this long, and has nothing in flight, is forgotten: its index may serve another.
-const FORGET_REMOVED_AFTER: Span = Span::from_millis(30_000);
+/// A member that was removed for this long, and has nothing in flight, is retired: its index may serve another.
+const RETIRE_REMOVED_AFTER: Span = Span::from_millis(30_000);
 /// A role that a member has shown outweighs the list for this long.
 const MAX_LIST_DELAY: Span = Span::from_millis(10_000);
-/// A failed poll is repeated after this, doubled for each failure, three times at most, or after this share of the
-/// interval if that is sooner.
+/// A failed poll is repeated after twice this; the time is doubled for each further failure, up to eight times this,
+/// and at most this share of the poll interval.
 const POLL_BACKOFF: Span = Span::from_millis(500);
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
 const MAX_POLL_BACKOFF_SHARE_OF_INTERVAL: f64 = 0.33;
@@ -41,7 +41,7 @@
 /// Takes an update of the list, or the failure of a poll.
 pub fn on_update(state: &mut RouterState, now: Time, update: EndpointUpdate) {
     let (entries, is_complete) = match update {
-        EndpointUpdate::Failed { silent } => return on_poll_failed(state, now, silent),
+        EndpointUpdate::Failed { poll_immediately: silent } => return on_poll_failed(state, now, silent),
         EndpointUpdate::Cached(entries) | EndpointUpdate::Complete(entries) => (entries, true),
         EndpointUpdate::Changes(entries) | EndpointUpdate::ChangesDuringMove(entries) => (entries, false),
     };
@@ -58,7 +58,7 @@
         state.topology.update_max_members(group);
         primary::update_primary(state, group);
     }
-    let retired = state.topology.remove_retired(now - FORGET_REMOVED_AFTER);
+    let retired = state.topology.remove_retired(now - RETIRE_REMOVED_AFTER);
     state.output.retired_members.extend(retired);
 }
 
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -83,11 +83,12 @@
 }
 
 /// Another router could not reach the member. That counts as one failure for routers of its zone, if it is recent and
-/// the member has not answered this router since.
+/// this router has received nothing from the member since.
 fn record_unreachable(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     let age = state.latest_member_time(now) - update.at;
     let index = update.member.0 as usize;
     let member = state.topology.member_mut(index);
+    // What one router has published need not be published by this one too.
     member.unreachable_published_at = now;
     if update.same_zone && age < UNREACHABLE_VALID_FOR && member.silent_since < update.at {
         outlier_ejection::record_failure(state, now, index, ObservedBy::Peer);
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -19,12 +19,12 @@
 /// Spread of a member's own interval around the round.
 const MIN_ROUND_JITTER: f64 = 0.75;
 const ROUND_JITTER_RANGE: f64 = 0.5;
-/// A turn in a shared round.
-const TURN: Span = Span::from_millis(50);
+/// Length of one router's turn in a shared round.
+const TURN_LENGTH: Span = Span::from_millis(50);
 /// A member is not checked again on request within this.
 const MIN_REQUEST_INTERVAL: Span = Span::from_millis(200);
-/// A member whose check failed, or was not sent, is checked again after this; doubled for each further failure, three
-/// times at most.
+/// A member whose check failed, or was not sent, is checked again after this. The time is doubled for each further
+/// failure, by at most so many doublings.
 pub const RECHECK_AFTER: Span = Span::from_millis(500);
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
 /// A read whose replicas have no recent report waits this long for the check of the next one.
@@ -33,7 +33,7 @@
 const FIRST_RESULTS_WAIT: Span = Span::from_millis(300);
 /// Interval of gossip about a member of a group without a primary.
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
-/// Routers that want a report spread their requests over so many of these intervals.
+/// Routers that want a report spread their requests over so many times `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
 const REQUEST_SPREAD_INTERVALS: f64 = 4.0;
 
 /// Is the router so young that first results are still to come?
@@ -41,12 +41,12 @@
     now - state.started_at < FIRST_RESULTS_WAIT
 }
 
-/// Until when a read waits for a check that was sent then. A router that has just started waits for the first results
+/// Until when a read waits for a check that was sent at `sent_at`. A router that has just started waits for the first results
 /// of its replicas too, or its first reads would all go to the primary.
 fn awaited_until(state: &RouterState, member: &Member, sent_at: Time) -> Time {
     let never_reported = member.reported_at == Time::NEVER;
-    let first = if never_reported { state.started_at + FIRST_RESULTS_WAIT } else { Time::NEVER };
-    first.max(sent_at + HEALTH_CHECK_WAIT)
+    let first_results_due = if never_reported { state.started_at + FIRST_RESULTS_WAIT } else { Time::NEVER };
+    first_results_due.max(sent_at + HEALTH_CHECK_WAIT)
 }
 
 /// Is a check of this member in progress, or due, that a read should wait for?
@@ -72,7 +72,7 @@
         return round_duration(state, now) * jitter;
     }
     let round = MIN_ROUND.max(position_refresh_interval(state));
-    (round + TURN * turn(state, index)).min(MAX_ROUND)
+    (round + TURN_LENGTH * turn(state, index)).min(MAX_ROUND)
 }
 
 /// The turn of this router to check a member, from 0. It changes with each report that is passed on.
@@ -80,11 +80,12 @@
     let member = state.topology.member(index);
     // All routers that received the member's last report agree on this number.
     let agreed = (member.published_position.nanos() / 1_000_000) as u64 ^ u64::from(member.id_hash) << 20;
-    let first = WyRand::new_seed(agreed).generate::<u64>() / 2;
-    ((u64::from(state.deployment.router_index) + first) % u64::from(state.router_count())) as f64
+    // Halved so that the sum with the router's index can't overflow.
+    let first_router = WyRand::new_seed(agreed).generate::<u64>() / 2;
+    ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
 }
 
-/// From when a request for a check of this member makes sense. A report that another router receives comes by gossip
+/// From when on a check of this member may be requested. A report that another router receives comes by gossip
 /// soon, so those that want one request it by turns. A member that answered its last check without a report has none
 /// for a while: reads must not wait for it until they time out.
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
@@ -96,9 +97,9 @@
         Span::ZERO
     };
     let no_report = member.last_health_check_at > member.reported_at;
-    let silent_until =
+    let no_request_before =
         if no_report { member.last_health_check_at + MIN_REQUEST_INTERVAL } else { Time::NEVER };
-    (member.reported_at + by_gossip).max(silent_until)
+    (member.reported_at + by_gossip).max(no_request_before)
 }
 
 /// Makes a check of this member due, though not more often than it can report anything new.
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -14,10 +14,10 @@
 
 /// Width of a bucket in which answers and failures are counted.
 pub const RECENT_BUCKET: Span = Span::from_millis(500);
-/// Buckets of `RECENT_BUCKET` that a look back covers.
+/// How many buckets of `RECENT_BUCKET` cover the last second, and the last two.
 pub const LAST_SECOND: usize = 2;
 pub const LAST_TWO_SECONDS: usize = 4;
-/// Every bucket of a window.
+/// All buckets of a window: 4 s of `RECENT_BUCKET`, 20 s of a zone's answers, 40 s of a method's.
 pub const ALL_BUCKETS: usize = 8;
 
 /// Width of a bucket of a method's answer times.
@@ -39,8 +39,8 @@
 const LOST_AFTER_TYPICAL_LATENCIES: f64 = 12.0;
 /// Load reports count for this long.
 const LOAD_REPORT_VALID_FOR: Span = Span::from_millis(2000);
-/// Before any member of a kind of machine has answered, the ratio of these is assumed, with the weight of so many
-/// answers.
+/// The latency ratio that is assumed of a kind of machine before its members have answered: the sum over the answers
+/// that it counts as, so 4/3.
 const KIND_PRIOR_RATIO_SUM: f64 = 4.0;
 const KIND_PRIOR_ANSWERS: f64 = 3.0;
 /// A prior estimate weighs as much as so many answers of the member itself.
@@ -48,7 +48,7 @@
 
 /// Width of a bucket of the answer times of a zone.
 const ZONE_LATENCY_BUCKET: Span = Span::from_millis(2500);
-/// A first failure of a member counts as an answer with this latency ratio for its zone.
+/// The first of a member's consecutive failures counts as an answer with this latency ratio for its zone.
 const ZONE_FAILURE_LATENCY_RATIO: f64 = 8.0;
 
 /// A member is congested above this latency ratio, and no longer so after an answer at or below the second.
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -21,7 +21,7 @@
     FaultyRequest,
     /// The retry budget does not allow a further attempt.
     RetryBudgetExhausted,
-    /// No capacity was idle, and a repeat that the client has marked gets no other.
+    /// No capacity was idle, and a marked client retry gets no other.
     NoIdleCapacity,
 }
 
@@ -30,7 +30,7 @@
 pub enum Ineligible {
     /// It is draining, or not on the endpoint list.
     NotListed,
-    /// Its last health checks or connections failed.
+    /// Its last three health checks or connections failed; for a primary, the last one.
     Ejected,
     /// It would answer too late.
     TooSlow,
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The difference that the positions reported so far, and lately, allow.
+    /// The difference that the positions reported so far, and within the last seconds, allow.
     pub fn difference(&self, now: Time) -> ClockDifference {
         let recent = self.leads.iter().filter(|lead| now - lead.reported_at <= UNCONFIRMED_VALID_FOR);
         let unconfirmed = recent.map(|lead| lead.lead).max().unwrap_or(Span::ZERO);
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -12,21 +12,25 @@
 use crate::types::{Arrival, Decision, OverloadState, RpcId};
 use nanorand::Rng;
 
-/// Priorities in a band. The bands, from the lowest: late answers, connections over their fair share, repeats that the
+/// Priorities in a band. The bands, from the lowest: late answers, connections over their fair share, retries that the
 /// client has marked, and all others.
 const PRIORITIES_PER_BAND: f64 = 64.0;
 /// Priorities for each doubling of utility by cost, and the binary logarithm that the lowest stands for.
 const PRIORITIES_PER_DOUBLING: f64 = 4.0;
 const LOWEST_LOG2_UTILITY_PER_SEC: f64 = 8.0;
-/// Least share of the longest Retry-After that is named to a client whose RPC was shed.
-const MIN_SHED_RETRY_AFTER_SHARE: f64 = 0.2;
-/// Mean share of the longest Retry-After that is named while an answer could still be of use.
-const MEAN_RETRY_AFTER_SHARE: f64 = 0.35;
+/// The Retry-After of an RPC that was shed, as a share of the longest: this without pressure, 1 under full pressure,
+/// each times a random factor from `MIN_SHED_JITTER` to 1. So it is 0.1 to 1 of the longest.
+const SHED_RETRY_AFTER_SHARE: f64 = 0.2;
+const MIN_SHED_JITTER: f64 = 0.5;
+/// The Retry-After of an RPC that was given up while an answer could still be of use, as a share of the longest, times a
+/// random factor from `MIN_GIVE_UP_JITTER` to one more. So it is 0.175 to 0.525 of the longest.
+const GIVE_UP_RETRY_AFTER_SHARE: f64 = 0.35;
+const MIN_GIVE_UP_JITTER: f64 = 0.5;
 /// An RPC is given up so many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: f64 = 2.0;
 
 /// The priority of an RPC among those that want this router's capacity: less for what would be late, for who floods,
-/// for repeats, and for a low utility by its cost.
+/// for client retries, and for a low utility by its cost.
 pub fn priority(state: &RouterState, now: Time, arrival: &Arrival, overload: &OverloadState) -> u32 {
     let method = &state.methods[arrival.method as usize];
     let answered_at = now + overload.queueing_delay + method.typical;
@@ -59,8 +63,8 @@
 
 /// Rejects an RPC that was never sent. The Retry-After grows with the pressure, from 0 to 1, spread by chance.
 pub fn shed(state: &mut RouterState, rpc: RpcId, pressure: f64) -> Decision {
-    let share = (MIN_SHED_RETRY_AFTER_SHARE + (1.0 - MIN_SHED_RETRY_AFTER_SHARE) * pressure)
-        * (0.5 + 0.5 * state.random.generate::<f64>());
+    let share = (SHED_RETRY_AFTER_SHARE + (1.0 - SHED_RETRY_AFTER_SHARE) * pressure)
+        * (MIN_SHED_JITTER + (1.0 - MIN_SHED_JITTER) * state.random.generate::<f64>());
     state.rpcs.close(rpc);
     Decision::Reject { retry_after: state.deployment.max_retry_after * share }
 }
@@ -101,7 +105,8 @@
 
 /// When a rejected client may come back while an answer could still be of use, spread by chance.
 pub fn retry_after(state: &mut RouterState) -> Span {
-    state.deployment.max_retry_after * (MEAN_RETRY_AFTER_SHARE * (0.5 + state.random.generate::<f64>()))
+    state.deployment.max_retry_after
+        * (GIVE_UP_RETRY_AFTER_SHARE * (MIN_GIVE_UP_JITTER + state.random.generate::<f64>()))
 }
 
 /// For the log: could the primary have got this RPC?
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -12,7 +12,7 @@
 
 /// An RPC that so many members have answered with an error is itself at fault.
 const ERRORS_TO_FAULT_RPC: usize = 2;
-/// Share of a concurrency limit that repeats which the client has marked may use: what is idle.
+/// Share of a concurrency limit that marked client retries may use: what is idle.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
 /// The link to a zone is degraded above this latency ratio.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
@@ -55,7 +55,7 @@
     result.retry_denied.then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
-/// Is it a repeat that the client has marked? It competes with first requests, which have more utility.
+/// Is it a retry that the client has marked? It competes with first requests, which have more utility.
 pub fn is_client_retry(state: &RouterState, rpc: RpcId) -> bool {
     let is_idempotent = state.method_of(rpc).method.idempotency == Idempotency::Idempotent;
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -2,11 +2,13 @@
 //!
 //! 1. An RPC that may not be sent again, or could not be answered in time, is given up (`rejection`).
 //! 2. A router that has just started waits for the first answers of the group: its list may be old.
-//! 3. Of the replicas that are eligible, fresh enough and have room, the least loaded is selected, ties in turn.
+//! 3. Of the replicas that are eligible, fresh enough and below their concurrency limit, the least loaded is selected;
+//!    ties go to the one that was sent the least work.
 //! 4. A read that no replica is known to be fresh enough for waits for a health check of the next one.
 //! 5. What no replica takes, and what only the primary may serve, goes to the primary if it is eligible. A read that
 //!    does so spills.
-//! 6. Anything else is queued (`pending`), but for a repeat that the client has marked: it is given up.
+//! 6. Anything else is queued (`pending`). A marked client retry of an idempotent method is given up instead, unless a
+//!    health check may yet help it.
 
 use crate::attempt;
 use crate::concurrency_limit;
@@ -41,7 +43,7 @@
 struct ReplicaSearch {
     selected: Option<Rank>,
     /// The first by rank of those that may be fresh enough, but have not proven it.
-    may_be_fresh: Option<Rank>,
+    best_unproven: Option<Rank>,
     /// A health check that may prove one to be fresh enough is in progress or due.
     expects_report: bool,
     /// Why the others were passed over.
@@ -71,7 +73,7 @@
         }
         return attempt::start(state, now, rpc, primary);
     }
-    if let Some(Rank { index, .. }) = replicas.may_be_fresh.filter(|_| !replicas.expects_report) {
+    if let Some(Rank { index, .. }) = replicas.best_unproven.filter(|_| !replicas.expects_report) {
         health_check_schedule::request_check(state, now, index);
     }
     if retry::is_client_retry(state, rpc) && !waits_for_report {
@@ -102,7 +104,7 @@
 
 /// Does a read that no replica was selected for wait for a report that could prove one to be fresh enough?
 fn waits_for_report(state: &RouterState, replicas: &ReplicaSearch) -> bool {
-    let report_can_come = replicas.expects_report || replicas.may_be_fresh.is_some();
+    let report_can_come = replicas.expects_report || replicas.best_unproven.is_some();
     state.deployment.health_checks_report_position && report_can_come
 }
 
@@ -114,7 +116,7 @@
 fn search_replicas(state: &RouterState, now: Time, rpc: RpcId, random: &mut WyRand) -> ReplicaSearch {
     let mut search = ReplicaSearch {
         selected: None,
-        may_be_fresh: None,
+        best_unproven: None,
         expects_report: false,
         passed_over: Counts::default(),
     };
@@ -136,14 +138,14 @@
             search.passed_over.add(Ineligible::Stale);
             search.expects_report |= health_check_schedule::result_is_expected(state, now, member);
             if consistency != Consistency::Any
-                && search.may_be_fresh.is_none_or(|first| rank < first)
-                && can_be_asked(state, now, index, member, required)
+                && search.best_unproven.is_none_or(|best| rank < best)
+                && can_be_checked(state, now, index, member, required)
             {
-                search.may_be_fresh = Some(rank);
+                search.best_unproven = Some(rank);
             }
             continue;
         }
-        if search.selected.is_some_and(|first| rank >= first) {
+        if search.selected.is_some_and(|best| rank >= best) {
             continue;
         }
         let share = limit_share * staleness::headroom(state, now, member, required);
@@ -157,7 +159,7 @@
 }
 
 /// Could a health check of this replica, requested now, prove it to be fresh enough?
-fn can_be_asked(state: &RouterState, now: Time, index: usize, member: &Member, required: Time) -> bool {
+fn can_be_checked(state: &RouterState, now: Time, index: usize, member: &Member, required: Time) -> bool {
     member.health_check_sent_at.is_none()
         && staleness::may_have_caught_up(now, member, required)
         && health_check_schedule::next_request_at(state, index) <= now
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: a member that has started gets a share of the traffic that rises to its full one.
 //!
 //! The share is `slow_start_capacity` at its start and grows linearly to 1 over `slow_start_duration`. It is
-//! enforced by credit: each RPC that this router accepts pays a fraction of an attempt to each member in slow start, and
-//! an attempt there costs one. Credit comes evenly, also for RPCs that were queued. If each router stays within its
+//! enforced by credit: each RPC that this router accepts adds a fraction to the credit of each member in slow start, and
+//! each attempt there takes one from it. Credit comes evenly, also for RPCs that were queued. If each router stays within its
 //! share, so does their sum.
 
 use crate::health_check_schedule::HEALTH_CHECK_WAIT;
@@ -19,7 +19,7 @@
 const VARIATION_MARGIN_ROOTS: f64 = 3.0;
 /// Whole attempts of credit lapse after this, or all routers with nothing to send would spend theirs at once.
 const CREDIT_VALID_FOR: Span = HEALTH_CHECK_WAIT;
-/// Spreads the random draw of an RPC over the members (the golden ratio's fraction).
+/// Shifts the random draw of an RPC for each member, so that an RPC which one member may not have does not miss all.
 const DRAW_STEP_PER_MEMBER: f64 = 0.618;
 
 /// The share of its capacity that a member in slow start is sure to have, from 0 to 1; none once it has all of it.
--- a/crates/ladderpass-routing/src/state.rs
+++ b/crates/ladderpass-routing/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router keeps in mind: one module a kind of thing. Nothing here decides.
+//! The state of a router: one module for each kind of thing. Nothing here decides.
 
 pub mod group;
 pub mod latency;
--- a/crates/ladderpass-routing/src/state/latency.rs
+++ b/crates/ladderpass-routing/src/state/latency.rs
@@ -9,7 +9,7 @@
     pub method: Method,
     /// Answer times, in seconds.
     pub answers: SlidingWindow<8>,
-    /// The answer time without load.
+    /// The typical answer time: the quickest mean of the recent buckets, so about the time without load.
     pub typical: Span,
 }
 
--- a/crates/ladderpass-routing/src/time.rs
+++ b/crates/ladderpass-routing/src/time.rs
@@ -11,7 +11,7 @@
 pub struct Span(i64);
 
 impl Time {
-    /// Earlier than any time that a clock shows.
+    /// Earlier than any time that a clock shows: when something happened that has not happened yet.
     pub const NEVER: Time = Time(i64::MIN / 2);
 
     /// The point at this many nanoseconds from the clock's zero.
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -18,7 +18,7 @@
 /// How recent the data behind an answer must be, and which members may serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any data, within reason.
+    /// Any data, unless its member is known to lag by 30 s or more.
     Any,
     /// Not older than this when the attempt is sent.
     BoundedStaleness(Span),
@@ -94,9 +94,9 @@
     pub methods: Vec<Method>,
     /// How the endpoint list names primaries.
     pub primary_in_list: PrimaryInList,
-    /// Session reads carry the age of the session's last write.
+    /// Clients say, with each session read, how long ago the session's last write was.
     pub session_write_age_carried: bool,
-    /// The least interval of polls, where the endpoint list has to be polled; none where it is pushed.
+    /// How often the endpoint list has to be polled at the least; none where updates come without polls.
     pub endpoint_poll_interval: Option<Span>,
     /// Members may be health-checked.
     pub health_checks: bool,
@@ -112,7 +112,7 @@
     pub max_attempts: u32,
     /// The longest Retry-After.
     pub max_retry_after: Span,
-    /// Least time between two batches of events.
+    /// Least time between two batches of events, and so the margin for what is decided between them.
     pub tick: Span,
     /// Share of its capacity that a member has at its start.
     pub slow_start_capacity: f64,
@@ -155,7 +155,7 @@
     pub primary: bool,
     /// Its state.
     pub state: EndpointState,
-    /// When it started, if that is recent.
+    /// When it started, if the list says so.
     pub started_at: Option<Time>,
     /// Kind of machine, by the small index that the front gave it.
     pub machine_kind: u32,
@@ -181,8 +181,9 @@
     ChangesDuringMove(&'a [Endpoint]),
     /// A poll failed, or the watch broke.
     Failed {
-        /// No error was received. It is polled again at once: changes that were missed count as received soon.
-        silent: bool,
+        /// Is the list polled again at once, rather than after a backoff? Changes that were missed count as received
+        /// soon, as when a watch fell silent, moved to another address, or brought an older list.
+        poll_immediately: bool,
     },
 }
 
@@ -213,11 +214,11 @@
     pub group: u32,
     /// When the client gives up.
     pub deadline: Time,
-    /// The client has marked it as a repeat.
+    /// The client has marked it as a retry.
     pub is_client_retry: bool,
     /// Its session, if it has one.
     pub session: Option<u32>,
-    /// Age of the session's last write, where it is carried.
+    /// Age of the session's last write, where the client says so.
     pub last_write_age: Option<Span>,
     /// The router's own overload; none where it is not measured.
     pub router_overload: Option<OverloadState>,
@@ -243,17 +244,19 @@
     Ok,
     /// Answered with an error; it may have had an effect.
     Failed,
-    /// Rejected without effect: the member is at its limit, or draining.
+    /// Rejected without effect: the member is at its limit, or draining. Also an attempt that the front withdrew unsent
+    /// because its member began to drain.
     Rejected,
     /// Not answered in time; it may have had an effect.
     TimedOut,
-    /// No connection could be made; it never ran.
+    /// It never ran: no connection was established in time, or it broke, or took no more bytes, before all of the query
+    /// was written.
     Unreachable,
-    /// The connection broke; it may have had an effect.
+    /// The connection broke, or brought a malformed answer, after the query was written; it may have had an effect.
     ConnectionLost,
-    /// The client gave it up; it may have had an effect.
+    /// The client has gone, and the query was not written completely.
     Cancelled,
-    /// Never sent.
+    /// The front had no connection for it. It is no sign about the member.
     NeverSent,
     /// Rejected without effect: the member is not the primary, or too far behind.
     NotServedHere,
@@ -376,7 +379,7 @@
     pub log_messages: Vec<String>,
     /// RPCs that were not served by the ordinary path, and why.
     pub exceptions: Exceptions,
-    /// Members that are forgotten: each index may be given to another.
+    /// Members that are retired: each index may be given to another.
     pub retired_members: Vec<MemberId>,
     /// When to call `tick` again, if nothing happens before.
     pub wake_at: Option<Time>,
@@ -395,6 +398,6 @@
     pub latency_ratio: f64,
     /// Attempts of this router in flight there.
     pub in_flight: f64,
-    /// Of the attempts that ended lately, the share that it rejected or failed.
+    /// Of the attempts that ended within the last second, the share that it rejected or failed.
     pub failure_share: f64,
 }
--- a/crates/ladderpass-routing/tests/endpoints.rs
+++ b/crates/ladderpass-routing/tests/endpoints.rs
@@ -9,7 +9,7 @@
 fn a_failed_poll_is_repeated_well_within_its_interval() {
     let mut router = router_with_replicas(1, |d| d.endpoint_poll_interval = Some(Span::from_millis(10_000)));
     assert!(router.tick(at(0)).poll_endpoints);
-    router.on_endpoint_update(at(100), EndpointUpdate::Failed { silent: false });
+    router.on_endpoint_update(at(100), EndpointUpdate::Failed { poll_immediately: false });
     assert!(!router.tick(at(100)).poll_endpoints, "at once would load the service");
     let polled = (1..50).find(|n| router.tick(at(100 + n * 100)).poll_endpoints);
     assert!(polled.is_some_and(|n| n <= 40), "polled again after {polled:?} tenths of a second");
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -286,7 +286,9 @@
     fn update_endpoints(&mut self) {
         match self.below(20) {
             0 | 1 => {
-                return self.router.on_endpoint_update(self.now, EndpointUpdate::Failed { silent: false });
+                return self
+                    .router
+                    .on_endpoint_update(self.now, EndpointUpdate::Failed { poll_immediately: false });
             }
             // An empty list, and members that are not known yet; both may come back.
             2 => {
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -284,7 +284,7 @@
     ) -> Result<(), EventProblem> {
         let kind = require(line.update_kind, "How")?;
         if kind == "broken" {
-            self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: false });
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: false });
             return Ok(());
         }
         let number = require(line.list_number, "Buffer")?;
--- a/crates/ladderpass/src/reducer/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/discovery_watch.rs
@@ -178,7 +178,7 @@
         let unused = self.discovery.move_to(address, has_answered);
         unused.into_iter().for_each(|id| self.close_connection(id));
         // By way of the core, so that its backoff does not end in the middle of this request.
-        self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: true });
+        self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: true });
     }
 
     fn has_answered(&self, id: ConnectionId) -> bool {
@@ -317,7 +317,7 @@
             self.discovery.late.into_iter().for_each(|late| self.close_connection(late));
             self.discovery.late = self.discovery.current.take();
             self.connections.set_deadline(id, Some(late_until));
-            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
+            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
         }
         self.end_watch(now, id, "silence", silent);
     }
@@ -331,7 +331,7 @@
         let has_successor = self.discovery.previous == Some(id) || self.discovery.late == Some(id);
         self.close_connection(id);
         if !has_successor {
-            self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent });
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
         }
     }
 }
