--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -1,50 +1,66 @@
-//! Slopes of a router's control: what it says to other routers, probes, lists, and the processor time and
-//! memory of these, measured with hollow routers.
-//!
-//! It owns how they are measured. It must never be needed by a router that serves.
+//! Slopes of a router's control traffic: gossip, membership, health checks and endpoint lists, with their CPU time and
+//! memory, measured with simulated routers.
 
 use super::hollow::{About, Shape, World, thread_time};
 use super::slope::Slope;
 use ladderpass_routing::Span;
 use std::io;
 use std::net::UdpSocket;
+use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What one world gave, a router and a second.
+/// Rates of a simulation: of one router, a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rates {
+    /// Datagrams of gossip that it sent.
     pub words: f64,
+    /// Bytes of these.
     pub words_bytes: f64,
+    /// Datagrams of the membership protocol that it sent.
     pub membership: f64,
+    /// Bytes of these.
     pub membership_bytes: f64,
+    /// Datagrams that it received.
     pub heard: f64,
+    /// Datagrams to it that were lost.
     pub lost: f64,
-    /// A member and a second, of all routers.
+    /// Health checks of one member, by all routers.
     pub probes: f64,
+    /// Connections that it opened.
     pub connects: f64,
+    /// Ticks of its event loop.
     pub turns: f64,
-    /// Turns without data.
+    /// Ticks without data.
     pub quiet_turns: f64,
+    /// Statements that it answered without an error.
     pub answered: f64,
+    /// Statements that it answered with an error.
     pub refused: f64,
-    /// Parts of a core, by what it is spent on.
+    /// Fraction of a core for gossip.
     pub of_words: f64,
+    /// Fraction of a core for the membership protocol.
     pub of_membership: f64,
+    /// Fraction of a core for connections of clients and members.
     pub of_data: f64,
+    /// Fraction of a core for ticks without data.
     pub of_turns: f64,
+    /// Fraction of a core for ticks with data.
     pub of_turns_of_data: f64,
 }
 
-/// Routers find each other and ask all members within this.
+/// Routers find each other and check the health of all members within this.
 pub const SETTLES: Span = Span::from_millis(6000);
-/// A few routers within this.
-const STARTED: Span = Span::from_millis(4000);
+/// The same for a few routers.
+const FEW_SETTLE: Span = Span::from_millis(4000);
 
-/// Runs a world until it has settled, and then for so many seconds.
+/// Rates of a simulation over a number of seconds, once it has settled.
+///
+/// # Errors
+/// If the simulation can't be started.
 pub fn rates(shape: &Shape, seconds: f64) -> io::Result<Rates> {
-    settled(shape, SETTLES, seconds)
+    rates_after(shape, SETTLES, seconds)
 }
 
-fn settled(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
+fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
     let mut world = World::start(shape.clone())?;
     world.run(settles)?;
     world.count_anew();
@@ -52,24 +68,25 @@
     Ok(rates_of(&world, seconds))
 }
 
+/// Rates of a simulation that has been counted over a number of seconds.
 pub fn rates_of(world: &World, seconds: f64) -> Rates {
-    let per = |count: f64| count / seconds;
-    let seen = (world.shape.observed.min(world.shape.routers).max(1)) as f64;
-    let cost = |about: About| world.cost.nanos[about as usize] as f64 / 1e9 / seen / seconds;
-    let probes = world.mean(|c| c.probes) * world.shape.routers as f64;
+    let per_second = |count: f64| count / seconds;
+    let observed = (world.shape.observed.min(world.shape.routers).max(1)) as f64;
+    let cost = |about: About| world.cost.nanos[about as usize] as f64 / 1e9 / observed / seconds;
+    let probes = world.mean(|counts| counts.probes) * world.shape.routers as f64;
     Rates {
-        words: per(world.mean(|c| c.words.datagrams)),
-        words_bytes: per(world.mean(|c| c.words.bytes)),
-        membership: per(world.mean(|c| c.membership.datagrams)),
-        membership_bytes: per(world.mean(|c| c.membership.bytes)),
-        heard: per(world.mean(|c| c.heard)),
-        lost: per(world.mean(|c| c.lost)),
-        probes: per(probes / world.shape.members.max(1) as f64),
-        connects: per(world.mean(|c| c.connects)),
-        turns: per(world.mean(|c| c.turns)),
-        quiet_turns: per(world.cost.events[About::Turn as usize] as f64 / seen),
-        answered: per(world.mean(|c| c.answered)),
-        refused: per(world.mean(|c| c.refused)),
+        words: per_second(world.mean(|counts| counts.words.datagrams)),
+        words_bytes: per_second(world.mean(|counts| counts.words.bytes)),
+        membership: per_second(world.mean(|counts| counts.membership.datagrams)),
+        membership_bytes: per_second(world.mean(|counts| counts.membership.bytes)),
+        heard: per_second(world.mean(|counts| counts.heard)),
+        lost: per_second(world.mean(|counts| counts.lost)),
+        probes: per_second(probes / world.shape.members.max(1) as f64),
+        connects: per_second(world.mean(|counts| counts.connects)),
+        turns: per_second(world.mean(|counts| counts.turns)),
+        quiet_turns: per_second(world.cost.events[About::Turn as usize] as f64 / observed),
+        answered: per_second(world.mean(|counts| counts.answered)),
+        refused: per_second(world.mean(|counts| counts.refused)),
         of_words: cost(About::Words),
         of_membership: cost(About::Membership),
         of_data: cost(About::Data),
@@ -78,37 +95,56 @@
     }
 }
 
-/// How much is measured: the short form is for the proof, the long one for the page.
+/// How much is measured.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
+    /// The long form, for docs/CAPACITY.md; else the short one, for the proof.
     pub long: bool,
 }
 
-/// The size, and a router's part of its statements for each group.
+/// Routers of the reference size.
 pub const ROUTERS: usize = 460;
+/// Groups of the reference size.
 pub const GROUPS: usize = 313;
+/// Members of the reference size.
 pub const MEMBERS: usize = 940;
+/// Statements a second at one router of the reference size.
 pub const RATE: f64 = 522.0;
 
-/// A world at the size's rate of statements for each pair of a router and a group.
+/// Deaths of routers that are measured.
+const DEATHS: usize = 4;
+/// Steps of 0.1 s within which routers must find each other.
+const MAX_SETTLE_STEPS: usize = 600;
+/// Size of a datagram of gossip.
+const GOSSIP_BYTES: usize = 11;
+const DATAGRAM_RUNS: usize = 5;
+/// Datagrams that are sent before they are received.
+const DATAGRAM_BATCH: i32 = 50;
+/// IP and UDP headers of a datagram.
+const HEADER_BYTES: f64 = 28.0;
+
+/// A shape with the rate of statements for each pair of router and group that the reference size has.
 pub fn sized(routers: usize, groups: usize, seed: u64) -> Shape {
     let members = groups * MEMBERS / GROUPS;
     Shape { members, rate: RATE * groups as f64 / GROUPS as f64, seed, ..Shape::of(routers, groups) }
 }
 
-/// All slopes of control, with what `memory` gave; a world that can't be had is a fault.
+/// Measures all slopes of control traffic; `memory` are the points of [`memory`].
+///
+/// # Errors
+/// If a simulation can't be started.
 pub fn measure(seed: u64, settings: &Settings, memory: Vec<(f64, f64)>) -> io::Result<Vec<Slope>> {
     let long = settings.long;
-    // Words on a member go every 0.8 s where reads may be 2 s old: whole turns of that.
+    // Multiples of 0.8 s, the interval of gossip about a member whose reads may be 2 s old.
     let seconds = if long { 8.0 } else { 3.2 };
-    let watched = |shape: Shape| Shape { observed: 4, ..shape };
-    // The dearest beside all others.
+    // The most expensive slopes run beside all others.
     let groups: &[usize] = if long { &[16, 48, 96, 192, GROUPS] } else { &[16, 64, 160, GROUPS] };
-    let of_groups = || lanes(groups, |groups| settled(&watched(sized(16, groups, seed)), STARTED, seconds));
+    let measure_groups =
+        || lanes(groups, |groups| rates_after(&observed(sized(16, groups, seed)), FEW_SETTLE, seconds));
     let (by_groups, others) = std::thread::scope(|scope| {
-        let beside = scope.spawn(of_groups);
+        let by_groups = scope.spawn(measure_groups);
         let others = others(seed, long, seconds);
-        let by_groups = beside.join().unwrap_or_else(|_| Err(io::Error::other("a lane failed")));
+        let by_groups = by_groups.join().unwrap_or_else(|_| Err(io::Error::other("a lane failed")));
         io::Result::Ok((by_groups?, others?))
     })?;
     let Others { by_routers, quiet, pairs, shed, deaths, lists } = others;
@@ -118,9 +154,9 @@
         from.iter().map(|(x, rates)| (*x as f64, value(rates))).collect()
     };
     let each = |cost: f64, events: f64| cost / events.max(1e-9) * 1e6;
-    let told = |value: fn(&Heard) -> f64| -> Vec<(f64, f64)> {
-        let pair = |nth: usize| ((pairs[nth].0 - 1) * pairs[nth].1) as f64;
-        shed.iter().map(|(nth, heard)| (1.0 / pair(*nth), value(heard))).collect()
+    let admission = |value: fn(&Heard) -> f64| -> Vec<(f64, f64)> {
+        let words = |index: usize| ((pairs[index].0 - 1) * pairs[index].1) as f64;
+        shed.iter().map(|(index, heard)| (1.0 / words(*index), value(heard))).collect()
     };
     Ok(vec![
         slope("words_datagrams", "groups", "datagrams a router a second", of(&by_groups, |r| r.words)),
@@ -142,7 +178,7 @@
             "datagram_cpu",
             "datagrams",
             "us of CPU to send and receive them, kernel and all",
-            datagrams()?,
+            datagram_cpu()?,
         ),
         slope("membership_datagrams", "routers", "datagrams a router a second", of(&quiet, |r| r.membership)),
         slope("membership_bytes", "routers", "bytes a router a second", of(&quiet, |r| r.membership_bytes)),
@@ -154,69 +190,94 @@
             "admission_bytes",
             "1/words of all",
             "bytes a router a second, membership's too",
-            told(|h| h.bytes),
+            admission(|h| h.bytes),
         ),
-        slope("admission_words", "1/words of all", "words that count at a router", told(|h| h.words)),
+        slope("admission_words", "1/words of all", "words that count at a router", admission(|h| h.words)),
         slope("death_known", "log2 of routers", "s until all know of a router's death", {
             deaths.iter().map(|(x, took)| ((*x as f64).log2(), *took)).collect()
         }),
         slope("list_bytes", "members", "bytes of a whole list", {
-            lists.iter().map(|list| (list.0, list.1)).collect()
+            lists.iter().map(|list| (list.members, list.bytes)).collect()
         }),
         slope("list_cpu", "members", "ms of CPU to read a whole list", {
-            lists.iter().map(|list| (list.0, list.2)).collect()
+            lists.iter().map(|list| (list.members, list.cpu_ms)).collect()
         }),
     ])
 }
 
-/// What is measured beside the slopes by groups.
+fn observed(shape: Shape) -> Shape {
+    Shape { observed: OBSERVED_ROUTERS, ..shape }
+}
+
+/// Routers whose CPU time is measured.
+const OBSERVED_ROUTERS: usize = 4;
+
+/// What is measured beside the slopes by groups. Each is by the value of x.
 struct Others {
     by_routers: Vec<(usize, Rates)>,
     quiet: Vec<(usize, Rates)>,
-    /// Routers and groups, and what was heard of admission there.
+    /// Routers and groups of the simulations in `shed`.
     pairs: &'static [(usize, usize)],
+    /// By index in `pairs`.
     shed: Vec<(usize, Heard)>,
     deaths: Vec<(usize, f64)>,
-    lists: Vec<(f64, f64, f64)>,
+    lists: Vec<ListCost>,
+}
+
+/// The cost of a complete endpoint list.
+struct ListCost {
+    members: f64,
+    bytes: f64,
+    cpu_ms: f64,
 }
 
 fn others(seed: u64, long: bool, seconds: f64) -> io::Result<Others> {
-    let watched = |shape: Shape| Shape { observed: 4, ..shape };
     let by_routers = lanes(&[16, 32, 64, 128], |routers| rates(&sized(routers, 16, seed), seconds))?;
     let quiet = lanes(&[128, 256, ROUTERS], |routers| {
-        // All at once they take longer to find each other.
-        settled(&watched(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) }), SETTLES * 2.5, seconds / 2.0)
+        // Many routers that start at once take longer to find each other.
+        rates_after(
+            &observed(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) }),
+            SETTLES * 2.5,
+            seconds / 2.0,
+        )
     })?;
     let pairs: &'static [(usize, usize)] = if long {
         &[(16, 16), (32, 16), (32, 32), (64, 32), (64, 64)]
     } else {
         &[(16, 16), (32, 16), (32, 32)]
     };
-    let shed = lanes(&(0..pairs.len()).collect::<Vec<_>>(), |nth| {
-        heard_of(pairs[nth].0, pairs[nth].1, seed, seconds)
+    let shed = lanes(&(0..pairs.len()).collect::<Vec<_>>(), |index| {
+        heard_of(pairs[index].0, pairs[index].1, seed, seconds)
     })?;
-    let deaths = lanes(if long { &[16, 64, 128, 256, 460] } else { &[16, 64, 256] }, |n| death(n, seed))?;
-    let lists =
-        [94, 235, 470, MEMBERS].into_iter().map(|n| listed(n, seed)).collect::<io::Result<Vec<_>>>()?;
+    let deaths =
+        lanes(if long { &[16, 64, 128, 256, 460] } else { &[16, 64, 256] }, |routers| death(routers, seed))?;
+    let lists = [94, 235, 470, MEMBERS]
+        .into_iter()
+        .map(|members| list_cost(members, seed))
+        .collect::<io::Result<Vec<_>>>()?;
     Ok(Others { by_routers, quiet, pairs, shed, deaths, lists })
 }
 
-/// Members, bytes of a whole list, and what reading it costs a router that has just started, in ms.
-fn listed(members: usize, seed: u64) -> io::Result<(f64, f64, f64)> {
+/// Measures the complete list that each router reads at its start.
+fn list_cost(members: usize, seed: u64) -> io::Result<ListCost> {
     let shape = Shape { rate: 0.0, members, peers: false, observed: 8, seed, ..Shape::of(8, members / 3) };
     let mut world = World::start(shape)?;
     world.run(Span::from_millis(1000))?;
     let lists = world.counts.iter().map(|counts| counts.watches).sum::<u64>().max(1) as f64;
     let bytes = world.counts.iter().map(|counts| counts.list_bytes).sum::<u64>() as f64;
-    Ok((members as f64, bytes / lists, world.cost.nanos[About::List as usize] as f64 / 1e6 / lists))
+    let cpu_ms = world.cost.nanos[About::List as usize] as f64 / 1e6;
+    Ok(ListCost { members: members as f64, bytes: bytes / lists, cpu_ms: cpu_ms / lists })
 }
 
-/// KiB of this process that a router which knows so many others takes; all worlds stand until the last is
-/// measured, and nothing else may grow meanwhile.
+/// KiB that a router takes, by the number of routers, from the growth of this process. All simulations are kept until the
+/// last is measured, and nothing else in the process may grow meanwhile.
+///
+/// # Errors
+/// If a simulation can't be started, or this process's memory can't be read.
 pub fn memory(seed: u64) -> io::Result<Vec<(f64, f64)>> {
     let mut worlds = Vec::new();
     let mut points = Vec::new();
-    // The first warms up what the process itself needs.
+    // The first point is left out: it includes what the process itself needs.
     for routers in [64, 128, 256, ROUTERS] {
         let before = resident()?;
         let mut world = World::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
@@ -228,31 +289,31 @@
     Ok(points)
 }
 
-/// KiB of this process.
+/// Resident memory of this process in KiB.
 fn resident() -> io::Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
     pages.map(|pages| pages * 4.0).ok_or_else(|| io::Error::other("statm can't be read"))
 }
 
-/// Datagrams of a word's length over loopback, each sent and received with a call of its own, as the program
-/// does.
-fn datagrams() -> io::Result<Vec<(f64, f64)>> {
-    let (one, other) = (UdpSocket::bind("127.0.0.1:0")?, UdpSocket::bind("127.0.0.1:0")?);
-    let to = other.local_addr()?;
-    let mut room = [0; 2048];
+/// CPU microseconds to send and receive datagrams of gossip over loopback, each with a call of its own, as the program
+/// does; by their number.
+fn datagram_cpu() -> io::Result<Vec<(f64, f64)>> {
+    let (sender, receiver) = (UdpSocket::bind("127.0.0.1:0")?, UdpSocket::bind("127.0.0.1:0")?);
+    let to = receiver.local_addr()?;
+    let mut buffer = [0; 2048];
     let mut points = Vec::new();
     for count in [2000, 4000, 8000, 16_000] {
-        // The least of five: what else the machine does makes it dearer, nothing makes it cheaper.
+        // The least of several runs: other load of the machine can only add to it.
         let mut least = f64::INFINITY;
-        for _ in 0..5 {
+        for _ in 0..DATAGRAM_RUNS {
             let began = thread_time();
-            for _ in 0..count / 50 {
-                for _ in 0..50 {
-                    one.send_to(&[7; 11], to)?;
+            for _ in 0..count / DATAGRAM_BATCH {
+                for _ in 0..DATAGRAM_BATCH {
+                    sender.send_to(&[7; GOSSIP_BYTES], to)?;
                 }
-                for _ in 0..50 {
-                    other.recv_from(&mut room)?;
+                for _ in 0..DATAGRAM_BATCH {
+                    receiver.recv_from(&mut buffer)?;
                 }
             }
             least = least.min((thread_time() - began).secs() * 1e6);
@@ -262,16 +323,16 @@
     Ok(points)
 }
 
-/// Side by side, two at a time: figures are of simulated time, or of the thread's own processor time.
+/// Measures all values of x, in two threads: figures are of simulated time, or of the thread's own CPU time.
 fn lanes<T: Send>(
     xs: &[usize],
     measure: impl Fn(usize) -> io::Result<T> + Sync,
 ) -> io::Result<Vec<(usize, T)>> {
-    let next = std::sync::atomic::AtomicUsize::new(0);
+    let next = AtomicUsize::new(0);
     let lane = || -> io::Result<Vec<(usize, T)>> {
         let mut done = Vec::new();
-        // The largest first: it takes longest.
-        while let Some(&x) = xs.iter().rev().nth(next.fetch_add(1, std::sync::atomic::Ordering::Relaxed)) {
+        // The largest first: it takes the longest.
+        while let Some(&x) = xs.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed)) {
             done.push((x, measure(x)?));
         }
         Ok(done)
@@ -288,59 +349,64 @@
     Ok(all)
 }
 
-/// What goes along with the membership's datagrams.
+/// Reports for admission control, which go with datagrams of the membership protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Heard {
+    /// Bytes a second that a router sends, with the membership protocol's own.
     pub bytes: f64,
-    /// Other routers' words that count at a router; a common floor needs one of each router on each group.
+    /// Reports of other routers that a router has; the common admission threshold needs one of each router for each group.
     pub words: f64,
 }
 
+/// Measures the reports for admission control.
+///
+/// # Errors
+/// If the simulation can't be started.
 pub fn heard_of(routers: usize, groups: usize, seed: u64, seconds: f64) -> io::Result<Heard> {
     let mut world = World::start(Shape { fleet: true, ..sized(routers, groups, seed) })?;
     world.run(SETTLES)?;
     world.count_anew();
     world.run(Span::from_secs_f64(seconds))?;
-    let words: usize = (0..routers)
+    let reports: usize = (0..routers)
         .filter_map(|router| world.reducer(router))
-        .flat_map(|reducer| reducer.admission_metrics().into_iter().map(|figures| figures.reports))
+        .flat_map(|reducer| reducer.admission_metrics().into_iter().map(|metrics| metrics.reports))
         .sum();
-    Ok(Heard { bytes: rates_of(&world, seconds).membership_bytes, words: words as f64 / routers as f64 })
+    Ok(Heard { bytes: rates_of(&world, seconds).membership_bytes, words: reports as f64 / routers as f64 })
 }
 
-/// Seconds from a router's death until all others have it out of their view; of a few deaths, one after the
-/// other.
+/// Mean seconds from a router's death until no other believes it to be alive, of [`DEATHS`] deaths one after the other.
+///
+/// # Errors
+/// If the simulation can't be started, or the routers don't find each other within a minute.
 pub fn death(routers: usize, seed: u64) -> io::Result<f64> {
     let mut world = World::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
     world.run(SETTLES)?;
     let agree = |world: &World, count: usize| {
         (0..routers).filter_map(|router| world.reducer(router)?.fleet_view()).all(|view| view.0 == count)
     };
-    let mut waited = 0;
+    let mut steps = 0;
     while !agree(&world, routers) {
-        waited += 1;
-        if waited > 600 {
+        steps += 1;
+        if steps > MAX_SETTLE_STEPS {
             return Err(io::Error::other(format!(
                 "{routers} routers did not find each other within a minute"
             )));
         }
         world.run(Span::from_millis(100))?;
     }
-    let mut took = 0.0;
-    for nth in 0..DEATHS {
+    let mut total_s = 0.0;
+    for index in 0..DEATHS {
         let from = world.now;
-        world.kill((nth + 1) * routers / (DEATHS + 1));
-        while !agree(&world, routers - nth - 1) && world.now - from < Span::from_millis(60_000) {
+        world.kill((index + 1) * routers / (DEATHS + 1));
+        while !agree(&world, routers - index - 1) && world.now - from < Span::from_millis(60_000) {
             world.run(Span::from_millis(20))?;
         }
-        took += (world.now - from).secs();
+        total_s += (world.now - from).secs();
     }
-    Ok(took / DEATHS as f64)
+    Ok(total_s / DEATHS as f64)
 }
 
-const DEATHS: usize = 4;
-
-/// What the page says of control, by name, from these slopes: a figure at the size.
+/// Figures of control traffic at the reference size, by the names that docs/CAPACITY.md has them under.
 pub fn figures(slopes: &[Slope]) -> Vec<(&'static str, f64)> {
     let at = |name: &str, x: f64| {
         slopes.iter().find(|slope| slope.name == name).map_or(f64::NAN, |slope| slope.fit().at(x))
@@ -352,10 +418,11 @@
     let membership = at("membership_datagrams", routers);
     let (few, bytes) = (at("words_datagrams", groups), at("words_bytes", groups));
     let words = at("words_by_routers", 1.0 / routers) * groups;
-    // Of a word as it was at few routers; on the wire each datagram has 28 bytes of IP and UDP before it.
-    let wire = words * (bytes / few + 28.0) + at("membership_bytes", routers) + 28.0 * membership;
+    // The size of a datagram of gossip is that measured with few routers.
+    let wire =
+        words * (bytes / few + HEADER_BYTES) + at("membership_bytes", routers) + HEADER_BYTES * membership;
     let kernel = slope("datagram_cpu");
-    // A word that comes has a turn of its own.
+    // Each datagram of gossip that arrives has a tick of its own.
     let turns = at("quiet_turns", groups) + words - few;
     let core = words * (at("word_cpu", groups) + kernel)
         + membership * (at("membership_cpu", routers) + kernel)
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -1,114 +1,170 @@
-//! Events of the plan in a hollow world: what happens, when all routers know, and what it costs at its peak.
-//!
-//! It owns the events and how they are read. It must never be needed by a router that serves.
+//! Events at the scale of a deployment, in a simulation: how long until all routers know, and the peak of what they send.
 
 use super::control::{GROUPS, RATE, SETTLES};
 use super::hollow::{Counts, REGION_OF_ZONE, Shape, World, ZONES, member_id};
 use ladderpass_routing::{Span, Time};
 use std::io;
 
-/// What an event came to: moments in seconds since it began, and the most of a router in any half second.
+/// What an event came to.
 #[derive(Clone, Debug)]
 pub struct Told {
+    /// Name of the event.
     pub name: &'static str,
+    /// Moments in seconds since its begin, and counts, by what they are.
     pub moments: Vec<(&'static str, f64)>,
-    /// Datagrams and bytes a second that a router sent, all of them on average, before and at the most.
+    /// Datagrams and bytes a second of a router, on average, before the event.
     pub before: (f64, f64),
+    /// The same in the half second in which they were the most.
     pub most: (f64, f64),
-    /// Of statements that came meanwhile, those that were refused; and what discovery sent, in bytes.
+    /// Fraction of the statements that were refused since its begin.
     pub refused: f64,
+    /// Bytes that discovery sent since its begin.
     pub discovery: u64,
 }
 
+/// Over which the peak is measured.
 const SLICE: Span = Span::from_millis(500);
+/// How often conditions are checked.
 const STEP: Span = Span::from_millis(50);
+/// Over which the state before an event is measured: several rounds of gossip.
+const BASELINE: Span = Span::from_millis(2400);
+/// How often a simulation that has not settled yet is run on, and for how long.
+const SETTLE_STEPS: usize = 60;
+const SETTLE_STEP: Span = Span::from_millis(500);
+/// Routers that restart in a wave, of `REFERENCE_ROUTERS`.
+const RESTARTED_ROUTERS: usize = 180;
+const REFERENCE_ROUTERS: usize = 460;
+const RESTART_WAVE_S: f64 = 10.0;
+const FAILING_ZONE: usize = 1;
+const RACKS_PER_ZONE: usize = 10;
+const CUT_REGION: usize = 2;
+/// How long the region is cut off; it stands for an hour.
+const CUT_S: f64 = 60.0;
 
-/// Runs a world after an event, and notes when what is waited for holds.
-struct Watch<'a> {
-    world: &'a mut World,
-    from: Time,
-    before: (f64, f64),
-    most: (f64, f64),
-    last: (u64, u64),
-    slice_at: Time,
-    asked: (u64, u64),
+/// Sums over all routers.
+#[derive(Clone, Copy)]
+struct Sent {
+    datagrams: u64,
+    bytes: u64,
+}
+
+#[derive(Clone, Copy)]
+struct Statements {
+    sent: u64,
+    refused: u64,
 }
 
-fn sent(world: &World) -> (u64, u64) {
-    let of = |counts: &Counts| {
-        (counts.words.datagrams + counts.membership.datagrams, counts.words.bytes + counts.membership.bytes)
+fn sent(world: &World) -> Sent {
+    let of = |counts: &Counts| Sent {
+        datagrams: counts.words.datagrams + counts.membership.datagrams,
+        bytes: counts.words.bytes + counts.membership.bytes,
     };
-    world.counts.iter().map(of).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1))
+    world.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
+        datagrams: sum.datagrams + one.datagrams,
+        bytes: sum.bytes + one.bytes,
+    })
 }
 
-fn asked(world: &World) -> (u64, u64) {
+impl Sent {
+    /// Datagrams and bytes since an earlier time, each times `factor`.
+    fn rate_since(&self, earlier: Sent, factor: f64) -> (f64, f64) {
+        let datagrams = (self.datagrams - earlier.datagrams) as f64 * factor;
+        (datagrams, (self.bytes - earlier.bytes) as f64 * factor)
+    }
+}
+
+fn statements(world: &World) -> Statements {
     let refused = world.counts.iter().map(|counts| counts.refused + counts.crowded).sum();
-    (world.counts.iter().map(|counts| counts.statements).sum(), refused)
-}
-
-impl Watch<'_> {
-    fn begin(world: &mut World) -> io::Result<Watch<'_>> {
-        // As many seconds as words take to come round a few times.
-        let calm = Span::from_millis(2400);
-        let was = sent(world);
-        world.run(calm)?;
-        let now = sent(world);
-        let per = 1.0 / calm.secs() / world.shape.routers as f64;
-        let before = ((now.0 - was.0) as f64 * per, (now.1 - was.1) as f64 * per);
+    Statements { sent: world.counts.iter().map(|counts| counts.statements).sum(), refused }
+}
+
+/// Runs a simulation during an event, and measures it.
+struct Observation<'a> {
+    world: &'a mut World,
+    /// The event's begin.
+    from: Time,
+    before: (f64, f64),
+    most: (f64, f64),
+    slice_began: Time,
+    sent_before_slice: Sent,
+    statements_before: Statements,
+}
+
+impl Observation<'_> {
+    fn begin(world: &mut World) -> io::Result<Observation<'_>> {
+        let sent_before = sent(world);
+        world.run(BASELINE)?;
+        let sent_now = sent(world);
+        let factor = 1.0 / BASELINE.secs() / world.shape.routers as f64;
+        let before = sent_now.rate_since(sent_before, factor);
         world.discovery = Default::default();
-        let (from, asked) = (world.now, asked(world));
-        Ok(Watch { before, most: before, last: now, slice_at: from, from, asked, world })
+        let (from, statements_before) = (world.now, statements(world));
+        Ok(Observation {
+            before,
+            most: before,
+            sent_before_slice: sent_now,
+            slice_began: from,
+            from,
+            statements_before,
+            world,
+        })
     }
 
     fn step(&mut self) -> io::Result<()> {
         self.world.run(STEP)?;
-        if self.world.now - self.slice_at >= SLICE {
-            let now = sent(self.world);
-            let per = 1.0 / (self.world.now - self.slice_at).secs() / self.world.shape.routers as f64;
-            let rate = ((now.0 - self.last.0) as f64 * per, (now.1 - self.last.1) as f64 * per);
+        if self.world.now - self.slice_began >= SLICE {
+            let sent_now = sent(self.world);
+            let factor = 1.0 / (self.world.now - self.slice_began).secs() / self.world.shape.routers as f64;
+            let rate = sent_now.rate_since(self.sent_before_slice, factor);
             self.most = (self.most.0.max(rate.0), self.most.1.max(rate.1));
-            (self.last, self.slice_at) = (now, self.world.now);
+            (self.sent_before_slice, self.slice_began) = (sent_now, self.world.now);
         }
         Ok(())
     }
 
-    /// Seconds from the event's begin until that holds; infinite where it does not by then.
-    fn until(&mut self, most: f64, holds: impl Fn(&World) -> bool) -> io::Result<f64> {
-        let end = self.world.now + Span::from_secs_f64(most);
+    /// Seconds since the event's begin.
+    fn elapsed_s(&self) -> f64 {
+        (self.world.now - self.from).secs()
+    }
+
+    /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
+    fn run_until(&mut self, max_s: f64, holds: impl Fn(&World) -> bool) -> io::Result<f64> {
+        let end = self.world.now + Span::from_secs_f64(max_s);
         while !holds(self.world) {
             if self.world.now >= end {
                 return Ok(f64::INFINITY);
             }
             self.step()?;
         }
-        Ok((self.world.now - self.from).secs())
+        Ok(self.elapsed_s())
     }
 
-    fn on(&mut self, seconds: f64) -> io::Result<()> {
-        let end = self.world.now + Span::from_secs_f64(seconds);
+    fn run_for(&mut self, secs: f64) -> io::Result<()> {
+        let end = self.world.now + Span::from_secs_f64(secs);
         while self.world.now < end {
             self.step()?;
         }
         Ok(())
     }
 
-    fn over(self, name: &'static str, moments: Vec<(&'static str, f64)>) -> Told {
-        let (statements, refused) = asked(self.world);
-        let part = (refused - self.asked.1) as f64 / (statements - self.asked.0).max(1) as f64;
+    fn finish(self, name: &'static str, moments: Vec<(&'static str, f64)>) -> Told {
+        let now = statements(self.world);
+        let sent = (now.sent - self.statements_before.sent).max(1);
+        let refused = (now.refused - self.statements_before.refused) as f64 / sent as f64;
         let discovery = self.world.discovery.bytes;
-        Told { name, moments, before: self.before, most: self.most, refused: part, discovery }
+        Told { name, moments, before: self.before, most: self.most, refused, discovery }
     }
 }
 
-/// All running routers take so many for alive.
+/// Does each running router believe as many routers to be alive as `count` says?
 fn agree(world: &World, count: impl Fn(usize) -> usize) -> bool {
     (0..world.shape.routers)
         .filter_map(|router| Some((router, world.reducer(router)?.fleet_view()?.0)))
         .all(|(router, view)| view == count(router))
 }
 
-/// All running routers know this member as its group's primary.
-fn led_by(world: &World, member: usize) -> bool {
+/// Do all running routers know this member as its group's primary?
+fn know_primary(world: &World, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
         world.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
@@ -116,119 +172,143 @@
     (0..world.shape.routers).filter_map(knows).all(|knows| knows)
 }
 
-fn listed(world: &World, generation: u64) -> bool {
-    let mut known = (0..world.shape.routers).filter_map(|router| world.reducer(router));
-    known.all(|reducer| reducer.generation() >= generation)
+/// Do all running routers have this generation of the endpoint list, or a later one?
+fn have_generation(world: &World, generation: u64) -> bool {
+    let mut reducers = (0..world.shape.routers).filter_map(|router| world.reducer(router));
+    reducers.all(|reducer| reducer.generation() >= generation)
 }
 
-/// A world that has settled.
+/// A simulation whose routers have found each other.
 fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<World> {
     let rate = RATE * groups as f64 / GROUPS as f64;
     let mut world = World::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
     world.run(SETTLES)?;
-    for _ in 0..60 {
+    for _ in 0..SETTLE_STEPS {
         if agree(&world, |_| routers) {
             break;
         }
-        world.run(Span::from_millis(500))?;
+        world.run(SETTLE_STEP)?;
     }
     Ok(world)
 }
 
+/// Names of the events.
 pub const NAMES: [&str; 7] = ["primary", "change", "change-late", "restarts", "rack", "zone", "region"];
 
+/// Plays an event of [`NAMES`].
+///
+/// # Errors
+/// If the simulation can't be started.
 pub fn play(name: &'static str, routers: usize, groups: usize, seed: u64) -> io::Result<Told> {
     let mut world = settled(routers, groups, seed)?;
-    let mut watch = Watch::begin(&mut world)?;
-    let part = |of: usize| (routers * of / 460).max(1);
-    match name {
-        // The primary of the first group ends; its first replica takes over a second later.
-        "primary" => {
-            let next = groups;
-            watch.world.members[0].primary = false;
-            watch.world.end_member(0, false);
-            watch.on(1.0)?;
-            watch.world.members[next].primary = true;
-            let known = watch.until(20.0, |world| led_by(world, next))?;
-            watch.on(2.0)?;
-            Ok(watch.over(name, vec![("the new one can be written to", 1.0), ("all routers know it", known)]))
-        }
-        "change" => {
-            let generation = watch.world.change(1, "DRAINING");
-            let known = watch.until(20.0, |world| listed(world, generation))?;
-            watch.on(1.0)?;
-            Ok(watch.over(name, vec![("in force at all", known)]))
+    let mut observation = Observation::begin(&mut world)?;
+    let moments = match name {
+        "primary" => failover(&mut observation, groups)?,
+        "change" => list_change(&mut observation)?,
+        "change-late" => list_change_without_discovery(&mut observation)?,
+        "restarts" => restart_wave(&mut observation)?,
+        "rack" => {
+            silent_failure(&mut observation, |index, of_zone| index < (of_zone / RACKS_PER_ZONE).max(1))?
         }
-        // Discovery can't be reached from before the change until five seconds after it.
-        "change-late" => {
-            watch.world.discovery_up = false;
-            watch.on(4.0)?;
-            watch.from = watch.world.now;
-            let generation = watch.world.change(1, "DRAINING");
-            watch.on(5.0)?;
-            watch.world.discovery_up = true;
-            let known = watch.until(30.0, |world| listed(world, generation))?;
-            Ok(watch.over(name, vec![("discovery is back", 5.0), ("in force at all", known)]))
-        }
-        // A wave: they are killed within ten seconds, and start again a second after.
-        "restarts" => {
-            let count = part(180);
-            for nth in 0..count {
-                let router = nth * routers / count;
-                watch.world.kill(router);
-                watch.world.begin(router, Span::from_millis(1000));
-                let due = 10.0 * (nth + 1) as f64 / count as f64;
-                while (watch.world.now - watch.from).secs() + STEP.secs() <= due {
-                    watch.step()?;
-                }
-            }
-            let last = (watch.world.now - watch.from).secs();
-            let known = watch.until(60.0, |world| agree(world, |_| routers))?;
-            Ok(watch.over(name, vec![("the last is killed", last), ("all know of all", known)]))
+        "zone" => silent_failure(&mut observation, |_, _| true)?,
+        _ => region_cut(&mut observation)?,
+    };
+    Ok(observation.finish(name, moments))
+}
+
+type Moments = Vec<(&'static str, f64)>;
+
+/// The primary of the first group ends; its first replica takes over a second later.
+fn failover(observation: &mut Observation<'_>, groups: usize) -> io::Result<Moments> {
+    let replica = groups;
+    observation.world.members[0].primary = false;
+    observation.world.end_member(0, false);
+    observation.run_for(1.0)?;
+    observation.world.members[replica].primary = true;
+    let known = observation.run_until(20.0, |world| know_primary(world, replica))?;
+    observation.run_for(2.0)?;
+    Ok(vec![("the new one can be written to", 1.0), ("all routers know it", known)])
+}
+
+/// The endpoint list changes.
+fn list_change(observation: &mut Observation<'_>) -> io::Result<Moments> {
+    let generation = observation.world.change(1, "DRAINING");
+    let known = observation.run_until(20.0, |world| have_generation(world, generation))?;
+    observation.run_for(1.0)?;
+    Ok(vec![("in force at all", known)])
+}
+
+/// Discovery can't be reached from four seconds before the change until five seconds after it.
+fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Moments> {
+    observation.world.discovery_up = false;
+    observation.run_for(4.0)?;
+    observation.from = observation.world.now;
+    let generation = observation.world.change(1, "DRAINING");
+    observation.run_for(5.0)?;
+    observation.world.discovery_up = true;
+    let known = observation.run_until(30.0, |world| have_generation(world, generation))?;
+    Ok(vec![("discovery is back", 5.0), ("in force at all", known)])
+}
+
+/// Routers are killed one after the other, and each starts again a second later.
+fn restart_wave(observation: &mut Observation<'_>) -> io::Result<Moments> {
+    let routers = observation.world.shape.routers;
+    let count = (routers * RESTARTED_ROUTERS / REFERENCE_ROUTERS).max(1);
+    for index in 0..count {
+        let router = index * routers / count;
+        observation.world.kill(router);
+        observation.world.begin(router, Span::from_millis(1000));
+        let next_at_s = RESTART_WAVE_S * (index + 1) as f64 / count as f64;
+        while observation.elapsed_s() + STEP.secs() <= next_at_s {
+            observation.step()?;
         }
-        // A rack: an eightieth of the routers and members, silently.
-        "rack" | "zone" => {
-            let of_rack = |nth: usize, all: usize| name == "rack" && nth < (all / 10).max(1);
-            let (mut gone, mut members) = (0, 0);
-            for router in (0..routers).filter(|router| router % ZONES == 1) {
-                if name == "zone" || of_rack(gone, routers / ZONES) {
-                    watch.world.kill(router);
-                    gone += 1;
-                }
-            }
-            for member in 0..watch.world.shape.members {
-                let here = watch.world.zone_of_member(member) == 1;
-                if here && (name == "zone" || of_rack(members, watch.world.shape.members / ZONES)) {
-                    watch.world.end_member(member, true);
-                    members += 1;
-                }
-            }
-            let known = watch.until(60.0, |world| agree(world, |_| routers - gone))?;
-            watch.on(5.0)?;
-            Ok(watch.over(
-                name,
-                vec![
-                    ("routers gone", gone as f64),
-                    ("members gone", members as f64),
-                    ("all know which routers", known),
-                ],
-            ))
+    }
+    let last = observation.elapsed_s();
+    let known = observation.run_until(60.0, |world| agree(world, |_| routers))?;
+    Ok(vec![("the last is killed", last), ("all know of all", known)])
+}
+
+/// Machines of one zone fail without closing connections: those that `fails` names by their index among the zone's
+/// routers or members, and the number of these.
+fn silent_failure(
+    observation: &mut Observation<'_>,
+    fails: impl Fn(usize, usize) -> bool,
+) -> io::Result<Moments> {
+    let (routers, members) = (observation.world.shape.routers, observation.world.shape.members);
+    let (mut failed_routers, mut failed_members) = (0, 0);
+    for router in (0..routers).filter(|router| router % ZONES == FAILING_ZONE) {
+        if fails(failed_routers, routers / ZONES) {
+            observation.world.kill(router);
+            failed_routers += 1;
         }
-        // The third region is cut off; a minute stands for the hour.
-        _ => {
-            let alone = |router: usize| REGION_OF_ZONE[router % ZONES] == 2;
-            let there = (0..routers).filter(|&router| alone(router)).count();
-            watch.world.cut = vec![(0, 2), (1, 2)];
-            let side = |router: usize| if alone(router) { there } else { routers - there };
-            let known = watch.until(60.0, |world| agree(world, side))?;
-            watch.on(60.0 - known.min(59.0))?;
-            watch.world.cut.clear();
-            let healed = (watch.world.now - watch.from).secs();
-            let back = watch.until(120.0, |world| agree(world, |_| routers))?;
-            Ok(watch.over(
-                name,
-                vec![("each side knows its own", known), ("healed", healed), ("all know of all", back)],
-            ))
+    }
+    for member in 0..members {
+        let is_in_zone = observation.world.zone_of_member(member) == FAILING_ZONE;
+        if is_in_zone && fails(failed_members, members / ZONES) {
+            observation.world.end_member(member, true);
+            failed_members += 1;
         }
     }
+    let known = observation.run_until(60.0, |world| agree(world, |_| routers - failed_routers))?;
+    observation.run_for(5.0)?;
+    Ok(vec![
+        ("routers gone", failed_routers as f64),
+        ("members gone", failed_members as f64),
+        ("all know which routers", known),
+    ])
+}
+
+/// One region is cut off from the others, and reachable again after [`CUT_S`].
+fn region_cut(observation: &mut Observation<'_>) -> io::Result<Moments> {
+    let routers = observation.world.shape.routers;
+    let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
+    let cut_off = (0..routers).filter(|&router| is_cut_off(router)).count();
+    observation.world.cut = vec![(0, CUT_REGION), (1, CUT_REGION)];
+    let on_own_side = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
+    let known = observation.run_until(60.0, |world| agree(world, on_own_side))?;
+    observation.run_for(CUT_S - known.min(CUT_S - 1.0))?;
+    observation.world.cut.clear();
+    let healed = observation.elapsed_s();
+    let back = observation.run_until(120.0, |world| agree(world, |_| routers))?;
+    Ok(vec![("each side knows its own", known), ("healed", healed), ("all know of all", back)])
 }
--- a/crates/ladderpass-testbed/src/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/mod.rs
@@ -1,7 +1,4 @@
-//! Slopes of what a router, a control machine and a member bear, from which docs/CAPACITY.md works out a
-//! size.
-//!
-//! It owns the parts' order alone. It must never be needed by a router that serves.
+//! Capacity: slopes of the load on a router and a member, from which docs/CAPACITY.md works out the size of a deployment.
 
 pub mod control;
 pub mod data_path;
--- a/crates/ladderpass-testbed/src/capacity/slope.rs
+++ b/crates/ladderpass-testbed/src/capacity/slope.rs
@@ -1,37 +1,43 @@
-//! A slope: points as they were measured, the straight line through them, and how far they lie off it; and
-//! what the page claims, read out of its own table.
-//!
-//! It owns the fit. It is pure, and must never measure anything.
+//! Slopes: measured points, the straight line through them with its error, and the claims of docs/CAPACITY.md that they
+//! are compared with.
 
-/// What was measured: `y` against `x`, units in their names.
+/// Measured points of `y` by `x`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slope {
+    /// Name of the slope.
     pub name: &'static str,
+    /// What x is, with its unit.
     pub x: &'static str,
+    /// What y is, with its unit.
     pub y: &'static str,
+    /// The points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// A straight line, and the greatest residual at a point of it over what was measured there. No slope where
-/// fewer than two values of x were measured; the error is infinite where nothing was, or where the line is
-/// off a zero.
+/// A straight line through points. The slope is 0 if there are fewer than two values of x.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// Growth of y for each x.
     pub slope: f64,
+    /// The value at x = 0.
     pub base: f64,
+    /// The greatest residual relative to its point; infinite if there is no point, or if the line misses a y of 0.
     pub error: f64,
 }
 
-/// What the page says by this name, and the relative error that it states.
+/// A figure that the page claims.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
+    /// Name of the figure.
     pub name: &'static str,
+    /// Its value.
     pub value: f64,
+    /// The relative error that the page states.
     pub within: f64,
 }
 
 impl Slope {
-    /// Least squares.
+    /// The line of least squares.
     pub fn fit(&self) -> Fit {
         let count = self.points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / count.max(1.0);
@@ -42,7 +48,7 @@
         let line = Fit { slope, base: y - slope * x, error: 0.0 };
         let scale = self.points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
         let off = |&(x, y): &(f64, f64)| match (line.at(x) - y).abs() {
-            // A sum's last bits are no error.
+            // Rounding errors of the sums.
             residual if residual <= 1e-12 * scale => 0.0,
             residual => residual / y.abs(),
         };
@@ -50,7 +56,7 @@
         Fit { error: worst.unwrap_or(f64::INFINITY), ..line }
     }
 
-    /// The least and the greatest x that was measured.
+    /// The least and the greatest x.
     pub fn range(&self) -> (f64, f64) {
         let xs = || self.points.iter().map(|point| point.0);
         (xs().fold(f64::INFINITY, f64::min), xs().fold(f64::NEG_INFINITY, f64::max))
@@ -58,21 +64,21 @@
 }
 
 impl Fit {
+    /// The value at x.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
 }
 
 impl Claim {
-    /// Does a figure lie within the error that the page states?
+    /// Is a measured value within the error that the page states?
     pub fn holds(&self, measured: f64) -> bool {
         (measured - self.value).abs() <= self.within * self.value.abs()
     }
 
-    /// The claim of this name in a page: a row of a table whose first cell is the name in code marks, its
-    /// second the value, its third the error in percent. Thousands may be told apart by commas or narrow
-    /// spaces; a unit may follow a number. None where there is no such row, more than one, or one that is not
-    /// to be read.
+    /// Reads a claim from a page: a table's row with the name in code marks, the value, and the error in percent. Thousands
+    /// may be separated by commas or narrow spaces; a unit may follow a number. None if there is no such row, more than
+    /// one, or one that can't be read.
     pub fn read(page: &str, name: &'static str) -> Option<Claim> {
         let mut rows = page.lines().filter_map(|line| {
             let mut cells = line.trim().strip_prefix('|')?.split('|').map(str::trim);
