--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,6 +1,4 @@
-//! Charts as SVG, and tables as Markdown.
-//!
-//! It owns how results look. It must never change one.
+//! Charts of results as SVG.
 
 use crate::bed::Seen;
 use hdrhistogram::Histogram;
@@ -9,6 +7,9 @@
 use std::io;
 use std::path::Path;
 
+/// How often a router logs its metrics, in seconds.
+const METRICS_INTERVAL_S: f64 = 0.2;
+
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -18,14 +19,17 @@
     RGBColor(140, 86, 75),
 ];
 
-/// A line: its name and points.
+/// A line of a chart: its name, and its points.
 pub type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
-fn other(fault: impl std::fmt::Display) -> io::Error {
-    io::Error::other(fault.to_string())
+fn drawing_error(error: impl std::fmt::Display) -> io::Error {
+    io::Error::other(error.to_string())
 }
 
-/// Lines over one pair of axes.
+/// Draws lines over one pair of axes.
+///
+/// # Errors
+/// If the chart can't be drawn or written.
 pub fn lines(
     path: &Path,
     title: &str,
@@ -34,48 +38,55 @@
     log_x: bool,
 ) -> io::Result<()> {
     let points = || lines.iter().flat_map(|(_, points)| points.iter());
-    let most_x = points().map(|point| point.0).fold(0.0, f64::max);
-    let least_x = points().map(|point| point.0).fold(f64::MAX, f64::min);
-    let most_y = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9) * 1.05;
+    let max_x = points().map(|point| point.0).fold(0.0, f64::max);
+    let min_x = points().map(|point| point.0).fold(f64::MAX, f64::min);
+    let max_y = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9) * 1.05;
     let area = SVGBackend::new(path, (900, 480)).into_drawing_area();
-    area.fill(&WHITE).map_err(other)?;
+    area.fill(&WHITE).map_err(drawing_error)?;
     let mut builder = ChartBuilder::on(&area);
     builder.caption(title, ("sans-serif", 20)).margin(12).x_label_area_size(40).y_label_area_size(70);
     macro_rules! draw {
         ($x:expr) => {{
-            let mut chart = builder.build_cartesian_2d($x, 0.0..most_y).map_err(other)?;
-            chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw().map_err(other)?;
+            let mut chart = builder.build_cartesian_2d($x, 0.0..max_y).map_err(drawing_error)?;
+            chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw().map_err(drawing_error)?;
             for ((name, points), colour) in lines.iter().zip(COLOURS.iter().cycle()) {
                 let series = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
                 let legend =
                     move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour.stroke_width(2));
-                chart.draw_series(series).map_err(other)?.label(*name).legend(legend);
+                chart.draw_series(series).map_err(drawing_error)?.label(*name).legend(legend);
             }
             let mut labels = chart.configure_series_labels();
-            labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(other)?;
+            labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(drawing_error)?;
         }};
     }
     match log_x {
-        true => draw!((least_x.max(1e-3)..most_x.max(1e-2)).log_scale()),
-        false => draw!(0.0..most_x.max(1e-9)),
+        true => draw!((min_x.max(1e-3)..max_x.max(1e-2)).log_scale()),
+        false => draw!(0.0..max_x.max(1e-9)),
     }
-    area.present().map_err(other)
+    area.present().map_err(drawing_error)
 }
 
+/// Draws utility by offered load.
+///
+/// # Errors
+/// As [`lines`].
 pub fn goodput(path: &Path, curves: &[(&str, &[(f64, f64)])]) -> io::Result<()> {
     let shown: Vec<Line<'_>> = curves.iter().map(|(name, points)| (*name, points.to_vec())).collect();
     lines(path, "Goodput against offered load", ("offered, in calm loads", "utility a second"), &shown, false)
 }
 
-/// How long the router took to come round, as the part of probes that took at least so long.
+/// Draws the distribution of the event loop's delay.
+///
+/// # Errors
+/// As [`lines`].
 pub fn delays(path: &Path, all: &[(&str, &Histogram<u64>)]) -> io::Result<()> {
     let mut shown = Vec::new();
     for (name, delays) in all {
         let total = delays.len().max(1) as f64;
-        let mut seen = 0;
+        let mut counted = 0;
         let points = delays.iter_recorded().map(|step| {
-            seen += step.count_at_value();
-            (step.value_iterated_to() as f64 / 1e3, seen as f64 / total)
+            counted += step.count_at_value();
+            (step.value_iterated_to() as f64 / 1e3, counted as f64 / total)
         });
         shown.push((*name, points.collect::<Vec<_>>()));
     }
@@ -88,7 +99,7 @@
     )
 }
 
-/// The figures that a router has logged, by time since the first.
+/// The values of a metric that a router has logged, each `step` seconds after the one before.
 pub fn figures(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
     let of_line = |line: &String| {
         let (_, json) = line.split_once("metrics {")?;
@@ -97,10 +108,13 @@
             serde_json::from_str(&format!("{{{}}}", &json[..end].replace('\\', ""))).ok()?;
         value.get(name)?.as_f64()
     };
-    log.iter().filter_map(of_line).enumerate().map(|(nth, value)| (nth as f64 * step, value)).collect()
+    log.iter().filter_map(of_line).enumerate().map(|(index, value)| (index as f64 * step, value)).collect()
 }
 
-/// Goodput by method, pushbacks, and the router's pressure and delay over the time of one run.
+/// Draws good answers by method and rejections of a run, and beside that chart `pressure.svg` with the router's metrics.
+///
+/// # Errors
+/// As [`lines`].
 pub fn over_time(path: &Path, scenario: &Scenario, seen: &Seen) -> io::Result<()> {
     let slices = &seen.outcome.slices;
     let per_second = 1.0 / crate::load::SLICE.secs();
@@ -111,17 +125,19 @@
             .filter_map(|slice| Some((slice.at_s, slice.counts.get(index)?.good as f64 * per_second)));
         shown.push((&method.name, good.collect()));
     }
-    let pushed =
+    let rejected =
         |slice: &crate::load::Slice| slice.counts.iter().map(|counts| counts.pushed_back).sum::<u64>() as f64;
-    shown
-        .push(("pushed back", slices.iter().map(|slice| (slice.at_s, pushed(slice) * per_second)).collect()));
+    shown.push((
+        "pushed back",
+        slices.iter().map(|slice| (slice.at_s, rejected(slice) * per_second)).collect(),
+    ));
     lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &shown, false)?;
-    let own = path.with_file_name("pressure.svg");
+    let pressure_path = path.with_file_name("pressure.svg");
     let shown = [
-        ("pressure", figures(&seen.log, "pressure", 0.2)),
-        ("delay part", figures(&seen.log, "delay_part", 0.2)),
-        ("floor", figures(&seen.log, "floor", 0.2)),
-        ("cpu", figures(&seen.log, "cpu_used", 0.2)),
+        ("pressure", figures(&seen.log, "pressure", METRICS_INTERVAL_S)),
+        ("delay part", figures(&seen.log, "delay_part", METRICS_INTERVAL_S)),
+        ("floor", figures(&seen.log, "floor", METRICS_INTERVAL_S)),
+        ("cpu", figures(&seen.log, "cpu_used", METRICS_INTERVAL_S)),
     ];
-    lines(&own, "Pressure over time", ("s", "part"), &shown, false)
+    lines(&pressure_path, "Pressure over time", ("s", "part"), &shown, false)
 }
