--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -1,9 +1,9 @@
 //! Search for faults that break an invariant: plans of fault rules are drawn from a seed and played under load against a real
 //! router. A plan that breaks an invariant is reduced to the fewest rules that still do, and written to a file.
 
-use crate::bed::{self, open};
 use crate::load;
 use crate::router::Start;
+use crate::run::{self, open};
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::plan::LinkShape;
 use ladderpass_fault_injection::{Action, Plan, Rule, Side};
@@ -35,7 +35,7 @@
 
 fn links(scenario: &Scenario) -> Vec<LinkShape> {
     let unused = SocketAddr::from(([127, 0, 0, 1], 1));
-    bed::links(&vec![unused; scenario.members()], unused)
+    run::links(&vec![unused; scenario.members()], unused)
 }
 
 /// Can a router be held responsible for the effects of a rule? Not for a value that is garbled within its length, nor for a
@@ -52,7 +52,7 @@
         deadline: Span::from_millis(1000),
         ..open(seed, &[(1.0, 400.0)])
     };
-    let (seen, left) = bed::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
+    let (seen, left) = run::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
     let mut broken = seen.broken(ANSWER_GRACE);
     if let Some(code) = seen.ended {
         broken.push(format!("the router ended with {code:?}"));
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,6 +1,6 @@
 //! Charts of results as SVG.
 
-use crate::bed::Seen;
+use crate::run::Seen;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
 use plotters::prelude::*;
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -16,8 +16,8 @@
 pub use view::{Viewed, viewed};
 
 use super::Drill;
-use crate::bed::open;
 use crate::load::{self, Front, Outcome, Plan};
+use crate::run::open;
 use ladderpass_routing::Span;
 use std::io;
 use std::sync::Arc;
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -2,7 +2,6 @@
 //!
 //! It owns how a router is put to the test. It must never be needed by a router that serves.
 
-pub mod bed;
 pub mod capacity;
 pub mod chaos;
 pub mod charts;
@@ -12,3 +11,4 @@
 pub mod prove;
 pub mod results;
 pub mod router;
+pub mod run;
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -8,7 +8,7 @@
 use ladderpass_testbed::capacity::control;
 use ladderpass_testbed::capacity::hollow::Shape;
 use ladderpass_testbed::drill::{self, Drill};
-use ladderpass_testbed::{bed, chaos, load, prove, results, router};
+use ladderpass_testbed::{chaos, load, prove, results, router, run};
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -385,7 +385,7 @@
         repeats: args.repeats,
         slow_readers: args.slow_readers,
         floods: args.floods,
-        ..bed::open(args.bed.seed, &phases)
+        ..run::open(args.bed.seed, &phases)
     };
     let total: f64 = phases.iter().map(|(secs, _)| secs).sum();
     let bar = indicatif::ProgressBar::new((total * 10.0) as u64);
@@ -393,7 +393,7 @@
     bar.set_style(style.map_err(|fault| fault.to_string())?);
     let ticks = bar.clone();
     let start = start(&args.bed)?;
-    let seen = bed::run_with(&scenario, &start, &plan, vec![], |at| ticks.set_position((at * 10.0) as u64));
+    let seen = run::run_with(&scenario, &start, &plan, vec![], |at| ticks.set_position((at * 10.0) as u64));
     bar.finish_and_clear();
     let seen = seen.map_err(|fault| fault.to_string())?;
     println!("{}", results::table(&scenario, &seen));
@@ -424,7 +424,7 @@
         pipeline,
         ..load::Plan::default()
     };
-    let seen = bed::run(&scenario, &start, &plan, vec![])?;
+    let seen = run::run(&scenario, &start, &plan, vec![])?;
     let (used, outcome) = (seen.cpu, &seen.outcome);
     let total = outcome.total();
     println!(
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -2,9 +2,9 @@
 //! passes, a recording that repeats itself, and what the tool itself adds.
 
 use super::Table;
-use crate::bed::{self, Deed, Seen, open};
 use crate::load::{self, until_ready};
 use crate::router::Start;
+use crate::run::{self, Deed, Seen, open};
 use ladderpass_emulator::{Running, Scenario, proto};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::{Decision, Plan, Rule, difference};
@@ -146,7 +146,7 @@
     if let Some(member) = row.drains {
         deeds.push((DRAINED_S, Box::new(move |_, fleet| fleet.drain(member))));
     }
-    let (mut seen, left) = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {})?;
+    let (mut seen, left) = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {})?;
     seen.bears = BEARS;
     let decisions = left.map_or(0, |left| left.record.len());
     Ok((broken(&seen), acted(row, &seen, decisions)))
@@ -155,7 +155,7 @@
 /// Rules drawn from the seed that neither end nor stop a connection: the comparison would end with it.
 fn drawn(seed: u64) -> Vec<Rule> {
     let links =
-        bed::links(&[SocketAddr::from((Ipv4Addr::LOCALHOST, 1))], SocketAddr::from((Ipv4Addr::LOCALHOST, 2)));
+        run::links(&[SocketAddr::from((Ipv4Addr::LOCALHOST, 1))], SocketAddr::from((Ipv4Addr::LOCALHOST, 2)));
     let mut plan = Plan::drawn(seed, 12, links[..1].to_vec());
     plan.rules.retain(|rule| {
         matches!(rule.action.name(), "delay" | "slice" | "garble" | "duplicate" | "drop" | "noise")
@@ -198,7 +198,7 @@
 pub fn recorded(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let links =
-        bed::links(&[listener.local_addr()?], SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))[..1].to_vec();
+        run::links(&[listener.local_addr()?], SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))[..1].to_vec();
     let plan = Plan { seed, links, rules, ..Plan::default() };
     let tool = driver::Running::start(plan, None)?;
     let mut stream = TcpStream::connect(tool.addresses[0])?;
@@ -307,7 +307,7 @@
     scenario.methods[0].name = "large".into();
     scenario.methods[0].value_bytes = 65_536;
     let fleet = Running::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
-    let links = bed::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
+    let links = run::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
     let tool = driver::Running::start(Plan { seed, links, ..Plan::default() }, None)?;
     let (direct, through) = (pace(fleet.addresses[0])?, pace(tool.addresses[0])?);
     table.tell(
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -1,10 +1,10 @@
 //! The proof of a router's own overload: its cost, how it says no, and what holds at three and five times its load.
 
 use super::Table;
-use crate::bed::{self, Seen, open};
 use crate::charts;
 use crate::load::{Pace, Plan};
 use crate::router::{self, Start};
+use crate::run::{self, Seen, open};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
 use std::io;
@@ -39,7 +39,7 @@
     seed: u64,
 ) -> io::Result<(f64, f64, f64)> {
     let pace = Pace::Closed(Span::from_secs_f64(secs));
-    let seen = bed::run(
+    let seen = run::run(
         scenario,
         start,
         &Plan { pace, connections: clients, pipeline, seed, ..Plan::default() },
@@ -112,7 +112,7 @@
         // Two of three, as another process of the machine may come in between.
         let (mut held, mut failed) = (0, 0);
         while held < 2 {
-            let seen = bed::run(&scenario, &watching, &open(seed + held + failed, &phases), vec![])?;
+            let seen = run::run(&scenario, &watching, &open(seed + held + failed, &phases), vec![])?;
             if is_calm(&seen) {
                 held += 1;
                 continue;
@@ -135,8 +135,8 @@
 
     // Three times that, and back, with and without the operator's file.
     let phases = [(WARM, calm * 0.5), (1.0 - WARM, calm), (2.5, calm * 3.0), (2.5, calm)];
-    let with = bed::run(&scenario, &watching, &open(seed, &phases), vec![])?;
-    let without = bed::run(&scenario, &plain, &open(seed, &phases[..3]), vec![])?;
+    let with = run::run(&scenario, &watching, &open(seed, &phases), vec![])?;
+    let without = run::run(&scenario, &plain, &open(seed, &phases[..3]), vec![])?;
     let writes = scenario.methods.iter().position(|method| method.writes).unwrap_or(0);
     let ok = |seen: &Seen| {
         let counts = seen.outcome.of(writes);
@@ -213,7 +213,7 @@
         let mut curve = Vec::new();
         for &step in steps {
             let secs = 0.5;
-            let seen = bed::run(
+            let seen = run::run(
                 &scenario,
                 start,
                 &open(seed, &[(WARM, calm * 0.5), (0.2, calm * step), (secs, calm * step)]),
--- a/crates/ladderpass-testbed/src/results.rs
+++ b/crates/ladderpass-testbed/src/results.rs
@@ -2,9 +2,9 @@
 //!
 //! It owns that form: one line that says what was run, one a tenth of a second, one of totals.
 
-use crate::bed::Seen;
 use crate::charts;
 use crate::load::Counts;
+use crate::run::Seen;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
 use serde_json::{Value, json};
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -8,9 +8,9 @@
 use failing::Failure;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Seen, open};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
+use ladderpass_testbed::run::{self, Seen, open};
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::Child;
@@ -34,7 +34,7 @@
 fn seen(start: &Start) -> Seen {
     let _alone = alone();
     let plan = Plan { connections: 60, deadline: DEADLINE, ..open(5, &[(2.0, 300.0)]) };
-    let seen = bed::run(&Scenario::default(), start, &plan, Vec::new());
+    let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.ended, None, "the process goes on: {}", seen.log.join("\n"));
     seen
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -5,9 +5,9 @@
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::Left;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Deed, Seen, open};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
+use ladderpass_testbed::run::{self, Deed, Seen, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -31,7 +31,7 @@
         ..open(seed, &[(2.0, 300.0)])
     };
     let scenario = Scenario::default();
-    let done = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
+    let done = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
     let (seen, left) = done.unwrap_or_else(|fault| panic!("{fault}"));
     let left = left.expect("it ran");
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
@@ -165,7 +165,7 @@
     let plan =
         Plan { connections: 60, pipeline: 1, deadline: Span::from_millis(2000), ..open(10, &[(7.0, 60.0)]) };
     let (seen, left) =
-        bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
+        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
             .unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(left.expect("it ran").never_fired, Vec::<String>::new());
@@ -193,7 +193,7 @@
     let deeds: Vec<Deed<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let (seen, _) =
-        bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
+        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
             .unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
@@ -204,7 +204,7 @@
     let _alone = alone();
     for seed in [21, 22] {
         let links =
-            bed::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
+            run::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
         let drawn = ladderpass_fault_injection::Plan::drawn(seed, 6, links);
         let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
         let plan = Plan {
@@ -215,7 +215,7 @@
         };
         // Bytes garbled within a value pass for a value: nobody between can tell.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
-        let (seen, _) = bed::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
+        let (seen, _) = run::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
             .unwrap_or_else(|fault| panic!("{fault}"));
         assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
         assert_eq!(seen.outcome.total().unanswered, 0, "seed {seed}");
--- a/crates/ladderpass/tests/judge/mod.rs
+++ b/crates/ladderpass/tests/judge/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)]
 
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::bed::Seen;
 use ladderpass_testbed::load::Entry;
 use ladderpass_testbed::router::Router;
+use ladderpass_testbed::run::Seen;
 use nix::sys::signal::Signal;
 use std::cell::Cell;
 use std::io;
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -3,11 +3,11 @@
 
 use ladderpass_emulator::{Running, Scenario};
 use ladderpass_routing::Time;
-use ladderpass_testbed::bed::open;
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{Played, Programs, play};
 use ladderpass_testbed::load::{self, Counts, Plan};
 use ladderpass_testbed::router::{Router, Start};
+use ladderpass_testbed::run::open;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -3,10 +3,10 @@
 
 use ladderpass_emulator::{Input, Scenario};
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Deed, Seen, open};
 use ladderpass_testbed::charts;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
+use ladderpass_testbed::run::{self, Deed, Seen, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -32,7 +32,7 @@
 }
 
 fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<Deed<'_>>) -> Seen {
-    let seen = bed::run(scenario, start, plan, deeds).unwrap_or_else(|fault| panic!("{fault}"));
+    let seen = run::run(scenario, start, plan, deeds).unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     seen
 }
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -14,8 +14,8 @@
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Deed, links, open};
 use ladderpass_testbed::load::{Entry, Plan};
+use ladderpass_testbed::run::{self, Deed, links, open};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
 use std::net::TcpStream;
@@ -149,7 +149,7 @@
         deeds.push((secs(at), Box::new(|_, fleet| fleet.drain(1))));
     }
     deeds.push((secs(kill_at), Box::new(|router, _| ends.kill(router))));
-    let done = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
+    let done = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
     let (seen, _) = done.unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
     let bounds = ends.bounds(life.crowd > 0, Span::ZERO);
     let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: too short"));
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -6,9 +6,9 @@
 use failing::Step;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Seen, open};
 use ladderpass_testbed::joint::{Started, cold_at_members};
 use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::run::{self, Seen, open};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     let _alone = alone();
     let deadline = Span::from_millis(1500);
     let plan = Plan { connections: 60, deadline, ..open(5, &[(2.0, rate)]) };
-    let seen = bed::run(scenario, &failing::start(&[], steps), &plan, Vec::new());
+    let seen = run::run(scenario, &failing::start(&[], steps), &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     let (total, told) = (seen.outcome.total(), seen.log.join("\n"));
     assert_eq!(seen.ended, None, "the process goes on: {told}");
