--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -3,7 +3,7 @@
 use super::interrupt::check_interrupted;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
 use crate::drill::{Deed, Drill};
-use crate::joint::Drained;
+use crate::history_checker::Drained;
 use ladderpass_emulator::{Input, now};
 use ladderpass_fault_injection::{DatagramRule, Deed as DatagramFault, driver};
 use nix::sys::signal::Signal;
--- a/crates/ladderpass-testbed/src/drill/play/played.rs
+++ b/crates/ladderpass-testbed/src/drill/play/played.rs
@@ -3,7 +3,7 @@
 use super::start::advertised_address;
 use super::testbed::DrillTestbed;
 use super::view::{Viewed, viewed};
-use crate::joint::{Absence, History, Started};
+use crate::history_checker::{Absence, History, Started};
 use crate::load::Outcome;
 use crate::router::Router;
 use ladderpass_emulator::Truth;
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -4,7 +4,7 @@
 use super::start::{Programs, start_of};
 use super::view::{Viewed, viewed};
 use crate::drill::Drill;
-use crate::joint::{Absence, Drained};
+use crate::history_checker::{Absence, Drained};
 use crate::load::Down;
 use crate::router::{Router, Start, own_address};
 use ladderpass_emulator::{Running, Scenario, now};
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod chaos;
 pub mod charts;
 pub mod drill;
-pub mod joint;
+pub mod history_checker;
 pub mod load;
 pub mod prove;
 pub mod results;
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -6,7 +6,7 @@
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs};
 use crate::drill::{Deed, Drill};
-use crate::joint::cold_at_members;
+use crate::history_checker::cold_at_members;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Time;
 use std::collections::BTreeMap;
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -4,7 +4,7 @@
 //! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
 //! nothing of another run.
 
-use crate::joint::{Absence, Drained, History, Started};
+use crate::history_checker::{Absence, Drained, History, Started};
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use hdrhistogram::Histogram;
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -5,7 +5,7 @@
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{Answer, Grace};
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
+use ladderpass_testbed::history_checker::{Absence, Drained, History, Started, cold_at_members};
 use ladderpass_testbed::load::Entry;
 use std::collections::HashMap;
 
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -6,7 +6,7 @@
 use failing::Step;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::joint::{Started, cold_at_members};
+use ladderpass_testbed::history_checker::{Started, cold_at_members};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::run::{self, Seen, open};
 use std::sync::{Mutex, MutexGuard};
