--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -1,7 +1,7 @@
 //! Slopes of a router's control traffic: gossip, membership, health checks and endpoint lists, with their CPU time and
 //! memory, measured with simulated routers.
 
-use super::hollow::{About, Shape, World, thread_time};
+use super::simulated_routers::{About, Shape, World, thread_time};
 use super::slope::Slope;
 use ladderpass_routing::Span;
 use std::io;
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -1,7 +1,7 @@
 //! Events at the scale of a deployment, in a simulation: how long until all routers know, and the peak of what they send.
 
 use super::control::{GROUPS, RATE, SETTLES};
-use super::hollow::{Counts, REGION_OF_ZONE, Shape, World, ZONES, member_id};
+use super::simulated_routers::{Counts, REGION_OF_ZONE, Shape, World, ZONES, member_id};
 use ladderpass_routing::{Span, Time};
 use std::io;
 
--- a/crates/ladderpass-testbed/src/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/mod.rs
@@ -3,5 +3,5 @@
 pub mod control;
 pub mod data_path;
 pub mod events;
-pub mod hollow;
+pub mod simulated_routers;
 pub mod slope;
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -6,7 +6,7 @@
 use ladderpass_emulator::{Running, Scenario};
 use ladderpass_routing::Span;
 use ladderpass_testbed::capacity::control;
-use ladderpass_testbed::capacity::hollow::Shape;
+use ladderpass_testbed::capacity::simulated_routers::Shape;
 use ladderpass_testbed::drill::{self, Drill};
 use ladderpass_testbed::{chaos, load, prove, results, router, run};
 use std::net::Ipv4Addr;
--- a/crates/ladderpass-testbed/src/prove/capacity.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity.rs
@@ -6,7 +6,7 @@
 
 use super::Table;
 use crate::capacity::slope::{Claim, Slope};
-use crate::capacity::{control, data_path, events, hollow};
+use crate::capacity::{control, data_path, events, simulated_routers};
 use crate::charts;
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
@@ -93,7 +93,7 @@
     if !played.fallen.is_empty() {
         return Err(io::Error::other(played.fallen.join("; ")));
     }
-    let shape = hollow::Shape { seed, ..hollow::Shape::of(routers, groups as usize) };
+    let shape = simulated_routers::Shape { seed, ..simulated_routers::Shape::of(routers, groups as usize) };
     let rates = control::rates(&shape, 8.0)?;
     Ok((
         super::datagrams_of(&drill, &played),
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -2,7 +2,7 @@
 //! each other, learn of a death, of a change of the list and of another primary.
 
 use ladderpass_routing::Span;
-use ladderpass_testbed::capacity::hollow::{Shape, World, member_id};
+use ladderpass_testbed::capacity::simulated_routers::{Shape, World, member_id};
 use ladderpass_testbed::capacity::slope::Claim;
 
 fn world(shape: Shape) -> World {
@@ -22,7 +22,7 @@
             world.kill(3);
         }
         run(&mut world, 3000);
-        let total = |of: fn(&ladderpass_testbed::capacity::hollow::Counts) -> u64| {
+        let total = |of: fn(&ladderpass_testbed::capacity::simulated_routers::Counts) -> u64| {
             world.counts.iter().map(of).sum::<u64>()
         };
         let sent = total(|counts| counts.words.datagrams + counts.membership.datagrams);
