--- a/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -1,6 +1,6 @@
 //! Slopes of a router's data path: idle clients, statements, connections to members, and ticks of its event loop.
 //!
-//! Counts come from the router's own code in simulated time (`world`), CPU of a statement and memory from a real process
+//! Counts come from the router's own code in simulated time (`simulation`), CPU of a statement and memory from a real process
 //! (`process`). `figures` works out the reference size from the slopes.
 
 mod figures;
@@ -8,10 +8,10 @@
 mod process_slopes;
 mod reducer_slopes;
 mod reference_size;
+pub mod simulation;
 mod size;
 mod statement;
 mod tables;
-pub mod world;
 
 pub use figures::figures;
 pub use process_slopes::Settings;
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -2,7 +2,7 @@
 
 use super::process::{Bed, Way};
 use super::reducer_slopes::median;
-use super::world::OF_GROUP;
+use super::simulation::OF_GROUP;
 use crate::capacity::slope::Slope;
 use std::io;
 use std::path::PathBuf;
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -1,6 +1,6 @@
 //! Slopes that are measured on the router's own code in simulated time: no sockets, no system calls.
 
-use super::world::{Counts, OF_GROUP, Shape, World, cpu as thread_cpu};
+use super::simulation::{Counts, OF_GROUP, Shape, World, cpu as thread_cpu};
 use crate::capacity::slope::Slope;
 use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 
--- a/crates/ladderpass-testbed/src/capacity/data_path/world/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::counts::cpu;
 use super::shape::OF_GROUP;
-use super::simulation::{Client, LATENCY, MemberConnection, ROUND_TRIP, SimulationEvent, World};
+use super::state::{Client, LATENCY, MemberConnection, ROUND_TRIP, SimulationEvent, World};
 use crate::capacity::data_path::statement::query;
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
--- a/crates/ladderpass-testbed/src/capacity/data_path/world/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
@@ -7,8 +7,8 @@
 mod connections;
 mod counts;
 mod shape;
-mod simulation;
+mod state;
 
 pub use counts::{Counts, cpu};
 pub use shape::{OF_GROUP, Shape};
-pub use simulation::World;
+pub use state::World;
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -3,7 +3,7 @@
 use super::process::{Bed, Seen, Way, is_open};
 use super::reducer_slopes::steady;
 use super::reference_size::{CLIENTS, STATEMENTS};
-use super::world::{Counts, Shape, World};
+use super::simulation::{Counts, Shape, World};
 use ladderpass_routing::Span;
 use std::io;
 use std::path::Path;
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -2,7 +2,7 @@
 
 use super::reducer_slopes::{probe_pass, steady};
 use super::reference_size::{CLIENTS, MEMBERS};
-use super::world::{Shape, World};
+use super::simulation::{Shape, World};
 use ladderpass_routing::Span;
 
 const WARM_UP: Span = Span::from_millis(15_000);
--- a/crates/ladderpass-testbed/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -2,8 +2,8 @@
 //! worked out by hand. No CPU times here: a machine may be busy.
 
 use ladderpass_routing::Span;
+use ladderpass_testbed::capacity::data_path::simulation::{Shape, World};
 use ladderpass_testbed::capacity::data_path::steady;
-use ladderpass_testbed::capacity::data_path::world::{Shape, World};
 
 const WARM: Span = Span::from_millis(14_000);
 const SPAN: Span = Span::from_millis(30_000);
