--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -1,7 +1,7 @@
 //! Slopes of a router's control traffic: gossip, membership, health checks and endpoint lists, with their CPU time and
 //! memory, measured with simulated routers.
 
-use super::simulated_routers::{About, Shape, World, thread_time};
+use super::simulated_routers::{About, Shape, Simulation, thread_time};
 use super::slope::Slope;
 use ladderpass_routing::Span;
 use std::io;
@@ -61,7 +61,7 @@
 }
 
 fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
-    let mut world = World::start(shape.clone())?;
+    let mut world = Simulation::start(shape.clone())?;
     world.run(settles)?;
     world.count_anew();
     world.run(Span::from_secs_f64(seconds))?;
@@ -69,7 +69,7 @@
 }
 
 /// Rates of a simulation that has been counted over a number of seconds.
-pub fn rates_of(world: &World, seconds: f64) -> Rates {
+pub fn rates_of(world: &Simulation, seconds: f64) -> Rates {
     let per_second = |count: f64| count / seconds;
     let observed = (world.shape.observed.min(world.shape.routers).max(1)) as f64;
     let cost = |about: About| world.cost.nanos[about as usize] as f64 / 1e9 / observed / seconds;
@@ -261,7 +261,7 @@
 /// Measures the complete list that each router reads at its start.
 fn list_cost(members: usize, seed: u64) -> io::Result<ListCost> {
     let shape = Shape { rate: 0.0, members, peers: false, observed: 8, seed, ..Shape::of(8, members / 3) };
-    let mut world = World::start(shape)?;
+    let mut world = Simulation::start(shape)?;
     world.run(Span::from_millis(1000))?;
     let lists = world.counts.iter().map(|counts| counts.watches).sum::<u64>().max(1) as f64;
     let bytes = world.counts.iter().map(|counts| counts.list_bytes).sum::<u64>() as f64;
@@ -280,7 +280,7 @@
     // The first point is left out: it includes what the process itself needs.
     for routers in [64, 128, 256, ROUTERS] {
         let before = resident()?;
-        let mut world = World::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
+        let mut world = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
         world.run(Span::from_millis(4000))?;
         points.push((routers as f64, (resident()? - before) / routers as f64));
         worlds.push(world);
@@ -363,7 +363,7 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn heard_of(routers: usize, groups: usize, seed: u64, seconds: f64) -> io::Result<Heard> {
-    let mut world = World::start(Shape { fleet: true, ..sized(routers, groups, seed) })?;
+    let mut world = Simulation::start(Shape { fleet: true, ..sized(routers, groups, seed) })?;
     world.run(SETTLES)?;
     world.count_anew();
     world.run(Span::from_secs_f64(seconds))?;
@@ -379,9 +379,9 @@
 /// # Errors
 /// If the simulation can't be started, or the routers don't find each other within a minute.
 pub fn death(routers: usize, seed: u64) -> io::Result<f64> {
-    let mut world = World::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
+    let mut world = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
     world.run(SETTLES)?;
-    let agree = |world: &World, count: usize| {
+    let agree = |world: &Simulation, count: usize| {
         (0..routers).filter_map(|router| world.reducer(router)?.fleet_view()).all(|view| view.0 == count)
     };
     let mut steps = 0;
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -1,6 +1,6 @@
 //! Slopes that are measured on the router's own code in simulated time: no sockets, no system calls.
 
-use super::simulation::{Counts, OF_GROUP, Shape, World, cpu as thread_cpu};
+use super::simulation::{Counts, OF_GROUP, Shape, Simulation, cpu as thread_cpu};
 use crate::capacity::slope::Slope;
 use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 
@@ -75,7 +75,7 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn steady(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
-    let mut world = World::new(shape, seed)?;
+    let mut world = Simulation::new(shape, seed)?;
     world.run(warm);
     Ok(world.run(span))
 }
@@ -85,7 +85,7 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn idle_turn(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
-    let mut world = World::new(shape, seed)?;
+    let mut world = Simulation::new(shape, seed)?;
     world.run(Span::from_millis(1000));
     world.open_all();
     Ok(median((0..repeats).map(|_| world.idle_turn(IDLE_TICKS) * 1e6).collect()))
@@ -96,7 +96,7 @@
 /// # Errors
 /// If the router's settings can't be read.
 pub fn probe_pass(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
-    let (mut router, mut now) = World::core(shape, seed)?;
+    let (mut router, mut now) = Simulation::core(shape, seed)?;
     let mut passes = |count: usize| {
         let mut cpu = 0.0;
         for _ in 0..count {
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::counts::cpu;
 use super::shape::OF_GROUP;
-use super::state::{Client, LATENCY, MemberConnection, ROUND_TRIP, SimulationEvent, World};
+use super::state::{Client, LATENCY, MemberConnection, ROUND_TRIP, Simulation, SimulationEvent};
 use crate::capacity::data_path::statement::query;
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
@@ -16,7 +16,7 @@
 const TOO_MANY_CONNECTIONS: &str = "53300";
 const WRITE_FRACTION: f64 = 0.2;
 
-impl World {
+impl Simulation {
     pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
         let member = self.members.get(&address).copied().filter(|_| address != self.discovery);
         if let Some(member) = member {
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
@@ -11,4 +11,4 @@
 
 pub use counts::{Counts, cpu};
 pub use shape::{OF_GROUP, Shape};
-pub use state::World;
+pub use state::Simulation;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -50,7 +50,7 @@
 }
 
 /// A simulation of one router.
-pub struct World {
+pub struct Simulation {
     /// The router's own code.
     pub reducer: Reducer,
     /// Simulated time.
@@ -75,12 +75,12 @@
     pub(super) clock_overhead_s: f64,
 }
 
-impl World {
+impl Simulation {
     /// Prepares a simulation.
     ///
     /// # Errors
     /// If the router's settings can't be written or read.
-    pub fn new(shape: &Shape, seed: u64) -> Result<World, String> {
+    pub fn new(shape: &Shape, seed: u64) -> Result<Simulation, String> {
         let now = EPOCH;
         let launch = shape.launch(now, seed)?;
         let mut members = HashMap::new();
@@ -91,7 +91,7 @@
         let discovery = launch.discovery;
         let mut rng = SmallRng::seed_from_u64(seed);
         let full = (0..members.len()).map(|_| shape.full > 0.0 && rng.random::<f64>() < shape.full);
-        let mut world = World {
+        let mut world = Simulation {
             connections_of_member: vec![0; members.len()],
             rejects: full.collect(),
             reducer: Reducer::start(now, launch),
@@ -166,7 +166,7 @@
     /// A routing core alone, with the endpoint list of a shape, and its time.
     ///
     /// # Errors
-    /// As [`World::new`].
+    /// As [`Simulation::new`].
     pub fn core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
         let now = EPOCH;
         let launch = shape.launch(now, seed)?;
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -3,7 +3,7 @@
 use super::process::{Bed, Seen, Way, is_open};
 use super::reducer_slopes::steady;
 use super::reference_size::{CLIENTS, STATEMENTS};
-use super::simulation::{Counts, Shape, World};
+use super::simulation::{Counts, Shape, Simulation};
 use ladderpass_routing::Span;
 use std::io;
 use std::path::Path;
@@ -22,7 +22,7 @@
     let at_once = Shape { answer: Span::from_nanos(1), routers: 1, ..Shape::of(313) };
     let keeps_clients = Shape { client_idle: Some(Span::from_millis(600_000)), ..at_once.clone() };
     let pure = steady(&at_once, warm, span, seed)?;
-    let mut kept = World::new(&keeps_clients, seed)?;
+    let mut kept = Simulation::new(&keeps_clients, seed)?;
     kept.open_all();
     kept.run(warm);
     let kept = kept.run(span);
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -2,7 +2,7 @@
 
 use super::reducer_slopes::{probe_pass, steady};
 use super::reference_size::{CLIENTS, MEMBERS};
-use super::simulation::{Shape, World};
+use super::simulation::{Shape, Simulation};
 use ladderpass_routing::Span;
 
 const WARM_UP: Span = Span::from_millis(15_000);
@@ -108,7 +108,7 @@
     text +=
         "\n| second after the start, at the size | connects | probes | statements served | mean wait, ms |\n";
     text += "|---|---|---|---|---|\n";
-    let mut world = World::new(&Shape::of(313), seed)?;
+    let mut world = Simulation::new(&Shape::of(313), seed)?;
     for second in 1..=10 {
         let counts = world.run(Span::from_millis(1000));
         text += &format!(
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -1,7 +1,7 @@
 //! Events at the scale of a deployment, in a simulation: how long until all routers know, and the peak of what they send.
 
 use super::control::{GROUPS, RATE, SETTLES};
-use super::simulated_routers::{Counts, REGION_OF_ZONE, Shape, World, ZONES, member_id};
+use super::simulated_routers::{Counts, REGION_OF_ZONE, Shape, Simulation, ZONES, member_id};
 use ladderpass_routing::{Span, Time};
 use std::io;
 
@@ -54,7 +54,7 @@
     refused: u64,
 }
 
-fn sent(world: &World) -> Sent {
+fn sent(world: &Simulation) -> Sent {
     let of = |counts: &Counts| Sent {
         datagrams: counts.words.datagrams + counts.membership.datagrams,
         bytes: counts.words.bytes + counts.membership.bytes,
@@ -73,14 +73,14 @@
     }
 }
 
-fn statements(world: &World) -> Statements {
+fn statements(world: &Simulation) -> Statements {
     let refused = world.counts.iter().map(|counts| counts.refused + counts.crowded).sum();
     Statements { sent: world.counts.iter().map(|counts| counts.statements).sum(), refused }
 }
 
 /// Runs a simulation during an event, and measures it.
 struct Observation<'a> {
-    world: &'a mut World,
+    world: &'a mut Simulation,
     /// The event's begin.
     from: Time,
     before: (f64, f64),
@@ -91,7 +91,7 @@
 }
 
 impl Observation<'_> {
-    fn begin(world: &mut World) -> io::Result<Observation<'_>> {
+    fn begin(world: &mut Simulation) -> io::Result<Observation<'_>> {
         let sent_before = sent(world);
         world.run(BASELINE)?;
         let sent_now = sent(world);
@@ -128,7 +128,7 @@
     }
 
     /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
-    fn run_until(&mut self, max_s: f64, holds: impl Fn(&World) -> bool) -> io::Result<f64> {
+    fn run_until(&mut self, max_s: f64, holds: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
         let end = self.world.now + Span::from_secs_f64(max_s);
         while !holds(self.world) {
             if self.world.now >= end {
@@ -157,14 +157,14 @@
 }
 
 /// Does each running router believe as many routers to be alive as `count` says?
-fn agree(world: &World, count: impl Fn(usize) -> usize) -> bool {
+fn agree(world: &Simulation, count: impl Fn(usize) -> usize) -> bool {
     (0..world.shape.routers)
         .filter_map(|router| Some((router, world.reducer(router)?.fleet_view()?.0)))
         .all(|(router, view)| view == count(router))
 }
 
 /// Do all running routers know this member as its group's primary?
-fn know_primary(world: &World, member: usize) -> bool {
+fn know_primary(world: &Simulation, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
         world.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
@@ -173,15 +173,15 @@
 }
 
 /// Do all running routers have this generation of the endpoint list, or a later one?
-fn have_generation(world: &World, generation: u64) -> bool {
+fn have_generation(world: &Simulation, generation: u64) -> bool {
     let mut reducers = (0..world.shape.routers).filter_map(|router| world.reducer(router));
     reducers.all(|reducer| reducer.generation() >= generation)
 }
 
 /// A simulation whose routers have found each other.
-fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<World> {
+fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
     let rate = RATE * groups as f64 / GROUPS as f64;
-    let mut world = World::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
+    let mut world = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
     world.run(SETTLES)?;
     for _ in 0..SETTLE_STEPS {
         if agree(&world, |_| routers) {
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of simulated routers: each statement goes over an idle connection, or a new one.
 
 use super::counts::About;
-use super::simulation::{Connection, Peer, World};
+use super::simulation::{Connection, Peer, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
 use rand::Rng;
@@ -11,7 +11,7 @@
 const READ_METHOD: &str = "board";
 const WRITE_METHOD: &str = "move";
 
-impl World {
+impl Simulation {
     /// Sends a router a statement of a group and method that are drawn.
     pub(super) fn send_drawn_statement(&mut self, router: usize) {
         let group = self.rng.random_range(0..self.shape.groups);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
@@ -3,7 +3,7 @@
 use super::counts::About;
 use super::member::HEALTH_CHECK;
 use super::settings::{Endpoint, endpoint_at};
-use super::simulation::{Connection, ConnectionKey, Peer, SimulationEvent, World};
+use super::simulation::{Connection, ConnectionKey, Peer, Simulation, SimulationEvent};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
 use ladderpass_routing::{Span, Time};
@@ -12,7 +12,7 @@
 /// How long a member works on what it is sent.
 const SERVICE_TIME: Span = Span::from_millis(1);
 
-impl World {
+impl Simulation {
     /// When an answer to what is sent now arrives, without service time.
     pub(super) fn round_trip_at(&self) -> Time {
         self.now + self.shape.way * 2.0
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
@@ -1,14 +1,14 @@
 //! Simulated discovery: it sends the endpoint list to each watch, then its changes and heartbeats.
 
 use super::settings::list_entry;
-use super::simulation::{ConnectionKey, SimulationEvent, World};
+use super::simulation::{ConnectionKey, Simulation, SimulationEvent};
 use ladderpass_routing::Span;
 
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
 /// An HTTP chunk with an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 
-impl World {
+impl Simulation {
     /// Changes a member's entry in the endpoint list, and sends the change to all watches, at discovery's rate. Returns
     /// the list's new generation.
     pub fn change(&mut self, member: usize, lifecycle: &str) -> u64 {
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::counts::{About, thread_time};
 use super::settings::{Endpoint, endpoint_at, launch, router_address};
-use super::simulation::{Connection, ConnectionKey, SimulationEvent, World};
+use super::simulation::{Connection, ConnectionKey, Simulation, SimulationEvent};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 use rand::Rng;
@@ -18,7 +18,7 @@
 /// The latency of a datagram, as a factor of the simulation's.
 const LATENCY_SPREAD: std::ops::Range<f64> = 0.8..1.2;
 
-impl World {
+impl Simulation {
     pub(super) fn handle_event(&mut self, event: SimulationEvent) -> io::Result<()> {
         match event {
             SimulationEvent::StartRouter { router } => self.start_router(router)?,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
@@ -17,4 +17,4 @@
 pub use member::Member;
 pub use settings::{config, launch, member_id, router_address};
 pub use shape::{REGION_OF_ZONE, Shape, ZONES};
-pub use simulation::World;
+pub use simulation::Simulation;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -116,7 +116,7 @@
 }
 
 /// A simulation with a clock of its own.
-pub struct World {
+pub struct Simulation {
     /// What it is made of.
     pub shape: Shape,
     /// Its time.
@@ -127,7 +127,7 @@
     pub(super) routers: Vec<SimulatedRouter>,
     /// Its members.
     pub members: Vec<Member>,
-    /// By router, since the start or the last [`World::count_anew`].
+    /// By router, since the start or the last [`Simulation::count_anew`].
     pub counts: Vec<Counts>,
     /// Of the observed routers.
     pub cost: Cost,
@@ -150,19 +150,19 @@
     pub(super) config: PathBuf,
 }
 
-impl Drop for World {
+impl Drop for Simulation {
     fn drop(&mut self) {
         // It may have been removed already.
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
-impl World {
+impl Simulation {
     /// Prepares a simulation. Its routers start at random times within its first 200 ms.
     ///
     /// # Errors
     /// If the routers' settings can't be written to the temporary folder.
-    pub fn start(shape: Shape) -> io::Result<World> {
+    pub fn start(shape: Shape) -> io::Result<Simulation> {
         let mut rng = SmallRng::seed_from_u64(shape.seed);
         let member = |member: usize, lag_ms: i64| Member {
             up: true,
@@ -177,7 +177,7 @@
             .collect();
         let known = if shape.remembered { entries.join(",") } else { String::new() };
         let config = config(&shape, &known)?;
-        let mut world = World {
+        let mut world = Simulation {
             now: EPOCH,
             began: EPOCH,
             queue: BinaryHeap::new(),
--- a/crates/ladderpass-testbed/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -2,7 +2,7 @@
 //! worked out by hand. No CPU times here: a machine may be busy.
 
 use ladderpass_routing::Span;
-use ladderpass_testbed::capacity::data_path::simulation::{Shape, World};
+use ladderpass_testbed::capacity::data_path::simulation::{Shape, Simulation};
 use ladderpass_testbed::capacity::data_path::steady;
 
 const WARM: Span = Span::from_millis(14_000);
@@ -28,7 +28,7 @@
     assert!((share - (-2.1 / gap).exp()).abs() < 0.04, "{share} of one in {gap} s");
     // Where none is closed before it asks again, none does.
     let kept = Shape { client_idle: Some(Span::from_millis(600_000)), ..shape };
-    let mut world = World::new(&kept, 3).unwrap();
+    let mut world = Simulation::new(&kept, 3).unwrap();
     world.open_all();
     world.run(WARM);
     let counts = world.run(SPAN);
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -2,14 +2,14 @@
 //! each other, learn of a death, of a change of the list and of another primary.
 
 use ladderpass_routing::Span;
-use ladderpass_testbed::capacity::simulated_routers::{Shape, World, member_id};
+use ladderpass_testbed::capacity::simulated_routers::{Shape, Simulation, member_id};
 use ladderpass_testbed::capacity::slope::Claim;
 
-fn world(shape: Shape) -> World {
-    World::start(shape).expect("the temporary folder can be written to")
+fn world(shape: Shape) -> Simulation {
+    Simulation::start(shape).expect("the temporary folder can be written to")
 }
 
-fn run(world: &mut World, ms: i64) {
+fn run(world: &mut Simulation, ms: i64) {
     world.run(Span::from_millis(ms)).expect("the temporary folder can be written to");
 }
 
@@ -76,7 +76,7 @@
         assert_eq!(world.reducer(router).map(|reducer| reducer.generation()), Some(generation));
     }
     // Group 0 has the members 0, 2 and 4.
-    let leads = |world: &World, member: usize| {
+    let leads = |world: &Simulation, member: usize| {
         let knows = |router| world.reducer(router)?.known_position(&member_id(member));
         (0..4).filter_map(knows).filter(|&(_, primary)| primary).count()
     };
