--- a/crates/ladderpass-testbed/src/drill/event.rs
+++ b/crates/ladderpass-testbed/src/drill/event.rs
@@ -6,7 +6,7 @@
 /// A fault event: one thing that is done at a time.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Deed {
+pub struct FaultEvent {
     /// Seconds from the start of the load.
     pub at: f64,
     /// How long it lasts, in seconds, if it ends by itself: `freeze`, `split`, `cut`, `mute`, `hog`, `datagrams`.
@@ -46,7 +46,7 @@
     pub line: Option<(String, String)>,
 }
 
-impl Deed {
+impl FaultEvent {
     /// Its name in tables.
     pub fn name(&self) -> String {
         let mut parts = Vec::new();
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -1,6 +1,6 @@
 //! A drill's file: its keys with their defaults, and the checks that name the key of an error.
 
-use super::event::Deed;
+use super::event::FaultEvent;
 use ladderpass_emulator::Scenario;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -54,7 +54,7 @@
     /// RPCs a second of clients that go straight to the members.
     pub greedy: f64,
     /// Fault events.
-    pub deeds: Vec<Deed>,
+    pub deeds: Vec<FaultEvent>,
 }
 
 impl Default for Drill {
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    fn check_event(&self, event: &Deed) -> Result<(), String> {
+    fn check_event(&self, event: &FaultEvent) -> Result<(), String> {
         let name = event.name();
         if name.is_empty() || name.contains(", ") && event.cut.len() < 2 {
             return Err(format!("at {}: {name:?}; allowed is one thing to do", event.at));
--- a/crates/ladderpass-testbed/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -8,5 +8,5 @@
 pub mod play;
 pub mod report;
 
-pub use event::Deed;
+pub use event::FaultEvent;
 pub use file::Drill;
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -2,7 +2,7 @@
 
 use super::interrupt::check_interrupted;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
-use crate::drill::{Deed, Drill};
+use crate::drill::{Drill, FaultEvent};
 use crate::history_checker::Drained;
 use ladderpass_emulator::{Input, now};
 use ladderpass_fault_injection::{DatagramRule, Deed as DatagramFault, driver};
@@ -61,7 +61,7 @@
         if step.begins { self.begin_event(step.event, event) } else { self.end_event(step.event, event) }
     }
 
-    fn begin_event(&mut self, index: usize, event: &Deed) -> io::Result<()> {
+    fn begin_event(&mut self, index: usize, event: &FaultEvent) -> io::Result<()> {
         self.signal_routers(event)?;
         for router in self.routers_named(&event.start) {
             self.restart_router(router, event.clock_ms)?;
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    fn end_event(&mut self, index: usize, event: &Deed) -> io::Result<()> {
+    fn end_event(&mut self, index: usize, event: &FaultEvent) -> io::Result<()> {
         for router in self.routers_named(&event.freeze) {
             self.signal(router, Signal::SIGCONT)?;
             self.end_absences(router);
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    fn signal_routers(&mut self, event: &Deed) -> io::Result<()> {
+    fn signal_routers(&mut self, event: &FaultEvent) -> io::Result<()> {
         for router in self.routers_named(&event.kill) {
             self.kill_router(router);
         }
@@ -136,7 +136,7 @@
         });
     }
 
-    fn cut_links(&mut self, event: &Deed) -> io::Result<()> {
+    fn cut_links(&mut self, event: &FaultEvent) -> io::Result<()> {
         for link in self.links_cut_by(event) {
             self.tool_of(&link).say(&format!("cut {link}")).map_err(io::Error::other)?;
             if let Some(router) = self.router_of_client_link(&link) {
@@ -147,7 +147,7 @@
     }
 
     /// Changes of members and of what discovery sends.
-    fn change_fleet(&mut self, event: &Deed) {
+    fn change_fleet(&mut self, event: &FaultEvent) {
         if let Some(member) = event.drain {
             self.fleet.drain(member);
             let at = now();
@@ -172,7 +172,7 @@
     }
 
     /// Links that an event cuts.
-    fn links_cut_by(&self, event: &Deed) -> Vec<String> {
+    fn links_cut_by(&self, event: &FaultEvent) -> Vec<String> {
         let mut links = self.drill.split_links(&event.split);
         links.extend(event.cut.iter().filter_map(|(one, other)| self.drill.link(one, other)));
         links
@@ -189,7 +189,7 @@
 }
 
 /// What an event does to datagrams among routers.
-fn datagram_rules(index: usize, event: &Deed) -> Vec<DatagramRule> {
+fn datagram_rules(index: usize, event: &FaultEvent) -> Vec<DatagramRule> {
     let drop_all = |name: String| DatagramRule {
         name,
         from: Vec::new(),
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -4,7 +4,7 @@
 use super::Table;
 use crate::load::{self, until_ready};
 use crate::router::Start;
-use crate::run::{self, Deed, Seen, open};
+use crate::run::{self, FaultEvent, Seen, open};
 use ladderpass_emulator::{Running, Scenario, proto};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::{Decision, Plan, Rule, difference};
@@ -134,7 +134,7 @@
         .map(|rule| Rule::read(rule))
         .collect::<Result<Vec<_>, _>>()
         .map_err(io::Error::other)?;
-    let stop: Vec<Deed<'_>> =
+    let stop: Vec<FaultEvent<'_>> =
         vec![(0.7, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let plan = load::Plan {
         connections: 200,
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -5,7 +5,7 @@
 use super::{Table, hard_pressed, kept, lane, named, plays};
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs, play};
-use crate::drill::{Deed, Drill};
+use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 /// When a member is gone, and comes back.
 const GONE: (f64, f64) = (3.0, 6.0);
 
-fn drill(operator: &str, phases: Vec<(f64, f64)>, deeds: Vec<Deed>) -> Drill {
+fn drill(operator: &str, phases: Vec<(f64, f64)>, deeds: Vec<FaultEvent>) -> Drill {
     Drill {
         routers: ROUTERS,
         uneven: 4.0,
@@ -47,10 +47,10 @@
 fn loses(operator: &str, member: Option<u32>) -> Drill {
     let rule = |name: &str, link: &str, times: u32| {
         let text = format!("{{name: {name}, {link}when: {{message: DataRow}}, do: close, times: {times}}}");
-        Deed {
+        FaultEvent {
             at: FROM,
             rule: Some(ladderpass_fault_injection::Rule::read(&text).expect("the proof's own rule")),
-            ..Deed::default()
+            ..FaultEvent::default()
         }
     };
     let deeds = match member {
@@ -75,15 +75,15 @@
 /// A third of the members gone for 3 s while clients ask again up to three times; routers killed and split meanwhile.
 fn triggered(operator: &str) -> Drill {
     let deeds = vec![
-        Deed { at: GONE.0, ends: Some(2), ..Deed::default() },
-        Deed { at: GONE.0, kill: named(&["r2"]), ..Deed::default() },
-        Deed {
+        FaultEvent { at: GONE.0, ends: Some(2), ..FaultEvent::default() },
+        FaultEvent { at: GONE.0, kill: named(&["r2"]), ..FaultEvent::default() },
+        FaultEvent {
             at: GONE.0 + 0.5,
             lasts: 2.0,
             split: vec![named(&["r0", "r1", "r3"]), named(&["r4", "r5", "r6", "r7"])],
-            ..Deed::default()
+            ..FaultEvent::default()
         },
-        Deed { at: GONE.1, begins: Some(2), ..Deed::default() },
+        FaultEvent { at: GONE.1, begins: Some(2), ..FaultEvent::default() },
     ];
     Drill { repeats: 3, ..drill(operator, vec![(12.0, RATE)], deeds) }
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -4,7 +4,7 @@
 use super::{Table, datagrams_of, hard_pressed, kept, lane, named, plays};
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs, play};
-use crate::drill::{Deed, Drill};
+use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_invariants::Answer;
 use std::collections::BTreeMap;
@@ -50,8 +50,8 @@
 fn harmed() -> Drill {
     let sides = vec![named(&["r0", "r1", "r3"]), named(&["r4", "r6", "r7"])];
     let deeds = vec![
-        Deed { at: KILLED, kill: named(&["r2", "r5", "r8"]), ..Deed::default() },
-        Deed { at: SPLIT.0, lasts: SPLIT.1, split: sides, ..Deed::default() },
+        FaultEvent { at: KILLED, kill: named(&["r2", "r5", "r8"]), ..FaultEvent::default() },
+        FaultEvent { at: SPLIT.0, lasts: SPLIT.1, split: sides, ..FaultEvent::default() },
     ];
     Drill { deeds, ..drill(9, ON, ENDS) }
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -5,7 +5,7 @@
 use super::{Table, kept, plays};
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs};
-use crate::drill::{Deed, Drill};
+use crate::drill::{Drill, FaultEvent};
 use crate::history_checker::cold_at_members;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Time;
@@ -46,7 +46,7 @@
 /// A third of the routers is killed and started again in the middle of the ramp.
 fn restarted(drill: Drill) -> Drill {
     let third: Vec<String> = (0..drill.routers / 3).map(|nth| format!("r{}", nth * 3)).collect();
-    let deeds = vec![Deed { at: 3.0, start: third, ..Deed::default() }];
+    let deeds = vec![FaultEvent { at: 3.0, start: third, ..FaultEvent::default() }];
     Drill { deeds, ..drill }
 }
 
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -4,7 +4,7 @@
 use super::{Table, datagrams_of, kept, lane, named};
 use crate::charts::{self, Line};
 use crate::drill::play::{Played, Programs, play};
-use crate::drill::{Deed, Drill};
+use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::{DatagramRule, Deed as Done};
 use ladderpass_routing::Time;
@@ -34,12 +34,12 @@
 fn long_drill() -> Drill {
     let sides = [named(&["r0", "r1", "r2", "r3"]), named(&["r4", "r5", "r6", "r7", "r8", "r9"])];
     let deeds = vec![
-        Deed { at: KILLED, kill: named(&["r3", "r8"]), ..Deed::default() },
-        Deed { at: STARTED, start: named(&["r3", "r8"]), ..Deed::default() },
-        Deed { at: FROZEN.0, lasts: FROZEN.1, freeze: named(&["r5"]), ..Deed::default() },
-        Deed { at: MUTED.0, lasts: MUTED.1, mute: named(&["r6"]), ..Deed::default() },
-        Deed { at: LOST.0, lasts: LOST.1, datagrams: loss("a-fifth", 0.2), ..Deed::default() },
-        Deed { at: SPLIT.0, lasts: SPLIT.1, split: sides.to_vec(), ..Deed::default() },
+        FaultEvent { at: KILLED, kill: named(&["r3", "r8"]), ..FaultEvent::default() },
+        FaultEvent { at: STARTED, start: named(&["r3", "r8"]), ..FaultEvent::default() },
+        FaultEvent { at: FROZEN.0, lasts: FROZEN.1, freeze: named(&["r5"]), ..FaultEvent::default() },
+        FaultEvent { at: MUTED.0, lasts: MUTED.1, mute: named(&["r6"]), ..FaultEvent::default() },
+        FaultEvent { at: LOST.0, lasts: LOST.1, datagrams: loss("a-fifth", 0.2), ..FaultEvent::default() },
+        FaultEvent { at: SPLIT.0, lasts: SPLIT.1, split: sides.to_vec(), ..FaultEvent::default() },
     ];
     Drill { routers: ROUTERS, phases: vec![(ENDS, 200.0)], clients: 100, deeds, ..Drill::default() }
 }
@@ -170,7 +170,7 @@
         scenario,
         faulty: faulty.unwrap_or_default(),
         earlier: (0..9).filter(|_| earlier).map(|nth| format!("r{nth}")).collect(),
-        deeds: vec![Deed { at: 1.0, kill: named(&["r0", "r3", "r6"]), ..Deed::default() }],
+        deeds: vec![FaultEvent { at: 1.0, kill: named(&["r0", "r3", "r6"]), ..FaultEvent::default() }],
         ..Drill::default()
     };
     play(&drill, programs, seed)
@@ -210,9 +210,9 @@
         clients: 40,
         faulty: faulty.unwrap_or_default(),
         deeds: vec![
-            Deed { at: 0.0, datagrams: Some(late), ..Deed::default() },
-            Deed { at: 1.5, kill: named(&["r3"]), ..Deed::default() },
-            Deed { at: 1.6, lasts: 3.0, datagrams: loss("a-third", 0.3), ..Deed::default() },
+            FaultEvent { at: 0.0, datagrams: Some(late), ..FaultEvent::default() },
+            FaultEvent { at: 1.5, kill: named(&["r3"]), ..FaultEvent::default() },
+            FaultEvent { at: 1.6, lasts: 3.0, datagrams: loss("a-third", 0.3), ..FaultEvent::default() },
         ],
         ..Drill::default()
     }
@@ -281,7 +281,7 @@
     let base =
         || Drill { routers: 4, phases: vec![(2.0, 250.0)], clients: 100, uneven: 1.0, ..Drill::default() };
     let rule = |text: &str| ladderpass_fault_injection::Rule::read(text).expect("the proof's own rule");
-    let with = |text: &str| Deed { at: 0.2, rule: Some(rule(text)), ..Deed::default() };
+    let with = |text: &str| FaultEvent { at: 0.2, rule: Some(rule(text)), ..FaultEvent::default() };
     let late = |member: u32| {
         with(&format!(
             "{{name: late-{member}, link: r1>member-{member}, when: {{message: RowDescription, nth: 5}}, do: {{delay: {{ms: 1600}}}}, times: 5}}"
@@ -315,7 +315,7 @@
             rule: 3,
             switch: "ignores-drains",
             drill: Drill {
-                deeds: vec![Deed { at: 0.6, drain: Some(1), ..Deed::default() }],
+                deeds: vec![FaultEvent { at: 0.6, drain: Some(1), ..FaultEvent::default() }],
                 phases: vec![(2.5, 600.0)],
                 clients: 200,
                 scenario: any,
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -58,13 +58,13 @@
 const SHUTDOWN_LOG_TEXT: &str = "stopping clients=";
 
 /// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
-pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &Running) + 'a>);
+pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &Running) + 'a>);
 
 /// Runs a load against one router, with fault events.
 ///
 /// # Errors
 /// If the fleet, the router or the load can't be started.
-pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<Deed<'_>>) -> io::Result<Seen> {
+pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<FaultEvent<'_>>) -> io::Result<Seen> {
     run_with(scenario, start, plan, events, |_| {})
 }
 
@@ -76,7 +76,7 @@
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
-    events: Vec<Deed<'_>>,
+    events: Vec<FaultEvent<'_>>,
     on_progress: impl FnMut(f64),
 ) -> io::Result<Seen> {
     run_through(scenario, start, plan, None, events, on_progress).map(|(seen, _)| seen)
@@ -92,7 +92,7 @@
     start: &Start,
     plan: &Plan,
     rules: Option<Vec<Rule>>,
-    mut events: Vec<Deed<'_>>,
+    mut events: Vec<FaultEvent<'_>>,
     mut on_progress: impl FnMut(f64),
 ) -> io::Result<(Seen, Option<Left>)> {
     if let Some(cpu) = start.cpu {
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::Span;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, Deed, Seen, open};
+use ladderpass_testbed::run::{self, FaultEvent, Seen, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -20,7 +20,7 @@
 
 /// A load of two seconds through these rules. Whatever they do, no rule of the account may break, and each client is
 /// answered.
-fn play(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, Left) {
+fn play(seed: u64, rules: &[&str], deeds: Vec<FaultEvent<'_>>) -> (Seen, Left) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|fault| panic!("{rule}: {fault}"));
     let rules = rules.iter().map(read).collect();
@@ -116,7 +116,7 @@
 #[test]
 fn faults_during_sighup_lose_nothing() {
     let _alone = alone();
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs")))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
     play(7, &rules, deeds);
@@ -144,7 +144,7 @@
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(0.5, Box::new(|_, fleet| fleet.drain(1))), (0.9, Box::new(move |_, fleet| fleet.say(0, old)))];
     // Rule 3 is judged over all that passes: the drain holds whatever the old list says.
     let (seen, _) = play(9, &[], deeds);
@@ -190,7 +190,7 @@
         deadline: Span::from_millis(2000),
         ..open(11, &[(2.0, 200.0)])
     };
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let (seen, _) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -6,7 +6,7 @@
 use ladderpass_testbed::charts;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, Deed, Seen, open};
+use ladderpass_testbed::run::{self, FaultEvent, Seen, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,7 +31,7 @@
     Plan { connections: 50, deadline: Span::from_millis(4000), ..open(seed, phases) }
 }
 
-fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<Deed<'_>>) -> Seen {
+fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<FaultEvent<'_>>) -> Seen {
     let seen = run::run(scenario, start, plan, deeds).unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     seen
@@ -114,7 +114,7 @@
 #[test]
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
     let _alone = alone();
-    let deeds: Vec<Deed<'_>> = vec![
+    let deeds: Vec<FaultEvent<'_>> = vec![
         (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
         (1.0, Box::new(|_, fleet| fleet.tell(1, Input::Dies))),
         (2.0, Box::new(|_, fleet| fleet.tell(1, Input::Starts))),
@@ -128,7 +128,7 @@
     assert!(seen.outcome.total().pushed_back > 100 && seen.outcome.total().ok > 300);
     assert_eq!(seen.ended, None, "it runs on");
     // SIGTERM in the middle: what was taken is answered, then the process ends well.
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(1.0, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let plan = Plan { connections: 50, ..gentle(6, &[(1.2, 500.0)]) };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, deeds);
@@ -139,7 +139,7 @@
 #[test]
 fn a_stall_of_800_ms_is_answered_for() {
     let _alone = alone();
-    let deeds: Vec<Deed<'_>> = vec![
+    let deeds: Vec<FaultEvent<'_>> = vec![
         (1.0, Box::new(|router, _| router.signal(Signal::SIGSTOP).expect("it runs"))),
         (1.8, Box::new(|router, _| router.signal(Signal::SIGCONT).expect("it is stopped"))),
     ];
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -15,7 +15,7 @@
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
 use ladderpass_testbed::load::{Entry, Plan};
-use ladderpass_testbed::run::{self, Deed, links, open};
+use ladderpass_testbed::run::{self, FaultEvent, links, open};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
 use std::net::TcpStream;
@@ -122,7 +122,7 @@
     let plan =
         Plan { connections: 40, pipeline: life.pipeline, deadline: life.deadline, ..open(seed, &phases) };
     let ends = &Ends::default();
-    let mut deeds: Vec<Deed<'_>> = Vec::new();
+    let mut deeds: Vec<FaultEvent<'_>> = Vec::new();
     if life.crowd > 0 {
         let mut crowd = Vec::new();
         let count = life.crowd;
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -16,7 +16,7 @@
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::load::Plan;
-use ladderpass_testbed::run::{Deed, open, run};
+use ladderpass_testbed::run::{FaultEvent, open, run};
 use std::cell::RefCell;
 use std::io::Write;
 use std::net::TcpStream;
@@ -170,7 +170,7 @@
     let plan = Plan { connections: 40, pipeline: 4, deadline: DEADLINE, ..open(life.seed, &phases) };
     let ends = &Ends::default();
     let crowd: RefCell<Vec<TcpStream>> = RefCell::default();
-    let mut deeds: Vec<Deed<'_>> = Vec::new();
+    let mut deeds: Vec<FaultEvent<'_>> = Vec::new();
     for nth in 1..12 {
         let crowd = &crowd;
         deeds.push((
