--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,6 +1,6 @@
 //! Charts of results as SVG.
 
-use crate::run::Seen;
+use crate::run::RunRecord;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
 use plotters::prelude::*;
@@ -115,7 +115,7 @@
 ///
 /// # Errors
 /// As [`lines`].
-pub fn over_time(path: &Path, scenario: &Scenario, seen: &Seen) -> io::Result<()> {
+pub fn over_time(path: &Path, scenario: &Scenario, seen: &RunRecord) -> io::Result<()> {
     let slices = &seen.outcome.slices;
     let per_second = 1.0 / crate::load::SLICE.secs();
     let mut shown: Vec<Line<'_>> = Vec::new();
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -4,7 +4,7 @@
 use super::Table;
 use crate::load::{self, until_ready};
 use crate::router::Start;
-use crate::run::{self, FaultEvent, Seen, open};
+use crate::run::{self, FaultEvent, RunRecord, open};
 use ladderpass_emulator::{Running, Scenario, proto};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::{Decision, Plan, Rule, difference};
@@ -87,7 +87,7 @@
 const BEARS: f64 = 200.0;
 
 /// The rules that were broken; a router that passes breaks none.
-fn broken(seen: &Seen) -> Vec<u8> {
+fn broken(seen: &RunRecord) -> Vec<u8> {
     let mut rules: Vec<u8> =
         seen.violations(Span::from_millis(50)).iter().map(|violation| violation.rule).collect();
     // A torn row, or one that nobody waits for.
@@ -98,7 +98,7 @@
 }
 
 /// What acts in a row on any router, and how often: its plan, else what the row does to the fleet.
-fn acted(row: &Row, seen: &Seen, decisions: usize) -> (usize, &'static str) {
+fn acted(row: &Row, seen: &RunRecord, decisions: usize) -> (usize, &'static str) {
     let ran = |member| seen.truth.ran.iter().filter(|ran| ran.member == member).count();
     match row {
         Row { cold: [_, ..], .. } => {
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -4,7 +4,7 @@
 use crate::charts;
 use crate::load::{Pace, Plan};
 use crate::router::{self, Start};
-use crate::run::{self, Seen, open};
+use crate::run::{self, RunRecord, open};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
 use std::io;
@@ -51,14 +51,14 @@
 }
 
 /// CPU of a step, as if all of it were at its full rate.
-fn core_used(seen: &Seen) -> f64 {
+fn core_used(seen: &RunRecord) -> f64 {
     seen.cpu / (WARM * 0.5 + 0.5)
 }
 
 /// Is the router calm at this rate? It refuses nothing, answers in time, and comes round quickly. What of its core is idle
 /// says nothing of that: with little to do it takes RPCs one by one, at twice the CPU of those taken in batches, so that
 /// a core is all but busy at half of what it serves at most.
-fn is_calm(seen: &Seen) -> bool {
+fn is_calm(seen: &RunRecord) -> bool {
     let total = seen.counts(WARM, WARM + 0.5);
     total.good as f64 >= 0.999 * total.due as f64 && seen.delay_ms(0.99, WARM, WARM + 0.5) < 5.0
 }
@@ -138,11 +138,11 @@
     let with = run::run(&scenario, &watching, &open(seed, &phases), vec![])?;
     let without = run::run(&scenario, &plain, &open(seed, &phases[..3]), vec![])?;
     let writes = scenario.methods.iter().position(|method| method.writes).unwrap_or(0);
-    let ok = |seen: &Seen| {
+    let ok = |seen: &RunRecord| {
         let counts = seen.outcome.of(writes);
         counts.ok as f64 / counts.due.max(1) as f64
     };
-    let silent = |seen: &Seen| {
+    let silent = |seen: &RunRecord| {
         let total = seen.outcome.total();
         total.late + total.unanswered + total.unsent
     };
@@ -193,7 +193,7 @@
         format!("{good} of {due}"),
         due > 0 && good as f64 >= 0.999 * due as f64,
     );
-    let mean = |seen: &Seen| seen.outcome.utility_rate(1.0, 3.5) / 1e3;
+    let mean = |seen: &RunRecord| seen.outcome.utility_rate(1.0, 3.5) / 1e3;
     table.tell(
         "3x: utility a second",
         format!("{:.0}k; {}", mean(&with), beside(format!("{:.0}k", mean(&without)))),
--- a/crates/ladderpass-testbed/src/results.rs
+++ b/crates/ladderpass-testbed/src/results.rs
@@ -4,7 +4,7 @@
 
 use crate::charts;
 use crate::load::Counts;
-use crate::run::Seen;
+use crate::run::RunRecord;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
     json!({"count": of.len(), "p50": at(0.5), "p90": at(0.9), "p99": at(0.99), "p999": at(0.999), "max": of.max() as f64 / unit})
 }
 
-pub fn write(path: &Path, told: &Value, scenario: &Scenario, seen: &Seen) -> io::Result<()> {
+pub fn write(path: &Path, told: &Value, scenario: &Scenario, seen: &RunRecord) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
     let methods: Vec<&str> = scenario.methods.iter().map(|method| method.name.as_str()).collect();
     writeln!(out, "{}", json!({"kind": "run", "form": FORM, "methods": methods, "told": told}))?;
@@ -66,7 +66,7 @@
 }
 
 /// A run as a table.
-pub fn table(scenario: &Scenario, seen: &Seen) -> String {
+pub fn table(scenario: &Scenario, seen: &RunRecord) -> String {
     let mut text = String::from(
         "| method | due | ok | within the soft deadline | pushed back | aborted | without an answer in time | unsent | p50 ms | p99 ms | p99.9 ms |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 /// What a run has recorded.
-pub struct Seen {
+pub struct RunRecord {
     /// What the clients saw.
     pub outcome: Outcome,
     /// The prober's queries: when each was due, in seconds of the load, and how long after that it was answered.
@@ -48,7 +48,7 @@
     drained: Vec<Drained>,
 }
 
-/// Default of [`Seen::bears`].
+/// Default of [`RunRecord::bears`].
 const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
 /// How often, and with what pause, a router that is shutting down is checked for its end before it is stopped.
@@ -64,7 +64,12 @@
 ///
 /// # Errors
 /// If the fleet, the router or the load can't be started.
-pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<FaultEvent<'_>>) -> io::Result<Seen> {
+pub fn run(
+    scenario: &Scenario,
+    start: &Start,
+    plan: &Plan,
+    events: Vec<FaultEvent<'_>>,
+) -> io::Result<RunRecord> {
     run_with(scenario, start, plan, events, |_| {})
 }
 
@@ -78,7 +83,7 @@
     plan: &Plan,
     events: Vec<FaultEvent<'_>>,
     on_progress: impl FnMut(f64),
-) -> io::Result<Seen> {
+) -> io::Result<RunRecord> {
     run_through(scenario, start, plan, None, events, on_progress).map(|(seen, _)| seen)
 }
 
@@ -94,7 +99,7 @@
     rules: Option<Vec<Rule>>,
     mut events: Vec<FaultEvent<'_>>,
     mut on_progress: impl FnMut(f64),
-) -> io::Result<(Seen, Option<Left>)> {
+) -> io::Result<(RunRecord, Option<Left>)> {
     if let Some(cpu) = start.cpu {
         keep_off(cpu)?;
     }
@@ -123,7 +128,7 @@
     let log = router.stop();
     let mut left = upstream.fault_tool.map(driver::Running::stop);
     let drained = fleet.drained().into_iter().map(|(at, router, member)| Drained { router, member, at });
-    let seen = Seen {
+    let seen = RunRecord {
         outcome,
         probed,
         drained: drained.collect(),
@@ -201,8 +206,8 @@
     links
 }
 
-impl Seen {
-    /// Violations as text, and the first protocol errors that clients saw. `answers` is as in [`Seen::violations`].
+impl RunRecord {
+    /// Violations as text, and the first protocol errors that clients saw. `answers` is as in [`RunRecord::violations`].
     pub fn broken(&self, answers: Span) -> Vec<String> {
         let faults = self.outcome.faults.iter().take(3).map(|fault| format!("rule 1: {fault}"));
         faults.chain(self.violations(answers).iter().map(Violation::to_string)).collect()
@@ -239,7 +244,7 @@
         delays
     }
 
-    /// A quantile of [`Seen::delays`], in milliseconds.
+    /// A quantile of [`RunRecord::delays`], in milliseconds.
     pub fn delay_ms(&self, quantile: f64, from: f64, to: f64) -> f64 {
         self.delays(from, to).value_at_quantile(quantile) as f64 / 1e3
     }
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -10,7 +10,7 @@
 use ladderpass_routing::Span;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, Seen, open};
+use ladderpass_testbed::run::{self, RunRecord, open};
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::Child;
@@ -31,7 +31,7 @@
 const DEADLINE: Span = Span::from_millis(1500);
 
 /// What a load of two seconds saw of a router whose calls fail, from its start on or later.
-fn seen(start: &Start) -> Seen {
+fn seen(start: &Start) -> RunRecord {
     let _alone = alone();
     let plan = Plan { connections: 60, deadline: DEADLINE, ..open(5, &[(2.0, 300.0)]) };
     let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
@@ -41,7 +41,7 @@
 }
 
 /// Each RPC is served in its time.
-fn play(start: &Start) -> Seen {
+fn play(start: &Start) -> RunRecord {
     let seen = seen(start);
     let (total, told) = (seen.outcome.total(), seen.log.join("\n"));
     assert_eq!(seen.broken(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{told}");
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::Span;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, FaultEvent, Seen, open};
+use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -20,7 +20,7 @@
 
 /// A load of two seconds through these rules. Whatever they do, no rule of the account may break, and each client is
 /// answered.
-fn play(seed: u64, rules: &[&str], deeds: Vec<FaultEvent<'_>>) -> (Seen, Left) {
+fn play(seed: u64, rules: &[&str], deeds: Vec<FaultEvent<'_>>) -> (RunRecord, Left) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|fault| panic!("{rule}: {fault}"));
     let rules = rules.iter().map(read).collect();
@@ -43,7 +43,7 @@
 }
 
 /// Each such write was answered, as aborted, and ran once: it is not sent again, and not waited for to the end.
-fn assert_aborted(seen: &Seen, most: u64) {
+fn assert_aborted(seen: &RunRecord, most: u64) {
     let writes = seen.outcome.of(1);
     assert!((1..=most).contains(&writes.aborted), "{writes:?}");
 }
--- a/crates/ladderpass/tests/judge/mod.rs
+++ b/crates/ladderpass/tests/judge/mod.rs
@@ -5,7 +5,7 @@
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::load::Entry;
 use ladderpass_testbed::router::Router;
-use ladderpass_testbed::run::Seen;
+use ladderpass_testbed::run::RunRecord;
 use nix::sys::signal::Signal;
 use std::cell::Cell;
 use std::io;
@@ -80,7 +80,7 @@
     }
 }
 
-pub fn judge(seen: &Seen, bounds: &Bounds) -> Vec<String> {
+pub fn judge(seen: &RunRecord, bounds: &Bounds) -> Vec<String> {
     let &Bounds { term, kill, .. } = bounds;
     let mut broken: Vec<String> =
         seen.outcome.faults.iter().map(|fault| format!("rule 1: {fault}")).collect();
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/pressed.rs
@@ -6,7 +6,7 @@
 use ladderpass_testbed::charts;
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, FaultEvent, Seen, open};
+use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -31,13 +31,13 @@
     Plan { connections: 50, deadline: Span::from_millis(4000), ..open(seed, phases) }
 }
 
-fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<FaultEvent<'_>>) -> Seen {
+fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<FaultEvent<'_>>) -> RunRecord {
     let seen = run::run(scenario, start, plan, deeds).unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     seen
 }
 
-fn assert_all_answered(seen: &Seen) {
+fn assert_all_answered(seen: &RunRecord) {
     let total = seen.outcome.total();
     assert_eq!((total.unanswered, total.unsent), (0, 0), "{total:?}");
     assert_eq!(total.due, total.ok + total.pushed_back + total.aborted + total.late, "{total:?}");
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use ladderpass_routing::Span;
 use ladderpass_testbed::history_checker::{Started, cold_at_members};
 use ladderpass_testbed::load::Plan;
-use ladderpass_testbed::run::{self, Seen, open};
+use ladderpass_testbed::run::{self, RunRecord, open};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 }
 
 /// A load of two seconds; no rule breaks, and the process goes on.
-fn play(scenario: &Scenario, steps: &[Step], rate: f64) -> Seen {
+fn play(scenario: &Scenario, steps: &[Step], rate: f64) -> RunRecord {
     let _alone = alone();
     let deadline = Span::from_millis(1500);
     let plan = Plan { connections: 60, deadline, ..open(5, &[(2.0, rate)]) };
