--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -5,13 +5,13 @@
 
 mod events;
 mod interrupt;
-mod played;
+mod record;
 mod start;
 mod testbed;
 mod view;
 
 pub use interrupt::interrupted;
-pub use played::Played;
+pub use record::DrillRecord;
 pub use start::Programs;
 pub use view::{Viewed, viewed};
 
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// If the drill is not valid, a program is missing, a process can't be started, or ctrl-C interrupts it.
-pub fn play(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<Played> {
+pub fn play(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<DrillRecord> {
     play_with(drill, programs, seed, |_| {})
 }
 
@@ -45,7 +45,7 @@
     programs: Programs<'_>,
     seed: u64,
     on_progress: impl FnMut(f64) + Send,
-) -> io::Result<Played> {
+) -> io::Result<DrillRecord> {
     drill.check().map_err(io::Error::other)?;
     let mut testbed = DrillTestbed::start(drill, programs, seed)?;
     let settled = testbed.wait_until_settled()?;
@@ -55,7 +55,7 @@
     let (outcome, greedy) = run_loads_and_events(&mut testbed, on_progress)?;
     std::thread::sleep(LOG_FLUSH_WAIT);
     let sent = sent_before.into_iter().zip(testbed.datagrams_sent()).collect();
-    Ok(Played { greedy, ..testbed.finish(outcome, settled, sent) })
+    Ok(DrillRecord { greedy, ..testbed.finish(outcome, settled, sent) })
 }
 
 /// Runs the load through the routers, the greedy load if there is one, and the fault events meanwhile.
--- a/crates/ladderpass-testbed/src/drill/play/played.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -17,7 +17,7 @@
 const MAX_PANIC_LINES: usize = 3;
 
 /// What came of a drill.
-pub struct Played {
+pub struct DrillRecord {
     /// What the clients saw.
     pub outcome: Outcome,
     /// What the clients saw that went straight to the members.
@@ -63,7 +63,7 @@
 
 impl DrillTestbed<'_> {
     /// Stops everything, and checks the history.
-    pub fn finish(mut self, outcome: Outcome, settled: Option<Span>, sent: Vec<(Sent, Sent)>) -> Played {
+    pub fn finish(mut self, outcome: Outcome, settled: Option<Span>, sent: Vec<(Sent, Sent)>) -> DrillRecord {
         let RouterEnds { cpu, alive, fallen } = self.stop_routers();
         self.stop_cpu_hogs();
         let mesh = self.router_links.mesh.as_ref();
@@ -92,7 +92,7 @@
         let cold_alone = (0..self.drill.routers).map(|router| history.cold_by(router).len()).collect();
         let views =
             self.logs.iter().map(|log| log.iter().filter_map(|line| viewed(line)).collect()).collect();
-        Played {
+        DrillRecord {
             outcome,
             greedy: None,
             truth,
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -1,7 +1,7 @@
 //! Reports of a drill: counts, a table for people, JSON lines, and charts over time.
 
 use super::Drill;
-use super::play::Played;
+use super::play::DrillRecord;
 use crate::charts::{self, Line};
 use crate::load::{Counts, Slice};
 use ladderpass_invariants::Answer;
@@ -24,11 +24,11 @@
 }
 
 /// Seconds from the start of the load.
-fn secs(played: &Played, at: Time) -> f64 {
+fn secs(played: &DrillRecord, at: Time) -> f64 {
     (at - played.outcome.began).secs()
 }
 
-impl Played {
+impl DrillRecord {
     /// What became of the RPCs that were sent to some routers.
     pub fn of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -4,7 +4,7 @@
 
 use super::{Table, hard_pressed, kept, lane, named, plays};
 use crate::charts::{self, Line};
-use crate::drill::play::{Played, Programs, play};
+use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
@@ -111,7 +111,7 @@
 }
 
 /// Further call-outs as a part of first ones, by the members.
-fn part(played: &Played, from: f64, to: f64) -> f64 {
+fn part(played: &DrillRecord, from: f64, to: f64) -> f64 {
     let (first, further) = played.callouts(from, to);
     further as f64 / first.max(1) as f64
 }
@@ -132,7 +132,7 @@
     let [one, one_without, refused, refused_without] =
         plays([&loses(ON, Some(2)), &loses(OFF, Some(2)), &refusing(ON), &refusing(OFF)], programs, seed)?;
     let [trigger, trigger_without] = plays([&triggered(ON), &triggered(OFF)], programs, seed)?;
-    let spent = |played: &Played| part(played, SPENT.0, SPENT.1);
+    let spent = |played: &DrillRecord| part(played, SPENT.0, SPENT.1);
     table.ask(
         "all answers lost: further call-outs, of first ones",
         "at most 0.05",
@@ -144,7 +144,7 @@
         table.ask(format!("  {switch}"), "told apart", text, spent(played) > 0.05);
     }
     // Of what was asked in that time, so that chance in what comes is no part of it.
-    let rate = |played: &Played, from: f64, to: f64| {
+    let rate = |played: &DrillRecord, from: f64, to: f64| {
         let asked = |slice: &crate::load::Slice| -> f64 {
             let methods = Scenario::default().methods;
             slice.counts.iter().zip(&methods).map(|(of, method)| of.due as f64 * method.utility).sum()
@@ -165,7 +165,7 @@
         ),
         few >= 0.97,
     );
-    let whole = |played: &Played| part(played, 1.0, 6.0);
+    let whole = |played: &DrillRecord| part(played, 1.0, 6.0);
     let worth = rate(&refused, 1.0, 6.0) / rate(&refused_without, 1.0, 6.0);
     table.ask(
         "members refuse, 2.5 times what fits: further ones",
@@ -177,7 +177,7 @@
         ),
         whole(&refused) <= 0.25 && worth >= 0.95,
     );
-    let back = |played: &Played| rate(played, GONE.1 + 2.0, 12.0) / rate(played, 1.0, GONE.0);
+    let back = |played: &DrillRecord| rate(played, GONE.1 + 2.0, 12.0) / rate(played, 1.0, GONE.0);
     table.ask(
         "a member gone 3 s, clients repeat: utility 2 s after",
         "at least 0.95",
@@ -206,7 +206,7 @@
     let fewer = most(&told) <= least(&bare);
     table.ask("  where answers tell too", "never more", text(&told), fewer);
     std::fs::create_dir_all(out)?;
-    let further = |played: &Played| -> Vec<(f64, f64)> {
+    let further = |played: &DrillRecord| -> Vec<(f64, f64)> {
         (0..(ENDS * 4.0) as usize)
             .map(|nth| (nth as f64 * 0.25, part(played, nth as f64 * 0.25, (nth + 1) as f64 * 0.25)))
             .collect()
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -3,7 +3,7 @@
 
 use super::{Table, datagrams_of, hard_pressed, kept, lane, named, plays};
 use crate::charts::{self, Line};
-use crate::drill::play::{Played, Programs, play};
+use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_invariants::Answer;
@@ -70,14 +70,14 @@
     drill
 }
 
-fn utility(played: &Played, from: f64, to: f64) -> f64 {
+fn utility(played: &DrillRecord, from: f64, to: f64) -> f64 {
     played.outcome.utility_rate(from, to)
 }
 
 /// What a single router that sees all would have served a second of what another drill asked in a time: all writes, and reads
 /// as far as the members can. Writes come by chance, and weigh four times.
-fn as_single(single: &Played, played: &Played, from: f64, to: f64) -> f64 {
-    let counts = |played: &Played, from: f64, to: f64, of: fn(&crate::load::Counts) -> u64| {
+fn as_single(single: &DrillRecord, played: &DrillRecord, from: f64, to: f64) -> f64 {
+    let counts = |played: &DrillRecord, from: f64, to: f64, of: fn(&crate::load::Counts) -> u64| {
         let slices = played.outcome.within(from, to);
         let sum = slices.fold([0, 0], |sum, slice| [0, 1].map(|nth| sum[nth] + of(&slice.counts[nth])));
         sum.map(|count| count as f64 / (to - from))
@@ -90,7 +90,7 @@
 
 /// Part of the writes served well: of all, and at the worst router that had some. One miss of fewer than twenty writes is
 /// more than a twentieth, and tells nothing: there the first one isn't counted.
-fn writes(drill: &Drill, played: &Played) -> (f64, f64) {
+fn writes(drill: &Drill, played: &DrillRecord) -> (f64, f64) {
     let total = played.outcome.of(WRITES);
     let mut worst = 1.0f64;
     for router in 0..drill.routers {
@@ -109,7 +109,7 @@
 }
 
 /// How long the middle pushback of a router's clients took, in milliseconds.
-fn pushback_ms(played: &Played, router: usize) -> f64 {
+fn pushback_ms(played: &DrillRecord, router: usize) -> f64 {
     let mut times: Vec<f64> = played
         .outcome
         .journal
@@ -124,12 +124,12 @@
     times.get(times.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn secs_of(played: &Played, entry: &crate::load::Entry) -> f64 {
+fn secs_of(played: &DrillRecord, entry: &crate::load::Entry) -> f64 {
     (entry.sent - played.outcome.began).secs()
 }
 
 /// The values of a field in a router's log lines on shared admission control, of the last `last` lines.
-fn figures(played: &Played, router: usize, field: &str, last: usize) -> Vec<f64> {
+fn figures(played: &DrillRecord, router: usize, field: &str, last: usize) -> Vec<f64> {
     let lines: Vec<&String> =
         played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet")).collect();
     let number = |line: &&&String| {
@@ -201,14 +201,14 @@
         let in_turn = scope.spawn(|| {
             [&ignores, &tells, &apart].map(|drill| play(drill, programs, seed)).into_iter().collect()
         });
-        let short: Vec<Played> = lane(in_turn)?;
-        let [ignores, tells, apart]: [Played; 3] =
+        let short: Vec<DrillRecord> = lane(in_turn)?;
+        let [ignores, tells, apart]: [DrillRecord; 3] =
             short.try_into().map_err(|_| io::Error::other("three were played"))?;
         io::Result::Ok((lane(harm)?, lane(keeps)?, ignores, tells, apart))
     })?;
     // What is asked in the last moment waits for members that nobody asks any more: it is no part of the overload.
     let until = SECS - 0.6;
-    let of = |played: &Played| utility(played, 0.0, until) / utility(&seen, 0.0, until).max(1e-9);
+    let of = |played: &DrillRecord| utility(played, 0.0, until) / utility(&seen, 0.0, until).max(1e-9);
     let beside = format!("{:.3}; each alone {:.3}", of(&fleet), of(&each));
     table.ask("utility, of the router that sees all", "at least 0.95", beside, of(&fleet) >= 0.95);
     let (good, worst) = writes(&on, &fleet);
@@ -251,7 +251,7 @@
         format!("refuses after {faulty:.0} ms, healthy ones at once ({healthy:.0} ms)"),
         faulty > 10.0 * healthy.max(5.0),
     );
-    let bounded = |played: &Played| {
+    let bounded = |played: &DrillRecord| {
         mean(
             &(1..ROUTERS)
                 .map(|router| mean(&figures(played, router, "clamped_reports", 8)))
@@ -265,7 +265,7 @@
         format!("words cut to the bound {lied:.2}, among honest ones {honest:.2}"),
         lied >= 0.8 && lied > 1.5 * honest,
     );
-    let words = |played: &Played| mean(&figures(played, 0, "reports", 6));
+    let words = |played: &DrillRecord| mean(&figures(played, 0, "reports", 6));
     table.ask(
         "  keeps-the-deads-words",
         "told apart",
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -4,7 +4,7 @@
 
 use super::{Table, kept, plays};
 use crate::charts::{self, Line};
-use crate::drill::play::{Played, Programs};
+use crate::drill::play::{DrillRecord, Programs};
 use crate::drill::{Drill, FaultEvent};
 use crate::history_checker::cold_at_members;
 use ladderpass_emulator::Scenario;
@@ -64,7 +64,7 @@
 type Points = Vec<(f64, f64)>;
 
 /// RPCs within a window before each time, and what is allowed then, of the first member that started cold.
-fn windows(played: &Played) -> Option<(Points, Points)> {
+fn windows(played: &DrillRecord) -> Option<(Points, Points)> {
     let started = played.started.first()?;
     let came = played.truth.came.iter().filter(|came| came.member == started.member);
     let times: Vec<Time> = came.map(|came| came.at).collect();
@@ -118,7 +118,7 @@
         ("30, ten of 24, a third restarts", &few, &of_few),
         ("8, two of three cold, a burst at once", &hardest(), &hard),
     ];
-    let text = |played: &Played| {
+    let text = |played: &DrillRecord| {
         let (broken, roots) = cold_at_members(&played.started, &played.truth);
         let first = broken.first().map_or(String::new(), |first| format!("; {}", first.text));
         (format!("{} broken, {roots:.2} roots{first}", broken.len()), broken.is_empty() && roots.is_finite())
@@ -150,7 +150,7 @@
         let text = format!("{}; {unanswered} unanswered", other.as_deref().unwrap_or("none"));
         table.ask(format!("{what}: rules 2 to 5 broken"), "none", text, other.is_none());
     }
-    let served = |played: &Played| {
+    let served = |played: &DrillRecord| {
         let total = played.outcome.total();
         format!("{:.4}", total.ok as f64 / total.due.max(1) as f64)
     };
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -3,7 +3,7 @@
 
 use super::{Table, datagrams_of, kept, lane, named};
 use crate::charts::{self, Line};
-use crate::drill::play::{Played, Programs, play};
+use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::{DatagramRule, Deed as Done};
@@ -45,17 +45,17 @@
 }
 
 /// When each other running router took one for dead, after a time of the load; None: it did not within `most`.
-fn found(played: &Played, router: usize, from: f64, most: f64) -> Vec<Option<f64>> {
+fn found(played: &DrillRecord, router: usize, from: f64, most: f64) -> Vec<Option<f64>> {
     let others = (0..played.views.len()).filter(|&other| other != router && is_up(played, other, from));
     others.map(|other| died(played, other, router, from).find(|at| *at - from < most)).collect()
 }
 
-fn secs(played: &Played, at: Time) -> f64 {
+fn secs(played: &DrillRecord, at: Time) -> f64 {
     (at - played.outcome.began).secs()
 }
 
 /// Times from `from` on at which a router said that another died.
-fn died(played: &Played, viewer: usize, router: usize, from: f64) -> impl Iterator<Item = f64> {
+fn died(played: &DrillRecord, viewer: usize, router: usize, from: f64) -> impl Iterator<Item = f64> {
     let address = played.addresses.get(router).copied();
     let views = played.views.get(viewer).into_iter().flatten();
     let told = views
@@ -64,14 +64,14 @@
 }
 
 /// Was a router neither killed nor frozen at a time?
-fn is_up(played: &Played, router: usize, at: f64) -> bool {
+fn is_up(played: &DrillRecord, router: usize, at: f64) -> bool {
     let away = played.absences.iter().filter(|absence| absence.router == router);
     away.into_iter()
         .all(|absence| at < secs(played, absence.from) - 0.05 || at > secs(played, absence.to) + 0.05)
 }
 
 /// The longest that a running router took another running one for dead within a time, and how often any did.
-fn false_alarms(played: &Played, from: f64, to: f64) -> (f64, usize) {
+fn false_alarms(played: &DrillRecord, from: f64, to: f64) -> (f64, usize) {
     let (mut longest, mut count) = (0.0f64, 0);
     for viewer in 0..played.views.len() {
         for router in (0..played.views.len()).filter(|&router| router != viewer) {
@@ -93,7 +93,7 @@
 }
 
 /// The last view of each router before a time of the load: how many it counts on.
-fn counts_at(played: &Played, at: f64) -> Vec<usize> {
+fn counts_at(played: &DrillRecord, at: f64) -> Vec<usize> {
     let last = |views: &Vec<crate::drill::play::Viewed>| {
         let before = views.iter().rev().find(|view| secs(played, view.at) <= at);
         before.map_or(0, |view| view.count)
@@ -102,7 +102,7 @@
 }
 
 /// How long after a time of the load the last router came to count on all.
-fn agreed(played: &Played, from: f64) -> Option<f64> {
+fn agreed(played: &DrillRecord, from: f64) -> Option<f64> {
     let last: Vec<_> = played.views.iter().map(|views| views.last()).collect::<Option<Vec<_>>>()?;
     let first = last.first()?;
     let same = last.iter().all(|view| view.digest == first.digest && view.count == played.views.len());
@@ -114,7 +114,7 @@
     times.get(times.len() / 2).copied().unwrap_or(f64::INFINITY)
 }
 
-fn prove_detection(table: &mut Table, played: &Played) {
+fn prove_detection(table: &mut Table, played: &DrillRecord) {
     let mut all = Vec::new();
     for (what, router, from) in [
         ("killed", 3, KILLED),
@@ -157,7 +157,12 @@
 }
 
 /// Reads alone, so that members are probed for their positions; a third of nine routers is killed.
-fn thinned(programs: Programs<'_>, switch: Option<&str>, earlier: bool, seed: u64) -> io::Result<Played> {
+fn thinned(
+    programs: Programs<'_>,
+    switch: Option<&str>,
+    earlier: bool,
+    seed: u64,
+) -> io::Result<DrillRecord> {
     let mut scenario = Scenario::default();
     scenario.methods[0].max_age_ms = Some(400.0);
     scenario.methods[1].share = 0.0;
@@ -177,7 +182,7 @@
 }
 
 /// Probes a member a second, and the longest and mean pause between two, over a time of the load.
-fn probes(played: &Played, members: usize, from: f64, to: f64) -> (f64, f64, f64) {
+fn probes(played: &DrillRecord, members: usize, from: f64, to: f64) -> (f64, f64, f64) {
     let (mut count, mut longest, mut pauses) = (0, 0.0f64, 0);
     let mut sum = 0.0;
     for member in 0..members as u32 {
@@ -230,7 +235,7 @@
     counts: Vec<usize>,
 }
 
-fn shown(played: &Played) -> Shown {
+fn shown(played: &DrillRecord) -> Shown {
     let dead = played.addresses[3];
     let back = played.views.iter().flatten().filter(|view| {
         secs(played, view.at) > 1.6 && view.names.iter().any(|(who, what)| *who == dead && what == "is back")
@@ -263,7 +268,7 @@
 
 impl Joint {
     /// With healthy routers alone, and with one that is faulty.
-    fn play(self, programs: Programs<'_>, seed: u64) -> io::Result<(Joint, Played, Played)> {
+    fn play(self, programs: Programs<'_>, seed: u64) -> io::Result<(Joint, DrillRecord, DrillRecord)> {
         let healthy = play(&self.drill, programs, seed)?;
         let faulty = BTreeMap::from([("r1".to_owned(), self.switch.to_owned())]);
         let faulty = play(&Drill { faulty, ..self.drill.clone() }, programs, seed)?;
@@ -341,12 +346,12 @@
 }
 
 struct Measured {
-    long: (Drill, Played),
+    long: (Drill, DrillRecord),
     loads: Vec<(usize, (f64, f64))>,
     /// Ours, the build that keeps the dead's turns, the earlier program.
-    thinned: (Played, Played, Option<Played>),
+    thinned: (DrillRecord, DrillRecord, Option<DrillRecord>),
     shown: Vec<(Option<&'static str>, Shown)>,
-    joint: Vec<(Joint, Played, Played)>,
+    joint: Vec<(Joint, DrillRecord, DrillRecord)>,
 }
 
 const SWITCHES: [&str; 4] =
@@ -412,9 +417,9 @@
     }
 }
 
-fn prove_joint(table: &mut Table, rows: &[(Joint, Played, Played)]) {
+fn prove_joint(table: &mut Table, rows: &[(Joint, DrillRecord, DrillRecord)]) {
     for (row, healthy, faulty) in rows {
-        let rules = |played: &Played| {
+        let rules = |played: &DrillRecord| {
             let mut rules: Vec<u8> = played.violations.iter().map(|violation| violation.rule).collect();
             rules.sort_unstable();
             rules.dedup();
@@ -454,11 +459,11 @@
     let members = drill.scenario.members();
     let (ours, keeps, earlier) = &measured.thinned;
     kept(&mut table, "a third of nine killed", ours);
-    let taken = |played: &Played| {
+    let taken = |played: &DrillRecord| {
         let found = [0, 3, 6].iter().flat_map(|&router| found(played, router, 1.0, 5.0));
         found.map(|at| at.unwrap_or(9.0) - 1.0).fold(0.0, f64::max)
     };
-    let after = |played: &Played| probes(played, members, 4.0, 8.0);
+    let after = |played: &DrillRecord| probes(played, members, 4.0, 8.0);
     let told = |(rate, longest, mean): (f64, f64, f64)| {
         format!("{rate:.1} a second, pauses {:.0} ms, longest {:.0} ms", mean * 1e3, longest * 1e3)
     };
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -11,7 +11,7 @@
 pub mod overload;
 
 use crate::drill::Drill;
-use crate::drill::play::{Played, Programs, play};
+use crate::drill::play::{DrillRecord, Programs, play};
 use ladderpass_emulator::Scenario;
 use std::io;
 use std::time::Instant;
@@ -71,7 +71,7 @@
 }
 
 /// That no rule was broken, by the clients' journal and the members' truth.
-fn kept(table: &mut Table, what: &str, played: &Played) {
+fn kept(table: &mut Table, what: &str, played: &DrillRecord) {
     let told: Vec<String> =
         played.violations.iter().map(ToString::to_string).chain(played.fallen.iter().cloned()).collect();
     let total = played.outcome.total();
@@ -94,8 +94,12 @@
 }
 
 /// Played side by side, so that what else the machine does hits all alike.
-fn plays<const N: usize>(drills: [&Drill; N], programs: Programs<'_>, seed: u64) -> io::Result<[Played; N]> {
-    let played: Vec<Played> = std::thread::scope(|scope| {
+fn plays<const N: usize>(
+    drills: [&Drill; N],
+    programs: Programs<'_>,
+    seed: u64,
+) -> io::Result<[DrillRecord; N]> {
+    let played: Vec<DrillRecord> = std::thread::scope(|scope| {
         let lanes = drills.map(|drill| scope.spawn(move || play(drill, programs, seed)));
         lanes.into_iter().map(lane).collect::<io::Result<_>>()
     })?;
@@ -108,7 +112,7 @@
 }
 
 /// Datagrams and bytes that a router of a drill sent a second, on average.
-fn datagrams_of(drill: &Drill, played: &Played) -> (f64, f64) {
+fn datagrams_of(drill: &Drill, played: &DrillRecord) -> (f64, f64) {
     let per = |of: fn(&ladderpass_fault_injection::Sent) -> u64| {
         let sum: u64 = played.sent.iter().map(|(from, to)| of(to) - of(from)).sum();
         sum as f64 / drill.routers as f64 / drill.secs()
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -3,7 +3,7 @@
 //! however slow.
 
 use ladderpass_testbed::drill::Drill;
-use ladderpass_testbed::drill::play::{Played, Programs, play};
+use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 
@@ -18,7 +18,7 @@
 }
 
 /// Answers may be late on a slow machine: who is answered, and that no rule breaks, is what is asked for.
-fn played(text: &str) -> (Drill, Played) {
+fn played(text: &str) -> (Drill, DrillRecord) {
     let mut drill = Drill::read(text).unwrap_or_else(|fault| panic!("{fault}"));
     (drill.grace_ms, drill.deadline_ms, drill.settles_s) = (2000, 2000, 20.0);
     let played = play(&drill, programs(), 1).unwrap_or_else(|fault| panic!("{fault}"));
@@ -29,12 +29,12 @@
 }
 
 /// What a router said of another, in its order.
-fn said(played: &Played, viewer: usize, of: usize) -> Vec<&str> {
+fn said(played: &DrillRecord, viewer: usize, of: usize) -> Vec<&str> {
     let names = played.views[viewer].iter().flat_map(|view| &view.names);
     names.filter(|(who, _)| *who == played.addresses[of]).map(|(_, what)| what.as_str()).collect()
 }
 
-fn assert_agreed(played: &Played, count: usize) {
+fn assert_agreed(played: &DrillRecord, count: usize) {
     let last: Vec<_> = (0..played.views.len())
         .filter(|&nth| played.alive[nth])
         .map(|nth| played.views[nth].last().map(|view| (view.digest, view.count)))
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -4,7 +4,7 @@
 use ladderpass_emulator::{Running, Scenario};
 use ladderpass_routing::Time;
 use ladderpass_testbed::drill::Drill;
-use ladderpass_testbed::drill::play::{Played, Programs, play};
+use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
 use ladderpass_testbed::load::{self, Counts, Plan};
 use ladderpass_testbed::router::{Router, Start};
 use ladderpass_testbed::run::open;
@@ -50,7 +50,7 @@
     }
 }
 
-fn played(drill: &Drill) -> Played {
+fn played(drill: &Drill) -> DrillRecord {
     let router = Path::new(env!("CARGO_BIN_EXE_ladderpass"));
     let programs = Programs { router, faulty: None, earlier: None };
     let played = play(drill, programs, 1).unwrap_or_else(|fault| panic!("{fault}"));
@@ -59,14 +59,14 @@
     played
 }
 
-fn assert_kept(played: &Played) {
+fn assert_kept(played: &DrillRecord) {
     let told: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
     assert_eq!(told, Vec::<String>::new());
 }
 
 const OLD: [&str; 2] = ["r0", "r1"];
 
-fn both(drill: &Drill, played: &Played) -> [Counts; 2] {
+fn both(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
     [played.of(drill, &[0, 1]), played.of(drill, &[2, 3])]
 }
 
