--- a/crates/ladderpass-testbed/src/history_checker.rs
+++ b/crates/ladderpass-testbed/src/history_checker.rs
@@ -4,7 +4,7 @@
 //! uses nothing that a router says about itself. It turns these records into events for the checkers of
 //! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
 
-use crate::load::Entry;
+use crate::load::RpcRecord;
 use ladderpass_emulator::{Scenario, Truth};
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{
@@ -101,7 +101,7 @@
     /// Seed of the load, which is part of its RPCs' ids.
     pub seed: u64,
     /// What clients saw.
-    pub journal: &'a [Entry],
+    pub journal: &'a [RpcRecord],
     /// What the fault tool passed on; empty without the tool.
     pub passed: &'a [Passed],
     /// The start of the fault tool, from which the times of `passed` count.
@@ -171,7 +171,7 @@
         u64::from_str_radix(number, 16).ok()
     }
 
-    fn sent_event(&self, entry: &Entry) -> Event {
+    fn sent_event(&self, entry: &RpcRecord) -> Event {
         let method = self.scenario.methods.get(entry.method);
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
@@ -181,7 +181,7 @@
     }
 
     /// Was its router absent at some time while its client waited?
-    fn is_excused(&self, entry: &Entry) -> bool {
+    fn is_excused(&self, entry: &RpcRecord) -> bool {
         let ended = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
         let waited_until = ended.min(entry.until + self.grace.answer);
         let excuses = |absence: &&Absence| {
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -1,7 +1,7 @@
 //! State of a running load: its connections, the RPCs that wait to be sent, and the outcome so far.
 
 use super::front::Front;
-use super::outcome::{Counts, Entry, Outcome, SLICE, Slice, histogram};
+use super::outcome::{Counts, Outcome, RpcRecord, SLICE, Slice, histogram};
 use super::plan::{Pace, Plan};
 use ladderpass_emulator::{Scenario, now};
 use ladderpass_routing::{Span, Time};
@@ -184,7 +184,7 @@
     }
 
     /// The journal's entry of an RPC. Numbers rise in the order of sending.
-    pub fn journal_entry(&mut self, number: u64) -> Option<&mut Entry> {
+    pub fn journal_entry(&mut self, number: u64) -> Option<&mut RpcRecord> {
         let index = self.outcome.journal.binary_search_by_key(&number, |entry| entry.number).ok()?;
         self.outcome.journal.get_mut(index)
     }
--- a/crates/ladderpass-testbed/src/load/mod.rs
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -16,7 +16,7 @@
 mod sending;
 
 pub use front::{Down, Front};
-pub use outcome::{Counts, Entry, Outcome, SLICE, Slice, histogram};
+pub use outcome::{Counts, Outcome, RpcRecord, SLICE, Slice, histogram};
 pub use plan::{Pace, Plan};
 pub use prober::{Prober, until_ready};
 
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -7,7 +7,7 @@
 
 /// What became of one RPC, as its client saw it. A client's retry has an entry of its own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct RpcRecord {
     /// Number of the RPC in this load, rising in the order of sending.
     pub number: u64,
     /// The router that it was sent to.
@@ -96,7 +96,7 @@
     /// The longest time from when an RPC was due to when it was sent.
     pub behind: Span,
     /// One entry an RPC, in the order of sending, if the plan asks for it.
-    pub journal: Vec<Entry>,
+    pub journal: Vec<RpcRecord>,
 }
 
 impl Outcome {
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -34,7 +34,7 @@
     pub flood_depth: usize,
     /// Seed of all random draws; part of each RPC's id too.
     pub seed: u64,
-    /// Keep an [`Entry`](super::Entry) for each RPC, for the history checker.
+    /// Keep an [`RpcRecord`](super::RpcRecord) for each RPC, for the history checker.
     pub journal: bool,
     /// Ends the load early once it is set.
     pub stop: Option<Arc<AtomicBool>>,
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -1,7 +1,7 @@
 //! Sending: which connection takes an RPC that is due, which RPCs connections send by themselves, and the statement.
 
 use super::generator::{ClientConnection, ClientKind, InFlightRpc, LoadGenerator, QueuedRpc};
-use super::outcome::Entry;
+use super::outcome::RpcRecord;
 use super::plan::Pace;
 use ladderpass_emulator::proto;
 use ladderpass_routing::{Span, Time};
@@ -110,7 +110,7 @@
         client.has_output = true;
         let QueuedRpc { due, method, deadline, retries } = rpc;
         if self.plan.journal && !flood {
-            self.outcome.journal.push(Entry {
+            self.outcome.journal.push(RpcRecord {
                 number,
                 router: client.router,
                 method,
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -124,7 +124,7 @@
     times.get(times.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn secs_of(played: &DrillRecord, entry: &crate::load::Entry) -> f64 {
+fn secs_of(played: &DrillRecord, entry: &crate::load::RpcRecord) -> f64 {
     (entry.sent - played.outcome.began).secs()
 }
 
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -6,22 +6,22 @@
 use ladderpass_invariants::{Answer, Grace};
 use ladderpass_routing::{Span, Time};
 use ladderpass_testbed::history_checker::{Absence, Drained, History, Started, cold_at_members};
-use ladderpass_testbed::load::Entry;
+use ladderpass_testbed::load::RpcRecord;
 use std::collections::HashMap;
 
 fn at(ms: i64) -> Time {
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
 }
 
-fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> Entry {
+fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> RpcRecord {
     let answered = answered.map(|(ms, answer)| (at(ms), answer, (answer == Answer::Ok).then_some(number)));
     let until = at(sent) + Span::from_millis(1000);
-    Entry { number, router: 0, method, sent: at(sent), until, answered, lost: None, refused: false }
+    RpcRecord { number, router: 0, method, sent: at(sent), until, answered, lost: None, refused: false }
 }
 
 struct RecordedRun {
     scenario: Scenario,
-    journal: Vec<Entry>,
+    journal: Vec<RpcRecord>,
     passed: Vec<Passed>,
     truth: Truth,
     absences: Vec<Absence>,
@@ -84,7 +84,7 @@
     run.ran(8, 0, 2);
     run.pass(10, 0, 2, false);
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.journal.push(Entry { lost: Some(at(300)), ..entry(3, 0, 200, None) });
+    run.journal.push(RpcRecord { lost: Some(at(300)), ..entry(3, 0, 200, None) });
     assert_eq!(run.violated_rules(), [1]);
     run.absences.push(Absence { router: 1, from: at(290), to: at(900), planned: false });
     assert_eq!(run.violated_rules(), [1]);
--- a/crates/ladderpass/tests/judge/mod.rs
+++ b/crates/ladderpass/tests/judge/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::load::Entry;
+use ladderpass_testbed::load::RpcRecord;
 use ladderpass_testbed::router::Router;
 use ladderpass_testbed::run::RunRecord;
 use nix::sys::signal::Signal;
@@ -61,7 +61,7 @@
 }
 
 /// Statements that a router has lost, by the pages: for each the reason.
-fn lost(entry: &Entry, bounds: &Bounds) -> Option<&'static str> {
+fn lost(entry: &RpcRecord, bounds: &Bounds) -> Option<&'static str> {
     let &Bounds { crowded, term, kill, close_takes } = bounds;
     if entry.answered.is_some() || entry.sent >= kill {
         return None;
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -14,7 +14,7 @@
 use ladderpass_emulator::scenario::Allowed;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
-use ladderpass_testbed::load::{Entry, Plan};
+use ladderpass_testbed::load::{Plan, RpcRecord};
 use ladderpass_testbed::run::{self, FaultEvent, links, open};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
@@ -155,7 +155,7 @@
     let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: too short"));
     let (kill, journal) = (bounds.kill, &seen.outcome.journal);
     let at_kill =
-        |entry: &&Entry| entry.refused && entry.sent < kill && entry.lost.is_some_and(|at| at >= kill);
+        |entry: &&RpcRecord| entry.refused && entry.sent < kill && entry.lost.is_some_and(|at| at >= kill);
     println!(
         "seed {seed}: {} of {} refused, seen after the kill",
         journal.iter().filter(at_kill).count(),
