--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -38,7 +38,7 @@
             let method = drill.scenario.methods.get(entry.method);
             let soft_deadline_ms = method.map_or(0.0, |method| method.soft_deadline_ms);
             match entry.answered {
-                Some((at, ..)) if at > entry.until + grace => counts.late += 1,
+                Some((at, ..)) if at > entry.deadline + grace => counts.late += 1,
                 Some((at, Answer::Ok, _)) => {
                     counts.ok += 1;
                     counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3));
@@ -199,7 +199,7 @@
                 "sent_s": secs(self, entry.sent),
                 "rpc": entry.number,
                 "router": entry.router,
-                "until_s": secs(self, entry.until),
+                "until_s": secs(self, entry.deadline),
                 "lost_s": entry.lost.map(|at| secs(self, at)),
                 "method": entry.method,
                 "answered": answered,
--- a/crates/ladderpass-testbed/src/history_checker.rs
+++ b/crates/ladderpass-testbed/src/history_checker.rs
@@ -176,14 +176,14 @@
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what = What::Taken { rpc: entry.number, due: entry.until, once, bound: max_staleness };
+        let what = What::Taken { rpc: entry.number, due: entry.deadline, once, bound: max_staleness };
         Event { at: entry.sent, what }
     }
 
     /// Was its router absent at some time while its client waited?
     fn is_excused(&self, entry: &RpcRecord) -> bool {
         let ended = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
-        let waited_until = ended.min(entry.until + self.grace.answer);
+        let waited_until = ended.min(entry.deadline + self.grace.answer);
         let excuses = |absence: &&Absence| {
             let applies = !absence.planned || entry.sent >= absence.from;
             absence.router == entry.router
@@ -200,7 +200,7 @@
         for entry in self.journal {
             let rpc = entry.number;
             events.push(self.sent_event(entry));
-            let is_in_time = |at: Time| at <= entry.until + self.grace.answer;
+            let is_in_time = |at: Time| at <= entry.deadline + self.grace.answer;
             let is_excused = self.is_excused(entry);
             match entry.answered {
                 Some((at, answer, made_for)) if is_in_time(at) || !is_excused => {
@@ -210,7 +210,7 @@
                 _ => {}
             }
         }
-        let last_deadline = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
+        let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
         events.push(Event { at, what: What::Left { rpc: u64::MAX } });
         events
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -17,7 +17,7 @@
     /// When it was sent.
     pub sent: Time,
     /// When its client gives up.
-    pub until: Time,
+    pub deadline: Time,
     /// When and how it was answered, and the number of the RPC whose value came, if it can be read.
     pub answered: Option<(Time, Answer, Option<u64>)>,
     /// When its connection ended without an answer.
--- a/crates/ladderpass/tests/judge/mod.rs
+++ b/crates/ladderpass/tests/judge/mod.rs
@@ -76,7 +76,7 @@
             (!crossing).then_some("closed on without an answer")
         }
         _ if entry.sent > term + KILL_AFTER => Some("unanswered at the kill"),
-        _ => (entry.until + SLACK <= kill).then_some("without an answer in its time"),
+        _ => (entry.deadline + SLACK <= kill).then_some("without an answer in its time"),
     }
 }
 
@@ -95,7 +95,7 @@
                 entry.number
             ));
         }
-        if entry.answered.is_some_and(|(at, ..)| at > entry.until + LATE) {
+        if entry.answered.is_some_and(|(at, ..)| at > entry.deadline + LATE) {
             broken.push(format!("rule 1: {:x} is answered too late", entry.number));
         }
     }
