--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -3,7 +3,7 @@
 use super::interrupt::check_interrupted;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
 use crate::drill::{Drill, FaultEvent};
-use crate::history_checker::Drained;
+use crate::history_checker::DrainNotice;
 use ladderpass_emulator::{Input, now};
 use ladderpass_fault_injection::{DatagramRule, Deed as DatagramFault, driver};
 use nix::sys::signal::Signal;
@@ -151,7 +151,7 @@
         if let Some(member) = event.drain {
             self.fleet.drain(member);
             let at = now();
-            let notified = (0..self.drill.routers).map(|router| Drained { router, member, at });
+            let notified = (0..self.drill.routers).map(|router| DrainNotice { router, member, at });
             self.drained.extend(notified);
         }
         if let Some(member) = event.ends {
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -4,7 +4,7 @@
 use super::start::{Programs, start_of};
 use super::view::{Viewed, viewed};
 use crate::drill::Drill;
-use crate::history_checker::{Absence, Drained};
+use crate::history_checker::{Absence, DrainNotice};
 use crate::load::Down;
 use crate::router::{Router, Start, own_address};
 use ladderpass_emulator::{Running, Scenario, now};
@@ -47,7 +47,7 @@
     pub logs: Vec<Vec<String>>,
     pub down: Arc<Down>,
     pub absences: Vec<Absence>,
-    pub drained: Vec<Drained>,
+    pub drained: Vec<DrainNotice>,
     /// Fault events that have begun or ended.
     pub done: Vec<(Time, String)>,
     /// Stops of the threads that burn CPU.
--- a/crates/ladderpass-testbed/src/history_checker.rs
+++ b/crates/ladderpass-testbed/src/history_checker.rs
@@ -29,7 +29,7 @@
 
 /// A router was notified that a member drains.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Drained {
+pub struct DrainNotice {
     /// Index of the router.
     pub router: usize,
     /// Number of the member.
@@ -111,7 +111,7 @@
     /// When routers could not answer.
     pub absences: &'a [Absence],
     /// When routers were notified that members drain.
-    pub drained: &'a [Drained],
+    pub drained: &'a [DrainNotice],
     /// Members that started cold.
     pub started: &'a [Started],
     /// Tolerances of the checkers.
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -4,7 +4,7 @@
 //! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
 //! nothing of another run.
 
-use crate::history_checker::{Absence, Drained, History, Started};
+use crate::history_checker::{Absence, DrainNotice, History, Started};
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use hdrhistogram::Histogram;
@@ -45,7 +45,7 @@
     /// The start of the fault tool, from which the times of `passed` count.
     tool_began: Time,
     absences: Vec<Absence>,
-    drained: Vec<Drained>,
+    drained: Vec<DrainNotice>,
 }
 
 /// Default of [`RunRecord::bears`].
@@ -127,7 +127,7 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut left = upstream.fault_tool.map(driver::Running::stop);
-    let drained = fleet.drained().into_iter().map(|(at, router, member)| Drained { router, member, at });
+    let drained = fleet.drained().into_iter().map(|(at, router, member)| DrainNotice { router, member, at });
     let seen = RunRecord {
         outcome,
         probed,
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -5,7 +5,7 @@
 use ladderpass_fault_injection::engine::Passed;
 use ladderpass_invariants::{Answer, Grace};
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::history_checker::{Absence, Drained, History, Started, cold_at_members};
+use ladderpass_testbed::history_checker::{Absence, DrainNotice, History, Started, cold_at_members};
 use ladderpass_testbed::load::RpcRecord;
 use std::collections::HashMap;
 
@@ -34,7 +34,7 @@
     passed: Vec<Passed>,
     truth: Truth,
     absences: Vec<Absence>,
-    drained: Vec<Drained>,
+    drained: Vec<DrainNotice>,
     started: Vec<Started>,
     links: HashMap<usize, (usize, u32)>,
 }
@@ -133,7 +133,7 @@
 fn a_drain_counts_from_when_each_router_was_notified() {
     let mut run = RecordedRun::new();
     run.ran(1, 0, 2);
-    run.drained = vec![Drained { router: 1, member: 1, at: at(100) }];
+    run.drained = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
     run.pass(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.pass(600, 3, 1, true);
