--- a/crates/ladderpass-testbed/src/capacity/control.rs
+++ b/crates/ladderpass-testbed/src/capacity/control.rs
@@ -61,32 +61,32 @@
 }
 
 fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
-    let mut world = Simulation::start(shape.clone())?;
-    world.run(settles)?;
-    world.count_anew();
-    world.run(Span::from_secs_f64(seconds))?;
-    Ok(rates_of(&world, seconds))
+    let mut simulation = Simulation::start(shape.clone())?;
+    simulation.run(settles)?;
+    simulation.count_anew();
+    simulation.run(Span::from_secs_f64(seconds))?;
+    Ok(rates_of(&simulation, seconds))
 }
 
 /// Rates of a simulation that has been counted over a number of seconds.
-pub fn rates_of(world: &Simulation, seconds: f64) -> Rates {
+pub fn rates_of(simulation: &Simulation, seconds: f64) -> Rates {
     let per_second = |count: f64| count / seconds;
-    let observed = (world.shape.observed.min(world.shape.routers).max(1)) as f64;
-    let cost = |about: About| world.cost.nanos[about as usize] as f64 / 1e9 / observed / seconds;
-    let probes = world.mean(|counts| counts.probes) * world.shape.routers as f64;
+    let observed = (simulation.shape.observed.min(simulation.shape.routers).max(1)) as f64;
+    let cost = |about: About| simulation.cost.nanos[about as usize] as f64 / 1e9 / observed / seconds;
+    let probes = simulation.mean(|counts| counts.probes) * simulation.shape.routers as f64;
     Rates {
-        words: per_second(world.mean(|counts| counts.words.datagrams)),
-        words_bytes: per_second(world.mean(|counts| counts.words.bytes)),
-        membership: per_second(world.mean(|counts| counts.membership.datagrams)),
-        membership_bytes: per_second(world.mean(|counts| counts.membership.bytes)),
-        heard: per_second(world.mean(|counts| counts.heard)),
-        lost: per_second(world.mean(|counts| counts.lost)),
-        probes: per_second(probes / world.shape.members.max(1) as f64),
-        connects: per_second(world.mean(|counts| counts.connects)),
-        turns: per_second(world.mean(|counts| counts.turns)),
-        quiet_turns: per_second(world.cost.events[About::Turn as usize] as f64 / observed),
-        answered: per_second(world.mean(|counts| counts.answered)),
-        refused: per_second(world.mean(|counts| counts.refused)),
+        words: per_second(simulation.mean(|counts| counts.words.datagrams)),
+        words_bytes: per_second(simulation.mean(|counts| counts.words.bytes)),
+        membership: per_second(simulation.mean(|counts| counts.membership.datagrams)),
+        membership_bytes: per_second(simulation.mean(|counts| counts.membership.bytes)),
+        heard: per_second(simulation.mean(|counts| counts.heard)),
+        lost: per_second(simulation.mean(|counts| counts.lost)),
+        probes: per_second(probes / simulation.shape.members.max(1) as f64),
+        connects: per_second(simulation.mean(|counts| counts.connects)),
+        turns: per_second(simulation.mean(|counts| counts.turns)),
+        quiet_turns: per_second(simulation.cost.events[About::Turn as usize] as f64 / observed),
+        answered: per_second(simulation.mean(|counts| counts.answered)),
+        refused: per_second(simulation.mean(|counts| counts.refused)),
         of_words: cost(About::Words),
         of_membership: cost(About::Membership),
         of_data: cost(About::Data),
@@ -261,11 +261,11 @@
 /// Measures the complete list that each router reads at its start.
 fn list_cost(members: usize, seed: u64) -> io::Result<ListCost> {
     let shape = Shape { rate: 0.0, members, peers: false, observed: 8, seed, ..Shape::of(8, members / 3) };
-    let mut world = Simulation::start(shape)?;
-    world.run(Span::from_millis(1000))?;
-    let lists = world.counts.iter().map(|counts| counts.watches).sum::<u64>().max(1) as f64;
-    let bytes = world.counts.iter().map(|counts| counts.list_bytes).sum::<u64>() as f64;
-    let cpu_ms = world.cost.nanos[About::List as usize] as f64 / 1e6;
+    let mut simulation = Simulation::start(shape)?;
+    simulation.run(Span::from_millis(1000))?;
+    let lists = simulation.counts.iter().map(|counts| counts.watches).sum::<u64>().max(1) as f64;
+    let bytes = simulation.counts.iter().map(|counts| counts.list_bytes).sum::<u64>() as f64;
+    let cpu_ms = simulation.cost.nanos[About::List as usize] as f64 / 1e6;
     Ok(ListCost { members: members as f64, bytes: bytes / lists, cpu_ms: cpu_ms / lists })
 }
 
@@ -275,15 +275,15 @@
 /// # Errors
 /// If a simulation can't be started, or this process's memory can't be read.
 pub fn memory(seed: u64) -> io::Result<Vec<(f64, f64)>> {
-    let mut worlds = Vec::new();
+    let mut simulations = Vec::new();
     let mut points = Vec::new();
     // The first point is left out: it includes what the process itself needs.
     for routers in [64, 128, 256, ROUTERS] {
         let before = resident()?;
-        let mut world = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
-        world.run(Span::from_millis(4000))?;
+        let mut simulation = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
+        simulation.run(Span::from_millis(4000))?;
         points.push((routers as f64, (resident()? - before) / routers as f64));
-        worlds.push(world);
+        simulations.push(simulation);
     }
     points.remove(0);
     Ok(points)
@@ -363,15 +363,18 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn heard_of(routers: usize, groups: usize, seed: u64, seconds: f64) -> io::Result<Heard> {
-    let mut world = Simulation::start(Shape { fleet: true, ..sized(routers, groups, seed) })?;
-    world.run(SETTLES)?;
-    world.count_anew();
-    world.run(Span::from_secs_f64(seconds))?;
+    let mut simulation = Simulation::start(Shape { fleet: true, ..sized(routers, groups, seed) })?;
+    simulation.run(SETTLES)?;
+    simulation.count_anew();
+    simulation.run(Span::from_secs_f64(seconds))?;
     let reports: usize = (0..routers)
-        .filter_map(|router| world.reducer(router))
+        .filter_map(|router| simulation.reducer(router))
         .flat_map(|reducer| reducer.admission_metrics().into_iter().map(|metrics| metrics.reports))
         .sum();
-    Ok(Heard { bytes: rates_of(&world, seconds).membership_bytes, words: reports as f64 / routers as f64 })
+    Ok(Heard {
+        bytes: rates_of(&simulation, seconds).membership_bytes,
+        words: reports as f64 / routers as f64,
+    })
 }
 
 /// Mean seconds from a router's death until no other believes it to be alive, of [`DEATHS`] deaths one after the other.
@@ -379,29 +382,29 @@
 /// # Errors
 /// If the simulation can't be started, or the routers don't find each other within a minute.
 pub fn death(routers: usize, seed: u64) -> io::Result<f64> {
-    let mut world = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
-    world.run(SETTLES)?;
-    let agree = |world: &Simulation, count: usize| {
-        (0..routers).filter_map(|router| world.reducer(router)?.fleet_view()).all(|view| view.0 == count)
+    let mut simulation = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
+    simulation.run(SETTLES)?;
+    let agree = |simulation: &Simulation, count: usize| {
+        (0..routers).filter_map(|router| simulation.reducer(router)?.fleet_view()).all(|view| view.0 == count)
     };
     let mut steps = 0;
-    while !agree(&world, routers) {
+    while !agree(&simulation, routers) {
         steps += 1;
         if steps > MAX_SETTLE_STEPS {
             return Err(io::Error::other(format!(
                 "{routers} routers did not find each other within a minute"
             )));
         }
-        world.run(Span::from_millis(100))?;
+        simulation.run(Span::from_millis(100))?;
     }
     let mut total_s = 0.0;
     for index in 0..DEATHS {
-        let from = world.now;
-        world.kill((index + 1) * routers / (DEATHS + 1));
-        while !agree(&world, routers - index - 1) && world.now - from < Span::from_millis(60_000) {
-            world.run(Span::from_millis(20))?;
+        let from = simulation.now;
+        simulation.kill((index + 1) * routers / (DEATHS + 1));
+        while !agree(&simulation, routers - index - 1) && simulation.now - from < Span::from_millis(60_000) {
+            simulation.run(Span::from_millis(20))?;
         }
-        total_s += (world.now - from).secs();
+        total_s += (simulation.now - from).secs();
     }
     Ok(total_s / DEATHS as f64)
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -75,9 +75,9 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn steady(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
-    let mut world = Simulation::new(shape, seed)?;
-    world.run(warm);
-    Ok(world.run(span))
+    let mut simulation = Simulation::new(shape, seed)?;
+    simulation.run(warm);
+    Ok(simulation.run(span))
 }
 
 /// CPU microseconds of a tick with nothing to do, with all clients of the shape connected and idle.
@@ -85,10 +85,10 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn idle_turn(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
-    let mut world = Simulation::new(shape, seed)?;
-    world.run(Span::from_millis(1000));
-    world.open_all();
-    Ok(median((0..repeats).map(|_| world.idle_turn(IDLE_TICKS) * 1e6).collect()))
+    let mut simulation = Simulation::new(shape, seed)?;
+    simulation.run(Span::from_millis(1000));
+    simulation.open_all();
+    Ok(median((0..repeats).map(|_| simulation.idle_turn(IDLE_TICKS) * 1e6).collect()))
 }
 
 /// CPU microseconds of a tick in which health checks are due.
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -91,7 +91,7 @@
         let discovery = launch.discovery;
         let mut rng = SmallRng::seed_from_u64(seed);
         let full = (0..members.len()).map(|_| shape.full > 0.0 && rng.random::<f64>() < shape.full);
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             connections_of_member: vec![0; members.len()],
             rejects: full.collect(),
             reducer: Reducer::start(now, launch),
@@ -110,10 +110,10 @@
             clock_overhead_s: clock_overhead_s(),
         };
         if shape.rate > 0.0 {
-            let gap = world.draw_gap();
-            world.schedule(gap, SimulationEvent::ClientStatement);
+            let gap = simulation.draw_gap();
+            simulation.schedule(gap, SimulationEvent::ClientStatement);
         }
-        Ok(world)
+        Ok(simulation)
     }
 
     /// Runs for a time, and returns what was counted meanwhile.
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -108,9 +108,9 @@
     text +=
         "\n| second after the start, at the size | connects | probes | statements served | mean wait, ms |\n";
     text += "|---|---|---|---|---|\n";
-    let mut world = Simulation::new(&Shape::of(313), seed)?;
+    let mut simulation = Simulation::new(&Shape::of(313), seed)?;
     for second in 1..=10 {
-        let counts = world.run(Span::from_millis(1000));
+        let counts = simulation.run(Span::from_millis(1000));
         text += &format!(
             "| {second} | {:.0} | {:.0} | {:.0} | {:.2} |\n",
             counts.connects,
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -54,12 +54,12 @@
     refused: u64,
 }
 
-fn sent(world: &Simulation) -> Sent {
+fn sent(simulation: &Simulation) -> Sent {
     let of = |counts: &Counts| Sent {
         datagrams: counts.words.datagrams + counts.membership.datagrams,
         bytes: counts.words.bytes + counts.membership.bytes,
     };
-    world.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
+    simulation.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
         datagrams: sum.datagrams + one.datagrams,
         bytes: sum.bytes + one.bytes,
     })
@@ -73,14 +73,14 @@
     }
 }
 
-fn statements(world: &Simulation) -> Statements {
-    let refused = world.counts.iter().map(|counts| counts.refused + counts.crowded).sum();
-    Statements { sent: world.counts.iter().map(|counts| counts.statements).sum(), refused }
+fn statements(simulation: &Simulation) -> Statements {
+    let refused = simulation.counts.iter().map(|counts| counts.refused + counts.crowded).sum();
+    Statements { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), refused }
 }
 
 /// Runs a simulation during an event, and measures it.
 struct Observation<'a> {
-    world: &'a mut Simulation,
+    simulation: &'a mut Simulation,
     /// The event's begin.
     from: Time,
     before: (f64, f64),
@@ -91,14 +91,14 @@
 }
 
 impl Observation<'_> {
-    fn begin(world: &mut Simulation) -> io::Result<Observation<'_>> {
-        let sent_before = sent(world);
-        world.run(BASELINE)?;
-        let sent_now = sent(world);
-        let factor = 1.0 / BASELINE.secs() / world.shape.routers as f64;
+    fn begin(simulation: &mut Simulation) -> io::Result<Observation<'_>> {
+        let sent_before = sent(simulation);
+        simulation.run(BASELINE)?;
+        let sent_now = sent(simulation);
+        let factor = 1.0 / BASELINE.secs() / simulation.shape.routers as f64;
         let before = sent_now.rate_since(sent_before, factor);
-        world.discovery = Default::default();
-        let (from, statements_before) = (world.now, statements(world));
+        simulation.discovery = Default::default();
+        let (from, statements_before) = (simulation.now, statements(simulation));
         Ok(Observation {
             before,
             most: before,
@@ -106,32 +106,33 @@
             slice_began: from,
             from,
             statements_before,
-            world,
+            simulation,
         })
     }
 
     fn step(&mut self) -> io::Result<()> {
-        self.world.run(STEP)?;
-        if self.world.now - self.slice_began >= SLICE {
-            let sent_now = sent(self.world);
-            let factor = 1.0 / (self.world.now - self.slice_began).secs() / self.world.shape.routers as f64;
+        self.simulation.run(STEP)?;
+        if self.simulation.now - self.slice_began >= SLICE {
+            let sent_now = sent(self.simulation);
+            let factor =
+                1.0 / (self.simulation.now - self.slice_began).secs() / self.simulation.shape.routers as f64;
             let rate = sent_now.rate_since(self.sent_before_slice, factor);
             self.most = (self.most.0.max(rate.0), self.most.1.max(rate.1));
-            (self.sent_before_slice, self.slice_began) = (sent_now, self.world.now);
+            (self.sent_before_slice, self.slice_began) = (sent_now, self.simulation.now);
         }
         Ok(())
     }
 
     /// Seconds since the event's begin.
     fn elapsed_s(&self) -> f64 {
-        (self.world.now - self.from).secs()
+        (self.simulation.now - self.from).secs()
     }
 
     /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
     fn run_until(&mut self, max_s: f64, holds: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
-        let end = self.world.now + Span::from_secs_f64(max_s);
-        while !holds(self.world) {
-            if self.world.now >= end {
+        let end = self.simulation.now + Span::from_secs_f64(max_s);
+        while !holds(self.simulation) {
+            if self.simulation.now >= end {
                 return Ok(f64::INFINITY);
             }
             self.step()?;
@@ -140,56 +141,56 @@
     }
 
     fn run_for(&mut self, secs: f64) -> io::Result<()> {
-        let end = self.world.now + Span::from_secs_f64(secs);
-        while self.world.now < end {
+        let end = self.simulation.now + Span::from_secs_f64(secs);
+        while self.simulation.now < end {
             self.step()?;
         }
         Ok(())
     }
 
     fn finish(self, name: &'static str, moments: Vec<(&'static str, f64)>) -> Told {
-        let now = statements(self.world);
+        let now = statements(self.simulation);
         let sent = (now.sent - self.statements_before.sent).max(1);
         let refused = (now.refused - self.statements_before.refused) as f64 / sent as f64;
-        let discovery = self.world.discovery.bytes;
+        let discovery = self.simulation.discovery.bytes;
         Told { name, moments, before: self.before, most: self.most, refused, discovery }
     }
 }
 
 /// Does each running router believe as many routers to be alive as `count` says?
-fn agree(world: &Simulation, count: impl Fn(usize) -> usize) -> bool {
-    (0..world.shape.routers)
-        .filter_map(|router| Some((router, world.reducer(router)?.fleet_view()?.0)))
+fn agree(simulation: &Simulation, count: impl Fn(usize) -> usize) -> bool {
+    (0..simulation.shape.routers)
+        .filter_map(|router| Some((router, simulation.reducer(router)?.fleet_view()?.0)))
         .all(|(router, view)| view == count(router))
 }
 
 /// Do all running routers know this member as its group's primary?
-fn know_primary(world: &Simulation, member: usize) -> bool {
+fn know_primary(simulation: &Simulation, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
-        world.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
+        simulation.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
     };
-    (0..world.shape.routers).filter_map(knows).all(|knows| knows)
+    (0..simulation.shape.routers).filter_map(knows).all(|knows| knows)
 }
 
 /// Do all running routers have this generation of the endpoint list, or a later one?
-fn have_generation(world: &Simulation, generation: u64) -> bool {
-    let mut reducers = (0..world.shape.routers).filter_map(|router| world.reducer(router));
+fn have_generation(simulation: &Simulation, generation: u64) -> bool {
+    let mut reducers = (0..simulation.shape.routers).filter_map(|router| simulation.reducer(router));
     reducers.all(|reducer| reducer.generation() >= generation)
 }
 
 /// A simulation whose routers have found each other.
 fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
     let rate = RATE * groups as f64 / GROUPS as f64;
-    let mut world = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
-    world.run(SETTLES)?;
+    let mut simulation = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
+    simulation.run(SETTLES)?;
     for _ in 0..SETTLE_STEPS {
-        if agree(&world, |_| routers) {
+        if agree(&simulation, |_| routers) {
             break;
         }
-        world.run(SETTLE_STEP)?;
+        simulation.run(SETTLE_STEP)?;
     }
-    Ok(world)
+    Ok(simulation)
 }
 
 /// Names of the events.
@@ -200,8 +201,8 @@
 /// # Errors
 /// If the simulation can't be started.
 pub fn play(name: &'static str, routers: usize, groups: usize, seed: u64) -> io::Result<Told> {
-    let mut world = settled(routers, groups, seed)?;
-    let mut observation = Observation::begin(&mut world)?;
+    let mut simulation = settled(routers, groups, seed)?;
+    let mut observation = Observation::begin(&mut simulation)?;
     let moments = match name {
         "primary" => failover(&mut observation, groups)?,
         "change" => list_change(&mut observation)?,
@@ -221,50 +222,50 @@
 /// The primary of the first group ends; its first replica takes over a second later.
 fn failover(observation: &mut Observation<'_>, groups: usize) -> io::Result<Moments> {
     let replica = groups;
-    observation.world.members[0].primary = false;
-    observation.world.end_member(0, false);
+    observation.simulation.members[0].primary = false;
+    observation.simulation.end_member(0, false);
     observation.run_for(1.0)?;
-    observation.world.members[replica].primary = true;
-    let known = observation.run_until(20.0, |world| know_primary(world, replica))?;
+    observation.simulation.members[replica].primary = true;
+    let known = observation.run_until(20.0, |simulation| know_primary(simulation, replica))?;
     observation.run_for(2.0)?;
     Ok(vec![("the new one can be written to", 1.0), ("all routers know it", known)])
 }
 
 /// The endpoint list changes.
 fn list_change(observation: &mut Observation<'_>) -> io::Result<Moments> {
-    let generation = observation.world.change(1, "DRAINING");
-    let known = observation.run_until(20.0, |world| have_generation(world, generation))?;
+    let generation = observation.simulation.change(1, "DRAINING");
+    let known = observation.run_until(20.0, |simulation| have_generation(simulation, generation))?;
     observation.run_for(1.0)?;
     Ok(vec![("in force at all", known)])
 }
 
 /// Discovery can't be reached from four seconds before the change until five seconds after it.
 fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Moments> {
-    observation.world.discovery_up = false;
+    observation.simulation.discovery_up = false;
     observation.run_for(4.0)?;
-    observation.from = observation.world.now;
-    let generation = observation.world.change(1, "DRAINING");
+    observation.from = observation.simulation.now;
+    let generation = observation.simulation.change(1, "DRAINING");
     observation.run_for(5.0)?;
-    observation.world.discovery_up = true;
-    let known = observation.run_until(30.0, |world| have_generation(world, generation))?;
+    observation.simulation.discovery_up = true;
+    let known = observation.run_until(30.0, |simulation| have_generation(simulation, generation))?;
     Ok(vec![("discovery is back", 5.0), ("in force at all", known)])
 }
 
 /// Routers are killed one after the other, and each starts again a second later.
 fn restart_wave(observation: &mut Observation<'_>) -> io::Result<Moments> {
-    let routers = observation.world.shape.routers;
+    let routers = observation.simulation.shape.routers;
     let count = (routers * RESTARTED_ROUTERS / REFERENCE_ROUTERS).max(1);
     for index in 0..count {
         let router = index * routers / count;
-        observation.world.kill(router);
-        observation.world.begin(router, Span::from_millis(1000));
+        observation.simulation.kill(router);
+        observation.simulation.begin(router, Span::from_millis(1000));
         let next_at_s = RESTART_WAVE_S * (index + 1) as f64 / count as f64;
         while observation.elapsed_s() + STEP.secs() <= next_at_s {
             observation.step()?;
         }
     }
     let last = observation.elapsed_s();
-    let known = observation.run_until(60.0, |world| agree(world, |_| routers))?;
+    let known = observation.run_until(60.0, |simulation| agree(simulation, |_| routers))?;
     Ok(vec![("the last is killed", last), ("all know of all", known)])
 }
 
@@ -274,22 +275,22 @@
     observation: &mut Observation<'_>,
     fails: impl Fn(usize, usize) -> bool,
 ) -> io::Result<Moments> {
-    let (routers, members) = (observation.world.shape.routers, observation.world.shape.members);
+    let (routers, members) = (observation.simulation.shape.routers, observation.simulation.shape.members);
     let (mut failed_routers, mut failed_members) = (0, 0);
     for router in (0..routers).filter(|router| router % ZONES == FAILING_ZONE) {
         if fails(failed_routers, routers / ZONES) {
-            observation.world.kill(router);
+            observation.simulation.kill(router);
             failed_routers += 1;
         }
     }
     for member in 0..members {
-        let is_in_zone = observation.world.zone_of_member(member) == FAILING_ZONE;
+        let is_in_zone = observation.simulation.zone_of_member(member) == FAILING_ZONE;
         if is_in_zone && fails(failed_members, members / ZONES) {
-            observation.world.end_member(member, true);
+            observation.simulation.end_member(member, true);
             failed_members += 1;
         }
     }
-    let known = observation.run_until(60.0, |world| agree(world, |_| routers - failed_routers))?;
+    let known = observation.run_until(60.0, |simulation| agree(simulation, |_| routers - failed_routers))?;
     observation.run_for(5.0)?;
     Ok(vec![
         ("routers gone", failed_routers as f64),
@@ -300,15 +301,15 @@
 
 /// One region is cut off from the others, and reachable again after [`CUT_S`].
 fn region_cut(observation: &mut Observation<'_>) -> io::Result<Moments> {
-    let routers = observation.world.shape.routers;
+    let routers = observation.simulation.shape.routers;
     let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
     let cut_off = (0..routers).filter(|&router| is_cut_off(router)).count();
-    observation.world.cut = vec![(0, CUT_REGION), (1, CUT_REGION)];
+    observation.simulation.cut = vec![(0, CUT_REGION), (1, CUT_REGION)];
     let on_own_side = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
-    let known = observation.run_until(60.0, |world| agree(world, on_own_side))?;
+    let known = observation.run_until(60.0, |simulation| agree(simulation, on_own_side))?;
     observation.run_for(CUT_S - known.min(CUT_S - 1.0))?;
-    observation.world.cut.clear();
+    observation.simulation.cut.clear();
     let healed = observation.elapsed_s();
-    let back = observation.run_until(120.0, |world| agree(world, |_| routers))?;
+    let back = observation.run_until(120.0, |simulation| agree(simulation, |_| routers))?;
     Ok(vec![("each side knows its own", known), ("healed", healed), ("all know of all", back)])
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -177,7 +177,7 @@
             .collect();
         let known = if shape.remembered { entries.join(",") } else { String::new() };
         let config = config(&shape, &known)?;
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             now: EPOCH,
             began: EPOCH,
             queue: BinaryHeap::new(),
@@ -199,11 +199,11 @@
             config,
             shape,
         };
-        for router in 0..world.shape.routers {
-            let after = Span::from_nanos(world.rng.random_range(0..START_WITHIN_NS));
-            world.begin(router, after);
+        for router in 0..simulation.shape.routers {
+            let after = Span::from_nanos(simulation.rng.random_range(0..START_WITHIN_NS));
+            simulation.begin(router, after);
         }
-        Ok(world)
+        Ok(simulation)
     }
 
     pub(super) fn schedule(&mut self, at: Time, event: SimulationEvent) {
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! Loads, experiments, proofs and charts on the emulated fleet, for the command and for tests.
+//! Test tooling for routers: loads, drills, proofs, capacity measurements, results and charts, before an emulated fleet.
 //!
-//! It owns how a router is put to the test. It must never be needed by a router that serves.
+//! The program `ladderpass-testbed` and the tests use it; routers don't depend on it.
 
 pub mod capacity;
 pub mod chaos;
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -115,7 +115,7 @@
                 router: client.router,
                 method,
                 sent: now,
-                deadline: deadline,
+                deadline,
                 answered: None,
                 lost: None,
                 refused: false,
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -1,44 +1,44 @@
-//! Hollow worlds: what is sent is received or counted lost; the same seed gives the same world; routers find
-//! each other, learn of a death, of a change of the list and of another primary.
+//! Simulated routers: each datagram is received, lost or in flight; the same seed gives the same simulation; routers find each
+//! other, and learn of a death, a change of the endpoint list and another primary.
 
 use ladderpass_routing::Span;
 use ladderpass_testbed::capacity::simulated_routers::{Shape, Simulation, member_id};
 use ladderpass_testbed::capacity::slope::Claim;
 
-fn world(shape: Shape) -> Simulation {
+fn simulation(shape: Shape) -> Simulation {
     Simulation::start(shape).expect("the temporary folder can be written to")
 }
 
-fn run(world: &mut Simulation, ms: i64) {
-    world.run(Span::from_millis(ms)).expect("the temporary folder can be written to");
+fn run(simulation: &mut Simulation, ms: i64) {
+    simulation.run(Span::from_millis(ms)).expect("the temporary folder can be written to");
 }
 
 #[test]
-fn what_is_sent_is_heard_or_lost_or_on_its_way() {
+fn each_datagram_is_received_or_lost_or_in_flight() {
     for (loss, killed) in [(0.0, false), (0.3, false), (0.1, true)] {
-        let mut world = world(Shape { loss, fleet: true, ..Shape::of(8, 4) });
-        run(&mut world, 3000);
+        let mut simulation = simulation(Shape { loss, fleet: true, ..Shape::of(8, 4) });
+        run(&mut simulation, 3000);
         if killed {
-            world.kill(3);
+            simulation.kill(3);
         }
-        run(&mut world, 3000);
+        run(&mut simulation, 3000);
         let total = |of: fn(&ladderpass_testbed::capacity::simulated_routers::Counts) -> u64| {
-            world.counts.iter().map(of).sum::<u64>()
+            simulation.counts.iter().map(of).sum::<u64>()
         };
         let sent = total(|counts| counts.words.datagrams + counts.membership.datagrams);
-        let (heard, lost) = (total(|counts| counts.heard), total(|counts| counts.lost));
-        assert_eq!(sent, heard + lost + world.flying(), "loss {loss}, killed {killed}");
+        let (received, lost) = (total(|counts| counts.heard), total(|counts| counts.lost));
+        assert_eq!(sent, received + lost + simulation.flying(), "loss {loss}, killed {killed}");
         assert!(sent > 500 && (lost > 0) == (loss > 0.0), "{sent} sent, {lost} lost");
         assert_eq!(total(|counts| counts.crowded), 0);
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_world() {
+fn the_same_seed_gives_the_same_simulation() {
     let counts = |seed| {
-        let mut world = world(Shape { seed, ..Shape::of(6, 4) });
-        run(&mut world, 4000);
-        world.counts.clone()
+        let mut simulation = simulation(Shape { seed, ..Shape::of(6, 4) });
+        run(&mut simulation, 4000);
+        simulation.counts.clone()
     };
     assert_eq!(counts(7), counts(7));
     assert_ne!(counts(7), counts(8));
@@ -46,45 +46,45 @@
 
 #[test]
 fn statements_are_answered_and_routers_find_each_other() {
-    let mut world = world(Shape::of(8, 4));
-    run(&mut world, 6000);
-    for (router, counts) in world.counts.iter().enumerate() {
+    let mut simulation = simulation(Shape::of(8, 4));
+    run(&mut simulation, 6000);
+    for (router, counts) in simulation.counts.iter().enumerate() {
         assert!(counts.statements > 100 && counts.refused == 0, "{router}: {counts:?}");
         assert!(counts.answered + 2 >= counts.statements, "{router}: {counts:?}");
         assert_eq!(
-            world.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
+            simulation.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
             Some(8)
         );
     }
-    world.kill(2);
-    run(&mut world, 4000);
+    simulation.kill(2);
+    run(&mut simulation, 4000);
     for router in (0..8).filter(|&router| router != 2) {
         assert_eq!(
-            world.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
+            simulation.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
             Some(7)
         );
     }
 }
 
 #[test]
-fn a_change_of_the_list_and_another_primary_are_known_everywhere() {
-    let mut world = world(Shape::of(4, 2));
-    run(&mut world, 4000);
-    let generation = world.change(5, "DRAINING");
-    run(&mut world, 100);
+fn all_routers_learn_of_a_list_change_and_of_another_primary() {
+    let mut simulation = simulation(Shape::of(4, 2));
+    run(&mut simulation, 4000);
+    let generation = simulation.change(5, "DRAINING");
+    run(&mut simulation, 100);
     for router in 0..4 {
-        assert_eq!(world.reducer(router).map(|reducer| reducer.generation()), Some(generation));
+        assert_eq!(simulation.reducer(router).map(|reducer| reducer.generation()), Some(generation));
     }
     // Group 0 has the members 0, 2 and 4.
-    let leads = |world: &Simulation, member: usize| {
-        let knows = |router| world.reducer(router)?.known_position(&member_id(member));
+    let leads = |simulation: &Simulation, member: usize| {
+        let knows = |router| simulation.reducer(router)?.known_position(&member_id(member));
         (0..4).filter_map(knows).filter(|&(_, primary)| primary).count()
     };
-    assert_eq!((leads(&world, 0), leads(&world, 2)), (4, 0));
-    world.members[0].primary = false;
-    world.members[2].primary = true;
-    run(&mut world, 5000);
-    assert_eq!((leads(&world, 0), leads(&world, 2)), (0, 4));
+    assert_eq!((leads(&simulation, 0), leads(&simulation, 2)), (4, 0));
+    simulation.members[0].primary = false;
+    simulation.members[2].primary = true;
+    run(&mut simulation, 5000);
+    assert_eq!((leads(&simulation, 0), leads(&simulation, 2)), (0, 4));
 }
 
 #[test]
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -15,17 +15,8 @@
 
 fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> RpcRecord {
     let answered = answered.map(|(ms, answer)| (at(ms), answer, (answer == Answer::Ok).then_some(number)));
-    let until = at(sent) + Span::from_millis(1000);
-    RpcRecord {
-        number,
-        router: 0,
-        method,
-        sent: at(sent),
-        deadline: until,
-        answered,
-        lost: None,
-        refused: false,
-    }
+    let deadline = at(sent) + Span::from_millis(1000);
+    RpcRecord { number, router: 0, method, sent: at(sent), deadline, answered, lost: None, refused: false }
 }
 
 struct RecordedRun {
