--- a/crates/ladderpass-testbed/src/capacity/hollow/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -116,7 +116,7 @@
 }
 
 /// A simulation with a clock of its own.
-pub struct World {
+pub struct Simulation {
     /// What it is made of.
     pub shape: Shape,
     /// Its time.
@@ -127,7 +127,7 @@
     pub(super) routers: Vec<SimulatedRouter>,
     /// Its members.
     pub members: Vec<Member>,
-    /// By router, since the start or the last [`World::count_anew`].
+    /// By router, since the start or the last [`Simulation::count_anew`].
     pub counts: Vec<Counts>,
     /// Of the observed routers.
     pub cost: Cost,
@@ -150,19 +150,19 @@
     pub(super) config: PathBuf,
 }
 
-impl Drop for World {
+impl Drop for Simulation {
     fn drop(&mut self) {
         // It may have been removed already.
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
-impl World {
+impl Simulation {
     /// Prepares a simulation. Its routers start at random times within its first 200 ms.
     ///
     /// # Errors
     /// If the routers' settings can't be written to the temporary folder.
-    pub fn start(shape: Shape) -> io::Result<World> {
+    pub fn start(shape: Shape) -> io::Result<Simulation> {
         let mut rng = SmallRng::seed_from_u64(shape.seed);
         let member = |member: usize, lag_ms: i64| Member {
             up: true,
@@ -177,7 +177,7 @@
             .collect();
         let known = if shape.remembered { entries.join(",") } else { String::new() };
         let config = config(&shape, &known)?;
-        let mut world = World {
+        let mut simulation = Simulation {
             now: EPOCH,
             began: EPOCH,
             queue: BinaryHeap::new(),
@@ -199,11 +199,11 @@
             config,
             shape,
         };
-        for router in 0..world.shape.routers {
-            let after = Span::from_nanos(world.rng.random_range(0..START_WITHIN_NS));
-            world.begin(router, after);
+        for router in 0..simulation.shape.routers {
+            let after = Span::from_nanos(simulation.rng.random_range(0..START_WITHIN_NS));
+            simulation.begin(router, after);
         }
-        Ok(world)
+        Ok(simulation)
     }
 
     pub(super) fn schedule(&mut self, at: Time, event: SimulationEvent) {
--- a/crates/ladderpass-testbed/src/drill/play/played.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -3,7 +3,7 @@
 use super::start::advertised_address;
 use super::testbed::DrillTestbed;
 use super::view::{Viewed, viewed};
-use crate::joint::{Absence, History, Started};
+use crate::history_checker::{Absence, History, Started};
 use crate::load::Outcome;
 use crate::router::Router;
 use ladderpass_emulator::ExecutionLog;
@@ -17,7 +17,7 @@
 const MAX_PANIC_LINES: usize = 3;
 
 /// What came of a drill.
-pub struct Played {
+pub struct DrillRecord {
     /// What the clients saw.
     pub outcome: Outcome,
     /// What the clients saw that went straight to the members.
@@ -68,7 +68,7 @@
         outcome: Outcome,
         settled: Option<Span>,
         sent: Vec<(TrafficCounts, TrafficCounts)>,
-    ) -> Played {
+    ) -> DrillRecord {
         let RouterEnds { cpu, alive, fallen } = self.stop_routers();
         self.stop_cpu_hogs();
         let mesh = self.router_links.datagrams.as_ref();
@@ -98,7 +98,7 @@
         let cold_alone = (0..self.drill.routers).map(|router| history.cold_by(router).len()).collect();
         let views =
             self.logs.iter().map(|log| log.iter().filter_map(|line| viewed(line)).collect()).collect();
-        Played {
+        DrillRecord {
             outcome,
             greedy: None,
             truth,
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -1,7 +1,7 @@
 //! Reports of a drill: counts, a table for people, JSON lines, and charts over time.
 
 use super::Drill;
-use super::play::Played;
+use super::play::DrillRecord;
 use crate::charts::{self, Line};
 use crate::load::{Counts, Slice};
 use ladderpass_invariants::Answer;
@@ -24,11 +24,11 @@
 }
 
 /// Seconds from the start of the load.
-fn secs(played: &Played, at: Time) -> f64 {
+fn secs(played: &DrillRecord, at: Time) -> f64 {
     (at - played.outcome.began).secs()
 }
 
-impl Played {
+impl DrillRecord {
     /// What became of the RPCs that were sent to some routers.
     pub fn of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
@@ -38,7 +38,7 @@
             let method = drill.scenario.methods.get(entry.method);
             let soft_deadline_ms = method.map_or(0.0, |method| method.soft_deadline_ms);
             match entry.answered {
-                Some((at, ..)) if at > entry.until + grace => counts.late += 1,
+                Some((at, ..)) if at > entry.deadline + grace => counts.late += 1,
                 Some((at, Answer::Ok, _)) => {
                     counts.ok += 1;
                     counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3));
@@ -199,7 +199,7 @@
                 "sent_s": secs(self, entry.sent),
                 "rpc": entry.number,
                 "router": entry.router,
-                "until_s": secs(self, entry.until),
+                "until_s": secs(self, entry.deadline),
                 "lost_s": entry.lost.map(|at| secs(self, at)),
                 "method": entry.method,
                 "answered": answered,
--- a/crates/ladderpass-testbed/src/joint.rs
+++ b/crates/ladderpass-testbed/src/history_checker.rs
@@ -4,7 +4,7 @@
 //! uses nothing that a router says about itself. It turns these records into events for the checkers of
 //! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
 
-use crate::load::Entry;
+use crate::load::RpcRecord;
 use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{
@@ -29,7 +29,7 @@
 
 /// A router was notified that a member drains.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Drained {
+pub struct DrainNotice {
     /// Index of the router.
     pub router: usize,
     /// Number of the member.
@@ -110,7 +110,7 @@
     /// Seed of the load, which is part of its RPCs' ids.
     pub seed: u64,
     /// What clients saw.
-    pub journal: &'a [Entry],
+    pub journal: &'a [RpcRecord],
     /// What the fault tool passed on; empty without the tool.
     pub passed: &'a [AttemptEvent],
     /// The start of the fault tool, from which the times of `passed` count.
@@ -120,7 +120,7 @@
     /// When routers could not answer.
     pub absences: &'a [Absence],
     /// When routers were notified that members drain.
-    pub drained: &'a [Drained],
+    pub drained: &'a [DrainNotice],
     /// Members that started cold.
     pub started: &'a [Started],
     /// Tolerances of the checkers.
@@ -183,20 +183,24 @@
         u64::from_str_radix(number, 16).ok()
     }
 
-    fn sent_event(&self, entry: &Entry) -> Event {
+    fn sent_event(&self, entry: &RpcRecord) -> Event {
         let method = self.scenario.methods.get(entry.method);
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
         let once = method.is_some_and(|method| method.writes);
-        let what =
-            EventKind::Accepted { rpc: entry.number, deadline: entry.until, run_once: once, max_staleness };
+        let what = EventKind::Accepted {
+            rpc: entry.number,
+            deadline: entry.deadline,
+            run_once: once,
+            max_staleness: max_staleness,
+        };
         Event { at: entry.sent, kind: what }
     }
 
     /// Was its router absent at some time while its client waited?
-    fn is_excused(&self, entry: &Entry) -> bool {
+    fn is_excused(&self, entry: &RpcRecord) -> bool {
         let ended = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
-        let waited_until = ended.min(entry.until + self.grace.answer);
+        let waited_until = ended.min(entry.deadline + self.grace.answer);
         let excuses = |absence: &&Absence| {
             let applies = !absence.planned || entry.sent >= absence.from;
             absence.router == entry.router
@@ -213,7 +217,7 @@
         for entry in self.journal {
             let rpc = entry.number;
             events.push(self.sent_event(entry));
-            let is_in_time = |at: Time| at <= entry.until + self.grace.answer;
+            let is_in_time = |at: Time| at <= entry.deadline + self.grace.answer;
             let is_excused = self.is_excused(entry);
             match entry.answered {
                 Some((at, answer, made_for)) if is_in_time(at) || !is_excused => {
@@ -223,7 +227,7 @@
                 _ => {}
             }
         }
-        let last_deadline = self.journal.iter().map(|entry| entry.until).max().unwrap_or_default();
+        let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
         events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
         events
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -2,9 +2,9 @@
 //! passes, a recording that repeats itself, and what the tool itself adds.
 
 use super::Table;
-use crate::bed::{self, Deed, Seen, open};
 use crate::load::{self, until_ready};
 use crate::router::Start;
+use crate::run::{self, FaultEvent, RunRecord, open};
 use ladderpass_emulator::{RunningEmulator, Scenario, proto};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::{Decision, Plan, Rule, first_difference};
@@ -87,7 +87,7 @@
 const BEARS: f64 = 200.0;
 
 /// The rules that were broken; a router that passes breaks none.
-fn broken(seen: &Seen) -> Vec<u8> {
+fn broken(seen: &RunRecord) -> Vec<u8> {
     let mut rules: Vec<u8> =
         seen.violations(Span::from_millis(50)).iter().map(|violation| violation.rule).collect();
     // A torn row, or one that nobody waits for.
@@ -98,7 +98,7 @@
 }
 
 /// What acts in a row on any router, and how often: its plan, else what the row does to the fleet.
-fn acted(row: &Row, seen: &Seen, decisions: usize) -> (usize, &'static str) {
+fn acted(row: &Row, seen: &RunRecord, decisions: usize) -> (usize, &'static str) {
     let ran = |member| seen.truth.executions.iter().filter(|ran| ran.member == member).count();
     match row {
         Row { cold: [_, ..], .. } => {
@@ -134,7 +134,7 @@
         .map(|rule| Rule::read(rule))
         .collect::<Result<Vec<_>, _>>()
         .map_err(io::Error::other)?;
-    let stop: Vec<Deed<'_>> =
+    let stop: Vec<FaultEvent<'_>> =
         vec![(0.7, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let plan = load::Plan {
         connections: 200,
@@ -146,7 +146,7 @@
     if let Some(member) = row.drains {
         deeds.push((DRAINED_S, Box::new(move |_, fleet| fleet.drain(member))));
     }
-    let (mut seen, left) = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {})?;
+    let (mut seen, left) = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {})?;
     seen.bears = BEARS;
     let decisions = left.map_or(0, |left| left.record.len());
     Ok((broken(&seen), acted(row, &seen, decisions)))
@@ -155,7 +155,7 @@
 /// Rules drawn from the seed that neither end nor stop a connection: the comparison would end with it.
 fn drawn(seed: u64) -> Vec<Rule> {
     let links =
-        bed::links(&[SocketAddr::from((Ipv4Addr::LOCALHOST, 1))], SocketAddr::from((Ipv4Addr::LOCALHOST, 2)));
+        run::links(&[SocketAddr::from((Ipv4Addr::LOCALHOST, 1))], SocketAddr::from((Ipv4Addr::LOCALHOST, 2)));
     let mut plan = Plan::drawn(seed, 12, links[..1].to_vec());
     plan.rules.retain(|rule| {
         matches!(rule.action.name(), "delay" | "slice" | "garble" | "duplicate" | "drop" | "noise")
@@ -198,7 +198,7 @@
 pub fn recorded(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let links =
-        bed::links(&[listener.local_addr()?], SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))[..1].to_vec();
+        run::links(&[listener.local_addr()?], SocketAddr::from((Ipv4Addr::LOCALHOST, 1)))[..1].to_vec();
     let plan = Plan { seed, links, rules, ..Plan::default() };
     let tool = driver::RunningTool::start(plan, None)?;
     let mut stream = TcpStream::connect(tool.addresses[0])?;
@@ -307,7 +307,7 @@
     scenario.methods[0].name = "large".into();
     scenario.methods[0].value_bytes = 65_536;
     let fleet = RunningEmulator::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
-    let links = bed::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
+    let links = run::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
     let tool = driver::RunningTool::start(Plan { seed, links, ..Plan::default() }, None)?;
     let (direct, through) = (pace(fleet.addresses[0])?, pace(tool.addresses[0])?);
     table.tell(
--- a/crates/ladderpass-testbed/src/bed.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -4,7 +4,7 @@
 //! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
 //! nothing of another run.
 
-use crate::joint::{Absence, Drained, History, Started};
+use crate::history_checker::{Absence, DrainNotice, History, Started};
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use hdrhistogram::Histogram;
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 /// What a run has recorded.
-pub struct Seen {
+pub struct RunRecord {
     /// What the clients saw.
     pub outcome: Outcome,
     /// The prober's queries: when each was due, in seconds of the load, and how long after that it was answered.
@@ -45,10 +45,10 @@
     /// The start of the fault tool, from which the times of `passed` count.
     tool_began: Time,
     absences: Vec<Absence>,
-    drained: Vec<Drained>,
+    drained: Vec<DrainNotice>,
 }
 
-/// Default of [`Seen::bears`].
+/// Default of [`RunRecord::bears`].
 const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
 /// How often, and with what pause, a router that is shutting down is checked for its end before it is stopped.
@@ -58,13 +58,18 @@
 const SHUTDOWN_LOG_TEXT: &str = "stopping clients=";
 
 /// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
-pub type Deed<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
+pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
 
 /// Runs a load against one router, with fault events.
 ///
 /// # Errors
 /// If the fleet, the router or the load can't be started.
-pub fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<Deed<'_>>) -> io::Result<Seen> {
+pub fn run(
+    scenario: &Scenario,
+    start: &Start,
+    plan: &Plan,
+    events: Vec<FaultEvent<'_>>,
+) -> io::Result<RunRecord> {
     run_with(scenario, start, plan, events, |_| {})
 }
 
@@ -76,9 +81,9 @@
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
-    events: Vec<Deed<'_>>,
+    events: Vec<FaultEvent<'_>>,
     on_progress: impl FnMut(f64),
-) -> io::Result<Seen> {
+) -> io::Result<RunRecord> {
     run_through(scenario, start, plan, None, events, on_progress).map(|(seen, _)| seen)
 }
 
@@ -92,9 +97,9 @@
     start: &Start,
     plan: &Plan,
     rules: Option<Vec<Rule>>,
-    mut events: Vec<Deed<'_>>,
+    mut events: Vec<FaultEvent<'_>>,
     mut on_progress: impl FnMut(f64),
-) -> io::Result<(Seen, Option<RunSummary>)> {
+) -> io::Result<(RunRecord, Option<RunSummary>)> {
     if let Some(cpu) = start.cpu {
         keep_off(cpu)?;
     }
@@ -122,8 +127,8 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut left = upstream.fault_tool.map(driver::RunningTool::stop);
-    let drained = fleet.drains().into_iter().map(|(at, router, member)| Drained { router, member, at });
-    let seen = Seen {
+    let drained = fleet.drains().into_iter().map(|(at, router, member)| DrainNotice { router, member, at });
+    let seen = RunRecord {
         outcome,
         probed,
         drained: drained.collect(),
@@ -201,8 +206,8 @@
     links
 }
 
-impl Seen {
-    /// Violations as text, and the first protocol errors that clients saw. `answers` is as in [`Seen::violations`].
+impl RunRecord {
+    /// Violations as text, and the first protocol errors that clients saw. `answers` is as in [`RunRecord::violations`].
     pub fn broken(&self, answers: Span) -> Vec<String> {
         let faults = self.outcome.faults.iter().take(3).map(|fault| format!("rule 1: {fault}"));
         faults.chain(self.violations(answers).iter().map(Violation::to_string)).collect()
@@ -239,7 +244,7 @@
         delays
     }
 
-    /// A quantile of [`Seen::delays`], in milliseconds.
+    /// A quantile of [`RunRecord::delays`], in milliseconds.
     pub fn delay_ms(&self, quantile: f64, from: f64, to: f64) -> f64 {
         self.delays(from, to).value_at_quantile(quantile) as f64 / 1e3
     }
--- a/crates/ladderpass-testbed/tests/joint.rs
+++ b/crates/ladderpass-testbed/tests/joint.rs
@@ -5,27 +5,27 @@
 use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::joint::{Absence, Drained, History, Started, cold_at_members};
-use ladderpass_testbed::load::Entry;
+use ladderpass_testbed::history_checker::{Absence, DrainNotice, History, Started, cold_at_members};
+use ladderpass_testbed::load::RpcRecord;
 use std::collections::HashMap;
 
 fn at(ms: i64) -> Time {
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
 }
 
-fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> Entry {
+fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> RpcRecord {
     let answered = answered.map(|(ms, answer)| (at(ms), answer, (answer == Answer::Ok).then_some(number)));
-    let until = at(sent) + Span::from_millis(1000);
-    Entry { number, router: 0, method, sent: at(sent), until, answered, lost: None, refused: false }
+    let deadline = at(sent) + Span::from_millis(1000);
+    RpcRecord { number, router: 0, method, sent: at(sent), deadline, answered, lost: None, refused: false }
 }
 
 struct RecordedRun {
     scenario: Scenario,
-    journal: Vec<Entry>,
+    journal: Vec<RpcRecord>,
     passed: Vec<AttemptEvent>,
     truth: ExecutionLog,
     absences: Vec<Absence>,
-    drained: Vec<Drained>,
+    drained: Vec<DrainNotice>,
     started: Vec<Started>,
     links: HashMap<usize, (usize, u32)>,
 }
@@ -84,7 +84,7 @@
     run.ran(8, 0, 2);
     run.pass(10, 0, 2, false);
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.journal.push(Entry { lost: Some(at(300)), ..entry(3, 0, 200, None) });
+    run.journal.push(RpcRecord { lost: Some(at(300)), ..entry(3, 0, 200, None) });
     assert_eq!(run.violated_rules(), [1]);
     run.absences.push(Absence { router: 1, from: at(290), to: at(900), planned: false });
     assert_eq!(run.violated_rules(), [1]);
@@ -124,7 +124,7 @@
 fn a_drain_counts_from_when_each_router_was_notified() {
     let mut run = RecordedRun::new();
     run.ran(1, 0, 2);
-    run.drained = vec![Drained { router: 1, member: 1, at: at(100) }];
+    run.drained = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
     run.pass(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.pass(600, 3, 1, true);
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -8,9 +8,9 @@
 use failing_syscalls::FailingSyscall;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Seen, open};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
+use ladderpass_testbed::run::{self, RunRecord, open};
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::Child;
@@ -32,17 +32,17 @@
 const DEADLINE: Span = Span::from_millis(1500);
 
 /// Runs a load of two seconds against a router whose calls fail.
-fn run_load(start: &Start) -> Seen {
+fn run_load(start: &Start) -> RunRecord {
     let _turn = wait_for_turn();
     let plan = Plan { connections: 60, deadline: DEADLINE, ..open(5, &[(2.0, 300.0)]) };
-    let seen = bed::run(&Scenario::default(), start, &plan, Vec::new());
+    let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.ended, None, "the process goes on: {}", seen.log.join("\n"));
     seen
 }
 
 /// The same; each RPC is served before its deadline.
-fn assert_all_served(start: &Start) -> Seen {
+fn assert_all_served(start: &Start) -> RunRecord {
     let seen = run_load(start);
     let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
     assert_eq!(seen.broken(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -5,9 +5,9 @@
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::RunSummary;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Deed, Seen, open};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
+use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
 use nix::sys::signal::Signal;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -21,7 +21,7 @@
 
 /// Runs a load of two seconds through these fault rules. Whatever they do, no invariant may be broken, and each client is
 /// answered.
-fn run_load(seed: u64, rules: &[&str], deeds: Vec<Deed<'_>>) -> (Seen, RunSummary) {
+fn run_load(seed: u64, rules: &[&str], deeds: Vec<FaultEvent<'_>>) -> (RunRecord, RunSummary) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|error| panic!("{rule}: {error}"));
     let rules = rules.iter().map(read).collect();
@@ -32,7 +32,7 @@
         ..open(seed, &[(2.0, 300.0)])
     };
     let scenario = Scenario::default();
-    let done = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
+    let done = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
     let (seen, left) = done.unwrap_or_else(|error| panic!("{error}"));
     let left = left.expect("it ran");
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
@@ -44,7 +44,7 @@
 }
 
 /// Each such write was answered as failed and ran once: it is not sent again, and not waited for until its deadline.
-fn assert_aborted(seen: &Seen, most: u64) {
+fn assert_aborted(seen: &RunRecord, most: u64) {
     let writes = seen.outcome.of(1);
     assert!((1..=most).contains(&writes.aborted), "{writes:?}");
 }
@@ -117,7 +117,7 @@
 #[test]
 fn faults_during_sighup_lose_nothing() {
     let _turn = wait_for_turn();
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs")))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
     run_load(7, &rules, deeds);
@@ -145,7 +145,7 @@
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
-    let deeds: Vec<Deed<'_>> = vec![
+    let deeds: Vec<FaultEvent<'_>> = vec![
         (0.5, Box::new(|_, fleet| fleet.drain(1))),
         (0.9, Box::new(move |_, fleet| fleet.send_line(0, old))),
     ];
@@ -171,7 +171,7 @@
     let plan =
         Plan { connections: 60, pipeline: 1, deadline: Span::from_millis(2000), ..open(10, &[(7.0, 60.0)]) };
     let (seen, left) =
-        bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
+        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(left.expect("it ran").never_fired, Vec::<String>::new());
@@ -196,10 +196,10 @@
         deadline: Span::from_millis(2000),
         ..open(11, &[(2.0, 200.0)])
     };
-    let deeds: Vec<Deed<'_>> =
+    let deeds: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let (seen, _) =
-        bed::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
+        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
@@ -210,7 +210,7 @@
     let _turn = wait_for_turn();
     for seed in [21, 22] {
         let links =
-            bed::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
+            run::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
         let drawn = ladderpass_fault_injection::Plan::drawn(seed, 6, links);
         let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
         let plan = Plan {
@@ -221,7 +221,7 @@
         };
         // Garbled bytes within a value can't be detected on the way.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
-        let (seen, _) = bed::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
+        let (seen, _) = run::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
         assert_eq!(seen.outcome.total().unanswered, 0, "seed {seed}");
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)]
 
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::bed::Seen;
-use ladderpass_testbed::load::Entry;
+use ladderpass_testbed::load::RpcRecord;
 use ladderpass_testbed::router::Router;
+use ladderpass_testbed::run::RunRecord;
 use nix::sys::signal::Signal;
 use std::cell::Cell;
 use std::io;
@@ -62,7 +62,7 @@
 }
 
 /// Why a statement counts as lost, by the pages; None if it doesn't.
-fn loss_reason(entry: &Entry, bounds: &RunBounds) -> Option<&'static str> {
+fn loss_reason(entry: &RpcRecord, bounds: &RunBounds) -> Option<&'static str> {
     let &RunBounds { crowded, term, kill, close_takes } = bounds;
     if entry.answered.is_some() || entry.sent >= kill {
         return None;
@@ -77,11 +77,11 @@
             (!crossing).then_some("closed on without an answer")
         }
         _ if entry.sent > term + KILL_AFTER => Some("unanswered at the kill"),
-        _ => (entry.until + SLACK <= kill).then_some("without an answer in its time"),
+        _ => (entry.deadline + SLACK <= kill).then_some("without an answer in its time"),
     }
 }
 
-pub fn check_run(seen: &Seen, bounds: &RunBounds) -> Vec<String> {
+pub fn check_run(seen: &RunRecord, bounds: &RunBounds) -> Vec<String> {
     let &RunBounds { term, kill, .. } = bounds;
     let mut broken: Vec<String> =
         seen.outcome.faults.iter().map(|fault| format!("rule 1: {fault}")).collect();
@@ -96,7 +96,7 @@
                 entry.number
             ));
         }
-        if entry.answered.is_some_and(|(at, ..)| at > entry.until + LATE) {
+        if entry.answered.is_some_and(|(at, ..)| at > entry.deadline + LATE) {
             broken.push(format!("rule 1: {:x} is answered too late", entry.number));
         }
     }
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -3,11 +3,11 @@
 
 use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_routing::Time;
-use ladderpass_testbed::bed::open;
 use ladderpass_testbed::drill::Drill;
-use ladderpass_testbed::drill::play::{Played, Programs, play};
+use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
 use ladderpass_testbed::load::{self, Counts, Plan};
 use ladderpass_testbed::router::{Router, Start};
+use ladderpass_testbed::run::open;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
@@ -51,7 +51,7 @@
     }
 }
 
-fn play_drill(drill: &Drill) -> Played {
+fn play_drill(drill: &Drill) -> DrillRecord {
     let router = Path::new(env!("CARGO_BIN_EXE_ladderpass"));
     let programs = Programs { router, faulty: None, earlier: None };
     let played = play(drill, programs, 1).unwrap_or_else(|fault| panic!("{fault}"));
@@ -60,14 +60,14 @@
     played
 }
 
-fn assert_no_violations(played: &Played) {
+fn assert_no_violations(played: &DrillRecord) {
     let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
     assert_eq!(violations, Vec::<String>::new());
 }
 
 const WITHOUT_GOSSIP: [&str; 2] = ["r0", "r1"];
 
-fn both(drill: &Drill, played: &Played) -> [Counts; 2] {
+fn both(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
     [played.of(drill, &[0, 1]), played.of(drill, &[2, 3])]
 }
 
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -13,8 +13,8 @@
 use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Deed, links, open};
-use ladderpass_testbed::load::{Entry, Plan};
+use ladderpass_testbed::load::{Plan, RpcRecord};
+use ladderpass_testbed::run::{self, FaultEvent, links, open};
 use loss_checker::{KILL_AFTER, StopTimes, check_run, signal};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
@@ -126,7 +126,7 @@
         ..open(seed, &phases)
     };
     let stop_times = &StopTimes::default();
-    let mut deeds: Vec<Deed<'_>> = Vec::new();
+    let mut deeds: Vec<FaultEvent<'_>> = Vec::new();
     if soak_run.crowd > 0 {
         let mut crowd = Vec::new();
         let count = soak_run.crowd;
@@ -153,13 +153,13 @@
         deeds.push((secs(at), Box::new(|_, fleet| fleet.drain(1))));
     }
     deeds.push((secs(kill_at), Box::new(|router, _| stop_times.kill(router))));
-    let done = bed::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
+    let done = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
     let (seen, _) = done.unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
     let bounds = stop_times.bounds(soak_run.crowd > 0, Span::ZERO);
     let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: too short"));
     let (kill, journal) = (bounds.kill, &seen.outcome.journal);
     let at_kill =
-        |entry: &&Entry| entry.refused && entry.sent < kill && entry.lost.is_some_and(|at| at >= kill);
+        |entry: &&RpcRecord| entry.refused && entry.sent < kill && entry.lost.is_some_and(|at| at >= kill);
     println!(
         "seed {seed}: {} of {} refused, seen after the kill",
         journal.iter().filter(at_kill).count(),
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -12,8 +12,8 @@
 use ladderpass_emulator::Scenario;
 use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::bed::{Deed, open, run};
 use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::run::{FaultEvent, open, run};
 use loss_checker::{KILL_AFTER, StopTimes, check_run};
 use router_harness::{bind_listener, read_answer, start_harness_with, write_statement};
 use std::cell::RefCell;
@@ -172,7 +172,7 @@
     let plan = Plan { connections: 40, pipeline: 4, deadline: DEADLINE, ..open(case.seed, &phases) };
     let stop_times = &StopTimes::default();
     let crowd: RefCell<Vec<TcpStream>> = RefCell::default();
-    let mut deeds: Vec<Deed<'_>> = Vec::new();
+    let mut deeds: Vec<FaultEvent<'_>> = Vec::new();
     for nth in 1..12 {
         let crowd = &crowd;
         deeds.push((
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -6,9 +6,9 @@
 use failing_syscalls::ClockStep;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::bed::{self, Seen, open};
-use ladderpass_testbed::joint::{Started, cold_at_members};
+use ladderpass_testbed::history_checker::{Started, cold_at_members};
 use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::run::{self, RunRecord, open};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
@@ -28,11 +28,11 @@
 }
 
 /// Runs a load of two seconds; no rule is broken, and the process goes on.
-fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> Seen {
+fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> RunRecord {
     let _turn = wait_for_turn();
     let deadline = Span::from_millis(1500);
     let plan = Plan { connections: 60, deadline, ..open(5, &[(2.0, rate)]) };
-    let seen = bed::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
+    let seen = run::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
     assert_eq!(seen.ended, None, "the process goes on: {log}");
