--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -1,6 +1,6 @@
 //! How many RPCs all routers together may have in flight at each member, and this router's quota of it.
 //!
-//! A member's capacity follows a gradient: it shrinks with the ratio of its latency to the usual one, grows by its square
+//! A member's capacity follows a gradient: it shrinks with the ratio of its latency to the typical one, grows by its square
 //! root while it is used, and is held together by the median of what all routers believe. The quota is this router's
 //! share of the offered load.
 
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -55,7 +55,7 @@
     pub id_hash: u16,
     /// RPCs of this router in flight there, on average.
     pub in_flight: f64,
-    /// Latency, as a multiple of the usual one.
+    /// Latency, as a multiple of the typical one.
     pub latency_ratio: f64,
     /// The router's estimate of how many RPCs all routers can have in flight there.
     pub capacity: f64,
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -1,8 +1,9 @@
 //! How many RPCs a second all routers admit to a group, and the priority threshold that follows from it.
 //!
-//! Without a threshold all is admitted. One begins when a share of the admitted RPCs found no member with capacity. What is
-//! admitted then falls in small steps while that goes on, never below what was served lately, and rises after a pause, ever
-//! faster. The steps are small because unplaced RPCs are reported late: larger ones would oscillate.
+//! It is computed anew in each step, every 250 ms. Without a threshold all is admitted. One begins when too large a share
+//! of the admitted RPCs is unplaced: no member had capacity for them. The admitted rate then falls by a small factor a
+//! step while that goes on, never below the decaying peak of the served rate, and rises after a pause, ever faster. The
+//! factors are small because unplaced RPCs are reported late: larger ones would oscillate.
 
 use crate::totals::FleetTotals;
 
@@ -22,9 +23,11 @@
 const FAST_DECREASE_UNPLACED_SHARE: f64 = 0.15;
 /// Steps without unplaced RPCs before the admitted rate rises.
 const STEPS_BEFORE_INCREASE: u32 = 2;
-/// The first increase, doubled with each step up to the largest.
+/// The increase in a step, as a share of the admitted rate: the smallest, doubled with each step without unplaced RPCs up
+/// to the largest. With a threshold it starts at twice the smallest.
 const MIN_INCREASE: f64 = 0.01;
 const MAX_INCREASE: f64 = 0.05;
+/// Keeps the shift in range; the largest increase is reached sooner.
 const MAX_DOUBLINGS: u32 = 8;
 /// Added to each increase, so that a rate near zero grows too. RPCs a second.
 const INCREASE_PER_SECOND: f64 = 0.5;
@@ -45,7 +48,7 @@
     steps_with_threshold: u32,
     /// What this router was offered a step ago.
     previous_own_offered: f64,
-    /// The highest rate that was served of late.
+    /// The highest rate that was served, which decays with each step.
     peak_served: f64,
 }
 
@@ -73,7 +76,7 @@
             (true, true) => self.decreased(before, totals.unplaced),
             (false, _) => self.increased(before, has_threshold),
         };
-        // Nothing is gained by a threshold that no RPC is below.
+        // A rate above what is offered rejects nothing, so a still higher one has no effect.
         self.admitted = admitted.min(max_admitted);
     }
 
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -60,7 +60,7 @@
     origin: Time,
     /// Zone of this router, as the number that one letter holds.
     zone: u32,
-    /// The members that this router knows, by the hashes of their names.
+    /// The members that this router knows, by the hashes of their ids.
     pub id_hashes: IdHashes,
 }
 
@@ -113,13 +113,13 @@
 /// One update as a message carries it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EncodedUpdate {
-    /// Hash of the member's name.
+    /// Hash of the member's id.
     pub id_hash: u32,
     /// What was observed.
     pub observation: MemberObservation,
     /// When it was observed, from the common origin.
     pub at: Span,
-    /// Latency of the member as a multiple of the usual one; zero where none is known.
+    /// Latency of the member as a multiple of the typical one; zero where none is known.
     pub latency_ratio: f64,
     /// RPCs in flight at the member, where they are known; such an update carries no latency ratio.
     pub in_flight: Option<f64>,
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -7,17 +7,17 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Length of a step, the same as that of the load reports.
+/// Length of a step, the same as that of the reports between routers.
 const STEP: Span = Span::from_millis(250);
-/// A longer step earns no more: a router that stalled has no claim to that time.
-const MAX_STEPS_EARNED: f64 = 2.0;
-/// The most that is saved: seconds of the quota, but at least one retry, so that a small quota can be spent at all.
-const MAX_SAVED_SECS: f64 = 0.5;
+/// A longer step refills no more, so that a router that stalled gets no quota for the time in which it stood still.
+const MAX_STEPS_REFILLED: f64 = 2.0;
+/// The largest balance: seconds of the quota, but at least one retry, so that a small quota can be spent at all.
+const MAX_BALANCE_SECS: f64 = 0.5;
 const MIN_MAX_BALANCE: f64 = 1.0;
-/// Share of the savings beyond the first retry that is reserved for RPCs of more than the usual priority.
+/// Share of the balance beyond the first retry that is reserved for RPCs of more than the mean priority.
 const RESERVED_SHARE: f64 = 0.5;
 const INITIAL_BALANCE: f64 = 1.0;
-/// Weight of one RPC in the usual priority.
+/// Weight of one RPC in the mean priority.
 const PRIORITY_WEIGHT: f64 = 0.1;
 
 /// This router's part of the budget of a group.
@@ -26,12 +26,12 @@
     /// Counts of the current step.
     counts: RetryRates,
     rates: RetryRates,
-    /// Retries saved.
+    /// Retries that may be withdrawn now.
     balance: f64,
-    /// Retries earned a second.
+    /// Retries added to the balance a second.
     quota: f64,
     /// Moving average of the priorities of RPCs that wanted a retry.
-    usual_priority: f64,
+    mean_priority: f64,
     metrics: GroupMetrics,
 }
 
@@ -42,18 +42,18 @@
             rates: RetryRates::default(),
             balance: INITIAL_BALANCE,
             quota: 0.0,
-            usual_priority: 0.0,
+            mean_priority: 0.0,
             metrics: GroupMetrics { group, ..GroupMetrics::default() },
         }
     }
 
     fn max_balance(&self) -> f64 {
-        (self.quota * MAX_SAVED_SECS).max(MIN_MAX_BALANCE)
+        (self.quota * MAX_BALANCE_SECS).max(MIN_MAX_BALANCE)
     }
 
     /// The balance that an RPC of this priority needs for a retry.
     fn required_balance(&self, priority: f64) -> f64 {
-        if priority >= self.usual_priority {
+        if priority >= self.mean_priority {
             1.0
         } else {
             1.0 + (self.max_balance() - MIN_MAX_BALANCE) * RESERVED_SHARE
@@ -109,7 +109,7 @@
         budget.counts.retries_wanted += 1.0;
         let priority = f64::from(priority);
         let required = budget.required_balance(priority);
-        budget.usual_priority += (priority - budget.usual_priority) * PRIORITY_WEIGHT;
+        budget.mean_priority += (priority - budget.mean_priority) * PRIORITY_WEIGHT;
         if always_grants {
             budget.counts.retries_granted += 1.0;
             return true;
@@ -149,7 +149,7 @@
     where
         I: Iterator<Item = (RetryRates, f64)>,
     {
-        let secs = (now - self.last_step).secs().clamp(0.0, STEP.secs() * MAX_STEPS_EARNED);
+        let secs = (now - self.last_step).secs().clamp(0.0, STEP.secs() * MAX_STEPS_REFILLED);
         self.last_step = now;
         let never_lowers_quota = self.faulty == Faulty::NeverRefunds;
         for (&group, budget) in &mut self.groups {
