--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -140,7 +140,7 @@
         };
         self.queueing_delay.end_iteration(waiting_sockets, waiting_bytes, &costs);
         let delay_secs = self.queueing_delay.current().secs();
-        let fraction = self.settings.delay.convex_fraction(delay_secs).min(MAX_DELAY_PRESSURE);
+        let fraction = self.settings.delay.concave_fraction(delay_secs).min(MAX_DELAY_PRESSURE);
         self.pressure.set_gauge(Gauge::Delay, fraction);
         self.update_pressure(now);
     }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -28,7 +28,7 @@
 
     /// Pressure of a value by a curve that rises quickly at first, reaches four fifths at `full` and approaches 1 ever
     /// more slowly beyond. So the highest priorities are shed last, and only by a queue that stays.
-    pub fn convex_fraction(self, value: f64) -> f64 {
+    pub fn concave_fraction(self, value: f64) -> f64 {
         let widths = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
         let beyond = widths - 1.0;
         if beyond > 0.0 {
