--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -58,8 +58,10 @@
     /// Work of the current iteration of the event loop.
     work: Work,
     last_sample: ResourceSample,
-    /// Smoothed CPU shares: used, and stolen by others.
+    /// Smoothed share of the allowed CPU time that this process used.
     cpu_share: f64,
+    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, since other processes
+    /// took it or a CPU quota was used up.
     stolen_share: f64,
     admission_threshold: f64,
     events: Vec<OverloadEvent>,
@@ -205,7 +207,7 @@
         self.work.kib += kib;
     }
 
-    /// Records that an RPC was rejected.
+    /// Records that an RPC was rejected, or was admitted and got no good answer. Its cost counts as that of a rejection.
     pub fn record_rejected(&mut self) {
         self.work.rejected += 1.0;
     }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -2,11 +2,17 @@
 
 use ladderpass_routing::Span;
 
-/// Pressure at the end of a band by the convex curve, and how slowly it rises beyond, in widths of the band.
-const CONVEX_FRACTION_AT_FULL: f64 = 0.8;
-const CONVEX_TAIL_WIDTHS: f64 = 8.0;
+/// Where the concave curve reaches half of the full pressure, in widths of the band.
+const CONCAVE_HALF_WIDTHS: f64 = 0.25;
+/// Pressure at the end of a band by the concave curve: 1 / (1 + [`CONCAVE_HALF_WIDTHS`]).
+const CONCAVE_FRACTION_AT_FULL: f64 = 0.8;
+/// What is left of the full pressure beyond the band: 1 - [`CONCAVE_FRACTION_AT_FULL`].
+const CONCAVE_FRACTION_BEYOND: f64 = 0.2;
+/// How slowly the pressure rises beyond the band, in widths of it.
+const CONCAVE_TAIL_WIDTHS: f64 = 8.0;
 
-/// The range of a measure over which its pressure rises.
+/// The range of a gauge over which its pressure rises, in the gauge's unit: seconds for the delay, a share of what is
+/// allowed for the resources.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
     /// Up to here there is no pressure.
@@ -32,9 +38,9 @@
         let widths = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
         let beyond = widths - 1.0;
         if beyond > 0.0 {
-            CONVEX_FRACTION_AT_FULL + 0.2 * beyond / (beyond + CONVEX_TAIL_WIDTHS)
+            CONCAVE_FRACTION_AT_FULL + CONCAVE_FRACTION_BEYOND * beyond / (beyond + CONCAVE_TAIL_WIDTHS)
         } else {
-            widths / (widths + 0.25)
+            widths / (widths + CONCAVE_HALF_WIDTHS)
         }
     }
 }
@@ -42,7 +48,7 @@
 /// Bands and times of the overload control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long statements wait for the router, in seconds, by the convex curve.
+    /// How long statements wait for the router, in seconds, by the concave curve.
     pub delay: Band,
     /// CPU, as a share of what is allowed. On a whole core CPU can't pass its allowance and shows as delay; the band is
     /// for a process with a fraction of a core.
