--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -1,7 +1,7 @@
 //! What all routers together were offered and served for a group, from this router's rates and the others' reports.
 //!
 //! A report counts by its weight, and no more than a multiple of the typical load, so that one that lies can't move the
-//! totals far. Where only some live routers reported lately, they stand for all.
+//! totals far. Where only some live routers reported recently, they stand for all.
 
 use crate::consensus::{median, move_towards_median};
 use crate::peer_reports::WeightedReport;
@@ -39,7 +39,7 @@
         alive_peers: usize,
     ) -> FleetTotals {
         let own_offered = own.total_offered();
-        let max_offered = usual_load(own_offered, reports) * MAX_LOAD_MULTIPLE;
+        let max_offered = typical_load(own_offered, reports) * MAX_LOAD_MULTIPLE;
         let mut offered_by_priority = own.offered.clone();
         let (mut served, mut unplaced) = (own.served, own.unplaced);
         let mut clamped_reports = 0;
@@ -74,7 +74,7 @@
 }
 
 /// The median load of a router, or this router's own where that is higher: it is known to be true.
-fn usual_load(own_offered: f64, reports: &[WeightedReport<'_>]) -> f64 {
+fn typical_load(own_offered: f64, reports: &[WeightedReport<'_>]) -> f64 {
     let reported = reports.iter().map(|weighted| total_offered(weighted.report));
     let mut loads: Vec<f64> = reported.chain([own_offered]).collect();
     median(&mut loads).max(own_offered)
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -12,7 +12,7 @@
 pub const START: Time = Time::from_nanos(1_800_000_000_000_000_000);
 const REPORT_BYTES: usize = 210;
 const REPORT_RECEIVERS: usize = 2;
-/// RPCs in flight up to which a member's latency is the usual one.
+/// RPCs in flight up to which a member's latency is the typical one.
 const CORES_PER_MEMBER: f64 = 2.0;
 const MAX_IN_FLIGHT_PER_CORE: f64 = 4.0;
 
--- a/crates/ladderpass-config/src/deployment.rs
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -181,8 +181,8 @@
                 Some("all" | "cell") => {
                     read_span(&format!("Services[{index}].KeyTtl"), method.idempotency_key_ttl)?
                 }
-                // Where neither the group nor all members drop repeats, another member of the group may not know of
-                // the first attempt, and would run it a second time.
+                // Where keys are recognised neither by the group nor by all members, another member of the group may
+                // not know of the first attempt, and would run it a second time.
                 _ => Span::ZERO,
             },
         }),
--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -62,7 +62,7 @@
         let mut updates = draft.updates;
         let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
         if is_probe || draft.fill_with_view {
-            // Lifeguard's buddy system: a router that is not counted as alive is told so, to refute it.
+            // Lifeguard's buddy system: a router that is not counted as alive is notified of that, to refute it.
             let doubted = self.routers.state_update(to).filter(|known| known.state != State::Alive);
             updates.extend(doubted);
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Tells some routers that this router leaves.
+    /// Notifies some routers that this router leaves.
     pub(crate) fn announce_leave(&mut self, now: Time) {
         for peer in self.select_responsive_peers(now, MAX_GOSSIP_PER_ROUND, self.local) {
             self.send(peer, Draft::gossip());
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -123,7 +123,7 @@
         self.routers.alive().filter_map(move |(&router, _)| self.routers.peer(now, router))
     }
 
-    /// Where gossip of other mechanisms is sent to: live routers, and legacy routers that sent gossip lately.
+    /// Where gossip of other mechanisms is sent to: live routers, and legacy routers that sent gossip recently.
     pub fn gossip_targets(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let legacy = self.senders.recent_legacy(now).filter(|&router| !self.routers.contains(router));
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
@@ -282,7 +282,7 @@
         self.probe_absent(now);
     }
 
-    /// Shuts down: tells some routers, who tell the others. From now on it neither probes nor answers.
+    /// Shuts down: notifies some routers, which notify the others. From now on it neither probes nor answers.
     pub fn leave(&mut self, now: Time) {
         self.is_leaving = true;
         self.probes.clear();
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -58,7 +58,7 @@
     pub requester: SocketAddr,
     /// The requester's sequence number of the probe.
     pub requester_sequence: u32,
-    /// When the requester is told that there is no answer yet.
+    /// When a nack is sent to the requester, as there is no ack yet.
     pub nack_at: Time,
     pub deadline: Time,
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -174,7 +174,7 @@
         match update.state {
             State::Alive => self.mark_alive(now, update),
             State::Suspect => self.mark_suspect(now, update),
-            // The report may come from the other side of a partition, or from a router that could not hear the ack.
+            // The report may come from the other side of a partition, or from a router that did not receive the ack.
             State::Dead if self.has_acked_recently(now, update.router) => {
                 let suspected_by = suspected_by_id(update.router);
                 self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
@@ -338,7 +338,7 @@
         self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
     }
 
-    /// Gives every suspected router its whole time to refute once more.
+    /// Gives every suspected router its full time to refute once more.
     pub fn restart_suspicions(&mut self, now: Time) {
         self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
     }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -55,7 +55,7 @@
         true
     }
 
-    /// Configured addresses that legacy gossip came from lately.
+    /// Configured addresses that legacy gossip came from recently.
     pub fn recent_legacy(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let recent = move |listed: &&ListedRouter| now - listed.last_legacy_gossip < LEGACY_GOSSIP_TIMEOUT;
         self.listed.iter().filter(recent).map(|listed| listed.address)
--- a/crates/ladderpass-membership/src/suspicion_timeout.rs
+++ b/crates/ladderpass-membership/src/suspicion_timeout.rs
@@ -54,7 +54,7 @@
         self.deadline = self.deadline + by;
     }
 
-    /// Grants the whole time to refute once more, from now on.
+    /// Grants the full time to refute once more, from now on.
     pub fn restart(&mut self, now: Time) {
         self.deadline = now + (self.deadline - self.started);
         self.started = now;
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -1,4 +1,4 @@
-//! How the work that was offered lately spreads over priorities, and the threshold below which a given share of it lies.
+//! How the work that was offered recently spreads over priorities, and the threshold below which a given share of it lies.
 
 use ladderpass_routing::{PRIORITY_COUNT, Span, Time};
 
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Share of the retries that succeed. Where few were granted lately, that of first attempts stands for it.
+    /// Share of the retries that succeed. Where few were granted recently, that of first attempts stands for it.
     fn success_share(&self) -> f64 {
         let total = &self.total;
         let attempts = total.first_attempts + total.retries_granted;
