--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -10,13 +10,13 @@
 /// Why a router is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbePurpose {
-    /// To detect its failure: a probe without an answer leads to a suspicion.
+    /// To detect its failure: a probe without an ack leads to a suspicion.
     FailureDetection,
-    /// To find out whether a router that is gone or was never seen is there: no answer changes nothing.
+    /// To find out whether a router that is gone or was never seen has come back: a missing ack changes nothing.
     ReturnDetection,
 }
 
-/// A probe of this router without an answer yet.
+/// A probe that this router sent and that has no ack yet.
 pub(crate) struct Probe {
     pub target: SocketAddr,
     pub purpose: ProbePurpose,
