--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -9,12 +9,12 @@
 
 /// Length of a step, the same as that of the reports between routers.
 const STEP: Span = Span::from_millis(250);
-/// A longer step refills no more, so that a router that stalled gets no quota for the time in which it stood still.
+/// The balance is refilled for no more than this many steps at once, however long the router stalled.
 const MAX_STEPS_REFILLED: f64 = 2.0;
 /// The largest balance: seconds of the quota, but at least one retry, so that a small quota can be spent at all.
 const MAX_BALANCE_SECS: f64 = 0.5;
 const MIN_MAX_BALANCE: f64 = 1.0;
-/// Share of the balance beyond the first retry that is reserved for RPCs of more than the mean priority.
+/// Share of the balance beyond the first retry that is reserved for RPCs of at least the mean priority.
 const RESERVED_SHARE: f64 = 0.5;
 const INITIAL_BALANCE: f64 = 1.0;
 /// Weight of one RPC in the mean priority.
