--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -10,13 +10,13 @@
 /// Why a router is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbePurpose {
-    /// To detect its failure: a probe without an answer leads to a suspicion.
+    /// To detect its failure: a probe without an ack leads to a suspicion.
     FailureDetection,
-    /// To find out whether a router that is gone or was never seen is there: no answer changes nothing.
-    Return,
+    /// To find out whether a router that is gone or was never seen has come back: a missing ack changes nothing.
+    ReturnDetection,
 }
 
-/// A probe of this router without an answer yet.
+/// A probe that this router sent and that has no ack yet.
 pub(crate) struct Probe {
     pub target: SocketAddr,
     pub purpose: ProbePurpose,
@@ -58,7 +58,7 @@
     pub requester: SocketAddr,
     /// The requester's sequence number of the probe.
     pub requester_sequence: u32,
-    /// When the requester is told that there is no answer yet.
+    /// When a nack is sent to the requester, as there is no ack yet.
     pub nack_at: Time,
     pub deadline: Time,
 }
@@ -95,7 +95,7 @@
         self.probes.get(&sequence).is_some_and(|probe| probe.target == router)
     }
 
-    /// Probes of members that are alive.
+    /// Probes of routers that are alive.
     pub fn failure_detection_count(&self) -> usize {
         self.probes.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
     }
