--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -19,13 +19,13 @@
     pub member_buffer_bytes: usize,
     /// Largest input buffer of the watch of discovery.
     pub discovery_buffer_bytes: usize,
-    /// Longest line of discovery: the whole endpoint list.
+    /// Longest line of discovery: the complete endpoint list.
     pub discovery_line_bytes: usize,
     /// Longest first message of a client.
     pub startup_message_bytes: usize,
     /// Longest statement with its frame; a longer one is rejected by its head.
     pub statement_bytes: usize,
-    /// Memory of all buffers above which those of clients don't grow. Less than `all_buffers_total_bytes`, so that
+    /// Memory of all buffers together (not only of clients') above which those of clients don't grow. Less than `all_buffers_total_bytes`, so that
     /// statements wait before answers do.
     pub client_buffers_total_bytes: usize,
     /// Memory of all buffers above which none grows.
@@ -64,10 +64,10 @@
     // RPCs.
     /// RPCs in flight.
     pub rpcs_in_flight: usize,
-    /// Ids of ended RPCs that are remembered, by which a repeated RPC is recognized.
-    pub retired_ids: usize,
+    /// Ids of ended RPCs that are remembered, by which a client's second copy of an RPC is recognized.
+    pub ended_ids: usize,
     /// How long past its deadline an RPC's id is remembered.
-    pub retired_id_ttl: Span,
+    pub ended_id_ttl: Span,
     /// Part of an RPC's time that the router needs itself, to write the answer before the deadline.
     pub answer_margin: Span,
 
@@ -78,7 +78,7 @@
     pub health_check_timeout: Span,
     /// Idle time after which a pooled connection is closed; shorter than the member's own, which would cross a statement.
     pub member_idle_timeout: Span,
-    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, or a repeat within the
+    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, or a further attempt within the
     /// window of its idempotency key); then it is made again.
     pub fresh_send_timeout: Span,
     /// How long any other statement may take to be written: it carries the time that is left.
@@ -136,7 +136,7 @@
     /// How long a start does so.
     pub start_retry_timeout: Duration,
     /// Retries of a configuration that could not be read at SIGHUP.
-    pub reread: Reread,
+    pub reload_retry: ReloadRetry,
     /// Idle time after which a client is closed during a stop.
     pub shutdown_idle_time: Span,
     /// How long a stop accepts connections and RPCs. SIGKILL may come 0.7 s after the longest deadline; the process ends
@@ -146,11 +146,11 @@
 
 /// Retries of a configuration that could not be read at SIGHUP.
 #[derive(Clone, Copy, Debug)]
-pub struct Reread {
-    /// Pause between two of them.
-    pub rest: Duration,
+pub struct ReloadRetry {
+    /// Pause between two retries.
+    pub interval: Duration,
     /// How long they go on. By the protocol, a router counts as notified of a new configuration after 4 s.
-    pub tries: Duration,
+    pub timeout: Duration,
 }
 
 /// Longest value of the protocol.
@@ -159,7 +159,7 @@
 const FRAME_BYTES: usize = 8 << 10;
 /// In hex a value takes twice its size.
 const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + FRAME_BYTES;
-/// What a buffer has beside whole statements, so that the head of the next one fits.
+/// What a buffer has beside complete statements, so that the head of the next one fits.
 const BUFFER_SLACK_BYTES: usize = 16 << 10;
 /// Statements that a client may send ahead.
 const STATEMENTS_AHEAD: usize = 4;
@@ -194,8 +194,8 @@
     client_error_backoff: Span::from_millis(100),
     backlog: 1024,
     rpcs_in_flight: usize::MAX,
-    retired_ids: 1 << 16,
-    retired_id_ttl: Span::from_millis(5000),
+    ended_ids: 1 << 16,
+    ended_id_ttl: Span::from_millis(5000),
     answer_margin: Span::from_millis(4),
     connect_timeout: Span::from_millis(1000),
     health_check_timeout: Span::from_millis(1000),
@@ -223,7 +223,7 @@
     stats_interval: Span::from_millis(10_000),
     start_retry_interval: Duration::from_millis(20),
     start_retry_timeout: Duration::from_secs(5),
-    reread: Reread { rest: Duration::from_millis(100), tries: Duration::from_secs(4) },
+    reload_retry: ReloadRetry { interval: Duration::from_millis(100), timeout: Duration::from_secs(4) },
     shutdown_idle_time: Span::from_millis(200),
     shutdown_accept_time: Span::from_millis(600),
 };
--- a/crates/ladderpass/src/reducer/client.rs
+++ b/crates/ladderpass/src/reducer/client.rs
@@ -1,4 +1,9 @@
 //! State of one client's connection.
+//!
+//! - *Overrun*: the client has sent more than its input buffer holds, so reading its socket was paused.
+//! - *Refill*: after an overrun its kernel may send what it kept back; the socket counts as read to its end only after
+//!   it was empty for `Limits::refill_quiet_time`.
+//! - *Skipping*: there was no memory for a statement; its remaining bytes are dropped as they arrive.
 
 use super::input_arrivals::{Arrived, InputArrivals};
 use ladderpass_overload::ClientUsage;
@@ -38,7 +43,7 @@
     /// In step with the sets of `ClientTable`, which alone changes it.
     awaited: Option<Awaited>,
     has_sent_statement: bool,
-    /// It had sent more than its buffer holds.
+    /// Its input overran the buffer.
     has_overrun: bool,
     /// After an overrun: from then on its socket, empty since, counts as read to its end.
     refill_until: Option<Time>,
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -13,6 +13,9 @@
 use crate::pg;
 use ladderpass_routing::Time;
 
+/// Idle clients give up their buffers once all buffers take more than `client_buffers_total_bytes` over this.
+const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
+
 /// Is there more to read of a client in this iteration?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
@@ -22,7 +25,7 @@
 
 /// A message of a client.
 enum ClientMessage {
-    /// It has not arrived whole.
+    /// It has not arrived completely.
     Incomplete,
     /// It is answered with these bytes, and the connection is closed where the protocol asks for that.
     Answered {
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Reads what a client has sent, up to its next RPC. One that has sent hundreds of statements at once goes on in the
-    /// next iteration, so that others have their turn.
+    /// Reads what a client has sent, up to its next RPC. After `statements_per_iteration` messages the rest is
+    /// left for the next iteration, so that others have their turn.
     pub(super) fn read_client(&mut self, now: Time, id: ConnectionId) {
         for _ in 0..self.limits.statements_per_iteration {
             if self.read_client_message(now, id) == Progress::Stop {
@@ -123,7 +126,7 @@
                 self.answer_client_error(now, id, length, &error);
                 Progress::Continue
             }
-            // The protocol has no answer to a cancel request.
+            // By the protocol a cancel request gets no reply, whether it has an effect or not.
             ClientMessage::Cancel(key) => {
                 self.close_when_written(now, id);
                 self.cancel_rpc(now, key);
@@ -133,18 +136,19 @@
         }
     }
 
-    /// A statement is whole. It becomes an RPC once the socket behind it was read until it was empty: prevents attempts for
-    /// a client that has left.
+    /// A statement has arrived completely. It becomes an RPC only once the client's socket has been read until it was empty:
+    /// an end of the connection behind the statement is then known, and no attempt is made for a client that has left.
     fn on_statement(&mut self, now: Time, id: ConnectionId, length: usize) -> Progress {
         let is_past_accept_time = self.is_past_accept_time(now);
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
         let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
-        // Nothing is begun so late that SIGKILL would find it unanswered.
+        // No RPC begins so late in a shutdown that SIGKILL could come before its answer.
         if is_past_accept_time {
             self.reject_statement(now, id, length, Rejection::Stopping);
             return Progress::Continue;
         }
-        // Its end can't be seen behind what it has sent past its buffer: that is read and answered at once, up to the end.
+        // The client has sent more than its buffer holds, so an end of its connection can't be seen yet. The statement is
+        // rejected to make room for the rest; counted with `Count::Full`.
         if connection.read_paused {
             self.stats.count(Count::Full);
             self.reject_statement(now, id, length, Rejection::SentAhead);
@@ -199,7 +203,7 @@
         self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
     }
 
-    /// The client has sent no whole message: it is idle, or in the middle of one.
+    /// The client has sent no complete message: it is idle, or in the middle of one.
     fn await_client_input(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let Remote::Client(client) = &connection.remote else { return };
@@ -207,7 +211,7 @@
             return;
         }
         if !connection.input.is_empty() {
-            // Its time runs from the first byte on.
+            // The timeout of a message runs from its first byte on.
             let since = match client.awaited() {
                 Some((AwaitedInput::StatementRest, since)) => since,
                 _ => now,
@@ -218,27 +222,29 @@
             let timeout = if waits_for_memory { limits.memory_wait_timeout } else { limits.message_timeout };
             return self.connections.set_deadline(id, Some(since + timeout));
         }
-        // It is not closed before its answer is written; what it sends meanwhile is read.
+        // The client is not closed before its answer is written; what it sends meanwhile is read.
         if !connection.output.is_empty() {
             let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
             self.set_awaited(id, None);
             return self.connections.set_deadline(id, deadline);
         }
-        // Even one that sends messages without a statement over and over does not delay the end of the process.
+        // A client that keeps sending messages other than statements must not delay the end of the process.
         if self.is_past_accept_time(now) {
             return self.close_when_written(now, id);
         }
         self.await_next_statement(now, id);
     }
 
-    /// The client is idle. It is closed after a while, and holds no buffer meanwhile where memory is short.
+    /// The client is idle. It is closed after a while, and its buffers are freed meanwhile where memory is short.
     fn await_next_statement(&mut self, now: Time, id: ConnectionId) {
         let is_stopping = self.shutdown.has_begun();
         let timeout = match is_stopping {
             true => self.limits.shutdown_accept_time,
             false => self.limits.client_idle_timeout,
         };
-        if self.connections.buffer_bytes() > self.limits.client_buffers_total_bytes / 4 {
+        if self.connections.buffer_bytes()
+            > self.limits.client_buffers_total_bytes / IDLE_BUFFER_RELEASE_DIVISOR
+        {
             if let Some(connection) = self.connections.get_mut(id) {
                 connection.input.shrink_if_empty(0);
                 connection.output.shrink_if_empty(0);
@@ -303,7 +309,7 @@
     match pg::parse_frame_header(input.make_contiguous()) {
         Ok(None) => ClientMessage::Incomplete,
         Err(_) => ClientMessage::fatal(input.len(), "08P01", "malformed message"),
-        // Its head is enough: to receive all of it would be work for nothing.
+        // Rejected by its header alone: the body is not received.
         Ok(Some(pg::FrameHeader { length, .. })) if length > max_bytes => {
             ClientMessage::fatal(input.len(), "54000", "the message is too long")
         }
@@ -315,7 +321,7 @@
     }
 }
 
-/// Handles a whole message after startup; only simple queries are served.
+/// Handles a complete message after startup; only simple queries are served.
 fn handle_message(client: &mut Client, kind: u8, body: &[u8], length: usize) -> ClientMessage {
     let mut answer = Vec::new();
     match (kind, pg::parse_query(body)) {
--- a/crates/ladderpass/src/reducer/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/discovery_watch.rs
@@ -25,7 +25,8 @@
     current: Option<ConnectionId>,
     /// When the current watch was asked for.
     requested_at: Time,
-    /// A request that is not answered yet, beside which the next one has been made, or is about to be.
+    /// An earlier request that is still unanswered, kept open beside the next one: the first to be answered becomes the
+    /// current watch.
     late: Option<ConnectionId>,
     /// The watch of the address that discovery had before.
     previous: Option<ConnectionId>,
@@ -41,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListVerdict {
     Accepted,
-    /// The new address counts from lower, and has sent mere changes.
+    /// Changes from the new address, whose generations count from a lower number: they do not apply to the list here.
     ChangesOfAnotherList,
     /// The first older list in a row.
     Older,
@@ -128,8 +129,8 @@
         is_first_after_move: bool,
         limits: &Limits,
     ) -> ListVerdict {
-        // The new address may count from lower, and its lists would be refused for ever: a complete one is taken as it
-        // is, changes are asked for again as a complete list.
+        // Generations of the new address may count from a lower number, and all its lists would be rejected as older: a
+        // complete list is accepted as it is; after changes the complete list is requested.
         if is_first_after_move && listing.generation < self.generation {
             self.generation = 0;
             if !listing.reset {
@@ -142,10 +143,12 @@
         }
     }
 
-    /// Discovery may have started to count from the beginning, and its lists would be refused for ever. No list is late for
-    /// longer than the protocol allows: that long after the list here was received, an older one that is complete is taken
-    /// as it is. True for the first older one in a row: it may be a single one from long ago, so it is refused, and the
-    /// complete list asked for at once.
+    /// Is this the first older list in a row? It may be a single delayed one, so it is rejected, and the complete list is
+    /// requested at once.
+    ///
+    /// Discovery may also have restarted its generations, and all its lists would be rejected as older. No list is delayed
+    /// for longer than `notified_within`: that long after the list here was received, a second older list that is complete
+    /// is accepted, and its generation adopted.
     fn is_unconfirmed_older(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
         let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
         if !self.offers_older_list {
@@ -156,8 +159,9 @@
         self.offers_older_list && !was_older
     }
 
-    /// What the watch may miss does not count as notified yet.
-    fn is_silence_short(&self, now: Time, limits: &Limits) -> bool {
+    /// Has the watch been silent for no longer than `notified_within`? Changes that it missed do not yet count as notified
+    /// by the protocol.
+    fn is_silence_within_limit(&self, now: Time, limits: &Limits) -> bool {
         self.silent_since.is_some_and(|since| now - since <= limits.notified_within)
     }
 }
@@ -168,7 +172,7 @@
         self.discovery.generation()
     }
 
-    /// Follows discovery to another address, which is polled at once, whatever backoff the routing core had in mind.
+    /// Follows discovery to another address, which is polled at once, whatever backoff the routing core has set.
     pub(super) fn move_watch(&mut self, now: Time, address: SocketAddr) {
         if address == self.discovery.address {
             return;
@@ -177,7 +181,7 @@
         let has_answered = |id| connections.discovery(id).is_some_and(WatchReader::has_read_listing);
         let unused = self.discovery.move_to(address, has_answered);
         unused.into_iter().for_each(|id| self.close_connection(id));
-        // By way of the core, so that its backoff does not end in the middle of this request.
+        // The core starts the poll, so that its own backoff does not end, and start another, in the middle of this one.
         self.router.on_endpoint_update(now, EndpointUpdate::Failed { silent: true });
     }
 
@@ -250,12 +254,12 @@
             return false;
         }
         let is_first_after_move = self.discovery.record_answer(id);
-        let refusal = match self.discovery.judge_list(now, listing, is_first_after_move, &self.limits) {
+        let rejection = match self.discovery.judge_list(now, listing, is_first_after_move, &self.limits) {
             ListVerdict::Accepted => None,
             ListVerdict::ChangesOfAnotherList => Some("changes of another list"),
             ListVerdict::Older => Some("an older list"),
         };
-        if let Some(reason) = refusal {
+        if let Some(reason) = rejection {
             self.end_watch(now, id, reason, true);
             return false;
         }
@@ -270,7 +274,7 @@
         true
     }
 
-    /// A crowded discovery takes long for each request, and puts the next at the end of its queue: of two requests the one
+    /// An overloaded discovery takes long for each request, and puts the next at the end of its queue: of two requests the one
     /// that is answered first becomes the watch. False for one whose successor was answered before.
     fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
         let Some(late) = self.discovery.late else { return true };
@@ -310,7 +314,7 @@
         if self.discovery.is_current(id) && !is_unanswered {
             self.discovery.silent_since = Some(now - self.limits.watch_silence_timeout);
         }
-        let silent = self.discovery.is_silence_short(now, &self.limits);
+        let silent = self.discovery.is_silence_within_limit(now, &self.limits);
         let late_until = self.discovery.requested_at + self.limits.late_watch_timeout;
         if is_unanswered && now < late_until {
             tracing::warn!("discovery watch: no answer yet");
--- a/crates/ladderpass/src/reducer/member_connection.rs
+++ b/crates/ladderpass/src/reducer/member_connection.rs
@@ -10,8 +10,8 @@
 pub(super) enum Job {
     Attempt(RpcId),
     HealthCheck,
-    /// The empty query that was written behind the last query. What arrives before its answer was sent on top of the
-    /// answer to that query.
+    /// The empty query that was written behind the last query. Any result that arrives before its answer is surplus to the
+    /// answer of that query, and makes the connection useless.
     SyncQuery,
 }
 
@@ -29,9 +29,9 @@
     /// Bytes of the query that are not yet written to the socket, without the empty query behind it.
     unwritten: usize,
     /// No byte of the query has been written.
-    is_nothing_written: bool,
-    /// When the query was handed over to be written.
-    queued_at: Time,
+    has_written_nothing: bool,
+    /// When the query was put into the output buffer.
+    write_began_at: Time,
     /// How long this router kept the query from being written.
     write_delay: Span,
     /// How long what was read last had waited to be read.
@@ -44,7 +44,7 @@
     idle_since: Time,
     last_received_at: Time,
     /// Not to be used again, as the member's address has changed.
-    is_retired: bool,
+    has_old_address: bool,
 }
 
 /// A job that has left its connection.
@@ -62,25 +62,25 @@
     pub(super) answer: QueryAnswer,
     /// Bytes of the input that the answer takes.
     pub(super) input_bytes: usize,
-    /// Time of the member's: without what this router kept waiting, the query before it was written and the answer
+    /// How long the member took: without what this router kept waiting, the query before it was written and the answer
     /// before it was read.
     pub(super) latency: Span,
     pub(super) waited_for_router: Span,
 }
 
-/// How far a query has got that is to be withdrawn.
+/// How much of a query was already written when it is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Withdrawal {
-    /// The connection is not established: nothing is queued.
-    NotQueued,
+    /// The connection is not established: nothing is in the output.
+    NotBegun,
     /// No byte of it was written; it is to be taken out of the output.
-    Queued,
+    Unwritten,
     PartlyWritten,
-    /// The connection has no query that is not written whole.
+    /// There is nothing to withdraw: the query is fully written, or there is none.
     Written,
 }
 
-/// What a message from a member leads to.
+/// What follows from a message of a member.
 pub(super) enum MessageEffect {
     Continue,
     /// The connection can take a query.
@@ -106,8 +106,8 @@
             assigned_at: now,
             job_deadline,
             unwritten: 0,
-            is_nothing_written: false,
-            queued_at: now,
+            has_written_nothing: false,
+            write_began_at: now,
             write_delay: Span::ZERO,
             read_delay: Span::ZERO,
             scanned: 0,
@@ -115,7 +115,7 @@
             has_answer_begun: false,
             idle_since: now,
             last_received_at: Time::NEVER,
-            is_retired: false,
+            has_old_address: false,
         }
     }
 
@@ -194,12 +194,12 @@
     }
 
     /// The member's address has changed.
-    pub(super) fn retire(&mut self) {
-        self.is_retired = true;
+    pub(super) fn set_old_address(&mut self) {
+        self.has_old_address = true;
     }
 
-    pub(super) fn is_retired(&self) -> bool {
-        self.is_retired
+    pub(super) fn has_old_address(&self) -> bool {
+        self.has_old_address
     }
 
     pub(super) fn set_read_delay(&mut self, delay: Span) {
@@ -218,7 +218,7 @@
         self.is_established && self.job.is_some()
     }
 
-    /// With so many bytes of input: do the first bytes of an answer stand there? True once an answer.
+    /// Does the input, now of this length, hold the first bytes of an answer? True only once for each answer.
     pub(super) fn begins_answer(&mut self, input_bytes: usize) -> bool {
         input_bytes > self.scanned
             && self.has_established_job()
@@ -248,35 +248,35 @@
         has_description
     }
 
-    /// When the query is to be written whole, `timeout` after it was queued at the latest; None if it is.
+    /// When the query must be fully written: `timeout` after `write_began_at` at the latest. None if it is.
     pub(super) fn write_deadline(&self, timeout: Span) -> Option<Time> {
         let is_writing = self.is_established && self.unwritten > 0;
-        is_writing.then(|| self.job_deadline.min(self.queued_at + timeout))
+        is_writing.then(|| self.job_deadline.min(self.write_began_at + timeout))
     }
 
     /// It carries an attempt of which no byte was sent to the member.
     pub(super) fn has_unsent_attempt(&self) -> bool {
-        let is_unsent = !self.is_established || self.is_nothing_written && self.unwritten > 0;
+        let is_unsent = !self.is_established || self.has_written_nothing && self.unwritten > 0;
         matches!(self.job, Some(Job::Attempt(_))) && is_unsent
     }
 
     /// Takes its query back as far as that is possible.
     pub(super) fn withdraw_query(&mut self) -> Withdrawal {
-        match (self.is_established, self.is_nothing_written) {
+        match (self.is_established, self.has_written_nothing) {
             (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
             (true, false) => Withdrawal::Written,
             (true, true) => {
-                (self.unwritten, self.is_nothing_written) = (0, false);
-                Withdrawal::Queued
+                (self.unwritten, self.has_written_nothing) = (0, false);
+                Withdrawal::Unwritten
             }
-            (false, _) => Withdrawal::NotQueued,
+            (false, _) => Withdrawal::NotBegun,
         }
     }
 
     /// The query of its job is to be written; so many bytes of output end with it.
     pub(super) fn begin_query(&mut self, now: Time, unwritten: usize) {
         (self.unwritten, self.scanned, self.answer) = (unwritten, 0, QueryAnswer::default());
-        (self.queued_at, self.write_delay, self.is_nothing_written) = (now, Span::ZERO, true);
+        (self.write_began_at, self.write_delay, self.has_written_nothing) = (now, Span::ZERO, true);
         self.has_answer_begun = false;
     }
 
@@ -285,15 +285,15 @@
         if self.unwritten == 0 {
             return false;
         }
-        self.is_nothing_written &= count == 0;
+        self.has_written_nothing &= count == 0;
         self.unwritten = self.unwritten.saturating_sub(count);
         if self.unwritten == 0 {
-            self.write_delay += now - self.queued_at;
+            self.write_delay += now - self.write_began_at;
         }
         self.unwritten == 0
     }
 
-    /// The query is written whole: it may run.
+    /// The query is fully written: it may run.
     pub(super) fn is_query_sent(&self) -> bool {
         self.is_established && self.unwritten == 0
     }
@@ -305,7 +305,7 @@
             return self.answer.outcome();
         }
         match self.job {
-            // The member has refused the connection, so it is there.
+            // The member has rejected the connection, so it is reachable.
             Some(Job::HealthCheck) if self.answer.has_error() => AttemptOutcome::Rejected,
             Some(_) if self.is_query_sent() => AttemptOutcome::ConnectionLost,
             _ => AttemptOutcome::Unreachable,
@@ -357,7 +357,7 @@
         }
     }
 
-    /// An error ends the connection where it does not answer a query that is written whole: the rest of that query could
+    /// An error ends the connection where it does not answer a query that is fully written: the rest of that query could
     /// not be taken back.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
         let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -138,13 +138,13 @@
         match member.withdraw_query() {
             Withdrawal::PartlyWritten => self.end_member_connection(now, id, AttemptOutcome::Cancelled),
             Withdrawal::Written => {}
-            Withdrawal::Queued => {
+            Withdrawal::Unwritten => {
                 if let Some(connection) = self.connections.get_mut(id) {
                     connection.output.consume(connection.output.len());
                 }
                 self.release_job(now, id, AttemptOutcome::Cancelled);
             }
-            Withdrawal::NotQueued => self.release_job(now, id, AttemptOutcome::Cancelled),
+            Withdrawal::NotBegun => self.release_job(now, id, AttemptOutcome::Cancelled),
         }
     }
 
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/member_pools.rs
@@ -1,7 +1,7 @@
 //! Members with their addresses and pools of connections.
 //!
 //! A connection to a member is idle in its pool, or has a job, or is being established. A member's index stands for it
-//! until the routing core has retired it and its last connection is closed; then the index serves another member.
+//! until the routing core no longer tracks it and its last connection is closed; then the index serves another member.
 
 use super::Reducer;
 use super::connection_id::ConnectionId;
@@ -31,8 +31,8 @@
     /// Connections that are being established for an attempt.
     connecting: VecDeque<ConnectionId>,
     connection_count: usize,
-    /// The routing core has retired the member.
-    is_retired: bool,
+    /// The routing core no longer tracks the member.
+    is_forgotten: bool,
 }
 
 impl MemberPool {
@@ -42,7 +42,7 @@
             idle: Vec::new(),
             connecting: VecDeque::new(),
             connection_count: 0,
-            is_retired: false,
+            is_forgotten: false,
         }
     }
 }
@@ -83,15 +83,16 @@
         std::mem::replace(&mut pool.address, address) != address
     }
 
-    pub(super) fn set_retired(&mut self, index: usize, is_retired: bool) {
+    pub(super) fn set_forgotten(&mut self, index: usize, is_forgotten: bool) {
         if let Some(pool) = self.pools.get_mut(index) {
-            pool.is_retired = is_retired;
+            pool.is_forgotten = is_forgotten;
         }
     }
 
-    /// Frees the index of a retired member without connections; true where it has.
+    /// Frees the index of a member that the routing core no longer tracks, if it has no connections left. Returns whether
+    /// the index was freed.
     fn try_release(&mut self, index: usize) -> bool {
-        let is_free = |pool: &MemberPool| pool.is_retired && pool.connection_count == 0;
+        let is_free = |pool: &MemberPool| pool.is_forgotten && pool.connection_count == 0;
         let is_free = self.pools.get(index).is_some_and(is_free);
         if is_free {
             self.names.release(index as u32);
@@ -133,7 +134,7 @@
         self.pools.get(index).map_or(&[], |pool| &pool.idle)
     }
 
-    /// Of each member the connection that is idle for longest.
+    /// Of each member the connection that has been idle longest.
     fn longest_idle(&self) -> impl Iterator<Item = ConnectionId> {
         self.pools.iter().filter_map(|pool| pool.idle.first().copied())
     }
@@ -190,7 +191,9 @@
         Some(id)
     }
 
-    /// Members may use the connections that clients leave, and clients leave them a share.
+    /// Makes sure that one more connection to a member may be opened. Members may use what clients leave of
+    /// `Limits::connections`; if that is used up, an idle member connection is closed, else a client evicted. Returns
+    /// whether there is room.
     fn make_room_for_member_connection(&mut self, now: Time) -> bool {
         let limit = self.limits.connections;
         if self.members.connection_count() < limit.saturating_sub(self.clients.len()) {
@@ -210,7 +213,7 @@
         false
     }
 
-    /// The member connection that is idle for longest.
+    /// The member connection that has been idle longest.
     pub(super) fn longest_idle_connection(&self) -> Option<ConnectionId> {
         let since = |&id: &ConnectionId| {
             self.connections.member(id).map_or(Time::NEVER, |member| member.idle_since())
@@ -223,7 +226,7 @@
     pub(super) fn return_to_pool(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         member.set_idle(now);
-        if member.is_retired() {
+        if member.has_old_address() {
             return self.close_connection(id);
         }
         let index = member.member();
@@ -268,7 +271,7 @@
         self.close_idle_connections(index);
         let mut connecting = Vec::new();
         for (id, member) in self.connections.members_mut().filter(|(_, member)| member.member() == index) {
-            member.retire();
+            member.set_old_address();
             connecting.extend(Some(id).filter(|_| !member.is_established()));
         }
         connecting.sort();
@@ -286,8 +289,8 @@
         }
     }
 
-    /// Some members drain or have left: attempts of which no byte was sent to them go elsewhere, as their connections may
-    /// be established, or accept bytes again, after the grace period.
+    /// Some members drain or have left: attempts of which no byte was sent to them go elsewhere. Their connections might be
+    /// established, or accept bytes again, only after the member's grace period.
     pub(super) fn withdraw_from_inactive_members(&mut self, now: Time) {
         let is_inactive = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let inactive: FxHashSet<usize> = (0..self.members.len()).filter(is_inactive).collect();
@@ -302,14 +305,14 @@
         }
     }
 
-    /// The routing core has retired the member.
+    /// The routing core no longer tracks the member.
     pub(super) fn retire_member(&mut self, index: usize) {
         self.close_idle_connections(index);
-        self.members.set_retired(index, true);
+        self.members.set_forgotten(index, true);
         self.release_member_index(index);
     }
 
-    /// Frees the index of a retired member, not before its last connection is closed: a late answer would be taken for the
+    /// Frees the index of a member that is no longer tracked, not before its last connection is closed: a late answer would be taken for the
     /// next member's.
     pub(super) fn release_member_index(&mut self, index: usize) {
         if self.members.try_release(index) {
--- a/crates/ladderpass/src/sockets/reload.rs
+++ b/crates/ladderpass/src/sockets/reload.rs
@@ -4,14 +4,14 @@
 //! one may be in the middle of being written, or the system short of something.
 
 use crate::launch::Launch;
-use crate::limits::Reread;
+use crate::limits::ReloadRetry;
 use std::path::PathBuf;
 use std::time::Instant;
 
 /// Where the configuration is read from, and whether a reload is still to be retried.
 pub(super) struct ConfigurationReload {
     operator_file: Option<PathBuf>,
-    limits: Reread,
+    retry: ReloadRetry,
     failed: Option<FailedReload>,
 }
 
@@ -22,8 +22,8 @@
 }
 
 impl ConfigurationReload {
-    pub(super) fn new(operator_file: Option<PathBuf>, limits: Reread) -> ConfigurationReload {
-        ConfigurationReload { operator_file, limits, failed: None }
+    pub(super) fn new(operator_file: Option<PathBuf>, retry: ReloadRetry) -> ConfigurationReload {
+        ConfigurationReload { operator_file, retry, failed: None }
     }
 
     /// Reads the configuration; logs what is wrong with it.
@@ -34,7 +34,7 @@
             Ok(launch) => Some(launch),
             Err(errors) => {
                 errors.lines().for_each(|error| tracing::error!(%error, "configuration not reloaded"));
-                self.failed = Some(FailedReload { tried_at: now, give_up_at: now + self.limits.tries });
+                self.failed = Some(FailedReload { tried_at: now, give_up_at: now + self.retry.timeout });
                 None
             }
         }
@@ -48,7 +48,7 @@
             self.failed = None;
             return None;
         }
-        if now - failed.tried_at < self.limits.rest {
+        if now - failed.tried_at < self.retry.interval {
             return None;
         }
         failed.tried_at = now;
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -89,7 +89,7 @@
         let exhausted_backoff =
             Duration::from_nanos(launch.limits.denied_connect_backoff.nanos().max(0) as u64);
         let limits = EventLoopLimits::of(&launch.limits);
-        let reload = ConfigurationReload::new(operator_file, launch.limits.reread);
+        let reload = ConfigurationReload::new(operator_file, launch.limits.reload_retry);
         let clock = Clock::start(launch.clock_offset);
         let reducer = Reducer::start(clock.now(), launch);
         Server {
