--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -35,8 +35,8 @@
     pub is_outbound: bool,
     /// The last read did not empty the socket.
     pub unread: bool,
-    /// All bytes that its socket holds came after this.
-    pub empty_until: Instant,
+    /// The latest time at which its socket is known to have been empty.
+    pub last_empty_at: Instant,
     /// What the kernel reported and is still to be handled. While there is any, the connection is queued once.
     pending: Option<Readiness>,
     /// Space for the kernel's receive timestamp.
@@ -95,8 +95,8 @@
 }
 
 impl Connection {
-    /// A connection on which nothing had come before `empty_until`.
-    pub fn new(stream: TcpStream, is_outbound: bool, empty_until: Instant) -> Connection {
+    /// A connection whose socket was empty at `last_empty_at`.
+    pub fn new(stream: TcpStream, is_outbound: bool, last_empty_at: Instant) -> Connection {
         // Without timestamps the time in the kernel counts as zero.
         if let Err(error) = setsockopt(&stream, sockopt::ReceiveTimestampns, &true) {
             tracing::debug!(%error, "no receive timestamps");
@@ -106,7 +106,7 @@
             connecting: is_outbound,
             is_outbound,
             unread: false,
-            empty_until,
+            last_empty_at,
             pending: None,
             timestamp_space: nix::cmsg_space!(nix::sys::time::TimeSpec),
         }
@@ -133,7 +133,7 @@
     fn record_event(&mut self, flags: EpollFlags, polled_at: Instant) -> Option<EventSource> {
         // Had what is reported now been there at the last poll, it would have been reported then.
         if self.pending.is_none() && !self.unread {
-            self.empty_until = self.empty_until.max(polled_at);
+            self.last_empty_at = self.last_empty_at.max(polled_at);
         }
         let closed = flags.intersects(EpollFlags::EPOLLERR | EpollFlags::EPOLLHUP | EpollFlags::EPOLLRDHUP);
         let source = match self.is_outbound {
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -17,7 +17,7 @@
 pub struct Listing {
     /// The version of the list; it grows with each change.
     pub generation: u64,
-    /// The whole list; otherwise the entries that have changed.
+    /// The complete list; otherwise the entries that have changed.
     #[serde(default)]
     pub reset: bool,
     /// The entries.
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -17,7 +17,7 @@
     pub length: usize,
 }
 
-/// A whole frame.
+/// A complete frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     /// The type byte.
@@ -28,7 +28,7 @@
     pub length: usize,
 }
 
-/// The type and whole length of the frame that begins here, by its first five bytes alone; None until they are there.
+/// The type and total length of the frame that begins here, by its first five bytes alone; None until they are there.
 ///
 /// # Errors
 ///
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -44,15 +44,17 @@
     if length < 8 || length > max_bytes {
         return Err(Malformed);
     }
-    let Some(whole) = bytes.get(..length) else { return Ok(None) };
-    let message = match whole.get(4..).and_then(read_u32) {
+    let Some(message_bytes) = bytes.get(..length) else { return Ok(None) };
+    let message = match message_bytes.get(4..).and_then(read_u32) {
         Some(SSL_REQUEST | GSSENC_REQUEST) if length == 8 => InitialMessage::Encryption,
         Some(CANCEL_REQUEST) if length == 16 => {
-            let number = |from| whole.get(from..).and_then(read_u32).ok_or(Malformed);
+            let number = |from| message_bytes.get(from..).and_then(read_u32).ok_or(Malformed);
             InitialMessage::Cancel { process: number(8)?, secret: number(12)? }
         }
         // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
-        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && whole.ends_with(&[0]) => InitialMessage::Startup,
+        Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message_bytes.ends_with(&[0]) => {
+            InitialMessage::Startup
+        }
         _ => return Err(Malformed),
     };
     Ok(Some(InitialFrame { message, length }))
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -66,6 +66,9 @@
 use shutdown::Shutdown;
 use stats::Stats;
 
+/// As a time to wake at: before any other, so that the event loop does not wait.
+const AT_ONCE: Time = Time::NEVER;
+
 /// The state of the router on sockets.
 pub struct Reducer {
     /// The routing core.
@@ -167,7 +170,7 @@
         (self.rpcs.attempts(), connections.count())
     }
 
-    /// Attempts that members answered well since the stats were logged, and the time that these took there.
+    /// Attempts with the outcome `AttemptOutcome::Ok` since the stats were logged, and the time that these took there.
     pub fn answered_attempts(&self) -> (u32, Span) {
         self.stats.answered_attempts()
     }
@@ -176,7 +179,7 @@
     pub fn wake_at(&self) -> Option<Time> {
         let has_pending_work =
             self.clients.has_pending_work() || self.connection_limits.has_denied_connects();
-        let at_once = has_pending_work.then_some(Time::NEVER);
+        let at_once = has_pending_work.then_some(AT_ONCE);
         let eviction_at = self
             .clients
             .next_eviction_at(&self.limits.eviction_ages)
@@ -270,26 +273,26 @@
     /// Carries out what the routing core wants done by now.
     fn tick_router(&mut self, now: Time) {
         self.router.set_clock_difference(self.reference_clock.difference(now));
-        let upkeep = self.router.tick(now);
-        for (rpc, decision) in upkeep.decisions {
+        let output = self.router.tick(now);
+        for (rpc, decision) in output.decisions {
             self.apply_decision(now, rpc, decision);
         }
-        for member in upkeep.health_checks {
+        for member in output.health_checks {
             self.start_health_check(now, member);
         }
-        if !upkeep.gossip.is_empty() {
-            self.publish_updates(now, &upkeep.gossip);
+        if !output.gossip.is_empty() {
+            self.publish_updates(now, &output.gossip);
         }
-        if upkeep.poll_endpoints {
+        if output.poll_endpoints {
             self.start_watch(now);
         }
-        for member in upkeep.retired_members {
+        for member in output.retired_members {
             self.retire_member(member.0 as usize);
         }
-        for message in upkeep.log_messages {
+        for message in output.log_messages {
             tracing::info!("{}", self.members.names().expand_names(&message));
         }
-        self.record_exceptions(upkeep.exceptions);
-        self.router_wake_at = upkeep.wake_at;
+        self.record_exceptions(output.exceptions);
+        self.router_wake_at = output.wake_at;
     }
 }
--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/accept_rpc.rs
@@ -119,6 +119,7 @@
         let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
         let cost = StatementCost { waited, bytes: length };
         if self.overload.assess(now, &self.router, &mut arrival, client.usage_mut(), cost) {
+            // The routing core is certain to reject it, so the rest of the statement is not parsed or checked.
             let wait_at = comment.wait_at;
             return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
         }
--- a/crates/ladderpass/src/reducer/cancellation.rs
+++ b/crates/ladderpass/src/reducer/cancellation.rs
@@ -32,7 +32,7 @@
 }
 
 impl Reducer {
-    /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not sent whole is
+    /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not fully sent is
     /// taken back, and the client is answered at once. One that is sent is settled by its outcome, with no further
     /// attempt.
     pub(super) fn cancel_rpc(&mut self, now: Time, key: CancelKey) {
@@ -64,7 +64,7 @@
     }
 
     /// A client's connection has ended. An attempt that is sent goes on, and says something of its member; one that is
-    /// not sent whole does not.
+    /// not fully sent does not.
     pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         let phase = client.phase();
--- a/crates/ladderpass/src/reducer/client_table.rs
+++ b/crates/ladderpass/src/reducer/client_table.rs
@@ -1,7 +1,7 @@
 //! The clients of the router: their number, what is awaited from each, evictions under way, and whose input is to be
 //! read.
 //!
-//! A client that waits for an answer stands in no set, so it is never evicted. Each other client stands in the set of
+//! A client that waits for an answer is in no set, so it is never evicted. Each other client is in the set of
 //! the input that is awaited from it, the longest first.
 
 use super::client::{Awaited, AwaitedInput, Client};
@@ -12,6 +12,15 @@
 /// The sets, in the order of eviction.
 const AWAITED_INPUTS: usize = 3;
 
+/// Which clients may be evicted.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum EvictionScope {
+    /// Those whose input has been awaited, at this time, for its eviction age or longer.
+    Overdue(Time),
+    /// All whose input is awaited.
+    All,
+}
+
 /// All clients.
 #[derive(Default)]
 pub(super) struct ClientTable {
@@ -63,25 +72,29 @@
         self.awaiting[input as usize].iter().copied()
     }
 
-    /// Clients that have sent no statement that is complete.
+    /// Clients that are starting up or in the middle of a statement, also if they have sent complete ones before.
     pub(super) fn without_statement(&self) -> usize {
         self.awaiting[AwaitedInput::Startup as usize].len()
             + self.awaiting[AwaitedInput::StatementRest as usize].len()
     }
 
-    /// The client to evict first. With a time, only one from which its input is awaited for longer than its age allows.
+    /// The client to evict first.
     pub(super) fn first_evictable(
         &self,
-        now: Option<Time>,
+        scope: EvictionScope,
         ages: &[Span; AWAITED_INPUTS],
     ) -> Option<ConnectionId> {
         self.awaiting.iter().zip(ages).find_map(|(set, &age)| {
             let &(since, id) = set.first()?;
-            now.is_none_or(|now| now - since >= age).then_some(id)
+            let is_evictable = match scope {
+                EvictionScope::Overdue(now) => now - since >= age,
+                EvictionScope::All => true,
+            };
+            is_evictable.then_some(id)
         })
     }
 
-    /// The next client to evict while there are more than `limit`, besides those that are being evicted.
+    /// The next client to evict while there are more than `limit`, not counting those that are already being evicted.
     pub(super) fn next_in_excess(
         &self,
         now: Time,
@@ -91,7 +104,7 @@
         if self.count <= limit + self.evicting.len() {
             return None;
         }
-        self.first_evictable(Some(now), ages)
+        self.first_evictable(EvictionScope::Overdue(now), ages)
     }
 
     /// When the next client may be evicted.
--- a/crates/ladderpass/src/reducer/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/connection_limits.rs
@@ -1,6 +1,7 @@
 //! The limit of connections: which give their descriptors up where there are none left, and whether clients are accepted.
 
 use super::Reducer;
+use super::client_table::EvictionScope;
 use super::connection_id::ConnectionId;
 use super::connections::Remote;
 use super::event::Effect;
@@ -52,11 +53,11 @@
     /// waits for no answer.
     fn free_a_descriptor(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
-        if let Some(client) = self.clients.first_evictable(Some(now), &ages) {
+        if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
             self.evict(client);
         } else if let Some(idle) = self.longest_idle_connection() {
             self.close_connection(idle);
-        } else if let Some(client) = self.clients.first_evictable(None, &ages) {
+        } else if let Some(client) = self.clients.first_evictable(EvictionScope::All, &ages) {
             self.evict(client);
         } else {
             return false;
--- a/crates/ladderpass/src/reducer/deadlines.rs
+++ b/crates/ladderpass/src/reducer/deadlines.rs
@@ -57,6 +57,7 @@
                 // The job is given up unsent; the connection may still be established for another.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
+            // Unreachable also where the deadline was the client's, and the member had little time.
             Some(_) if !member.is_query_sent() => {
                 self.end_member_connection(now, id, AttemptOutcome::Unreachable);
             }
--- a/crates/ladderpass/src/reducer/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/endpoint_list.rs
@@ -23,7 +23,7 @@
     weights_are_concurrency: bool,
 }
 
-/// Why a list is refused.
+/// Why a list is rejected.
 #[derive(Debug)]
 pub(super) enum ListingError {
     OlderGeneration { offered: u64, current: u64 },
--- a/crates/ladderpass/src/reducer/eviction.rs
+++ b/crates/ladderpass/src/reducer/eviction.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Are there more clients than are served? Those that have sent no whole statement are not counted.
+    /// Are there more clients than are served? Those that are starting up or in the middle of a
+    /// statement are not counted.
     pub(super) fn exceeds_client_limit(&mut self, now: Time) -> bool {
         self.evict_excess_clients(now);
         let uncounted = self.clients.evicting_count() + self.clients.without_statement();
@@ -70,7 +71,7 @@
             return;
         }
         let Some(connection) = self.connections.get(id) else { return };
-        // A read that failed for a moment is repeated, and the final read with it.
+        // A read that failed for a moment is made again, and the final read with it.
         if connection.has_unread_bytes && !connection.read_paused {
             return;
         }
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/member_jobs.rs
@@ -64,9 +64,10 @@
         let (member_id, deadline) = (MemberId(member.member() as u32), member.job_deadline());
         let description = entry.description();
         // What was true at the decision may have changed: the data may be too old now, and the window may be over in which
-        // a repeat has no second effect.
-        let is_window_repeat = entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
-        let expires = description.bounds_staleness || is_window_repeat;
+        // a further attempt has no second effect.
+        let is_retry_within_window =
+            entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
+        let expires = description.bounds_staleness || is_retry_within_window;
         let is_late = expires && now - member.assigned_at() > self.limits.fresh_send_timeout;
         if is_late && !self.router.may_still_attempt(now, rpc, member_id) {
             return Err(Some(AttemptOutcome::DecisionExpired));
@@ -131,7 +132,7 @@
         self.connections.member(id).is_some_and(|member| member.is_established())
     }
 
-    /// No client waits for the answer to a connection's job any more: a query that is not written whole is taken back. A
+    /// No client waits for the answer to a connection's job any more: a query that is not fully written is taken back. A
     /// part of a query makes the connection useless, and never runs.
     pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Closes a connection to a member; its job ends so.
+    /// Closes a connection to a member; its job ends with this outcome.
     pub(super) fn end_member_connection(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
         let index = member.member();
@@ -159,7 +160,7 @@
             self.forward_answer(now, id, rpc);
         }
         self.close_connection(id);
-        // A deadline shorter than that is the client's, and says nothing of the member.
+        // A shorter deadline is the client's: no reason to close the member's other connections.
         if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
             self.close_silent_connections(index, assigned_at);
         }
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/member_pools.rs
@@ -4,6 +4,7 @@
 //! until the routing core no longer tracks it and its last connection is closed; then the index serves another member.
 
 use super::Reducer;
+use super::client_table::EvictionScope;
 use super::connection_id::ConnectionId;
 use super::connections::Remote;
 use super::event::Effect;
@@ -205,7 +206,8 @@
         }
         let connections = self.clients.len() + self.members.connection_count();
         if connections < limit + self.limits.evicting_clients
-            && let Some(client) = self.clients.first_evictable(Some(now), &self.limits.eviction_ages)
+            && let Some(client) =
+                self.clients.first_evictable(EvictionScope::Overdue(now), &self.limits.eviction_ages)
         {
             self.evict(client);
             return true;
--- a/crates/ladderpass/src/reducer/methods.rs
+++ b/crates/ladderpass/src/reducer/methods.rs
@@ -18,7 +18,7 @@
     /// Its data must be as new at the send as it was at the decision: its age is limited, or its session has written.
     bounds_staleness: bool,
     is_write: bool,
-    /// It may be repeated within a window only.
+    /// It may be attempted again within a window only.
     uses_idempotency_key: bool,
 }
 
--- a/crates/ladderpass/src/reducer/overload.rs
+++ b/crates/ladderpass/src/reducer/overload.rs
@@ -148,7 +148,8 @@
         self.accepted += 1;
     }
 
-    /// An RPC was rejected as it arrived; true where this router's overload counts as the reason.
+    /// Counts an RPC that was rejected at arrival. True if the operator's file has an `overload` section, whatever the
+    /// reason of the rejection; false without one.
     pub(super) fn record_rejected_at_arrival(&mut self) -> bool {
         let Some(active) = &mut self.active else { return false };
         active.governor.record_rejected();
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -1,7 +1,8 @@
 //! The other routers: membership, gossip on members, shared admission control and the shared retry budget.
 //!
 //! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
-//! and is taken from those that may send it. Who is alive, and what gossip is worth, is judged elsewhere.
+//! and is taken from those that may send it. Who is alive, and who may send gossip, is decided by
+//! `ladderpass-membership`; the routing core decides how gossip is weighed.
 
 use super::Reducer;
 use super::event::Effect;
@@ -16,7 +17,7 @@
 
 /// A router that has just started has not found the others yet: until then those in its file count as alive.
 const SETTLING_TIME: Span = Span::from_millis(2000);
-/// Priorities for the shedding of all go by utility alone: each RPC costs the same.
+/// Priorities for shared admission control go by utility alone: each RPC counts as costing the same.
 const UNIT_COST_SECS: f64 = 1e-4;
 /// Room for admission reports in a datagram of the membership.
 const PIGGYBACK_BYTES: usize = 150;
@@ -36,7 +37,7 @@
     admission: Option<AdmissionController>,
     /// None: retries are free.
     retry_budget: Option<RetryBudget>,
-    /// RPCs that this router has rejected for all.
+    /// RPCs that this router has rejected on behalf of the whole fleet.
     rejected: u64,
     metrics_logged_at: Time,
     metrics_interval: Span,
@@ -132,20 +133,20 @@
         }
     }
 
-    /// Does the budget pay for a retry of an RPC of this priority?
+    /// Withdraws a retry of an RPC of this priority from the budget; false if the budget does not allow it.
     pub(super) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
         self.retry_budget_for(group)
             .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
     }
 
-    /// A retry that was paid for was answered well.
+    /// A retry that was withdrawn from the budget has succeeded.
     pub(super) fn record_retry_success(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_success(group);
         }
     }
 
-    /// A retry that was paid for is not made.
+    /// A retry that was withdrawn from the budget is not made.
     pub(super) fn refund_retry(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.refund(group);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Takes up the groups that lists have named since.
+    /// Adds the numbers of groups that endpoint lists have named since the last call.
     fn update_group_numbers(&mut self, groups: &HashMap<u64, u32>) {
         if self.group_numbers.len() == groups.len() {
             return;
@@ -229,7 +230,8 @@
         if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
     }
 
-    /// Takes over the changes of the membership.
+    /// Takes over the changes of the membership. What is logged is the membership's own view; until `settled_at` the
+    /// routing core gets `alive_count`, which may be more than the `count` that is logged.
     fn apply_changes(&mut self, now: Time, view: View) {
         let changes = self.membership.take_changes();
         if changes.is_empty() && view == self.view {
--- a/crates/ladderpass/src/reducer/rejections.rs
+++ b/crates/ladderpass/src/reducer/rejections.rs
@@ -52,6 +52,7 @@
         let (is_fatal, code, text) = match self {
             Rejection::Stopping => (false, "57P03", "the router stops"),
             Rejection::SentAhead => (false, "53300", "too much is sent ahead"),
+            // "held": in flight. Clients may depend on the text.
             Rejection::Full => (false, "53300", "too many RPCs are held"),
             Rejection::Memory => (false, "53300", "memory is short"),
             Rejection::Crowded => (true, "53300", "too many connections"),
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/rpc_answers.rs
@@ -17,7 +17,7 @@
     Some(retry_after.nanos() / 1_000_000).filter(|&ms| ms > 0)
 }
 
-/// The length of the message at the front of a buffer, whole or not; zero where there is none.
+/// The length of the message at the front of a buffer, complete or not; zero where there is none.
 pub(super) fn front_message_length(input: &mut Buffer) -> usize {
     pg::parse_frame_header(input.make_contiguous()).ok().flatten().map_or(0, |header| header.length)
 }
@@ -43,8 +43,8 @@
             initial_bytes,
         );
         if self.faulty.is(Faulty::AnswersTwice) {
-            let whole: Vec<u8> = to.output.make_contiguous().to_vec();
-            to.output.append(&whole, initial_bytes, usize::MAX);
+            let complete: Vec<u8> = to.output.make_contiguous().to_vec();
+            to.output.append(&complete, initial_bytes, usize::MAX);
         }
         if let Some(peers) = &mut self.peers {
             peers.record_served(group);
--- a/crates/ladderpass/src/reducer/stats.rs
+++ b/crates/ladderpass/src/reducer/stats.rs
@@ -29,20 +29,21 @@
 pub(super) enum Count {
     Accepted,
     Rejected,
-    /// Answered that it may have had an effect.
+    /// Answered with the error that it may have had an effect.
     Failed,
     /// Its client left before the answer.
     ClientLeft,
     Cancelled,
     /// A statement with an error of its own.
     ClientError,
-    /// Rejected as there are too many clients.
+    /// Rejected with `Rejection::Crowded`: there are too many clients.
     Crowded,
-    /// Rejected as too many RPCs are in flight, or as its client has sent too much ahead.
+    /// Rejected with `Rejection::Full` (too many RPCs are in flight), or with `Rejection::SentAhead` (its client has sent
+    /// too much ahead).
     Full,
     /// Rejected for the overload of this router, or of all.
     Shed,
-    /// A client closed as it reads no answers.
+    /// A client was closed because it does not read its answers.
     SlowReader,
 }
 
@@ -55,7 +56,7 @@
     health_checks: OutcomeCounts,
     connects: u32,
     connect_time: Span,
-    /// Time that members took for the attempts they answered well.
+    /// Time that members took for the attempts that ended with `AttemptOutcome::Ok`.
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
--- a/crates/ladderpass/src/sockets/accept.rs
+++ b/crates/ladderpass/src/sockets/accept.rs
@@ -69,7 +69,7 @@
             if !self.reducer.accepts_clients() {
                 return AcceptOutcome::Blocked;
             }
-            let asked_at = Instant::now();
+            let accept_began_at = Instant::now();
             match listener.accept() {
                 Ok((stream, _)) => {
                     let id = self.reducer.next_id();
@@ -79,11 +79,12 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.listener.record_empty(asked_at);
+                    self.listener.record_empty(accept_began_at);
                     return AcceptOutcome::AllAccepted;
                 }
                 Err(error) if !is_resource_exhausted(&error) => tracing::debug!(%error, "accept failed"),
                 Err(error) => {
+                    // It also ends after `Limits::denied_connect_backoff`.
                     tracing::warn!(%error, "accept failed, listener suspended until a connection closes");
                     self.listener.suspend();
                     return AcceptOutcome::Blocked;
--- a/crates/ladderpass/src/sockets/clock.rs
+++ b/crates/ladderpass/src/sockets/clock.rs
@@ -29,8 +29,8 @@
         self.started_at + span(self.started.elapsed())
     }
 
-    /// How long bytes with this timestamp of the kernel had waited, on a connection that was empty until `empty_until`.
-    pub(super) fn time_in_kernel(&mut self, timestamp: Duration, empty_until: Instant) -> Span {
+    /// How long bytes with this timestamp of the kernel had waited, on a connection that was last known to be empty at `last_empty_at`.
+    pub(super) fn time_in_kernel(&mut self, timestamp: Duration, last_empty_at: Instant) -> Span {
         let before = self.started.elapsed();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = self.started.elapsed();
@@ -38,7 +38,7 @@
         if now - before < SIMULTANEOUS_READINGS {
             self.wall_clock.record_reading(before, wall);
         }
-        span(self.wall_clock.time_in_kernel(now, timestamp, empty_until.elapsed()))
+        span(self.wall_clock.time_in_kernel(now, timestamp, last_empty_at.elapsed()))
     }
 }
 
--- a/crates/ladderpass/src/sockets/connection_io.rs
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -56,8 +56,8 @@
         if let Err(error) = stream.set_nodelay(true) {
             tracing::debug!(%error, "TCP_NODELAY not set");
         }
-        let empty_until = if is_outbound { Instant::now() } else { self.listener.empty_at() };
-        self.connections.add(id, Connection::new(stream, is_outbound, empty_until))
+        let last_empty_at = if is_outbound { Instant::now() } else { self.listener.empty_at() };
+        self.connections.add(id, Connection::new(stream, is_outbound, last_empty_at))
     }
 
     /// Handles ready connections, a limited number in one go: a large batch would delay timers, deadlines and members'
@@ -101,7 +101,7 @@
         for _ in 0..self.limits.reads_per_event {
             match self.read_once(id, mode) {
                 ReadStep::Continue => {}
-                ReadStep::Drained(asked_at) => return self.on_drained(id, asked_at),
+                ReadStep::Drained(read_began_at) => return self.on_drained(id, read_began_at),
                 ReadStep::Stop => return,
             }
         }
@@ -123,17 +123,17 @@
             return ReadStep::Stop;
         }
         let wanted = buffer.len();
-        let asked_at = Instant::now();
+        let read_began_at = Instant::now();
         match connection.read(buffer) {
             Ok(ReceivedBytes { count: 0, .. }) => self.apply(Event::Closed(id)),
             Ok(ReceivedBytes { count, timestamp }) => {
-                let empty_until = connection.empty_until;
-                let waited = timestamp.map_or(Span::ZERO, |at| self.clock.time_in_kernel(at, empty_until));
+                let last_empty_at = connection.last_empty_at;
+                let waited = timestamp.map_or(Span::ZERO, |at| self.clock.time_in_kernel(at, last_empty_at));
                 self.apply(Event::Received(id, count, waited));
                 let is_drained = count < wanted && mode == ReadMode::UntilShortRead;
-                return if is_drained { ReadStep::Drained(asked_at) } else { ReadStep::Continue };
+                return if is_drained { ReadStep::Drained(read_began_at) } else { ReadStep::Continue };
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStep::Drained(asked_at),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStep::Drained(read_began_at),
             Err(error) if error.kind() == ErrorKind::Interrupted => return ReadStep::Continue,
             Err(error) if is_transient(&error) => {
                 connection.unread = true;
@@ -145,10 +145,10 @@
         ReadStep::Stop
     }
 
-    /// The socket was empty after a read that began at `asked_at`.
-    fn on_drained(&mut self, id: ConnectionId, asked_at: Instant) {
+    /// The socket was empty after a read that began at `read_began_at`.
+    fn on_drained(&mut self, id: ConnectionId, read_began_at: Instant) {
         let was_unread = self.connections.get_mut(id).is_some_and(|connection| {
-            connection.empty_until = asked_at;
+            connection.last_empty_at = read_began_at;
             std::mem::take(&mut connection.unread)
         });
         if was_unread {
--- a/crates/ladderpass/src/sockets/datagrams.rs
+++ b/crates/ladderpass/src/sockets/datagrams.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// A longer datagram is cut off.
+/// A longer datagram is truncated.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// The socket for messages between routers.
@@ -21,7 +21,7 @@
         PeerSocket(socket)
     }
 
-    /// The next datagram, read by way of `buffer`; None where there is none, or none can be read.
+    /// The next datagram, read into `buffer` and copied from there; None where there is none, or none can be read.
     pub(super) fn receive(&self, buffer: &mut [u8; MAX_DATAGRAM_BYTES]) -> Option<Datagram> {
         let (count, from) = self.0.recv_from(buffer).ok()?;
         Some(Datagram { from, bytes: buffer[..count].to_vec() })
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -44,7 +44,7 @@
 fn serve(event_loop: &mut EventLoop<'static, Server>, server: &mut Server) -> Result<(), RunError> {
     let mut failing_since = None;
     while !server.is_exiting {
-        server.tick();
+        server.finish_batch();
         if server.is_exiting {
             break;
         }
@@ -78,8 +78,9 @@
 }
 
 impl Server {
-    /// After a batch of events: the reducer's tick, then what it and the batch asked for.
-    fn tick(&mut self) {
+    /// After a batch of events: ends a suspension of the listener, retries a reload, carries out the effects of the batch,
+    /// catches up after a stall, then gives the reducer its tick and carries out its effects.
+    fn finish_batch(&mut self) {
         self.listener.end_expired_suspension();
         self.retry_reload();
         self.listener.update();
@@ -115,7 +116,8 @@
         if self.deferred.is_empty() { wait } else { wait.min(self.limits.failed_call_backoff) }
     }
 
-    /// Tells the reducer how long this iteration was busy and, at intervals, what the process uses.
+    /// Reports to the reducer how long this iteration was busy and, at intervals, what the process uses; then carries out
+    /// the effects.
     fn sample_usage(&mut self) {
         let Some(due) = self.reducer.next_sample_at() else { return };
         let busy = self.usage.mark_waiting();
--- a/crates/ladderpass/src/sockets/listener.rs
+++ b/crates/ladderpass/src/sockets/listener.rs
@@ -21,9 +21,9 @@
     enabled: bool,
     /// When accept found no descriptor, or no memory.
     exhausted_at: Option<Instant>,
-    /// How long it rests after that at the most.
-    exhausted_backoff: Duration,
-    /// When no client waited.
+    /// How long it stays suspended after that at most.
+    denied_connect_backoff: Duration,
+    /// When an accept last found no client waiting.
     empty_at: Instant,
 }
 
@@ -37,7 +37,7 @@
     pub(super) fn new(
         handle: LoopHandle<'static, D>,
         socket: RegisteredListener,
-        exhausted_backoff: Duration,
+        denied_connect_backoff: Duration,
     ) -> Listener<D> {
         Listener {
             handle,
@@ -45,7 +45,7 @@
             wanted: true,
             enabled: true,
             exhausted_at: None,
-            exhausted_backoff,
+            denied_connect_backoff,
             empty_at: Instant::now(),
         }
     }
@@ -79,7 +79,7 @@
     /// Ends a suspension that has lasted for its backoff: the descriptors may have been used up by other processes,
     /// while none of this process's connections closes.
     pub(super) fn end_expired_suspension(&mut self) {
-        if self.exhausted_at.is_some_and(|since| since.elapsed() >= self.exhausted_backoff) {
+        if self.exhausted_at.is_some_and(|since| since.elapsed() >= self.denied_connect_backoff) {
             self.exhausted_at = None;
         }
     }
@@ -96,7 +96,8 @@
         self.empty_at = at;
     }
 
-    /// When no client waited last: one accepted since then had sent nothing before.
+    /// When an accept last found no client waiting: a client accepted since then connected later, so it had sent nothing
+    /// before.
     pub(super) fn empty_at(&self) -> Instant {
         self.empty_at
     }
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -10,7 +10,8 @@
 use std::os::unix::fs::FileExt;
 use std::time::{Duration, Instant};
 
-/// Descriptors that are no connections: standard streams, event loop, epoll, signals, listener, peers, `statm`.
+/// Assumed number of descriptors that are no connections: three standard streams, and those of the event loop, its
+/// wake-up and signals, epoll, listener, peers and `statm`.
 const OTHER_DESCRIPTORS: usize = 10;
 const PAGE_BYTES: usize = 4096;
 
@@ -56,8 +57,10 @@
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
             resident_bytes: self.resident_bytes().unwrap_or(0),
+            // The reducer fills it in.
             buffer_bytes: 0,
             descriptors: connections + OTHER_DESCRIPTORS,
+            // Not measured.
             runnable_wait: 0,
         };
         (self.sampled_at, self.cpu) = (now, cpu);
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -1,4 +1,4 @@
-//! The state that all iterations of the event loop share, and the way of events to the reducer.
+//! The state that all iterations of the event loop share, and the functions that pass events to the reducer.
 
 use super::clock::{Clock, span};
 use super::datagrams::{MAX_DATAGRAM_BYTES, PeerSocket};
@@ -34,7 +34,7 @@
     pub(super) has_pending_events: bool,
     /// Connections that are ready and were not handled yet: those of members first, then those of clients.
     pub(super) ready: VecDeque<ConnectionId>,
-    /// Connections with more to read than one go reads.
+    /// Connections with more to read than one call of `read` reads.
     pub(super) partly_read: Vec<ConnectionId>,
     /// Connections were polled in this iteration.
     pub(super) polled: bool,
@@ -86,7 +86,7 @@
         handle: LoopHandle<'static, Server>,
         sockets: Sockets,
     ) -> Server {
-        let exhausted_backoff =
+        let denied_connect_backoff =
             Duration::from_nanos(launch.limits.denied_connect_backoff.nanos().max(0) as u64);
         let limits = EventLoopLimits::of(&launch.limits);
         let reload = ConfigurationReload::new(operator_file, launch.limits.reload_retry);
@@ -96,7 +96,7 @@
             clock,
             reducer,
             connections: sockets.connections,
-            listener: Listener::new(handle, sockets.listener, exhausted_backoff),
+            listener: Listener::new(handle, sockets.listener, denied_connect_backoff),
             peer_socket: sockets.peer_socket,
             reload,
             usage: ResourceUsage::start(),
@@ -120,7 +120,9 @@
         self.effects.extend(effects);
     }
 
-    /// Reports a stall: the first event of a batch comes long after the event loop was to be awake.
+    /// Reports a stall if the event loop woke long after it was due. Called before connections are
+    /// polled and before clients are accepted, whichever comes first: it takes `wake_by`, so only the first call after a
+    /// wait can report. Also marks the event loop as awake.
     pub(super) fn check_stall(&mut self) {
         self.usage.mark_awake();
         let late = self.wake_by.take().map(|by| Instant::now().saturating_duration_since(by));
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The event loop says that connections are ready.
+    /// Called when the event loop reports that connections are ready.
     pub(super) fn on_connections_ready(&mut self) {
         self.check_stall();
         self.poll_connections();
--- a/crates/ladderpass/src/sockets/start.rs
+++ b/crates/ladderpass/src/sockets/start.rs
@@ -99,7 +99,7 @@
         Signal::SIGHUP => server.reload_configuration(),
         _ => server.apply(Event::Terminate),
     });
-    inserted.map(|_| ()).map_err(|refused| system_error(refused.error))
+    inserted.map(|_| ()).map_err(|failure| system_error(failure.error))
 }
 
 fn open_peer_socket(
@@ -137,7 +137,7 @@
         on_ready(server);
         Ok(PostAction::Continue)
     });
-    inserted.map_err(|refused| system_error(refused.error))
+    inserted.map_err(|failure| system_error(failure.error))
 }
 
 /// The system's own error, where the event loop passes one on.
