--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -64,10 +64,10 @@
     // RPCs.
     /// RPCs in flight.
     pub rpcs_in_flight: usize,
-    /// Ids of ended RPCs that are remembered, by which a client's second copy of an RPC is recognized.
-    pub ended_ids: usize,
+    /// Ids of RPCs, in flight or ended, that are remembered, by which a client's second copy of an RPC is recognized.
+    pub remembered_ids: usize,
     /// How long past its deadline an RPC's id is remembered.
-    pub ended_id_ttl: Span,
+    pub remembered_id_ttl: Span,
     /// Part of an RPC's time that the router needs itself, to write the answer before the deadline.
     pub answer_margin: Span,
 
@@ -194,8 +194,8 @@
     client_error_backoff: Span::from_millis(100),
     backlog: 1024,
     rpcs_in_flight: usize::MAX,
-    ended_ids: 1 << 16,
-    ended_id_ttl: Span::from_millis(5000),
+    remembered_ids: 1 << 16,
+    remembered_id_ttl: Span::from_millis(5000),
     answer_margin: Span::from_millis(4),
     connect_timeout: Span::from_millis(1000),
     health_check_timeout: Span::from_millis(1000),
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -202,7 +202,7 @@
             Event::Connected(id) => self.on_connected(id),
             Event::Received(id, count, waited) => self.on_received(now, id, count, waited),
             Event::MoreToRead(id) => self.on_more_to_read(id),
-            Event::Drained(id) => self.on_drained(now, id),
+            Event::SocketEmpty(id) => self.on_socket_empty(now, id),
             Event::ReadToEnd(id) => self.on_read_to_end(now, id),
             Event::Written(id, count) => self.on_written(now, id, count),
             Event::Closed(id) => self.on_closed(now, id),
--- a/crates/ladderpass/src/reducer/client.rs
+++ b/crates/ladderpass/src/reducer/client.rs
@@ -157,7 +157,7 @@
     }
 
     /// Its socket was read until it was empty. After an overrun its kernel may have kept something back until then.
-    pub(super) fn record_drained(&mut self, refill_until: Time) {
+    pub(super) fn record_socket_empty(&mut self, refill_until: Time) {
         if std::mem::take(&mut self.has_overrun) {
             self.refill_until = Some(refill_until);
         }
--- a/crates/ladderpass/src/reducer/client_table.rs
+++ b/crates/ladderpass/src/reducer/client_table.rs
@@ -25,7 +25,8 @@
 #[derive(Default)]
 pub(super) struct ClientTable {
     count: usize,
-    awaiting: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUTS],
+    /// By `AwaitedInput`: the clients that it is awaited from, and since when.
+    by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUTS],
     /// Clients that are closed unless their sockets still hold something, with what was awaited from them.
     evicting: Vec<(ConnectionId, Option<Awaited>)>,
     /// Clients whose input is to be read in this iteration.
@@ -55,27 +56,27 @@
 
     pub(super) fn set_awaited(&mut self, id: ConnectionId, client: &mut Client, awaited: Option<Awaited>) {
         if let Some((before, since)) = client.replace_awaited(awaited) {
-            self.awaiting[before as usize].remove(&(since, id));
+            self.by_awaited_input[before as usize].remove(&(since, id));
         }
         if let Some((input, since)) = awaited {
-            self.awaiting[input as usize].insert((since, id));
+            self.by_awaited_input[input as usize].insert((since, id));
         }
     }
 
     /// How many clients the router awaits each input from.
     pub(super) fn awaited_counts(&self) -> [usize; AWAITED_INPUTS] {
-        self.awaiting.each_ref().map(BTreeSet::len)
+        self.by_awaited_input.each_ref().map(BTreeSet::len)
     }
 
     /// Clients from which an input is awaited, and since when, the longest first.
     pub(super) fn awaiting(&self, input: AwaitedInput) -> impl Iterator<Item = (Time, ConnectionId)> {
-        self.awaiting[input as usize].iter().copied()
+        self.by_awaited_input[input as usize].iter().copied()
     }
 
     /// Clients that are starting up or in the middle of a statement, also if they have sent complete ones before.
     pub(super) fn without_statement(&self) -> usize {
-        self.awaiting[AwaitedInput::Startup as usize].len()
-            + self.awaiting[AwaitedInput::StatementRest as usize].len()
+        self.by_awaited_input[AwaitedInput::Startup as usize].len()
+            + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
 
     /// The client to evict first.
@@ -84,7 +85,7 @@
         scope: EvictionScope,
         ages: &[Span; AWAITED_INPUTS],
     ) -> Option<ConnectionId> {
-        self.awaiting.iter().zip(ages).find_map(|(set, &age)| {
+        self.by_awaited_input.iter().zip(ages).find_map(|(set, &age)| {
             let &(since, id) = set.first()?;
             let is_evictable = match scope {
                 EvictionScope::Overdue(now) => now - since >= age,
@@ -109,13 +110,13 @@
 
     /// When the next client may be evicted.
     pub(super) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUTS]) -> Option<Time> {
-        self.awaiting.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
+        self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
 
     /// Takes a client out of its set; what is awaited from it is remembered.
     pub(super) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
         if let Some((input, since)) = awaited {
-            self.awaiting[input as usize].remove(&(since, id));
+            self.by_awaited_input[input as usize].remove(&(since, id));
         }
         self.evicting.push((id, awaited));
     }
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/connection_events.rs
@@ -173,7 +173,7 @@
         }
     }
 
-    pub(super) fn on_drained(&mut self, now: Time, id: ConnectionId) {
+    pub(super) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
         let refill_until = now + self.limits.refill_quiet_time;
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.read_paused = false;
@@ -181,7 +181,7 @@
             return;
         }
         if let Remote::Client(client) = &mut connection.remote {
-            client.record_drained(refill_until);
+            client.record_socket_empty(refill_until);
             self.clients.push_ready(id);
         }
     }
--- a/crates/ladderpass/src/reducer/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/endpoint_list.rs
@@ -112,7 +112,7 @@
         match (known, address) {
             (Some(index), Ok(address)) => {
                 self.change_member_address(now, index as usize, address);
-                self.members.set_forgotten(index as usize, false);
+                self.members.set_retired(index as usize, false);
                 Ok(Some(index))
             }
             // One that is removed needs no address.
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -18,7 +18,7 @@
     /// The socket holds more than one event may read.
     MoreToRead(ConnectionId),
     /// After `MoreToRead`, or a full buffer: the socket was read until it was empty.
-    Drained(ConnectionId),
+    SocketEmpty(ConnectionId),
     /// The socket was read once more for `Effect::CloseIfQuiet`; its bytes were reported before this.
     ReadToEnd(ConnectionId),
     /// So many bytes of `Reducer::outgoing` were written.
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/member_pools.rs
@@ -1,7 +1,7 @@
 //! Members with their addresses and pools of connections.
 //!
 //! A connection to a member is idle in its pool, or has a job, or is being established. A member's index stands for it
-//! until the routing core no longer tracks it and its last connection is closed; then the index serves another member.
+//! until the routing core has retired it and its last connection is closed; then the index serves another member.
 
 use super::Reducer;
 use super::client_table::EvictionScope;
@@ -32,8 +32,8 @@
     /// Connections that are being established for an attempt.
     connecting: VecDeque<ConnectionId>,
     connection_count: usize,
-    /// The routing core no longer tracks the member.
-    is_forgotten: bool,
+    /// The routing core has retired the member: it no longer tracks it.
+    is_retired: bool,
 }
 
 impl MemberPool {
@@ -43,7 +43,7 @@
             idle: Vec::new(),
             connecting: VecDeque::new(),
             connection_count: 0,
-            is_forgotten: false,
+            is_retired: false,
         }
     }
 }
@@ -84,16 +84,15 @@
         std::mem::replace(&mut pool.address, address) != address
     }
 
-    pub(super) fn set_forgotten(&mut self, index: usize, is_forgotten: bool) {
+    pub(super) fn set_retired(&mut self, index: usize, is_retired: bool) {
         if let Some(pool) = self.pools.get_mut(index) {
-            pool.is_forgotten = is_forgotten;
+            pool.is_retired = is_retired;
         }
     }
 
-    /// Frees the index of a member that the routing core no longer tracks, if it has no connections left. Returns whether
-    /// the index was freed.
+    /// Frees the index of a retired member, if it has no connections left. Returns whether the index was freed.
     fn try_release(&mut self, index: usize) -> bool {
-        let is_free = |pool: &MemberPool| pool.is_forgotten && pool.connection_count == 0;
+        let is_free = |pool: &MemberPool| pool.is_retired && pool.connection_count == 0;
         let is_free = self.pools.get(index).is_some_and(is_free);
         if is_free {
             self.names.release(index as u32);
@@ -307,15 +306,15 @@
         }
     }
 
-    /// The routing core no longer tracks the member.
+    /// The routing core has retired the member: it no longer tracks it.
     pub(super) fn retire_member(&mut self, index: usize) {
         self.close_idle_connections(index);
-        self.members.set_forgotten(index, true);
+        self.members.set_retired(index, true);
         self.release_member_index(index);
     }
 
-    /// Frees the index of a member that is no longer tracked, not before its last connection is closed: a late answer would be taken for the
-    /// next member's.
+    /// Frees the index of a retired member, not before its last connection is closed: a late answer would be taken for
+    /// the next member's.
     pub(super) fn release_member_index(&mut self, index: usize) {
         if self.members.try_release(index) {
             self.gossip_codec.id_hashes.remove(index as u32);
--- a/crates/ladderpass/src/reducer/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/rpc_ids.rs
@@ -5,18 +5,18 @@
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
 
-/// Retired ids expire in steps of this width.
+/// Ids expire in steps of this width.
 const EXPIRY_STEP_NANOS: i64 = 128_000_000;
 
 /// The ids, as hashes with a random key of this process, so that nobody can choose ids that collide.
 #[derive(Default)]
 pub(super) struct RpcIds {
     key: foldhash::fast::RandomState,
-    /// Ids that are kept until they expire.
-    retired: FxHashSet<u64>,
+    /// Ids of RPCs, in flight or ended, that are kept until they expire.
+    remembered: FxHashSet<u64>,
     /// Ids of RPCs in flight: they stay, however many come behind them.
     in_flight: FxHashSet<u64>,
-    /// Retired ids by the step in which they expire. Their order within a step does not matter.
+    /// The same ids by the step in which they expire. Their order within a step does not matter.
     expiring: BTreeMap<i64, Vec<u64>>,
 }
 
@@ -26,7 +26,7 @@
     }
 
     pub(super) fn contains(&self, id: u64) -> bool {
-        self.retired.contains(&id) || self.in_flight.contains(&id)
+        self.remembered.contains(&id) || self.in_flight.contains(&id)
     }
 
     /// The RPC with this id is over.
@@ -35,22 +35,22 @@
     }
 
     /// An RPC with this id begins. The id is kept until it is closed, and until `expires_at` unless there are more than
-    /// `max_retired`: then those that expire first go.
-    pub(super) fn open(&mut self, now: Time, id: u64, expires_at: Time, max_retired: usize) {
+    /// `max_remembered`: then those that expire first go.
+    pub(super) fn open(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
         while let Some(mut step) = self.expiring.first_entry()
-            && (step.key() * EXPIRY_STEP_NANOS <= now.nanos() || self.retired.len() >= max_retired)
+            && (step.key() * EXPIRY_STEP_NANOS <= now.nanos() || self.remembered.len() >= max_remembered)
         {
             match step.get_mut().pop() {
                 Some(old) => {
-                    self.retired.remove(&old);
+                    self.remembered.remove(&old);
                 }
                 None => {
                     step.remove();
                 }
             }
         }
-        self.retired.insert(id);
+        self.remembered.insert(id);
         self.expiring.entry(expires_at.nanos() / EXPIRY_STEP_NANOS + 1).or_default().push(id);
     }
 }
--- a/crates/ladderpass/src/reducer/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/rpc_table.rs
@@ -179,8 +179,8 @@
     }
 
     /// Reserves an id until its RPC is removed, and until it expires.
-    pub(super) fn reserve_id(&mut self, now: Time, id_hash: u64, expires_at: Time, max_retired: usize) {
-        self.ids.open(now, id_hash, expires_at, max_retired);
+    pub(super) fn reserve_id(&mut self, now: Time, id_hash: u64, expires_at: Time, max_remembered: usize) {
+        self.ids.open(now, id_hash, expires_at, max_remembered);
     }
 
     pub(super) fn insert(&mut self, rpc: RpcId, entry: RpcInFlight) {
--- a/crates/ladderpass/src/sockets/connection_io.rs
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -25,7 +25,7 @@
     /// There may be more.
     Continue,
     /// The socket was empty after a read that began at that time.
-    Drained(Instant),
+    SocketEmpty(Instant),
     /// Nothing more is read now: closed, no space in the buffer, or the call failed.
     Stop,
 }
@@ -101,7 +101,7 @@
         for _ in 0..self.limits.reads_per_event {
             match self.read_once(id, mode) {
                 ReadStep::Continue => {}
-                ReadStep::Drained(read_began_at) => return self.on_drained(id, read_began_at),
+                ReadStep::SocketEmpty(read_began_at) => return self.on_socket_empty(id, read_began_at),
                 ReadStep::Stop => return,
             }
         }
@@ -130,10 +130,16 @@
                 let last_empty_at = connection.last_empty_at;
                 let waited = timestamp.map_or(Span::ZERO, |at| self.clock.time_in_kernel(at, last_empty_at));
                 self.apply(Event::Received(id, count, waited));
-                let is_drained = count < wanted && mode == ReadMode::UntilShortRead;
-                return if is_drained { ReadStep::Drained(read_began_at) } else { ReadStep::Continue };
+                let is_socket_empty = count < wanted && mode == ReadMode::UntilShortRead;
+                return if is_socket_empty {
+                    ReadStep::SocketEmpty(read_began_at)
+                } else {
+                    ReadStep::Continue
+                };
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                return ReadStep::SocketEmpty(read_began_at);
             }
-            Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadStep::Drained(read_began_at),
             Err(error) if error.kind() == ErrorKind::Interrupted => return ReadStep::Continue,
             Err(error) if is_transient(&error) => {
                 connection.unread = true;
@@ -146,13 +152,13 @@
     }
 
     /// The socket was empty after a read that began at `read_began_at`.
-    fn on_drained(&mut self, id: ConnectionId, read_began_at: Instant) {
+    fn on_socket_empty(&mut self, id: ConnectionId, read_began_at: Instant) {
         let was_unread = self.connections.get_mut(id).is_some_and(|connection| {
             connection.last_empty_at = read_began_at;
             std::mem::take(&mut connection.unread)
         });
         if was_unread {
-            self.apply(Event::Drained(id));
+            self.apply(Event::SocketEmpty(id));
         }
     }
 
--- a/crates/ladderpass/tests/recorded_bytes.rs
+++ b/crates/ladderpass/tests/recorded_bytes.rs
@@ -182,7 +182,7 @@
         match effect {
             Effect::Connect(id, address) => self.connect(router, id, address.port()),
             Effect::Write(id) => self.write(router, id),
-            Effect::Read(id) => self.handle(router, Event::Drained(id)),
+            Effect::Read(id) => self.handle(router, Event::SocketEmpty(id)),
             Effect::Close(id) => {
                 let name = self.name(router, id);
                 self.record(router, &format!("closes {name}"));
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -133,7 +133,7 @@
                 Effect::Exit => self.exited = true,
                 Effect::StopListening => self.apply(Event::ListenerClosed),
                 // A socket holds nothing beyond what was handed over.
-                Effect::Read(id) => self.apply(Event::Drained(id)),
+                Effect::Read(id) => self.apply(Event::SocketEmpty(id)),
                 Effect::CloseIfQuiet(id) => self.apply(Event::ReadToEnd(id)),
                 Effect::Accept(_) | Effect::SendDatagrams => {}
             }
@@ -1132,7 +1132,7 @@
 #[test]
 fn an_id_that_is_open_is_not_forgotten_for_others() {
     let mut launch = default_launch();
-    launch.limits.ended_ids = 2;
+    launch.limits.remembered_ids = 2;
     let (mut simulation, client, _) = one_call_in(Simulation::of(vec![255; 600], launch), "write");
     for nth in 100..110 {
         let other = simulation.reducer.next_id();
