--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -4,6 +4,7 @@
 use super::reducer_slopes::steady;
 use super::reference_size::{CLIENTS, STATEMENTS};
 use super::simulation::{Counts, Shape, Simulation};
+use crate::router_log;
 use ladderpass_routing::Span;
 use std::io;
 use std::path::Path;
@@ -103,25 +104,18 @@
     let seen = bed.ask(Way::ByChance(CLIENTS as usize), STATEMENTS, warm, span)?;
     // The router's own stats, each of ten seconds; the last two lie within the time.
     let log = bed.log();
-    let stats: Vec<&String> =
-        log.iter().filter(|line| line.contains(" connects of ")).rev().take(2).collect();
+    let stats: Vec<&String> = log.iter().filter(|line| router_log::is_stats(line)).rev().take(2).collect();
     let mean = |value: &dyn Fn(&str) -> Option<f64>| {
         stats.iter().filter_map(|line| value(line)).sum::<f64>() / stats.len().max(1) as f64
     };
-    // The number right before some text.
-    let before = |line: &str, text: &str| -> Option<f64> {
-        line.split_once(text)?.0.rsplit(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
-    };
-    let probes = |line: &str| {
-        let (list, _) = line.split_once("probes [")?.1.split_once(']')?;
-        Some(list.split(',').filter_map(|count| count.trim().parse::<f64>().ok()).sum())
-    };
+    let number = |name: &str| mean(&|line| router_log::number(line, name));
+    let health_checks = mean(&|line| router_log::sum_by_outcome(line, "health_checks"));
     Ok(AtSize {
         seen,
-        clients: mean(&|line| before(line, " clients (")),
-        links: mean(&|line| before(line, " links (")),
-        connects: mean(&|line| before(line, " connects of")) / STATS_INTERVAL_S,
-        probes: mean(&probes) / STATS_INTERVAL_S,
+        clients: number("clients"),
+        links: number("member_connections"),
+        connects: number("connects") / STATS_INTERVAL_S,
+        probes: health_checks / STATS_INTERVAL_S,
         resident: bed.resident()?,
         descriptors: bed.descriptors()?,
     })
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,5 +1,6 @@
 //! Charts of results as SVG.
 
+use crate::router_log;
 use crate::run::RunRecord;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
@@ -101,13 +102,7 @@
 
 /// The values of a metric that a router has logged, each `step` seconds after the one before.
 pub fn figures(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
-    let of_line = |line: &String| {
-        let (_, json) = line.split_once("metrics {")?;
-        let end = json.find('}')?;
-        let value: serde_json::Value =
-            serde_json::from_str(&format!("{{{}}}", &json[..end].replace('\\', ""))).ok()?;
-        value.get(name)?.as_f64()
-    };
+    let of_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
     log.iter().filter_map(of_line).enumerate().map(|(index, value)| (index as f64 * step, value)).collect()
 }
 
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -11,4 +11,5 @@
 pub mod prove;
 pub mod results;
 pub mod router;
+pub mod router_log;
 pub mod run;
--- a/crates/ladderpass-testbed/src/results.rs
+++ b/crates/ladderpass-testbed/src/results.rs
@@ -4,6 +4,7 @@
 
 use crate::charts;
 use crate::load::Counts;
+use crate::router_log;
 use crate::run::RunRecord;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::Scenario;
@@ -27,11 +28,8 @@
     for slice in &seen.outcome.slices {
         writeln!(out, "{}", json!({"kind": "slice", "slice": slice}))?;
     }
-    for (nth, line) in seen.log.iter().filter(|line| line.contains("metrics {")).enumerate() {
-        if let Some((_, figures)) = line.split_once("metrics ") {
-            let figures: Value = serde_json::from_str(figures).unwrap_or(Value::Null);
-            writeln!(out, "{}", json!({"kind": "figures", "nth": nth, "figures": figures}))?;
-        }
+    for (nth, metrics) in seen.log.iter().filter_map(|line| router_log::metrics(line)).enumerate() {
+        writeln!(out, "{}", json!({"kind": "figures", "nth": nth, "figures": metrics}))?;
     }
     let ok: Vec<Value> = seen.outcome.ok_us.iter().map(|of| quantiles(of, 1e3)).collect();
     let total = json!({
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -7,6 +7,7 @@
 use crate::history_checker::{Absence, DrainNotice, History, Started};
 use crate::load::{self, Outcome, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
+use crate::router_log;
 use hdrhistogram::Histogram;
 use ladderpass_emulator::{ExecutionLog, RunningEmulator, Scenario};
 use ladderpass_fault_injection as faults;
@@ -54,8 +55,6 @@
 /// How often, and with what pause, a router that is shutting down is checked for its end before it is stopped.
 const SHUTDOWN_CHECKS: usize = 100;
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// What a router logs when it begins its shutdown.
-const SHUTDOWN_LOG_TEXT: &str = "stopping clients=";
 
 /// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
 pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
@@ -171,7 +170,7 @@
 /// Gives a router that is shutting down the time to end with its last client. Returns its exit code if it has ended.
 fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
     let mut ended = router.ended();
-    let is_shutting_down = router.log().iter().any(|line| line.contains(SHUTDOWN_LOG_TEXT));
+    let is_shutting_down = router.log().iter().any(|line| router_log::is_shutdown_begun(line));
     for _ in 0..if is_shutting_down { SHUTDOWN_CHECKS } else { 0 } {
         if ended.is_some() {
             break;
@@ -264,7 +263,7 @@
 
     /// How often the router logged a change of its overload level.
     pub fn level_changes(&self) -> usize {
-        self.log.iter().filter(|line| line.contains("overload level changed")).count()
+        self.log.iter().filter(|line| router_log::is_overload_level_change(line)).count()
     }
 }
 
--- /dev/null
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -0,0 +1,73 @@
+//! Lines of the log that the testbed reads, as the reducer writes them.
+
+mod common;
+
+use common::*;
+use ladderpass::reducer::{Effect, Event, Reducer};
+use ladderpass_routing::{Span, Time};
+use ladderpass_testbed::router_log;
+use std::io::Write;
+use std::sync::{Arc, Mutex};
+
+const START: Time = Time::from_nanos(1_796_000_000_000_000_000);
+
+/// What was logged so far.
+#[derive(Clone, Default)]
+struct LogBuffer(Arc<Mutex<Vec<u8>>>);
+
+impl Write for LogBuffer {
+    fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().expect("no writer panics").write(bytes)
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+/// The lines that a reducer logs in eleven seconds and at SIGTERM, before members to which no connection comes up.
+fn logged() -> Vec<String> {
+    let buffer = LogBuffer::default();
+    let writer = buffer.clone();
+    let subscriber = tracing_subscriber::fmt().with_ansi(false).with_writer(move || writer.clone()).finish();
+    tracing::subscriber::with_default(subscriber, || {
+        let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+        let mut reducer = Reducer::start(START, launch_with_config(&router_config(&members)));
+        for milliseconds in (0..11_000).step_by(5) {
+            let now = START + Span::from_millis(milliseconds);
+            for effect in reducer.handle(now, Event::Tick) {
+                if let Effect::Connect(id, _) = effect {
+                    reducer.handle(now, Event::Closed(id));
+                }
+            }
+        }
+        reducer.handle(START + Span::from_millis(11_000), Event::Terminate);
+    });
+    let bytes = buffer.0.lock().expect("no writer panics").clone();
+    String::from_utf8(bytes).expect("text").lines().map(str::to_owned).collect()
+}
+
+#[test]
+fn the_testbed_reads_the_lines_that_the_router_writes() {
+    let lines = logged();
+    let stats: Vec<&String> = lines.iter().filter(|line| router_log::is_stats(line)).collect();
+    assert_eq!(stats.len(), 1, "{}", lines.join("\n"));
+    let line = stats[0];
+    assert_eq!(router_log::number(line, "clients"), Some(0.0), "{line}");
+    assert_eq!(router_log::number(line, "member_connections"), Some(0.0), "{line}");
+    assert_eq!(router_log::number(line, "members"), Some(3.0), "{line}");
+    let connects = router_log::number(line, "connects").expect("it is there");
+    let health_checks = router_log::sum_by_outcome(line, "health_checks").expect("it is there");
+    assert!(connects >= 3.0 && health_checks == connects, "each connect is for a health check: {line}");
+    assert_eq!(lines.iter().filter(|line| router_log::is_shutdown_begun(line)).count(), 1);
+    assert!(!lines.iter().any(|line| router_log::is_overload_level_change(line)));
+}
+
+/// Proofs measure earlier programs beside this one, whose lines were worded otherwise.
+#[test]
+fn lines_of_earlier_programs_are_read_too() {
+    assert!(router_log::is_shutdown_begun("INFO ladderpass: stopping: 3 clients, 1 rpcs"));
+    assert!(router_log::is_overload_level_change(r#"own load before="calm" now="shedding""#));
+    let metrics = router_log::metrics(r#"INFO ladderpass::figures: figures {"pressure":0.5}"#);
+    assert_eq!(metrics.and_then(|metrics| metrics.get("pressure")?.as_f64()), Some(0.5));
+}
