--- a/crates/ladderpass-routing/src/lib.rs
+++ b/crates/ladderpass-routing/src/lib.rs
@@ -7,6 +7,7 @@
 #![warn(clippy::too_many_lines)]
 
 mod attempt;
+mod attempt_outcome;
 mod concurrency_limit;
 mod eligibility;
 mod endpoints;
