--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -109,7 +109,7 @@
     sent_at: Time,
 ) {
     let reported = result.position.filter(|_| is_commit(state, result, arrival));
-    let commit = reported.unwrap_or(state.latest_member_time(now) + state.deployment.tick);
+    let commit = reported.unwrap_or(state.latest_time_of_members_clock(now) + state.deployment.tick);
     let session = state.methods[arrival.method as usize].writing_session(arrival.session);
     let may_have_run = !result.outcome.never_ran();
     state.session_writes.record_ended(session, sent_at, may_have_run.then_some(commit));
@@ -124,7 +124,7 @@
     latency_ratio: f64,
 ) {
     let Some(position) = result.position.filter(|_| !is_commit(state, result, arrival)) else { return };
-    state.topology.member_mut(index).lag = Some(state.latest_member_time(now) - position);
+    state.topology.member_mut(index).lag = Some(state.latest_time_of_members_clock(now) - position);
     position::record_position(state, now, index, position);
     if result.role == Some(Role::Replica) {
         gossip::publish(state, now, index, MemberObservation::Replica, position, latency_ratio);
@@ -133,7 +133,7 @@
 
 fn record_role(state: &mut RouterState, now: Time, index: usize, result: &AttemptResult) {
     let Some(role) = result.role else { return };
-    let member_time = state.latest_member_time(now);
+    let member_time = state.latest_time_of_members_clock(now);
     let at = match role {
         Role::Primary => result.position.unwrap_or(member_time - result.latency),
         Role::Replica => member_time,
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -57,7 +57,7 @@
 /// Takes an update from another router. Members that no list has named stay unknown, and no true report is ahead of
 /// the clock.
 pub fn on_peer_update(state: &mut RouterState, now: Time, update: &MemberUpdate) {
-    if !state.topology.contains(update.member) || update.at > state.latest_member_time(now) {
+    if !state.topology.contains(update.member) || update.at > state.latest_time_of_members_clock(now) {
         return;
     }
     let role = match update.observation {
@@ -85,7 +85,7 @@
 /// Another router could not reach the member. That counts as one failure for routers of its zone, if it is recent and
 /// this router has received nothing from the member since.
 fn record_unreachable(state: &mut RouterState, now: Time, update: &MemberUpdate) {
-    let age = state.latest_member_time(now) - update.at;
+    let age = state.latest_time_of_members_clock(now) - update.at;
     let index = update.member.0 as usize;
     let member = state.topology.member_mut(index);
     // What one router has published need not be published by this one too.
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -94,7 +94,7 @@
     if let Some(position) = report.position {
         record_position(state, now, index, position, &report);
     }
-    let sent_at = state.latest_member_time(now) - latency;
+    let sent_at = state.latest_time_of_members_clock(now) - latency;
     let member = state.topology.member_mut(index);
     member.reported_at = now;
     let at = report.position.unwrap_or(sent_at);
@@ -109,7 +109,7 @@
 }
 
 fn record_position(state: &mut RouterState, now: Time, index: usize, position: Time, report: &LoadReport) {
-    let age = state.latest_member_time(now) - position;
+    let age = state.latest_time_of_members_clock(now) - position;
     let member = state.topology.member_mut(index);
     (member.reported_position_age, member.reported_in_flight) = (Some(age), report.in_flight);
     if state.deployment.gossip {
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -57,7 +57,7 @@
 }
 
 fn publish_unreachable(state: &mut RouterState, now: Time, index: usize) {
-    let at = state.latest_member_time(now);
+    let at = state.latest_time_of_members_clock(now);
     let member = state.topology.member_mut(index);
     if state.deployment.gossip && now - member.unreachable_published_at >= UNREACHABLE_GOSSIP_INTERVAL {
         member.unreachable_published_at = now;
--- a/crates/ladderpass-routing/src/position.rs
+++ b/crates/ladderpass-routing/src/position.rs
@@ -7,7 +7,7 @@
 /// Records a position. It never goes back, and stays true however late it comes.
 pub fn record_position(state: &mut RouterState, now: Time, index: usize, position: Time) {
     let check_interval = health_check_schedule::check_interval(state, now, index);
-    let member_time = state.latest_member_time(now);
+    let member_time = state.latest_time_of_members_clock(now);
     let member = state.topology.member_mut(index);
     if position > member.position {
         (member.position, member.position_advanced_at) = (position, now);
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -27,11 +27,13 @@
 pub fn required_position(state: &RouterState, now: Time, rpc: RpcId) -> Time {
     match state.method_of(rpc).method.consistency {
         // The bound counts from the last byte sent, which may be a tick later.
-        Consistency::BoundedStaleness(bound) => state.latest_member_time(now) + state.deployment.tick - bound,
+        Consistency::BoundedStaleness(bound) => {
+            state.latest_time_of_members_clock(now) + state.deployment.tick - bound
+        }
         Consistency::Session => {
             let rpc = &state.rpcs[rpc];
             let sent_by = now - ASSUME_COMMITTED_AFTER;
-            let commit_by = state.latest_member_time(sent_by);
+            let commit_by = state.latest_time_of_members_clock(sent_by);
             let written = state.session_writes.required_position(rpc.arrival.session, sent_by, commit_by);
             rpc.session_write.max(written)
         }
@@ -61,7 +63,11 @@
     if unbounded && now - member.position_advanced_at > REPLICATION_STOPPED_AFTER {
         return 1.0;
     }
-    let bound = if unbounded { state.min_staleness_bound } else { state.latest_member_time(now) - required };
+    let bound = if unbounded {
+        state.min_staleness_bound
+    } else {
+        state.latest_time_of_members_clock(now) - required
+    };
     let lag_share = member.lag.map_or(0.0, |lag| lag.secs() / bound.secs().max(1e-6));
     (MAX_HEADROOM - lag_share).clamp(MIN_HEADROOM, 1.0)
 }
--- a/crates/ladderpass-routing/src/state/router_state.rs
+++ b/crates/ladderpass-routing/src/state/router_state.rs
@@ -35,7 +35,7 @@
 
 impl RouterState {
     /// What the members' clock shows now, at the latest.
-    pub fn latest_member_time(&self, now: Time) -> Time {
+    pub fn latest_time_of_members_clock(&self, now: Time) -> Time {
         now + self.clock.behind
     }
 
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -109,7 +109,7 @@
     pub router_index: u32,
     /// Routers may exchange what members reported to them.
     pub gossip: bool,
-    /// Most attempts of one RPC.
+    /// Most attempts of one RPC: 1 allows no retry.
     pub max_attempts: u32,
     /// The longest Retry-After.
     pub max_retry_after: Span,
