--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -76,14 +76,14 @@
             state.topology.groups[group].has_answered = true;
         }
         AttemptOutcome::Rejected | AttemptOutcome::TimedOut => {
-            member.failures.record(now, 1.0);
+            member.recent_failures.record(now, 1.0);
             if !says_nothing_of_member {
                 concurrency_limit::reduce_after_rejection(state, now, index, sent_at);
             }
         }
-        AttemptOutcome::ConnectionLost => member.failures.record(now, 1.0),
+        AttemptOutcome::ConnectionLost => member.recent_failures.record(now, 1.0),
         AttemptOutcome::Unreachable => {
-            member.failures.record(now, 1.0);
+            member.recent_failures.record(now, 1.0);
             outlier_ejection::record_failure(state, now, index, ObservedBy::ThisRouter);
         }
         AttemptOutcome::Failed
--- a/crates/ladderpass-routing/src/lib.rs
+++ b/crates/ladderpass-routing/src/lib.rs
@@ -11,6 +11,7 @@
 mod concurrency_limit;
 mod eligibility;
 mod endpoints;
+mod exception_log;
 mod gossip;
 mod health_check;
 mod health_check_schedule;
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -66,7 +66,7 @@
     let silent_for = if member.open_attempts.is_empty() { Span::ZERO } else { now - member.silent_since };
     let silent_latencies = silent_for.secs() / min_typical_latency(state).secs().max(1e-4);
     let silence_load = (silent_latencies - SILENT_AFTER_TYPICAL_LATENCIES).max(0.0).floor();
-    let failures = member.failures.totals(now, LAST_TWO_SECONDS).count;
+    let failures = member.recent_failures.totals(now, LAST_TWO_SECONDS).count;
     attempts_in_flight(state, now, member) + failures * FAILURE_LOAD + silence_load
 }
 
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -3,9 +3,9 @@
 //! Load is shed by priority at arrival, before anything else is done for an RPC. An accepted RPC is given up once no
 //! attempt is allowed or none could be answered in time.
 
-use crate::eligibility;
+use crate::exception_log;
 use crate::pending;
-use crate::reasons::{Counts, Exception, GiveUpReason, Ineligible, PrimaryState, UnservedRpc};
+use crate::reasons::GiveUpReason;
 use crate::retry;
 use crate::state::router_state::RouterState;
 use crate::time::{Span, Time};
@@ -90,11 +90,7 @@
 
 /// Gives the final answer to an RPC that will not be served here.
 pub fn give_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) -> Decision {
-    state.output.exceptions.counts.given_up.add(reason);
-    if state.output.exceptions.wants_example() {
-        let primary = primary_state(state, now, rpc);
-        log_example(state, now, rpc, Exception::GivenUp { reason, primary });
-    }
+    exception_log::log_given_up(state, now, rpc, reason);
     let client_may_retry = retry::client_may_retry(state, rpc);
     let is_late = now + state.method_of(rpc).typical >= state.useful_until(rpc);
     let is_useless = is_late || retry::is_faulty(&state.rpcs[rpc]);
@@ -108,33 +104,3 @@
     state.deployment.max_retry_after
         * (GIVE_UP_RETRY_AFTER_SHARE * (MIN_GIVE_UP_JITTER + state.random.generate::<f64>()))
 }
-
-/// For the log: could the primary have got this RPC?
-fn primary_state(state: &RouterState, now: Time, rpc: RpcId) -> PrimaryState {
-    let group = state.topology.groups.get(state.rpcs[rpc].arrival.group as usize);
-    let Some(index) = group.and_then(|group| group.primary) else { return PrimaryState::Unknown };
-    let ineligible = eligibility::reason_against_primary(state, now, index, rpc);
-    ineligible.map_or(PrimaryState::Eligible, PrimaryState::Ineligible)
-}
-
-/// For the log: a read goes to the primary, past these replicas.
-pub fn log_spill(state: &mut RouterState, now: Time, rpc: RpcId, passed_over: Counts<Ineligible>) {
-    let exceptions = &mut state.output.exceptions;
-    exceptions.counts.spilled += 1;
-    exceptions.counts.passed_over.merge(&passed_over);
-    if exceptions.wants_example() {
-        log_example(state, now, rpc, Exception::Spilled(passed_over));
-    }
-}
-
-fn log_example(state: &mut RouterState, now: Time, rpc: RpcId, what: Exception) {
-    let rpc = &state.rpcs[rpc];
-    state.output.exceptions.examples.push(UnservedRpc {
-        group: rpc.arrival.group,
-        method: rpc.arrival.method,
-        attempts: rpc.attempts,
-        waited: now - rpc.accepted_at,
-        time_left: rpc.arrival.deadline - now,
-        exception: what,
-    });
-}
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -180,7 +180,7 @@
     }
 
     fn member_load(&self, now: Time, member: &Member) -> MemberLoad {
-        let failures = member.failures.totals(now, LAST_SECOND).count;
+        let failures = member.recent_failures.totals(now, LAST_SECOND).count;
         let answers = member.latency_ratios.totals(now, LAST_SECOND).count;
         MemberLoad {
             member: member.id,
@@ -217,7 +217,7 @@
         let is_over = result.rpc_complete || !rpc.is_open;
         for index in members_to_blame {
             let member = state.topology.members[index].iter_mut();
-            member.for_each(|member| member.failures.record(now, 1.0));
+            member.for_each(|member| member.recent_failures.record(now, 1.0));
         }
         attempt::record_result(state, now, index, &result, &arrival, sent_at);
         if is_over {
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -13,6 +13,7 @@
 use crate::attempt;
 use crate::concurrency_limit;
 use crate::eligibility;
+use crate::exception_log;
 use crate::health_check_schedule;
 use crate::load::{self, ALL_BUCKETS};
 use crate::pending;
@@ -69,7 +70,7 @@
     let waits_for_report = waits_for_report(state, &replicas);
     if !waits_for_report && let Some(primary) = eligible_primary(state, now, rpc) {
         if !state.method_of(rpc).method.consistency.primary_only() {
-            rejection::log_spill(state, now, rpc, replicas.passed_over);
+            exception_log::log_spill(state, now, rpc, replicas.passed_over);
         }
         return attempt::start(state, now, rpc, primary);
     }
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -79,7 +79,9 @@
     pub slow_start_credit_at: Time,
     pub concurrency_limit: f64,
     pub limit_reduced_at: Time,
-    pub failures: SlidingWindow<4>,
+    /// Failed attempts of the last two seconds, which count as load; those that count towards ejection are
+    /// `consecutive_failures`.
+    pub recent_failures: SlidingWindow<4>,
     /// Answer times over the typical ones.
     pub latency_ratios: SlidingWindow<8>,
     /// Work sent, in seconds of typical answer time.
@@ -133,7 +135,7 @@
             slow_start_credit_at: Time::NEVER,
             concurrency_limit,
             limit_reduced_at: Time::NEVER,
-            failures: SlidingWindow::new(measured_per),
+            recent_failures: SlidingWindow::new(measured_per),
             latency_ratios: SlidingWindow::new(measured_per),
             work_sent: SlidingWindow::new(work_per),
         }
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -151,7 +151,7 @@
         let resource_limits = ResourceLimits {
             cores: file.cores,
             memory_bytes: usize::try_from(file.memory_mb << 20).unwrap_or(usize::MAX),
-            buffer_bytes: limits.client_buffers_total_bytes,
+            buffer_bytes: limits.pause_clients_at_buffer_bytes,
             descriptors,
         };
         let fixed =
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -25,11 +25,11 @@
     pub startup_message_bytes: usize,
     /// Longest statement with its frame; a longer one is rejected by its head.
     pub statement_bytes: usize,
-    /// Memory of all buffers together (not only of clients') above which those of clients don't grow. Less than `all_buffers_total_bytes`, so that
-    /// statements wait before answers do.
-    pub client_buffers_total_bytes: usize,
+    /// Memory of all buffers together, in bytes, above which those of clients don't grow. Less than
+    /// `pause_members_at_buffer_bytes`, so that statements wait before answers do.
+    pub pause_clients_at_buffer_bytes: usize,
     /// Memory of all buffers above which none grows.
-    pub all_buffers_total_bytes: usize,
+    pub pause_members_at_buffer_bytes: usize,
     /// How long a statement waits for memory to be read into, before it is rejected.
     pub memory_wait_timeout: Span,
 
@@ -178,8 +178,8 @@
     discovery_line_bytes: 8 << 20,
     startup_message_bytes: 10_000,
     statement_bytes: STATEMENT_BYTES,
-    client_buffers_total_bytes: usize::MAX,
-    all_buffers_total_bytes: usize::MAX,
+    pause_clients_at_buffer_bytes: usize::MAX,
+    pause_members_at_buffer_bytes: usize::MAX,
     memory_wait_timeout: Span::from_millis(100),
     connections: usize::MAX,
     clients: usize::MAX,
@@ -236,8 +236,8 @@
         let rpcs_in_flight = settings.max_in_flight.and_then(|max| usize::try_from(max).ok());
         let member_idle_timeout = settings.idle_timeout.map(|idle| idle * MEMBER_IDLE_SHARE);
         Limits {
-            client_buffers_total_bytes: memory / 4,
-            all_buffers_total_bytes: memory / 3,
+            pause_clients_at_buffer_bytes: memory / 4,
+            pause_members_at_buffer_bytes: memory / 3,
             connections,
             clients: connections * 11 / 16,
             clients_accepted: connections * 3 / 4,
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/client_input.rs
@@ -13,7 +13,7 @@
 use crate::pg;
 use ladderpass_routing::Time;
 
-/// Idle clients give up their buffers once all buffers take more than `client_buffers_total_bytes` over this.
+/// Idle clients give up their buffers once all buffers take more than `pause_clients_at_buffer_bytes` over this.
 const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
 
 /// Is there more to read of a client in this iteration?
@@ -191,7 +191,7 @@
         let length = front_message_length(&mut connection.input);
         let Remote::Client(client) = &mut connection.remote else { return };
         if client.phase() != ClientPhase::Idle || length <= received {
-            return self.evict(id);
+            return self.close_after_final_read(id);
         }
         client.start_skipping(length - received);
         let since = client.awaited().map_or(now, |(_, since)| since);
@@ -243,7 +243,7 @@
             false => self.limits.client_idle_timeout,
         };
         if self.connections.buffer_bytes()
-            > self.limits.client_buffers_total_bytes / IDLE_BUFFER_RELEASE_DIVISOR
+            > self.limits.pause_clients_at_buffer_bytes / IDLE_BUFFER_RELEASE_DIVISOR
         {
             if let Some(connection) = self.connections.get_mut(id) {
                 connection.input.shrink_if_empty(0);
@@ -255,7 +255,7 @@
         self.connections.set_deadline(id, Some(now + timeout));
         let client = self.connections.client(id);
         if is_stopping && client.is_some_and(|client| client.has_sent_statement()) {
-            self.evict(id);
+            self.close_after_final_read(id);
         }
     }
 
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/connection_events.rs
@@ -46,8 +46,8 @@
     fn is_memory_short(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match connection.remote {
-            Remote::Client(_) => self.limits.client_buffers_total_bytes,
-            _ => self.limits.all_buffers_total_bytes,
+            Remote::Client(_) => self.limits.pause_clients_at_buffer_bytes,
+            _ => self.limits.pause_members_at_buffer_bytes,
         };
         let input = &connection.input;
         let must_grow = input.len() == input.capacity() && input.len() >= self.limits.buffer_initial_bytes;
@@ -136,7 +136,7 @@
 
     /// Memory was freed: where there is enough, connections that wait for it are read on.
     fn resume_reads(&mut self) {
-        if self.connections.buffer_bytes() < self.limits.client_buffers_total_bytes {
+        if self.connections.buffer_bytes() < self.limits.pause_clients_at_buffer_bytes {
             let waiting = self.connections.take_waiting_for_memory();
             self.effects.extend(waiting.into_iter().map(Effect::Read));
         }
--- a/crates/ladderpass/src/reducer/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/connection_limits.rs
@@ -54,11 +54,11 @@
     fn free_a_descriptor(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
         if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
-            self.evict(client);
+            self.close_after_final_read(client);
         } else if let Some(idle) = self.longest_idle_connection() {
             self.close_connection(idle);
         } else if let Some(client) = self.clients.first_evictable(EvictionScope::All, &ages) {
-            self.evict(client);
+            self.close_after_final_read(client);
         } else {
             return false;
         }
--- a/crates/ladderpass/src/reducer/eviction.rs
+++ b/crates/ladderpass/src/reducer/eviction.rs
@@ -1,4 +1,5 @@
-//! Eviction of clients that wait for no answer: they give their connections up where there are too many.
+//! Closes clients that wait for no answer, each after a final read of its socket: those whose time is over, and, where there
+//! are too many clients, those that have waited longest (eviction).
 
 use super::Reducer;
 use super::client::{Awaited, AwaitedInput, Client};
@@ -40,7 +41,7 @@
     pub(super) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
-            self.evict(id);
+            self.close_after_final_read(id);
         }
     }
 
@@ -54,7 +55,7 @@
 
     /// Closes a client's connection soon. Its socket is read now, and once more right before the close, as a query may
     /// have arrived that was not read yet.
-    pub(super) fn evict(&mut self, id: ConnectionId) {
+    pub(super) fn close_after_final_read(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         self.clients.begin_eviction(id, client.awaited());
         self.effects.push(Effect::Read(id));
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/member_pools.rs
@@ -208,7 +208,7 @@
             && let Some(client) =
                 self.clients.first_evictable(EvictionScope::Overdue(now), &self.limits.eviction_ages)
         {
-            self.evict(client);
+            self.close_after_final_read(client);
             return true;
         }
         false
--- a/crates/ladderpass/tests/rules.rs
+++ b/crates/ladderpass/tests/rules.rs
@@ -711,7 +711,7 @@
             simulation.apply(Event::Received(id, count, Span::ZERO));
         }
     }
-    let bound = limits.client_buffers_total_bytes;
+    let bound = limits.pause_clients_at_buffer_bytes;
     assert!(held > bound / 2 && held < bound + limits.client_buffer_bytes, "{held} of {bound}");
     // Those that wait read on once others are gone.
     let mut woken = Vec::new();
