--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -4,42 +4,19 @@
 //! reads no clock and holds no socket. Where and when an RPC goes is decided by the routing core, `Router`; the reducer
 //! carries that out.
 //!
-//! The state is composed of tables, each in the module of its name with fields that no other module can write:
-//! `Connections`, `ClientTable`, `RpcTable`, `MemberPools`, `DiscoveryWatch`, `PeerLinks`, `OverloadMonitor`, `Stats`.
-//! The other modules handle events by mechanism and change the tables by their methods.
+//! - `state` has the tables that the reducer is composed of, each in a module of its own with fields that no other module
+//!   can write. A table knows nothing of `Reducer`.
+//! - `handlers` has methods of `Reducer`, a module a mechanism: each event is handled there, by the tables' methods.
+//!
+//! Imports go one way: handlers import `Reducer` and the tables, this module the tables alone.
 
-mod accept_rpc;
-mod attempts;
-mod cancellation;
-mod client;
-mod client_input;
-mod client_table;
-mod connection_events;
 pub mod connection_id;
-mod connection_limits;
-mod connections;
-mod deadlines;
-mod discovery_watch;
-mod endpoint_list;
 mod event;
-mod eviction;
-mod input_arrivals;
+mod handlers;
 mod load_report;
-mod member_answers;
-mod member_connection;
-mod member_jobs;
-mod member_pools;
-mod methods;
-mod overload;
-mod peer_links;
+mod log_target;
 mod peer_log;
-mod query_answer;
-mod rejections;
-mod rpc_answers;
-mod rpc_ids;
-mod rpc_table;
-mod shutdown;
-mod stats;
+mod state;
 mod unix_time;
 
 pub use connection_id::ConnectionId;
@@ -48,23 +25,23 @@
 use crate::faulty::Faulty;
 use crate::launch::{Fixed, Launch};
 use crate::limits::Limits;
-use cancellation::CancelKeys;
-use client_table::ClientTable;
-use connection_limits::ConnectionLimits;
-use connections::Connections;
-use discovery_watch::DiscoveryWatch;
-use endpoint_list::EndpointIndexes;
 use ladderpass_config::gossip::GossipCodec;
 use ladderpass_routing::reference_clock::ReferenceClock;
 use ladderpass_routing::{MemberId, Router, Span, Time};
-use member_connection::Job;
-use member_pools::MemberPools;
-use methods::MethodTable;
-use overload::OverloadMonitor;
-use peer_links::PeerLinks;
-use rpc_table::RpcTable;
-use shutdown::Shutdown;
-use stats::Stats;
+use state::cancel_keys::CancelKeys;
+use state::client_table::ClientTable;
+use state::connection_limits::ConnectionLimits;
+use state::connections::Connections;
+use state::discovery_watch::DiscoveryWatch;
+use state::endpoint_indexes::EndpointIndexes;
+use state::member_connection::Job;
+use state::member_pools::MemberPools;
+use state::methods::MethodTable;
+use state::overload_monitor::OverloadMonitor;
+use state::peer_links::PeerLinks;
+use state::rpc_table::RpcTable;
+use state::shutdown::Shutdown;
+use state::stats::Stats;
 
 /// As a time to wake at: before any other, so that the event loop does not wait.
 const AT_ONCE: Time = Time::NEVER;
--- a/crates/ladderpass/src/reducer/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -1,16 +1,17 @@
 //! Accepts RPCs: a client's statement is parsed, judged by the overload of this router and of all, and handed to the
 //! routing core.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::connections::{Connection, Remote};
-use super::overload::StatementCost;
 use super::rejections::{Rejection, StatementError};
-use super::rpc_table::{RpcDescription, RpcInFlight};
-use super::stats::Count;
-use super::unix_time::time_from_unix_ms;
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::log_target;
+use crate::reducer::state::connections::{Connection, Remote};
+use crate::reducer::state::overload_monitor::StatementCost;
+use crate::reducer::state::rpc_table::{RpcDescription, RpcInFlight};
+use crate::reducer::state::stats::Count;
+use crate::reducer::unix_time::time_from_unix_ms;
 use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time};
 use std::ops::Range;
 
@@ -84,7 +85,12 @@
             id_hash,
             wait_at,
         };
-        let span = tracing::debug_span!("rpc", method, deadline_ms = (deadline - now).secs() * 1e3);
+        let span = tracing::debug_span!(
+            target: log_target::ACCEPT_RPC,
+            "rpc",
+            method,
+            deadline_ms = (deadline - now).secs() * 1e3
+        );
         self.rpcs.insert(rpc, RpcInFlight::new(now, id, description, span));
         self.connections.set_deadline(id, Some(deadline - self.limits.answer_margin * 0.5));
     }
--- a/crates/ladderpass/src/reducer/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -1,12 +1,13 @@
 //! Attempts of RPCs: each decision of the routing core is carried out, and each outcome is handed back to it. It decides
 //! what comes next.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::connections::Connections;
-use super::member_connection::Job;
-use super::query_answer::unanswered_result;
-use super::rpc_table::RpcDescription;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::log_target;
+use crate::reducer::state::connections::Connections;
+use crate::reducer::state::member_connection::Job;
+use crate::reducer::state::query_answer::unanswered_result;
+use crate::reducer::state::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
 /// Has the client sent more than can be read? Its end may stand behind that. Prevents attempts for a client that has left
@@ -16,7 +17,7 @@
 }
 
 impl Reducer {
-    pub(super) fn apply_decision(&mut self, now: Time, rpc: RpcId, decision: Decision) {
+    pub(in crate::reducer) fn apply_decision(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         match decision {
             Decision::Attempt { member, timeout } => self.start_attempt(now, rpc, member, timeout),
             Decision::Queue | Decision::AlreadyAnswered => {}
@@ -91,7 +92,13 @@
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
         entry.span().in_scope(|| {
             let took_ms = result.latency.secs() * 1e3;
-            tracing::debug!(member = result.member.0, outcome = ?result.outcome, took_ms, "attempt ended");
+            tracing::debug!(
+                target: log_target::ATTEMPTS,
+                member = result.member.0,
+                outcome = ?result.outcome,
+                took_ms,
+                "attempt ended"
+            );
         });
         entry.end_attempt(result.outcome);
         let is_ok = result.outcome == AttemptOutcome::Ok;
--- a/crates/ladderpass/src/reducer/cancellation.rs
+++ b/crates/ladderpass/src/reducer/handlers/cancellation.rs
@@ -1,35 +1,11 @@
 //! RPCs whose clients give up: a cancel request, or the end of a client's connection.
 
-use super::Reducer;
-use super::client::ClientPhase;
-use super::connection_id::ConnectionId;
-use super::stats::Count;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::state::cancel_keys::CancelKey;
+use crate::reducer::state::client::ClientPhase;
+use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Decision, Time};
-use std::hash::{BuildHasher, RandomState};
-
-/// Secret keys by which clients may cancel: a keyed hash (SipHash) of the connection's id, with a random key of this
-/// process. There is no state per connection, and some keys reveal no other.
-#[derive(Default)]
-pub(super) struct CancelKeys(RandomState);
-
-/// What a client got in its BackendKeyData, and names in a cancel request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct CancelKey {
-    pub(super) process_id: u32,
-    pub(super) secret: u32,
-}
-
-impl CancelKeys {
-    pub(super) fn key(&self, id: ConnectionId) -> CancelKey {
-        CancelKey { process_id: id.0 as u32, secret: (self.0.hash_one(id.0) >> 32) as u32 }
-    }
-
-    /// Compares in the same time wherever the secrets differ, so that nobody can find one bit by bit.
-    fn is_valid(&self, id: ConnectionId, secret: u32) -> bool {
-        let differs = std::hint::black_box(self.key(id).secret ^ secret);
-        differs == 0
-    }
-}
 
 impl Reducer {
     /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not fully sent is
--- a/crates/ladderpass/src/reducer/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -1,16 +1,16 @@
 //! Reads what clients send: startup messages and statements, each client's up to its next RPC.
 
-use super::Reducer;
-use super::cancellation::CancelKey;
-use super::client::{AwaitedInput, Client, ClientPhase};
-use super::connection_id::ConnectionId;
-use super::connections::{Connection, Remote};
-use super::event::Effect;
 use super::rejections::{Rejection, StatementError};
 use super::rpc_answers::front_message_length;
-use super::stats::Count;
 use crate::buffer::Buffer;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::cancel_keys::CancelKey;
+use crate::reducer::state::client::{AwaitedInput, Client, ClientPhase};
+use crate::reducer::state::connections::{Connection, Remote};
+use crate::reducer::state::stats::Count;
 use ladderpass_routing::Time;
 
 /// Idle clients give up their buffers once all buffers take more than `pause_clients_at_buffer_bytes` over this.
@@ -56,7 +56,7 @@
 }
 
 impl Reducer {
-    pub(super) fn read_ready_clients(&mut self, now: Time) {
+    pub(in crate::reducer) fn read_ready_clients(&mut self, now: Time) {
         while let Some(id) = self.clients.pop_ready() {
             self.read_client(now, id);
         }
@@ -64,7 +64,7 @@
 
     /// Reads what a client has sent, up to its next RPC. After `statements_per_iteration` messages the rest is
     /// left for the next iteration, so that others have their turn.
-    pub(super) fn read_client(&mut self, now: Time, id: ConnectionId) {
+    fn read_client(&mut self, now: Time, id: ConnectionId) {
         for _ in 0..self.limits.statements_per_iteration {
             if self.read_client_message(now, id) == Progress::Stop {
                 return;
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -1,11 +1,11 @@
 //! Events of single connections: bytes received and written, connections established and closed.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
-use super::event::Effect;
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::connections::Remote;
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 
 const STARTUP_USER: &str = "ladderpass";
@@ -76,7 +76,7 @@
         self.connections.set_deadline(id, deadline);
     }
 
-    pub(super) fn on_connected(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn on_connected(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let mut startup = Vec::new();
         match &connection.remote {
@@ -142,7 +142,13 @@
         }
     }
 
-    pub(super) fn on_received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
+    pub(in crate::reducer) fn on_received(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        count: usize,
+        waited: Span,
+    ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.commit(count);
         let was_paused = std::mem::take(&mut connection.read_was_paused);
@@ -167,13 +173,13 @@
         }
     }
 
-    pub(super) fn on_more_to_read(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn on_more_to_read(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
             connection.has_unread_bytes = true;
         }
     }
 
-    pub(super) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
         let refill_until = now + self.limits.refill_quiet_time;
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.read_paused = false;
@@ -186,7 +192,7 @@
         }
     }
 
-    pub(super) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
+    pub(in crate::reducer) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.consume(count);
         connection.output.shrink_if_empty(self.limits.buffer_initial_bytes);
@@ -217,14 +223,14 @@
         }
     }
 
-    pub(super) fn on_write_blocked(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_write_blocked(&mut self, now: Time, id: ConnectionId) {
         self.on_query_write_blocked(id);
         if self.connections.client(id).is_some() {
             self.overload.record_write_blocked(now, id);
         }
     }
 
-    pub(super) fn on_closed(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.remote {
             Remote::Client(_) => self.on_client_closed(now, id),
--- a/crates/ladderpass/src/reducer/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -1,14 +1,15 @@
 //! What happens at the deadline of a connection: it has one at most, for what it is used for at that time.
 
-use super::Reducer;
-use super::client::{AwaitedInput, ClientPhase};
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::log_target;
+use crate::reducer::state::client::{AwaitedInput, ClientPhase};
+use crate::reducer::state::connections::Remote;
 use ladderpass_routing::{AttemptOutcome, Decision, Time};
 
 impl Reducer {
     /// Handles all deadlines that have passed.
-    pub(super) fn handle_deadlines(&mut self, now: Time) {
+    pub(in crate::reducer) fn handle_deadlines(&mut self, now: Time) {
         while let Some(id) = self.connections.pop_expired(now) {
             self.on_deadline(now, id);
         }
@@ -29,7 +30,7 @@
         match client.phase() {
             ClientPhase::InRpc(rpc) => {
                 // The client's time is all but up: it is answered whatever the routing core does.
-                tracing::debug!("RPC unanswered at its deadline");
+                tracing::debug!(target: log_target::DEADLINES, "RPC unanswered at its deadline");
                 self.answer_unserved(now, rpc, Decision::Fail);
                 rpc.abandon(&mut self.router);
             }
--- /dev/null
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -0,0 +1,184 @@
+//! The watch of discovery: its answers, silence and end, and its move to another address. When to poll is the routing
+//! core's decision.
+
+use crate::discovery::{Listing, WatchReader};
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::log_target;
+use crate::reducer::state::connections::{Connection, Remote};
+use crate::reducer::state::discovery_watch::ListVerdict;
+use ladderpass_routing::{EndpointUpdate, Time};
+use std::net::SocketAddr;
+
+impl Reducer {
+    /// The generation of the endpoint list in use, as discovery counts them.
+    pub fn generation(&self) -> u64 {
+        self.discovery.generation()
+    }
+
+    /// Follows discovery to another address, which is polled at once, whatever backoff the routing core has set.
+    pub(in crate::reducer) fn move_watch(&mut self, now: Time, address: SocketAddr) {
+        if address == self.discovery.address() {
+            return;
+        }
+        let connections = &self.connections;
+        let has_answered = |id| connections.discovery(id).is_some_and(WatchReader::has_read_listing);
+        let unused = self.discovery.move_to(address, has_answered);
+        unused.into_iter().for_each(|id| self.close_connection(id));
+        // The core starts the poll, so that its own backoff does not end, and start another, in the middle of this one.
+        self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: true });
+    }
+
+    fn has_answered(&self, id: ConnectionId) -> bool {
+        self.connections.discovery(id).is_some_and(WatchReader::has_read_listing)
+    }
+
+    /// Is the watch in the middle of a list?
+    fn is_within_list(&self, id: ConnectionId) -> bool {
+        self.connections.discovery(id).is_some_and(WatchReader::is_within_object)
+    }
+
+    pub(in crate::reducer) fn start_watch(&mut self, now: Time) {
+        if let Some(current) = self.discovery.current() {
+            self.close_connection(current);
+        }
+        let id = self.next_id();
+        self.discovery.begin_request(now, id);
+        let deadline = now + self.limits.watch_answer_timeout;
+        self.add_connection(id, Some(deadline), Remote::Discovery(WatchReader::default()));
+        self.effects.push(Effect::Connect(id, self.discovery.address()));
+    }
+
+    /// Reads what discovery has sent.
+    pub(super) fn read_watch(&mut self, now: Time, id: ConnectionId) {
+        // A list that begins and never ends is no sign of life, however much of it arrives.
+        let mut has_progressed = !self.is_within_list(id);
+        loop {
+            let Some(Connection { input, remote: Remote::Discovery(reader), .. }) =
+                self.connections.get_mut(id)
+            else {
+                return;
+            };
+            match reader.read_listing(input, self.limits.discovery_line_bytes) {
+                Ok(None) => return self.extend_watch_deadline(now, id, has_progressed),
+                Ok(Some(listing)) => {
+                    has_progressed = true;
+                    if !self.on_listing(now, id, &listing) {
+                        return;
+                    }
+                }
+                Err(error) => return self.on_watch_failed(now, id, &error.to_string()),
+            }
+        }
+    }
+
+    fn extend_watch_deadline(&mut self, now: Time, id: ConnectionId, has_progressed: bool) {
+        // A late request keeps the time that it has left.
+        if self.discovery.late() == Some(id) {
+            return;
+        }
+        if !self.has_answered(id) {
+            // Answered with a head, or the beginning of a list: it may take as long as a watch may be silent, and the rest
+            // has the time of a first answer.
+            let last = self.discovery.requested_at() + self.limits.watch_silence_timeout;
+            let deadline = last.min(now + self.limits.watch_answer_timeout);
+            return self.connections.set_deadline(id, Some(deadline));
+        }
+        if has_progressed || !self.is_within_list(id) {
+            let deadline = now + self.limits.watch_silence_timeout;
+            self.connections.set_deadline(id, Some(deadline));
+        }
+    }
+
+    /// Takes over a list; false where the watch has ended.
+    fn on_listing(&mut self, now: Time, id: ConnectionId, listing: &Listing) -> bool {
+        if !self.adopt_first_answer(id) {
+            self.close_connection(id);
+            return false;
+        }
+        let is_first_after_move = self.discovery.record_answer(id);
+        let rejection = match self.discovery.judge_list(now, listing, is_first_after_move, &self.limits) {
+            ListVerdict::Accepted => None,
+            ListVerdict::ChangesOfAnotherList => Some("changes of another list"),
+            ListVerdict::Older => Some("an older list"),
+        };
+        if let Some(reason) = rejection {
+            self.end_watch(now, id, reason, true);
+            return false;
+        }
+        let is_previous = self.discovery.previous() == Some(id);
+        if let Err(error) = self.apply_listing(now, listing, false, is_previous) {
+            self.on_watch_failed(now, id, &error.to_string());
+            return false;
+        }
+        if let Some(previous) = self.discovery.previous().filter(|_| is_first_after_move) {
+            self.close_connection(previous);
+        }
+        true
+    }
+
+    /// An overloaded discovery takes long for each request, and puts the next at the end of its queue: of two requests the one
+    /// that is answered first becomes the watch. False for one whose successor was answered before.
+    fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
+        let Some(late) = self.discovery.late() else { return true };
+        if late != id {
+            if self.discovery.is_current(id) {
+                self.close_connection(late);
+            }
+            return true;
+        }
+        let newer = self.discovery.current();
+        if newer.is_some_and(|newer| self.has_answered(newer)) {
+            return false;
+        }
+        newer.into_iter().for_each(|newer| self.close_connection(newer));
+        self.discovery.promote_late();
+        true
+    }
+
+    /// The deadline of a watch has passed: it was denied a descriptor, or is silent.
+    pub(super) fn on_discovery_deadline(&mut self, now: Time, id: ConnectionId) {
+        if self.discovery.take_denied() != Some(id) {
+            return self.on_watch_silent(now, id);
+        }
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.connect_denials = 0;
+        }
+        let deadline = now + self.limits.watch_answer_timeout;
+        self.connections.set_deadline(id, Some(deadline));
+        self.effects.push(Effect::Connect(id, self.discovery.address()));
+    }
+
+    /// A watch that had answered has fallen silent, or a request after one has no answer: discovery is polled again at
+    /// once, while what is missed does not count as notified yet.
+    fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
+        let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
+        if self.discovery.is_current(id) && !is_unanswered {
+            self.discovery.record_silence(now - self.limits.watch_silence_timeout);
+        }
+        let silent = self.discovery.is_silence_within_limit(now, &self.limits);
+        let late_until = self.discovery.requested_at() + self.limits.late_watch_timeout;
+        if is_unanswered && now < late_until {
+            tracing::warn!(target: log_target::DISCOVERY_WATCH, "discovery watch: no answer yet");
+            self.discovery.late().into_iter().for_each(|late| self.close_connection(late));
+            self.discovery.demote_current();
+            self.connections.set_deadline(id, Some(late_until));
+            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
+        }
+        self.end_watch(now, id, "silence", silent);
+    }
+
+    pub(super) fn on_watch_failed(&mut self, now: Time, id: ConnectionId, reason: &str) {
+        self.end_watch(now, id, reason, false);
+    }
+
+    fn end_watch(&mut self, now: Time, id: ConnectionId, reason: &str, silent: bool) {
+        tracing::warn!(target: log_target::DISCOVERY_WATCH, reason, "discovery watch: ended");
+        let has_successor = self.discovery.has_successor(id);
+        self.close_connection(id);
+        if !has_successor {
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
+        }
+    }
+}
--- a/crates/ladderpass/src/reducer/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -1,31 +1,17 @@
 //! Endpoint lists: their entries are read, members get indexes and addresses, and the routing core gets the update. It
 //! judges the members.
 
-use super::Reducer;
 use crate::discovery::{Instance, Listing};
 use crate::faulty::Faulty;
-use ladderpass_config::names::{NameIndex, group_index};
-use ladderpass_config::operator::Operator;
+use crate::reducer::Reducer;
+use crate::reducer::log_target;
 use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Time};
-use std::collections::HashMap;
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 
-/// Indexes of what endpoint lists name besides members.
-pub(super) struct EndpointIndexes {
-    /// By the bits of a group's number.
-    groups: HashMap<u64, u32>,
-    machine_kinds: NameIndex,
-    /// This router's own zone has the index zero.
-    zones: NameIndex,
-    uses_zones: bool,
-    /// Weights in the list are the members' concurrency.
-    weights_are_concurrency: bool,
-}
-
 /// Why a list is rejected.
 #[derive(Debug)]
-pub(super) enum ListingError {
+pub(in crate::reducer) enum ListingError {
     OlderGeneration { offered: u64, current: u64 },
     InvalidAddress(String),
 }
@@ -41,34 +27,10 @@
     }
 }
 
-impl EndpointIndexes {
-    pub(super) fn new(operator: &Operator) -> EndpointIndexes {
-        let mut zones = NameIndex::default();
-        zones.intern(operator.zone.as_deref().unwrap_or_default());
-        EndpointIndexes {
-            groups: HashMap::new(),
-            machine_kinds: NameIndex::default(),
-            zones,
-            uses_zones: operator.zone.is_some(),
-            weights_are_concurrency: operator.weights_are_concurrency,
-        }
-    }
-
-    /// The index of a group by its number, if a list has named it.
-    pub(super) fn group(&self, number: f64) -> Option<u32> {
-        self.groups.get(&number.to_bits()).copied()
-    }
-
-    /// All groups, by the bits of their numbers.
-    pub(super) fn groups(&self) -> &HashMap<u64, u32> {
-        &self.groups
-    }
-}
-
 impl Reducer {
     /// Takes over an endpoint list. `is_cached`: it was read from the configuration. `is_previous`: it comes from the
     /// address that discovery had before.
-    pub(super) fn apply_listing(
+    pub(in crate::reducer) fn apply_listing(
         &mut self,
         now: Time,
         listing: &Listing,
@@ -87,6 +49,7 @@
         }
         self.discovery.set_generation(offered);
         tracing::info!(
+            target: log_target::ENDPOINT_LIST,
             generation = offered,
             entries = entries.len(),
             complete = listing.reset,
@@ -128,7 +91,7 @@
         let indexes = &mut self.endpoints;
         Endpoint {
             member: MemberId(member),
-            group: group_index(&mut indexes.groups, instance.cell),
+            group: indexes.intern_group(instance.cell),
             primary: instance.is_primary(),
             state: match instance.state() {
                 EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
@@ -139,9 +102,9 @@
                 .started_at()
                 .map(|born| now.min(born - clock_difference))
                 .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
-            machine_kind: indexes.machine_kinds.intern(&instance.machine_type),
-            concurrency: instance.weight.filter(|&weight| indexes.weights_are_concurrency && weight > 0.0),
-            zone: if indexes.uses_zones { indexes.zones.intern(&instance.zone) } else { 0 },
+            machine_kind: indexes.intern_machine_kind(&instance.machine_type),
+            concurrency: indexes.concurrency(instance.weight),
+            zone: indexes.intern_zone(&instance.zone),
             id_hash: self.gossip_codec.id_hashes.insert(&instance.instance_id, member),
         }
     }
--- a/crates/ladderpass/src/reducer/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -1,15 +1,15 @@
 //! Closes clients that wait for no answer, each after a final read of its socket: those whose time is over, and, where there
 //! are too many clients, those that have waited longest (eviction).
 
-use super::Reducer;
-use super::client::{Awaited, AwaitedInput, Client};
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
-use super::event::Effect;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::client::{Awaited, AwaitedInput, Client};
+use crate::reducer::state::connections::Remote;
 use ladderpass_routing::Time;
 
 impl Reducer {
-    pub(super) fn on_accepted(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_accepted(&mut self, now: Time, id: ConnectionId) {
         self.clients.add();
         let deadline = now + self.limits.message_timeout;
         self.add_connection(id, Some(deadline), Remote::Client(Client::new()));
@@ -38,7 +38,7 @@
     /// Evicts clients past the limit that have had their time: first those that have not started up, soon; then those in
     /// the middle of a statement; then those idle for a while. A client that was just answered is likely to write again,
     /// which would cross the close.
-    pub(super) fn evict_excess_clients(&mut self, now: Time) {
+    pub(in crate::reducer) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
             self.close_after_final_read(id);
@@ -62,12 +62,12 @@
     }
 
     /// Has the sockets of all that are being evicted read once more, each right before its close.
-    pub(super) fn request_final_reads(&mut self) {
+    pub(in crate::reducer) fn request_final_reads(&mut self) {
         self.effects.extend(self.clients.evicting().map(Effect::CloseIfQuiet));
     }
 
     /// The final read has found nothing, else the eviction was cancelled.
-    pub(super) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
         if !self.clients.is_evicting(id) {
             return;
         }
--- a/crates/ladderpass/src/reducer/member_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_answers.rs
@@ -1,13 +1,14 @@
 //! Reads what members send: the end of their startup, and answers to queries. What can't be parsed is no answer, says
 //! nothing of the member, and closes the connection.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::connections::{Connection, Remote};
-use super::load_report::read_load_report;
-use super::member_connection::{AnsweredJob, Job, MessageEffect};
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::load_report::read_load_report;
+use crate::reducer::log_target;
+use crate::reducer::state::connections::{Connection, Remote};
+use crate::reducer::state::member_connection::{AnsweredJob, Job, MessageEffect};
 use ladderpass_routing::{AttemptOutcome, LoadReport, Time};
 
 impl Reducer {
@@ -71,6 +72,7 @@
         let outcome =
             if member.is_query_sent() { AttemptOutcome::ConnectionLost } else { AttemptOutcome::Unreachable };
         tracing::warn!(
+            target: log_target::MEMBER_ANSWERS,
             member = self.members.names().name(member.member() as u32),
             job = ?member.job(),
             unwritten_bytes = member.unwritten(),
--- a/crates/ladderpass/src/reducer/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -1,10 +1,10 @@
 //! Jobs of member connections: queries are written, withdrawn, and end with an outcome.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::member_connection::{EndedJob, Job, Withdrawal};
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::state::member_connection::{EndedJob, Job, Withdrawal};
 use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, RpcId, Span, Time};
 
 /// The query of a health check.
@@ -170,7 +170,7 @@
         }
     }
 
-    pub(super) fn start_health_check(&mut self, now: Time, member: MemberId) {
+    pub(in crate::reducer) fn start_health_check(&mut self, now: Time, member: MemberId) {
         let deadline = now + self.limits.health_check_timeout;
         match self.assign_job(now, member.0 as usize, Job::HealthCheck, deadline) {
             Some(id) if self.is_established(id) => self.send_query(now, id),
--- a/crates/ladderpass/src/reducer/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -1,165 +1,17 @@
-//! Members with their addresses and pools of connections.
-//!
-//! A connection to a member is idle in its pool, or has a job, or is being established. A member's index stands for it
-//! until the routing core has retired it and its last connection is closed; then the index serves another member.
-
-use super::Reducer;
-use super::client_table::EvictionScope;
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
-use super::event::Effect;
-use super::member_connection::{Job, MemberConnection};
-use super::query_answer::unanswered_result;
-use ladderpass_config::names::NameIndex;
+//! Connections to members: taken from the pool or opened for a job, returned, and closed where a member has another
+//! address, drains, has vanished or is retired.
+
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::client_table::EvictionScope;
+use crate::reducer::state::connections::Remote;
+use crate::reducer::state::member_connection::{Job, MemberConnection};
+use crate::reducer::state::query_answer::unanswered_result;
 use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, Time};
 use rustc_hash::FxHashSet;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// All members by index, and their ids.
-#[derive(Default)]
-pub(super) struct MemberPools {
-    pools: Vec<MemberPool>,
-    names: NameIndex,
-    /// Connections of all members.
-    connection_count: usize,
-}
-
-struct MemberPool {
-    address: SocketAddr,
-    /// Connections that can take a job, the one used last at the end.
-    idle: Vec<ConnectionId>,
-    /// Connections that are being established for an attempt.
-    connecting: VecDeque<ConnectionId>,
-    connection_count: usize,
-    /// The routing core has retired the member: it no longer tracks it.
-    is_retired: bool,
-}
-
-impl MemberPool {
-    fn new(address: SocketAddr) -> MemberPool {
-        MemberPool {
-            address,
-            idle: Vec::new(),
-            connecting: VecDeque::new(),
-            connection_count: 0,
-            is_retired: false,
-        }
-    }
-}
-
-impl MemberPools {
-    /// How many indexes are in use, or were.
-    pub(super) fn len(&self) -> usize {
-        self.pools.len()
-    }
-
-    /// Connections of all members.
-    pub(super) fn connection_count(&self) -> usize {
-        self.connection_count
-    }
-
-    pub(super) fn names(&self) -> &NameIndex {
-        &self.names
-    }
-
-    /// Adds a member, and gives its index.
-    pub(super) fn add(&mut self, id: &str, address: SocketAddr) -> u32 {
-        let index = self.names.intern(id);
-        let pool = MemberPool::new(address);
-        match self.pools.get_mut(index as usize) {
-            Some(old) => *old = pool,
-            None => self.pools.push(pool),
-        }
-        index
-    }
-
-    pub(super) fn address(&self, index: usize) -> Option<SocketAddr> {
-        Some(self.pools.get(index)?.address)
-    }
-
-    /// True where the member had another address.
-    fn set_address(&mut self, index: usize, address: SocketAddr) -> bool {
-        let Some(pool) = self.pools.get_mut(index) else { return false };
-        std::mem::replace(&mut pool.address, address) != address
-    }
-
-    pub(super) fn set_retired(&mut self, index: usize, is_retired: bool) {
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.is_retired = is_retired;
-        }
-    }
-
-    /// Frees the index of a retired member, if it has no connections left. Returns whether the index was freed.
-    fn try_release(&mut self, index: usize) -> bool {
-        let is_free = |pool: &MemberPool| pool.is_retired && pool.connection_count == 0;
-        let is_free = self.pools.get(index).is_some_and(is_free);
-        if is_free {
-            self.names.release(index as u32);
-        }
-        is_free
-    }
-
-    fn add_connection(&mut self, index: usize) {
-        self.connection_count += 1;
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.connection_count += 1;
-        }
-    }
-
-    pub(super) fn remove_connection(&mut self, index: usize, id: ConnectionId) {
-        self.connection_count -= 1;
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.idle.retain(|&other| other != id);
-            pool.connecting.retain(|&other| other != id);
-            pool.connection_count = pool.connection_count.saturating_sub(1);
-        }
-    }
-
-    fn push_idle(&mut self, index: usize, id: ConnectionId) {
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.idle.push(id);
-        }
-    }
-
-    fn pop_idle(&mut self, index: usize) -> Option<ConnectionId> {
-        self.pools.get_mut(index)?.idle.pop()
-    }
-
-    fn take_idle(&mut self, index: usize) -> Vec<ConnectionId> {
-        self.pools.get_mut(index).map(|pool| std::mem::take(&mut pool.idle)).unwrap_or_default()
-    }
-
-    fn idle(&self, index: usize) -> &[ConnectionId] {
-        self.pools.get(index).map_or(&[], |pool| &pool.idle)
-    }
-
-    /// Of each member the connection that has been idle longest.
-    fn longest_idle(&self) -> impl Iterator<Item = ConnectionId> {
-        self.pools.iter().filter_map(|pool| pool.idle.first().copied())
-    }
-
-    pub(super) fn has_idle(&self) -> bool {
-        self.pools.iter().any(|pool| !pool.idle.is_empty())
-    }
-
-    fn push_connecting(&mut self, index: usize, id: ConnectionId) {
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.connecting.push_back(id);
-        }
-    }
-
-    fn pop_connecting(&mut self, index: usize) -> Option<ConnectionId> {
-        self.pools.get_mut(index)?.connecting.pop_front()
-    }
-
-    pub(super) fn remove_connecting(&mut self, index: usize, id: ConnectionId) {
-        if let Some(pool) = self.pools.get_mut(index) {
-            pool.connecting.retain(|&other| other != id);
-        }
-    }
-}
-
 impl Reducer {
     /// Gives a job to a connection of a member: an idle one, else a new one. None if there can be none.
     pub(super) fn assign_job(
@@ -257,7 +109,7 @@
         }
     }
 
-    pub(super) fn close_idle_connections(&mut self, index: usize) {
+    fn close_idle_connections(&mut self, index: usize) {
         for id in self.members.take_idle(index) {
             self.close_connection(id);
         }
@@ -307,7 +159,7 @@
     }
 
     /// The routing core has retired the member: it no longer tracks it.
-    pub(super) fn retire_member(&mut self, index: usize) {
+    pub(in crate::reducer) fn retire_member(&mut self, index: usize) {
         self.close_idle_connections(index);
         self.members.set_retired(index, true);
         self.release_member_index(index);
--- /dev/null
+++ b/crates/ladderpass/src/reducer/handlers/overload.rs
@@ -0,0 +1,34 @@
+//! Samples of the process's resource usage, and slow readers, which are closed.
+
+use crate::reducer::Reducer;
+use crate::reducer::log_target;
+use crate::reducer::state::stats::Count;
+use ladderpass_overload::ResourceSample;
+use ladderpass_routing::Time;
+
+impl Reducer {
+    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
+    pub fn next_sample_at(&self) -> Option<Time> {
+        self.overload.next_sample_at()
+    }
+
+    /// How many connections to accept for one event.
+    pub fn accept_budget(&self) -> usize {
+        self.overload.accept_budget(self.limits.accepts_per_event)
+    }
+
+    pub(in crate::reducer) fn on_resources_sampled(&mut self, now: Time, mut sample: ResourceSample) {
+        self.close_slow_readers(now);
+        sample.buffer_bytes = self.connections.buffer_bytes();
+        self.overload.record_sample(now, sample);
+        self.overload.log_metrics(now, self.clients.len(), self.rpcs.len());
+    }
+
+    fn close_slow_readers(&mut self, now: Time) {
+        for id in self.overload.overdue_slow_readers(now, &self.connections) {
+            tracing::debug!(target: log_target::OVERLOAD, client = id.0, "slow reader closed");
+            self.stats.count(Count::SlowReader);
+            self.on_client_closed(now, id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/handlers/peers.rs
@@ -0,0 +1,86 @@
+//! Datagrams of the other routers, and what the membership decides.
+//!
+//! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
+//! and is taken from those that may send it.
+
+use crate::reducer::Reducer;
+use crate::reducer::event::Effect;
+use crate::reducer::log_target;
+use ladderpass_admission::GroupMetrics;
+use ladderpass_membership::FIRST_BYTE;
+use ladderpass_routing::{MemberUpdate, Time};
+use std::net::SocketAddr;
+
+impl Reducer {
+    /// How many routers are alive, this one included, and a digest of just these; None without peers.
+    pub fn fleet_view(&self) -> Option<(usize, u32)> {
+        self.peers.as_ref().map(|peers| (peers.view().count, peers.view().digest))
+    }
+
+    /// Metrics of shared admission control, by group.
+    pub fn admission_metrics(&self) -> Vec<GroupMetrics> {
+        self.peers.as_ref().map_or(Vec::new(), |peers| peers.admission_metrics())
+    }
+
+    /// Takes the datagrams that are to be sent to other routers.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        self.peers.as_mut().map_or(Vec::new(), |peers| peers.take_datagrams())
+    }
+
+    /// A datagram: of the membership by its first byte, else gossip on members.
+    pub(in crate::reducer) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        if bytes.first() == Some(&FIRST_BYTE) {
+            peers.on_membership_datagram(now, from, bytes);
+            return self.apply_membership(now);
+        }
+        if !peers.may_gossip(now, from) {
+            return;
+        }
+        let Ok(text) = std::str::from_utf8(bytes) else { return };
+        for update in self.gossip_codec.decode(text, now) {
+            self.router.on_peer_update(now, update);
+        }
+    }
+
+    /// Sends the routing core's updates on members to all other routers.
+    pub(in crate::reducer) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
+        let messages = self.gossip_codec.encode(updates, self.members.names());
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        peers.publish(now, &messages);
+        self.effects.push(Effect::SendDatagrams);
+    }
+
+    pub(in crate::reducer) fn tick_peers(&mut self, now: Time) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        peers.tick_admission(now, &mut self.router, self.endpoints.groups());
+        if peers.tick_membership(now) {
+            self.apply_membership(now);
+        }
+    }
+
+    pub(super) fn leave_fleet(&mut self, now: Time) {
+        if let Some(peers) = self.peers.as_deref_mut() {
+            peers.leave(now);
+            self.apply_membership(now);
+        }
+    }
+
+    /// Takes over what the membership has decided.
+    fn apply_membership(&mut self, now: Time) {
+        let Some(peers) = self.peers.as_deref_mut() else { return };
+        if peers.collect_membership_output() {
+            self.effects.push(Effect::SendDatagrams);
+        }
+        if peers.take_address_conflict() {
+            tracing::warn!(
+                target: log_target::PEER_LINKS,
+                "another incarnation of this router's address was seen: its clock may have gone back"
+            );
+        }
+        let view = peers.newest_view();
+        let alive_count = peers.alive_count(now, &view);
+        self.router.set_router_position(view.position as u32, alive_count as u32);
+        peers.apply_changes(now, view);
+    }
+}
--- a/crates/ladderpass/src/reducer/rejections.rs
+++ b/crates/ladderpass/src/reducer/handlers/rejections.rs
@@ -1,12 +1,12 @@
 //! Statements that do not become RPCs: rejected for want of something, or answered with an error of the client's own.
 //! None of them has an effect.
 
-use super::Reducer;
-use super::client::AwaitedInput;
-use super::connection_id::ConnectionId;
 use super::rpc_answers::retry_after_ms;
-use super::stats::Count;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::state::client::AwaitedInput;
+use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Span, Time};
 
 const OVERLOADED: &str = "pushed back: the router has too much to do";
--- a/crates/ladderpass/src/reducer/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -1,15 +1,15 @@
 //! The final answer of each RPC: a member's answer is forwarded, or an error is written.
 
-use super::Reducer;
-use super::client::ClientPhase;
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
-use super::event::Effect;
-use super::rpc_table::RpcDescription;
-use super::stats::Count;
 use crate::buffer::Buffer;
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::client::ClientPhase;
+use crate::reducer::state::connections::Remote;
+use crate::reducer::state::rpc_table::RpcDescription;
+use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Decision, RpcId, Span, Time};
 
 /// A retry-after in milliseconds; none for less than one.
--- /dev/null
+++ b/crates/ladderpass/src/reducer/handlers/stats_log.rs
@@ -0,0 +1,108 @@
+//! Logs the counts every `Limits::stats_interval`, and examples of RPCs that were not served by the ordinary path, each
+//! with its reason.
+
+use crate::reducer::Reducer;
+use crate::reducer::log_target;
+use crate::reducer::state::stats::Count;
+use ladderpass_routing::reasons::{Exception, Exceptions, PrimaryState, Reason, UnservedRpc};
+use ladderpass_routing::{Span, Time};
+
+impl Reducer {
+    /// Logs the counts and starts them again.
+    pub(in crate::reducer) fn log_stats(&mut self, now: Time) {
+        if let Some(peers) = &self.peers {
+            peers.log_membership();
+        }
+        let stats = self.stats.take(now);
+        let (answers, answer_time) = stats.answered_attempts();
+        tracing::info!(
+            target: log_target::STATS,
+            accepted = stats.get(Count::Accepted),
+            rejected = stats.get(Count::Rejected),
+            failed = stats.get(Count::Failed),
+            client_left = stats.get(Count::ClientLeft),
+            cancelled = stats.get(Count::Cancelled),
+            client_errors = stats.get(Count::ClientError),
+            crowded = stats.get(Count::Crowded),
+            full = stats.get(Count::Full),
+            shed = stats.get(Count::Shed),
+            slow_readers = stats.get(Count::SlowReader),
+            attempts = ?stats.attempts(),
+            health_checks = ?stats.health_checks(),
+            connects = stats.connects(),
+            connect_ms = %mean_ms(stats.connect_time(), stats.connects()),
+            answer_ms = %mean_ms(answer_time, answers),
+            clients = self.clients.len(),
+            awaited = ?self.clients.awaited_counts(),
+            member_connections = self.members.connection_count(),
+            attempts_in_flight = self.attempts_in_flight().1,
+            members = self.member_count(),
+            rpcs = self.rpcs.len(),
+            buffer_kib = self.connections.buffer_bytes() >> 10,
+            given_up = stats.exceptions().given_up.to_string(),
+            spilled = stats.exceptions().spilled,
+            passed_over = stats.exceptions().passed_over.to_string(),
+            "stats"
+        );
+    }
+
+    /// Counts what did not go by the ordinary path, and logs the first few examples.
+    pub(in crate::reducer) fn record_exceptions(&mut self, exceptions: Exceptions) {
+        self.stats.add_exceptions(&exceptions.counts);
+        for unserved in &exceptions.examples {
+            if !self.stats.try_count_example() {
+                return;
+            }
+            self.log_example(unserved);
+        }
+    }
+
+    fn log_example(&self, unserved: &UnservedRpc) {
+        let method = self.methods.name(unserved.method).unwrap_or("unknown");
+        let (group, attempts) = (unserved.group, unserved.attempts);
+        let waited_ms = whole_milliseconds(unserved.waited);
+        let left_ms = whole_milliseconds(unserved.time_left);
+        match &unserved.exception {
+            Exception::Spilled(passed_over) => tracing::info!(
+                target: log_target::STATS,
+                group,
+                method,
+                passed_over = passed_over.to_string(),
+                attempts,
+                waited_ms,
+                left_ms,
+                "read spilled to the primary"
+            ),
+            Exception::GivenUp { reason, primary } => {
+                let (reason, primary) = (reason.text(), primary_text(primary));
+                tracing::info!(
+                    target: log_target::STATS,
+                    group,
+                    method,
+                    reason,
+                    primary,
+                    attempts,
+                    waited_ms,
+                    left_ms,
+                    "RPC given up"
+                );
+            }
+        }
+    }
+}
+
+fn primary_text(primary: &PrimaryState) -> &'static str {
+    match primary {
+        PrimaryState::Unknown => "unknown",
+        PrimaryState::Eligible => "eligible",
+        PrimaryState::Ineligible(why) => why.text(),
+    }
+}
+
+fn whole_milliseconds(span: Span) -> i64 {
+    span.nanos() / 1_000_000
+}
+
+fn mean_ms(total: Span, count: u32) -> String {
+    format!("{:.1}", total.secs() * 1e3 / f64::from(count.max(1)))
+}
--- /dev/null
+++ b/crates/ladderpass/src/reducer/state.rs
@@ -0,0 +1,22 @@
+//! The tables that `Reducer` is composed of, each in a module of its own with fields that no other module can write.
+//!
+//! A table knows neither the reducer nor the events: the handlers change it by its methods.
+
+pub(super) mod cancel_keys;
+pub(super) mod client;
+pub(super) mod client_table;
+pub(super) mod connection_limits;
+pub(super) mod connections;
+pub(super) mod discovery_watch;
+pub(super) mod endpoint_indexes;
+mod input_arrivals;
+pub(super) mod member_connection;
+pub(super) mod member_pools;
+pub(super) mod methods;
+pub(super) mod overload_monitor;
+pub(super) mod peer_links;
+pub(super) mod query_answer;
+mod rpc_ids;
+pub(super) mod rpc_table;
+pub(super) mod shutdown;
+pub(super) mod stats;
--- a/crates/ladderpass/src/reducer/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -11,7 +11,7 @@
 
 /// Where a client stands in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ClientPhase {
+pub(in crate::reducer) enum ClientPhase {
     /// Its startup message has not been answered.
     Startup,
     Idle,
@@ -21,7 +21,7 @@
 
 /// What the router waits for from a client that waits for no answer itself. Clients are evicted in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AwaitedInput {
+pub(in crate::reducer) enum AwaitedInput {
     Startup,
     /// The rest of a statement that has begun, or the end of the pause after an error.
     StatementRest,
@@ -29,10 +29,10 @@
 }
 
 /// An awaited input, and since when it is awaited.
-pub(super) type Awaited = (AwaitedInput, Time);
+pub(in crate::reducer) type Awaited = (AwaitedInput, Time);
 
 /// A client.
-pub(super) struct Client {
+pub(in crate::reducer) struct Client {
     phase: ClientPhase,
     /// Errors of its own since its last good statement.
     errors: u32,
@@ -58,7 +58,7 @@
 }
 
 impl Client {
-    pub(super) fn new() -> Client {
+    pub(in crate::reducer) fn new() -> Client {
         Client {
             phase: ClientPhase::Startup,
             errors: 0,
@@ -75,74 +75,74 @@
         }
     }
 
-    pub(super) fn phase(&self) -> ClientPhase {
+    pub(in crate::reducer) fn phase(&self) -> ClientPhase {
         self.phase
     }
 
     /// May its next message be read in this iteration?
-    pub(super) fn is_ready(&self) -> bool {
+    pub(in crate::reducer) fn is_ready(&self) -> bool {
         !self.is_backing_off && !self.is_just_answered && !matches!(self.phase, ClientPhase::InRpc(_))
     }
 
-    pub(super) fn complete_startup(&mut self) {
+    pub(in crate::reducer) fn complete_startup(&mut self) {
         self.phase = ClientPhase::Idle;
     }
 
-    pub(super) fn begin_rpc(&mut self, rpc: RpcId) {
+    pub(in crate::reducer) fn begin_rpc(&mut self, rpc: RpcId) {
         self.phase = ClientPhase::InRpc(rpc);
     }
 
-    pub(super) fn finish_rpc(&mut self) {
+    pub(in crate::reducer) fn finish_rpc(&mut self) {
         self.phase = ClientPhase::Idle;
         self.is_just_answered = true;
     }
 
     /// The iteration in which it was answered is over.
-    pub(super) fn end_iteration(&mut self) {
+    pub(in crate::reducer) fn end_iteration(&mut self) {
         self.is_just_answered = false;
     }
 
     /// It has sent a statement; true for the first one.
-    pub(super) fn record_statement(&mut self) -> bool {
+    pub(in crate::reducer) fn record_statement(&mut self) -> bool {
         !std::mem::replace(&mut self.has_sent_statement, true)
     }
 
-    pub(super) fn has_sent_statement(&self) -> bool {
+    pub(in crate::reducer) fn has_sent_statement(&self) -> bool {
         self.has_sent_statement
     }
 
     /// Counts an error of its own; it backs off unless there are too many. Gives the errors so far.
-    pub(super) fn record_error(&mut self, max_errors: u32) -> u32 {
+    pub(in crate::reducer) fn record_error(&mut self, max_errors: u32) -> u32 {
         self.errors += 1;
         self.is_backing_off = self.errors <= max_errors;
         self.errors
     }
 
-    pub(super) fn clear_errors(&mut self) {
+    pub(in crate::reducer) fn clear_errors(&mut self) {
         self.errors = 0;
     }
 
-    pub(super) fn is_backing_off(&self) -> bool {
+    pub(in crate::reducer) fn is_backing_off(&self) -> bool {
         self.is_backing_off
     }
 
-    pub(super) fn end_backoff(&mut self) {
+    pub(in crate::reducer) fn end_backoff(&mut self) {
         self.is_backing_off = false;
     }
 
-    pub(super) fn ignore_until_sync(&mut self) {
+    pub(in crate::reducer) fn ignore_until_sync(&mut self) {
         self.ignores_until_sync = true;
     }
 
-    pub(super) fn sync(&mut self) {
+    pub(in crate::reducer) fn sync(&mut self) {
         self.ignores_until_sync = false;
     }
 
-    pub(super) fn ignores_until_sync(&self) -> bool {
+    pub(in crate::reducer) fn ignores_until_sync(&self) -> bool {
         self.ignores_until_sync
     }
 
-    pub(super) fn awaited(&self) -> Option<Awaited> {
+    pub(in crate::reducer) fn awaited(&self) -> Option<Awaited> {
         self.awaited
     }
 
@@ -152,69 +152,75 @@
     }
 
     /// It has sent more than its buffer holds.
-    pub(super) fn record_overrun(&mut self) {
+    pub(in crate::reducer) fn record_overrun(&mut self) {
         self.has_overrun = true;
     }
 
     /// Its socket was read until it was empty. After an overrun its kernel may have kept something back until then.
-    pub(super) fn record_socket_empty(&mut self, refill_until: Time) {
+    pub(in crate::reducer) fn record_socket_empty(&mut self, refill_until: Time) {
         if std::mem::take(&mut self.has_overrun) {
             self.refill_until = Some(refill_until);
         }
     }
 
     /// Until when more is expected at its socket after an overrun, if that is still to come.
-    pub(super) fn refill_pending(&self, now: Time) -> Option<Time> {
+    pub(in crate::reducer) fn refill_pending(&self, now: Time) -> Option<Time> {
         self.refill_until.filter(|&until| now < until)
     }
 
     /// Nothing more was found at its socket after an overrun.
-    pub(super) fn is_refill_over(&self, now: Time) -> bool {
+    pub(in crate::reducer) fn is_refill_over(&self, now: Time) -> bool {
         self.refill_until.is_some_and(|until| until <= now)
     }
 
-    pub(super) fn clear_refill(&mut self) {
+    pub(in crate::reducer) fn clear_refill(&mut self) {
         self.refill_until = None;
     }
 
     /// So many bytes were received; more may follow until `refill_until` where it had overrun its buffer.
-    pub(super) fn record_received(&mut self, now: Time, arrived_at: Time, count: usize, refill_until: Time) {
+    pub(in crate::reducer) fn record_received(
+        &mut self,
+        now: Time,
+        arrived_at: Time,
+        count: usize,
+        refill_until: Time,
+    ) {
         self.refill_until = self.refill_until.map(|until| if now < until { refill_until } else { until });
         self.arrivals.record(arrived_at, count);
     }
 
-    pub(super) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
+    pub(in crate::reducer) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
         self.arrivals.arrival_of(now, count)
     }
 
-    pub(super) fn consume(&mut self, count: usize) {
+    pub(in crate::reducer) fn consume(&mut self, count: usize) {
         self.arrivals.consume(count);
     }
 
-    pub(super) fn add_time_with_members(&mut self, span: Span) {
+    pub(in crate::reducer) fn add_time_with_members(&mut self, span: Span) {
         self.arrivals.add_time_with_members(span);
     }
 
-    pub(super) fn usage_mut(&mut self) -> &mut ClientUsage {
+    pub(in crate::reducer) fn usage_mut(&mut self) -> &mut ClientUsage {
         &mut self.usage
     }
 
     /// So many bytes that follow are dropped: they are the rest of a statement for which there is no memory.
-    pub(super) fn start_skipping(&mut self, count: usize) {
+    pub(in crate::reducer) fn start_skipping(&mut self, count: usize) {
         self.skipping = Some(count);
     }
 
     /// Bytes of a skipped statement that are still to come.
-    pub(super) fn skipping(&self) -> Option<usize> {
+    pub(in crate::reducer) fn skipping(&self) -> Option<usize> {
         self.skipping
     }
 
-    pub(super) fn stop_skipping(&mut self) {
+    pub(in crate::reducer) fn stop_skipping(&mut self) {
         self.skipping = None;
     }
 
     /// Of so many bytes that were received, how many belong to a skipped statement.
-    pub(super) fn skip_received(&mut self, count: usize) -> usize {
+    pub(in crate::reducer) fn skip_received(&mut self, count: usize) -> usize {
         let Some(left) = &mut self.skipping else { return 0 };
         let skipped = count.min(*left);
         *left -= skipped;
--- a/crates/ladderpass/src/reducer/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -5,7 +5,7 @@
 //! the input that is awaited from it, the longest first.
 
 use super::client::{Awaited, AwaitedInput, Client};
-use super::connection_id::ConnectionId;
+use crate::reducer::connection_id::ConnectionId;
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -14,7 +14,7 @@
 
 /// Which clients may be evicted.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum EvictionScope {
+pub(in crate::reducer) enum EvictionScope {
     /// Those whose input has been awaited, at this time, for its eviction age or longer.
     Overdue(Time),
     /// All whose input is awaited.
@@ -23,7 +23,7 @@
 
 /// All clients.
 #[derive(Default)]
-pub(super) struct ClientTable {
+pub(in crate::reducer) struct ClientTable {
     count: usize,
     /// By `AwaitedInput`: the clients that it is awaited from, and since when.
     by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUTS],
@@ -39,22 +39,27 @@
 }
 
 impl ClientTable {
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::reducer) fn len(&self) -> usize {
         self.count
     }
 
-    pub(super) fn add(&mut self) {
+    pub(in crate::reducer) fn add(&mut self) {
         self.count += 1;
     }
 
     /// Forgets a client, whose awaited input was cleared before, with so many bytes of input.
-    pub(super) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
+    pub(in crate::reducer) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
         self.subtract_unread_bytes(unread_bytes);
         self.cancel_eviction(id);
         self.count -= 1;
     }
 
-    pub(super) fn set_awaited(&mut self, id: ConnectionId, client: &mut Client, awaited: Option<Awaited>) {
+    pub(in crate::reducer) fn set_awaited(
+        &mut self,
+        id: ConnectionId,
+        client: &mut Client,
+        awaited: Option<Awaited>,
+    ) {
         if let Some((before, since)) = client.replace_awaited(awaited) {
             self.by_awaited_input[before as usize].remove(&(since, id));
         }
@@ -64,23 +69,26 @@
     }
 
     /// How many clients the router awaits each input from.
-    pub(super) fn awaited_counts(&self) -> [usize; AWAITED_INPUTS] {
+    pub(in crate::reducer) fn awaited_counts(&self) -> [usize; AWAITED_INPUTS] {
         self.by_awaited_input.each_ref().map(BTreeSet::len)
     }
 
     /// Clients from which an input is awaited, and since when, the longest first.
-    pub(super) fn awaiting(&self, input: AwaitedInput) -> impl Iterator<Item = (Time, ConnectionId)> {
+    pub(in crate::reducer) fn awaiting(
+        &self,
+        input: AwaitedInput,
+    ) -> impl Iterator<Item = (Time, ConnectionId)> {
         self.by_awaited_input[input as usize].iter().copied()
     }
 
     /// Clients that are starting up or in the middle of a statement, also if they have sent complete ones before.
-    pub(super) fn without_statement(&self) -> usize {
+    pub(in crate::reducer) fn without_statement(&self) -> usize {
         self.by_awaited_input[AwaitedInput::Startup as usize].len()
             + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
 
     /// The client to evict first.
-    pub(super) fn first_evictable(
+    pub(in crate::reducer) fn first_evictable(
         &self,
         scope: EvictionScope,
         ages: &[Span; AWAITED_INPUTS],
@@ -96,7 +104,7 @@
     }
 
     /// The next client to evict while there are more than `limit`, not counting those that are already being evicted.
-    pub(super) fn next_in_excess(
+    pub(in crate::reducer) fn next_in_excess(
         &self,
         now: Time,
         limit: usize,
@@ -109,71 +117,71 @@
     }
 
     /// When the next client may be evicted.
-    pub(super) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUTS]) -> Option<Time> {
+    pub(in crate::reducer) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUTS]) -> Option<Time> {
         self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
 
     /// Takes a client out of its set; what is awaited from it is remembered.
-    pub(super) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
+    pub(in crate::reducer) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
         if let Some((input, since)) = awaited {
             self.by_awaited_input[input as usize].remove(&(since, id));
         }
         self.evicting.push((id, awaited));
     }
 
-    pub(super) fn cancel_eviction(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn cancel_eviction(&mut self, id: ConnectionId) {
         self.evicting.retain(|&(evicting, _)| evicting != id);
     }
 
-    pub(super) fn is_evicting(&self, id: ConnectionId) -> bool {
+    pub(in crate::reducer) fn is_evicting(&self, id: ConnectionId) -> bool {
         self.evicting.iter().any(|&(evicting, _)| evicting == id)
     }
 
     /// Takes an eviction that can be completed, with what was awaited from the client when it began.
-    pub(super) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
+    pub(in crate::reducer) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
         let at = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
         self.evicting.remove(at).1
     }
 
-    pub(super) fn evicting(&self) -> impl Iterator<Item = ConnectionId> {
+    pub(in crate::reducer) fn evicting(&self) -> impl Iterator<Item = ConnectionId> {
         self.evicting.iter().map(|&(id, _)| id)
     }
 
-    pub(super) fn evicting_count(&self) -> usize {
+    pub(in crate::reducer) fn evicting_count(&self) -> usize {
         self.evicting.len()
     }
 
-    pub(super) fn push_ready(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn push_ready(&mut self, id: ConnectionId) {
         self.ready.push_back(id);
     }
 
-    pub(super) fn pop_ready(&mut self) -> Option<ConnectionId> {
+    pub(in crate::reducer) fn pop_ready(&mut self) -> Option<ConnectionId> {
         self.ready.pop_front()
     }
 
-    pub(super) fn defer(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn defer(&mut self, id: ConnectionId) {
         self.deferred.push(id);
     }
 
-    pub(super) fn take_deferred(&mut self) -> Vec<ConnectionId> {
+    pub(in crate::reducer) fn take_deferred(&mut self) -> Vec<ConnectionId> {
         std::mem::take(&mut self.deferred)
     }
 
     /// Is something to be done before the next event?
-    pub(super) fn has_pending_work(&self) -> bool {
+    pub(in crate::reducer) fn has_pending_work(&self) -> bool {
         !self.evicting.is_empty() || !self.deferred.is_empty() || !self.ready.is_empty()
     }
 
     /// Bytes in input buffers that were not read, or whose RPC is in flight.
-    pub(super) fn unread_bytes(&self) -> usize {
+    pub(in crate::reducer) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
 
-    pub(super) fn add_unread_bytes(&mut self, count: usize) {
+    pub(in crate::reducer) fn add_unread_bytes(&mut self, count: usize) {
         self.unread_bytes += count;
     }
 
-    pub(super) fn subtract_unread_bytes(&mut self, count: usize) {
+    pub(in crate::reducer) fn subtract_unread_bytes(&mut self, count: usize) {
         self.unread_bytes = self.unread_bytes.saturating_sub(count);
     }
 }
--- a/crates/ladderpass/src/reducer/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -4,32 +4,32 @@
 //! there in vain once, which costs less than reordering the set at each step of an RPC.
 
 use super::client::Client;
-use super::connection_id::ConnectionId;
 use super::member_connection::MemberConnection;
 use crate::buffer::Buffer;
 use crate::discovery::WatchReader;
+use crate::reducer::connection_id::ConnectionId;
 use ladderpass_routing::Time;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
 /// One connection.
-pub(super) struct Connection {
+pub(in crate::reducer) struct Connection {
     /// Bytes that were received and not yet handled.
-    pub(super) input: Buffer,
+    pub(in crate::reducer) input: Buffer,
     /// Bytes that are still to be written.
-    pub(super) output: Buffer,
+    pub(in crate::reducer) output: Buffer,
     /// Reading has stopped, as there was no space or no memory for more.
-    pub(super) read_paused: bool,
+    pub(in crate::reducer) read_paused: bool,
     /// Reading had stopped before the bytes that are read next.
-    pub(super) read_was_paused: bool,
+    pub(in crate::reducer) read_was_paused: bool,
     /// The socket was not read until it was empty: the end of the connection may be there unseen.
-    pub(super) has_unread_bytes: bool,
+    pub(in crate::reducer) has_unread_bytes: bool,
     /// It is closed once its output is written.
-    pub(super) closing: bool,
+    pub(in crate::reducer) closing: bool,
     /// How often the system denied it a descriptor.
-    pub(super) connect_denials: u8,
+    pub(in crate::reducer) connect_denials: u8,
     /// The other side, and the state that goes with it.
-    pub(super) remote: Remote,
+    pub(in crate::reducer) remote: Remote,
     deadline: Option<Time>,
     /// When the deadline is checked next: no later than the deadline itself.
     scheduled_at: Option<Time>,
@@ -38,7 +38,7 @@
 }
 
 /// The other side of a connection.
-pub(super) enum Remote {
+pub(in crate::reducer) enum Remote {
     Client(Client),
     Member(MemberConnection),
     Discovery(WatchReader),
@@ -46,7 +46,7 @@
 
 /// All connections by id. Ids are the router's own, so that nobody can choose them to collide in the map.
 #[derive(Default)]
-pub(super) struct Connections {
+pub(in crate::reducer) struct Connections {
     by_id: FxHashMap<ConnectionId, Connection>,
     last_id: u64,
     deadlines: BTreeSet<(Time, ConnectionId)>,
@@ -73,33 +73,33 @@
         }
     }
 
-    pub(super) fn deadline(&self) -> Option<Time> {
+    pub(in crate::reducer) fn deadline(&self) -> Option<Time> {
         self.deadline
     }
 
     /// Memory of both buffers, as last counted.
-    pub(super) fn buffer_bytes(&self) -> usize {
+    pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
 }
 
 impl Connections {
-    pub(super) fn next_id(&mut self) -> ConnectionId {
+    pub(in crate::reducer) fn next_id(&mut self) -> ConnectionId {
         self.last_id += 1;
         ConnectionId(self.last_id)
     }
 
     /// The id that was given out last.
-    pub(super) fn last_id(&self) -> ConnectionId {
+    pub(in crate::reducer) fn last_id(&self) -> ConnectionId {
         ConnectionId(self.last_id)
     }
 
-    pub(super) fn insert(&mut self, id: ConnectionId, remote: Remote) {
+    pub(in crate::reducer) fn insert(&mut self, id: ConnectionId, remote: Remote) {
         self.by_id.insert(id, Connection::new(remote));
     }
 
     /// Removes a connection with its deadline, and its buffers from the memory that is counted.
-    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub(in crate::reducer) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.by_id.remove(&id)?;
         if let Some(at) = connection.scheduled_at {
             self.deadlines.remove(&(at, id));
@@ -108,19 +108,19 @@
         Some(connection)
     }
 
-    pub(super) fn contains(&self, id: ConnectionId) -> bool {
+    pub(in crate::reducer) fn contains(&self, id: ConnectionId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    pub(super) fn get(&self, id: ConnectionId) -> Option<&Connection> {
+    pub(in crate::reducer) fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.by_id.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub(in crate::reducer) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.by_id.get_mut(&id)
     }
 
-    pub(super) fn pair_mut(
+    pub(in crate::reducer) fn pair_mut(
         &mut self,
         one: ConnectionId,
         other: ConnectionId,
@@ -128,35 +128,35 @@
         self.by_id.get_disjoint_mut([&one, &other])
     }
 
-    pub(super) fn client(&self, id: ConnectionId) -> Option<&Client> {
+    pub(in crate::reducer) fn client(&self, id: ConnectionId) -> Option<&Client> {
         match &self.by_id.get(&id)?.remote {
             Remote::Client(client) => Some(client),
             _ => None,
         }
     }
 
-    pub(super) fn client_mut(&mut self, id: ConnectionId) -> Option<&mut Client> {
+    pub(in crate::reducer) fn client_mut(&mut self, id: ConnectionId) -> Option<&mut Client> {
         match &mut self.by_id.get_mut(&id)?.remote {
             Remote::Client(client) => Some(client),
             _ => None,
         }
     }
 
-    pub(super) fn member(&self, id: ConnectionId) -> Option<&MemberConnection> {
+    pub(in crate::reducer) fn member(&self, id: ConnectionId) -> Option<&MemberConnection> {
         match &self.by_id.get(&id)?.remote {
             Remote::Member(member) => Some(member),
             _ => None,
         }
     }
 
-    pub(super) fn member_mut(&mut self, id: ConnectionId) -> Option<&mut MemberConnection> {
+    pub(in crate::reducer) fn member_mut(&mut self, id: ConnectionId) -> Option<&mut MemberConnection> {
         match &mut self.by_id.get_mut(&id)?.remote {
             Remote::Member(member) => Some(member),
             _ => None,
         }
     }
 
-    pub(super) fn discovery(&self, id: ConnectionId) -> Option<&WatchReader> {
+    pub(in crate::reducer) fn discovery(&self, id: ConnectionId) -> Option<&WatchReader> {
         match &self.by_id.get(&id)?.remote {
             Remote::Discovery(reader) => Some(reader),
             _ => None,
@@ -164,21 +164,23 @@
     }
 
     /// All connections to members, in no order.
-    pub(super) fn members(&self) -> impl Iterator<Item = (ConnectionId, &MemberConnection)> {
+    pub(in crate::reducer) fn members(&self) -> impl Iterator<Item = (ConnectionId, &MemberConnection)> {
         self.by_id.iter().filter_map(|(&id, connection)| match &connection.remote {
             Remote::Member(member) => Some((id, member)),
             _ => None,
         })
     }
 
-    pub(super) fn members_mut(&mut self) -> impl Iterator<Item = (ConnectionId, &mut MemberConnection)> {
+    pub(in crate::reducer) fn members_mut(
+        &mut self,
+    ) -> impl Iterator<Item = (ConnectionId, &mut MemberConnection)> {
         self.by_id.iter_mut().filter_map(|(&id, connection)| match &mut connection.remote {
             Remote::Member(member) => Some((id, member)),
             _ => None,
         })
     }
 
-    pub(super) fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Time>) {
+    pub(in crate::reducer) fn set_deadline(&mut self, id: ConnectionId, deadline: Option<Time>) {
         let Some(connection) = self.by_id.get_mut(&id) else { return };
         if connection.deadline == deadline {
             return;
@@ -193,12 +195,12 @@
     }
 
     /// When a deadline is to be checked next.
-    pub(super) fn next_check_at(&self) -> Option<Time> {
+    pub(in crate::reducer) fn next_check_at(&self) -> Option<Time> {
         self.deadlines.first().map(|&(at, _)| at)
     }
 
     /// A connection whose deadline has passed; the deadline is taken from it.
-    pub(super) fn pop_expired(&mut self, now: Time) -> Option<ConnectionId> {
+    pub(in crate::reducer) fn pop_expired(&mut self, now: Time) -> Option<ConnectionId> {
         while let Some(&(at, id)) = self.deadlines.first()
             && at <= now
         {
@@ -215,12 +217,12 @@
     }
 
     /// Memory of all buffers.
-    pub(super) fn buffer_bytes(&self) -> usize {
+    pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
 
     /// Counts the memory of a connection's buffers again; true where it has shrunk.
-    pub(super) fn update_buffer_bytes(&mut self, id: ConnectionId) -> bool {
+    pub(in crate::reducer) fn update_buffer_bytes(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.by_id.get_mut(&id) else { return false };
         let bytes = connection.input.capacity() + connection.output.capacity();
         let before = std::mem::replace(&mut connection.buffer_bytes, bytes);
@@ -231,20 +233,20 @@
         bytes < before
     }
 
-    pub(super) fn wait_for_memory(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn wait_for_memory(&mut self, id: ConnectionId) {
         self.waiting_for_memory.insert(id);
     }
 
-    pub(super) fn is_waiting_for_memory(&self, id: ConnectionId) -> bool {
+    pub(in crate::reducer) fn is_waiting_for_memory(&self, id: ConnectionId) -> bool {
         self.waiting_for_memory.contains(&id)
     }
 
-    pub(super) fn stop_waiting_for_memory(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn stop_waiting_for_memory(&mut self, id: ConnectionId) {
         self.waiting_for_memory.remove(&id);
     }
 
     /// Takes all that wait for memory, in the order of their ids.
-    pub(super) fn take_waiting_for_memory(&mut self) -> BTreeSet<ConnectionId> {
+    pub(in crate::reducer) fn take_waiting_for_memory(&mut self) -> BTreeSet<ConnectionId> {
         std::mem::take(&mut self.waiting_for_memory)
     }
 }
--- a/crates/ladderpass/src/reducer/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -28,9 +28,9 @@
 }
 
 /// When a byte arrived, and for how long since then the router, not a member, kept it waiting.
-pub(super) struct Arrived {
-    pub(super) at: Time,
-    pub(super) waited_for_router: Span,
+pub(in crate::reducer) struct Arrived {
+    pub(in crate::reducer) at: Time,
+    pub(in crate::reducer) waited_for_router: Span,
 }
 
 impl InputArrivals {
--- a/crates/ladderpass/src/reducer/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -7,7 +7,7 @@
 
 /// What a connection to a member is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Job {
+pub(in crate::reducer) enum Job {
     Attempt(RpcId),
     HealthCheck,
     /// The empty query that was written behind the last query. Any result that arrives before its answer is surplus to the
@@ -16,7 +16,7 @@
 }
 
 /// A connection to a member.
-pub(super) struct MemberConnection {
+pub(in crate::reducer) struct MemberConnection {
     /// The member's index.
     member: usize,
     /// The member has completed its startup.
@@ -48,29 +48,29 @@
 }
 
 /// A job that has left its connection.
-pub(super) struct EndedJob {
-    pub(super) job: Option<Job>,
-    pub(super) member: MemberId,
-    pub(super) assigned_at: Time,
-    pub(super) answer: QueryAnswer,
+pub(in crate::reducer) struct EndedJob {
+    pub(in crate::reducer) job: Option<Job>,
+    pub(in crate::reducer) member: MemberId,
+    pub(in crate::reducer) assigned_at: Time,
+    pub(in crate::reducer) answer: QueryAnswer,
 }
 
 /// A job whose answer is complete.
-pub(super) struct AnsweredJob {
-    pub(super) job: Job,
-    pub(super) member: MemberId,
-    pub(super) answer: QueryAnswer,
+pub(in crate::reducer) struct AnsweredJob {
+    pub(in crate::reducer) job: Job,
+    pub(in crate::reducer) member: MemberId,
+    pub(in crate::reducer) answer: QueryAnswer,
     /// Bytes of the input that the answer takes.
-    pub(super) input_bytes: usize,
+    pub(in crate::reducer) input_bytes: usize,
     /// How long the member took: without what this router kept waiting, the query before it was written and the answer
     /// before it was read.
-    pub(super) latency: Span,
-    pub(super) waited_for_router: Span,
+    pub(in crate::reducer) latency: Span,
+    pub(in crate::reducer) waited_for_router: Span,
 }
 
 /// How much of a query was already written when it is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Withdrawal {
+pub(in crate::reducer) enum Withdrawal {
     /// The connection is not established: nothing is in the output.
     NotBegun,
     /// No byte of it was written; it is to be taken out of the output.
@@ -81,7 +81,7 @@
 }
 
 /// What follows from a message of a member.
-pub(super) enum MessageEffect {
+pub(in crate::reducer) enum MessageEffect {
     Continue,
     /// The connection can take a query.
     Established,
@@ -92,7 +92,7 @@
 }
 
 impl MemberConnection {
-    pub(super) fn new(
+    pub(in crate::reducer) fn new(
         now: Time,
         member: usize,
         job_deadline: Time,
@@ -120,48 +120,48 @@
     }
 
     /// The member's index.
-    pub(super) fn member(&self) -> usize {
+    pub(in crate::reducer) fn member(&self) -> usize {
         self.member
     }
 
-    pub(super) fn is_established(&self) -> bool {
+    pub(in crate::reducer) fn is_established(&self) -> bool {
         self.is_established
     }
 
-    pub(super) fn connect_deadline(&self) -> Time {
+    pub(in crate::reducer) fn connect_deadline(&self) -> Time {
         self.connect_deadline
     }
 
-    pub(super) fn job(&self) -> Option<Job> {
+    pub(in crate::reducer) fn job(&self) -> Option<Job> {
         self.job
     }
 
-    pub(super) fn assigned_at(&self) -> Time {
+    pub(in crate::reducer) fn assigned_at(&self) -> Time {
         self.assigned_at
     }
 
-    pub(super) fn job_deadline(&self) -> Time {
+    pub(in crate::reducer) fn job_deadline(&self) -> Time {
         self.job_deadline
     }
 
-    pub(super) fn unwritten(&self) -> usize {
+    pub(in crate::reducer) fn unwritten(&self) -> usize {
         self.unwritten
     }
 
     /// Gives it a job; returns the deadline of the connection.
-    pub(super) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
+    pub(in crate::reducer) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
         (self.job, self.assigned_at, self.job_deadline) = (Some(job), assigned_at, deadline);
         self.write_delay = Span::ZERO;
         if self.is_established { deadline } else { deadline.min(self.connect_deadline) }
     }
 
     /// Takes the job, with nothing of its answer.
-    pub(super) fn take_job(&mut self) -> Option<Job> {
+    pub(in crate::reducer) fn take_job(&mut self) -> Option<Job> {
         self.job.take()
     }
 
     /// Takes the job, with what has arrived of its answer.
-    pub(super) fn end_job(&mut self) -> EndedJob {
+    pub(in crate::reducer) fn end_job(&mut self) -> EndedJob {
         EndedJob {
             job: self.job.take(),
             member: MemberId(self.member as u32),
@@ -171,7 +171,7 @@
     }
 
     /// Takes the job whose answer is complete.
-    pub(super) fn take_answered_job(&mut self, now: Time) -> Option<AnsweredJob> {
+    pub(in crate::reducer) fn take_answered_job(&mut self, now: Time) -> Option<AnsweredJob> {
         let job = self.job.take()?;
         let waited_for_router = self.write_delay + self.read_delay;
         self.has_answer_begun = false;
@@ -185,61 +185,61 @@
         })
     }
 
-    pub(super) fn set_idle(&mut self, now: Time) {
+    pub(in crate::reducer) fn set_idle(&mut self, now: Time) {
         self.idle_since = now;
     }
 
-    pub(super) fn idle_since(&self) -> Time {
+    pub(in crate::reducer) fn idle_since(&self) -> Time {
         self.idle_since
     }
 
     /// The member's address has changed.
-    pub(super) fn set_old_address(&mut self) {
+    pub(in crate::reducer) fn set_old_address(&mut self) {
         self.has_old_address = true;
     }
 
-    pub(super) fn has_old_address(&self) -> bool {
+    pub(in crate::reducer) fn has_old_address(&self) -> bool {
         self.has_old_address
     }
 
-    pub(super) fn set_read_delay(&mut self, delay: Span) {
+    pub(in crate::reducer) fn set_read_delay(&mut self, delay: Span) {
         self.read_delay = delay;
     }
 
-    pub(super) fn record_received(&mut self, now: Time) {
+    pub(in crate::reducer) fn record_received(&mut self, now: Time) {
         self.last_received_at = now;
     }
 
-    pub(super) fn last_received_at(&self) -> Time {
+    pub(in crate::reducer) fn last_received_at(&self) -> Time {
         self.last_received_at
     }
 
-    pub(super) fn has_established_job(&self) -> bool {
+    pub(in crate::reducer) fn has_established_job(&self) -> bool {
         self.is_established && self.job.is_some()
     }
 
     /// Does the input, now of this length, hold the first bytes of an answer? True only once for each answer.
-    pub(super) fn begins_answer(&mut self, input_bytes: usize) -> bool {
+    pub(in crate::reducer) fn begins_answer(&mut self, input_bytes: usize) -> bool {
         input_bytes > self.scanned
             && self.has_established_job()
             && !std::mem::replace(&mut self.has_answer_begun, true)
     }
 
-    pub(super) fn has_answer_begun(&self) -> bool {
+    pub(in crate::reducer) fn has_answer_begun(&self) -> bool {
         self.has_answer_begun
     }
 
     /// Bytes of the input that are already parsed.
-    pub(super) fn scanned(&self) -> usize {
+    pub(in crate::reducer) fn scanned(&self) -> usize {
         self.scanned
     }
 
-    pub(super) fn add_scanned(&mut self, count: usize) {
+    pub(in crate::reducer) fn add_scanned(&mut self, count: usize) {
         self.scanned += count;
     }
 
     /// In faulty builds: takes all input for a complete answer, if it has begun as one.
-    pub(super) fn force_complete(&mut self, input_bytes: usize) -> bool {
+    pub(in crate::reducer) fn force_complete(&mut self, input_bytes: usize) -> bool {
         let has_description = self.answer.has_description();
         if has_description {
             self.answer.force_complete();
@@ -249,19 +249,19 @@
     }
 
     /// When the query must be fully written: `timeout` after `write_began_at` at the latest. None if it is.
-    pub(super) fn write_deadline(&self, timeout: Span) -> Option<Time> {
+    pub(in crate::reducer) fn write_deadline(&self, timeout: Span) -> Option<Time> {
         let is_writing = self.is_established && self.unwritten > 0;
         is_writing.then(|| self.job_deadline.min(self.write_began_at + timeout))
     }
 
     /// It carries an attempt of which no byte was sent to the member.
-    pub(super) fn has_unsent_attempt(&self) -> bool {
+    pub(in crate::reducer) fn has_unsent_attempt(&self) -> bool {
         let is_unsent = !self.is_established || self.has_written_nothing && self.unwritten > 0;
         matches!(self.job, Some(Job::Attempt(_))) && is_unsent
     }
 
     /// Takes its query back as far as that is possible.
-    pub(super) fn withdraw_query(&mut self) -> Withdrawal {
+    pub(in crate::reducer) fn withdraw_query(&mut self) -> Withdrawal {
         match (self.is_established, self.has_written_nothing) {
             (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
             (true, false) => Withdrawal::Written,
@@ -274,14 +274,14 @@
     }
 
     /// The query of its job is to be written; so many bytes of output end with it.
-    pub(super) fn begin_query(&mut self, now: Time, unwritten: usize) {
+    pub(in crate::reducer) fn begin_query(&mut self, now: Time, unwritten: usize) {
         (self.unwritten, self.scanned, self.answer) = (unwritten, 0, QueryAnswer::default());
         (self.write_began_at, self.write_delay, self.has_written_nothing) = (now, Span::ZERO, true);
         self.has_answer_begun = false;
     }
 
     /// So many bytes of output were written; true where they complete the query.
-    pub(super) fn record_written(&mut self, now: Time, count: usize) -> bool {
+    pub(in crate::reducer) fn record_written(&mut self, now: Time, count: usize) -> bool {
         if self.unwritten == 0 {
             return false;
         }
@@ -294,13 +294,13 @@
     }
 
     /// The query is fully written: it may run.
-    pub(super) fn is_query_sent(&self) -> bool {
+    pub(in crate::reducer) fn is_query_sent(&self) -> bool {
         self.is_established && self.unwritten == 0
     }
 
     /// What the end of the connection means for its job. A complete answer counts also without the member's
     /// ReadyForQuery.
-    pub(super) fn outcome_on_close(&self) -> AttemptOutcome {
+    pub(in crate::reducer) fn outcome_on_close(&self) -> AttemptOutcome {
         if self.is_established && self.answer.is_complete() {
             return self.answer.outcome();
         }
@@ -313,7 +313,12 @@
     }
 
     /// Handles a message of the member. `accepts_torn_rows` is a switch of faulty builds.
-    pub(super) fn on_message(&mut self, kind: u8, body: &[u8], accepts_torn_rows: bool) -> MessageEffect {
+    pub(in crate::reducer) fn on_message(
+        &mut self,
+        kind: u8,
+        body: &[u8],
+        accepts_torn_rows: bool,
+    ) -> MessageEffect {
         if !self.is_established {
             return self.on_startup_message(kind, body);
         }
--- a/crates/ladderpass/src/reducer/methods.rs
+++ b/crates/ladderpass/src/reducer/state/methods.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// Methods by name and by index.
-pub(super) struct MethodTable {
+pub(in crate::reducer) struct MethodTable {
     index_by_name: HashMap<String, u32, foldhash::fast::RandomState>,
     properties: Vec<MethodProperties>,
     /// Some method reads what its session wrote.
@@ -36,7 +36,7 @@
 }
 
 impl MethodTable {
-    pub(super) fn new(settings: &DeploymentSettings) -> MethodTable {
+    pub(in crate::reducer) fn new(settings: &DeploymentSettings) -> MethodTable {
         let methods = &settings.deployment.methods;
         MethodTable {
             index_by_name: settings.method_names.iter().cloned().zip(0..).collect(),
@@ -46,37 +46,37 @@
         }
     }
 
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::reducer) fn len(&self) -> usize {
         self.properties.len()
     }
 
-    pub(super) fn index(&self, name: &str) -> Option<u32> {
+    pub(in crate::reducer) fn index(&self, name: &str) -> Option<u32> {
         self.index_by_name.get(name).copied()
     }
 
-    pub(super) fn name(&self, index: u32) -> Option<&str> {
+    pub(in crate::reducer) fn name(&self, index: u32) -> Option<&str> {
         self.index_by_name.iter().find(|(_, known)| **known == index).map(|(name, _)| name.as_str())
     }
 
-    pub(super) fn has_session_methods(&self) -> bool {
+    pub(in crate::reducer) fn has_session_methods(&self) -> bool {
         self.has_session_methods
     }
 
     /// Must the router remember when each session wrote?
-    pub(super) fn tracks_sessions(&self) -> bool {
+    pub(in crate::reducer) fn tracks_sessions(&self) -> bool {
         self.has_session_methods && !self.session_write_age_carried
     }
 
-    pub(super) fn bounds_staleness(&self, index: u32) -> bool {
+    pub(in crate::reducer) fn bounds_staleness(&self, index: u32) -> bool {
         self.get(index).is_some_and(|method| method.bounds_staleness)
     }
 
     /// None for an unknown method.
-    pub(super) fn is_write(&self, index: u32) -> Option<bool> {
+    pub(in crate::reducer) fn is_write(&self, index: u32) -> Option<bool> {
         self.get(index).map(|method| method.is_write)
     }
 
-    pub(super) fn uses_idempotency_key(&self, index: u32) -> bool {
+    pub(in crate::reducer) fn uses_idempotency_key(&self, index: u32) -> bool {
         self.get(index).is_some_and(|method| method.uses_idempotency_key)
     }
 
--- a/crates/ladderpass/src/reducer/overload.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -1,19 +1,18 @@
 //! This router's own overload: what it measures goes to the governor, whose state goes to the routing core with each
-//! arrival; clients that read no answers are closed; metrics are logged.
+//! arrival; clients that read no answers are found; metrics are logged.
 //!
 //! Off unless the operator's file has an `overload` section. It rejects no RPC itself: the routing core does.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
 use super::connections::Connections;
-use super::stats::Count;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::log_target;
 use ladderpass_config::operator::Operator;
 use ladderpass_overload::{ClientUsage, Governor, OverloadEvent, ResourceLimits, ResourceSample};
 use ladderpass_routing::{Arrival, Router, Span, Time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Watches the load of this process, where the operator wants that.
-pub(super) struct OverloadMonitor {
+pub(in crate::reducer) struct OverloadMonitor {
     active: Option<Box<ActiveMonitor>>,
     /// RPCs accepted, and rejected for overload, since the metrics were logged last.
     accepted: u32,
@@ -81,14 +80,14 @@
         for OverloadEvent::LevelChanged { before, after, pressure, dominant } in self.governor.take_events() {
             let (before, after, dominant) = (before.name(), after.name(), dominant.name());
             tracing::info!(
-                target: "ladderpass::overload", before, after, pressure, dominant, "overload level changed"
+                target: log_target::OVERLOAD, before, after, pressure, dominant, "overload level changed"
             );
         }
     }
 }
 
 impl OverloadMonitor {
-    pub(super) fn new(
+    pub(in crate::reducer) fn new(
         now: Time,
         operator: &Operator,
         limits: ResourceLimits,
@@ -99,7 +98,7 @@
     }
 
     /// Takes over other settings of the operator.
-    pub(super) fn reconfigure(
+    pub(in crate::reducer) fn reconfigure(
         &mut self,
         now: Time,
         operator: &Operator,
@@ -119,7 +118,30 @@
         }
     }
 
-    pub(super) fn record_stall(&mut self, now: Time) {
+    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
+    pub(in crate::reducer) fn next_sample_at(&self) -> Option<Time> {
+        let active = self.active.as_ref()?;
+        Some(active.sampled_at + active.governor.sample_interval())
+    }
+
+    /// How many connections to accept for one event, `most` without overload.
+    pub(in crate::reducer) fn accept_budget(&self, most: usize) -> usize {
+        self.active.as_ref().map_or(most, |active| active.governor.accept_budget(most))
+    }
+
+    /// Slow readers that are to be closed.
+    pub(in crate::reducer) fn overdue_slow_readers(
+        &mut self,
+        now: Time,
+        connections: &Connections,
+    ) -> Vec<ConnectionId> {
+        match &mut self.active {
+            Some(active) => active.overdue_slow_readers(now, connections),
+            None => Vec::new(),
+        }
+    }
+
+    pub(in crate::reducer) fn record_stall(&mut self, now: Time) {
         if let Some(active) = &mut self.active {
             active.governor.record_stall(now);
         }
@@ -127,7 +149,7 @@
 
     /// Counts a statement and gives its RPC the overload state to be judged by. True where its rejection is certain: to
     /// look at it further would be work for nothing.
-    pub(super) fn assess(
+    pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
         router: &Router,
@@ -144,13 +166,13 @@
         f64::from(priority + 1) <= state.admission_threshold
     }
 
-    pub(super) fn record_accepted(&mut self) {
+    pub(in crate::reducer) fn record_accepted(&mut self) {
         self.accepted += 1;
     }
 
     /// Counts an RPC that was rejected at arrival. True if the operator's file has an `overload` section, whatever the
     /// reason of the rejection; false without one.
-    pub(super) fn record_rejected_at_arrival(&mut self) -> bool {
+    pub(in crate::reducer) fn record_rejected_at_arrival(&mut self) -> bool {
         let Some(active) = &mut self.active else { return false };
         active.governor.record_rejected();
         self.rejected += 1;
@@ -158,28 +180,33 @@
     }
 
     /// An RPC that was accepted got no good answer.
-    pub(super) fn record_unserved(&mut self) {
+    pub(in crate::reducer) fn record_unserved(&mut self) {
         if let Some(active) = &mut self.active {
             active.governor.record_rejected();
         }
     }
 
     /// An RPC was answered; `bytes` are those of the client's buffers.
-    pub(super) fn record_served(&mut self, now: Time, method: u32, bytes: impl FnOnce() -> usize) {
+    pub(in crate::reducer) fn record_served(
+        &mut self,
+        now: Time,
+        method: u32,
+        bytes: impl FnOnce() -> usize,
+    ) {
         if let Some(active) = &mut self.active {
             active.governor.record_served(now, method, bytes());
         }
     }
 
     /// A client's socket accepts no more for now.
-    pub(super) fn record_write_blocked(&mut self, now: Time, client: ConnectionId) {
+    pub(in crate::reducer) fn record_write_blocked(&mut self, now: Time, client: ConnectionId) {
         if let Some(active) = &mut self.active {
             active.slow_readers.entry(client).or_insert(now);
         }
     }
 
     /// A client has read something of its answers, or all of it.
-    pub(super) fn record_client_read(&mut self, now: Time, client: ConnectionId, all: bool) {
+    pub(in crate::reducer) fn record_client_read(&mut self, now: Time, client: ConnectionId, all: bool) {
         let Some(active) = &mut self.active else { return };
         if active.slow_readers.is_empty() {
             return;
@@ -194,7 +221,7 @@
     }
 
     /// An iteration of the event loop is over. `unread_bytes`: what clients have sent and is not handled.
-    pub(super) fn end_iteration(
+    pub(in crate::reducer) fn end_iteration(
         &mut self,
         now: Time,
         busy: Span,
@@ -212,7 +239,7 @@
         active.log_level_changes();
     }
 
-    fn record_sample(&mut self, now: Time, sample: ResourceSample) {
+    pub(in crate::reducer) fn record_sample(&mut self, now: Time, sample: ResourceSample) {
         if let Some(active) = &mut self.active {
             active.sampled_at = now;
             active.governor.record_sample(now, sample);
@@ -220,7 +247,7 @@
         }
     }
 
-    fn log_metrics(&mut self, now: Time, clients: usize, rpcs: usize) {
+    pub(in crate::reducer) fn log_metrics(&mut self, now: Time, clients: usize, rpcs: usize) {
         let Some(active) = &mut self.active else { return };
         if now - active.metrics_logged_at < active.metrics_interval {
             return;
@@ -241,38 +268,8 @@
 }
 
 /// What a statement costs the router before it is judged.
-pub(super) struct StatementCost {
+pub(in crate::reducer) struct StatementCost {
     /// How long the router kept it waiting.
-    pub(super) waited: Span,
-    pub(super) bytes: usize,
-}
-
-impl Reducer {
-    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
-    pub fn next_sample_at(&self) -> Option<Time> {
-        let active = self.overload.active.as_ref()?;
-        Some(active.sampled_at + active.governor.sample_interval())
-    }
-
-    /// How many connections to accept for one event.
-    pub fn accept_budget(&self) -> usize {
-        let most = self.limits.accepts_per_event;
-        self.overload.active.as_ref().map_or(most, |active| active.governor.accept_budget(most))
-    }
-
-    pub(super) fn on_resources_sampled(&mut self, now: Time, mut sample: ResourceSample) {
-        self.close_slow_readers(now);
-        sample.buffer_bytes = self.connections.buffer_bytes();
-        self.overload.record_sample(now, sample);
-        self.overload.log_metrics(now, self.clients.len(), self.rpcs.len());
-    }
-
-    fn close_slow_readers(&mut self, now: Time) {
-        let Some(active) = &mut self.overload.active else { return };
-        for id in active.overdue_slow_readers(now, &self.connections) {
-            tracing::debug!(target: "ladderpass::overload", client = id.0, "slow reader closed");
-            self.stats.count(Count::SlowReader);
-            self.on_client_closed(now, id);
-        }
-    }
+    pub(in crate::reducer) waited: Span,
+    pub(in crate::reducer) bytes: usize,
 }
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -1,17 +1,15 @@
 //! The other routers: membership, gossip on members, shared admission control and the shared retry budget.
 //!
-//! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
-//! and is taken from those that may send it. Who is alive, and who may send gossip, is decided by
-//! `ladderpass-membership`; the routing core decides how gossip is weighed.
+//! Who is alive, and who may send gossip, is decided by `ladderpass-membership`; the routing core decides how gossip is
+//! weighed.
 
-use super::Reducer;
-use super::event::Effect;
-use super::peer_log;
 use crate::launch::Launch;
+use crate::reducer::log_target;
+use crate::reducer::peer_log;
 use ladderpass_admission::{AdmissionController, GroupMetrics, admission_draw};
-use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter, Membership, Settings, View, router_hash};
+use ladderpass_membership::{Change, LocalRouter, Membership, Settings, View, router_hash};
 use ladderpass_retry_budget::{RetryBudget, RetryRates};
-use ladderpass_routing::{Arrival, MemberLoad, MemberUpdate, OverloadState, Router, Span, Time};
+use ladderpass_routing::{Arrival, MemberLoad, OverloadState, Router, Span, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -23,7 +21,7 @@
 const PIGGYBACK_BYTES: usize = 150;
 
 /// State of the links to other routers.
-pub(super) struct PeerLinks {
+pub(in crate::reducer) struct PeerLinks {
     membership: Membership,
     view: View,
     wake_at: Time,
@@ -45,18 +43,21 @@
 
 /// What shared admission control says of an arrival.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct AdmissionVerdict {
-    pub(super) is_rejected: bool,
-    pub(super) priority: u32,
+pub(in crate::reducer) struct AdmissionVerdict {
+    pub(in crate::reducer) is_rejected: bool,
+    pub(in crate::reducer) priority: u32,
 }
 
 impl PeerLinks {
     /// None where the operator's file names no peers.
-    pub(super) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
+    pub(in crate::reducer) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
         let operator = &launch.operator;
         let peers = operator.peers.as_ref()?;
         if peers.legacy_form {
-            tracing::warn!("peers.me and peers.all are deprecated: write peers.listen and peers.listed");
+            tracing::warn!(
+                target: log_target::PEER_LINKS,
+                "peers.me and peers.all are deprecated: write peers.listen and peers.listed"
+            );
         }
         let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
         let settings = Settings { faulty: launch.faulty.membership(), ..Settings::default() };
@@ -85,12 +86,82 @@
         })
     }
 
-    pub(super) fn wake_at(&self) -> Time {
+    pub(in crate::reducer) fn wake_at(&self) -> Time {
         self.admission.as_ref().map_or(self.wake_at, |admission| admission.wake_at().min(self.wake_at))
     }
 
+    /// The membership's view, as last applied.
+    pub(in crate::reducer) fn view(&self) -> &View {
+        &self.view
+    }
+
+    /// Metrics of shared admission control, by group.
+    pub(in crate::reducer) fn admission_metrics(&self) -> Vec<GroupMetrics> {
+        self.admission.iter().flat_map(AdmissionController::metrics).collect()
+    }
+
+    /// Takes the datagrams that are to be sent.
+    pub(in crate::reducer) fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// A datagram of the membership has arrived.
+    pub(in crate::reducer) fn on_membership_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
+        self.membership.on_datagram(now, from, bytes);
+        let reports = self.membership.take_piggybacked();
+        if let Some(admission) = &mut self.admission {
+            reports.iter().for_each(|report| admission.on_reports(now, report));
+        }
+    }
+
+    /// May this router send gossip on members?
+    pub(in crate::reducer) fn may_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
+        self.membership.may_gossip(now, from)
+    }
+
+    /// Puts messages on members into datagrams to all other routers.
+    pub(in crate::reducer) fn publish(&mut self, now: Time, messages: &[String]) {
+        for target in self.membership.gossip_targets(now) {
+            let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
+            self.outgoing.extend(datagrams);
+        }
+    }
+
+    /// Lets the membership act if that is due; true if so.
+    pub(in crate::reducer) fn tick_membership(&mut self, now: Time) -> bool {
+        let is_due = self.wake_at <= now;
+        if is_due {
+            self.membership.tick(now);
+        }
+        is_due
+    }
+
+    /// This router is about to end.
+    pub(in crate::reducer) fn leave(&mut self, now: Time) {
+        self.membership.leave(now);
+    }
+
+    /// Takes over when the membership is due next, and its datagrams; true where there are some.
+    pub(in crate::reducer) fn collect_membership_output(&mut self) -> bool {
+        self.wake_at = self.membership.wake_at();
+        let outgoing = self.membership.take_outgoing();
+        let has_datagrams = !outgoing.is_empty();
+        self.outgoing.extend(outgoing);
+        has_datagrams
+    }
+
+    /// Was another incarnation of this router's address seen? Tells it once.
+    pub(in crate::reducer) fn take_address_conflict(&mut self) -> bool {
+        self.membership.take_address_conflict()
+    }
+
+    /// The membership's view of now.
+    pub(in crate::reducer) fn newest_view(&self) -> View {
+        self.membership.view()
+    }
+
     /// Gives an arrival the overload state of all routers and its session's admission draw, and counts it as offered.
-    pub(super) fn assess(
+    pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
         arrival: &mut Arrival,
@@ -127,40 +198,40 @@
         Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
-    pub(super) fn record_first_attempt(&mut self, group: u32) {
+    pub(in crate::reducer) fn record_first_attempt(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_first_attempt(group);
         }
     }
 
     /// Withdraws a retry of an RPC of this priority from the budget; false if the budget does not allow it.
-    pub(super) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
+    pub(in crate::reducer) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
         self.retry_budget_for(group)
             .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
     }
 
     /// A retry that was withdrawn from the budget has succeeded.
-    pub(super) fn record_retry_success(&mut self, group: u32) {
+    pub(in crate::reducer) fn record_retry_success(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_success(group);
         }
     }
 
     /// A retry that was withdrawn from the budget is not made.
-    pub(super) fn refund_retry(&mut self, group: u32) {
+    pub(in crate::reducer) fn refund_retry(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.refund(group);
         }
     }
 
-    pub(super) fn record_served(&mut self, group: u32) {
+    pub(in crate::reducer) fn record_served(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_served(group);
         }
     }
 
     /// An RPC that was admitted was rejected later.
-    pub(super) fn record_unplaced(&mut self, group: u32) {
+    pub(in crate::reducer) fn record_unplaced(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_unplaced(group);
         }
@@ -180,7 +251,12 @@
     }
 
     /// Exchanges what all routers know of the load with the routing core, the retry budget and the other routers.
-    fn tick_admission(&mut self, now: Time, router: &mut Router, groups: &HashMap<u64, u32>) {
+    pub(in crate::reducer) fn tick_admission(
+        &mut self,
+        now: Time,
+        router: &mut Router,
+        groups: &HashMap<u64, u32>,
+    ) {
         if self.admission.as_ref().is_none_or(|admission| admission.wake_at() > now) {
             return;
         }
@@ -221,24 +297,24 @@
         }
     }
 
-    pub(super) fn log_membership(&self) {
+    pub(in crate::reducer) fn log_membership(&self) {
         peer_log::log_membership(&self.view, &self.membership);
     }
 
     /// Routers that count as alive: at least those of the file, until this one has had time to find them.
-    fn alive_count(&self, now: Time, view: &View) -> usize {
+    pub(in crate::reducer) fn alive_count(&self, now: Time, view: &View) -> usize {
         if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
     }
 
     /// Takes over the changes of the membership. What is logged is the membership's own view; until `settled_at` the
     /// routing core gets `alive_count`, which may be more than the `count` that is logged.
-    fn apply_changes(&mut self, now: Time, view: View) {
+    pub(in crate::reducer) fn apply_changes(&mut self, now: Time, view: View) {
         let changes = self.membership.take_changes();
         if changes.is_empty() && view == self.view {
             return;
         }
         for (peer, _) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
-            tracing::debug!(%peer, "router suspected");
+            tracing::debug!(target: log_target::PEER_LINKS, %peer, "router suspected");
         }
         let key = |view: &View| (view.position, view.count, view.digest);
         let has_view_changed = key(&view) != key(&self.view);
@@ -252,91 +328,3 @@
         }
     }
 }
-
-impl Reducer {
-    /// How many routers are alive, this one included, and a digest of just these; None without peers.
-    pub fn fleet_view(&self) -> Option<(usize, u32)> {
-        self.peers.as_ref().map(|peers| (peers.view.count, peers.view.digest))
-    }
-
-    /// Metrics of shared admission control, by group.
-    pub fn admission_metrics(&self) -> Vec<GroupMetrics> {
-        self.peers
-            .iter()
-            .filter_map(|peers| peers.admission.as_ref())
-            .flat_map(AdmissionController::metrics)
-            .collect()
-    }
-
-    /// Takes the datagrams that are to be sent to other routers.
-    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.peers.as_mut().map_or(Vec::new(), |peers| std::mem::take(&mut peers.outgoing))
-    }
-
-    /// A datagram: of the membership by its first byte, else gossip on members.
-    pub(super) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
-        let Some(peers) = self.peers.as_deref_mut() else { return };
-        if bytes.first() == Some(&FIRST_BYTE) {
-            peers.membership.on_datagram(now, from, bytes);
-            let reports = peers.membership.take_piggybacked();
-            if let Some(admission) = &mut peers.admission {
-                reports.iter().for_each(|report| admission.on_reports(now, report));
-            }
-            return self.apply_membership(now);
-        }
-        if !peers.membership.may_gossip(now, from) {
-            return;
-        }
-        let Ok(text) = std::str::from_utf8(bytes) else { return };
-        for update in self.gossip_codec.decode(text, now) {
-            self.router.on_peer_update(now, update);
-        }
-    }
-
-    /// Sends the routing core's updates on members to all other routers.
-    pub(super) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
-        let messages = self.gossip_codec.encode(updates, self.members.names());
-        let Some(peers) = self.peers.as_deref_mut() else { return };
-        for target in peers.membership.gossip_targets(now) {
-            let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
-            peers.outgoing.extend(datagrams);
-        }
-        self.effects.push(Effect::SendDatagrams);
-    }
-
-    pub(super) fn tick_peers(&mut self, now: Time) {
-        let Some(peers) = self.peers.as_deref_mut() else { return };
-        peers.tick_admission(now, &mut self.router, self.endpoints.groups());
-        if peers.wake_at <= now {
-            peers.membership.tick(now);
-            self.apply_membership(now);
-        }
-    }
-
-    pub(super) fn leave_fleet(&mut self, now: Time) {
-        if let Some(peers) = self.peers.as_deref_mut() {
-            peers.membership.leave(now);
-            self.apply_membership(now);
-        }
-    }
-
-    /// Takes over what the membership has decided.
-    fn apply_membership(&mut self, now: Time) {
-        let Some(peers) = self.peers.as_deref_mut() else { return };
-        peers.wake_at = peers.membership.wake_at();
-        let outgoing = peers.membership.take_outgoing();
-        if !outgoing.is_empty() {
-            peers.outgoing.extend(outgoing);
-            self.effects.push(Effect::SendDatagrams);
-        }
-        if peers.membership.take_address_conflict() {
-            tracing::warn!(
-                "another incarnation of this router's address was seen: its clock may have gone back"
-            );
-        }
-        let view = peers.membership.view();
-        let alive_count = peers.alive_count(now, &view);
-        self.router.set_router_position(view.position as u32, alive_count as u32);
-        peers.apply_changes(now, view);
-    }
-}
--- a/crates/ladderpass/src/reducer/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -1,13 +1,13 @@
 //! What has arrived of a member's answer to one query: one row of one column, or an error, and what its parameters say
 //! of the member.
 
-use super::unix_time::time_from_unix_ms;
 use crate::pg;
+use crate::reducer::unix_time::time_from_unix_ms;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
 
 /// An answer, as far as it has arrived.
 #[derive(Default)]
-pub(super) struct QueryAnswer {
+pub(in crate::reducer) struct QueryAnswer {
     has_description: bool,
     has_row: bool,
     is_command_complete: bool,
@@ -80,12 +80,12 @@
     }
 
     /// In faulty builds: a member that tells a position tells this one.
-    pub(super) fn override_position(&mut self, position: Time) {
+    pub(in crate::reducer) fn override_position(&mut self, position: Time) {
         self.position = self.position.map(|_| position);
     }
 
     /// What a complete answer means for its attempt.
-    pub(super) fn outcome(&self) -> AttemptOutcome {
+    pub(in crate::reducer) fn outcome(&self) -> AttemptOutcome {
         match self.error.as_ref().map(|error| error.code.as_str()) {
             None => AttemptOutcome::Ok,
             Some("25006" | "72000") => AttemptOutcome::NotServedHere,
@@ -95,7 +95,7 @@
     }
 
     /// The result of an attempt, with what the answer says of the member.
-    pub(super) fn to_result(
+    pub(in crate::reducer) fn to_result(
         &self,
         member: MemberId,
         outcome: AttemptOutcome,
@@ -114,6 +114,10 @@
 }
 
 /// The result of an attempt of which no answer has arrived.
-pub(super) fn unanswered_result(member: MemberId, outcome: AttemptOutcome, latency: Span) -> AttemptResult {
+pub(in crate::reducer) fn unanswered_result(
+    member: MemberId,
+    outcome: AttemptOutcome,
+    latency: Span,
+) -> AttemptResult {
     QueryAnswer::default().to_result(member, outcome, latency)
 }
--- a/crates/ladderpass/src/reducer/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -1,29 +1,29 @@
 //! The RPCs in flight, and the ids that no other RPC may use.
 
-use super::connection_id::ConnectionId;
 use super::rpc_ids::RpcIds;
+use crate::reducer::connection_id::ConnectionId;
 use ladderpass_routing::{AttemptOutcome, RpcId, Span, Time};
 use rustc_hash::FxHashMap;
 use std::ops::Range;
 
 /// What does not change of an RPC.
 #[derive(Clone, Debug)]
-pub(super) struct RpcDescription {
-    pub(super) deadline: Time,
+pub(in crate::reducer) struct RpcDescription {
+    pub(in crate::reducer) deadline: Time,
     /// Its data must be as new at the send as it was at the decision.
-    pub(super) bounds_staleness: bool,
-    pub(super) method: u32,
-    pub(super) group: u32,
+    pub(in crate::reducer) bounds_staleness: bool,
+    pub(in crate::reducer) method: u32,
+    pub(in crate::reducer) group: u32,
     /// Its priority among all RPCs, where routers shed load together.
-    pub(super) priority: u32,
+    pub(in crate::reducer) priority: u32,
     /// Its id, as `RpcIds` hashes it.
-    pub(super) id_hash: u64,
+    pub(in crate::reducer) id_hash: u64,
     /// Where the statement says how long its client waits.
-    pub(super) wait_at: Range<usize>,
+    pub(in crate::reducer) wait_at: Range<usize>,
 }
 
 /// An RPC that was accepted and has no answer, or has an attempt in flight.
-pub(super) struct RpcInFlight {
+pub(in crate::reducer) struct RpcInFlight {
     description: RpcDescription,
     /// The client that waits for its answer.
     client: Option<ConnectionId>,
@@ -46,7 +46,7 @@
 }
 
 impl RpcInFlight {
-    pub(super) fn new(
+    pub(in crate::reducer) fn new(
         now: Time,
         client: ConnectionId,
         description: RpcDescription,
@@ -67,128 +67,134 @@
         }
     }
 
-    pub(super) fn description(&self) -> &RpcDescription {
+    pub(in crate::reducer) fn description(&self) -> &RpcDescription {
         &self.description
     }
 
-    pub(super) fn client(&self) -> Option<ConnectionId> {
+    pub(in crate::reducer) fn client(&self) -> Option<ConnectionId> {
         self.client
     }
 
     /// Takes the client out, for the one answer that is written to it, or as it has left. There is no second answer.
-    pub(super) fn take_client(&mut self) -> Option<ConnectionId> {
+    pub(in crate::reducer) fn take_client(&mut self) -> Option<ConnectionId> {
         self.client.take()
     }
 
     /// How long members have kept it.
-    pub(super) fn time_with_members(&self, now: Time) -> Span {
+    pub(in crate::reducer) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
 
-    pub(super) fn add_wait_for_router(&mut self, span: Span) {
+    pub(in crate::reducer) fn add_wait_for_router(&mut self, span: Span) {
         self.waited_for_router += span;
     }
 
     /// An attempt begins; true for the first one.
-    pub(super) fn begin_attempt(&mut self) -> bool {
+    pub(in crate::reducer) fn begin_attempt(&mut self) -> bool {
         self.attempts += 1;
         self.retry_paid = false;
         !std::mem::replace(&mut self.first_attempt_recorded, true)
     }
 
-    pub(super) fn set_connection(&mut self, connection: ConnectionId) {
+    pub(in crate::reducer) fn set_connection(&mut self, connection: ConnectionId) {
         self.connection = Some(connection);
     }
 
-    pub(super) fn connection(&self) -> Option<ConnectionId> {
+    pub(in crate::reducer) fn connection(&self) -> Option<ConnectionId> {
         self.connection
     }
 
-    pub(super) fn end_attempt(&mut self, outcome: AttemptOutcome) {
+    pub(in crate::reducer) fn end_attempt(&mut self, outcome: AttemptOutcome) {
         self.connection = None;
         self.may_have_run |= !outcome.never_ran();
     }
 
     /// The attempt that has ended does not count as one.
-    pub(super) fn discount_attempt(&mut self) {
+    pub(in crate::reducer) fn discount_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
     }
 
-    pub(super) fn attempts(&self) -> u32 {
+    pub(in crate::reducer) fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    pub(super) fn set_retry_paid(&mut self, is_paid: bool) {
+    pub(in crate::reducer) fn set_retry_paid(&mut self, is_paid: bool) {
         self.retry_paid = is_paid;
     }
 
     /// Has the retry budget paid for an attempt that will not be made? It is to be refunded then.
-    pub(super) fn take_retry_paid(&mut self) -> bool {
+    pub(in crate::reducer) fn take_retry_paid(&mut self) -> bool {
         std::mem::take(&mut self.retry_paid)
     }
 
-    pub(super) fn may_have_run(&self) -> bool {
+    pub(in crate::reducer) fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    pub(super) fn cancel(&mut self) {
+    pub(in crate::reducer) fn cancel(&mut self) {
         self.is_cancelled = true;
     }
 
-    pub(super) fn is_cancelled(&self) -> bool {
+    pub(in crate::reducer) fn is_cancelled(&self) -> bool {
         self.is_cancelled
     }
 
-    pub(super) fn span(&self) -> &tracing::Span {
+    pub(in crate::reducer) fn span(&self) -> &tracing::Span {
         &self.span
     }
 }
 
 /// All RPCs in flight, and their ids.
 #[derive(Default)]
-pub(super) struct RpcTable {
+pub(in crate::reducer) struct RpcTable {
     in_flight: FxHashMap<RpcId, RpcInFlight>,
     ids: RpcIds,
 }
 
 impl RpcTable {
-    pub(super) fn len(&self) -> usize {
+    pub(in crate::reducer) fn len(&self) -> usize {
         self.in_flight.len()
     }
 
-    pub(super) fn get(&self, rpc: RpcId) -> Option<&RpcInFlight> {
+    pub(in crate::reducer) fn get(&self, rpc: RpcId) -> Option<&RpcInFlight> {
         self.in_flight.get(&rpc)
     }
 
-    pub(super) fn get_mut(&mut self, rpc: RpcId) -> Option<&mut RpcInFlight> {
+    pub(in crate::reducer) fn get_mut(&mut self, rpc: RpcId) -> Option<&mut RpcInFlight> {
         self.in_flight.get_mut(&rpc)
     }
 
     /// How many RPCs have an attempt in flight.
-    pub(super) fn attempts(&self) -> usize {
+    pub(in crate::reducer) fn attempts(&self) -> usize {
         self.in_flight.values().filter(|entry| entry.connection.is_some()).count()
     }
 
-    pub(super) fn hash_id(&self, id: &str) -> u64 {
+    pub(in crate::reducer) fn hash_id(&self, id: &str) -> u64 {
         self.ids.hash(id)
     }
 
     /// Does another RPC have this id, or did one lately?
-    pub(super) fn is_duplicate(&self, id_hash: u64) -> bool {
+    pub(in crate::reducer) fn is_duplicate(&self, id_hash: u64) -> bool {
         self.ids.contains(id_hash)
     }
 
     /// Reserves an id until its RPC is removed, and until it expires.
-    pub(super) fn reserve_id(&mut self, now: Time, id_hash: u64, expires_at: Time, max_remembered: usize) {
+    pub(in crate::reducer) fn reserve_id(
+        &mut self,
+        now: Time,
+        id_hash: u64,
+        expires_at: Time,
+        max_remembered: usize,
+    ) {
         self.ids.open(now, id_hash, expires_at, max_remembered);
     }
 
-    pub(super) fn insert(&mut self, rpc: RpcId, entry: RpcInFlight) {
+    pub(in crate::reducer) fn insert(&mut self, rpc: RpcId, entry: RpcInFlight) {
         self.in_flight.insert(rpc, entry);
     }
 
     /// Removes an RPC that has its final answer and no attempt in flight.
-    pub(super) fn remove(&mut self, rpc: RpcId) {
+    pub(in crate::reducer) fn remove(&mut self, rpc: RpcId) {
         if let Some(entry) = self.in_flight.remove(&rpc) {
             self.ids.close(entry.description.id_hash);
         }
