--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -2,9 +2,9 @@
 //! indices.
 
 use crate::actions::Action;
+use crate::endpoint_lists::EndpointLists;
 use crate::errors::{EventProblem, require};
 use crate::events::{EventKind, Line, ListLine, MemberNote, parse_endpoint_state, parse_outcome};
-use crate::instances::EndpointLists;
 use crate::rpcs::RpcTable;
 use ladderpass_config::gossip::GossipCodec;
 use ladderpass_config::names::{NameIndex, group_index};
--- a/crates/ladderpass-simulator-adapter/src/instances.rs
+++ b/crates/ladderpass-simulator-adapter/src/instances.rs
@@ -3,6 +3,7 @@
 //! A panic in one router ends that router alone; the simulator gets its message.
 
 use crate::actions::Action;
+use crate::endpoint_lists::EndpointLists;
 use crate::errors::{EventError, EventProblem, require};
 use crate::events::{EventKind, Line, ListLine, parse_line};
 use crate::instance::Instance;
@@ -11,9 +12,6 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Endpoint lists by their numbers on the wire.
-pub type EndpointLists = HashMap<u32, Vec<ListLine<'static>>>;
-
 /// Whether a batch of events is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Batch {
--- a/crates/ladderpass-simulator-adapter/src/main.rs
+++ b/crates/ladderpass-simulator-adapter/src/main.rs
@@ -4,10 +4,12 @@
 //! plays any number of routers in one process. Events come in batches, which the line `END` ends; the answer to a batch
 //! is all actions of its routers, and again `END`. Nothing is decided here.
 //!
-//! `events`: lines as they come. `instances`: all routers of the process. `instance`: one router. `rpcs`: its RPCs.
-//! `actions`: lines as they go. A line that is wrong is named on standard error and ignored.
+//! `events`: lines as they come. `endpoint_lists`: the lists that events name by number. `instances`: all routers of the
+//! process. `instance`: one router. `rpcs`: its RPCs. `actions`: lines as they go. A line that is wrong is named on
+//! standard error and ignored.
 
 mod actions;
+mod endpoint_lists;
 mod errors;
 mod events;
 mod instance;
