--- a/crates/ladderpass-config/src/names/id_hash.rs
+++ b/crates/ladderpass-config/src/names/id_hash.rs
@@ -1,5 +1,6 @@
 //! Hashes of member names, by which all routers know a member.
 
+use ladderpass_routing::fnv1a;
 use std::collections::HashMap;
 
 /// Bits of a hash: two of a hundred names have the same one in one of two hundred thousand deployments.
@@ -32,7 +33,6 @@
 
 /// The first bits of a name's FNV-1a hash.
 pub fn id_hash(name: &str) -> u32 {
-    let mix = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325, mix);
+    let hash = fnv1a::hash(name.as_bytes());
     ((hash ^ hash >> 32) & ((1 << ID_HASH_BITS) - 1)) as u32
 }
--- a/crates/ladderpass-routing/src/lib.rs
+++ b/crates/ladderpass-routing/src/lib.rs
@@ -12,6 +12,7 @@
 mod eligibility;
 mod endpoints;
 mod exception_log;
+pub mod fnv1a;
 mod gossip;
 mod health_check;
 mod health_check_schedule;
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -12,13 +12,15 @@
 use crate::reducer::state::rpc_table::{RpcDescription, RpcInFlight};
 use crate::reducer::state::stats::Count;
 use crate::reducer::unix_time::time_from_unix_ms;
-use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time};
+use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time, fnv1a};
 use std::ops::Range;
 
 /// The longest wait that a statement may name: more than any client waits, and within what a time can hold.
 const MAX_WAIT_MS: f64 = 3.6e6;
 /// How late the faulty build answers.
 const FAULTY_LATENESS: Span = Span::from_millis(1000);
+/// Of a session's hash the first 16 bits are its index.
+const SESSION_HASH_SHIFT: u32 = 64 - 16;
 
 /// A statement that can become an RPC.
 struct Statement {
@@ -176,8 +178,5 @@
 
 /// A small index for a session. Two sessions that share one see each other's writes, which is only stricter.
 fn session_index(key: &str) -> u32 {
-    let hash = key.bytes().fold(0xcbf2_9ce4_8422_2325, |hash: u64, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-    });
-    (hash >> 48) as u32
+    (fnv1a::hash(key.as_bytes()) >> SESSION_HASH_SHIFT) as u32
 }
