--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -56,9 +56,9 @@
     random_draw: f64,
 ) -> Option<OverloadState> {
     let overloads = [arrival.router_overload, arrival.fleet_overload].into_iter().flatten();
-    overloads.filter(|overload| overload.admission_threshold > 0.0).find(|overload| {
-        f64::from(priority(state, now, arrival, overload)) + random_draw < overload.admission_threshold
-    })
+    overloads
+        .filter(|overload| overload.admission_threshold > 0.0)
+        .find(|overload| overload.sheds(priority(state, now, arrival, overload), random_draw))
 }
 
 /// Rejects an RPC that was never sent. The Retry-After grows with the pressure, from 0 to 1, spread by chance.
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -183,7 +183,7 @@
         admission.record_offered(group, priority);
         let draw = admission_draw(session.as_bytes(), now);
         (arrival.fleet_overload, arrival.admission_draw) = (Some(state), Some(draw));
-        let is_rejected = f64::from(priority) + draw < threshold;
+        let is_rejected = state.sheds(priority, draw);
         self.rejected += u64::from(is_rejected);
         AdmissionVerdict { is_rejected, priority }
     }
