--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -17,8 +17,6 @@
     pub buffer_bytes: usize,
     /// Open file descriptors.
     pub descriptors: usize,
-    /// Sockets with pending events that were not handled yet.
-    pub runnable_wait: usize,
 }
 
 impl ResourceSample {
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -60,8 +60,6 @@
             // The reducer fills it in.
             buffer_bytes: 0,
             descriptors: connections + OTHER_DESCRIPTORS,
-            // Not measured.
-            runnable_wait: 0,
         };
         (self.sampled_at, self.cpu) = (now, cpu);
         sample
