--- a/crates/ladderpass-admission/src/faulty.rs
+++ b/crates/ladderpass-admission/src/faulty.rs
@@ -5,7 +5,7 @@
 pub enum Faulty {
     /// No fault.
     #[default]
-    Nowhere,
+    NotFaulty,
     /// Admits everything.
     IgnoresThreshold,
     /// Reports ten times the load that it was offered.
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_router_that_receives_no_reports_any_more_keeps_its_quota() {
-    let mut sim = Simulation::new(6, uneven_overload(4, 300.0), 300.0, |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(6, uneven_overload(4, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     let quota = |sim: &Simulation| sim.routers[0].metrics().map(|group| group.quota).sum::<f64>();
     let before = quota(&sim);
@@ -19,7 +19,7 @@
 #[test]
 fn failures_reduce_a_members_capacity_as_slow_answers_do() {
     let limit_after = |failure_share: f64| {
-        let mut controller = AdmissionController::start(START, 1, Faulty::Nowhere);
+        let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
         let mut limit = 0.0;
         for step in 1..20 {
             (0..75).for_each(|_| controller.record_offered(GROUP, LOW));
--- a/crates/ladderpass-admission/tests/model/reports.rs
+++ b/crates/ladderpass-admission/tests/model/reports.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_router_that_reports_tenfold_load_is_limited_and_starves_nobody() {
-    let faulty = |index| if index == 7 { Faulty::ReportsTenfold } else { Faulty::Nowhere };
+    let faulty = |index| if index == 7 { Faulty::ReportsTenfold } else { Faulty::NotFaulty };
     let mut sim = Simulation::new(4, uneven_overload(8, 300.0), 300.0, faulty);
     sim.run(40);
     let served = sim.run_and_measure(20);
@@ -16,7 +16,7 @@
 
 #[test]
 fn reports_of_dead_routers_fade_and_those_of_strangers_are_dropped() {
-    let mut sim = Simulation::new(5, uneven_overload(4, 300.0), 300.0, |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(5, uneven_overload(4, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(20);
     let reports = |sim: &Simulation| sim.routers[0].metrics().map(|group| group.reports).sum::<usize>();
     assert_eq!(reports(&sim), 3);
@@ -25,7 +25,7 @@
     sim.run(20);
     assert_eq!(reports(&sim), 2);
     let bytes = sim.routers[1].encode_reports(sim.now, 210);
-    let mut stranger = AdmissionController::start(sim.now, 99, Faulty::Nowhere);
+    let mut stranger = AdmissionController::start(sim.now, 99, Faulty::NotFaulty);
     stranger.on_reports(sim.now, &bytes);
     assert_eq!(stranger.metrics().count(), 0);
     stranger.record_offered(GROUP, LOW);
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -6,7 +6,7 @@
 #[test]
 fn three_hundred_routers_agree_on_one_threshold() {
     for loss in [0.0, 0.2] {
-        let mut sim = Simulation::new(1, uneven_overload(300, 3000.0), 3000.0, |_| Faulty::Nowhere);
+        let mut sim = Simulation::new(1, uneven_overload(300, 3000.0), 3000.0, |_| Faulty::NotFaulty);
         sim.loss = loss;
         sim.run(40);
         let served = sim.run_and_measure(20);
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_step_of_load_is_met_within_seconds_and_so_is_its_end() {
-    let mut sim = Simulation::new(2, uneven_overload(8, 300.0), 300.0, |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(2, uneven_overload(8, 300.0), 300.0, |_| Faulty::NotFaulty);
     let heavy = sim.load.clone();
     sim.load.iter_mut().for_each(|load| *load = load.times(0.2));
     sim.run(20);
@@ -43,7 +43,7 @@
 
 #[test]
 fn dead_routers_and_a_partition_leave_the_members_used_and_not_overloaded() {
-    let mut sim = Simulation::new(3, uneven_overload(12, 300.0), 300.0, |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(3, uneven_overload(12, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     (0..4).for_each(|index| sim.alive[index * 3] = false);
     // Their clients go to the others.
@@ -71,7 +71,7 @@
 /// Found by drills with immediate rejections: a threshold from the first quarter of a second's counts admitted 13 of 67.
 #[test]
 fn no_threshold_begins_while_the_load_still_grows() {
-    let mut controller = AdmissionController::start(START, 1, Faulty::Nowhere);
+    let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
     let thresholds: Vec<f64> = (1..=8)
         .map(|step| {
             (0..75).for_each(|_| controller.record_offered(GROUP, LOW));
@@ -89,7 +89,7 @@
 
 #[test]
 fn each_group_has_its_own_threshold() {
-    let mut sim = Simulation::new(7, uneven_overload(4, 300.0), 300.0, |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(7, uneven_overload(4, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     sim.routers[0].record_offered(8, LOW);
     sim.run(4);
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -46,7 +46,7 @@
             max_routers: 2000,
             forget_dead_after: Span::from_millis(120_000),
             isolated_after: Span::from_millis(1500),
-            faulty: Faulty::Nowhere,
+            faulty: Faulty::NotFaulty,
         }
     }
 }
@@ -56,7 +56,7 @@
 pub enum Faulty {
     /// No fault.
     #[default]
-    Nowhere,
+    NotFaulty,
     /// A router that was alive once is never suspected.
     NeverSuspects,
     /// One missed ack, or one update with a suspicion, confirms a death.
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -116,7 +116,7 @@
         let has_converged = sim.has_converged();
         FaultyRun { false_deaths, is_dead_router_gone, count: view.count, has_converged }
     };
-    let sound = run(Faulty::Nowhere);
+    let sound = run(Faulty::NotFaulty);
     assert!(
         sound.false_deaths < 10 && sound.is_dead_router_gone && sound.count == 7 && sound.has_converged,
         "{sound:?}"
--- a/crates/ladderpass-retry-budget/src/faulty.rs
+++ b/crates/ladderpass-retry-budget/src/faulty.rs
@@ -5,7 +5,7 @@
 pub enum Faulty {
     /// No fault.
     #[default]
-    Nowhere,
+    NotFaulty,
     /// Grants every retry.
     GrantsEveryRetry,
     /// Ignores refunds, and never lowers its quota.
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -149,7 +149,7 @@
 #[test]
 fn few_failures_get_all_retries_also_where_each_router_sees_little() {
     for rates in [uneven(8, 400.0), vec![3.0; 40]] {
-        let mut sim = Simulation::new(1, rates, |_| Faulty::Nowhere);
+        let mut sim = Simulation::new(1, rates, |_| Faulty::NotFaulty);
         sim.failure_share = 0.2;
         sim.run(40);
         let RetryShares { wanted, granted } = sim.retry_shares(20);
@@ -160,7 +160,7 @@
 #[test]
 fn while_retries_fail_hardly_any_is_granted_and_the_budget_recovers_within_seconds() {
     for rates in [uneven(8, 400.0), vec![3.0; 40]] {
-        let mut sim = Simulation::new(2, rates, |_| Faulty::Nowhere);
+        let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
         // The first second has what was saved, and what reports do not show yet.
@@ -181,7 +181,7 @@
 
 #[test]
 fn a_router_in_need_gets_what_the_others_leave() {
-    let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
     // Router 0 alone wants retries, for each of its RPCs.
     for _ in 0..24 {
@@ -200,7 +200,7 @@
 #[test]
 fn deaths_a_partition_and_a_stall_leave_the_sum_within_the_budget() {
     for seed in 0..20 {
-        let mut sim = Simulation::new(seed, uneven(12, 600.0), |_| Faulty::Nowhere);
+        let mut sim = Simulation::new(seed, uneven(12, 600.0), |_| Faulty::NotFaulty);
         (sim.failure_share, sim.retry_success_share) = (0.5, 0.5);
         sim.run(16);
         (0..4).for_each(|index| sim.alive[index * 3] = false);
@@ -237,7 +237,7 @@
 
 #[test]
 fn the_last_of_a_low_balance_goes_to_high_priorities() {
-    let mut sim = Simulation::new(6, vec![100.0], |_| Faulty::Nowhere);
+    let mut sim = Simulation::new(6, vec![100.0], |_| Faulty::NotFaulty);
     (sim.failure_share, sim.retry_success_share) = (0.3, 0.5);
     sim.run(40);
     let (mut granted_low, mut granted_high) = (0, 0);
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -12,7 +12,7 @@
 pub enum Faulty {
     /// Nothing.
     #[default]
-    Nowhere,
+    NotFaulty,
     /// Takes a write whose connection was lost for one that never ran, and sends it again.
     Resends,
     /// Answers a client twice.
@@ -60,7 +60,7 @@
     /// There is no such name.
     pub fn read(name: Option<String>) -> Result<Faulty, FaultyError> {
         match name.as_deref().filter(|_| cfg!(feature = "faulty")) {
-            None => Ok(Faulty::Nowhere),
+            None => Ok(Faulty::NotFaulty),
             Some("resends") => Ok(Faulty::Resends),
             Some("answers-twice") => Ok(Faulty::AnswersTwice),
             Some("answers-late") => Ok(Faulty::AnswersLate),
@@ -97,7 +97,7 @@
     pub fn retry_budget(self) -> retry_budget::Faulty {
         match self {
             Faulty::RetryBudget(faulty) if cfg!(feature = "faulty") => faulty,
-            _ => retry_budget::Faulty::Nowhere,
+            _ => retry_budget::Faulty::NotFaulty,
         }
     }
 
@@ -105,7 +105,7 @@
     pub fn admission(self) -> admission::Faulty {
         match self {
             Faulty::Admission(faulty) if cfg!(feature = "faulty") => faulty,
-            _ => admission::Faulty::Nowhere,
+            _ => admission::Faulty::NotFaulty,
         }
     }
 
@@ -113,7 +113,7 @@
     pub fn membership(self) -> membership::Faulty {
         match self {
             Faulty::Membership(faulty) if cfg!(feature = "faulty") => faulty,
-            _ => membership::Faulty::Nowhere,
+            _ => membership::Faulty::NotFaulty,
         }
     }
 }
