--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -354,6 +354,15 @@
     pub wake_at: Option<Time>,
 }
 
+/// What a router knows of a member's position and role.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownPosition {
+    /// The newest proven position.
+    pub position: Time,
+    /// The member is its group's primary.
+    pub is_primary: bool,
+}
+
 /// The load of a member, as this router alone sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLoad {
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -27,7 +27,7 @@
 use crate::limits::Limits;
 use ladderpass_config::gossip::GossipCodec;
 use ladderpass_routing::reference_clock::ReferenceClock;
-use ladderpass_routing::{MemberId, Router, Span, Time};
+use ladderpass_routing::{KnownPosition, MemberId, Router, Span, Time};
 use state::cancel_keys::CancelKeys;
 use state::client_table::ClientTable;
 use state::connection_limits::ConnectionLimits;
@@ -136,7 +136,7 @@
     }
 
     /// The newest proven position of a member, by its id, and whether it is known as a primary.
-    pub fn known_position(&self, id: &str) -> Option<(Time, bool)> {
+    pub fn known_position(&self, id: &str) -> Option<KnownPosition> {
         self.router.known_position(MemberId(self.members.names().get(id)?))
     }
 
