--- a/crates/ladderpass-routing/src/attempt_outcome.rs
+++ b/crates/ladderpass-routing/src/attempt_outcome.rs
@@ -32,6 +32,20 @@
     /// How many outcomes there are.
     pub const COUNT: usize = AttemptOutcome::DecisionExpired as usize + 1;
 
+    /// All outcomes, in the order of their numbers.
+    pub const ALL: [AttemptOutcome; AttemptOutcome::COUNT] = [
+        AttemptOutcome::Ok,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Unreachable,
+        AttemptOutcome::ConnectionLost,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NeverSent,
+        AttemptOutcome::NotServedHere,
+        AttemptOutcome::DecisionExpired,
+    ];
+
     /// Does it prove that the RPC never ran?
     pub fn never_ran(self) -> bool {
         use AttemptOutcome::{DecisionExpired, NeverSent, NotServedHere, Rejected, Unreachable};
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -7,19 +7,6 @@
 /// Most examples between two lines of counts.
 const MAX_EXAMPLES: usize = 8;
 
-const OUTCOMES: [AttemptOutcome; AttemptOutcome::COUNT] = [
-    AttemptOutcome::Ok,
-    AttemptOutcome::Failed,
-    AttemptOutcome::Rejected,
-    AttemptOutcome::TimedOut,
-    AttemptOutcome::Unreachable,
-    AttemptOutcome::ConnectionLost,
-    AttemptOutcome::Cancelled,
-    AttemptOutcome::NeverSent,
-    AttemptOutcome::NotServedHere,
-    AttemptOutcome::DecisionExpired,
-];
-
 /// What is counted of clients and their RPCs.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::reducer) enum Count {
@@ -79,7 +66,7 @@
 /// Outcomes that did not occur are left out.
 impl Debug for OutcomeCounts {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let counted = OUTCOMES.iter().map(|&outcome| (outcome, self.get(outcome)));
+        let counted = AttemptOutcome::ALL.iter().map(|&outcome| (outcome, self.get(outcome)));
         formatter.debug_map().entries(counted.filter(|&(_, count)| count > 0)).finish()
     }
 }
