--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -164,12 +164,11 @@
         self.known_member(member).is_some_and(|known| known.endpoint_state == EndpointState::Active)
     }
 
-    /// The newest proven position of a member, and whether it is its group's primary.
+    /// The newest proven position of a member; none where no list has named it.
     pub fn known_position(&self, member: MemberId) -> Option<KnownPosition> {
         let known = self.known_member(member)?;
         let primary = self.state.topology.groups.get(known.group)?.primary;
-        let is_primary = primary == Some(member.0 as usize);
-        Some(KnownPosition { position: known.position, is_primary })
+        Some(KnownPosition { position: known.position, is_primary: primary == Some(member.0 as usize) })
     }
 
     /// What this router sees of each active member, for a load report to the other routers.
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -354,12 +354,12 @@
     pub wake_at: Option<Time>,
 }
 
-/// What a router knows of a member's position and role.
+/// The newest position that a member has proven, and its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPosition {
-    /// The newest proven position.
+    /// Up to where it has applied its group's log.
     pub position: Time,
-    /// The member is its group's primary.
+    /// This router knows it as its group's primary.
     pub is_primary: bool,
 }
 
