--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -4,7 +4,7 @@
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
 use crate::reducer::log_target;
-use crate::reducer::state::connections::Connections;
+use crate::reducer::state::connections::{Connection, Connections};
 use crate::reducer::state::member_connection::Job;
 use crate::reducer::state::query_answer::unanswered_result;
 use crate::reducer::state::rpc_table::RpcDescription;
@@ -13,7 +13,7 @@
 /// Has the client sent more than can be read? Its end may stand behind that. Prevents attempts for a client that has left
 /// unseen; one that stays and sends so much ahead is rejected too.
 fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
-    client.and_then(|client| connections.get(client)).is_some_and(|connection| connection.read_paused)
+    client.and_then(|client| connections.get(client)).is_some_and(Connection::is_read_paused)
 }
 
 impl Reducer {
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -9,7 +9,7 @@
 use crate::reducer::event::Effect;
 use crate::reducer::state::cancel_keys::CancelKey;
 use crate::reducer::state::client::{AwaitedInput, Client, ClientPhase};
-use crate::reducer::state::connections::{Connection, Remote};
+use crate::reducer::state::connections::Remote;
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::Time;
 
@@ -75,8 +75,9 @@
 
     fn read_client_message(&mut self, now: Time, id: ConnectionId) -> Progress {
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
+        let is_closing = connection.is_closing();
         let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
-        if connection.closing || !client.is_ready() {
+        if is_closing || !client.is_ready() {
             return Progress::Stop;
         }
         // A skipped statement is answered once its last byte has arrived.
@@ -141,6 +142,7 @@
     fn on_statement(&mut self, now: Time, id: ConnectionId, length: usize) -> Progress {
         let is_past_accept_time = self.is_past_accept_time(now);
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
+        let (is_read_paused, has_unread_bytes) = (connection.is_read_paused(), connection.has_unread_bytes());
         let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
         // No RPC begins so late in a shutdown that SIGKILL could come before its answer.
         if is_past_accept_time {
@@ -149,14 +151,14 @@
         }
         // The client has sent more than its buffer holds, so an end of its connection can't be seen yet. The statement is
         // rejected to make room for the rest; counted with `Count::Full`.
-        if connection.read_paused {
+        if is_read_paused {
             self.stats.count(Count::Full);
             self.reject_statement(now, id, length, Rejection::SentAhead);
             return Progress::Continue;
         }
         let refill_until = client.refill_pending(now);
-        if connection.has_unread_bytes || refill_until.is_some() {
-            let deadline = if connection.has_unread_bytes { None } else { refill_until };
+        if has_unread_bytes || refill_until.is_some() {
+            let deadline = if has_unread_bytes { None } else { refill_until };
             self.set_awaited(id, None);
             self.connections.set_deadline(id, deadline);
             return Progress::Stop;
@@ -175,8 +177,7 @@
             client.consume(count);
             self.clients.subtract_unread_bytes(count);
         }
-        if connection.read_paused && count > 0 {
-            connection.read_paused = false;
+        if count > 0 && connection.resume_reading() {
             self.effects.push(Effect::Read(id));
         }
         self.update_buffer_bytes(id);
@@ -269,13 +270,10 @@
 
     /// The pause after a client's error is over.
     pub(super) fn resume_after_error(&mut self, now: Time, id: ConnectionId) {
-        let Some(Connection { read_paused, remote: Remote::Client(client), .. }) =
-            self.connections.get_mut(id)
-        else {
-            return;
-        };
+        let Some(connection) = self.connections.get_mut(id) else { return };
+        let Remote::Client(client) = &mut connection.remote else { return };
         client.end_backoff();
-        *read_paused = false;
+        connection.resume_reading();
         self.effects.push(Effect::Read(id));
         self.read_client(now, id);
     }
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -18,15 +18,14 @@
         let limits = &self.limits;
         let Some(connection) = self.connections.get_mut(id) else { return &mut [] };
         let max_bytes = match connection.remote {
-            Remote::Client(ref client) if connection.closing || client.is_backing_off() => 0,
+            Remote::Client(ref client) if connection.is_closing() || client.is_backing_off() => 0,
             Remote::Client(_) => limits.client_buffer_bytes,
             Remote::Member(_) => limits.member_buffer_bytes,
             Remote::Discovery(_) => limits.discovery_buffer_bytes,
         };
         let initial_bytes = limits.buffer_initial_bytes;
-        connection.read_paused =
-            is_memory_short || connection.input.free_space(initial_bytes, max_bytes).is_empty();
-        let is_paused = connection.read_paused;
+        let is_paused = is_memory_short || connection.input.free_space(initial_bytes, max_bytes).is_empty();
+        connection.set_read_paused(is_paused);
         if is_memory_short {
             self.connections.wait_for_memory(id);
         }
@@ -56,9 +55,10 @@
 
     fn on_read_paused(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        (connection.read_was_paused, connection.has_unread_bytes) = (true, true);
+        connection.record_paused_read();
+        let is_closing = connection.is_closing();
         if let Remote::Client(client) = &mut connection.remote
-            && !connection.closing
+            && !is_closing
             && !client.is_backing_off()
         {
             client.record_overrun();
@@ -98,7 +98,7 @@
     /// Closes a connection once its output is written, or was not read for too long.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.closing = true;
+        connection.set_closing();
         if connection.output.is_empty() {
             self.close_connection(id);
         } else {
@@ -151,7 +151,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.commit(count);
-        let was_paused = std::mem::take(&mut connection.read_was_paused);
+        let was_paused = connection.take_was_read_paused();
         match &mut connection.remote {
             Remote::Client(client) => {
                 self.clients.add_unread_bytes(count);
@@ -175,15 +175,14 @@
 
     pub(in crate::reducer) fn on_more_to_read(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.has_unread_bytes = true;
+            connection.record_unread_bytes();
         }
     }
 
     pub(in crate::reducer) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
         let refill_until = now + self.limits.refill_quiet_time;
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.read_paused = false;
-        if !std::mem::take(&mut connection.has_unread_bytes) {
+        if !connection.record_socket_empty() {
             return;
         }
         if let Remote::Client(client) = &mut connection.remote {
@@ -196,7 +195,7 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.consume(count);
         connection.output.shrink_if_empty(self.limits.buffer_initial_bytes);
-        let (is_done, is_closing) = (connection.output.is_empty(), connection.closing);
+        let (is_done, is_closing) = (connection.output.is_empty(), connection.is_closing());
         let mut is_client = false;
         match &mut connection.remote {
             Remote::Member(member) => {
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -17,8 +17,7 @@
     /// discovery, health checks and attempts. A member is not blamed for what this router lacks.
     pub(in crate::reducer) fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.connect_denials = connection.connect_denials.saturating_add(1);
-        let may_evict = connection.connect_denials <= self.limits.evictions_per_denial;
+        let may_evict = connection.record_connect_denial() <= self.limits.evictions_per_denial;
         if may_evict && self.free_a_descriptor(now) {
             return self.connection_limits.push_denied_connect(id);
         }
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -35,7 +35,7 @@
                 rpc.abandon(&mut self.router);
             }
             _ if client.is_backing_off() => self.resume_after_error(now, id),
-            _ if !connection.closing && client.is_refill_over(now) => {
+            _ if !connection.is_closing() && client.is_refill_over(now) => {
                 self.on_refill_timeout(now, id);
             }
             _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -143,7 +143,7 @@
             return self.on_watch_silent(now, id);
         }
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.connect_denials = 0;
+            connection.clear_connect_denials();
         }
         let deadline = now + self.limits.watch_answer_timeout;
         self.connections.set_deadline(id, Some(deadline));
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -73,7 +73,7 @@
         }
         let Some(connection) = self.connections.get(id) else { return };
         // A read that failed for a moment is made again, and the final read with it.
-        if connection.has_unread_bytes && !connection.read_paused {
+        if connection.has_unread_bytes() && !connection.is_read_paused() {
             return;
         }
         let awaited_before = self.clients.take_eviction(id);
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -75,7 +75,7 @@
         let client = entry.client().and_then(|client| self.connections.get_mut(client));
         let client = client.ok_or(Some(AttemptOutcome::Cancelled))?;
         // It may have left unseen while the connection was established.
-        if client.read_paused {
+        if client.is_read_paused() {
             return Err(Some(AttemptOutcome::NeverSent));
         }
         let frame = pg::parse_frame(client.input.make_contiguous(), self.limits.statement_bytes);
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -12,24 +12,24 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// One connection.
+/// One connection. Handlers borrow its buffers and its other side at the same time, so these are open to them.
 pub(in crate::reducer) struct Connection {
     /// Bytes that were received and not yet handled.
     pub(in crate::reducer) input: Buffer,
     /// Bytes that are still to be written.
     pub(in crate::reducer) output: Buffer,
+    /// The other side, and the state that goes with it.
+    pub(in crate::reducer) remote: Remote,
     /// Reading has stopped, as there was no space or no memory for more.
-    pub(in crate::reducer) read_paused: bool,
+    is_read_paused: bool,
     /// Reading had stopped before the bytes that are read next.
-    pub(in crate::reducer) read_was_paused: bool,
+    was_read_paused: bool,
     /// The socket was not read until it was empty: the end of the connection may be there unseen.
-    pub(in crate::reducer) has_unread_bytes: bool,
+    has_unread_bytes: bool,
     /// It is closed once its output is written.
-    pub(in crate::reducer) closing: bool,
+    is_closing: bool,
     /// How often the system denied it a descriptor.
-    pub(in crate::reducer) connect_denials: u8,
-    /// The other side, and the state that goes with it.
-    pub(in crate::reducer) remote: Remote,
+    connect_denials: u8,
     deadline: Option<Time>,
     /// When the deadline is checked next: no later than the deadline itself.
     scheduled_at: Option<Time>,
@@ -61,12 +61,12 @@
         Connection {
             input: Buffer::default(),
             output: Buffer::default(),
-            read_paused: false,
-            read_was_paused: false,
+            remote,
+            is_read_paused: false,
+            was_read_paused: false,
             has_unread_bytes: false,
-            closing: false,
+            is_closing: false,
             connect_denials: 0,
-            remote,
             deadline: None,
             scheduled_at: None,
             buffer_bytes: 0,
@@ -77,6 +77,65 @@
         self.deadline
     }
 
+    /// Has reading stopped, as there was no space or no memory for more?
+    pub(in crate::reducer) fn is_read_paused(&self) -> bool {
+        self.is_read_paused
+    }
+
+    pub(in crate::reducer) fn set_read_paused(&mut self, is_paused: bool) {
+        self.is_read_paused = is_paused;
+    }
+
+    /// Reading goes on; true where it had stopped.
+    pub(in crate::reducer) fn resume_reading(&mut self) -> bool {
+        std::mem::take(&mut self.is_read_paused)
+    }
+
+    /// Bytes stay in the socket, as reading has stopped.
+    pub(in crate::reducer) fn record_paused_read(&mut self) {
+        (self.was_read_paused, self.has_unread_bytes) = (true, true);
+    }
+
+    /// Had reading stopped before the bytes that were just read? True only once.
+    pub(in crate::reducer) fn take_was_read_paused(&mut self) -> bool {
+        std::mem::take(&mut self.was_read_paused)
+    }
+
+    /// Is the socket known to hold more than was read?
+    pub(in crate::reducer) fn has_unread_bytes(&self) -> bool {
+        self.has_unread_bytes
+    }
+
+    /// The socket holds more than was read.
+    pub(in crate::reducer) fn record_unread_bytes(&mut self) {
+        self.has_unread_bytes = true;
+    }
+
+    /// The socket was read until it was empty; true where it was known to hold more than was read.
+    pub(in crate::reducer) fn record_socket_empty(&mut self) -> bool {
+        self.is_read_paused = false;
+        std::mem::take(&mut self.has_unread_bytes)
+    }
+
+    /// Is it closed once its output is written?
+    pub(in crate::reducer) fn is_closing(&self) -> bool {
+        self.is_closing
+    }
+
+    pub(in crate::reducer) fn set_closing(&mut self) {
+        self.is_closing = true;
+    }
+
+    /// The system denied it a descriptor; gives how often so far.
+    pub(in crate::reducer) fn record_connect_denial(&mut self) -> u8 {
+        self.connect_denials = self.connect_denials.saturating_add(1);
+        self.connect_denials
+    }
+
+    pub(in crate::reducer) fn clear_connect_denials(&mut self) {
+        self.connect_denials = 0;
+    }
+
     /// Memory of both buffers, as last counted.
     pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
