--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -206,6 +206,13 @@
     pub queueing_delay: Span,
 }
 
+impl OverloadState {
+    /// Is an RPC of this priority shed, with this random draw from 0 to 1?
+    pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
+        f64::from(priority) + random_draw < self.admission_threshold
+    }
+}
+
 /// An RPC that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
@@ -347,6 +354,15 @@
     pub wake_at: Option<Time>,
 }
 
+/// The newest position that a member has proven, and its role.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownPosition {
+    /// Up to where it has applied its group's log.
+    pub position: Time,
+    /// This router knows it as its group's primary.
+    pub is_primary: bool,
+}
+
 /// The load of a member, as this router alone sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLoad {
--- a/crates/ladderpass/src/reducer/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -1,11 +1,11 @@
 //! Events of single connections: bytes received and written, connections established and closed.
 
-use super::Reducer;
-use super::connection_id::ConnectionId;
-use super::connections::Remote;
-use super::event::Effect;
 use crate::faulty::Faulty;
 use crate::pg;
+use crate::reducer::Reducer;
+use crate::reducer::connection_id::ConnectionId;
+use crate::reducer::event::Effect;
+use crate::reducer::state::connections::Remote;
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 
 const STARTUP_USER: &str = "ladderpass";
@@ -18,15 +18,14 @@
         let limits = &self.limits;
         let Some(connection) = self.connections.get_mut(id) else { return &mut [] };
         let max_bytes = match connection.remote {
-            Remote::Client(ref client) if connection.closing || client.is_backing_off() => 0,
+            Remote::Client(ref client) if connection.is_closing() || client.is_backing_off() => 0,
             Remote::Client(_) => limits.client_buffer_bytes,
             Remote::Member(_) => limits.member_buffer_bytes,
             Remote::Discovery(_) => limits.discovery_buffer_bytes,
         };
         let initial_bytes = limits.buffer_initial_bytes;
-        connection.read_paused =
-            is_memory_short || connection.input.free_space(initial_bytes, max_bytes).is_empty();
-        let is_paused = connection.read_paused;
+        let is_paused = is_memory_short || connection.input.free_space(initial_bytes, max_bytes).is_empty();
+        connection.set_read_paused(is_paused);
         if is_memory_short {
             self.connections.wait_for_memory(id);
         }
@@ -56,9 +55,10 @@
 
     fn on_read_paused(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        (connection.read_was_paused, connection.has_unread_bytes) = (true, true);
+        connection.record_paused_read();
+        let is_closing = connection.is_closing();
         if let Remote::Client(client) = &mut connection.remote
-            && !connection.closing
+            && !is_closing
             && !client.is_backing_off()
         {
             client.record_overrun();
@@ -76,7 +76,7 @@
         self.connections.set_deadline(id, deadline);
     }
 
-    pub(super) fn on_connected(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn on_connected(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let mut startup = Vec::new();
         match &connection.remote {
@@ -98,7 +98,7 @@
     /// Closes a connection once its output is written, or was not read for too long.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.closing = true;
+        connection.set_closing();
         if connection.output.is_empty() {
             self.close_connection(id);
         } else {
@@ -142,10 +142,16 @@
         }
     }
 
-    pub(super) fn on_received(&mut self, now: Time, id: ConnectionId, count: usize, waited: Span) {
+    pub(in crate::reducer) fn on_received(
+        &mut self,
+        now: Time,
+        id: ConnectionId,
+        count: usize,
+        waited: Span,
+    ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.commit(count);
-        let was_paused = std::mem::take(&mut connection.read_was_paused);
+        let was_paused = connection.take_was_read_paused();
         match &mut connection.remote {
             Remote::Client(client) => {
                 self.clients.add_unread_bytes(count);
@@ -167,17 +173,16 @@
         }
     }
 
-    pub(super) fn on_more_to_read(&mut self, id: ConnectionId) {
+    pub(in crate::reducer) fn on_more_to_read(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
-            connection.has_unread_bytes = true;
+            connection.record_unread_bytes();
         }
     }
 
-    pub(super) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_socket_empty(&mut self, now: Time, id: ConnectionId) {
         let refill_until = now + self.limits.refill_quiet_time;
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.read_paused = false;
-        if !std::mem::take(&mut connection.has_unread_bytes) {
+        if !connection.record_socket_empty() {
             return;
         }
         if let Remote::Client(client) = &mut connection.remote {
@@ -186,11 +191,11 @@
         }
     }
 
-    pub(super) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
+    pub(in crate::reducer) fn on_written(&mut self, now: Time, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.consume(count);
         connection.output.shrink_if_empty(self.limits.buffer_initial_bytes);
-        let (is_done, is_closing) = (connection.output.is_empty(), connection.closing);
+        let (is_done, is_closing) = (connection.output.is_empty(), connection.is_closing());
         let mut is_client = false;
         match &mut connection.remote {
             Remote::Member(member) => {
@@ -217,14 +222,14 @@
         }
     }
 
-    pub(super) fn on_write_blocked(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_write_blocked(&mut self, now: Time, id: ConnectionId) {
         self.on_query_write_blocked(id);
         if self.connections.client(id).is_some() {
             self.overload.record_write_blocked(now, id);
         }
     }
 
-    pub(super) fn on_closed(&mut self, now: Time, id: ConnectionId) {
+    pub(in crate::reducer) fn on_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         match &connection.remote {
             Remote::Client(_) => self.on_client_closed(now, id),
