--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -39,8 +39,8 @@
     let attempt = OpenAttempt { sent_at, method: arrival.method };
     let method = &state.methods[arrival.method as usize];
     let member = state.topology.member(index);
-    // A timeout after less than an overdue answer takes is the client's own, and says nothing about the member; nor does
-    // an answer that was lost in the network.
+    // A timeout after less than an overdue answer takes is the client's own, and says nothing about the member; nor
+    // does an answer that was lost in the network.
     let ended_early = result.latency < method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
     let says_nothing_of_member = (ended_early || load::is_lost(state, now, member, attempt))
         && result.outcome == AttemptOutcome::TimedOut;
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -20,6 +20,12 @@
 const LIMIT_SHARE_AFTER_REJECTION: f64 = 0.65;
 /// Weight of the present limit against the one that an answer suggests.
 const LIMIT_SMOOTHING: f64 = 0.75;
+/// An answer suggests the limit that the latency ratio allows and the limit's square root more, at most this share of
+/// it.
+const MAX_LIMIT_GROWTH_SHARE: f64 = 0.5;
+/// A limit is reduced from no more than this multiple of the attempts in flight, as one far above them would take long
+/// to bind, and grows only while it is below that multiple.
+const MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT: f64 = 2.0;
 
 /// A member is overloaded above this multiple of what it works on at once, or above this latency ratio.
 const OVERLOAD_RATIO: f64 = 3.0;
@@ -27,6 +33,8 @@
 const MIN_READ_SHARE_FACTOR_PER_SECOND: f64 = 0.5;
 const READ_SHARE_GROWTH_FACTOR_PER_SECOND: f64 = 1.25;
 const MIN_READ_SHARE: f64 = 0.05;
+/// Updates of the share that are further apart count as this far, in seconds.
+const MAX_READ_SHARE_STEP_SECS: f64 = 1.0;
 
 /// The limit for a member of which nothing is known.
 pub fn initial_limit(router_count: u32) -> f64 {
@@ -55,17 +63,18 @@
     observed_by: ObservedBy,
 ) {
     let member = state.topology.member(index);
-    let speed = 1.0 / load::latency_ratio(state, now, member, LAST_TWO_SECONDS).max(1.0);
-    let used = load::attempts_in_flight(state, now, member) + 1.0;
+    let relative_speed = 1.0 / load::latency_ratio(state, now, member, LAST_TWO_SECONDS).max(1.0);
+    let in_flight = load::attempts_in_flight(state, now, member) + 1.0;
+    let max_bindable_limit = in_flight * MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT;
     let member = state.topology.member_mut(index);
     let limit = member.concurrency_limit;
-    let target = limit * speed + limit.sqrt().min(limit * 0.5);
+    let target = limit * relative_speed + limit.sqrt().min(limit * MAX_LIMIT_GROWTH_SHARE);
     if target < limit {
-        // A limit far above what is sent would take long to bind.
-        let reduced =
-            limit.min(used * 2.0) * LIMIT_SMOOTHING + target.min(used * 2.0) * (1.0 - LIMIT_SMOOTHING);
+        let present = limit.min(max_bindable_limit);
+        let suggested = target.min(max_bindable_limit);
+        let reduced = present * LIMIT_SMOOTHING + suggested * (1.0 - LIMIT_SMOOTHING);
         reduce_limit(state, now, index, sent_at, reduced);
-    } else if observed_by == ObservedBy::ThisRouter && used * 2.0 > limit {
+    } else if observed_by == ObservedBy::ThisRouter && max_bindable_limit > limit {
         member.concurrency_limit = limit * LIMIT_SMOOTHING + target * (1.0 - LIMIT_SMOOTHING);
     }
 }
@@ -79,24 +88,26 @@
 fn reduce_limit(state: &mut RouterState, now: Time, index: usize, sent_at: Time, limit: f64) {
     let member = state.topology.member_mut(index);
     if sent_at >= member.limit_reduced_at {
-        (member.concurrency_limit, member.limit_reduced_at) = (limit.max(MIN_LIMIT), now);
+        member.concurrency_limit = limit.max(MIN_LIMIT);
+        member.limit_reduced_at = now;
     }
 }
 
-/// Takes a share of the reads from an overloaded member, or gives it back. All routers that know how many RPCs
-/// the member has in flight, or how slowly it answers, come to the same share.
+/// Reduces the share of reads that an overloaded member may get, and raises it again once the member is not overloaded.
+/// All routers that know how many RPCs the member has in flight, or how slowly it answers, come to the same share.
 pub fn update_read_share(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member(index);
-    let overload = member
+    let overload_ratio = member
         .reported_utilization()
         .unwrap_or_else(|| load::latency_ratio(state, now, member, LAST_TWO_SECONDS));
-    let per_second = if overload > OVERLOAD_RATIO {
-        (OVERLOAD_RATIO / overload).max(MIN_READ_SHARE_FACTOR_PER_SECOND)
+    let factor_per_second = if overload_ratio > OVERLOAD_RATIO {
+        (OVERLOAD_RATIO / overload_ratio).max(MIN_READ_SHARE_FACTOR_PER_SECOND)
     } else {
         READ_SHARE_GROWTH_FACTOR_PER_SECOND
     };
     let member = state.topology.member_mut(index);
-    let elapsed_secs = (now - member.read_share_updated_at).secs().min(1.0);
-    member.read_share = (member.read_share * per_second.powf(elapsed_secs)).clamp(MIN_READ_SHARE, 1.0);
+    let elapsed_secs = (now - member.read_share_updated_at).secs().min(MAX_READ_SHARE_STEP_SECS);
+    let factor = factor_per_second.powf(elapsed_secs);
+    member.read_share = (member.read_share * factor).clamp(MIN_READ_SHARE, 1.0);
     member.read_share_updated_at = now;
 }
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -18,12 +18,15 @@
 const RETIRE_REMOVED_AFTER: Span = Span::from_millis(30_000);
 /// A role that a member has shown outweighs the list for this long.
 const MAX_LIST_DELAY: Span = Span::from_millis(10_000);
-/// A failed poll is repeated after twice this; the time is doubled for each further failure, up to eight times this,
-/// and at most this share of the poll interval.
-const POLL_BACKOFF: Span = Span::from_millis(500);
+/// The wait after a failed poll: the base, doubled for each failure in a row, the first included, at most so many
+/// times; at most this share of the poll interval; and times a random factor from `MIN_POLL_BACKOFF_JITTER` to one
+/// more.
+const POLL_BACKOFF_BASE: Span = Span::from_millis(500);
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
 const MAX_POLL_BACKOFF_SHARE_OF_INTERVAL: f64 = 0.33;
-/// A poll that has not ended after this is repeated; spread by chance over the last quarter of it.
+const MIN_POLL_BACKOFF_JITTER: f64 = 0.5;
+/// A poll that has not ended after this is repeated, or a little sooner: after a random share of it, from
+/// `MIN_POLL_TIMEOUT_SHARE` to 1.
 const POLL_TIMEOUT: Span = Span::from_millis(4000);
 const MIN_POLL_TIMEOUT_SHARE: f64 = 0.75;
 /// Width of a bucket of the work sent to a member, as a share of the window in which it must not be overloaded.
@@ -33,15 +36,16 @@
 pub fn poll_if_due(state: &mut RouterState, now: Time) {
     if state.next_endpoint_poll_at.is_some_and(|due| due <= now) {
         state.output.poll_endpoints = true;
-        let share = MIN_POLL_TIMEOUT_SHARE + (1.0 - MIN_POLL_TIMEOUT_SHARE) * state.random.generate::<f64>();
-        state.next_endpoint_poll_at = Some(now + POLL_TIMEOUT * share);
+        let random_share = (1.0 - MIN_POLL_TIMEOUT_SHARE) * state.random.generate::<f64>();
+        let timeout_share = MIN_POLL_TIMEOUT_SHARE + random_share;
+        state.next_endpoint_poll_at = Some(now + POLL_TIMEOUT * timeout_share);
     }
 }
 
 /// Takes an update of the list, or the failure of a poll.
 pub fn on_update(state: &mut RouterState, now: Time, update: EndpointUpdate) {
     let (entries, is_complete) = match update {
-        EndpointUpdate::Failed { poll_immediately: silent } => return on_poll_failed(state, now, silent),
+        EndpointUpdate::Failed { poll_immediately } => return on_poll_failed(state, now, poll_immediately),
         EndpointUpdate::Cached(entries) | EndpointUpdate::Complete(entries) => (entries, true),
         EndpointUpdate::Changes(entries) | EndpointUpdate::ChangesDuringMove(entries) => (entries, false),
     };
@@ -62,16 +66,18 @@
     state.output.retired_members.extend(retired);
 }
 
-fn on_poll_failed(state: &mut RouterState, now: Time, silent: bool) {
-    state.endpoint_poll_failures += u32::from(!silent);
+/// Schedules the next poll: now where the watch alone has ended, else after a backoff.
+fn on_poll_failed(state: &mut RouterState, now: Time, poll_immediately: bool) {
+    state.endpoint_poll_failures += u32::from(!poll_immediately);
     let doublings = state.endpoint_poll_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
-    let backoff = POLL_BACKOFF * f64::from(1 << doublings);
-    let jitter = if silent { 0.0 } else { 0.5 + state.random.generate::<f64>() };
-    let again = state
+    let backoff = POLL_BACKOFF_BASE * f64::from(1 << doublings);
+    let jitter =
+        if poll_immediately { 0.0 } else { MIN_POLL_BACKOFF_JITTER + state.random.generate::<f64>() };
+    let retry_at = state
         .deployment
         .endpoint_poll_interval
         .map(|interval| now + backoff.min(interval * MAX_POLL_BACKOFF_SHARE_OF_INTERVAL) * jitter);
-    state.next_endpoint_poll_at = state.next_endpoint_poll_at.or(again).min(again);
+    state.next_endpoint_poll_at = state.next_endpoint_poll_at.or(retry_at).min(retry_at);
 }
 
 /// Members that a complete list does not name are removed.
@@ -85,22 +91,24 @@
     if !state.topology.contains(entry.member) {
         add_member(state, now, entry);
     }
-    let keeps_state = state.deployment.removal_is_advisory && entry.state == EndpointState::Removed;
-    let tells_role = match state.deployment.primary_in_list {
+    let removal_is_ignored = state.deployment.removal_is_advisory && entry.state == EndpointState::Removed;
+    let list_names_primary = match state.deployment.primary_in_list {
         PrimaryInList::Delayed => true,
         PrimaryInList::AtStart => now == state.started_at,
         PrimaryInList::Absent => false,
     };
     let member_time = state.latest_time_of_members_clock(now);
     let member = state.topology.member_mut(entry.member.0 as usize);
-    (member.machine_kind, member.zone, member.id_hash, member.concurrency) =
-        (entry.machine_kind, entry.zone, entry.id_hash, entry.concurrency);
-    if !keeps_state {
+    member.machine_kind = entry.machine_kind;
+    member.zone = entry.zone;
+    member.id_hash = entry.id_hash;
+    member.concurrency = entry.concurrency;
+    if !removal_is_ignored {
         member.set_endpoint_state(now, entry.state);
     }
     member.started_at = member.started_at.max(entry.started_at);
     let seen_as_replica = member_time - member.replica_seen_at < MAX_LIST_DELAY;
-    member.listed_as_primary = entry.primary && tells_role && !seen_as_replica;
+    member.listed_as_primary = entry.primary && list_names_primary && !seen_as_replica;
 }
 
 fn add_member(state: &mut RouterState, now: Time, entry: &Endpoint) {
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -10,7 +10,7 @@
 /// An RPC is given up.
 pub fn log_given_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) {
     state.output.exceptions.counts.given_up.add(reason);
-    if state.output.exceptions.wants_example() {
+    if state.output.exceptions.accepts_example() {
         let primary = primary_state(state, now, rpc);
         log_example(state, now, rpc, Exception::GivenUp { reason, primary });
     }
@@ -29,7 +29,7 @@
     let exceptions = &mut state.output.exceptions;
     exceptions.counts.spilled += 1;
     exceptions.counts.passed_over.merge(&passed_over);
-    if exceptions.wants_example() {
+    if exceptions.accepts_example() {
         log_example(state, now, rpc, Exception::Spilled(passed_over));
     }
 }
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -1,8 +1,8 @@
 //! Gossip: updates on members that routers send each other.
 //!
 //! A router publishes what a member has reported to it (the role, the position, the RPCs in flight) and its latency
-//! ratio, at most as often as positions need to be refreshed. Other routers use an update as if the member had reported to
-//! them, except that failures and their end count only from routers of the same zone, which share its links.
+//! ratio, at most as often as positions need to be refreshed. Other routers use an update as if the member had reported
+//! to them, except that failures and their end count only from routers of the same zone, which share its links.
 
 use crate::concurrency_limit;
 use crate::health_check_schedule::GOSSIP_INTERVAL_WITHOUT_PRIMARY;
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -29,6 +29,7 @@
     }
 }
 
+/// Fails a check of this member that has timed out, and sends one where it is due.
 fn check_member(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member_mut(index);
     if member.health_check_sent_at.is_some_and(|sent_at| now - sent_at > HEALTH_CHECK_TIMEOUT) {
@@ -49,10 +50,11 @@
         member.next_health_check_at = now + interval;
         state.output.health_checks.push(member.id);
     }
-    let look_again_at = member
-        .health_check_sent_at
-        .map_or(member.next_health_check_at, |sent_at| sent_at + HEALTH_CHECK_TIMEOUT);
-    state.next_health_check_at = state.next_health_check_at.min(look_again_at);
+    let next_event_at = match member.health_check_sent_at {
+        Some(sent_at) => sent_at + HEALTH_CHECK_TIMEOUT,
+        None => member.next_health_check_at,
+    };
+    state.next_health_check_at = state.next_health_check_at.min(next_event_at);
 }
 
 /// A check has ended.
@@ -69,8 +71,9 @@
         return;
     }
     state.topology.member_mut(index).health_check_sent_at = None;
+    let has_report = report != LoadReport::default();
     match outcome {
-        AttemptOutcome::Ok if report != LoadReport::default() => {
+        AttemptOutcome::Ok if has_report => {
             outlier_ejection::record_success(state, now, index);
             record_report(state, now, index, latency, report);
         }
@@ -84,7 +87,14 @@
         AttemptOutcome::NeverSent => {
             health_check_schedule::set_next_check(state, index, now + RECHECK_AFTER);
         }
-        _ => outlier_ejection::record_failure(state, now, index, ObservedBy::ThisRouter),
+        AttemptOutcome::Failed
+        | AttemptOutcome::TimedOut
+        | AttemptOutcome::Unreachable
+        | AttemptOutcome::Cancelled
+        | AttemptOutcome::NotServedHere
+        | AttemptOutcome::DecisionExpired => {
+            outlier_ejection::record_failure(state, now, index, ObservedBy::ThisRouter);
+        }
     }
 }
 
@@ -111,7 +121,8 @@
 fn record_position(state: &mut RouterState, now: Time, index: usize, position: Time, report: &LoadReport) {
     let age = state.latest_time_of_members_clock(now) - position;
     let member = state.topology.member_mut(index);
-    (member.reported_position_age, member.reported_in_flight) = (Some(age), report.in_flight);
+    member.reported_position_age = Some(age);
+    member.reported_in_flight = report.in_flight;
     if state.deployment.gossip {
         concurrency_limit::update_read_share(state, now, index);
     }
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -12,11 +12,13 @@
 use crate::time::{Span, Time};
 use nanorand::{Rng, WyRand};
 
-/// A round of periodic checks takes this at the least, and longer to stay within this share of the RPCs accepted.
+/// The shortest and the longest time for a round of periodic checks, one of each listed member.
 pub const MIN_ROUND: Span = Span::from_millis(1000);
 const MAX_ROUND: Span = Span::from_millis(60_000);
+/// Between these, a round is as long as it takes to send no more checks than this for each RPC accepted.
 const MAX_CHECKS_PER_RPC: f64 = 0.2;
-/// Spread of a member's own interval around the round.
+/// The interval between two checks of a member is the round times a random factor: the first, and up to the second
+/// more.
 const MIN_ROUND_JITTER: f64 = 0.75;
 const ROUND_JITTER_RANGE: f64 = 0.5;
 /// Length of one router's turn in a shared round.
@@ -35,15 +37,18 @@
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
 /// Routers that want a report spread their requests over so many times `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
 const REQUEST_SPREAD_INTERVALS: f64 = 4.0;
+const NANOS_PER_MS: i64 = 1_000_000;
+/// Where a member's id hash stands among the bits that choose the first router to check it.
+const ID_HASH_SHIFT: u32 = 20;
 
 /// Is the router so young that first results are still to come?
 pub fn awaits_first_results(state: &RouterState, now: Time) -> bool {
     now - state.started_at < FIRST_RESULTS_WAIT
 }
 
-/// Until when a read waits for a check that was sent at `sent_at`. A router that has just started waits for the first results
-/// of its replicas too, or its first reads would all go to the primary.
-fn awaited_until(state: &RouterState, member: &Member, sent_at: Time) -> Time {
+/// Until when a read waits for a check that was sent at `sent_at`. A router that has just started waits for the first
+/// results of its replicas too, or its first reads would all go to the primary.
+fn wait_deadline(state: &RouterState, member: &Member, sent_at: Time) -> Time {
     let never_reported = member.reported_at == Time::NEVER;
     let first_results_due = if never_reported { state.started_at + FIRST_RESULTS_WAIT } else { Time::NEVER };
     first_results_due.max(sent_at + HEALTH_CHECK_WAIT)
@@ -52,7 +57,7 @@
 /// Is a check of this member in progress, or due, that a read should wait for?
 pub fn result_is_expected(state: &RouterState, now: Time, member: &Member) -> bool {
     match member.health_check_sent_at {
-        Some(sent_at) => now < awaited_until(state, member, sent_at),
+        Some(sent_at) => now < wait_deadline(state, member, sent_at),
         None => member.next_health_check_at <= now,
     }
 }
@@ -72,14 +77,15 @@
         return round_duration(state, now) * jitter;
     }
     let round = MIN_ROUND.max(position_refresh_interval(state));
-    (round + TURN_LENGTH * turn(state, index)).min(MAX_ROUND)
+    (round + TURN_LENGTH * turn_of_this_router(state, index)).min(MAX_ROUND)
 }
 
 /// The turn of this router to check a member, from 0. It changes with each report that is passed on.
-fn turn(state: &RouterState, index: usize) -> f64 {
+fn turn_of_this_router(state: &RouterState, index: usize) -> f64 {
     let member = state.topology.member(index);
     // All routers that received the member's last report agree on this number.
-    let agreed = (member.published_position.nanos() / 1_000_000) as u64 ^ u64::from(member.id_hash) << 20;
+    let position_ms = (member.published_position.nanos() / NANOS_PER_MS) as u64;
+    let agreed = position_ms ^ (u64::from(member.id_hash) << ID_HASH_SHIFT);
     // Halved so that the sum with the router's index can't overflow.
     let first_router = WyRand::new_seed(agreed).generate::<u64>() / 2;
     ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
@@ -91,7 +97,8 @@
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
     let member = state.topology.member(index);
     let by_gossip = if state.deployment.gossip {
-        let intervals = 1.0 + REQUEST_SPREAD_INTERVALS * turn(state, index) / f64::from(state.router_count());
+        let turn = turn_of_this_router(state, index);
+        let intervals = 1.0 + REQUEST_SPREAD_INTERVALS * turn / f64::from(state.router_count());
         GOSSIP_INTERVAL_WITHOUT_PRIMARY * intervals
     } else {
         Span::ZERO
@@ -116,7 +123,9 @@
 /// Requests a check of each member of a group.
 pub fn request_group_checks(state: &mut RouterState, now: Time, group: usize) {
     let members = state.topology.groups[group].members.clone();
-    members.into_iter().for_each(|index| request_check(state, now, index));
+    for index in members {
+        request_check(state, now, index);
+    }
 }
 
 /// Schedules the next check of a member that failed so many times in a row. Where routers exchange gossip, an ejected
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -5,7 +5,7 @@
 //! without load. The least loaded eligible member is selected; silence and failures count as load, so that a member
 //! that fails fast or has stalled does not look idle.
 
-use crate::sliding_window::WindowTotals;
+use crate::sliding_window::{DEFAULT_BUCKETS, WindowTotals};
 use crate::state::latency::MethodLatency;
 use crate::state::member::{Member, OpenAttempt};
 use crate::state::router_state::RouterState;
@@ -18,7 +18,7 @@
 pub const LAST_SECOND: usize = 2;
 pub const LAST_TWO_SECONDS: usize = 4;
 /// All buckets of a window: 4 s of `RECENT_BUCKET`, 20 s of a zone's answers, 40 s of a method's.
-pub const ALL_BUCKETS: usize = 8;
+pub const ALL_BUCKETS: usize = DEFAULT_BUCKETS;
 
 /// Width of a bucket of a method's answer times.
 const TYPICAL_LATENCY_BUCKET: Span = Span::from_millis(5000);
@@ -39,8 +39,8 @@
 const LOST_AFTER_TYPICAL_LATENCIES: f64 = 12.0;
 /// Load reports count for this long.
 const LOAD_REPORT_VALID_FOR: Span = Span::from_millis(2000);
-/// The latency ratio that is assumed of a kind of machine before its members have answered: the sum over the answers
-/// that it counts as, so 4/3.
+/// What is assumed of a kind of machine before its members have answered: so many answers, with latency ratios of this
+/// sum, so 4/3 on average.
 const KIND_PRIOR_RATIO_SUM: f64 = 4.0;
 const KIND_PRIOR_ANSWERS: f64 = 3.0;
 /// A prior estimate weighs as much as so many answers of the member itself.
@@ -88,8 +88,8 @@
         && now - attempt.sent_at > typical * LOST_AFTER_TYPICAL_LATENCIES
 }
 
-/// The latency ratio of a member over the last buckets. Where it has answered little, members of its kind of machine
-/// stand in.
+/// The latency ratio of a member over the last buckets of `RECENT_BUCKET`. The fewer answers it has given, the more
+/// those of all members with its kind of machine count.
 pub fn latency_ratio(state: &RouterState, now: Time, member: &Member, buckets: usize) -> f64 {
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
     let of_kind = state
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -18,6 +18,7 @@
 /// That a member is unreachable is published at most this often.
 const UNREACHABLE_GOSSIP_INTERVAL: Span = Span::from_millis(1000);
 
+/// Does a member get nothing, since it has failed too many times in a row?
 pub fn is_ejected(member: &Member) -> bool {
     member.consecutive_failures >= FAILURES_TO_EJECT
 }
@@ -32,7 +33,8 @@
         state.output.log_messages.push(format!("#{index} readmitted"));
     }
     let member = state.topology.member_mut(index);
-    (member.consecutive_failures, member.silent_since) = (0, now);
+    member.consecutive_failures = 0;
+    member.silent_since = now;
 }
 
 /// Counts a failure. One that this router saw itself is published, and the member is checked again soon.
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -13,11 +13,13 @@
 
 /// Pending RPCs are examined again at least this often.
 const EXAMINE_INTERVAL: Span = Span::from_millis(10);
-/// A queue longer than this is not examined twice within this share of a tick.
-const LONG_QUEUE: usize = 32;
+/// A queue of more RPCs than this is not examined twice within this share of a tick.
+const LONG_QUEUE_RPCS: usize = 32;
 const LONG_QUEUE_MIN_INTERVAL_TICKS: f64 = 0.1;
 /// An RPC without an attempt is given up after this share of its client's time.
 const MAX_QUEUED_SHARE_OF_DEADLINE: f64 = 0.49;
+/// Prevents a division by zero.
+const MIN_TYPICAL_SECS: f64 = 1e-6;
 
 /// Puts an RPC among the pending ones of its group.
 pub fn enqueue(state: &mut RouterState, rpc: RpcId) -> Decision {
@@ -45,14 +47,14 @@
 pub fn take_in_order(state: &mut RouterState, now: Time, group: usize) -> Option<Vec<RpcId>> {
     let queue = &mut state.topology.groups[group];
     let min_interval = state.deployment.tick * LONG_QUEUE_MIN_INTERVAL_TICKS;
-    if queue.pending.len() > LONG_QUEUE && now - queue.pending_examined_at < min_interval {
+    if queue.pending.len() > LONG_QUEUE_RPCS && now - queue.pending_examined_at < min_interval {
         return None;
     }
     queue.pending_examined_at = now;
     let mut pending = std::mem::take(&mut queue.pending);
     let primary = queue.primary;
-    let primary_fails = primary.is_none_or(|index| state.topology.member(index).consecutive_failures > 0);
-    if primary_fails && !pending.is_empty() {
+    let primary_is_down = primary.is_none_or(|index| state.topology.member(index).consecutive_failures > 0);
+    if primary_is_down && !pending.is_empty() {
         health_check_schedule::request_group_checks(state, now, group);
     }
     pending.retain(|rpc| state.rpcs.get(*rpc).is_some_and(|rpc| rpc.is_pending));
@@ -61,10 +63,10 @@
     Some(pending)
 }
 
-/// The utility of an answer for the time that it takes a member.
+/// The utility of an answer, by second of a member's typical answer time.
 fn utility_per_sec(state: &RouterState, now: Time, rpc: RpcId) -> f64 {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let is_late = now + method.typical >= rpc.accepted_at + method.method.soft_deadline;
-    method.method.utility * if is_late { method.method.late_utility_share } else { 1.0 }
-        / method.typical.secs().max(1e-6)
+    let utility_share = if is_late { method.method.late_utility_share } else { 1.0 };
+    method.method.utility * utility_share / method.typical.secs().max(MIN_TYPICAL_SECS)
 }
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Most reasons of one kind.
+/// The most reasons of one kind: the length of [`Reason::ALL`] is at most this.
 const MAX_REASONS: usize = 8;
 
 /// How often each reason held.
@@ -121,26 +121,29 @@
 impl<R: Reason> Counts<R> {
     /// Counts a reason once.
     pub fn add(&mut self, reason: R) {
-        let mut counts = R::ALL.iter().zip(&mut self.counts);
-        if let Some((_, count)) = counts.find(|(counted, _)| **counted == reason) {
-            *count += 1;
+        if let Some(index) = R::ALL.iter().position(|&counted| counted == reason) {
+            self.counts[index] += 1;
         }
     }
 
     /// Adds the counts of another.
     pub fn merge(&mut self, other: &Counts<R>) {
-        self.counts.iter_mut().zip(other.counts).for_each(|(count, more)| *count += more);
+        for (count, other_count) in self.counts.iter_mut().zip(other.counts) {
+            *count += other_count;
+        }
     }
 }
 
 /// As in "2 stale, 1 ejected"; "none" where all counts are zero.
 impl<R: Reason> Display for Counts<R> {
-    fn fmt(&self, form: &mut Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let counted = R::ALL.iter().zip(self.counts).filter(|&(_, count)| count > 0);
         let texts: Vec<String> =
             counted.map(|(reason, count)| format!("{count} {}", reason.text())).collect();
-        form.write_str(if texts.is_empty() { "none" } else { "" })?;
-        form.write_str(&texts.join(", "))
+        if texts.is_empty() {
+            return formatter.write_str("none");
+        }
+        formatter.write_str(&texts.join(", "))
     }
 }
 
@@ -219,8 +222,8 @@
 const MAX_EXAMPLES: usize = 4;
 
 impl Exceptions {
-    /// Is there room for a further example?
-    pub fn wants_example(&self) -> bool {
+    /// May a further example be added?
+    pub fn accepts_example(&self) -> bool {
         self.examples.len() < MAX_EXAMPLES
     }
 }
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retries: whether an RPC may be sent again, and what its retries may use.
 //!
-//! How many attempts an RPC may have at most stands in the deployment (`max_attempts`) and is checked, with all else that
-//! ends an RPC, in `rejection::reason_to_give_up`.
+//! How many attempts an RPC may have at most stands in the deployment (`max_attempts`) and is checked, with all else
+//! that ends an RPC, in `rejection::reason_to_give_up`.
 //!
 //! An RPC must not have its effect twice. An idempotent one may be sent again at any time, one with an idempotency key
 //! within the window in which repeats are recognised, and any other only while no attempt of it may have run.
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -1,8 +1,8 @@
 //! The router: its public calls, each of which updates the state by the mechanism that it concerns.
 //!
-//! After [`Router::start`] comes [`Router::on_endpoint_update`]. [`Router::accept`] gives a handle and a first decision;
-//! what happens to the RPC later is a call on the handle. [`Router::tick`] follows each batch of calls. The clock is
-//! what the caller passes as `now`.
+//! After [`Router::start`] comes [`Router::on_endpoint_update`]. [`Router::accept`] gives a handle and a first
+//! decision; what happens to the RPC later is a call on the handle. [`Router::tick`] follows each batch of calls. The
+//! clock is what the caller passes as `now`.
 
 use crate::attempt;
 use crate::endpoints;
@@ -110,9 +110,12 @@
         }
         let index = member.0 as usize;
         let is_primary = state.topology.groups[accepted.arrival.group as usize].primary == Some(index);
-        let replica_may = !state.method_of(rpc).method.consistency.primary_only();
-        let required = || staleness::required_position(state, now, rpc);
-        is_primary || replica_may && state.topology.member(index).position >= required()
+        if is_primary {
+            return true;
+        }
+        let may_use_replica = !state.method_of(rpc).method.consistency.primary_only();
+        let required = staleness::required_position(state, now, rpc);
+        may_use_replica && state.topology.member(index).position >= required
     }
 
     /// Takes an update of the endpoint list, or the failure of a poll.
@@ -192,12 +195,13 @@
         }
     }
 
-    /// Sets this router's part of what all routers may have in flight at a member. It takes the place of the share of
-    /// reads that routers with little traffic take from an overloaded member: both together would leave it idle.
+    /// Sets this router's share of the RPCs that all routers may have in flight at a member. It replaces the share of
+    /// reads that an overloaded member may get from routers with little traffic: both together would leave it idle.
     pub fn set_concurrency_limit(&mut self, member: MemberId, limit: f64) {
         if self.state.topology.contains(member) {
             let member = self.state.topology.member_mut(member.0 as usize);
-            (member.concurrency_limit, member.read_share) = (limit, 1.0);
+            member.concurrency_limit = limit;
+            member.read_share = 1.0;
         }
     }
 
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -2,8 +2,12 @@
 
 use crate::time::{Span, Time};
 
+/// Buckets of a window whose type names no other number.
+pub const DEFAULT_BUCKETS: usize = 8;
+
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
+    /// Which multiple of the width it stands for.
     number: i64,
     count: f64,
     sum: f64,
@@ -27,7 +31,7 @@
 
 /// The last `N` buckets of one width. A bucket is emptied when its turn comes again.
 #[derive(Clone, Debug)]
-pub struct SlidingWindow<const N: usize> {
+pub struct SlidingWindow<const N: usize = DEFAULT_BUCKETS> {
     width: Span,
     buckets: [Bucket; N],
 }
@@ -39,13 +43,13 @@
     }
 
     /// The number of the bucket that this time falls into.
-    fn number(&self, at: Time) -> i64 {
+    fn bucket_number(&self, at: Time) -> i64 {
         at.nanos().div_euclid(self.width.nanos())
     }
 
     /// Records an amount now.
     pub fn record(&mut self, now: Time, amount: f64) {
-        let number = self.number(now);
+        let number = self.bucket_number(now);
         let bucket = &mut self.buckets[number.rem_euclid(N as i64) as usize];
         if bucket.number != number {
             *bucket = Bucket { number, ..Bucket::default() };
@@ -61,20 +65,19 @@
 
     /// What was recorded in the current bucket and those before it, this many in all.
     pub fn totals(&self, now: Time, buckets: usize) -> WindowTotals {
-        let newest = self.number(now);
+        let newest = self.bucket_number(now);
         let included = newest - buckets.min(N) as i64 + 1..=newest;
-        self.buckets.iter().filter(|bucket| included.contains(&bucket.number)).fold(
-            WindowTotals::default(),
-            |totals, bucket| WindowTotals {
-                count: totals.count + bucket.count,
-                sum: totals.sum + bucket.sum,
-            },
-        )
+        let mut totals = WindowTotals::default();
+        for bucket in self.buckets.iter().filter(|bucket| included.contains(&bucket.number)) {
+            totals.count += bucket.count;
+            totals.sum += bucket.sum;
+        }
+        totals
     }
 
     /// The smallest mean of a bucket, among those of the window with at least `min_count` amounts.
     pub fn min_bucket_mean(&self, now: Time, min_count: f64) -> Option<f64> {
-        let newest = self.number(now);
+        let newest = self.bucket_number(now);
         self.buckets
             .iter()
             .filter(|bucket| bucket.number > newest - N as i64 && bucket.count >= min_count)
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: a member that has started gets a share of the traffic that rises to its full one.
 //!
-//! The share is `slow_start_capacity` at its start and grows linearly to 1 over `slow_start_duration`. It is
-//! enforced by credit: each RPC that this router accepts adds a fraction to the credit of each member in slow start, and
-//! each attempt there takes one from it. Credit comes evenly, also for RPCs that were queued. If each router stays within its
-//! share, so does their sum.
+//! The share is `slow_start_capacity` at its start and grows linearly to 1 over `slow_start_duration`. It is enforced
+//! by credit: each RPC that this router accepts adds a fraction to the credit of each member in slow start, and each
+//! attempt there takes one from it. Credit comes evenly, also for RPCs that were queued. If each router stays within
+//! its share, so does their sum.
 
 use crate::health_check_schedule::HEALTH_CHECK_WAIT;
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
@@ -34,21 +34,25 @@
 pub fn record_accepted(state: &mut RouterState, now: Time, arrival: &Arrival) {
     let consistency = state.methods[arrival.method as usize].method.consistency;
     let accepted = state.topology.accepted_mut(arrival.group, RECENT_BUCKET);
-    accepted.record(now, f64::from(u8::from(consistency.primary_only())));
+    let writes = if consistency.primary_only() { 1.0 } else { 0.0 };
+    accepted.record(now, writes);
     let accepted = accepted.totals(now, ALL_BUCKETS);
-    let members = &state.topology.groups[arrival.group as usize].members;
-    let in_slow_start = |&index: &usize| {
-        let share = capacity_share(state, now, state.topology.member(index))?;
-        Some((index, credit_per_rpc(state, arrival.group as usize, index, share, accepted)))
-    };
-    for (index, credit) in members.iter().filter_map(in_slow_start).collect::<Vec<_>>() {
-        pay_credit(state.topology.member_mut(index), now, credit);
+    let group = arrival.group as usize;
+    for place in 0..state.topology.groups[group].members.len() {
+        let index = state.topology.groups[group].members[place];
+        if let Some(share) = capacity_share(state, now, state.topology.member(index)) {
+            let credit = credit_per_rpc(state, group, index, share, accepted);
+            pay_credit(state.topology.member_mut(index), now, credit);
+        }
     }
 }
 
-/// The credit, in attempts, that one accepted RPC pays a member with this share of its capacity: of a fair share of
-/// the group at its largest, or of all writes where it is the primary and these are more, less a margin for random
-/// variation.
+/// The credit, in attempts, that one accepted RPC pays a member with this share of its capacity.
+///
+/// The load at full capacity is a fair share of the group at its largest, or all writes where the member is the primary
+/// and these are more. Its part by `capacity_share` is divided by the RPCs accepted, and reduced by a margin for random
+/// variation: the sum over all routers must stay within what the member can do in an overload window. `accepted`: the
+/// RPCs of the group in the measured window; the sum counts those for the primary alone.
 fn credit_per_rpc(
     state: &RouterState,
     group: usize,
@@ -58,13 +62,16 @@
 ) -> f64 {
     let WindowTotals { count, sum: writes } = accepted;
     let (group, deployment) = (&state.topology.groups[group], &state.deployment);
-    let fair = count / group.max_members.max(1) as f64;
+    let fair_share = count / group.max_members.max(1) as f64;
     let fair_shares = deployment.overload_multiple.clamp(1.0, MAX_FAIR_SHARES);
-    let window_secs = deployment.overload_window.max(RECENT_BUCKET).secs() * f64::from(state.router_count());
-    let load = if group.primary == Some(index) { fair.max(writes) } else { fair };
-    let most = fair_shares * capacity_share * load;
+    let all_routers_window_secs =
+        deployment.overload_window.max(RECENT_BUCKET).secs() * f64::from(state.router_count());
+    let full_load = if group.primary == Some(index) { fair_share.max(writes) } else { fair_share };
+    let max_attempts = fair_shares * capacity_share * full_load;
     let measured_secs = RECENT_BUCKET.secs() * ALL_BUCKETS as f64;
-    most / count / (1.0 + VARIATION_MARGIN_ROOTS / (most * window_secs / measured_secs).sqrt())
+    let attempts_in_window = max_attempts * all_routers_window_secs / measured_secs;
+    let margin = 1.0 + VARIATION_MARGIN_ROOTS / attempts_in_window.sqrt();
+    max_attempts / count / margin
 }
 
 /// Adds credit. Whole attempts that were not used in time lapse; the fraction stays, so the phase does too.
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -19,8 +19,9 @@
 const MIN_CATCH_UP: Span = Span::from_millis(250);
 /// Replication is stopped when a position has not advanced for this long.
 const REPLICATION_STOPPED_AFTER: Span = Span::from_millis(500);
-/// Share of the bound, less the lag, that a replica's concurrency limit is scaled by, and the least scale.
-const MAX_HEADROOM: f64 = 0.9;
+/// A replica's concurrency limit is scaled by `HEADROOM_WITHOUT_LAG` less its lag as a share of the bound, and by
+/// `MIN_HEADROOM` at the least.
+const HEADROOM_WITHOUT_LAG: f64 = 0.9;
 const MIN_HEADROOM: f64 = 0.1;
 
 /// The position that a replica must have proven to serve this RPC now.
@@ -55,8 +56,8 @@
     excess <= Span::ZERO || now - member.reported_at >= MIN_CATCH_UP.max(excess * CATCH_UP_SHARE_OF_EXCESS)
 }
 
-/// The share of a replica's concurrency limit that reads may use: less as its lag nears the bound, so that it can
-/// catch up.
+/// The share of a replica's concurrency limit that reads may use, from 0 to 1: less as its lag nears the bound, so that
+/// it can catch up.
 pub fn headroom(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
     // Reads without a bound slow replication just as much. Where it has stopped, less load does not help.
     let unbounded = required == Time::NEVER;
@@ -69,7 +70,7 @@
         state.latest_time_of_members_clock(now) - required
     };
     let lag_share = member.lag.map_or(0.0, |lag| lag.secs() / bound.secs().max(1e-6));
-    (MAX_HEADROOM - lag_share).clamp(MIN_HEADROOM, 1.0)
+    (HEADROOM_WITHOUT_LAG - lag_share).clamp(MIN_HEADROOM, 1.0)
 }
 
 /// How old a position may get before it is refreshed, or passed on to other routers.
--- a/crates/ladderpass-routing/src/state/group.rs
+++ b/crates/ladderpass-routing/src/state/group.rs
@@ -29,40 +29,40 @@
     pub members: Vec<Option<Member>>,
     pub groups: Vec<Group>,
     /// Answer times over the typical ones, by kind of machine.
-    machine_kind_latency: Vec<SlidingWindow<8>>,
+    machine_kind_latency: Vec<SlidingWindow>,
     /// The same by zone, over a longer time, with failures of its members.
-    zone_latency: Vec<SlidingWindow<8>>,
+    zone_latency: Vec<SlidingWindow>,
     /// RPCs accepted, by group; the sum counts those for the primary alone.
-    accepted: Vec<SlidingWindow<8>>,
+    accepted: Vec<SlidingWindow>,
     /// How many members are listed; none where the list has changed since they were counted.
     listed_count: Cell<Option<usize>>,
 }
 
 /// The window of this index; those before it are made too.
-fn window_at(windows: &mut Vec<SlidingWindow<8>>, index: u32, bucket: Span) -> &mut SlidingWindow<8> {
+fn window_at(windows: &mut Vec<SlidingWindow>, index: u32, bucket: Span) -> &mut SlidingWindow {
     let index = index as usize;
     windows.resize_with(windows.len().max(index + 1), || SlidingWindow::new(bucket));
     &mut windows[index]
 }
 
 impl Topology {
-    pub fn zone_latency(&self, zone: u32) -> Option<&SlidingWindow<8>> {
+    pub fn zone_latency(&self, zone: u32) -> Option<&SlidingWindow> {
         self.zone_latency.get(zone as usize)
     }
 
-    pub fn zone_latency_mut(&mut self, zone: u32, bucket: Span) -> &mut SlidingWindow<8> {
+    pub fn zone_latency_mut(&mut self, zone: u32, bucket: Span) -> &mut SlidingWindow {
         window_at(&mut self.zone_latency, zone, bucket)
     }
 
-    pub fn machine_kind_latency(&self, kind: u32) -> Option<&SlidingWindow<8>> {
+    pub fn machine_kind_latency(&self, kind: u32) -> Option<&SlidingWindow> {
         self.machine_kind_latency.get(kind as usize)
     }
 
-    pub fn machine_kind_latency_mut(&mut self, kind: u32, bucket: Span) -> &mut SlidingWindow<8> {
+    pub fn machine_kind_latency_mut(&mut self, kind: u32, bucket: Span) -> &mut SlidingWindow {
         window_at(&mut self.machine_kind_latency, kind, bucket)
     }
 
-    pub fn accepted_mut(&mut self, group: u32, bucket: Span) -> &mut SlidingWindow<8> {
+    pub fn accepted_mut(&mut self, group: u32, bucket: Span) -> &mut SlidingWindow {
         self.group_mut(group);
         window_at(&mut self.accepted, group, bucket)
     }
@@ -116,7 +116,7 @@
         retired
     }
 
-    /// Keeps the most active members that a group has had at once.
+    /// Raises `max_members` to the number of active members, if that is more.
     pub fn update_max_members(&mut self, group: usize) {
         let members = self.groups[group].members.iter();
         let active =
@@ -128,15 +128,12 @@
     /// for this at each of them. Every list update ends with `remove_retired`; within one the count may be the
     /// one of before.
     pub fn listed_count(&self) -> usize {
-        let count = || {
-            self.members
-                .iter()
-                .flatten()
-                .filter(|member| member.endpoint_state != EndpointState::Removed)
-                .count()
-        };
-        let known = self.listed_count.get().unwrap_or_else(count);
-        self.listed_count.set(Some(known));
-        known
+        if let Some(count) = self.listed_count.get() {
+            return count;
+        }
+        let members = self.members.iter().flatten();
+        let count = members.filter(|member| member.endpoint_state != EndpointState::Removed).count();
+        self.listed_count.set(Some(count));
+        count
     }
 }
--- a/crates/ladderpass-routing/src/state/latency.rs
+++ b/crates/ladderpass-routing/src/state/latency.rs
@@ -8,7 +8,7 @@
 pub struct MethodLatency {
     pub method: Method,
     /// Answer times, in seconds.
-    pub answers: SlidingWindow<8>,
+    pub answers: SlidingWindow,
     /// The typical answer time: the quickest mean of the recent buckets, so about the time without load.
     pub typical: Span,
 }
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -5,6 +5,9 @@
 use crate::types::{EndpointState, MemberId};
 use std::collections::VecDeque;
 
+/// Buckets in which failed attempts are counted.
+const FAILURE_BUCKETS: usize = 4;
+
 /// Who saw what is recorded of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedBy {
@@ -77,26 +80,27 @@
     pub slow_start_credit: f64,
     /// When the credit last reached a whole attempt.
     pub slow_start_credit_at: Time,
+    /// Attempts that this router may have in flight there.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Time,
     /// Failed attempts of the last two seconds, which count as load; those that count towards ejection are
     /// `consecutive_failures`.
-    pub recent_failures: SlidingWindow<4>,
+    pub recent_failures: SlidingWindow<FAILURE_BUCKETS>,
     /// Answer times over the typical ones.
-    pub latency_ratios: SlidingWindow<8>,
+    pub latency_ratios: SlidingWindow,
     /// Work sent, in seconds of typical answer time.
-    pub work_sent: SlidingWindow<8>,
+    pub work_sent: SlidingWindow,
 }
 
 impl Member {
-    /// A member of which nothing is known. Failures and answers are counted in buckets of `measured_per`, the work
-    /// that it is sent in buckets of `work_per`.
+    /// A member of which nothing is known. Failures and answers are counted in buckets of the width `answer_bucket`,
+    /// the work that it is sent in buckets of the width `work_bucket`.
     pub fn new(
         id: MemberId,
         group: usize,
         concurrency_limit: f64,
-        measured_per: Span,
-        work_per: Span,
+        answer_bucket: Span,
+        work_bucket: Span,
     ) -> Member {
         Member {
             id,
@@ -135,9 +139,9 @@
             slow_start_credit_at: Time::NEVER,
             concurrency_limit,
             limit_reduced_at: Time::NEVER,
-            recent_failures: SlidingWindow::new(measured_per),
-            latency_ratios: SlidingWindow::new(measured_per),
-            work_sent: SlidingWindow::new(work_per),
+            recent_failures: SlidingWindow::new(answer_bucket),
+            latency_ratios: SlidingWindow::new(answer_bucket),
+            work_sent: SlidingWindow::new(work_bucket),
         }
     }
 
@@ -168,8 +172,8 @@
         if answered {
             self.latest_answered_attempt = self.latest_answered_attempt.max(attempt.sent_at);
         }
-        if let Some(at) = self.open_attempts.iter().position(|&open| open == attempt) {
-            self.open_attempts.remove(at);
+        if let Some(index) = self.open_attempts.iter().position(|&open| open == attempt) {
+            self.open_attempts.remove(index);
         }
     }
 }
--- a/crates/ladderpass-routing/src/state/router_state.rs
+++ b/crates/ladderpass-routing/src/state/router_state.rs
@@ -24,7 +24,7 @@
     pub rpcs: RpcTable,
     pub session_writes: SessionWrites,
     /// RPCs accepted, of all groups.
-    pub accepted: SlidingWindow<8>,
+    pub accepted: SlidingWindow,
     /// When the health checks that are due are to be looked for.
     pub next_health_check_at: Time,
     pub next_endpoint_poll_at: Option<Time>,
--- a/crates/ladderpass-routing/src/state/session.rs
+++ b/crates/ladderpass-routing/src/state/session.rs
@@ -39,9 +39,9 @@
     /// The write has ended; `commit`: none where it never ran.
     pub fn record_ended(&mut self, session: Option<u32>, sent_at: Time, commit: Option<Time>) {
         let Some(session) = session else { return };
-        let is_it = |write: &OpenWrite| write.session == session && write.sent_at == sent_at;
-        if let Some(at) = self.open.iter().position(is_it) {
-            self.open.remove(at);
+        let has_ended = |write: &OpenWrite| write.session == session && write.sent_at == sent_at;
+        if let Some(index) = self.open.iter().position(has_ended) {
+            self.open.remove(index);
         }
         let Some(commit) = commit else { return };
         let session = session as usize;
