--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -10,9 +10,9 @@
 use nanorand::Rng;
 use std::net::SocketAddr;
 
-/// Datagrams with nothing but updates in a round.
+/// The most datagrams with nothing but updates in a round.
 const MAX_GOSSIP_PER_ROUND: usize = 6;
-/// Datagrams with the view in a round, and for one ping or ack.
+/// The most datagrams with the view in a round, and for one ping or ack.
 const MAX_VIEW_SYNCS_PER_ROUND: usize = 16;
 const MAX_VIEW_SYNCS_AT_ONCE: usize = 5;
 /// Routers that a change is sent to at once.
@@ -49,6 +49,7 @@
 }
 
 impl Membership {
+    /// Completes a draft, and queues it as a datagram to be sent.
     pub(crate) fn send(&mut self, to: SocketAddr, draft: Draft) {
         let bytes = self.compose(to, draft).encode();
         self.counts.sent += 1;
@@ -63,8 +64,8 @@
         let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
         if is_probe || draft.fill_with_view {
             // Lifeguard's buddy system: a router that is not counted as alive is notified of that, to refute it.
-            let doubted = self.routers.state_update(to).filter(|known| known.state != State::Alive);
-            updates.extend(doubted);
+            let state_of_receiver = self.routers.state_update(to);
+            updates.extend(state_of_receiver.filter(|known| known.state != State::Alive));
         }
         let piggyback = if is_probe { self.piggyback.clone() } else { Vec::new() };
         let own = self.own_state();
@@ -119,15 +120,17 @@
         }
     }
 
+    /// How often an update is sent in all.
     fn transmission_limit(&mut self) -> u32 {
-        (RETRANSMIT_MULTIPLIER * ((self.routers.cluster_size() + 1) as f64).log2()).ceil() as u32
+        let doublings = ((self.routers.cluster_size() + 1) as f64).log2();
+        (RETRANSMIT_MULTIPLIER * doublings).ceil() as u32
     }
 
     /// Another router has the same view, so it knows the updates that the digest covers: all but suspicions.
-    pub(crate) fn record_updates_known(&mut self) {
+    pub(crate) fn record_same_view(&mut self) {
         let limit = self.transmission_limit();
         let routers = &self.routers;
-        self.updates.record_known(TRANSMISSIONS_PER_SAME_VIEW, limit, |router| {
+        self.updates.record_covered(TRANSMISSIONS_PER_SAME_VIEW, limit, |router| {
             routers.state_update(router).is_some_and(|known| known.state != State::Suspect)
         });
     }
--- a/crates/ladderpass-membership/src/lib.rs
+++ b/crates/ladderpass-membership/src/lib.rs
@@ -1,12 +1,12 @@
 //! Failure detection among routers: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard (Dadgar, Phillips, Currey, 2018).
 //!
-//! Inputs are datagrams of other routers and the time; outputs are datagrams, the view of who is alive, and its changes.
-//! The package does no I/O, reads no clock and decides nothing about an RPC (`docs/design/membership.md`).
+//! Inputs are datagrams of other routers and the time; outputs are datagrams, the view of who is alive, and its
+//! changes. The package does no I/O, reads no clock and decides nothing about an RPC (`docs/design/membership.md`).
 //!
 //! - [`Membership`] (`membership`): the entry points. It composes the other modules.
 //! - `probe`: direct and indirect probes (ping, ping-req, ack, nack); `probe_table`: those in flight.
-//! - `suspicion`: a failed probe leads to a suspicion, which is refuted or confirmed as a death; `suspicion_timeout`: how
-//!   long a suspected router has to refute, by the number of routers and confirmations.
+//! - `suspicion`: a failed probe leads to a suspicion, which is refuted or confirmed as a death; `suspicion_timeout`:
+//!   how long a suspected router has to refute, by the number of routers and confirmations.
 //! - `router_table`: the state of each known router and which update overrides it.
 //! - `updates`: applies received updates and disseminates the changes.
 //! - `dissemination`: piggybacked updates, gossip and view synchronisation; `update_queue`: updates yet to be sent.
--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -5,18 +5,19 @@
 
 use ladderpass_routing::{Span, Time};
 
+/// The worst health score.
 const MAX_SCORE: u32 = 8;
 
 /// The health score and the last acknowledgement.
 pub(crate) struct LocalHealth {
     score: u32,
-    last_acknowledged: Time,
+    last_acknowledged_at: Time,
     isolated_after: Span,
 }
 
 impl LocalHealth {
     pub fn new(now: Time, isolated_after: Span) -> LocalHealth {
-        LocalHealth { score: 0, last_acknowledged: now, isolated_after }
+        LocalHealth { score: 0, last_acknowledged_at: now, isolated_after }
     }
 
     /// 0 when healthy, up to 8.
@@ -29,27 +30,29 @@
         f64::from(self.score + 1)
     }
 
+    /// A probe of this router was acked: its findings count for more.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
+    /// Something speaks against this router's own health, by so many steps.
     pub fn degrade(&mut self, steps: u32) {
         self.score = (self.score + steps).min(MAX_SCORE);
     }
 
     /// Another router has shown that it receives this one's datagrams.
     pub fn record_acknowledgement(&mut self, now: Time) {
-        self.last_acknowledged = now;
+        self.last_acknowledged_at = now;
     }
 
     /// Has no router acknowledged this one for so long that it may be the one that is cut off?
     pub fn is_isolated(&self, now: Time) -> bool {
-        now - self.last_acknowledged > self.isolated_after
+        now - self.last_acknowledged_at > self.isolated_after
     }
 
     /// This router did not run for so long: missing acknowledgements in that time prove nothing.
     pub fn record_stall(&mut self, stall: Span) {
         self.degrade(1);
-        self.last_acknowledged = self.last_acknowledged + stall;
+        self.last_acknowledged_at = self.last_acknowledged_at + stall;
     }
 }
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -17,7 +17,7 @@
 use nanorand::{Rng, WyRand};
 use std::net::{IpAddr, SocketAddr};
 
-/// A gap between two ticks of so many rounds or more is a stall of this router.
+/// A gap between two ticks of more than so many rounds is a stall of this router.
 const STALL_ROUNDS: f64 = 1.6;
 /// Bounds the payloads that are stored until they are taken.
 const MAX_RECEIVED_PIGGYBACKS: usize = 64;
@@ -59,10 +59,11 @@
     pub(crate) health: LocalHealth,
     pub(crate) next_round_at: Time,
     pub(crate) round: u64,
-    /// Datagrams sent in this round that carry only updates, and only the view.
+    /// Datagrams sent in this round that carry nothing but updates.
     pub(crate) gossip_sent: usize,
+    /// Datagrams sent in this round that carry the view.
     pub(crate) view_syncs_sent: usize,
-    pub(crate) last_tick: Time,
+    pub(crate) last_tick_at: Time,
     pub(crate) is_leaving: bool,
     pub(crate) outgoing: Vec<(SocketAddr, Vec<u8>)>,
     pub(crate) changes: Vec<(SocketAddr, Change)>,
@@ -101,7 +102,7 @@
             round: 0,
             gossip_sent: 0,
             view_syncs_sent: 0,
-            last_tick: now,
+            last_tick_at: now,
             is_leaving: false,
             outgoing: Vec::new(),
             changes: Vec::new(),
@@ -185,15 +186,10 @@
         self.counts.received += 1;
         let view_differs = message.digest != self.routers.digest(self.incarnation);
         if !view_differs {
-            self.record_updates_known();
+            self.record_same_view();
         }
         self.apply_sender_state(now, from, &message);
-        if !message.piggyback.is_empty()
-            && self.routers.is_alive(from)
-            && self.received_piggybacks.len() < MAX_RECEIVED_PIGGYBACKS
-        {
-            self.received_piggybacks.push(message.piggyback.clone());
-        }
+        self.store_piggyback(from, &message);
         self.apply_updates_about_others(now, from, &message);
         if self.is_leaving {
             return;
@@ -209,12 +205,21 @@
         }
     }
 
+    /// Stores the piggybacked payload of a live router until it is taken. Beyond the limit it is dropped.
+    fn store_piggyback(&mut self, from: SocketAddr, message: &Message) {
+        let has_space = self.received_piggybacks.len() < MAX_RECEIVED_PIGGYBACKS;
+        if !message.piggyback.is_empty() && self.routers.is_alive(from) && has_space {
+            self.received_piggybacks.push(message.piggyback.clone());
+        }
+    }
+
     /// Accepts a datagram only from a known router or a configured address or network, and only where the sender
     /// reports its own state under that address.
     fn is_accepted(&self, from: SocketAddr, message: &Message) -> bool {
         message.own.router == from && from != self.local && self.may_participate(from)
     }
 
+    /// Does this router exchange membership with that one?
     pub(crate) fn may_participate(&self, router: SocketAddr) -> bool {
         self.routers.contains(router) || self.senders.is_configured(router)
     }
@@ -238,16 +243,18 @@
     fn apply_updates_about_others(&mut self, now: Time, from: SocketAddr, message: &Message) {
         // The first update of these names the target of the indirect probe.
         let names_target = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
-        let updates = message.updates.iter().skip(usize::from(names_target));
-        // The sender's own state stands in the message's head.
-        let updates = updates.filter(|update| update.router != from);
-        updates.for_each(|update| self.apply_update(now, update));
+        for update in message.updates.iter().skip(usize::from(names_target)) {
+            // The sender's own state stands in the message's head.
+            if update.router != from {
+                self.apply_update(now, update);
+            }
+        }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Time) {
-        let since_last_tick = now - self.last_tick;
-        self.last_tick = now;
+        let since_last_tick = now - self.last_tick_at;
+        self.last_tick_at = now;
         if self.is_leaving {
             return;
         }
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -1,4 +1,5 @@
-//! The datagram between routers: a head, the sender's own state, updates about other routers, and a piggybacked payload.
+//! The datagram between routers: a head, the sender's own state, updates about other routers, and a piggybacked
+//! payload.
 //!
 //! The first byte differs from that of every legacy gossip datagram, so that legacy routers drop these unread. A
 //! datagram that can't be decoded in full is dropped.
--- a/crates/ladderpass-membership/src/peer_selection.rs
+++ b/crates/ladderpass-membership/src/peer_selection.rs
@@ -46,6 +46,7 @@
         dead.map(|(&router, _)| router).chain(never_seen).collect()
     }
 
+    /// One of these routers at random; none of none.
     pub(crate) fn pick_random(&mut self, routers: &[SocketAddr]) -> Option<SocketAddr> {
         if routers.is_empty() {
             return None;
--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -1,8 +1,8 @@
 //! Direct and indirect probes of SWIM.
 //!
-//! A probe sends a ping. Without an ack within [`crate::Settings::ack_timeout`] other routers are asked to ping the same
-//! target (ping-req) until the round is over; then it is suspected. Both timeouts grow with the local health score. A
-//! relay that has no answer either sends a nack, which tells the prober that its own link works (Lifeguard).
+//! A probe sends a ping. Without an ack within [`crate::Settings::ack_timeout`] other routers are asked to ping the
+//! same target (ping-req) until the round is over; then it is suspected. Both timeouts grow with the local health
+//! score. A relay that has no answer either sends a nack, which tells the prober that its own link works (Lifeguard).
 
 use crate::dissemination::Draft;
 use crate::membership::Membership;
@@ -18,10 +18,11 @@
 const RELAY_TIMEOUT_ROUNDS: f64 = 2.0;
 /// When a relay sends a nack, as a share of the time that the requester waits for it.
 const NACK_SHARE_OF_WAIT: f64 = 0.5;
-/// A router that knows no other live router probes more absent ones, in each round instead of every other.
-const ABSENT_PROBES_WHEN_ALONE: usize = 3;
+/// Absent routers (dead, or configured and never seen) that are probed at a time, once in so many rounds.
 const ABSENT_PROBES: usize = 1;
 const ROUNDS_BETWEEN_ABSENT_PROBES: u64 = 2;
+/// The same for a router that knows no other live one: it probes in each round.
+const ABSENT_PROBES_WHEN_ALONE: usize = 3;
 
 impl Membership {
     /// Probes the next live router. Each is probed once before any is probed again.
@@ -38,7 +39,8 @@
             return;
         }
         let absent = self.absent_routers();
-        for _ in 0..if is_alone { ABSENT_PROBES_WHEN_ALONE } else { ABSENT_PROBES } {
+        let count = if is_alone { ABSENT_PROBES_WHEN_ALONE } else { ABSENT_PROBES };
+        for _ in 0..count {
             let Some(target) = self.pick_random(&absent) else { return };
             self.probe_for_return(now, target);
         }
@@ -56,13 +58,13 @@
         let probe = Probe {
             target,
             purpose,
-            sent: now,
+            sent_at: now,
             indirect_at: now + self.settings.ack_timeout * timeout_multiplier,
             deadline: now + self.settings.probe_interval * timeout_multiplier,
             relays: 0,
             nacks: 0,
         };
-        self.probes.probes.insert(sequence, probe);
+        self.probes.own.insert(sequence, probe);
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
@@ -83,7 +85,7 @@
         if !self.probes.is_target(message.sequence, from) {
             return;
         }
-        let Some(probe) = self.probes.probes.remove(&message.sequence) else { return };
+        let Some(probe) = self.probes.own.remove(&message.sequence) else { return };
         self.record_acknowledgement(now);
         if probe.purpose == ProbePurpose::FailureDetection {
             self.health.improve();
@@ -121,14 +123,14 @@
         let Some(target) = target.filter(|update| self.probes.is_target(sequence, update.router)) else {
             return;
         };
-        self.probes.probes.remove(&sequence);
+        self.probes.own.remove(&sequence);
         self.apply_update(now, &target);
         self.health.improve();
     }
 
     pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
         self.record_acknowledgement(now);
-        if let Some(probe) = self.probes.probes.get_mut(&sequence) {
+        if let Some(probe) = self.probes.own.get_mut(&sequence) {
             probe.nacks = (probe.nacks + 1).min(probe.relays);
         }
     }
@@ -161,7 +163,7 @@
     /// Asks for indirect probes where they are due, and suspects the targets of failed probes.
     pub(crate) fn advance_probes(&mut self, now: Time) {
         for sequence in self.probes.due(now) {
-            let Some(probe) = self.probes.probes.get(&sequence) else { continue };
+            let Some(probe) = self.probes.own.get(&sequence) else { continue };
             if probe.deadline <= now {
                 self.fail_probe(now, sequence);
             } else {
@@ -172,13 +174,13 @@
     }
 
     fn fail_probe(&mut self, now: Time, sequence: u32) {
-        let Some(probe) = self.probes.probes.remove(&sequence) else { return };
+        let Some(probe) = self.probes.own.remove(&sequence) else { return };
         if probe.purpose == ProbePurpose::ReturnDetection {
             return;
         }
         // Relays without a nack show that it may be this router that is cut off.
         self.health.degrade(probe.missed_nacks());
-        self.suspect(now, probe.target, probe.sent);
+        self.suspect(now, probe.target, probe.sent_at);
     }
 
     fn request_indirect_probes(
@@ -194,7 +196,7 @@
                 self.select_responsive_peers(now, self.settings.indirect_probes, target)
             }
         };
-        if let Some(probe) = self.probes.probes.get_mut(&sequence) {
+        if let Some(probe) = self.probes.own.get_mut(&sequence) {
             probe.indirect_at = probe.deadline;
             probe.relays = relays.len();
         }
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -20,20 +20,23 @@
 pub(crate) struct Probe {
     pub target: SocketAddr,
     pub purpose: ProbePurpose,
-    pub sent: Time,
+    pub sent_at: Time,
     /// When other routers are asked for an indirect probe.
     pub indirect_at: Time,
     /// When the probe has failed.
     pub deadline: Time,
-    /// Routers that were asked for an indirect probe, and those of them that answered with a nack.
+    /// How many routers were asked for an indirect probe.
     pub relays: usize,
+    /// How many of these answered with a nack.
     pub nacks: usize,
 }
 
 impl Probe {
     /// Is an indirect probe due, or has the probe failed?
     pub fn is_due(&self, now: Time) -> bool {
-        self.deadline <= now || self.relays == 0 && self.indirect_at <= now
+        let has_failed = self.deadline <= now;
+        let indirect_is_due = self.relays == 0 && self.indirect_at <= now;
+        has_failed || indirect_is_due
     }
 
     fn wake_at(&self) -> Time {
@@ -65,14 +68,16 @@
 
 /// All probes in flight, by sequence number.
 pub(crate) struct ProbeTable {
-    pub probes: BTreeMap<u32, Probe>,
+    /// Probes that this router sent for itself.
+    pub own: BTreeMap<u32, Probe>,
+    /// Probes on behalf of other routers.
     pub relayed: BTreeMap<u32, RelayedProbe>,
     last_sequence: u32,
 }
 
 impl ProbeTable {
     pub fn new(last_sequence: u32) -> ProbeTable {
-        ProbeTable { probes: BTreeMap::new(), relayed: BTreeMap::new(), last_sequence }
+        ProbeTable { own: BTreeMap::new(), relayed: BTreeMap::new(), last_sequence }
     }
 
     pub fn next_sequence(&mut self) -> u32 {
@@ -82,22 +87,22 @@
 
     /// Forgets all probes.
     pub fn clear(&mut self) {
-        self.probes.clear();
+        self.own.clear();
         self.relayed.clear();
     }
 
     pub fn is_probing(&self, target: SocketAddr) -> bool {
-        self.probes.values().any(|probe| probe.target == target)
+        self.own.values().any(|probe| probe.target == target)
     }
 
     /// Is this the target of the probe with that sequence number?
     pub fn is_target(&self, sequence: u32, router: SocketAddr) -> bool {
-        self.probes.get(&sequence).is_some_and(|probe| probe.target == router)
+        self.own.get(&sequence).is_some_and(|probe| probe.target == router)
     }
 
     /// Probes of routers that are alive.
     pub fn failure_detection_count(&self) -> usize {
-        self.probes.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
+        self.own.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
     }
 
     pub fn can_relay(&self) -> bool {
@@ -106,7 +111,7 @@
 
     /// Sequence numbers of the probes that an indirect probe is due for, or that have failed.
     pub fn due(&self, now: Time) -> Vec<u32> {
-        let due = self.probes.iter().filter(|(_, probe)| probe.is_due(now));
+        let due = self.own.iter().filter(|(_, probe)| probe.is_due(now));
         due.map(|(&sequence, _)| sequence).collect()
     }
 
@@ -119,8 +124,8 @@
 
     /// When any of them is due next.
     pub fn wake_at(&self) -> Option<Time> {
-        let probes = self.probes.values().map(Probe::wake_at);
+        let own = self.own.values().map(Probe::wake_at);
         let relayed = self.relayed.values().map(|relayed| relayed.nack_at.min(relayed.deadline));
-        probes.chain(relayed).min()
+        own.chain(relayed).min()
     }
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -20,7 +20,7 @@
     pub state: State,
     pub incarnation: Incarnation,
     /// Since when this router counts it as alive, or as gone.
-    pub since: Time,
+    pub counted_since: Time,
     /// When it last acked a probe of this router, since its last start.
     pub last_ack: Time,
     /// Present while it is suspected.
@@ -163,11 +163,12 @@
             self.confirm_suspicion(update.router, update.suspected_by);
             return None;
         }
-        let newer = update.incarnation > known.incarnation;
-        let greater_state = same_incarnation && update.state > known.state;
+        let is_newer = update.incarnation > known.incarnation;
+        let is_greater_state = same_incarnation && update.state > known.state;
         // What this router found while it was isolated counts for less than any report of a live router.
-        let corrects = known.found_dead_while_isolated && same_incarnation && !update.state.is_gone();
-        let overrides = newer || greater_state || corrects;
+        let corrects_isolated_finding =
+            known.found_dead_while_isolated && same_incarnation && !update.state.is_gone();
+        let overrides = is_newer || is_greater_state || corrects_isolated_finding;
         if !overrides && self.settings.faulty != Faulty::IgnoresIncarnations {
             return None;
         }
@@ -184,8 +185,8 @@
     }
 
     fn has_acked_recently(&self, now: Time, router: SocketAddr) -> bool {
-        let recent = self.settings.probe_interval * RECENT_ACK_ROUNDS;
-        let has_acked = |known: &KnownRouter| now - known.last_ack < recent && !known.state.is_gone();
+        let max_ack_age = self.settings.probe_interval * RECENT_ACK_ROUNDS;
+        let has_acked = |known: &KnownRouter| now - known.last_ack < max_ack_age && !known.state.is_gone();
         self.settings.faulty != Faulty::ConfirmsImmediately
             && self.routers.get(&router).is_some_and(has_acked)
     }
@@ -193,13 +194,13 @@
     /// Adds a router that was not known. One that is dead or has left is kept as a tombstone, so that a late update
     /// does not bring it back.
     fn insert(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
-        if update.router == self.local || !self.make_room_for(update.state) {
+        if update.router == self.local || !self.ensure_space_for(update.state) {
             return None;
         }
         let known = KnownRouter {
             state: if update.state == State::Suspect { State::Alive } else { update.state },
             incarnation: update.incarnation,
-            since: now,
+            counted_since: now,
             last_ack: Time::NEVER,
             suspicion: None,
             found_dead_while_isolated: false,
@@ -216,13 +217,14 @@
         }
     }
 
-    /// In a full table the oldest tombstone makes room for a live router. A live router is never evicted.
-    fn make_room_for(&mut self, state: State) -> bool {
+    /// Is there space for a router in this state? In a full table the oldest tombstone is evicted for a live router. A
+    /// live router is never evicted.
+    fn ensure_space_for(&mut self, state: State) -> bool {
         if self.routers.len() < self.settings.max_routers {
             return true;
         }
         let tombstones = self.routers.iter().filter(|(_, known)| known.state.is_gone());
-        let oldest = tombstones.min_by_key(|(_, known)| known.since).map(|(&router, _)| router);
+        let oldest = tombstones.min_by_key(|(_, known)| known.counted_since).map(|(&router, _)| router);
         match oldest {
             Some(oldest) if !state.is_gone() => self.routers.remove(&oldest).is_some(),
             _ => false,
@@ -235,7 +237,7 @@
         let previous = known.state;
         let has_restarted = known.incarnation.started_ms() != update.incarnation.started_ms();
         if previous.is_gone() || has_restarted {
-            known.since = now;
+            known.counted_since = now;
             known.last_ack = Time::NEVER;
         }
         known.state = State::Alive;
@@ -258,7 +260,7 @@
         let known = self.routers.get_mut(&update.router)?;
         let was_gone = known.state.is_gone();
         if was_gone {
-            known.since = now;
+            known.counted_since = now;
         }
         known.state = State::Suspect;
         known.incarnation = update.incarnation;
@@ -298,10 +300,11 @@
         if previous.is_gone() {
             return None;
         }
-        known.since = now;
+        known.counted_since = now;
         Some(if state == State::Left { Change::Left } else { Change::Died })
     }
 
+    /// A probe of this router was acked.
     pub fn record_ack(&mut self, now: Time, router: SocketAddr) {
         if let Some(known) = self.routers.get_mut(&router) {
             known.last_ack = now;
@@ -316,8 +319,10 @@
 
     /// Routers whose time to refute is over.
     pub fn expired_suspicions(&self, now: Time) -> Vec<SocketAddr> {
-        let is_expired = |known: &KnownRouter| known.suspicion.as_ref().is_some_and(|s| s.deadline() <= now);
-        self.routers.iter().filter(|(_, known)| is_expired(known)).map(|(&router, _)| router).collect()
+        let has_expired = |suspicion: &Suspicion| suspicion.deadline() <= now;
+        let expired =
+            self.routers.iter().filter(|(_, known)| known.suspicion.as_ref().is_some_and(has_expired));
+        expired.map(|(&router, _)| router).collect()
     }
 
     /// When the first suspicion ends.
@@ -345,8 +350,8 @@
 
     /// Removes tombstones that are old enough.
     pub fn remove_old_tombstones(&mut self, now: Time) {
-        let keep = self.settings.forget_dead_after;
-        self.routers.retain(|_, known| !known.state.is_gone() || now - known.since < keep);
+        let max_age = self.settings.forget_dead_after;
+        self.routers.retain(|_, known| !known.state.is_gone() || now - known.counted_since < max_age);
     }
 
     /// A live router, as other mechanisms see it.
@@ -360,7 +365,7 @@
         Some(Peer {
             address: router,
             started_ms: known.incarnation.started_ms(),
-            since: known.since,
+            since: known.counted_since,
             confidence,
         })
     }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -12,7 +12,7 @@
 struct ListedRouter {
     address: SocketAddr,
     /// When legacy gossip last came from it. At the start each may be a legacy router.
-    last_legacy_gossip: Time,
+    last_legacy_gossip_at: Time,
 }
 
 /// A network in CIDR form.
@@ -32,7 +32,7 @@
     pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[(IpAddr, u8)]) -> Senders {
         let networks = networks.iter().map(|&(address, prefix_bits)| Network { address, prefix_bits });
         Senders {
-            listed: listed.map(|address| ListedRouter { address, last_legacy_gossip: now }).collect(),
+            listed: listed.map(|address| ListedRouter { address, last_legacy_gossip_at: now }).collect(),
             networks: networks.collect(),
         }
     }
@@ -42,7 +42,7 @@
         self.listed.iter().map(|listed| listed.address)
     }
 
-    /// May a router at this address take part that is not in the router table?
+    /// May a router at this address participate though it is not in the router table?
     pub fn is_configured(&self, router: SocketAddr) -> bool {
         self.listed().any(|address| address == router)
             || self.networks.iter().any(|network| network.contains(router.ip()))
@@ -51,14 +51,15 @@
     /// Records legacy gossip. True where it came from a configured address.
     pub fn record_legacy_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         let Some(listed) = self.listed.iter_mut().find(|listed| listed.address == from) else { return false };
-        listed.last_legacy_gossip = now;
+        listed.last_legacy_gossip_at = now;
         true
     }
 
     /// Configured addresses that legacy gossip came from recently.
     pub fn recent_legacy(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
-        let recent = move |listed: &&ListedRouter| now - listed.last_legacy_gossip < LEGACY_GOSSIP_TIMEOUT;
-        self.listed.iter().filter(recent).map(|listed| listed.address)
+        let is_recent =
+            move |listed: &&ListedRouter| now - listed.last_legacy_gossip_at < LEGACY_GOSSIP_TIMEOUT;
+        self.listed.iter().filter(is_recent).map(|listed| listed.address)
     }
 }
 
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -12,11 +12,11 @@
 impl Membership {
     /// A probe got no ack, direct or indirect: starts a suspicion, or joins the present one as another suspecting
     /// router, which shortens its timeout.
-    pub(crate) fn suspect(&mut self, now: Time, target: SocketAddr, probe_sent: Time) {
-        let Some(known_router) = self.routers.get(target) else { return };
-        let acked_since = known_router.last_ack > probe_sent;
+    pub(crate) fn suspect(&mut self, now: Time, target: SocketAddr, probe_sent_at: Time) {
+        let Some(last_ack) = self.routers.get(target).map(|known| known.last_ack) else { return };
+        let has_acked_since = last_ack > probe_sent_at;
         let Some(known) = self.routers.state_update(target) else { return };
-        if known.state.is_gone() || acked_since {
+        if known.state.is_gone() || has_acked_since {
             return;
         }
         let suspicion = StateUpdate { suspected_by: suspected_by_id(self.local), ..known };
@@ -51,14 +51,13 @@
             return;
         }
         let is_later = update.incarnation > self.incarnation;
-        if !is_later && (update.state == State::Alive || update.incarnation < self.incarnation) {
+        let is_earlier = update.incarnation < self.incarnation;
+        let is_own_state = !is_later && update.state == State::Alive;
+        if is_earlier || is_own_state {
             return;
         }
         self.address_conflict |= is_later && update.incarnation.started_ms() > self.incarnation.started_ms();
-        self.incarnation = match is_later {
-            true => update.incarnation.next_start(),
-            false => update.incarnation.next(),
-        };
+        self.incarnation = if is_later { update.incarnation.next_start() } else { update.incarnation.next() };
         self.gossip_change(now, self.own_state());
         if update.state != State::Alive && !is_later {
             // Others got no ack from this router: it may be slow.
--- a/crates/ladderpass-membership/src/suspicion_timeout.rs
+++ b/crates/ladderpass-membership/src/suspicion_timeout.rs
@@ -9,7 +9,7 @@
 /// A suspicion that may still be refuted.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    started: Time,
+    started_at: Time,
     /// Ids of the routers that have it, the first at the front.
     suspected_by: Vec<u16>,
     deadline: Time,
@@ -18,7 +18,7 @@
 impl Suspicion {
     /// A suspicion that nobody is recorded for yet; its timeout is set with the first confirmation.
     pub fn start(now: Time) -> Suspicion {
-        Suspicion { started: now, suspected_by: Vec::new(), deadline: now }
+        Suspicion { started_at: now, suspected_by: Vec::new(), deadline: now }
     }
 
     /// Records a router that suspects as well, each once and no more than `max`.
@@ -40,7 +40,7 @@
 
     /// Sets the time to refute, counted from the start of the suspicion.
     pub fn set_timeout(&mut self, timeout: Span) {
-        self.deadline = self.started + timeout;
+        self.deadline = self.started_at + timeout;
     }
 
     /// When the router is dead unless it has refuted.
@@ -50,24 +50,27 @@
 
     /// Moves the suspicion by a time in which this router did not run.
     pub fn postpone(&mut self, by: Span) {
-        self.started = self.started + by;
+        self.started_at = self.started_at + by;
         self.deadline = self.deadline + by;
     }
 
     /// Grants the full time to refute once more, from now on.
     pub fn restart(&mut self, now: Time) {
-        self.deadline = now + (self.deadline - self.started);
-        self.started = now;
+        self.deadline = now + (self.deadline - self.started_at);
+        self.started_at = now;
     }
 }
 
-/// How long a suspicion may be refuted that `suspecting` routers have, among `cluster_size` routers.
-pub(crate) fn suspicion_timeout(settings: &Settings, cluster_size: usize, suspecting: usize) -> Span {
+/// How long a router may refute the suspicion of `suspecting_count` routers, among `cluster_size` routers.
+///
+/// From `min_suspicion` times the decimal logarithm of the cluster size, once enough routers have confirmed it, up to
+/// `max_suspicion_factor` times that, while none has.
+pub(crate) fn suspicion_timeout(settings: &Settings, cluster_size: usize, suspecting_count: usize) -> Span {
     let min = settings.min_suspicion * (cluster_size as f64).log10().max(1.0);
     let max = min * settings.max_suspicion_factor;
     // Neither this router nor the suspected one can confirm it.
-    let wanted = settings.confirmations.min(cluster_size.saturating_sub(2)).max(1);
-    let confirmations = suspecting.saturating_sub(1).min(wanted);
-    let confirmed_share = ((confirmations + 1) as f64).ln() / ((wanted + 1) as f64).ln();
+    let enough = settings.confirmations.min(cluster_size.saturating_sub(2)).max(1);
+    let confirmations = suspecting_count.saturating_sub(1).min(enough);
+    let confirmed_share = ((confirmations + 1) as f64).ln() / ((enough + 1) as f64).ln();
     max - (max - min) * confirmed_share
 }
--- a/crates/ladderpass-membership/src/update_queue.rs
+++ b/crates/ladderpass-membership/src/update_queue.rs
@@ -49,21 +49,23 @@
     /// Counts one transmission; an update that was sent `limit` times is done.
     pub fn record_transmission(&mut self, sent: PendingUpdate, limit: u32) {
         let transmissions = sent.transmissions + 1;
-        match transmissions >= limit {
-            true => self.transmissions.remove(&sent.router),
-            false => self.transmissions.insert(sent.router, transmissions),
-        };
+        if transmissions >= limit {
+            self.transmissions.remove(&sent.router);
+        } else {
+            self.transmissions.insert(sent.router, transmissions);
+        }
     }
 
-    /// Counts `transmissions` more for the updates that `is_known` names; those sent `limit` times are done.
-    pub fn record_known(
+    /// Counts `transmissions` more for the updates about the routers that `is_covered` accepts; an update that was sent
+    /// `limit` times is done.
+    pub fn record_covered(
         &mut self,
         transmissions: u32,
         limit: u32,
-        mut is_known: impl FnMut(SocketAddr) -> bool,
+        mut is_covered: impl FnMut(SocketAddr) -> bool,
     ) {
         self.transmissions.retain(|&router, sent| {
-            if is_known(router) {
+            if is_covered(router) {
                 *sent += transmissions;
             }
             *sent < limit
