--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -1,8 +1,8 @@
 //! How many RPCs all routers together may have in flight at each member, and this router's quota of it.
 //!
-//! A member's capacity follows a gradient: it shrinks with the ratio of its latency to the typical one, grows by its square
-//! root while it is used, and is held together by the median of what all routers believe. The quota is this router's
-//! share of the offered load.
+//! A member's capacity follows a gradient: it shrinks with the ratio of its latency to the typical one, grows by its
+//! square root while it is used, and follows the median of all routers' estimates. The quota is this router's share of
+//! the offered load.
 
 use crate::consensus::move_towards_median;
 use crate::peer_reports::WeightedReport;
@@ -10,7 +10,7 @@
 use crate::totals::FleetTotals;
 use ladderpass_routing::{MemberId, MemberLoad};
 
-/// RPCs in flight at a member, of all routers together.
+/// The capacity of a member of which nothing is known, and its bounds: RPCs in flight there, of all routers together.
 const INITIAL_CAPACITY: f64 = 2.0;
 const MIN_CAPACITY: f64 = 1.0;
 const MAX_CAPACITY: f64 = 4096.0;
@@ -21,7 +21,7 @@
 const FAILURE_LATENCY_WEIGHT: f64 = 10.0;
 /// A capacity grows while so many times the RPCs in flight fill it: an unused one would be filled at once by a burst.
 const USED_MARGIN: f64 = 1.25;
-/// Share of the way to the wanted capacity that one step goes.
+/// Share of the way to the target capacity that one step goes.
 const CAPACITY_STEP: f64 = 0.3;
 /// Weight of the present load in its moving average.
 const SMOOTHING_WEIGHT: f64 = 0.4;
@@ -41,8 +41,8 @@
     pub in_flight: Vec<(MemberId, f64)>,
 }
 
-/// This router's quota after a step: its share of what is offered. Where too few others report, it stays.
-pub(crate) fn updated_quota(quota: f64, totals: &FleetTotals) -> f64 {
+/// This router's quota after a step, from 0 to 1: its share of what is offered. Where too few others report, it stays.
+pub(crate) fn compute_quota(quota: f64, totals: &FleetTotals) -> f64 {
     let share = if totals.offered > 0.0 {
         (totals.own_offered / totals.offered).min(1.0)
     } else {
@@ -51,13 +51,13 @@
     if totals.reporting_peers < (totals.peers * MIN_REPORTING_SHARE).min(ENOUGH_REPORTING_PEERS) {
         return quota;
     }
-    let max = (quota * MAX_QUOTA_GROWTH).max(ALWAYS_ALLOWED_QUOTA);
-    (quota + (share - quota) * SMOOTHING_WEIGHT).min(max)
+    let max_quota = (quota * MAX_QUOTA_GROWTH).max(ALWAYS_ALLOWED_QUOTA);
+    (quota + (share - quota) * SMOOTHING_WEIGHT).min(max_quota)
 }
 
-/// This router's limit at a member of this capacity. The square root leaves room for bursts, as in staffing by random
-/// arrivals; all routers' limits add up to a little more than the capacity.
-pub(crate) fn limit_of_quota(capacity: f64, quota: f64) -> f64 {
+/// How many RPCs this router may have in flight at a member of this capacity. The square root leaves capacity for
+/// bursts, as in staffing by random arrivals; all routers' limits add up to a little more than the capacity.
+pub(crate) fn compute_limit(capacity: f64, quota: f64) -> f64 {
     let share = capacity * quota;
     share + share.sqrt()
 }
@@ -67,8 +67,9 @@
     load.id_hash as u16
 }
 
-/// What this router believes of a member after a step, by its own load there and the others' reports.
-pub(crate) fn updated_member(
+/// This router's estimates of a member after a step, from its own load there and the others' reports. `scale`: the
+/// factor from the routers that reported to all that are alive.
+pub(crate) fn estimate_member(
     known: Option<&MemberReport>,
     load: &MemberLoad,
     reports: &[WeightedReport<'_>],
@@ -86,15 +87,16 @@
     let observed = observe_member(&own, reports);
     let before = observed.capacity.max(MIN_CAPACITY);
     let gradient = MAX_HEALTHY_LATENCY_RATIO / observed.latency_ratio.max(MAX_HEALTHY_LATENCY_RATIO);
-    let wanted = before * gradient + before.sqrt();
+    let target = before * gradient + before.sqrt();
     let is_used = observed.in_flight * scale * USED_MARGIN >= before;
-    let step = if wanted < before || is_used { (wanted - before) * CAPACITY_STEP } else { 0.0 };
+    let may_follow = target < before || is_used;
+    let step = if may_follow { (target - before) * CAPACITY_STEP } else { 0.0 };
     own.capacity = (before + step).clamp(MIN_CAPACITY, MAX_CAPACITY);
     own
 }
 
-/// What all routers that reported observe at a member: RPCs in flight, the latency ratio weighted by them, and the capacity
-/// that they believe in.
+/// What all routers that reported observe at a member: RPCs in flight, the latency ratio weighted by them, and the
+/// capacity that they estimate.
 fn observe_member(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
     let mut in_flight = own.in_flight;
     let mut weighted_latency = own.latency_ratio * (own.in_flight + IDLE_WEIGHT);
--- a/crates/ladderpass-admission/src/consensus.rs
+++ b/crates/ladderpass-admission/src/consensus.rs
@@ -1,7 +1,7 @@
 //! How a router's own estimate follows the estimates of the others.
 
-/// Share of the way to the median that an estimate moves in a step: enough to hold all routers together, while each goes
-/// on from its own, since what others report is some steps old.
+/// Share of the way to the median that an estimate moves in a step: enough to hold all routers together, while each
+/// goes on from its own, since what others report is some steps old.
 const CONSENSUS_WEIGHT: f64 = 0.2;
 
 /// The upper median; 0 of nothing.
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -1,6 +1,6 @@
 //! The state of one group, and the step that computes it anew.
 
-use crate::capacity::{MemberLimits, limit_of_quota, report_id, updated_member, updated_quota};
+use crate::capacity::{MemberLimits, compute_limit, compute_quota, estimate_member, report_id};
 use crate::peer_reports::WeightedReport;
 use crate::rates::Rates;
 use crate::report::MemberReport;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Ends the counting of a step of this length.
+    /// Ends the counting of a step of this length: the rates follow its counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
         self.rates.follow(&counts, secs);
@@ -80,14 +80,14 @@
     ) {
         let totals = FleetTotals::sum(&self.rates, self.admission.admitted, reports, alive_peers);
         self.admission.update(&totals);
-        self.quota = updated_quota(self.quota, &totals);
+        self.quota = compute_quota(self.quota, &totals);
         let mut total_capacity = 0.0;
         let mut members = BTreeMap::new();
         for load in loads.iter().filter(|load| load.group == id) {
             let known = self.members.get(&report_id(load));
-            let member = updated_member(known, load, reports, totals.scale);
+            let member = estimate_member(known, load, reports, totals.scale);
             total_capacity += member.capacity;
-            limits.in_flight.push((load.member, limit_of_quota(member.capacity, self.quota)));
+            limits.in_flight.push((load.member, compute_limit(member.capacity, self.quota)));
             members.insert(member.id_hash, member);
         }
         self.members = members;
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -1,5 +1,5 @@
-//! Admission control that all routers share: each reports what it was offered and what became of it, and all compute the
-//! same admission threshold by group, and this router's limit of RPCs in flight at each member.
+//! Admission control that all routers share: each reports what it was offered and what became of it, and all compute
+//! the same admission threshold by group, and this router's limit of RPCs in flight at each member.
 //!
 //! - [`AdmissionController`] (`controller`): the entry points. It composes the other modules, every 250 ms.
 //! - `rates`: moving averages of what this router was offered and served.
--- a/crates/ladderpass-admission/src/peer_reports.rs
+++ b/crates/ladderpass-admission/src/peer_reports.rs
@@ -5,8 +5,9 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
-/// A younger report has full weight, one older than the second has none.
+/// A report has its full weight up to this age. From there on the weight falls in proportion.
 const FRESH_FOR: Span = Span::from_millis(1500);
+/// A report of this age has no weight, and is dropped.
 const STALE_AFTER: Span = Span::from_millis(4000);
 /// Bounds what other routers can make this one store.
 const MAX_REPORTS: usize = 4096;
@@ -26,7 +27,7 @@
 struct StoredReport {
     report: GroupReport,
     /// When it was made, by this router's clock.
-    made: Time,
+    made_at: Time,
 }
 
 /// The latest report of each live router for each group.
@@ -35,7 +36,7 @@
     reports: BTreeMap<ReportKey, StoredReport>,
     /// Ids of the other routers that are alive.
     alive: HashSet<u32>,
-    /// A deliberate fault.
+    /// A deliberate fault: reports of dead routers count for ever.
     keeps_dead: bool,
 }
 
@@ -58,6 +59,7 @@
         }
     }
 
+    /// How many other routers are alive.
     pub fn alive_count(&self) -> usize {
         self.alive.len()
     }
@@ -68,21 +70,21 @@
         if report.router == self.own_router || !is_accepted || report.age >= STALE_AFTER {
             return;
         }
-        let made = now - report.age;
+        let made_at = now - report.age;
         let key = ReportKey { router: report.router, group: report.group };
         match self.reports.get(&key) {
             // A router that has restarted counts from zero: then a report is replaced once it is stale.
-            Some(known) if !is_newer(&report, &known.report) && made - known.made < STALE_AFTER => {}
+            Some(known) if !is_newer(&report, &known.report) && made_at - known.made_at < STALE_AFTER => {}
             None if self.reports.len() >= MAX_REPORTS => {}
             _ => {
-                self.reports.insert(key, StoredReport { report, made });
+                self.reports.insert(key, StoredReport { report, made_at });
             }
         }
     }
 
     pub fn remove_stale(&mut self, now: Time) {
         if !self.keeps_dead {
-            self.reports.retain(|_, stored| now - stored.made < STALE_AFTER);
+            self.reports.retain(|_, stored| now - stored.made_at < STALE_AFTER);
         }
     }
 
@@ -91,16 +93,17 @@
         let stored = self.reports.values().filter(move |stored| stored.report.group == group);
         let weighted = stored.map(move |stored| WeightedReport {
             report: &stored.report,
-            weight: self.weight(now, stored.made),
+            weight: self.weight(now, stored.made_at),
         });
         weighted.filter(|weighted| weighted.weight > 0.0)
     }
 
-    fn weight(&self, now: Time, made: Time) -> f64 {
+    /// The weight of a report that was made then, from 0 to 1.
+    fn weight(&self, now: Time, made_at: Time) -> f64 {
         if self.keeps_dead {
             return 1.0;
         }
-        let age = now - made;
+        let age = now - made_at;
         (1.0 - (age - FRESH_FOR).secs() / (STALE_AFTER - FRESH_FOR).secs()).clamp(0.0, 1.0)
     }
 
@@ -109,7 +112,7 @@
         let stored: Vec<&StoredReport> = self.reports.values().collect();
         (0..stored.len()).filter_map(move |offset| {
             let stored = stored[(first + offset) % stored.len()];
-            let age = now - stored.made;
+            let age = now - stored.made_at;
             (age < FRESH_FOR).then(|| GroupReport { age, ..stored.report.clone() })
         })
     }
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -2,11 +2,12 @@
 
 use std::collections::BTreeMap;
 
-/// Rates follow the counts within about a second: the weight of a step's counts by its length, up to a maximum.
+/// Rates follow the counts within about a second: the weight of a step's counts grows with its length, up to a maximum.
 const COUNT_WEIGHT_PER_SECOND: f64 = 2.4;
 const MAX_COUNT_WEIGHT: f64 = 0.8;
 /// A lower rate is dropped. RPCs a second.
 const MIN_RATE: f64 = 0.005;
+/// Prevents a division by zero.
 const MIN_STEP_SECS: f64 = 1e-3;
 
 /// Rates of this router, a second; or counts of the current step.
@@ -23,18 +24,18 @@
         self.offered.values().sum()
     }
 
-    /// Moves the rates towards the counts of a step of this length.
+    /// Moves the rates towards the counts of a step of this length, in seconds.
     pub fn follow(&mut self, counts: &Rates, secs: f64) {
         let weight = (secs * COUNT_WEIGHT_PER_SECOND).clamp(0.0, MAX_COUNT_WEIGHT);
-        let followed = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * weight;
+        let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * weight;
         for priority in counts.offered.keys() {
             self.offered.entry(*priority).or_default();
         }
         for (priority, rate) in &mut self.offered {
-            *rate = followed(*rate, counts.offered.get(priority).copied().unwrap_or(0.0));
+            *rate = smooth(*rate, counts.offered.get(priority).copied().unwrap_or(0.0));
         }
         self.offered.retain(|_, rate| *rate > MIN_RATE);
-        self.served = followed(self.served, counts.served);
-        self.unplaced = followed(self.unplaced, counts.unplaced);
+        self.served = smooth(self.served, counts.served);
+        self.unplaced = smooth(self.unplaced, counts.unplaced);
     }
 }
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -1,11 +1,12 @@
-//! The encoding of what a router reports of one group: some forty bytes, with amounts on a logarithmic scale (within 4%).
+//! The encoding of what a router reports of one group: some forty bytes, with amounts on a logarithmic scale (within
+//! 4%).
 //!
 //! What can't be decoded is dropped, with all that follows it.
 
 use ladderpass_routing::Span;
 
-/// The first byte of a bundle of reports. One of another version is dropped, so that routers of two versions can run side
-/// by side.
+/// The first byte of a bundle of reports. One of another version is dropped, so that routers of two versions can run
+/// side by side.
 pub const REPORT_VERSION: u8 = 2;
 
 /// Amounts: 0, or a power of the step times the least amount.
--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -20,18 +20,21 @@
     pub offered: f64,
     pub served: f64,
     pub unplaced: f64,
-    /// This router's own part of what was offered.
+    /// What this router itself was offered.
     pub own_offered: f64,
     /// This router's estimate of what all can admit, moved towards that of the others.
     pub admitted: f64,
-    /// Sum of the weights of the reports, and the number of other routers.
+    /// Sum of the weights of the reports.
     pub reporting_peers: f64,
+    /// Number of other routers, no less than that sum.
     pub peers: f64,
     /// Reports that were cut to the limit.
     pub clamped_reports: usize,
 }
 
 impl FleetTotals {
+    /// Adds up this router's rates and the others' reports. `own_admitted`: this router's estimate of the admitted
+    /// rate; `alive_peers`: how many other routers are alive.
     pub fn sum(
         own: &Rates,
         own_admitted: f64,
@@ -46,13 +49,13 @@
         let mut admitted = vec![own_admitted];
         for WeightedReport { report, weight } in reports {
             let reported = total_offered(report);
-            let cut = if reported > max_offered { max_offered / reported } else { 1.0 };
-            clamped_reports += usize::from(cut < 1.0);
+            let clamp_factor = if reported > max_offered { max_offered / reported } else { 1.0 };
+            clamped_reports += usize::from(clamp_factor < 1.0);
             for (priority, rate) in &report.offered {
-                *offered_by_priority.entry(*priority).or_default() += rate * weight * cut;
+                *offered_by_priority.entry(*priority).or_default() += rate * weight * clamp_factor;
             }
-            served += report.served.min(reported * cut) * weight;
-            unplaced += report.unplaced.min(reported * cut) * weight;
+            served += report.served.min(reported * clamp_factor) * weight;
+            unplaced += report.unplaced.min(reported * clamp_factor) * weight;
             admitted.push(report.admitted);
         }
         let reporting_peers = reports.iter().map(|weighted| weighted.weight).sum::<f64>();
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -11,13 +11,15 @@
 const STEP: Span = Span::from_millis(250);
 /// The balance is refilled for no more than this many steps at once, however long the router stalled.
 const MAX_STEPS_REFILLED: f64 = 2.0;
-/// The largest balance: seconds of the quota, but at least one retry, so that a small quota can be spent at all.
+/// The largest balance, in seconds of the quota and in retries: the greater of both, so that a small quota can be spent
+/// at all.
 const MAX_BALANCE_SECS: f64 = 0.5;
 const MIN_MAX_BALANCE: f64 = 1.0;
 /// Share of the balance beyond the first retry that is reserved for RPCs of at least the mean priority.
 const RESERVED_SHARE: f64 = 0.5;
+/// Retries that a new group may spend.
 const INITIAL_BALANCE: f64 = 1.0;
-/// Weight of one RPC in the mean priority.
+/// Weight of one RPC in the moving average of the priorities.
 const PRIORITY_WEIGHT: f64 = 0.1;
 
 /// This router's part of the budget of a group.
@@ -47,6 +49,7 @@
         }
     }
 
+    /// The most retries that may be saved.
     fn max_balance(&self) -> f64 {
         (self.quota * MAX_BALANCE_SECS).max(MIN_MAX_BALANCE)
     }
@@ -60,14 +63,14 @@
         }
     }
 
-    /// One step, by the rates of all routers.
+    /// Computes the quota anew from the rates of all routers, and refills the balance for `secs` seconds of it.
     fn rebalance(&mut self, secs: f64, fleet: &FleetRates, never_lowers_quota: bool) {
         let ratio = fleet.ratio();
-        let share = fleet.own_share(ratio);
+        let own_quota = fleet.own_quota(ratio);
         self.quota = if never_lowers_quota {
-            share.max(self.quota)
-        } else if fleet.is_known() {
-            share
+            own_quota.max(self.quota)
+        } else if fleet.has_enough_reports() {
+            own_quota
         } else {
             // With too few reports it takes no more than it had, nor than the ratio of its own first attempts.
             self.quota.min(ratio * fleet.own.first_attempts)
@@ -83,14 +86,14 @@
 /// This router's part of the retry budgets of all groups.
 pub struct RetryBudget {
     groups: BTreeMap<u32, GroupBudget>,
-    last_step: Time,
+    last_step_at: Time,
     faulty: Faulty,
 }
 
 impl RetryBudget {
     /// No group is known yet.
     pub fn start(now: Time, faulty: Faulty) -> RetryBudget {
-        RetryBudget { groups: BTreeMap::new(), last_step: now, faulty }
+        RetryBudget { groups: BTreeMap::new(), last_step_at: now, faulty }
     }
 
     fn group_mut(&mut self, group: u32) -> &mut GroupBudget {
@@ -143,18 +146,18 @@
         self.groups.get(&group).map_or(RetryRates::default(), |budget| budget.rates)
     }
 
-    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group, each with its weight from
-    /// 0 to 1; `alive_peers` is how many others are alive.
+    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group, each with its weight
+    /// from 0 to 1; `alive_peers` is how many others are alive.
     pub fn rebalance<I>(&mut self, now: Time, alive_peers: usize, peer_rates: impl Fn(u32) -> I)
     where
         I: Iterator<Item = (RetryRates, f64)>,
     {
-        let secs = (now - self.last_step).secs().clamp(0.0, STEP.secs() * MAX_STEPS_REFILLED);
-        self.last_step = now;
+        let secs = (now - self.last_step_at).secs().clamp(0.0, STEP.secs() * MAX_STEPS_REFILLED);
+        self.last_step_at = now;
         let never_lowers_quota = self.faulty == Faulty::NeverRefunds;
         for (&group, budget) in &mut self.groups {
             let counts = std::mem::take(&mut budget.counts);
-            budget.rates = budget.rates.followed(counts, secs);
+            budget.rates = budget.rates.smoothed(counts, secs);
             let fleet = FleetRates::sum(budget.rates, peer_rates(group), alive_peers);
             budget.rebalance(secs, &fleet, never_lowers_quota);
         }
--- a/crates/ladderpass-retry-budget/src/lib.rs
+++ b/crates/ladderpass-retry-budget/src/lib.rs
@@ -6,8 +6,8 @@
 //! - `metrics`: what the log shows; `faulty`: deliberate faults for tests.
 //!
 //! What all routers spend stays within a ratio of their first attempts, up to the age of reports and one saved retry a
-//! router. The ratio is high while retries succeed and near zero while they fail. What a router does not need the others
-//! get; one that receives too few reports keeps its quota, never more.
+//! router. The ratio is high while retries succeed and near zero while they fail. What a router does not need the
+//! others get; one that receives too few reports keeps its quota, never more.
 //!
 //! The package does no I/O and reads no clock. It never decides what becomes of an RPC whose retry is denied
 //! (`docs/design/fleet-budgets.md`).
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -2,18 +2,19 @@
 
 use crate::rates::RetryRates;
 
-/// Retries that all routers may spend, as a share of their first attempts, while all retries succeed and while none does.
-/// The lower one still detects when they succeed again.
+/// Retries that all routers may spend while all retries succeed, as a share of their first attempts.
 const MAX_RATIO: f64 = 0.5;
+/// The same while no retry succeeds: enough to detect that they succeed again.
 const MIN_RATIO: f64 = 0.02;
-/// Weight of the prior estimate of the retries' success, in granted retries a second.
+/// Weight of the prior estimate of the success share, in granted retries a second.
 const PRIOR_WEIGHT_PER_SECOND: f64 = 4.0;
-/// Need of a router by its first attempts, so that one that never wanted a retry has some quota at once.
+/// What a router needs beside the retries that it wants, as a share of its first attempts: one that never wanted a
+/// retry has some quota at once.
 const NEED_SHARE_OF_FIRST_ATTEMPTS: f64 = 0.05;
-/// The totals are known with reports of this share of the other routers, or of so many.
+/// A quota follows from the totals once this share of the other routers reports, or so many.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
-/// Prevents divisions by zero.
+/// Prevents divisions by zero. Attempts a second.
 const MIN_RATE: f64 = 1e-9;
 
 /// Rates of all routers, and how many of them reported.
@@ -22,7 +23,9 @@
     pub own: RetryRates,
     /// The sum of the rates of all that reported, by weight, this router included.
     pub total: RetryRates,
+    /// Sum of the weights of the reports.
     reporting_peers: f64,
+    /// How many other routers are alive.
     peers: f64,
 }
 
@@ -50,7 +53,8 @@
         }
     }
 
-    /// Share of the retries that succeed. Where few were granted recently, that of first attempts stands for it.
+    /// Share of the retries that succeed, from 0 to 1. Where few were granted recently, the share of first attempts
+    /// that succeed counts more.
     fn success_share(&self) -> f64 {
         let total = &self.total;
         let attempts = total.first_attempts + total.retries_granted;
@@ -66,19 +70,21 @@
         MIN_RATIO + (MAX_RATIO - MIN_RATIO) * success * success
     }
 
-    /// This router's part of the budget, by its need. Retries a second.
-    pub fn own_share(&self, ratio: f64) -> f64 {
+    /// This router's quota of the budget, by its need of retries. Retries a second.
+    pub fn own_quota(&self, ratio: f64) -> f64 {
         let scale = self.scale();
         let budget = ratio * self.total.first_attempts * scale;
-        budget * need(self.own) / (need(self.total) * scale).max(MIN_RATE)
+        let needed_by_all = needed_retries(self.total) * scale;
+        budget * needed_retries(self.own) / needed_by_all.max(MIN_RATE)
     }
 
-    /// Do enough routers report for the totals to be known?
-    pub fn is_known(&self) -> bool {
+    /// Do enough routers report for a quota to follow from the totals?
+    pub fn has_enough_reports(&self) -> bool {
         self.reporting_peers >= (self.peers * MIN_REPORTING_SHARE).min(ENOUGH_REPORTING_PEERS)
     }
 }
 
-fn need(rates: RetryRates) -> f64 {
+/// The retries a second that a router needs.
+fn needed_retries(rates: RetryRates) -> f64 {
     rates.retries_wanted + NEED_SHARE_OF_FIRST_ATTEMPTS * rates.first_attempts
 }
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -2,6 +2,7 @@
 
 /// Weight of the latest counts in the moving averages.
 const COUNT_WEIGHT: f64 = 0.4;
+/// A shorter step counts as this long: its counts are too few for a rate.
 const MIN_STEP_SECS: f64 = 0.05;
 
 /// What one router reports of a group: attempts a second. Also counts of a step.
@@ -33,6 +34,7 @@
         }
     }
 
+    /// Adds the rates of another router, each times this weight.
     pub(crate) fn add_weighted(&mut self, other: RetryRates, weight: f64) {
         self.first_attempts += other.first_attempts * weight;
         self.retries_wanted += other.retries_wanted * weight;
@@ -40,14 +42,14 @@
         self.retries_succeeded += other.retries_succeeded * weight;
     }
 
-    /// The rates after a step with these counts.
-    pub(crate) fn followed(self, counts: RetryRates, secs: f64) -> RetryRates {
-        let followed = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * COUNT_WEIGHT;
+    /// The moving averages after a step with these counts, of this length in seconds.
+    pub(crate) fn smoothed(self, counts: RetryRates, secs: f64) -> RetryRates {
+        let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * COUNT_WEIGHT;
         RetryRates {
-            first_attempts: followed(self.first_attempts, counts.first_attempts),
-            retries_wanted: followed(self.retries_wanted, counts.retries_wanted),
-            retries_granted: followed(self.retries_granted, counts.retries_granted),
-            retries_succeeded: followed(self.retries_succeeded, counts.retries_succeeded),
+            first_attempts: smooth(self.first_attempts, counts.first_attempts),
+            retries_wanted: smooth(self.retries_wanted, counts.retries_wanted),
+            retries_granted: smooth(self.retries_granted, counts.retries_granted),
+            retries_succeeded: smooth(self.retries_succeeded, counts.retries_succeeded),
         }
     }
 }
