--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -1,16 +1,17 @@
 //! What work costs this router, learnt from its traffic by recursive least squares with forgetting.
 //!
-//! Each iteration of the event loop gives one equation: busy time = RPCs served, RPCs rejected and KiB moved, each times
-//! its cost. The model starts from a guess that the first hundreds of RPCs replace.
+//! Each iteration of the event loop gives one equation: busy time = RPCs served, RPCs rejected and KiB moved, each
+//! times its cost. The model starts from a guess that the first hundreds of RPCs replace.
 
 use ladderpass_routing::Span;
 
+/// What a cost is learnt for: RPCs served, RPCs rejected and KiB moved. The constants below are their indexes.
 const FEATURES: usize = 3;
 const SERVED: usize = 0;
 const REJECTED: usize = 1;
 const KIB: usize = 2;
 
-/// The costs at the start, and the limits of any cost, in seconds.
+/// The costs at the start, by feature, and the limits of any cost, in seconds.
 const INITIAL_COST_SECS: [f64; FEATURES] = [20e-6, 7e-6, 0.5e-6];
 const MIN_COST_SECS: f64 = 0.05e-6;
 const MAX_COST_SECS: f64 = 0.01;
@@ -18,8 +19,8 @@
 const FORGETTING_FACTOR: f64 = 0.998;
 /// How much one iteration moves the mean size of an RPC.
 const MEAN_KIB_WEIGHT: f64 = 0.05;
-/// Variance of the initial costs, never exceeded later. Bytes come with their RPCs: what can't be told apart is attributed
-/// to the RPCs.
+/// Variance of the initial costs, never exceeded later. Bytes come with their RPCs: what can't be distinguished is
+/// attributed to the RPCs.
 const INITIAL_VARIANCE: [f64; FEATURES] = [0.05, 0.05, 0.002];
 /// Keeps the covariance positive.
 const MIN_VARIANCE: f64 = 1e-9;
@@ -58,7 +59,9 @@
 impl Default for CostModel {
     fn default() -> CostModel {
         let mut covariance = [[0.0; FEATURES]; FEATURES];
-        (0..FEATURES).for_each(|i| covariance[i][i] = INITIAL_VARIANCE[i]);
+        for (i, variance) in INITIAL_VARIANCE.into_iter().enumerate() {
+            covariance[i][i] = variance;
+        }
         CostModel { costs: INITIAL_COST_SECS, covariance, mean_kib: 0.0 }
     }
 }
@@ -83,12 +86,12 @@
         self.update(features.map(|value| value * scale), secs * scale);
     }
 
-    /// One step of recursive least squares.
-    fn update(&mut self, x: [f64; FEATURES], secs: f64) {
+    /// One step of recursive least squares: `features` took `secs` seconds.
+    fn update(&mut self, features: [f64; FEATURES], secs: f64) {
         let gain: [f64; FEATURES] =
-            std::array::from_fn(|i| (0..FEATURES).map(|j| self.covariance[i][j] * x[j]).sum());
-        let innovation = FORGETTING_FACTOR + (0..FEATURES).map(|i| x[i] * gain[i]).sum::<f64>();
-        let error = secs - (0..FEATURES).map(|i| x[i] * self.costs[i]).sum::<f64>();
+            std::array::from_fn(|i| (0..FEATURES).map(|j| self.covariance[i][j] * features[j]).sum());
+        let innovation = FORGETTING_FACTOR + (0..FEATURES).map(|i| features[i] * gain[i]).sum::<f64>();
+        let error = secs - (0..FEATURES).map(|i| features[i] * self.costs[i]).sum::<f64>();
         let max_error = MAX_ERROR_IN_INITIAL_COSTS * INITIAL_COST_SECS[SERVED];
         let error = error.clamp(-max_error, max_error);
         for (cost, gain) in self.costs.iter_mut().zip(gain) {
--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -9,11 +9,11 @@
 /// With fewer other active connections there is no fair share.
 const MIN_OTHER_CLIENTS: f64 = 4.0;
 
-/// Recent work of one connection. The caller keeps it with the connection.
+/// Recent work of one connection, in the unit of [`FairShares::record`]. The caller stores it with the connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientUsage {
     work: f64,
-    updated: Time,
+    updated_at: Time,
     /// The last interval in which it was counted as active.
     last_active_interval: i64,
 }
@@ -22,18 +22,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct FairShares {
     total_work: f64,
-    updated: Time,
+    updated_at: Time,
+    /// The present interval: which multiple of `DECAY_TIME` has begun.
     interval: i64,
+    /// Connections that have sent work in the present interval.
     active: f64,
     active_in_previous_interval: f64,
 }
 
+/// Recorded work after some time without any more.
 fn decayed(work: f64, from: Time, to: Time) -> f64 {
     work * (-(to - from).secs().clamp(0.0, MAX_DECAY_SECS) / DECAY_TIME.secs()).exp()
 }
 
 impl FairShares {
-    /// Records work that a connection has sent, whether it is admitted or not.
+    /// Records work that a connection has sent, in RPCs of mean cost, whether it is admitted or not.
     pub fn record(&mut self, now: Time, client: &mut ClientUsage, work: f64) {
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
         let interval = now.nanos().div_euclid(DECAY_TIME.nanos());
@@ -47,10 +50,10 @@
             client.last_active_interval = interval;
             self.active += 1.0;
         }
-        self.total_work = decayed(self.total_work, self.updated, now) + work;
-        client.work = decayed(client.work, client.updated, now) + work;
-        self.updated = now;
-        client.updated = now;
+        self.total_work = decayed(self.total_work, self.updated_at, now) + work;
+        client.work = decayed(client.work, client.updated_at, now) + work;
+        self.updated_at = now;
+        client.updated_at = now;
     }
 
     /// Connections that have sent work in this interval or the one before.
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -18,7 +18,7 @@
 const MAX_DELAY_PRESSURE: f64 = 0.97;
 /// A lower pressure is the remainder of one that has passed, and sheds nothing.
 const MIN_SHEDDING_PRESSURE: f64 = 0.005;
-/// What is left of the accepts and of the slow reader timeout under full pressure.
+/// What is left under full pressure of the connections accepted in an iteration, and of the slow reader timeout.
 const MIN_ACCEPT_SHARE: f64 = 1.0 / 16.0;
 const MIN_SLOW_READER_TIMEOUT_SHARE: f64 = 0.1;
 /// The size of a method's RPCs is averaged over a window of so many buckets.
@@ -71,7 +71,7 @@
 
 impl Governor {
     /// No pressure, for a router that serves so many methods.
-    pub fn new(now: Time, settings: Settings, limits: ResourceLimits, methods: usize) -> Governor {
+    pub fn new(now: Time, settings: Settings, limits: ResourceLimits, method_count: usize) -> Governor {
         Governor {
             pressure: Pressure::new(now, settings),
             settings,
@@ -80,7 +80,7 @@
             shares: FairShares::default(),
             costs: CostModel::default(),
             queueing_delay: QueueingDelay::new(),
-            method_kib: vec![SlidingWindow::new(METHOD_SIZE_BUCKET_WIDTH); methods],
+            method_kib: vec![SlidingWindow::new(METHOD_SIZE_BUCKET_WIDTH); method_count],
             work: Work::default(),
             last_sample: ResourceSample::default(),
             cpu_share: 0.0,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Seconds that this router takes to serve an RPC of this method.
+    /// How many seconds this router takes to serve an RPC of this method.
     fn serve_secs(&self, now: Time, method: u32) -> f64 {
         let window = self.method_kib.get(method as usize);
         let kib = window.map_or(WindowTotals::default(), |window| window.totals(now, METHOD_SIZE_BUCKETS));
@@ -207,7 +207,8 @@
         self.work.kib += kib;
     }
 
-    /// Records that an RPC was rejected, or was admitted and got no good answer. Its cost counts as that of a rejection.
+    /// Records that an RPC was rejected, or was admitted and got no good answer. Its cost counts as that of a
+    /// rejection.
     pub fn record_rejected(&mut self) {
         self.work.rejected += 1.0;
     }
@@ -222,7 +223,7 @@
         self.pressure.level()
     }
 
-    /// How many connections to accept in an iteration, of `max` when calm.
+    /// How many connections to accept in an iteration, one at least: `max` without pressure.
     pub fn accept_budget(&self, max: usize) -> usize {
         let share = 1.0 - self.pressure.value() * (1.0 - MIN_ACCEPT_SHARE);
         ((max as f64 * share) as usize).max(1)
@@ -234,7 +235,7 @@
         self.settings.slow_reader_timeout * (1.0 - memory * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
     }
 
-    /// The most that unread responses of one client may hold.
+    /// The most bytes of unread responses that one client may have.
     pub fn slow_reader_max_bytes(&self) -> usize {
         self.settings.slow_reader_bytes
     }
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -18,6 +18,10 @@
     Descriptors,
 }
 
+/// The least pressure of a level.
+const MIN_SHEDDING_LEVEL_PRESSURE: f64 = 0.05;
+const MIN_SATURATED_LEVEL_PRESSURE: f64 = 0.9;
+
 const GAUGE_COUNT: usize = 5;
 pub(crate) const GAUGES: [Gauge; GAUGE_COUNT] =
     [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Buffers, Gauge::Descriptors];
@@ -74,11 +78,12 @@
         levels.into_iter().find(|level| pressure >= level.min_pressure()).unwrap_or_default()
     }
 
+    /// The pressure from which on the level is reached.
     fn min_pressure(self) -> f64 {
         match self {
             Level::Calm => 0.0,
-            Level::Shedding => 0.05,
-            Level::Saturated => 0.9,
+            Level::Shedding => MIN_SHEDDING_LEVEL_PRESSURE,
+            Level::Saturated => MIN_SATURATED_LEVEL_PRESSURE,
         }
     }
 }
@@ -90,7 +95,7 @@
     /// By gauge: the last reading, and the smoothed one, as fractions of the gauge's band.
     readings: [f64; GAUGE_COUNT],
     smoothed: [f64; GAUGE_COUNT],
-    updated: Time,
+    updated_at: Time,
     level: Level,
     /// Since when the pressure is below the present level.
     below_level_since: Option<Time>,
@@ -103,7 +108,7 @@
             settings,
             readings: [0.0; GAUGE_COUNT],
             smoothed: [0.0; GAUGE_COUNT],
-            updated: now,
+            updated_at: now,
             level: Level::Calm,
             below_level_since: None,
         }
@@ -116,8 +121,8 @@
 
     /// Smooths the readings up to now. Returns the previous level if the level has changed.
     pub fn advance(&mut self, now: Time) -> Option<Level> {
-        let elapsed = (now - self.updated).max(Span::ZERO);
-        self.updated = self.updated.max(now);
+        let elapsed = (now - self.updated_at).max(Span::ZERO);
+        self.updated_at = self.updated_at.max(now);
         for (smoothed, &reading) in self.smoothed.iter_mut().zip(&self.readings) {
             let time_constant = if reading > *smoothed { self.settings.rise } else { self.settings.fall };
             let weight = 1.0 - (-elapsed.secs() / time_constant.secs().max(1e-6)).exp();
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -1,4 +1,5 @@
-//! How the work that was offered recently spreads over priorities, and the threshold below which a given share of it lies.
+//! How the work that was offered recently spreads over priorities, and the threshold below which a given share of it
+//! lies.
 
 use ladderpass_routing::{PRIORITY_COUNT, Span, Time};
 
@@ -6,13 +7,15 @@
 const BUCKETS: usize = 4;
 const BUCKET_WIDTH: Span = Span::from_millis(250);
 
-/// Work offered in the last second, by priority.
+/// Work offered in the last second, by priority. Its unit is the caller's.
 #[derive(Clone, Debug)]
 pub struct PriorityHistogram {
     buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
     /// Which multiple of the width each bucket holds.
     bucket_numbers: [i64; BUCKETS],
+    /// The sum over all buckets, by priority.
     by_priority: [f64; PRIORITY_COUNT],
+    /// The sum over all priorities.
     total: f64,
 }
 
@@ -28,7 +31,7 @@
 }
 
 impl PriorityHistogram {
-    /// Records work that was offered at a priority.
+    /// Records work that was offered at a priority, in any one unit.
     pub fn record(&mut self, now: Time, priority: u32, work: f64) {
         let number = now.nanos().div_euclid(BUCKET_WIDTH.nanos());
         let index = number.rem_euclid(BUCKETS as i64) as usize;
@@ -54,7 +57,9 @@
         // Summed anew, so that rounding errors don't add up.
         self.by_priority = [0.0; PRIORITY_COUNT];
         for bucket in &self.buckets {
-            self.by_priority.iter_mut().zip(bucket).for_each(|(sum, work)| *sum += work);
+            for (sum, work) in self.by_priority.iter_mut().zip(bucket) {
+                *sum += work;
+            }
         }
         self.total = self.by_priority.iter().sum();
     }
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -5,10 +5,11 @@
 
 use ladderpass_routing::{Span, Time};
 
-/// Initial mean length of a statement, and how much each statement moves it.
+/// The mean length of a statement at the start.
 const INITIAL_STATEMENT_BYTES: f64 = 128.0;
+/// Weight of one statement in the mean length.
 const MEAN_LENGTH_WEIGHT: f64 = 0.01;
-/// Weight of the measured wait beside the predicted one.
+/// Factor on the measured mean wait, where it is compared with the predicted one.
 const MEASURED_WAIT_WEIGHT: f64 = 0.5;
 
 /// What an RPC costs on average at present, in seconds, and the share of RPCs that are rejected.
@@ -21,12 +22,13 @@
 /// Waits of the current iteration and the delay of the one before.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingDelay {
-    /// Statements of this iteration, and the sum of their waits.
+    /// How many statements were handled in this iteration.
     statements: f64,
-    waited: Span,
+    /// The sum of their waits.
+    total_wait: Span,
     mean_statement_bytes: f64,
     /// When the process last resumed from a stall. Waits before are not this router's work.
-    resumed: Time,
+    resumed_at: Time,
     current: Span,
     /// The longest wait since the last call of `take_longest`.
     longest: Span,
@@ -36,24 +38,26 @@
     pub fn new() -> QueueingDelay {
         QueueingDelay {
             statements: 0.0,
-            waited: Span::ZERO,
+            total_wait: Span::ZERO,
             mean_statement_bytes: INITIAL_STATEMENT_BYTES,
-            resumed: Time::NEVER,
+            resumed_at: Time::NEVER,
             current: Span::ZERO,
             longest: Span::ZERO,
         }
     }
 
+    /// A statement of this length is handled, after it has waited for this router.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
-        let waited = waited.min((now - self.resumed).max(Span::ZERO));
+        let waited = waited.min((now - self.resumed_at).max(Span::ZERO));
         self.longest = self.longest.max(waited);
-        self.waited += waited;
+        self.total_wait += waited;
         self.statements += 1.0;
         self.mean_statement_bytes += (length_bytes as f64 - self.mean_statement_bytes) * MEAN_LENGTH_WEIGHT;
     }
 
+    /// The process did not run until now.
     pub fn record_stall(&mut self, now: Time) {
-        self.resumed = now;
+        self.resumed_at = now;
     }
 
     /// Ends an iteration that leaves so many sockets and so many bytes of statements waiting.
@@ -62,16 +66,18 @@
         let rejected = costs.rejected_share;
         let mean_secs = costs.serve_secs * (1.0 - rejected) + costs.reject_secs * rejected;
         let predicted = Span::from_secs_f64(statements * mean_secs);
-        let mean_wait = self.waited * (1.0 / f64::max(self.statements, 1.0));
-        self.waited = Span::ZERO;
+        let mean_wait = self.total_wait * (1.0 / self.statements.max(1.0));
+        self.total_wait = Span::ZERO;
         self.statements = 0.0;
         self.current = predicted.max(mean_wait * MEASURED_WAIT_WEIGHT);
     }
 
+    /// The delay of the last iteration.
     pub fn current(&self) -> Span {
         self.current
     }
 
+    /// The longest wait since the last call.
     pub fn take_longest(&mut self) -> Span {
         std::mem::take(&mut self.longest)
     }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -67,7 +67,8 @@
     pub calm_after: Span,
     /// A connection that takes more than so many times its fair share has a lower priority.
     pub fair_share_multiple: f64,
-    /// A client that reads none of its responses is closed after this, and after a tenth of it under full memory pressure.
+    /// A client that reads none of its responses is closed after this, and after a tenth of it under full memory
+    /// pressure.
     pub slow_reader_timeout: Span,
     /// The most that unread responses of one client may hold.
     pub slow_reader_bytes: usize,
