--- a/crates/ladderpass-config/src/deployment.rs
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -79,18 +79,17 @@
 fn read_deployment(settings: &Shape) -> Result<Deployment, SettingsError> {
     let Shape { allowed, contract, extra, load_report, .. } = settings;
     let methods = settings.methods.iter().enumerate();
+    let methods = methods.map(|(index, method)| read_method(index, method, extra));
     let health_checks = allowed.health_checks.unwrap_or(false);
+    let reports_have_position = load_report.as_ref().is_none_or(ReportShape::has_position);
     Ok(Deployment {
-        methods: methods
-            .map(|(index, method)| read_method(index, method, extra))
-            .collect::<Result<_, _>>()?,
+        methods: methods.collect::<Result<_, _>>()?,
         primary_in_list: read_primary_in_list(extra.primary_in_list.as_deref())?,
         session_write_age_carried: extra.session_tokens.as_deref() != Some("remembered"),
         endpoint_poll_interval: read_endpoint_poll_interval(settings)?,
         router_count: settings.router_count.unwrap_or(1),
         health_checks,
-        health_checks_report_position: health_checks
-            && load_report.as_ref().is_none_or(ReportShape::has_position),
+        health_checks_report_position: health_checks && reports_have_position,
         router_index: settings.router_index.unwrap_or(0),
         gossip: allowed.gossip.unwrap_or(false),
         max_attempts: allowed.max_attempts.unwrap_or(1),
@@ -138,32 +137,34 @@
     Ok(Method {
         consistency: read_consistency(index, extra)?,
         idempotency: read_idempotency(index, method)?,
-        soft_deadline: {
-            let key = format!("Services[{index}].Slo");
-            let soft_deadline = read_positive_span(&key, Some(method.soft_deadline))?;
-            soft_deadline.ok_or(SettingsError::NotPositive { key })?
-        },
-        utility: Some(method.utility.unwrap_or(1.0))
-            .filter(|utility| *utility >= 0.0)
-            .ok_or_else(|| SettingsError::Negative { key: format!("Services[{index}].Worth") })?,
+        soft_deadline: read_soft_deadline(index, method)?,
+        utility: read_utility(index, method)?,
         late_utility_share: method.late_utility_share.unwrap_or(0.0),
     })
 }
 
+fn read_soft_deadline(index: usize, method: &Service) -> Result<Span, SettingsError> {
+    let key = format!("Services[{index}].Slo");
+    let soft_deadline = read_positive_span(&key, Some(method.soft_deadline))?;
+    soft_deadline.ok_or(SettingsError::NotPositive { key })
+}
+
+/// The utility of an answer in time, 1 where it is not given.
+fn read_utility(index: usize, method: &Service) -> Result<f64, SettingsError> {
+    let utility = method.utility.unwrap_or(1.0);
+    if utility >= 0.0 {
+        Ok(utility)
+    } else {
+        Err(SettingsError::Negative { key: format!("Services[{index}].Worth") })
+    }
+}
+
 fn read_consistency(index: usize, extra: &Extra) -> Result<Consistency, SettingsError> {
     let key = format!("Extra.ReadLevel[{index}]");
     let Some(level) = extra.consistency.get(index) else { return Err(SettingsError::Missing { key }) };
     match level.as_str() {
         "any" => Ok(Consistency::Any),
-        "bounded" => {
-            let key = format!("Extra.MaxAge[{index}]");
-            let max_staleness =
-                extra.max_staleness.as_ref().and_then(|ages| ages.get(index).copied().flatten());
-            match max_staleness {
-                Some(_) => Ok(Consistency::BoundedStaleness(read_span(&key, max_staleness)?)),
-                None => Err(SettingsError::Missing { key }),
-            }
-        }
+        "bounded" => Ok(Consistency::BoundedStaleness(read_max_staleness(index, extra)?)),
         "session" => Ok(Consistency::Session),
         "fresh" => Ok(Consistency::Fresh),
         "write" => Ok(Consistency::Write),
@@ -171,6 +172,15 @@
     }
 }
 
+fn read_max_staleness(index: usize, extra: &Extra) -> Result<Span, SettingsError> {
+    let key = format!("Extra.MaxAge[{index}]");
+    let max_staleness = extra.max_staleness.as_ref().and_then(|ages| ages.get(index).copied().flatten());
+    if max_staleness.is_none() {
+        return Err(SettingsError::Missing { key });
+    }
+    read_span(&key, max_staleness)
+}
+
 fn read_idempotency(index: usize, method: &Service) -> Result<Idempotency, SettingsError> {
     let scope = method.deduplication_scope.as_deref();
     match method.effect.as_str() {
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -19,11 +19,12 @@
 
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 const BITS_PER_LETTER: usize = 6;
+const LETTER_MASK: u32 = (1 << BITS_PER_LETTER) - 1;
 const ID_HASH_LETTERS: usize = 5;
 const TIME_AND_OBSERVATION_LETTERS: usize = 4;
 const OBSERVATION_BITS: u32 = 2;
 const OBSERVATION_MASK: u64 = (1 << OBSERVATION_BITS) - 1;
-/// Times are sent as so many bits of their milliseconds, which wrap around after more than an hour.
+/// Times are sent as so many low bits of their milliseconds, which wrap around after more than an hour.
 const TIME_BITS: u32 = 22;
 const NANOS_PER_MS: i64 = 1_000_000;
 
@@ -67,17 +68,16 @@
 impl GossipCodec {
     /// A codec that knows no member yet. All routers must count their times from the same `origin`.
     pub fn new(origin: Time, zone: &str) -> GossipCodec {
-        GossipCodec { origin, zone: id_hash(zone) & 63, id_hashes: IdHashes::default() }
+        GossipCodec { origin, zone: id_hash(zone) & LETTER_MASK, id_hashes: IdHashes::default() }
     }
 
     /// The messages that carry these updates. Members that share an id hash are left out.
     pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
-        updates
-            .chunks(MAX_UPDATES_PER_MESSAGE)
-            .map(|updates| {
-                write(self.zone, updates.iter().filter_map(|update| self.encode_update(update, names)))
-            })
-            .collect()
+        let encode_message = |updates: &[MemberUpdate]| {
+            let encoded = updates.iter().filter_map(|update| self.encode_update(update, names));
+            write(self.zone, encoded)
+        };
+        updates.chunks(MAX_UPDATES_PER_MESSAGE).map(encode_message).collect()
     }
 
     /// The updates of a message that was received at `now`. What can't be read, or is of an unknown member, is dropped.
@@ -178,7 +178,8 @@
 /// Appends the low bits of a number, the highest letter first.
 fn push_number(text: &mut String, number: u64, letters: usize) {
     for nth in (0..letters).rev() {
-        text.push(char::from(ALPHABET[(number >> (BITS_PER_LETTER * nth) & 63) as usize]));
+        let value = (number >> (BITS_PER_LETTER * nth)) & u64::from(LETTER_MASK);
+        text.push(char::from(ALPHABET[value as usize]));
     }
 }
 
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -34,7 +34,7 @@
     pub peers: Option<Peers>,
     /// All routers shed load as one.
     pub shared_admission: bool,
-    /// Retries are paid from one budget of all routers.
+    /// Retries are granted from one budget of all routers.
     pub shared_retry_budget: bool,
     /// The zone of this router; none where zones of the endpoint list are not used.
     pub zone: Option<String>,
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -6,6 +6,7 @@
 use serde_saphyr::Spanned;
 use std::net::{IpAddr, SocketAddr};
 
+/// The most addresses in a list.
 const MAX_ADDRESSES: usize = 1000;
 
 /// The routers that exchange gossip by datagrams: who is alive, and what they have observed of the members.
--- a/crates/ladderpass-config/src/operator/units.rs
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -10,9 +10,9 @@
 
 const IPV4_BITS: u8 = 32;
 const IPV6_BITS: u8 = 128;
-const SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
+const ALLOWED_SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
 
-/// Reads a duration, such as `250ms`.
+/// Sets a duration, such as `250ms`. `allowed_ms`: the range in milliseconds.
 pub(super) fn set_duration(
     field: &mut Span,
     key: &str,
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// Reads a share of what is allowed, above 0 and up to `max`.
+/// Sets a share of what is allowed, above 0 and up to `max`.
 pub(super) fn set_share(
     field: &mut f64,
     key: &str,
@@ -49,23 +49,21 @@
     Ok(())
 }
 
-/// Reads the most that a slow reader's answers may hold, such as `64 KiB`.
+/// Sets the most bytes of answers that a slow reader may have, such as `64 KiB`.
 pub(super) fn set_slow_reader_bytes(
     field: &mut usize,
     value: Option<Spanned<String>>,
 ) -> Result<(), OperatorFileError> {
     let Some(value) = value else { return Ok(()) };
-    let size = value.value.parse::<bytesize::ByteSize>().ok().filter(|_| value.value.ends_with('B'));
-    match size.map(|size| size.as_u64()).filter(|size| SLOW_READER_BYTES.contains(size)) {
-        Some(size) => {
-            *field = size as usize;
-            Ok(())
-        }
-        None => {
-            let problem = ValueProblem::SlowReaderBytes(value.value.clone());
-            Err(OperatorFileError::at(&value, "overload.slow_reader_bytes", problem))
-        }
-    }
+    let has_unit = value.value.ends_with('B');
+    let size = value.value.parse::<bytesize::ByteSize>().ok().filter(|_| has_unit);
+    let bytes = size.map(|size| size.as_u64()).filter(|bytes| ALLOWED_SLOW_READER_BYTES.contains(bytes));
+    let Some(bytes) = bytes else {
+        let problem = ValueProblem::SlowReaderBytes(value.value.clone());
+        return Err(OperatorFileError::at(&value, "overload.slow_reader_bytes", problem));
+    };
+    *field = bytes as usize;
+    Ok(())
 }
 
 /// Reads an address that others can send to: it has a port, and is not the unspecified one.
