--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -1,7 +1,7 @@
-//! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`, `list`,
-//! `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
+//! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`,
+//! `list`, `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
 
-use crate::engine::{Engine, RuleState, ScheduledOperation};
+use crate::engine::{Engine, EngineStats, RuleState, ScheduledOperation};
 use crate::errors::{ControlError, EngineError};
 use crate::plan::Rule;
 use ladderpass_routing::{Span, Time};
@@ -30,7 +30,7 @@
     Cut(String),
     /// Ends a cut.
     Heal(String),
-    /// Notes attempts of RPCs, for a history checker.
+    /// Records attempts of RPCs, for a history checker.
     Watch,
 }
 
@@ -129,9 +129,11 @@
 }
 
 fn stats(engine: &Engine) -> Reply {
-    let (connections, bytes) = engine.stats();
+    let EngineStats { open_connections, received_bytes } = engine.stats();
     let decisions = engine.record().len();
-    Reply::Immediate(format!("ok connections {connections}, bytes {bytes}, decisions {decisions}"))
+    Reply::Immediate(format!(
+        "ok connections {open_connections}, bytes {received_bytes}, decisions {decisions}"
+    ))
 }
 
 /// Whether a rule has acted so often.
--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -1,5 +1,6 @@
-//! The sockets of datagrams: one for each end. It receives what others send to that end, and sends what that end sends to
-//! others, so that each end sees the others at the addresses it knows. What happens to a datagram is decided by `datagrams`.
+//! The sockets of datagrams: one for each end. It receives what others send to that end, and sends what that end sends
+//! to others, so that each end sees the others at the addresses it knows. What happens to a datagram is decided by
+//! `datagrams`.
 
 use crate::datagrams::{DatagramEngine, TrafficCounts};
 use crate::errors::PlanError;
@@ -175,7 +176,8 @@
                 Err(_) => return,
             };
             let bytes = &buffer[..count];
-            // From an unknown sender: it passes as it is, from the receiver's own address, which no end uses as its own.
+            // From an unknown sender: it passes as it is, from the receiver's own address, which no end uses as its
+            // own.
             let Some(&from) = self.end_by_address.get(&sender) else {
                 self.forward(to, to, bytes);
                 continue;
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -1,9 +1,9 @@
-//! Datagrams between named ends, and what rules do to them: dropped, delayed, duplicated, reordered, cut one way or both, by
-//! the name of either end or by the sides of a split. Pure: who sends how much to whom and when in, the delays of the copies
-//! out.
+//! Datagrams between named ends, and what rules do to them: dropped, delayed, duplicated, reordered, cut one way or
+//! both, by the name of either end or by the sides of a split. Pure: who sends how much to whom and when in, the delays
+//! of the copies out.
 //!
-//! Invariants: without a rule a datagram passes once and at once; random draws depend on the seed, the rule, the two ends and
-//! the datagram's number between them, and not on what else happens. The content of datagrams is never read.
+//! Invariants: without a rule a datagram passes once and at once; random draws depend on the seed, the rule, the two
+//! ends and the datagram's number between them, and not on what else happens. The content of datagrams is never read.
 
 use crate::errors::{PlanError, PlanProblem};
 use crate::plan::datagrams::MAX_DELAY_MS;
@@ -23,6 +23,13 @@
     pub bytes: u64,
 }
 
+/// From one end to another, by their indexes.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct DatagramPath {
+    from: usize,
+    to: usize,
+}
+
 struct ActiveRule {
     rule: DatagramRule,
     added_at: Span,
@@ -38,8 +45,8 @@
     rules: Vec<ActiveRule>,
     /// By end.
     traffic: Vec<TrafficCounts>,
-    /// Datagrams by sender and receiver.
-    datagrams: HashMap<(usize, usize), u64>,
+    /// How many datagrams each end has sent to each other one.
+    sent_by_path: HashMap<DatagramPath, u64>,
 }
 
 impl DatagramEngine {
@@ -51,7 +58,7 @@
             traffic: vec![TrafficCounts::default(); plan.ends.len()],
             rules: plan.rules.into_iter().map(activate).collect(),
             ends: plan.ends,
-            datagrams: HashMap::new(),
+            sent_by_path: HashMap::new(),
         }
     }
 
@@ -76,8 +83,12 @@
 
     /// Ends a rule; whether one of this name was active.
     pub fn lift_rule(&mut self, name: &str) -> bool {
-        let active = self.rules.iter_mut().filter(|active| active.rule.name == name && !active.lifted);
-        active.map(|active| active.lifted = true).count() > 0
+        let mut was_active = false;
+        for active in self.rules.iter_mut().filter(|active| active.rule.name == name && !active.lifted) {
+            active.lifted = true;
+            was_active = true;
+        }
+        was_active
     }
 
     /// How often each rule has acted.
@@ -92,9 +103,9 @@
 
     fn matches(&self, active: &ActiveRule, now: Span, from: usize, to: usize) -> bool {
         let rule = &active.rule;
-        let begins = active.added_at + Span::from_millis(rule.after_ms as i64);
-        let is_over = rule.for_ms > 0 && now >= begins + Span::from_millis(rule.for_ms as i64);
-        if active.lifted || now < begins || is_over {
+        let starts_at = active.added_at + Span::from_millis(rule.after_ms as i64);
+        let is_over = rule.for_ms > 0 && now >= starts_at + Span::from_millis(rule.for_ms as i64);
+        if active.lifted || now < starts_at || is_over {
             return false;
         }
         let is_named = |names: &[String], end: usize| {
@@ -102,7 +113,8 @@
         };
         let forward = is_named(&rule.from, from) && is_named(&rule.to, to);
         let backward = rule.both && is_named(&rule.from, to) && is_named(&rule.to, from);
-        (forward || backward) && (rule.split.is_empty() || self.side(rule, from) != self.side(rule, to))
+        let crosses_split = rule.split.is_empty() || self.side(rule, from) != self.side(rule, to);
+        (forward || backward) && crosses_split
     }
 
     /// The side of a split on which an end is.
@@ -118,7 +130,7 @@
             traffic.datagrams += 1;
             traffic.bytes += bytes as u64;
         }
-        let number = self.datagrams.entry((from, to)).or_default();
+        let number = self.sent_by_path.entry(DatagramPath { from, to }).or_default();
         *number += 1;
         let number = *number;
         let mut copies = vec![Span::ZERO];
@@ -133,7 +145,7 @@
                 continue;
             }
             active.hits += 1;
-            act(&active.rule.action, &mut random, &mut copies);
+            apply_action(&active.rule.action, &mut random, &mut copies);
             if copies.is_empty() {
                 return copies;
             }
@@ -143,20 +155,20 @@
 }
 
 /// Changes the delays of a datagram's copies.
-fn act(action: &DatagramAction, random: &mut SmallRng, copies: &mut Vec<Span>) {
+fn apply_action(action: &DatagramAction, random: &mut SmallRng, copies: &mut Vec<Span>) {
     let from_ms = |ms: f64| Span::from_secs_f64(ms / 1e3);
     match *action {
         DatagramAction::Drop => copies.clear(),
-        DatagramAction::Delay { ms: mean, distribution } => {
-            let delay = from_ms((mean * random::factor(random, distribution)).min(MAX_DELAY_MS));
+        DatagramAction::Delay { ms: mean_ms, distribution } => {
+            let delay = from_ms((mean_ms * random::delay_factor(random, distribution)).min(MAX_DELAY_MS));
             copies.iter_mut().for_each(|copy| *copy += delay);
         }
-        DatagramAction::Duplicate { ms: gap } => {
-            let second = copies.first().copied().unwrap_or(Span::ZERO) + from_ms(gap);
+        DatagramAction::Duplicate { ms: gap_ms } => {
+            let second = copies.first().copied().unwrap_or(Span::ZERO) + from_ms(gap_ms);
             copies.push(second);
         }
-        DatagramAction::Reorder { ms: longest } => {
-            let delay = from_ms(longest * random.random::<f64>());
+        DatagramAction::Reorder { ms: max_ms } => {
+            let delay = from_ms(max_ms * random.random::<f64>());
             copies.iter_mut().for_each(|copy| *copy += delay);
         }
     }
--- a/crates/ladderpass-fault-injection/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -1,5 +1,5 @@
-//! The sockets of a running tool: a thread with the links, both ends of each connection, the control socket and the clock.
-//! What happens to bytes is the engine's decision.
+//! The sockets of a running tool: a thread with the links, both ends of each connection, the control socket and the
+//! clock. What happens to bytes is the engine's decision.
 
 mod control_socket;
 mod endpoint;
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -8,17 +8,28 @@
 /// One socket of a connection.
 pub struct Endpoint {
     pub stream: TcpStream,
-    pub conn: ConnectionId,
+    pub connection: ConnectionId,
     pub side: Side,
+    /// Bytes to be written.
     pub output: VecDeque<u8>,
     /// Its write direction ends once the output is written.
-    pub ending: bool,
+    pub is_ending: bool,
     /// It has ended its read direction.
-    pub ended: bool,
+    pub has_ended: bool,
     /// It is not read because too much is held or delayed.
-    pub paused: bool,
+    pub is_paused: bool,
 }
 
+/// How both sockets of a connection are closed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Closing {
+    /// What is still to be sent is written, as far as it can be.
+    Normal,
+    /// By a reset.
+    Reset,
+}
+
+/// Both sockets of a connection.
 #[derive(Default)]
 pub struct EndpointPair {
     /// Tokens, by side.
@@ -28,8 +39,8 @@
 }
 
 impl Endpoint {
-    pub fn new(stream: TcpStream, conn: ConnectionId, side: Side) -> Endpoint {
+    pub fn new(stream: TcpStream, connection: ConnectionId, side: Side) -> Endpoint {
         let output = VecDeque::new();
-        Endpoint { stream, conn, side, output, ending: false, ended: false, paused: false }
+        Endpoint { stream, connection, side, output, is_ending: false, has_ended: false, is_paused: false }
     }
 }
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -1,7 +1,7 @@
 //! The event loop: listeners, both sockets of each connection, and operations that wait for their time.
 
 use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
-use super::endpoint::{Endpoint, EndpointPair};
+use super::endpoint::{Closing, Endpoint, EndpointPair};
 use super::run_summary::RunSummary;
 use crate::control::{self, Reply};
 use crate::engine::{ConnectionId, Engine, Operation, ScheduledOperation};
@@ -158,26 +158,31 @@
                 Err(_) => return Ok(()),
             };
             let opened = self.engine.on_accepted(self.now(), link);
-            let conn = opened.connection;
-            self.pairs.insert(conn, EndpointPair::default());
-            self.add_endpoint(conn, Side::Client, stream)?;
+            let connection = opened.connection;
+            self.pairs.insert(connection, EndpointPair::default());
+            self.add_endpoint(connection, Side::Client, stream)?;
             if opened.forwarded {
                 match TcpStream::connect(self.targets[link]) {
-                    Ok(stream) => self.add_endpoint(conn, Side::Server, stream)?,
-                    Err(_) => self.close(conn, false),
+                    Ok(stream) => self.add_endpoint(connection, Side::Server, stream)?,
+                    Err(_) => self.close(connection, Closing::Normal),
                 }
             }
             self.schedule(opened.operations);
         }
     }
 
-    fn add_endpoint(&mut self, conn: ConnectionId, side: Side, mut stream: TcpStream) -> io::Result<()> {
+    fn add_endpoint(
+        &mut self,
+        connection: ConnectionId,
+        side: Side,
+        mut stream: TcpStream,
+    ) -> io::Result<()> {
         // Fails harmlessly on one that is still connecting.
         let _ = stream.set_nodelay(true);
         let index = self.next_token();
         self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
-        self.endpoints.insert(index, Endpoint::new(stream, conn, side));
-        if let Some(pair) = self.pairs.get_mut(&conn) {
+        self.endpoints.insert(index, Endpoint::new(stream, connection, side));
+        if let Some(pair) = self.pairs.get_mut(&connection) {
             pair.endpoints[side as usize] = Some(index);
         }
         Ok(())
@@ -220,43 +225,43 @@
     }
 
     /// The token of one side of a connection.
-    fn endpoint(&self, conn: ConnectionId, side: Side) -> Option<usize> {
-        self.pairs.get(&conn).and_then(|pair| pair.endpoints[side as usize])
+    fn endpoint(&self, connection: ConnectionId, side: Side) -> Option<usize> {
+        self.pairs.get(&connection).and_then(|pair| pair.endpoints[side as usize])
     }
 
     fn execute(&mut self, scheduled: ScheduledOperation) {
-        let conn = scheduled.connection;
+        let connection = scheduled.connection;
         match scheduled.operation {
             Operation::Send(side, bytes) => {
-                let Some(index) = self.endpoint(conn, side) else { return };
+                let Some(index) = self.endpoint(connection, side) else { return };
                 if let Some(endpoint) = self.endpoints.get_mut(&index) {
                     endpoint.output.extend(bytes);
                 }
                 self.write(index);
                 // The sender may have been paused for these bytes.
-                if let Some(sender) = self.endpoint(conn, side.other())
-                    && self.endpoints.get(&sender).is_some_and(|endpoint| endpoint.paused)
+                if let Some(sender) = self.endpoint(connection, side.other())
+                    && self.endpoints.get(&sender).is_some_and(|endpoint| endpoint.is_paused)
                 {
                     self.read(sender);
                 }
             }
             Operation::EndDirection(side) => {
-                let Some(index) = self.endpoint(conn, side) else { return };
+                let Some(index) = self.endpoint(connection, side) else { return };
                 if let Some(endpoint) = self.endpoints.get_mut(&index) {
-                    endpoint.ending = true;
+                    endpoint.is_ending = true;
                 }
                 self.write(index);
             }
-            Operation::Close => self.close(conn, false),
-            Operation::Reset => self.close(conn, true),
+            Operation::Close => self.close(connection, Closing::Normal),
+            Operation::Reset => self.close(connection, Closing::Reset),
         }
     }
 
-    fn close(&mut self, conn: ConnectionId, reset: bool) {
-        let Some(pair) = self.pairs.remove(&conn) else { return };
+    fn close(&mut self, connection: ConnectionId, closing: Closing) {
+        let Some(pair) = self.pairs.remove(&connection) else { return };
         for index in pair.endpoints.into_iter().flatten() {
             let Some(mut endpoint) = self.endpoints.remove(&index) else { continue };
-            if reset {
+            if closing == Closing::Reset {
                 // With a linger time of zero the kernel closes by a reset.
                 let _ = socket2::SockRef::from(&endpoint.stream).set_linger(Some(Duration::ZERO));
             } else {
@@ -265,7 +270,7 @@
             }
         }
         let now = self.now();
-        self.engine.on_closed(now, conn);
+        self.engine.on_closed(now, connection);
     }
 
     fn read(&mut self, index: usize) {
@@ -273,43 +278,43 @@
         loop {
             let now = self.now();
             let Some(endpoint) = self.endpoints.get(&index) else { return };
-            let (conn, side) = (endpoint.conn, endpoint.side);
-            if endpoint.ended {
+            let (connection, side) = (endpoint.connection, endpoint.side);
+            if endpoint.has_ended {
                 return;
             }
-            let may_read = self.engine.may_read(conn, side, self.unsent_bytes(conn, side));
+            let may_read = self.engine.may_read(connection, side, self.unsent_bytes(connection, side));
             let Some(endpoint) = self.endpoints.get_mut(&index) else { return };
-            endpoint.paused = !may_read;
+            endpoint.is_paused = !may_read;
             if !may_read {
                 return;
             }
             let operations = match endpoint.stream.read(&mut chunk) {
                 Ok(0) => {
-                    endpoint.ended = true;
-                    self.engine.on_end(now, conn, side)
+                    endpoint.has_ended = true;
+                    self.engine.on_end(now, connection, side)
                 }
-                Ok(count) => self.engine.on_bytes(now, conn, side, &chunk[..count]),
+                Ok(count) => self.engine.on_bytes(now, connection, side, &chunk[..count]),
                 Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
                     return;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return self.close(conn, true),
+                Err(_) => return self.close(connection, Closing::Reset),
             };
             self.schedule(operations);
         }
     }
 
     /// Bytes from a side that are delayed or not yet written.
-    fn unsent_bytes(&self, conn: ConnectionId, sender: Side) -> usize {
+    fn unsent_bytes(&self, connection: ConnectionId, sender: Side) -> usize {
         let receiver = sender.other();
-        let delayed = self.pairs.get(&conn).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
-        let receiver = self.endpoint(conn, receiver).and_then(|index| self.endpoints.get(&index));
+        let delayed = self.pairs.get(&connection).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
+        let receiver = self.endpoint(connection, receiver).and_then(|index| self.endpoints.get(&index));
         delayed + receiver.map_or(0, |endpoint| endpoint.output.len())
     }
 
     fn write(&mut self, index: usize) {
         let Some(endpoint) = self.endpoints.get_mut(&index) else { return };
-        let conn = endpoint.conn;
+        let connection = endpoint.connection;
         while !endpoint.output.is_empty() {
             let (front, _) = endpoint.output.as_slices();
             match endpoint.stream.write(front) {
@@ -320,27 +325,27 @@
                     return;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.close(conn, true),
+                Err(_) => return self.close(connection, Closing::Reset),
             }
         }
-        if endpoint.ending {
+        if endpoint.is_ending {
             // Fails harmlessly on a socket that is closed already.
             let _ = endpoint.stream.shutdown(std::net::Shutdown::Write);
-            endpoint.ending = false;
+            endpoint.is_ending = false;
         }
-        if self.is_over(conn) {
-            self.close(conn, false);
+        if self.is_over(connection) {
+            self.close(connection, Closing::Normal);
         }
     }
 
     /// Both sides have ended, and nothing is left to be sent, now or later.
-    fn is_over(&self, conn: ConnectionId) -> bool {
-        let Some(pair) = self.pairs.get(&conn).filter(|pair| pair.delayed_bytes == [0, 0]) else {
+    fn is_over(&self, connection: ConnectionId) -> bool {
+        let Some(pair) = self.pairs.get(&connection).filter(|pair| pair.delayed_bytes == [0, 0]) else {
             return false;
         };
         let is_over = |index: Option<usize>| {
             let endpoint = index.and_then(|index| self.endpoints.get(&index));
-            endpoint.is_none_or(|endpoint| endpoint.ended && endpoint.output.is_empty())
+            endpoint.is_none_or(|endpoint| endpoint.has_ended && endpoint.output.is_empty())
         };
         pair.endpoints.into_iter().all(is_over)
     }
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -1,9 +1,9 @@
-//! The pure part: what arrives on connections and the time in, operations on connections out. Each decision is recorded. It
-//! touches no socket and reads no clock.
+//! The pure part: what arrives on connections and the time in, operations on connections out. Each decision is
+//! recorded. It touches no socket and reads no clock.
 //!
-//! Invariants: a direction keeps its order; without a rule everything passes unchanged; what is held for a rule is bounded,
-//! and at the limit its sender is no longer read; random draws depend on the seed, rule, link, connection and byte, and not
-//! on what else happens.
+//! Invariants: a direction keeps its order; without a rule everything passes unchanged; what is held for a rule is
+//! bounded, and at the limit its sender is no longer read; random draws depend on the seed, rule, link, connection and
+//! byte, and not on what else happens.
 
 mod active_rule;
 mod connection;
@@ -22,7 +22,7 @@
 use crate::stream::Unit;
 use active_rule::{ActiveRule, Occurrence};
 use connection::{Connection, Stalled};
-use direction::{Direction, Passage};
+use direction::{Direction, Replacement};
 use ladderpass_routing::Time;
 use rand::rngs::SmallRng;
 use rpc_watch::RpcWatch;
@@ -31,6 +31,15 @@
 /// Bytes of one direction that may be held or delayed before its sender is no longer read.
 pub const MAX_HELD_BYTES: usize = 512 << 10;
 
+/// Counts of an engine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EngineStats {
+    /// Connections that are open now.
+    pub open_connections: usize,
+    /// Bytes received in all.
+    pub received_bytes: u64,
+}
+
 /// The links and rules of a plan.
 pub struct Engine {
     plan: Plan,
@@ -40,7 +49,7 @@
     /// Connections opened by now, by link.
     opened: Vec<u64>,
     record: Vec<Decision>,
-    bytes: u64,
+    received_bytes: u64,
     /// By link: nothing passes, either way.
     cut: Vec<bool>,
     rpc_watch: RpcWatch,
@@ -55,7 +64,7 @@
             connections: HashMap::new(),
             opened: vec![0; plan.links.len()],
             record: Vec::new(),
-            bytes: 0,
+            received_bytes: 0,
             cut: vec![false; plan.links.len()],
             rpc_watch: RpcWatch::default(),
             plan: Plan { rules: Vec::new(), ..plan.clone() },
@@ -96,8 +105,8 @@
         let found = self.rules.iter().position(|active| active.rule.name == name && !active.lifted);
         let index = found.ok_or_else(|| EngineError::UnknownRule(name.to_owned()))?;
         self.rules[index].lifted = true;
-        let mut todo = Vec::new();
-        for (&conn, connection) in &mut self.connections {
+        let mut operations = Vec::new();
+        for (&id, connection) in &mut self.connections {
             for (direction, to) in connection.directions.iter_mut().zip([Side::Server, Side::Client]) {
                 if direction.held_by != Some(index) {
                     continue;
@@ -105,31 +114,23 @@
                 direction.held_by = None;
                 let bytes = std::mem::take(&mut direction.held);
                 if !bytes.is_empty() {
-                    todo.push(ScheduledOperation {
-                        connection: conn,
-                        at: now,
-                        operation: Operation::Send(to, bytes),
-                    });
+                    operations.push(ScheduledOperation::new(id, now, Operation::Send(to, bytes)));
                 }
-                if direction.ended {
-                    todo.push(ScheduledOperation {
-                        connection: conn,
-                        at: now,
-                        operation: Operation::EndDirection(to),
-                    });
+                if direction.has_ended {
+                    operations.push(ScheduledOperation::new(id, now, Operation::EndDirection(to)));
                 }
             }
         }
-        todo.sort_by_key(|scheduled| scheduled.connection);
-        Ok(todo)
+        operations.sort_by_key(|scheduled| scheduled.connection);
+        Ok(operations)
     }
 
-    /// Notes the attempts of RPCs from now on.
+    /// Records the attempts of RPCs from now on.
     pub fn start_watch(&mut self) {
         self.rpc_watch.start();
     }
 
-    /// Takes the attempts noted since `start_watch`, and stops noting them.
+    /// Takes the attempts recorded since `start_watch`, and stops recording them.
     pub fn take_attempts(&mut self) -> Vec<AttemptEvent> {
         self.rpc_watch.take()
     }
@@ -152,24 +153,24 @@
     /// If there is no such link.
     pub fn heal(&mut self, now: Time, link: &str) -> Result<Vec<ScheduledOperation>, EngineError> {
         let index = self.link_index(link)?;
-        let mut todo = Vec::new();
+        let mut operations = Vec::new();
         if !std::mem::take(&mut self.cut[index]) {
-            return Ok(todo);
+            return Ok(operations);
         }
-        let mut conns: Vec<ConnectionId> =
-            self.connections.keys().filter(|conn| conn.link == index).copied().collect();
-        conns.sort_unstable();
-        for conn in conns {
-            let Some(connection) = self.connections.get_mut(&conn) else { continue };
+        let mut ids: Vec<ConnectionId> =
+            self.connections.keys().filter(|id| id.link == index).copied().collect();
+        ids.sort_unstable();
+        for id in ids {
+            let Some(connection) = self.connections.get_mut(&id) else { continue };
             let stalled = std::mem::take(&mut connection.stalled);
             for (sender, unit) in stalled.units {
-                self.pass_unit(now, conn, sender, unit, &mut todo);
+                self.pass_unit(now, id, sender, unit, &mut operations);
             }
             for sender in stalled.ends {
-                todo.extend(self.end_direction(now, conn, sender));
+                operations.extend(self.end_direction(now, id, sender));
             }
         }
-        Ok(todo)
+        Ok(operations)
     }
 
     fn link_index(&self, name: &str) -> Result<usize, EngineError> {
@@ -193,118 +194,109 @@
         &self.record
     }
 
-    /// Connections open now, and bytes received in all.
-    pub fn stats(&self) -> (usize, u64) {
-        (self.connections.len(), self.bytes)
+    /// Counts by now.
+    pub fn stats(&self) -> EngineStats {
+        EngineStats { open_connections: self.connections.len(), received_bytes: self.received_bytes }
     }
 
-    /// Whether a side may be read on. `late` is how many of its bytes the driver has yet to send.
-    pub fn may_read(&self, conn: ConnectionId, side: Side, late: usize) -> bool {
-        let Some(connection) = self.connections.get(&conn) else { return false };
+    /// Whether a side may be read on. `unsent_bytes`: how many of its bytes the driver has yet to send.
+    pub fn may_read(&self, id: ConnectionId, side: Side, unsent_bytes: usize) -> bool {
+        let Some(connection) = self.connections.get(&id) else { return false };
         let direction = &connection.directions[side as usize];
         // A silent direction is read and dropped: its sender must not notice.
-        direction.silent
-            || late + connection.stalled.bytes[side as usize] + direction.held_bytes() < MAX_HELD_BYTES
+        if direction.is_silenced {
+            return true;
+        }
+        let stalled_bytes = connection.stalled.bytes[side as usize];
+        unsent_bytes + stalled_bytes + direction.buffered_bytes() < MAX_HELD_BYTES
     }
 
     /// A connection has been accepted on a link.
     pub fn on_accepted(&mut self, now: Time, link: usize) -> Opened {
         self.opened[link] += 1;
-        let conn = ConnectionId { link, number: self.opened[link] };
+        let id = ConnectionId { link, number: self.opened[link] };
         let protocol = self.plan.links[link].protocol;
         let directions = [Direction::new(protocol, Side::Client), Direction::new(protocol, Side::Server)];
-        let connection = Connection { directions, over: false, stalled: Stalled::default() };
-        self.connections.insert(conn, connection);
+        let connection = Connection { directions, is_over: false, stalled: Stalled::default() };
+        self.connections.insert(id, connection);
         let unit = Unit { offset: 0, kind: "open", bytes: Vec::new() };
         let (mut forwarded, mut operations) = (true, Vec::new());
-        for index in self.triggered_rules(now, conn, Side::Client, &unit, true) {
+        for index in self.triggered_rules(now, id, Side::Client, &unit, true) {
             let refused = self.rules[index].rule.action == Action::Refuse;
-            self.record_decision(index, conn, Side::Client, &unit, Vec::new());
+            self.record_decision(index, id, Side::Client, &unit, Vec::new());
             forwarded = false;
             if refused {
-                operations.push(ScheduledOperation {
-                    connection: conn,
-                    at: now,
-                    operation: Operation::Reset,
-                });
+                operations.push(ScheduledOperation::new(id, now, Operation::Reset));
             }
         }
-        Opened { connection: conn, forwarded, operations }
+        Opened { connection: id, forwarded, operations }
     }
 
     /// Bytes have arrived from a side.
     pub fn on_bytes(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        id: ConnectionId,
         side: Side,
         bytes: &[u8],
     ) -> Vec<ScheduledOperation> {
-        self.bytes += bytes.len() as u64;
-        let Some(connection) = self.connections.get_mut(&conn) else { return Vec::new() };
+        self.received_bytes += bytes.len() as u64;
+        let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
         let units = connection.directions[side as usize].scanner.feed(bytes);
-        let mut todo = Vec::new();
+        let mut operations = Vec::new();
         for unit in units {
             if side == Side::Client {
-                self.rpc_watch.on_unit(now, conn, side, &unit);
+                self.rpc_watch.on_unit(now, id, side, &unit);
             }
-            if self.cut[conn.link] {
-                if let Some(connection) = self.connections.get_mut(&conn) {
+            if self.cut[id.link] {
+                if let Some(connection) = self.connections.get_mut(&id) {
                     connection.stalled.bytes[side as usize] += unit.bytes.len();
                     connection.stalled.units.push((side, unit));
                 }
                 continue;
             }
-            self.pass_unit(now, conn, side, unit, &mut todo);
+            self.pass_unit(now, id, side, unit, &mut operations);
         }
-        todo
+        operations
     }
 
     /// A side has ended its direction.
-    pub fn on_end(&mut self, now: Time, conn: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
+    pub fn on_end(&mut self, now: Time, id: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
         if side == Side::Client {
-            self.rpc_watch.on_ended(now, conn);
+            self.rpc_watch.on_ended(now, id);
         }
-        if self.cut[conn.link] {
-            if let Some(connection) = self.connections.get_mut(&conn) {
+        if self.cut[id.link] {
+            if let Some(connection) = self.connections.get_mut(&id) {
                 connection.stalled.ends.push(side);
             }
             return Vec::new();
         }
-        self.end_direction(now, conn, side)
+        self.end_direction(now, id, side)
     }
 
-    fn end_direction(&mut self, now: Time, conn: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
-        let mut todo = Vec::new();
-        let Some(connection) = self.connections.get_mut(&conn) else { return todo };
+    fn end_direction(&mut self, now: Time, id: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
+        let mut operations = Vec::new();
+        let Some(connection) = self.connections.get_mut(&id) else { return operations };
         if let Some(unit) = connection.directions[side as usize].scanner.end() {
-            self.pass_unit(now, conn, side, unit, &mut todo);
+            self.pass_unit(now, id, side, unit, &mut operations);
         }
-        let Some(connection) = self.connections.get_mut(&conn) else { return todo };
+        let Some(connection) = self.connections.get_mut(&id) else { return operations };
         let direction = &mut connection.directions[side as usize];
-        direction.ended = true;
+        direction.has_ended = true;
         let at = direction.free_at.max(now);
         if let Some(bytes) = direction.take_postponed() {
-            todo.push(ScheduledOperation {
-                connection: conn,
-                at,
-                operation: Operation::Send(side.other(), bytes),
-            });
+            operations.push(ScheduledOperation::new(id, at, Operation::Send(side.other(), bytes)));
         }
-        if direction.held_by.is_none() && !direction.silent {
-            todo.push(ScheduledOperation {
-                connection: conn,
-                at,
-                operation: Operation::EndDirection(side.other()),
-            });
+        if direction.held_by.is_none() && !direction.is_silenced {
+            operations.push(ScheduledOperation::new(id, at, Operation::EndDirection(side.other())));
         }
-        todo
+        operations
     }
 
     /// Both sockets of a connection are closed.
-    pub fn on_closed(&mut self, now: Time, conn: ConnectionId) {
-        self.rpc_watch.on_ended(now, conn);
-        self.connections.remove(&conn);
+    pub fn on_closed(&mut self, now: Time, id: ConnectionId) {
+        self.rpc_watch.on_ended(now, id);
+        self.connections.remove(&id);
     }
 
     /// The rules that act on a unit, in the order of the plan; matches are counted.
@@ -318,28 +310,24 @@
     ) -> Vec<usize> {
         let elapsed_ms = (now - self.started_at).nanos() / 1_000_000;
         // Only where some rule waits for another one.
-        let needed = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
-        let acted = self.rules.iter().filter(|active| needed && active.hits > 0);
+        let any_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
+        let acted = self.rules.iter().filter(|active| any_waits && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
         let occurrence = Occurrence { connection, sender, unit, opens, elapsed_ms };
-        let rules = self.rules.iter_mut().enumerate();
-        rules
-            .filter_map(|(index, active)| active.record_match(&occurrence, &acted).then_some(index))
-            .collect()
+        let mut triggered = Vec::new();
+        for (index, active) in self.rules.iter_mut().enumerate() {
+            if active.record_match(&occurrence, &acted) {
+                triggered.push(index);
+            }
+        }
+        triggered
     }
 
-    fn record_decision(
-        &mut self,
-        index: usize,
-        conn: ConnectionId,
-        side: Side,
-        unit: &Unit,
-        drawn: Vec<u64>,
-    ) {
+    fn record_decision(&mut self, index: usize, id: ConnectionId, side: Side, unit: &Unit, drawn: Vec<u64>) {
         let rule = &self.rules[index].rule;
         self.record.push(Decision {
-            link: self.plan.links[conn.link].name.clone(),
-            conn: conn.number,
+            link: self.plan.links[id.link].name.clone(),
+            conn: id.number,
             side,
             byte: unit.offset,
             kind: unit.kind.to_owned(),
@@ -350,43 +338,44 @@
     }
 
     /// The generator of a rule's draws for a unit.
-    fn random(&self, index: usize, conn: ConnectionId, unit: &Unit) -> SmallRng {
+    fn random(&self, index: usize, id: ConnectionId, unit: &Unit) -> SmallRng {
         let name = self.rules[index].rule.name.bytes();
         let name_hash = name.fold(0, |hash, byte| random::mix(hash, u64::from(byte)));
-        random::generator(self.plan.seed, [name_hash, conn.link as u64, conn.number, unit.offset])
+        random::generator(self.plan.seed, [name_hash, id.link as u64, id.number, unit.offset])
     }
 
     /// Passes a unit to the other side, after the rules that it triggers.
     fn pass_unit(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        id: ConnectionId,
         sender: Side,
         unit: Unit,
-        todo: &mut Vec<ScheduledOperation>,
+        operations: &mut Vec<ScheduledOperation>,
     ) {
-        if self.connections.get(&conn).is_none_or(|connection| connection.over) {
+        if self.connections.get(&id).is_none_or(|connection| connection.is_over) {
             return;
         }
         if sender == Side::Server {
-            self.rpc_watch.on_unit(now, conn, sender, &unit);
+            self.rpc_watch.on_unit(now, id, sender, &unit);
         }
-        let mut passage = Passage::unchanged(&unit);
-        for index in self.triggered_rules(now, conn, sender, &unit, false) {
+        let mut replacement = Replacement::unchanged(&unit);
+        for index in self.triggered_rules(now, id, sender, &unit, false) {
             let action = self.rules[index].rule.action.clone();
-            let mut random = self.random(index, conn, &unit);
-            let Some(connection) = self.connections.get_mut(&conn) else { return };
+            let mut random = self.random(index, id, &unit);
+            let Some(connection) = self.connections.get_mut(&id) else { return };
             let direction = &mut connection.directions[sender as usize];
-            let drawn = direction.act(&action, index, &unit, &mut random, &mut passage);
-            self.record_decision(index, conn, sender, &unit, drawn);
+            let drawn = direction.apply_action(&action, index, &unit, &mut random, &mut replacement);
+            self.record_decision(index, id, sender, &unit, drawn);
         }
-        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else { return };
         let direction = &mut connection.directions[sender as usize];
-        direction.continue_actions(unit.kind == "ReadyForQuery", &mut passage);
+        let ends_response = unit.kind == "ReadyForQuery";
+        direction.continue_actions(ends_response, &mut replacement);
         if direction.held_by.is_some() {
-            direction.held.extend(passage.pieces.concat());
+            direction.held.extend(replacement.pieces.concat());
             return;
         }
-        connection.send(now, conn, sender, passage, todo);
+        connection.send(now, id, sender, replacement, operations);
     }
 }
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -9,8 +9,8 @@
     pub rule: Rule,
     /// Index of the rule's link, if it names one.
     link: Option<usize>,
-    /// Units that matched, by link.
-    matches: HashMap<usize, u64>,
+    /// How many units have matched, by link.
+    match_counts: HashMap<usize, u64>,
     /// How often it has acted.
     pub hits: u64,
     pub lifted: bool,
@@ -40,16 +40,16 @@
 
 impl ActiveRule {
     pub fn new(rule: Rule, link: Option<usize>) -> ActiveRule {
-        ActiveRule { rule, link, matches: HashMap::new(), hits: 0, lifted: false }
+        ActiveRule { rule, link, match_counts: HashMap::new(), hits: 0, lifted: false }
     }
 
     pub fn state(&self) -> RuleState<'_> {
-        let live = !self.lifted && !self.is_spent();
+        let live = !self.lifted && !self.has_reached_limit();
         RuleState { name: &self.rule.name, hits: self.hits, live }
     }
 
-    /// It has acted as often as it may.
-    fn is_spent(&self) -> bool {
+    /// Has it acted as often as it may?
+    fn has_reached_limit(&self) -> bool {
         self.rule.times > 0 && self.hits >= self.rule.times
     }
 
@@ -58,9 +58,9 @@
         if !self.matches(occurrence, acted) {
             return false;
         }
-        let count = self.matches.entry(occurrence.connection.link).or_default();
+        let count = self.match_counts.entry(occurrence.connection.link).or_default();
         *count += 1;
-        let acts = *count >= self.rule.when.nth.unwrap_or(1) && !self.is_spent();
+        let acts = *count >= self.rule.when.nth.unwrap_or(1) && !self.has_reached_limit();
         if acts {
             self.hits += 1;
         }
@@ -70,20 +70,19 @@
     fn matches(&self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
         let when = &self.rule.when;
         let Occurrence { connection, sender, unit, opens, elapsed_ms } = *occurrence;
-        let holds = |text: &String| {
+        let contains = |text: &String| {
             let text = text.as_bytes();
-            !text.is_empty() && unit.bytes.windows(text.len()).any(|part| part == text)
+            !text.is_empty() && unit.bytes.windows(text.len()).any(|window| window == text)
         };
+        let unit_bytes = unit.offset..unit.offset + unit.bytes.len() as u64;
         !self.lifted
             && when.opens == opens
             && (opens || when.from == sender)
             && self.link.is_none_or(|link| link == connection.link)
             && when.connection.is_none_or(|number| number == connection.number)
             && when.message.as_ref().is_none_or(|kind| kind == unit.kind)
-            && when
-                .byte
-                .is_none_or(|byte| (unit.offset..unit.offset + unit.bytes.len() as u64).contains(&byte))
-            && when.contains.as_ref().is_none_or(holds)
+            && when.byte.is_none_or(|byte| unit_bytes.contains(&byte))
+            && when.contains.as_ref().is_none_or(contains)
             && when.after_ms.is_none_or(|ms| elapsed_ms >= ms as i64)
             && when.after_rule.as_ref().is_none_or(|other| acted.contains(other))
     }
--- a/crates/ladderpass-fault-injection/src/engine/connection.rs
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -1,6 +1,6 @@
 //! State of one connection: its two directions, and what is stalled while its link is cut.
 
-use super::direction::{Direction, Passage};
+use super::direction::{Direction, Replacement};
 use super::operation::{ConnectionId, Operation, ScheduledOperation};
 use crate::plan::Side;
 use crate::stream::Unit;
@@ -10,7 +10,7 @@
     /// By sender.
     pub directions: [Direction; 2],
     /// Closed or reset by a rule: nothing passes any more.
-    pub over: bool,
+    pub is_over: bool,
     pub stalled: Stalled,
 }
 
@@ -26,39 +26,35 @@
 }
 
 impl Connection {
-    /// Schedules what passes in place of a unit.
+    /// Schedules what is sent in place of a unit.
     pub fn send(
         &mut self,
         now: Time,
-        conn: ConnectionId,
+        id: ConnectionId,
         sender: Side,
-        passage: Passage,
-        todo: &mut Vec<ScheduledOperation>,
+        replacement: Replacement,
+        operations: &mut Vec<ScheduledOperation>,
     ) {
         let direction = &mut self.directions[sender as usize];
-        let mut at = direction.free_at.max(now) + passage.delay;
-        if let Some(operation) = passage.end_before {
+        let mut at = direction.free_at.max(now) + replacement.delay;
+        if let Some(operation) = replacement.end_before {
             // After a half-close the other direction goes on.
             let ends_both = matches!(operation, Operation::Close | Operation::Reset);
-            todo.push(ScheduledOperation { connection: conn, at, operation });
+            operations.push(ScheduledOperation::new(id, at, operation));
             if ends_both {
-                self.over = true;
+                self.is_over = true;
                 return;
             }
         }
-        for piece in passage.pieces.into_iter().filter(|piece| !piece.is_empty()) {
-            at = direction.passed_at(at, &piece);
-            todo.push(ScheduledOperation {
-                connection: conn,
-                at,
-                operation: Operation::Send(sender.other(), piece),
-            });
-            at = at + passage.gap;
+        for piece in replacement.pieces.into_iter().filter(|piece| !piece.is_empty()) {
+            at = direction.sent_at(at, &piece);
+            operations.push(ScheduledOperation::new(id, at, Operation::Send(sender.other(), piece)));
+            at = at + replacement.gap;
         }
         direction.free_at = at;
-        if let Some(operation) = passage.end_after {
-            todo.push(ScheduledOperation { connection: conn, at, operation });
-            self.over = true;
+        if let Some(operation) = replacement.end_after {
+            operations.push(ScheduledOperation::new(id, at, operation));
+            self.is_over = true;
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -1,4 +1,4 @@
-//! State of one direction of a connection, and what passes in place of one unit of it.
+//! State of one direction of a connection, and what is sent in place of one unit of it.
 
 use super::operation::Operation;
 use crate::plan::{Action, Protocol, Side};
@@ -14,30 +14,29 @@
 
 pub struct Direction {
     pub scanner: MessageScanner,
-    /// No unit is sent before.
+    /// No unit is sent before this time.
     pub free_at: Time,
-    /// The rule that holds everything, by its index.
+    /// The rule that holds everything back, by its index.
     pub held_by: Option<usize>,
-    /// What is held.
+    /// What that rule holds back.
     pub held: Vec<u8>,
     /// Everything is dropped.
-    pub silent: bool,
+    pub is_silenced: bool,
     /// Everything up to the next ReadyForQuery is dropped.
-    swallowing: bool,
-    /// Limit in bytes a second.
-    rate: Option<u64>,
+    is_swallowing: bool,
+    max_bytes_per_s: Option<u64>,
     /// A response that is sent after the next one.
     postponed: Option<Vec<u8>>,
     /// The response that passes now is being postponed.
-    postponing: bool,
+    is_postponing: bool,
     /// The response that passes now, to be sent once more.
-    copy: Option<Vec<u8>>,
+    response_copy: Option<Vec<u8>>,
     /// Its sender has ended it.
-    pub ended: bool,
+    pub has_ended: bool,
 }
 
-/// What passes in place of a unit: piece by piece, with what ends the connection before or behind it.
-pub struct Passage {
+/// What is sent in place of a unit: piece by piece, with what ends the connection before or behind it.
+pub struct Replacement {
     pub pieces: Vec<Vec<u8>>,
     pub delay: Span,
     /// Pause behind each piece.
@@ -46,9 +45,10 @@
     pub end_after: Option<Operation>,
 }
 
-impl Passage {
-    pub fn unchanged(unit: &Unit) -> Passage {
-        Passage {
+impl Replacement {
+    /// The unit as it is.
+    pub fn unchanged(unit: &Unit) -> Replacement {
+        Replacement {
             pieces: vec![unit.bytes.clone()],
             delay: Span::ZERO,
             gap: Span::ZERO,
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Changes the unit's bytes, as one piece.
     fn edit(&mut self, change: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = self.pieces.concat();
         change(&mut bytes);
@@ -71,18 +72,18 @@
             free_at: Time::NEVER,
             held_by: None,
             held: Vec::new(),
-            silent: false,
-            swallowing: false,
-            rate: None,
+            is_silenced: false,
+            is_swallowing: false,
+            max_bytes_per_s: None,
             postponed: None,
-            postponing: false,
-            copy: None,
-            ended: false,
+            is_postponing: false,
+            response_copy: None,
+            has_ended: false,
         }
     }
 
-    /// Bytes that are held or postponed.
-    pub fn held_bytes(&self) -> usize {
+    /// How many bytes are held back or postponed.
+    pub fn buffered_bytes(&self) -> usize {
         self.held.len() + self.postponed.as_ref().map_or(0, Vec::len)
     }
 
@@ -91,99 +92,103 @@
         self.postponed.take()
     }
 
-    /// One rule acts on a unit; returns what was drawn for it.
-    pub fn act(
+    /// Applies a rule's action to what is sent in place of a unit. Returns the random numbers that were drawn for it.
+    pub fn apply_action(
         &mut self,
         action: &Action,
         rule: usize,
         unit: &Unit,
         random: &mut SmallRng,
-        passage: &mut Passage,
+        replacement: &mut Replacement,
     ) -> Vec<u64> {
         let mut drawn = Vec::new();
         match *action {
             Action::Delay { ms, distribution } => {
-                let factor = random::factor(random, distribution);
+                let factor = random::delay_factor(random, distribution);
                 drawn.push((ms * factor * 1e3) as u64);
-                passage.delay += Span::from_secs_f64(ms * factor / 1e3);
+                replacement.delay += Span::from_secs_f64(ms * factor / 1e3);
             }
-            Action::Rate { bytes_per_s } => self.rate = Some(bytes_per_s),
+            Action::Rate { bytes_per_s } => self.max_bytes_per_s = Some(bytes_per_s),
             Action::Slice { gap_ms } => {
-                passage.gap = Span::from_secs_f64(gap_ms / 1e3);
-                passage.pieces = passage.pieces.concat().into_iter().map(|byte| vec![byte]).collect();
+                replacement.gap = Span::from_secs_f64(gap_ms / 1e3);
+                replacement.pieces = replacement.pieces.concat().into_iter().map(|byte| vec![byte]).collect();
             }
             Action::Hold => self.held_by = Some(rule),
-            Action::Drop => passage.pieces.clear(),
-            Action::Swallow => self.swallowing = true,
-            Action::Silence => self.silent = true,
-            Action::HalfClose { side } => passage.end_before = Some(Operation::EndDirection(side.other())),
-            Action::Close => passage.end_before = Some(Operation::Close),
-            Action::Reset => passage.end_before = Some(Operation::Reset),
+            Action::Drop => replacement.pieces.clear(),
+            Action::Swallow => self.is_swallowing = true,
+            Action::Silence => self.is_silenced = true,
+            Action::HalfClose { side } => {
+                replacement.end_before = Some(Operation::EndDirection(side.other()))
+            }
+            Action::Close => replacement.end_before = Some(Operation::Close),
+            Action::Reset => replacement.end_before = Some(Operation::Reset),
             Action::Garble { bytes } => {
-                passage.edit(|message| drawn = garble(message, bytes, random));
+                replacement.edit(|message| drawn = garble(message, bytes, random));
             }
-            Action::Set { at, to } => passage.edit(|message| {
+            Action::Set { at, to } => replacement.edit(|message| {
                 if let Some(byte) = message.get_mut(at as usize) {
                     *byte = to;
                 }
             }),
-            Action::FlipLength => passage.edit(|message| drawn = flip_length(message, unit, random)),
-            Action::Duplicate => passage.pieces.push(passage.pieces.concat()),
+            Action::FlipLength => replacement.edit(|message| drawn = flip_length(message, unit, random)),
+            Action::Duplicate => replacement.pieces.push(replacement.pieces.concat()),
             Action::Noise { bytes } => {
-                passage.pieces.push((0..bytes).map(|_| random.random()).collect());
+                replacement.pieces.push((0..bytes).map(|_| random.random()).collect());
             }
             Action::Truncate { keep } => {
-                passage.edit(|message| message.truncate(keep as usize));
-                passage.end_after = Some(Operation::Close);
+                replacement.edit(|message| message.truncate(keep as usize));
+                replacement.end_after = Some(Operation::Close);
+            }
+            Action::Repeat => {
+                self.response_copy.get_or_insert_default();
             }
-            Action::Repeat => self.copy = self.copy.take().or(Some(Vec::new())),
-            Action::Reorder => self.postponing = self.postponed.is_none(),
+            Action::Reorder => self.is_postponing = self.postponed.is_none(),
             Action::Refuse | Action::Ignore => {}
         }
         drawn
     }
 
-    /// What earlier actions on this direction do to a unit's passage. `ready`: the unit ends a response.
-    pub fn continue_actions(&mut self, ready: bool, passage: &mut Passage) {
-        let pieces = &mut passage.pieces;
-        if self.swallowing {
+    /// Applies what earlier actions on this direction have begun. `ends_response`: the unit ends a response.
+    pub fn continue_actions(&mut self, ends_response: bool, replacement: &mut Replacement) {
+        let pieces = &mut replacement.pieces;
+        if self.is_swallowing {
             pieces.clear();
-            self.swallowing = !ready;
+            self.is_swallowing = !ends_response;
         }
-        if self.silent {
+        if self.is_silenced {
             pieces.clear();
         }
-        if let Some(copy) = &mut self.copy {
+        if let Some(copy) = &mut self.response_copy {
             copy.extend(pieces.concat());
-            if ready && let Some(copy) = self.copy.take() {
+            if ends_response && let Some(copy) = self.response_copy.take() {
                 pieces.push(copy);
             }
         }
-        if self.postponing {
+        if self.is_postponing {
             self.postponed.get_or_insert_default().extend(pieces.concat());
             pieces.clear();
-            self.postponing = !ready;
-        } else if ready && let Some(postponed) = self.postponed.take() {
+            self.is_postponing = !ends_response;
+        } else if ends_response && let Some(postponed) = self.postponed.take() {
             pieces.push(postponed);
         }
     }
 
-    /// When a piece that may be sent at `at` has passed at the direction's rate.
-    pub fn passed_at(&self, at: Time, piece: &[u8]) -> Time {
-        match self.rate {
-            Some(rate) => at + Span::from_secs_f64(piece.len() as f64 / rate as f64),
+    /// When a piece whose sending begins at `at` is sent completely, at the direction's rate.
+    pub fn sent_at(&self, at: Time, piece: &[u8]) -> Time {
+        match self.max_bytes_per_s {
+            Some(bytes_per_s) => at + Span::from_secs_f64(piece.len() as f64 / bytes_per_s as f64),
             None => at,
         }
     }
 }
 
-/// Changes bytes at random places behind the message's head; returns the places.
-fn garble(message: &mut [u8], bytes: u32, random: &mut SmallRng) -> Vec<u64> {
-    let head = if message.len() > FRAME_HEAD_BYTES { FRAME_HEAD_BYTES } else { 0 };
+/// Changes `count` bytes at random places behind the message's head; returns the places.
+fn garble(message: &mut [u8], count: u32, random: &mut SmallRng) -> Vec<u64> {
+    let head_bytes = if message.len() > FRAME_HEAD_BYTES { FRAME_HEAD_BYTES } else { 0 };
     let mut places = Vec::new();
-    for _ in 0..bytes {
-        if head < message.len() {
-            let place = random.random_range(head..message.len());
+    for _ in 0..count {
+        if head_bytes < message.len() {
+            let place = random.random_range(head_bytes..message.len());
             message[place] ^= random.random_range(1..=255u8);
             places.push(place as u64);
         }
@@ -195,8 +200,8 @@
 fn flip_length(message: &mut [u8], unit: &Unit, random: &mut SmallRng) -> Vec<u64> {
     let bit = random.random_range(0..LENGTH_BITS);
     // The length stands behind the type byte, which a startup message does not have.
-    let from = if unit.kind == "Startup" { 0 } else { 1 };
-    if let Some(byte) = message.get_mut(from + bit / 8) {
+    let length_starts_at = if unit.kind == "Startup" { 0 } else { 1 };
+    if let Some(byte) = message.get_mut(length_starts_at + bit / 8) {
         *byte ^= 1 << (bit % 8);
     }
     vec![bit as u64]
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -23,6 +23,12 @@
     pub operation: Operation,
 }
 
+impl ScheduledOperation {
+    pub(super) fn new(connection: ConnectionId, at: Time, operation: Operation) -> ScheduledOperation {
+        ScheduledOperation { connection, at, operation }
+    }
+}
+
 /// A connection that was accepted on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Opened {
--- a/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
+++ b/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
@@ -1,5 +1,6 @@
-//! What a watch notes of RPCs: when a statement arrived from whoever connected, and when its answer left or its connection
-//! ended. Judged here, between both sides, one attempt at a time does not depend on what either side believes.
+//! The attempts of RPCs that a watch records: when a statement arrived from whoever connected, and when its answer left
+//! or its connection ended. Checked here, between both sides, that there is one attempt at a time does not depend on
+//! what either side believes.
 
 use super::operation::ConnectionId;
 use crate::plan::Side;
@@ -20,34 +21,41 @@
     pub begins: bool,
 }
 
-/// Notes attempts once it is started.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AttemptPhase {
+    Begins,
+    Ends,
+}
+
+/// Records attempts once it is started.
 #[derive(Default)]
 pub struct RpcWatch {
-    noted: Option<Vec<AttemptEvent>>,
+    /// None while it is not started.
+    recorded: Option<Vec<AttemptEvent>>,
     /// The RPC on each connection whose statement passed and whose answer has not.
     in_flight: HashMap<ConnectionId, String>,
 }
 
 impl RpcWatch {
     pub fn start(&mut self) {
-        self.noted = Some(Vec::new());
+        self.recorded = Some(Vec::new());
     }
 
-    /// Takes what was noted, and stops.
+    /// Takes what was recorded, and stops.
     pub fn take(&mut self) -> Vec<AttemptEvent> {
-        self.noted.take().unwrap_or_default()
+        self.recorded.take().unwrap_or_default()
     }
 
-    /// Notes what a unit shows of an RPC.
+    /// Records what a unit shows of an RPC.
     pub fn on_unit(&mut self, at: Time, connection: ConnectionId, sender: Side, unit: &Unit) {
-        if self.noted.is_none() {
+        if self.recorded.is_none() {
             return;
         }
         match (sender, unit.kind) {
             (Side::Client, "Query") => {
                 let Some(id) = rpc_id(&unit.bytes) else { return };
                 self.in_flight.insert(connection, id.to_owned());
-                self.note(at, connection, id.to_owned(), true);
+                self.record(at, connection, id.to_owned(), AttemptPhase::Begins);
             }
             (Side::Server, "ReadyForQuery") => self.on_ended(at, connection),
             _ => {}
@@ -57,13 +65,14 @@
     /// The connection's attempt has ended: answered, or given up by whoever connected.
     pub fn on_ended(&mut self, at: Time, connection: ConnectionId) {
         if let Some(id) = self.in_flight.remove(&connection) {
-            self.note(at, connection, id, false);
+            self.record(at, connection, id, AttemptPhase::Ends);
         }
     }
 
-    fn note(&mut self, at: Time, connection: ConnectionId, id: String, begins: bool) {
-        if let Some(noted) = &mut self.noted {
-            noted.push(AttemptEvent { at, link: connection.link, id, begins });
+    fn record(&mut self, at: Time, connection: ConnectionId, id: String, phase: AttemptPhase) {
+        if let Some(recorded) = &mut self.recorded {
+            let begins = phase == AttemptPhase::Begins;
+            recorded.push(AttemptEvent { at, link: connection.link, id, begins });
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/lib.rs
+++ b/crates/ladderpass-fault-injection/src/lib.rs
@@ -1,9 +1,10 @@
-//! A tool between sockets: its links listen on loopback and forward to an address, and a plan of rules says what is done to
-//! what passes.
+//! A tool between sockets: its links listen on loopback and forward to an address, and a plan of rules says what is
+//! done to what passes.
 //!
 //! - `plan` is the input: rules, each a trigger and an action, checked.
 //! - `stream` finds messages in bytes, however they are split into reads.
-//! - `engine` is the pure part: what arrives and the time in, operations on connections out, with a record of each decision.
+//! - `engine` is the pure part: what arrives and the time in, operations on connections out, with a record of each
+//!   decision.
 //! - `driver` owns the sockets, `control` the commands while it runs.
 //! - `datagrams` and `datagram_driver` are engine and driver for datagrams.
 //!
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,4 +1,5 @@
-//! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command line.
+//! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command
+//! line.
 
 use clap::{Parser, Subcommand};
 use ladderpass_fault_injection::driver::RunningTool;
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan: links, and rules with a trigger and an action each, as YAML or drawn from a seed. Its checks give one line that
-//! names the key. Field names are the keys of the file unless an attribute gives another.
+//! The plan: links, and rules with a trigger and an action each, as YAML or drawn from a seed. Its checks give one line
+//! that names the key. Field names are the keys of the file unless an attribute gives another.
 
 mod checks;
 pub(crate) mod datagrams;
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -1,5 +1,5 @@
-//! The part of a plan that concerns datagrams: the ends that exchange them, and rules. Field names are the keys of the file
-//! unless an attribute gives another.
+//! The part of a plan that concerns datagrams: the ends that exchange them, and rules. Field names are the keys of the
+//! file unless an attribute gives another.
 
 use super::distribution::Distribution;
 use super::yaml::parse_yaml;
--- a/crates/ladderpass-fault-injection/src/random.rs
+++ b/crates/ladderpass-fault-injection/src/random.rs
@@ -19,8 +19,8 @@
     SmallRng::seed_from_u64(parts.into_iter().fold(seed, mix))
 }
 
-/// A factor with the mean 1.
-pub fn factor(random: &mut SmallRng, distribution: Distribution) -> f64 {
+/// A random factor on a delay, with the mean 1.
+pub fn delay_factor(random: &mut SmallRng, distribution: Distribution) -> f64 {
     match distribution {
         Distribution::Constant => 1.0,
         Distribution::Uniform => random.random::<f64>() * 2.0,
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -1,5 +1,5 @@
-//! A record of each decision, without times: the same plan against the same traffic gives the same record. Connections are
-//! identified by their number on their link, so that the order in which the kernel serves several does not matter.
+//! A record of each decision, without times: the same plan against the same traffic gives the same record. Connections
+//! are identified by their number on their link, so that the order in which the kernel serves several does not matter.
 
 use crate::errors::RecordError;
 use crate::plan::Side;
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -1,6 +1,6 @@
-//! Finds messages in a stream of bytes: PostgreSQL v3 frames, HTTP/1.1 heads and chunks; or bytes as they arrive. However
-//! the bytes are split into reads, the messages are the same, which makes runs repeatable. From the first bytes on that
-//! can't be a message, a stream passes as plain bytes.
+//! Finds messages in a stream of bytes: PostgreSQL v3 frames, HTTP/1.1 heads and chunks; or bytes as they arrive.
+//! However the bytes are split into reads, the messages are the same, which makes runs repeatable. From the first bytes
+//! on that can't be a message, a stream passes as plain bytes.
 
 use crate::protocol::{Protocol, Side};
 
@@ -18,8 +18,13 @@
 /// The longest message that is buffered until it is complete; a longer one passes in pieces.
 pub const MAX_BUFFERED_MESSAGE_BYTES: usize = 256 << 10;
 
-/// The longest chunk size line of HTTP.
+/// The longest line with the size of a chunk in HTTP.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
+/// The end of a line, and of a head, in HTTP.
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
+/// The length at the start of a PostgreSQL message.
+const LENGTH_BYTES: usize = 4;
 
 /// Finds the messages of one direction of a connection.
 #[derive(Debug)]
@@ -73,15 +78,15 @@
                     ("rest", available)
                 }
                 Expected::First | Expected::Message => match self.next() {
-                    Next::Complete(kind, length) => {
+                    Next::Complete { kind, length } => {
                         self.expected = Expected::Message;
                         (kind, length)
                     }
                     Next::Incomplete => break,
                     // Only its head gets its kind, so that the unit does not depend on how much has arrived.
-                    Next::TooLong(kind, head, length) => {
-                        self.expected = Expected::Rest(length - head as u64);
-                        (kind, head)
+                    Next::TooLong { kind, head_bytes, length } => {
+                        self.expected = Expected::Rest(length - head_bytes as u64);
+                        (kind, head_bytes)
                     }
                     Next::NoMessage => {
                         self.expected = Expected::Bytes;
@@ -105,77 +110,94 @@
         (!bytes.is_empty()).then_some(Unit { offset, kind: "cut", bytes })
     }
 
+    /// What stands at the start of the buffer.
     fn next(&self) -> Next {
         match (self.protocol, self.expected) {
-            (Protocol::Postgres, Expected::First) => match self.buffer.first_chunk::<4>() {
-                None => Next::Incomplete,
-                Some(four) => {
-                    Next::from_length("Startup", u64::from(u32::from_be_bytes(*four)), 4, self.buffer.len())
-                }
-            },
-            (Protocol::Postgres, _) => {
-                let (Some(&kind), Some(four)) =
-                    (self.buffer.first(), self.buffer.get(1..).and_then(|rest| rest.first_chunk::<4>()))
-                else {
-                    return Next::Incomplete;
-                };
-                if !kind.is_ascii_alphabetic() {
-                    return Next::NoMessage;
-                }
-                let length = u64::from(u32::from_be_bytes(*four));
-                Next::from_length(frame_kind(self.side, kind), length + 1, 5, self.buffer.len())
-            }
-            (Protocol::Http, Expected::First) => {
-                match self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
-                    Some(end) => Next::Complete("Head", end + 4),
-                    None if self.buffer.len() > MAX_BUFFERED_MESSAGE_BYTES => Next::NoMessage,
-                    None => Next::Incomplete,
-                }
-            }
+            (Protocol::Postgres, Expected::First) => self.next_startup(),
+            (Protocol::Postgres, _) => self.next_frame(),
+            (Protocol::Http, Expected::First) => self.next_http_head(),
             // A request has a head alone; behind that of a response come chunks.
             (Protocol::Http, _) if self.side == Side::Client => Next::NoMessage,
-            (Protocol::Http, _) => {
-                let Some(end) = self.buffer.windows(2).position(|two| two == b"\r\n") else {
-                    return if self.buffer.len() > MAX_CHUNK_HEAD_BYTES {
-                        Next::NoMessage
-                    } else {
-                        Next::Incomplete
-                    };
-                };
-                let head = std::str::from_utf8(&self.buffer[..end]).unwrap_or("-");
-                match u64::from_str_radix(head.split(';').next().unwrap_or("-").trim(), 16) {
-                    Ok(size) => Next::from_length(
-                        "Chunk",
-                        size.saturating_add(end as u64 + 4),
-                        end + 2,
-                        self.buffer.len(),
-                    ),
-                    Err(_) => Next::NoMessage,
-                }
-            }
+            (Protocol::Http, _) => self.next_chunk(),
             (Protocol::Raw, _) => Next::NoMessage,
         }
     }
+
+    /// A startup message of PostgreSQL: its length, which counts itself, and its body.
+    fn next_startup(&self) -> Next {
+        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
+        let length = u64::from(u32::from_be_bytes(*length));
+        Next::from_length("Startup", length, LENGTH_BYTES, self.buffer.len())
+    }
+
+    /// A frame of PostgreSQL: its type, its length, which counts all but the type, and its body.
+    fn next_frame(&self) -> Next {
+        let Some((&frame_type, rest)) = self.buffer.split_first() else { return Next::Incomplete };
+        let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
+        if !frame_type.is_ascii_alphabetic() {
+            return Next::NoMessage;
+        }
+        let length = u64::from(u32::from_be_bytes(*length)) + 1;
+        Next::from_length(frame_kind(self.side, frame_type), length, 1 + LENGTH_BYTES, self.buffer.len())
+    }
+
+    fn next_http_head(&self) -> Next {
+        match position_of(HEAD_END, &self.buffer) {
+            Some(end) => Next::Complete { kind: "Head", length: end + HEAD_END.len() },
+            None if self.buffer.len() > MAX_BUFFERED_MESSAGE_BYTES => Next::NoMessage,
+            None => Next::Incomplete,
+        }
+    }
+
+    /// A chunk of HTTP: a line with its size in hexadecimal digits and, behind a semicolon, extensions; then its bytes
+    /// and the end of a line.
+    fn next_chunk(&self) -> Next {
+        let Some(size_end) = position_of(LINE_END, &self.buffer) else {
+            let is_too_long = self.buffer.len() > MAX_CHUNK_HEAD_BYTES;
+            return if is_too_long { Next::NoMessage } else { Next::Incomplete };
+        };
+        let size_line = std::str::from_utf8(&self.buffer[..size_end]).unwrap_or_default();
+        let size = size_line.split(';').next().unwrap_or_default().trim();
+        let Ok(size) = u64::from_str_radix(size, 16) else { return Next::NoMessage };
+        let head_bytes = size_end + LINE_END.len();
+        let length = size.saturating_add((head_bytes + LINE_END.len()) as u64);
+        Next::from_length("Chunk", length, head_bytes, self.buffer.len())
+    }
+}
+
+fn position_of(end: &[u8], bytes: &[u8]) -> Option<usize> {
+    bytes.windows(end.len()).position(|window| window == end)
 }
 
 /// What stands at the start of the buffer.
 enum Next {
-    /// A complete message: its kind and length.
-    Complete(&'static str, usize),
+    Complete {
+        kind: &'static str,
+        /// Its whole length, in bytes.
+        length: usize,
+    },
     /// The start of a message.
     Incomplete,
-    /// A message too long to be buffered: its kind, the length of its head, and its whole length.
-    TooLong(&'static str, usize, u64),
+    /// A message too long to be buffered.
+    TooLong {
+        kind: &'static str,
+        /// Length of its head, in bytes.
+        head_bytes: usize,
+        /// Its whole length, in bytes.
+        length: u64,
+    },
     NoMessage,
 }
 
 impl Next {
-    /// A message of this length, of which `head` bytes are the least and `buffered` are there.
-    fn from_length(kind: &'static str, length: u64, head: usize, buffered: usize) -> Next {
+    /// A message of this length, whose head of `head_bytes` counts in it, with `buffered` bytes of it at hand.
+    fn from_length(kind: &'static str, length: u64, head_bytes: usize, buffered: usize) -> Next {
         match length {
-            length if length < head as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
-            length if length > MAX_BUFFERED_MESSAGE_BYTES as u64 => Next::TooLong(kind, head, length),
-            length if length <= buffered as u64 => Next::Complete(kind, length as usize),
+            length if length < head_bytes as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
+            length if length > MAX_BUFFERED_MESSAGE_BYTES as u64 => {
+                Next::TooLong { kind, head_bytes, length }
+            }
+            length if length <= buffered as u64 => Next::Complete { kind, length: length as usize },
             _ => Next::Incomplete,
         }
     }
