--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -1,5 +1,5 @@
-//! The execution log: what ran where, as the members observed it. Checkers compare it with what clients received; neither
-//! the model nor a router decides anything by it.
+//! The execution log: what ran where, as the members observed it. Checkers compare it with what clients received;
+//! neither the model nor a router decides anything by it.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -19,18 +19,20 @@
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
+/// The end of the head of an HTTP request.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
 struct Connection {
     stream: TcpStream,
     owner: Owner,
     /// The startup message has arrived.
-    opened: bool,
+    is_open: bool,
     /// A watch of an endpoint list.
-    watching: bool,
+    is_watch: bool,
     input: Vec<u8>,
     output: Vec<u8>,
     /// To be closed once the output is written.
-    closing: bool,
+    closes_after_output: bool,
 }
 
 pub struct Driver {
@@ -160,11 +162,11 @@
             let connection = Connection {
                 stream,
                 owner,
-                opened: false,
-                watching: false,
+                is_open: false,
+                is_watch: false,
                 input: Vec::new(),
                 output: Vec::new(),
-                closing: false,
+                closes_after_output: false,
             };
             self.connections.insert(self.last_token, connection);
         }
@@ -229,9 +231,9 @@
         let id = self.connection_id(index);
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
         let mut used = 0;
-        if !connection.opened {
+        if !connection.is_open {
             let Some(length) = proto::parse_startup(input) else { return 0 };
-            connection.opened = true;
+            connection.is_open = true;
             used = length;
             self.shared.apply(self.thread, member, Input::ConnectionOpened(id));
         }
@@ -269,14 +271,14 @@
 
     /// Answers a watch's HTTP request with the complete list; returns how many bytes the request was.
     fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
-        let Some(end) = input.windows(4).position(|four| four == b"\r\n\r\n") else { return 0 };
+        let Some(end) = input.windows(HEAD_END.len()).position(|window| window == HEAD_END) else { return 0 };
         if let Some(connection) = self.connections.get_mut(&index) {
             connection.output.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            connection.watching = true;
+            connection.is_watch = true;
         }
         let line = self.shared.list_line(list, None);
         self.send_chunk(index, &line);
-        end + 4
+        end + HEAD_END.len()
     }
 
     /// Sends a line to all watches of a list, or of all lists.
@@ -284,7 +286,7 @@
         let is_of_list =
             |connection: &Connection| list.is_none_or(|list| connection.owner == Owner::Discovery(list));
         let watches =
-            self.connections.iter().filter(|(_, connection)| connection.watching && is_of_list(connection));
+            self.connections.iter().filter(|(_, connection)| connection.is_watch && is_of_list(connection));
         for index in watches.map(|(&index, _)| index).collect::<Vec<_>>() {
             self.send_chunk(index, line);
         }
@@ -330,7 +332,7 @@
             Reply::Error(sqlstate) => proto::put_error(out, "ERROR", sqlstate),
             Reply::FatalError(sqlstate) => {
                 proto::put_error(out, "FATAL", sqlstate);
-                connection.closing = true;
+                connection.closes_after_output = true;
             }
         }
         self.to_write.push(index);
@@ -353,7 +355,7 @@
                 Err(_) => return self.close(index),
             }
         }
-        if connection.closing {
+        if connection.closes_after_output {
             self.close(index);
         }
     }
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -12,24 +12,26 @@
 /// The owner of a listener or of a connection.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Owner {
+    /// The member with this index.
     Member(u32),
-    /// The discovery service of one endpoint list.
+    /// The discovery service of the endpoint list with this index.
     Discovery(usize),
 }
 
-/// What the controlling thread tells a driver.
+/// A command of the controlling thread to the drivers.
 pub enum Command {
-    /// A member crashes: its connections are closed.
+    /// The member with this index crashes: its connections are closed.
     Crash(u32),
-    /// A line for the watches of an endpoint list.
+    /// Sends a line to the watches of the endpoint list with this index.
     SendLine(usize, String),
+    /// Ends the thread.
     Stop,
 }
 
 /// One endpoint list.
 #[derive(Clone)]
 pub struct EndpointList {
-    /// Where it says that the members are, by their index.
+    /// The members' addresses, by their index.
     pub addresses: Vec<SocketAddr>,
     pub draining: BTreeSet<u32>,
     pub generation: u64,
@@ -111,7 +113,7 @@
     }
 
     /// A complete endpoint list, or the entry of one member, as a line of a watch.
-    pub fn list_line(&self, list: usize, only: Option<u32>) -> String {
+    pub fn list_line(&self, list: usize, changed: Option<u32>) -> String {
         let lists = lock(&self.lists);
         let Some(list) = lists.get(list) else { return String::new() };
         let mut entries = self.scenario.endpoint_entries(self.started_at, &list.addresses);
@@ -120,10 +122,10 @@
                 entry["lifecycle"] = "DRAINING".into();
             }
         }
-        if let Some(only) = only {
-            entries = entries.into_iter().skip(only as usize).take(1).collect();
+        if let Some(member) = changed {
+            entries = entries.into_iter().skip(member as usize).take(1).collect();
         }
-        let (generation, reset) = (list.generation, only.is_none());
+        let (generation, reset) = (list.generation, changed.is_none());
         format!("{}\n", serde_json::json!({"generation": generation, "reset": reset, "instances": entries}))
     }
 
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -24,21 +24,33 @@
 /// SQLSTATE of a read whose position the replica has not reached.
 const POSITION_NOT_REACHED: &str = "72000";
 /// SQLSTATE of a member without capacity: too_many_connections.
-const TOO_MANY: &str = "53300";
+const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// What a member does later.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Welcome(ConnectionId),
+    /// A connection is established.
+    ConnectionReady(ConnectionId),
+    /// A statement has run.
     Completed { connection: ConnectionId, id: Box<str>, method: u32 },
 }
 
+/// A timer of a member. They are ordered by time, then in the order in which they were set.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledTimer {
+    at: Time,
+    /// Counts the timers of the model; no two are equal.
+    number: u64,
+    member: u32,
+    timer: Timer,
+}
+
 /// All members of a scenario.
 pub struct Model {
     scenario: Scenario,
     members: Vec<Member>,
-    /// By time, in the order in which they were set: the member's index and what it does.
-    timers: BinaryHeap<Reverse<(Time, u64, u32, Timer)>>,
+    /// The earliest first.
+    timers: BinaryHeap<Reverse<ScheduledTimer>>,
     timers_set: u64,
     random: SmallRng,
     outputs: Vec<Output>,
@@ -64,14 +76,14 @@
         }
     }
 
-    /// What it was made of.
+    /// The scenario whose members these are.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
     /// When `advance` must be called next.
     pub fn next_wake(&self) -> Option<Time> {
-        self.timers.peek().map(|Reverse((at, ..))| *at)
+        self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
     /// Takes the replies since the last call.
@@ -116,7 +128,7 @@
             }
             Input::Crash => {
                 state.crash();
-                self.timers.retain(|Reverse((_, _, timer_member, _))| *timer_member != member);
+                self.timers.retain(|Reverse(scheduled)| scheduled.member != member);
             }
             Input::Restart => state.alive = true,
             Input::BecomePrimary => {
@@ -133,10 +145,10 @@
     /// Lets everything happen that is due by now.
     pub fn advance(&mut self, now: Time) {
         while self.next_wake().is_some_and(|at| at <= now)
-            && let Some(Reverse((at, _, member, timer))) = self.timers.pop()
+            && let Some(Reverse(ScheduledTimer { at, member, timer, .. })) = self.timers.pop()
         {
             match timer {
-                Timer::Welcome(connection) => {
+                Timer::ConnectionReady(connection) => {
                     if self.is_open(member, connection) {
                         self.outputs.push(Output { connection, reply: Reply::ConnectionReady });
                     }
@@ -155,19 +167,19 @@
     fn open(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
-            self.outputs.push(Output { connection, reply: Reply::FatalError(TOO_MANY) });
+            self.outputs.push(Output { connection, reply: Reply::FatalError(TOO_MANY_CONNECTIONS) });
             return;
         }
         state.connections.insert(connection, Connection::default());
         match Span::from_secs_f64(self.scenario.connect_ms / 1e3) {
             Span::ZERO => self.outputs.push(Output { connection, reply: Reply::ConnectionReady }),
-            connect_time => self.set_timer(now + connect_time, member, Timer::Welcome(connection)),
+            connect_time => self.set_timer(now + connect_time, member, Timer::ConnectionReady(connection)),
         }
     }
 
     fn set_timer(&mut self, at: Time, member: u32, timer: Timer) {
         self.timers_set += 1;
-        self.timers.push(Reverse((at, self.timers_set, member, timer)));
+        self.timers.push(Reverse(ScheduledTimer { at, number: self.timers_set, member, timer }));
     }
 
     fn is_open(&self, member: u32, connection: ConnectionId) -> bool {
@@ -221,11 +233,11 @@
         let state = self.members.get(member as usize)?;
         if writes && !state.primary {
             Some(READ_ONLY)
-        } else if min_position.is_some_and(|needed| needed > position) {
+        } else if min_position.is_some_and(|min_position| min_position > position) {
             Some(POSITION_NOT_REACHED)
         } else if state.queue.len() >= self.scenario.queue {
             self.execution_log.rejected += 1;
-            Some(TOO_MANY)
+            Some(TOO_MANY_CONNECTIONS)
         } else {
             None
         }
@@ -260,7 +272,7 @@
                         rejected: true,
                     });
                 }
-                self.outputs.push(Output { connection, reply: Reply::Error(TOO_MANY) });
+                self.outputs.push(Output { connection, reply: Reply::Error(TOO_MANY_CONNECTIONS) });
                 self.answer_pipelined(now, member, connection);
                 continue;
             }
@@ -281,8 +293,8 @@
             if let Some(state) = self.members.get_mut(member as usize) {
                 state.running += 1;
             }
-            let drawn: f64 = self.random.sample(Exp1);
-            self.set_timer(now + work * drawn, member, Timer::Completed { connection, id, method });
+            let work_factor: f64 = self.random.sample(Exp1);
+            self.set_timer(now + work * work_factor, member, Timer::Completed { connection, id, method });
         }
     }
 
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -35,11 +35,19 @@
 /// What a replica has applied, and what it has yet to apply on its one thread.
 struct ReplicationLog {
     applied: Time,
-    /// Commits to be applied, each with the time when it will be.
-    pending: VecDeque<(Time, Time)>,
+    /// Commits to be applied, the earliest first.
+    pending: VecDeque<PendingCommit>,
+    /// When the thread has applied all of them.
     thread_free_at: Time,
 }
 
+/// A commit that a replica has yet to apply.
+struct PendingCommit {
+    committed_at: Time,
+    /// When the replica has applied it.
+    applied_at: Time,
+}
+
 impl Member {
     pub fn new(now: Time, group: u32, primary: bool) -> Member {
         Member {
@@ -64,7 +72,7 @@
     /// The primary has committed a write at `now`: it arrives here after `transfer_time`, and takes `apply_time`.
     pub fn replicate(&mut self, now: Time, transfer_time: Span, apply_time: Span) {
         self.log.thread_free_at = self.log.thread_free_at.max(now + transfer_time) + apply_time;
-        self.log.pending.push_back((now, self.log.thread_free_at));
+        self.log.pending.push_back(PendingCommit { committed_at: now, applied_at: self.log.thread_free_at });
         // Bounds the log of a replica whose position nobody asks for.
         self.log.apply_until(now);
     }
@@ -75,7 +83,7 @@
         let reached = match self.log.pending.front() {
             _ if self.primary => now,
             // Everything but that commit: up to just before it.
-            Some(&(commit, _)) => (commit - Span::from_nanos(1)).min(now - transfer_time),
+            Some(commit) => (commit.committed_at - Span::from_nanos(1)).min(now - transfer_time),
             None => now - transfer_time,
         };
         self.log.applied = self.log.applied.max(reached);
@@ -85,8 +93,8 @@
 
 impl ReplicationLog {
     fn apply_until(&mut self, now: Time) {
-        while let Some((commit, _)) = self.pending.pop_front_if(|(_, at)| *at <= now) {
-            self.applied = self.applied.max(commit);
+        while let Some(commit) = self.pending.pop_front_if(|commit| commit.applied_at <= now) {
+            self.applied = self.applied.max(commit.committed_at);
         }
     }
 }
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -3,8 +3,8 @@
 
 use ladderpass_routing::{Span, Time};
 
-/// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where the
-/// bytes can't be a frame.
+/// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where
+/// the bytes can't be a frame.
 pub fn parse_frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let (&kind, rest) = bytes.split_first()?;
     let length = u32::from_be_bytes(*rest.first_chunk::<4>()?) as usize + 1;
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -1,5 +1,5 @@
-//! The YAML file that describes the emulated members: groups, replication, methods. It is checked once, and an error names
-//! the key. From it come the endpoint list and the configuration of a router in front of the members.
+//! The YAML file that describes the emulated members: groups, replication, methods. It is checked once, and an error
+//! names the key. From it come the endpoint list and the configuration of a router in front of the members.
 
 use ladderpass_routing::{Span, Time};
 use serde::Deserialize;
@@ -61,11 +61,11 @@
     /// Size of the value in an answer.
     #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
-    /// After this an answer earns a part of its utility, or none.
+    /// After this an answer has less utility, or none.
     pub soft_deadline_ms: f64,
-    /// What an answer in time is worth.
+    /// The utility of an answer in time.
     pub utility: f64,
-    /// Its part of all RPCs, relative to the sum of all shares.
+    /// Its share of all RPCs, relative to the sum of all shares.
     pub share: f64,
 }
 
