--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -44,10 +44,10 @@
             broken.push(Violation { rule: 2, rpc: Some(rpc), member: Some(member), text, proof });
         };
         match event.kind {
-            EventKind::Accepted { rpc, deadline: due, run_once: once, .. } => {
-                let state = RpcState { run_once: once, in_flight: None, executed: None, may_have_run: None };
+            EventKind::Accepted { rpc, deadline, run_once, .. } => {
+                let state = RpcState { run_once, in_flight: None, executed: None, may_have_run: None };
                 if self.rpcs.insert(rpc, state).is_none() {
-                    self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
+                    self.forget_at.insert((deadline + TRACK_AFTER_DEADLINE, rpc));
                 }
             }
             EventKind::AttemptSent { rpc, member } => {
@@ -60,7 +60,8 @@
                     let text = format!("RPC {rpc:x} is sent again though it may have run");
                     report(rpc, member, text, vec![first, *event]);
                 }
-                (state.in_flight, state.may_have_run) = (Some(*event), Some(*event));
+                state.in_flight = Some(*event);
+                state.may_have_run = Some(*event);
             }
             EventKind::AttemptEnded { rpc, .. } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
@@ -70,7 +71,8 @@
             // It never ran there, and may be sent again.
             EventKind::Rejected { rpc, .. } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
-                    (state.in_flight, state.may_have_run) = (None, None);
+                    state.in_flight = None;
+                    state.may_have_run = None;
                 }
             }
             EventKind::Executed { rpc, member } => {
--- a/crates/ladderpass-invariants/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -1,6 +1,6 @@
-//! The five invariants of ladderpass as checkers over a history: what clients sent and received, what reached members and
-//! ran there, and what discovery published. Events come in order of time; each checker reads each event once, and tracks
-//! an RPC no longer than it can still matter.
+//! The five invariants of ladderpass as checkers over a history: what clients sent and received, what reached members
+//! and ran there, and what discovery published. Events come in order of time; each checker reads each event once, and
+//! tracks an RPC no longer than it can still matter.
 //!
 //! The checkers judge from outside: they never see a router's state, and allow nothing that a rule forbids.
 
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -21,7 +21,7 @@
     deadline: Time,
     answered: Option<Event>,
     /// The client left, or its missing answer has been reported.
-    settled: bool,
+    no_answer_due: bool,
 }
 
 impl OneAnswer {
@@ -41,7 +41,7 @@
         {
             self.checks.pop_first();
             let Some(state) = self.rpcs.get(&rpc) else { continue };
-            if state.answered.is_none() && !state.settled {
+            if state.answered.is_none() && !state.no_answer_due {
                 let text = format!("RPC {rpc:x} has no answer in its time");
                 broken.push(Self::violation(rpc, text, vec![state.accepted]));
             }
@@ -49,7 +49,7 @@
             if at < forget_at {
                 // Still tracked, for an answer that comes too late or twice.
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
-                    state.settled = true;
+                    state.no_answer_due = true;
                 }
                 self.checks.insert((forget_at, rpc));
             } else {
@@ -59,7 +59,7 @@
     }
 
     fn on_accepted(&mut self, rpc: RpcId, deadline: Time, event: &Event) {
-        let state = RpcState { accepted: *event, deadline, answered: None, settled: false };
+        let state = RpcState { accepted: *event, deadline, answered: None, no_answer_due: false };
         if self.rpcs.insert(rpc, state).is_none() {
             self.checks.insert((deadline + self.tolerance.answer, rpc));
         }
@@ -99,13 +99,13 @@
     fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         self.expire(event.at, broken);
         match event.kind {
-            EventKind::Accepted { rpc, deadline: due, .. } => self.on_accepted(rpc, due, event),
+            EventKind::Accepted { rpc, deadline, .. } => self.on_accepted(rpc, deadline, event),
             EventKind::Answered { rpc, answer, made_for } => {
                 broken.extend(self.on_answered(rpc, answer, made_for, event));
             }
             EventKind::ClientLeft { rpc } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
-                    state.settled = true;
+                    state.no_answer_due = true;
                 }
             }
             _ => {}
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -1,9 +1,9 @@
-//! Rule 4: no member in slow start is overloaded. In any window of the settings' overload time a member gets no more RPCs,
-//! summed over all routers, than it can serve by its age, plus a margin for chance: two square roots of that number
-//! (two standard deviations of a Poisson process), and two.
+//! Rule 4: no member in slow start is overloaded. In any window of the settings' overload time a member gets no more
+//! RPCs, summed over all routers, than it can serve by its age, plus a margin for chance: two square roots of that
+//! number (two standard deviations of a Poisson process), and two.
 
 use crate::checker::{Checker, Violation};
-use crate::history::{Event, EventKind, MemberIndex};
+use crate::history::{Event, EventKind, MemberIndex, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
@@ -29,7 +29,8 @@
         self.max_excess.unwrap_or(f64::NEG_INFINITY)
     }
 
-    fn on_attempt(&mut self, rpc: u64, member: MemberIndex, event: &Event) -> Option<Violation> {
+    /// The violation that an attempt proves, if any.
+    fn on_attempt(&mut self, rpc: RpcId, member: MemberIndex, event: &Event) -> Option<Violation> {
         let state = self.members.get_mut(&member)?;
         if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM {
             self.members.remove(&member);
@@ -44,12 +45,12 @@
         let limit = expected + MARGIN_ROOTS * expected.sqrt() + MARGIN_RPCS;
         let excess = (state.window.len() as f64 - expected - MARGIN_RPCS) / expected.sqrt().max(1e-9);
         self.max_excess = Some(self.max_excess.map_or(excess, |before| before.max(excess)));
-        let unreported = state.reported.is_none_or(|reported| event.at - reported > state.overload_window);
-        let overloaded = state.window.len() as f64 > limit;
-        if !overloaded || !unreported {
+        let may_report = state.last_reported_at.is_none_or(|at| event.at - at > state.overload_window);
+        let is_overloaded = state.window.len() as f64 > limit;
+        if !is_overloaded || !may_report {
             return None;
         }
-        state.reported = Some(event.at);
+        state.last_reported_at = Some(event.at);
         let (count, secs) = (state.window.len(), state.overload_window.secs());
         let text = format!(
             "cold member {member} gets {count} RPCs within {secs} s and bears {expected:.1}, {limit:.1} by chance"
@@ -69,7 +70,7 @@
     /// Times of the attempts in the current window.
     window: VecDeque<Time>,
     /// When a violation was last reported: once a window.
-    reported: Option<Time>,
+    last_reported_at: Option<Time>,
 }
 
 impl MemberState {
@@ -77,9 +78,9 @@
     /// counts as at its start, so that a burst right after the start may use the budget of a whole window.
     fn cumulative_capacity(&self, age: f64) -> f64 {
         let warm = self.warm_up_time.secs().max(1e-9);
-        let ramp = age.clamp(0.0, warm);
+        let warm_up_age = age.clamp(0.0, warm);
         self.initial_fraction * age.min(warm)
-            + (1.0 - self.initial_fraction) * ramp * ramp / (2.0 * warm)
+            + (1.0 - self.initial_fraction) * warm_up_age * warm_up_age / (2.0 * warm)
             + (age - warm).max(0.0)
     }
 
@@ -94,21 +95,15 @@
 impl Checker for SlowStart {
     fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         match event.kind {
-            EventKind::Started {
-                member,
-                capacity,
-                initial_fraction: cold_from,
-                warm_up_time: warm_within,
-                overload_window: overload_for,
-            } => {
+            EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window } => {
                 let state = MemberState {
                     started: *event,
                     capacity,
-                    initial_fraction: cold_from,
-                    warm_up_time: warm_within,
-                    overload_window: overload_for,
+                    initial_fraction,
+                    warm_up_time,
+                    overload_window,
                     window: VecDeque::new(),
-                    reported: None,
+                    last_reported_at: None,
                 };
                 self.members.insert(member, state);
             }
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -22,8 +22,8 @@
 #[derive(Default)]
 struct MemberState {
     primary: bool,
-    /// Latest positions, each with the time of its report.
-    positions: VecDeque<(Time, Time)>,
+    /// The latest positions that it has reported.
+    positions: VecDeque<Time>,
 }
 
 impl Staleness {
@@ -51,7 +51,7 @@
         let max_staleness = *self.max_staleness.get(&rpc)?;
         let state = self.members.get(&member)?;
         // A member without any reported position can't be proven stale.
-        let position = state.positions.iter().map(|&(_, position)| position).max()?;
+        let position = state.positions.iter().copied().max()?;
         if state.primary || position + max_staleness + self.tolerance.position >= event.at {
             return None;
         }
@@ -68,16 +68,16 @@
     fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
         self.forget_expired(event.at);
         match event.kind {
-            EventKind::Accepted { rpc, deadline: due, max_staleness: Some(bound), .. } => {
-                self.max_staleness.insert(rpc, bound);
-                self.forget_at.insert((due + TRACK_AFTER_DEADLINE, rpc));
+            EventKind::Accepted { rpc, deadline, max_staleness: Some(max_staleness), .. } => {
+                self.max_staleness.insert(rpc, max_staleness);
+                self.forget_at.insert((deadline + TRACK_AFTER_DEADLINE, rpc));
             }
             EventKind::Primary { member, primary } => {
                 self.members.entry(member).or_default().primary = primary
             }
             EventKind::PositionReached { member, position } => {
                 let state = self.members.entry(member).or_default();
-                state.positions.push_back((event.at, position));
+                state.positions.push_back(position);
                 while state.positions.len() > MAX_POSITIONS_PER_MEMBER {
                     state.positions.pop_front();
                 }
