--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -25,8 +25,8 @@
 use crate::state::session::SessionWrites;
 use crate::time::{Span, Time};
 use crate::types::{
-    Arrival, AttemptOutcome, AttemptResult, Decision, Deployment, EndpointState, EndpointUpdate, LoadReport,
-    MemberId, MemberLoad, MemberUpdate, OverloadState, RpcId, TickOutput,
+    Arrival, AttemptOutcome, AttemptResult, Decision, Deployment, EndpointState, EndpointUpdate,
+    KnownPosition, LoadReport, MemberId, MemberLoad, MemberUpdate, OverloadState, RpcId, TickOutput,
 };
 use nanorand::{Rng, WyRand};
 
@@ -167,11 +167,11 @@
         self.known_member(member).is_some_and(|known| known.endpoint_state == EndpointState::Active)
     }
 
-    /// The newest proven position of a member, and whether it is its group's primary.
-    pub fn known_position(&self, member: MemberId) -> Option<(Time, bool)> {
+    /// The newest proven position of a member; none where no list has named it.
+    pub fn known_position(&self, member: MemberId) -> Option<KnownPosition> {
         let known = self.known_member(member)?;
         let primary = self.state.topology.groups.get(known.group)?.primary;
-        Some((known.position, primary == Some(member.0 as usize)))
+        Some(KnownPosition { position: known.position, is_primary: primary == Some(member.0 as usize) })
     }
 
     /// What this router sees of each active member, for a load report to the other routers.
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -347,6 +347,15 @@
     pub wake_at: Option<Time>,
 }
 
+/// The newest position that a member has proven, and its role.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownPosition {
+    /// Up to where it has applied its group's log.
+    pub position: Time,
+    /// This router knows it as its group's primary.
+    pub is_primary: bool,
+}
+
 /// The load of a member, as this router alone sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLoad {
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -168,7 +168,9 @@
 fn know_primary(simulation: &Simulation, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
-        simulation.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
+        simulation
+            .reducer(router)
+            .map(|reducer| reducer.known_position(&id).is_some_and(|known| known.is_primary))
     };
     (0..simulation.shape.routers).filter_map(knows).all(|knows| knows)
 }
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -78,7 +78,7 @@
     // Group 0 has the members 0, 2 and 4.
     let leads = |simulation: &Simulation, member: usize| {
         let knows = |router| simulation.reducer(router)?.known_position(&member_id(member));
-        (0..4).filter_map(knows).filter(|&(_, primary)| primary).count()
+        (0..4).filter_map(knows).filter(|known| known.is_primary).count()
     };
     assert_eq!((leads(&simulation, 0), leads(&simulation, 2)), (4, 0));
     simulation.members[0].primary = false;
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -56,7 +56,7 @@
 use endpoint_list::EndpointIndexes;
 use ladderpass_config::gossip::GossipCodec;
 use ladderpass_routing::reference_clock::ReferenceClock;
-use ladderpass_routing::{MemberId, Router, Span, Time};
+use ladderpass_routing::{KnownPosition, MemberId, Router, Span, Time};
 use member_connection::Job;
 use member_pools::MemberPools;
 use methods::MethodTable;
@@ -159,7 +159,7 @@
     }
 
     /// The newest proven position of a member, by its id, and whether it is known as a primary.
-    pub fn known_position(&self, id: &str) -> Option<(Time, bool)> {
+    pub fn known_position(&self, id: &str) -> Option<KnownPosition> {
         self.router.known_position(MemberId(self.members.names().get(id)?))
     }
 
