--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -9,6 +9,7 @@
 use crate::group::{Group, GroupMetrics};
 use crate::peer_reports::{PeerReports, WeightedReport};
 use crate::report::{GroupReport, MAX_MEMBERS, REPORT_VERSION, append_report, decode_reports};
+use crate::threshold::GroupThreshold;
 use ladderpass_routing::{MemberLoad, PRIORITY_COUNT, Span, Time};
 use std::collections::BTreeMap;
 
@@ -87,13 +88,12 @@
         self.reports.alive_count()
     }
 
-    /// The priority below which all routers reject, and the share of the load that is rejected, from 0 to 1.
-    pub fn threshold(&self, group: u32) -> (f64, f64) {
+    /// What all routers reject of a group's load: nothing of a group that is not known.
+    pub fn threshold(&self, group: u32) -> GroupThreshold {
         if self.faulty == Faulty::IgnoresThreshold {
-            return (0.0, 0.0);
+            return GroupThreshold::default();
         }
-        let admission = self.groups.get(&group).map(|group| &group.admission);
-        admission.map_or((0.0, 0.0), |admission| (admission.threshold, admission.pressure))
+        self.groups.get(&group).map_or(GroupThreshold::default(), |group| group.admission.group_threshold())
     }
 
     /// When [`AdmissionController::tick`] is due.
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -33,3 +33,4 @@
 #[doc(hidden)]
 pub use report::REPORT_VERSION;
 pub use report::{GroupReport, MemberReport, append_report, decode_reports};
+pub use threshold::GroupThreshold;
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -36,6 +36,15 @@
 const OFFERED_HEADROOM: f64 = 1.2;
 const OFFERED_HEADROOM_PER_SECOND: f64 = 1.0;
 
+/// What all routers reject of a group's load, as of the last step.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct GroupThreshold {
+    /// RPCs of a lower priority are rejected; the fraction is the share of its own priority which is. 0: none is.
+    pub priority: f64,
+    /// Share of the offered load that is rejected, from 0 to 1.
+    pub pressure: f64,
+}
+
 /// The admitted rate and the threshold of a group.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionThreshold {
@@ -54,6 +63,11 @@
 }
 
 impl AdmissionThreshold {
+    /// What is rejected from now on.
+    pub fn group_threshold(&self) -> GroupThreshold {
+        GroupThreshold { priority: self.threshold, pressure: self.pressure }
+    }
+
     /// One step, by the present rates of all routers.
     pub fn update(&mut self, totals: &FleetTotals) {
         self.update_admitted(totals);
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -115,7 +115,7 @@
         let secs = STEP.secs();
         let mut admitted = vec![Load::default(); self.routers.len()];
         for &index in alive {
-            let (threshold, _) = self.routers[index].threshold(GROUP);
+            let threshold = self.routers[index].threshold(GROUP).priority;
             let admitted_share = |priority: u32| (1.0 - (threshold - f64::from(priority))).clamp(0.0, 1.0);
             let load = self.load[index];
             let (high, low) = (self.draw(load.high * secs), self.draw(load.low * secs));
@@ -217,7 +217,7 @@
     /// Thresholds of the routers that are alive.
     pub fn thresholds(&self) -> Vec<f64> {
         let alive = (0..self.routers.len()).filter(|&index| self.alive[index]);
-        alive.map(|index| self.routers[index].threshold(GROUP).0).collect()
+        alive.map(|index| self.routers[index].threshold(GROUP).priority).collect()
     }
 }
 
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -1,7 +1,7 @@
 //! The admission threshold: all routers agree on it, and it follows the load.
 
 use crate::simulation::{GROUP, HIGH, LOW, START, STEP, Simulation, spread, uneven_overload};
-use ladderpass_admission::{AdmissionController, Faulty};
+use ladderpass_admission::{AdmissionController, Faulty, GroupThreshold};
 
 #[test]
 fn three_hundred_routers_agree_on_one_threshold() {
@@ -78,7 +78,7 @@
             (0..30).for_each(|_| controller.record_served(GROUP));
             (0..30).for_each(|_| controller.record_unplaced(GROUP));
             controller.tick(START + STEP * f64::from(step), &[]);
-            controller.threshold(GROUP).0
+            controller.threshold(GROUP).priority
         })
         .collect();
     assert_eq!(&thresholds[..2], &[0.0, 0.0]);
@@ -93,6 +93,6 @@
     sim.run(30);
     sim.routers[0].record_offered(8, LOW);
     sim.run(4);
-    assert!(sim.routers[0].threshold(GROUP).0 > 0.0);
-    assert_eq!(sim.routers[0].threshold(8), (0.0, 0.0));
+    assert!(sim.routers[0].threshold(GROUP).priority > 0.0);
+    assert_eq!(sim.routers[0].threshold(8), GroupThreshold { priority: 0.0, pressure: 0.0 });
 }
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -8,7 +8,7 @@
 use super::event::Effect;
 use super::peer_log;
 use crate::launch::Launch;
-use ladderpass_admission::{AdmissionController, GroupMetrics, admission_draw};
+use ladderpass_admission::{AdmissionController, GroupMetrics, GroupThreshold, admission_draw};
 use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter, Membership, Settings, View, router_hash};
 use ladderpass_retry_budget::{RetryBudget, RetryRates};
 use ladderpass_routing::{Arrival, MemberLoad, MemberUpdate, OverloadState, Router, Span, Time};
@@ -100,7 +100,7 @@
         let Some((admission, group)) = self.admission_for(arrival.group) else {
             return AdmissionVerdict::default();
         };
-        let (threshold, pressure) = admission.threshold(group);
+        let GroupThreshold { priority: threshold, pressure } = admission.threshold(group);
         let state = OverloadState {
             pressure,
             admission_threshold: threshold,
