--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -37,8 +37,17 @@
 /// This router's limits, for the routing core.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberLimits {
-    /// RPCs that this router may have in flight at each member.
-    pub in_flight: Vec<(MemberId, f64)>,
+    /// One of each member that this router observes.
+    pub members: Vec<MemberLimit>,
+}
+
+/// This router's limit at one member.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MemberLimit {
+    /// The member.
+    pub member: MemberId,
+    /// RPCs that this router may have in flight there.
+    pub max_in_flight: f64,
 }
 
 /// This router's quota after a step, from 0 to 1: its share of what is offered. Where too few others report, it stays.
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -1,6 +1,6 @@
 //! The state of one group, and the step that computes it anew.
 
-use crate::capacity::{MemberLimits, compute_limit, compute_quota, estimate_member, report_id};
+use crate::capacity::{MemberLimit, MemberLimits, compute_limit, compute_quota, estimate_member, report_id};
 use crate::peer_reports::WeightedReport;
 use crate::rates::Rates;
 use crate::report::MemberReport;
@@ -87,7 +87,8 @@
             let known = self.members.get(&report_id(load));
             let member = estimate_member(known, load, reports, totals.scale);
             total_capacity += member.capacity;
-            limits.in_flight.push((load.member, compute_limit(member.capacity, self.quota)));
+            let max_in_flight = compute_limit(member.capacity, self.quota);
+            limits.members.push(MemberLimit { member: load.member, max_in_flight });
             members.insert(member.id_hash, member);
         }
         self.members = members;
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -25,7 +25,7 @@
 mod threshold;
 mod totals;
 
-pub use capacity::MemberLimits;
+pub use capacity::{MemberLimit, MemberLimits};
 pub use controller::AdmissionController;
 pub use draw::admission_draw;
 pub use faulty::Faulty;
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -32,7 +32,7 @@
                 failure_share,
             };
             let limits = controller.tick(START + STEP * f64::from(step), &[load]).expect("a step is due");
-            limit = limits.in_flight[0].1;
+            limit = limits.members[0].max_in_flight;
         }
         limit
     };
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -159,7 +159,7 @@
                 })
                 .collect();
             if let Some(limits) = self.routers[index].tick(self.now, &loads) {
-                self.limits[index] = limits.in_flight.iter().map(|(_, limit)| *limit).collect();
+                self.limits[index] = limits.members.iter().map(|limit| limit.max_in_flight).collect();
             }
         }
     }
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -191,8 +191,8 @@
         let loads: Vec<MemberLoad> =
             router.member_loads(now).map(|load| MemberLoad { group: number(load.group), ..load }).collect();
         if let Some(limits) = admission.tick(now, &loads) {
-            for &(member, limit) in &limits.in_flight {
-                router.set_concurrency_limit(member, limit);
+            for limit in &limits.members {
+                router.set_concurrency_limit(limit.member, limit.max_in_flight);
             }
         }
         if let Some(retry_budget) = &mut self.retry_budget {
