--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -8,8 +8,9 @@
 use crate::faulty::Faulty;
 use crate::group::{Group, GroupMetrics};
 use crate::peer_reports::{PeerReports, WeightedReport};
-use crate::report::{GroupReport, MAX_MEMBERS, REPORT_VERSION, append_report, decode_reports};
+use crate::report::{GroupReport, MAX_MEMBERS, OfferedRate, REPORT_VERSION, append_report, decode_reports};
 use crate::threshold::GroupThreshold;
+use ladderpass_retry_budget::{RetryRates, WeightedRates};
 use ladderpass_routing::{MemberLoad, PRIORITY_COUNT, Span, Time};
 use std::collections::BTreeMap;
 
@@ -73,14 +74,15 @@
         self.group_mut(group).counts.unplaced += 1.0;
     }
 
-    /// Sets the rates of attempts that this router reports: first ones; retries wanted, granted, and successful.
-    pub fn set_retry_rates(&mut self, group: u32, rates: [f64; 4]) {
+    /// Sets the rates of first attempts and retries that this router reports of a group.
+    pub fn set_retry_rates(&mut self, group: u32, rates: RetryRates) {
         self.group_mut(group).retry_rates = rates;
     }
 
-    /// The rates of attempts that the others report, each with its weight from 0 to 1.
-    pub fn peer_retry_rates(&self, now: Time, group: u32) -> impl Iterator<Item = ([f64; 4], f64)> {
-        self.reports.of_group(now, group).map(|weighted| (weighted.report.retry_rates, weighted.weight))
+    /// The rates of first attempts and retries that the others report of a group.
+    pub fn peer_retry_rates(&self, now: Time, group: u32) -> impl Iterator<Item = WeightedRates> {
+        let reports = self.reports.of_group(now, group);
+        reports.map(|WeightedReport { report, weight }| WeightedRates { rates: report.retry_rates, weight })
     }
 
     /// Number of other routers that are alive.
@@ -128,7 +130,8 @@
     fn own_report(&self, id: u32) -> GroupReport {
         let Some(group) = self.groups.get(&id) else { return GroupReport::default() };
         let factor = if self.faulty == Faulty::ReportsTenfold { 10.0 } else { 1.0 };
-        let offered = group.rates.offered.iter().rev().map(|(&priority, &rate)| (priority, rate * factor));
+        let offered = group.rates.offered.iter().rev();
+        let offered = offered.map(|(&priority, &rate)| OfferedRate { priority, per_second: rate * factor });
         // Of many members, each report has some in turn.
         let count = group.members.len();
         let first = if count > MAX_MEMBERS { usize::from(self.sequence) * MAX_MEMBERS % count } else { 0 };
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -6,6 +6,7 @@
 use crate::report::MemberReport;
 use crate::threshold::AdmissionThreshold;
 use crate::totals::FleetTotals;
+use ladderpass_retry_budget::RetryRates;
 use ladderpass_routing::MemberLoad;
 use std::collections::BTreeMap;
 
@@ -45,8 +46,8 @@
     pub members: BTreeMap<u16, MemberReport>,
     /// This router's share of the capacity.
     quota: f64,
-    /// Attempts a second, computed elsewhere and reported along.
-    pub retry_rates: [f64; 4],
+    /// Of this router, as the retry budget counts them; reported along.
+    pub retry_rates: RetryRates,
     pub metrics: GroupMetrics,
 }
 
@@ -58,7 +59,7 @@
             admission: AdmissionThreshold::default(),
             members: BTreeMap::new(),
             quota,
-            retry_rates: [0.0; 4],
+            retry_rates: RetryRates::default(),
             metrics: GroupMetrics::default(),
         }
     }
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -3,7 +3,8 @@
 //!
 //! - [`AdmissionController`] (`controller`): the entry points. It composes the other modules, every 250 ms.
 //! - `rates`: moving averages of what this router was offered and served.
-//! - `report`: the encoding of what a router reports of a group; `peer_reports`: those received, weighted by age.
+//! - `report`: the encoding of what a router reports of a group, the rates of its retry budget included;
+//!   `peer_reports`: those received, weighted by age.
 //! - `totals`: what all routers were offered and served, from the reports.
 //! - `threshold`: how many RPCs a second are admitted, and the priority below which all routers reject.
 //! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of it.
@@ -32,5 +33,5 @@
 pub use group::GroupMetrics;
 #[doc(hidden)]
 pub use report::REPORT_VERSION;
-pub use report::{GroupReport, MemberReport, append_report, decode_reports};
+pub use report::{GroupReport, MemberReport, OfferedRate, append_report, decode_reports};
 pub use threshold::GroupThreshold;
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -3,6 +3,7 @@
 //!
 //! What can't be decoded is dropped, with all that follows it.
 
+use ladderpass_retry_budget::RetryRates;
 use ladderpass_routing::Span;
 
 /// The first byte of a bundle of reports. One of another version is dropped, so that routers of two versions can run
@@ -35,20 +36,29 @@
     pub age: Span,
     /// The id of the group.
     pub group: u32,
-    /// RPCs a second by priority, the highest first.
-    pub offered: Vec<(u8, f64)>,
+    /// What it was offered, the highest priority first.
+    pub offered: Vec<OfferedRate>,
     /// RPCs a second that were served.
     pub served: f64,
     /// RPCs a second that were admitted and that no member had capacity for.
     pub unplaced: f64,
     /// The router's estimate of how many RPCs a second all routers can admit.
     pub admitted: f64,
-    /// Attempts a second: first ones; retries that were wanted, granted, and successful.
-    pub retry_rates: [f64; 4],
+    /// Its first attempts and retries.
+    pub retry_rates: RetryRates,
     /// What the router observed at members.
     pub members: Vec<MemberReport>,
 }
 
+/// How much of one priority a router was offered.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OfferedRate {
+    /// The priority.
+    pub priority: u8,
+    /// RPCs a second.
+    pub per_second: f64,
+}
+
 /// What one router observed at a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemberReport {
@@ -86,11 +96,11 @@
     bytes.push((report.age.nanos() / AGE_STEP.nanos()).clamp(0, 255) as u8);
     bytes.extend(report.group.to_be_bytes());
     bytes.push((priorities << 4 | members) as u8);
-    for (priority, rate) in &report.offered[..priorities] {
-        bytes.extend([*priority, encode_amount(*rate)]);
+    for offered in &report.offered[..priorities] {
+        bytes.extend([offered.priority, encode_amount(offered.per_second)]);
     }
     bytes.extend([report.served, report.unplaced, report.admitted].map(encode_amount));
-    bytes.extend(report.retry_rates.map(encode_amount));
+    bytes.extend(report.retry_rates.to_array().map(encode_amount));
     for member in &report.members[..members] {
         bytes.extend(member.id_hash.to_be_bytes());
         bytes.extend([member.in_flight, member.latency_ratio, member.capacity].map(encode_amount));
@@ -113,10 +123,10 @@
     let mut offered = Vec::new();
     for _ in 0..counts >> 4 {
         let [priority, rate] = take_bytes(rest)?;
-        offered.push((priority, decode_amount(rate)));
+        offered.push(OfferedRate { priority, per_second: decode_amount(rate) });
     }
     let [served, unplaced, admitted] = take_bytes(rest)?.map(decode_amount);
-    let retry_rates = take_bytes(rest)?.map(decode_amount);
+    let retry_rates = RetryRates::from_array(take_bytes(rest)?.map(decode_amount));
     let mut members = Vec::new();
     for _ in 0..counts & 15 {
         members.push(decode_member(rest)?);
--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -51,8 +51,9 @@
             let reported = total_offered(report);
             let clamp_factor = if reported > max_offered { max_offered / reported } else { 1.0 };
             clamped_reports += usize::from(clamp_factor < 1.0);
-            for (priority, rate) in &report.offered {
-                *offered_by_priority.entry(*priority).or_default() += rate * weight * clamp_factor;
+            for offered in &report.offered {
+                let rate = offered_by_priority.entry(offered.priority).or_default();
+                *rate += offered.per_second * weight * clamp_factor;
             }
             served += report.served.min(reported * clamp_factor) * weight;
             unplaced += report.unplaced.min(reported * clamp_factor) * weight;
@@ -84,5 +85,5 @@
 }
 
 fn total_offered(report: &GroupReport) -> f64 {
-    report.offered.iter().map(|(_, rate)| rate).sum::<f64>()
+    report.offered.iter().map(|offered| offered.per_second).sum::<f64>()
 }
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -3,7 +3,7 @@
 use crate::faulty::Faulty;
 use crate::metrics::GroupMetrics;
 use crate::quota::FleetRates;
-use crate::rates::RetryRates;
+use crate::rates::{RetryRates, WeightedRates};
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
@@ -146,11 +146,11 @@
         self.groups.get(&group).map_or(RetryRates::default(), |budget| budget.rates)
     }
 
-    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group, each with its weight
-    /// from 0 to 1; `alive_peers` is how many others are alive.
+    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group; `alive_peers` is how
+    /// many others are alive.
     pub fn rebalance<I>(&mut self, now: Time, alive_peers: usize, peer_rates: impl Fn(u32) -> I)
     where
-        I: Iterator<Item = (RetryRates, f64)>,
+        I: Iterator<Item = WeightedRates>,
     {
         let secs = (now - self.last_step_at).secs().clamp(0.0, STEP.secs() * MAX_STEPS_REFILLED);
         self.last_step_at = now;
--- a/crates/ladderpass-retry-budget/src/lib.rs
+++ b/crates/ladderpass-retry-budget/src/lib.rs
@@ -21,4 +21,4 @@
 pub use budget::RetryBudget;
 pub use faulty::Faulty;
 pub use metrics::GroupMetrics;
-pub use rates::RetryRates;
+pub use rates::{RetryRates, WeightedRates};
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -1,6 +1,6 @@
 //! The budget of all routers, from their rates, and this router's quota of it.
 
-use crate::rates::RetryRates;
+use crate::rates::{RetryRates, WeightedRates};
 
 /// Retries that all routers may spend while all retries succeed, as a share of their first attempts.
 const MAX_RATIO: f64 = 0.5;
@@ -32,13 +32,13 @@
 impl FleetRates {
     pub fn sum(
         own: RetryRates,
-        reports: impl Iterator<Item = (RetryRates, f64)>,
+        reports: impl Iterator<Item = WeightedRates>,
         alive_peers: usize,
     ) -> FleetRates {
         let mut total = own;
         let mut reporting_peers = 0.0;
-        for (reported, weight) in reports {
-            total.add_weighted(reported, weight);
+        for WeightedRates { rates, weight } in reports {
+            total.add_weighted(rates, weight);
             reporting_peers += weight;
         }
         FleetRates { own, total, reporting_peers, peers: alive_peers as f64 }
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -18,6 +18,15 @@
     pub retries_succeeded: f64,
 }
 
+/// What another router reports of a group, with the weight of its report.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WeightedRates {
+    /// Attempts a second.
+    pub rates: RetryRates,
+    /// From 0 to 1: less for an older report.
+    pub weight: f64,
+}
+
 impl RetryRates {
     /// The rates in the order in which reports carry them: first attempts; retries wanted, granted, succeeded.
     pub fn to_array(self) -> [f64; 4] {
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,7 +1,7 @@
 //! Routers in steps of 250 ms: first attempts fail at random, retries succeed at random, reports are a step old, routers
 //! die and are partitioned. What all routers spend is counted from outside.
 
-use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates};
+use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates, WeightedRates};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 
@@ -119,9 +119,9 @@
                     self.partitioned_at > 0 && (other < self.partitioned_at) != (index < self.partitioned_at);
                 other != index && self.alive[other] && !is_partitioned
             };
-            let reports: Vec<(RetryRates, f64)> = (0..reported.len())
+            let reports: Vec<WeightedRates> = (0..reported.len())
                 .filter(|&other| is_reachable(other))
-                .map(|other| (reported[other], 1.0))
+                .map(|other| WeightedRates { rates: reported[other], weight: 1.0 })
                 .collect();
             self.routers[index].rebalance(self.now, reports.len(), |_| reports.iter().copied());
             self.reported[index] = self.routers[index].own_rates(GROUP);
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -10,7 +10,7 @@
 use crate::launch::Launch;
 use ladderpass_admission::{AdmissionController, GroupMetrics, GroupThreshold, admission_draw};
 use ladderpass_membership::{Change, FIRST_BYTE, LocalRouter, Membership, Settings, View, router_hash};
-use ladderpass_retry_budget::{RetryBudget, RetryRates};
+use ladderpass_retry_budget::RetryBudget;
 use ladderpass_routing::{Arrival, MemberLoad, MemberUpdate, OverloadState, Router, Span, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -196,13 +196,10 @@
             }
         }
         if let Some(retry_budget) = &mut self.retry_budget {
-            let peer_rates = |group| {
-                let rates = admission.peer_retry_rates(now, group);
-                rates.map(|(rates, weight)| (RetryRates::from_array(rates), weight))
-            };
+            let peer_rates = |group| admission.peer_retry_rates(now, group);
             retry_budget.rebalance(now, admission.alive_peers(), peer_rates);
             for &group in group_numbers {
-                admission.set_retry_rates(group, retry_budget.own_rates(group).to_array());
+                admission.set_retry_rates(group, retry_budget.own_rates(group));
             }
         }
         self.membership.set_piggyback(admission.encode_reports(now, PIGGYBACK_BYTES));
