--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -8,7 +8,7 @@
 //! - `totals`: what all routers were offered and served, from the reports.
 //! - `threshold`: how many RPCs a second are admitted, and the priority below which all routers reject.
 //! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of it.
-//! - `consensus`: how a router's belief follows that of the others.
+//! - `consensus`: how a router's estimate follows those of the others.
 //! - `group`: the state of one group; `draw`: the random draw of a session, the same at all routers.
 //!
 //! The package does no I/O, reads no clock and rejects no RPC: the routing core does, by the threshold
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -3,8 +3,9 @@
 use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::PeersSection;
 use super::units::{parse_address, parse_network};
+use ladderpass_membership::Network;
 use serde_saphyr::Spanned;
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 /// The most addresses in a list.
 const MAX_ADDRESSES: usize = 1000;
@@ -18,8 +19,8 @@
     pub address: SocketAddr,
     /// Where others may be found; those that are found name the rest.
     pub listed: Vec<SocketAddr>,
-    /// Networks from which routers that nobody lists may join: address, and how many bits of it count.
-    pub networks: Vec<(IpAddr, u8)>,
+    /// Networks from which routers that nobody lists may join.
+    pub networks: Vec<Network>,
     /// The file has the legacy form: a fixed list, and this router's index in it.
     pub legacy_form: bool,
 }
--- a/crates/ladderpass-config/src/operator/units.rs
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -3,6 +3,7 @@
 //! A `set_` function leaves the field as it was where the file has no such key.
 
 use super::errors::{OperatorFileError, ValueProblem};
+use ladderpass_membership::Network;
 use ladderpass_routing::Span;
 use serde_saphyr::Spanned;
 use std::net::{IpAddr, SocketAddr};
@@ -73,13 +74,13 @@
     usable.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Address(text.value.clone())))
 }
 
-/// Reads a network, such as `10.0.0.0/8`: its address, and how many bits of it count.
-pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<(IpAddr, u8), OperatorFileError> {
-    let network = text.value.split_once('/').and_then(|(ip, bits)| {
-        let ip = ip.parse::<IpAddr>().ok()?;
-        let bits = bits.parse::<u8>().ok()?;
-        let max = if ip.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
-        (bits <= max).then_some((ip, bits))
+/// Reads a network, such as `10.0.0.0/8`.
+pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<Network, OperatorFileError> {
+    let network = text.value.split_once('/').and_then(|(address, prefix_bits)| {
+        let address = address.parse::<IpAddr>().ok()?;
+        let prefix_bits = prefix_bits.parse::<u8>().ok()?;
+        let max_bits = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        (prefix_bits <= max_bits).then_some(Network { address, prefix_bits })
     });
     network.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Network(text.value.clone())))
 }
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -22,7 +22,10 @@
     assert!(peers.legacy_form && peers.networks.is_empty());
     let text = "peers: {listen: '10.0.0.9:7400', address: '[fd00::9]:7400', listed: [], networks: ['fd00::/8', '10.0.0.0/9']}";
     let peers = read(text).expect("all of it is allowed").peers.expect("it is there");
-    assert_eq!((peers.listen.port(), peers.address.is_ipv6(), peers.networks[1].1), (7400, true, 9));
+    assert_eq!(
+        (peers.listen.port(), peers.address.is_ipv6(), peers.networks[1].prefix_bits),
+        (7400, true, 9)
+    );
     assert!(!peers.legacy_form);
     assert_eq!((operator.zone.as_deref(), operator.weights_are_concurrency), (Some("a"), true));
 }
--- a/crates/ladderpass-membership/src/lib.rs
+++ b/crates/ladderpass-membership/src/lib.rs
@@ -12,13 +12,14 @@
 //! - `dissemination`: piggybacked updates, gossip and view synchronisation; `update_queue`: updates yet to be sent.
 //! - `peer_selection`: whom to probe, to ask for an indirect probe, and to send gossip to.
 //! - `local_health`: Lifeguard's local health score, and whether this router is isolated.
-//! - `senders`: from which addresses datagrams are accepted.
+//! - `senders`: from which addresses datagrams are accepted; `network`: networks in CIDR form.
 //! - `message`, `router_state`: the datagram and its parts; `router_hash`: ids derived from addresses.
 
 mod dissemination;
 mod local_health;
 mod membership;
 mod message;
+mod network;
 mod peer_selection;
 mod probe;
 mod probe_table;
@@ -37,6 +38,7 @@
 pub use message::FIRST_BYTE;
 #[doc(hidden)]
 pub use message::{Kind, Message};
+pub use network::Network;
 pub use router_hash::router_hash;
 #[doc(hidden)]
 pub use router_state::StateUpdate;
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -6,6 +6,7 @@
 
 use crate::local_health::LocalHealth;
 use crate::message::{Kind, Message};
+use crate::network::Network;
 use crate::probe_table::ProbeTable;
 use crate::router_state::{Incarnation, State, StateUpdate};
 use crate::router_table::{Change, Peer, RouterTable};
@@ -15,7 +16,7 @@
 use crate::view::View;
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 /// A gap between two ticks of more than so many rounds is a stall of this router.
 const STALL_ROUNDS: f64 = 1.6;
@@ -75,13 +76,13 @@
 }
 
 impl Membership {
-    /// `listed`: addresses of other routers; `networks`: networks (address, prefix length) in which others may join.
+    /// `listed`: addresses of other routers; `networks`: those from which others may join.
     pub fn start(
         now: Time,
         seed: u64,
         own: LocalRouter,
         listed: &[SocketAddr],
-        networks: &[(IpAddr, u8)],
+        networks: &[Network],
         settings: Settings,
     ) -> Membership {
         let mut rng = WyRand::new_seed(seed);
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -1,8 +1,9 @@
 //! From which addresses datagrams are accepted: routers that are configured, those in a configured network, and known
 //! routers. Also tracks configured addresses that still run a legacy router, which exchanges gossip but not membership.
 
+use crate::network::Network;
 use ladderpass_routing::{Span, Time};
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 /// A legacy router counts as present for this long after its last gossip.
 const LEGACY_GOSSIP_TIMEOUT: Span = Span::from_millis(60_000);
@@ -15,13 +16,6 @@
     last_legacy_gossip_at: Time,
 }
 
-/// A network in CIDR form.
-#[derive(Clone, Copy)]
-struct Network {
-    address: IpAddr,
-    prefix_bits: u8,
-}
-
 /// The configured routers and networks.
 pub(crate) struct Senders {
     listed: Vec<ListedRouter>,
@@ -29,11 +23,10 @@
 }
 
 impl Senders {
-    pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[(IpAddr, u8)]) -> Senders {
-        let networks = networks.iter().map(|&(address, prefix_bits)| Network { address, prefix_bits });
+    pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[Network]) -> Senders {
         Senders {
             listed: listed.map(|address| ListedRouter { address, last_legacy_gossip_at: now }).collect(),
-            networks: networks.collect(),
+            networks: networks.to_vec(),
         }
     }
 
@@ -62,21 +55,3 @@
         self.listed.iter().filter(is_recent).map(|listed| listed.address)
     }
 }
-
-impl Network {
-    fn contains(&self, ip: IpAddr) -> bool {
-        let (address, address_bits) = aligned_bits(ip);
-        let (network, network_bits) = aligned_bits(self.address);
-        let prefix_bits = self.prefix_bits.min(address_bits);
-        address_bits == network_bits
-            && (prefix_bits == 0 || (address ^ network) >> (128 - u32::from(prefix_bits)) == 0)
-    }
-}
-
-/// An address as the high bits of a number, and how many bits it has.
-fn aligned_bits(ip: IpAddr) -> (u128, u8) {
-    match ip {
-        IpAddr::V4(ip) => (u128::from(u32::from(ip)) << 96, 32),
-        IpAddr::V6(ip) => (u128::from(ip), 128),
-    }
-}
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -1,6 +1,6 @@
 //! A cluster of routers in simulated time: datagrams are delayed, lost and cut, processes stop, freeze and restart.
 
-use ladderpass_membership::{Change, LocalRouter, Membership, Settings};
+use ladderpass_membership::{Change, LocalRouter, Membership, Network, Settings};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -105,9 +105,9 @@
         self.starts += 1;
         let unix = self.now.nanos() / 1_000_000 + self.starts;
         let own = LocalRouter { address: address(index), started_unix_ms: unix };
-        let network = [(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), 8)];
+        let network = Network { address: IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), prefix_bits: 8 };
         let listed = [address(0), address(1), address(2)];
-        Membership::start(self.now, self.rng.generate(), own, &listed, &network, self.settings)
+        Membership::start(self.now, self.rng.generate(), own, &listed, &[network], self.settings)
     }
 
     pub fn join(&mut self) {
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -84,7 +84,7 @@
     let Some(peers) = peers else { return table.add("peers", "off: routers tell each other nothing") };
     let (address, listen, listed) = (peers.address, peers.listen, peers.listed.len());
     table.add("peers", format!("{address}, heard at {listen}, {listed} listed"));
-    let networks: Vec<String> = peers.networks.iter().map(|(ip, bits)| format!("{ip}/{bits}")).collect();
+    let networks: Vec<String> = peers.networks.iter().map(|network| network.to_string()).collect();
     let networks = if networks.is_empty() { "the listed alone".into() } else { networks.join(", ") };
     table.add("peers.networks", networks);
     if peers.legacy_form {
