--- a/crates/ladderpass-emulator/src/lib.rs
+++ b/crates/ladderpass-emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - `model` is pure: requests and the time in, replies out, random draws from a seed.
 //! - `loopback` drives it on sockets.
-//! - `scenario` is the YAML file that describes the members.
+//! - `scenario` is the YAML file that describes the members, `scenario_error` why one can't be used.
 //! - `execution_log` records what ran where, for the history checkers.
 //!
 //! The emulator knows nothing of a router's state, and no router uses it.
@@ -14,9 +14,11 @@
 pub mod model;
 pub mod proto;
 pub mod scenario;
+mod scenario_error;
 
 pub use clock::now;
 pub use execution_log::ExecutionLog;
 pub use loopback::RunningEmulator;
 pub use model::{ConnectionId, Input, Model, Output, Reply, Request};
 pub use scenario::Scenario;
+pub use scenario_error::ScenarioError;
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -1,6 +1,7 @@
 //! The YAML file that describes the emulated members: groups, replication, methods. It is checked once, and an error
 //! names the key. From it come the endpoint list and the configuration of a router in front of the members.
 
+use crate::scenario_error::ScenarioError;
 use ladderpass_routing::{Span, Time};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -73,6 +74,17 @@
     DEFAULT_VALUE_BYTES
 }
 
+fn syntax_error(message: &str) -> ScenarioError {
+    ScenarioError::Syntax(message.split_whitespace().collect::<Vec<_>>().join(" "))
+}
+
+fn check_number(key: &str, value: f64) -> Result<(), ScenarioError> {
+    if value.is_finite() && value >= 0.0 {
+        return Ok(());
+    }
+    Err(ScenarioError::NotANumberFromZero { key: key.to_owned(), value })
+}
+
 impl Default for Scenario {
     fn default() -> Scenario {
         let method = |name: &str, writes, utility, share, value_bytes| MethodSettings {
@@ -109,13 +121,12 @@
     ///
     /// # Errors
     ///
-    /// One line that names the key that is wrong.
-    pub fn read(text: &str) -> Result<Scenario, String> {
-        let one_line = |text: String| text.split_whitespace().collect::<Vec<_>>().join(" ");
+    /// The first key that is wrong.
+    pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let value: serde_json::Value =
-            serde_saphyr::from_str(text).map_err(|error| one_line(error.to_string()))?;
+            serde_saphyr::from_str(text).map_err(|error| syntax_error(&error.to_string()))?;
         let scenario: Scenario = serde_path_to_error::deserialize(value)
-            .map_err(|error| one_line(format!("{}: {}", error.path(), error.inner())))?;
+            .map_err(|error| syntax_error(&format!("{}: {}", error.path(), error.inner())))?;
         scenario.check()?;
         Ok(scenario)
     }
@@ -124,20 +135,16 @@
     ///
     /// # Errors
     ///
-    /// One line that names the key that is wrong.
-    pub fn check(&self) -> Result<(), String> {
-        let check_number = |key: &str, value: f64| match value {
-            value if value.is_finite() && value >= 0.0 => Ok(()),
-            value => Err(format!("{key}: {value} is not a number from 0 on")),
-        };
+    /// The first key that is wrong.
+    pub fn check(&self) -> Result<(), ScenarioError> {
         if self.groups == 0 || self.groups > MAX_GROUPS || self.replicas > MAX_REPLICAS {
-            return Err("groups, replicas: 1 to 1000 groups of at most 100 replicas are allowed".into());
+            return Err(ScenarioError::GroupCount { max_groups: MAX_GROUPS, max_replicas: MAX_REPLICAS });
         }
         if self.cores == 0 {
-            return Err("cores: must be above 0".into());
+            return Err(ScenarioError::NoCores);
         }
         if self.methods.is_empty() {
-            return Err("methods: at least one is needed".into());
+            return Err(ScenarioError::NoMethods);
         }
         for (key, value) in [
             ("connect_ms", self.connect_ms),
@@ -155,7 +162,11 @@
             check_number(&key("utility"), method.utility)?;
             check_number(&key("share"), method.share)?;
             if method.value_bytes > MAX_VALUE_BYTES {
-                return Err(format!("{}: {} is more than 65536", key("value_bytes"), method.value_bytes));
+                return Err(ScenarioError::ValueTooLong {
+                    key: key("value_bytes"),
+                    bytes: method.value_bytes,
+                    max_bytes: MAX_VALUE_BYTES,
+                });
             }
         }
         Ok(())
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -15,7 +15,7 @@
             "methods.a.value_bytes",
         ),
     ] {
-        let error = Scenario::read(text).expect_err(text);
+        let error = Scenario::read(text).expect_err(text).to_string();
         assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
     assert_eq!(Scenario::read("replicas: 4").expect("allowed").member_count(), 5);
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -326,7 +326,7 @@
     let Some(path) = &bed.scenario else { return Ok(Scenario::default()) };
     let fault = |fault: String| format!("{}: {fault}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| fault(error.to_string()))?;
-    Scenario::read(&text).map_err(fault)
+    Scenario::read(&text).map_err(|error| fault(error.to_string()))
 }
 
 fn start(bed: &BedArgs) -> Result<router::Start, String> {
