--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -5,6 +5,7 @@
 mod shared;
 
 pub use crate::clock::now;
+pub use shared::PublishedDrain;
 
 use crate::execution_log::ExecutionLog;
 use crate::model::Input;
@@ -113,8 +114,8 @@
         self.shared.started_at
     }
 
-    /// The drains published by now: when, by which list, of which member.
-    pub fn drains(&self) -> Vec<(Time, usize, u32)> {
+    /// The drains published by now.
+    pub fn drains(&self) -> Vec<PublishedDrain> {
         self.shared.drains()
     }
 
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -37,6 +37,18 @@
     pub generation: u64,
 }
 
+/// An endpoint list has published that a member is draining.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PublishedDrain {
+    /// When it was published.
+    pub at: Time,
+    /// Index of the endpoint list.
+    pub list: usize,
+    /// Index of the member.
+    pub member: u32,
+}
+
+/// What all threads of an emulator use.
 pub struct Shared {
     model: Mutex<Model>,
     /// By thread: replies for its connections.
@@ -47,8 +59,7 @@
     lists: Mutex<Vec<EndpointList>>,
     /// When the emulator started, and with it the members in slow start.
     pub started_at: Time,
-    /// When which list published the drain of which member.
-    drains: Mutex<Vec<(Time, usize, u32)>>,
+    drains: Mutex<Vec<PublishedDrain>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -144,10 +155,10 @@
     }
 
     pub fn record_drain(&self, list: usize, member: u32) {
-        lock(&self.drains).push((now(), list, member));
+        lock(&self.drains).push(PublishedDrain { at: now(), list, member });
     }
 
-    pub fn drains(&self) -> Vec<(Time, usize, u32)> {
+    pub fn drains(&self) -> Vec<PublishedDrain> {
         lock(&self.drains).clone()
     }
 }
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -126,7 +126,11 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut left = upstream.fault_tool.map(driver::RunningTool::stop);
-    let drained = fleet.drains().into_iter().map(|(at, router, member)| DrainNotice { router, member, at });
+    let drained = fleet.drains().into_iter().map(|drain| DrainNotice {
+        router: drain.list,
+        member: drain.member,
+        at: drain.at,
+    });
     let seen = RunRecord {
         outcome,
         probed,
