--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -1,11 +1,12 @@
 //! The state of one group, and the step that computes it anew.
 
-use crate::capacity::{MemberLimits, limit_of_quota, report_id, updated_member, updated_quota};
+use crate::capacity::{MemberLimit, MemberLimits, compute_limit, compute_quota, estimate_member, report_id};
 use crate::peer_reports::WeightedReport;
 use crate::rates::Rates;
 use crate::report::MemberReport;
 use crate::threshold::AdmissionThreshold;
 use crate::totals::FleetTotals;
+use ladderpass_retry_budget::RetryRates;
 use ladderpass_routing::MemberLoad;
 use std::collections::BTreeMap;
 
@@ -45,8 +46,8 @@
     pub members: BTreeMap<u16, MemberReport>,
     /// This router's share of the capacity.
     quota: f64,
-    /// Attempts a second, computed elsewhere and reported along.
-    pub retry_rates: [f64; 4],
+    /// Of this router, as the retry budget counts them; reported along.
+    pub retry_rates: RetryRates,
     pub metrics: GroupMetrics,
 }
 
@@ -58,12 +59,12 @@
             admission: AdmissionThreshold::default(),
             members: BTreeMap::new(),
             quota,
-            retry_rates: [0.0; 4],
+            retry_rates: RetryRates::default(),
             metrics: GroupMetrics::default(),
         }
     }
 
-    /// Ends the counting of a step of this length.
+    /// Ends the counting of a step of this length: the rates follow its counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
         self.rates.follow(&counts, secs);
@@ -80,14 +81,15 @@
     ) {
         let totals = FleetTotals::sum(&self.rates, self.admission.admitted, reports, alive_peers);
         self.admission.update(&totals);
-        self.quota = updated_quota(self.quota, &totals);
+        self.quota = compute_quota(self.quota, &totals);
         let mut total_capacity = 0.0;
         let mut members = BTreeMap::new();
         for load in loads.iter().filter(|load| load.group == id) {
             let known = self.members.get(&report_id(load));
-            let member = updated_member(known, load, reports, totals.scale);
+            let member = estimate_member(known, load, reports, totals.scale);
             total_capacity += member.capacity;
-            limits.in_flight.push((load.member, limit_of_quota(member.capacity, self.quota)));
+            let max_in_flight = compute_limit(member.capacity, self.quota);
+            limits.members.push(MemberLimit { member: load.member, max_in_flight });
             members.insert(member.id_hash, member);
         }
         self.members = members;
--- a/crates/ladderpass-config/src/operator/units.rs
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -3,6 +3,7 @@
 //! A `set_` function leaves the field as it was where the file has no such key.
 
 use super::errors::{OperatorFileError, ValueProblem};
+use ladderpass_membership::Network;
 use ladderpass_routing::Span;
 use serde_saphyr::Spanned;
 use std::net::{IpAddr, SocketAddr};
@@ -10,9 +11,9 @@
 
 const IPV4_BITS: u8 = 32;
 const IPV6_BITS: u8 = 128;
-const SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
+const ALLOWED_SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
 
-/// Reads a duration, such as `250ms`.
+/// Sets a duration, such as `250ms`. `allowed_ms`: the range in milliseconds.
 pub(super) fn set_duration(
     field: &mut Span,
     key: &str,
@@ -34,7 +35,7 @@
     Ok(())
 }
 
-/// Reads a share of what is allowed, above 0 and up to `max`.
+/// Sets a share of what is allowed, above 0 and up to `max`.
 pub(super) fn set_share(
     field: &mut f64,
     key: &str,
@@ -49,23 +50,21 @@
     Ok(())
 }
 
-/// Reads the most that a slow reader's answers may hold, such as `64 KiB`.
+/// Sets the most bytes of answers that a slow reader may have, such as `64 KiB`.
 pub(super) fn set_slow_reader_bytes(
     field: &mut usize,
     value: Option<Spanned<String>>,
 ) -> Result<(), OperatorFileError> {
     let Some(value) = value else { return Ok(()) };
-    let size = value.value.parse::<bytesize::ByteSize>().ok().filter(|_| value.value.ends_with('B'));
-    match size.map(|size| size.as_u64()).filter(|size| SLOW_READER_BYTES.contains(size)) {
-        Some(size) => {
-            *field = size as usize;
-            Ok(())
-        }
-        None => {
-            let problem = ValueProblem::SlowReaderBytes(value.value.clone());
-            Err(OperatorFileError::at(&value, "overload.slow_reader_bytes", problem))
-        }
-    }
+    let has_unit = value.value.ends_with('B');
+    let size = value.value.parse::<bytesize::ByteSize>().ok().filter(|_| has_unit);
+    let bytes = size.map(|size| size.as_u64()).filter(|bytes| ALLOWED_SLOW_READER_BYTES.contains(bytes));
+    let Some(bytes) = bytes else {
+        let problem = ValueProblem::SlowReaderBytes(value.value.clone());
+        return Err(OperatorFileError::at(&value, "overload.slow_reader_bytes", problem));
+    };
+    *field = bytes as usize;
+    Ok(())
 }
 
 /// Reads an address that others can send to: it has a port, and is not the unspecified one.
@@ -75,13 +74,13 @@
     usable.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Address(text.value.clone())))
 }
 
-/// Reads a network, such as `10.0.0.0/8`: its address, and how many bits of it count.
-pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<(IpAddr, u8), OperatorFileError> {
-    let network = text.value.split_once('/').and_then(|(ip, bits)| {
-        let ip = ip.parse::<IpAddr>().ok()?;
-        let bits = bits.parse::<u8>().ok()?;
-        let max = if ip.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
-        (bits <= max).then_some((ip, bits))
+/// Reads a network, such as `10.0.0.0/8`.
+pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<Network, OperatorFileError> {
+    let network = text.value.split_once('/').and_then(|(address, prefix_bits)| {
+        let address = address.parse::<IpAddr>().ok()?;
+        let prefix_bits = prefix_bits.parse::<u8>().ok()?;
+        let max_bits = if address.is_ipv4() { IPV4_BITS } else { IPV6_BITS };
+        (prefix_bits <= max_bits).then_some(Network { address, prefix_bits })
     });
     network.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Network(text.value.clone())))
 }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -1,8 +1,9 @@
 //! From which addresses datagrams are accepted: routers that are configured, those in a configured network, and known
 //! routers. Also tracks configured addresses that still run a legacy router, which exchanges gossip but not membership.
 
+use crate::network::Network;
 use ladderpass_routing::{Span, Time};
-use std::net::{IpAddr, SocketAddr};
+use std::net::SocketAddr;
 
 /// A legacy router counts as present for this long after its last gossip.
 const LEGACY_GOSSIP_TIMEOUT: Span = Span::from_millis(60_000);
@@ -12,14 +13,7 @@
 struct ListedRouter {
     address: SocketAddr,
     /// When legacy gossip last came from it. At the start each may be a legacy router.
-    last_legacy_gossip: Time,
-}
-
-/// A network in CIDR form.
-#[derive(Clone, Copy)]
-struct Network {
-    address: IpAddr,
-    prefix_bits: u8,
+    last_legacy_gossip_at: Time,
 }
 
 /// The configured routers and networks.
@@ -29,11 +23,10 @@
 }
 
 impl Senders {
-    pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[(IpAddr, u8)]) -> Senders {
-        let networks = networks.iter().map(|&(address, prefix_bits)| Network { address, prefix_bits });
+    pub fn new(now: Time, listed: impl Iterator<Item = SocketAddr>, networks: &[Network]) -> Senders {
         Senders {
-            listed: listed.map(|address| ListedRouter { address, last_legacy_gossip: now }).collect(),
-            networks: networks.collect(),
+            listed: listed.map(|address| ListedRouter { address, last_legacy_gossip_at: now }).collect(),
+            networks: networks.to_vec(),
         }
     }
 
@@ -42,7 +35,7 @@
         self.listed.iter().map(|listed| listed.address)
     }
 
-    /// May a router at this address take part that is not in the router table?
+    /// May a router at this address participate though it is not in the router table?
     pub fn is_configured(&self, router: SocketAddr) -> bool {
         self.listed().any(|address| address == router)
             || self.networks.iter().any(|network| network.contains(router.ip()))
@@ -51,31 +44,14 @@
     /// Records legacy gossip. True where it came from a configured address.
     pub fn record_legacy_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         let Some(listed) = self.listed.iter_mut().find(|listed| listed.address == from) else { return false };
-        listed.last_legacy_gossip = now;
+        listed.last_legacy_gossip_at = now;
         true
     }
 
     /// Configured addresses that legacy gossip came from recently.
     pub fn recent_legacy(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
-        let recent = move |listed: &&ListedRouter| now - listed.last_legacy_gossip < LEGACY_GOSSIP_TIMEOUT;
-        self.listed.iter().filter(recent).map(|listed| listed.address)
-    }
-}
-
-impl Network {
-    fn contains(&self, ip: IpAddr) -> bool {
-        let (address, address_bits) = aligned_bits(ip);
-        let (network, network_bits) = aligned_bits(self.address);
-        let prefix_bits = self.prefix_bits.min(address_bits);
-        address_bits == network_bits
-            && (prefix_bits == 0 || (address ^ network) >> (128 - u32::from(prefix_bits)) == 0)
-    }
-}
-
-/// An address as the high bits of a number, and how many bits it has.
-fn aligned_bits(ip: IpAddr) -> (u128, u8) {
-    match ip {
-        IpAddr::V4(ip) => (u128::from(u32::from(ip)) << 96, 32),
-        IpAddr::V6(ip) => (u128::from(ip), 128),
+        let is_recent =
+            move |listed: &&ListedRouter| now - listed.last_legacy_gossip_at < LEGACY_GOSSIP_TIMEOUT;
+        self.listed.iter().filter(is_recent).map(|listed| listed.address)
     }
 }
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -6,9 +6,9 @@
 use crate::launch::Launch;
 use crate::reducer::log_target;
 use crate::reducer::peer_log;
-use ladderpass_admission::{AdmissionController, GroupMetrics, admission_draw};
+use ladderpass_admission::{AdmissionController, GroupMetrics, GroupThreshold, admission_draw};
 use ladderpass_membership::{Change, LocalRouter, Membership, Settings, View, router_hash};
-use ladderpass_retry_budget::{RetryBudget, RetryRates};
+use ladderpass_retry_budget::RetryBudget;
 use ladderpass_routing::{Arrival, MemberLoad, OverloadState, Router, Span, Time};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -171,7 +171,7 @@
         let Some((admission, group)) = self.admission_for(arrival.group) else {
             return AdmissionVerdict::default();
         };
-        let (threshold, pressure) = admission.threshold(group);
+        let GroupThreshold { priority: threshold, pressure } = admission.threshold(group);
         let state = OverloadState {
             pressure,
             admission_threshold: threshold,
@@ -267,18 +267,15 @@
         let loads: Vec<MemberLoad> =
             router.member_loads(now).map(|load| MemberLoad { group: number(load.group), ..load }).collect();
         if let Some(limits) = admission.tick(now, &loads) {
-            for &(member, limit) in &limits.in_flight {
-                router.set_concurrency_limit(member, limit);
+            for limit in &limits.members {
+                router.set_concurrency_limit(limit.member, limit.max_in_flight);
             }
         }
         if let Some(retry_budget) = &mut self.retry_budget {
-            let peer_rates = |group| {
-                let rates = admission.peer_retry_rates(now, group);
-                rates.map(|(rates, weight)| (RetryRates::from_array(rates), weight))
-            };
+            let peer_rates = |group| admission.peer_retry_rates(now, group);
             retry_budget.rebalance(now, admission.alive_peers(), peer_rates);
             for &group in group_numbers {
-                admission.set_retry_rates(group, retry_budget.own_rates(group).to_array());
+                admission.set_retry_rates(group, retry_budget.own_rates(group));
             }
         }
         self.membership.set_piggyback(admission.encode_reports(now, PIGGYBACK_BYTES));
