--- a/crates/ladderpass/tests/room.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -1,13 +1,12 @@
-//! Too few descriptors, and starts with hundreds of members: the reducer on a simulated machine that counts descriptors and
-//! has a clock of its own. Idle clients connect without end.
+//! A machine with a limit of descriptors: the reducer, its network, members, discovery and clients on a simulated clock.
 
-mod common;
-
-use common::*;
+use crate::common::{
+    empty_query_response, frames, grouped_router_config, launch_with_config, query, row, startup, statement,
+    welcome,
+};
 use ladderpass::limits;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
-
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 const DISCOVERY: u16 = 8500;
@@ -16,7 +15,7 @@
 const NETWORK_DELAY: Span = Span::from_millis(1);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Discovery {
+pub enum Discovery {
     /// Nobody listens there.
     Down,
     /// It accepts connections, and sends nothing.
@@ -31,44 +30,47 @@
     Bytes(Vec<u8>),
 }
 
-struct Machine {
+/// What the nth of the clients sends that take descriptors and have no statement.
+pub type ClientBytes = fn(usize) -> Vec<u8>;
+
+pub struct Machine {
     reducer: Reducer,
     began: Time,
-    now: Time,
+    pub now: Time,
     groups: usize,
     /// Descriptors that are free, and connections that have one.
-    free: usize,
-    open: BTreeSet<ConnectionId>,
+    pub free: usize,
+    pub open: BTreeSet<ConnectionId>,
     events: BTreeMap<(Time, u64), (ConnectionId, NetworkEvent)>,
     last: u64,
-    discovery: Discovery,
-    list: String,
+    pub discovery: Discovery,
+    pub list: String,
     /// Members that accept connections and send nothing, and those that can't be reached.
-    is_silent: fn(usize) -> bool,
-    is_unreachable: fn(usize) -> bool,
-    member_connections: HashMap<ConnectionId, usize>,
-    watches: BTreeSet<ConnectionId>,
+    pub is_silent: fn(usize) -> bool,
+    pub is_unreachable: fn(usize) -> bool,
+    pub member_connections: HashMap<ConnectionId, usize>,
+    pub watches: BTreeSet<ConnectionId>,
     written: HashMap<ConnectionId, Vec<u8>>,
     /// The listener is enabled; what idle clients that wait at it send, if there are any; and clients with a statement,
     /// which are accepted before those.
     listening: bool,
-    idle_clients: Option<ClientBytes>,
-    waiting_clients: VecDeque<usize>,
+    pub idle_clients: Option<ClientBytes>,
+    pub waiting_clients: VecDeque<usize>,
     accepted: usize,
-    clients_by_connection: HashMap<ConnectionId, usize>,
+    pub clients_by_connection: HashMap<ConnectionId, usize>,
     /// When members got health checks, and what clients with a statement got: when, and the types of the frames.
-    health_checks: Vec<(Time, usize)>,
-    answers: BTreeMap<usize, (Time, Vec<u8>)>,
-    listed_at: Option<Time>,
-    max_open: usize,
+    pub health_checks: Vec<(Time, usize)>,
+    pub answers: BTreeMap<usize, (Time, Vec<u8>)>,
+    pub listed_at: Option<Time>,
+    pub max_open: usize,
 }
 
-fn address(n: usize) -> String {
+pub fn address(n: usize) -> String {
     format!("127.0.0.1:{}", usize::from(MEMBERS) + n)
 }
 
 /// A router that is configured for so many descriptors, on a machine that has `free`.
-fn machine(members: usize, configured: usize, free: usize) -> Machine {
+pub fn machine(members: usize, configured: usize, free: usize) -> Machine {
     let addresses: Vec<String> = (0..members).map(address).collect();
     let now = Time::from_nanos(1_796_000_000_000_000_000);
     let mut launch = launch_with_config(&grouped_router_config(&addresses, configured.max(64)));
@@ -103,7 +105,7 @@
 }
 
 impl Machine {
-    fn ms(&self, at: Time) -> f64 {
+    pub fn ms(&self, at: Time) -> f64 {
         (at - self.began).secs() * 1e3
     }
 
@@ -121,7 +123,7 @@
         self.events.insert((self.now + span, self.last), (id, what));
     }
 
-    fn apply(&mut self, event: Event) {
+    pub fn apply(&mut self, event: Event) {
         let mut effects: VecDeque<Effect> = self.reducer.handle(self.now, event).into();
         while let Some(effect) = effects.pop_front() {
             let more = match effect {
@@ -200,30 +202,16 @@
         effects
     }
 
-    fn answer_as_member(&mut self, id: ConnectionId, n: usize) {
-        if (self.is_silent)(n) {
-            return;
-        }
-        let written = self.written.entry(id).or_default();
-        if written.starts_with(b"\0\0") {
-            written.clear();
-            return self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(welcome()));
-        }
-        let (found, used) = frames(written);
-        written.drain(..used);
-        let (ms, leads) = (self.now.nanos() as u64 / 1_000_000, n.is_multiple_of(3));
-        let role = if leads { "leader" } else { "follower" };
-        for (_, body) in found {
-            let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
-            let answer = match text.as_str() {
-                "" => empty_query_response(),
-                "SHOW server_load" => {
-                    self.health_checks.push((self.now, n));
-                    row(format!("x0={:.3},x1={}", ms as f64 / 1e3, u8::from(leads)).as_bytes(), role, ms)
-                }
-                _ => row(b"x", role, ms),
-            };
-            self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
+    pub fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
+        while !bytes.is_empty() && self.open.contains(&id) {
+            let buffer = self.reducer.read_buffer(id);
+            let count = buffer.len().min(bytes.len());
+            if count == 0 {
+                return;
+            }
+            buffer[..count].copy_from_slice(&bytes[..count]);
+            bytes = &bytes[count..];
+            self.apply(Event::Received(id, count, Span::ZERO));
         }
     }
 
@@ -252,20 +240,7 @@
         }
     }
 
-    fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
-        while !bytes.is_empty() && self.open.contains(&id) {
-            let buffer = self.reducer.read_buffer(id);
-            let count = buffer.len().min(bytes.len());
-            if count == 0 {
-                return;
-            }
-            buffer[..count].copy_from_slice(&bytes[..count]);
-            bytes = &bytes[count..];
-            self.apply(Event::Received(id, count, Span::ZERO));
-        }
-    }
-
-    fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         let (mut at, mut ticks) = (self.now, 0);
         loop {
@@ -299,7 +274,7 @@
     }
 
     /// Runs while a client with a statement connects at this interval.
-    fn run_with_clients(&mut self, from: usize, to: usize, every: Span) {
+    pub fn run_with_clients(&mut self, from: usize, to: usize, every: Span) {
         for nth in from..to {
             self.waiting_clients.push_back(nth);
             self.run(every);
@@ -307,7 +282,7 @@
     }
 
     /// Which of so many clients got no row, and the frames that they got instead.
-    fn unserved(&self, count: usize) -> Vec<(usize, String)> {
+    pub fn unserved(&self, count: usize) -> Vec<(usize, String)> {
         let frame_kinds =
             |nth| self.answers.get(&nth).map_or("", |(_, kinds)| std::str::from_utf8(kinds).unwrap_or("?"));
         (0..count)
@@ -315,109 +290,31 @@
             .filter(|(_, kinds)| kinds != "TDCZ")
             .collect()
     }
-}
-
-/// What the nth of the clients sends that take descriptors and have no statement.
-type ClientBytes = fn(usize) -> Vec<u8>;
-
-const IDLE_CLIENTS: [(&str, ClientBytes); 4] = [
-    ("say nothing", |_| Vec::new()),
-    ("rest after their start", |_| startup()),
-    ("stop within a statement", |_| [startup().as_slice(), b"Q\0\0"].concat()),
-    ("do each of these", |nth| {
-        [Vec::new(), startup(), [startup().as_slice(), b"Q\0\0"].concat()][nth % 3].clone()
-    }),
-];
 
-/// Idle clients may use up the descriptors while discovery is down: the list is read within 6 s after its return, the new
-/// member in it gets a health check, health checks go on, and statements are served. The same where the process has fewer
-/// descriptors than configured, and knows it. Where it has fewer than it knows (its limit was lowered, or the system has no
-/// more) clients that are not accepted yet may have to wait, or are rejected.
-#[test]
-fn idle_clients_leave_descriptors_to_discovery_probes_and_call_outs() {
-    let known = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
-    let lowered = [(24, 12), (64, 12), (1024, 12), (1024, 40), (1024, 300)];
-    for (known, (configured, free)) in
-        known.map(|case| (true, case)).into_iter().chain(lowered.map(|case| (false, case)))
-    {
-        for (name, idle_clients) in IDLE_CLIENTS {
-            for down in [Discovery::Down, Discovery::Silent] {
-                let what = format!("{configured} configured, {free} free, {down:?}, clients {name}");
-                let mut machine = machine(3, configured, free);
-                (machine.discovery, machine.idle_clients) = (down, Some(idle_clients));
-                machine.run_with_clients(0, 86, Span::from_millis(200));
-                let entry = instance(5, &address(5), "SERVING");
-                machine.list = format!("{{\"generation\":2,\"reset\":false,\"instances\":[{entry}]}}\n");
-                machine.discovery = Discovery::Up;
-                let back = machine.now;
-                machine.run_with_clients(86, 116, Span::from_millis(200));
-                let listed = machine.listed_at.unwrap_or_else(|| panic!("no list within 6 s: {what}"));
-                machine.run_with_clients(116, 150, Span::from_millis(200));
-                let soon = listed + Span::from_millis(1000);
-                let probed = machine.health_checks.iter().any(|&(at, n)| n == 5 && at <= soon);
-                assert!(probed, "the new member is not probed: {what}");
-                let probed = |n: usize| machine.health_checks.iter().any(|&(at, of)| of == n && at >= back);
-                assert!((0..3).all(probed), "probes of the others have stopped: {what}");
-                machine.run(Span::from_millis(2000));
-                let unserved = machine.unserved(150);
-                assert!(!known || unserved.is_empty(), "not served: {unserved:?}: {what}");
-            }
+    fn answer_as_member(&mut self, id: ConnectionId, n: usize) {
+        if (self.is_silent)(n) {
+            return;
         }
-    }
-}
-
-/// Idle clients have all descriptors, which are fewer than the router knows of. One of them sends a statement: its attempt
-/// gets a descriptor.
-#[test]
-fn a_call_out_gets_its_descriptor_from_a_client_that_rests() {
-    for method in ["read", "write"] {
-        for free in [8, 40, 200] {
-            let mut machine = machine(3, 1024, free);
-            machine.idle_clients = Some(|_| startup());
-            machine.run(Span::from_millis(400));
-            assert!(machine.free == 0, "clients have all");
-            // Closes member connections that health checks have opened.
-            let member_connections: Vec<ConnectionId> =
-                machine.member_connections.keys().copied().filter(|id| machine.open.contains(id)).collect();
-            member_connections.into_iter().for_each(|id| {
-                machine.free += usize::from(machine.open.remove(&id));
-                machine.apply(Event::Closed(id));
-            });
-            machine.run(Span::from_millis(20));
-            assert!(machine.free == 0, "clients have all");
-            let is_idle_client = |id: &ConnectionId| {
-                !machine.member_connections.contains_key(id) && !machine.watches.contains(id)
-            };
-            let &client = machine.open.iter().rev().find(|id| is_idle_client(id)).expect("some client");
-            machine.clients_by_connection.insert(client, 0);
-            machine.receive(client, &query(&statement("7", method, 2000, "1")));
-            machine.run(Span::from_millis(1000));
-            assert_eq!(machine.unserved(1), [], "{method}, {free} free");
+        let written = self.written.entry(id).or_default();
+        if written.starts_with(b"\0\0") {
+            written.clear();
+            return self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(welcome()));
         }
-    }
-}
-
-/// A start with 940 members in the cached list, discovery down or silent, a third of the members silent or unreachable:
-/// clients are accepted and served, at once and later, with few descriptors and with many.
-#[test]
-fn a_start_with_940_members_lets_in_and_serves() {
-    for sockets in [1024, 4096] {
-        for discovery in [Discovery::Down, Discovery::Silent] {
-            let what = format!("{sockets} descriptors, discovery {discovery:?}");
-            let mut machine = machine(940, sockets, sockets - 20);
-            machine.discovery = discovery;
-            machine.is_silent = |n| n % 6 == 2;
-            machine.is_unreachable = |n| n % 6 == 5;
-            machine.waiting_clients.extend(0..10);
-            machine.run(Span::from_millis(500));
-            machine.run_with_clients(10, 110, Span::from_millis(50));
-            machine.run(Span::from_millis(2000));
-            let unserved = machine.unserved(110);
-            assert!(unserved.is_empty(), "not served: {unserved:?}: {what}");
-            let last = machine.answers.iter().filter(|(nth, _)| **nth < 10).map(|(_, (at, _))| *at).max();
-            let last = machine.ms(last.expect("all are served"));
-            assert!(last < 1000.0, "the first are served after {last} ms: {what}");
-            println!("{what}: first 10 served by {last} ms, most descriptors {}", machine.max_open);
+        let (found, used) = frames(written);
+        written.drain(..used);
+        let (ms, leads) = (self.now.nanos() as u64 / 1_000_000, n.is_multiple_of(3));
+        let role = if leads { "leader" } else { "follower" };
+        for (_, body) in found {
+            let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
+            let answer = match text.as_str() {
+                "" => empty_query_response(),
+                "SHOW server_load" => {
+                    self.health_checks.push((self.now, n));
+                    row(format!("x0={:.3},x1={}", ms as f64 / 1e3, u8::from(leads)).as_bytes(), role, ms)
+                }
+                _ => row(b"x", role, ms),
+            };
+            self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
         }
     }
 }
--- /dev/null
+++ b/crates/ladderpass/tests/descriptor_limit/main.rs
@@ -0,0 +1,113 @@
+//! Too few descriptors, and starts with hundreds of members: the reducer on a simulated machine that counts descriptors and
+//! has a clock of its own. Idle clients connect without end.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod machine;
+
+use common::{instance, query, startup, statement};
+use ladderpass::reducer::{ConnectionId, Event};
+use ladderpass_routing::Span;
+use machine::{ClientBytes, Discovery, address, machine};
+
+const IDLE_CLIENTS: [(&str, ClientBytes); 4] = [
+    ("say nothing", |_| Vec::new()),
+    ("rest after their start", |_| startup()),
+    ("stop within a statement", |_| [startup().as_slice(), b"Q\0\0"].concat()),
+    ("do each of these", |nth| {
+        [Vec::new(), startup(), [startup().as_slice(), b"Q\0\0"].concat()][nth % 3].clone()
+    }),
+];
+
+/// Idle clients may use up the descriptors while discovery is down: the list is read within 6 s after its return, the new
+/// member in it gets a health check, health checks go on, and statements are served. The same where the process has fewer
+/// descriptors than configured, and knows it. Where it has fewer than it knows (its limit was lowered, or the system has no
+/// more) clients that are not accepted yet may have to wait, or are rejected.
+#[test]
+fn idle_clients_leave_descriptors_to_discovery_probes_and_call_outs() {
+    let known = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
+    let lowered = [(24, 12), (64, 12), (1024, 12), (1024, 40), (1024, 300)];
+    for (known, (configured, free)) in
+        known.map(|case| (true, case)).into_iter().chain(lowered.map(|case| (false, case)))
+    {
+        for (name, idle_clients) in IDLE_CLIENTS {
+            for down in [Discovery::Down, Discovery::Silent] {
+                let what = format!("{configured} configured, {free} free, {down:?}, clients {name}");
+                let mut machine = machine(3, configured, free);
+                (machine.discovery, machine.idle_clients) = (down, Some(idle_clients));
+                machine.run_with_clients(0, 86, Span::from_millis(200));
+                let entry = instance(5, &address(5), "SERVING");
+                machine.list = format!("{{\"generation\":2,\"reset\":false,\"instances\":[{entry}]}}\n");
+                machine.discovery = Discovery::Up;
+                let back = machine.now;
+                machine.run_with_clients(86, 116, Span::from_millis(200));
+                let listed = machine.listed_at.unwrap_or_else(|| panic!("no list within 6 s: {what}"));
+                machine.run_with_clients(116, 150, Span::from_millis(200));
+                let soon = listed + Span::from_millis(1000);
+                let probed = machine.health_checks.iter().any(|&(at, n)| n == 5 && at <= soon);
+                assert!(probed, "the new member is not probed: {what}");
+                let probed = |n: usize| machine.health_checks.iter().any(|&(at, of)| of == n && at >= back);
+                assert!((0..3).all(probed), "probes of the others have stopped: {what}");
+                machine.run(Span::from_millis(2000));
+                let unserved = machine.unserved(150);
+                assert!(!known || unserved.is_empty(), "not served: {unserved:?}: {what}");
+            }
+        }
+    }
+}
+
+/// Idle clients have all descriptors, which are fewer than the router knows of. One of them sends a statement: its attempt
+/// gets a descriptor.
+#[test]
+fn a_call_out_gets_its_descriptor_from_a_client_that_rests() {
+    for method in ["read", "write"] {
+        for free in [8, 40, 200] {
+            let mut machine = machine(3, 1024, free);
+            machine.idle_clients = Some(|_| startup());
+            machine.run(Span::from_millis(400));
+            assert!(machine.free == 0, "clients have all");
+            // Closes member connections that health checks have opened.
+            let member_connections: Vec<ConnectionId> =
+                machine.member_connections.keys().copied().filter(|id| machine.open.contains(id)).collect();
+            member_connections.into_iter().for_each(|id| {
+                machine.free += usize::from(machine.open.remove(&id));
+                machine.apply(Event::Closed(id));
+            });
+            machine.run(Span::from_millis(20));
+            assert!(machine.free == 0, "clients have all");
+            let is_idle_client = |id: &ConnectionId| {
+                !machine.member_connections.contains_key(id) && !machine.watches.contains(id)
+            };
+            let &client = machine.open.iter().rev().find(|id| is_idle_client(id)).expect("some client");
+            machine.clients_by_connection.insert(client, 0);
+            machine.receive(client, &query(&statement("7", method, 2000, "1")));
+            machine.run(Span::from_millis(1000));
+            assert_eq!(machine.unserved(1), [], "{method}, {free} free");
+        }
+    }
+}
+
+/// A start with 940 members in the cached list, discovery down or silent, a third of the members silent or unreachable:
+/// clients are accepted and served, at once and later, with few descriptors and with many.
+#[test]
+fn a_start_with_940_members_lets_in_and_serves() {
+    for sockets in [1024, 4096] {
+        for discovery in [Discovery::Down, Discovery::Silent] {
+            let what = format!("{sockets} descriptors, discovery {discovery:?}");
+            let mut machine = machine(940, sockets, sockets - 20);
+            machine.discovery = discovery;
+            machine.is_silent = |n| n % 6 == 2;
+            machine.is_unreachable = |n| n % 6 == 5;
+            machine.waiting_clients.extend(0..10);
+            machine.run(Span::from_millis(500));
+            machine.run_with_clients(10, 110, Span::from_millis(50));
+            machine.run(Span::from_millis(2000));
+            let unserved = machine.unserved(110);
+            assert!(unserved.is_empty(), "not served: {unserved:?}: {what}");
+            let last = machine.answers.iter().filter(|(nth, _)| **nth < 10).map(|(_, (at, _))| *at).max();
+            let last = machine.ms(last.expect("all are served"));
+            assert!(last < 1000.0, "the first are served after {last} ms: {what}");
+            println!("{what}: first 10 served by {last} ms, most descriptors {}", machine.max_open);
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -0,0 +1,122 @@
+//! Clients that leave while their RPCs wait: none of these is forwarded.
+
+use crate::common::{close, next_frame, query, startup, welcome};
+use crate::router_harness::{execute, start_harness, write_statement};
+use std::io::Write;
+use std::net::TcpStream;
+use std::thread::sleep;
+use std::time::Duration;
+
+/// Statement and close arrive together: on a new connection, and on one that was served before.
+#[test]
+fn a_client_that_asks_and_goes_in_one_instant_is_not_sent_on() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    let mut known = harness.client();
+    harness.pause();
+    known.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    close(known);
+    let mut new = TcpStream::connect(&harness.address).expect("it listens");
+    new.write_all(&[startup(), query(&write_statement("gone-too"))].concat()).expect("the kernel takes it");
+    close(new);
+    harness.resume();
+    harness.assert_write_succeeds("2");
+    harness.assert_write_succeeds("3");
+}
+
+/// A half close counts as a close: nobody can tell them apart before bytes are written.
+#[test]
+fn half_of_a_clients_end_is_its_end() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    let mut half = harness.client();
+    harness.pause();
+    half.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    half.shutdown(std::net::Shutdown::Write).expect("it can");
+    harness.resume();
+    harness.assert_write_succeeds("2");
+    assert!(next_frame(&mut half).is_none());
+}
+
+/// After an error of the client nothing is read for a while, and its close once went unseen too.
+#[test]
+fn a_client_that_goes_while_it_rests_after_a_fault_is_not_sent_on() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    let mut client = harness.client();
+    assert_eq!(execute(&mut client, "SELECT 1").1, "42601");
+    harness.pause();
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    close(client);
+    harness.resume();
+    for id in ["2", "3", "4"] {
+        harness.assert_write_succeeds(id);
+        sleep(Duration::from_millis(80));
+    }
+}
+
+/// The connection is established once the client has left.
+#[test]
+fn a_client_that_goes_before_the_connection_is_up_is_not_sent_on() {
+    goes_before_the_connection_is_up(|_| None);
+}
+
+/// `copied`: a copy of the client's socket that stays open.
+fn goes_before_the_connection_is_up(copied: fn(&TcpStream) -> Option<TcpStream>) {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("gone"))).expect("the router reads");
+    let mut link = harness.accept_member_connection(0);
+    let copy = copied(&client);
+    close(client);
+    harness.settle();
+    link.write_all(&welcome()).expect("it reads");
+    harness.idle_connections[0].push(link);
+    harness.assert_write_succeeds("1");
+    drop(copy);
+}
+
+/// The same where a copy of the client's socket stays open, as in a child process before its exec.
+///
+/// What happened: beside 16 busy processes a write was sent whose client had been dropped (one of 11 whole runs). The cause:
+/// the kernel closes a connection with the last copy of its socket, and other tests start routers meanwhile, whose processes
+/// have a copy of each socket here until their exec. The evidence: in the run that failed the drop took 0.5 us, where one
+/// that closes a connection takes 25 us, and the write was sent 9.6 ms after it; with a child that took 60 ms to start it was
+/// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
+#[test]
+fn a_client_that_closes_is_gone_though_a_copy_of_its_socket_is_open() {
+    goes_before_the_connection_is_up(|client| Some(client.try_clone().expect("it can")));
+}
+
+/// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
+/// figure of `docs/results.md`.
+#[test]
+fn clients_that_leave_while_they_are_held_are_not_sent_on() {
+    let mut harness = start_harness(|config| {
+        config.replace("750000000,\"Effect\":\"side", "60000000000,\"Effect\":\"side")
+    });
+    let mut stay: Vec<TcpStream> = (0..30).map(|_| harness.client()).collect();
+    for (nth, client) in stay.iter_mut().enumerate() {
+        client.write_all(&query(&write_statement(&format!("{nth}")))).expect("the router reads");
+    }
+    let mut out = Vec::new();
+    while let Some(asked) = harness.next_rpc_within(0, Duration::from_millis(500)) {
+        out.push(asked);
+    }
+    let asked: Vec<usize> = out.iter().map(|(id, _)| id.parse().expect("a number")).collect();
+    assert!((1..29).contains(&asked.len()), "some are held, not {:?}", asked);
+    // All but the last of the clients with pending RPCs leave.
+    let held: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
+    let last = *held.last().expect("some are held");
+    let mut clients: Vec<Option<TcpStream>> = stay.into_iter().map(Some).collect();
+    held.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
+    harness.settle();
+    sleep(Duration::from_millis(300));
+    for (_, link) in out {
+        harness.answer_rpc(0, link);
+    }
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, last.to_string(), "of {} that left none is sent on", held.len() - 1);
+    harness.answer_rpc(0, link);
+    harness.assert_write_succeeds("after");
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/crossing_closes.rs
@@ -0,0 +1,93 @@
+//! Closes that cross a statement, an answer or an accept.
+
+use crate::common::{close, next_frame, now_ms, query, row};
+use crate::router_harness::{read_answer, start_harness, write_statement};
+use std::io::Write;
+use std::net::TcpStream;
+use std::thread::sleep;
+use std::time::Duration;
+
+/// Connections that were reset while they waited at the listener block no other.
+#[test]
+fn resets_at_the_listener_bar_nobody() {
+    let mut harness = start_harness(|config| config);
+    harness.pause();
+    for _ in 0..8 {
+        let stream = TcpStream::connect(&harness.address).expect("it listens");
+        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can");
+    }
+    harness.resume();
+    harness.assert_write_succeeds("1");
+}
+
+/// The idle time-out of a connection ends when its next statement has already arrived: that is accepted.
+#[test]
+fn an_idle_close_that_crosses_a_query_yields() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    sleep(Duration::from_millis(1500));
+    harness.pause();
+    client.write_all(&query(&write_statement("1"))).expect("the kernel takes it");
+    sleep(Duration::from_millis(1500));
+    harness.resume();
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, "1");
+    harness.answer_rpc(0, link);
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+}
+
+/// A complete answer counts, although the member closes right after it.
+#[test]
+fn a_members_end_right_behind_its_answer_spoils_nothing() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    let (_, mut link) = harness.next_rpc(0);
+    harness.pause();
+    link.write_all(&row(b"v", "leader", now_ms())).expect("the kernel takes it");
+    close(link);
+    harness.resume();
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+}
+
+/// An answer and its client's close cross: nobody gets the answer, and the connection to the member stays in step.
+#[test]
+fn an_answer_that_crosses_its_clients_end_goes_to_nobody_else() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    let (_, mut link) = harness.next_rpc(0);
+    harness.pause();
+    close(client);
+    link.write_all(&row(b"for another", "leader", now_ms())).expect("the kernel takes it");
+    harness.resume();
+    harness.idle_connections[0].push(link);
+    let mut next = harness.client();
+    next.write_all(&query(&write_statement("2"))).expect("the router reads");
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, "2");
+    harness.answer_rpc(0, link);
+    let mut value = Vec::new();
+    while let Some((kind, body)) = next_frame(&mut next).filter(|(kind, _)| *kind != b'Z') {
+        if kind == b'D' {
+            value = body;
+        }
+    }
+    assert!(value.ends_with(b"v") && !value.ends_with(b"another"));
+}
+
+/// A member closes its idle connection just when the next RPC comes: the close is seen first, and the RPC is sent once.
+#[test]
+fn a_members_idle_end_that_crosses_a_statement_is_seen_first() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    let mut client = harness.client();
+    harness.pause();
+    harness.idle_connections[0].clear();
+    client.write_all(&query(&write_statement("2"))).expect("the kernel takes it");
+    harness.resume();
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, "2");
+    harness.answer_rpc(0, link);
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -0,0 +1,149 @@
+//! Processes with too few descriptors.
+
+use crate::common::{close, query, startup, statement, temp_file};
+use crate::router_harness::{accept_connection_within, bind_listener, execute, start_harness_with};
+use std::io::{ErrorKind, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::path::PathBuf;
+use std::process::Command;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::sleep;
+use std::time::{Duration, Instant};
+
+/// The router may have no more than 24 descriptors.
+fn limited(command: &mut Command) {
+    limited_by("ulimit -n 24; exec \"$0\"", command);
+}
+
+fn limited_by(shell: &str, command: &mut Command) {
+    let program = command.get_program().to_owned();
+    let envs: Vec<_> =
+        command.get_envs().filter_map(|(key, value)| Some((key.to_owned(), value?.to_owned()))).collect();
+    *command = Command::new("sh");
+    command.args(["-c", shell]).arg(program).envs(envs);
+}
+
+/// No descriptors left: clients at the listener wait, and are served once some are free again.
+#[test]
+fn those_at_the_door_are_served_once_there_are_descriptors_again() {
+    let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limited);
+    harness.assert_write_succeeds("1");
+    let mut many: Vec<TcpStream> =
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
+    many.truncate(25);
+    sleep(Duration::from_millis(200));
+    many.clear();
+    harness.assert_write_succeeds("2");
+}
+
+/// Silent clients have all descriptors that clients may have: attempts get theirs.
+#[test]
+fn call_outs_have_descriptors_beside_clients_that_take_all() {
+    let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limited);
+    let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
+    let many: Vec<TcpStream> =
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
+    sleep(Duration::from_millis(100));
+    for (nth, client) in clients.iter_mut().enumerate() {
+        client.write_all(&query(&statement(&nth.to_string(), "write", 5000, "1"))).expect("the router reads");
+        let (id, link) = harness.next_rpc(0);
+        assert_eq!(id, nth.to_string());
+        close(link);
+    }
+    drop(many);
+}
+
+/// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
+/// The RPC is answered at once, and the next one is served.
+#[test]
+fn a_member_is_not_blamed_for_descriptors_that_are_short() {
+    let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
+    let mut client = harness.client();
+    harness.settle();
+    let at = format!("/proc/{}/fd", harness.process.id());
+    let allow = |count: usize| {
+        let pid = harness.process.id().to_string();
+        let status =
+            Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
+        assert!(status.expect("util-linux is there").success());
+    };
+    // The client of `settle` is closed by now, or idle, and could be closed for it.
+    sleep(Duration::from_millis(2500));
+    assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
+    let mut client = harness.client();
+    let used = (0..).find(|n| !PathBuf::from(format!("{at}/{n}")).exists()).expect("few are open");
+    allow(used);
+    for nth in 0..4 {
+        let begun = Instant::now();
+        assert_eq!(execute(&mut client, &statement(&nth.to_string(), "write", 60_000, "1")).1, "53300");
+        assert!(begun.elapsed() < Duration::from_secs(5), "its time was waited for");
+    }
+    allow(1024);
+    close(client);
+    harness.assert_write_succeeds("after");
+}
+
+/// Clients that had left before they were accepted have no descriptor: each releases its own before the next one is
+/// accepted.
+#[test]
+fn the_gone_at_the_door_take_no_descriptors() {
+    let log = temp_file("");
+    let shell = format!("ulimit -n 24; exec \"$0\" 2>{}", log.display());
+    let harness = start_harness_with(
+        vec![bind_listener(), bind_listener()],
+        |config| config,
+        |command| limited_by(&shell, command),
+    );
+    harness.pause();
+    (0..100).for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel takes it")));
+    harness.resume();
+    harness.settle();
+    let said = std::fs::read_to_string(&log).expect("its log");
+    std::fs::remove_file(log).expect("its own file");
+    assert!(!said.contains("Too many open files"), "{said}");
+}
+
+/// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
+/// connects to discovery within 6 s of its return.
+#[test]
+fn discovery_is_called_in_time_though_idle_clients_fill_the_descriptors() {
+    for count in [24, 100] {
+        let shell = format!("ulimit -n {count}; exec \"$0\"");
+        let mut harness =
+            start_harness_with(vec![bind_listener()], |config| config, |command| limited_by(&shell, command));
+        let back = harness.discovery.local_addr().expect("an address");
+        (harness.discovery, harness.watch) = (bind_listener(), None);
+        let stop = Arc::new(AtomicBool::new(false));
+        let crowd = crowd(harness.address.clone(), stop.clone());
+        sleep(Duration::from_millis(4500));
+        harness.discovery = TcpListener::bind(back).expect("nobody else took it");
+        let call = accept_connection_within(&harness.discovery, Duration::from_secs(6));
+        assert!(call.is_some(), "discovery is not called within 6 s, {count} descriptors");
+        stop.store(true, Ordering::Relaxed);
+        crowd.join().expect("it ends");
+    }
+}
+
+/// Opens as many connections as it can and sends no statement; half of them complete the startup.
+fn crowd(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
+    std::thread::spawn(move || {
+        let mut idle: Vec<TcpStream> = Vec::new();
+        while !stop.load(Ordering::Relaxed) {
+            // A closed one reads as such; any other has its startup's answer to read, or nothing.
+            idle.retain_mut(|stream| match stream.read(&mut [0; 512]) {
+                Ok(count) => count > 0,
+                Err(fault) => fault.kind() == ErrorKind::WouldBlock,
+            });
+            while idle.len() < 120 {
+                let mut stream = TcpStream::connect(&address).expect("it listens");
+                stream.set_nonblocking(true).expect("it can");
+                if idle.len().is_multiple_of(2) {
+                    stream.write_all(&startup()).expect("the kernel takes it");
+                }
+                idle.push(stream);
+            }
+            sleep(Duration::from_millis(5));
+        }
+    })
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -0,0 +1,191 @@
+//! Watches of the endpoint list that end, fall silent or move, and what a new list changes.
+
+use crate::common::{close, instance, query, statement, welcome};
+use crate::router_harness::{
+    accept_connection, accept_connection_within, bind_listener, read_answer, read_watch_request,
+    start_harness, write_statement,
+};
+use nix::sys::signal::Signal;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+/// With pushed lists no watch was ever opened once, and drains were never known.
+#[test]
+fn a_list_that_is_pushed_is_watched_and_watched_again() {
+    let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
+    harness.assert_write_succeeds("1");
+    let moved = instance(0, &harness.member_address(1), "SERVING");
+    harness.send_listing(&moved, false);
+    harness.settle();
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("2"))).expect("the router reads");
+    assert_eq!(harness.next_rpc(1).0, "2", "it stands elsewhere now");
+    harness.watch = None;
+    harness.open_watch();
+}
+
+#[test]
+fn a_list_that_comes_indented_counts() {
+    let mut harness = start_harness(|config| config);
+    let moved = instance(0, &harness.member_address(1), "SERVING")
+        .replace("\"m-0\"", "\n  \"m-0\"\n")
+        .replace(',', ",\n\t");
+    let lines = format!("{{\n \"generation\" : 2,\n \"reset\":false,\n\"instances\":[\n{moved}\n]\n}}\n\n");
+    let (one, two) = lines.split_at(lines.len() / 2);
+    harness.send_watch_bytes(one.as_bytes());
+    harness.settle();
+    harness.send_watch_bytes(two.as_bytes());
+    harness.settle();
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    assert_eq!(harness.next_rpc(1).0, "1");
+}
+
+/// What a silent watch would have sent must be known 6 s later. Both this watch and the next fall silent.
+#[test]
+fn a_watch_that_falls_silent_is_opened_anew_in_time_and_so_is_the_next() {
+    let harness = start_harness(|config| config);
+    let since = Instant::now();
+    let second = accept_connection(&harness.discovery);
+    assert!(since.elapsed() < Duration::from_millis(4000), "asked again after {:?}", since.elapsed());
+    read_watch_request(&second);
+    let third = accept_connection(&harness.discovery);
+    read_watch_request(&third);
+    assert!(since.elapsed() < Duration::from_millis(5500), "a third time after {:?}", since.elapsed());
+}
+
+/// Lines inside an object that never ends count as silence.
+#[test]
+fn a_list_that_never_ends_is_a_silent_one() {
+    let mut harness = start_harness(|config| config);
+    let since = Instant::now();
+    harness.send_watch_bytes(b"{\"generation\":2,\n\"reset\":false,\n");
+    while accept_connection_within(&harness.discovery, Duration::from_millis(300)).is_none() {
+        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
+        let watch = harness.watch.as_mut().expect("open");
+        let _ = watch.write_all(b"1\r\n\n\r\n");
+    }
+}
+
+/// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
+/// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
+#[test]
+fn hang_up_twice_follows_the_last_address() {
+    let mut harness = start_harness(|config| config);
+    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let (silent, last) = (bind_listener(), bind_listener());
+    let at = |l: &TcpListener| l.local_addr().expect("an address").to_string();
+    for to in [at(&silent), at(&last)] {
+        let told = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
+        std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &told)).expect("written");
+        harness.signal(Signal::SIGHUP);
+        close(accept_connection(if to == at(&silent) { &silent } else { &last }));
+        harness.settle();
+    }
+    let moved = instance(0, &harness.member_address(1), "SERVING");
+    harness.send_listing(&moved, false);
+    harness.settle();
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    assert_eq!(harness.next_rpc(1).0, "1", "the watch of before serves until the new one answers");
+    harness.discovery = last;
+    harness.open_watch();
+    let back = instance(0, &harness.member_address(0), "SERVING");
+    harness.generation = 0;
+    harness.send_listing(&back, true);
+    harness.settle();
+    harness.assert_write_succeeds("2");
+}
+
+/// The new address answers with a head and empty lines, and no list: that is no answer, and it is polled again in time.
+/// Once it never was.
+#[test]
+fn a_new_address_that_has_no_list_to_tell_is_asked_again() {
+    let harness = start_harness(|config| config);
+    let empty = bind_listener();
+    let to = empty.local_addr().expect("an address").to_string();
+    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let told = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
+    std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &told)).expect("written");
+    harness.signal(Signal::SIGHUP);
+    let mut first = accept_connection(&empty);
+    read_watch_request(&first);
+    first.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("it reads");
+    let since = Instant::now();
+    while accept_connection_within(&empty, Duration::from_millis(300)).is_none() {
+        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
+        let _ = first.write_all(b"1\r\n\n\r\n");
+    }
+}
+
+/// Discovery starts again with lower generations: older lists are rejected, but not for longer than a change may be late,
+/// from when the current list was received.
+#[test]
+fn a_discovery_that_counts_anew_is_believed_in_the_end() {
+    let mut harness = start_harness(|config| config);
+    harness.generation = 50;
+    let here = instance(0, &harness.member_address(0), "SERVING");
+    let since = Instant::now();
+    harness.send_listing(&here, true);
+    harness.settle();
+    let moved = instance(0, &harness.member_address(1), "SERVING");
+    loop {
+        harness.generation = 2;
+        harness.send_listing(&moved, true);
+        harness.settle();
+        let mut client = harness.client();
+        client
+            .write_all(&query(&write_statement(&format!("{:?}", since.elapsed()))))
+            .expect("the router reads");
+        let taken = since.elapsed() > Duration::from_secs(6);
+        match harness.next_rpc_within(usize::from(taken), Duration::from_millis(500)) {
+            Some((_, link)) if !taken => harness.answer_rpc(0, link),
+            Some(_) => return,
+            None => assert!(since.elapsed() < Duration::from_secs(14), "refused for ever"),
+        }
+        harness.open_watch();
+    }
+}
+
+/// Three RPCs wait for their connection when their member's address changes: they go to the new address, and none counts
+/// as a failure of the member, which would eject it.
+#[test]
+fn what_waits_for_a_connection_goes_to_the_new_address() {
+    let mut harness = start_harness(|config| config);
+    let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
+    for (nth, client) in clients.iter_mut().enumerate() {
+        client.write_all(&query(&write_statement(&nth.to_string()))).expect("the router reads");
+    }
+    let _late: Vec<TcpStream> = (0..4).map(|_| harness.accept_member_connection(0)).collect();
+    let moved = instance(0, &harness.member_address(1), "SERVING");
+    harness.send_listing(&moved, false);
+    let mut ids: Vec<String> = Vec::new();
+    for _ in 0..4 {
+        let (id, link) = harness.next_rpc(1);
+        ids.push(id);
+        harness.answer_rpc(1, link);
+    }
+    ids.sort();
+    assert_eq!(ids, ["0", "1", "2", "3"]);
+    clients.iter_mut().for_each(|client| assert_eq!(read_answer(client).0, b"TDCZ"));
+}
+
+/// The connection is not established yet when its member drains: the RPC goes elsewhere at once, and that member gets none.
+#[test]
+fn a_drain_calls_back_what_waits_for_its_connection() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&statement("1", "read", 60_000, "1"))).expect("the router reads");
+    let mut late = harness.accept_member_connection(1);
+    let fading = instance(1, &harness.member_address(1), "DRAINING");
+    harness.send_listing(&fading, false);
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, "1", "the primary has it");
+    let _ = late.write_all(&welcome());
+    let mut rest = Vec::new();
+    let _ = late.read_to_end(&mut rest);
+    assert!(!rest.contains(&b'Q'), "nothing goes to the one that fades");
+    harness.answer_rpc(0, link);
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/main.rs
@@ -0,0 +1,16 @@
+//! Connections, watches and processes that end at the worst moment, each time, over real connections on loopback
+//! (`docs/endings.md`). The test is client, members and discovery, and decides when each byte is sent; to make several
+//! things happen at once for the router, it pauses the process.
+
+mod cancel_requests;
+mod client_burst;
+mod client_close;
+#[path = "../common/mod.rs"]
+mod common;
+mod crossing_closes;
+mod descriptors;
+mod endpoint_list;
+mod pipelined_clients;
+#[path = "../router_harness/mod.rs"]
+mod router_harness;
+mod shutdown;
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -0,0 +1,107 @@
+//! Clients that send many statements ahead, and leave or stay.
+
+use crate::common::{error_response, query, statement};
+use crate::router_harness::{RouterHarness, read_answer, start_harness, write_statement};
+use std::io::Write;
+use std::net::TcpStream;
+use std::thread::sleep;
+use std::time::Duration;
+
+/// Eight times: a client sends an RPC, then `behind` as far as the kernel takes it, and leaves, by a close and a half
+/// close in turn, 0.12 s before its RPC is answered. How many of the later statements the member gets.
+fn sent_on_behind(behind: impl Fn(usize) -> Vec<u8>) -> usize {
+    let mut harness = start_harness(|config| config);
+    let mut gone = 0;
+    for round in 0..8 {
+        let mut client = harness.client();
+        client.write_all(&query(&write_statement(&format!("first-{round}")))).expect("the router reads");
+        let link = harness.wait_for_rpc(0, &format!("first-{round}"), &mut gone);
+        let half = sends_and_leaves(&harness, client, &behind(round), round % 2 == 1);
+        harness.answer_rpc(0, link);
+        let mut next = harness.client();
+        next.write_all(&query(&write_statement(&format!("next-{round}")))).expect("the router reads");
+        let link = harness.wait_for_rpc(0, &format!("next-{round}"), &mut gone);
+        harness.answer_rpc(0, link);
+        assert_eq!(read_answer(&mut next).0, b"TDCZ");
+        drop(half);
+    }
+    gone
+}
+
+/// Sends as far as the kernel takes it, and leaves; a half close keeps the connection. Returns 0.12 s after that.
+fn sends_and_leaves(
+    harness: &RouterHarness,
+    mut client: TcpStream,
+    mut rest: &[u8],
+    half: bool,
+) -> Option<TcpStream> {
+    client.set_nonblocking(true).expect("it can");
+    while let Ok(count @ 1..) = client.write(rest) {
+        rest = &rest[count..];
+        harness.settle();
+    }
+    client.shutdown(std::net::Shutdown::Write).expect("it can");
+    let kept = Some(client).filter(|_| half);
+    sleep(Duration::from_millis(120));
+    harness.settle();
+    kept
+}
+
+fn statements_behind(round: usize, count: usize) -> Vec<u8> {
+    let statement = |nth| write_statement(&format!("gone-{round}-{nth}")).replace("9f03", &"9f".repeat(4000));
+    (0..count).flat_map(|nth| query(&statement(nth))).collect()
+}
+
+/// The client's buffer is full with what follows its first RPC, and the close comes after that.
+#[test]
+fn a_client_that_goes_with_a_full_ring_is_not_sent_on() {
+    assert_eq!(sent_on_behind(|round| statements_behind(round, 72)), 0);
+}
+
+/// The client has sent more than buffer and socket hold, so that the kernel holds its close back: its bytes are read up to
+/// the close, and no RPC among them is started. After a half close no reset shows that it has left.
+#[test]
+fn a_client_whose_end_is_kept_back_is_found_out() {
+    assert_eq!(sent_on_behind(|round| statements_behind(round, 1000)), 0);
+}
+
+/// The same, and the member that has its first RPC rejects it: no other member gets it.
+#[test]
+fn nothing_follows_a_failed_attempt_of_a_client_whose_end_is_kept_back() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&statement("first", "read", 60_000, "1"))).expect("the router reads");
+    let (id, mut link) = harness.next_rpc(1);
+    assert_eq!(id, "first");
+    let _half = sends_and_leaves(&harness, client, &statements_behind(0, 1000), true);
+    link.write_all(&error_response("53300")).expect("it reads");
+    assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
+}
+
+/// A client that stays is served: all that it has sent ahead as far as there is space; beyond that some statements are
+/// rejected, each is answered, and once all is read the rest is served.
+#[test]
+fn a_client_that_sends_much_ahead_and_stays_is_answered() {
+    for (count, all) in [(60, true), (160, false)] {
+        let mut harness = start_harness(|config| config);
+        let mut client = harness.client();
+        let mut writer = client.try_clone().expect("it can");
+        let bytes = statements_behind(0, count);
+        let writing = std::thread::spawn(move || writer.write_all(&bytes));
+        let reading = std::thread::spawn(move || {
+            let answers: Vec<_> = (0..count).map(|_| read_answer(&mut client)).collect();
+            answers
+        });
+        while !reading.is_finished() {
+            if let Some((_, link)) = harness.next_rpc_within(0, Duration::from_millis(200)) {
+                harness.answer_rpc(0, link);
+            }
+        }
+        writing.join().expect("it ends").expect("the router reads");
+        let answers = reading.join().expect("it ends");
+        let served = answers.iter().filter(|(kinds, _)| kinds == b"TDCZ").count();
+        let pushed_back = answers.iter().filter(|(kinds, code)| kinds == b"EZ" && code == "53300").count();
+        assert_eq!(served + pushed_back, count, "{answers:?}");
+        assert!(served == count || !all && served >= 60, "{served} of {count}");
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -0,0 +1,62 @@
+//! SIGTERM: what was accepted is answered before the process ends.
+
+use crate::common::{next_frame, query, startup};
+use crate::router_harness::{PATIENCE, read_answer, start_harness, write_statement};
+use nix::sys::signal::Signal;
+use std::io::Write;
+use std::net::TcpStream;
+use std::thread::sleep;
+use std::time::Duration;
+
+/// The process once exited 10 s after SIGTERM, whatever was unanswered.
+#[test]
+fn a_stop_waits_for_clients_that_have_longer_than_ten_seconds() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    let (_, link) = harness.next_rpc(0);
+    harness.signal(Signal::SIGTERM);
+    harness.signal(Signal::SIGTERM);
+    sleep(Duration::from_millis(10_500));
+    harness.signal(Signal::SIGHUP);
+    harness.answer_rpc(0, link);
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+    harness.assert_clean_exit();
+}
+
+/// A reload while the router stops changes nothing for clients that wait for an answer.
+#[test]
+fn hang_up_during_the_stop_loses_nothing() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("1"))).expect("the router reads");
+    let (_, link) = harness.next_rpc(0);
+    harness.pause();
+    harness.signal(Signal::SIGTERM);
+    harness.signal(Signal::SIGHUP);
+    harness.resume();
+    sleep(Duration::from_millis(100));
+    harness.signal(Signal::SIGHUP);
+    harness.answer_rpc(0, link);
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
+    harness.assert_clean_exit();
+}
+
+/// A client that sends without end can't keep the router from exiting, and clients that wait at the listener are served.
+#[test]
+fn what_waits_at_the_listener_at_the_stop_is_served() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    harness.pause();
+    harness.signal(Signal::SIGTERM);
+    let mut new = TcpStream::connect(&harness.address).expect("it listens");
+    new.set_read_timeout(Some(PATIENCE)).expect("it can");
+    new.write_all(&[startup(), query(&write_statement("2"))].concat()).expect("the kernel takes it");
+    harness.resume();
+    let (id, link) = harness.next_rpc(0);
+    assert_eq!(id, "2");
+    harness.answer_rpc(0, link);
+    while next_frame(&mut new).expect("a welcome").0 != b'Z' {}
+    assert_eq!(read_answer(&mut new).0, b"TDCZ");
+    harness.assert_clean_exit();
+}
--- /dev/null
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -0,0 +1,257 @@
+//! The reducer and a discovery service that can be away, on a simulated clock.
+
+use crate::common::instance;
+use crate::scenario::Ending::{
+    Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
+    OlderList, Refused, Reset, SpoiltLine, Status,
+};
+use crate::scenario::{ENDINGS, Ending, Mode, NEW_PORT, OLD_PORT, launch_with};
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
+use ladderpass_routing::{Span, Time};
+use nanorand::{Rng, WyRand};
+use std::collections::BTreeMap;
+
+/// The slowest answer of a discovery that can be reached: it rejects a watch after 2 s.
+const MAX_ANSWER_MS: u64 = 1950;
+/// The same where an older list is accepted and silence follows: with 1.95 s each the worst of 60 seeds is 6.1 s.
+const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
+
+/// What discovery does on a watch.
+#[derive(Clone, Debug)]
+enum DiscoveryEvent {
+    Up,
+    Bytes(Vec<u8>),
+    /// It sends the list that it has.
+    Answer,
+    /// It sends the same bytes at this interval.
+    Trickle(Vec<u8>, Span),
+    Ends,
+    Denied,
+}
+
+pub struct Simulation {
+    reducer: Reducer,
+    pub now: Time,
+    random: WyRand,
+    pub ending: Ending,
+    pub max_answer_ms: u64,
+    /// The generation that discovery has after its return, and whether it sends the whole list to all.
+    pub counts_from: u64,
+    pub whole: bool,
+    /// The generation that the last watch asked for.
+    asked_from: u64,
+    /// The port that is away, from when to when.
+    pub away: (u16, Time, Time),
+    /// Open watches, with the port that they connected to.
+    calls: BTreeMap<ConnectionId, u16>,
+    events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
+    last: u64,
+    /// When watches were opened.
+    pub made: Vec<(Time, u16)>,
+    /// When the change of the return was read.
+    pub read_at: Option<Time>,
+}
+
+const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+pub fn start() -> Time {
+    Time::from_nanos(1_796_000_000_000_000_000)
+}
+
+pub fn ms(ms: i64) -> Span {
+    Span::from_millis(ms)
+}
+
+fn chunk(line: &str) -> Vec<u8> {
+    format!("{:x}\r\n{line}\r\n", line.len()).into_bytes()
+}
+
+/// A list of so many members; the change of the return is a fourth.
+fn list(generation: u64, count: usize, whole: bool) -> Vec<u8> {
+    let entries: Vec<String> =
+        (0..count).map(|n| instance(n, &format!("127.0.0.1:{}", 7000 + n), "SERVING")).collect();
+    let entries = entries.join(",");
+    chunk(&format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n"))
+}
+
+impl Simulation {
+    pub fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> Simulation {
+        Simulation {
+            reducer: Reducer::start(start(), launch_with(mode, seed, OLD_PORT)),
+            now: start(),
+            random: WyRand::new_seed(seed),
+            ending,
+            max_answer_ms: if ending == Ending::OlderList {
+                MAX_ANSWER_OF_OLDER_LIST_MS
+            } else {
+                MAX_ANSWER_MS
+            },
+            counts_from: 9,
+            whole: true,
+            asked_from: 0,
+            away,
+            calls: BTreeMap::new(),
+            events: BTreeMap::new(),
+            last: 0,
+            made: Vec::new(),
+            read_at: None,
+        }
+    }
+
+    fn is_away(&self, port: u16) -> bool {
+        self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
+    }
+
+    fn after(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
+        self.last += 1;
+        self.events.insert((self.now + span, self.last), (id, event));
+    }
+
+    fn apply(&mut self, event: Event) {
+        for effect in self.reducer.handle(self.now, event) {
+            match effect {
+                Effect::Connect(id, address) => self.on_connect(id, address.port()),
+                Effect::Close(id) => _ = self.calls.remove(&id),
+                Effect::Write(id) => {
+                    let text = String::from_utf8_lossy(self.reducer.outgoing(id)).into_owned();
+                    let from = text.split_once("from=").and_then(|(_, rest)| rest.split(' ').next());
+                    self.asked_from = from.and_then(|from| from.parse().ok()).unwrap_or(self.asked_from);
+                    let count = text.len();
+                    if count > 0 {
+                        self.apply(Event::Written(id, count));
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// A watch is opened; draws how it ends.
+    fn on_connect(&mut self, id: ConnectionId, port: u16) {
+        self.made.push((self.now, port));
+        self.calls.insert(id, port);
+        let little = ms(self.random.generate_range(0..40));
+        if !self.is_away(port) {
+            self.after(little, id, DiscoveryEvent::Up);
+            let within = ms(self.random.generate_range(40..self.max_answer_ms) as i64);
+            self.after(within, id, DiscoveryEvent::Answer);
+            return self.after(within, id, DiscoveryEvent::Trickle(chunk("\n"), ms(2000)));
+        }
+        let ending = match self.ending {
+            Any => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
+            ending => ending,
+        };
+        let later = little + ms(self.random.generate_range(0..1400));
+        if !matches!(ending, NeverUp | Refused | Denied) {
+            self.after(little, id, DiscoveryEvent::Up);
+        }
+        let bytes = |bytes: &[u8]| DiscoveryEvent::Bytes(bytes.to_vec());
+        match ending {
+            NeverUp | Hangs | Any => {}
+            Refused => self.after(little, id, DiscoveryEvent::Ends),
+            Denied => self.after(Span::ZERO, id, DiscoveryEvent::Denied),
+            Reset => self.after(later, id, DiscoveryEvent::Ends),
+            Status => self.after(later, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
+            NotChunked => self.after(later, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")),
+            SpoiltLine => {
+                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":}\n")].concat()))
+            }
+            EndsEarly => {
+                self.after(little, id, bytes(HEAD));
+                self.after(later, id, DiscoveryEvent::Ends);
+            }
+            HeadAlone => self.after(later, id, bytes(HEAD)),
+            EmptyLines => {
+                self.after(little, id, bytes(HEAD));
+                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(700)));
+            }
+            HalfAList => {
+                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()))
+            }
+            ListForEver => {
+                self.after(
+                    little,
+                    id,
+                    DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()),
+                );
+                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(300)));
+            }
+            OlderList => self.after(later, id, DiscoveryEvent::Bytes([HEAD, &list(0, 3, true)].concat())),
+        }
+    }
+
+    fn carry_out(&mut self, id: ConnectionId, event: DiscoveryEvent) {
+        // What a silent discovery would have sent is lost with the watch, whenever it comes back.
+        let Some(&port) = self.calls.get(&id) else { return };
+        match event {
+            DiscoveryEvent::Up => self.apply(Event::Connected(id)),
+            DiscoveryEvent::Bytes(bytes) => {
+                let buffer = self.reducer.read_buffer(id);
+                buffer[..bytes.len()].copy_from_slice(&bytes);
+                self.apply(Event::Received(id, bytes.len(), Span::ZERO));
+            }
+            DiscoveryEvent::Answer => {
+                let (generation, count) = match port == self.away.0 && self.now >= self.away.2 {
+                    true => (self.counts_from, 4),
+                    false => (5, 3),
+                };
+                let whole = self.whole || self.asked_from == 0;
+                self.carry_out(id, DiscoveryEvent::Bytes([HEAD, &list(generation, count, whole)].concat()));
+            }
+            DiscoveryEvent::Trickle(bytes, every) => {
+                self.carry_out(id, DiscoveryEvent::Bytes(bytes.clone()));
+                self.after(every, id, DiscoveryEvent::Trickle(bytes, every));
+            }
+            DiscoveryEvent::Ends => {
+                self.calls.remove(&id);
+                self.apply(Event::Closed(id));
+            }
+            DiscoveryEvent::Denied => {
+                self.calls.remove(&id);
+                self.apply(Event::ConnectDenied(id));
+            }
+        }
+    }
+
+    /// Runs until then.
+    pub fn run(&mut self, until: Time) {
+        loop {
+            self.apply(Event::Tick);
+            if self.read_at.is_none() && self.reducer.member_count() > 3 {
+                self.read_at = Some(self.now);
+            }
+            let event = self.events.first_key_value().map(|(&(at, _), _)| at);
+            let next = [event, self.reducer.wake_at()].into_iter().flatten().min().unwrap_or(until);
+            let next = next.max(self.now + if event == Some(next) { Span::ZERO } else { ms(1) });
+            if next > until {
+                self.now = until;
+                return;
+            }
+            self.now = next;
+            while let Some(((at, last), _)) = self.events.first_key_value().map(|(key, _)| (*key, ()))
+                && at <= self.now
+            {
+                let (id, event) = self.events.remove(&(at, last)).expect("it is the first");
+                self.carry_out(id, event);
+            }
+        }
+    }
+
+    /// Open watches send nothing more.
+    fn silence_watches(&mut self) {
+        self.events.clear();
+    }
+
+    pub fn close_watches(&mut self, port: u16) {
+        let open = self.calls.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
+        open.collect::<Vec<_>>().into_iter().for_each(|id| self.carry_out(id, DiscoveryEvent::Ends));
+    }
+
+    pub fn take_discovery_down(&mut self, silently: bool) {
+        if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
+    }
+
+    pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
+        self.apply(Event::ConfigurationReloaded(Box::new(launch_with(mode, seed, NEW_PORT))));
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/operator_contract/attempts.rs
@@ -0,0 +1,72 @@
+//! What an attempt carries, and when none is sent any more.
+
+use crate::common::{close, next_frame, query, reset, statement, welcome};
+use crate::ms;
+use crate::router_harness::{accept_connection_within, read_answer, read_startup, start_harness};
+use std::io::{Read, Write};
+use std::thread::sleep;
+use std::time::Instant;
+
+/// The value of `d` in a statement, in milliseconds.
+fn wait_in(statement: &str) -> u64 {
+    let (_, rest) = statement.split_once(",d=").expect("it has a time");
+    rest.split(|c: char| !c.is_ascii_digit()).next().and_then(|text| text.parse().ok()).expect("a number")
+}
+
+/// The group drops retries for so long after the first attempt that may have run. The second attempt waits for its
+/// connection until that window is over: it is not sent.
+#[test]
+fn a_repeat_that_waited_for_its_connection_past_the_window_is_not_sent() {
+    let window = "\"Effect\":\"token\",\"DedupScope\":\"cell\",\"KeyTtl\":600000000";
+    let mut harness = start_harness(|config| config.replace("\"Effect\":\"side_effect\"", window));
+    let mut client = harness.client();
+    client.write_all(&query(&statement("1", "write", 5000, "1"))).expect("the router reads");
+    let (_, link) = harness.next_rpc(0);
+    let sent = Instant::now();
+    // It may have run: the connection closes without an answer.
+    close(link);
+    let mut late = harness.accept_member_connection(0);
+    sleep(ms(900).saturating_sub(sent.elapsed()));
+    late.write_all(&welcome()).expect("the router waits for it");
+    late.set_read_timeout(Some(ms(500))).expect("it can");
+    let mut received = Vec::new();
+    let _ = late.read_to_end(&mut received);
+    assert!(!received.contains(&b'Q'), "a retry after {:?}", sent.elapsed());
+    assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "58000".to_owned()));
+}
+
+/// A retry tells the member how much of the client's time is left then.
+#[test]
+fn a_further_attempt_is_told_what_is_left() {
+    let mut harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":1900000000"));
+    let mut client = harness.client();
+    let sent = Instant::now();
+    client.write_all(&query(&statement("1", "read", 2000, "1"))).expect("the router reads");
+    let (_, first) = harness.next_rpc(1);
+    sleep(ms(600));
+    close(first);
+    let second = accept_connection_within(&harness.members[0], ms(1500)).expect("the primary is called");
+    let mut second = read_startup(second);
+    second.write_all(&welcome()).expect("it reads");
+    let (_, body) = next_frame(&mut second).expect("a query");
+    let left = 2000_u64.saturating_sub(sent.elapsed().as_millis() as u64);
+    let wait = wait_in(&String::from_utf8(body).expect("text"));
+    assert!(wait <= left + 150, "a wait of {wait} ms where {left} ms are left");
+}
+
+/// The client's connection is reset, not closed, while its RPC waits for a member's connection.
+#[test]
+fn a_client_that_resets_its_connection_is_not_sent_on() {
+    let mut harness = start_harness(|config| config);
+    let mut client = harness.client();
+    client.write_all(&query(&statement("1", "write", 5000, "1"))).expect("the router reads");
+    let mut late = harness.accept_member_connection(0);
+    reset(client);
+    sleep(ms(100));
+    late.write_all(&welcome()).expect("it reads");
+    late.set_read_timeout(Some(ms(300))).expect("it can");
+    let mut received = Vec::new();
+    let _ = late.read_to_end(&mut received);
+    assert!(!received.contains(&b'Q'), "an attempt starts after its client has left");
+    harness.idle_connections[0].push(late);
+}
--- /dev/null
+++ b/crates/ladderpass/tests/operator_contract/endpoint_list.rs
@@ -0,0 +1,105 @@
+//! Reloads of the configuration, and lists that are pushed or come late.
+
+use crate::common::{instance, query, statement};
+use crate::ms;
+use crate::router_harness::{accept_connection, bind_listener, start_harness, write_statement};
+use nix::sys::signal::Signal;
+use std::io::Write;
+use std::thread::sleep;
+use std::time::Instant;
+
+/// Five new configurations in quick succession, the file half written at one of the signals: the last one applies, and
+/// the list of its discovery within 4 s. The discoveries before it are silent.
+#[test]
+fn new_configurations_in_quick_succession_are_followed_to_the_last() {
+    let mut harness = start_harness(|config| config);
+    harness.assert_write_succeeds("1");
+    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let listeners: Vec<_> = (0..5).map(|_| bind_listener()).collect();
+    for (nth, listener) in listeners.iter().enumerate() {
+        let at = listener.local_addr().expect("an address");
+        let text = good.replace("\"seed\":\"8c", &format!("\"discovery\":\"{at}\",\"seed\":\"8c"));
+        if nth == 3 {
+            std::fs::write(&harness.config_file, &text[..text.len() / 2]).expect("written");
+            harness.signal(Signal::SIGHUP);
+            sleep(ms(30));
+        }
+        std::fs::write(&harness.config_file, &text).expect("written");
+        harness.signal(Signal::SIGHUP);
+        sleep(ms(30));
+    }
+    let since = Instant::now();
+    harness.discovery = listeners.into_iter().next_back().expect("five");
+    harness.open_watch();
+    let moved = instance(0, &harness.member_address(1), "SERVING");
+    harness.generation = 100;
+    harness.send_listing(&moved, true);
+    harness.settle();
+    assert!(since.elapsed() < ms(4000), "after {:?}", since.elapsed());
+    let mut client = harness.client();
+    client.write_all(&query(&write_statement("2"))).expect("the router reads");
+    assert_eq!(harness.next_rpc(1).0, "2");
+}
+
+/// With pushed lists a change binds 0.25 s after discovery has it: a watch that is lost five times in a row is open again
+/// within that each time.
+#[test]
+fn a_watch_of_a_pushed_list_is_back_within_a_short_grace() {
+    let grace = "\"DrainGrace\":250000000,\"OverloadFor\"";
+    let mut harness = start_harness(|config| {
+        config.replace("\"subscribe\"", "\"automatic\"").replace("\"OverloadFor\"", grace)
+    });
+    for _ in 0..5 {
+        harness.watch = None;
+        let since = Instant::now();
+        harness.open_watch();
+        assert!(since.elapsed() < ms(200), "after {:?}", since.elapsed());
+    }
+    harness.send_listing("", false);
+    let draining = instance(0, &harness.member_address(0), "DRAINING");
+    harness.send_listing(&draining, false);
+    harness.settle();
+    let mut client = harness.client();
+    client.write_all(&query(&statement("1", "write", 400, "1"))).expect("the router reads");
+    assert!(harness.next_rpc_within(0, ms(600)).is_none(), "nothing goes to the one that drains");
+}
+
+/// Discovery answers each watch within the 2 s after which it would reject it. A change applies 6 s after discovery had it
+/// and could be reached, whatever became of the watches before.
+#[test]
+fn a_discovery_that_takes_long_for_each_call_is_heard() {
+    for takes in [1300, 1600, 1900] {
+        let mut harness = start_harness(|config| config);
+        harness.assert_write_succeeds("1");
+        let moved = instance(0, &harness.member_address(1), "SERVING");
+        let list = format!("{{\"generation\":9,\"reset\":true,\"instances\":[{moved}]}}\n");
+        let answer =
+            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
+        let discovery = harness.discovery.try_clone().expect("it can");
+        std::thread::spawn(move || {
+            loop {
+                let mut watch = accept_connection(&discovery);
+                let answer = answer.clone();
+                std::thread::spawn(move || {
+                    sleep(ms(takes));
+                    let _ = watch.write_all(answer.as_bytes());
+                    sleep(ms(20_000));
+                });
+            }
+        });
+        harness.watch = None;
+        let since = Instant::now();
+        let mut nth = 1;
+        let notified_after = loop {
+            assert!(since.elapsed() < ms(6000), "{takes} ms a watch: not notified yet");
+            nth += 1;
+            let mut client = harness.client();
+            client.write_all(&query(&write_statement(&nth.to_string()))).expect("the router reads");
+            match harness.next_rpc_within(1, ms(100)) {
+                Some((id, _)) if id == nth.to_string() => break since.elapsed(),
+                _ => sleep(ms(50)),
+            }
+        };
+        println!("{takes} ms a watch: notified after {notified_after:?}");
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/operator_contract/memory.rs
@@ -0,0 +1,38 @@
+//! More statements at once than there is memory for.
+
+use crate::common::{query, statement};
+use crate::ms;
+use crate::router_harness::{read_answer, start_harness};
+use std::io::Write;
+use std::time::Instant;
+
+/// More complete statements at once than there is memory for, while members hang: each is answered, at the latest half a
+/// second after its deadline, although the router could not read all of them before.
+#[test]
+fn statements_that_memory_is_short_for_are_answered() {
+    let harness = start_harness(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":32"));
+    let value = "ab".repeat(64 << 10);
+    let clients: Vec<_> = (0..150)
+        .map(|nth| {
+            let mut client = harness.client();
+            let text = statement(&format!("{nth}"), "write", 2500, "1");
+            let bytes = query(&text.replace("\\x9f03", &format!("\\x{value}")));
+            std::thread::spawn(move || {
+                client.write_all(&bytes).map_err(|error| format!("unsent: {error}"))?;
+                let sent = Instant::now();
+                let (kinds, code) = read_answer(&mut client);
+                match (kinds.ends_with(b"Z"), sent.elapsed() < ms(3000)) {
+                    (true, true) => Ok(()),
+                    _ => Err(format!("{code}, {kinds:?} after {:?}", sent.elapsed())),
+                }
+            })
+        })
+        .collect();
+    let lost: Vec<String> =
+        clients.into_iter().filter_map(|client| client.join().expect("no panic").err()).collect();
+    assert_eq!(lost.len(), 0, "{} lost: {:?}", lost.len(), &lost[..lost.len().min(3)]);
+    let status = std::fs::read_to_string(format!("/proc/{}/status", harness.process.id())).expect("it runs");
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
+    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
+    assert!(peak < 32 << 10, "{peak} KiB of 32 MiB");
+}
--- /dev/null
+++ b/crates/ladderpass/tests/recorded_bytes/main.rs
@@ -0,0 +1,83 @@
+//! Every byte that the router writes, compared with a recording: two routers that gossip with each other run
+//! without sockets on a simulated clock, before clients, members and a discovery service that fail at random.
+//!
+//! `recorded/first_run.txt` holds the whole transcript of a short run, `recorded/digests.txt` one digest for each of
+//! many longer runs. A change that is meant to keep behaviour keeps both. One that changes what is written, or
+//! when, records them anew (`LADDERPASS_RECORD=1 cargo test -p ladderpass --test recorded_bytes`), and its commit says
+//! what differs and why. Recorded on x86-64 Linux: elsewhere logarithms may differ in their last bit, and so may
+//! a random choice.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod remotes;
+mod simulation;
+
+use ladderpass_routing::Span;
+use simulation::Simulation;
+use std::path::PathBuf;
+
+const SEEDS: u64 = 48;
+const FIRST_RUN: Span = Span::from_millis(1500);
+const LONG_RUN: Span = Span::from_millis(8000);
+
+fn transcript(seed: u64, length: Span) -> String {
+    let mut simulation = Simulation::new(seed);
+    simulation.run(length);
+    simulation.transcript
+}
+
+/// FNV-1a.
+fn digest(text: &str) -> u64 {
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+}
+
+fn matches_recording(name: &str, text: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recorded").join(name);
+    if std::env::var_os("LADDERPASS_RECORD").is_some() {
+        return std::fs::write(&path, text).expect("writes");
+    }
+    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    let differs = text.lines().zip(recorded.lines()).position(|(now, before)| now != before);
+    let line = differs.unwrap_or_else(|| text.lines().count().min(recorded.lines().count()));
+    let (now, before) = (text.lines().nth(line), recorded.lines().nth(line));
+    assert!(text == recorded, "{name}, line {}:\nnow    {now:?}\nbefore {before:?}", line + 1);
+}
+
+#[test]
+fn a_short_run_writes_what_was_recorded() {
+    matches_recording("first_run.txt", &transcript(1, FIRST_RUN));
+}
+
+#[test]
+fn many_runs_write_what_was_recorded() {
+    let digests: Vec<String> = (2..2 + SEEDS)
+        .map(|seed| {
+            let text = transcript(seed, LONG_RUN);
+            format!("{seed} {} lines {:016x}\n", text.lines().count(), digest(&text))
+        })
+        .collect();
+    matches_recording("digests.txt", &digests.concat());
+}
+
+/// A run that is played twice is the same, and holds what the recordings are for.
+#[test]
+fn a_run_is_repeatable_and_meets_each_kind_of_message() {
+    let first = transcript(1, FIRST_RUN);
+    assert_eq!(first, transcript(1, FIRST_RUN));
+    for wanted in [
+        "user\\x00ladderpass\\x00",
+        "GET /",
+        "SHOW server_load",
+        "SELECT payload",
+        "INSERT INTO",
+        "C53300\\x00",
+        "C58000\\x00",
+        "C42601\\x00",
+        "is told to end",
+        "exits",
+        "to 127.0.0.1:7401: !",
+    ] {
+        assert!(first.contains(wanted), "{wanted}");
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -0,0 +1,158 @@
+//! What clients, members and the discovery service do in a random run.
+
+use crate::common::{
+    empty_query_response, error_response, frame, id_and_rest, instance, query, row, startup, statement,
+    welcome,
+};
+use crate::simulation::{Client, Simulation};
+use ladderpass::reducer::Event;
+use ladderpass_overload::ResourceSample;
+use ladderpass_routing::Span;
+
+impl Simulation {
+    pub fn step(&mut self) {
+        match self.roll(12) {
+            0 | 1 if self.clients.len() < 12 && !self.exited => {
+                let id = self.reducer.next_id();
+                self.clients.insert(id, Client::default());
+                self.apply(Event::Accepted(id));
+                self.feed(id, &startup());
+            }
+            2..=4 => {
+                let Some(id) = self.any(self.clients.keys().copied().collect()) else { return };
+                let method = if self.roll(3) == 0 { "write" } else { "read" };
+                let wait = 60 + self.roll(200) as u64 * 4;
+                let rpc = format!("{:x}", self.statements.len() + 256);
+                let text = statement(&rpc, method, wait, "1");
+                let rest = id_and_rest(&text).1;
+                self.statements.insert(rpc.clone(), (rest, method == "write", false));
+                let due = self.now + Span::from_millis(wait as i64);
+                self.clients.get_mut(&id).expect("it is there").due.push(due);
+                self.clients.get_mut(&id).expect("it is there").ids.push(rpc);
+                self.feed(id, &query(&text));
+            }
+            5 => {
+                let Some(id) = self.any(self.clients.keys().copied().collect()) else { return };
+                let what = self.roll(4);
+                if what == 0 && self.clients[&id].inbox.contains(&b'K') {
+                    let (process, secret) = self.key_of(id);
+                    return self.cancels((process, secret ^ u32::from(self.choices.len().is_multiple_of(3))));
+                }
+                if what < 2 {
+                    self.clients.remove(&id);
+                    return self.apply(Event::Closed(id));
+                }
+                self.clients.get_mut(&id).expect("it is there").broke_protocol = true;
+                let broke_protocol: Vec<u8> = (0..self.roll(30)).map(|_| self.roll(256) as u8).collect();
+                self.feed(id, &broke_protocol);
+            }
+            6..=8 => self.member_acts(),
+            9 => self.list_acts(),
+            _ => {
+                for _ in 0..[0, 1, 5, 20][self.roll(4)] {
+                    self.pass(Span::from_millis(4));
+                }
+            }
+        }
+        if self.pressed && self.roll(3) == 0 {
+            let resident = self.roll(3) * (90 << 20);
+            let wall = Span::from_millis(50);
+            self.apply(Event::ResourcesSampled(ResourceSample {
+                wall,
+                resident_bytes: resident,
+                ..ResourceSample::default()
+            }));
+            let busy = Span::from_millis(self.roll(40) as i64);
+            let waiting = self.roll(200);
+            self.apply(Event::IterationWorked(busy, waiting));
+            if let Some(id) = self.any(self.clients.keys().copied().collect())
+                && !self.reducer.outgoing(id).is_empty()
+            {
+                self.apply(Event::WriteBlocked(id));
+            }
+        }
+        self.pass(Span::ZERO);
+        let (out, links) = self.reducer.attempts_in_flight();
+        assert_eq!(out, links, "call-outs that are out, and connections that carry one");
+    }
+
+    fn member_acts(&mut self) {
+        let Some(id) = self.any(self.peers.keys().copied().collect()) else { return };
+        let (what, position) = (self.roll(16), self.now.nanos() as u64 / 1_000_000);
+        let peer = self.peers.get_mut(&id).expect("it is there");
+        if what == 0 {
+            self.peers.remove(&id);
+            return self.apply(Event::Closed(id));
+        }
+        if !peer.up {
+            peer.up = what != 1;
+            return self.apply(if what == 1 { Event::ConnectDenied(id) } else { Event::Connected(id) });
+        }
+        if !peer.startup_done {
+            peer.startup_done = true;
+            peer.inbox.clear();
+            return self.feed(id, &welcome());
+        }
+        let Some(asked) = peer.asked.take() else {
+            if std::mem::take(&mut peer.fence_queued) {
+                self.feed(id, &empty_query_response());
+            } else if what == 1 {
+                self.feed(id, &row(b"early", "leader", position));
+            }
+            return;
+        };
+        let rpc = id_and_rest(&asked).0;
+        let good = row(rpc.as_bytes(), ["leader", "follower"][what % 2], position);
+        let answer = match what {
+            1 => error_response("53300"),
+            2 => error_response("25006"),
+            3 => error_response("XX000"),
+            // Damaged: a row of two columns, half an answer, a value of 3 GB, an unknown tag.
+            4 => frame(b'D', b"\0\x02"),
+            5 => good[..20].to_vec(),
+            6 => [&good[..37], b"D\xbb\0\0\0\0\x01\xb9\0\0\0v"].concat(),
+            7 => [&good[..37], &frame(b'D', b"\0\x01\0\0\0\x01v"), &frame(b'C', b"FETCH 9\0")].concat(),
+            _ if asked == "SHOW server_load" => {
+                let report = format!("x0={}.5,x1={}", position / 1000, what % 2);
+                row(report.as_bytes(), "follower", position)
+            }
+            // Good, with a second copy or noise right behind; and a position that no member can have.
+            8 => [&good[..], &good].concat(),
+            9 => [&good[..], b"\x07noise"].concat(),
+            10 => row(rpc.as_bytes(), "follower", position + 3_600_000),
+            _ => good,
+        };
+        if matches!(what, 1 | 2)
+            && let Some((_, _, ran)) = self.statements.get_mut(&rpc)
+        {
+            *ran = false;
+        }
+        self.feed(id, &answer);
+    }
+
+    fn list_acts(&mut self) {
+        let Some((id, up)) = self.watches.first().copied() else { return };
+        if !up {
+            return if self.roll(4) == 1 {
+                self.apply(Event::ConnectDenied(id))
+            } else {
+                self.open_watch(id)
+            };
+        }
+        self.generation += 1;
+        let (n, what) = (self.roll(4), self.roll(7));
+        let lifecycle = ["SERVING", "SERVING", "DRAINING", "DELETED"][self.roll(4)];
+        let entry = instance(n, &format!("127.0.0.1:{}", 7000 + n + 10 * (what % 2)), lifecycle);
+        let generation = if what == 3 { 0 } else { self.generation };
+        let line =
+            format!("{{\"generation\":{generation},\"reset\":{},\"instances\":[{entry}]}}\n", what == 4);
+        match what {
+            5 => self.feed(id, b"zz\r\n"),
+            6 => {
+                self.watches.clear();
+                self.apply(Event::Closed(id));
+            }
+            _ => self.feed(id, format!("{:x}\r\n{line}\r\n1\r\n\n\r\n", line.len()).as_bytes()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -0,0 +1,139 @@
+//! Cancel requests, in each state of the RPC that they name.
+
+use crate::common::{empty_query_response, error_response, id_and_rest, query, row, startup, statement};
+use crate::scenarios::{answers_of, one_call, served, unserved};
+use crate::simulation::{Client, Peer, Simulation};
+use ladderpass::reducer::Event;
+use ladderpass_routing::Span;
+
+/// Keys differ; one that differs by a bit, or is of no connection, or comes without an RPC in flight, has no effect.
+#[test]
+fn a_cancel_counts_with_the_key_of_its_connection_alone() {
+    let (mut simulation, client, link) = one_call("read");
+    let (process, secret) = simulation.key_of(client);
+    for bit in 0..32 {
+        simulation.cancels((process, secret ^ 1 << bit));
+        simulation.cancels((process ^ 1 << bit, secret));
+    }
+    let other = simulation.reducer.next_id();
+    simulation.clients.insert(other, Client::default());
+    simulation.apply(Event::Accepted(other));
+    simulation.receive(other, &startup());
+    simulation.write(other);
+    let idle = simulation.key_of(other);
+    assert!(idle.1 != secret && idle.0 != process);
+    simulation.cancels(idle);
+    simulation.cancels((process, idle.1));
+    assert_eq!(answers_of(&simulation, client), []);
+    simulation.peers.get_mut(&link).expect("it is there").asked = None;
+    simulation.receive(link, &row(b"7", "follower", 1));
+    simulation.cancels((process, secret));
+    simulation.pass(Span::ZERO);
+    assert_eq!((answers_of(&simulation, client), answers_of(&simulation, other)), (vec![served()], vec![]));
+}
+
+/// Pending, as no member has answered anything yet: answered at once, and never sent. What follows it goes on.
+#[test]
+fn what_is_held_and_cancelled_is_answered_at_once_and_what_stands_behind_it_goes_on() {
+    let mut simulation = Simulation::new(vec![255; 600]);
+    let client = simulation.reducer.next_id();
+    let due = vec![simulation.now + Span::from_millis(2000); 2];
+    let ids = vec!["7".to_owned(), "8".to_owned()];
+    simulation.clients.insert(client, Client { due, ids, ..Client::default() });
+    simulation.apply(Event::Accepted(client));
+    let texts = [statement("7", "write", 2000, "1"), statement("8", "write", 2000, "1")];
+    for text in &texts {
+        simulation.statements.insert(id_and_rest(text).0, (id_and_rest(text).1, true, false));
+    }
+    simulation.receive(client, &[startup(), query(&texts[0]), query(&texts[1])].concat());
+    simulation.write(client);
+    assert_eq!(answers_of(&simulation, client), []);
+    simulation.cancels(simulation.key_of(client));
+    assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
+    for _ in 0..200 {
+        simulation.pass(Span::from_millis(5));
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
+            let Some(peer) = simulation.peers.get_mut(&id) else { continue };
+            if !peer.up {
+                simulation.come_up(id);
+            } else if let Some(asked) = peer.asked.take() {
+                assert_ne!(id_and_rest(&asked).0, "7", "it was cancelled");
+                let report = format!("x0={}.9,x1=1", position / 1000);
+                let value = if asked == "SHOW server_load" { report } else { id_and_rest(&asked).0 };
+                simulation.feed(id, &row(value.as_bytes(), "leader", position));
+            } else if std::mem::take(&mut peer.fence_queued) {
+                simulation.feed(id, &empty_query_response());
+            }
+        }
+    }
+    assert_eq!(answers_of(&simulation, client), [unserved("57014"), served()]);
+}
+
+/// Its query is not written, or only in part: answered at once, and no more of it is sent.
+#[test]
+fn what_is_not_written_whole_when_it_is_cancelled_never_is() {
+    for written in [0, 10] {
+        let (mut simulation, _, link) = one_call("write");
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+        let client = simulation.reducer.next_id();
+        let due = vec![simulation.now + Span::from_millis(2000)];
+        simulation.clients.insert(client, Client { due, ..Client::default() });
+        simulation.apply(Event::Accepted(client));
+        simulation.receive(client, &startup());
+        simulation.write(client);
+        let bytes = query(&statement("8", "write", 2000, "1"));
+        simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
+        for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
+            simulation.reducer.handle(simulation.now, event);
+        }
+        assert!(String::from_utf8_lossy(simulation.reducer.outgoing(link)).contains("id=8,"));
+        if written > 0 {
+            simulation.reducer.handle(simulation.now, Event::Written(link, written));
+        }
+        simulation.cancels(simulation.key_of(client));
+        assert_eq!(!simulation.peers.contains_key(&link), written > 0, "a part makes it useless");
+        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(simulation.reducer.attempts_in_flight(), (0, 0));
+        simulation.write(client);
+        assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
+    }
+}
+
+/// An attempt in flight is settled by its outcome: served if it is good; otherwise nothing follows it, and the answer says
+/// whether it may have had an effect.
+#[test]
+fn no_attempt_follows_the_one_that_is_out_when_it_is_cancelled() {
+    for (method, ends, wanted) in [
+        ("read", "well", served()),
+        ("write", "well", served()),
+        ("read", "refused", unserved("57014")),
+        ("write", "refused", unserved("57014")),
+        ("read", "broken", unserved("57014")),
+        ("write", "broken", unserved("58000")),
+    ] {
+        let (mut simulation, client, link) = one_call(method);
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.cancels(simulation.key_of(client));
+        simulation.cancels(simulation.key_of(client));
+        assert_eq!(answers_of(&simulation, client), [], "it is out");
+        simulation.peers.get_mut(&link).expect("it is there").asked = None;
+        match ends {
+            "well" => simulation
+                .receive(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position)),
+            "refused" => simulation.receive(link, &error_response("53300")),
+            _ => {
+                simulation.peers.remove(&link);
+                simulation.apply(Event::Closed(link));
+            }
+        }
+        simulation.pass(Span::ZERO);
+        assert_eq!(answers_of(&simulation, client), [wanted], "{method} {ends}");
+        for _ in 0..100 {
+            simulation.pass(Span::from_millis(5));
+            let asked = |peer: &Peer| peer.asked.as_ref().is_some_and(|asked| asked.contains("id=7,"));
+            assert!(!simulation.peers.values().any(asked), "{method} {ends}: a further attempt");
+        }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/checks.rs
@@ -0,0 +1,71 @@
+//! What a simulated router writes, checked against the rules: one answer for each statement, in time, and no statement that
+//! may have run is sent twice.
+
+use crate::common::{frames, id_and_rest};
+use crate::simulation::Simulation;
+use ladderpass::reducer::{ConnectionId, Event};
+use ladderpass_routing::Span;
+
+impl Simulation {
+    pub fn write(&mut self, id: ConnectionId) {
+        while !self.reducer.outgoing(id).is_empty() {
+            let bytes = self.reducer.outgoing(id).to_vec();
+            if let Some(client) = self.clients.get_mut(&id) {
+                client.inbox.extend_from_slice(&bytes);
+                let (found, _) = frames(&client.inbox);
+                // The startup's answer ends with a ready too; a fatal error has none.
+                let ends = |(kind, body): &&(u8, Vec<u8>)| *kind == b'Z' || body.starts_with(b"SFATAL");
+                let ready = found.iter().filter(ends).count().saturating_sub(1);
+                assert!(client.broke_protocol || ready <= client.due.len(), "rule 1: two answers");
+                for (nth, answer) in found.split_inclusive(|(kind, _)| *kind == b'Z').skip(1).enumerate() {
+                    let value = answer.iter().find(|(kind, _)| *kind == b'D').map(|(_, body)| &body[6..]);
+                    let wanted = client.ids.get(nth).map(String::as_bytes);
+                    let own = client.broke_protocol || value.is_none() || wanted.is_none() || value == wanted;
+                    assert!(own, "rule 1: served what was made for another");
+                }
+                // The deadline of a statement behind another runs from when it was sent; its turn is after the other.
+                let turn = client.answered_at.map_or(self.now, |at| at + Span::from_millis(10));
+                for (nth, due) in client.due.iter().enumerate().take(ready).skip(client.answers) {
+                    let behind = nth > client.answers || self.now <= turn && client.answered_at.is_some();
+                    let in_time = self.now <= *due || behind;
+                    assert!(client.broke_protocol || in_time, "rule 1: an answer past the client's time");
+                }
+                if ready > client.answers {
+                    client.answered_at = Some(self.now);
+                }
+                client.answers = ready;
+            } else if let Some(peer) = self.peers.get_mut(&id) {
+                peer.inbox.extend_from_slice(&bytes);
+                if peer.startup_done {
+                    let (found, used) = frames(&peer.inbox);
+                    peer.inbox.drain(..used);
+                    found.into_iter().for_each(|(kind, body)| self.asked(id, kind, &body));
+                }
+            }
+            self.apply(Event::Written(id, bytes.len()));
+        }
+    }
+
+    /// A complete query has reached a member.
+    pub fn asked(&mut self, id: ConnectionId, kind: u8, body: &[u8]) {
+        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
+        let (rpc, rest) = id_and_rest(&text);
+        assert_eq!(kind, b'Q');
+        if text != "SHOW server_load" && !text.is_empty() {
+            let (statement, once, ran) = self.statements.get_mut(&rpc).expect("a client sent it");
+            assert_eq!(*statement, rest, "byte for byte but d");
+            assert!(!(*once && *ran), "rule 2: it may have run before");
+            *ran = true;
+            let out = self.peers.values().filter(|peer| peer.asked.as_ref() == Some(&text)).count();
+            assert_eq!(out, 0, "rule 2: a second copy");
+        }
+        let peer = self.peers.get_mut(&id).expect("it is there");
+        if text.is_empty() {
+            assert!(peer.asked.is_some() && !peer.fence_queued, "an empty query stands behind a query");
+            peer.fence_queued = true;
+            return;
+        }
+        assert!(peer.asked.is_none() && !peer.fence_queued, "two at once on a connection");
+        peer.asked = Some(text);
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -0,0 +1,63 @@
+//! Clients that break the protocol.
+
+use crate::common::{frame, frames, query, sqlstate, startup, statement};
+use crate::scenarios::{crowd, exchange};
+use crate::simulation::Client;
+use ladderpass::reducer::Event;
+use ladderpass_routing::Span;
+
+#[test]
+fn bad_input_gets_a_fitting_code_and_keeps_the_stream_in_step() {
+    for (bytes, wanted) in [
+        (query("SELECT 1"), "42601"),
+        (query("SELECT 1 /* c=read,d=5,cluster=1 */"), "42601"),
+        (query(&statement("7", "nothing", 480, "1")), "22023"),
+        (query(&statement("7", "read", 480, "99")), "22023"),
+        (query(&statement("7", "read", 480, "x")), "42601"),
+        (query(&statement("7", "read", 480, "1").replace("d=480", "d=-1")), "42601"),
+        (query(&statement("7", "read", 480, "1").replace("read,", "write,")), "42601"),
+        (query(&statement("7", "write", 480, "1").replace("9f03", "9f0")), "42601"),
+        (query(&statement("7", "read", 480, "1").replace("d=480", "d=480,d=9")), "42601"),
+        (query(&statement("7", "read", 480, "1").replace("d=480", "d=inf")), "42601"),
+        (query(&statement(&"7".repeat(65), "read", 480, "1")), "42601"),
+        (frame(b'Q', b"\xff\0"), "22021"),
+        ([frame(b'P', b"\0\0\0\0"), frame(b'B', b""), frame(b'S', b"")].concat(), "0A000"),
+    ] {
+        let (answer, closed) = exchange(&bytes);
+        let kinds: Vec<u8> = answer.iter().map(|(kind, _)| *kind).collect();
+        assert_eq!((kinds.as_slice(), closed), (&b"EZIZ"[..], false), "{wanted}");
+        assert_eq!(sqlstate(&answer[0].1), wanted);
+    }
+    // Out of step, or too long by its header: only that client is closed.
+    assert!(exchange(b"Q\x03\x93\x87\x04SELECT").1);
+    assert!(exchange(&[b'Q', 0, 0, 0, 1]).1);
+    assert!(exchange(&frame(b'!', b"")).1);
+    assert!(exchange(&frame(b'X', b"")).1);
+}
+
+#[test]
+fn an_id_that_is_open_is_not_taken_twice() {
+    let mut simulation = crowd(2, |_| query(&statement("7", "read", 480, "1")));
+    let told: Vec<String> = (simulation.clients.values())
+        .flat_map(|client| frames(&client.inbox).0)
+        .filter(|(kind, _)| *kind == b'E')
+        .map(|(_, body)| sqlstate(&body))
+        .collect();
+    assert_eq!(told, ["23505"]);
+    simulation.pass(Span::ZERO);
+    assert_eq!(simulation.clients.len(), 2);
+}
+
+/// A client that goes on with errors gets each at once, is read ever later and closed in the end.
+#[test]
+fn a_client_full_of_faults_is_slowed_and_closed() {
+    let mut simulation = crowd(0, |_| Vec::new());
+    let id = simulation.reducer.next_id();
+    simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
+    simulation.apply(Event::Accepted(id));
+    simulation.receive(id, &[startup(), query("SELECT 1").repeat(100)].concat());
+    simulation.write(id);
+    assert_eq!(simulation.clients[&id].answers, 1, "the first at once");
+    (0..200).for_each(|_| simulation.pass(Span::from_millis(5)));
+    assert!(!simulation.clients.contains_key(&id));
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -0,0 +1,208 @@
+//! Limits of clients, buffers and tables, and who is evicted at them.
+
+use crate::common::{frames, id_and_rest, instance, query, row, sqlstate, startup, statement};
+use crate::scenarios::{crowd, one_call_in};
+use crate::simulation::{Client, Simulation, default_launch};
+use ladderpass::reducer::{ConnectionId, Effect, Event};
+use ladderpass_overload::ResourceSample;
+use ladderpass_routing::Span;
+
+/// A client that reads nothing of a large answer is closed at its time-out, and its memory released; one that reads some
+/// now and then is not.
+#[test]
+fn a_client_that_reads_nothing_is_closed_and_one_that_reads_slowly_is_not() {
+    for reads in [false, true] {
+        let (mut simulation, client, link) = one_call_in(Simulation::pressed(vec![255; 600]), "read");
+        let position = simulation.now.nanos() as u64 / 1_000_000;
+        simulation.peers.get_mut(&link).expect("it is there").asked = None;
+        let value = row(&[b'v'; 60_000], "follower", position);
+        let mut rest = &value[..];
+        while !rest.is_empty() {
+            let space = simulation.reducer.read_buffer(link);
+            let count = space.len().min(rest.len());
+            space[..count].copy_from_slice(&rest[..count]);
+            rest = &rest[count..];
+            simulation.reducer.handle(simulation.now, Event::Received(link, count, Span::ZERO));
+        }
+        assert!(simulation.reducer.outgoing(client).len() > 50_000, "the answer is there");
+        let mut closed = false;
+        for nth in 0..20 {
+            simulation.now = simulation.now + Span::from_millis(50);
+            let mut effects = simulation.reducer.handle(simulation.now, Event::WriteBlocked(client));
+            if reads && nth % 2 == 0 {
+                effects.extend(simulation.reducer.handle(simulation.now, Event::Written(client, 10)));
+            }
+            effects.extend(
+                simulation.reducer.handle(simulation.now, Event::ResourcesSampled(ResourceSample::default())),
+            );
+            closed |= effects.contains(&Effect::Close(client));
+        }
+        assert_eq!(closed, !reads);
+    }
+}
+
+#[test]
+fn past_the_bound_rested_clients_make_place_and_busy_ones_do_not() {
+    let bound = default_launch().limits.clients;
+    let read = |id: usize| query(&statement(&id.to_string(), "read", 480, "1"));
+    // All are busy: each further client gets an error at once and is closed; none of those that wait is.
+    assert_eq!(crowd(bound + 40, read).clients.len(), bound);
+    // All are idle, but not for long: none is closed. Later all that are too many are closed, except the one whose query
+    // is found at its socket in between: it stays and is served.
+    let mut simulation = crowd(bound, read);
+    (0..49).for_each(|_| simulation.pass(Span::from_millis(5)));
+    let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
+    assert_eq!(ids.len(), bound);
+    simulation.now = simulation.now + Span::from_millis(110);
+    let id = simulation.reducer.next_id();
+    simulation.clients.insert(id, Client::default());
+    simulation.apply(Event::Accepted(id));
+    simulation.clients.get_mut(&ids[0]).expect("idle").due.push(simulation.now + Span::from_millis(480));
+    simulation.feed(ids[0], &read(bound));
+    simulation.pass(Span::ZERO);
+    let eased = default_launch().limits.clients_before_eviction;
+    assert!(simulation.clients.contains_key(&ids[0]) && simulation.clients.contains_key(&id));
+    assert!(
+        (eased..eased + 3).contains(&simulation.clients.len()),
+        "{} of {eased}",
+        simulation.clients.len()
+    );
+}
+
+#[test]
+fn memory_of_all_rings_stays_within_its_bound() {
+    let limits = default_launch().limits;
+    let mut simulation = crowd(limits.clients, |_| Vec::new());
+    let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
+    let mut held = 0;
+    for &id in &ids {
+        // All but the end of a statement of the maximum length.
+        let mut statement = [&b"Q"[..], &(limits.statement_bytes as u32 - 1).to_be_bytes()].concat();
+        statement.resize(limits.statement_bytes - 1, b' ');
+        let mut rest = &statement[..];
+        while !rest.is_empty() {
+            let space = simulation.reducer.read_buffer(id);
+            let count = space.len().min(rest.len());
+            if count == 0 {
+                break;
+            }
+            space[..count].copy_from_slice(&rest[..count]);
+            rest = &rest[count..];
+            held += count;
+            simulation.apply(Event::Received(id, count, Span::ZERO));
+        }
+    }
+    let bound = limits.pause_clients_at_buffer_bytes;
+    assert!(held > bound / 2 && held < bound + limits.client_buffer_bytes, "{held} of {bound}");
+    // Those that wait read on once others are gone.
+    let mut woken = Vec::new();
+    for &id in &ids[..ids.len() / 2] {
+        woken.extend(simulation.reducer.handle(simulation.now, Event::Closed(id)));
+    }
+    let last = ids[ids.len() - 1];
+    assert!(woken.contains(&Effect::Read(last)) && !simulation.reducer.read_buffer(last).is_empty());
+}
+
+/// Ids of open RPCs stay known, however many with later deadlines follow them.
+#[test]
+fn an_id_that_is_open_is_not_forgotten_for_others() {
+    let mut launch = default_launch();
+    launch.limits.remembered_ids = 2;
+    let (mut simulation, client, _) = one_call_in(Simulation::of(vec![255; 600], launch), "write");
+    for nth in 100..110 {
+        let other = simulation.reducer.next_id();
+        simulation.clients.insert(other, Client { broke_protocol: true, ..Client::default() });
+        simulation.apply(Event::Accepted(other));
+        let text = statement(&nth.to_string(), "read", 3_000_000, "1");
+        simulation.statements.insert(nth.to_string(), (id_and_rest(&text).1, false, false));
+        simulation.receive(other, &[startup(), query(&text)].concat());
+    }
+    let again = simulation.reducer.next_id();
+    simulation.clients.insert(again, Client { broke_protocol: true, ..Client::default() });
+    simulation.apply(Event::Accepted(again));
+    simulation.receive(again, &[startup(), query(&statement("7", "write", 2000, "1"))].concat());
+    simulation.write(again);
+    let (told, _) = frames(&simulation.clients[&again].inbox);
+    assert_eq!(
+        told.iter().find(|(kind, _)| *kind == b'E').map(|(_, body)| sqlstate(body)),
+        Some("23505".into())
+    );
+    assert_eq!(simulation.clients[&client].answers, 0, "it is still open");
+}
+
+/// Many clients that send nothing, or half a statement, are closed for others soon; idle ones are closed after a while.
+#[test]
+fn those_that_ask_nothing_whole_make_place_and_leave() {
+    let limits = default_launch().limits;
+    for (sent, after) in [(&b""[..], 60), (&b"Q\0\0"[..], 260)] {
+        let mut simulation = crowd(0, |_| Vec::new());
+        let mut accepting = true;
+        while accepting {
+            let id = simulation.reducer.next_id();
+            let effects = simulation.reducer.handle(simulation.now, Event::Accepted(id));
+            accepting = !effects.contains(&Effect::Accept(false));
+            simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
+            if !sent.is_empty() {
+                simulation.receive(id, &[startup().as_slice(), sent].concat());
+            }
+        }
+        assert!(simulation.clients.len() >= limits.clients_accepted);
+        assert!(
+            simulation.reducer.wake_at().is_some_and(|at| at <= simulation.now + Span::from_millis(after))
+        );
+        simulation.pass(Span::from_millis(after));
+        assert!(simulation.clients.len() <= limits.clients_before_eviction, "{after}");
+        (0..500).for_each(|_| simulation.pass(Span::from_millis(5)));
+        assert_eq!(simulation.clients.len(), 0, "all are told or closed within 2.5 s");
+    }
+}
+
+/// Members are replaced by new ones with new ids all day: none of the tables grows with them.
+#[test]
+fn members_replaced_for_hours_do_not_pile_up() {
+    let mut simulation = crowd(0, |_| Vec::new());
+    for generation in 2..200 {
+        // By the protocol an empty line comes every 2 s.
+        for _ in 0..2 {
+            simulation.now = simulation.now + Span::from_millis(2000);
+            if let Some(&(id, true)) = simulation.watches.first() {
+                simulation.feed(id, b"1\r\n\n\r\n");
+            }
+            simulation.pass(Span::ZERO);
+        }
+        let Some((id, up)) = simulation.watches.first().copied() else { continue };
+        if !up {
+            simulation.open_watch(id);
+        }
+        let entry = |n: usize, lifecycle| instance(n, "127.0.0.1:7000", lifecycle);
+        let entries = [entry(generation + 3, "SERVING"), entry(generation, "DELETED")].join(",");
+        let line = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entries}]}}\n");
+        simulation.feed(id, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
+    }
+    assert!(simulation.reducer.member_count() < 30, "{} members", simulation.reducer.member_count());
+}
+
+/// Clients that send one statement on each connection and keep it never keep the next ones out.
+#[test]
+fn connections_that_asked_once_and_stay_do_not_bar_newcomers() {
+    let bound = default_launch().limits.clients_before_eviction + 30;
+    let mut simulation = crowd(0, |_| Vec::new());
+    let mut next = 0;
+    for _ in 0..200 {
+        for _ in 0..10 {
+            let id = simulation.reducer.next_id();
+            let due = vec![simulation.now + Span::from_millis(60)];
+            simulation.clients.insert(id, Client { due, ..Client::default() });
+            simulation.apply(Event::Accepted(id));
+            next += 1;
+            simulation.feed(id, &[startup(), query(&statement(&next.to_string(), "read", 60, "1"))].concat());
+            simulation.write(id);
+        }
+        (0..4).for_each(|_| simulation.pass(Span::from_millis(5)));
+        assert!(
+            simulation.reducer.accepts_clients() && simulation.clients.len() < bound,
+            "{} clients",
+            simulation.clients.len()
+        );
+    }
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/main.rs
@@ -0,0 +1,15 @@
+//! The reducer without sockets, on a simulated clock: random runs with the invariants checked after every step, parsers and
+//! buffers with input that is split and damaged at every byte, and single cases of what clients and members do.
+
+mod actions;
+mod attempts;
+mod cancel_requests;
+mod checks;
+mod client_errors;
+#[path = "../common/mod.rs"]
+mod common;
+mod limits;
+mod parsers;
+mod random_runs;
+mod scenarios;
+mod simulation;
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/random_runs.rs
@@ -0,0 +1,39 @@
+//! Random runs, with the rules checked after every step.
+
+use crate::simulation::Simulation;
+use ladderpass::reducer::Event;
+use ladderpass_routing::Span;
+use quickcheck::{Gen, QuickCheck};
+
+/// Random runs with this many bytes of choices; the same ones each time.
+pub fn runs(count: u64, size: usize, property: fn(Vec<u8>) -> bool) {
+    QuickCheck::new().rng(Gen::from_size_and_seed(size, 7)).tests(count).quickcheck(property);
+}
+
+#[test]
+fn rules_hold_after_every_step() {
+    runs(300, 1500, |choices| rules_hold(Simulation::new(choices)));
+}
+
+#[test]
+fn rules_hold_after_every_step_while_the_router_sheds() {
+    runs(300, 1500, |choices| rules_hold(Simulation::pressed(choices)));
+}
+
+fn rules_hold(mut simulation: Simulation) -> bool {
+    let stops = simulation.choices.front().is_some_and(|&first| first % 3 == 0);
+    while !simulation.choices.is_empty() && !simulation.exited {
+        simulation.step();
+    }
+    if stops {
+        simulation.apply(Event::Terminate);
+    }
+    // What was accepted is answered before its deadline, whatever the members do; a router that stops then exits.
+    for _ in 0..2500 {
+        simulation.pass(Span::from_millis(5));
+    }
+    let owed = simulation.clients.values().filter(|c| !c.broke_protocol && c.answers < c.due.len()).count();
+    assert_eq!(owed, 0, "rule 1: left without an answer");
+    assert!(!stops || simulation.exited, "it stops");
+    true
+}
--- /dev/null
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -0,0 +1,202 @@
+//! A router without sockets: the reducer, its clients, and its members and discovery service as the choices have it.
+
+use crate::common::{cancel, cancel_key, frames, launch_with_config, router_config, welcome};
+use ladderpass::launch;
+use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
+use ladderpass_config::operator;
+use ladderpass_routing::{Span, Time};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+
+/// A client: what it has sent, and what it has received.
+#[derive(Default)]
+pub struct Client {
+    pub due: Vec<Time>,
+    /// The ids of its RPCs, in order.
+    pub ids: Vec<String>,
+    pub inbox: Vec<u8>,
+    pub answers: usize,
+    /// When the last answer came.
+    pub answered_at: Option<Time>,
+    /// It broke the protocol: no answer is due any more.
+    pub broke_protocol: bool,
+}
+
+/// The other side of a connection to a member.
+#[derive(Default)]
+pub struct Peer {
+    pub up: bool,
+    pub startup_done: bool,
+    pub inbox: Vec<u8>,
+    pub asked: Option<String>,
+    /// An empty query follows that one.
+    pub fence_queued: bool,
+}
+
+pub struct Simulation {
+    pub reducer: Reducer,
+    pub pressed: bool,
+    pub now: Time,
+    pub choices: VecDeque<u8>,
+    pub clients: BTreeMap<ConnectionId, Client>,
+    pub peers: BTreeMap<ConnectionId, Peer>,
+    /// Ports of the members, by connection.
+    pub ports: BTreeMap<ConnectionId, u16>,
+    pub watches: Vec<(ConnectionId, bool)>,
+    /// By id of an RPC: its statement without `d`, whether it may run only once, and whether it may have run.
+    pub statements: HashMap<String, (String, bool, bool)>,
+    pub generation: u64,
+    pub exited: bool,
+}
+
+pub fn default_launch() -> launch::Launch {
+    launch_changed_by(|text| text)
+}
+
+pub fn launch_changed_by(change: impl Fn(String) -> String) -> launch::Launch {
+    let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    launch_with_config(&change(router_config(&members)))
+}
+
+impl Simulation {
+    /// A router that watches its own load, with overload as the choices have it.
+    pub fn pressed(choices: Vec<u8>) -> Simulation {
+        let mut launch = default_launch();
+        launch.operator = operator::read("overload: {slow_reader: 100ms}").expect("allowed");
+        Simulation { pressed: true, ..Simulation::of(choices, launch) }
+    }
+
+    pub fn new(choices: Vec<u8>) -> Simulation {
+        Simulation::of(choices, default_launch())
+    }
+
+    pub fn of(choices: Vec<u8>, launch: launch::Launch) -> Simulation {
+        let now = Time::from_nanos(1_796_000_000_000_000_000);
+        Simulation {
+            reducer: Reducer::start(now, launch),
+            pressed: false,
+            now,
+            choices: choices.into(),
+            clients: BTreeMap::new(),
+            peers: BTreeMap::new(),
+            ports: BTreeMap::new(),
+            watches: Vec::new(),
+            statements: HashMap::new(),
+            generation: 1,
+            exited: false,
+        }
+    }
+
+    pub fn roll(&mut self, sides: usize) -> usize {
+        usize::from(self.choices.pop_front().unwrap_or(0)) % sides.max(1)
+    }
+
+    pub fn any<T: Copy>(&mut self, of: Vec<T>) -> Option<T> {
+        let nth = self.roll(of.len());
+        of.get(nth).copied()
+    }
+
+    pub fn apply(&mut self, event: Event) {
+        let effects = self.reducer.handle(self.now, event);
+        self.carry_out(effects);
+    }
+
+    fn carry_out(&mut self, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Connect(id, address) if address.port() == 8500 => {
+                    // A denied connect is retried.
+                    self.watches.retain(|(watch, _)| *watch != id);
+                    self.watches.push((id, false));
+                }
+                Effect::Connect(id, address) => {
+                    self.ports.insert(id, address.port());
+                    self.peers.insert(id, Peer::default());
+                }
+                // Now and then a socket takes nothing for a while.
+                Effect::Write(_) if self.choices.len() % 5 == 4 => {}
+                Effect::Write(id) => self.write(id),
+                Effect::Close(id) => {
+                    self.peers.remove(&id);
+                    self.watches.retain(|(watch, _)| *watch != id);
+                    if let Some(client) = self.clients.remove(&id) {
+                        let owed = client.due.len() > client.answers;
+                        assert!(client.broke_protocol || !owed, "rule 1: closed on a client that waits");
+                    }
+                }
+                Effect::Exit => self.exited = true,
+                Effect::StopListening => self.apply(Event::ListenerClosed),
+                // A socket holds nothing beyond what was handed over.
+                Effect::Read(id) => self.apply(Event::SocketEmpty(id)),
+                Effect::CloseIfQuiet(id) => self.apply(Event::ReadToEnd(id)),
+                Effect::Accept(_) | Effect::SendDatagrams => {}
+            }
+        }
+    }
+
+    /// A connection to a member is established, with nothing in flight but what is sent with that.
+    pub fn come_up(&mut self, id: ConnectionId) {
+        self.peers.insert(id, Peer { up: true, startup_done: true, ..Peer::default() });
+        self.apply(Event::Connected(id));
+        self.write(id);
+        self.peers.get_mut(&id).expect("it came up").inbox.clear();
+        let peer = self.peers.get_mut(&id).expect("it came up");
+        (peer.asked, peer.fence_queued) = (None, false);
+        self.feed(id, &welcome());
+        self.write(id);
+    }
+
+    /// Bytes arrive, as far as there is space, in pieces.
+    pub fn feed(&mut self, id: ConnectionId, mut bytes: &[u8]) {
+        while !bytes.is_empty() {
+            let most = 1 + self.roll(40) * 7;
+            let space = self.reducer.read_buffer(id);
+            let count = space.len().min(bytes.len()).min(most);
+            if count == 0 {
+                return;
+            }
+            let (now, later) = bytes.split_at(count);
+            space[..count].copy_from_slice(now);
+            bytes = later;
+            self.apply(Event::Received(id, count, Span::ZERO));
+        }
+    }
+
+    /// What arrived is a batch of its own: the reducer's tick follows it.
+    pub fn receive(&mut self, id: ConnectionId, bytes: &[u8]) {
+        self.feed(id, bytes);
+        self.apply(Event::Tick);
+    }
+
+    /// The first watch is opened, and answered.
+    pub fn open_watch(&mut self, id: ConnectionId) {
+        self.watches[0].1 = true;
+        self.apply(Event::Connected(id));
+        self.feed(id, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    }
+
+    /// Process id and secret key in the answer to a client's startup.
+    pub fn key_of(&self, client: ConnectionId) -> (u32, u32) {
+        cancel_key(&frames(&self.clients[&client].inbox).0)
+    }
+
+    /// Sends a cancel request on a connection of its own, which is closed without an answer.
+    pub fn cancels(&mut self, key: (u32, u32)) {
+        let id = self.reducer.next_id();
+        self.apply(Event::Accepted(id));
+        let bytes = cancel(key);
+        self.reducer.read_buffer(id)[..bytes.len()].copy_from_slice(&bytes);
+        let mut effects = self.reducer.handle(self.now, Event::Received(id, bytes.len(), Span::ZERO));
+        effects.extend(self.reducer.handle(self.now, Event::Tick));
+        assert!(self.reducer.outgoing(id).is_empty(), "nothing is told");
+        assert!(effects.contains(&Effect::Close(id)), "it is closed");
+        self.carry_out(effects);
+    }
+
+    pub fn pass(&mut self, span: Span) {
+        self.now = self.now + span;
+        self.apply(Event::Tick);
+        let behind: Vec<ConnectionId> = self.clients.keys().chain(self.peers.keys()).copied().collect();
+        behind.into_iter().for_each(|id| self.write(id));
+        self.apply(Event::Tick);
+    }
+}
