--- a/crates/ladderpass/tests/common/fake_servers.rs
+++ b/crates/ladderpass/tests/common/fake_servers.rs
@@ -1,8 +1,12 @@
 //! A router process over loopback, and fake members and a fake discovery that are threads of the test.
 
-use super::*;
-use std::io::{BufRead, BufReader, Write};
-use std::net::TcpListener;
+use super::{
+    empty_query_response, next_frame, now_ms, query, router_address, router_config, row, startup, temp_file,
+    welcome,
+};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
@@ -34,6 +38,7 @@
     address
 }
 
+/// One connection to a fake member, until it ends.
 fn serve_connection(
     wait: Duration,
     n: usize,
@@ -65,10 +70,12 @@
     }
 }
 
+/// The role that a fake member reports.
 pub fn role(n: usize) -> &'static str {
     if n == 0 { "leader" } else { "follower" }
 }
 
+/// A line of discovery that changes nothing in the configured list.
 pub const NO_CHANGE: &str = r#"{"generation":1,"reset":false,"instances":[]}"#;
 
 /// A fake discovery: each watch gets this line, then an empty one every second.
@@ -97,10 +104,12 @@
     address
 }
 
+/// A router process, killed at the end of the test.
 pub struct Router {
     pub process: Child,
     pub address: String,
     pub config_file: PathBuf,
+    /// The statements that members have got, with the member's number.
     pub statements: Receiver<(usize, String)>,
 }
 
@@ -110,6 +119,7 @@
     }
 }
 
+/// The command of a router with this configuration; its log goes to a pipe.
 pub fn router_command(listen: &str, discovery: &str, config_file: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", listen).env("RELAY_DISCOVERY", discovery);
@@ -122,6 +132,7 @@
     router_with(|config| config, answer)
 }
 
+/// The same with a changed configuration.
 pub fn router_with(change: fn(String) -> String, answer: Answer) -> Router {
     let (sender, statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
@@ -155,6 +166,7 @@
 }
 
 impl Router {
+    /// Sends a signal of this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("sh").success());
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -3,11 +3,29 @@
 
 pub mod fake_servers;
 
+use ladderpass::launch::Launch;
+use ladderpass_routing::Time;
 use std::io::Read;
 use std::net::TcpStream;
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// When a simulated router starts.
+pub const SIMULATION_START: Time = Time::from_nanos(1_796_000_000_000_000_000);
+
+/// The head of discovery's answer to a watch.
+pub const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// A chunk of discovery's answer.
+pub fn chunk(bytes: &[u8]) -> Vec<u8> {
+    [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
+}
+
+/// Addresses of so many simulated members, from port 7000 of loopback on.
+pub fn simulated_members(count: usize) -> Vec<String> {
+    (0..count).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect()
+}
+
 /// The configuration of a router whose members, of one group, have these addresses; member 0 is the primary.
 pub fn router_config(members: &[String]) -> String {
     let instances: Vec<String> = (0..members.len()).map(|n| instance(n, &members[n], "SERVING")).collect();
@@ -35,12 +53,14 @@
         .replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"))
 }
 
+/// The entry of a serving member in the endpoint list; three make a group, of which the first is the leader.
 pub fn instance_in_group(n: usize, address: &str) -> String {
     instance(n, address, "SERVING")
         .replace("\"cell\":1", &format!("\"cell\":{}", n / 3 + 1))
         .replace("\"follower\"", if n.is_multiple_of(3) { "\"leader\"" } else { "\"follower\"" })
 }
 
+/// The entry of a member in the endpoint list, with a lifecycle such as `SERVING`; member 0 is the leader.
 pub fn instance(n: usize, address: &str, lifecycle: &str) -> String {
     let role = if n == 0 { "leader" } else { "follower" };
     format!(
@@ -58,17 +78,22 @@
 }
 
 /// What a process with this configuration starts with; discovery is at port 8500 of loopback.
-pub fn launch_with_config(config: &str) -> ladderpass::launch::Launch {
+pub fn launch_with_config(config: &str) -> Launch {
+    launch_with_discovery(config, "127.0.0.1:8500")
+}
+
+/// The same with discovery at this address.
+pub fn launch_with_discovery(config: &str, discovery: &str) -> Launch {
     let path = temp_file(config);
     let variable = |key: &str| {
         Some(match key {
             "RELAY_NAME" => "n0".to_owned(),
             "RELAY_LISTEN" => "127.0.0.1:6432".to_owned(),
-            "RELAY_DISCOVERY" => "127.0.0.1:8500".to_owned(),
+            "RELAY_DISCOVERY" => discovery.to_owned(),
             _ => path.to_str()?.to_owned(),
         })
     };
-    let launch = ladderpass::launch::Launch::read(variable, None);
+    let launch = Launch::read(variable, None);
     std::fs::remove_file(&path).expect("its own file");
     launch.unwrap_or_else(|error| panic!("{error}"))
 }
@@ -86,6 +111,7 @@
     ladderpass_testbed::router::own_address().expect("a port").to_string()
 }
 
+/// A read or a write of this id, with its deadline in milliseconds from now on, for a group of members.
 pub fn statement(id: &str, method: &str, wait_ms: u64, group: &str) -> String {
     let comment = format!("/* id={id},c={method},d={wait_ms},cluster={group} */");
     match method {
@@ -98,20 +124,24 @@
     }
 }
 
+/// A message of the wire protocol: its type, its length, and the body.
 pub fn frame(kind: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[kind][..], &length, body].concat()
 }
 
+/// A simple query.
 pub fn query(statement: &str) -> Vec<u8> {
     frame(b'Q', format!("{statement}\0").as_bytes())
 }
 
+/// The startup message of a client.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0web\0database\0orders\0\0";
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
+/// A cancel request with the process id and the secret key of the connection to cancel on.
 pub fn cancel((process, secret): (u32, u32)) -> Vec<u8> {
     [16, 80_877_102, process, secret].into_iter().flat_map(u32::to_be_bytes).collect()
 }
@@ -142,10 +172,12 @@
     [frame(b'I', b""), frame(b'Z', b"I")].concat()
 }
 
+/// A member's answer with an error of this SQLSTATE.
 pub fn error_response(code: &str) -> Vec<u8> {
     [frame(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()), frame(b'Z', b"I")].concat()
 }
 
+/// A member's answer to a startup message.
 pub fn welcome() -> Vec<u8> {
     [frame(b'R', &[0; 4]), frame(b'S', b"a\0b\0"), frame(b'K', &[0; 8]), frame(b'Z', b"I")].concat()
 }
@@ -175,6 +207,7 @@
     (id.to_owned(), format!("{before}{}", after.split_once(',').map_or("", |(_, rest)| rest)))
 }
 
+/// Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -4,7 +4,10 @@
 
 mod common;
 
-use common::*;
+use common::{
+    empty_query_response, frames, grouped_router_config, next_frame, now_ms, query, router_address, row,
+    startup, statement, temp_file, unique_loopback_address, welcome,
+};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::collections::HashMap;
 use std::io::{Read, Write};
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -1,15 +1,17 @@
 //! A machine with a limit of descriptors: the reducer, its network, members, discovery and clients on a simulated clock.
 
 use crate::common::{
-    empty_query_response, frames, grouped_router_config, launch_with_config, query, row, startup, statement,
-    welcome,
+    SIMULATION_START, WATCH_HEAD, chunk, empty_query_response, frames, grouped_router_config,
+    launch_with_config, query, row, startup, statement, welcome,
 };
 use ladderpass::limits;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
+/// The port of discovery.
 const DISCOVERY: u16 = 8500;
+/// The port of the first member.
 const MEMBERS: u16 = 10_000;
 /// One way between router and any peer.
 const NETWORK_DELAY: Span = Span::from_millis(1);
@@ -33,6 +35,7 @@
 /// What the nth of the clients sends that use descriptors and have no statement.
 pub type ClientBytes = fn(usize) -> Vec<u8>;
 
+/// The reducer on a machine that has a limit of descriptors.
 pub struct Machine {
     reducer: Reducer,
     began: Time,
@@ -65,6 +68,7 @@
     pub max_open: usize,
 }
 
+/// The address of a member.
 pub fn address(n: usize) -> String {
     format!("127.0.0.1:{}", usize::from(MEMBERS) + n)
 }
@@ -72,7 +76,7 @@
 /// A router that is configured for so many descriptors, on a machine that has `free`.
 pub fn machine(members: usize, configured: usize, free: usize) -> Machine {
     let addresses: Vec<String> = (0..members).map(address).collect();
-    let now = Time::from_nanos(1_796_000_000_000_000_000);
+    let now = SIMULATION_START;
     let mut launch = launch_with_config(&grouped_router_config(&addresses, configured.max(64)));
     // As where the process may open fewer than the configuration says.
     launch.limits = limits::Limits::of(192, configured, &launch.settings);
@@ -105,10 +109,12 @@
 }
 
 impl Machine {
+    /// Milliseconds since the start.
     pub fn ms(&self, at: Time) -> f64 {
         (at - self.began).secs() * 1e3
     }
 
+    /// Whether there is a descriptor for this connection, which then has it.
     fn take_descriptor(&mut self, id: ConnectionId) -> bool {
         if self.free == 0 {
             return false;
@@ -118,11 +124,13 @@
         self.open.insert(id)
     }
 
+    /// Schedules what the other side does on a connection.
     fn later(&mut self, span: Span, id: ConnectionId, what: NetworkEvent) {
         self.last += 1;
         self.events.insert((self.now + span, self.last), (id, what));
     }
 
+    /// The reducer handles this event; what it asks for is done.
     pub fn apply(&mut self, event: Event) {
         let mut effects: VecDeque<Effect> = self.reducer.handle(self.now, event).into();
         while let Some(effect) = effects.pop_front() {
@@ -156,6 +164,7 @@
         }
     }
 
+    /// The router connects to discovery or to a member.
     fn connect(&mut self, id: ConnectionId, port: u16) {
         if port == DISCOVERY {
             self.watches.insert(id);
@@ -184,9 +193,8 @@
         if self.watches.contains(&id) {
             if self.discovery == Discovery::Up && written.ends_with(b"\r\n\r\n") {
                 written.clear();
-                let list = format!("{:x}\r\n{}\r\n", self.list.len(), self.list);
-                let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                self.later(NETWORK_DELAY, id, NetworkEvent::Bytes([head, &list].concat().into_bytes()));
+                let answer = [WATCH_HEAD, &chunk(self.list.as_bytes())].concat();
+                self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
                 self.listed_at.get_or_insert(self.now + NETWORK_DELAY);
             }
         } else if let Some(&n) = self.member_connections.get(&id) {
@@ -202,6 +210,7 @@
         effects
     }
 
+    /// Bytes arrive, as far as there is space.
     pub fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.open.contains(&id) {
             let buffer = self.reducer.read_buffer(id);
@@ -240,6 +249,7 @@
         }
     }
 
+    /// Runs for this time.
     pub fn run(&mut self, span: Span) {
         let until = self.now + span;
         let (mut at, mut ticks) = (self.now, 0);
@@ -291,6 +301,7 @@
             .collect()
     }
 
+    /// A member answers what it has received, unless it is silent.
     fn answer_as_member(&mut self, id: ConnectionId, n: usize) {
         if (self.is_silent)(n) {
             return;
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Watches of the endpoint list that end, fall silent or move, and what a new list changes.
 
-use crate::common::{close, instance, query, statement, welcome};
+use crate::common::{WATCH_HEAD, close, instance, query, statement, welcome};
 use crate::router_harness::{
     accept_connection, accept_connection_within, bind_listener, read_answer, read_watch_request,
     start_harness, write_statement,
@@ -111,7 +111,7 @@
     harness.signal(Signal::SIGHUP);
     let mut first = accept_connection(&empty);
     read_watch_request(&first);
-    first.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("it reads");
+    first.write_all(WATCH_HEAD).expect("it reads");
     let since = Instant::now();
     while accept_connection_within(&empty, Duration::from_millis(300)).is_none() {
         assert!(since.elapsed() < Duration::from_secs(6), "asked again");
--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -6,10 +6,11 @@
 mod scenario;
 mod simulation;
 
+use common::SIMULATION_START;
 use nanorand::{Rng, WyRand};
 use scenario::Ending::{Any, Hangs, OlderList, Refused, Status};
 use scenario::{BEFORE, Before, ENDINGS, Ending, MODES, Mode, NEW_PORT, OLD_PORT};
-use simulation::{Simulation, ms, start};
+use simulation::{Simulation, ms};
 
 /// 6 s are allowed; the rest is for a process that has to wait for its CPU.
 const LIMIT_MS: i64 = 5500;
@@ -48,7 +49,7 @@
     for (whole, seed) in
         [true, false].into_iter().flat_map(|whole| (1..=SEEDS).map(move |seed| (whole, seed)))
     {
-        let gone = start() + ms(5000);
+        let gone = SIMULATION_START + ms(5000);
         let back = gone + ms(6000 + seed as i64 * 137);
         let ending = if seed % 3 == 0 { Hangs } else { Refused };
         let mut simulation = Simulation::new(Mode::Asked(60_000), seed, ending, (OLD_PORT, gone, back));
@@ -67,7 +68,7 @@
 fn fleet_watches(mode: Mode, ending: Ending) -> (Vec<usize>, f64) {
     const FLEET: u64 = 460;
     const OUTAGE: i64 = 30_000;
-    let gone = start() + ms(5000);
+    let gone = SIMULATION_START + ms(5000);
     let mut bins = vec![0; (OUTAGE / 100) as usize];
     for seed in 1..=FLEET {
         let mut simulation = Simulation::new(mode, seed, ending, (OLD_PORT, gone, gone + ms(OUTAGE)));
@@ -114,7 +115,7 @@
     } else {
         random.generate_range(100..9000)
     });
-    let goes = if before == Before::Start { start() } else { start() + calm };
+    let goes = if before == Before::Start { SIMULATION_START } else { SIMULATION_START + calm };
     let port = if matches!(before, Before::HangUp | Before::HangUpInOutage) { NEW_PORT } else { OLD_PORT };
     let back = goes + outage;
     let mut simulation = Simulation::new(mode, seed, ending, (port, goes, back));
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -1,6 +1,6 @@
 //! The cases of an outage: how watches end meanwhile, the state before it, and how the list is delivered.
 
-use crate::common::{router_config, temp_file};
+use crate::common::{launch_with_discovery, router_config, simulated_members};
 use Ending::{
     Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
     OlderList, Refused, Reset, SpoiltLine, Status,
@@ -81,11 +81,14 @@
 
 pub const MODES: [Mode; 5] =
     [Mode::Asked(1000), Mode::Asked(10_000), Mode::Asked(60_000), Mode::Pushed(1000), Mode::Pushed(60_000)];
+/// Where discovery is at the start.
 pub const OLD_PORT: u16 = 8500;
+/// Where it is after a reload.
 pub const NEW_PORT: u16 = 8600;
 
+/// A router of three members, whose random numbers are of this seed, with discovery at this port.
 pub fn launch_with(mode: Mode, seed: u64, port: u16) -> launch::Launch {
-    let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    let members = simulated_members(3);
     let text = router_config(&members)
         .replace("\"Probes\":true", "\"Probes\":false")
         .replace("8c1f30d27a5be964", &format!("{:016x}", seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
@@ -96,18 +99,5 @@
             .replace("\"MustAskIn\":10000000000", &format!("\"DrainGrace\":{ms}000000")),
     };
     assert!(!text.contains("\"MustAskIn\":10000000000") || matches!(mode, Mode::Asked(10_000)));
-    let path = temp_file(&text);
-    let launch = launch::Launch::read(
-        |key| {
-            Some(match key {
-                "RELAY_NAME" => "n0".to_owned(),
-                "RELAY_LISTEN" => "127.0.0.1:6432".to_owned(),
-                "RELAY_DISCOVERY" => format!("127.0.0.1:{port}"),
-                _ => path.to_str()?.to_owned(),
-            })
-        },
-        None,
-    );
-    std::fs::remove_file(path).expect("its own file");
-    launch.unwrap_or_else(|fault| panic!("{fault}"))
+    launch_with_discovery(&text, &format!("127.0.0.1:{port}"))
 }
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -1,6 +1,6 @@
 //! The reducer and a discovery service that can be away, on a simulated clock.
 
-use crate::common::instance;
+use crate::common::{SIMULATION_START, WATCH_HEAD, chunk, instance, simulated_members};
 use crate::scenario::Ending::{
     Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
     OlderList, Refused, Reset, SpoiltLine, Status,
@@ -29,6 +29,7 @@
     Denied,
 }
 
+/// The reducer, and the discovery service that it watches.
 pub struct Simulation {
     reducer: Reducer,
     pub now: Time,
@@ -52,33 +53,30 @@
     pub read_at: Option<Time>,
 }
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
-pub fn start() -> Time {
-    Time::from_nanos(1_796_000_000_000_000_000)
-}
-
+/// A span of so many milliseconds.
 pub fn ms(ms: i64) -> Span {
     Span::from_millis(ms)
 }
 
-fn chunk(line: &str) -> Vec<u8> {
-    format!("{:x}\r\n{line}\r\n", line.len()).into_bytes()
-}
-
 /// A list of so many members; the change of the return is a fourth.
 fn list(generation: u64, count: usize, whole: bool) -> Vec<u8> {
-    let entries: Vec<String> =
-        (0..count).map(|n| instance(n, &format!("127.0.0.1:{}", 7000 + n), "SERVING")).collect();
+    let members = simulated_members(count);
+    let entries: Vec<String> = (0..count).map(|n| instance(n, &members[n], "SERVING")).collect();
     let entries = entries.join(",");
-    chunk(&format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n"))
+    chunk(format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n").as_bytes())
+}
+
+/// The head of an answer, and this behind it.
+fn answer_with(chunk: &[u8]) -> DiscoveryEvent {
+    DiscoveryEvent::Bytes([WATCH_HEAD, chunk].concat())
 }
 
 impl Simulation {
+    /// A router whose discovery is at the old port; `away`: which port can't be reached, from when to when.
     pub fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> Simulation {
         Simulation {
-            reducer: Reducer::start(start(), launch_with(mode, seed, OLD_PORT)),
-            now: start(),
+            reducer: Reducer::start(SIMULATION_START, launch_with(mode, seed, OLD_PORT)),
+            now: SIMULATION_START,
             random: WyRand::new_seed(seed),
             ending,
             max_answer_ms: if ending == Ending::OlderList {
@@ -98,10 +96,12 @@
         }
     }
 
+    /// Whether discovery can't be reached at this port now.
     fn is_away(&self, port: u16) -> bool {
         self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
     }
 
+    /// Schedules what discovery does on a watch.
     fn after(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
         self.last += 1;
         self.events.insert((self.now + span, self.last), (id, event));
@@ -135,7 +135,7 @@
             self.after(little, id, DiscoveryEvent::Up);
             let within = ms(self.random.generate_range(40..self.max_answer_ms) as i64);
             self.after(within, id, DiscoveryEvent::Answer);
-            return self.after(within, id, DiscoveryEvent::Trickle(chunk("\n"), ms(2000)));
+            return self.after(within, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(2000)));
         }
         let ending = match self.ending {
             Any => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
@@ -153,33 +153,26 @@
             Reset => self.after(later, id, DiscoveryEvent::Ends),
             Status => self.after(later, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
             NotChunked => self.after(later, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")),
-            SpoiltLine => {
-                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":}\n")].concat()))
-            }
+            SpoiltLine => self.after(later, id, answer_with(&chunk(b"{\"generation\":}\n"))),
             EndsEarly => {
-                self.after(little, id, bytes(HEAD));
+                self.after(little, id, bytes(WATCH_HEAD));
                 self.after(later, id, DiscoveryEvent::Ends);
             }
-            HeadAlone => self.after(later, id, bytes(HEAD)),
+            HeadAlone => self.after(later, id, bytes(WATCH_HEAD)),
             EmptyLines => {
-                self.after(little, id, bytes(HEAD));
-                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(700)));
-            }
-            HalfAList => {
-                self.after(later, id, DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()))
+                self.after(little, id, bytes(WATCH_HEAD));
+                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(700)));
             }
+            HalfAList => self.after(later, id, answer_with(&chunk(b"{\"generation\":9,\n"))),
             ListForEver => {
-                self.after(
-                    little,
-                    id,
-                    DiscoveryEvent::Bytes([HEAD, &chunk("{\"generation\":9,\n")].concat()),
-                );
-                self.after(later, id, DiscoveryEvent::Trickle(chunk("\n"), ms(300)));
+                self.after(little, id, answer_with(&chunk(b"{\"generation\":9,\n")));
+                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(300)));
             }
-            OlderList => self.after(later, id, DiscoveryEvent::Bytes([HEAD, &list(0, 3, true)].concat())),
+            OlderList => self.after(later, id, answer_with(&list(0, 3, true))),
         }
     }
 
+    /// Discovery does this on a watch, if it is still open.
     fn carry_out(&mut self, id: ConnectionId, event: DiscoveryEvent) {
         // What a silent discovery would have sent is lost with the watch, whenever it comes back.
         let Some(&port) = self.watches.get(&id) else { return };
@@ -196,7 +189,7 @@
                     false => (5, 3),
                 };
                 let whole = self.whole || self.asked_from == 0;
-                self.carry_out(id, DiscoveryEvent::Bytes([HEAD, &list(generation, count, whole)].concat()));
+                self.carry_out(id, answer_with(&list(generation, count, whole)));
             }
             DiscoveryEvent::Trickle(bytes, every) => {
                 self.carry_out(id, DiscoveryEvent::Bytes(bytes.clone()));
@@ -242,15 +235,18 @@
         self.events.clear();
     }
 
+    /// Closes the watches of this port.
     pub fn close_watches(&mut self, port: u16) {
         let open = self.watches.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
         open.collect::<Vec<_>>().into_iter().for_each(|id| self.carry_out(id, DiscoveryEvent::Ends));
     }
 
+    /// Open watches end, or only fall silent.
     pub fn take_discovery_down(&mut self, silently: bool) {
         if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
     }
 
+    /// SIGHUP: discovery is at the new port from now on.
     pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
         self.apply(Event::ConfigurationReloaded(Box::new(launch_with(mode, seed, NEW_PORT))));
     }
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -1,17 +1,12 @@
 //! Several router processes with faults between them: what the others believe of one that dies, is paused, is cut off or
 //! starts again, and what a drill does when it can't go on. The assertions hold on any machine, however slow.
 
+mod one_at_a_time;
+
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
+use one_at_a_time::wait_for_turn;
 use std::path::Path;
-use std::sync::{Mutex, MutexGuard};
-
-/// Held by the test that runs: loads beside each other would miss their deadlines.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
 
 fn programs() -> Programs<'static> {
     Programs { router: Path::new(env!("CARGO_BIN_EXE_ladderpass")), faulty: None, earlier: None }
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::fake_servers::*;
-use common::*;
+use common::{
+    error_response, id_and_rest, instance, next_frame, now_ms, query, router_address, router_config, row,
+    simulated_members, sqlstate, startup, statement, temp_file,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::path::PathBuf;
@@ -200,7 +203,7 @@
 
 /// Runs `ladderpass check` with this operator's file and a changed configuration.
 fn check(operator: Option<&str>, change: fn(String) -> String) -> CheckOutput {
-    let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    let members = simulated_members(3);
     let config_file = temp_file(&change(router_config(&members)));
     let mut command = router_command("127.0.0.1:6432", "127.0.0.1:8500", &config_file);
     command.arg("check").stdout(Stdio::piped());
--- a/crates/ladderpass/tests/failing_syscalls/mod.rs
+++ b/crates/ladderpass/tests/failing_syscalls/mod.rs
@@ -28,6 +28,7 @@
 /// `count` calls meet with a fault: every `every`th of those that match, beginning `after` the start.
 #[derive(Clone, Copy, Debug)]
 pub struct FailingSyscall {
+    /// The number of the system call.
     pub call: i64,
     pub fault: SyscallFault,
     /// Only calls with this second argument match, such as the operation of `epoll_ctl`.
@@ -42,10 +43,12 @@
 pub struct ClockStep {
     pub after: Duration,
     pub by: Duration,
+    /// The jump is back, not forward.
     pub back: bool,
 }
 
 impl FailingSyscall {
+    /// Twenty calls, every third from one second on, that fail with this errno.
     pub fn of(call: i64, errno: i32) -> FailingSyscall {
         let (fault, after) = (SyscallFault::Error(errno), Duration::from_millis(1000));
         FailingSyscall { call, fault, operation: None, after, every: 3, count: 20 }
@@ -80,10 +83,12 @@
 }
 
 impl ClockStep {
+    /// A jump forward.
     pub fn forward(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: false }
     }
 
+    /// A jump back.
     pub fn back(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: true }
     }
@@ -119,24 +124,7 @@
 pub fn serve_if_planned() {
     let Ok(plan) = std::env::var(PLAN) else { return };
     let began = Instant::now();
-    let (mut failures, mut steps) = (Vec::new(), Vec::new());
-    for line in plan.split(';').filter(|line| !line.is_empty()) {
-        let (kind, numbers) = line.split_once(' ').expect("a kind");
-        let numbers: Vec<i64> = numbers.split(' ').map(|text| text.parse().expect("a number")).collect();
-        match (kind, numbers.as_slice()) {
-            ("error", &[errno, ref numbers @ ..]) => {
-                let numbers = numbers.try_into().expect("five numbers");
-                failures.push(FailingSyscall::decode(SyscallFault::Error(errno as i32), numbers));
-            }
-            ("delay", &[lasts, ref numbers @ ..]) => {
-                let lasts = Duration::from_millis(lasts as u64);
-                let numbers = numbers.try_into().expect("five numbers");
-                failures.push(FailingSyscall::decode(SyscallFault::Delay(lasts), numbers));
-            }
-            ("step", &[after, by]) => steps.push((Duration::from_millis(after as u64), by)),
-            _ => panic!("{line}"),
-        }
-    }
+    let (failures, mut steps) = read_plan(&plan);
     // Steps due at once come before any reading of the clock: a process that starts with a wrong one.
     step_clock(&mut steps, Duration::ZERO);
     std::thread::spawn(move || {
@@ -167,6 +155,30 @@
     std::process::exit(i32::from(done.is_err()));
 }
 
+/// The failures and clock steps of a plan; a step is when it is due, and by how many milliseconds the clock jumps.
+fn read_plan(plan: &str) -> (Vec<FailingSyscall>, Vec<(Duration, i64)>) {
+    let (mut failures, mut steps) = (Vec::new(), Vec::new());
+    for line in plan.split(';').filter(|line| !line.is_empty()) {
+        let (kind, numbers) = line.split_once(' ').expect("a kind");
+        let numbers: Vec<i64> = numbers.split(' ').map(|text| text.parse().expect("a number")).collect();
+        match (kind, numbers.as_slice()) {
+            ("error", &[errno, ref numbers @ ..]) => {
+                let numbers = numbers.try_into().expect("five numbers");
+                failures.push(FailingSyscall::decode(SyscallFault::Error(errno as i32), numbers));
+            }
+            ("delay", &[lasts, ref numbers @ ..]) => {
+                let lasts = Duration::from_millis(lasts as u64);
+                let numbers = numbers.try_into().expect("five numbers");
+                failures.push(FailingSyscall::decode(SyscallFault::Delay(lasts), numbers));
+            }
+            ("step", &[after, by]) => steps.push((Duration::from_millis(after as u64), by)),
+            _ => panic!("{line}"),
+        }
+    }
+    (failures, steps)
+}
+
+/// Makes the steps that are due, and drops them.
 fn step_clock(steps: &mut Vec<(Duration, i64)>, elapsed: Duration) {
     steps.retain(|&(after, by)| {
         let due = after <= elapsed;
@@ -221,6 +233,7 @@
 
 // ---- calls
 
+/// The kernel's question about a call: `struct seccomp_notif`.
 #[repr(C)]
 struct Notification {
     id: u64,
@@ -232,6 +245,7 @@
     arguments: [u64; 6],
 }
 
+/// The answer to it: `struct seccomp_notif_resp`.
 #[repr(C)]
 struct Response {
     id: u64,
@@ -240,8 +254,11 @@
     flags: u32,
 }
 
+/// The ioctl that receives a question, `SECCOMP_IOCTL_NOTIF_RECV`.
 const RECEIVE: libc::Ioctl = 0xc050_2100_u32 as libc::Ioctl;
+/// The ioctl that answers it, `SECCOMP_IOCTL_NOTIF_SEND`.
 const SEND: libc::Ioctl = 0xc018_2101_u32 as libc::Ioctl;
+/// The flag of an answer that lets the call go on, `SECCOMP_USER_NOTIF_FLAG_CONTINUE`.
 const CONTINUE: u32 = 1;
 
 /// Has the kernel ask about these calls of the current thread and of those that it starts; the descriptor from which the
@@ -268,6 +285,7 @@
     }
 }
 
+/// Answers the kernel's questions: a call goes on, fails or is delayed, as the failures have it.
 fn supervise(listener: Receiver<i32>, failures: Vec<FailingSyscall>, began: Instant) {
     let Ok(listener) = listener.recv() else { return };
     let mut left: Vec<(FailingSyscall, u64, u64)> = failures.into_iter().map(|f| (f, 0, f.count)).collect();
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -1,6 +1,8 @@
 //! The migration: routers without gossip and routers with it, in front of the same members. `ladderpass-invariants` checks
 //! what ran, and neither kind may starve the other.
 
+mod one_at_a_time;
+
 use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_routing::Time;
 use ladderpass_testbed::drill::Drill;
@@ -8,16 +10,9 @@
 use ladderpass_testbed::load::{self, Counts, Plan};
 use ladderpass_testbed::router::{Router, Start};
 use ladderpass_testbed::run::open;
+use one_at_a_time::wait_for_turn;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
-use std::sync::{Mutex, MutexGuard};
-
-/// Held by the test that runs: loads beside each other would miss their deadlines.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
 
 /// A kind is starved if it has less than this part of the other's good answers.
 const MIN_PART_OF_OTHER: f64 = 0.5;
--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -12,7 +12,7 @@
 mod common;
 
 use common::fake_servers::*;
-use common::*;
+use common::{next_frame, now_ms, query, row, statement};
 use std::io::Write;
 use std::sync::mpsc::channel;
 use std::thread;
--- a/crates/ladderpass/tests/log_lines.rs
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -2,15 +2,13 @@
 
 mod common;
 
-use common::*;
+use common::{SIMULATION_START, launch_with_config, router_config, simulated_members};
 use ladderpass::reducer::{Effect, Event, Reducer};
-use ladderpass_routing::{Span, Time};
+use ladderpass_routing::Span;
 use ladderpass_testbed::router_log;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-const START: Time = Time::from_nanos(1_796_000_000_000_000_000);
-
 /// What was logged so far.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
@@ -31,17 +29,17 @@
     let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt().with_ansi(false).with_writer(move || writer.clone()).finish();
     tracing::subscriber::with_default(subscriber, || {
-        let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
-        let mut reducer = Reducer::start(START, launch_with_config(&router_config(&members)));
+        let members = simulated_members(3);
+        let mut reducer = Reducer::start(SIMULATION_START, launch_with_config(&router_config(&members)));
         for milliseconds in (0..11_000).step_by(5) {
-            let now = START + Span::from_millis(milliseconds);
+            let now = SIMULATION_START + Span::from_millis(milliseconds);
             for effect in reducer.handle(now, Event::Tick) {
                 if let Effect::Connect(id, _) = effect {
                     reducer.handle(now, Event::Closed(id));
                 }
             }
         }
-        reducer.handle(START + Span::from_millis(11_000), Event::Terminate);
+        reducer.handle(SIMULATION_START + Span::from_millis(11_000), Event::Terminate);
     });
     let bytes = buffer.0.lock().expect("no writer panics").clone();
     String::from_utf8(bytes).expect("text").lines().map(str::to_owned).collect()
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -26,7 +26,9 @@
 pub struct RunBounds {
     /// There were more clients than descriptors, so that idle connections were closed for others.
     pub crowded: bool,
+    /// When the router got its first SIGTERM.
     pub term: Time,
+    /// When it got SIGKILL.
     pub kill: Time,
     /// How long a close, once begun, took at most.
     pub close_takes: Span,
@@ -40,11 +42,17 @@
 }
 
 impl StopTimes {
+    /// Sends SIGTERM, and keeps when the first one was sent.
+    ///
+    /// # Errors
+    ///
+    /// If the process has ended.
     pub fn terminate(&self, router: &Router) -> io::Result<()> {
         self.term.set(self.term.get().or_else(|| Some(ladderpass_emulator::now())));
         router.signal(Signal::SIGTERM)
     }
 
+    /// Sends SIGKILL, and keeps when.
     pub fn kill(&self, router: &Router) {
         self.kill.set(Some(ladderpass_emulator::now()));
         signal(router, Signal::SIGKILL);
@@ -81,6 +89,7 @@
     }
 }
 
+/// The rules that a run breaks, each with the RPC that shows it.
 pub fn check_run(seen: &RunRecord, bounds: &RunBounds) -> Vec<String> {
     let &RunBounds { term, kill, .. } = bounds;
     let mut broken: Vec<String> =
--- a/crates/ladderpass/tests/operator_contract/endpoint_list.rs
+++ b/crates/ladderpass/tests/operator_contract/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Reloads of the configuration, and lists that are pushed or come late.
 
-use crate::common::{instance, query, statement};
+use crate::common::{WATCH_HEAD, chunk, instance, query, statement};
 use crate::ms;
 use crate::router_harness::{accept_connection, bind_listener, start_harness, write_statement};
 use nix::sys::signal::Signal;
@@ -73,8 +73,7 @@
         harness.assert_write_succeeds("1");
         let moved = instance(0, &harness.member_address(1), "SERVING");
         let list = format!("{{\"generation\":9,\"reset\":true,\"instances\":[{moved}]}}\n");
-        let answer =
-            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
+        let answer = [WATCH_HEAD, &chunk(list.as_bytes())].concat();
         let discovery = harness.discovery.try_clone().expect("it can");
         std::thread::spawn(move || {
             loop {
@@ -82,7 +81,7 @@
                 let answer = answer.clone();
                 std::thread::spawn(move || {
                     sleep(ms(takes));
-                    let _ = watch.write_all(answer.as_bytes());
+                    let _ = watch.write_all(&answer);
                     sleep(ms(20_000));
                 });
             }
--- a/crates/ladderpass/tests/recorded_bytes/remotes.rs
+++ b/crates/ladderpass/tests/recorded_bytes/remotes.rs
@@ -1,15 +1,13 @@
 //! What members, discovery and clients do on their connections.
 
 use crate::common::{
-    cancel_key, empty_query_response, error_response, frame, frames, id_and_rest, instance, query, row,
-    startup, statement, welcome,
+    WATCH_HEAD, cancel_key, chunk, empty_query_response, error_response, frame, frames, id_and_rest,
+    instance, query, row, simulated_members, startup, statement, welcome,
 };
 use crate::simulation::{MEMBERS, Remote, Scheduled, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_routing::Span;
 
-const HTTP_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
 impl Simulation {
     pub fn member_reads(&mut self, router: usize, id: ConnectionId) {
         let Some(Remote::Member { number, started, received }) = self.routers[router].remotes.get_mut(&id)
@@ -73,13 +71,16 @@
         let lifecycle = ["SERVING", "SERVING", "DRAINING", "DELETED"][self.below(4) as usize];
         let number = self.below(MEMBERS as u32) as usize;
         let changed = instance(number, &format!("127.0.0.1:{}", 7000 + number), lifecycle);
-        let all: Vec<String> =
-            (0..MEMBERS).map(|n| instance(n, &format!("127.0.0.1:{}", 7000 + n), "SERVING")).collect();
+        let all: Vec<String> = simulated_members(MEMBERS)
+            .iter()
+            .enumerate()
+            .map(|(n, address)| instance(n, address, "SERVING"))
+            .collect();
         let entries = if first { all.join(",") } else { changed };
         let line =
             format!("{{\"generation\":{},\"reset\":{first},\"instances\":[{entries}]}}\n", self.generation);
-        let chunk = format!("{:x}\r\n{line}\r\n", line.len()).into_bytes();
-        let bytes = if first { [HTTP_HEAD, &chunk].concat() } else { chunk };
+        let chunk = chunk(line.as_bytes());
+        let bytes = if first { [WATCH_HEAD, &chunk].concat() } else { chunk };
         self.schedule_within(router, 30, Scheduled::Bytes(id, bytes));
     }
 
--- a/crates/ladderpass/tests/recorded_bytes/simulation.rs
+++ b/crates/ladderpass/tests/recorded_bytes/simulation.rs
@@ -1,6 +1,6 @@
 //! Two routers without sockets on a simulated clock, and what is going to happen at each.
 
-use crate::common::{cancel, launch_with_config, router_config};
+use crate::common::{SIMULATION_START, cancel, launch_with_config, router_config, simulated_members};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_config::operator;
 use ladderpass_overload::ResourceSample;
@@ -9,7 +9,6 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-const START: Time = Time::from_nanos(1_796_000_000_000_000_000);
 const ROUTERS: usize = 2;
 pub const MEMBERS: usize = 3;
 const DISCOVERY_PORT: u16 = 8500;
@@ -44,6 +43,7 @@
     exited: bool,
 }
 
+/// Routers, their remotes, and what is going to happen; each choice is drawn from `random`.
 pub struct Simulation {
     pub routers: Vec<Router>,
     pub now: Time,
@@ -56,12 +56,13 @@
     pub transcript: String,
 }
 
+/// The port on which a router receives gossip.
 fn router_port(router: usize) -> u16 {
     7400 + router as u16
 }
 
 fn launch(router: usize, seed: u64) -> ladderpass::launch::Launch {
-    let members: Vec<String> = (0..MEMBERS).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    let members = simulated_members(MEMBERS);
     let mut launch = launch_with_config(&router_config(&members));
     launch.seed = seed ^ router as u64;
     let addresses: Vec<String> = (0..ROUTERS).map(|n| format!("'127.0.0.1:{}'", router_port(n))).collect();
@@ -80,13 +81,13 @@
 impl Simulation {
     pub fn new(seed: u64) -> Simulation {
         let routers = (0..ROUTERS).map(|router| Router {
-            reducer: Reducer::start(START, launch(router, seed)),
+            reducer: Reducer::start(SIMULATION_START, launch(router, seed)),
             remotes: BTreeMap::new(),
             exited: false,
         });
         let mut simulation = Simulation {
             routers: routers.collect(),
-            now: START,
+            now: SIMULATION_START,
             random: WyRand::new_seed(seed),
             scheduled: BTreeMap::new(),
             events: 0,
@@ -102,22 +103,26 @@
         simulation
     }
 
+    /// A number below `most`.
     pub fn below(&mut self, most: u32) -> u32 {
         self.random.generate_range(0..most)
     }
 
+    /// Something is going to happen at a router after this time.
     pub fn schedule(&mut self, router: usize, after: Span, event: Scheduled) {
         self.events += 1;
         self.scheduled.insert((self.now + after, self.events), (router, event));
     }
 
+    /// The same within so many milliseconds.
     pub fn schedule_within(&mut self, router: usize, millis: u32, event: Scheduled) {
         let after = Span::from_nanos(i64::from(self.below(millis * 1000) + 1) * 1000);
         self.schedule(router, after, event);
     }
 
+    /// Adds a line to the transcript.
     fn record(&mut self, router: usize, what: &str) {
-        let micros = (self.now - START).nanos() / 1000;
+        let micros = (self.now - SIMULATION_START).nanos() / 1000;
         let _ = writeln!(self.transcript, "{micros:>8} router {router} {what}");
     }
 
@@ -130,8 +135,9 @@
         }
     }
 
+    /// Runs for this time, with SIGTERM to the first router near its end.
     pub fn run(&mut self, length: Span) {
-        let end = START + length;
+        let end = SIMULATION_START + length;
         self.schedule(0, length - SHUTDOWN, Scheduled::Terminate);
         loop {
             let wakes = self.routers.iter().filter(|router| !router.exited);
@@ -237,7 +243,7 @@
     fn sample(&mut self, router: usize) {
         self.schedule(router, Span::from_millis(50), Scheduled::Sample);
         // For a while each second the process looks short of memory.
-        let millis = (self.now - START).nanos() / 1_000_000 % 1000;
+        let millis = (self.now - SIMULATION_START).nanos() / 1_000_000 % 1000;
         let resident_bytes = if (500..800).contains(&millis) { 185 << 20 } else { 40 << 20 };
         let sample =
             ResourceSample { wall: Span::from_millis(50), resident_bytes, ..ResourceSample::default() };
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -1,8 +1,8 @@
 //! What clients, members and the discovery service do in a random run.
 
 use crate::common::{
-    empty_query_response, error_response, frame, id_and_rest, instance, query, row, startup, statement,
-    welcome,
+    chunk, empty_query_response, error_response, frame, id_and_rest, instance, query, row, startup,
+    statement, welcome,
 };
 use crate::simulation::{Client, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
@@ -183,7 +183,7 @@
                 self.watches.clear();
                 self.apply(Event::Closed(id));
             }
-            _ => self.feed(id, format!("{:x}\r\n{line}\r\n1\r\n\n\r\n", line.len()).as_bytes()),
+            _ => self.feed(id, &[&chunk(line.as_bytes())[..], b"1\r\n\n\r\n"].concat()),
         }
     }
 }
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of clients, buffers and tables, and who is evicted at them.
 
-use crate::common::{frames, instance, query, row, sqlstate, startup, statement};
+use crate::common::{chunk, frames, instance, query, row, sqlstate, startup, statement};
 use crate::scenarios::{clients_that_sent, send_first_attempt_in};
 use crate::simulation::{Client, Simulation, default_launch};
 use ladderpass::reducer::{ConnectionId, Effect, Event};
@@ -179,7 +179,7 @@
         let entry = |n: usize, lifecycle| instance(n, "127.0.0.1:7000", lifecycle);
         let entries = [entry(generation + 3, "SERVING"), entry(generation, "DELETED")].join(",");
         let line = format!("{{\"generation\":{generation},\"reset\":false,\"instances\":[{entries}]}}\n");
-        simulation.feed(id, format!("{:x}\r\n{line}\r\n", line.len()).as_bytes());
+        simulation.feed(id, &chunk(line.as_bytes()));
     }
     assert!(simulation.reducer.member_count() < 30, "{} members", simulation.reducer.member_count());
 }
--- a/crates/ladderpass/tests/reducer/simulation.rs
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -1,6 +1,9 @@
 //! A router without sockets: the reducer, its clients, and its members and discovery service as the choices have it.
 
-use crate::common::{cancel, cancel_key, frames, id_and_rest, launch_with_config, router_config, welcome};
+use crate::common::{
+    SIMULATION_START, WATCH_HEAD, cancel, cancel_key, frames, id_and_rest, launch_with_config, router_config,
+    simulated_members, welcome,
+};
 use ladderpass::launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_config::operator;
@@ -71,7 +74,7 @@
 
 /// The same with a changed configuration.
 pub fn launch_changed_by(change: impl Fn(String) -> String) -> launch::Launch {
-    let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    let members = simulated_members(3);
     launch_with_config(&change(router_config(&members)))
 }
 
@@ -90,7 +93,7 @@
 
     /// A router that is started like this.
     pub fn with_launch(choices: Vec<u8>, launch: launch::Launch) -> Simulation {
-        let now = Time::from_nanos(1_796_000_000_000_000_000);
+        let now = SIMULATION_START;
         Simulation {
             reducer: Reducer::start(now, launch),
             is_overloaded: false,
@@ -203,7 +206,7 @@
     pub fn open_watch(&mut self, id: ConnectionId) {
         self.watches[0].1 = true;
         self.apply(Event::Connected(id));
-        self.feed(id, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        self.feed(id, WATCH_HEAD);
     }
 
     /// Process id and secret key in the answer to a client's startup.
--- a/crates/ladderpass/tests/router_harness/mod.rs
+++ b/crates/ladderpass/tests/router_harness/mod.rs
@@ -2,7 +2,10 @@
 //! decides when each byte is sent. To make several things happen at once for the router, the test pauses its process.
 #![allow(dead_code)]
 
-use crate::common::*;
+use crate::common::{
+    WATCH_HEAD, chunk, empty_query_response, id_and_rest, next_frame, now_ms, query, router_address,
+    router_config, row, sqlstate, startup, statement, temp_file, unique_loopback_address, welcome,
+};
 use nix::sys::signal::{Signal, kill};
 use nix::sys::wait::{WaitPidFlag, waitpid};
 use nix::unistd::Pid;
@@ -20,13 +23,18 @@
 /// primary.
 pub struct RouterHarness {
     pub process: Child,
+    /// Where clients connect.
     pub address: String,
+    /// The platform's configuration, which the router reads again at SIGHUP.
     pub config_file: PathBuf,
+    /// Where the router connects to members.
     pub members: Vec<TcpListener>,
     /// By member: its connections on which no RPC is in flight.
     pub idle_connections: Vec<Vec<TcpStream>>,
     pub discovery: TcpListener,
+    /// The open watch.
     pub watch: Option<TcpStream>,
+    /// The generation of the next line of the watch.
     pub generation: u64,
 }
 
@@ -36,6 +44,7 @@
     }
 }
 
+/// A listener on an address that no other test uses.
 pub fn bind_listener() -> TcpListener {
     TcpListener::bind(unique_loopback_address()).expect("a port")
 }
@@ -45,6 +54,7 @@
     accept_connection_within(listener, PATIENCE).expect("a connection comes")
 }
 
+/// The next connection within this time.
 pub fn accept_connection_within(listener: &TcpListener, patience: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).expect("it can");
     let until = Instant::now() + patience;
@@ -62,17 +72,19 @@
     None
 }
 
+/// A router in front of two members, with a changed configuration; its watch is open.
 pub fn start_harness(change: impl Fn(String) -> String) -> RouterHarness {
     start_harness_with(vec![bind_listener(), bind_listener()], change, |_| {})
 }
 
+/// The same in front of these members, with a command that is adjusted before it is started.
 pub fn start_harness_with(
     members: Vec<TcpListener>,
     change: impl Fn(String) -> String,
     adjust_command: impl Fn(&mut Command),
 ) -> RouterHarness {
     let addresses: Vec<String> =
-        members.iter().map(|l| l.local_addr().expect("an address").to_string()).collect();
+        members.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
     let config = router_config(&addresses)
         .replace("\"Probes\":true", "\"Probes\":false")
         .replace("\"ConnectTimeout\":250000000", "\"ConnectTimeout\":30000000000")
@@ -86,13 +98,13 @@
     command.env("RELAY_DISCOVERY", discovery_address).env("RELAY_CONFIG", &config_file);
     adjust_command(&mut command);
     let process = command.spawn().expect("it starts");
-    let links = members.iter().map(|_| Vec::new()).collect();
+    let idle_connections = members.iter().map(|_| Vec::new()).collect();
     let mut harness = RouterHarness {
         process,
         address,
         config_file,
         members,
-        idle_connections: links,
+        idle_connections,
         discovery,
         watch: None,
         generation: 1,
@@ -110,6 +122,7 @@
     read_answer(client)
 }
 
+/// The types of the frames of the next answer, and the SQLSTATE of an error.
 pub fn read_answer(client: &mut TcpStream) -> (Vec<u8>, String) {
     let (mut kinds, mut error) = (Vec::new(), String::new());
     while kinds.last() != Some(&b'Z') {
@@ -124,11 +137,13 @@
     (kinds, error)
 }
 
+/// A write with a deadline of a minute.
 pub fn write_statement(id: &str) -> String {
     statement(id, "write", 60_000, "1")
 }
 
 impl RouterHarness {
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.process.id() as i32), signal).expect("it runs");
     }
@@ -139,6 +154,7 @@
         waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED)).expect("a child");
     }
 
+    /// Lets a paused process go on.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
@@ -171,7 +187,7 @@
     pub fn open_watch(&mut self) {
         let mut stream = accept_connection(&self.discovery);
         read_watch_request(&stream);
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("it reads");
+        stream.write_all(WATCH_HEAD).expect("it reads");
         self.watch = Some(stream);
     }
 
@@ -183,12 +199,13 @@
         self.send_watch_bytes(line.as_bytes());
     }
 
+    /// Sends these bytes as a chunk on the open watch.
     pub fn send_watch_bytes(&mut self, bytes: &[u8]) {
         let watch = self.watch.as_mut().expect("a watch is open");
-        let chunk = [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat();
-        watch.write_all(&chunk).expect("it reads");
+        watch.write_all(&chunk(bytes)).expect("it reads");
     }
 
+    /// Where the router connects to a member.
     pub fn member_address(&self, n: usize) -> String {
         self.members[n].local_addr().expect("an address").to_string()
     }
@@ -203,6 +220,7 @@
         self.next_rpc_within(n, PATIENCE).expect("the member is asked")
     }
 
+    /// The same; None if the member gets none in this time.
     pub fn next_rpc_within(&mut self, n: usize, patience: Duration) -> Option<(String, TcpStream)> {
         let until = Instant::now() + patience;
         while Instant::now() < until {
@@ -268,6 +286,7 @@
         assert_eq!(read_answer(&mut client).0, b"TDCZ");
     }
 
+    /// Waits for the process to end, which must be with success.
     pub fn assert_clean_exit(&mut self) {
         assert!(self.process.wait().expect("it ends").success());
     }
@@ -282,6 +301,7 @@
     stream
 }
 
+/// Reads the request of a watch; its first line.
 pub fn read_watch_request(stream: &TcpStream) -> String {
     let mut lines = BufReader::new(stream.try_clone().expect("it can")).lines();
     let request = lines.next().and_then(Result::ok).expect("a request");
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -5,7 +5,10 @@
 mod loss_checker;
 mod router_harness;
 
-use common::*;
+use common::{
+    SIMULATION_START, launch_with_config, next_frame, query, router_config, simulated_members, startup,
+    statement, welcome,
+};
 use failing_syscalls::FailingSyscall;
 use ladderpass::launch::Launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -29,7 +32,7 @@
 }
 
 fn launch(sockets: usize) -> Launch {
-    let members: Vec<String> = (0..3).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect();
+    let members = simulated_members(3);
     launch_with_config(
         &router_config(&members).replace("\"sockets\":1024", &format!("\"sockets\":{sockets}")),
     )
@@ -66,7 +69,7 @@
 fn a_client_evicted_for_a_newcomer_is_read_before_it_is_closed() {
     let launch = launch(64);
     let crowd = launch.limits.clients_before_eviction + 4;
-    let mut now = Time::from_nanos(1_796_000_000_000_000_000);
+    let mut now = SIMULATION_START;
     let mut reducer = Reducer::start(now, launch);
     for _ in 0..crowd {
         client(&mut reducer, now);
@@ -109,7 +112,7 @@
 /// were "stop=true closing=true Idle".
 #[test]
 fn what_comes_while_the_answer_of_a_stopping_router_is_written_is_answered() {
-    let now = Time::from_nanos(1_796_000_000_000_000_000);
+    let now = SIMULATION_START;
     let mut reducer = Reducer::start(now, launch(64));
     let id = client(&mut reducer, now);
     // One that was served once is closed with its next answer: this statement is answered at once, with an error.
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -2,6 +2,7 @@
 //! answered and no rule is broken (`docs/terms-audit.md`). The router is this test binary itself, started again.
 
 mod failing_syscalls;
+mod one_at_a_time;
 
 use failing_syscalls::ClockStep;
 use ladderpass_emulator::Scenario;
@@ -9,7 +10,7 @@
 use ladderpass_testbed::history_checker::{Started, cold_at_members};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::run::{self, RunRecord, open};
-use std::sync::{Mutex, MutexGuard};
+use one_at_a_time::wait_for_turn;
 use std::time::Duration;
 
 #[test]
@@ -20,13 +21,6 @@
 /// In the middle of a load.
 const STEPPED_AT: Duration = Duration::from_millis(1200);
 
-/// Held by the test that runs: loads beside each other would miss their deadlines.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
-
 /// Runs a load of two seconds; no rule is broken, and the process goes on.
 fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> RunRecord {
     let _turn = wait_for_turn();
