--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -52,7 +52,7 @@
         let gone = SIMULATION_START + ms(5000);
         let back = gone + ms(6000 + seed as i64 * 137);
         let ending = if seed % 3 == 0 { Hangs } else { Refused };
-        let mut simulation = Simulation::new(Mode::Asked(60_000), seed, ending, (OLD_PORT, gone, back));
+        let mut simulation = Simulation::new(Mode::Polled(60_000), seed, ending, (OLD_PORT, gone, back));
         simulation.counts_from = 2;
         simulation.whole = whole;
         simulation.max_answer_ms = 500;
@@ -88,11 +88,11 @@
 #[test]
 fn a_whole_fleet_stays_apart_and_does_not_hammer() {
     for (mode, ending, most, most_a_second) in [
-        (Mode::Asked(60_000), Refused, 92, 0.36),
-        (Mode::Asked(60_000), Hangs, 92, 0.36),
-        (Mode::Asked(10_000), Refused, 92, 0.42),
+        (Mode::Polled(60_000), Refused, 92, 0.36),
+        (Mode::Polled(60_000), Hangs, 92, 0.36),
+        (Mode::Polled(10_000), Refused, 92, 0.42),
         (Mode::Pushed(60_000), Status, 92, 0.36),
-        (Mode::Asked(1000), Refused, 230, 3.2),
+        (Mode::Polled(1000), Refused, 230, 3.2),
         (Mode::Pushed(1000), Refused, 230, 3.2),
     ] {
         let (bins, a_second) = fleet_watches(mode, ending);
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -75,12 +75,17 @@
 /// How the list is delivered, by the settings: polled within `MustAskIn`, or pushed with this `DrainGrace`.
 #[derive(Clone, Copy, Debug)]
 pub enum Mode {
-    Asked(i64),
+    Polled(i64),
     Pushed(i64),
 }
 
-pub const MODES: [Mode; 5] =
-    [Mode::Asked(1000), Mode::Asked(10_000), Mode::Asked(60_000), Mode::Pushed(1000), Mode::Pushed(60_000)];
+pub const MODES: [Mode; 5] = [
+    Mode::Polled(1000),
+    Mode::Polled(10_000),
+    Mode::Polled(60_000),
+    Mode::Pushed(1000),
+    Mode::Pushed(60_000),
+];
 /// Where discovery is at the start.
 pub const OLD_PORT: u16 = 8500;
 /// Where it is after a reload.
@@ -93,11 +98,11 @@
         .replace("\"Probes\":true", "\"Probes\":false")
         .replace("8c1f30d27a5be964", &format!("{:016x}", seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
     let text = match mode {
-        Mode::Asked(ms) => text.replace("\"MustAskIn\":10000000000", &format!("\"MustAskIn\":{ms}000000")),
+        Mode::Polled(ms) => text.replace("\"MustAskIn\":10000000000", &format!("\"MustAskIn\":{ms}000000")),
         Mode::Pushed(ms) => text
             .replace("\"subscribe\"", "\"automatic\"")
             .replace("\"MustAskIn\":10000000000", &format!("\"DrainGrace\":{ms}000000")),
     };
-    assert!(!text.contains("\"MustAskIn\":10000000000") || matches!(mode, Mode::Asked(10_000)));
+    assert!(!text.contains("\"MustAskIn\":10000000000") || matches!(mode, Mode::Polled(10_000)));
     launch_with_discovery(&text, &format!("127.0.0.1:{port}"))
 }
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -40,7 +40,7 @@
     pub counts_from: u64,
     pub whole: bool,
     /// The generation that the last watch asked for.
-    asked_from: u64,
+    requested_from: u64,
     /// The port that is away, from when to when.
     pub away: (u16, Time, Time),
     /// Open watches, with the port that they connected to.
@@ -86,7 +86,7 @@
             },
             counts_from: 9,
             whole: true,
-            asked_from: 0,
+            requested_from: 0,
             away,
             watches: BTreeMap::new(),
             events: BTreeMap::new(),
@@ -115,7 +115,8 @@
                 Effect::Write(id) => {
                     let text = String::from_utf8_lossy(self.reducer.outgoing(id)).into_owned();
                     let from = text.split_once("from=").and_then(|(_, rest)| rest.split(' ').next());
-                    self.asked_from = from.and_then(|from| from.parse().ok()).unwrap_or(self.asked_from);
+                    self.requested_from =
+                        from.and_then(|from| from.parse().ok()).unwrap_or(self.requested_from);
                     let count = text.len();
                     if count > 0 {
                         self.apply(Event::Written(id, count));
@@ -188,7 +189,7 @@
                     true => (self.counts_from, 4),
                     false => (5, 3),
                 };
-                let whole = self.whole || self.asked_from == 0;
+                let whole = self.whole || self.requested_from == 0;
                 self.carry_out(id, answer_with(&list(generation, count, whole)));
             }
             DiscoveryEvent::Trickle(bytes, every) => {
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: when one may still be sent, when it is withdrawn, and what its answer counts for.
 
 use crate::common::{empty_query_response, frame, query, row, startup, statement};
-use crate::scenarios::{clients_that_sent, send_first_attempt};
+use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt};
 use crate::simulation::{Client, Peer, Simulation, launch_changed_by};
 use ladderpass::reducer::{ConnectionId, Effect, Event};
 use ladderpass_routing::Span;
@@ -49,7 +49,7 @@
 #[test]
 fn a_statement_behind_another_is_answered_in_the_time_that_runs_from_when_it_was_sent() {
     for served_after in [100, 300, 390, 700] {
-        let (mut simulation, client, link) = send_first_attempt("read");
+        let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
         let text = statement("9", "read", 400, "1");
         simulation.expect_statement(&text, false);
         let state = simulation.clients.get_mut(&client).expect("it is there");
@@ -78,7 +78,7 @@
 #[test]
 fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
-        let (mut simulation, client, link) = send_first_attempt("read");
+        let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
         simulation.peers.get_mut(&link).expect("it is there").query = None;
         simulation.feed(link, &row(b"7", "follower", 1));
         simulation.write(client);
@@ -97,7 +97,7 @@
 /// busy router would take idle members for overloaded.
 #[test]
 fn a_members_answer_time_is_without_what_the_router_kept_waiting() {
-    let (mut simulation, client, link) = send_first_attempt("read");
+    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     let before = simulation.reducer.answered_attempts();
     simulation.now = simulation.now + Span::from_millis(300);
     let answer = row(b"7", "follower", simulation.now.nanos() as u64 / 1_000_000);
@@ -119,7 +119,7 @@
 #[test]
 fn what_is_not_written_whole_when_its_client_goes_never_is() {
     for written in [0, 10] {
-        let (mut simulation, _, link) = send_first_attempt("write");
+        let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
         let client = simulation.reducer.next_id();
@@ -150,7 +150,7 @@
 fn what_a_socket_does_not_accept_in_time_is_withdrawn() {
     for (method, within) in [("write", 100), ("read", 5)] {
         for written in [0, 10] {
-            let (mut simulation, client, link) = send_first_attempt(method);
+            let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
             let position = simulation.now.nanos() as u64 / 1_000_000;
             simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
             simulation.write(client);
@@ -224,12 +224,12 @@
 /// An answer that begins and does not end leaves time for another attempt.
 #[test]
 fn half_an_answer_ends_its_attempt_soon() {
-    let (mut simulation, client, link) = send_first_attempt("read");
+    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     simulation.feed(link, &row(b"7", "follower", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
     assert!(!simulation.peers.contains_key(&link), "abandoned");
     assert_eq!(simulation.clients[&client].answers, 0, "a read that may go elsewhere");
-    let (mut simulation, client, link) = send_first_attempt("write");
+    let FirstAttempt { mut simulation, client, link } = send_first_attempt("write");
     simulation.feed(link, &row(b"7", "leader", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
     assert_eq!(simulation.clients[&client].answers, 1, "a write that may have run");
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -1,7 +1,7 @@
 //! Cancel requests, in each state of the RPC that they name.
 
 use crate::common::{empty_query_response, error_response, id_and_rest, query, row, startup, statement};
-use crate::scenarios::{answers_of, send_first_attempt, served, unserved};
+use crate::scenarios::{FirstAttempt, answers_of, send_first_attempt, served, unserved};
 use crate::simulation::{Client, Peer, Simulation};
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
@@ -9,7 +9,7 @@
 /// Keys differ; one that differs by a bit, or is of no connection, or comes without an RPC in flight, has no effect.
 #[test]
 fn a_cancel_counts_with_the_key_of_its_connection_alone() {
-    let (mut simulation, client, link) = send_first_attempt("read");
+    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     let (process, secret) = simulation.cancel_key_of(client);
     for bit in 0..32 {
         simulation.send_cancel_request((process, secret ^ 1 << bit));
@@ -74,7 +74,7 @@
 #[test]
 fn what_is_not_written_whole_when_it_is_cancelled_never_is() {
     for written in [0, 10] {
-        let (mut simulation, _, link) = send_first_attempt("write");
+        let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
         let client = simulation.reducer.next_id();
@@ -113,7 +113,7 @@
         ("read", "broken", unserved("57014")),
         ("write", "broken", unserved("58000")),
     ] {
-        let (mut simulation, client, link) = send_first_attempt(method);
+        let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         simulation.send_cancel_request(simulation.cancel_key_of(client));
--- a/crates/ladderpass/tests/reducer/client_errors.rs
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -1,7 +1,7 @@
 //! Clients that break the protocol.
 
 use crate::common::{frame, frames, query, sqlstate, startup, statement};
-use crate::scenarios::{clients_that_sent, exchange};
+use crate::scenarios::{Exchange, clients_that_sent, exchange};
 use crate::simulation::Client;
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
@@ -23,16 +23,16 @@
         (frame(b'Q', b"\xff\0"), "22021"),
         ([frame(b'P', b"\0\0\0\0"), frame(b'B', b""), frame(b'S', b"")].concat(), "0A000"),
     ] {
-        let (answer, closed) = exchange(&bytes);
-        let kinds: Vec<u8> = answer.iter().map(|(kind, _)| *kind).collect();
-        assert_eq!((kinds.as_slice(), closed), (&b"EZIZ"[..], false), "{wanted}");
-        assert_eq!(sqlstate(&answer[0].1), wanted);
+        let Exchange { frames, is_closed } = exchange(&bytes);
+        let kinds: Vec<u8> = frames.iter().map(|(kind, _)| *kind).collect();
+        assert_eq!((kinds.as_slice(), is_closed), (&b"EZIZ"[..], false), "{wanted}");
+        assert_eq!(sqlstate(&frames[0].1), wanted);
     }
     // Out of step, or too long by its header: only that client is closed.
-    assert!(exchange(b"Q\x03\x93\x87\x04SELECT").1);
-    assert!(exchange(&[b'Q', 0, 0, 0, 1]).1);
-    assert!(exchange(&frame(b'!', b"")).1);
-    assert!(exchange(&frame(b'X', b"")).1);
+    assert!(exchange(b"Q\x03\x93\x87\x04SELECT").is_closed);
+    assert!(exchange(&[b'Q', 0, 0, 0, 1]).is_closed);
+    assert!(exchange(&frame(b'!', b"")).is_closed);
+    assert!(exchange(&frame(b'X', b"")).is_closed);
 }
 
 #[test]
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of clients, buffers and tables, and who is evicted at them.
 
 use crate::common::{chunk, frames, instance, query, row, sqlstate, startup, statement};
-use crate::scenarios::{clients_that_sent, send_first_attempt_in};
+use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt_in};
 use crate::simulation::{Client, Simulation, default_launch};
 use ladderpass::reducer::{ConnectionId, Effect, Event};
 use ladderpass_overload::ResourceSample;
@@ -12,7 +12,7 @@
 #[test]
 fn a_client_that_reads_nothing_is_closed_and_one_that_reads_slowly_is_not() {
     for reads in [false, true] {
-        let (mut simulation, client, link) =
+        let FirstAttempt { mut simulation, client, link } =
             send_first_attempt_in(Simulation::overloaded(vec![255; 600]), "read");
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.peers.get_mut(&link).expect("it is there").query = None;
@@ -109,7 +109,7 @@
 fn an_id_that_is_open_is_not_forgotten_for_others() {
     let mut launch = default_launch();
     launch.limits.remembered_ids = 2;
-    let (mut simulation, client, _) =
+    let FirstAttempt { mut simulation, client, .. } =
         send_first_attempt_in(Simulation::with_launch(vec![255; 600], launch), "write");
     for nth in 100..110 {
         let other = simulation.reducer.next_id();
--- a/crates/ladderpass/tests/reducer/scenarios.rs
+++ b/crates/ladderpass/tests/reducer/scenarios.rs
@@ -5,15 +5,24 @@
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_routing::Span;
 
-/// Accepts a client that sends these bytes; what it receives after the startup, by frame, and whether it was closed.
-pub fn exchange(bytes: &[u8]) -> (Vec<(u8, Vec<u8>)>, bool) {
+/// What a client has received after its startup.
+pub struct Exchange {
+    /// Types and bodies.
+    pub frames: Vec<(u8, Vec<u8>)>,
+    pub is_closed: bool,
+}
+
+/// Accepts a client that sends these bytes, and an empty query once they are handled.
+pub fn exchange(bytes: &[u8]) -> Exchange {
     let mut simulation = Simulation::new(vec![255; 600]);
     let id = simulation.reducer.next_id();
     simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
     simulation.apply(Event::Accepted(id));
     simulation.receive(id, &startup());
     simulation.write(id);
-    let Some(client) = simulation.clients.get_mut(&id) else { return (Vec::new(), true) };
+    let Some(client) = simulation.clients.get_mut(&id) else {
+        return Exchange { frames: Vec::new(), is_closed: true };
+    };
     client.inbox.clear();
     simulation.receive(id, bytes);
     // Later bytes are read once the backoff after an error has passed.
@@ -23,7 +32,7 @@
     if let Some(client) = simulation.clients.get(&id) {
         inbox.splice(..0, client.inbox.iter().copied());
     }
-    (frames(&inbox).0, !simulation.clients.contains_key(&id))
+    Exchange { frames: frames(&inbox).0, is_closed: !simulation.clients.contains_key(&id) }
 }
 
 /// A simulation in which `count` clients have each sent this, in one batch.
@@ -44,16 +53,21 @@
     simulation
 }
 
-/// A simulation of one client with this statement, whose first attempt is in flight at a member; with that connection.
-pub fn send_first_attempt(method: &str) -> (Simulation, ConnectionId, ConnectionId) {
+/// A simulation of one client whose statement has its first attempt in flight.
+pub struct FirstAttempt {
+    pub simulation: Simulation,
+    pub client: ConnectionId,
+    /// The connection to the member that has the attempt.
+    pub link: ConnectionId,
+}
+
+/// A client sends a statement of this method, with id 7, until its first attempt is in flight.
+pub fn send_first_attempt(method: &str) -> FirstAttempt {
     send_first_attempt_in(Simulation::new(vec![255; 600]), method)
 }
 
 /// The same in this simulation, which has no client yet.
-pub fn send_first_attempt_in(
-    mut simulation: Simulation,
-    method: &str,
-) -> (Simulation, ConnectionId, ConnectionId) {
+pub fn send_first_attempt_in(mut simulation: Simulation, method: &str) -> FirstAttempt {
     let text = statement("7", method, 2000, "1");
     let position = simulation.now.nanos() as u64 / 1_000_000;
     simulation.expect_statement(&text, method == "write");
@@ -75,7 +89,7 @@
                     peer.query = None;
                     simulation.feed(id, &row(report.as_bytes(), "follower", position));
                 }
-                Some(_) => return (simulation, client, id),
+                Some(_) => return FirstAttempt { simulation, client, link: id },
                 None if std::mem::take(&mut peer.fence_queued) => {
                     simulation.feed(id, &empty_query_response())
                 }
