--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Probes a router that is gone, or was never seen, unless it is being probed.
     pub(crate) fn probe_for_return(&mut self, now: Time, target: SocketAddr) {
         if !self.is_leaving && !self.probes.is_probing(target) {
             self.send_probe(now, target, ProbePurpose::ReturnDetection);
@@ -68,6 +69,7 @@
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
+    /// Answers a ping with an ack; where the views differ, also with this router's view.
     pub(crate) fn on_ping(&mut self, from: SocketAddr, sequence: u32, view_differs: bool) {
         let ack = Draft { fill_with_view: view_differs, ..Draft::new(Kind::Ack, sequence) };
         self.send(from, ack);
@@ -76,6 +78,7 @@
         }
     }
 
+    /// Ends the probe that an ack answers: a relayed one by an answer to its requester, else one of this router's own.
     pub(crate) fn on_ack(&mut self, now: Time, from: SocketAddr, message: &Message, view_differs: bool) {
         if let Some(relayed) = self.probes.relayed.remove(&message.sequence) {
             self.record_acknowledgement(now);
@@ -118,6 +121,7 @@
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
+    /// Ends the probe whose target has answered another router.
     pub(crate) fn on_indirect_ack(&mut self, now: Time, sequence: u32, target: Option<StateUpdate>) {
         self.record_acknowledgement(now);
         let Some(target) = target.filter(|update| self.probes.is_target(sequence, update.router)) else {
@@ -128,6 +132,7 @@
         self.health.improve();
     }
 
+    /// A relay has no ack either: its nack shows that this router's own link works.
     pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
         self.record_acknowledgement(now);
         if let Some(probe) = self.probes.own.get_mut(&sequence) {
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -27,7 +27,7 @@
     pub max_routers: usize,
     /// How long a tombstone of a router that died or left is kept. A dead router is probed for its return meanwhile.
     pub forget_dead_after: Span,
-    /// Without an acknowledgement by any router for this long, this router takes itself for isolated.
+    /// Without an acknowledgement by any router for this long, this router counts as isolated.
     pub isolated_after: Span,
     /// A deliberate fault, for tests of the tests.
     pub faulty: Faulty,
--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -42,17 +42,17 @@
     // A timeout after less than an overdue answer takes is the client's own, and says nothing about the member; nor
     // does an answer that was lost in the network.
     let ended_early = result.latency < method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
-    let says_nothing_of_member = (ended_early || load::is_lost(state, now, member, attempt))
-        && result.outcome == AttemptOutcome::TimedOut;
+    let was_lost = load::is_lost(state, now, member, attempt);
+    let is_evidence = result.outcome != AttemptOutcome::TimedOut || !(ended_early || was_lost);
     // A member that reports its role is up, whatever else it answers.
     if result.role.is_some() || matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::NotServedHere) {
         outlier_ejection::record_success(state, now, index);
     }
     let is_ok = result.outcome == AttemptOutcome::Ok;
     state.topology.member_mut(index).record_attempt_ended(attempt, is_ok);
-    record_outcome(state, now, index, result.outcome, sent_at, says_nothing_of_member);
+    record_outcome(state, now, index, result.outcome, sent_at, is_evidence);
     let mut latency_ratio = 0.0;
-    if matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && !says_nothing_of_member {
+    if matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::TimedOut) && is_evidence {
         latency_ratio = load::record_answer(state, now, index, attempt, result.latency);
         concurrency_limit::follow_latency(state, now, index, sent_at, ObservedBy::ThisRouter);
     }
@@ -61,13 +61,14 @@
     record_role(state, now, index, result);
 }
 
+/// Records what the outcome alone shows. `is_evidence`: the outcome says something about the member.
 fn record_outcome(
     state: &mut RouterState,
     now: Time,
     index: usize,
     outcome: AttemptOutcome,
     sent_at: Time,
-    says_nothing_of_member: bool,
+    is_evidence: bool,
 ) {
     let member = state.topology.member_mut(index);
     match outcome {
@@ -77,7 +78,7 @@
         }
         AttemptOutcome::Rejected | AttemptOutcome::TimedOut => {
             member.recent_failures.record(now, 1.0);
-            if !says_nothing_of_member {
+            if is_evidence {
                 concurrency_limit::reduce_after_rejection(state, now, index, sent_at);
             }
         }
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -31,7 +31,7 @@
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
 /// A read whose replicas have no recent report waits this long for the check of the next one.
 pub const HEALTH_CHECK_WAIT: Span = Span::from_millis(60);
-/// How long a router that has just started keeps RPCs pending for the first results.
+/// How long RPCs are pending for the first results at a router that has just started.
 const FIRST_RESULTS_WAIT: Span = Span::from_millis(300);
 /// Interval of gossip about a member of a group without a primary.
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -46,6 +46,8 @@
 /// A prior estimate weighs as much as so many answers of the member itself.
 const PRIOR_WEIGHT_ANSWERS: f64 = 3.0;
 
+/// The router's own zone.
+pub const OWN_ZONE: u32 = 0;
 /// Width of a bucket of the answer times of a zone.
 const ZONE_LATENCY_BUCKET: Span = Span::from_millis(2500);
 /// The first of a member's consecutive failures counts as an answer with this latency ratio for its zone.
@@ -112,14 +114,17 @@
 
 /// Answer times of another zone over those of the router's own: above 1 where the link is slow or loses messages.
 pub fn zone_latency_ratio(state: &RouterState, now: Time, zone: u32) -> f64 {
-    let mean = |zone: u32| {
-        let WindowTotals { count, sum } = state
-            .topology
-            .zone_latency(zone)
-            .map_or(WindowTotals::default(), |window| window.totals(now, ALL_BUCKETS));
-        (sum + PRIOR_WEIGHT_ANSWERS) / (count + PRIOR_WEIGHT_ANSWERS)
-    };
-    if zone == 0 { 1.0 } else { mean(zone) / mean(0).max(1.0) }
+    if zone == OWN_ZONE {
+        return 1.0;
+    }
+    mean_latency_ratio_of_zone(state, now, zone) / mean_latency_ratio_of_zone(state, now, OWN_ZONE).max(1.0)
+}
+
+/// The mean latency ratio of a zone's members; without answers it is 1.
+fn mean_latency_ratio_of_zone(state: &RouterState, now: Time, zone: u32) -> f64 {
+    let window = state.topology.zone_latency(zone);
+    let totals = window.map_or(WindowTotals::default(), |window| window.totals(now, ALL_BUCKETS));
+    (totals.sum + PRIOR_WEIGHT_ANSWERS) / (totals.count + PRIOR_WEIGHT_ANSWERS)
 }
 
 /// The RPCs in flight at a member over what it works on at once, by a recent load report; 1 at the least.
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -15,7 +15,7 @@
 use crate::eligibility;
 use crate::exception_log;
 use crate::health_check_schedule;
-use crate::load::{self, ALL_BUCKETS};
+use crate::load::{self, ALL_BUCKETS, OWN_ZONE};
 use crate::pending;
 use crate::reasons::{Counts, GiveUpReason, Ineligible};
 use crate::rejection;
@@ -166,14 +166,14 @@
         && health_check_schedule::next_request_at(state, index) <= now
 }
 
-/// The rank of a replica. A random part, of the work of one RPC, keeps routers that send little from all beginning
-/// with the same member.
+/// The rank of a replica. A random amount, of the work of one RPC on average, prevents that routers which send little
+/// all begin with the same member.
 fn rank(state: &RouterState, now: Time, rpc: RpcId, index: usize, random: &mut WyRand) -> Rank {
     let member = state.topology.member(index);
     let random_work_secs = -(1.0 - random.generate::<f64>()).ln() * state.method_of(rpc).typical.secs();
     let work_sent_secs = member.work_sent.totals(now, ALL_BUCKETS).sum
         / slow_start::capacity_share(state, now, member).unwrap_or(1.0);
-    let zone_weight = if member.zone == 0 { 1.0 } else { OTHER_ZONE_WEIGHT };
+    let zone_weight = if member.zone == OWN_ZONE { 1.0 } else { OTHER_ZONE_WEIGHT };
     let weight = load::latency_ratio(state, now, member, ALL_BUCKETS) * zone_weight;
     Rank {
         load: load::member_load(state, now, member),
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -121,7 +121,7 @@
     pub slow_start_duration: Span,
     /// The window in which a member warming up must not get more than its capacity.
     pub overload_window: Span,
-    /// A member warming up bears this multiple of its present capacity over that window.
+    /// A member warming up can take this multiple of its present capacity over that window.
     pub overload_multiple: f64,
     /// Only an entry that says `Draining` binds; a member that left the list may still be sent RPCs.
     pub removal_is_advisory: bool,
