--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -75,15 +75,16 @@
     pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
         let encode_message = |updates: &[MemberUpdate]| {
             let encoded = updates.iter().filter_map(|update| self.encode_update(update, names));
-            write(self.zone, encoded)
+            GossipMessage { zone: self.zone, updates: encoded.collect() }.encode()
         };
         updates.chunks(MAX_UPDATES_PER_MESSAGE).map(encode_message).collect()
     }
 
     /// The updates of a message that was received at `now`. What can't be read, or is of an unknown member, is dropped.
     pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
-        let Some((zone, updates)) = read(text, now - self.origin) else { return Vec::new() };
-        updates.filter_map(|update| self.decode_update(&update, zone)).collect()
+        let Some(message) = GossipMessage::decode(text, now - self.origin) else { return Vec::new() };
+        let updates = message.updates.iter();
+        updates.filter_map(|update| self.decode_update(update, message.zone)).collect()
     }
 
     fn encode_update(&self, update: &MemberUpdate, names: &NameIndex) -> Option<EncodedUpdate> {
@@ -125,19 +126,33 @@
     pub in_flight: Option<f64>,
 }
 
-/// The text of a message from a router in this zone.
-pub fn write(zone: u32, updates: impl Iterator<Item = EncodedUpdate>) -> String {
-    let mut text = String::new();
-    push_number(&mut text, u64::from(zone), 1);
-    updates.for_each(|update| push_update(&mut text, &update));
-    text
+/// One message.
+#[derive(Clone, Debug, PartialEq)]
+pub struct GossipMessage {
+    /// Zone of the sender, as the number that one letter holds.
+    pub zone: u32,
+    /// Its updates, at most [`MAX_UPDATES_PER_MESSAGE`].
+    pub updates: Vec<EncodedUpdate>,
 }
 
-/// The zone and the updates of a message that was received at `now`, which no update is later than.
-pub fn read(text: &str, now: Span) -> Option<(u32, impl Iterator<Item = EncodedUpdate>)> {
-    let (zone, updates) = text.as_bytes().split_at_checked(1)?;
-    let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(move |letters| parse_update(letters, now));
-    Some((parse_number(zone)? as u32, updates))
+impl GossipMessage {
+    /// The text of the message.
+    pub fn encode(&self) -> String {
+        let mut text = String::new();
+        push_number(&mut text, u64::from(self.zone), 1);
+        for update in &self.updates {
+            push_update(&mut text, update);
+        }
+        text
+    }
+
+    /// The message of a text that was received at `now`, from the common origin: no update is later. Updates that can't
+    /// be read are left out; none where there is no zone.
+    pub fn decode(text: &str, now: Span) -> Option<GossipMessage> {
+        let (zone, updates) = text.as_bytes().split_at_checked(1)?;
+        let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(|letters| parse_update(letters, now));
+        Some(GossipMessage { zone: parse_number(zone)? as u32, updates: updates.collect() })
+    }
 }
 
 fn push_update(text: &mut String, update: &EncodedUpdate) {
--- a/crates/ladderpass-config/tests/gossip.rs
+++ b/crates/ladderpass-config/tests/gossip.rs
@@ -1,7 +1,7 @@
 //! Text form of the gossip messages: updates survive the way, and what can't be read is dropped.
 
 use ladderpass_config::gossip::{
-    EncodedUpdate, MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS, read, write,
+    EncodedUpdate, GossipMessage, MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS,
 };
 use ladderpass_routing::{MemberObservation, Span};
 
@@ -11,11 +11,11 @@
         let at = Span::from_nanos(sent_ms * 1_000_000 + 999_999);
         for observation in OBSERVATIONS {
             let update = EncodedUpdate { id_hash, observation, at, latency_ratio: 2.0, in_flight: None };
-            let text = write(63, [update].into_iter());
+            let text = GossipMessage { zone: 63, updates: vec![update] }.encode();
             assert_eq!(text.len(), 1 + UPDATE_LETTERS);
-            let (zone, updates) = read(&text, Span::from_millis(received_ms + 1)).unwrap();
+            let message = GossipMessage::decode(&text, Span::from_millis(received_ms + 1)).unwrap();
             let expected = EncodedUpdate { at: Span::from_millis(sent_ms), ..update };
-            assert_eq!((zone, updates.collect()), (63, vec![expected]));
+            assert_eq!((message.zone, message.updates), (63, vec![expected]));
         }
     }
     let largest = |id_hash| EncodedUpdate {
@@ -25,7 +25,8 @@
         latency_ratio: 1e9,
         in_flight: Some(1e9),
     };
-    let full = write(0, (0..MAX_UPDATES_PER_MESSAGE as u32).map(largest));
+    let updates = (0..MAX_UPDATES_PER_MESSAGE as u32).map(largest).collect();
+    let full = GossipMessage { zone: 0, updates }.encode();
     assert!(full.len() <= 256);
 }
 
@@ -38,11 +39,13 @@
         latency_ratio: 0.0,
         in_flight: Some(3.0),
     };
-    let good = write(1, [update].into_iter());
+    let good = GossipMessage { zone: 1, updates: vec![update] }.encode();
     for text in ["", "short", "\u{e9}\u{e9}\u{e9}\u{e9}\u{e9}\u{e9}", "#########", "AAAA AAAA"] {
-        let count = |text: &str| read(text, Span::from_millis(9)).map_or(0, |(_, updates)| updates.count());
+        let decode = |text: &str| GossipMessage::decode(text, Span::from_millis(9));
+        let count = |text: &str| decode(text).map_or(0, |message| message.updates.len());
         assert_eq!(count(&format!("B{text}")), 0, "{text}");
         assert_eq!(count(&format!("{good}{text}")), 1, "{text}");
     }
-    assert!(read("", Span::ZERO).is_none() && read("\u{e9}", Span::ZERO).is_none());
+    assert!(GossipMessage::decode("", Span::ZERO).is_none());
+    assert!(GossipMessage::decode("\u{e9}", Span::ZERO).is_none());
 }
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -146,8 +146,7 @@
     assert_eq!(from, own);
     let text = std::str::from_utf8(&buffer[..count]).expect("letters");
     let now = ladderpass_emulator::loopback::now() - Time::default();
-    let (_, updates) = ladderpass_config::gossip::read(text, now).expect("a message");
-    let updates: Vec<_> = updates.collect();
+    let updates = ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a message").updates;
     assert!(
         !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
         "{updates:?}"
