--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -30,7 +30,7 @@
             EventKind::AttemptSent { rpc, member } => {
                 let Some(published) = self.draining.get(&member) else { return };
                 if event.at > published.at + self.tolerance.endpoint_update {
-                    let text = format!("RPC {rpc:x} goes to member {member}, which wants nothing new");
+                    let text = format!("RPC {rpc:x} goes to member {member}, which is draining");
                     let (rpc, member) = (Some(rpc), Some(member));
                     broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
                 }
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -53,7 +53,7 @@
             EventKind::AttemptSent { rpc, member } => {
                 let Some(state) = self.rpcs.get_mut(&rpc) else { return };
                 if let Some(first) = state.in_flight {
-                    let text = format!("RPC {rpc:x} is called out while a call-out of it is out");
+                    let text = format!("RPC {rpc:x} is attempted while an attempt of it is in flight");
                     report(rpc, member, text, vec![first, *event]);
                 } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
                     // Also where the first did not run after all: the router could not know.
