--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -50,7 +50,8 @@
         EndpointUpdate::Changes(entries) | EndpointUpdate::ChangesDuringMove(entries) => (entries, false),
     };
     if !matches!(update, EndpointUpdate::Cached(_) | EndpointUpdate::ChangesDuringMove(_)) {
-        (state.next_endpoint_poll_at, state.endpoint_poll_failures) = (None, 0);
+        state.next_endpoint_poll_at = None;
+        state.endpoint_poll_failures = 0;
     }
     for entry in entries {
         apply_entry(state, now, entry);
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -19,8 +19,8 @@
 /// A report that a member is unreachable counts only while it is younger than this.
 const UNREACHABLE_VALID_FOR: Span = Span::from_millis(1000);
 
-/// Publishes what a member has reported to this router, unless the others know it already. `latency_ratio`: 0 where
-/// unknown.
+/// Publishes what a member has reported to this router, unless an update on it was published or received recently.
+/// `at`: its position, or when it showed its role. `latency_ratio`: 0 where unknown.
 pub fn publish(
     state: &mut RouterState,
     now: Time,
@@ -34,7 +34,8 @@
     let interval = position_refresh_interval(state).min(max_interval);
     let member = state.topology.member_mut(index);
     if state.deployment.gossip && now - member.published_at >= interval {
-        (member.published_position, member.published_at) = (member.published_position.max(at), now);
+        member.published_position = member.published_position.max(at);
+        member.published_at = now;
         state.output.gossip.push(MemberUpdate {
             latency_ratio,
             in_flight: member.reported_in_flight,
@@ -95,9 +96,11 @@
     }
 }
 
+/// Records what another router reports of a member's load and position.
 fn record_report(member: &mut Member, now: Time, update: &MemberUpdate, role: Role) {
     member.published_position = member.published_position.max(update.at);
-    (member.published_at, member.reported_at) = (now, now);
+    member.published_at = now;
+    member.reported_at = now;
     member.reported_in_flight = update.in_flight.or(member.reported_in_flight);
     if update.latency_ratio > 0.0 {
         member.latency_ratios.record(now, update.latency_ratio);
--- a/crates/ladderpass-routing/src/position.rs
+++ b/crates/ladderpass-routing/src/position.rs
@@ -1,4 +1,4 @@
-//! A member has proven a position: by a health check, by an answer, or to another router that passed it on.
+//! Positions that a member has proven: by a health check, by an answer, or to another router that passed it on.
 
 use crate::health_check_schedule;
 use crate::state::router_state::RouterState;
@@ -10,7 +10,8 @@
     let member_time = state.latest_time_of_members_clock(now);
     let member = state.topology.member_mut(index);
     if position > member.position {
-        (member.position, member.position_advanced_at) = (position, now);
+        member.position = position;
+        member.position_advanced_at = now;
     }
     member.reported_at = now;
     // The report saves a health check.
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// An RPC that was not served by the ordinary path, for the log.
+/// An RPC that left the ordinary path, given up or spilled to the primary, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnservedRpc {
     /// Index of its group.
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -22,7 +22,6 @@
 use crate::retry;
 use crate::slow_start;
 use crate::staleness;
-use crate::state::member::Member;
 use crate::state::router_state::RouterState;
 use crate::time::Time;
 use crate::types::{Consistency, Decision, RpcId};
@@ -85,15 +84,15 @@
 
 /// Decides again on the pending RPCs of a group.
 pub fn select_for_pending(state: &mut RouterState, now: Time, group: usize) {
-    let Some(mut pending) = pending::take_in_order(state, now, group) else { return };
-    pending.retain(|&rpc| match select(state, now, rpc) {
-        Decision::Queue => true,
-        decision => {
-            state.output.decisions.push((rpc, decision));
-            false
+    let Some(pending) = pending::take_in_order(state, now, group) else { return };
+    let mut still_pending = Vec::new();
+    for rpc in pending {
+        match select(state, now, rpc) {
+            Decision::Queue => still_pending.push(rpc),
+            decision => state.output.decisions.push((rpc, decision)),
         }
-    });
-    state.topology.groups[group].pending = pending;
+    }
+    state.topology.groups[group].pending = still_pending;
 }
 
 /// Does an RPC wait for the first answers of its group?
@@ -109,11 +108,13 @@
     state.deployment.health_checks_report_position && report_can_come
 }
 
+/// The primary of an RPC's group, if the RPC may go there now.
 fn eligible_primary(state: &RouterState, now: Time, rpc: RpcId) -> Option<usize> {
     let primary = state.topology.groups[state.rpcs[rpc].arrival.group as usize].primary?;
     eligibility::reason_against_primary(state, now, primary, rpc).is_none().then_some(primary)
 }
 
+/// Compares the replicas of an RPC's group, each of which may get it, with a random number drawn for each eligible one.
 fn search_replicas(state: &RouterState, now: Time, rpc: RpcId, random: &mut WyRand) -> ReplicaSearch {
     let mut search = ReplicaSearch {
         selected: None,
@@ -138,11 +139,9 @@
         if !staleness::is_fresh_enough(member, consistency, required) {
             search.passed_over.add(Ineligible::Stale);
             search.expects_report |= health_check_schedule::result_is_expected(state, now, member);
-            if consistency != Consistency::Any
-                && search.best_unproven.is_none_or(|best| rank < best)
-                && can_be_checked(state, now, index, member, required)
-            {
-                search.best_unproven = Some(rank);
+            // Reads of any data go by the last lag reported, however old: no check is made for them.
+            if consistency != Consistency::Any {
+                consider_for_check(state, now, &mut search, rank, required);
             }
             continue;
         }
@@ -159,8 +158,24 @@
     search
 }
 
+/// Makes a replica the best of those that have not proven to be fresh enough, if it has the first rank among those that
+/// a health check could prove it of.
+fn consider_for_check(
+    state: &RouterState,
+    now: Time,
+    search: &mut ReplicaSearch,
+    rank: Rank,
+    required: Time,
+) {
+    let is_first = search.best_unproven.is_none_or(|best| rank < best);
+    if is_first && can_be_checked(state, now, rank.index, required) {
+        search.best_unproven = Some(rank);
+    }
+}
+
 /// Could a health check of this replica, requested now, prove it to be fresh enough?
-fn can_be_checked(state: &RouterState, now: Time, index: usize, member: &Member, required: Time) -> bool {
+fn can_be_checked(state: &RouterState, now: Time, index: usize, required: Time) -> bool {
+    let member = state.topology.member(index);
     member.health_check_sent_at.is_none()
         && staleness::may_have_caught_up(now, member, required)
         && health_check_schedule::next_request_at(state, index) <= now
