--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -1,6 +1,6 @@
 //! What all routers together were offered and served for a group, from this router's rates and the others' reports.
 //!
-//! A report counts by its weight, and no more than a multiple of the typical load, so that one that lies can't move the
+//! A report counts by its weight, and no more than a multiple of the typical load, so that a false one can't move the
 //! totals far. Where only some live routers reported recently, they stand for all.
 
 use crate::consensus::{median, move_towards_median};
--- a/crates/ladderpass-admission/tests/model/reports.rs
+++ b/crates/ladderpass-admission/tests/model/reports.rs
@@ -1,4 +1,4 @@
-//! Reports that lie, are old, or come from routers that are not alive.
+//! Reports that are false, old, or from routers that are not alive.
 
 use crate::simulation::{GROUP, LOW, STEP, Simulation, uneven_overload};
 use ladderpass_admission::{AdmissionController, Faulty};
@@ -10,7 +10,7 @@
     sim.run(40);
     let served = sim.run_and_measure(20);
     let clamped: usize = sim.routers[0].metrics().map(|group| group.clamped_reports).sum();
-    println!("model: a liar: high {:.3}, used {:.3}, clamped {clamped}", served.high, served.used);
+    println!("model: false reports: high {:.3}, used {:.3}, clamped {clamped}", served.high, served.used);
     assert!(served.high > 0.97 && served.used > 0.9 && clamped > 0, "{served:?} {clamped}");
 }
 
--- a/crates/ladderpass-config/src/errors.rs
+++ b/crates/ladderpass-config/src/errors.rs
@@ -36,12 +36,12 @@
         /// The most that is allowed.
         max: f64,
     },
-    /// A word is none of those that are allowed.
+    /// A text is none of the values that are allowed.
     #[error("{key}: unknown value {value:?}")]
     UnknownValue {
         /// The setting.
         key: String,
-        /// The word that was read.
+        /// The text that was read.
         value: String,
     },
     /// A value that a method needs is missing.
--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -19,7 +19,7 @@
 }
 
 impl Answer {
-    /// Its word in reports, which does not change with the names here.
+    /// Its name in reports, which does not change with the names here.
     pub fn report_word(self) -> &'static str {
         match self {
             Answer::Ok => "Ok",
--- a/crates/ladderpass-invariants/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -2,7 +2,7 @@
 //! and ran there, and what discovery published. Events come in order of time; each checker reads each event once, and
 //! tracks an RPC no longer than it can still matter.
 //!
-//! The checkers judge from outside: they never see a router's state, and allow nothing that a rule forbids.
+//! The checkers observe from outside: they never see a router's state, and allow nothing that a rule forbids.
 
 mod checker;
 mod draining;
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -73,7 +73,7 @@
     assert!(convergence < ms(1500), "{convergence:?}");
     assert_eq!(
         sim.false_death_count, 0,
-        "it counted others as dead that it did not hear while it was frozen"
+        "it counted others as dead whose datagrams it did not receive while it was frozen"
     );
 }
 
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -1,4 +1,4 @@
-//! A random run: calls on one router in any order, with what the router was told by them.
+//! A random run: calls on one router in any order, with what they have reported to it.
 
 use crate::common::*;
 use ladderpass_routing::*;
@@ -26,7 +26,7 @@
     pub sent_at: Time,
 }
 
-/// What the router was told, for its decisions to be checked against.
+/// What was reported to the router, for its decisions to be checked against.
 pub struct Run {
     pub random: WyRand,
     pub now: Time,
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -29,7 +29,8 @@
     assert!(matches!(decided[..], [(it, Decision::Reject { .. })] if it == rpc), "{decided:?}");
 }
 
-/// Where more is pending than there is room for, the newest goes first: its client has the most patience left.
+/// Where more is pending than the members have capacity for, the newest goes first: its client waits for the longest from
+/// now on.
 #[test]
 fn the_newest_pending_rpc_goes_first() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
--- a/crates/ladderpass-routing/tests/retry.rs
+++ b/crates/ladderpass-routing/tests/retry.rs
@@ -56,7 +56,7 @@
     for (method, denied) in [(0, false), (0, true), (1, true)] {
         let mut router = checked_router();
         let (rpc, decision) = router.accept(at(10), arrival(method, 10));
-        let member = sent_to(decision).expect("one has room");
+        let member = sent_to(decision).expect("one has capacity");
         let broken =
             AttemptResult { retry_denied: denied, ..result(member, AttemptOutcome::ConnectionLost, 5) };
         let next = rpc.on_attempt_ended(&mut router, at(15), broken);
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -1,5 +1,5 @@
 //! Slow start before many routers that exchange nothing: whatever each of them sees, in no window of the settings'
-//! overload time do all of them together send a member more than it bears then, plus 2 roots of that and 2. The checker
+//! overload time do all of them together send a member more than it can serve then, plus 2 roots of that and 2. The checker
 //! of rule 4 looks at all windows.
 
 mod common;
@@ -18,7 +18,7 @@
 struct Case {
     routers: usize,
     members: u32,
-    /// RPCs a second that a member bears at its full capacity.
+    /// RPCs a second that a member can serve at its full capacity.
     capacity: f64,
     /// RPCs a second that all clients send, outside of the burst.
     rate: f64,
@@ -59,7 +59,7 @@
 }
 
 impl Case {
-    /// A member bears so many RPCs in the overload time right after its start; clients send two thirds of what fits.
+    /// A member can serve so many RPCs in the overload time right after its start; clients send two thirds of what fits.
     fn of(n: f64) -> Case {
         let capacity = n / (0.2 * 3.0);
         Case { capacity, rate: capacity * 2.0, ..Case::default() }
