--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -3,6 +3,7 @@
 
 mod common;
 mod failing_syscalls;
+mod one_at_a_time;
 
 use common::{router_config, temp_file};
 use failing_syscalls::FailingSyscall;
@@ -11,10 +12,10 @@
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, RunRecord, open};
+use one_at_a_time::wait_for_turn;
 use std::io::Write;
 use std::net::TcpListener;
 use std::process::Child;
-use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -22,13 +23,6 @@
     failing_syscalls::serve_if_planned();
 }
 
-/// Held by the test that runs: loads beside each other would miss their deadlines.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
-
 const DEADLINE: Span = Span::from_millis(1500);
 
 /// Runs a load of two seconds against a router whose calls fail.
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -1,6 +1,8 @@
 //! The program behind the fault injection proxy, with emulated members: failures between sockets at an exact message. The
 //! assertions hold on any machine, however slow: who is answered and how, and what ran.
 
+mod one_at_a_time;
+
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::RunSummary;
@@ -9,19 +11,12 @@
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
 use nix::sys::signal::Signal;
+use one_at_a_time::wait_for_turn;
 use std::path::Path;
-use std::sync::{Mutex, MutexGuard};
-
-/// Held by the test that runs: loads beside each other would miss their deadlines.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
 
 /// Runs a load of two seconds through these fault rules. Whatever they do, no invariant may be broken, and each client is
 /// answered.
-fn run_load(seed: u64, rules: &[&str], deeds: Vec<FaultEvent<'_>>) -> (RunRecord, RunSummary) {
+fn run_load(seed: u64, rules: &[&str], events: Vec<FaultEvent<'_>>) -> (RunRecord, RunSummary) {
     let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     let read = |rule: &&str| Rule::read(rule).unwrap_or_else(|error| panic!("{rule}: {error}"));
     let rules = rules.iter().map(read).collect();
@@ -32,7 +27,7 @@
         ..open(seed, &[(2.0, 300.0)])
     };
     let scenario = Scenario::default();
-    let done = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {});
+    let done = run::run_through(&scenario, &start, &plan, Some(rules), events, |_| {});
     let (seen, left) = done.unwrap_or_else(|error| panic!("{error}"));
     let left = left.expect("it ran");
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
@@ -120,10 +115,10 @@
 #[test]
 fn faults_during_sighup_lose_nothing() {
     let _turn = wait_for_turn();
-    let deeds: Vec<FaultEvent<'_>> =
+    let events: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs")))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
-    run_load(7, &rules, deeds);
+    run_load(7, &rules, events);
 }
 
 #[test]
@@ -148,12 +143,12 @@
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
-    let deeds: Vec<FaultEvent<'_>> = vec![
+    let events: Vec<FaultEvent<'_>> = vec![
         (0.5, Box::new(|_, fleet| fleet.drain(1))),
         (0.9, Box::new(move |_, fleet| fleet.send_line(0, old))),
     ];
     // Rule 3 is checked over the whole run: the drain applies whatever the old list says.
-    let (seen, _) = run_load(9, &[], deeds);
+    let (seen, _) = run_load(9, &[], events);
     let after = seen.outcome.began + Span::from_millis(1000);
     assert!(
         !seen.truth.executions.iter().any(|ran| ran.member == 1 && ran.at > after),
@@ -199,10 +194,10 @@
         deadline: Span::from_millis(2000),
         ..open(11, &[(2.0, 200.0)])
     };
-    let deeds: Vec<FaultEvent<'_>> =
+    let events: Vec<FaultEvent<'_>> =
         vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let (seen, _) =
-        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), deeds, |_| {})
+        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
--- a/crates/ladderpass/tests/pressed.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -1,6 +1,8 @@
 //! The program under its own overload, with emulated members: the hard cases that need sockets and a process. The
 //! assertions hold on any machine, however slow: who is answered and how, never how fast.
 
+mod one_at_a_time;
+
 use ladderpass_emulator::{Input, Scenario};
 use ladderpass_routing::Span;
 use ladderpass_testbed::charts;
@@ -8,16 +10,10 @@
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
 use nix::sys::signal::Signal;
+use one_at_a_time::wait_for_turn;
 use std::path::Path;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard};
-
-/// Held by the test that runs: each is a load of its own.
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-
-fn wait_for_turn() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
-}
 
 /// Sheds all RPCs of low priority from the first sample on: memory counts as short.
 const SHORT: &str = "overload:\n  memory: {from: 0.001, full: 0.08}\n";
@@ -31,8 +27,8 @@
     Plan { connections: 50, deadline: Span::from_millis(4000), ..open(seed, phases) }
 }
 
-fn run(scenario: &Scenario, start: &Start, plan: &Plan, deeds: Vec<FaultEvent<'_>>) -> RunRecord {
-    let seen = run::run(scenario, start, plan, deeds).unwrap_or_else(|fault| panic!("{fault}"));
+fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<FaultEvent<'_>>) -> RunRecord {
+    let seen = run::run(scenario, start, plan, events).unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
     seen
 }
@@ -54,7 +50,7 @@
 }
 
 #[test]
-fn under_pressure_reads_go_before_writes_and_each_is_told_when_to_come_back() {
+fn under_pressure_reads_are_shed_before_writes_and_each_gets_a_retry_after() {
     let _turn = wait_for_turn();
     // Four fifths of the work are reads: only reads are shed, until more than all of them would be.
     let short = "overload:\n  memory: {from: 0.001, full: 0.2}\n";
@@ -114,12 +110,12 @@
 #[test]
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
     let _turn = wait_for_turn();
-    let deeds: Vec<FaultEvent<'_>> = vec![
+    let events: Vec<FaultEvent<'_>> = vec![
         (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
         (1.0, Box::new(|_, fleet| fleet.apply(1, Input::Crash))),
         (2.0, Box::new(|_, fleet| fleet.apply(1, Input::Restart))),
     ];
-    let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), deeds);
+    let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), events);
     assert_all_answered(&seen);
     assert!(
         seen.log.iter().any(|line| line.contains("configuration reloaded discovery=")),
@@ -128,10 +124,10 @@
     assert!(seen.outcome.total().pushed_back > 100 && seen.outcome.total().ok > 300);
     assert_eq!(seen.ended, None, "it runs on");
     // SIGTERM in the middle: what was accepted is answered, then the process exits with success.
-    let deeds: Vec<FaultEvent<'_>> =
+    let events: Vec<FaultEvent<'_>> =
         vec![(1.0, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
     let plan = Plan { connections: 50, ..gentle(6, &[(1.2, 500.0)]) };
-    let seen = run(&Scenario::default(), &start(SHORT), &plan, deeds);
+    let seen = run(&Scenario::default(), &start(SHORT), &plan, events);
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
     assert_eq!(seen.counts(0.0, 0.9).unanswered, 0);
 }
@@ -139,11 +135,11 @@
 #[test]
 fn a_stall_of_800_ms_is_answered_for() {
     let _turn = wait_for_turn();
-    let deeds: Vec<FaultEvent<'_>> = vec![
+    let events: Vec<FaultEvent<'_>> = vec![
         (1.0, Box::new(|router, _| router.signal(Signal::SIGSTOP).expect("it runs"))),
         (1.8, Box::new(|router, _| router.signal(Signal::SIGCONT).expect("it is stopped"))),
     ];
-    let seen = run(&Scenario::default(), &start("overload: {}\n"), &gentle(7, &[(4.0, 300.0)]), deeds);
+    let seen = run(&Scenario::default(), &start("overload: {}\n"), &gentle(7, &[(4.0, 300.0)]), events);
     assert_all_answered(&seen);
     let after = seen.counts(3.8, 4.0);
     assert!(after.ok == after.due, "two seconds after: {after:?}");
