--- /dev/null
+++ b/crates/ladderpass-testbed/src/cli/chaos.rs
@@ -0,0 +1,28 @@
+//! `chaos`: a search for plans of faults that break an invariant.
+
+use super::args::ChaosArgs;
+use super::error::CliError;
+use ladderpass_testbed::chaos;
+use std::time::Duration;
+
+const MAX_SECONDS: f64 = 86_400.0;
+
+pub fn search_violations(args: &ChaosArgs) -> Result<(), CliError> {
+    let duration = Duration::from_secs_f64((args.minutes * 60.0).clamp(0.0, MAX_SECONDS));
+    let print_violations = |seed: u64, violations: &[String]| {
+        if !violations.is_empty() {
+            println!("seed {seed}: {}", violations.join("; "));
+        }
+    };
+    let found = chaos::search(&args.router, args.seed, duration, &args.out, print_violations)
+        .map_err(CliError::failed)?;
+    println!("{} plans, {} rules acted, {} plans broke a rule", found.plans, found.acted, found.broken.len());
+    for (seed, broken, path) in &found.broken {
+        println!("seed {seed}: {} in {}", broken.join("; "), path.display());
+    }
+    match (found.plans, found.broken.is_empty()) {
+        (0, _) => Err(CliError::NoPlanPlayed),
+        (_, true) => Ok(()),
+        (_, false) => Err(CliError::PlanViolations),
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/cli/report.rs
@@ -0,0 +1,12 @@
+//! `report`: tables and charts of results that were written before.
+
+use super::args::ReportArgs;
+use super::error::CliError;
+use ladderpass_testbed::results;
+
+pub fn report_results(args: &ReportArgs) -> Result<(), CliError> {
+    for path in &args.results {
+        println!("{}\n\n{}", path.display(), results::report(path).map_err(CliError::failed)?);
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/cli/testbed.rs
@@ -0,0 +1,62 @@
+//! The fleet and the router of `up` and `load`, by their options; and `up` itself.
+
+use super::args::TestbedArgs;
+use super::error::CliError;
+use ladderpass_emulator::{RunningEmulator, Scenario};
+use ladderpass_testbed::router::{Router, Start};
+use std::net::Ipv4Addr;
+use std::path::Path;
+use std::time::Duration;
+
+/// How often `up` checks that the router still runs.
+const ROUTER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+
+pub fn read_file(path: &Path) -> Result<String, CliError> {
+    std::fs::read_to_string(path).map_err(|error| CliError::file(path, error))
+}
+
+/// The fleet's scenario; the default one without a file.
+pub fn read_scenario(args: &TestbedArgs) -> Result<Scenario, CliError> {
+    let Some(path) = &args.scenario else { return Ok(Scenario::default()) };
+    Scenario::read(&read_file(path)?).map_err(|error| CliError::file(path, error))
+}
+
+/// How the router is started.
+pub fn router_start(args: &TestbedArgs) -> Result<Start, CliError> {
+    let mut start = Start::new(&args.router);
+    start.operator = args.operator.as_deref().map(read_file).transpose()?;
+    start.cpu = args.cpu;
+    start.loud = args.loud;
+    start.allowed.memory_mb = args.memory_mb;
+    Ok(start)
+}
+
+/// Runs a fleet and a router until the process is interrupted. Returns only if something fails.
+pub fn serve_until_interrupted(args: &TestbedArgs) -> Result<(), CliError> {
+    let scenario = read_scenario(args)?;
+    let fleet =
+        RunningEmulator::start(scenario.clone(), args.seed, Ipv4Addr::LOCALHOST).map_err(CliError::failed)?;
+    let start = Start { loud: true, ..router_start(args)? };
+    let mut router = Router::start(&scenario, &fleet, &start, args.seed).map_err(CliError::failed)?;
+    print_usage(&scenario, &fleet, &router);
+    loop {
+        std::thread::sleep(ROUTER_CHECK_INTERVAL);
+        if let Some(code) = router.ended() {
+            return Err(CliError::RouterEnded(code));
+        }
+    }
+}
+
+fn print_usage(scenario: &Scenario, fleet: &RunningEmulator, router: &Router) {
+    let methods: Vec<&str> = scenario.methods.iter().map(|method| method.name.as_str()).collect();
+    println!("members {:?}, discovery {}", fleet.addresses, fleet.discovery);
+    println!(
+        "router  {} (methods {methods:?}); ask it with any client of PostgreSQL's simple queries:",
+        router.address
+    );
+    println!(
+        "  SELECT payload FROM entries WHERE ref = 'k' /* id=1,c={},d=1000,cluster=0 */",
+        methods.first().unwrap_or(&"")
+    );
+    println!("interrupt to end");
+}
