--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -128,7 +128,7 @@
             }
             alive.push(self.routers[router].is_some() && ended.is_none());
             let running = self.routers[router].as_ref().filter(|_| ended.is_none());
-            let used = running.map(|running| running.used().0);
+            let used = running.map(|running| running.resource_usage().cpu_seconds);
             cpu.push(used.map_or(0.0, |used| used - self.cpu_before[router]));
             if let Some(running) = self.routers[router].take() {
                 self.logs[router].extend(running.stop());
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -109,7 +109,7 @@
             self.routers[router] = Some(self.spawn_router(router)?);
         }
         for router in self.routers.iter_mut().flatten() {
-            router.wait_until_it_serves()?;
+            router.wait_until_ready()?;
         }
         Ok(())
     }
@@ -161,7 +161,7 @@
     /// Notes the CPU time that each router has used so far.
     pub fn note_cpu_before_load(&mut self) {
         for (before, router) in self.cpu_before.iter_mut().zip(&self.routers) {
-            *before = router.as_ref().map_or(0.0, |router| router.used().0);
+            *before = router.as_ref().map_or(0.0, |router| router.resource_usage().cpu_seconds);
         }
     }
 
@@ -205,7 +205,7 @@
             self.starts[router].binary = faulty.to_owned();
         }
         let mut started = self.spawn_router(router)?;
-        started.wait_until_it_serves().map_err(|error| with_router_name(router, &error))?;
+        started.wait_until_ready().map_err(|error| with_router_name(router, &error))?;
         self.routers[router] = Some(started);
         (self.terminating[router], self.cpu_before[router]) = (false, 0.0);
         self.down.came(router);
--- /dev/null
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -0,0 +1,252 @@
+//! The process of a router: its settings are written and it is started, then observed, signalled and killed. It ends only
+//! processes that it has started.
+
+use super::address::own_address;
+use super::affinity::pin;
+use super::resource_usage::ResourceUsage;
+use super::start::Start;
+use ladderpass_emulator::{RunningEmulator, Scenario, proto};
+use ladderpass_routing::Time;
+use nix::sys::signal::{Signal, kill};
+use nix::unistd::Pid;
+use std::io::{self, BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often a router that should end is checked.
+const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long the last lines of an ended process may take through the pipe.
+const LOG_FLUSH_WAIT: Duration = Duration::from_millis(20);
+/// Lines of the log that an error about a router's start shows.
+const LAST_LINES: usize = 5;
+
+/// A running router. It is killed when this is dropped.
+pub struct Router {
+    process: Child,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Temporary files of its settings, which are removed when it ends.
+    files: Vec<PathBuf>,
+    /// Lines that it has logged.
+    lines: Arc<Mutex<Vec<String>>>,
+    log_reader: Option<JoinHandle<()>>,
+    /// When it got its first SIGTERM.
+    terminated_at: Mutex<Option<Time>>,
+}
+
+impl Router {
+    /// Starts a router before a fleet, and waits until it serves.
+    ///
+    /// # Errors
+    /// If it can't be started, ends at once, or does not serve in time.
+    pub fn start(
+        scenario: &Scenario,
+        fleet: &RunningEmulator,
+        start: &Start,
+        seed: u64,
+    ) -> io::Result<Router> {
+        Router::start_before(scenario, &fleet.addresses, fleet.discovery, start, seed)
+    }
+
+    /// Starts a router that reaches members and discovery at these addresses, and waits until it serves.
+    ///
+    /// # Errors
+    /// As [`Router::start`].
+    pub fn start_before(
+        scenario: &Scenario,
+        members: &[SocketAddr],
+        discovery: SocketAddr,
+        start: &Start,
+        seed: u64,
+    ) -> io::Result<Router> {
+        let mut router = Router::spawn(scenario, members, discovery, start, seed)?;
+        router.wait_until_ready()?;
+        Ok(router)
+    }
+
+    /// As [`Router::start_before`] without the wait, so that several can start at once.
+    ///
+    /// # Errors
+    /// If its settings can't be written, or its process can't be started or pinned.
+    pub fn spawn(
+        scenario: &Scenario,
+        members: &[SocketAddr],
+        discovery: SocketAddr,
+        start: &Start,
+        seed: u64,
+    ) -> io::Result<Router> {
+        let address = start.listen.map_or_else(own_address, Ok)?;
+        let settings = scenario.router_config(ladderpass_emulator::now(), seed, &start.allowed, members);
+        let settings = write_temporary_file(&settings, "json")?;
+        let mut command = router_command(start, address, discovery, &settings);
+        let mut files = vec![settings];
+        if let Some(text) = &start.operator {
+            let operator_file = write_temporary_file(text, "yaml")?;
+            command.arg("--operator").arg(&operator_file);
+            files.push(operator_file);
+        }
+        let mut process = command
+            .spawn()
+            .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", start.binary.display())))?;
+        let lines = Arc::new(Mutex::new(Vec::new()));
+        let log_reader = process.stderr.take().map(|stderr| {
+            let (lines, loud) = (lines.clone(), start.loud);
+            std::thread::spawn(move || read_log(stderr, &lines, loud))
+        });
+        let router = Router { process, address, files, lines, log_reader, terminated_at: Mutex::default() };
+        if let Some(cpu) = start.cpu {
+            pin(router.pid(), cpu)?;
+        }
+        Ok(router)
+    }
+
+    /// Its process id.
+    pub fn pid(&self) -> Pid {
+        Pid::from_raw(self.process.id() as i32)
+    }
+
+    /// Waits until it answers an empty query.
+    ///
+    /// # Errors
+    /// If it ends before, does not listen in time, or its first answer fails.
+    pub fn wait_until_ready(&mut self) -> io::Result<()> {
+        let listening_deadline = Instant::now() + START_TIMEOUT;
+        loop {
+            if let Ok(stream) = TcpStream::connect(self.address) {
+                return check_first_answer(stream);
+            }
+            if let Some(status) = self.process.try_wait()? {
+                let text = format!("the router ended with {status}: {}", self.last_lines());
+                return Err(io::Error::other(text));
+            }
+            if Instant::now() > listening_deadline {
+                return Err(io::Error::other(format!("the router does not listen: {}", self.last_lines())));
+            }
+            std::thread::sleep(CONNECT_RETRY_INTERVAL);
+        }
+    }
+
+    /// The last lines of its log.
+    fn last_lines(&self) -> String {
+        std::thread::sleep(LOG_FLUSH_WAIT);
+        let lines = self.lines.lock().expect("no holder panics");
+        lines[lines.len().saturating_sub(LAST_LINES)..].join("; ")
+    }
+
+    /// CPU time and memory that it has used so far.
+    pub fn resource_usage(&self) -> ResourceUsage {
+        ResourceUsage::of(self.pid())
+    }
+
+    /// Sends it a signal.
+    ///
+    /// # Errors
+    /// If its process is no more.
+    pub fn signal(&self, signal: Signal) -> io::Result<()> {
+        if signal == Signal::SIGTERM {
+            self.terminated_at.lock().expect("no holder panics").get_or_insert_with(ladderpass_emulator::now);
+        }
+        Ok(kill(self.pid(), signal)?)
+    }
+
+    /// When it got its first SIGTERM.
+    pub fn terminated_at(&self) -> Option<Time> {
+        *self.terminated_at.lock().expect("no holder panics")
+    }
+
+    /// Set if its process has ended; within, the exit code, or none if a signal ended it.
+    pub fn ended(&mut self) -> Option<Option<i32>> {
+        self.process.try_wait().ok().flatten().map(|status| status.code())
+    }
+
+    /// As [`Router::ended`], after waiting for its end for at most `timeout`.
+    pub fn wait_for_end(&mut self, timeout: Duration) -> Option<Option<i32>> {
+        let deadline = Instant::now() + timeout;
+        loop {
+            let ended = self.ended();
+            if ended.is_some() || Instant::now() >= deadline {
+                return ended;
+            }
+            std::thread::sleep(END_CHECK_INTERVAL);
+        }
+    }
+
+    /// Lines that it has logged.
+    pub fn log(&self) -> Vec<String> {
+        self.lines.lock().expect("no holder panics").clone()
+    }
+
+    /// Kills it, and returns the lines that it has logged.
+    pub fn stop(mut self) -> Vec<String> {
+        self.end();
+        self.log()
+    }
+
+    fn end(&mut self) {
+        // It may have ended already.
+        let _ = (self.process.kill(), self.process.wait());
+        if let Some(reader) = self.log_reader.take() {
+            let _ = reader.join();
+        }
+        for file in self.files.drain(..) {
+            let _ = std::fs::remove_file(file);
+        }
+    }
+}
+
+impl Drop for Router {
+    fn drop(&mut self) {
+        self.end();
+    }
+}
+
+/// The command of a router, without its operator's file.
+fn router_command(start: &Start, listen: SocketAddr, discovery: SocketAddr, settings: &Path) -> Command {
+    let mut command = Command::new(&start.binary);
+    command.args(&start.arguments).envs(start.variables.iter().cloned());
+    command.env("RELAY_NAME", "lab").env("RELAY_LISTEN", listen.to_string());
+    command.env("RELAY_DISCOVERY", discovery.to_string()).env("RELAY_CONFIG", settings);
+    command.env("RUST_LOG", &start.log).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    if let Some(switch) = &start.faulty {
+        command.env("LADDERPASS_FAULTY", switch);
+    }
+    if start.clock_ms != 0 {
+        command.env("LADDERPASS_CLOCK_MS", start.clock_ms.to_string());
+    }
+    command
+}
+
+fn write_temporary_file(text: &str, extension: &str) -> io::Result<PathBuf> {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let index = NEXT.fetch_add(1, Ordering::Relaxed);
+    let name = format!("ladderpass-testbed-{}-{index}.{extension}", std::process::id());
+    let path = std::env::temp_dir().join(name);
+    std::fs::write(&path, text)?;
+    Ok(path)
+}
+
+fn check_first_answer(mut stream: TcpStream) -> io::Result<()> {
+    let mut output = Vec::new();
+    proto::put_startup(&mut output);
+    proto::put_query(&mut output, "");
+    stream.set_read_timeout(Some(FIRST_ANSWER_TIMEOUT))?;
+    stream.write_all(&output)?;
+    crate::load::until_ready(&mut stream)
+}
+
+fn read_log(stderr: ChildStderr, lines: &Mutex<Vec<String>>, loud: bool) {
+    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+        if loud {
+            eprintln!("{line}");
+        }
+        lines.lock().expect("no holder panics").push(line);
+    }
+}
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -52,9 +52,8 @@
 /// Default of [`RunRecord::bears`].
 const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
-/// How often, and with what pause, a router that is shutting down is checked for its end before it is stopped.
-const SHUTDOWN_CHECKS: usize = 100;
-const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a router that is shutting down may take to end before it is killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
 pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
@@ -111,7 +110,7 @@
     };
     let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
     let prober = Prober::start(router.address, PROBE_INTERVAL)?;
-    let (cpu_before, _) = router.used();
+    let cpu_before = router.resource_usage().cpu_seconds;
     let outcome = load::run(scenario, router.address, plan, |secs| {
         for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
             act(&router, &fleet);
@@ -119,7 +118,7 @@
         events.retain(|(when, _)| *when > secs);
         on_progress(secs);
     })?;
-    let (cpu_after, resident) = router.used();
+    let used = router.resource_usage();
     let probed = prober.stop();
     let probed = probed.into_iter().map(|(due, took)| ((due - outcome.began).secs(), took)).collect();
     let ended = wait_for_shutdown(&mut router);
@@ -132,8 +131,8 @@
         probed,
         drained: drained.collect(),
         truth: fleet.stop(),
-        cpu: cpu_after - cpu_before,
-        resident,
+        cpu: used.cpu_seconds - cpu_before,
+        resident: used.resident_bytes,
         log,
         ended,
         bears: WARM_MEMBER_RPCS_PER_SECOND,
@@ -169,21 +168,13 @@
 
 /// Gives a router that is shutting down the time to end with its last client. Returns its exit code if it has ended.
 fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
-    let mut ended = router.ended();
     let is_shutting_down = router.log().iter().any(|line| router_log::is_shutdown_begun(line));
-    for _ in 0..if is_shutting_down { SHUTDOWN_CHECKS } else { 0 } {
-        if ended.is_some() {
-            break;
-        }
-        std::thread::sleep(SHUTDOWN_CHECK_INTERVAL);
-        ended = router.ended();
-    }
-    ended
+    router.wait_for_end(if is_shutting_down { SHUTDOWN_TIMEOUT } else { Duration::ZERO })
 }
 
 /// The absence of a router from its first SIGTERM on.
 fn shutdown_absence(router: &Router) -> Option<Absence> {
-    router.told_to_end().map(|from| Absence {
+    router.terminated_at().map(|from| Absence {
         router: 0,
         from,
         to: Time::from_nanos(i64::MAX / 2),
