--- /dev/null
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -0,0 +1,160 @@
+//! The JSON lines of results: written from the record of a run, and read back.
+
+use crate::router_log;
+use crate::run::RunRecord;
+use hdrhistogram::Histogram;
+use ladderpass_emulator::Scenario;
+use serde_json::{Value, json};
+use std::fs::File;
+use std::io::{self, BufWriter, Write};
+use std::path::{Path, PathBuf};
+
+/// Version of the form. Files of another version are not read.
+const FORM: u64 = 1;
+const US_PER_MS: f64 = 1e3;
+
+/// Why results can't be reported.
+#[derive(Debug, thiserror::Error)]
+pub enum ResultsError {
+    /// The file can't be read, or a chart can't be written.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// A line is not JSON.
+    #[error("{}: line {line}: {source}", path.display())]
+    Syntax {
+        /// The file.
+        path: PathBuf,
+        /// Number of the line, from 1.
+        line: usize,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// A line of a kind that this program does not write.
+    #[error("{}: line {line}: kind {kind} is unknown", path.display())]
+    UnknownKind {
+        /// The file.
+        path: PathBuf,
+        /// Number of the line, from 1.
+        line: usize,
+        /// The kind, as JSON.
+        kind: Value,
+    },
+    /// Results of another version.
+    #[error("{}: form {form} is not form {FORM}, which this program reads", path.display())]
+    UnknownForm {
+        /// The file.
+        path: PathBuf,
+        /// The version, as JSON.
+        form: Value,
+    },
+    /// The line of the kind `run` is missing, or names no method.
+    #[error("{}: its first line does not say what was run", path.display())]
+    NoRun {
+        /// The file.
+        path: PathBuf,
+    },
+}
+
+/// Writes the results of a run. `options` says how it was started.
+///
+/// # Errors
+/// If the file can't be written.
+pub fn write(path: &Path, options: &Value, scenario: &Scenario, record: &RunRecord) -> io::Result<()> {
+    let mut file = BufWriter::new(File::create(path)?);
+    let methods: Vec<&str> = scenario.methods.iter().map(|method| method.name.as_str()).collect();
+    writeln!(file, "{}", json!({"kind": "run", "form": FORM, "methods": methods, "told": options}))?;
+    for slice in &record.outcome.slices {
+        writeln!(file, "{}", json!({"kind": "slice", "slice": slice}))?;
+    }
+    let metrics = record.log.iter().filter_map(|line| router_log::metrics(line));
+    for (index, metrics) in metrics.enumerate() {
+        writeln!(file, "{}", json!({"kind": "figures", "nth": index, "figures": metrics}))?;
+    }
+    writeln!(file, "{}", totals(record))?;
+    file.flush()
+}
+
+fn totals(record: &RunRecord) -> Value {
+    let outcome = &record.outcome;
+    let ok_ms: Vec<Value> = outcome.ok_us.iter().map(|latencies| quantiles(latencies, US_PER_MS)).collect();
+    json!({
+        "kind": "total",
+        "counts": outcome.total(),
+        "ok_ms": ok_ms,
+        "pushed_ms": quantiles(&outcome.pushed_us, US_PER_MS),
+        "come_back_ms": quantiles(&outcome.come_back_ms, 1.0),
+        "delay_ms": quantiles(&record.delays(0.0, f64::MAX), US_PER_MS),
+        "cpu_s": record.cpu,
+        "resident_bytes": record.resident,
+        "behind_ms": outcome.behind.secs() * 1e3,
+        "seconds": outcome.lasted.secs(),
+        "flood": outcome.flood,
+        "faults": outcome.faults,
+        "began_unix_ms": outcome.began.nanos() / 1_000_000,
+    })
+}
+
+/// Count and quantiles of a histogram, in its own unit divided by `divisor`.
+fn quantiles(histogram: &Histogram<u64>, divisor: f64) -> Value {
+    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / divisor;
+    json!({
+        "count": histogram.len(),
+        "p50": at(0.5),
+        "p90": at(0.9),
+        "p99": at(0.99),
+        "p999": at(0.999),
+        "max": histogram.max() as f64 / divisor,
+    })
+}
+
+/// Results that were read back. Slices and the total are as they were written.
+pub(super) struct Results {
+    pub methods: Vec<String>,
+    pub slices: Vec<Value>,
+    /// The router's metrics, each time that it logged them.
+    pub metrics: Vec<Value>,
+    pub total: Value,
+}
+
+impl Results {
+    pub fn read(path: &Path) -> Result<Results, ResultsError> {
+        let text = std::fs::read_to_string(path)?;
+        let path = || path.to_owned();
+        let mut results =
+            Results { methods: Vec::new(), slices: Vec::new(), metrics: Vec::new(), total: Value::Null };
+        for (line, text) in (1..).zip(text.lines()) {
+            let value: Value = serde_json::from_str(text).map_err(|source| ResultsError::Syntax {
+                path: path(),
+                line,
+                source,
+            })?;
+            match value["kind"].as_str() {
+                Some("run") if value["form"].as_u64() == Some(FORM) => results.methods = method_names(&value),
+                Some("run") => {
+                    return Err(ResultsError::UnknownForm { path: path(), form: value["form"].clone() });
+                }
+                Some("slice") => results.slices.push(value["slice"].clone()),
+                Some("figures") => results.metrics.push(value["figures"].clone()),
+                Some("total") => results.total = value,
+                _ => {
+                    let kind = value["kind"].clone();
+                    return Err(ResultsError::UnknownKind { path: path(), line, kind });
+                }
+            }
+        }
+        if results.methods.is_empty() {
+            return Err(ResultsError::NoRun { path: path() });
+        }
+        Ok(results)
+    }
+
+    /// A count of a method over all slices.
+    pub fn sum(&self, method: usize, count: &str) -> u64 {
+        self.slices.iter().filter_map(|slice| slice["counts"][method][count].as_u64()).sum()
+    }
+}
+
+fn method_names(run: &Value) -> Vec<String> {
+    let names = run["methods"].as_array().into_iter().flatten();
+    names.filter_map(|name| name.as_str().map(str::to_owned)).collect()
+}
