--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -14,23 +14,35 @@
 use std::time::{Duration, Instant};
 
 /// The result of a search.
-pub struct Found {
+#[derive(Debug, Default)]
+pub struct SearchSummary {
     /// Plans that were played.
-    pub plans: u64,
+    pub plans_played: u64,
     /// Rules of these plans that acted at least once.
-    pub acted: usize,
-    /// Plans that broke an invariant: seed, violations, and the file of the reduced plan.
-    pub broken: Vec<(u64, Vec<String>, PathBuf)>,
+    pub rules_fired: usize,
+    /// Plans that broke an invariant.
+    pub failed_plans: Vec<FailedPlan>,
+}
+
+/// A plan that broke an invariant.
+#[derive(Debug)]
+pub struct FailedPlan {
+    /// The seed that it was drawn from.
+    pub seed: u64,
+    /// What was broken, one line each.
+    pub violations: Vec<String>,
+    /// The file of the reduced plan.
+    pub file: PathBuf,
 }
 
 const RULES_PER_PLAN: usize = 8;
 /// How long after its deadline an answer may come.
 const ANSWER_GRACE: Span = Span::from_millis(50);
 
-/// What a plan came to.
+/// What came of playing a plan once.
 struct PlanResult {
-    broken: Vec<String>,
-    rules_acted: usize,
+    violations: Vec<String>,
+    rules_fired: usize,
 }
 
 fn links(scenario: &Scenario) -> Vec<LinkShape> {
@@ -52,13 +64,13 @@
         deadline: Span::from_millis(1000),
         ..open(seed, &[(1.0, 400.0)])
     };
-    let (seen, left) = run::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
-    let mut broken = seen.broken(ANSWER_GRACE);
-    if let Some(code) = seen.ended {
-        broken.push(format!("the router ended with {code:?}"));
+    let (record, summary) = run::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
+    let mut violations = record.broken(ANSWER_GRACE);
+    if let Some(code) = record.ended {
+        violations.push(format!("the router ended with {code:?}"));
     }
-    let never_acted = left.map_or(0, |left| left.never_fired.len());
-    Ok(PlanResult { broken, rules_acted: rules.len() - never_acted })
+    let never_fired = summary.map_or(0, |summary| summary.never_fired.len());
+    Ok(PlanResult { violations, rules_fired: rules.len() - never_fired })
 }
 
 /// Leaves out one rule after the other, as long as the rest still breaks an invariant.
@@ -67,7 +79,7 @@
     while index < rules.len() && rules.len() > 1 {
         let mut fewer = rules.clone();
         fewer.remove(index);
-        match play(scenario, start, &fewer, seed)?.broken.is_empty() {
+        match play(scenario, start, &fewer, seed)?.violations.is_empty() {
             true => index += 1,
             false => rules = fewer,
         }
@@ -75,38 +87,45 @@
     Ok(rules)
 }
 
-/// Plays plans for a time, from a seed on. `on_plan` gets the seed and the violations of each.
+/// Writes a plan as `broken-SEED.json`, and returns the path.
+fn write_plan(folder: &Path, plan: &Plan, seed: u64) -> io::Result<PathBuf> {
+    std::fs::create_dir_all(folder)?;
+    let path = folder.join(format!("broken-{seed}.json"));
+    // JSON is YAML, which the fault tool reads.
+    std::fs::write(&path, serde_json::to_string_pretty(plan).map_err(io::Error::other)?)?;
+    Ok(path)
+}
+
+/// Plays plans against the router `binary` for a time, the first drawn from `seed`, each next one from the seed after it.
+/// Reduced plans are written to `out`. `on_plan` gets the seed and the violations of each.
 ///
 /// # Errors
 /// If a run can't be started, or a plan can't be written.
 pub fn search(
     binary: &Path,
     seed: u64,
-    lasts: Duration,
+    duration: Duration,
     out: &Path,
     mut on_plan: impl FnMut(u64, &[String]),
-) -> io::Result<Found> {
+) -> io::Result<SearchSummary> {
     let scenario = Scenario::default();
     let start = Start { log: "warn".into(), ..Start::new(binary) };
-    let until = Instant::now() + lasts;
-    let mut found = Found { plans: 0, acted: 0, broken: Vec::new() };
+    let deadline = Instant::now() + duration;
+    let mut summary = SearchSummary::default();
     let mut seed = seed;
-    while Instant::now() < until {
-        let mut drawn = Plan::drawn(seed, RULES_PER_PLAN, links(&scenario));
-        drawn.rules.retain(is_fair);
-        let result = play(&scenario, &start, &drawn.rules, seed)?;
-        found.plans += 1;
-        found.acted += result.rules_acted;
-        on_plan(seed, &result.broken);
-        if !result.broken.is_empty() {
-            drawn.rules = reduce(&scenario, &start, drawn.rules, seed)?;
-            std::fs::create_dir_all(out)?;
-            let path = out.join(format!("broken-{seed}.json"));
-            // JSON is YAML, which the fault tool reads.
-            std::fs::write(&path, serde_json::to_string_pretty(&drawn).map_err(io::Error::other)?)?;
-            found.broken.push((seed, result.broken, path));
+    while Instant::now() < deadline {
+        let mut plan = Plan::drawn(seed, RULES_PER_PLAN, links(&scenario));
+        plan.rules.retain(is_fair);
+        let PlanResult { violations, rules_fired } = play(&scenario, &start, &plan.rules, seed)?;
+        summary.plans_played += 1;
+        summary.rules_fired += rules_fired;
+        on_plan(seed, &violations);
+        if !violations.is_empty() {
+            plan.rules = reduce(&scenario, &start, plan.rules, seed)?;
+            let file = write_plan(out, &plan, seed)?;
+            summary.failed_plans.push(FailedPlan { seed, violations, file });
         }
         seed = seed.wrapping_add(1);
     }
-    Ok(found)
+    Ok(summary)
 }
--- a/crates/ladderpass-testbed/src/cli/chaos.rs
+++ b/crates/ladderpass-testbed/src/cli/chaos.rs
@@ -14,13 +14,18 @@
             println!("seed {seed}: {}", violations.join("; "));
         }
     };
-    let found = chaos::search(&args.router, args.seed, duration, &args.out, print_violations)
+    let summary = chaos::search(&args.router, args.seed, duration, &args.out, print_violations)
         .map_err(CliError::failed)?;
-    println!("{} plans, {} rules acted, {} plans broke a rule", found.plans, found.acted, found.broken.len());
-    for (seed, broken, path) in &found.broken {
-        println!("seed {seed}: {} in {}", broken.join("; "), path.display());
+    println!(
+        "{} plans, {} rules acted, {} plans broke a rule",
+        summary.plans_played,
+        summary.rules_fired,
+        summary.failed_plans.len()
+    );
+    for plan in &summary.failed_plans {
+        println!("seed {}: {} in {}", plan.seed, plan.violations.join("; "), plan.file.display());
     }
-    match (found.plans, found.broken.is_empty()) {
+    match (summary.plans_played, summary.failed_plans.is_empty()) {
         (0, _) => Err(CliError::NoPlanPlayed),
         (_, true) => Ok(()),
         (_, false) => Err(CliError::PlanViolations),
