--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -110,8 +110,8 @@
 ///
 /// # Errors
 /// As [`lines`].
-pub fn over_time(path: &Path, scenario: &Scenario, seen: &RunRecord) -> io::Result<()> {
-    let slices = &seen.outcome.slices;
+pub fn over_time(path: &Path, scenario: &Scenario, record: &RunRecord) -> io::Result<()> {
+    let slices = &record.outcome.slices;
     let per_second = 1.0 / crate::load::SLICE.secs();
     let mut shown: Vec<Line<'_>> = Vec::new();
     for (index, method) in scenario.methods.iter().enumerate() {
@@ -129,10 +129,10 @@
     lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &shown, false)?;
     let pressure_path = path.with_file_name("pressure.svg");
     let shown = [
-        ("pressure", figures(&seen.log, "pressure", METRICS_INTERVAL_S)),
-        ("delay part", figures(&seen.log, "delay_part", METRICS_INTERVAL_S)),
-        ("floor", figures(&seen.log, "floor", METRICS_INTERVAL_S)),
-        ("cpu", figures(&seen.log, "cpu_used", METRICS_INTERVAL_S)),
+        ("pressure", figures(&record.log, "pressure", METRICS_INTERVAL_S)),
+        ("delay part", figures(&record.log, "delay_part", METRICS_INTERVAL_S)),
+        ("floor", figures(&record.log, "floor", METRICS_INTERVAL_S)),
+        ("cpu", figures(&record.log, "cpu_used", METRICS_INTERVAL_S)),
     ];
     lines(&pressure_path, "Pressure over time", ("s", "part"), &shown, false)
 }
--- a/crates/ladderpass-testbed/src/cli/drill.rs
+++ b/crates/ladderpass-testbed/src/cli/drill.rs
@@ -18,7 +18,7 @@
     if let Some(folder) = &args.out {
         record.write(&drill, folder).map_err(|error| CliError::file(folder, error))?;
     }
-    match record.violations.len() + record.fallen.len() {
+    match record.violations.len() + record.router_failures.len() {
         0 => Ok(()),
         count => Err(CliError::DrillViolations(count)),
     }
--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -28,7 +28,7 @@
         connections: args.connections,
         pipeline: args.pipeline.max(1),
         deadline: Span::from_millis(args.deadline_ms),
-        repeats: args.repeats,
+        max_retries: args.repeats,
         slow_readers: args.slow_readers,
         floods: args.floods,
         ..run::open(args.testbed.seed, &phases)
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -1,11 +1,12 @@
 //! A drill's file: its keys with their defaults, and the checks that name the key of an error.
 
+use super::errors::{DrillError, FaultEventError};
 use super::event::FaultEvent;
 use ladderpass_emulator::Scenario;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A drill, as its file gives it.
+/// A drill, as its file gives it. Keys of the file that differ from a field's name stand beside it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drill {
@@ -18,25 +19,32 @@
     /// Connections of clients.
     pub clients: usize,
     /// How many times the connections of the last router the first one has; those between follow geometrically.
-    pub uneven: f64,
+    #[serde(rename = "uneven")]
+    pub connection_skew: f64,
     /// Fraction of the clients that move to another router again and again.
     pub roaming: f64,
     /// Mean time that a roaming client stays at a router, in seconds.
-    pub stays_s: f64,
-    /// How long new connections still go to a router that is down.
-    pub notices_ms: u64,
-    /// From when an RPC is due to when its client gives up.
+    #[serde(rename = "stays_s")]
+    pub mean_stay_s: f64,
+    /// How long new connections still go to a router that is down, in milliseconds.
+    #[serde(rename = "notices_ms")]
+    pub down_detection_ms: u64,
+    /// From when an RPC is due to when its client gives up, in milliseconds.
     pub deadline_ms: u32,
     /// How often a client retries after a rejection.
-    pub repeats: u32,
-    /// How long after its deadline an answer may come, for the time that clients and fault tools take.
+    #[serde(rename = "repeats")]
+    pub max_retries: u32,
+    /// How long after its deadline an answer may come, in milliseconds: the time that clients and fault tools take.
     pub grace_ms: u32,
-    /// How long routers may take to agree on who is alive before the load.
-    pub settles_s: f64,
-    /// How long they idle after that, before the load.
-    pub rests_s: f64,
+    /// How long routers may take to agree on who is alive before the load, in seconds.
+    #[serde(rename = "settles_s")]
+    pub max_settle_s: f64,
+    /// How long they idle after that, before the load, in seconds.
+    #[serde(rename = "rests_s")]
+    pub idle_s: f64,
     /// RPCs a second that a cold member can serve once it is warm.
-    pub bears: f64,
+    #[serde(rename = "bears")]
+    pub warm_member_rpcs_per_second: f64,
     /// The fleet.
     pub scenario: Scenario,
     /// Text of the operator's file beside `peers`.
@@ -54,7 +62,8 @@
     /// RPCs a second of clients that go straight to the members.
     pub greedy: f64,
     /// Fault events.
-    pub deeds: Vec<FaultEvent>,
+    #[serde(rename = "deeds")]
+    pub events: Vec<FaultEvent>,
 }
 
 impl Default for Drill {
@@ -64,16 +73,16 @@
             peers: true,
             phases: vec![(5.0, 200.0)],
             clients: 80,
-            uneven: 4.0,
+            connection_skew: 4.0,
             roaming: 0.3,
-            stays_s: 2.0,
-            notices_ms: 700,
+            mean_stay_s: 2.0,
+            down_detection_ms: 700,
             deadline_ms: 1000,
-            repeats: 0,
+            max_retries: 0,
             grace_ms: 150,
-            settles_s: 6.0,
-            rests_s: 0.0,
-            bears: 1000.0,
+            max_settle_s: 6.0,
+            idle_s: 0.0,
+            warm_member_rpcs_per_second: 1000.0,
             scenario: Scenario::default(),
             operator: String::new(),
             log: "info".into(),
@@ -82,7 +91,7 @@
             earlier: Vec::new(),
             quiet: Vec::new(),
             greedy: 0.0,
-            deeds: Vec::new(),
+            events: Vec::new(),
         }
     }
 }
@@ -92,13 +101,14 @@
     ///
     /// # Errors
     /// One line with the key that is wrong, and what is allowed.
-    pub fn read(text: &str) -> Result<Drill, String> {
-        let one_line = |error: String| error.split_whitespace().collect::<Vec<_>>().join(" ");
+    pub fn read(text: &str) -> Result<Drill, DrillError> {
+        let syntax_error =
+            |message: String| DrillError::Syntax(message.split_whitespace().collect::<Vec<_>>().join(" "));
         let value: serde_json::Value =
-            serde_saphyr::from_str(text).map_err(|error| one_line(error.to_string()))?;
+            serde_saphyr::from_str(text).map_err(|error| syntax_error(error.to_string()))?;
         let value = if value.is_null() { serde_json::json!({}) } else { value };
         let drill: Drill = serde_path_to_error::deserialize(value)
-            .map_err(|error| one_line(format!("{}: {}", error.path(), error.inner())))?;
+            .map_err(|error| syntax_error(format!("{}: {}", error.path(), error.inner())))?;
         drill.check()?;
         Ok(drill)
     }
@@ -107,75 +117,69 @@
     ///
     /// # Errors
     /// As [`Drill::read`].
-    pub fn check(&self) -> Result<(), String> {
+    pub fn check(&self) -> Result<(), DrillError> {
         self.check_numbers()?;
-        self.scenario.check().map_err(|error| format!("scenario.{error}"))?;
+        self.scenario.check().map_err(|error| DrillError::Scenario(error.to_string()))?;
         let named = self.faulty.keys().chain(self.clocks.keys()).chain(&self.earlier).chain(&self.quiet);
         for name in named {
-            self.router(name).ok_or_else(|| {
-                format!("faulty, clocks, earlier, quiet: {name:?}; allowed are r0, r1, ...")
-            })?;
+            self.router(name).ok_or_else(|| DrillError::UnknownRouter(name.clone()))?;
         }
-        for (index, event) in self.deeds.iter().enumerate() {
-            self.check_event(event).map_err(|error| format!("deeds[{index}].{error}"))?;
+        for (index, event) in self.events.iter().enumerate() {
+            self.check_event(event).map_err(|source| DrillError::Event { index, source })?;
         }
         Ok(())
     }
 
-    fn check_numbers(&self) -> Result<(), String> {
-        if !(2..=40).contains(&self.routers) {
-            return Err(format!("routers: {}; allowed are 2 to 40", self.routers));
-        }
-        if !(1..=5000).contains(&self.clients) {
-            return Err(format!("clients: {}; allowed are 1 to 5000", self.clients));
-        }
-        for (key, value, from, to) in [
-            ("uneven", self.uneven, 1.0, 1000.0),
+    fn check_numbers(&self) -> Result<(), DrillError> {
+        for (key, value, min, max) in [
+            ("routers", self.routers as f64, 2.0, 40.0),
+            ("clients", self.clients as f64, 1.0, 5000.0),
+            ("uneven", self.connection_skew, 1.0, 1000.0),
             ("roaming", self.roaming, 0.0, 1.0),
-            ("stays_s", self.stays_s, 0.05, 3600.0),
-            ("settles_s", self.settles_s, 0.0, 60.0),
-            ("rests_s", self.rests_s, 0.0, 60.0),
-            ("bears", self.bears, 1.0, 1e6),
+            ("stays_s", self.mean_stay_s, 0.05, 3600.0),
+            ("settles_s", self.max_settle_s, 0.0, 60.0),
+            ("rests_s", self.idle_s, 0.0, 60.0),
+            ("bears", self.warm_member_rpcs_per_second, 1.0, 1e6),
             ("greedy", self.greedy, 0.0, 1e5),
         ] {
-            if !(from..=to).contains(&value) {
-                return Err(format!("{key}: {value}; allowed are {from} to {to}"));
+            if !(min..=max).contains(&value) {
+                return Err(DrillError::OutOfRange { key, value, min, max });
             }
         }
         let is_allowed =
             |&(secs, rate): &(f64, f64)| (0.0..=3600.0).contains(&secs) && (0.0..=20_000.0).contains(&rate);
         if self.phases.is_empty() || !self.phases.iter().all(is_allowed) {
-            return Err("phases: allowed are pairs of up to 3600 seconds and 20000 RPCs a second".into());
+            return Err(DrillError::Phases);
         }
         Ok(())
     }
 
-    fn check_event(&self, event: &FaultEvent) -> Result<(), String> {
-        let name = event.name();
+    fn check_event(&self, event: &FaultEvent) -> Result<(), FaultEventError> {
+        let (at, lasts, name) = (event.at, event.lasts, event.name());
         if name.is_empty() || name.contains(", ") && event.cut.len() < 2 {
-            return Err(format!("at {}: {name:?}; allowed is one thing to do", event.at));
+            return Err(FaultEventError::NotOneAction { at, name });
         }
-        let secs = self.secs();
-        if !(0.0..=secs).contains(&event.at) || !(0.0..=secs).contains(&event.lasts) {
-            return Err(format!("at, for: {} and {}; allowed are 0 to {secs}", event.at, event.lasts));
+        let load_s = self.secs();
+        if !(0.0..=load_s).contains(&at) || !(0.0..=load_s).contains(&lasts) {
+            return Err(FaultEventError::OutsideLoad { at, lasts, load_s });
         }
-        if event.lasts > 0.0 && !event.may_last() {
-            return Err(format!("for: {name} has no end"));
+        if lasts > 0.0 && !event.may_last() {
+            return Err(FaultEventError::NoEnd { name });
         }
         let routers = [&event.kill, &event.freeze, &event.term, &event.hup, &event.start, &event.mute];
-        for name in routers.into_iter().flatten() {
-            self.router(name).ok_or_else(|| format!("{name:?}; allowed are r0 to r{}", self.routers - 1))?;
+        if let Some(name) = routers.into_iter().flatten().find(|name| self.router(name).is_none()) {
+            let last = self.routers - 1;
+            return Err(FaultEventError::UnknownRouter { name: name.clone(), last });
         }
         let sides = event.split.iter().flatten();
         let pairs = event.cut.iter().flat_map(|(one, other)| [one, other]);
-        for name in sides.chain(pairs) {
-            if self.place(name).is_none() {
-                return Err(format!("{name:?}; allowed are r0, member-0, discovery, front"));
-            }
+        if let Some(name) = sides.chain(pairs).find(|name| self.place(name).is_none()) {
+            return Err(FaultEventError::UnknownPlace(name.clone()));
         }
+        let count = self.scenario.member_count();
         let members = [event.drain, event.ends, event.begins];
-        match members.into_iter().flatten().find(|&member| member as usize >= self.scenario.member_count()) {
-            Some(member) => Err(format!("member {member}; there are {}", self.scenario.member_count())),
+        match members.into_iter().flatten().find(|&member| member as usize >= count) {
+            Some(member) => Err(FaultEventError::UnknownMember { member, count }),
             None => Ok(()),
         }
     }
@@ -191,9 +195,9 @@
         (number < self.routers && name == format!("r{number}")).then_some(number)
     }
 
-    /// By router: its weight for new connections, from 1 down to 1 / `uneven`.
+    /// By router: its weight for new connections, from 1 down to 1 / `connection_skew`.
     pub fn weights(&self) -> Vec<f64> {
-        let step = self.uneven.powf(1.0 / (self.routers.max(2) - 1) as f64);
+        let step = self.connection_skew.powf(1.0 / (self.routers.max(2) - 1) as f64);
         (0..self.routers).map(|router| step.powi(-(router as i32))).collect()
     }
 }
--- a/crates/ladderpass-testbed/src/drill/places.rs
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -8,7 +8,8 @@
     Router(usize),
     Member(usize),
     Discovery,
-    Front,
+    /// All clients, and what balances their connections.
+    Clients,
 }
 
 impl Drill {
@@ -18,7 +19,7 @@
         }
         match name {
             "discovery" => return Some(Place::Discovery),
-            "front" => return Some(Place::Front),
+            "front" => return Some(Place::Clients),
             _ => {}
         }
         let member: usize = name.strip_prefix("member-")?.parse().ok()?;
@@ -33,7 +34,7 @@
             (Place::Router(router), Place::Discovery) | (Place::Discovery, Place::Router(router)) => {
                 Some(format!("r{router}>discovery"))
             }
-            (Place::Router(router), Place::Front) | (Place::Front, Place::Router(router)) => {
+            (Place::Router(router), Place::Clients) | (Place::Clients, Place::Router(router)) => {
                 Some(format!("front>r{router}"))
             }
             _ => None,
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -1,6 +1,7 @@
 //! Fault events of a drill: each is begun at its time, and ended if it lasts.
 
 use super::interrupt::check_interrupted;
+use super::record::LoggedEvent;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
 use crate::drill::{Drill, FaultEvent};
 use crate::history_checker::DrainNotice;
@@ -27,7 +28,7 @@
 /// All steps, the earliest last.
 fn schedule(drill: &Drill) -> Vec<ScheduledStep> {
     let mut steps = Vec::new();
-    for (index, event) in drill.deeds.iter().enumerate() {
+    for (index, event) in drill.events.iter().enumerate() {
         steps.push(ScheduledStep { at_s: event.at, event: index, begins: true });
         if event.lasts > 0.0 {
             steps.push(ScheduledStep { at_s: event.at + event.lasts, event: index, begins: false });
@@ -55,9 +56,9 @@
     }
 
     fn run_step(&mut self, step: &ScheduledStep) -> io::Result<()> {
-        let event = &self.drill.deeds[step.event];
+        let event = &self.drill.events[step.event];
         let name = if step.begins { event.name() } else { format!("end of {}", event.name()) };
-        self.done.push((now(), name));
+        self.event_log.push(LoggedEvent { at: now(), name });
         if step.begins { self.begin_event(step.event, event) } else { self.end_event(step.event, event) }
     }
 
@@ -115,7 +116,7 @@
         }
         for router in self.routers_named(&event.term) {
             self.terminating[router] = true;
-            self.down.went(router);
+            self.down.mark_down(router);
             self.begin_absence(router, true);
             self.signal(router, Signal::SIGTERM)?;
         }
@@ -152,7 +153,7 @@
             self.fleet.drain(member);
             let at = now();
             let notified = (0..self.drill.routers).map(|router| DrainNotice { router, member, at });
-            self.drained.extend(notified);
+            self.drain_notices.extend(notified);
         }
         if let Some(member) = event.ends {
             self.fleet.apply(member, Input::Crash);
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -11,12 +11,12 @@
 mod view;
 
 pub use interrupt::interrupted;
-pub use record::DrillRecord;
+pub use record::{DrillRecord, LoggedEvent, RouterTraffic};
 pub use start::Programs;
-pub use view::{Viewed, viewed};
+pub use view::{RouterChange, RouterView, parse_view};
 
 use super::Drill;
-use crate::load::{self, Front, Outcome, Plan};
+use crate::load::{self, LoadBalancer, Outcome, Plan};
 use crate::run::open;
 use ladderpass_routing::Span;
 use std::io;
@@ -49,12 +49,13 @@
     drill.check().map_err(io::Error::other)?;
     let mut testbed = DrillTestbed::start(drill, programs, seed)?;
     let settled = testbed.wait_until_settled()?;
-    std::thread::sleep(Duration::from_secs_f64(drill.rests_s));
+    std::thread::sleep(Duration::from_secs_f64(drill.idle_s));
     let sent_before = testbed.datagrams_sent();
     testbed.note_cpu_before_load();
     let (outcome, greedy) = run_loads_and_events(&mut testbed, on_progress)?;
     std::thread::sleep(LOG_FLUSH_WAIT);
-    let sent = sent_before.into_iter().zip(testbed.datagrams_sent()).collect();
+    let sent = sent_before.into_iter().zip(testbed.datagrams_sent());
+    let sent = sent.map(|(before, after)| RouterTraffic { before, after }).collect();
     Ok(DrillRecord { greedy, ..testbed.finish(outcome, settled, sent) })
 }
 
@@ -67,21 +68,21 @@
     let scenario = &drill.scenario;
     let stop = Arc::new(AtomicBool::new(false));
     let plan = &load_plan(drill, seed, &stop);
-    let front = &Front {
+    let balancer = &LoadBalancer {
         routers: testbed.client_links.addresses.clone(),
         weights: drill.weights(),
         roaming: drill.roaming,
-        stays: Span::from_secs_f64(drill.stays_s),
-        notices: Span::from_millis(drill.notices_ms as i64),
+        mean_stay: Span::from_secs_f64(drill.mean_stay_s),
+        down_detection: Span::from_millis(drill.down_detection_ms as i64),
         down: testbed.down.clone(),
     };
     let greedy_plan = &greedy_load_plan(drill, seed, &stop);
     let members = &testbed.fleet.addresses;
-    let greedy_front = &Front { routers: members.clone(), ..Front::single(members[0]) };
+    let greedy_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
     let (outcome, greedy, events) = std::thread::scope(|scope| {
         let greedy = (drill.greedy > 0.0)
-            .then(|| scope.spawn(move || load::run_before(scenario, greedy_front, greedy_plan, |_| {})));
-        let load = scope.spawn(move || load::run_before(scenario, front, plan, on_progress));
+            .then(|| scope.spawn(move || load::run_before(scenario, greedy_balancer, greedy_plan, |_| {})));
+        let load = scope.spawn(move || load::run_before(scenario, balancer, plan, on_progress));
         let events = testbed.run_events(&load, &stop);
         stop.fetch_or(events.is_err(), Ordering::Relaxed);
         let outcome = load.join().unwrap_or_else(|_| Err(io::Error::other("the load failed")));
@@ -97,7 +98,7 @@
         connections: drill.clients,
         pipeline: 1,
         deadline: Span::from_millis(i64::from(drill.deadline_ms)),
-        repeats: drill.repeats,
+        max_retries: drill.max_retries,
         journal: true,
         stop: Some(stop.clone()),
         ..open(seed, &drill.phases)
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -2,8 +2,8 @@
 
 use super::start::advertised_address;
 use super::testbed::DrillTestbed;
-use super::view::{Viewed, viewed};
-use crate::history_checker::{Absence, History, Started};
+use super::view::{RouterView, parse_view};
+use crate::history_checker::{Absence, ColdStart, History, MemberLink};
 use crate::load::Outcome;
 use crate::router::Router;
 use ladderpass_emulator::ExecutionLog;
@@ -26,24 +26,24 @@
     pub truth: ExecutionLog,
     /// What the history checker found.
     pub violations: Vec<Violation>,
-    /// By router: violations of rule 4 by its own attempts alone.
-    pub cold_alone: Vec<usize>,
+    /// By router: how many violations of rule 4 (cold members) its own attempts alone make.
+    pub slow_start_violations_alone: Vec<usize>,
     /// The members that started cold.
-    pub started: Vec<Started>,
+    pub cold_starts: Vec<ColdStart>,
     /// By router, in order; a router that was restarted goes on in its list.
-    pub views: Vec<Vec<Viewed>>,
+    pub views: Vec<Vec<RouterView>>,
     /// By router: the lines that it has logged.
     pub logs: Vec<Vec<String>>,
     /// By router: where the others send datagrams to it.
     pub addresses: Vec<SocketAddr>,
-    /// By router: its datagrams before the load and after it.
-    pub sent: Vec<(TrafficCounts, TrafficCounts)>,
+    /// By router: the datagrams that it has sent.
+    pub sent: Vec<RouterTraffic>,
     /// Rules on datagrams, by name, with how many datagrams each has changed.
     pub datagram_hits: Vec<(String, u64)>,
     /// By router: CPU seconds over the load.
     pub cpu: Vec<f64>,
     /// Begins and ends of fault events.
-    pub done: Vec<(Time, String)>,
+    pub event_log: Vec<LoggedEvent>,
     /// How long the routers took to agree on their view before the load.
     pub settled: Option<Span>,
     /// When routers could not answer.
@@ -51,14 +51,34 @@
     /// By router: it runs at the end.
     pub alive: Vec<bool>,
     /// Routers that ended by themselves, and panics.
-    pub fallen: Vec<String>,
+    pub router_failures: Vec<String>,
+}
+
+/// The begin or the end of a fault event.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LoggedEvent {
+    /// When it was.
+    pub at: Time,
+    /// What it is called in tables.
+    pub name: String,
+}
+
+/// Datagrams that a router has sent since its start.
+#[derive(Clone, Copy, Debug)]
+pub struct RouterTraffic {
+    /// Up to the begin of the load.
+    pub before: TrafficCounts,
+    /// Up to its end.
+    pub after: TrafficCounts,
 }
 
 /// How the routers' processes came through the load.
 struct RouterEnds {
+    /// By router: CPU seconds over the load.
     cpu: Vec<f64>,
+    /// By router: it still ran.
     alive: Vec<bool>,
-    fallen: Vec<String>,
+    failures: Vec<String>,
 }
 
 impl DrillTestbed<'_> {
@@ -67,64 +87,65 @@
         mut self,
         outcome: Outcome,
         settled: Option<Span>,
-        sent: Vec<(TrafficCounts, TrafficCounts)>,
+        sent: Vec<RouterTraffic>,
     ) -> DrillRecord {
-        let RouterEnds { cpu, alive, fallen } = self.stop_routers();
+        let RouterEnds { cpu, alive, failures } = self.stop_routers();
         self.stop_cpu_hogs();
         let mesh = self.router_links.datagrams.as_ref();
         let datagram_hits = mesh.map_or(Vec::new(), |mesh| mesh.hits());
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(advertised_address).collect();
         let links = self.member_links();
-        let left = self.router_links.stop();
+        let summary = self.router_links.stop();
         let fleet_started = self.fleet.started_at();
         let truth = self.fleet.stop();
-        let started = Started::all(&self.drill.scenario, fleet_started, self.drill.bears);
-        let grace =
-            Tolerance { answer: Span::from_millis(i64::from(self.drill.grace_ms)), ..Tolerance::default() };
+        let cold_starts =
+            ColdStart::all(&self.drill.scenario, fleet_started, self.drill.warm_member_rpcs_per_second);
+        let answer = Span::from_millis(i64::from(self.drill.grace_ms));
         let history = History {
             scenario: &self.drill.scenario,
             links: &links,
             seed: self.seed,
             journal: &outcome.journal,
-            passed: &left.attempts,
-            tool_began: left.started_at,
+            attempts: &summary.attempts,
+            tool_started_at: summary.started_at,
             truth: &truth,
             absences: &self.absences,
-            drained: &self.drained,
-            started: &started,
-            grace,
+            drain_notices: &self.drain_notices,
+            cold_starts: &cold_starts,
+            tolerance: Tolerance { answer, ..Tolerance::default() },
         };
-        let violations = history.broken();
-        let cold_alone = (0..self.drill.routers).map(|router| history.cold_by(router).len()).collect();
+        let violations = history.violations();
+        let violations_alone = |router| history.slow_start_violations_of(router).len();
+        let slow_start_violations_alone = (0..self.drill.routers).map(violations_alone).collect();
         let views =
-            self.logs.iter().map(|log| log.iter().filter_map(|line| viewed(line)).collect()).collect();
+            self.logs.iter().map(|log| log.iter().filter_map(|line| parse_view(line)).collect()).collect();
         DrillRecord {
             outcome,
             greedy: None,
             truth,
             violations,
-            cold_alone,
-            started,
+            slow_start_violations_alone,
+            cold_starts,
             views,
             logs: self.logs,
             addresses,
             sent,
             datagram_hits,
             cpu,
-            done: self.done,
+            event_log: self.event_log,
             settled,
             absences: self.absences,
             alive,
-            fallen,
+            router_failures: failures,
         }
     }
 
     fn stop_routers(&mut self) -> RouterEnds {
-        let (mut cpu, mut alive, mut fallen) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut cpu, mut alive, mut failures) = (Vec::new(), Vec::new(), Vec::new());
         for router in 0..self.drill.routers {
             let ended = self.routers[router].as_mut().and_then(Router::ended);
             if let Some(code) = ended.filter(|_| !self.terminating[router]) {
-                fallen.push(format!("r{router} ended with {code:?}"));
+                failures.push(format!("r{router} ended with {code:?}"));
             }
             alive.push(self.routers[router].is_some() && ended.is_none());
             let running = self.routers[router].as_ref().filter(|_| ended.is_none());
@@ -135,19 +156,20 @@
             }
         }
         let panics = self.logs.iter().flatten().filter(|line| line.contains("panicked"));
-        fallen.extend(panics.take(MAX_PANIC_LINES).cloned());
-        RouterEnds { cpu, alive, fallen }
+        failures.extend(panics.take(MAX_PANIC_LINES).cloned());
+        RouterEnds { cpu, alive, failures }
     }
 
-    /// The links to members, by number in the fault tool: router and member. Each router has a link to each member, and
-    /// then one to discovery.
-    fn member_links(&self) -> HashMap<usize, (usize, u32)> {
+    /// The links to members, by number in the fault tool. Each router has a link to each member, and then one to discovery.
+    fn member_links(&self) -> HashMap<usize, MemberLink> {
         let members = self.drill.scenario.member_count();
         let links_per_router = members + 1;
-        let router_and_member = |link: usize| (link / links_per_router, (link % links_per_router) as u32);
         (0..self.drill.routers * links_per_router)
-            .map(|link| (link, router_and_member(link)))
-            .filter(|(_, (_, member))| (*member as usize) < members)
+            .filter(|link| link % links_per_router < members)
+            .map(|link| {
+                let member = (link % links_per_router) as u32;
+                (link, MemberLink { router: link / links_per_router, member })
+            })
             .collect()
     }
 }
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -1,11 +1,12 @@
 //! The processes of a drill: fleet, fault tools and routers; which routers are absent, and since when.
 
 use super::interrupt::check_interrupted;
+use super::record::LoggedEvent;
 use super::start::{Programs, start_of};
-use super::view::{Viewed, viewed};
+use super::view::{RouterView, parse_view};
 use crate::drill::Drill;
 use crate::history_checker::{Absence, DrainNotice};
-use crate::load::Down;
+use crate::load::DownRouters;
 use crate::router::{Router, Start, own_address};
 use ladderpass_emulator::{RunningEmulator, Scenario, now};
 use ladderpass_fault_injection::driver;
@@ -45,11 +46,11 @@
     pub routers: Vec<Option<Router>>,
     /// By router: the logs of its processes that have ended.
     pub logs: Vec<Vec<String>>,
-    pub down: Arc<Down>,
+    pub down: Arc<DownRouters>,
     pub absences: Vec<Absence>,
-    pub drained: Vec<DrainNotice>,
+    pub drain_notices: Vec<DrainNotice>,
     /// Fault events that have begun or ended.
-    pub done: Vec<(Time, String)>,
+    pub event_log: Vec<LoggedEvent>,
     /// Stops of the threads that burn CPU.
     pub cpu_hogs: Vec<Arc<AtomicBool>>,
     /// By router: CPU seconds used before the load.
@@ -93,8 +94,8 @@
             logs: vec![Vec::new(); drill.routers],
             down: Arc::default(),
             absences: Vec::new(),
-            drained: Vec::new(),
-            done: Vec::new(),
+            drain_notices: Vec::new(),
+            event_log: Vec::new(),
             cpu_hogs: Vec::new(),
             cpu_before: vec![0.0; drill.routers],
             terminating: vec![false; drill.routers],
@@ -126,11 +127,11 @@
     pub fn wait_until_settled(&self) -> io::Result<Option<Span>> {
         let are_alike = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
         if !self.drill.peers || !are_alike {
-            std::thread::sleep(Duration::from_secs_f64(self.drill.settles_s.min(MAX_BLIND_SETTLE_S)));
+            std::thread::sleep(Duration::from_secs_f64(self.drill.max_settle_s.min(MAX_BLIND_SETTLE_S)));
             return Ok(None);
         }
         let began = Instant::now();
-        let max_wait = Duration::from_secs_f64(self.drill.settles_s);
+        let max_wait = Duration::from_secs_f64(self.drill.max_settle_s);
         while began.elapsed() < max_wait {
             check_interrupted()?;
             if self.have_same_view() {
@@ -143,11 +144,11 @@
 
     /// Is the last view of each router the same, with all routers in it?
     fn have_same_view(&self) -> bool {
-        let last_view = |router: &Router| router.log().iter().rev().find_map(|line| viewed(line));
-        let views: Vec<Option<Viewed>> =
+        let last_view = |router: &Router| router.log().iter().rev().find_map(|line| parse_view(line));
+        let views: Vec<Option<RouterView>> =
             self.routers.iter().map(|router| router.as_ref().and_then(last_view)).collect();
         let Some(first) = views.first().cloned().flatten() else { return false };
-        let is_same = |view: &Option<Viewed>| {
+        let is_same = |view: &Option<RouterView>| {
             view.as_ref().is_some_and(|view| (view.digest, view.count) == (first.digest, first.count))
         };
         first.count == self.drill.routers && views.iter().all(is_same)
@@ -191,7 +192,7 @@
         if let Some(running) = self.routers[router].take() {
             self.begin_absence(router, false);
             self.logs[router].extend(running.stop());
-            self.down.went(router);
+            self.down.mark_down(router);
         }
     }
 
@@ -208,7 +209,7 @@
         started.wait_until_ready().map_err(|error| with_router_name(router, &error))?;
         self.routers[router] = Some(started);
         (self.terminating[router], self.cpu_before[router]) = (false, 0.0);
-        self.down.came(router);
+        self.down.mark_up(router);
         self.end_absences(router);
         Ok(())
     }
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -3,10 +3,10 @@
 use super::Drill;
 use super::play::DrillRecord;
 use crate::charts::{self, Line};
-use crate::load::{Counts, Slice};
+use crate::load::{Counts, RpcRecord, Slice};
 use ladderpass_invariants::Answer;
 use ladderpass_routing::{Span, Time};
-use serde_json::json;
+use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{self, Write};
 use std::path::Path;
@@ -17,42 +17,48 @@
 const MAX_VIOLATIONS_SHOWN: usize = 10;
 
 /// Attempts that came to members.
-#[derive(Clone, Copy, Debug, Default)]
-struct AttemptCounts {
-    first: usize,
-    retries: usize,
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct AttemptCounts {
+    /// First attempts of RPCs.
+    pub first: usize,
+    /// Further attempts of the same RPCs.
+    pub retries: usize,
 }
 
 /// Seconds from the start of the load.
-fn secs(played: &DrillRecord, at: Time) -> f64 {
-    (at - played.outcome.began).secs()
+fn secs(record: &DrillRecord, at: Time) -> f64 {
+    (at - record.outcome.began).secs()
 }
 
 impl DrillRecord {
     /// What became of the RPCs that were sent to some routers.
-    pub fn of(&self, drill: &Drill, routers: &[usize]) -> Counts {
+    pub fn counts_of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
         let grace = Span::from_millis(i64::from(drill.grace_ms));
         for entry in self.outcome.journal.iter().filter(|entry| routers.contains(&entry.router)) {
             counts.due += 1;
             let method = drill.scenario.methods.get(entry.method);
             let soft_deadline_ms = method.map_or(0.0, |method| method.soft_deadline_ms);
-            match entry.answered {
-                Some((at, ..)) if at > entry.deadline + grace => counts.late += 1,
-                Some((at, Answer::Ok, _)) => {
+            let Some(answered) = entry.answered else {
+                counts.unanswered += 1;
+                continue;
+            };
+            let good_until = entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3);
+            match answered.answer {
+                _ if answered.at > entry.deadline + grace => counts.late += 1,
+                Answer::Ok => {
                     counts.ok += 1;
-                    counts.good += u64::from(at <= entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3));
+                    counts.good += u64::from(answered.at <= good_until);
                 }
-                Some((_, Answer::Rejected, _)) => counts.pushed_back += 1,
-                Some((_, Answer::Failed, _)) => counts.aborted += 1,
-                None => counts.unanswered += 1,
+                Answer::Rejected => counts.pushed_back += 1,
+                Answer::Failed => counts.aborted += 1,
             }
         }
         counts
     }
 
     /// How many routers a router believed to be alive, as steps over seconds.
-    pub fn counts(&self, router: usize) -> Vec<(f64, f64)> {
+    pub fn live_router_counts(&self, router: usize) -> Vec<(f64, f64)> {
         let mut points: Vec<(f64, f64)> = Vec::new();
         for view in self.views.get(router).into_iter().flatten() {
             let at = secs(self, view.at);
@@ -65,7 +71,7 @@
     }
 
     /// Attempts a second that a member ran, over seconds.
-    pub fn work(&self, member: u32) -> Vec<(f64, f64)> {
+    pub fn attempt_rate(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
         for ran in self.truth.executions.iter().filter(|ran| ran.member == member) {
             let index = (secs(self, ran.at) * SLICES_PER_SECOND).floor();
@@ -85,7 +91,7 @@
     }
 
     /// Rejections a second of a method, over seconds.
-    pub fn pushed_back(&self, method: usize) -> Vec<(f64, f64)> {
+    pub fn rejection_rate(&self, method: usize) -> Vec<(f64, f64)> {
         let rate = |slice: &Slice| {
             slice.counts.get(method).map_or(0.0, |counts| counts.pushed_back as f64 * SLICES_PER_SECOND)
         };
@@ -98,12 +104,12 @@
         if let Some(settled) = self.settled {
             lines.push(format!("the routers found each other within {:.2} s", settled.secs()));
         }
-        for (at, name) in &self.done {
-            lines.push(format!("{:6.2} s  {name}", secs(self, *at)));
+        for event in &self.event_log {
+            lines.push(format!("{:6.2} s  {}", secs(self, event.at), event.name));
         }
         lines.extend((0..drill.routers).map(|router| self.router_line(drill, router)));
         lines.extend(self.datagram_hits.iter().map(|(name, hits)| format!("{name} acted {hits} times")));
-        lines.extend(self.fallen.iter().map(|text| format!("FALLEN {text}")));
+        lines.extend(self.router_failures.iter().map(|text| format!("FALLEN {text}")));
         lines.push(format!("{} rules broken", self.violations.len()));
         let violations = self.violations.iter().take(MAX_VIOLATIONS_SHOWN);
         lines.extend(violations.map(|violation| format!("BROKEN {violation}")));
@@ -132,7 +138,7 @@
     fn router_line(&self, drill: &Drill, router: usize) -> String {
         let last = self.views.get(router).and_then(|views| views.last());
         let view = last.map_or("none".to_owned(), |view| format!("{:08x} of {}", view.digest, view.count));
-        let sent = self.sent.get(router).map_or(0, |(before, after)| after.datagrams - before.datagrams);
+        let sent = self.sent.get(router).map_or(0, |sent| sent.after.datagrams - sent.before.datagrams);
         format!(
             "r{router}: {}, view {view}, {} views in all, {:.1} datagrams a second, CPU {:.2} s",
             if self.alive[router] { "runs" } else { "ended" },
@@ -142,22 +148,17 @@
         )
     }
 
-    /// Attempts that came to members in `from..to`, in seconds of the load: first ones, and further ones of the same RPC.
-    pub fn callouts(&self, from: f64, to: f64) -> (usize, usize) {
-        let AttemptCounts { first, retries } = self.attempts(from, to);
-        (first, retries)
-    }
-
-    fn attempts(&self, from: f64, to: f64) -> AttemptCounts {
+    /// Attempts that came to members in `from..to`, in seconds of the load.
+    pub fn attempts(&self, from: f64, to: f64) -> AttemptCounts {
         let mut previous: HashMap<&str, (u32, bool)> = HashMap::new();
         let mut counts = AttemptCounts::default();
-        for came in &self.truth.arrivals {
-            let before = previous.insert(&came.id, (came.member, came.rejected));
+        for arrival in &self.truth.arrivals {
+            let before = previous.insert(&arrival.id, (arrival.member, arrival.rejected));
             // An attempt that queued there past its deadline has two records: when it came, and when it was rejected.
-            if before == Some((came.member, false)) && came.rejected {
+            if before == Some((arrival.member, false)) && arrival.rejected {
                 continue;
             }
-            if (from..to).contains(&secs(self, came.at)) {
+            if (from..to).contains(&secs(self, arrival.at)) {
                 *(if before.is_some() { &mut counts.retries } else { &mut counts.first }) += 1;
             }
         }
@@ -179,8 +180,8 @@
         for slice in &self.outcome.slices {
             writeln!(file, "{}", serde_json::to_string(slice).map_err(io::Error::other)?)?;
         }
-        for (at, name) in &self.done {
-            writeln!(file, "{}", json!({"at_s": secs(self, *at), "deed": name}))?;
+        for event in &self.event_log {
+            writeln!(file, "{}", json!({"at_s": secs(self, event.at), "deed": event.name}))?;
         }
         for (router, views) in self.views.iter().enumerate() {
             for view in views {
@@ -194,17 +195,7 @@
             writeln!(file, "{}", json!({"at_s": secs(self, *at), "probed": member}))?;
         }
         for entry in &self.outcome.journal {
-            let answered = entry.answered.map(|(at, answer, _)| (secs(self, at), answer.report_word()));
-            let line = json!({
-                "sent_s": secs(self, entry.sent),
-                "rpc": entry.number,
-                "router": entry.router,
-                "until_s": secs(self, entry.deadline),
-                "lost_s": entry.lost.map(|at| secs(self, at)),
-                "method": entry.method,
-                "answered": answered,
-            });
-            writeln!(file, "{line}")?;
+            writeln!(file, "{}", self.rpc_line(entry))?;
         }
         for violation in &self.violations {
             writeln!(file, "{}", json!({"broken": violation.to_string()}))?;
@@ -212,10 +203,28 @@
         file.flush()
     }
 
+    /// An RPC of the journal as JSON.
+    fn rpc_line(&self, entry: &RpcRecord) -> Value {
+        let answered =
+            entry.answered.map(|answered| (secs(self, answered.at), answered.answer.report_word()));
+        json!({
+            "sent_s": secs(self, entry.sent),
+            "rpc": entry.number,
+            "router": entry.router,
+            "until_s": secs(self, entry.deadline),
+            "lost_s": entry.lost.map(|at| secs(self, at)),
+            "method": entry.method,
+            "answered": answered,
+        })
+    }
+
     fn write_charts(&self, drill: &Drill, folder: &Path) -> io::Result<()> {
         let names: Vec<String> = (0..drill.routers).map(|router| format!("r{router}")).collect();
-        let views: Vec<Line<'_>> =
-            names.iter().enumerate().map(|(router, name)| (name.as_str(), self.counts(router))).collect();
+        let views: Vec<Line<'_>> = names
+            .iter()
+            .enumerate()
+            .map(|(router, name)| (name.as_str(), self.live_router_counts(router)))
+            .collect();
         if views.iter().any(|(_, points)| !points.is_empty()) {
             let axes = ("seconds", "routers");
             charts::lines(&folder.join("views.svg"), "How many routers each counts on", axes, &views, false)?;
@@ -225,12 +234,12 @@
         charts::lines(&folder.join("utility.svg"), "Utility", per_second, &served, false)?;
         let methods = drill.scenario.methods.iter().enumerate();
         let rejections: Vec<Line<'_>> =
-            methods.map(|(index, method)| (method.name.as_str(), self.pushed_back(index))).collect();
+            methods.map(|(index, method)| (method.name.as_str(), self.rejection_rate(index))).collect();
         charts::lines(&folder.join("pushed-back.svg"), "Pushed back", per_second, &rejections, false)?;
         let names: Vec<String> =
             (0..drill.scenario.member_count()).map(|member| format!("member {member}")).collect();
         let work: Vec<Line<'_>> =
-            names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.work(member))).collect();
+            names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.attempt_rate(member))).collect();
         charts::lines(&folder.join("work.svg"), "Begun at members", per_second, &work, false)
     }
 }
--- a/crates/ladderpass-testbed/src/history_checker.rs
+++ b/crates/ladderpass-testbed/src/history_checker.rs
@@ -4,7 +4,7 @@
 //! uses nothing that a router says about itself. It turns these records into events for the checkers of
 //! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
 
-use crate::load::RpcRecord;
+use crate::load::{RpcAnswer, RpcRecord};
 use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{
@@ -40,7 +40,7 @@
 
 /// A member that starts cold, and what it can serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Started {
+pub struct ColdStart {
     /// When it starts.
     pub at: Time,
     /// Number of the member.
@@ -48,57 +48,69 @@
     /// RPCs a second that it can serve once it is warm.
     pub capacity: f64,
     /// Fraction of the capacity at its start.
-    pub cold_from: f64,
+    pub initial_fraction: f64,
     /// From its start until it has its whole capacity.
-    pub warm_within: Span,
+    pub warm_up_time: Span,
     /// The window over which too many RPCs overload it.
-    pub overload_for: Span,
+    pub overload_window: Span,
 }
 
 /// As the routers' settings give the warm-up.
-const WARM_WITHIN: Span = Span::from_millis(10_000);
-const COLD_CAPACITY_FRACTION: f64 = 0.2;
+const WARM_UP_TIME: Span = Span::from_millis(10_000);
+const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 
-impl Started {
-    /// The members of a fleet that start cold.
-    pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<Started> {
-        let overload_for = Span::from_secs_f64(scenario.overload_ms / 1e3);
-        let started = |&member: &u32| Started {
+impl ColdStart {
+    /// The members of a fleet that start cold at `at`, each with a `capacity` in RPCs a second.
+    pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<ColdStart> {
+        let overload_window = Span::from_secs_f64(scenario.overload_ms / 1e3);
+        let cold_start = |&member: &u32| ColdStart {
             at,
             member,
             capacity,
-            cold_from: COLD_CAPACITY_FRACTION,
-            warm_within: WARM_WITHIN,
-            overload_for,
+            initial_fraction: INITIAL_CAPACITY_FRACTION,
+            warm_up_time: WARM_UP_TIME,
+            overload_window,
         };
-        scenario.cold.iter().map(started).collect()
+        scenario.cold.iter().map(cold_start).collect()
     }
 
     fn event(&self) -> Event {
-        let Started { at, member, capacity, cold_from, warm_within, overload_for } = *self;
-        Event {
-            at,
-            kind: EventKind::Started {
-                member,
-                capacity,
-                initial_fraction: cold_from,
-                warm_up_time: warm_within,
-                overload_window: overload_for,
-            },
-        }
+        let ColdStart { at, member, capacity, initial_fraction, warm_up_time, overload_window } = *self;
+        let kind = EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window };
+        Event { at, kind }
     }
 }
 
-/// Checks rule 4 (cold members) over the attempts that came to members from all routers. Returns the violations, and how
-/// far above its capacity the worst window of a member was, in square roots of that capacity ([`Cold::roots`]).
-pub fn cold_at_members(started: &[Started], truth: &ExecutionLog) -> (Vec<Violation>, f64) {
+/// What rule 4 (cold members) finds over the attempts of all routers.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SlowStartCheck {
+    /// Windows in which a member got too many attempts.
+    pub violations: Vec<Violation>,
+    /// How far above its capacity the worst window of a member was, in square roots of that capacity
+    /// ([`SlowStart::max_excess`]).
+    pub max_excess: f64,
+}
+
+/// Checks rule 4 (cold members) over the attempts that came to members, whichever router sent them.
+pub fn check_slow_start_at_members(cold_starts: &[ColdStart], truth: &ExecutionLog) -> SlowStartCheck {
     let numbered = (0..).zip(&truth.arrivals);
-    let attempts = numbered
-        .map(|(rpc, came)| Event { at: came.at, kind: EventKind::AttemptSent { rpc, member: came.member } });
-    let mut cold = SlowStart::default();
-    let violations =
-        check_events_with(started.iter().map(Started::event).chain(attempts).collect(), &mut cold);
-    (violations, cold.max_excess())
+    let attempts = numbered.map(|(rpc, arrival)| Event {
+        at: arrival.at,
+        kind: EventKind::AttemptSent { rpc, member: arrival.member },
+    });
+    let events = cold_starts.iter().map(ColdStart::event).chain(attempts).collect();
+    let mut checker = SlowStart::default();
+    let violations = check_events_with(events, &mut checker);
+    SlowStartCheck { violations, max_excess: checker.max_excess() }
+}
+
+/// The use of a link of the fault tool: one router's connections to one member.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MemberLink {
+    /// Index of the router.
+    pub router: usize,
+    /// Number of the member.
+    pub member: u32,
 }
 
 /// The records of a run, as one history.
@@ -106,25 +118,25 @@
     /// The fleet and its methods.
     pub scenario: &'a Scenario,
     /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
-    pub links: &'a HashMap<usize, (usize, u32)>,
+    pub links: &'a HashMap<usize, MemberLink>,
     /// Seed of the load, which is part of its RPCs' ids.
     pub seed: u64,
     /// What clients saw.
     pub journal: &'a [RpcRecord],
-    /// What the fault tool passed on; empty without the tool.
-    pub passed: &'a [AttemptEvent],
-    /// The start of the fault tool, from which the times of `passed` count.
-    pub tool_began: Time,
+    /// Begins and ends of attempts that the fault tool saw; empty without the tool.
+    pub attempts: &'a [AttemptEvent],
+    /// The start of the fault tool, from which the times of `attempts` count.
+    pub tool_started_at: Time,
     /// What members saw.
     pub truth: &'a ExecutionLog,
     /// When routers could not answer.
     pub absences: &'a [Absence],
     /// When routers were notified that members drain.
-    pub drained: &'a [DrainNotice],
+    pub drain_notices: &'a [DrainNotice],
     /// Members that started cold.
-    pub started: &'a [Started],
+    pub cold_starts: &'a [ColdStart],
     /// Tolerances of the checkers.
-    pub grace: Tolerance,
+    pub tolerance: Tolerance,
 }
 
 /// How long after an absence a router may still answer late.
@@ -135,45 +147,44 @@
 const EFFECTS_RULE: u8 = 2;
 
 /// An attempt's begin or end, as the fault tool saw it.
-struct Passage {
+struct ObservedAttempt {
     at: Time,
-    router: usize,
-    member: u32,
+    link: MemberLink,
     rpc: u64,
     begins: bool,
 }
 
-impl Passage {
+impl ObservedAttempt {
     fn event(&self) -> Event {
-        let (rpc, member) = (self.rpc, self.member);
-        let what = if self.begins {
-            EventKind::AttemptSent { rpc, member }
-        } else {
-            EventKind::AttemptEnded { rpc, member }
+        let (rpc, member) = (self.rpc, self.link.member);
+        let kind = match self.begins {
+            true => EventKind::AttemptSent { rpc, member },
+            false => EventKind::AttemptEnded { rpc, member },
         };
-        Event { at: self.at, kind: what }
+        Event { at: self.at, kind }
     }
 }
 
 impl History<'_> {
     /// All violations of the five rules.
-    pub fn broken(&self) -> Vec<Violation> {
+    pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
-        violations.extend(check_events(self.answer_events(), OneAnswer::new(self.grace)));
+        violations.extend(check_events(self.answer_events(), OneAnswer::new(self.tolerance)));
         violations.extend(check_events(self.effect_events(), Effects::default()));
-        let drained_routers: BTreeSet<usize> = self.drained.iter().map(|drained| drained.router).collect();
-        for router in drained_routers {
-            violations.extend(check_events(self.drain_events(router), Drains::new(self.grace)));
+        let notified_routers: BTreeSet<usize> =
+            self.drain_notices.iter().map(|notice| notice.router).collect();
+        for router in notified_routers {
+            violations.extend(check_events(self.drain_events(router), Drains::new(self.tolerance)));
         }
-        violations.extend(check_events(self.cold_events(None), SlowStart::default()));
-        violations.extend(check_events(self.read_events(), Staleness::new(self.grace)));
+        violations.extend(check_events(self.slow_start_events(None), SlowStart::default()));
+        violations.extend(check_events(self.read_events(), Staleness::new(self.tolerance)));
         violations.extend(self.wrong_write_answers());
         violations
     }
 
-    /// Violations of rule 4 by the attempts of one router alone.
-    pub fn cold_by(&self, router: usize) -> Vec<Violation> {
-        check_events(self.cold_events(Some(router)), SlowStart::default())
+    /// Violations of rule 4 (cold members) by the attempts of one router alone.
+    pub fn slow_start_violations_of(&self, router: usize) -> Vec<Violation> {
+        check_events(self.slow_start_events(Some(router)), SlowStart::default())
     }
 
     /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
@@ -183,32 +194,29 @@
         u64::from_str_radix(number, 16).ok()
     }
 
-    fn sent_event(&self, entry: &RpcRecord) -> Event {
+    /// When a client sent an RPC, and what may become of it.
+    fn accepted_event(&self, entry: &RpcRecord) -> Event {
         let method = self.scenario.methods.get(entry.method);
         let max_staleness =
             method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
-        let once = method.is_some_and(|method| method.writes);
-        let what = EventKind::Accepted {
-            rpc: entry.number,
-            deadline: entry.deadline,
-            run_once: once,
-            max_staleness,
-        };
-        Event { at: entry.sent, kind: what }
+        let run_once = method.is_some_and(|method| method.writes);
+        let kind =
+            EventKind::Accepted { rpc: entry.number, deadline: entry.deadline, run_once, max_staleness };
+        Event { at: entry.sent, kind }
     }
 
     /// Was its router absent at some time while its client waited?
     fn is_excused(&self, entry: &RpcRecord) -> bool {
-        let ended = entry.answered.map(|(at, ..)| at).or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
-        let waited_until = ended.min(entry.deadline + self.grace.answer);
-        let excuses = |absence: &&Absence| {
+        let answered_at = entry.answered.map(|answered| answered.at);
+        let ended_at = answered_at.or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
+        let waited_until = ended_at.min(entry.deadline + self.tolerance.answer);
+        self.absences.iter().any(|absence| {
             let applies = !absence.planned || entry.sent >= absence.from;
             absence.router == entry.router
                 && absence.from <= waited_until
                 && entry.sent <= absence.to + AFTER_ABSENCE
                 && applies
-        };
-        self.absences.iter().find(excuses).is_some()
+        })
     }
 
     /// Rule 1: what each client sent, and how it was answered.
@@ -216,11 +224,11 @@
         let mut events = Vec::new();
         for entry in self.journal {
             let rpc = entry.number;
-            events.push(self.sent_event(entry));
-            let is_in_time = |at: Time| at <= entry.deadline + self.grace.answer;
+            events.push(self.accepted_event(entry));
+            let is_in_time = |at: Time| at <= entry.deadline + self.tolerance.answer;
             let is_excused = self.is_excused(entry);
             match entry.answered {
-                Some((at, answer, made_for)) if is_in_time(at) || !is_excused => {
+                Some(RpcAnswer { at, answer, made_for }) if is_in_time(at) || !is_excused => {
                     events.push(Event { at, kind: EventKind::Answered { rpc, answer, made_for } });
                 }
                 _ if is_excused => events.push(Event { at: entry.sent, kind: EventKind::ClientLeft { rpc } }),
@@ -233,62 +241,65 @@
         events
     }
 
-    fn passages(&self) -> impl Iterator<Item = Passage> {
-        self.passed.iter().filter_map(|passed| {
-            let &(router, member) = self.links.get(&passed.link)?;
-            let at = self.tool_began + (passed.at - Time::from_nanos(0));
-            Some(Passage { at, router, member, rpc: self.rpc_number(&passed.id)?, begins: passed.begins })
+    fn observed_attempts(&self) -> impl Iterator<Item = ObservedAttempt> {
+        self.attempts.iter().filter_map(|attempt| {
+            let link = *self.links.get(&attempt.link)?;
+            let at = self.tool_started_at + (attempt.at - Time::from_nanos(0));
+            Some(ObservedAttempt { at, link, rpc: self.rpc_number(&attempt.id)?, begins: attempt.begins })
         })
     }
 
     /// Rule 2: attempts, and which of them members rejected or ran.
     fn effect_events(&self) -> Vec<Event> {
-        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
-        if self.passed.is_empty() {
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
+        let arrivals = &self.truth.arrivals;
+        if self.attempts.is_empty() {
             // Without the fault tool only the arrival at a member is known, and not the end of the attempt.
-            for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
-                let Some(rpc) = self.rpc_number(&came.id) else { continue };
-                let (at, member) = (came.at, came.member);
+            for arrival in arrivals.iter().filter(|arrival| !arrival.rejected) {
+                let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+                let (at, member) = (arrival.at, arrival.member);
                 events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
                 events.push(Event { at, kind: EventKind::AttemptEnded { rpc, member } });
             }
         }
-        events.extend(self.passages().map(|passage| passage.event()));
-        for came in self.truth.arrivals.iter().filter(|came| came.rejected) {
-            let Some(rpc) = self.rpc_number(&came.id) else { continue };
-            events.push(Event { at: came.at, kind: EventKind::Rejected { rpc, member: came.member } });
+        events.extend(self.observed_attempts().map(|attempt| attempt.event()));
+        for arrival in arrivals.iter().filter(|arrival| arrival.rejected) {
+            let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+            events.push(Event { at: arrival.at, kind: EventKind::Rejected { rpc, member: arrival.member } });
         }
-        for ran in &self.truth.executions {
-            let Some(rpc) = self.rpc_number(&ran.id) else { continue };
-            events.push(Event { at: ran.at, kind: EventKind::Executed { rpc, member: ran.member } });
+        for execution in &self.truth.executions {
+            let Some(rpc) = self.rpc_number(&execution.id) else { continue };
+            let kind = EventKind::Executed { rpc, member: execution.member };
+            events.push(Event { at: execution.at, kind });
         }
         events
     }
 
     /// Rule 3: when a router was notified of drains, and its attempts.
     fn drain_events(&self, router: usize) -> Vec<Event> {
-        let notified = self.drained.iter().filter(|drained| drained.router == router);
-        let notified = notified
-            .map(|drained| Event { at: drained.at, kind: EventKind::Draining { member: drained.member } });
-        let attempts = self.passages().filter(|passage| passage.router == router && passage.begins);
-        notified.chain(attempts.map(|passage| passage.event())).collect()
+        let notices = self.drain_notices.iter().filter(|notice| notice.router == router);
+        let notified = notices
+            .map(|notice| Event { at: notice.at, kind: EventKind::Draining { member: notice.member } });
+        let begun =
+            self.observed_attempts().filter(|attempt| attempt.link.router == router && attempt.begins);
+        notified.chain(begun.map(|attempt| attempt.event())).collect()
     }
 
     /// Rule 4: starts of cold members, and the attempts of one router or of all.
-    fn cold_events(&self, router: Option<usize>) -> Vec<Event> {
-        let started = self.started.iter().map(Started::event);
-        let attempts = self
-            .passages()
-            .filter(|passage| passage.begins && router.is_none_or(|router| router == passage.router));
-        started.chain(attempts.map(|passage| passage.event())).collect()
+    fn slow_start_events(&self, router: Option<usize>) -> Vec<Event> {
+        let cold_starts = self.cold_starts.iter().map(ColdStart::event);
+        let is_from_router =
+            |attempt: &ObservedAttempt| router.is_none_or(|router| router == attempt.link.router);
+        let begun = self.observed_attempts().filter(|attempt| attempt.begins && is_from_router(attempt));
+        cold_starts.chain(begun.map(|attempt| attempt.event())).collect()
     }
 
     /// Rule 5: reads, and the position of the member when each arrived there.
     fn read_events(&self) -> Vec<Event> {
-        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.sent_event(entry)).collect();
-        for came in self.truth.arrivals.iter().filter(|came| !came.rejected) {
-            let Some(rpc) = self.rpc_number(&came.id) else { continue };
-            let (at, member, position) = (came.at, came.member, came.position);
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
+        for arrival in self.truth.arrivals.iter().filter(|arrival| !arrival.rejected) {
+            let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+            let (at, member, position) = (arrival.at, arrival.member, arrival.position);
             events.push(Event { at, kind: EventKind::PositionReached { member, position } });
             events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
         }
@@ -297,30 +308,27 @@
 
     /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
     fn wrong_write_answers(&self) -> Vec<Violation> {
-        let ran: BTreeMap<u64, u32> = self
-            .truth
-            .executions
-            .iter()
-            .filter_map(|ran| Some((self.rpc_number(&ran.id)?, ran.member)))
+        let executions = self.truth.executions.iter();
+        let ran_at: BTreeMap<u64, u32> = executions
+            .filter_map(|execution| Some((self.rpc_number(&execution.id)?, execution.member)))
             .collect();
         let mut violations = Vec::new();
         for entry in self.journal {
             let is_write = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
-            let Some((at, answer, made_for)) = entry.answered.filter(|_| is_write) else { continue };
-            let (rpc, member) = (Some(entry.number), ran.get(&entry.number).copied());
-            let text = match (answer, member) {
+            let Some(answered) = entry.answered.filter(|_| is_write) else { continue };
+            let (rpc, member) = (entry.number, ran_at.get(&entry.number).copied());
+            let problem = match (answered.answer, member) {
                 (Answer::Ok, None) => "is answered ok and never ran",
                 (Answer::Rejected, Some(_)) => "is pushed back and ran",
                 _ => continue,
             };
-            let text = format!("write {:x} {text}", entry.number);
-            let what = EventKind::Answered { rpc: entry.number, answer, made_for };
+            let RpcAnswer { at, answer, made_for } = answered;
             violations.push(Violation {
                 rule: EFFECTS_RULE,
-                rpc,
+                rpc: Some(rpc),
                 member,
-                text,
-                proof: vec![Event { at, kind: what }],
+                text: format!("write {rpc:x} {problem}"),
+                proof: vec![Event { at, kind: EventKind::Answered { rpc, answer, made_for } }],
             });
         }
         violations
@@ -328,8 +336,8 @@
 }
 
 /// Order of events at the same time: causes before their effects.
-fn causal_order(what: &EventKind) -> u8 {
-    match what {
+fn causal_order(kind: &EventKind) -> u8 {
+    match kind {
         EventKind::Started { .. }
         | EventKind::Draining { .. }
         | EventKind::Serving { .. }
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -1,6 +1,7 @@
 //! Answers of a router: parsed from the PostgreSQL protocol, checked, and counted.
 
 use super::generator::{ANSWER_GRACE, InFlightRpc, LoadGenerator, PartialAnswer, QueuedRpc};
+use super::outcome::RpcAnswer;
 use ladderpass_emulator::{now, proto};
 use ladderpass_invariants::Answer;
 use ladderpass_routing::{Span, Time};
@@ -60,7 +61,7 @@
         self.check_answer(&rpc, &answer);
         let kind = answer.kind();
         if let Some(entry) = self.journal_entry(rpc.number) {
-            entry.answered = Some((now, kind, answer.row.flatten()));
+            entry.answered = Some(RpcAnswer { at: now, answer: kind, made_for: answer.row.flatten() });
         }
         if rpc.flood {
             let flood = &mut self.outcome.flood;
@@ -114,10 +115,10 @@
 
     /// Retries a rejected RPC after its Retry-After, or counts it if its client has no retry or no time left.
     fn record_rejection(&mut self, now: Time, rpc: &InFlightRpc, retry_after_ms: u64) {
-        self.outcome.pushed_us.saturating_record(latency_us(now, rpc));
+        self.outcome.rejected_us.saturating_record(latency_us(now, rpc));
         self.outcome.come_back_ms.saturating_record(retry_after_ms.max(1));
         let retry_at = now + Span::from_millis(retry_after_ms as i64);
-        if rpc.retries < self.plan.repeats && retry_at < rpc.deadline {
+        if rpc.retries < self.plan.max_retries && retry_at < rpc.deadline {
             self.last_number += 1;
             let retry = QueuedRpc {
                 due: rpc.due,
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -39,14 +39,14 @@
         Ok(())
     }
 
-    /// Opens the connection of a client to a router that the front draws.
+    /// Opens the connection of a client to a router that the load balancer draws.
     pub fn connect(&mut self, kind: ClientKind, index: usize) -> io::Result<ClientConnection> {
-        let several = self.front.routers.len() > 1;
-        let router = self.front.draw_router(&mut self.rng);
-        let roams = several && (index as f64) < self.front.roaming * self.plan.connections as f64;
+        let several = self.balancer.routers.len() > 1;
+        let router = self.balancer.draw_router(&mut self.rng);
+        let roams = several && (index as f64) < self.balancer.roaming * self.plan.connections as f64;
         let stay: f64 = if roams { self.rng.sample(Exp1) } else { 0.0 };
-        let moves_at = roams.then(|| now() + self.front.stays * stay);
-        let mut stream = connect_stream(self.front.routers[router], kind)?;
+        let moves_at = roams.then(|| now() + self.balancer.mean_stay * stay);
+        let mut stream = connect_stream(self.balancer.routers[router], kind)?;
         self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
         let mut output = Vec::new();
         proto::put_startup(&mut output);
@@ -134,7 +134,7 @@
         if now >= self.ends || client.kind == ClientKind::SlowReader {
             return;
         }
-        if self.front.is_single() {
+        if self.balancer.is_single() {
             self.clients[index] = self.connect(client.kind, index).ok();
         } else {
             self.last_number += 1;
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -76,7 +76,7 @@
     /// Sets when the first RPC can be due, and returns it.
     fn set_start(&mut self, start: Time) -> Time {
         (self.began, self.outcome.began) = (start, start);
-        self.ends = start + self.outcome.lasted;
+        self.ends = start + self.outcome.duration;
         (self.arrivals.phase_ends, self.arrivals.next_due) = (start, start);
         start
     }
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -1,6 +1,6 @@
 //! State of a running load: its connections, the RPCs that wait to be sent, and the outcome so far.
 
-use super::front::Front;
+use super::load_balancer::LoadBalancer;
 use super::outcome::{Counts, Outcome, RpcRecord, SLICE, Slice, histogram};
 use super::plan::{Pace, Plan};
 use ladderpass_emulator::{Scenario, now};
@@ -94,7 +94,7 @@
 pub(super) struct LoadGenerator<'a> {
     pub scenario: &'a Scenario,
     pub plan: &'a Plan,
-    pub front: &'a Front,
+    pub balancer: &'a LoadBalancer,
     pub poll: Poll,
     pub clients: Vec<Option<ClientConnection>>,
     /// Connections that are opened again, by when and a number that makes the key unique.
@@ -119,7 +119,11 @@
 }
 
 impl<'a> LoadGenerator<'a> {
-    pub fn new(scenario: &'a Scenario, front: &'a Front, plan: &'a Plan) -> io::Result<LoadGenerator<'a>> {
+    pub fn new(
+        scenario: &'a Scenario,
+        balancer: &'a LoadBalancer,
+        plan: &'a Plan,
+    ) -> io::Result<LoadGenerator<'a>> {
         let began = now();
         let lasts = match &plan.pace {
             Pace::Open(phases) => phases.iter().fold(Span::ZERO, |sum, (span, _)| sum + *span),
@@ -133,19 +137,19 @@
         let outcome = Outcome {
             slices: Vec::new(),
             ok_us: vec![histogram(); scenario.methods.len()],
-            pushed_us: histogram(),
+            rejected_us: histogram(),
             come_back_ms: histogram(),
             flood: Counts::default(),
             faults: Vec::new(),
             began,
-            lasted: lasts,
-            behind: Span::ZERO,
+            duration: lasts,
+            max_send_delay: Span::ZERO,
             journal: Vec::with_capacity(expected_journal_entries(plan)),
         };
         Ok(LoadGenerator {
             scenario,
             plan,
-            front,
+            balancer,
             poll: Poll::new()?,
             clients: Vec::new(),
             reconnects: BTreeMap::new(),
--- a/crates/ladderpass-testbed/src/load/load_balancer.rs
+++ b/crates/ladderpass-testbed/src/load/load_balancer.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// A load balancer before several routers. It spreads connections unevenly, and notices late that a router has ended.
-pub struct Front {
+pub struct LoadBalancer {
     /// Addresses of the routers; elsewhere a router is its index here.
     pub routers: Vec<SocketAddr>,
     /// Weight of each router for new connections.
@@ -17,29 +17,29 @@
     /// Fraction of the connections that move to another router again and again.
     pub roaming: f64,
     /// Mean time that a roaming connection stays at a router.
-    pub stays: Span,
+    pub mean_stay: Span,
     /// How long new connections still go to a router that is down.
-    pub notices: Span,
+    pub down_detection: Span,
     /// Which routers are down.
-    pub down: Arc<Down>,
+    pub down: Arc<DownRouters>,
 }
 
 /// Which routers are down, and since when. Whoever ends and starts routers reports it here.
 #[derive(Default)]
-pub struct Down(Mutex<HashMap<usize, Time>>);
+pub struct DownRouters(Mutex<HashMap<usize, Time>>);
 
-impl Down {
+impl DownRouters {
     fn lock(&self) -> MutexGuard<'_, HashMap<usize, Time>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A router has gone down now.
-    pub fn went(&self, router: usize) {
+    pub fn mark_down(&self, router: usize) {
         self.lock().entry(router).or_insert_with(now);
     }
 
     /// A router is up again.
-    pub fn came(&self, router: usize) {
+    pub fn mark_up(&self, router: usize) {
         self.lock().remove(&router);
     }
 
@@ -48,15 +48,15 @@
     }
 }
 
-impl Front {
+impl LoadBalancer {
     /// All connections go to one router, whether it is up or not.
-    pub fn single(router: SocketAddr) -> Front {
-        Front {
+    pub fn single(router: SocketAddr) -> LoadBalancer {
+        LoadBalancer {
             routers: vec![router],
             weights: vec![1.0],
             roaming: 0.0,
-            stays: Span::MAX,
-            notices: Span::MAX,
+            mean_stay: Span::MAX,
+            down_detection: Span::MAX,
             down: Arc::default(),
         }
     }
@@ -70,7 +70,7 @@
     pub(super) fn draw_router(&self, rng: &mut SmallRng) -> usize {
         let now = now();
         let believed_up =
-            |&router: &usize| self.down.since(router).is_none_or(|since| now - since < self.notices);
+            |&router: &usize| self.down.since(router).is_none_or(|since| now - since < self.down_detection);
         let candidates: Vec<usize> = (0..self.routers.len()).filter(believed_up).collect();
         let weight = |router: usize| self.weights.get(router).copied().unwrap_or(1.0);
         let total_weight = candidates.iter().map(|&router| weight(router)).sum::<f64>();
--- a/crates/ladderpass-testbed/src/load/mod.rs
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -8,17 +8,17 @@
 mod answers;
 mod connections;
 mod event_loop;
-mod front;
 mod generator;
+mod load_balancer;
 mod outcome;
 mod plan;
 mod prober;
 mod sending;
 
-pub use front::{Down, Front};
-pub use outcome::{Counts, Outcome, RpcRecord, SLICE, Slice, histogram};
+pub use load_balancer::{DownRouters, LoadBalancer};
+pub use outcome::{Counts, Outcome, RpcAnswer, RpcRecord, SLICE, Slice, histogram};
 pub use plan::{Pace, Plan};
-pub use prober::{Prober, until_ready};
+pub use prober::{ProbeDelay, Prober, until_ready};
 
 use generator::LoadGenerator;
 use ladderpass_emulator::Scenario;
@@ -35,18 +35,18 @@
     plan: &Plan,
     on_progress: impl FnMut(f64),
 ) -> io::Result<Outcome> {
-    run_before(scenario, &Front::single(router), plan, on_progress)
+    run_before(scenario, &LoadBalancer::single(router), plan, on_progress)
 }
 
-/// Runs a plan against the routers behind a front. `on_progress` gets the seconds since the start about every [`SLICE`].
+/// Runs a plan against the routers behind a load balancer. `on_progress` gets the seconds since the start about every [`SLICE`].
 ///
 /// # Errors
 /// As [`run`].
 pub fn run_before(
     scenario: &Scenario,
-    front: &Front,
+    balancer: &LoadBalancer,
     plan: &Plan,
     on_progress: impl FnMut(f64),
 ) -> io::Result<Outcome> {
-    LoadGenerator::new(scenario, front, plan)?.run(on_progress)
+    LoadGenerator::new(scenario, balancer, plan)?.run(on_progress)
 }
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -18,14 +18,25 @@
     pub sent: Time,
     /// When its client gives up.
     pub deadline: Time,
-    /// When and how it was answered, and the number of the RPC whose value came, if it can be read.
-    pub answered: Option<(Time, Answer, Option<u64>)>,
+    /// How it was answered, if it was.
+    pub answered: Option<RpcAnswer>,
     /// When its connection ended without an answer.
     pub lost: Option<Time>,
     /// That connection was refused: nobody listened.
     pub refused: bool,
 }
 
+/// The answer to an RPC, as its client got it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RpcAnswer {
+    /// When it came.
+    pub at: Time,
+    /// What kind of answer it is.
+    pub answer: Answer,
+    /// Number of the RPC that the answer's value was made for, if there is a value that can be read.
+    pub made_for: Option<u64>,
+}
+
 /// What became of a number of RPCs.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counts {
@@ -82,7 +93,7 @@
     /// Latencies of ok answers from due to answered, in microseconds, by method.
     pub ok_us: Vec<Histogram<u64>>,
     /// Latencies of rejections from due to answered, in microseconds.
-    pub pushed_us: Histogram<u64>,
+    pub rejected_us: Histogram<u64>,
     /// Retry-After of rejections, in milliseconds.
     pub come_back_ms: Histogram<u64>,
     /// What became of the RPCs of the flooding connections, which are not in `slices`.
@@ -92,9 +103,9 @@
     /// When the first RPC could be due.
     pub began: Time,
     /// For how long RPCs were due.
-    pub lasted: Span,
+    pub duration: Span,
     /// The longest time from when an RPC was due to when it was sent.
-    pub behind: Span,
+    pub max_send_delay: Span,
     /// One entry an RPC, in the order of sending, if the plan asks for it.
     pub journal: Vec<RpcRecord>,
 }
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -25,7 +25,7 @@
     /// From when an RPC is due to when its client gives up.
     pub deadline: Span,
     /// How often a client retries after a rejection, each time after its Retry-After.
-    pub repeats: u32,
+    pub max_retries: u32,
     /// Connections that ask for the largest values and never read.
     pub slow_readers: usize,
     /// Connections that send RPCs as fast as they can, with `flood_depth` in flight.
@@ -47,7 +47,7 @@
             connections: 64,
             pipeline: 16,
             deadline: Span::from_millis(1000),
-            repeats: 0,
+            max_retries: 0,
             slow_readers: 0,
             floods: 0,
             flood_depth: 64,
--- a/crates/ladderpass-testbed/src/load/prober.rs
+++ b/crates/ladderpass-testbed/src/load/prober.rs
@@ -12,9 +12,18 @@
 /// A query unanswered for this long ends the prober.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// How long the router took to answer one query of a prober.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ProbeDelay {
+    /// When the query was due.
+    pub due: Time,
+    /// How long after that it was answered.
+    pub delay: Span,
+}
+
 /// A running prober.
 pub struct Prober {
-    thread: JoinHandle<Vec<(Time, Span)>>,
+    thread: JoinHandle<Vec<ProbeDelay>>,
     stop: Arc<AtomicBool>,
 }
 
@@ -37,14 +46,14 @@
         Ok(Prober { thread, stop })
     }
 
-    /// Ends it: when each query was due, and how long after that it was answered.
-    pub fn stop(self) -> Vec<(Time, Span)> {
+    /// Ends it, and returns the delays of all queries, in order.
+    pub fn stop(self) -> Vec<ProbeDelay> {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
 }
 
-fn probe(mut stream: TcpStream, every: Duration, stopped: &AtomicBool) -> Vec<(Time, Span)> {
+fn probe(mut stream: TcpStream, every: Duration, stopped: &AtomicBool) -> Vec<ProbeDelay> {
     let mut delays = Vec::new();
     let mut empty_query = Vec::new();
     proto::put_query(&mut empty_query, "");
@@ -54,7 +63,7 @@
         let answered_at = now();
         // A stall counts for each query that would have been sent meanwhile.
         loop {
-            delays.push((due, answered_at - due));
+            delays.push(ProbeDelay { due, delay: answered_at - due });
             due = due + Span::from_nanos(every.as_nanos() as i64);
             if due > answered_at || result.is_err() {
                 break;
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -38,7 +38,7 @@
             }
             let Some(client) = self.next_free_client() else { return };
             let rpc = self.queue.pop_front().expect("the queue is not empty");
-            self.outcome.behind = self.outcome.behind.max(now - rpc.due);
+            self.outcome.max_send_delay = self.outcome.max_send_delay.max(now - rpc.due);
             self.send(now, client, rpc, false);
         }
     }
@@ -50,7 +50,7 @@
             for _ in 0..searched {
                 self.last_client = (self.last_client + 1) % connections.max(1);
                 // Before several routers, a connection that is not welcomed yet may lead to one that has ended.
-                let is_single = self.front.is_single();
+                let is_single = self.balancer.is_single();
                 let is_free =
                     |client: &ClientConnection| client.in_flight.len() < depth && (is_single || client.ready);
                 if self.clients[self.last_client].as_ref().is_some_and(is_free) {
--- a/crates/ladderpass-testbed/src/prove/capacity.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity.rs
@@ -82,7 +82,7 @@
 ) -> io::Result<((f64, f64), (f64, f64))> {
     let mut drill = Drill {
         routers,
-        uneven: 1.0,
+        connection_skew: 1.0,
         roaming: 0.0,
         clients: 10 * routers,
         phases: vec![(8.0, 25.0 * routers as f64)],
@@ -90,8 +90,8 @@
     };
     drill.scenario.groups = groups;
     let played = play(&drill, programs, seed)?;
-    if !played.fallen.is_empty() {
-        return Err(io::Error::other(played.fallen.join("; ")));
+    if !played.router_failures.is_empty() {
+        return Err(io::Error::other(played.router_failures.join("; ")));
     }
     let shape = simulated_routers::Shape { seed, ..simulated_routers::Shape::of(routers, groups as usize) };
     let rates = control::rates(&shape, 8.0)?;
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -147,7 +147,7 @@
         deeds.push((DRAINED_S, Box::new(move |_, fleet| fleet.drain(member))));
     }
     let (mut seen, left) = run::run_through(&scenario, &start, &plan, Some(rules), deeds, |_| {})?;
-    seen.bears = BEARS;
+    seen.warm_member_rpcs_per_second = BEARS;
     let decisions = left.map_or(0, |left| left.record.len());
     Ok((broken(&seen), acted(row, &seen, decisions)))
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -32,13 +32,13 @@
 fn drill(operator: &str, phases: Vec<(f64, f64)>, deeds: Vec<FaultEvent>) -> Drill {
     Drill {
         routers: ROUTERS,
-        uneven: 4.0,
+        connection_skew: 4.0,
         roaming: 0.0,
         clients: 200,
         phases,
         scenario: hard_pressed([0.8, 0.2]),
         operator: operator.into(),
-        deeds,
+        events: deeds,
         ..Drill::default()
     }
 }
@@ -85,7 +85,7 @@
         },
         FaultEvent { at: GONE.1, begins: Some(2), ..FaultEvent::default() },
     ];
-    Drill { repeats: 3, ..drill(operator, vec![(12.0, RATE)], deeds) }
+    Drill { max_retries: 3, ..drill(operator, vec![(12.0, RATE)], deeds) }
 }
 
 /// Probes a member a second. Of writes alone no replica tells anything, so that probes are all that is known of them.
@@ -96,12 +96,12 @@
     }
     let drill = Drill {
         routers,
-        uneven: 1.0,
+        connection_skew: 1.0,
         clients: 40,
         phases: vec![(5.0, 100.0)],
         operator: ON.into(),
         scenario,
-        rests_s: 2.0,
+        idle_s: 2.0,
         ..Drill::default()
     };
     let played = play(&drill, programs, seed)?;
@@ -112,7 +112,7 @@
 
 /// Further call-outs as a part of first ones, by the members.
 fn part(played: &DrillRecord, from: f64, to: f64) -> f64 {
-    let (first, further) = played.callouts(from, to);
+    let crate::drill::report::AttemptCounts { first, retries: further } = played.attempts(from, to);
     further as f64 / first.max(1) as f64
 }
 
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -5,6 +5,7 @@
 use crate::charts::{self, Line};
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
+use crate::load::RpcAnswer;
 use ladderpass_emulator::Scenario;
 use ladderpass_invariants::Answer;
 use std::collections::BTreeMap;
@@ -32,7 +33,7 @@
 fn drill(routers: usize, operator: &str, secs: f64) -> Drill {
     Drill {
         routers,
-        uneven: 8.0,
+        connection_skew: 8.0,
         roaming: 0.0,
         clients: 600,
         phases: vec![(secs, RATE)],
@@ -44,7 +45,7 @@
 
 /// One that sees all: the other gets a thousandth.
 fn single() -> Drill {
-    Drill { uneven: 1000.0, peers: false, ..drill(2, OFF, SECS) }
+    Drill { connection_skew: 1000.0, peers: false, ..drill(2, OFF, SECS) }
 }
 
 fn harmed() -> Drill {
@@ -53,7 +54,7 @@
         FaultEvent { at: KILLED, kill: named(&["r2", "r5", "r8"]), ..FaultEvent::default() },
         FaultEvent { at: SPLIT.0, lasts: SPLIT.1, split: sides, ..FaultEvent::default() },
     ];
-    Drill { deeds, ..drill(9, ON, ENDS) }
+    Drill { events: deeds, ..drill(9, ON, ENDS) }
 }
 
 /// Clocks 200 ms apart, and one router without words, of the earlier program where there is one.
@@ -98,7 +99,7 @@
         let (mut due, mut good) = (0.0f64, 0.0f64);
         for entry in sent {
             due += 1.0;
-            good += f64::from(u8::from(matches!(entry.answered, Some((_, Answer::Ok, _)))));
+            good += f64::from(u8::from(matches!(entry.answered, Some(RpcAnswer { answer: Answer::Ok, .. }))));
         }
         let good = if due < 20.0 { good + 1.0 } else { good };
         if due >= 10.0 {
@@ -116,7 +117,7 @@
         .iter()
         .filter(|entry| entry.router == router && secs_of(played, entry) > 2.0)
         .filter_map(|entry| match entry.answered {
-            Some((at, Answer::Rejected, _)) => Some((at - entry.sent).secs() * 1e3),
+            Some(RpcAnswer { at, answer: Answer::Rejected, .. }) => Some((at - entry.sent).secs() * 1e3),
             _ => None,
         })
         .collect();
@@ -156,7 +157,7 @@
 fn cost(programs: Programs<'_>, operator: &str, seed: u64) -> io::Result<f64> {
     let drill = Drill {
         routers: 2,
-        uneven: 1.0,
+        connection_skew: 1.0,
         clients: 100,
         phases: vec![(2.0, 2000.0)],
         operator: operator.into(),
@@ -170,7 +171,7 @@
 fn load_of(programs: Programs<'_>, routers: usize, seed: u64) -> io::Result<(f64, f64)> {
     let drill = Drill {
         routers,
-        rests_s: 2.0,
+        idle_s: 2.0,
         phases: vec![(3.0, 100.0)],
         clients: 40,
         operator: ON.into(),
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -6,7 +6,7 @@
 use crate::charts::{self, Line};
 use crate::drill::play::{DrillRecord, Programs};
 use crate::drill::{Drill, FaultEvent};
-use crate::history_checker::cold_at_members;
+use crate::history_checker::{SlowStartCheck, check_slow_start_at_members};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Time;
 use std::collections::BTreeMap;
@@ -24,14 +24,14 @@
     Drill {
         routers,
         peers: false,
-        uneven: 4.0,
+        connection_skew: 4.0,
         clients: routers * 4,
         phases: phases.map(|(secs, factor)| (secs, rate * f64::from(groups) * factor)).to_vec(),
-        settles_s: 0.1,
+        max_settle_s: 0.1,
         // What is asked is what members get, not how soon a busy machine answers.
         deadline_ms: 2000,
         grace_ms: 500,
-        bears: rate * BURST / f64::from(MEMBERS),
+        warm_member_rpcs_per_second: rate * BURST / f64::from(MEMBERS),
         log: "warn".into(),
         scenario,
         ..Drill::default()
@@ -47,7 +47,7 @@
 fn restarted(drill: Drill) -> Drill {
     let third: Vec<String> = (0..drill.routers / 3).map(|nth| format!("r{}", nth * 3)).collect();
     let deeds = vec![FaultEvent { at: 3.0, start: third, ..FaultEvent::default() }];
-    Drill { deeds, ..drill }
+    Drill { events: deeds, ..drill }
 }
 
 /// Two replicas of three are cold: all that they may get is taken.
@@ -57,7 +57,7 @@
 
 /// What the settings allow in a window at the start of the ramp, and at its end.
 fn bears(drill: &Drill) -> (f64, f64) {
-    let window = drill.bears * drill.scenario.overload_ms / 1e3;
+    let window = drill.warm_member_rpcs_per_second * drill.scenario.overload_ms / 1e3;
     (window * 0.2, window)
 }
 
@@ -65,10 +65,10 @@
 
 /// RPCs within a window before each time, and what is allowed then, of the first member that started cold.
 fn windows(played: &DrillRecord) -> Option<(Points, Points)> {
-    let started = played.started.first()?;
+    let started = played.cold_starts.first()?;
     let came = played.truth.arrivals.iter().filter(|came| came.member == started.member);
     let times: Vec<Time> = came.map(|came| came.at).collect();
-    let (warm, window) = (started.warm_within.secs(), started.overload_for.secs());
+    let (warm, window) = (started.warm_up_time.secs(), started.overload_window.secs());
     let (mut got, mut most) = (Vec::new(), Vec::new());
     for step in 0..=(warm / 0.1) as usize {
         let age = step as f64 * 0.1;
@@ -77,7 +77,8 @@
             (0.0..window).contains(&behind)
         });
         // The middle of the window tells its mean, but for its bend at the start.
-        let part = started.cold_from + (1.0 - started.cold_from) * ((age - window / 2.0) / warm).max(0.0);
+        let part = started.initial_fraction
+            + (1.0 - started.initial_fraction) * ((age - window / 2.0) / warm).max(0.0);
         let bears = started.capacity * window * part;
         got.push((age, within.count() as f64));
         most.push((age, bears + 2.0 * bears.sqrt() + 2.0));
@@ -119,7 +120,8 @@
         ("8, two of three cold, a burst at once", &hardest(), &hard),
     ];
     let text = |played: &DrillRecord| {
-        let (broken, roots) = cold_at_members(&played.started, &played.truth);
+        let SlowStartCheck { violations: broken, max_excess: roots } =
+            check_slow_start_at_members(&played.cold_starts, &played.truth);
         let first = broken.first().map_or(String::new(), |first| format!("; {}", first.text));
         (format!("{} broken, {roots:.2} roots{first}", broken.len()), broken.is_empty() && roots.is_finite())
     };
@@ -138,7 +140,7 @@
         None => table.tell("  the last with the program before", "not built: make earlier NAME=fleet-ramp"),
     }
     for (what, drill, played) in rows {
-        if drill.deeds.is_empty() {
+        if drill.events.is_empty() {
             kept(&mut table, what, played);
             continue;
         }
@@ -146,7 +148,7 @@
         // ask: answers are told here, and asked for where nobody is killed.
         let unanswered = played.violations.iter().filter(|violation| violation.rule == 1).count();
         let other = played.violations.iter().find(|violation| violation.rule != 1).map(ToString::to_string);
-        let other = other.or(played.fallen.first().cloned());
+        let other = other.or(played.router_failures.first().cloned());
         let text = format!("{}; {unanswered} unanswered", other.as_deref().unwrap_or("none"));
         table.ask(format!("{what}: rules 2 to 5 broken"), "none", text, other.is_none());
     }
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -51,7 +51,7 @@
         FaultEvent { at: LOST.0, lasts: LOST.1, datagrams: loss("a-fifth", 0.2), ..FaultEvent::default() },
         FaultEvent { at: SPLIT.0, lasts: SPLIT.1, split: sides.to_vec(), ..FaultEvent::default() },
     ];
-    Drill { routers: ROUTERS, phases: vec![(ENDS, 200.0)], clients: 100, deeds, ..Drill::default() }
+    Drill { routers: ROUTERS, phases: vec![(ENDS, 200.0)], clients: 100, events: deeds, ..Drill::default() }
 }
 
 /// When each other running router took one for dead, after a time of the load; None: it did not within `most`.
@@ -68,8 +68,9 @@
 fn died(played: &DrillRecord, viewer: usize, router: usize, from: f64) -> impl Iterator<Item = f64> {
     let address = played.addresses.get(router).copied();
     let views = played.views.get(viewer).into_iter().flatten();
-    let told = views
-        .filter(move |view| view.names.iter().any(|(who, what)| Some(*who) == address && what == "died"));
+    let told = views.filter(move |view| {
+        view.changes.iter().any(|change| Some(change.address) == address && change.text == "died")
+    });
     told.map(|view| secs(played, view.at)).filter(move |at| *at >= from)
 }
 
@@ -87,8 +88,8 @@
         for router in (0..played.views.len()).filter(|&router| router != viewer) {
             let address = played.addresses[router];
             let is = |what: &'static str| {
-                let told = move |view: &&crate::drill::play::Viewed| {
-                    view.names.iter().any(|(who, said)| *who == address && said == what)
+                let told = move |view: &&crate::drill::play::RouterView| {
+                    view.changes.iter().any(|change| change.address == address && change.text == what)
                 };
                 played.views[viewer].iter().filter(told).map(|view| secs(played, view.at))
             };
@@ -104,7 +105,7 @@
 
 /// The last view of each router before a time of the load: how many it counts on.
 fn counts_at(played: &DrillRecord, at: f64) -> Vec<usize> {
-    let last = |views: &Vec<crate::drill::play::Viewed>| {
+    let last = |views: &Vec<crate::drill::play::RouterView>| {
         let before = views.iter().rev().find(|view| secs(played, view.at) <= at);
         before.map_or(0, |view| view.count)
     };
@@ -161,7 +162,7 @@
 
 /// Datagrams and bytes a router a second at rest and under a load that is the same for all sizes.
 fn load_of(programs: Programs<'_>, routers: usize, seed: u64) -> io::Result<(f64, f64)> {
-    let drill = Drill { routers, rests_s: 2.0, phases: vec![(3.0, 100.0)], clients: 40, ..Drill::default() };
+    let drill = Drill { routers, idle_s: 2.0, phases: vec![(3.0, 100.0)], clients: 40, ..Drill::default() };
     let played = play(&drill, programs, seed)?;
     Ok(datagrams_of(&drill, &played))
 }
@@ -185,7 +186,7 @@
         scenario,
         faulty: faulty.unwrap_or_default(),
         earlier: (0..9).filter(|_| earlier).map(|nth| format!("r{nth}")).collect(),
-        deeds: vec![FaultEvent { at: 1.0, kill: named(&["r0", "r3", "r6"]), ..FaultEvent::default() }],
+        events: vec![FaultEvent { at: 1.0, kill: named(&["r0", "r3", "r6"]), ..FaultEvent::default() }],
         ..Drill::default()
     };
     play(&drill, programs, seed)
@@ -224,7 +225,7 @@
         phases: vec![(7.5, 80.0)],
         clients: 40,
         faulty: faulty.unwrap_or_default(),
-        deeds: vec![
+        events: vec![
             FaultEvent { at: 0.0, datagrams: Some(late), ..FaultEvent::default() },
             FaultEvent { at: 1.5, kill: named(&["r3"]), ..FaultEvent::default() },
             FaultEvent { at: 1.6, lasts: 3.0, datagrams: loss("a-third", 0.3), ..FaultEvent::default() },
@@ -248,7 +249,8 @@
 fn shown(played: &DrillRecord) -> Shown {
     let dead = played.addresses[3];
     let back = played.views.iter().flatten().filter(|view| {
-        secs(played, view.at) > 1.6 && view.names.iter().any(|(who, what)| *who == dead && what == "is back")
+        secs(played, view.at) > 1.6
+            && view.changes.iter().any(|change| change.address == dead && change.text == "is back")
     });
     let mut counts = counts_at(played, 7.5);
     counts.remove(3);
@@ -293,8 +295,13 @@
 const COLD: u32 = 2;
 
 fn joint_rows() -> Vec<Joint> {
-    let base =
-        || Drill { routers: 4, phases: vec![(2.0, 250.0)], clients: 100, uneven: 1.0, ..Drill::default() };
+    let base = || Drill {
+        routers: 4,
+        phases: vec![(2.0, 250.0)],
+        clients: 100,
+        connection_skew: 1.0,
+        ..Drill::default()
+    };
     let rule = |text: &str| ladderpass_fault_injection::Rule::read(text).expect("the proof's own rule");
     let with = |text: &str| FaultEvent { at: 0.2, rule: Some(rule(text)), ..FaultEvent::default() };
     let late = |member: u32| {
@@ -314,13 +321,13 @@
         Joint {
             rule: 1,
             switch: "answers-late",
-            drill: Drill { deeds: (0..3).map(late).collect(), ..base() },
+            drill: Drill { events: (0..3).map(late).collect(), ..base() },
         },
         Joint {
             rule: 2,
             switch: "resends",
             drill: Drill {
-                deeds: vec![with(
+                events: vec![with(
                     "{name: lost, link: r1>member-0, when: {message: CommandComplete, holds: INSERT, nth: 3}, do: {half_close: {side: server}}, times: 3}",
                 )],
                 ..base()
@@ -330,7 +337,7 @@
             rule: 3,
             switch: "ignores-drains",
             drill: Drill {
-                deeds: vec![FaultEvent { at: 0.6, drain: Some(1), ..FaultEvent::default() }],
+                events: vec![FaultEvent { at: 0.6, drain: Some(1), ..FaultEvent::default() }],
                 phases: vec![(2.5, 600.0)],
                 clients: 200,
                 scenario: any,
@@ -343,8 +350,8 @@
             drill: Drill {
                 scenario: cold,
                 // Late in the ramp, where what the others send weighs as much as what the faulty one does.
-                rests_s: 5.0,
-                bears: 640.0,
+                idle_s: 5.0,
+                warm_member_rpcs_per_second: 640.0,
                 phases: vec![(1.5, 2600.0)],
                 clients: 400,
                 ..base()
@@ -436,7 +443,7 @@
             rules
         };
         let (kept, broken) = (rules(healthy), rules(faulty));
-        let alone: usize = faulty.cold_alone.iter().sum();
+        let alone: usize = faulty.slow_start_violations_alone.iter().sum();
         let mut told = format!("healthy {kept:?}, with it {broken:?}");
         let mut holds = kept.is_empty() && broken.contains(&row.rule);
         if row.rule == 4 {
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -72,8 +72,12 @@
 
 /// That no rule was broken, by the clients' journal and the members' truth.
 fn kept(table: &mut Table, what: &str, played: &DrillRecord) {
-    let told: Vec<String> =
-        played.violations.iter().map(ToString::to_string).chain(played.fallen.iter().cloned()).collect();
+    let told: Vec<String> = played
+        .violations
+        .iter()
+        .map(ToString::to_string)
+        .chain(played.router_failures.iter().cloned())
+        .collect();
     let total = played.outcome.total();
     let silent = total.late + total.unanswered;
     let lost = played.outcome.journal.iter().filter(|entry| entry.lost.is_some()).count();
@@ -114,7 +118,7 @@
 /// Datagrams and bytes that a router of a drill sent a second, on average.
 fn datagrams_of(drill: &Drill, played: &DrillRecord) -> (f64, f64) {
     let per = |of: fn(&ladderpass_fault_injection::TrafficCounts) -> u64| {
-        let sum: u64 = played.sent.iter().map(|(from, to)| of(to) - of(from)).sum();
+        let sum: u64 = played.sent.iter().map(|sent| of(&sent.after) - of(&sent.before)).sum();
         sum as f64 / drill.routers as f64 / drill.secs()
     };
     (per(|sent| sent.datagrams), per(|sent| sent.bytes))
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -154,7 +154,7 @@
         format!("{delay:.1} ms; {}", beside(format!("{:.1} ms", without.delay_ms(0.999, 0.5, 3.5)))),
         delay < 50.0,
     );
-    let (at, took) = with.slowest();
+    let run::LoopDelay { at_s: at, delay_ms: took } = with.slowest();
     table.tell("3x: slowest round", format!("{took:.1} ms, {at:.2} s after the start"));
     table.ask(
         "3x: writes answered ok",
@@ -179,8 +179,8 @@
     table.ask(
         "3x: the load kept up",
         "under 20 ms late",
-        format!("{:.1} ms", with.outcome.behind.secs() * 1e3),
-        with.outcome.behind < Span::from_millis(20),
+        format!("{:.1} ms", with.outcome.max_send_delay.secs() * 1e3),
+        with.outcome.max_send_delay < Span::from_millis(20),
     );
     let rate = with.level_changes() as f64 / 6.0;
     table.ask("3x: changes of level a second", "under 3", format!("{rate:.2}"), rate < 3.0);
--- a/crates/ladderpass-testbed/src/results/table.rs
+++ b/crates/ladderpass-testbed/src/results/table.rs
@@ -49,9 +49,9 @@
 
 /// What the router used, how long its event loop took, and how late the load itself was.
 fn router_line(record: &RunRecord) -> String {
-    let secs = record.outcome.lasted.secs();
+    let secs = record.outcome.duration.secs();
     let delay_ms = |quantile| record.delay_ms(quantile, 0.0, f64::MAX);
-    let (slowest_at_s, slowest_ms) = record.slowest();
+    let slowest = record.slowest();
     format!(
         "utility a second {:.0}; CPU of the router {:.2} of a core, {:.1} us an RPC; resident {:.1} MiB; loop delay p50 {:.2} ms, p99 {:.2} ms, p99.9 {:.2} ms; \
          slowest round {:.1} ms at {:.2} s; the load itself at most {:.1} ms late",
@@ -62,8 +62,8 @@
         delay_ms(0.5),
         delay_ms(0.99),
         delay_ms(0.999),
-        slowest_ms,
-        slowest_at_s,
-        record.outcome.behind.secs() * 1e3,
+        slowest.delay_ms,
+        slowest.at_s,
+        record.outcome.max_send_delay.secs() * 1e3,
     )
 }
--- a/crates/ladderpass-testbed/src/run.rs
+++ b/crates/ladderpass-testbed/src/run.rs
@@ -4,8 +4,8 @@
 //! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
 //! nothing of another run.
 
-use crate::history_checker::{Absence, DrainNotice, History, Started};
-use crate::load::{self, Outcome, Plan, Prober};
+use crate::history_checker::{Absence, ColdStart, DrainNotice, History, MemberLink};
+use crate::load::{self, Outcome, Plan, ProbeDelay, Prober};
 use crate::router::{Router, Start, keep_off};
 use crate::router_log;
 use hdrhistogram::Histogram;
@@ -25,8 +25,8 @@
 pub struct RunRecord {
     /// What the clients saw.
     pub outcome: Outcome,
-    /// The prober's queries: when each was due, in seconds of the load, and how long after that it was answered.
-    probed: Vec<(f64, Span)>,
+    /// Delays of the prober's queries.
+    probe_delays: Vec<ProbeDelay>,
     /// What the members saw.
     pub truth: ExecutionLog,
     /// CPU seconds of the router over the load.
@@ -38,18 +38,27 @@
     /// Set if the router had ended before it was stopped; within, its exit code, if it has one.
     pub ended: Option<Option<i32>>,
     /// RPCs a second that a cold member can serve once it is warm.
-    pub bears: f64,
+    pub warm_member_rpcs_per_second: f64,
     scenario: Scenario,
     seed: u64,
-    /// Statements and answers that the fault tool passed on.
-    passed: Vec<AttemptEvent>,
-    /// The start of the fault tool, from which the times of `passed` count.
-    tool_began: Time,
+    /// Begins and ends of attempts that the fault tool saw.
+    attempts: Vec<AttemptEvent>,
+    /// The start of the fault tool, from which the times of `attempts` count.
+    tool_started_at: Time,
     absences: Vec<Absence>,
-    drained: Vec<DrainNotice>,
+    drain_notices: Vec<DrainNotice>,
 }
 
-/// Default of [`RunRecord::bears`].
+/// A delay of the router's event loop.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct LoopDelay {
+    /// When it was, in seconds of the load.
+    pub at_s: f64,
+    /// How long it was, in milliseconds.
+    pub delay_ms: f64,
+}
+
+/// Default of [`RunRecord::warm_member_rpcs_per_second`].
 const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
 const PROBE_INTERVAL: Duration = Duration::from_millis(1);
 /// How long a router that is shutting down may take to end before it is killed.
@@ -82,7 +91,7 @@
     events: Vec<FaultEvent<'_>>,
     on_progress: impl FnMut(f64),
 ) -> io::Result<RunRecord> {
-    run_through(scenario, start, plan, None, events, on_progress).map(|(seen, _)| seen)
+    run_through(scenario, start, plan, None, events, on_progress).map(|(record, _)| record)
 }
 
 /// As [`run_with`]. If there are rules, even if empty, the router's connections to members and discovery go through the
@@ -119,30 +128,29 @@
         on_progress(secs);
     })?;
     let used = router.resource_usage();
-    let probed = prober.stop();
-    let probed = probed.into_iter().map(|(due, took)| ((due - outcome.began).secs(), took)).collect();
+    let probe_delays = prober.stop();
     let ended = wait_for_shutdown(&mut router);
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
-    let mut left = upstream.fault_tool.map(driver::RunningTool::stop);
-    let drained = fleet.drains().into_iter().map(|(at, router, member)| DrainNotice { router, member, at });
-    let seen = RunRecord {
+    let mut summary = upstream.fault_tool.map(driver::RunningTool::stop);
+    let drains = fleet.drains().into_iter();
+    let record = RunRecord {
         outcome,
-        probed,
-        drained: drained.collect(),
+        probe_delays,
+        drain_notices: drains.map(|(at, router, member)| DrainNotice { router, member, at }).collect(),
         truth: fleet.stop(),
         cpu: used.cpu_seconds - cpu_before,
         resident: used.resident_bytes,
         log,
         ended,
-        bears: WARM_MEMBER_RPCS_PER_SECOND,
+        warm_member_rpcs_per_second: WARM_MEMBER_RPCS_PER_SECOND,
         scenario: scenario.clone(),
         seed: plan.seed,
-        tool_began: left.as_ref().map_or(Time::default(), |left| left.started_at),
-        passed: left.as_mut().map_or(Vec::new(), |left| std::mem::take(&mut left.attempts)),
+        tool_started_at: summary.as_ref().map_or(Time::default(), |summary| summary.started_at),
+        attempts: summary.as_mut().map_or(Vec::new(), |summary| std::mem::take(&mut summary.attempts)),
         absences,
     };
-    Ok((seen, left))
+    Ok((record, summary))
 }
 
 /// Where the router reaches the fleet: directly, or through the fault tool.
@@ -206,43 +214,52 @@
     /// What the history checker finds, if answers may come `answers` after their deadline.
     pub fn violations(&self, answers: Span) -> Vec<Violation> {
         let members = self.scenario.member_count();
-        let links = (0..members).map(|member| (member, (0, member as u32))).collect();
-        let started = Started::all(&self.scenario, self.outcome.began, self.bears);
-        let grace = Tolerance { answer: answers, ..Tolerance::default() };
+        let link = |member: usize| (member, MemberLink { router: 0, member: member as u32 });
+        let links = (0..members).map(link).collect();
+        let cold_starts =
+            ColdStart::all(&self.scenario, self.outcome.began, self.warm_member_rpcs_per_second);
         let history = History {
             scenario: &self.scenario,
             links: &links,
             seed: self.seed,
             journal: &self.outcome.journal,
-            passed: &self.passed,
-            tool_began: self.tool_began,
+            attempts: &self.attempts,
+            tool_started_at: self.tool_started_at,
             truth: &self.truth,
             absences: &self.absences,
-            drained: &self.drained,
-            started: &started,
-            grace,
+            drain_notices: &self.drain_notices,
+            cold_starts: &cold_starts,
+            tolerance: Tolerance { answer: answers, ..Tolerance::default() },
         };
-        history.broken()
+        history.violations()
     }
 
     /// Delays of the router's event loop in `from..to`, in seconds of the load; in microseconds.
     pub fn delays(&self, from: f64, to: f64) -> Histogram<u64> {
         let mut delays = load::histogram();
-        for (_, took) in self.probed.iter().filter(|(secs, _)| (from..to).contains(secs)) {
-            delays.saturating_record((took.nanos() / 1000).max(1) as u64);
+        for probe in self.probe_delays.iter().filter(|probe| (from..to).contains(&self.load_s(probe.due))) {
+            delays.saturating_record((probe.delay.nanos() / 1000).max(1) as u64);
         }
         delays
     }
 
+    /// A time as seconds from the start of the load.
+    fn load_s(&self, at: Time) -> f64 {
+        (at - self.outcome.began).secs()
+    }
+
     /// A quantile of [`RunRecord::delays`], in milliseconds.
     pub fn delay_ms(&self, quantile: f64, from: f64, to: f64) -> f64 {
         self.delays(from, to).value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// The longest delay of the router's event loop: when, in seconds of the load, and how long, in milliseconds.
-    pub fn slowest(&self) -> (f64, f64) {
-        let slowest = self.probed.iter().max_by_key(|(_, took)| *took);
-        slowest.map_or((0.0, 0.0), |(secs, took)| (*secs, took.secs() * 1e3))
+    /// The longest delay of the router's event loop.
+    pub fn slowest(&self) -> LoopDelay {
+        let slowest = self.probe_delays.iter().max_by_key(|probe| probe.delay);
+        slowest.map_or(LoopDelay::default(), |probe| LoopDelay {
+            at_s: self.load_s(probe.due),
+            delay_ms: probe.delay.secs() * 1e3,
+        })
     }
 
     /// What became of RPCs that were due in `from..to`, in seconds of the load.
--- a/crates/ladderpass-testbed/tests/drill.rs
+++ b/crates/ladderpass-testbed/tests/drill.rs
@@ -1,10 +1,10 @@
-//! Drills: what is refused names its key, how clients are dealt out, and what a log tells.
+//! Drills: errors name the key, how connections are spread over routers, and how views are read from a log.
 
 use ladderpass_testbed::drill::Drill;
-use ladderpass_testbed::drill::play::viewed;
+use ladderpass_testbed::drill::play::parse_view;
 
 #[test]
-fn faults_name_the_key() {
+fn errors_name_the_key() {
     for (text, wanted) in [
         ("routers: 1", "routers: 1; allowed are 2 to 40"),
         ("routers: x", "routers"),
@@ -21,13 +21,13 @@
         ("faulty: {r9: resends}", "r9"),
         ("clocks: {r9: 100}", "r9"),
     ] {
-        let fault = Drill::read(text).expect_err(text);
-        assert!(fault.contains(wanted) && !fault.contains('\n'), "{text}: {fault}");
+        let error = Drill::read(text).expect_err(text).to_string();
+        assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
     }
 }
 
 #[test]
-fn a_split_cuts_what_crosses_it_and_clients_are_dealt_unevenly() {
+fn a_split_cuts_the_links_that_cross_it_and_connections_are_spread_unevenly() {
     let drill = Drill::read("{routers: 3, uneven: 4}").expect("allowed");
     let sides = [vec!["r0".to_owned(), "member-0".into()], vec!["r1".into(), "discovery".into()]];
     assert_eq!(drill.split_links(&sides), ["r0>discovery", "r1>member-0"]);
@@ -38,9 +38,9 @@
 #[test]
 fn a_view_is_read_from_the_log() {
     let line = "2026-12-01T22:15:30.250000Z  INFO ladderpass::reducer: fleet: view 00ff0a1b of 7, this is 2; 127.0.0.1:7 died; 127.0.0.2:9 is back; 3 more";
-    let view = viewed(line).expect("a view");
-    assert_eq!((view.digest, view.count, view.names.len()), (0xff0a1b, 7, 2));
-    assert_eq!(view.names[1].1, "is back");
+    let view = parse_view(line).expect("a view");
+    assert_eq!((view.digest, view.count, view.changes.len()), (0xff0a1b, 7, 2));
+    assert_eq!(view.changes[1].text, "is back");
     assert_eq!(view.at.nanos() % 1_000_000_000, 250_000_000);
-    assert_eq!(viewed("2026-12-01T22:15:30Z INFO x: fleet: 7 alive"), None);
+    assert_eq!(parse_view("2026-12-01T22:15:30Z INFO x: fleet: 7 alive"), None);
 }
--- a/crates/ladderpass-testbed/tests/history_checker.rs
+++ b/crates/ladderpass-testbed/tests/history_checker.rs
@@ -5,8 +5,10 @@
 use ladderpass_fault_injection::engine::AttemptEvent;
 use ladderpass_invariants::{Answer, Tolerance};
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::history_checker::{Absence, DrainNotice, History, Started, cold_at_members};
-use ladderpass_testbed::load::RpcRecord;
+use ladderpass_testbed::history_checker::{
+    Absence, ColdStart, DrainNotice, History, MemberLink, SlowStartCheck, check_slow_start_at_members,
+};
+use ladderpass_testbed::load::{RpcAnswer, RpcRecord};
 use std::collections::HashMap;
 
 fn at(ms: i64) -> Time {
@@ -14,20 +16,33 @@
 }
 
 fn entry(number: u64, method: usize, sent: i64, answered: Option<(i64, Answer)>) -> RpcRecord {
-    let answered = answered.map(|(ms, answer)| (at(ms), answer, (answer == Answer::Ok).then_some(number)));
+    let made_for = |answer: Answer| (answer == Answer::Ok).then_some(number);
+    let answered = answered.map(|(ms, answer)| RpcAnswer { at: at(ms), answer, made_for: made_for(answer) });
     let deadline = at(sent) + Span::from_millis(1000);
     RpcRecord { number, router: 0, method, sent: at(sent), deadline, answered, lost: None, refused: false }
 }
 
+/// A member that serves 100 RPCs a second once it is warm.
+fn cold_start() -> ColdStart {
+    ColdStart {
+        at: at(0),
+        member: 1,
+        capacity: 100.0,
+        initial_fraction: 0.2,
+        warm_up_time: Span::from_millis(10_000),
+        overload_window: Span::ZERO,
+    }
+}
+
 struct RecordedRun {
     scenario: Scenario,
     journal: Vec<RpcRecord>,
-    passed: Vec<AttemptEvent>,
+    attempts: Vec<AttemptEvent>,
     truth: ExecutionLog,
     absences: Vec<Absence>,
-    drained: Vec<DrainNotice>,
-    started: Vec<Started>,
-    links: HashMap<usize, (usize, u32)>,
+    drain_notices: Vec<DrainNotice>,
+    cold_starts: Vec<ColdStart>,
+    links: HashMap<usize, MemberLink>,
 }
 
 impl RecordedRun {
@@ -35,29 +50,31 @@
         RecordedRun {
             scenario: Scenario::default(),
             journal: vec![entry(1, 0, 0, Some((10, Answer::Ok))), entry(2, 1, 5, Some((20, Answer::Ok)))],
-            passed: vec![],
+            attempts: vec![],
             truth: ExecutionLog::default(),
             absences: vec![],
-            drained: vec![],
-            started: vec![],
-            links: (0..4).map(|link| (link, (link / 2, link as u32 % 2))).collect(),
+            drain_notices: vec![],
+            cold_starts: vec![],
+            links: (0..4)
+                .map(|link| (link, MemberLink { router: link / 2, member: link as u32 % 2 }))
+                .collect(),
         }
     }
 
-    fn pass(&mut self, ms: i64, link: usize, number: u64, begins: bool) {
+    fn observe(&mut self, ms: i64, link: usize, number: u64, begins: bool) {
         let at = Time::from_nanos(ms * 1_000_000);
-        self.passed.push(AttemptEvent { at, link, id: format!("1-{number:x}"), begins });
+        self.attempts.push(AttemptEvent { at, link, id: format!("1-{number:x}"), begins });
     }
 
-    fn ran(&mut self, ms: i64, member: u32, number: u64) {
+    fn execute(&mut self, ms: i64, member: u32, number: u64) {
         let (at, id) = (at(ms), format!("1-{number:x}").into_boxed_str());
-        let came = Arrival { at, member, id: id.clone(), position: at, rejected: false };
-        self.truth.arrivals.push(came);
+        let arrival = Arrival { at, member, id: id.clone(), position: at, rejected: false };
+        self.truth.arrivals.push(arrival);
         self.truth.executions.push(Execution { at, member, id, method: 1, writes: true, position: at });
     }
 
     fn violated_rules(&self) -> Vec<u8> {
-        self.history().broken().iter().map(|violation| violation.rule).collect()
+        self.history().violations().iter().map(|violation| violation.rule).collect()
     }
 
     fn history(&self) -> History<'_> {
@@ -66,13 +83,13 @@
             links: &self.links,
             seed: 1,
             journal: &self.journal,
-            passed: &self.passed,
-            tool_began: at(0),
+            attempts: &self.attempts,
+            tool_started_at: at(0),
             truth: &self.truth,
             absences: &self.absences,
-            drained: &self.drained,
-            started: &self.started,
-            grace: Tolerance::default(),
+            drain_notices: &self.drain_notices,
+            cold_starts: &self.cold_starts,
+            tolerance: Tolerance::default(),
         }
     }
 }
@@ -80,9 +97,9 @@
 #[test]
 fn a_valid_history_has_no_violation_and_a_lost_answer_is_excused_only_by_an_absence() {
     let mut run = RecordedRun::new();
-    run.pass(6, 0, 2, true);
-    run.ran(8, 0, 2);
-    run.pass(10, 0, 2, false);
+    run.observe(6, 0, 2, true);
+    run.execute(8, 0, 2);
+    run.observe(10, 0, 2, false);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.journal.push(RpcRecord { lost: Some(at(300)), ..entry(3, 0, 200, None) });
     assert_eq!(run.violated_rules(), [1]);
@@ -101,33 +118,33 @@
 #[test]
 fn a_write_run_twice_by_two_routers_is_found_and_a_rejected_attempt_has_no_effect() {
     let mut run = RecordedRun::new();
-    run.pass(6, 0, 2, true);
-    run.ran(7, 0, 2);
-    run.pass(8, 0, 2, false);
-    run.pass(9, 2, 2, true);
+    run.observe(6, 0, 2, true);
+    run.execute(7, 0, 2);
+    run.observe(8, 0, 2, false);
+    run.observe(9, 2, 2, true);
     assert_eq!(run.violated_rules(), [2]);
-    run.ran(10, 0, 2);
+    run.execute(10, 0, 2);
     assert_eq!(run.violated_rules(), [2, 2]);
     let mut run = RecordedRun::new();
-    run.pass(6, 0, 2, true);
+    run.observe(6, 0, 2, true);
     let (id, position) = ("1-2".into(), at(7));
     run.truth.arrivals.push(Arrival { at: at(7), member: 0, id, position, rejected: true });
-    run.pass(8, 0, 2, false);
-    run.pass(9, 2, 2, true);
-    run.ran(10, 0, 2);
+    run.observe(8, 0, 2, false);
+    run.observe(9, 2, 2, true);
+    run.execute(10, 0, 2);
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.journal[1].answered = Some((at(20), Answer::Rejected, None));
+    run.journal[1].answered = Some(RpcAnswer { at: at(20), answer: Answer::Rejected, made_for: None });
     assert_eq!(run.violated_rules(), [2]);
 }
 
 #[test]
 fn a_drain_counts_from_when_each_router_was_notified() {
     let mut run = RecordedRun::new();
-    run.ran(1, 0, 2);
-    run.drained = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
-    run.pass(500, 1, 1, true);
+    run.execute(1, 0, 2);
+    run.drain_notices = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
+    run.observe(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.pass(600, 3, 1, true);
+    run.observe(600, 3, 1, true);
     // The same RPC has two attempts at once, which violates rule 2.
     assert_eq!(run.violated_rules(), [2, 3]);
 }
@@ -135,39 +152,38 @@
 #[test]
 fn a_cold_member_is_overloaded_by_two_routers_that_each_keep_its_ramp() {
     let mut run = RecordedRun::new();
-    run.ran(1, 0, 2);
-    let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(500));
-    let (at_start, capacity, cold_from) = (at(0), 100.0, 0.2);
-    run.started = vec![Started { at: at_start, member: 1, capacity, cold_from, warm_within, overload_for }];
+    run.execute(1, 0, 2);
+    let cold_start = ColdStart { overload_window: Span::from_millis(500), ..cold_start() };
+    run.cold_starts = vec![cold_start];
     // 19 are allowed; both send 36, each sends 18.
     for n in 0..36 {
         let number = 100 + n as u64;
         run.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
-        run.pass(n * 10, if n % 2 == 0 { 1 } else { 3 }, number, true);
-        run.pass(n * 10 + 5, if n % 2 == 0 { 1 } else { 3 }, number, false);
+        run.observe(n * 10, if n % 2 == 0 { 1 } else { 3 }, number, true);
+        run.observe(n * 10 + 5, if n % 2 == 0 { 1 } else { 3 }, number, false);
     }
     assert_eq!(run.violated_rules(), [4]);
     let history = run.history();
-    assert!(history.cold_by(0).is_empty() && history.cold_by(1).is_empty());
+    assert!(history.slow_start_violations_of(0).is_empty() && history.slow_start_violations_of(1).is_empty());
 }
 
 #[test]
 fn a_stale_read_is_found_by_the_position_of_the_member() {
     let mut run = RecordedRun::new();
-    run.ran(1, 0, 2);
-    let came = |ms: i64, old: i64| Arrival {
+    run.execute(1, 0, 2);
+    let arrival = |ms: i64, old: i64| Arrival {
         at: at(ms),
         member: 1,
         id: "1-1".into(),
         position: at(ms - old),
         rejected: false,
     };
-    run.truth.arrivals.push(came(5, 1900));
+    run.truth.arrivals.push(arrival(5, 1900));
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.truth.arrivals.push(came(6, 2500));
+    run.truth.arrivals.push(arrival(6, 2500));
     // The best position that the member was known to have counts.
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    run.truth.arrivals = vec![came(6, 2500)];
+    run.truth.arrivals = vec![arrival(6, 2500)];
     run.truth.executions.clear();
     run.journal.truncate(1);
     assert_eq!(run.violated_rules(), [5]);
@@ -176,18 +192,17 @@
 /// From the members' records alone, whichever router sent the attempt.
 #[test]
 fn attempts_at_a_cold_member_are_counted_over_all_routers() {
-    let (warm_within, overload_for) = (Span::from_millis(10_000), Span::from_millis(3000));
-    let started =
-        Started { at: at(0), member: 1, capacity: 100.0, cold_from: 0.2, warm_within, overload_for };
-    let came = |count: usize| {
+    let cold_start = ColdStart { overload_window: Span::from_millis(3000), ..cold_start() };
+    let arrivals = |count: usize| {
         let id = |nth: usize| format!("1-{nth:x}").into_boxed_str();
-        let came =
+        let arrival =
             |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
-        ExecutionLog { arrivals: (0..count).map(came).collect(), ..ExecutionLog::default() }
+        ExecutionLog { arrivals: (0..count).map(arrival).collect(), ..ExecutionLog::default() }
     };
     // Its capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for chance.
-    let (broken, roots) = cold_at_members(&[started], &came(77));
-    assert!(broken.is_empty() && (1.9..2.0).contains(&roots), "{roots}");
-    assert_eq!(cold_at_members(&[started], &came(78)).0.len(), 1);
-    assert_eq!(cold_at_members(&[started], &came(0)).1, f64::NEG_INFINITY);
+    let check = |count| check_slow_start_at_members(&[cold_start], &arrivals(count));
+    let SlowStartCheck { violations, max_excess } = check(77);
+    assert!(violations.is_empty() && (1.9..2.0).contains(&max_excess), "{max_excess}");
+    assert_eq!(check(78).violations.len(), 1);
+    assert_eq!(check(0).max_excess, f64::NEG_INFINITY);
 }
--- a/crates/ladderpass-testbed/tests/simulated_routers.rs
+++ b/crates/ladderpass-testbed/tests/simulated_routers.rs
@@ -2,7 +2,7 @@
 //! other, and learn of a death, a change of the endpoint list and another primary.
 
 use ladderpass_routing::Span;
-use ladderpass_testbed::capacity::simulated_routers::{Shape, Simulation, member_id};
+use ladderpass_testbed::capacity::simulated_routers::{Counts, Shape, Simulation, member_id};
 use ladderpass_testbed::capacity::slope::Claim;
 
 fn simulation(shape: Shape) -> Simulation {
@@ -22,9 +22,7 @@
             simulation.kill(3);
         }
         run(&mut simulation, 3000);
-        let total = |of: fn(&ladderpass_testbed::capacity::simulated_routers::Counts) -> u64| {
-            simulation.counts.iter().map(of).sum::<u64>()
-        };
+        let total = |count: fn(&Counts) -> u64| simulation.counts.iter().map(count).sum::<u64>();
         let sent = total(|counts| counts.words.datagrams + counts.membership.datagrams);
         let (received, lost) = (total(|counts| counts.heard), total(|counts| counts.lost));
         assert_eq!(sent, received + lost + simulation.flying(), "loss {loss}, killed {killed}");
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -3,6 +3,7 @@
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
+use ladderpass_testbed::drill::report::AttemptCounts;
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard};
 
@@ -20,18 +21,21 @@
 /// Plays a drill and checks that no invariant is broken. Answers may be late, as the machine may be slow.
 fn play_drill(text: &str) -> (Drill, DrillRecord) {
     let mut drill = Drill::read(text).unwrap_or_else(|error| panic!("{error}"));
-    (drill.grace_ms, drill.deadline_ms, drill.settles_s) = (2000, 2000, 20.0);
+    (drill.grace_ms, drill.deadline_ms, drill.max_settle_s) = (2000, 2000, 20.0);
     let played = play(&drill, programs(), 1).unwrap_or_else(|error| panic!("{error}"));
     let violations: Vec<String> = played.violations.iter().map(ToString::to_string).collect();
     assert_eq!(violations, Vec::<String>::new());
-    assert_eq!(played.fallen, Vec::<String>::new());
+    assert_eq!(played.router_failures, Vec::<String>::new());
     (drill, played)
 }
 
 /// What a router logged of another, in order.
 fn views_of(played: &DrillRecord, viewer: usize, of: usize) -> Vec<&str> {
-    let names = played.views[viewer].iter().flat_map(|view| &view.names);
-    names.filter(|(who, _)| *who == played.addresses[of]).map(|(_, what)| what.as_str()).collect()
+    let changes = played.views[viewer].iter().flat_map(|view| &view.changes);
+    changes
+        .filter(|change| change.address == played.addresses[of])
+        .map(|change| change.text.as_str())
+        .collect()
 }
 
 fn assert_agreed(played: &DrillRecord, count: usize) {
@@ -92,7 +96,7 @@
     let (drill, played) = play_drill(
         "{routers: 3, phases: [[5, 60]], clients: 40, roaming: 0, deeds: [{at: 1, split: [[r2], [r0, r1, member-0, member-1, member-2, discovery]], for: 3}]}",
     );
-    let cut_off = played.of(&drill, &[2]);
+    let cut_off = played.counts_of(&drill, &[2]);
     assert_eq!((cut_off.unanswered, cut_off.late), (0, 0), "{cut_off:?}");
     assert!(cut_off.pushed_back + cut_off.aborted > 0, "the cut did nothing: {cut_off:?}");
 }
@@ -145,9 +149,9 @@
     let names_retries =
         |line: &&String| line.contains("retry budget group=") && !line.contains("retries_wanted=0.0 ");
     assert!(played.logs[0].iter().any(|line| names_retries(&line)), "no retry was wanted");
-    let (first, further) = played.callouts(3.0, 9.0);
-    assert!(further <= first / 2 + 12, "{further} of {first}");
-    let all = played.of(&drill, &[0, 1, 2, 3, 4, 5]);
+    let AttemptCounts { first, retries } = played.attempts(3.0, 9.0);
+    assert!(retries <= first / 2 + 12, "{retries} of {first}");
+    let all = played.counts_of(&drill, &[0, 1, 2, 3, 4, 5]);
     assert!(all.pushed_back > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
 
@@ -161,9 +165,9 @@
     );
     // RPCs alternate between the groups: those of the second group have odd numbers.
     let of_second = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
-    let served = of_second
-        .clone()
-        .filter(|entry| matches!(entry.answered, Some((_, ladderpass_invariants::Answer::Ok, _))));
+    let served = of_second.clone().filter(|entry| {
+        entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
+    });
     let (served, asked) = (served.count(), of_second.count());
     assert!(asked > 50 && served * 100 >= asked * 97, "{served} of {asked}");
 }
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -96,7 +96,7 @@
                 entry.number
             ));
         }
-        if entry.answered.is_some_and(|(at, ..)| at > entry.deadline + LATE) {
+        if entry.answered.is_some_and(|answered| answered.at > entry.deadline + LATE) {
             broken.push(format!("rule 1: {:x} is answered too late", entry.number));
         }
     }
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -39,7 +39,7 @@
         // No more connections than are in use all the time: the router closes one that is idle for two seconds, and the
         // load might choose it for an RPC at that moment.
         clients: if rate < 100.0 { (rate * 4.0 / 3.0) as usize } else { 1200 },
-        uneven: 1.0,
+        connection_skew: 1.0,
         roaming: 0.0,
         deadline_ms: 2000,
         grace_ms: 500,
@@ -55,7 +55,7 @@
     let router = Path::new(env!("CARGO_BIN_EXE_ladderpass"));
     let programs = Programs { router, faulty: None, earlier: None };
     let played = play(drill, programs, 1).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(played.fallen, Vec::<String>::new());
+    assert_eq!(played.router_failures, Vec::<String>::new());
     assert_eq!(played.outcome.faults, Vec::<String>::new());
     played
 }
@@ -68,7 +68,7 @@
 const WITHOUT_GOSSIP: [&str; 2] = ["r0", "r1"];
 
 fn both(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
-    [played.of(drill, &[0, 1]), played.of(drill, &[2, 3])]
+    [played.counts_of(drill, &[0, 1]), played.counts_of(drill, &[2, 3])]
 }
 
 fn is_starved(one: &Counts, other: &Counts) -> bool {
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -6,7 +6,7 @@
 use failing_syscalls::ClockStep;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::history_checker::{Started, cold_at_members};
+use ladderpass_testbed::history_checker::{ColdStart, check_slow_start_at_members};
 use ladderpass_testbed::load::Plan;
 use ladderpass_testbed::run::{self, RunRecord, open};
 use std::sync::{Mutex, MutexGuard};
@@ -90,8 +90,8 @@
     for ahead in [0, 4000, 20_000, 3_600_000] {
         let step = ClockStep::forward(Duration::ZERO, Duration::from_millis(ahead));
         let seen = run_load(&scenario, &[step], 2500.0);
-        let started = Started::all(&scenario, seen.outcome.began, MEMBER_CAPACITY_PER_SECOND);
-        let (violations, _) = cold_at_members(&started, &seen.truth);
+        let cold_starts = ColdStart::all(&scenario, seen.outcome.began, MEMBER_CAPACITY_PER_SECOND);
+        let violations = check_slow_start_at_members(&cold_starts, &seen.truth).violations;
         assert!(violations.is_empty(), "{ahead} ms ahead: {}", violations[0]);
         assert!(seen.truth.arrivals.iter().any(|came| came.member > 0), "{ahead} ms ahead: none is used");
     }
