--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -23,8 +23,9 @@
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// How often a router that should end is checked.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the last lines of an ended process may take through the pipe.
-const LOG_FLUSH_WAIT: Duration = Duration::from_millis(20);
+/// How long the last lines of an ended process may take through the pipe, and how often that is checked.
+const LOG_END_TIMEOUT: Duration = Duration::from_secs(2);
+const LOG_END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Lines of the log that an error about a router's start shows.
 const LAST_LINES: usize = 5;
 
@@ -124,6 +125,7 @@
                 return check_first_answer(stream);
             }
             if let Some(status) = self.process.try_wait()? {
+                self.wait_for_log_end();
                 let text = format!("the router ended with {status}: {}", self.last_lines());
                 return Err(io::Error::other(text));
             }
@@ -134,9 +136,17 @@
         }
     }
 
+    /// Waits until the log of an ended process is read to its end. A process that it has started may hold the log open.
+    fn wait_for_log_end(&self) {
+        let deadline = Instant::now() + LOG_END_TIMEOUT;
+        let is_reading = || self.log_reader.as_ref().is_some_and(|reader| !reader.is_finished());
+        while is_reading() && Instant::now() < deadline {
+            std::thread::sleep(LOG_END_CHECK_INTERVAL);
+        }
+    }
+
     /// The last lines of its log.
     fn last_lines(&self) -> String {
-        std::thread::sleep(LOG_FLUSH_WAIT);
         let lines = self.lines.lock().expect("no holder panics");
         lines[lines.len().saturating_sub(LAST_LINES)..].join("; ")
     }
