--- a/crates/ladderpass-testbed/src/drill/event.rs
+++ b/crates/ladderpass-testbed/src/drill/event.rs
@@ -1,6 +1,7 @@
 //! A fault event of a drill: what is done to routers, members or the links between them, and when.
 
 use ladderpass_fault_injection::{DatagramRule, Rule};
+use ladderpass_routing::Time;
 use serde::Deserialize;
 
 /// A fault event: one thing that is done at a time.
@@ -91,3 +92,12 @@
             || self.datagrams.is_some()
     }
 }
+
+/// The begin or the end of a fault event.
+#[derive(Clone, Debug, PartialEq)]
+pub struct LoggedEvent {
+    /// When it was.
+    pub at: Time,
+    /// What it is called in tables.
+    pub name: String,
+}
--- a/crates/ladderpass-testbed/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -15,5 +15,5 @@
 pub mod report;
 
 pub use errors::{DrillError, FaultEventError};
-pub use event::FaultEvent;
+pub use event::{FaultEvent, LoggedEvent};
 pub use file::Drill;
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -1,9 +1,8 @@
 //! Fault events of a drill: each is begun at its time, and ended if it lasts.
 
 use super::interrupt::check_interrupted;
-use super::record::LoggedEvent;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
-use crate::drill::{Drill, FaultEvent};
+use crate::drill::{Drill, FaultEvent, LoggedEvent};
 use crate::history_checker::DrainNotice;
 use ladderpass_emulator::{Input, now};
 use ladderpass_fault_injection::{DatagramAction as DatagramFault, DatagramRule, driver};
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -11,7 +11,7 @@
 mod view;
 
 pub use interrupt::interrupted;
-pub use record::{DrillRecord, LoggedEvent, RouterTraffic};
+pub use record::{DrillRecord, RouterTraffic};
 pub use start::Programs;
 pub use view::{RouterChange, RouterView, parse_view};
 
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -3,13 +3,14 @@
 use super::start::advertised_address;
 use super::testbed::DrillTestbed;
 use super::view::{RouterView, parse_view};
+use crate::drill::LoggedEvent;
 use crate::history_checker::{Absence, ColdStart, History, MemberLink};
 use crate::load::Outcome;
 use crate::router::Router;
 use ladderpass_emulator::ExecutionLog;
 use ladderpass_fault_injection::TrafficCounts;
 use ladderpass_invariants::{Tolerance, Violation};
-use ladderpass_routing::{Span, Time};
+use ladderpass_routing::Span;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -54,15 +55,6 @@
     pub router_failures: Vec<String>,
 }
 
-/// The begin or the end of a fault event.
-#[derive(Clone, Debug, PartialEq)]
-pub struct LoggedEvent {
-    /// When it was.
-    pub at: Time,
-    /// What it is called in tables.
-    pub name: String,
-}
-
 /// Datagrams that a router has sent since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterTraffic {
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -1,10 +1,9 @@
 //! The processes of a drill: fleet, fault tools and routers; which routers are absent, and since when.
 
 use super::interrupt::check_interrupted;
-use super::record::LoggedEvent;
 use super::start::{Programs, start_of};
 use super::view::{RouterView, parse_view};
-use crate::drill::Drill;
+use crate::drill::{Drill, LoggedEvent};
 use crate::history_checker::{Absence, DrainNotice};
 use crate::load::DownRouters;
 use crate::router::{Router, Start, own_address};
--- a/crates/ladderpass-testbed/src/history_checker.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -1,143 +1,10 @@
-//! History checker: the five invariants over one history of all clients, routers and members.
-//!
-//! Its inputs are what clients were answered, what the fault tool passed on beside each router, and what members saw; it
-//! uses nothing that a router says about itself. It turns these records into events for the checkers of
-//! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
+//! Records of a run as events of the checkers, and writes with a wrong answer, for which there is no checker.
 
+use super::{ColdStart, History, MemberLink};
 use crate::load::{RpcAnswer, RpcRecord};
-use ladderpass_emulator::{ExecutionLog, Scenario};
-use ladderpass_fault_injection::engine::AttemptEvent;
-use ladderpass_invariants::{
-    Answer, Checker, Drains, Effects, Event, EventKind, OneAnswer, SlowStart, Staleness, Tolerance, Violation,
-};
+use ladderpass_invariants::{Answer, Event, EventKind, Violation};
 use ladderpass_routing::{Span, Time};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-
-/// A time in which a router can't answer: from a kill to its next start, while it is frozen, or while its clients are cut
-/// off from it.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Absence {
-    /// Index of the router.
-    pub router: usize,
-    /// Its first moment.
-    pub from: Time,
-    /// Its last moment.
-    pub to: Time,
-    /// A graceful shutdown: RPCs sent before it must be answered all the same.
-    pub planned: bool,
-}
-
-/// A router was notified that a member drains.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DrainNotice {
-    /// Index of the router.
-    pub router: usize,
-    /// Number of the member.
-    pub member: u32,
-    /// When the router was notified.
-    pub at: Time,
-}
-
-/// A member that starts cold, and what it can serve.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdStart {
-    /// When it starts.
-    pub at: Time,
-    /// Number of the member.
-    pub member: u32,
-    /// RPCs a second that it can serve once it is warm.
-    pub capacity: f64,
-    /// Fraction of the capacity at its start.
-    pub initial_fraction: f64,
-    /// From its start until it has its whole capacity.
-    pub warm_up_time: Span,
-    /// The window over which too many RPCs overload it.
-    pub overload_window: Span,
-}
-
-/// As the routers' settings give the warm-up.
-const WARM_UP_TIME: Span = Span::from_millis(10_000);
-const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
-
-impl ColdStart {
-    /// The members of a fleet that start cold at `at`, each with a `capacity` in RPCs a second.
-    pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<ColdStart> {
-        let overload_window = Span::from_secs_f64(scenario.overload_ms / 1e3);
-        let cold_start = |&member: &u32| ColdStart {
-            at,
-            member,
-            capacity,
-            initial_fraction: INITIAL_CAPACITY_FRACTION,
-            warm_up_time: WARM_UP_TIME,
-            overload_window,
-        };
-        scenario.cold.iter().map(cold_start).collect()
-    }
-
-    fn event(&self) -> Event {
-        let ColdStart { at, member, capacity, initial_fraction, warm_up_time, overload_window } = *self;
-        let kind = EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window };
-        Event { at, kind }
-    }
-}
-
-/// What rule 4 (cold members) finds over the attempts of all routers.
-#[derive(Clone, Debug, PartialEq)]
-pub struct SlowStartCheck {
-    /// Windows in which a member got too many attempts.
-    pub violations: Vec<Violation>,
-    /// How far above its capacity the worst window of a member was, in square roots of that capacity
-    /// ([`SlowStart::max_excess`]).
-    pub max_excess: f64,
-}
-
-/// Checks rule 4 (cold members) over the attempts that came to members, whichever router sent them.
-pub fn check_slow_start_at_members(cold_starts: &[ColdStart], truth: &ExecutionLog) -> SlowStartCheck {
-    let numbered = (0..).zip(&truth.arrivals);
-    let attempts = numbered.map(|(rpc, arrival)| Event {
-        at: arrival.at,
-        kind: EventKind::AttemptSent { rpc, member: arrival.member },
-    });
-    let events = cold_starts.iter().map(ColdStart::event).chain(attempts).collect();
-    let mut checker = SlowStart::default();
-    let violations = check_events_with(events, &mut checker);
-    SlowStartCheck { violations, max_excess: checker.max_excess() }
-}
-
-/// The use of a link of the fault tool: one router's connections to one member.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MemberLink {
-    /// Index of the router.
-    pub router: usize,
-    /// Number of the member.
-    pub member: u32,
-}
-
-/// The records of a run, as one history.
-pub struct History<'a> {
-    /// The fleet and its methods.
-    pub scenario: &'a Scenario,
-    /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
-    pub links: &'a HashMap<usize, MemberLink>,
-    /// Seed of the load, which is part of its RPCs' ids.
-    pub seed: u64,
-    /// What clients saw.
-    pub journal: &'a [RpcRecord],
-    /// Begins and ends of attempts that the fault tool saw; empty without the tool.
-    pub attempts: &'a [AttemptEvent],
-    /// The start of the fault tool, from which the times of `attempts` count.
-    pub tool_started_at: Time,
-    /// What members saw.
-    pub truth: &'a ExecutionLog,
-    /// When routers could not answer.
-    pub absences: &'a [Absence],
-    /// When routers were notified that members drain.
-    pub drain_notices: &'a [DrainNotice],
-    /// Members that started cold.
-    pub cold_starts: &'a [ColdStart],
-    /// Tolerances of the checkers.
-    pub tolerance: Tolerance,
-}
+use std::collections::BTreeMap;
 
 /// How long after an absence a router may still answer late.
 const AFTER_ABSENCE: Span = Span::from_millis(200);
@@ -166,27 +33,6 @@
 }
 
 impl History<'_> {
-    /// All violations of the five rules.
-    pub fn violations(&self) -> Vec<Violation> {
-        let mut violations = Vec::new();
-        violations.extend(check_events(self.answer_events(), OneAnswer::new(self.tolerance)));
-        violations.extend(check_events(self.effect_events(), Effects::default()));
-        let notified_routers: BTreeSet<usize> =
-            self.drain_notices.iter().map(|notice| notice.router).collect();
-        for router in notified_routers {
-            violations.extend(check_events(self.drain_events(router), Drains::new(self.tolerance)));
-        }
-        violations.extend(check_events(self.slow_start_events(None), SlowStart::default()));
-        violations.extend(check_events(self.read_events(), Staleness::new(self.tolerance)));
-        violations.extend(self.wrong_write_answers());
-        violations
-    }
-
-    /// Violations of rule 4 (cold members) by the attempts of one router alone.
-    pub fn slow_start_violations_of(&self, router: usize) -> Vec<Violation> {
-        check_events(self.slow_start_events(Some(router)), SlowStart::default())
-    }
-
     /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
     fn rpc_number(&self, id: &str) -> Option<u64> {
         let (seed, number) = id.split_once('-')?;
@@ -220,7 +66,7 @@
     }
 
     /// Rule 1: what each client sent, and how it was answered.
-    fn answer_events(&self) -> Vec<Event> {
+    pub(super) fn answer_events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for entry in self.journal {
             let rpc = entry.number;
@@ -250,7 +96,7 @@
     }
 
     /// Rule 2: attempts, and which of them members rejected or ran.
-    fn effect_events(&self) -> Vec<Event> {
+    pub(super) fn effect_events(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         let arrivals = &self.truth.arrivals;
         if self.attempts.is_empty() {
@@ -276,7 +122,7 @@
     }
 
     /// Rule 3: when a router was notified of drains, and its attempts.
-    fn drain_events(&self, router: usize) -> Vec<Event> {
+    pub(super) fn drain_events(&self, router: usize) -> Vec<Event> {
         let notices = self.drain_notices.iter().filter(|notice| notice.router == router);
         let notified = notices
             .map(|notice| Event { at: notice.at, kind: EventKind::Draining { member: notice.member } });
@@ -286,7 +132,7 @@
     }
 
     /// Rule 4: starts of cold members, and the attempts of one router or of all.
-    fn slow_start_events(&self, router: Option<usize>) -> Vec<Event> {
+    pub(super) fn slow_start_events(&self, router: Option<usize>) -> Vec<Event> {
         let cold_starts = self.cold_starts.iter().map(ColdStart::event);
         let is_from_router =
             |attempt: &ObservedAttempt| router.is_none_or(|router| router == attempt.link.router);
@@ -295,7 +141,7 @@
     }
 
     /// Rule 5: reads, and the position of the member when each arrived there.
-    fn read_events(&self) -> Vec<Event> {
+    pub(super) fn read_events(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         for arrival in self.truth.arrivals.iter().filter(|arrival| !arrival.rejected) {
             let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
@@ -307,7 +153,7 @@
     }
 
     /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
-    fn wrong_write_answers(&self) -> Vec<Violation> {
+    pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
         let executions = self.truth.executions.iter();
         let ran_at: BTreeMap<u64, u32> = executions
             .filter_map(|execution| Some((self.rpc_number(&execution.id)?, execution.member)))
@@ -334,33 +180,3 @@
         violations
     }
 }
-
-/// Order of events at the same time: causes before their effects.
-fn causal_order(kind: &EventKind) -> u8 {
-    match kind {
-        EventKind::Started { .. }
-        | EventKind::Draining { .. }
-        | EventKind::Serving { .. }
-        | EventKind::Primary { .. } => 0,
-        EventKind::Accepted { .. } => 1,
-        EventKind::PositionReached { .. } => 2,
-        EventKind::AttemptSent { .. } => 3,
-        EventKind::Executed { .. } => 4,
-        EventKind::Rejected { .. } => 5,
-        EventKind::AttemptEnded { .. } => 6,
-        EventKind::Answered { .. } => 7,
-        EventKind::ClientLeft { .. } => 8,
-    }
-}
-
-fn check_events(events: Vec<Event>, mut checker: impl Checker) -> Vec<Violation> {
-    check_events_with(events, &mut checker)
-}
-
-fn check_events_with(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
-    events.sort_by_key(|event| (event.at, causal_order(&event.kind)));
-    let mut violations = Vec::new();
-    events.iter().for_each(|event| checker.observe(event, &mut violations));
-    checker.end(events.last().map_or(Time::default(), |event| event.at), &mut violations);
-    violations
-}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -0,0 +1,152 @@
+//! A testbed run: an emulated fleet, a router on a core of its own, a load and a prober, and the record of what all of
+//! them saw.
+//!
+//! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
+//! nothing of another run.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `upstream` | where the router reaches the fleet: directly, or through the fault tool |
+//! | `record` | what a run has recorded, and what is computed from it |
+
+mod record;
+mod upstream;
+
+pub use record::{LoopDelay, RunRecord};
+pub use upstream::links;
+
+use crate::history_checker::{Absence, DrainNotice};
+use crate::load::{self, Plan, Prober};
+use crate::router::{Router, Start, keep_off};
+use crate::router_log;
+use ladderpass_emulator::{RunningEmulator, Scenario};
+use ladderpass_fault_injection::Rule;
+use ladderpass_fault_injection::driver::{self, RunSummary};
+use ladderpass_routing::{Span, Time};
+use record::WARM_MEMBER_RPCS_PER_SECOND;
+use std::io;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+use upstream::Upstream;
+
+const PROBE_INTERVAL: Duration = Duration::from_millis(1);
+/// How long a router that is shutting down may take to end before it is killed.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
+pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
+
+/// Runs a load against one router, with fault events.
+///
+/// # Errors
+/// If the fleet, the router or the load can't be started.
+pub fn run(
+    scenario: &Scenario,
+    start: &Start,
+    plan: &Plan,
+    events: Vec<FaultEvent<'_>>,
+) -> io::Result<RunRecord> {
+    run_with(scenario, start, plan, events, |_| {})
+}
+
+/// As [`run`]; `on_progress` gets the seconds since the start of the load.
+///
+/// # Errors
+/// As [`run`].
+pub fn run_with(
+    scenario: &Scenario,
+    start: &Start,
+    plan: &Plan,
+    events: Vec<FaultEvent<'_>>,
+    on_progress: impl FnMut(f64),
+) -> io::Result<RunRecord> {
+    run_through(scenario, start, plan, None, events, on_progress).map(|(record, _)| record)
+}
+
+/// As [`run_with`]. If there are rules, even if empty, the router's connections to members and discovery go through the
+/// fault tool, on links named `member-N` and `discovery`; then it returns what the tool has recorded too.
+///
+/// # Errors
+/// As [`run`], and if the fault tool can't be started.
+pub fn run_through(
+    scenario: &Scenario,
+    start: &Start,
+    plan: &Plan,
+    rules: Option<Vec<Rule>>,
+    mut events: Vec<FaultEvent<'_>>,
+    mut on_progress: impl FnMut(f64),
+) -> io::Result<(RunRecord, Option<RunSummary>)> {
+    if let Some(cpu) = start.cpu {
+        keep_off(cpu)?;
+    }
+    let plan = &Plan { journal: true, ..plan.clone() };
+    let with_history = Scenario { history: true, ..scenario.clone() };
+    let fleet = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let upstream = match rules {
+        None => Upstream { members: fleet.addresses.clone(), discovery: fleet.discovery, fault_tool: None },
+        Some(rules) => Upstream::through_fault_tool(&fleet, rules, plan.seed)?,
+    };
+    let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
+    let prober = Prober::start(router.address, PROBE_INTERVAL)?;
+    let cpu_before = router.resource_usage().cpu_seconds;
+    let outcome = load::run(scenario, router.address, plan, |secs| {
+        for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
+            act(&router, &fleet);
+        }
+        events.retain(|(when, _)| *when > secs);
+        on_progress(secs);
+    })?;
+    let used = router.resource_usage();
+    let probe_delays = prober.stop();
+    let ended = wait_for_shutdown(&mut router);
+    let absences = shutdown_absence(&router).into_iter().collect();
+    let log = router.stop();
+    let mut summary = upstream.fault_tool.map(driver::RunningTool::stop);
+    let drains = fleet.drains().into_iter();
+    let record = RunRecord {
+        outcome,
+        probe_delays,
+        drain_notices: drains.map(|(at, router, member)| DrainNotice { router, member, at }).collect(),
+        truth: fleet.stop(),
+        cpu: used.cpu_seconds - cpu_before,
+        resident: used.resident_bytes,
+        log,
+        ended,
+        warm_member_rpcs_per_second: WARM_MEMBER_RPCS_PER_SECOND,
+        scenario: scenario.clone(),
+        seed: plan.seed,
+        tool_started_at: summary.as_ref().map_or(Time::default(), |summary| summary.started_at),
+        attempts: summary.as_mut().map_or(Vec::new(), |summary| std::mem::take(&mut summary.attempts)),
+        absences,
+    };
+    Ok((record, summary))
+}
+
+/// Gives a router that is shutting down the time to end with its last client. Returns its exit code if it has ended.
+fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
+    let is_shutting_down = router.log().iter().any(|line| router_log::is_shutdown_begun(line));
+    router.wait_for_end(if is_shutting_down { SHUTDOWN_TIMEOUT } else { Duration::ZERO })
+}
+
+/// The absence of a router from its first SIGTERM on.
+fn shutdown_absence(router: &Router) -> Option<Absence> {
+    router.terminated_at().map(|from| Absence {
+        router: 0,
+        from,
+        to: Time::from_nanos(i64::MAX / 2),
+        planned: true,
+    })
+}
+
+/// A plan of open arrivals: phases with their seconds and RPCs a second.
+pub fn open(seed: u64, phases: &[(f64, f64)]) -> Plan {
+    Plan {
+        pace: load::Pace::Open(
+            phases.iter().map(|&(secs, rate)| (Span::from_secs_f64(secs), rate)).collect(),
+        ),
+        connections: 200,
+        pipeline: 64,
+        seed,
+        ..Plan::default()
+    }
+}
