--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -99,7 +99,7 @@
 fn measure_cost_of(binary: &Path, args: &CostArgs, operator: Option<String>) -> io::Result<()> {
     let start = Start { cpu: Some(COST_ROUTER_CORE), operator, ..Start::new(binary) };
     let plan = load::Plan {
-        pace: load::Pace::Closed(Span::from_secs_f64(args.seconds)),
+        arrivals: load::Arrivals::Closed(Span::from_secs_f64(args.seconds)),
         connections: args.clients,
         pipeline: args.pipeline,
         ..load::Plan::default()
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -1,6 +1,6 @@
 //! Connections of a load: opened, written, read, and replaced when a router ends them.
 
-use super::generator::{ClientConnection, ClientKind, LoadGenerator, PartialAnswer};
+use super::generator::{ClientConnection, ClientKind, LoadGenerator, PartialAnswer, Reconnect};
 use ladderpass_emulator::{now, proto};
 use ladderpass_routing::{Span, Time};
 use mio::net::TcpStream;
@@ -25,7 +25,7 @@
         while let Some(first) = self.reconnects.first_entry()
             && first.key().0 <= now
         {
-            let (index, kind) = first.remove();
+            let Reconnect { index, kind } = first.remove();
             self.clients[index] = Some(self.connect(kind, index)?);
         }
         for index in 0..self.clients.len() {
@@ -138,7 +138,8 @@
             self.clients[index] = self.connect(client.kind, index).ok();
         } else {
             self.last_number += 1;
-            self.reconnects.insert((now + RECONNECT_DELAY, self.last_number), (index, client.kind));
+            let reconnect = Reconnect { index, kind: client.kind };
+            self.reconnects.insert((now + RECONNECT_DELAY, self.last_number), reconnect);
         }
     }
 }
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -77,29 +77,29 @@
     fn set_start(&mut self, start: Time) -> Time {
         (self.began, self.outcome.began) = (start, start);
         self.ends = start + self.outcome.duration;
-        (self.arrivals.phase_ends, self.arrivals.next_due) = (start, start);
+        (self.next_arrival.phase_ends, self.next_arrival.next_due) = (start, start);
         start
     }
 
     /// Queues all RPCs that are due by now, with the times at which they were due.
     fn queue_arrivals(&mut self, now: Time) {
-        while self.arrivals.next_due <= now {
-            let due = self.arrivals.next_due;
-            if due >= self.arrivals.phase_ends {
-                let Some((span, rate_per_second)) = self.arrivals.phases.pop() else {
-                    self.arrivals.next_due = Time::from_nanos(i64::MAX);
+        while self.next_arrival.next_due <= now {
+            let due = self.next_arrival.next_due;
+            if due >= self.next_arrival.phase_ends {
+                let Some(phase) = self.next_arrival.phases.pop() else {
+                    self.next_arrival.next_due = Time::from_nanos(i64::MAX);
                     break;
                 };
-                self.arrivals.rate_per_second = rate_per_second;
-                self.arrivals.phase_ends = self.arrivals.phase_ends + span;
+                self.next_arrival.rate_per_second = phase.rate_per_second;
+                self.next_arrival.phase_ends = self.next_arrival.phase_ends + phase.duration;
             } else {
                 let rpc = self.draw_rpc(due);
                 self.queue.push_back(rpc);
             }
             let gap: f64 = self.rng.sample(Exp1);
-            let rate = self.arrivals.rate_per_second;
-            self.arrivals.next_due =
-                if rate > 0.0 { due + Span::from_secs_f64(gap / rate) } else { self.arrivals.phase_ends };
+            let rate = self.next_arrival.rate_per_second;
+            self.next_arrival.next_due =
+                if rate > 0.0 { due + Span::from_secs_f64(gap / rate) } else { self.next_arrival.phase_ends };
         }
     }
 
@@ -133,7 +133,7 @@
 
     /// Rounded down to whole milliseconds, the poller's unit, so that the next arrival is not slept through.
     fn poll_wait(&self, now: Time) -> Duration {
-        let wait = self.arrivals.next_due.min(now + MAX_POLL_WAIT) - now;
+        let wait = self.next_arrival.next_due.min(now + MAX_POLL_WAIT) - now;
         Duration::from_millis((wait.nanos() / 1_000_000).max(0) as u64)
     }
 
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -2,7 +2,7 @@
 
 use super::load_balancer::LoadBalancer;
 use super::outcome::{Counts, Outcome, RpcRecord, SLICE, Slice, histogram};
-use super::plan::{Pace, Plan};
+use super::plan::{Phase, Plan};
 use ladderpass_emulator::{Scenario, now};
 use ladderpass_routing::{Span, Time};
 use mio::Poll;
@@ -81,10 +81,17 @@
     pub has_output: bool,
 }
 
+/// A lost connection that is opened again.
+pub(super) struct Reconnect {
+    /// Index of the connection.
+    pub index: usize,
+    pub kind: ClientKind,
+}
+
 /// Open arrivals: when the next RPC is due.
-pub(super) struct Arrivals {
+pub(super) struct NextArrival {
     /// Phases still to come, the next one last.
-    pub phases: Vec<(Span, f64)>,
+    pub phases: Vec<Phase>,
     pub phase_ends: Time,
     pub rate_per_second: f64,
     pub next_due: Time,
@@ -98,10 +105,10 @@
     pub poll: Poll,
     pub clients: Vec<Option<ClientConnection>>,
     /// Connections that are opened again, by when and a number that makes the key unique.
-    pub reconnects: BTreeMap<(Time, u64), (usize, ClientKind)>,
+    pub reconnects: BTreeMap<(Time, u64), Reconnect>,
     pub rng: SmallRng,
     pub method_shares: Vec<f64>,
-    pub arrivals: Arrivals,
+    pub next_arrival: NextArrival,
     /// The number given last, to an RPC or a key of `reconnects` or `retries`.
     pub last_number: u64,
     /// The connection that was offered an RPC last.
@@ -125,15 +132,8 @@
         plan: &'a Plan,
     ) -> io::Result<LoadGenerator<'a>> {
         let began = now();
-        let lasts = match &plan.pace {
-            Pace::Open(phases) => phases.iter().fold(Span::ZERO, |sum, (span, _)| sum + *span),
-            Pace::Closed(span) => *span,
-        };
-        let mut phases = match &plan.pace {
-            Pace::Open(phases) => phases.clone(),
-            Pace::Closed(_) => Vec::new(),
-        };
-        phases.reverse();
+        let duration = plan.arrivals.duration();
+        let phases: Vec<Phase> = plan.arrivals.phases().iter().rev().copied().collect();
         let outcome = Outcome {
             slices: Vec::new(),
             ok_us: vec![histogram(); scenario.methods.len()],
@@ -142,7 +142,7 @@
             flood: Counts::default(),
             faults: Vec::new(),
             began,
-            duration: lasts,
+            duration,
             max_send_delay: Span::ZERO,
             journal: Vec::with_capacity(expected_journal_entries(plan)),
         };
@@ -155,14 +155,14 @@
             reconnects: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(plan.seed),
             method_shares: scenario.methods.iter().map(|method| method.share).collect(),
-            arrivals: Arrivals { phases, phase_ends: began, rate_per_second: 0.0, next_due: began },
+            next_arrival: NextArrival { phases, phase_ends: began, rate_per_second: 0.0, next_due: began },
             last_number: 0,
             last_client: 0,
             queue: VecDeque::new(),
             retries: BTreeMap::new(),
             outcome,
             began,
-            ends: began + lasts,
+            ends: began + duration,
             in_flight: 0,
             read_buffer: vec![0; READ_BUFFER_BYTES],
         })
@@ -196,10 +196,10 @@
 
 /// How many entries to reserve: a journal that grows by copying would hold the load up.
 fn expected_journal_entries(plan: &Plan) -> usize {
-    let phases = match &plan.pace {
-        Pace::Open(phases) if plan.journal => phases.as_slice(),
-        _ => &[],
-    };
-    let due: f64 = phases.iter().map(|(span, rate)| span.secs() * rate).sum();
+    if !plan.journal {
+        return 0;
+    }
+    let phases = plan.arrivals.phases().iter();
+    let due: f64 = phases.map(|phase| phase.duration.secs() * phase.rate_per_second).sum();
     (due * JOURNAL_MARGIN).min(JOURNAL_MAX_RESERVED) as usize
 }
--- a/crates/ladderpass-testbed/src/load/mod.rs
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -17,7 +17,7 @@
 
 pub use load_balancer::{DownRouters, LoadBalancer};
 pub use outcome::{Counts, Outcome, RpcAnswer, RpcRecord, SLICE, Slice, histogram};
-pub use plan::{Pace, Plan};
+pub use plan::{Arrivals, Phase, Plan};
 pub use prober::{ProbeDelay, Prober, until_ready};
 
 use generator::LoadGenerator;
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -4,20 +4,47 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// How RPCs arrive.
+/// How RPCs arrive, and for how long.
 #[derive(Clone, Debug)]
-pub enum Pace {
-    /// Poisson arrivals: phases one after the other, each with its length and its rate in RPCs a second.
-    Open(Vec<(Span, f64)>),
-    /// Each connection sends again once it is answered, for so long.
+pub enum Arrivals {
+    /// Open: Poisson arrivals in phases, one after the other, whether or not earlier RPCs are answered.
+    Open(Vec<Phase>),
+    /// Closed: each connection sends again once it is answered, for so long.
     Closed(Span),
 }
 
+/// A phase of a load with open arrivals.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Phase {
+    /// Its length.
+    pub duration: Span,
+    /// RPCs a second that are due, on average.
+    pub rate_per_second: f64,
+}
+
+impl Arrivals {
+    /// For how long RPCs are due.
+    pub fn duration(&self) -> Span {
+        match self {
+            Arrivals::Open(phases) => phases.iter().fold(Span::ZERO, |sum, phase| sum + phase.duration),
+            Arrivals::Closed(duration) => *duration,
+        }
+    }
+
+    /// The phases of open arrivals; none if they are closed.
+    pub(super) fn phases(&self) -> &[Phase] {
+        match self {
+            Arrivals::Open(phases) => phases,
+            Arrivals::Closed(_) => &[],
+        }
+    }
+}
+
 /// A load, as [`run`](super::run) plays it.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// How RPCs arrive, and for how long.
-    pub pace: Pace,
+    pub arrivals: Arrivals,
     /// Connections that share the arrivals.
     pub connections: usize,
     /// RPCs that a connection may have in flight.
@@ -43,7 +70,10 @@
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
-            pace: Pace::Open(vec![(Span::from_millis(1000), 1000.0)]),
+            arrivals: Arrivals::Open(vec![Phase {
+                duration: Span::from_millis(1000),
+                rate_per_second: 1000.0,
+            }]),
             connections: 64,
             pipeline: 16,
             deadline: Span::from_millis(1000),
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -2,7 +2,7 @@
 
 use super::generator::{ClientConnection, ClientKind, InFlightRpc, LoadGenerator, QueuedRpc};
 use super::outcome::RpcRecord;
-use super::plan::Pace;
+use super::plan::Arrivals;
 use ladderpass_emulator::proto;
 use ladderpass_routing::{Span, Time};
 use rand::Rng;
@@ -66,7 +66,7 @@
         if now >= self.ends || now < self.began {
             return;
         }
-        let is_closed = matches!(self.plan.pace, Pace::Closed(_));
+        let is_closed = matches!(self.plan.arrivals, Arrivals::Closed(_));
         for index in 0..self.clients.len() {
             let Some(client) = &self.clients[index] else { continue };
             let depth = match client.kind {
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -2,7 +2,7 @@
 
 use super::Table;
 use crate::charts;
-use crate::load::{Pace, Plan};
+use crate::load::{Arrivals, Plan};
 use crate::router::{self, Start};
 use crate::run::{self, RunRecord, open};
 use ladderpass_emulator::Scenario;
@@ -38,11 +38,11 @@
     secs: f64,
     seed: u64,
 ) -> io::Result<(f64, f64, f64)> {
-    let pace = Pace::Closed(Span::from_secs_f64(secs));
+    let arrivals = Arrivals::Closed(Span::from_secs_f64(secs));
     let seen = run::run(
         scenario,
         start,
-        &Plan { pace, connections: clients, pipeline, seed, ..Plan::default() },
+        &Plan { arrivals, connections: clients, pipeline, seed, ..Plan::default() },
         vec![],
     )?;
     let total = seen.outcome.total();
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -16,7 +16,7 @@
 pub use upstream::links;
 
 use crate::history_checker::{Absence, DrainNotice};
-use crate::load::{self, Plan, Prober};
+use crate::load::{self, Arrivals, Phase, Plan, Prober};
 use crate::router::{Router, Start, keep_off};
 use crate::router_log;
 use ladderpass_emulator::{RunningEmulator, Scenario};
@@ -140,10 +140,12 @@
 
 /// A plan of open arrivals: phases with their seconds and RPCs a second.
 pub fn open(seed: u64, phases: &[(f64, f64)]) -> Plan {
+    let phase = |&(secs, rate_per_second): &(f64, f64)| Phase {
+        duration: Span::from_secs_f64(secs),
+        rate_per_second,
+    };
     Plan {
-        pace: load::Pace::Open(
-            phases.iter().map(|&(secs, rate)| (Span::from_secs_f64(secs), rate)).collect(),
-        ),
+        arrivals: Arrivals::Open(phases.iter().map(phase).collect()),
         connections: 200,
         pipeline: 64,
         seed,
