--- a/crates/ladderpass-testbed/src/router/start.rs
+++ b/crates/ladderpass-testbed/src/router/start.rs
@@ -23,7 +23,7 @@
     pub faulty: Option<String>,
     /// Offset of its wall clock in milliseconds; needs a build with the feature `faulty`.
     pub clock_ms: i32,
-    /// Where it listens; without it, an address of [`own_address`].
+    /// Where it listens; without it, an address of [`own_address`](super::own_address).
     pub listen: Option<SocketAddr>,
     /// Arguments before all others, for a program that is more than the router.
     pub arguments: Vec<String>,
