--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -60,7 +60,8 @@
     /// Routers without an operator's file, and so without peers.
     pub quiet: Vec<String>,
     /// RPCs a second of clients that go straight to the members.
-    pub greedy: f64,
+    #[serde(rename = "greedy")]
+    pub direct_rpcs_per_second: f64,
     /// Fault events.
     #[serde(rename = "deeds")]
     pub events: Vec<FaultEvent>,
@@ -90,7 +91,7 @@
             clocks: BTreeMap::new(),
             earlier: Vec::new(),
             quiet: Vec::new(),
-            greedy: 0.0,
+            direct_rpcs_per_second: 0.0,
             events: Vec::new(),
         }
     }
@@ -140,7 +141,7 @@
             ("settles_s", self.max_settle_s, 0.0, 60.0),
             ("rests_s", self.idle_s, 0.0, 60.0),
             ("bears", self.warm_member_rpcs_per_second, 1.0, 1e6),
-            ("greedy", self.greedy, 0.0, 1e5),
+            ("greedy", self.direct_rpcs_per_second, 0.0, 1e5),
         ] {
             if !(min..=max).contains(&value) {
                 return Err(DrillError::OutOfRange { key, value, min, max });
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -52,18 +52,26 @@
     std::thread::sleep(Duration::from_secs_f64(drill.idle_s));
     let sent_before = testbed.datagrams_sent();
     testbed.note_cpu_before_load();
-    let (outcome, greedy) = run_loads_and_events(&mut testbed, on_progress)?;
+    let outcomes = run_loads_and_events(&mut testbed, on_progress)?;
     std::thread::sleep(LOG_FLUSH_WAIT);
     let sent = sent_before.into_iter().zip(testbed.datagrams_sent());
     let sent = sent.map(|(before, after)| RouterTraffic { before, after }).collect();
-    Ok(DrillRecord { greedy, ..testbed.finish(outcome, settled, sent) })
+    let record = testbed.finish(outcomes.through_routers, settled, sent);
+    Ok(DrillRecord { direct_outcome: outcomes.direct, ..record })
 }
 
-/// Runs the load through the routers, the greedy load if there is one, and the fault events meanwhile.
+/// What became of the loads of a drill.
+struct LoadOutcomes {
+    through_routers: Outcome,
+    /// Of clients that go straight to the members, if there are any.
+    direct: Option<Outcome>,
+}
+
+/// Runs the load through the routers, the direct load if there is one, and the fault events meanwhile.
 fn run_loads_and_events(
     testbed: &mut DrillTestbed<'_>,
     on_progress: impl FnMut(f64) + Send,
-) -> io::Result<(Outcome, Option<Outcome>)> {
+) -> io::Result<LoadOutcomes> {
     let (drill, seed) = (testbed.drill, testbed.seed);
     let scenario = &drill.scenario;
     let stop = Arc::new(AtomicBool::new(false));
@@ -76,21 +84,21 @@
         down_detection: Span::from_millis(drill.down_detection_ms as i64),
         down: testbed.down.clone(),
     };
-    let greedy_plan = &greedy_load_plan(drill, seed, &stop);
+    let direct_plan = &direct_load_plan(drill, seed, &stop);
     let members = &testbed.fleet.addresses;
-    let greedy_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
-    let (outcome, greedy, events) = std::thread::scope(|scope| {
-        let greedy = (drill.greedy > 0.0)
-            .then(|| scope.spawn(move || load::run_before(scenario, greedy_balancer, greedy_plan, |_| {})));
+    let direct_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
+    let (outcome, direct, events) = std::thread::scope(|scope| {
+        let direct = (drill.direct_rpcs_per_second > 0.0)
+            .then(|| scope.spawn(move || load::run_before(scenario, direct_balancer, direct_plan, |_| {})));
         let load = scope.spawn(move || load::run_before(scenario, balancer, plan, on_progress));
         let events = testbed.run_events(&load, &stop);
         stop.fetch_or(events.is_err(), Ordering::Relaxed);
         let outcome = load.join().unwrap_or_else(|_| Err(io::Error::other("the load failed")));
-        let greedy = greedy.and_then(|greedy| greedy.join().ok());
-        (outcome, greedy, events)
+        let direct = direct.and_then(|direct| direct.join().ok());
+        (outcome, direct, events)
     });
     events?;
-    Ok((outcome?, greedy.transpose()?))
+    Ok(LoadOutcomes { through_routers: outcome?, direct: direct.transpose()? })
 }
 
 fn load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
@@ -106,12 +114,12 @@
 }
 
 /// The load of clients that go straight to the members.
-fn greedy_load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
+fn direct_load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
     Plan {
         connections: drill.clients * 2,
         pipeline: 1,
         deadline: Span::from_millis(i64::from(drill.deadline_ms)),
         stop: Some(stop.clone()),
-        ..open(!seed, &[(drill.secs(), drill.greedy)])
+        ..open(!seed, &[(drill.secs(), drill.direct_rpcs_per_second)])
     }
 }
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -22,7 +22,7 @@
     /// What the clients saw.
     pub outcome: Outcome,
     /// What the clients saw that went straight to the members.
-    pub greedy: Option<Outcome>,
+    pub direct_outcome: Option<Outcome>,
     /// What the members saw.
     pub truth: ExecutionLog,
     /// What the history checker found.
@@ -113,7 +113,7 @@
             self.logs.iter().map(|log| log.iter().filter_map(|line| parse_view(line)).collect()).collect();
         DrillRecord {
             outcome,
-            greedy: None,
+            direct_outcome: None,
             truth,
             violations,
             slow_start_violations_alone,
--- a/crates/ladderpass/tests/mixed.rs
+++ b/crates/ladderpass/tests/mixed.rs
@@ -45,7 +45,7 @@
         grace_ms: 500,
         operator: "members: {zone: a, sizes: true}".into(),
         quiet: quiet.iter().map(|name| (*name).to_owned()).collect(),
-        greedy,
+        direct_rpcs_per_second: greedy,
         scenario,
         ..Drill::default()
     }
