--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -16,6 +16,8 @@
 //! | [`prove`] | proofs of finished subsystems, one table each |
 //! | [`capacity`] | how cost grows with the size of a fleet: measured slopes, simulated routers |
 
+#![warn(clippy::too_many_lines)]
+
 pub mod capacity;
 pub mod chaos;
 pub mod charts;
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -2,6 +2,8 @@
 //!
 //! The program is only a command line over the library of this package; a router that serves doesn't need it.
 
+#![warn(clippy::too_many_lines)]
+
 mod cli;
 
 use clap::Parser;
