--- /dev/null
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -0,0 +1,182 @@
+//! Records of a run as events of the checkers, and writes with a wrong answer, for which there is no checker.
+
+use super::{ColdStart, History, MemberLink};
+use crate::load::{RpcAnswer, RpcRecord};
+use ladderpass_invariants::{Answer, Event, EventKind, Violation};
+use ladderpass_routing::{Span, Time};
+use std::collections::BTreeMap;
+
+/// How long after an absence a router may still answer late.
+const AFTER_ABSENCE: Span = Span::from_millis(200);
+/// The history ends this long after the last deadline, so that every RPC has had its time.
+const END_AFTER_LAST_DEADLINE: Span = Span::from_millis(10_000);
+/// The rule of wrong answers to writes.
+const EFFECTS_RULE: u8 = 2;
+
+/// An attempt's begin or end, as the fault tool saw it.
+struct ObservedAttempt {
+    at: Time,
+    link: MemberLink,
+    rpc: u64,
+    begins: bool,
+}
+
+impl ObservedAttempt {
+    fn event(&self) -> Event {
+        let (rpc, member) = (self.rpc, self.link.member);
+        let kind = match self.begins {
+            true => EventKind::AttemptSent { rpc, member },
+            false => EventKind::AttemptEnded { rpc, member },
+        };
+        Event { at: self.at, kind }
+    }
+}
+
+impl History<'_> {
+    /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
+    fn rpc_number(&self, id: &str) -> Option<u64> {
+        let (seed, number) = id.split_once('-')?;
+        (u64::from_str_radix(seed, 16) == Ok(self.seed)).then_some(())?;
+        u64::from_str_radix(number, 16).ok()
+    }
+
+    /// When a client sent an RPC, and what may become of it.
+    fn accepted_event(&self, entry: &RpcRecord) -> Event {
+        let method = self.scenario.methods.get(entry.method);
+        let max_staleness =
+            method.and_then(|method| method.max_age_ms).map(|ms| Span::from_secs_f64(ms / 1e3));
+        let run_once = method.is_some_and(|method| method.writes);
+        let kind =
+            EventKind::Accepted { rpc: entry.number, deadline: entry.deadline, run_once, max_staleness };
+        Event { at: entry.sent, kind }
+    }
+
+    /// Was its router absent at some time while its client waited?
+    fn is_excused(&self, entry: &RpcRecord) -> bool {
+        let answered_at = entry.answered.map(|answered| answered.at);
+        let ended_at = answered_at.or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
+        let waited_until = ended_at.min(entry.deadline + self.tolerance.answer);
+        self.absences.iter().any(|absence| {
+            let applies = !absence.planned || entry.sent >= absence.from;
+            absence.router == entry.router
+                && absence.from <= waited_until
+                && entry.sent <= absence.to + AFTER_ABSENCE
+                && applies
+        })
+    }
+
+    /// Rule 1: what each client sent, and how it was answered.
+    pub(super) fn answer_events(&self) -> Vec<Event> {
+        let mut events = Vec::new();
+        for entry in self.journal {
+            let rpc = entry.number;
+            events.push(self.accepted_event(entry));
+            let is_in_time = |at: Time| at <= entry.deadline + self.tolerance.answer;
+            let is_excused = self.is_excused(entry);
+            match entry.answered {
+                Some(RpcAnswer { at, answer, made_for }) if is_in_time(at) || !is_excused => {
+                    events.push(Event { at, kind: EventKind::Answered { rpc, answer, made_for } });
+                }
+                _ if is_excused => events.push(Event { at: entry.sent, kind: EventKind::ClientLeft { rpc } }),
+                _ => {}
+            }
+        }
+        let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
+        let at = last_deadline + END_AFTER_LAST_DEADLINE;
+        events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
+        events
+    }
+
+    fn observed_attempts(&self) -> impl Iterator<Item = ObservedAttempt> {
+        self.attempts.iter().filter_map(|attempt| {
+            let link = *self.links.get(&attempt.link)?;
+            let at = self.tool_started_at + (attempt.at - Time::from_nanos(0));
+            Some(ObservedAttempt { at, link, rpc: self.rpc_number(&attempt.id)?, begins: attempt.begins })
+        })
+    }
+
+    /// Rule 2: attempts, and which of them members rejected or ran.
+    pub(super) fn effect_events(&self) -> Vec<Event> {
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
+        let arrivals = &self.truth.arrivals;
+        if self.attempts.is_empty() {
+            // Without the fault tool only the arrival at a member is known, and not the end of the attempt.
+            for arrival in arrivals.iter().filter(|arrival| !arrival.rejected) {
+                let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+                let (at, member) = (arrival.at, arrival.member);
+                events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
+                events.push(Event { at, kind: EventKind::AttemptEnded { rpc, member } });
+            }
+        }
+        events.extend(self.observed_attempts().map(|attempt| attempt.event()));
+        for arrival in arrivals.iter().filter(|arrival| arrival.rejected) {
+            let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+            events.push(Event { at: arrival.at, kind: EventKind::Rejected { rpc, member: arrival.member } });
+        }
+        for execution in &self.truth.executions {
+            let Some(rpc) = self.rpc_number(&execution.id) else { continue };
+            let kind = EventKind::Executed { rpc, member: execution.member };
+            events.push(Event { at: execution.at, kind });
+        }
+        events
+    }
+
+    /// Rule 3: when a router was notified of drains, and its attempts.
+    pub(super) fn drain_events(&self, router: usize) -> Vec<Event> {
+        let notices = self.drain_notices.iter().filter(|notice| notice.router == router);
+        let notified = notices
+            .map(|notice| Event { at: notice.at, kind: EventKind::Draining { member: notice.member } });
+        let begun =
+            self.observed_attempts().filter(|attempt| attempt.link.router == router && attempt.begins);
+        notified.chain(begun.map(|attempt| attempt.event())).collect()
+    }
+
+    /// Rule 4: starts of cold members, and the attempts of one router or of all.
+    pub(super) fn slow_start_events(&self, router: Option<usize>) -> Vec<Event> {
+        let cold_starts = self.cold_starts.iter().map(ColdStart::event);
+        let is_from_router =
+            |attempt: &ObservedAttempt| router.is_none_or(|router| router == attempt.link.router);
+        let begun = self.observed_attempts().filter(|attempt| attempt.begins && is_from_router(attempt));
+        cold_starts.chain(begun.map(|attempt| attempt.event())).collect()
+    }
+
+    /// Rule 5: reads, and the position of the member when each arrived there.
+    pub(super) fn read_events(&self) -> Vec<Event> {
+        let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
+        for arrival in self.truth.arrivals.iter().filter(|arrival| !arrival.rejected) {
+            let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
+            let (at, member, position) = (arrival.at, arrival.member, arrival.position);
+            events.push(Event { at, kind: EventKind::PositionReached { member, position } });
+            events.push(Event { at, kind: EventKind::AttemptSent { rpc, member } });
+        }
+        events
+    }
+
+    /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
+    pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
+        let executions = self.truth.executions.iter();
+        let ran_at: BTreeMap<u64, u32> = executions
+            .filter_map(|execution| Some((self.rpc_number(&execution.id)?, execution.member)))
+            .collect();
+        let mut violations = Vec::new();
+        for entry in self.journal {
+            let is_write = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
+            let Some(answered) = entry.answered.filter(|_| is_write) else { continue };
+            let (rpc, member) = (entry.number, ran_at.get(&entry.number).copied());
+            let problem = match (answered.answer, member) {
+                (Answer::Ok, None) => "is answered ok and never ran",
+                (Answer::Rejected, Some(_)) => "is pushed back and ran",
+                _ => continue,
+            };
+            let RpcAnswer { at, answer, made_for } = answered;
+            violations.push(Violation {
+                rule: EFFECTS_RULE,
+                rpc: Some(rpc),
+                member,
+                text: format!("write {rpc:x} {problem}"),
+                proof: vec![Event { at, kind: EventKind::Answered { rpc, answer, made_for } }],
+            });
+        }
+        violations
+    }
+}
