--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -96,7 +96,7 @@
 
 /// Is the position of this result the commit of a write, and not a position of the member?
 fn is_commit(state: &RouterState, result: &AttemptResult, arrival: &Arrival) -> bool {
-    let consistency = state.methods[arrival.method as usize].method.consistency;
+    let consistency = state.methods[arrival.method as usize].definition.consistency;
     result.outcome == AttemptOutcome::Ok && consistency == Consistency::Write
 }
 
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -180,7 +180,7 @@
     method.answers.record(now, latency.secs());
     let WindowTotals { count, sum } = method.answers.totals(now, ALL_BUCKETS);
     let quickest = method.answers.min_bucket_mean(now, TYPICAL_LATENCY_MIN_ANSWERS).unwrap_or(sum / count);
-    let max = method.method.soft_deadline.secs() * MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE;
+    let max = method.definition.soft_deadline.secs() * MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE;
     let typical = quickest.min(max).max(min);
     method.typical = Span::from_secs_f64(typical);
     typical
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -66,7 +66,7 @@
 /// The utility of an answer, by second of a member's typical answer time.
 fn utility_per_sec(state: &RouterState, now: Time, rpc: RpcId) -> f64 {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
-    let is_late = now + method.typical >= rpc.accepted_at + method.method.soft_deadline;
-    let utility_share = if is_late { method.method.late_utility_share } else { 1.0 };
-    method.method.utility * utility_share / method.typical.secs().max(MIN_TYPICAL_SECS)
+    let is_late = now + method.typical >= rpc.accepted_at + method.definition.soft_deadline;
+    let utility_share = if is_late { method.definition.late_utility_share } else { 1.0 };
+    method.definition.utility * utility_share / method.typical.secs().max(MIN_TYPICAL_SECS)
 }
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -41,7 +41,7 @@
         (_, _, true) => 2.0,
         _ => 3.0,
     };
-    let log2_utility_per_sec = (method.method.utility / overload.cost_secs.max(1e-9)).max(1e-9).log2();
+    let log2_utility_per_sec = (method.definition.utility / overload.cost_secs.max(1e-9)).max(1e-9).log2();
     let within_band = ((log2_utility_per_sec - LOWEST_LOG2_UTILITY_PER_SEC) * PRIORITIES_PER_DOUBLING)
         .clamp(0.0, PRIORITIES_PER_BAND - 1.0)
         .floor();
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -23,7 +23,7 @@
 /// May an attempt be made now without a second effect? One that is sent now takes a while to arrive.
 pub fn may_run(state: &RouterState, now: Time, rpc: RpcId) -> bool {
     let method = state.method_of(rpc);
-    match (method.method.idempotency, state.rpcs[rpc].may_have_run_since) {
+    match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
         (Idempotency::Idempotent, _) | (_, None) => true,
         (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
             now + method.typical * LATENCY_MARGIN - first < window
@@ -35,7 +35,7 @@
 /// May the client retry this RPC itself, with this router or another one?
 pub fn client_may_retry(state: &RouterState, rpc: RpcId) -> bool {
     let never_ran = state.rpcs[rpc].may_have_run_since.is_none();
-    match state.method_of(rpc).method.idempotency {
+    match state.method_of(rpc).definition.idempotency {
         Idempotency::Idempotent => true,
         Idempotency::IdempotencyKey { across_groups, .. } => across_groups || never_ran,
         Idempotency::NonIdempotent => never_ran,
@@ -60,7 +60,7 @@
 
 /// Is it a retry that the client has marked? It competes with first requests, which have more utility.
 pub fn is_client_retry(state: &RouterState, rpc: RpcId) -> bool {
-    let is_idempotent = state.method_of(rpc).method.idempotency == Idempotency::Idempotent;
+    let is_idempotent = state.method_of(rpc).definition.idempotency == Idempotency::Idempotent;
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
@@ -74,8 +74,8 @@
 pub fn first_attempt_timeout(state: &RouterState, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let retry_takes = method.typical * LATENCY_MARGIN;
-    let timeout = match method.method.idempotency {
-        Idempotency::Idempotent => rpc.accepted_at + method.method.soft_deadline - now - retry_takes,
+    let timeout = match method.definition.idempotency {
+        Idempotency::Idempotent => rpc.accepted_at + method.definition.soft_deadline - now - retry_takes,
         Idempotency::IdempotencyKey { window, .. } => window - retry_takes * 2.0,
         Idempotency::NonIdempotent => return None,
     };
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -113,7 +113,7 @@
         if is_primary {
             return true;
         }
-        let may_use_replica = !state.method_of(rpc).method.consistency.primary_only();
+        let may_use_replica = !state.method_of(rpc).definition.consistency.primary_only();
         let required = staleness::required_position(state, now, rpc);
         may_use_replica && state.topology.member(index).position >= required
     }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -68,7 +68,7 @@
     }
     let waits_for_report = waits_for_report(state, &replicas);
     if !waits_for_report && let Some(primary) = eligible_primary(state, now, rpc) {
-        if !state.method_of(rpc).method.consistency.primary_only() {
+        if !state.method_of(rpc).definition.consistency.primary_only() {
             exception_log::log_spill(state, now, rpc, replicas.passed_over);
         }
         return attempt::start(state, now, rpc, primary);
@@ -122,7 +122,7 @@
         expects_report: false,
         passed_over: Counts::default(),
     };
-    let consistency = state.method_of(rpc).method.consistency;
+    let consistency = state.method_of(rpc).definition.consistency;
     if consistency.primary_only() {
         return search;
     }
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -32,7 +32,7 @@
 
 /// Counts an RPC that was accepted, and pays its credit to the members of its group that are in slow start.
 pub fn record_accepted(state: &mut RouterState, now: Time, arrival: &Arrival) {
-    let consistency = state.methods[arrival.method as usize].method.consistency;
+    let consistency = state.methods[arrival.method as usize].definition.consistency;
     let accepted = state.topology.accepted_mut(arrival.group, RECENT_BUCKET);
     let writes = if consistency.primary_only() { 1.0 } else { 0.0 };
     accepted.record(now, writes);
@@ -89,7 +89,7 @@
 pub fn admits(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> bool {
     let member = state.topology.member(index);
     let draw = (state.rpcs[rpc].random_draw + index as f64 * DRAW_STEP_PER_MEMBER) % 1.0;
-    let is_write = state.method_of(rpc).method.consistency == Consistency::Write;
+    let is_write = state.method_of(rpc).definition.consistency == Consistency::Write;
     let share = if is_write { 1.0 } else { member.read_share };
     draw < share && (has_credit(now, member) || capacity_share(state, now, member).is_none())
 }
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -26,7 +26,7 @@
 
 /// The position that a replica must have proven to serve this RPC now.
 pub fn required_position(state: &RouterState, now: Time, rpc: RpcId) -> Time {
-    match state.method_of(rpc).method.consistency {
+    match state.method_of(rpc).definition.consistency {
         // The bound counts from the last byte sent, which may be a tick later.
         Consistency::BoundedStaleness(bound) => {
             state.latest_time_of_members_clock(now) + state.deployment.tick - bound
