--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -50,6 +50,25 @@
     },
 }
 
+/// What a command has led to.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CommandResult {
+    /// The answer to whoever gave the command.
+    pub reply: Reply,
+    /// What is to be done to connections.
+    pub operations: Vec<ScheduledOperation>,
+}
+
+impl CommandResult {
+    fn ok(operations: Vec<ScheduledOperation>) -> CommandResult {
+        CommandResult { reply: Reply::Immediate("ok".into()), operations }
+    }
+
+    fn of_reply(reply: Reply) -> CommandResult {
+        CommandResult { reply, operations: Vec::new() }
+    }
+}
+
 /// Parses a command.
 ///
 /// # Errors
@@ -79,43 +98,36 @@
     Ok(Command::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
 }
 
-/// Carries out a line; returns the answer, and what is to be done to connections.
-pub fn carry_out(engine: &mut Engine, now: Time, line: &str) -> (Reply, Vec<ScheduledOperation>) {
-    match read(line).and_then(|command| execute(engine, now, command)) {
-        Ok(done) => done,
-        Err(error) => (Reply::Immediate(format!("error {error}")), Vec::new()),
-    }
+/// Parses and executes a command.
+pub fn execute_line(engine: &mut Engine, now: Time, line: &str) -> CommandResult {
+    let result = read(line).and_then(|command| execute(engine, now, command));
+    result.unwrap_or_else(|error| CommandResult::of_reply(Reply::Immediate(format!("error {error}"))))
 }
 
-fn execute(
-    engine: &mut Engine,
-    now: Time,
-    command: Command,
-) -> Result<(Reply, Vec<ScheduledOperation>), ControlError> {
+fn execute(engine: &mut Engine, now: Time, command: Command) -> Result<CommandResult, ControlError> {
     let rejected = |command| move |source: EngineError| ControlError::Rejected { command, source };
-    let ok = || Reply::Immediate("ok".into());
     match command {
         Command::Add(rule) => {
             engine.add_rule(*rule).map_err(rejected("add"))?;
-            Ok((ok(), Vec::new()))
+            Ok(CommandResult::ok(Vec::new()))
         }
-        Command::Lift(name) => Ok((ok(), engine.lift_rule(now, &name).map_err(rejected("lift"))?)),
+        Command::Lift(name) => Ok(CommandResult::ok(engine.lift_rule(now, &name).map_err(rejected("lift"))?)),
         Command::Cut(link) => {
             engine.cut(&link).map_err(rejected("cut"))?;
-            Ok((ok(), Vec::new()))
+            Ok(CommandResult::ok(Vec::new()))
         }
-        Command::Heal(link) => Ok((ok(), engine.heal(now, &link).map_err(rejected("heal"))?)),
+        Command::Heal(link) => Ok(CommandResult::ok(engine.heal(now, &link).map_err(rejected("heal"))?)),
         Command::Watch => {
             engine.start_watch();
-            Ok((ok(), Vec::new()))
+            Ok(CommandResult::ok(Vec::new()))
         }
-        Command::List => Ok((list(engine), Vec::new())),
-        Command::Stats => Ok((stats(engine), Vec::new())),
+        Command::List => Ok(CommandResult::of_reply(list(engine))),
+        Command::Stats => Ok(CommandResult::of_reply(stats(engine))),
         Command::Wait { rule, hits, timeout } => {
             if !engine.rule_states().iter().any(|state| state.name == rule) {
                 return Err(ControlError::WaitRule(rule));
             }
-            Ok((Reply::Deferred { until: now + timeout, rule, hits }, Vec::new()))
+            Ok(CommandResult::of_reply(Reply::Deferred { until: now + timeout, rule, hits }))
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/driver/control_socket.rs
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -11,7 +11,7 @@
 
 /// The token of the listener.
 pub const CONTROL: Token = Token(1);
-/// How often rules are looked at while a client waits for one.
+/// How often rules are checked while a client waits for one.
 const WAIT_POLL_INTERVAL: Span = Span::from_millis(2);
 const MAX_LINE_BYTES: usize = 64 << 10;
 const READ_BUFFER_BYTES: usize = 4096;
@@ -30,11 +30,20 @@
 
 /// A client waits for a rule.
 pub struct Wait {
+    /// Not longer than until then.
     pub until: Time,
     pub rule: String,
+    /// How often the rule must have acted.
     pub hits: u64,
 }
 
+/// A wait that is over.
+pub struct EndedWait {
+    /// The client that has waited, by its token.
+    pub client: usize,
+    pub answer: &'static str,
+}
+
 /// The clients of the control socket, by their token.
 #[derive(Default)]
 pub struct ControlClients {
@@ -75,7 +84,7 @@
         self.clients.contains_key(&index)
     }
 
-    /// When the rules that clients wait for must be looked at.
+    /// When the rules that clients wait for must be checked.
     pub fn next_check(&self, now: Time) -> Option<Time> {
         self.clients.values().any(|client| client.wait.is_some()).then(|| now + WAIT_POLL_INTERVAL)
     }
@@ -124,22 +133,24 @@
         }
     }
 
-    /// The clients whose wait is over, each with its answer.
-    pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<(usize, &'static str)> {
-        let answer = |client: &ControlClient| {
-            let wait = client.wait.as_ref()?;
-            match control::has_acted(engine, &wait.rule, wait.hits) {
-                true => Some("ok"),
-                false => (now >= wait.until).then_some("error wait: the time is over"),
+    /// The waits that are over: their rule has acted, or their time is over.
+    pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<EndedWait> {
+        let mut ended = Vec::new();
+        for (&index, client) in &self.clients {
+            let Some(wait) = &client.wait else { continue };
+            if control::has_acted(engine, &wait.rule, wait.hits) {
+                ended.push(EndedWait { client: index, answer: "ok" });
+            } else if now >= wait.until {
+                ended.push(EndedWait { client: index, answer: "error wait: the time is over" });
             }
-        };
-        self.clients.iter().filter_map(|(&index, client)| Some((index, answer(client)?))).collect()
+        }
+        ended
     }
 
     /// Answers a client that has waited.
-    pub fn end_wait(&mut self, index: usize, answer: &str) {
-        self.reply(index, answer);
-        if let Some(client) = self.clients.get_mut(&index) {
+    pub fn end_wait(&mut self, ended: &EndedWait) {
+        self.reply(ended.client, ended.answer);
+        if let Some(client) = self.clients.get_mut(&ended.client) {
             client.wait = None;
         }
     }
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -3,7 +3,7 @@
 use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
 use super::endpoint::{Closing, Endpoint, EndpointPair};
 use super::run_summary::RunSummary;
-use crate::control::{self, Reply};
+use crate::control::{self, CommandResult, Reply};
 use crate::engine::{ConnectionId, Engine, Operation, ScheduledOperation};
 use crate::plan::{Plan, Side};
 use ladderpass_routing::Time;
@@ -114,9 +114,9 @@
             self.handle_events(&events)?;
             let now = self.now();
             self.execute_due(now);
-            for (index, answer) in self.control_clients.ended_waits(now, &self.engine) {
-                self.control_clients.end_wait(index, answer);
-                self.serve_control_client(index);
+            for ended in self.control_clients.ended_waits(now, &self.engine) {
+                self.control_clients.end_wait(&ended);
+                self.serve_control_client(ended.client);
             }
         }
         Ok(())
@@ -353,7 +353,8 @@
     fn run_local_commands(&mut self) {
         while let Ok(command) = self.commands.try_recv() {
             let now = self.now();
-            let (reply, operations) = control::carry_out(&mut self.engine, now, &command.line);
+            let CommandResult { reply, operations } =
+                control::execute_line(&mut self.engine, now, &command.line);
             self.schedule(operations);
             let text = match reply {
                 Reply::Immediate(text) => text,
@@ -379,7 +380,7 @@
         }
         while let Some(line) = self.control_clients.next_line(index) {
             let now = self.now();
-            let (reply, operations) = control::carry_out(&mut self.engine, now, &line);
+            let CommandResult { reply, operations } = control::execute_line(&mut self.engine, now, &line);
             self.schedule(operations);
             match reply {
                 Reply::Immediate(text) => self.control_clients.reply(index, &text),
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -30,6 +30,7 @@
 
 /// Bytes of one direction that may be held or delayed before its sender is no longer read.
 pub const MAX_HELD_BYTES: usize = 512 << 10;
+const NANOS_PER_MS: i64 = 1_000_000;
 
 /// Counts of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -220,8 +221,11 @@
         let connection = Connection { directions, is_over: false, stalled: Stalled::default() };
         self.connections.insert(id, connection);
         let unit = Unit { offset: 0, kind: "open", bytes: Vec::new() };
+        let elapsed_ms = self.elapsed_ms(now);
+        let occurrence =
+            Occurrence { connection: id, sender: Side::Client, unit: &unit, opens: true, elapsed_ms };
         let (mut forwarded, mut operations) = (true, Vec::new());
-        for index in self.triggered_rules(now, id, Side::Client, &unit, true) {
+        for index in self.triggered_rules(&occurrence) {
             let refused = self.rules[index].rule.action == Action::Refuse;
             self.record_decision(index, id, Side::Client, &unit, Vec::new());
             forwarded = false;
@@ -299,24 +303,20 @@
         self.connections.remove(&id);
     }
 
+    /// Milliseconds since the engine's start.
+    fn elapsed_ms(&self, now: Time) -> i64 {
+        (now - self.started_at).nanos() / NANOS_PER_MS
+    }
+
     /// The rules that act on a unit, in the order of the plan; matches are counted.
-    fn triggered_rules(
-        &mut self,
-        now: Time,
-        connection: ConnectionId,
-        sender: Side,
-        unit: &Unit,
-        opens: bool,
-    ) -> Vec<usize> {
-        let elapsed_ms = (now - self.started_at).nanos() / 1_000_000;
+    fn triggered_rules(&mut self, occurrence: &Occurrence<'_>) -> Vec<usize> {
         // Only where some rule waits for another one.
         let any_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
         let acted = self.rules.iter().filter(|active| any_waits && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
-        let occurrence = Occurrence { connection, sender, unit, opens, elapsed_ms };
         let mut triggered = Vec::new();
         for (index, active) in self.rules.iter_mut().enumerate() {
-            if active.record_match(&occurrence, &acted) {
+            if active.record_match(occurrence, &acted) {
                 triggered.push(index);
             }
         }
@@ -360,7 +360,9 @@
             self.rpc_watch.on_unit(now, id, sender, &unit);
         }
         let mut replacement = Replacement::unchanged(&unit);
-        for index in self.triggered_rules(now, id, sender, &unit, false) {
+        let elapsed_ms = self.elapsed_ms(now);
+        let occurrence = Occurrence { connection: id, sender, unit: &unit, opens: false, elapsed_ms };
+        for index in self.triggered_rules(&occurrence) {
             let action = self.rules[index].rule.action.clone();
             let mut random = self.random(index, id, &unit);
             let Some(connection) = self.connections.get_mut(&id) else { return };
