--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -131,9 +131,9 @@
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
     }
 
-    /// May gossip of other mechanisms from this address be accepted? From configured addresses and live routers. A
-    /// configured router that is not in the router table runs a legacy version.
-    pub fn may_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
+    /// Records that gossip of other mechanisms came from this address. True where it may be accepted: from configured
+    /// addresses and live routers. A configured router that is not in the router table runs a legacy version.
+    pub fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.senders.record_legacy_gossip(now, from) || self.routers.is_alive(from)
     }
 
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -63,7 +63,7 @@
     /// Its start in Unix milliseconds of its own clock. Another number means that it has restarted.
     pub started_ms: u64,
     /// Since when it is counted as alive.
-    pub since: Time,
+    pub alive_since: Time,
     /// How sure that is.
     pub confidence: Confidence,
 }
@@ -365,7 +365,7 @@
         Some(Peer {
             address: router,
             started_ms: known.incarnation.started_ms(),
-            since: known.counted_since,
+            alive_since: known.counted_since,
             confidence,
         })
     }
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -15,7 +15,10 @@
     sim.run_until_converged(ms(3000));
     let after = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
     let (before, after) = (before.expect("it was there"), after.expect("it is there"));
-    assert!(after.started_ms > before.started_ms && after.since > before.since, "{before:?} {after:?}");
+    assert!(
+        after.started_ms > before.started_ms && after.alive_since > before.alive_since,
+        "{before:?} {after:?}"
+    );
 }
 
 #[test]
--- a/crates/ladderpass/src/reducer/peer_links.rs
+++ b/crates/ladderpass/src/reducer/peer_links.rs
@@ -281,7 +281,7 @@
             }
             return self.apply_membership(now);
         }
-        if !peers.membership.may_gossip(now, from) {
+        if !peers.membership.record_gossip(now, from) {
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
