--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -1,4 +1,9 @@
-//! Which members may get an RPC at all, before any are compared.
+//! Eligibility: which members may get an RPC at all, before any are compared.
+//!
+//! Inputs are the endpoint list, the member's failures, the expected time of its next answer, the RPC's earlier
+//! attempts, slow start and the share of reads; for a primary also its concurrency limit. The reasons are checked in
+//! the order of the code, and the log has the first that holds. How fresh a replica is, and its limit, are checked in
+//! `selection`.
 
 use crate::concurrency_limit;
 use crate::load::{self, LATENCY_MARGIN};
--- a/crates/ladderpass-routing/src/primary.rs
+++ b/crates/ladderpass-routing/src/primary.rs
@@ -1,7 +1,8 @@
 //! Which member is a group's primary.
 //!
 //! What a member shows of its own role outweighs the endpoint list, which may be seconds late. Of several members that
-//! have shown to be primary, the latest wins, unless it has shown to be a replica since.
+//! have shown to be primary, the latest wins, unless it has shown to be a replica since. Times are those of the
+//! members' clock.
 
 use crate::state::member::Member;
 use crate::state::router_state::RouterState;
