--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -31,18 +31,16 @@
         return read_legacy_peers(index, list, errors);
     }
     check_form(&section, errors);
-    let listen =
-        section.listen.as_ref().and_then(|text| errors.ok_or_push(parse_address(text, "peers.listen")));
-    let address =
-        section.address.as_ref().and_then(|text| errors.ok_or_push(parse_address(text, "peers.address")));
+    let listen = parse_given_address(section.listen.as_ref(), "peers.listen", errors);
+    let address = parse_given_address(section.address.as_ref(), "peers.address", errors);
     let listed = section.listed.unwrap_or_default();
     let networks = section.networks.unwrap_or_default();
     if let Some(listen) = section.listen.as_ref().filter(|_| listed.is_empty() && networks.is_empty()) {
         let problem = ValueProblem::NoOtherRouters;
         errors.combinations.push(OperatorFileError::at(listen, "peers.listed", problem));
     }
-    let networks =
-        networks.iter().filter_map(|text| errors.ok_or_push(parse_network(text, "peers.networks"))).collect();
+    let parse_network = |text| errors.ok_or_push(parse_network(text, "peers.networks"));
+    let networks = networks.iter().filter_map(parse_network).collect();
     let listed = parse_addresses(&listed, "peers.listed", errors);
     let listen = listen?;
     Some(Peers { listen, address: address.unwrap_or(listen), listed, networks, legacy_form: false })
@@ -50,8 +48,8 @@
 
 /// Checks that the address of this router is given, and no single key of the legacy form.
 fn check_form(section: &PeersSection, errors: &mut FoundErrors) {
-    let legacy_line =
-        section.legacy_index.as_ref().map(line).or(section.legacy_list.iter().flatten().next().map(line));
+    let first_of_list = section.legacy_list.iter().flatten().next();
+    let legacy_line = section.legacy_index.as_ref().map(line).or(first_of_list.map(line));
     if let Some(line) = legacy_line {
         let problem = ValueProblem::IncompleteLegacyForm;
         errors.combinations.push(OperatorFileError::at_line(line, "peers", problem));
@@ -81,6 +79,15 @@
     Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
+/// An address, if the file has it and it is allowed; else an error is added to `errors`.
+fn parse_given_address(
+    text: Option<&Spanned<String>>,
+    key: &str,
+    errors: &mut FoundErrors,
+) -> Option<SocketAddr> {
+    errors.ok_or_push(parse_address(text?, key))
+}
+
 /// The distinct addresses of a list; errors of the others are added to `errors`.
 fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut FoundErrors) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
