--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -164,6 +164,7 @@
         }
     }
 
+    /// Opens a connection, if the member is up and has one left.
     fn open(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
@@ -243,6 +244,7 @@
         }
     }
 
+    /// Queues a statement, which makes its connection busy.
     fn enqueue(&mut self, member: u32, statement: QueuedStatement) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if let Some(open) = state.connections.get_mut(&statement.connection) {
@@ -260,44 +262,46 @@
                 return;
             }
             let Some(statement) = state.queue.pop_front() else { return };
-            let QueuedStatement { connection, id, method, expires_at } = statement;
-            if expires_at < now {
-                self.execution_log.expired += 1;
-                if self.scenario.history {
-                    self.execution_log.arrivals.push(Arrival {
-                        at: now,
-                        member,
-                        id,
-                        position,
-                        rejected: true,
-                    });
-                }
-                self.outputs.push(Output { connection, reply: Reply::Error(TOO_MANY_CONNECTIONS) });
-                self.answer_pipelined(now, member, connection);
-                continue;
-            }
-            let writes = self.writes(method);
-            self.execution_log.executions.push(Execution {
-                at: now,
-                member,
-                id: id.clone(),
-                method,
-                writes,
-                position,
-            });
-            let work = self.scenario.mean_work(method as usize);
-            if work == Span::ZERO {
-                self.complete(now, member, connection, id, method);
-                continue;
-            }
-            if let Some(state) = self.members.get_mut(member as usize) {
-                state.running += 1;
+            if statement.expires_at < now {
+                self.expire(now, member, statement, position);
+            } else {
+                self.start(now, member, statement, position);
             }
-            let work_factor: f64 = self.random.sample(Exp1);
-            self.set_timer(now + work * work_factor, member, Timer::Completed { connection, id, method });
         }
     }
 
+    /// A statement has waited for too long: it is rejected.
+    fn expire(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
+        let QueuedStatement { connection, id, .. } = statement;
+        self.execution_log.expired += 1;
+        if self.scenario.history {
+            let arrival = Arrival { at: now, member, id, position, rejected: true };
+            self.execution_log.arrivals.push(arrival);
+        }
+        self.outputs.push(Output { connection, reply: Reply::Error(TOO_MANY_CONNECTIONS) });
+        self.answer_pipelined(now, member, connection);
+    }
+
+    /// A statement begins to run; without work it is complete at once.
+    fn start(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
+        let QueuedStatement { connection, id, method, .. } = statement;
+        let writes = self.writes(method);
+        let execution = Execution { at: now, member, id: id.clone(), method, writes, position };
+        self.execution_log.executions.push(execution);
+        let mean_work = self.scenario.mean_work(method as usize);
+        if mean_work == Span::ZERO {
+            self.complete(now, member, connection, id, method);
+            return;
+        }
+        if let Some(state) = self.members.get_mut(member as usize) {
+            state.running += 1;
+        }
+        let work_factor: f64 = self.random.sample(Exp1);
+        let completed_at = now + mean_work * work_factor;
+        self.set_timer(completed_at, member, Timer::Completed { connection, id, method });
+    }
+
+    /// A statement has run: it is committed, where it writes, and answered.
     fn complete(&mut self, now: Time, member: u32, connection: ConnectionId, id: Box<str>, method: u32) {
         if self.writes(method) {
             self.commit(now, member);
