--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -1,4 +1,9 @@
-//! Which members may get an RPC at all, before any are compared.
+//! Eligibility: which members may get an RPC at all, before any are compared.
+//!
+//! Inputs are the endpoint list, the member's failures, the expected time of its next answer, the RPC's earlier
+//! attempts, slow start and the share of reads; for a primary also its concurrency limit. The reasons are checked in
+//! the order of the code, and the log has the first that holds. How fresh a replica is, and its limit, are checked in
+//! `selection`.
 
 use crate::concurrency_limit;
 use crate::load::{self, LATENCY_MARGIN};
@@ -52,7 +57,7 @@
     if state.topology.member(index).consecutive_failures > 0 {
         return Some(Ineligible::Ejected);
     }
-    let is_spill = !state.method_of(rpc).method.consistency.primary_only();
+    let is_spill = !state.method_of(rpc).definition.consistency.primary_only();
     let share_by_method = if is_spill { SPILLED_READ_LIMIT_SHARE } else { 1.0 };
     let share = retry::limit_share(state, rpc) * share_by_method;
     (!concurrency_limit::has_room(state, now, index, rpc, share)).then_some(Ineligible::AtConcurrencyLimit)
--- a/crates/ladderpass/src/reducer/handlers/peers.rs
+++ b/crates/ladderpass/src/reducer/handlers/peers.rs
@@ -34,7 +34,7 @@
             peers.on_membership_datagram(now, from, bytes);
             return self.apply_membership(now);
         }
-        if !peers.may_gossip(now, from) {
+        if !peers.record_gossip(now, from) {
             return;
         }
         let Ok(text) = std::str::from_utf8(bytes) else { return };
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -114,9 +114,9 @@
         }
     }
 
-    /// May this router send gossip on members?
-    pub(in crate::reducer) fn may_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
-        self.membership.may_gossip(now, from)
+    /// Records that gossip on members came from this address; whether it may be accepted.
+    pub(in crate::reducer) fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
+        self.membership.record_gossip(now, from)
     }
 
     /// Puts messages on members into datagrams to all other routers.
