--- a/crates/ladderpass-testbed/src/prove/capacity.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity.rs
@@ -36,18 +36,20 @@
 fn compare(table: &mut Table, page: &str, figures: &[(&'static str, f64)]) {
     for &(name, figure) in figures {
         match Claim::read(page, name) {
-            Some(claim) => table.ask(
+            Some(claim) => table.require(
                 format!("`{name}`"),
                 format!("{} within {:.0}%", claim.value, claim.within * 100.0),
                 format!("{figure:.4}"),
                 claim.holds(figure),
             ),
-            None => table.ask(format!("`{name}`"), "stands on the page once", format!("{figure:.4}"), false),
+            None => {
+                table.require(format!("`{name}`"), "stands on the page once", format!("{figure:.4}"), false)
+            }
         }
     }
     let claimed = page.lines().filter_map(|line| line.strip_prefix("| `")?.split_once("` |"));
     for (name, _) in claimed.filter(|(name, _)| figures.iter().all(|(known, _)| known != name)) {
-        table.ask(format!("`{name}`"), "is measured", "no slope gives it", false);
+        table.require(format!("`{name}`"), "is measured", "no slope gives it", false);
     }
 }
 
@@ -57,7 +59,7 @@
     let (slopes, figures) = measured(router, seed, false)?;
     for slope in &slopes {
         let (fit, (least, most)) = (slope.fit(), slope.range());
-        table.tell(
+        table.report(
             slope.name,
             format!(
                 "{} by {}: {:.4} each, {:.4} at none, {:.0}% off at most, {least:.4} to {most:.4}",
--- a/crates/ladderpass-testbed/src/prove/faults.rs
+++ b/crates/ladderpass-testbed/src/prove/faults.rs
@@ -264,7 +264,7 @@
         let (passes, (hits, what)) = play(row, binary, None, seed)?;
         let fired = hits > 0;
         let told = format!("breaks {passes:?}; {hits} {what}");
-        table.ask(
+        table.require(
             format!("real router, plan for {}", row.switch),
             "breaks none",
             told,
@@ -274,14 +274,14 @@
             Some(faulty) => {
                 let (caught, (hits, what)) = play(row, faulty, Some(row.switch), seed)?;
                 let told = format!("breaks {caught:?}; {hits} {what}");
-                table.ask(
+                table.require(
                     format!("  {}", row.switch),
                     format!("breaks rule {}", row.rule),
                     told,
                     caught.contains(&row.rule),
                 );
             }
-            None => table.ask(
+            None => table.require(
                 format!("  {}", row.switch),
                 format!("breaks rule {}", row.rule),
                 "no --faulty router",
@@ -296,8 +296,8 @@
     let (one, two, other) = (one?, two?, other?);
     let differ = first_difference(&one, &two);
     let told = differ.clone().unwrap_or_else(|| format!("{} decisions, the same", one.len()));
-    table.ask("the same seed twice", "the same recording", told, differ.is_none() && !one.is_empty());
-    table.ask(
+    table.require("the same seed twice", "the same recording", told, differ.is_none() && !one.is_empty());
+    table.require(
         "another seed",
         "another recording",
         format!("{} decisions", other.len()),
@@ -310,13 +310,13 @@
     let links = run::links(&fleet.addresses[..1], fleet.discovery)[..1].to_vec();
     let tool = driver::RunningTool::start(Plan { seed, links, ..Plan::default() }, None)?;
     let (direct, through) = (pace(fleet.addresses[0])?, pace(tool.addresses[0])?);
-    table.tell(
+    table.report(
         "round trip, median and 99th",
         format!(
             "{:.0} and {:.0} us direct, {:.0} and {:.0} us through",
             direct.0, direct.1, through.0, through.1
         ),
     );
-    table.tell("answers of 64 KiB", format!("{:.0} MB/s direct, {:.0} MB/s through", direct.2, through.2));
+    table.report("answers of 64 KiB", format!("{:.0} MB/s direct, {:.0} MB/s through", direct.2, through.2));
     Ok(table.print())
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets.rs
@@ -118,8 +118,7 @@
 
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-budgets");
-    if programs.faulty.is_none() {
-        table.ask("faulty builds", "told apart", "no --faulty router", false);
+    if !table.require_faulty_build(programs) {
         return Ok(table.print());
     }
     let all = |switch: &str| {
@@ -133,7 +132,7 @@
         plays([&loses(ON, Some(2)), &loses(OFF, Some(2)), &refusing(ON), &refusing(OFF)], programs, seed)?;
     let [trigger, trigger_without] = plays([&triggered(ON), &triggered(OFF)], programs, seed)?;
     let spent = |played: &DrillRecord| part(played, SPENT.0, SPENT.1);
-    table.ask(
+    table.require(
         "all answers lost: further call-outs, of first ones",
         "at most 0.05",
         format!("{:.3}; without budgets {:.3}", spent(&lost), spent(&without)),
@@ -141,7 +140,7 @@
     );
     for (switch, played) in [("spends-without-asking", &spends), ("never-gives-back", &keeps)] {
         let text = format!("{:.3}", spent(played));
-        table.ask(format!("  {switch}"), "told apart", text, spent(played) > 0.05);
+        table.require(format!("  {switch}"), "told apart", text, spent(played) > 0.05);
     }
     // Of what was asked in that time, so that chance in what comes is no part of it.
     let rate = |played: &DrillRecord, from: f64, to: f64| {
@@ -153,9 +152,9 @@
         played.outcome.utility_rate(from, to) * (to - from) / asked.max(1e-9)
     };
     let again = rate(&lost, ENDS - 2.0, ENDS) / rate(&lost, 1.0, FROM);
-    table.ask("  utility once that is over", "at least 0.9", format!("{again:.3}"), again >= 0.9);
+    table.require("  utility once that is over", "at least 0.9", format!("{again:.3}"), again >= 0.9);
     let few = rate(&one, FROM, ENDS) / rate(&one_without, FROM, ENDS);
-    table.ask(
+    table.require(
         "one of three loses answers: utility, of without",
         "at least 0.97",
         format!(
@@ -167,7 +166,7 @@
     );
     let whole = |played: &DrillRecord| part(played, 1.0, 6.0);
     let worth = rate(&refused, 1.0, 6.0) / rate(&refused_without, 1.0, 6.0);
-    table.ask(
+    table.require(
         "members refuse, 2.5 times what fits: further ones",
         "at most 0.25",
         format!(
@@ -178,7 +177,7 @@
         whole(&refused) <= 0.25 && worth >= 0.95,
     );
     let back = |played: &DrillRecord| rate(played, GONE.1 + 2.0, 12.0) / rate(played, 1.0, GONE.0);
-    table.ask(
+    table.require(
         "a member gone 3 s, clients repeat: utility 2 s after",
         "at least 0.95",
         format!("{:.3}, without {:.3}", back(&trigger), back(&trigger_without)),
@@ -202,9 +201,9 @@
     let most = |rates: &[f64]| rates.iter().copied().fold(0.0, f64::max);
     let text = |rates: &[f64]| rates.iter().map(|rate| format!("{rate:.2}")).collect::<Vec<_>>().join(", ");
     let flat = most(&bare) <= 1.2 * least(&bare);
-    table.ask("probes a member a second, 4, 8, 16, 32", "flat within a fifth", text(&bare), flat);
+    table.require("probes a member a second, 4, 8, 16, 32", "flat within a fifth", text(&bare), flat);
     let fewer = most(&told) <= least(&bare);
-    table.ask("  where answers tell too", "never more", text(&told), fewer);
+    table.require("  where answers tell too", "never more", text(&told), fewer);
     std::fs::create_dir_all(out)?;
     let further = |played: &DrillRecord| -> Vec<(f64, f64)> {
         (0..(ENDS * 4.0) as usize)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload.rs
@@ -182,8 +182,7 @@
 
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-overload");
-    if programs.faulty.is_none() {
-        table.ask("faulty builds", "told apart", "no --faulty router", false);
+    if !table.require_faulty_build(programs) {
         return Ok(table.print());
     }
     let (on, alone) = (drill(ROUTERS, ON, SECS), drill(ROUTERS, OFF, SECS));
@@ -210,16 +209,16 @@
     let until = SECS - 0.6;
     let of = |played: &DrillRecord| utility(played, 0.0, until) / utility(&seen, 0.0, until).max(1e-9);
     let beside = format!("{:.3}; each alone {:.3}", of(&fleet), of(&each));
-    table.ask("utility, of the router that sees all", "at least 0.95", beside, of(&fleet) >= 0.95);
+    table.require("utility, of the router that sees all", "at least 0.95", beside, of(&fleet) >= 0.95);
     let (good, worst) = writes(&on, &fleet);
     let (good_each, worst_each) = writes(&alone, &each);
-    table.ask(
+    table.require(
         "writes served well",
         "at least 0.98",
         format!("{good:.3}; each alone {good_each:.3}"),
         good >= 0.98,
     );
-    table.ask(
+    table.require(
         "  at the worst router",
         "at least 0.95",
         format!("{worst:.3}; each alone {worst_each:.3}"),
@@ -229,10 +228,10 @@
     kept(&mut table, "a third killed, a split", &harm);
     let last = SPLIT.0 + SPLIT.1;
     let after = utility(&harm, last + 2.0, ENDS - 0.5) / as_single(&seen, &harm, last + 2.0, ENDS - 0.5);
-    table.ask("utility 2 s after the last fault", "at least 0.95", format!("{after:.3}"), after >= 0.95);
+    table.require("utility 2 s after the last fault", "at least 0.95", format!("{after:.3}"), after >= 0.95);
     let (from, to) = (SPLIT.0 + 2.0, last);
     let within = utility(&harm, from, to) / as_single(&seen, &harm, from, to);
-    table.ask(
+    table.require(
         "  in the split, from its 2nd second on",
         "at least 0.9",
         format!("{within:.3}"),
@@ -242,10 +241,10 @@
     let (good, _) = writes(&apart, &clocks);
     let part = utility(&clocks, 2.0, SHORT_SECS) / as_single(&seen, &clocks, 2.0, SHORT_SECS);
     let text = format!("utility {part:.3}, writes {good:.3}");
-    table.ask("  served", "at least 0.85 and 0.95", text, part >= 0.85 && good >= 0.95);
+    table.require("  served", "at least 0.85 and 0.95", text, part >= 0.85 && good >= 0.95);
     let healthy = (1..ROUTERS).map(|router| pushback_ms(&fleet, router)).fold(0.0, f64::max);
     let faulty = pushback_ms(&ignores, 0);
-    table.ask(
+    table.require(
         "  ignores-the-floor",
         "told apart",
         format!("refuses after {faulty:.0} ms, healthy ones at once ({healthy:.0} ms)"),
@@ -259,14 +258,14 @@
         )
     };
     let (lied, honest) = (bounded(&tells), bounded(&fleet));
-    table.ask(
+    table.require(
         "  tells-tenfold",
         "told apart",
         format!("words cut to the bound {lied:.2}, among honest ones {honest:.2}"),
         lied >= 0.8 && lied > 1.5 * honest,
     );
     let words = |played: &DrillRecord| mean(&figures(played, 0, "reports", 6));
-    table.ask(
+    table.require(
         "  keeps-the-deads-words",
         "told apart",
         format!("{:.1} words of others with 5 alive, healthy {:.1}", words(&keeps), words(&harm)),
@@ -280,7 +279,7 @@
     let mut ratios: Vec<f64> = pairs.iter().map(|[with, without]| with / without).collect();
     ratios.sort_by(f64::total_cmp);
     let middle = (ratios[1] + ratios[2]) / 2.0;
-    table.ask(
+    table.require(
         "CPU an RPC, of the program with it off",
         "at most 1.05",
         format!("{middle:.3}, the middle of four pairs; {:.1} us for {:.1} us", least(0), least(1)),
@@ -298,7 +297,7 @@
             (all.iter().copied().fold(f64::MAX, f64::min), all.iter().copied().fold(0.0, f64::max));
         let told = all.iter().map(|load| format!("{load:.0}")).collect::<Vec<_>>().join(", ");
         let what = format!("{what} a router a second, 4, 8, 16, 32");
-        table.ask(what, "flat within a fifth", told, most <= 1.2 * least);
+        table.require(what, "flat within a fifth", told, most <= 1.2 * least);
     }
     std::fs::create_dir_all(out)?;
     let lines: Vec<Line<'_>> =
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp.rs
@@ -87,8 +87,7 @@
 
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-ramp");
-    if programs.faulty.is_none() {
-        table.ask("faulty builds", "told apart", "no --faulty router", false);
+    if !table.require_faulty_build(programs) {
         return Ok(table.print());
     }
     // Of a few groups a primary is cold, in others one replica, or two.
@@ -126,16 +125,16 @@
     for (what, drill, played) in rows {
         let (least, most) = bears(drill);
         let (told, holds) = text(played);
-        table.ask(format!("{what}: N {least:.0} to {most:.0}"), "2 roots beyond N + 2", told, holds);
+        table.require(format!("{what}: N {least:.0} to {most:.0}"), "2 roots beyond N + 2", told, holds);
     }
     let (told, holds) = text(&ignored);
-    table.ask("  the last with ignores-warm-up", "told apart", told, !holds);
+    table.require("  the last with ignores-warm-up", "told apart", told, !holds);
     match &earlier {
         Some(earlier) => {
             let (told, holds) = text(earlier);
-            table.ask("  the last with the program before", "told apart", told, !holds);
+            table.require("  the last with the program before", "told apart", told, !holds);
         }
-        None => table.tell("  the last with the program before", "not built: make earlier NAME=fleet-ramp"),
+        None => table.report("  the last with the program before", "not built: make earlier NAME=fleet-ramp"),
     }
     for (what, drill, played) in rows {
         if drill.deeds.is_empty() {
@@ -148,14 +147,14 @@
         let other = played.violations.iter().find(|violation| violation.rule != 1).map(ToString::to_string);
         let other = other.or(played.fallen.first().cloned());
         let text = format!("{}; {unanswered} unanswered", other.as_deref().unwrap_or("none"));
-        table.ask(format!("{what}: rules 2 to 5 broken"), "none", text, other.is_none());
+        table.require(format!("{what}: rules 2 to 5 broken"), "none", text, other.is_none());
     }
     let served = |played: &DrillRecord| {
         let total = played.outcome.total();
         format!("{:.4}", total.ok as f64 / total.due.max(1) as f64)
     };
     let other = earlier.as_ref().map_or(String::new(), |played| format!(", before {}", served(played)));
-    table.tell("served of what was asked, two of three cold", format!("{}{other}", served(&hard)));
+    table.report("served of what was asked, two of three cold", format!("{}{other}", served(&hard)));
     std::fs::create_dir_all(out)?;
     let mut lines: Vec<Line<'_>> = Vec::new();
     if let Some((got, most)) = windows(&hard) {
--- a/crates/ladderpass-testbed/src/prove/membership.rs
+++ b/crates/ladderpass-testbed/src/prove/membership.rs
@@ -137,7 +137,7 @@
         let missed = times.iter().filter(|at| at.is_none()).count();
         let worst = times.iter().flatten().copied().fold(0.0, f64::max);
         let told = format!("by {} of {}, at worst after {worst:.2} s", times.len() - missed, times.len());
-        table.ask(
+        table.require(
             format!("r{router} {what}: found"),
             "by all, within 4 s",
             told,
@@ -146,17 +146,32 @@
         all.extend(times.into_iter().flatten());
     }
     let median = median(&mut all);
-    table.ask("detection, median", "within 2 s", format!("{median:.2} s of {}", all.len()), median <= 2.0);
+    table.require(
+        "detection, median",
+        "within 2 s",
+        format!("{median:.2} s of {}", all.len()),
+        median <= 2.0,
+    );
     let (longest, count) = false_alarms(played, LOST.0, LOST.0 + LOST.1 + 1.0);
     let told = format!("{count} false alarms, the longest {longest:.2} s");
-    table.ask("a fifth of all datagrams lost", "none lasts 2 s", told, longest < 2.0);
+    table.require("a fifth of all datagrams lost", "none lasts 2 s", told, longest < 2.0);
     let counts = counts_at(played, SPLIT.0 + SPLIT.1 - 0.05);
     let wanted: Vec<usize> = (0..ROUTERS).map(|nth| if nth < 4 { 4 } else { 6 }).collect();
-    table.ask("split of 4 and 6: each counts on", "its own side", format!("{counts:?}"), counts == wanted);
+    table.require(
+        "split of 4 and 6: each counts on",
+        "its own side",
+        format!("{counts:?}"),
+        counts == wanted,
+    );
     let heals = SPLIT.0 + SPLIT.1;
     let agreed = agreed(played, heals);
     let told = agreed.map_or("not equal".to_owned(), |at| format!("{at:.2} s"));
-    table.ask("all views equal after the last fault", "within 3 s", told, agreed.is_some_and(|at| at <= 3.0));
+    table.require(
+        "all views equal after the last fault",
+        "within 3 s",
+        told,
+        agreed.is_some_and(|at| at <= 3.0),
+    );
 }
 
 /// Datagrams and bytes a router a second at rest and under a load that is the same for all sizes.
@@ -415,7 +430,7 @@
 fn prove_faulty(table: &mut Table, rows: &[(Option<&'static str>, Shown)]) {
     let Some((_, real)) = rows.iter().find(|(switch, _)| switch.is_none()) else { return };
     let healthy = real.found == 7 && real.back == 0 && real.counts.iter().all(|&count| count == 7);
-    table.ask("a kill, late words of the dead, loss", "found, and stays so", real.told(), healthy);
+    table.require("a kill, late words of the dead, loss", "found, and stays so", real.told(), healthy);
     for (switch, shown) in rows.iter().filter_map(|(switch, shown)| Some(((*switch)?, shown))) {
         let caught = match switch {
             "never-suspects" => shown.found == 0,
@@ -423,7 +438,7 @@
             "forgets-incarnations" => shown.back > 0,
             _ => shown.found == 7 && shown.counts.iter().all(|&count| count == 8),
         };
-        table.ask(format!("  {switch}"), "told apart", shown.told(), caught);
+        table.require(format!("  {switch}"), "told apart", shown.told(), caught);
     }
 }
 
@@ -443,7 +458,7 @@
             told.push_str(&format!("; by what each alone sent {alone}"));
             holds &= alone == 0;
         }
-        table.ask(
+        table.require(
             format!("one of four {}", row.switch),
             format!("breaks rule {}, jointly", row.rule),
             told,
@@ -454,14 +469,13 @@
 
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("membership");
-    if programs.faulty.is_none() {
-        table.ask("faulty builds", "told apart", "no --faulty router", false);
+    if !table.require_faulty_build(programs) {
         return Ok(table.print());
     }
     let measured = measure(programs, seed)?;
     let (drill, long) = &measured.long;
     let settled = long.settled.map_or("no".to_owned(), |span| format!("{:.2} s", span.secs()));
-    table.ask("ten started at once find each other", "within 6 s", settled, long.settled.is_some());
+    table.require("ten started at once find each other", "within 6 s", settled, long.settled.is_some());
     prove_detection(&mut table, long);
     kept(&mut table, "kills, freeze, deafness, loss, split", long);
     prove_faulty(&mut table, &measured.shown);
@@ -478,26 +492,31 @@
         format!("{rate:.1} a second, pauses {:.0} ms, longest {:.0} ms", mean * 1e3, longest * 1e3)
     };
     let (mine, kept_turns) = (after(ours), after(keeps));
-    table.ask(
+    table.require(
         "the turns of three dead pass on",
         "within 4 s",
         format!("{:.2} s", taken(ours)),
         taken(ours) <= 4.0,
     );
     // A round is a second, and each turn 50 ms more: nine of them, and what a round may be late.
-    table.ask("probes a member, a third dead", "no pause over 3 s", told(mine), mine.0 > 0.0 && mine.1 < 3.0);
-    table.tell("  with the dead's turns kept", told(kept_turns));
+    table.require(
+        "probes a member, a third dead",
+        "no pause over 3 s",
+        told(mine),
+        mine.0 > 0.0 && mine.1 < 3.0,
+    );
+    table.report("  with the dead's turns kept", told(kept_turns));
     match earlier {
         Some(earlier) => {
             let before = after(earlier);
-            table.ask(
+            table.require(
                 "  the earlier program",
                 "ours at most 1.5 of it",
                 told(before),
                 mine.0 <= 1.5 * before.0,
             );
         }
-        None => table.tell("  the earlier program", "not measured: make earlier NAME=membership"),
+        None => table.report("  the earlier program", "not measured: make earlier NAME=membership"),
     }
     for (part, what) in [(0, "datagrams"), (1, "bytes")] {
         let of = |load: &(f64, f64)| if part == 0 { load.0 } else { load.1 };
@@ -505,7 +524,7 @@
         let (least, most) =
             (all.iter().copied().fold(f64::MAX, f64::min), all.iter().copied().fold(0.0, f64::max));
         let told = all.iter().map(|load| format!("{load:.0}")).collect::<Vec<_>>().join(", ");
-        table.ask(
+        table.require(
             format!("{what} a router a second, 4, 8, 16, 32"),
             "flat within a fifth",
             told,
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -9,62 +9,14 @@
 pub mod fleet_ramp;
 pub mod membership;
 pub mod overload;
+mod table;
+
+pub use table::Table;
 
 use crate::drill::Drill;
 use crate::drill::play::{DrillRecord, Programs, play};
 use ladderpass_emulator::Scenario;
 use std::io;
-use std::time::Instant;
-
-/// The table of a proof: what was asked, what was measured.
-pub struct Table {
-    name: &'static str,
-    rows: Vec<(String, String, String, Option<bool>)>,
-    began: Instant,
-}
-
-impl Table {
-    pub fn new(name: &'static str) -> Table {
-        Table { name, rows: Vec::new(), began: Instant::now() }
-    }
-
-    /// A figure that must hold.
-    pub fn ask(
-        &mut self,
-        what: impl Into<String>,
-        wanted: impl Into<String>,
-        got: impl Into<String>,
-        holds: bool,
-    ) {
-        self.rows.push((what.into(), wanted.into(), got.into(), Some(holds)));
-    }
-
-    /// A figure that is told beside them.
-    pub fn tell(&mut self, what: impl Into<String>, got: impl Into<String>) {
-        self.rows.push((what.into(), String::new(), got.into(), None));
-    }
-
-    /// Prints it; whether all of it holds.
-    pub fn print(&self) -> bool {
-        let width = self.rows.iter().map(|row| row.0.chars().count()).max().unwrap_or(0);
-        println!("{}, in {:.0} s", self.name, self.began.elapsed().as_secs_f64());
-        for (what, wanted, got, holds) in &self.rows {
-            let mark = match holds {
-                Some(true) => "holds",
-                Some(false) => "SHORT",
-                None => "",
-            };
-            let pad = " ".repeat(width - what.chars().count());
-            println!("  {what}{pad}  {wanted:<24}  {got:<44}  {mark}");
-        }
-        let short = self.rows.iter().filter(|row| row.3 == Some(false)).count();
-        println!(
-            "  {}",
-            if short == 0 { "all of it holds".to_owned() } else { format!("{short} fall short") }
-        );
-        short == 0
-    }
-}
 
 fn named(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
@@ -81,7 +33,7 @@
         None => format!("none in {} RPCs; {silent} unanswered, {lost} with a killed router", total.due),
         Some(first) => format!("{}: {}", told.len(), first.chars().take(120).collect::<String>()),
     };
-    table.ask(format!("{what}: rules broken"), "none", text, told.is_empty());
+    table.require(format!("{what}: rules broken"), "none", text, told.is_empty());
 }
 
 /// Three members that work on two RPCs at a time, 20 ms each on average: 300 a second fit. With the shares of reads and writes.
--- a/crates/ladderpass-testbed/src/prove/overload.rs
+++ b/crates/ladderpass-testbed/src/prove/overload.rs
@@ -76,14 +76,14 @@
             ours += cost(&scenario, &plain, 64, 1, 0.6, seed + turn)?.0;
         }
         let told = format!("{:.1} us for {:.1} us: {:.2}", ours / 2.0, theirs / 2.0, ours / theirs);
-        table.ask("CPU an RPC, of the earlier program's", "under 0.65", told, ours < 0.65 * theirs);
+        table.require("CPU an RPC, of the earlier program's", "under 0.65", told, ours < 0.65 * theirs);
         let crowd = cost(&scenario, &start(earlier, None), 1000, 1, 0.6, seed)?;
-        table.tell("pushed back, earlier, 1,000 clients", format!("{:.2}%", crowd.1 * 100.0));
+        table.report("pushed back, earlier, 1,000 clients", format!("{:.2}%", crowd.1 * 100.0));
     } else {
-        table.tell("CPU an RPC, of the earlier program's", "not measured: no --earlier");
+        table.report("CPU an RPC, of the earlier program's", "not measured: no --earlier");
     }
     let crowd = cost(&scenario, &plain, 1000, 1, 0.6, seed)?;
-    table.ask(
+    table.require(
         "pushed back, 1,000 clients, idle members",
         "under 0.1%",
         format!("{:.2}%", crowd.1 * 100.0),
@@ -94,7 +94,7 @@
     let (serve, _, most) = cost(&scenario, &plain, 200, 16, 0.4, seed)?;
     let (refuse, pushed, _) = cost(&scenario, &start(binary, Some(REFUSES_ALL)), 200, 16, 0.4, seed)?;
     let told = format!("{refuse:.1} us for {serve:.1} us: {:.2}", refuse / serve);
-    table.ask(
+    table.require(
         "refusing, of serving, clients with 16 out",
         "at most 0.40",
         told,
@@ -102,7 +102,10 @@
     );
     let (one, ..) = cost(&scenario, &plain, 64, 1, 0.3, seed)?;
     let (no, ..) = cost(&scenario, &start(binary, Some(REFUSES_ALL)), 64, 1, 0.3, seed)?;
-    table.tell("  and clients with a single one out", format!("{no:.1} us for {one:.1} us: {:.2}", no / one));
+    table.report(
+        "  and clients with a single one out",
+        format!("{no:.1} us for {one:.1} us: {:.2}", no / one),
+    );
 
     // The load that it serves when calm, found by steps of what it serves at most in this run: three times the last one
     // is a third more than that, and three times the first one a little.
@@ -121,14 +124,14 @@
             let (counts, delay) = (seen.counts(WARM, WARM + 0.5), seen.delay_ms(0.99, WARM, WARM + 0.5));
             let (good, due, cpu) = (counts.good, counts.due, core_used(&seen) * 100.0);
             let told = format!("{good} of {due} good, loop delay p99 {delay:.1} ms, CPU {cpu:.0}%");
-            table.tell(format!("  not calm at {:.0} RPCs/s", most * part), told);
+            table.report(format!("  not calm at {:.0} RPCs/s", most * part), told);
             if failed == 2 {
                 break 'steps;
             }
         }
         calm = most * part;
     }
-    table.ask("calm load", "found", format!("{calm:.0} RPCs/s, of {most:.0} at most"), calm > 0.0);
+    table.require("calm load", "found", format!("{calm:.0} RPCs/s, of {most:.0} at most"), calm > 0.0);
     if calm == 0.0 {
         return Ok(table.print());
     }
@@ -148,21 +151,21 @@
     };
     let delay = with.delay_ms(0.999, 0.5, 6.0);
     let beside = |text: String| format!("{text} without the file");
-    table.ask(
+    table.require(
         "3x: 99.9th percentile of loop delay",
         "under 50 ms",
         format!("{delay:.1} ms; {}", beside(format!("{:.1} ms", without.delay_ms(0.999, 0.5, 3.5)))),
         delay < 50.0,
     );
     let (at, took) = with.slowest();
-    table.tell("3x: slowest round", format!("{took:.1} ms, {at:.2} s after the start"));
-    table.ask(
+    table.report("3x: slowest round", format!("{took:.1} ms, {at:.2} s after the start"));
+    table.require(
         "3x: writes answered ok",
         "above 99%",
         format!("{:.2}%; {}", ok(&with) * 100.0, beside(format!("{:.2}%", ok(&without) * 100.0))),
         ok(&with) > 0.99,
     );
-    table.ask(
+    table.require(
         "3x: clients without an answer in their time",
         "none",
         format!("{}; {}", silent(&with), beside(silent(&without).to_string())),
@@ -174,35 +177,35 @@
     } else {
         broken.join("; ")
     };
-    table.ask("3x: rules broken", "none", told, broken.is_empty());
+    table.require("3x: rules broken", "none", told, broken.is_empty());
     let total = with.outcome.total();
-    table.ask(
+    table.require(
         "3x: the load kept up",
         "under 20 ms late",
         format!("{:.1} ms", with.outcome.behind.secs() * 1e3),
         with.outcome.behind < Span::from_millis(20),
     );
     let rate = with.level_changes() as f64 / 6.0;
-    table.ask("3x: changes of level a second", "under 3", format!("{rate:.2}"), rate < 3.0);
+    table.require("3x: changes of level a second", "under 3", format!("{rate:.2}"), rate < 3.0);
     // The last half second: all that is due then is answered well, two seconds after the load fell.
     let after = with.counts(5.5, 5.9);
     let (due, good) = (after.due, after.good);
-    table.ask(
+    table.require(
         "back at 1x: good after 2 s",
         "above 99.9%",
         format!("{good} of {due}"),
         due > 0 && good as f64 >= 0.999 * due as f64,
     );
     let mean = |seen: &RunRecord| seen.outcome.utility_rate(1.0, 3.5) / 1e3;
-    table.tell(
+    table.report(
         "3x: utility a second",
         format!("{:.0}k; {}", mean(&with), beside(format!("{:.0}k", mean(&without)))),
     );
-    table.tell(
+    table.report(
         "3x: pushed back",
         format!("{:.1}% of {}", total.pushed_back as f64 * 100.0 / total.due.max(1) as f64, total.due),
     );
-    table.tell(
+    table.report(
         "3x: CPU of the router",
         format!("{:.2} of a core; {}", with.cpu / 6.0, beside(format!("{:.2}", without.cpu / 3.5))),
     );
@@ -228,7 +231,7 @@
         curve.last().map_or(0.0, |last| last.1 / best.max(1e-9))
     };
     let (ours, theirs) = (flat(&curves[0]), flat(&curves[1]));
-    table.ask(
+    table.require(
         "5x: goodput, of its best at any load",
         "at least 0.90",
         format!("{ours:.2}; {}", beside(format!("{theirs:.2}"))),
