--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -0,0 +1,94 @@
+//! The calm load: the highest rate, of a few fractions of what the router serves at most, that it serves without rejections
+//! and with short delays.
+
+use super::{Routers, WARM_UP_S};
+use crate::prove::Table;
+use crate::run::{self, RunRecord, open};
+use ladderpass_emulator::Scenario;
+use std::io;
+
+/// Fractions of the highest rate that are tried. Three times the first is a little above the highest rate, three times the
+/// last a third above it.
+const FRACTIONS: [f64; 3] = [0.35, 0.39, 0.43];
+const LOAD_S: f64 = 0.5;
+/// Of three runs so many must be calm, as another process of the machine may disturb one.
+const CALM_RUNS: u64 = 2;
+const DISTURBED_RUNS: u64 = 2;
+const MIN_GOOD_FRACTION: f64 = 0.999;
+const MAX_LOOP_DELAY_P99_MS: f64 = 5.0;
+
+/// Requires that there is a calm load. Returns it, in RPCs a second.
+///
+/// # Errors
+/// If a run can't be started.
+pub(super) fn require_calm_load(
+    table: &mut Table,
+    scenario: &Scenario,
+    routers: &Routers,
+    max_rate: f64,
+    seed: u64,
+) -> io::Result<Option<f64>> {
+    let mut calm_rate = None;
+    for fraction in FRACTIONS {
+        let rate = max_rate * fraction;
+        if !is_calm_at(table, scenario, routers, rate, seed)? {
+            break;
+        }
+        calm_rate = Some(rate);
+    }
+    let measured = format!("{:.0} RPCs/s, of {max_rate:.0} at most", calm_rate.unwrap_or(0.0));
+    table.require("calm load", "found", measured, calm_rate.is_some());
+    Ok(calm_rate)
+}
+
+/// Is the router calm at a rate, in two of up to three runs? Reports runs in which it is not.
+fn is_calm_at(
+    table: &mut Table,
+    scenario: &Scenario,
+    routers: &Routers,
+    rate: f64,
+    seed: u64,
+) -> io::Result<bool> {
+    let phases = [(WARM_UP_S, rate * 0.5), (LOAD_S, rate)];
+    let (mut calm, mut disturbed) = (0, 0);
+    while calm < CALM_RUNS {
+        let plan = open(seed + calm + disturbed, &phases);
+        let record = run::run(scenario, &routers.controlled, &plan, vec![])?;
+        if is_calm(&record) {
+            calm += 1;
+            continue;
+        }
+        disturbed += 1;
+        table.report(format!("  not calm at {rate:.0} RPCs/s"), describe(&record));
+        if disturbed == DISTURBED_RUNS {
+            return Ok(false);
+        }
+    }
+    Ok(true)
+}
+
+/// Does the router reject nothing, answer in time, and have short delays? The idle part of its core does not tell: with
+/// little load it handles RPCs one by one, which takes twice the CPU time of batches, so that a core can be almost busy at
+/// half of the highest rate.
+fn is_calm(record: &RunRecord) -> bool {
+    let counts = record.counts(WARM_UP_S, WARM_UP_S + LOAD_S);
+    counts.good as f64 >= MIN_GOOD_FRACTION * counts.due as f64
+        && loop_delay_p99_ms(record) < MAX_LOOP_DELAY_P99_MS
+}
+
+fn describe(record: &RunRecord) -> String {
+    let counts = record.counts(WARM_UP_S, WARM_UP_S + LOAD_S);
+    // As if the router had the full rate all the time.
+    let core_used = record.cpu / (WARM_UP_S * 0.5 + LOAD_S);
+    format!(
+        "{} of {} good, loop delay p99 {:.1} ms, CPU {:.0}%",
+        counts.good,
+        counts.due,
+        loop_delay_p99_ms(record),
+        core_used * 100.0
+    )
+}
+
+fn loop_delay_p99_ms(record: &RunRecord) -> f64 {
+    record.delay_ms(0.99, WARM_UP_S, WARM_UP_S + LOAD_S)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/overload/cost.rs
@@ -0,0 +1,134 @@
+//! CPU time of an RPC, served or rejected, under clients that send the next RPC once they have an answer.
+
+use super::Routers;
+use crate::load::{Pace, Plan};
+use crate::prove::Table;
+use crate::router::Start;
+use crate::run;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
+use std::io;
+
+/// Comparisons with the earlier program, taken in turns in the same run.
+const COMPARISONS: u64 = 2;
+const MAX_COST_OF_EARLIER: f64 = 0.65;
+const MAX_REJECTED_OF_IDLE: f64 = 0.001;
+const MAX_COST_OF_REJECTION: f64 = 0.4;
+const MIN_REJECTED: f64 = 0.99;
+
+const ONE_EACH: ClosedLoad = ClosedLoad { clients: 64, pipeline: 1, seconds: 0.6 };
+const ONE_EACH_SHORT: ClosedLoad = ClosedLoad { seconds: 0.3, ..ONE_EACH };
+const MANY_CLIENTS: ClosedLoad = ClosedLoad { clients: 1000, pipeline: 1, seconds: 0.6 };
+const PIPELINED: ClosedLoad = ClosedLoad { clients: 200, pipeline: 16, seconds: 0.4 };
+
+/// Clients that each keep a number of RPCs in flight.
+#[derive(Clone, Copy)]
+struct ClosedLoad {
+    clients: usize,
+    /// RPCs that each client has in flight.
+    pipeline: usize,
+    seconds: f64,
+}
+
+/// What a closed load measured.
+struct Cost {
+    cpu_us_per_rpc: f64,
+    /// Fraction of the RPCs that were rejected.
+    rejected: f64,
+    rpcs_per_second: f64,
+}
+
+impl ClosedLoad {
+    fn measure(&self, scenario: &Scenario, start: &Start, seed: u64) -> io::Result<Cost> {
+        let plan = Plan {
+            pace: Pace::Closed(Span::from_secs_f64(self.seconds)),
+            connections: self.clients,
+            pipeline: self.pipeline,
+            seed,
+            ..Plan::default()
+        };
+        let record = run::run(scenario, start, &plan, vec![])?;
+        let total = record.outcome.total();
+        let due = total.due.max(1) as f64;
+        Ok(Cost {
+            cpu_us_per_rpc: record.cpu * 1e6 / due,
+            rejected: total.pushed_back as f64 / due,
+            rpcs_per_second: due / self.seconds,
+        })
+    }
+}
+
+/// Requires that RPCs cost less than with the earlier program, and that hardly any is rejected while members are idle.
+///
+/// # Errors
+/// If a run can't be started.
+pub(super) fn require_cost_of_rpcs(
+    table: &mut Table,
+    scenario: &Scenario,
+    routers: &Routers,
+    seed: u64,
+) -> io::Result<()> {
+    match &routers.earlier {
+        Some(earlier) => compare_with_earlier(table, scenario, routers, earlier, seed)?,
+        None => table.report("CPU an RPC, of the earlier program's", "not measured: no --earlier"),
+    }
+    let crowd = MANY_CLIENTS.measure(scenario, &routers.uncontrolled, seed)?;
+    table.require(
+        "pushed back, 1,000 clients, idle members",
+        "under 0.1%",
+        format!("{:.2}%", crowd.rejected * 100.0),
+        crowd.rejected < MAX_REJECTED_OF_IDLE,
+    );
+    Ok(())
+}
+
+fn compare_with_earlier(
+    table: &mut Table,
+    scenario: &Scenario,
+    routers: &Routers,
+    earlier: &Start,
+    seed: u64,
+) -> io::Result<()> {
+    let (mut current_us, mut earlier_us) = (0.0, 0.0);
+    for index in 0..COMPARISONS {
+        earlier_us += ONE_EACH.measure(scenario, earlier, seed + index)?.cpu_us_per_rpc;
+        current_us += ONE_EACH.measure(scenario, &routers.uncontrolled, seed + index)?.cpu_us_per_rpc;
+    }
+    let comparisons = COMPARISONS as f64;
+    let (current_mean, earlier_mean) = (current_us / comparisons, earlier_us / comparisons);
+    let ratio = current_us / earlier_us;
+    let measured = format!("{current_mean:.1} us for {earlier_mean:.1} us: {ratio:.2}");
+    let holds = current_us < MAX_COST_OF_EARLIER * earlier_us;
+    table.require("CPU an RPC, of the earlier program's", "under 0.65", measured, holds);
+    let crowd = MANY_CLIENTS.measure(scenario, earlier, seed)?;
+    table.report("pushed back, earlier, 1,000 clients", format!("{:.2}%", crowd.rejected * 100.0));
+    Ok(())
+}
+
+/// Requires that a rejection costs much less than an answer. Returns the highest rate that the router serves, in RPCs a
+/// second.
+///
+/// # Errors
+/// If a run can't be started.
+pub(super) fn require_cost_of_rejections(
+    table: &mut Table,
+    scenario: &Scenario,
+    routers: &Routers,
+    seed: u64,
+) -> io::Result<f64> {
+    let served = PIPELINED.measure(scenario, &routers.uncontrolled, seed)?;
+    let rejected = PIPELINED.measure(scenario, &routers.rejecting, seed)?;
+    let holds = rejected.cpu_us_per_rpc <= MAX_COST_OF_REJECTION * served.cpu_us_per_rpc
+        && rejected.rejected > MIN_REJECTED;
+    let label = "refusing, of serving, clients with 16 out";
+    table.require(label, "at most 0.40", compared_cost(&rejected, &served), holds);
+    let served_single = ONE_EACH_SHORT.measure(scenario, &routers.uncontrolled, seed)?;
+    let rejected_single = ONE_EACH_SHORT.measure(scenario, &routers.rejecting, seed)?;
+    table.report("  and clients with a single one out", compared_cost(&rejected_single, &served_single));
+    Ok(served.rpcs_per_second)
+}
+
+fn compared_cost(rejected: &Cost, served: &Cost) -> String {
+    let (rejected_us, served_us) = (rejected.cpu_us_per_rpc, served.cpu_us_per_rpc);
+    format!("{rejected_us:.1} us for {served_us:.1} us: {:.2}", rejected_us / served_us)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -0,0 +1,83 @@
+//! Goodput by offered load, with overload control and without.
+
+use super::{Routers, WARM_UP_S, uncontrolled_text};
+use crate::charts;
+use crate::prove::Table;
+use crate::router::Start;
+use crate::run::{self, open};
+use ladderpass_emulator::Scenario;
+use std::io;
+use std::path::Path;
+
+/// Multiples of the calm load at which goodput is measured.
+const LOAD_FACTORS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 5.0];
+const UNCONTROLLED_LOAD_FACTORS: [f64; 3] = [0.5, 1.0, 5.0];
+/// How long a load lasts before it is measured, and while it is.
+const SETTLE_S: f64 = 0.2;
+const MEASURED_S: f64 = 0.5;
+const MIN_GOODPUT_OF_BEST: f64 = 0.9;
+
+/// Utility a second, by multiples of the calm load.
+pub(super) struct GoodputCurves {
+    controlled: Vec<(f64, f64)>,
+    uncontrolled: Vec<(f64, f64)>,
+}
+
+/// Measures both curves.
+///
+/// # Errors
+/// If a run can't be started.
+pub(super) fn measure_goodput(
+    scenario: &Scenario,
+    routers: &Routers,
+    calm_rate: f64,
+    seed: u64,
+) -> io::Result<GoodputCurves> {
+    let curve = |start: &Start, factors: &[f64]| -> io::Result<Vec<(f64, f64)>> {
+        let point = |&factor: &f64| Ok((factor, goodput(scenario, start, calm_rate, factor, seed)?));
+        factors.iter().map(point).collect()
+    };
+    Ok(GoodputCurves {
+        controlled: curve(&routers.controlled, &LOAD_FACTORS)?,
+        uncontrolled: curve(&routers.uncontrolled, &UNCONTROLLED_LOAD_FACTORS)?,
+    })
+}
+
+/// Utility a second at a multiple of the calm load.
+fn goodput(scenario: &Scenario, start: &Start, calm_rate: f64, factor: f64, seed: u64) -> io::Result<f64> {
+    let rate = calm_rate * factor;
+    let phases = [(WARM_UP_S, calm_rate * 0.5), (SETTLE_S, rate), (MEASURED_S, rate)];
+    let record = run::run(scenario, start, &open(seed, &phases), vec![])?;
+    let from_s = WARM_UP_S + SETTLE_S;
+    Ok(record.outcome.utility_rate(from_s, from_s + MEASURED_S))
+}
+
+impl GoodputCurves {
+    /// Requires that goodput under the highest load is close to the best.
+    pub(super) fn require_flat(&self, table: &mut Table) {
+        let controlled = last_of_best(&self.controlled);
+        let uncontrolled = uncontrolled_text(format!("{:.2}", last_of_best(&self.uncontrolled)));
+        table.require(
+            "5x: goodput, of its best at any load",
+            "at least 0.90",
+            format!("{controlled:.2}; {uncontrolled}"),
+            controlled >= MIN_GOODPUT_OF_BEST,
+        );
+    }
+
+    /// Writes the chart of both curves.
+    ///
+    /// # Errors
+    /// If it can't be written.
+    pub(super) fn write_chart(&self, out: &Path) -> io::Result<()> {
+        let curves: [(&str, &[(f64, f64)]); 2] =
+            [("watching itself", &self.controlled), ("without the file", &self.uncontrolled)];
+        charts::goodput(&out.join("goodput.svg"), &curves)
+    }
+}
+
+/// The last value of a curve as a fraction of its greatest one.
+fn last_of_best(curve: &[(f64, f64)]) -> f64 {
+    let best = curve.iter().map(|(_, goodput)| *goodput).fold(0.0, f64::max);
+    curve.last().map_or(0.0, |(_, last)| last / best.max(1e-9))
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -0,0 +1,175 @@
+//! Three times the calm load, and back to it, with overload control and without.
+
+use super::{Routers, WARM_UP_S, uncontrolled_text};
+use crate::charts;
+use crate::prove::Table;
+use crate::run::{self, RunRecord, open};
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
+use std::io;
+use std::path::Path;
+
+/// Times in seconds of the load: it rises at 1, falls at 3.5, and ends at 6.
+const RISE_S: f64 = 1.0;
+const FALL_S: f64 = 3.5;
+const END_S: f64 = 6.0;
+const LOAD_FACTOR: f64 = 3.0;
+/// Delays count from here.
+const DELAYS_FROM_S: f64 = 0.5;
+/// The router must have recovered two seconds after the load fell.
+const RECOVERED_FROM_S: f64 = 5.5;
+const RECOVERED_TO_S: f64 = 5.9;
+
+const MAX_LOOP_DELAY_P999_MS: f64 = 50.0;
+const MIN_WRITES_OK: f64 = 0.99;
+const MIN_RECOVERED_GOOD: f64 = 0.999;
+const MAX_LEVEL_CHANGES_PER_SECOND: f64 = 3.0;
+const MAX_LOAD_DELAY: Span = Span::from_millis(20);
+/// How long after its deadline an answer may come.
+const ANSWER_TOLERANCE: Span = Span::from_millis(50);
+
+/// The same load on both routers; that on the uncontrolled one ends before the load falls.
+pub(super) struct TripleLoad {
+    controlled: RunRecord,
+    uncontrolled: RunRecord,
+}
+
+/// Runs both loads.
+///
+/// # Errors
+/// If a run can't be started.
+pub(super) fn run_triple_load(
+    scenario: &Scenario,
+    routers: &Routers,
+    calm_rate: f64,
+    seed: u64,
+) -> io::Result<TripleLoad> {
+    let phases = [
+        (WARM_UP_S, calm_rate * 0.5),
+        (RISE_S - WARM_UP_S, calm_rate),
+        (FALL_S - RISE_S, calm_rate * LOAD_FACTOR),
+        (END_S - FALL_S, calm_rate),
+    ];
+    let controlled = run::run(scenario, &routers.controlled, &open(seed, &phases), vec![])?;
+    let uncontrolled = run::run(scenario, &routers.uncontrolled, &open(seed, &phases[..3]), vec![])?;
+    Ok(TripleLoad { controlled, uncontrolled })
+}
+
+impl TripleLoad {
+    /// Adds all requirements on the controlled router.
+    pub(super) fn require_all(&self, table: &mut Table, scenario: &Scenario) {
+        self.require_short_delays(table);
+        self.require_answers(table, scenario);
+        self.require_valid_run(table);
+        self.require_recovery(table);
+        self.report_utility_and_cpu(table);
+    }
+
+    fn require_short_delays(&self, table: &mut Table) {
+        let delay_ms = self.controlled.delay_ms(0.999, DELAYS_FROM_S, END_S);
+        let uncontrolled_ms = self.uncontrolled.delay_ms(0.999, DELAYS_FROM_S, FALL_S);
+        let uncontrolled = uncontrolled_text(format!("{uncontrolled_ms:.1} ms"));
+        table.require(
+            "3x: 99.9th percentile of loop delay",
+            "under 50 ms",
+            format!("{delay_ms:.1} ms; {uncontrolled}"),
+            delay_ms < MAX_LOOP_DELAY_P999_MS,
+        );
+        let (at_s, delay_ms) = self.controlled.slowest();
+        table.report("3x: slowest round", format!("{delay_ms:.1} ms, {at_s:.2} s after the start"));
+    }
+
+    fn require_answers(&self, table: &mut Table, scenario: &Scenario) {
+        let write = scenario.methods.iter().position(|method| method.writes).unwrap_or(0);
+        let ok = ok_fraction(&self.controlled, write);
+        let uncontrolled_ok = ok_fraction(&self.uncontrolled, write);
+        let uncontrolled = uncontrolled_text(format!("{:.2}%", uncontrolled_ok * 100.0));
+        table.require(
+            "3x: writes answered ok",
+            "above 99%",
+            format!("{:.2}%; {uncontrolled}", ok * 100.0),
+            ok > MIN_WRITES_OK,
+        );
+        let unanswered = not_answered_in_time(&self.controlled);
+        let uncontrolled = uncontrolled_text(not_answered_in_time(&self.uncontrolled));
+        table.require(
+            "3x: clients without an answer in their time",
+            "none",
+            format!("{unanswered}; {uncontrolled}"),
+            unanswered == 0,
+        );
+    }
+
+    /// Requires that no rule is broken, and that the load generator was not late.
+    fn require_valid_run(&self, table: &mut Table) {
+        let broken = self.controlled.broken(ANSWER_TOLERANCE);
+        let measured = if broken.is_empty() {
+            format!("none in {} call-outs", self.controlled.truth.executions.len())
+        } else {
+            broken.join("; ")
+        };
+        table.require("3x: rules broken", "none", measured, broken.is_empty());
+        let load_delay = self.controlled.outcome.behind;
+        table.require(
+            "3x: the load kept up",
+            "under 20 ms late",
+            format!("{:.1} ms", load_delay.secs() * 1e3),
+            load_delay < MAX_LOAD_DELAY,
+        );
+    }
+
+    fn require_recovery(&self, table: &mut Table) {
+        let changes = self.controlled.level_changes() as f64 / END_S;
+        table.require(
+            "3x: changes of level a second",
+            "under 3",
+            format!("{changes:.2}"),
+            changes < MAX_LEVEL_CHANGES_PER_SECOND,
+        );
+        let recovered = self.controlled.counts(RECOVERED_FROM_S, RECOVERED_TO_S);
+        let (due, good) = (recovered.due, recovered.good);
+        table.require(
+            "back at 1x: good after 2 s",
+            "above 99.9%",
+            format!("{good} of {due}"),
+            due > 0 && good as f64 >= MIN_RECOVERED_GOOD * due as f64,
+        );
+    }
+
+    fn report_utility_and_cpu(&self, table: &mut Table) {
+        let thousands = |record: &RunRecord| record.outcome.utility_rate(RISE_S, FALL_S) / 1e3;
+        let uncontrolled = uncontrolled_text(format!("{:.0}k", thousands(&self.uncontrolled)));
+        let utility = thousands(&self.controlled);
+        table.report("3x: utility a second", format!("{utility:.0}k; {uncontrolled}"));
+        let total = self.controlled.outcome.total();
+        let rejected = total.pushed_back as f64 * 100.0 / total.due.max(1) as f64;
+        table.report("3x: pushed back", format!("{rejected:.1}% of {}", total.due));
+        let uncontrolled = uncontrolled_text(format!("{:.2}", self.uncontrolled.cpu / FALL_S));
+        let cores = self.controlled.cpu / END_S;
+        table.report("3x: CPU of the router", format!("{cores:.2} of a core; {uncontrolled}"));
+    }
+
+    /// Writes charts of the delays, and of the controlled run over time.
+    ///
+    /// # Errors
+    /// If a chart can't be written.
+    pub(super) fn write_charts(&self, out: &Path, scenario: &Scenario) -> io::Result<()> {
+        let controlled = self.controlled.delays(RISE_S, FALL_S);
+        let uncontrolled = self.uncontrolled.delays(RISE_S, FALL_S);
+        let lines = [("watching itself", &controlled), ("without the file", &uncontrolled)];
+        charts::delays(&out.join("delay.svg"), &lines)?;
+        charts::over_time(&out.join("over-time.svg"), scenario, &self.controlled)
+    }
+}
+
+/// Fraction of a method's RPCs that were answered ok.
+fn ok_fraction(record: &RunRecord, method: usize) -> f64 {
+    let counts = record.outcome.of(method);
+    counts.ok as f64 / counts.due.max(1) as f64
+}
+
+/// RPCs that were not answered before their deadline.
+fn not_answered_in_time(record: &RunRecord) -> u64 {
+    let total = record.outcome.total();
+    total.late + total.unanswered + total.unsent
+}
