--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/faults/recording.rs
@@ -0,0 +1,122 @@
+//! Recordings of the fault tool: the same seed gives the same decisions, another seed others.
+
+use crate::prove::Table;
+use crate::prove::parallel::join;
+use crate::run;
+use ladderpass_emulator::proto;
+use ladderpass_fault_injection::driver::RunningTool;
+use ladderpass_fault_injection::plan::LinkShape;
+use ladderpass_fault_injection::{Decision, Plan, Rule, first_difference};
+use ladderpass_routing::Time;
+use std::io::{self, Read, Write};
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+const RANDOM_RULES: usize = 12;
+/// Rules act within the first so many messages.
+const MAX_NTH: u64 = 40;
+/// Actions that neither close nor stop a connection, which would end the comparison.
+const CONTINUING_ACTIONS: [&str; 6] = ["delay", "slice", "garble", "duplicate", "drop", "noise"];
+const STATEMENTS: usize = 60;
+const VALUE_BYTES: usize = 256;
+/// Limits a member or a fault tool that hangs. Delays of a plan must add up to less.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Requires that a recording can be repeated with its seed, and differs with another one.
+///
+/// # Errors
+/// If a recording can't be made.
+pub fn require_repeatable_recordings(table: &mut Table, seed: u64) -> io::Result<()> {
+    let [first, second, other] = std::thread::scope(|scope| {
+        let record = |seed| scope.spawn(move || recorded(seed, random_rules(seed)));
+        [seed, seed, seed + 1].map(record).map(join)
+    });
+    let (first, second, other) = (first?, second?, other?);
+    let difference = first_difference(&first, &second);
+    let holds = difference.is_none() && !first.is_empty();
+    let measured = difference.unwrap_or_else(|| format!("{} decisions, the same", first.len()));
+    table.require("the same seed twice", "the same recording", measured, holds);
+    let measured = format!("{} decisions", other.len());
+    let holds = first_difference(&first, &other).is_some();
+    table.require("another seed", "another recording", measured, holds);
+    Ok(())
+}
+
+/// Rules drawn at random that let the connection continue.
+fn random_rules(seed: u64) -> Vec<Rule> {
+    let member = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let mut plan = Plan::drawn(seed, RANDOM_RULES, member_link(member));
+    plan.rules.retain(|rule| CONTINUING_ACTIONS.contains(&rule.action.name()));
+    for rule in &mut plan.rules {
+        rule.when.nth = rule.when.nth.map(|nth| nth % MAX_NTH + 1);
+    }
+    plan.rules
+}
+
+/// The link to one member.
+fn member_link(member: SocketAddr) -> Vec<LinkShape> {
+    let no_discovery = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let mut links = run::links(&[member], no_discovery);
+    links.truncate(1);
+    links
+}
+
+/// What the fault tool decides while one client sends statements to a member through a link with these rules. It ends when
+/// both have sent everything, not after a time, so that neither a busy machine nor a slow rule changes the recording.
+///
+/// # Errors
+/// If the fault tool can't be started, or a connection fails.
+pub fn recorded(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
+    let links = member_link(listener.local_addr()?);
+    let tool = RunningTool::start(Plan { seed, links, rules, ..Plan::default() }, None)?;
+    let mut stream = TcpStream::connect(tool.addresses[0])?;
+    stream.set_read_timeout(Some(READ_TIMEOUT))?;
+    stream.write_all(&client_messages())?;
+    stream.shutdown(Shutdown::Write)?;
+    let member = std::thread::spawn(move || answer_all(&listener));
+    // Reads to the end, whatever the rules have made of the answers.
+    io::copy(&mut stream, &mut io::sink())?;
+    member.join().map_err(|_| io::Error::other("the member failed"))??;
+    Ok(tool.stop().record)
+}
+
+/// The client's startup message and its statements.
+fn client_messages() -> Vec<u8> {
+    let mut messages = Vec::new();
+    proto::put_startup(&mut messages);
+    for number in 0..STATEMENTS {
+        let statement = format!(
+            "SELECT payload FROM entries WHERE ref = 'k' /* id=1-{number:x},c=board,d=1000,cluster=0 */"
+        );
+        proto::put_query(&mut messages, &statement);
+    }
+    messages
+}
+
+/// A member that answers each complete message on one connection, even if it is malformed, and closes only after its client
+/// did. What it sends depends only on what it received: if it closed at a statement that it can't read, answers that the
+/// fault tool has not read yet would be lost, more or fewer each time.
+fn answer_all(listener: &TcpListener) -> io::Result<()> {
+    let (mut stream, _) = listener.accept()?;
+    stream.set_nodelay(true)?;
+    let (mut input, mut buffer, mut started) = (Vec::new(), [0; 4096], false);
+    loop {
+        let count = stream.read(&mut buffer)?;
+        if count == 0 {
+            return Ok(());
+        }
+        input.extend_from_slice(&buffer[..count]);
+        let mut output = Vec::new();
+        if !started && let Some(length) = proto::parse_startup(&input) {
+            (input, started) = (input.split_off(length), true);
+            proto::put_startup_response(&mut output);
+        }
+        while started && let Some((_, _, length)) = proto::parse_frame(&input) {
+            input = input.split_off(length);
+            let position = Some(Time::from_nanos(0));
+            proto::put_row(&mut output, &[b'.'; VALUE_BYTES], false, true, position);
+        }
+        stream.write_all(&output)?;
+    }
+}
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -9,14 +9,15 @@
 pub mod fleet_ramp;
 pub mod membership;
 pub mod overload;
+mod parallel;
 mod table;
 
 pub use table::Table;
 
 use crate::drill::Drill;
-use crate::drill::play::{DrillRecord, Programs, play};
+use crate::drill::play::DrillRecord;
 use ladderpass_emulator::Scenario;
-use std::io;
+use parallel::{join as lane, play_in_parallel as plays};
 
 fn named(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
@@ -45,24 +46,6 @@
     scenario
 }
 
-/// Played side by side, so that what else the machine does hits all alike.
-fn plays<const N: usize>(
-    drills: [&Drill; N],
-    programs: Programs<'_>,
-    seed: u64,
-) -> io::Result<[DrillRecord; N]> {
-    let played: Vec<DrillRecord> = std::thread::scope(|scope| {
-        let lanes = drills.map(|drill| scope.spawn(move || play(drill, programs, seed)));
-        lanes.into_iter().map(lane).collect::<io::Result<_>>()
-    })?;
-    played.try_into().map_err(|_| io::Error::other("as many were played"))
-}
-
-/// What a lane gave; one that failed by itself is a fault like any other.
-fn lane<T>(handle: std::thread::ScopedJoinHandle<'_, io::Result<T>>) -> io::Result<T> {
-    handle.join().unwrap_or_else(|_| Err(io::Error::other("a lane of the proof failed")))
-}
-
 /// Datagrams and bytes that a router of a drill sent a second, on average.
 fn datagrams_of(drill: &Drill, played: &DrillRecord) -> (f64, f64) {
     let per = |of: fn(&ladderpass_fault_injection::TrafficCounts) -> u64| {
