--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/checks.rs
@@ -0,0 +1,41 @@
+//! Requirements that several proofs share.
+
+use super::Table;
+use crate::drill::play::DrillRecord;
+
+/// Rates count as flat if the highest is at most this many times the lowest.
+const MAX_FLAT_RATIO: f64 = 1.2;
+/// Of the first violation, this much is shown.
+const MAX_VIOLATION_CHARS: usize = 120;
+
+/// Requires that the history of a drill has no violation and that no router failed by itself.
+pub fn require_no_violations(table: &mut Table, label: &str, record: &DrillRecord) {
+    let violations = record.violations.iter().map(ToString::to_string);
+    let findings: Vec<String> = violations.chain(record.fallen.iter().cloned()).collect();
+    let total = record.outcome.total();
+    let unanswered = total.late + total.unanswered;
+    let lost = record.outcome.journal.iter().filter(|entry| entry.lost.is_some()).count();
+    let measured = match findings.first() {
+        None => format!("none in {} RPCs; {unanswered} unanswered, {lost} with a killed router", total.due),
+        Some(first) => {
+            let shown: String = first.chars().take(MAX_VIOLATION_CHARS).collect();
+            format!("{}: {shown}", findings.len())
+        }
+    };
+    table.require(format!("{label}: rules broken"), "none", measured, findings.is_empty());
+}
+
+/// Do rates differ by no more than a fifth?
+pub fn is_flat(rates: &[f64]) -> bool {
+    highest(rates) <= MAX_FLAT_RATIO * lowest(rates)
+}
+
+/// The lowest of some rates; the greatest number if there is none.
+pub fn lowest(rates: &[f64]) -> f64 {
+    rates.iter().copied().fold(f64::MAX, f64::min)
+}
+
+/// The highest of some rates; 0 if there is none.
+pub fn highest(rates: &[f64]) -> f64 {
+    rates.iter().copied().fold(0.0, f64::max)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -0,0 +1,92 @@
+//! Health checks of a member by all routers together, which must not grow with their number.
+
+use crate::drill::Drill;
+use crate::drill::play::{Programs, play};
+use crate::prove::Table;
+use crate::prove::checks::{highest, is_flat, lowest};
+use crate::prove::parallel::join;
+use crate::prove::scenarios::SHED_AND_BUDGET_TOGETHER;
+use crate::prove::traffic::FLEET_SIZES;
+use ladderpass_emulator::Scenario;
+use ladderpass_routing::Span;
+use std::io;
+use std::thread::scope;
+
+const REPLICAS: u32 = 11;
+const CLIENTS: usize = 40;
+const IDLE_S: f64 = 2.0;
+const LOAD_S: f64 = 5.0;
+const RPCS_PER_SECOND: f64 = 100.0;
+/// Health checks are counted after this time of the load: just before it, all routers check all members.
+const SETTLE: Span = Span::from_millis(1000);
+/// With writes alone, no replica answers anything: all that is known of replicas comes from health checks.
+const NO_READS: f64 = 0.0;
+const MOSTLY_READS: f64 = 0.8;
+
+/// Health checks of a member a second, by the numbers of routers in [`FLEET_SIZES`].
+pub struct HealthCheckRates {
+    without_reads: Vec<f64>,
+    with_reads: Vec<f64>,
+}
+
+/// Plays all drills in parallel.
+///
+/// # Errors
+/// If a drill can't be played.
+pub fn measure_health_checks(programs: Programs<'_>, seed: u64) -> io::Result<HealthCheckRates> {
+    scope(|scope| {
+        let start = |reads: f64| {
+            FLEET_SIZES.map(|routers| scope.spawn(move || health_check_rate(programs, routers, reads, seed)))
+        };
+        let (without_reads, with_reads) = (start(NO_READS), start(MOSTLY_READS));
+        Ok(HealthCheckRates {
+            without_reads: without_reads.into_iter().map(join).collect::<io::Result<_>>()?,
+            with_reads: with_reads.into_iter().map(join).collect::<io::Result<_>>()?,
+        })
+    })
+}
+
+fn health_check_rate(programs: Programs<'_>, routers: usize, reads: f64, seed: u64) -> io::Result<f64> {
+    let mut scenario = Scenario { replicas: REPLICAS, ..Scenario::default() };
+    for (method, share) in scenario.methods.iter_mut().zip([reads, 1.0 - reads]) {
+        method.share = share;
+    }
+    let drill = Drill {
+        routers,
+        uneven: 1.0,
+        clients: CLIENTS,
+        phases: vec![(LOAD_S, RPCS_PER_SECOND)],
+        operator: SHED_AND_BUDGET_TOGETHER.into(),
+        scenario,
+        rests_s: IDLE_S,
+        ..Drill::default()
+    };
+    let record = play(&drill, programs, seed)?;
+    let from = record.outcome.began + SETTLE;
+    let health_checks = record.truth.health_checks.iter().filter(|(at, _)| *at >= from).count();
+    let members = drill.scenario.member_count() as f64;
+    Ok(health_checks as f64 / members / (drill.secs() - SETTLE.secs()))
+}
+
+impl HealthCheckRates {
+    /// Requires that the rate is flat, and that answers to reads replace health checks.
+    pub fn require_flat(&self, table: &mut Table) {
+        let (without_reads, with_reads) = (&self.without_reads, &self.with_reads);
+        table.require(
+            "probes a member a second, 4, 8, 16, 32",
+            "flat within a fifth",
+            rates_text(without_reads),
+            is_flat(without_reads),
+        );
+        table.require(
+            "  where answers tell too",
+            "never more",
+            rates_text(with_reads),
+            highest(with_reads) <= lowest(without_reads),
+        );
+    }
+}
+
+fn rates_text(rates: &[f64]) -> String {
+    rates.iter().map(|rate| format!("{rate:.2}")).collect::<Vec<_>>().join(", ")
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -0,0 +1,222 @@
+//! Proof of shared retry budgets: retries stay a small fraction of first attempts while answers are lost, while members reject
+//! attempts, and while a member, a router and a part of the network fail; and clients lose no utility by it. Health checks
+//! of a member don't grow with the number of routers. Attempts are counted by the members, over all routers.
+
+mod drills;
+mod health_checks;
+
+use super::Table;
+use super::checks::require_no_violations;
+use super::parallel::play_in_parallel;
+use super::scenarios::{METRICS_INTERVAL_S, SHED_AND_BUDGET_TOGETHER, SHED_TOGETHER};
+use crate::charts::{self, Line};
+use crate::drill::play::{DrillRecord, Programs};
+use crate::load::Slice;
+use drills::{FAILURE_DRILL_END_S, LOSS_AT_S, LOSS_DRILL_END_S, MEMBER_DOWN, REJECTION_DRILL_END_S};
+use drills::{answers_lost, answers_lost_with_fault, answers_of_one_lost, member_down, members_reject};
+use health_checks::{HealthCheckRates, measure_health_checks};
+use ladderpass_emulator::Scenario;
+use std::io;
+use std::ops::Range;
+use std::path::Path;
+
+/// Faulty routers that retry without a budget, and that never return unused budget.
+const SPENDS_WITHOUT_ASKING: &str = "spends-without-asking";
+const NEVER_GIVES_BACK: &str = "never-gives-back";
+
+/// Times in seconds of the load. The budget is spent by then, while answers are still lost.
+const BUDGET_SPENT_S: Range<f64> = 4.0..6.0;
+/// The start of a load is not measured.
+const MEASURED_FROM_S: f64 = 1.0;
+const BEFORE_LOSS_S: Range<f64> = MEASURED_FROM_S..LOSS_AT_S;
+const DURING_AND_AFTER_LOSS_S: Range<f64> = LOSS_AT_S..LOSS_DRILL_END_S;
+const AFTER_LOSS_S: Range<f64> = LOSS_DRILL_END_S - 2.0..LOSS_DRILL_END_S;
+const DURING_REJECTIONS_S: Range<f64> = MEASURED_FROM_S..REJECTION_DRILL_END_S;
+const BEFORE_FAILURE_S: Range<f64> = MEASURED_FROM_S..MEMBER_DOWN.at_s;
+/// From two seconds after the member is back.
+const AFTER_FAILURE_S: Range<f64> = MEMBER_DOWN.at_s + MEMBER_DOWN.lasts_s + 2.0..FAILURE_DRILL_END_S;
+
+const MAX_RETRY_RATIO: f64 = 0.05;
+const MIN_UTILITY_AFTER_LOSS: f64 = 0.9;
+const MIN_UTILITY_IF_ONE_LOSES: f64 = 0.97;
+const MAX_RETRY_RATIO_UNDER_REJECTIONS: f64 = 0.25;
+const MIN_UTILITY_UNDER_REJECTIONS: f64 = 0.95;
+const MIN_UTILITY_AFTER_FAILURE: f64 = 0.95;
+
+/// A drill with retry budgets and without.
+struct Compared {
+    budgets: DrillRecord,
+    without: DrillRecord,
+}
+
+/// The records of all drills.
+struct Measurements {
+    answers_lost: Compared,
+    spends_without_asking: DrillRecord,
+    never_gives_back: DrillRecord,
+    answers_of_one_lost: Compared,
+    members_reject: Compared,
+    member_down: Compared,
+}
+
+/// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
+///
+/// # Errors
+/// If a drill can't be played, or a chart can't be written.
+pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
+    let mut table = Table::new("fleet-budgets");
+    if !table.require_faulty_build(programs) {
+        return Ok(table.print());
+    }
+    let measured = measure(programs, seed)?;
+    require_few_retries_of_lost_answers(&mut table, &measured);
+    require_utility_if_one_loses(&mut table, &measured.answers_of_one_lost);
+    require_few_retries_of_rejections(&mut table, &measured.members_reject);
+    require_recovery(&mut table, &measured.member_down);
+    for (label, record) in [
+        ("all answers lost", &measured.answers_lost.budgets),
+        ("one loses answers", &measured.answers_of_one_lost.budgets),
+        ("members refuse", &measured.members_reject.budgets),
+        ("a member gone, a kill, a split", &measured.member_down.budgets),
+    ] {
+        require_no_violations(&mut table, label, record);
+    }
+    let health_checks: HealthCheckRates = measure_health_checks(programs, seed)?;
+    health_checks.require_flat(&mut table);
+    write_charts(&measured, out)?;
+    Ok(table.print())
+}
+
+/// Plays all drills, those that are compared in parallel.
+fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
+    let (on, off) = (SHED_AND_BUDGET_TOGETHER, SHED_TOGETHER);
+    let (lost, lost_without) = (answers_lost(on), answers_lost(off));
+    let spends = answers_lost_with_fault(on, SPENDS_WITHOUT_ASKING);
+    let keeps = answers_lost_with_fault(on, NEVER_GIVES_BACK);
+    let [lost, lost_without, spends_without_asking, never_gives_back] =
+        play_in_parallel([&lost, &lost_without, &spends, &keeps], programs, seed)?;
+    let (one, one_without) = (answers_of_one_lost(on), answers_of_one_lost(off));
+    let (rejected, rejected_without) = (members_reject(on), members_reject(off));
+    let [one, one_without, rejected, rejected_without] =
+        play_in_parallel([&one, &one_without, &rejected, &rejected_without], programs, seed)?;
+    let [down, down_without] = play_in_parallel([&member_down(on), &member_down(off)], programs, seed)?;
+    Ok(Measurements {
+        answers_lost: Compared { budgets: lost, without: lost_without },
+        spends_without_asking,
+        never_gives_back,
+        answers_of_one_lost: Compared { budgets: one, without: one_without },
+        members_reject: Compared { budgets: rejected, without: rejected_without },
+        member_down: Compared { budgets: down, without: down_without },
+    })
+}
+
+/// Requires few retries while all answers are lost, more with faulty routers, and utility once answers come again.
+fn require_few_retries_of_lost_answers(table: &mut Table, measured: &Measurements) {
+    let Compared { budgets, without } = &measured.answers_lost;
+    let ratio = retry_ratio(budgets, BUDGET_SPENT_S);
+    table.require(
+        "all answers lost: further call-outs, of first ones",
+        "at most 0.05",
+        format!("{ratio:.3}; without budgets {:.3}", retry_ratio(without, BUDGET_SPENT_S)),
+        ratio <= MAX_RETRY_RATIO,
+    );
+    for (switch, record) in [
+        (SPENDS_WITHOUT_ASKING, &measured.spends_without_asking),
+        (NEVER_GIVES_BACK, &measured.never_gives_back),
+    ] {
+        let ratio = retry_ratio(record, BUDGET_SPENT_S);
+        table.require(format!("  {switch}"), "told apart", format!("{ratio:.3}"), ratio > MAX_RETRY_RATIO);
+    }
+    let utility = served_utility(budgets, AFTER_LOSS_S) / served_utility(budgets, BEFORE_LOSS_S);
+    let holds = utility >= MIN_UTILITY_AFTER_LOSS;
+    table.require("  utility once that is over", "at least 0.9", format!("{utility:.3}"), holds);
+}
+
+/// Requires that budgets don't prevent the retries that help if one member of three loses its answers.
+fn require_utility_if_one_loses(table: &mut Table, records: &Compared) {
+    let Compared { budgets, without } = records;
+    let window = DURING_AND_AFTER_LOSS_S;
+    let utility = served_utility(budgets, window.clone()) / served_utility(without, window.clone());
+    let ratio = retry_ratio(budgets, window.clone());
+    let ratio_without = retry_ratio(without, window);
+    table.require(
+        "one of three loses answers: utility, of without",
+        "at least 0.97",
+        format!("{utility:.3}; further ones {ratio:.3} for {ratio_without:.3}"),
+        utility >= MIN_UTILITY_IF_ONE_LOSES,
+    );
+}
+
+/// Requires few retries, and almost the same utility, while members reject attempts.
+fn require_few_retries_of_rejections(table: &mut Table, records: &Compared) {
+    let Compared { budgets, without } = records;
+    let window = DURING_REJECTIONS_S;
+    let ratio = retry_ratio(budgets, window.clone());
+    let ratio_without = retry_ratio(without, window.clone());
+    let utility = served_utility(budgets, window.clone()) / served_utility(without, window);
+    table.require(
+        "members refuse, 2.5 times what fits: further ones",
+        "at most 0.25",
+        format!("{ratio:.3}, without {ratio_without:.3}; utility {utility:.3} of without"),
+        ratio <= MAX_RETRY_RATIO_UNDER_REJECTIONS && utility >= MIN_UTILITY_UNDER_REJECTIONS,
+    );
+}
+
+/// Requires that retries don't keep the fleet overloaded once a member is back.
+fn require_recovery(table: &mut Table, records: &Compared) {
+    let recovered = |record: &DrillRecord| {
+        served_utility(record, AFTER_FAILURE_S) / served_utility(record, BEFORE_FAILURE_S)
+    };
+    let (budgets, without) = (recovered(&records.budgets), recovered(&records.without));
+    table.require(
+        "a member gone 3 s, clients repeat: utility 2 s after",
+        "at least 0.95",
+        format!("{budgets:.3}, without {without:.3}"),
+        budgets >= MIN_UTILITY_AFTER_FAILURE,
+    );
+}
+
+/// Retries that came to members, as a fraction of first attempts.
+fn retry_ratio(record: &DrillRecord, window: Range<f64>) -> f64 {
+    let (first_attempts, retries) = record.callouts(window.start, window.end);
+    retries as f64 / first_attempts.max(1) as f64
+}
+
+/// Utility of the answers as a fraction of that of the RPCs that were due, so that chance in what clients send is left out.
+fn served_utility(record: &DrillRecord, window: Range<f64>) -> f64 {
+    let methods = Scenario::default().methods;
+    let due_utility = |slice: &Slice| -> f64 {
+        let counts = slice.counts.iter().zip(&methods);
+        counts.map(|(counts, method)| counts.due as f64 * method.utility).sum()
+    };
+    let due: f64 = record.outcome.within(window.start, window.end).map(due_utility).sum();
+    let served = record.outcome.utility_rate(window.start, window.end) * (window.end - window.start);
+    served / due.max(1e-9)
+}
+
+fn write_charts(measured: &Measurements, out: &Path) -> io::Result<()> {
+    std::fs::create_dir_all(out)?;
+    let retries: Vec<Line<'_>> = vec![
+        ("from the budget", retry_ratios(&measured.answers_lost.budgets)),
+        ("without", retry_ratios(&measured.answers_lost.without)),
+        ("spends without asking", retry_ratios(&measured.spends_without_asking)),
+    ];
+    let title = "Further call-outs, of first ones";
+    charts::lines(&out.join("further.svg"), title, ("seconds", "part"), &retries, false)?;
+    let utility: Vec<Line<'_>> = vec![
+        ("with budgets", measured.member_down.budgets.utility()),
+        ("without", measured.member_down.without.utility()),
+    ];
+    let title = "Utility: a member gone from 3 to 6 s";
+    charts::lines(&out.join("trigger.svg"), title, ("seconds", "a second"), &utility, false)
+}
+
+/// Retry ratios over seconds of the load.
+fn retry_ratios(record: &DrillRecord) -> Vec<(f64, f64)> {
+    let intervals = (LOSS_DRILL_END_S / METRICS_INTERVAL_S) as usize;
+    let point = |index: usize| {
+        let from_s = index as f64 * METRICS_INTERVAL_S;
+        (from_s, retry_ratio(record, from_s..(index + 1) as f64 * METRICS_INTERVAL_S))
+    };
+    (0..intervals).map(point).collect()
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -0,0 +1,73 @@
+//! Faulty routers under shared admission control, told apart from healthy ones.
+
+use super::Measurements;
+use super::measures::{mean, mean_logged, median_rejection_ms};
+use crate::drill::play::DrillRecord;
+use crate::prove::Table;
+use crate::prove::scenarios::FLEET_ROUTERS;
+
+/// A router that does not use the common admission threshold.
+pub const IGNORES_THRESHOLD: &str = "ignores-the-floor";
+/// A router that reports ten times its load.
+pub const REPORTS_TENFOLD: &str = "tells-tenfold";
+/// Routers that keep the reports of dead ones.
+pub const KEEPS_REPORTS_OF_DEAD: &str = "keeps-the-deads-words";
+
+/// A router that rejects only when it is overloaded itself is this many times slower than healthy ones, which take at least
+/// so many milliseconds for this comparison.
+const MIN_REJECTION_LATENCY_RATIO: f64 = 10.0;
+const MIN_HEALTHY_REJECTION_MS: f64 = 5.0;
+/// Log lines over which metrics are averaged.
+const CLAMPED_REPORT_LINES: usize = 8;
+const REPORT_LINES: usize = 6;
+const MIN_CLAMPED_REPORTS: f64 = 0.8;
+const MIN_CLAMPED_REPORTS_RATIO: f64 = 1.5;
+/// With five other routers alive of eight.
+const MIN_REPORTS_WITH_DEAD: f64 = 7.5;
+const MAX_REPORTS_WITHOUT_DEAD: f64 = 5.5;
+
+/// Requires that each faulty build shows its fault.
+pub(super) fn require_faults_shown(table: &mut Table, measured: &Measurements) {
+    require_late_rejections(table, measured);
+    require_clamped_reports(table, measured);
+    require_reports_of_dead(table, measured);
+}
+
+fn require_late_rejections(table: &mut Table, measured: &Measurements) {
+    let healthy_routers = 1..FLEET_ROUTERS;
+    let healthy_ms =
+        healthy_routers.map(|router| median_rejection_ms(&measured.shared, router)).fold(0.0, f64::max);
+    let faulty_ms = median_rejection_ms(&measured.ignores_threshold, 0);
+    table.require(
+        format!("  {IGNORES_THRESHOLD}"),
+        "told apart",
+        format!("refuses after {faulty_ms:.0} ms, healthy ones at once ({healthy_ms:.0} ms)"),
+        faulty_ms > MIN_REJECTION_LATENCY_RATIO * healthy_ms.max(MIN_HEALTHY_REJECTION_MS),
+    );
+}
+
+/// Requires that healthy routers clamp the reports of a router that reports too much.
+fn require_clamped_reports(table: &mut Table, measured: &Measurements) {
+    let clamped = |record: &DrillRecord| {
+        let of_router = |router| mean_logged(record, router, "clamped_reports", CLAMPED_REPORT_LINES);
+        mean(&(1..FLEET_ROUTERS).map(of_router).collect::<Vec<_>>())
+    };
+    let (faulty, healthy) = (clamped(&measured.reports_tenfold), clamped(&measured.shared));
+    table.require(
+        format!("  {REPORTS_TENFOLD}"),
+        "told apart",
+        format!("words cut to the bound {faulty:.2}, among honest ones {healthy:.2}"),
+        faulty >= MIN_CLAMPED_REPORTS && faulty > MIN_CLAMPED_REPORTS_RATIO * healthy,
+    );
+}
+
+fn require_reports_of_dead(table: &mut Table, measured: &Measurements) {
+    let reports = |record: &DrillRecord| mean_logged(record, 0, "reports", REPORT_LINES);
+    let (faulty, healthy) = (reports(&measured.keeps_reports_of_dead), reports(&measured.failures));
+    table.require(
+        format!("  {KEEPS_REPORTS_OF_DEAD}"),
+        "told apart",
+        format!("{faulty:.1} words of others with 5 alive, healthy {healthy:.1}"),
+        faulty > MIN_REPORTS_WITH_DEAD && healthy < MAX_REPORTS_WITHOUT_DEAD,
+    );
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -0,0 +1,183 @@
+//! Proof of shared admission control: routers with uneven loads of 2.5 times the members' capacity serve almost the utility
+//! that a single router with full knowledge would, also through kills, a split and clock offsets. Faulty builds must be told
+//! apart, and RPCs and traffic must hardly cost more.
+
+mod cost;
+mod drills;
+mod faulty_builds;
+mod measures;
+
+use super::Table;
+use super::checks::require_no_violations;
+use super::parallel::{join, play_in_parallel};
+use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHED_TOGETHER, router_names};
+use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
+use crate::charts::{self, Line};
+use crate::drill::play::{DrillRecord, Programs, play};
+use drills::{DRILL_END_S, FAILURE_DRILL_END_S, SHORT_DRILL_END_S, SPLIT};
+use drills::{clocks_apart, kills_and_split, kills_and_split_with_fault, one_faulty_router};
+use drills::{separate_admission, shared_admission, single_router};
+use faulty_builds::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD, require_faults_shown};
+use measures::{ServedWrites, logged_values, served_writes, utility, utility_of_single_router};
+use std::io;
+use std::ops::Range;
+use std::path::Path;
+
+/// Times in seconds of the load. The end of a load is left out: members that no other client uses get its last RPCs, which
+/// is no longer overload.
+const OVERLOAD_S: Range<f64> = 0.0..DRILL_END_S - 0.6;
+const SPLIT_END_S: f64 = SPLIT.at_s + SPLIT.lasts_s;
+/// From two seconds after the start of the split.
+const DURING_SPLIT_S: Range<f64> = SPLIT.at_s + 2.0..SPLIT_END_S;
+/// From two seconds after its end.
+const AFTER_SPLIT_S: Range<f64> = SPLIT_END_S + 2.0..FAILURE_DRILL_END_S - 0.5;
+const CLOCKS_APART_S: Range<f64> = 2.0..SHORT_DRILL_END_S;
+
+const MIN_UTILITY: f64 = 0.95;
+const MIN_UTILITY_DURING_SPLIT: f64 = 0.9;
+const MIN_UTILITY_WITH_CLOCKS_APART: f64 = 0.85;
+const MIN_SERVED_WRITES: f64 = 0.98;
+const MIN_SERVED_WRITES_OF_ROUTER: f64 = 0.95;
+const MIN_SERVED_WRITES_WITH_CLOCKS_APART: f64 = 0.95;
+
+/// The records of all drills under overload.
+struct Measurements {
+    single: DrillRecord,
+    shared: DrillRecord,
+    separate: DrillRecord,
+    /// Kills and a split.
+    failures: DrillRecord,
+    keeps_reports_of_dead: DrillRecord,
+    ignores_threshold: DrillRecord,
+    reports_tenfold: DrillRecord,
+    clocks_apart: DrillRecord,
+}
+
+/// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
+///
+/// # Errors
+/// If a drill can't be played, or a chart can't be written.
+pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
+    let mut table = Table::new("fleet-overload");
+    if !table.require_faulty_build(programs) {
+        return Ok(table.print());
+    }
+    let measured = measure(programs, seed)?;
+    require_utility(&mut table, &measured);
+    require_served_writes(&mut table, &measured);
+    require_no_violations(&mut table, "three times what fits", &measured.shared);
+    require_utility_through_failures(&mut table, &measured);
+    require_service_with_clocks_apart(&mut table, &measured, programs);
+    require_faults_shown(&mut table, &measured);
+    cost::require_low_cost(&mut table, programs, seed)?;
+    require_flat_traffic(&mut table, &measure_traffic_of_sizes(programs, seed)?);
+    write_charts(&measured, out)?;
+    Ok(table.print())
+}
+
+/// Plays all drills, those that are compared in parallel.
+fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
+    let compared = [&single_router(), &shared_admission(), &separate_admission()];
+    let [single, shared, separate] = play_in_parallel(compared, programs, seed)?;
+    std::thread::scope(|scope| {
+        let failures = scope.spawn(|| play(&kills_and_split(), programs, seed));
+        let keeps_reports = kills_and_split_with_fault(KEEPS_REPORTS_OF_DEAD);
+        let keeps_reports = scope.spawn(move || play(&keeps_reports, programs, seed));
+        let ignores_threshold = play(&one_faulty_router(IGNORES_THRESHOLD), programs, seed);
+        let reports_tenfold = play(&one_faulty_router(REPORTS_TENFOLD), programs, seed);
+        let clocks_apart = play(&clocks_apart(programs), programs, seed);
+        Ok(Measurements {
+            single,
+            shared,
+            separate,
+            failures: join(failures)?,
+            keeps_reports_of_dead: join(keeps_reports)?,
+            ignores_threshold: ignores_threshold?,
+            reports_tenfold: reports_tenfold?,
+            clocks_apart: clocks_apart?,
+        })
+    })
+}
+
+/// Measures all numbers of routers in parallel.
+fn measure_traffic_of_sizes(programs: Programs<'_>, seed: u64) -> io::Result<Vec<TrafficOfSize>> {
+    std::thread::scope(|scope| {
+        let threads = FLEET_SIZES
+            .map(|routers| scope.spawn(move || measure_traffic(programs, routers, SHED_TOGETHER, seed)));
+        threads.into_iter().map(join).collect()
+    })
+}
+
+fn require_utility(table: &mut Table, measured: &Measurements) {
+    let best = utility(&measured.single, OVERLOAD_S).max(1e-9);
+    let shared = utility(&measured.shared, OVERLOAD_S) / best;
+    let separate = utility(&measured.separate, OVERLOAD_S) / best;
+    let compared = format!("{shared:.3}; each alone {separate:.3}");
+    table.require("utility, of the router that sees all", "at least 0.95", compared, shared >= MIN_UTILITY);
+}
+
+fn require_served_writes(table: &mut Table, measured: &Measurements) {
+    let shared = served_writes(&shared_admission(), &measured.shared);
+    let separate = served_writes(&separate_admission(), &measured.separate);
+    table.require(
+        "writes served well",
+        "at least 0.98",
+        format!("{:.3}; each alone {:.3}", shared.of_all, separate.of_all),
+        shared.of_all >= MIN_SERVED_WRITES,
+    );
+    table.require(
+        "  at the worst router",
+        "at least 0.95",
+        format!("{:.3}; each alone {:.3}", shared.of_worst_router, separate.of_worst_router),
+        shared.of_worst_router >= MIN_SERVED_WRITES_OF_ROUTER,
+    );
+}
+
+fn require_utility_through_failures(table: &mut Table, measured: &Measurements) {
+    let Measurements { single, failures, .. } = measured;
+    require_no_violations(table, "a third killed, a split", failures);
+    let after = utility_of_single_router(failures, single, AFTER_SPLIT_S);
+    let holds = after >= MIN_UTILITY;
+    table.require("utility 2 s after the last fault", "at least 0.95", format!("{after:.3}"), holds);
+    let during = utility_of_single_router(failures, single, DURING_SPLIT_S);
+    let holds = during >= MIN_UTILITY_DURING_SPLIT;
+    table.require("  in the split, from its 2nd second on", "at least 0.9", format!("{during:.3}"), holds);
+}
+
+fn require_service_with_clocks_apart(table: &mut Table, measured: &Measurements, programs: Programs<'_>) {
+    let record = &measured.clocks_apart;
+    require_no_violations(table, "clocks 200 ms apart, one without words", record);
+    let ServedWrites { of_all: writes, .. } = served_writes(&clocks_apart(programs), record);
+    let utility = utility_of_single_router(record, &measured.single, CLOCKS_APART_S);
+    let holds = utility >= MIN_UTILITY_WITH_CLOCKS_APART && writes >= MIN_SERVED_WRITES_WITH_CLOCKS_APART;
+    let served = format!("utility {utility:.3}, writes {writes:.3}");
+    table.require("  served", "at least 0.85 and 0.95", served, holds);
+}
+
+fn write_charts(measured: &Measurements, out: &Path) -> io::Result<()> {
+    std::fs::create_dir_all(out)?;
+    let per_second = ("seconds", "a second");
+    let compared: Vec<Line<'_>> = vec![
+        ("one sees all", measured.single.utility()),
+        ("as one", measured.shared.utility()),
+        ("each alone", measured.separate.utility()),
+    ];
+    charts::lines(&out.join("utility.svg"), "Utility", per_second, &compared, false)?;
+    let failures: Vec<Line<'_>> =
+        vec![("a third killed at 3 s, split from 5 to 11 s", measured.failures.utility())];
+    charts::lines(&out.join("harmed.svg"), "Utility", per_second, &failures, false)?;
+    let names = router_names(0..FLEET_ROUTERS);
+    let thresholds: Vec<Line<'_>> = names
+        .iter()
+        .enumerate()
+        .map(|(router, name)| (name.as_str(), admission_thresholds(&measured.shared, router)))
+        .collect();
+    let axes = ("seconds of its log", "rank");
+    charts::lines(&out.join("floors.svg"), "Floor of each router", axes, &thresholds, false)
+}
+
+/// A router's admission threshold over seconds of its log.
+fn admission_thresholds(record: &DrillRecord, router: usize) -> Vec<(f64, f64)> {
+    let values = logged_values(record, router, "threshold").into_iter().enumerate();
+    values.map(|(index, threshold)| (index as f64 * METRICS_INTERVAL_S, threshold)).collect()
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
@@ -0,0 +1,122 @@
+//! The drills: routers before groups with cold members, under bursts, some with restarts of routers.
+
+use crate::drill::{Drill, FaultEvent};
+use crate::prove::scenarios::faulty_routers;
+use crate::prove::scenarios::router_names;
+use ladderpass_emulator::Scenario;
+
+const MEMBERS_PER_GROUP: u32 = 3;
+/// Clients send as much in a burst as a group can serve once it is warm.
+const BURST: f64 = 1.5;
+/// Routers of the drill with a burst at the start.
+const BURST_ROUTERS: usize = 8;
+const RESTART_AT_S: f64 = 3.0;
+const CLIENTS_PER_ROUTER: usize = 4;
+const SETTLE_S: f64 = 0.1;
+/// The proof is about attempts at members, not about how soon a busy machine answers.
+const DEADLINE_MS: u32 = 2000;
+const ANSWER_TOLERANCE_MS: u32 = 500;
+/// Fraction of a member's capacity at its start.
+const COLD_FRACTION: f64 = 0.2;
+
+/// A phase of the load.
+#[derive(Clone, Copy)]
+struct Phase {
+    seconds: f64,
+    /// Multiple of the drill's rate.
+    factor: f64,
+}
+
+/// The warm-up takes 10 s from before the routers' start: a burst in its middle.
+const BURST_IN_THE_MIDDLE: [Phase; 3] = [
+    Phase { seconds: 2.5, factor: 1.0 },
+    Phase { seconds: 2.5, factor: BURST },
+    Phase { seconds: 2.5, factor: 1.0 },
+];
+/// A burst at the start, when cold members have the least capacity.
+const BURST_AT_THE_START: [Phase; 3] = [
+    Phase { seconds: 4.0, factor: BURST },
+    Phase { seconds: 2.0, factor: 1.0 },
+    Phase { seconds: 0.5, factor: 1.0 },
+];
+
+/// A drill and its label in the table.
+pub struct LabelledDrill {
+    /// Its label.
+    pub label: &'static str,
+    /// The drill.
+    pub drill: Drill,
+}
+
+/// The drills in which the clients' load varies. In some groups the primary is cold, in others one replica or two.
+pub fn burst_drills() -> [LabelledDrill; 3] {
+    let drill = |routers, groups, rate, cold| drill(routers, groups, rate, BURST_IN_THE_MIDDLE, cold);
+    let eight = drill(8, 1, 600.0, vec![2]);
+    let twenty_four = drill(24, 6, 60.0, vec![0, 4, 7, 8, 11, 14, 16, 17]);
+    let thirty = drill(30, 8, 6.0, vec![0, 4, 7, 8, 11, 13, 14, 17, 20, 23]);
+    [
+        LabelledDrill { label: "8 routers, one of three cold", drill: eight },
+        LabelledDrill { label: "24, eight of 18, a third restarts", drill: with_restarts(twenty_four) },
+        LabelledDrill { label: "30, ten of 24, a third restarts", drill: with_restarts(thirty) },
+    ]
+}
+
+/// The hardest drill: two replicas of three are cold, and a burst at the start takes all of their capacity.
+pub fn early_burst_drill() -> LabelledDrill {
+    let drill = drill(BURST_ROUTERS, 1, 240.0, BURST_AT_THE_START, vec![1, 2]);
+    LabelledDrill { label: "8, two of three cold, a burst at once", drill }
+}
+
+/// The hardest drill with routers that have no warm-up.
+pub fn early_burst_without_warm_up() -> Drill {
+    Drill { faulty: faulty_routers(0..BURST_ROUTERS, "ignores-warm-up"), ..early_burst_drill().drill }
+}
+
+/// The hardest drill with routers of the earlier program.
+pub fn early_burst_of_earlier() -> Drill {
+    Drill { earlier: router_names(0..BURST_ROUTERS), ..early_burst_drill().drill }
+}
+
+/// Routers that are no peers, before groups that each get `rate` RPCs a second.
+fn drill(routers: usize, groups: u32, rate: f64, phases: [Phase; 3], cold: Vec<u32>) -> Drill {
+    let replicas = MEMBERS_PER_GROUP - 1;
+    let scenario = Scenario { groups, replicas, cold, routers: routers as u32, ..Scenario::default() };
+    let total_rate = rate * f64::from(groups);
+    Drill {
+        routers,
+        peers: false,
+        uneven: 4.0,
+        clients: routers * CLIENTS_PER_ROUTER,
+        phases: phases.iter().map(|phase| (phase.seconds, total_rate * phase.factor)).collect(),
+        settles_s: SETTLE_S,
+        deadline_ms: DEADLINE_MS,
+        grace_ms: ANSWER_TOLERANCE_MS,
+        bears: rate * BURST / f64::from(MEMBERS_PER_GROUP),
+        log: "warn".into(),
+        scenario,
+        ..Drill::default()
+    }
+}
+
+/// Kills and restarts every third router during the warm-up.
+fn with_restarts(drill: Drill) -> Drill {
+    let restarted = (0..drill.routers / 3).map(|index| format!("r{}", index * 3)).collect();
+    let restart = FaultEvent { at: RESTART_AT_S, start: restarted, ..FaultEvent::default() };
+    Drill { deeds: vec![restart], ..drill }
+}
+
+/// RPCs that a cold member can serve within the window in which too many overload it.
+pub struct WindowCapacity {
+    /// At its start.
+    pub cold: f64,
+    /// Once it is warm.
+    pub warm: f64,
+}
+
+impl WindowCapacity {
+    /// The capacity of a cold member of a drill.
+    pub fn of(drill: &Drill) -> WindowCapacity {
+        let warm = drill.bears * drill.scenario.overload_ms / 1e3;
+        WindowCapacity { cold: warm * COLD_FRACTION, warm }
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -0,0 +1,62 @@
+//! RPCs at a cold member within its overload window, by the member's age, as a chart.
+
+use crate::charts::{self, Line};
+use crate::drill::play::DrillRecord;
+use ladderpass_routing::Time;
+use std::io;
+use std::path::Path;
+
+/// The chart has a point for each of these, in seconds.
+const STEP_S: f64 = 0.1;
+/// The limit is this many square roots above the capacity, and this many RPCs, for chance.
+const TOLERATED_ROOTS: f64 = 2.0;
+const TOLERATED_RPCS: f64 = 2.0;
+
+/// By age of the member in seconds.
+struct ColdMemberWindows {
+    /// RPCs within the window before.
+    rpcs: Vec<(f64, f64)>,
+    /// RPCs that are allowed.
+    limit: Vec<(f64, f64)>,
+}
+
+/// Writes the chart of the hardest drill, with its limit, beside the same drill with other programs.
+///
+/// # Errors
+/// If the chart can't be written.
+pub fn write_window_chart(
+    out: &Path,
+    current: &DrillRecord,
+    earlier: Option<&DrillRecord>,
+    without_warm_up: &DrillRecord,
+) -> io::Result<()> {
+    std::fs::create_dir_all(out)?;
+    let mut lines: Vec<Line<'_>> = Vec::new();
+    if let Some(windows) = windows(current) {
+        lines.extend([("allowed", windows.limit), ("shares paid out", windows.rpcs)]);
+    }
+    lines.extend(earlier.and_then(windows).map(|windows| ("before", windows.rpcs)));
+    lines.extend(windows(without_warm_up).map(|windows| ("ignores-warm-up", windows.rpcs)));
+    let title = "RPCs within 3 s at a cold member, by its age";
+    charts::lines(&out.join("window.svg"), title, ("seconds", "RPCs"), &lines, false)
+}
+
+/// The windows of the first member that started cold.
+fn windows(record: &DrillRecord) -> Option<ColdMemberWindows> {
+    let started = record.started.first()?;
+    let arrivals = record.truth.arrivals.iter().filter(|arrival| arrival.member == started.member);
+    let times: Vec<Time> = arrivals.map(|arrival| arrival.at).collect();
+    let (warm_s, window_s) = (started.warm_within.secs(), started.overload_for.secs());
+    let mut windows = ColdMemberWindows { rpcs: Vec::new(), limit: Vec::new() };
+    for step in 0..=(warm_s / STEP_S) as usize {
+        let age_s = step as f64 * STEP_S;
+        let is_in_window = |&&at: &&Time| (0.0..window_s).contains(&(age_s - (at - started.at).secs()));
+        windows.rpcs.push((age_s, times.iter().filter(is_in_window).count() as f64));
+        // The middle of the window has its mean, except around the start.
+        let warmth = ((age_s - window_s / 2.0) / warm_s).max(0.0);
+        let fraction = started.cold_from + (1.0 - started.cold_from) * warmth;
+        let capacity = started.capacity * window_s * fraction;
+        windows.limit.push((age_s, capacity + TOLERATED_ROOTS * capacity.sqrt() + TOLERATED_RPCS));
+    }
+    Some(windows)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
@@ -0,0 +1,143 @@
+//! Builds with a faulty membership protocol, told apart from the real one by one drill: a router is killed, some of its last
+//! datagrams arrive late, and others are lost.
+
+use super::datagram_rules::{delay_from, loss};
+use super::views::{detection_delays_s, false_alarms, live_counts, returns_after};
+use crate::drill::play::{DrillRecord, Programs, play};
+use crate::drill::{Drill, FaultEvent};
+use crate::prove::Table;
+use crate::prove::scenarios::{faulty_routers, owned_names};
+use std::fmt;
+use std::io;
+
+const NEVER_SUSPECTS: &str = "never-suspects";
+const BELIEVES_FIRST_RUMOUR: &str = "believes-the-first-rumour";
+const FORGETS_INCARNATIONS: &str = "forgets-incarnations";
+const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
+
+/// The builds of each thread, None for the real one.
+pub const THREADS: [&[Option<&str>]; 2] = [
+    &[None, Some(NEVER_SUSPECTS), Some(BELIEVES_FIRST_RUMOUR)],
+    &[Some(FORGETS_INCARNATIONS), Some(KEEPS_SCHEDULE_OF_DEAD)],
+];
+
+const ROUTERS: usize = 8;
+const CLIENTS: usize = 40;
+const RPCS_PER_SECOND: f64 = 80.0;
+const DRILL_END_S: f64 = 7.5;
+const KILLED_ROUTER: usize = 3;
+const SURVIVORS: usize = ROUTERS - 1;
+const KILL_AT_S: f64 = 1.5;
+/// A kill counts as not detected after this time.
+const DETECTION_TIMEOUT_S: f64 = 4.5;
+/// Datagrams of the killed router that still arrive after its end.
+const LATE_FRACTION: f64 = 0.6;
+const LATE_BY_MS: f64 = 4000.0;
+const LOSS_AT_S: f64 = 1.6;
+const LOSS_LASTS_S: f64 = 3.0;
+const LOST_FRACTION: f64 = 0.3;
+/// A build that believes rumours has so many times the false alarms of the real one, with a few added.
+const MIN_ALARM_RATIO: usize = 5;
+const ADDED_ALARMS: usize = 2;
+
+/// What routers of a build believed in the drill.
+pub struct Beliefs {
+    /// The fault that is switched on; None for the real build.
+    switch: Option<&'static str>,
+    /// Routers that detected the kill.
+    detected_by: usize,
+    false_alarms: usize,
+    /// How often the killed router was believed to be alive again.
+    returns: usize,
+    /// By surviving router: how many it believed to be alive at the end.
+    live_counts: Vec<usize>,
+}
+
+impl fmt::Display for Beliefs {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let Beliefs { detected_by, false_alarms, returns, live_counts, .. } = self;
+        write!(
+            out,
+            "{detected_by} of 7 find it, {false_alarms} false alarms, back {returns} times, count on {live_counts:?}"
+        )
+    }
+}
+
+impl Beliefs {
+    fn of(switch: Option<&'static str>, record: &DrillRecord) -> Beliefs {
+        let detected = detection_delays_s(record, KILLED_ROUTER, KILL_AT_S, DETECTION_TIMEOUT_S);
+        let mut live_counts = live_counts(record, DRILL_END_S);
+        live_counts.remove(KILLED_ROUTER);
+        Beliefs {
+            switch,
+            detected_by: detected.iter().flatten().count(),
+            false_alarms: false_alarms(record, 0.0..DRILL_END_S, DRILL_END_S).count,
+            returns: returns_after(record, KILLED_ROUTER, LOSS_AT_S),
+            live_counts,
+        }
+    }
+
+    /// Does every surviving router believe that so many are alive?
+    fn all_count(&self, routers: usize) -> bool {
+        self.live_counts.iter().all(|&count| count == routers)
+    }
+
+    /// Does a faulty build behave as its fault makes it?
+    fn shows_fault(&self, switch: &str, real: &Beliefs) -> bool {
+        match switch {
+            NEVER_SUSPECTS => self.detected_by == 0,
+            BELIEVES_FIRST_RUMOUR => {
+                self.false_alarms >= MIN_ALARM_RATIO * (real.false_alarms + ADDED_ALARMS)
+            }
+            FORGETS_INCARNATIONS => self.returns > 0,
+            _ => self.detected_by == SURVIVORS && self.all_count(ROUTERS),
+        }
+    }
+}
+
+/// Plays the drill with some builds, one after the other.
+///
+/// # Errors
+/// If a drill can't be played.
+pub fn play_builds(
+    switches: &[Option<&'static str>],
+    programs: Programs<'_>,
+    seed: u64,
+) -> io::Result<Vec<Beliefs>> {
+    let play_build = |&switch: &Option<&'static str>| {
+        let record = play(&drill(switch), programs, seed)?;
+        Ok(Beliefs::of(switch, &record))
+    };
+    switches.iter().map(play_build).collect()
+}
+
+fn drill(switch: Option<&str>) -> Drill {
+    let late = delay_from("late", "r3", LATE_FRACTION, LATE_BY_MS);
+    let lost = loss("a-third", LOST_FRACTION);
+    let lost =
+        FaultEvent { at: LOSS_AT_S, lasts: LOSS_LASTS_S, datagrams: Some(lost), ..FaultEvent::default() };
+    Drill {
+        routers: ROUTERS,
+        phases: vec![(DRILL_END_S, RPCS_PER_SECOND)],
+        clients: CLIENTS,
+        faulty: switch.map(|switch| faulty_routers(0..ROUTERS, switch)).unwrap_or_default(),
+        deeds: vec![
+            FaultEvent { at: 0.0, datagrams: Some(late), ..FaultEvent::default() },
+            FaultEvent { at: KILL_AT_S, kill: owned_names(&["r3"]), ..FaultEvent::default() },
+            lost,
+        ],
+        ..Drill::default()
+    }
+}
+
+/// Requires that the real build detects the kill for good, and that each faulty build shows its fault.
+pub fn require_faults_shown(table: &mut Table, builds: &[Beliefs]) {
+    let Some(real) = builds.iter().find(|build| build.switch.is_none()) else { return };
+    let holds = real.detected_by == SURVIVORS && real.returns == 0 && real.all_count(SURVIVORS);
+    table.require("a kill, late words of the dead, loss", "found, and stays so", real.to_string(), holds);
+    for build in builds {
+        let Some(switch) = build.switch else { continue };
+        let holds = build.shows_fault(switch, real);
+        table.require(format!("  {switch}"), "told apart", build.to_string(), holds);
+    }
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/membership/mod.rs
@@ -0,0 +1,104 @@
+//! Proof of the membership protocol: routers detect failures of each other and nothing else, take over the health checks of
+//! dead routers, and send no more when there are more of them. Faulty builds must be told apart from the real one.
+
+mod datagram_rules;
+mod detection;
+mod faulty_builds;
+mod health_checks;
+mod joint_history;
+mod views;
+
+use super::Table;
+use super::checks::require_no_violations;
+use super::parallel::join;
+use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
+use crate::charts;
+use crate::drill::Drill;
+use crate::drill::play::{DrillRecord, Programs, play};
+use detection::{detection_drill, require_detection};
+use faulty_builds::{Beliefs, play_builds, require_faults_shown};
+use health_checks::{HealthCheckRecords, play_health_checks, require_health_checks};
+use joint_history::{JointFault, JointFaultRecords, joint_faults, require_violations_found};
+use std::io;
+use std::path::Path;
+
+/// Routers of the traffic measurement have no operator's file beside their peers.
+const NO_OPERATOR: &str = "";
+
+/// The records of all drills.
+struct Measurements {
+    detection: DrillRecord,
+    traffic: Vec<TrafficOfSize>,
+    health_checks: HealthCheckRecords,
+    builds: Vec<Beliefs>,
+    joint_faults: Vec<JointFaultRecords>,
+}
+
+/// Runs the proof, prints its table, and writes the drill's records and charts to `out`. Returns whether it passes.
+///
+/// # Errors
+/// If a drill can't be played, or a file can't be written.
+pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
+    let mut table = Table::new("membership");
+    if !table.require_faulty_build(programs) {
+        return Ok(table.print());
+    }
+    let drill = detection_drill();
+    let measured = measure(&drill, programs, seed)?;
+    require_start(&mut table, &measured.detection);
+    require_detection(&mut table, &measured.detection);
+    require_no_violations(&mut table, "kills, freeze, deafness, loss, split", &measured.detection);
+    require_faults_shown(&mut table, &measured.builds);
+    require_violations_found(&mut table, &measured.joint_faults);
+    require_health_checks(&mut table, &measured.health_checks, drill.scenario.member_count());
+    require_flat_traffic(&mut table, &measured.traffic);
+    measured.detection.write(&drill, out)?;
+    write_traffic_chart(&measured.traffic, out)?;
+    Ok(table.print())
+}
+
+/// Plays all drills, in parallel where they mostly wait.
+fn measure(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
+    let (heavy, light): (Vec<_>, Vec<_>) = joint_faults().into_iter().partition(JointFault::needs_all_cores);
+    let mut measured = std::thread::scope(|scope| {
+        let detection = scope.spawn(|| play(drill, programs, seed));
+        let health_checks = scope.spawn(|| play_health_checks(programs, seed));
+        let builds =
+            faulty_builds::THREADS.map(|builds| scope.spawn(move || play_builds(builds, programs, seed)));
+        let joint_faults = scope.spawn(|| play_joint_faults(light, programs, seed));
+        let traffic = scope.spawn(|| {
+            let measure = |routers| measure_traffic(programs, routers, NO_OPERATOR, seed);
+            FLEET_SIZES.into_iter().map(measure).collect()
+        });
+        let builds = builds.into_iter().map(join).collect::<io::Result<Vec<_>>>()?;
+        io::Result::Ok(Measurements {
+            builds: builds.into_iter().flatten().collect(),
+            detection: join(detection)?,
+            traffic: join(traffic)?,
+            health_checks: join(health_checks)?,
+            joint_faults: join(joint_faults)?,
+        })
+    })?;
+    measured.joint_faults.extend(play_joint_faults(heavy, programs, seed)?);
+    Ok(measured)
+}
+
+fn play_joint_faults(
+    faults: Vec<JointFault>,
+    programs: Programs<'_>,
+    seed: u64,
+) -> io::Result<Vec<JointFaultRecords>> {
+    faults.into_iter().map(|fault| fault.play(programs, seed)).collect()
+}
+
+/// Requires that routers that start at the same time find each other.
+fn require_start(table: &mut Table, record: &DrillRecord) {
+    let measured = record.settled.map_or("no".to_owned(), |span| format!("{:.2} s", span.secs()));
+    table.require("ten started at once find each other", "within 6 s", measured, record.settled.is_some());
+}
+
+fn write_traffic_chart(sizes: &[TrafficOfSize], out: &Path) -> io::Result<()> {
+    let points = sizes.iter().map(|size| (size.routers as f64, size.traffic.datagrams_per_second)).collect();
+    let lines = [("datagrams", points)];
+    charts::lines(&out.join("load.svg"), "Datagrams a router", ("routers", "a second"), &lines, false)
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/membership/views.rs
@@ -0,0 +1,102 @@
+//! What routers of a drill believed about each other, by the views that they logged. Times are in seconds from the start of
+//! the load.
+
+use crate::drill::play::{DrillRecord, Viewed};
+use ladderpass_routing::Time;
+use std::ops::Range;
+
+/// What a view says of a router that is no longer believed to be alive, and of one that is again.
+const DIED: &str = "died";
+const RETURNED: &str = "is back";
+/// A router counts as absent for this much longer at both ends of an absence.
+const ABSENCE_MARGIN_S: f64 = 0.05;
+
+/// How often running routers were believed to be dead.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FalseAlarms {
+    /// How often a router took another one for dead.
+    pub count: usize,
+    /// For how long at most.
+    pub longest_s: f64,
+}
+
+/// The time of the load.
+pub fn seconds(record: &DrillRecord, at: Time) -> f64 {
+    (at - record.outcome.began).secs()
+}
+
+/// How long after `from_s` each other running router took `router` for dead; None if it did not within `max_s`.
+pub fn detection_delays_s(record: &DrillRecord, router: usize, from_s: f64, max_s: f64) -> Vec<Option<f64>> {
+    let is_viewer = |&other: &usize| other != router && is_running(record, other, from_s);
+    let delay = |viewer: usize| {
+        let died = change_times_s(record, viewer, router, DIED).filter(|&at_s| at_s >= from_s);
+        died.map(|at_s| at_s - from_s).find(|&delay_s| delay_s < max_s)
+    };
+    (0..record.views.len()).filter(is_viewer).map(delay).collect()
+}
+
+/// How often any router said, after a time, that this one is alive again.
+pub fn returns_after(record: &DrillRecord, router: usize, after_s: f64) -> usize {
+    let returns = |viewer| change_times_s(record, viewer, router, RETURNED);
+    (0..record.views.len()).flat_map(returns).filter(|&at_s| at_s > after_s).count()
+}
+
+/// Finds running routers that another running router took for dead within a time. An alarm that was not withdrawn lasts
+/// until `drill_end_s`.
+pub fn false_alarms(record: &DrillRecord, window: Range<f64>, drill_end_s: f64) -> FalseAlarms {
+    let routers = record.views.len();
+    let mut alarms = FalseAlarms::default();
+    for viewer in 0..routers {
+        for router in (0..routers).filter(|&router| router != viewer) {
+            let died = change_times_s(record, viewer, router, DIED);
+            for at_s in died.filter(|at_s| window.contains(at_s) && is_running(record, router, *at_s)) {
+                let mut returned = change_times_s(record, viewer, router, RETURNED);
+                let end_s = returned.find(|&back_s| back_s >= at_s).unwrap_or(drill_end_s);
+                alarms.longest_s = alarms.longest_s.max(end_s - at_s);
+                alarms.count += 1;
+            }
+        }
+    }
+    alarms
+}
+
+/// By router: how many it believed to be alive at a time.
+pub fn live_counts(record: &DrillRecord, at_s: f64) -> Vec<usize> {
+    let count = |views: &Vec<Viewed>| {
+        let last = views.iter().rev().find(|view| seconds(record, view.at) <= at_s);
+        last.map_or(0, |view| view.count)
+    };
+    record.views.iter().map(count).collect()
+}
+
+/// How long after `from_s` the last router came to believe that all are alive; None if the last views differ.
+pub fn agreement_delay_s(record: &DrillRecord, from_s: f64) -> Option<f64> {
+    let last: Vec<&Viewed> = record.views.iter().map(|views| views.last()).collect::<Option<_>>()?;
+    let digest = last.first()?.digest;
+    let agree = last.iter().all(|view| view.digest == digest && view.count == record.views.len());
+    agree.then(|| last.iter().map(|view| seconds(record, view.at) - from_s).fold(0.0, f64::max))
+}
+
+/// When a router logged a change of another one.
+fn change_times_s(
+    record: &DrillRecord,
+    viewer: usize,
+    router: usize,
+    change: &'static str,
+) -> impl Iterator<Item = f64> {
+    let address = record.addresses.get(router).copied();
+    let has_change = move |view: &&Viewed| {
+        view.names.iter().any(|(named, what)| Some(*named) == address && what == change)
+    };
+    let views = record.views.get(viewer).into_iter().flatten();
+    views.filter(has_change).map(|view| seconds(record, view.at))
+}
+
+/// Was a router neither killed nor frozen at a time?
+fn is_running(record: &DrillRecord, router: usize, at_s: f64) -> bool {
+    let mut absences = record.absences.iter().filter(|absence| absence.router == router);
+    absences.all(|absence| {
+        at_s < seconds(record, absence.from) - ABSENCE_MARGIN_S
+            || at_s > seconds(record, absence.to) + ABSENCE_MARGIN_S
+    })
+}
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/traffic.rs
@@ -0,0 +1,82 @@
+//! Traffic among routers: datagrams and bytes a second, by the number of routers.
+
+use super::Table;
+use super::checks::is_flat;
+use crate::drill::Drill;
+use crate::drill::play::{DrillRecord, Programs, play};
+use ladderpass_fault_injection::TrafficCounts;
+use std::io;
+
+/// Numbers of routers for which traffic is measured.
+pub const FLEET_SIZES: [usize; 4] = [4, 8, 16, 32];
+
+/// The load of these measurements, which is the same for all numbers of routers.
+const IDLE_S: f64 = 2.0;
+const LOAD_S: f64 = 3.0;
+const LOAD_RPCS_PER_SECOND: f64 = 100.0;
+const CLIENTS: usize = 40;
+
+/// What a router sent to other routers, on average.
+#[derive(Clone, Copy, Debug)]
+pub struct Traffic {
+    /// Datagrams a second.
+    pub datagrams_per_second: f64,
+    /// Bytes a second.
+    pub bytes_per_second: f64,
+}
+
+impl Traffic {
+    /// The traffic of a router in a drill.
+    pub fn of_drill(drill: &Drill, record: &DrillRecord) -> Traffic {
+        let per_second = |of: fn(&TrafficCounts) -> u64| {
+            let sum: u64 = record.sent.iter().map(|(before, after)| of(after) - of(before)).sum();
+            sum as f64 / drill.routers as f64 / drill.secs()
+        };
+        Traffic {
+            datagrams_per_second: per_second(|sent| sent.datagrams),
+            bytes_per_second: per_second(|sent| sent.bytes),
+        }
+    }
+}
+
+/// The traffic of a router among a number of routers.
+#[derive(Clone, Copy, Debug)]
+pub struct TrafficOfSize {
+    /// How many routers there are.
+    pub routers: usize,
+    /// What one of them sent.
+    pub traffic: Traffic,
+}
+
+/// Measures the traffic among routers that run with an operator's file.
+///
+/// # Errors
+/// If the drill can't be played.
+pub fn measure_traffic(
+    programs: Programs<'_>,
+    routers: usize,
+    operator: &str,
+    seed: u64,
+) -> io::Result<TrafficOfSize> {
+    let drill = Drill {
+        routers,
+        rests_s: IDLE_S,
+        phases: vec![(LOAD_S, LOAD_RPCS_PER_SECOND)],
+        clients: CLIENTS,
+        operator: operator.into(),
+        ..Drill::default()
+    };
+    let record = play(&drill, programs, seed)?;
+    Ok(TrafficOfSize { routers, traffic: Traffic::of_drill(&drill, &record) })
+}
+
+/// Requires that a router's traffic does not grow with the number of routers.
+pub fn require_flat_traffic(table: &mut Table, sizes: &[TrafficOfSize]) {
+    let datagrams: Vec<f64> = sizes.iter().map(|size| size.traffic.datagrams_per_second).collect();
+    let bytes: Vec<f64> = sizes.iter().map(|size| size.traffic.bytes_per_second).collect();
+    for (unit, rates) in [("datagrams", datagrams), ("bytes", bytes)] {
+        let measured = rates.iter().map(|rate| format!("{rate:.0}")).collect::<Vec<_>>().join(", ");
+        let label = format!("{unit} a router a second, 4, 8, 16, 32");
+        table.require(label, "flat within a fifth", measured, is_flat(&rates));
+    }
+}
