--- a/crates/ladderpass-testbed/src/capacity/control/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/mod.rs
@@ -5,7 +5,7 @@
 
 pub use rates::{Rates, SETTLES, rates, rates_of};
 
-use super::simulated_routers::{About, Shape, Simulation, thread_time};
+use super::simulated_routers::{Shape, Simulation, Subject, thread_time};
 use super::slope::Slope;
 use ladderpass_routing::Span;
 use rates::rates_after;
@@ -80,20 +80,30 @@
         shed.iter().map(|(index, heard)| (1.0 / words(*index), value(heard))).collect()
     };
     Ok(vec![
-        slope("words_datagrams", "groups", "datagrams a router a second", of(&by_groups, |r| r.words)),
-        slope("words_bytes", "groups", "bytes a router a second", of(&by_groups, |r| r.words_bytes)),
+        slope(
+            "words_datagrams",
+            "groups",
+            "datagrams a router a second",
+            of(&by_groups, |r| r.gossip_datagrams),
+        ),
+        slope("words_bytes", "groups", "bytes a router a second", of(&by_groups, |r| r.gossip_bytes)),
         slope("words_by_routers", "1/routers", "datagrams a router a second for each of 16 groups", {
-            by_routers.iter().map(|(n, r)| (1.0 / *n as f64, r.words / 16.0)).collect()
+            by_routers.iter().map(|(n, r)| (1.0 / *n as f64, r.gossip_datagrams / 16.0)).collect()
         }),
         slope("probes_by_routers", "1/routers", "probes a member a second, of all routers", {
-            by_routers.iter().map(|(n, r)| (1.0 / *n as f64, r.probes)).collect()
+            by_routers.iter().map(|(n, r)| (1.0 / *n as f64, r.health_checks)).collect()
         }),
         slope("word_cpu", "groups", "us of CPU a word heard", {
-            by_groups.iter().map(|(x, r)| (*x as f64, each(r.of_words, r.heard - r.membership))).collect()
+            by_groups
+                .iter()
+                .map(|(x, r)| {
+                    (*x as f64, each(r.gossip_cores, r.received_datagrams - r.membership_datagrams))
+                })
+                .collect()
         }),
-        slope("quiet_turns", "groups", "turns without data a second", of(&by_groups, |r| r.quiet_turns)),
+        slope("quiet_turns", "groups", "turns without data a second", of(&by_groups, |r| r.idle_ticks)),
         slope("turn_cpu", "groups", "us of CPU a turn without data", {
-            by_groups.iter().map(|(x, r)| (*x as f64, each(r.of_turns, r.quiet_turns))).collect()
+            by_groups.iter().map(|(x, r)| (*x as f64, each(r.idle_tick_cores, r.idle_ticks))).collect()
         }),
         slope(
             "datagram_cpu",
@@ -101,10 +111,15 @@
             "us of CPU to send and receive them, kernel and all",
             datagram_cpu()?,
         ),
-        slope("membership_datagrams", "routers", "datagrams a router a second", of(&quiet, |r| r.membership)),
+        slope(
+            "membership_datagrams",
+            "routers",
+            "datagrams a router a second",
+            of(&quiet, |r| r.membership_datagrams),
+        ),
         slope("membership_bytes", "routers", "bytes a router a second", of(&quiet, |r| r.membership_bytes)),
         slope("membership_cpu", "routers", "us of CPU a datagram", {
-            quiet.iter().map(|(x, r)| (*x as f64, each(r.of_membership, r.membership))).collect()
+            quiet.iter().map(|(x, r)| (*x as f64, each(r.membership_cores, r.membership_datagrams))).collect()
         }),
         slope("membership_memory", "routers", "KiB resident a router", memory),
         slope(
@@ -184,9 +199,9 @@
     let shape = Shape { rate: 0.0, members, peers: false, observed: 8, seed, ..Shape::of(8, members / 3) };
     let mut simulation = Simulation::start(shape)?;
     simulation.run(Span::from_millis(1000))?;
-    let lists = simulation.counts.iter().map(|counts| counts.watches).sum::<u64>().max(1) as f64;
+    let lists = simulation.counts.iter().map(|counts| counts.watches_opened).sum::<u64>().max(1) as f64;
     let bytes = simulation.counts.iter().map(|counts| counts.list_bytes).sum::<u64>() as f64;
-    let cpu_ms = simulation.cost.nanos[About::List as usize] as f64 / 1e6;
+    let cpu_ms = simulation.cost.nanos[Subject::EndpointList as usize] as f64 / 1e6;
     Ok(ListCost { members: members as f64, bytes: bytes / lists, cpu_ms: cpu_ms / lists })
 }
 
--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -1,46 +1,72 @@
 //! Rates of a router in a simulation: messages, statements, and CPU time by subject.
 
-use crate::capacity::simulated_routers::{About, Shape, Simulation};
+use crate::capacity::simulated_routers::{Shape, Simulation, Subject};
 use ladderpass_routing::Span;
+use std::fmt;
 use std::io;
 
 /// Rates of a simulation: of one router, a second.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Copy, Default)]
 pub struct Rates {
     /// Datagrams of gossip that it sent.
-    pub words: f64,
-    /// Bytes of these.
-    pub words_bytes: f64,
+    pub gossip_datagrams: f64,
+    /// Bytes of these datagrams.
+    pub gossip_bytes: f64,
     /// Datagrams of the membership protocol that it sent.
-    pub membership: f64,
-    /// Bytes of these.
+    pub membership_datagrams: f64,
+    /// Bytes of these datagrams.
     pub membership_bytes: f64,
     /// Datagrams that it received.
-    pub heard: f64,
+    pub received_datagrams: f64,
     /// Datagrams to it that were lost.
-    pub lost: f64,
+    pub lost_datagrams: f64,
     /// Health checks of one member, by all routers.
-    pub probes: f64,
+    pub health_checks: f64,
     /// Connections that it opened.
-    pub connects: f64,
+    pub connections_opened: f64,
     /// Ticks of its event loop.
-    pub turns: f64,
+    pub ticks: f64,
     /// Ticks without data.
-    pub quiet_turns: f64,
+    pub idle_ticks: f64,
     /// Statements that it answered without an error.
     pub answered: f64,
     /// Statements that it answered with an error.
-    pub refused: f64,
+    pub errors: f64,
     /// Fraction of a core for gossip.
-    pub of_words: f64,
+    pub gossip_cores: f64,
     /// Fraction of a core for the membership protocol.
-    pub of_membership: f64,
+    pub membership_cores: f64,
     /// Fraction of a core for connections of clients and members.
-    pub of_data: f64,
+    pub connection_cores: f64,
     /// Fraction of a core for ticks without data.
-    pub of_turns: f64,
+    pub idle_tick_cores: f64,
     /// Fraction of a core for ticks with data.
-    pub of_turns_of_data: f64,
+    pub data_tick_cores: f64,
+}
+
+/// Has the names that the command `hollow` prints.
+impl fmt::Debug for Rates {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        out.debug_struct("Rates")
+            .field("words", &self.gossip_datagrams)
+            .field("words_bytes", &self.gossip_bytes)
+            .field("membership", &self.membership_datagrams)
+            .field("membership_bytes", &self.membership_bytes)
+            .field("heard", &self.received_datagrams)
+            .field("lost", &self.lost_datagrams)
+            .field("probes", &self.health_checks)
+            .field("connects", &self.connections_opened)
+            .field("turns", &self.ticks)
+            .field("quiet_turns", &self.idle_ticks)
+            .field("answered", &self.answered)
+            .field("refused", &self.errors)
+            .field("of_words", &self.gossip_cores)
+            .field("of_membership", &self.membership_cores)
+            .field("of_data", &self.connection_cores)
+            .field("of_turns", &self.idle_tick_cores)
+            .field("of_turns_of_data", &self.data_tick_cores)
+            .finish()
+    }
 }
 
 /// Routers find each other and check the health of all members within this.
@@ -67,25 +93,25 @@
 pub fn rates_of(simulation: &Simulation, seconds: f64) -> Rates {
     let per_second = |count: f64| count / seconds;
     let observed = (simulation.shape.observed.min(simulation.shape.routers).max(1)) as f64;
-    let cost = |about: About| simulation.cost.nanos[about as usize] as f64 / 1e9 / observed / seconds;
-    let probes = simulation.mean(|counts| counts.probes) * simulation.shape.routers as f64;
+    let cost = |subject: Subject| simulation.cost.nanos[subject as usize] as f64 / 1e9 / observed / seconds;
+    let probes = simulation.mean(|counts| counts.health_checks) * simulation.shape.routers as f64;
     Rates {
-        words: per_second(simulation.mean(|counts| counts.words.datagrams)),
-        words_bytes: per_second(simulation.mean(|counts| counts.words.bytes)),
-        membership: per_second(simulation.mean(|counts| counts.membership.datagrams)),
+        gossip_datagrams: per_second(simulation.mean(|counts| counts.gossip.datagrams)),
+        gossip_bytes: per_second(simulation.mean(|counts| counts.gossip.bytes)),
+        membership_datagrams: per_second(simulation.mean(|counts| counts.membership.datagrams)),
         membership_bytes: per_second(simulation.mean(|counts| counts.membership.bytes)),
-        heard: per_second(simulation.mean(|counts| counts.heard)),
-        lost: per_second(simulation.mean(|counts| counts.lost)),
-        probes: per_second(probes / simulation.shape.members.max(1) as f64),
-        connects: per_second(simulation.mean(|counts| counts.connects)),
-        turns: per_second(simulation.mean(|counts| counts.turns)),
-        quiet_turns: per_second(simulation.cost.events[About::Turn as usize] as f64 / observed),
+        received_datagrams: per_second(simulation.mean(|counts| counts.received)),
+        lost_datagrams: per_second(simulation.mean(|counts| counts.lost)),
+        health_checks: per_second(probes / simulation.shape.members.max(1) as f64),
+        connections_opened: per_second(simulation.mean(|counts| counts.connections_opened)),
+        ticks: per_second(simulation.mean(|counts| counts.ticks)),
+        idle_ticks: per_second(simulation.cost.events[Subject::IdleTick as usize] as f64 / observed),
         answered: per_second(simulation.mean(|counts| counts.answered)),
-        refused: per_second(simulation.mean(|counts| counts.refused)),
-        of_words: cost(About::Words),
-        of_membership: cost(About::Membership),
-        of_data: cost(About::Data),
-        of_turns: cost(About::Turn),
-        of_turns_of_data: cost(About::TurnOfData),
+        errors: per_second(simulation.mean(|counts| counts.errors)),
+        gossip_cores: cost(Subject::Gossip),
+        membership_cores: cost(Subject::Membership),
+        connection_cores: cost(Subject::Connections),
+        idle_tick_cores: cost(Subject::IdleTick),
+        data_tick_cores: cost(Subject::DataTick),
     }
 }
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -56,8 +56,8 @@
 
 fn sent(simulation: &Simulation) -> Sent {
     let of = |counts: &Counts| Sent {
-        datagrams: counts.words.datagrams + counts.membership.datagrams,
-        bytes: counts.words.bytes + counts.membership.bytes,
+        datagrams: counts.gossip.datagrams + counts.membership.datagrams,
+        bytes: counts.gossip.bytes + counts.membership.bytes,
     };
     simulation.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
         datagrams: sum.datagrams + one.datagrams,
@@ -74,7 +74,7 @@
 }
 
 fn statements(simulation: &Simulation) -> Statements {
-    let refused = simulation.counts.iter().map(|counts| counts.refused + counts.crowded).sum();
+    let refused = simulation.counts.iter().map(|counts| counts.errors + counts.unsent).sum();
     Statements { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), refused }
 }
 
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of simulated routers: each statement goes over an idle connection, or a new one.
 
-use super::counts::About;
+use super::counts::Subject;
 use super::simulation::{Connection, Peer, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
@@ -26,7 +26,7 @@
         }
         let Some(client) = self.routers[router].idle_clients.pop().or_else(|| self.open_client(router))
         else {
-            self.counts[router].crowded += 1;
+            self.counts[router].unsent += 1;
             return;
         };
         self.last_statement += 1;
@@ -54,7 +54,7 @@
         let peer = Peer::Client { welcomed: false, input: Vec::new() };
         let connection = Connection { peer, unread: Vec::new() };
         self.routers[router].connections.insert(id, connection);
-        self.apply(router, Event::Accepted(id), About::Data);
+        self.apply(router, Event::Accepted(id), Subject::Connections);
         let mut startup = Vec::new();
         proto::put_startup(&mut startup);
         self.deliver(router, id, &startup);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
@@ -1,6 +1,6 @@
 //! Connections of simulated routers: to members, to discovery, and from clients.
 
-use super::counts::About;
+use super::counts::Subject;
 use super::member::HEALTH_CHECK;
 use super::settings::{Endpoint, endpoint_at};
 use super::simulation::{Connection, ConnectionKey, Peer, Simulation, SimulationEvent};
@@ -20,7 +20,7 @@
 
     /// A router opens a connection to a member or to discovery.
     pub(super) fn connect(&mut self, key: ConnectionKey, address: SocketAddr) {
-        self.counts[key.router].connects += 1;
+        self.counts[key.router].connections_opened += 1;
         let at = self.round_trip_at();
         let peer = match endpoint_at(address) {
             Some(Endpoint::Member(member)) => {
@@ -36,7 +36,7 @@
                 Peer::Member { member, startup_read: false, input: Vec::new() }
             }
             _ => {
-                self.counts[key.router].watches += 1;
+                self.counts[key.router].watches_opened += 1;
                 let is_up = self.discovery_up;
                 let result =
                     if is_up { SimulationEvent::Connected(key) } else { SimulationEvent::Closed(key) };
@@ -87,7 +87,7 @@
             answers -= 1;
         }
         self.counts[key.router].answered += answers.saturating_sub(errors);
-        self.counts[key.router].refused += errors;
+        self.counts[key.router].errors += errors;
         if answers > 0 {
             self.routers[key.router].idle_clients.push(key.id);
         }
@@ -115,7 +115,7 @@
             self.members[member].answer(now, statement, &mut reply);
         }
         input.drain(..parsed);
-        self.counts[key.router].probes += health_checks;
+        self.counts[key.router].health_checks += health_checks;
         let answers = self.members[member].up && !self.members[member].hangs;
         if !reply.is_empty() && answers && self.reaches_member(key.router, member) {
             let at = self.round_trip_at() + SERVICE_TIME;
@@ -125,11 +125,15 @@
 
     /// Bytes come to a router, as far as its read buffer has room; the rest stays unread.
     pub(super) fn deliver(&mut self, router: usize, id: ConnectionId, bytes: &[u8]) {
-        let about = match self.routers[router].connections.get_mut(&id) {
+        let subject = match self.routers[router].connections.get_mut(&id) {
             None => return,
             Some(connection) => {
                 connection.unread.extend_from_slice(bytes);
-                if matches!(connection.peer, Peer::Discovery { .. }) { About::List } else { About::Data }
+                if matches!(connection.peer, Peer::Discovery { .. }) {
+                    Subject::EndpointList
+                } else {
+                    Subject::Connections
+                }
             }
         };
         loop {
@@ -146,7 +150,7 @@
             }
             buffer[..count].copy_from_slice(&connection.unread[..count]);
             connection.unread.drain(..count);
-            self.apply(router, Event::Received(id, count, Span::ZERO), about);
+            self.apply(router, Event::Received(id, count, Span::ZERO), subject);
         }
     }
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -3,10 +3,10 @@
 use ladderpass_routing::Span;
 use nix::time::{ClockId, clock_gettime};
 
-/// Datagrams, or messages, with their bytes.
+/// Datagrams or messages that were sent, with their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Flow {
-    /// How many.
+    /// How many there were.
     pub datagrams: u64,
     /// Bytes of all of them.
     pub bytes: u64,
@@ -23,48 +23,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Gossip about members that it sent.
-    pub words: Flow,
+    pub gossip: Flow,
     /// Messages of the membership protocol that it sent.
     pub membership: Flow,
     /// Datagrams that it received.
-    pub heard: u64,
+    pub received: u64,
     /// Datagrams to it that were lost, or came while it was not running.
     pub lost: u64,
     /// Health checks that it sent to members.
-    pub probes: u64,
+    pub health_checks: u64,
     /// Statements of its clients.
     pub statements: u64,
     /// Statements that it answered without an error.
     pub answered: u64,
     /// Statements that it answered with an error.
-    pub refused: u64,
+    pub errors: u64,
     /// Statements for which no client connection was free.
-    pub crowded: u64,
+    pub unsent: u64,
     /// Connections that it opened.
-    pub connects: u64,
+    pub connections_opened: u64,
     /// Watches of the endpoint list that it opened, which are connections too.
-    pub watches: u64,
+    pub watches_opened: u64,
     /// Bytes of complete endpoint lists that it received.
     pub list_bytes: u64,
     /// Ticks of its event loop.
-    pub turns: u64,
+    pub ticks: u64,
 }
 
 /// The subject of an event, by which CPU time is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum About {
+pub enum Subject {
     /// Gossip about members.
-    Words,
+    Gossip,
     /// The membership protocol.
     Membership,
     /// Connections of clients and members.
-    Data,
+    Connections,
     /// The endpoint list.
-    List,
+    EndpointList,
     /// A tick after datagrams alone, or by a timer.
-    Turn,
+    IdleTick,
     /// A tick after data.
-    TurnOfData,
+    DataTick,
 }
 
 const SUBJECTS: usize = 6;
@@ -81,13 +81,13 @@
 
 impl Cost {
     /// Mean CPU time of an event, in seconds.
-    pub fn each(&self, about: About) -> f64 {
-        self.nanos[about as usize] as f64 / 1e9 / self.events[about as usize].max(1) as f64
+    pub fn mean_seconds(&self, subject: Subject) -> f64 {
+        self.nanos[subject as usize] as f64 / 1e9 / self.events[subject as usize].max(1) as f64
     }
 
-    pub(super) fn add(&mut self, about: About, nanos: i64) {
-        self.events[about as usize] += 1;
-        self.nanos[about as usize] += nanos.max(0) as u64;
+    pub(super) fn add_event(&mut self, subject: Subject, nanos: i64) {
+        self.events[subject as usize] += 1;
+        self.nanos[subject as usize] += nanos.max(0) as u64;
     }
 }
 
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -1,6 +1,6 @@
 //! Events of a simulation: they are passed to a router's reducer, and the effects that it returns are carried out.
 
-use super::counts::{About, thread_time};
+use super::counts::{Subject, thread_time};
 use super::settings::{Endpoint, endpoint_at, launch, router_address};
 use super::simulation::{Connection, ConnectionKey, Simulation, SimulationEvent};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -44,19 +44,19 @@
                     self.counts[to].lost += 1;
                     return Ok(());
                 }
-                self.counts[to].heard += 1;
-                let about = if is_membership(&bytes) { About::Membership } else { About::Words };
-                self.apply(to, Event::DatagramReceived(from, bytes), about);
+                self.counts[to].received += 1;
+                let subject = if is_membership(&bytes) { Subject::Membership } else { Subject::Gossip };
+                self.apply(to, Event::DatagramReceived(from, bytes), subject);
             }
             SimulationEvent::Bytes(key, bytes) if self.is_current(key.router, key.incarnation) => {
                 self.deliver(key.router, key.id, &bytes);
             }
             SimulationEvent::Connected(key) if self.is_open(key) => {
-                self.apply(key.router, Event::Connected(key.id), About::Data);
+                self.apply(key.router, Event::Connected(key.id), Subject::Connections);
             }
             SimulationEvent::Closed(key) if self.is_open(key) => {
                 self.routers[key.router].connections.remove(&key.id);
-                self.apply(key.router, Event::Closed(key.id), About::Data);
+                self.apply(key.router, Event::Closed(key.id), Subject::Connections);
             }
             SimulationEvent::WatchHeartbeat(key) if self.is_open(key) => self.send_watch_heartbeat(key),
             _ => {}
@@ -83,20 +83,20 @@
     }
 
     /// Passes an event to a router, carries out its effects, and schedules the tick that follows the batch.
-    pub(super) fn apply(&mut self, router: usize, event: Event, about: About) {
+    pub(super) fn apply(&mut self, router: usize, event: Event, subject: Subject) {
         let is_observed = router < self.shape.observed;
         let Some(reducer) = &mut self.routers[router].reducer else { return };
         let began = is_observed.then(thread_time);
         let effects = reducer.handle(self.now, event);
         if let Some(began) = began {
-            self.cost.add(about, (thread_time() - began).nanos() - self.clock_overhead_ns);
+            self.cost.add_event(subject, (thread_time() - began).nanos() - self.clock_overhead_ns);
         }
         self.carry_out(router, effects);
-        if matches!(about, About::Turn | About::TurnOfData) {
+        if matches!(subject, Subject::IdleTick | Subject::DataTick) {
             return;
         }
         let applied = &mut self.routers[router];
-        applied.has_data |= about == About::Data;
+        applied.has_data |= subject == Subject::Connections;
         if !std::mem::replace(&mut applied.tick_scheduled, true) {
             self.schedule(self.now, SimulationEvent::Tick { router });
         }
@@ -104,8 +104,8 @@
 
     pub(super) fn tick(&mut self, router: usize) {
         let has_data = std::mem::take(&mut self.routers[router].has_data);
-        self.counts[router].turns += 1;
-        self.apply(router, Event::Tick, if has_data { About::TurnOfData } else { About::Turn });
+        self.counts[router].ticks += 1;
+        self.apply(router, Event::Tick, if has_data { Subject::DataTick } else { Subject::IdleTick });
         let Some(reducer) = &self.routers[router].reducer else { return };
         let latest = self.now + MAX_TICK_INTERVAL;
         let at = reducer.wake_at().unwrap_or(latest).min(latest).max(self.now + MIN_TICK_INTERVAL);
@@ -171,7 +171,7 @@
         let from = router_address(router);
         for (to, bytes) in reducer.take_datagrams() {
             let counts = &mut self.counts[router];
-            let flow = if is_membership(&bytes) { &mut counts.membership } else { &mut counts.words };
+            let flow = if is_membership(&bytes) { &mut counts.membership } else { &mut counts.gossip };
             flow.add(bytes.len());
             let Some(Endpoint::Router(to)) = endpoint_at(to) else { continue };
             if to >= self.shape.routers {
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
@@ -13,7 +13,7 @@
 mod shape;
 mod simulation;
 
-pub use counts::{About, Cost, Counts, Flow, thread_time};
+pub use counts::{Cost, Counts, Flow, Subject, thread_time};
 pub use member::Member;
 pub use settings::{config, launch, member_id, router_address};
 pub use shape::{REGION_OF_ZONE, Shape, ZONES};
--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -140,8 +140,8 @@
     let shape = simulated_routers::Shape { seed, ..simulated_routers::Shape::of(routers, groups as usize) };
     let rates = control::rates(&shape, COMPARISON_S)?;
     let simulated = Traffic {
-        datagrams_per_second: rates.words + rates.membership,
-        bytes_per_second: rates.words_bytes + rates.membership_bytes,
+        datagrams_per_second: rates.gossip_datagrams + rates.membership_datagrams,
+        bytes_per_second: rates.gossip_bytes + rates.membership_bytes,
     };
     Ok(ComparedTraffic { simulated, real: Traffic::of_drill(&drill, &record) })
 }
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -25,11 +25,11 @@
         let total = |of: fn(&ladderpass_testbed::capacity::simulated_routers::Counts) -> u64| {
             simulation.counts.iter().map(of).sum::<u64>()
         };
-        let sent = total(|counts| counts.words.datagrams + counts.membership.datagrams);
-        let (received, lost) = (total(|counts| counts.heard), total(|counts| counts.lost));
+        let sent = total(|counts| counts.gossip.datagrams + counts.membership.datagrams);
+        let (received, lost) = (total(|counts| counts.received), total(|counts| counts.lost));
         assert_eq!(sent, received + lost + simulation.flying(), "loss {loss}, killed {killed}");
         assert!(sent > 500 && (lost > 0) == (loss > 0.0), "{sent} sent, {lost} lost");
-        assert_eq!(total(|counts| counts.crowded), 0);
+        assert_eq!(total(|counts| counts.unsent), 0);
     }
 }
 
@@ -49,7 +49,7 @@
     let mut simulation = simulation(Shape::of(8, 4));
     run(&mut simulation, 6000);
     for (router, counts) in simulation.counts.iter().enumerate() {
-        assert!(counts.statements > 100 && counts.refused == 0, "{router}: {counts:?}");
+        assert!(counts.statements > 100 && counts.errors == 0, "{router}: {counts:?}");
         assert!(counts.answered + 2 >= counts.statements, "{router}: {counts:?}");
         assert_eq!(
             simulation.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
