--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/control/figures.rs
@@ -0,0 +1,50 @@
+//! Figures of control traffic at the reference size, worked out from the slopes.
+
+use super::reference_size::{GROUPS, MEMBERS, ROUTERS};
+use crate::capacity::slope::Slope;
+
+/// IP and UDP headers of a datagram.
+const HEADER_BYTES: f64 = 28.0;
+/// CPU microseconds a second that are one percent of a core.
+const MICROS_PER_PERCENT: f64 = 1e4;
+
+/// The figures by the names that docs/CAPACITY.md has them under; not a number if a slope is missing.
+pub fn figures(slopes: &[Slope]) -> Vec<(&'static str, f64)> {
+    let fit = |name: &str| slopes.iter().find(|slope| slope.name == name).map(Slope::fit);
+    let at = |name: &str, x: f64| fit(name).map_or(f64::NAN, |fit| fit.at(x));
+    let (routers, groups, members) = (ROUTERS as f64, GROUPS as f64, MEMBERS as f64);
+    let reports_of_all = (routers - 1.0) * groups;
+    let membership = at("membership_datagrams", routers);
+    let (gossip_of_16, gossip_bytes_of_16) = (at("words_datagrams", groups), at("words_bytes", groups));
+    let gossip = at("words_by_routers", 1.0 / routers) * groups;
+    // The size of a datagram of gossip is that measured with few routers.
+    let bytes = gossip * (gossip_bytes_of_16 / gossip_of_16 + HEADER_BYTES)
+        + at("membership_bytes", routers)
+        + HEADER_BYTES * membership;
+    let datagram_us = fit("datagram_cpu").map_or(f64::NAN, |fit| fit.slope);
+    // Each datagram of gossip that arrives has a tick of its own.
+    let ticks = at("quiet_turns", groups) + gossip - gossip_of_16;
+    let cpu_us = gossip * (at("word_cpu", groups) + datagram_us)
+        + membership * (at("membership_cpu", routers) + datagram_us)
+        + ticks * at("turn_cpu", groups);
+    vec![
+        ("words_of_16", gossip_of_16),
+        ("words_of_16_bytes", gossip_bytes_of_16),
+        ("words", gossip),
+        ("control_bytes", bytes),
+        ("control_cpu", cpu_us / MICROS_PER_PERCENT),
+        ("probes_of_a_member", at("probes_by_routers", 1.0 / routers)),
+        ("word_cpu", at("word_cpu", groups)),
+        ("turn_cpu", at("turn_cpu", groups)),
+        ("datagram_cpu", datagram_us),
+        ("membership_datagrams", membership),
+        ("membership_bytes", at("membership_bytes", routers)),
+        ("membership_cpu", at("membership_cpu", routers)),
+        ("membership_memory", at("membership_memory", routers)),
+        ("admission_bytes", at("admission_bytes", 1.0 / reports_of_all)),
+        ("admission_words", at("admission_words", 1.0 / reports_of_all)),
+        ("death_known", at("death_known", routers.log2())),
+        ("list_bytes", at("list_bytes", members)),
+        ("list_cpu", at("list_cpu", members)),
+    ]
+}
--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -84,7 +84,7 @@
 pub(super) fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
     let mut simulation = Simulation::start(shape.clone())?;
     simulation.run(settles)?;
-    simulation.count_anew();
+    simulation.reset_counts();
     simulation.run(Span::from_secs_f64(seconds))?;
     Ok(rates_of(&simulation, seconds))
 }
--- a/crates/ladderpass-testbed/src/capacity/events.rs
+++ b/crates/ladderpass-testbed/src/capacity/events.rs
@@ -233,7 +233,7 @@
 
 /// The endpoint list changes.
 fn list_change(observation: &mut Observation<'_>) -> io::Result<Moments> {
-    let generation = observation.simulation.change(1, "DRAINING");
+    let generation = observation.simulation.change_endpoint(1, "DRAINING");
     let known = observation.run_until(20.0, |simulation| have_generation(simulation, generation))?;
     observation.run_for(1.0)?;
     Ok(vec![("in force at all", known)])
@@ -244,7 +244,7 @@
     observation.simulation.discovery_up = false;
     observation.run_for(4.0)?;
     observation.from = observation.simulation.now;
-    let generation = observation.simulation.change(1, "DRAINING");
+    let generation = observation.simulation.change_endpoint(1, "DRAINING");
     observation.run_for(5.0)?;
     observation.simulation.discovery_up = true;
     let known = observation.run_until(30.0, |simulation| have_generation(simulation, generation))?;
@@ -258,7 +258,7 @@
     for index in 0..count {
         let router = index * routers / count;
         observation.simulation.kill(router);
-        observation.simulation.begin(router, Span::from_millis(1000));
+        observation.simulation.schedule_start(router, Span::from_millis(1000));
         let next_at_s = RESTART_WAVE_S * (index + 1) as f64 / count as f64;
         while observation.elapsed_s() + STEP.secs() <= next_at_s {
             observation.step()?;
@@ -304,11 +304,11 @@
     let routers = observation.simulation.shape.routers;
     let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
     let cut_off = (0..routers).filter(|&router| is_cut_off(router)).count();
-    observation.simulation.cut = vec![(0, CUT_REGION), (1, CUT_REGION)];
+    observation.simulation.cut_regions = vec![(0, CUT_REGION), (1, CUT_REGION)];
     let on_own_side = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
     let known = observation.run_until(60.0, |simulation| agree(simulation, on_own_side))?;
     observation.run_for(CUT_S - known.min(CUT_S - 1.0))?;
-    observation.simulation.cut.clear();
+    observation.simulation.cut_regions.clear();
     let healed = observation.elapsed_s();
     let back = observation.run_until(120.0, |simulation| agree(simulation, |_| routers))?;
     Ok(vec![("each side knows its own", known), ("healed", healed), ("all know of all", back)])
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -16,11 +16,11 @@
     pub(super) fn send_drawn_statement(&mut self, router: usize) {
         let group = self.rng.random_range(0..self.shape.groups);
         let is_write = self.rng.random_range(0.0..1.0) < self.shape.writes;
-        self.ask_of(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
+        self.send_statement(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
     }
 
     /// Sends a router a statement.
-    pub fn ask_of(&mut self, router: usize, method: &str, group: usize) {
+    pub fn send_statement(&mut self, router: usize, method: &str, group: usize) {
         if self.routers[router].reducer.is_none() {
             return;
         }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
@@ -15,7 +15,7 @@
 impl Simulation {
     /// When an answer to what is sent now arrives, without service time.
     pub(super) fn round_trip_at(&self) -> Time {
-        self.now + self.shape.way * 2.0
+        self.now + self.shape.latency * 2.0
     }
 
     /// A router opens a connection to a member or to discovery.
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
@@ -11,7 +11,7 @@
 impl Simulation {
     /// Changes a member's entry in the endpoint list, and sends the change to all watches, at discovery's rate. Returns
     /// the list's new generation.
-    pub fn change(&mut self, member: usize, lifecycle: &str) -> u64 {
+    pub fn change_endpoint(&mut self, member: usize, lifecycle: &str) -> u64 {
         self.generation += 1;
         let entry = list_entry(&self.shape, member, self.members[member].primary, lifecycle);
         let line =
@@ -27,7 +27,8 @@
         for router in 0..self.routers.len() {
             for watch in self.open_watches(router) {
                 sent += 1.0;
-                let at = self.now + self.shape.way + Span::from_secs_f64(sent / self.told_rate);
+                let at =
+                    self.now + self.shape.latency + Span::from_secs_f64(sent / self.watch_events_per_second);
                 let bytes = http_chunk(&line);
                 self.discovery.add(bytes.len());
                 self.schedule(at, SimulationEvent::Bytes(watch, bytes));
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -183,7 +183,7 @@
                 continue;
             }
             self.datagrams_in_flight += 1;
-            let latency = self.shape.way * self.rng.random_range(LATENCY_SPREAD);
+            let latency = self.shape.latency * self.rng.random_range(LATENCY_SPREAD);
             self.schedule(self.now + latency, SimulationEvent::Datagram { to, from, bytes });
         }
     }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
@@ -20,13 +20,13 @@
     /// Routers shed load and use retry budgets together.
     pub fleet: bool,
     /// One-way latency between any two.
-    pub way: Span,
+    pub latency: Span,
     /// Probability that a datagram is lost.
     pub loss: f64,
     /// Routers whose CPU time is measured, from the first on.
     pub observed: usize,
     /// Routers start with a cached endpoint list.
-    pub remembered: bool,
+    pub cached_endpoints: bool,
     /// Seed of all random draws.
     pub seed: u64,
 }
@@ -41,10 +41,10 @@
             writes: 0.2,
             peers: true,
             fleet: false,
-            way: Span::from_nanos(250_000),
+            latency: Span::from_nanos(250_000),
             loss: 0.0,
             observed: 0,
-            remembered: false,
+            cached_endpoints: false,
             seed: 1,
         }
     }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -127,7 +127,7 @@
     pub(super) routers: Vec<SimulatedRouter>,
     /// Its members.
     pub members: Vec<Member>,
-    /// By router, since the start or the last [`Simulation::count_anew`].
+    /// By router, since the start or the last [`Simulation::reset_counts`].
     pub counts: Vec<Counts>,
     /// Of the observed routers.
     pub cost: Cost,
@@ -140,11 +140,11 @@
     /// Discovery answers.
     pub discovery_up: bool,
     /// Watches a second to which a change of the endpoint list is sent.
-    pub told_rate: f64,
+    pub watch_events_per_second: f64,
     /// Messages and bytes that discovery sent.
     pub discovery: Flow,
     /// Pairs of regions that can't reach each other.
-    pub cut: Vec<(usize, usize)>,
+    pub cut_regions: Vec<(usize, usize)>,
     pub(super) datagrams_in_flight: u64,
     pub(super) last_statement: u64,
     pub(super) config: PathBuf,
@@ -175,7 +175,7 @@
         let entries: Vec<String> = (0..shape.members)
             .map(|index| list_entry(&shape, index, members[index].primary, "SERVING"))
             .collect();
-        let known = if shape.remembered { entries.join(",") } else { String::new() };
+        let known = if shape.cached_endpoints { entries.join(",") } else { String::new() };
         let config = config(&shape, &known)?;
         let mut simulation = Simulation {
             now: EPOCH,
@@ -191,9 +191,9 @@
             generation: FIRST_GENERATION,
             entries,
             discovery_up: true,
-            told_rate: 1e9,
+            watch_events_per_second: 1e9,
             discovery: Flow::default(),
-            cut: Vec::new(),
+            cut_regions: Vec::new(),
             datagrams_in_flight: 0,
             last_statement: 0,
             config,
@@ -201,7 +201,7 @@
         };
         for router in 0..simulation.shape.routers {
             let after = Span::from_nanos(simulation.rng.random_range(0..START_WITHIN_NS));
-            simulation.begin(router, after);
+            simulation.schedule_start(router, after);
         }
         Ok(simulation)
     }
@@ -232,13 +232,13 @@
     }
 
     /// Sets counts and costs to zero.
-    pub fn count_anew(&mut self) {
+    pub fn reset_counts(&mut self) {
         self.counts.iter_mut().for_each(|counts| *counts = Counts::default());
         (self.cost, self.discovery) = (Cost::default(), Flow::default());
     }
 
     /// Datagrams in flight.
-    pub fn flying(&self) -> u64 {
+    pub fn datagrams_in_flight(&self) -> u64 {
         self.datagrams_in_flight
     }
 
@@ -265,7 +265,7 @@
     /// Can two zones reach each other?
     pub(super) fn is_reachable(&self, zone: usize, other: usize) -> bool {
         let (one, other) = (REGION_OF_ZONE[zone], REGION_OF_ZONE[other]);
-        !self.cut.iter().any(|&(a, b)| (a, b) == (one, other) || (b, a) == (one, other))
+        !self.cut_regions.iter().any(|&(a, b)| (a, b) == (one, other) || (b, a) == (one, other))
     }
 
     /// Kills a router's process. Its state is lost, and nobody is notified.
@@ -276,7 +276,7 @@
     }
 
     /// Starts a router after a time, if it does not run then.
-    pub fn begin(&mut self, router: usize, after: Span) {
+    pub fn schedule_start(&mut self, router: usize, after: Span) {
         self.schedule(self.now + after, SimulationEvent::StartRouter { router });
     }
 
@@ -292,7 +292,7 @@
             let incarnation = self.routers[router].incarnation;
             for id in closed {
                 let key = ConnectionKey { router, incarnation, id };
-                self.schedule(self.now + self.shape.way, SimulationEvent::Closed(key));
+                self.schedule(self.now + self.shape.latency, SimulationEvent::Closed(key));
             }
         }
     }
--- a/crates/ladderpass-testbed/tests/hollow.rs
+++ b/crates/ladderpass-testbed/tests/hollow.rs
@@ -27,7 +27,7 @@
         };
         let sent = total(|counts| counts.gossip.datagrams + counts.membership.datagrams);
         let (received, lost) = (total(|counts| counts.received), total(|counts| counts.lost));
-        assert_eq!(sent, received + lost + simulation.flying(), "loss {loss}, killed {killed}");
+        assert_eq!(sent, received + lost + simulation.datagrams_in_flight(), "loss {loss}, killed {killed}");
         assert!(sent > 500 && (lost > 0) == (loss > 0.0), "{sent} sent, {lost} lost");
         assert_eq!(total(|counts| counts.unsent), 0);
     }
@@ -70,7 +70,7 @@
 fn all_routers_learn_of_a_list_change_and_of_another_primary() {
     let mut simulation = simulation(Shape::of(4, 2));
     run(&mut simulation, 4000);
-    let generation = simulation.change(5, "DRAINING");
+    let generation = simulation.change_endpoint(5, "DRAINING");
     run(&mut simulation, 100);
     for router in 0..4 {
         assert_eq!(simulation.reducer(router).map(|reducer| reducer.generation()), Some(generation));
