--- /dev/null
+++ b/crates/ladderpass-testbed/src/capacity/events/mod.rs
@@ -0,0 +1,214 @@
+//! Events at the scale of a deployment, in a simulation: how long until all routers know, and the peak of what they send.
+
+mod observation;
+mod outcome;
+
+pub use outcome::{EventOutcome, Moment};
+
+use super::control::{GROUPS, RATE, SETTLES};
+use super::simulated_routers::{REGION_OF_ZONE, Shape, Simulation, ZONES, member_id};
+use ladderpass_routing::Span;
+use observation::{Observation, STEP};
+use std::io;
+
+/// How often a simulation that has not settled yet is run on, and for how long.
+const SETTLE_STEPS: usize = 60;
+const SETTLE_STEP: Span = Span::from_millis(500);
+/// Routers that restart in a wave, of `REFERENCE_ROUTERS`.
+const RESTARTED_ROUTERS: usize = 180;
+const REFERENCE_ROUTERS: usize = 460;
+const RESTART_WAVE_S: f64 = 10.0;
+const FAILING_ZONE: usize = 1;
+const RACKS_PER_ZONE: usize = 10;
+const CUT_REGION: usize = 2;
+/// How long the region is cut off; it stands for an hour.
+const CUT_S: f64 = 60.0;
+/// A replica takes over from a primary after this time.
+const PROMOTION_S: f64 = 1.0;
+/// Discovery is down for these times before a change of the endpoint list and after it.
+const DOWN_BEFORE_CHANGE_S: f64 = 4.0;
+const DOWN_AFTER_CHANGE_S: f64 = 5.0;
+/// A killed router starts again after this time.
+const RESTART_AFTER: Span = Span::from_millis(1000);
+/// How long conditions may take to hold.
+const MAX_LIST_CHANGE_S: f64 = 20.0;
+const MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S: f64 = 30.0;
+const MAX_FAILOVER_S: f64 = 20.0;
+const MAX_MEMBERSHIP_S: f64 = 60.0;
+const MAX_HEALING_S: f64 = 120.0;
+
+/// Does each running router believe as many routers to be alive as `count` says?
+fn all_believe_alive(simulation: &Simulation, count: impl Fn(usize) -> usize) -> bool {
+    (0..simulation.shape.routers)
+        .filter_map(|router| Some((router, simulation.reducer(router)?.fleet_view()?.0)))
+        .all(|(router, view)| view == count(router))
+}
+
+/// Do all running routers know this member as its group's primary?
+fn know_primary(simulation: &Simulation, member: usize) -> bool {
+    let id = member_id(member);
+    let knows = |router| {
+        simulation.reducer(router).map(|reducer| reducer.known_position(&id).is_some_and(|known| known.1))
+    };
+    (0..simulation.shape.routers).filter_map(knows).all(|knows| knows)
+}
+
+/// Do all running routers have this generation of the endpoint list, or a later one?
+fn have_generation(simulation: &Simulation, generation: u64) -> bool {
+    let mut reducers = (0..simulation.shape.routers).filter_map(|router| simulation.reducer(router));
+    reducers.all(|reducer| reducer.generation() >= generation)
+}
+
+/// A simulation whose routers have found each other.
+fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
+    let rate = RATE * groups as f64 / GROUPS as f64;
+    let mut simulation = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
+    simulation.run(SETTLES)?;
+    for _ in 0..SETTLE_STEPS {
+        if all_believe_alive(&simulation, |_| routers) {
+            break;
+        }
+        simulation.run(SETTLE_STEP)?;
+    }
+    Ok(simulation)
+}
+
+/// Names of the events.
+pub const NAMES: [&str; 7] = ["primary", "change", "change-late", "restarts", "rack", "zone", "region"];
+
+/// Simulates an event of [`NAMES`].
+///
+/// # Errors
+/// If the simulation can't be started.
+pub fn simulate_event(
+    name: &'static str,
+    routers: usize,
+    groups: usize,
+    seed: u64,
+) -> io::Result<EventOutcome> {
+    let mut simulation = settled(routers, groups, seed)?;
+    let mut observation = Observation::begin(&mut simulation)?;
+    let moments = match name {
+        "primary" => failover(&mut observation, groups)?,
+        "change" => list_change(&mut observation)?,
+        "change-late" => list_change_without_discovery(&mut observation)?,
+        "restarts" => restart_wave(&mut observation)?,
+        "rack" => {
+            silent_failure(&mut observation, |index, of_zone| index < (of_zone / RACKS_PER_ZONE).max(1))?
+        }
+        "zone" => silent_failure(&mut observation, |_, _| true)?,
+        _ => region_cut(&mut observation)?,
+    };
+    Ok(observation.finish(name, moments))
+}
+
+fn moment(label: &'static str, value: f64) -> Moment {
+    Moment { label, value }
+}
+
+/// The primary of the first group ends; its first replica takes over a second later.
+fn failover(observation: &mut Observation<'_>, groups: usize) -> io::Result<Vec<Moment>> {
+    let replica = groups;
+    observation.simulation.members[0].primary = false;
+    observation.simulation.end_member(0, false);
+    observation.run_for(PROMOTION_S)?;
+    observation.simulation.members[replica].primary = true;
+    let known = observation.run_until(MAX_FAILOVER_S, |simulation| know_primary(simulation, replica))?;
+    observation.run_for(2.0)?;
+    Ok(vec![moment("the new one can be written to", PROMOTION_S), moment("all routers know it", known)])
+}
+
+/// The endpoint list changes.
+fn list_change(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
+    let generation = observation.simulation.change_endpoint(1, "DRAINING");
+    let known =
+        observation.run_until(MAX_LIST_CHANGE_S, |simulation| have_generation(simulation, generation))?;
+    observation.run_for(1.0)?;
+    Ok(vec![moment("in force at all", known)])
+}
+
+/// Discovery can't be reached from four seconds before the change until five seconds after it.
+fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
+    observation.simulation.discovery_up = false;
+    observation.run_for(DOWN_BEFORE_CHANGE_S)?;
+    observation.from = observation.simulation.now;
+    let generation = observation.simulation.change_endpoint(1, "DRAINING");
+    observation.run_for(DOWN_AFTER_CHANGE_S)?;
+    observation.simulation.discovery_up = true;
+    let known = observation.run_until(MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S, |simulation| {
+        have_generation(simulation, generation)
+    })?;
+    Ok(vec![moment("discovery is back", DOWN_AFTER_CHANGE_S), moment("in force at all", known)])
+}
+
+/// Routers are killed one after the other, and each starts again a second later.
+fn restart_wave(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
+    let routers = observation.simulation.shape.routers;
+    let count = (routers * RESTARTED_ROUTERS / REFERENCE_ROUTERS).max(1);
+    for index in 0..count {
+        let router = index * routers / count;
+        observation.simulation.kill(router);
+        observation.simulation.schedule_start(router, RESTART_AFTER);
+        let next_at_s = RESTART_WAVE_S * (index + 1) as f64 / count as f64;
+        while observation.elapsed_s() + STEP.secs() <= next_at_s {
+            observation.step()?;
+        }
+    }
+    let last = observation.elapsed_s();
+    let known =
+        observation.run_until(MAX_MEMBERSHIP_S, |simulation| all_believe_alive(simulation, |_| routers))?;
+    Ok(vec![moment("the last is killed", last), moment("all know of all", known)])
+}
+
+/// Machines of one zone fail without closing connections: those that `fails` names by their index among the zone's
+/// routers or members, and the number of these.
+fn silent_failure(
+    observation: &mut Observation<'_>,
+    fails: impl Fn(usize, usize) -> bool,
+) -> io::Result<Vec<Moment>> {
+    let (routers, members) = (observation.simulation.shape.routers, observation.simulation.shape.members);
+    let (mut failed_routers, mut failed_members) = (0, 0);
+    for router in (0..routers).filter(|router| router % ZONES == FAILING_ZONE) {
+        if fails(failed_routers, routers / ZONES) {
+            observation.simulation.kill(router);
+            failed_routers += 1;
+        }
+    }
+    for member in 0..members {
+        let is_in_zone = observation.simulation.zone_of_member(member) == FAILING_ZONE;
+        if is_in_zone && fails(failed_members, members / ZONES) {
+            observation.simulation.end_member(member, true);
+            failed_members += 1;
+        }
+    }
+    let known = observation.run_until(MAX_MEMBERSHIP_S, |simulation| {
+        all_believe_alive(simulation, |_| routers - failed_routers)
+    })?;
+    observation.run_for(5.0)?;
+    Ok(vec![
+        moment("routers gone", failed_routers as f64),
+        moment("members gone", failed_members as f64),
+        moment("all know which routers", known),
+    ])
+}
+
+/// One region is cut off from the others, and reachable again after [`CUT_S`].
+fn region_cut(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
+    let routers = observation.simulation.shape.routers;
+    let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
+    let cut_off = (0..routers).filter(|&router| is_cut_off(router)).count();
+    observation.simulation.cut_regions = vec![(0, CUT_REGION), (1, CUT_REGION)];
+    let on_own_side = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
+    let known =
+        observation.run_until(MAX_MEMBERSHIP_S, |simulation| all_believe_alive(simulation, on_own_side))?;
+    observation.run_for(CUT_S - known.min(CUT_S - 1.0))?;
+    observation.simulation.cut_regions.clear();
+    let healed = observation.elapsed_s();
+    let back =
+        observation.run_until(MAX_HEALING_S, |simulation| all_believe_alive(simulation, |_| routers))?;
+    Ok(vec![
+        moment("each side knows its own", known),
+        moment("healed", healed),
+        moment("all know of all", back),
+    ])
+}
--- a/crates/ladderpass-testbed/src/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/mod.rs
@@ -5,3 +5,4 @@
 pub mod events;
 pub mod simulated_routers;
 pub mod slope;
+pub mod traffic;
--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -1,14 +1,15 @@
 //! Longer runs behind docs/CAPACITY.md: slopes of control traffic, simulated routers beside real processes, and events at
 //! the scale of a deployment, as tables and charts.
 
-use crate::capacity::events::{self, Told};
+use crate::capacity::events::{self, EventOutcome};
 use crate::capacity::slope::Slope;
+use crate::capacity::traffic::Traffic;
 use crate::capacity::{control, simulated_routers};
 use crate::charts;
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
 use crate::prove::parallel::join;
-use crate::prove::traffic::Traffic;
+use crate::prove::traffic::traffic_of_drill;
 use std::fmt::Write as _;
 use std::io;
 use std::path::Path;
@@ -61,7 +62,7 @@
     }
     report.add(&slopes_table(&control))?;
     report.add(&comparison_table(programs, seed)?)?;
-    report.add(&events_table(&play_events(seed)?))
+    report.add(&events_table(&simulate_events(seed)?))
 }
 
 fn slopes_table(slopes: &[Slope]) -> String {
@@ -143,27 +144,27 @@
         datagrams_per_second: rates.gossip_datagrams + rates.membership_datagrams,
         bytes_per_second: rates.gossip_bytes + rates.membership_bytes,
     };
-    Ok(ComparedTraffic { simulated, real: Traffic::of_drill(&drill, &record) })
+    Ok(ComparedTraffic { simulated, real: traffic_of_drill(&drill, &record) })
 }
 
 /// Simulates all events, a few at a time.
-fn play_events(seed: u64) -> io::Result<Vec<Told>> {
+fn simulate_events(seed: u64) -> io::Result<Vec<EventOutcome>> {
     let next = AtomicUsize::new(0);
-    let play_next = || -> io::Result<Vec<Told>> {
+    let simulate_next = || -> io::Result<Vec<EventOutcome>> {
         let mut outcomes = Vec::new();
         while let Some(name) = events::NAMES.get(next.fetch_add(1, Ordering::Relaxed)) {
-            outcomes.push(events::play(name, control::ROUTERS, EVENT_GROUPS, seed)?);
+            outcomes.push(events::simulate_event(name, control::ROUTERS, EVENT_GROUPS, seed)?);
         }
         Ok(outcomes)
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..EVENT_THREADS).map(|_| scope.spawn(play_next)).collect();
+        let threads: Vec<_> = (0..EVENT_THREADS).map(|_| scope.spawn(simulate_next)).collect();
         let outcomes = threads.into_iter().map(join).collect::<io::Result<Vec<_>>>()?;
         Ok(outcomes.into_iter().flatten().collect())
     })
 }
 
-fn events_table(outcomes: &[Told]) -> String {
+fn events_table(outcomes: &[EventOutcome]) -> String {
     let mut table = String::from(
         "\n## Events, 460 routers and 8 groups, times in s since each began\n\n\
          | event | moments | before, datagrams/s a router, bytes/s | at the most | refused | \
@@ -171,18 +172,18 @@
     );
     for outcome in outcomes {
         let moments: Vec<String> =
-            outcome.moments.iter().map(|(what, at_s)| format!("{what} {at_s:.2}")).collect();
+            outcome.moments.iter().map(|moment| format!("{} {:.2}", moment.label, moment.value)).collect();
         let _ = writeln!(
             table,
             "| {} | {} | {:.1}, {:.0} | {:.1}, {:.0} | {:.2}% | {:.2} |",
             outcome.name,
             moments.join("; "),
-            outcome.before.0,
-            outcome.before.1,
-            outcome.most.0,
-            outcome.most.1,
-            outcome.refused * 100.0,
-            outcome.discovery as f64 / 1e6
+            outcome.traffic_before.datagrams_per_second,
+            outcome.traffic_before.bytes_per_second,
+            outcome.peak_traffic.datagrams_per_second,
+            outcome.peak_traffic.bytes_per_second,
+            outcome.failed_fraction * 100.0,
+            outcome.discovery_bytes as f64 / 1e6
         );
     }
     table
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
@@ -37,6 +37,13 @@
 /// Wall clocks are this far off, in both directions.
 const CLOCK_OFFSET_MS: i32 = 100;
 
+/// A router that does not use the common admission threshold.
+pub const IGNORES_THRESHOLD: &str = "ignores-the-floor";
+/// A router that reports ten times its load.
+pub const REPORTS_TENFOLD: &str = "tells-tenfold";
+/// Routers that keep the reports of dead ones.
+pub const KEEPS_REPORTS_OF_DEAD: &str = "keeps-the-deads-words";
+
 /// Fleet and methods of all drills.
 pub fn scenario() -> Scenario {
     overloaded_scenario(SHARES)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -1,18 +1,12 @@
 //! Faulty routers under shared admission control, told apart from healthy ones.
 
-use super::Measurements;
+use super::drills::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD};
+use super::measurements::Measurements;
 use super::measures::{mean, mean_logged, median_rejection_ms};
 use crate::drill::play::DrillRecord;
 use crate::prove::Table;
 use crate::prove::scenarios::FLEET_ROUTERS;
 
-/// A router that does not use the common admission threshold.
-pub const IGNORES_THRESHOLD: &str = "ignores-the-floor";
-/// A router that reports ten times its load.
-pub const REPORTS_TENFOLD: &str = "tells-tenfold";
-/// Routers that keep the reports of dead ones.
-pub const KEEPS_REPORTS_OF_DEAD: &str = "keeps-the-deads-words";
-
 /// A router that rejects only when it is overloaded itself is this many times slower than healthy ones, which take at least
 /// so many milliseconds for this comparison.
 const MIN_REJECTION_LATENCY_RATIO: f64 = 10.0;
--- /dev/null
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/measurements.rs
@@ -0,0 +1,55 @@
+//! Plays the drills under overload.
+
+use super::drills::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD};
+use super::drills::{clocks_apart, kills_and_split, kills_and_split_with_fault, one_faulty_router};
+use super::drills::{separate_admission, shared_admission, single_router};
+use crate::drill::play::{DrillRecord, Programs, play};
+use crate::prove::parallel::{join, play_in_parallel};
+use std::io;
+
+/// The records of all drills under overload.
+pub struct Measurements {
+    /// One router with full knowledge.
+    pub single: DrillRecord,
+    /// Shared admission control.
+    pub shared: DrillRecord,
+    /// Each router by itself.
+    pub separate: DrillRecord,
+    /// Kills and a split.
+    pub failures: DrillRecord,
+    /// The same with routers that keep the reports of dead ones.
+    pub keeps_reports_of_dead: DrillRecord,
+    /// One router does not use the common threshold.
+    pub ignores_threshold: DrillRecord,
+    /// One router reports ten times its load.
+    pub reports_tenfold: DrillRecord,
+    /// Clock offsets, and a router that takes no part.
+    pub clocks_apart: DrillRecord,
+}
+
+/// Plays all drills, those that are compared in parallel.
+///
+/// # Errors
+/// If a drill can't be played.
+pub fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
+    let compared = [&single_router(), &shared_admission(), &separate_admission()];
+    let [single, shared, separate] = play_in_parallel(compared, programs, seed)?;
+    std::thread::scope(|scope| {
+        let failures = scope.spawn(|| play(&kills_and_split(), programs, seed));
+        let keeps_reports = kills_and_split_with_fault(KEEPS_REPORTS_OF_DEAD);
+        let keeps_reports = scope.spawn(move || play(&keeps_reports, programs, seed));
+        let ignores_threshold = play(&one_faulty_router(IGNORES_THRESHOLD), programs, seed);
+        let reports_tenfold = play(&one_faulty_router(REPORTS_TENFOLD), programs, seed);
+        let clocks_apart = play(&clocks_apart(programs), programs, seed);
+        Ok(Measurements {
+            single,
+            shared,
+            separate,
+            failures: join(failures)?,
+            keeps_reports_of_dead: join(keeps_reports)?,
+            ignores_threshold: ignores_threshold?,
+            reports_tenfold: reports_tenfold?,
+            clocks_apart: clocks_apart?,
+        })
+    })
+}
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -5,19 +5,20 @@
 mod cost;
 mod drills;
 mod faulty_builds;
+mod measurements;
 mod measures;
 
 use super::Table;
 use super::checks::require_no_violations;
-use super::parallel::{join, play_in_parallel};
+use super::parallel::join;
 use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHED_TOGETHER, router_names};
 use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
 use crate::charts::{self, Line};
-use crate::drill::play::{DrillRecord, Programs, play};
+use crate::drill::play::{DrillRecord, Programs};
 use drills::{DRILL_END_S, FAILURE_DRILL_END_S, SHORT_DRILL_END_S, SPLIT};
-use drills::{clocks_apart, kills_and_split, kills_and_split_with_fault, one_faulty_router};
-use drills::{separate_admission, shared_admission, single_router};
-use faulty_builds::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD, require_faults_shown};
+use drills::{clocks_apart, separate_admission, shared_admission};
+use faulty_builds::require_faults_shown;
+use measurements::{Measurements, measure};
 use measures::{ServedWrites, logged_values, served_writes, utility, utility_of_single_router};
 use std::io;
 use std::ops::Range;
@@ -40,19 +41,6 @@
 const MIN_SERVED_WRITES_OF_ROUTER: f64 = 0.95;
 const MIN_SERVED_WRITES_WITH_CLOCKS_APART: f64 = 0.95;
 
-/// The records of all drills under overload.
-struct Measurements {
-    single: DrillRecord,
-    shared: DrillRecord,
-    separate: DrillRecord,
-    /// Kills and a split.
-    failures: DrillRecord,
-    keeps_reports_of_dead: DrillRecord,
-    ignores_threshold: DrillRecord,
-    reports_tenfold: DrillRecord,
-    clocks_apart: DrillRecord,
-}
-
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
@@ -75,30 +63,6 @@
     Ok(table.print())
 }
 
-/// Plays all drills, those that are compared in parallel.
-fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
-    let compared = [&single_router(), &shared_admission(), &separate_admission()];
-    let [single, shared, separate] = play_in_parallel(compared, programs, seed)?;
-    std::thread::scope(|scope| {
-        let failures = scope.spawn(|| play(&kills_and_split(), programs, seed));
-        let keeps_reports = kills_and_split_with_fault(KEEPS_REPORTS_OF_DEAD);
-        let keeps_reports = scope.spawn(move || play(&keeps_reports, programs, seed));
-        let ignores_threshold = play(&one_faulty_router(IGNORES_THRESHOLD), programs, seed);
-        let reports_tenfold = play(&one_faulty_router(REPORTS_TENFOLD), programs, seed);
-        let clocks_apart = play(&clocks_apart(programs), programs, seed);
-        Ok(Measurements {
-            single,
-            shared,
-            separate,
-            failures: join(failures)?,
-            keeps_reports_of_dead: join(keeps_reports)?,
-            ignores_threshold: ignores_threshold?,
-            reports_tenfold: reports_tenfold?,
-            clocks_apart: clocks_apart?,
-        })
-    })
-}
-
 /// Measures all numbers of routers in parallel.
 fn measure_traffic_of_sizes(programs: Programs<'_>, seed: u64) -> io::Result<Vec<TrafficOfSize>> {
     std::thread::scope(|scope| {
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -1,7 +1,7 @@
 //! The calm load: the highest rate, of a few fractions of what the router serves at most, that it serves without rejections
 //! and with short delays.
 
-use super::{Routers, WARM_UP_S};
+use super::routers::{Routers, WARM_UP_S};
 use crate::prove::Table;
 use crate::run::{self, RunRecord, open};
 use ladderpass_emulator::Scenario;
--- a/crates/ladderpass-testbed/src/prove/overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/cost.rs
@@ -1,6 +1,6 @@
 //! CPU time of an RPC, served or rejected, under clients that send the next RPC once they have an answer.
 
-use super::Routers;
+use super::routers::Routers;
 use crate::load::{Pace, Plan};
 use crate::prove::Table;
 use crate::router::Start;
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -1,6 +1,6 @@
 //! Goodput by offered load, with overload control and without.
 
-use super::{Routers, WARM_UP_S, uncontrolled_text};
+use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
 use crate::charts;
 use crate::prove::Table;
 use crate::router::Start;
--- a/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -1,6 +1,6 @@
 //! Three times the calm load, and back to it, with overload control and without.
 
-use super::{Routers, WARM_UP_S, uncontrolled_text};
+use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
 use crate::charts;
 use crate::prove::Table;
 use crate::run::{self, RunRecord, open};
--- a/crates/ladderpass-testbed/src/prove/traffic.rs
+++ b/crates/ladderpass-testbed/src/prove/traffic.rs
@@ -2,6 +2,7 @@
 
 use super::Table;
 use super::checks::is_flat;
+use crate::capacity::traffic::Traffic;
 use crate::drill::Drill;
 use crate::drill::play::{DrillRecord, Programs, play};
 use ladderpass_fault_injection::TrafficCounts;
@@ -16,26 +17,15 @@
 const LOAD_RPCS_PER_SECOND: f64 = 100.0;
 const CLIENTS: usize = 40;
 
-/// What a router sent to other routers, on average.
-#[derive(Clone, Copy, Debug)]
-pub struct Traffic {
-    /// Datagrams a second.
-    pub datagrams_per_second: f64,
-    /// Bytes a second.
-    pub bytes_per_second: f64,
-}
-
-impl Traffic {
-    /// The traffic of a router in a drill.
-    pub fn of_drill(drill: &Drill, record: &DrillRecord) -> Traffic {
-        let per_second = |of: fn(&TrafficCounts) -> u64| {
-            let sum: u64 = record.sent.iter().map(|(before, after)| of(after) - of(before)).sum();
-            sum as f64 / drill.routers as f64 / drill.secs()
-        };
-        Traffic {
-            datagrams_per_second: per_second(|sent| sent.datagrams),
-            bytes_per_second: per_second(|sent| sent.bytes),
-        }
+/// The traffic of a router in a drill.
+pub fn traffic_of_drill(drill: &Drill, record: &DrillRecord) -> Traffic {
+    let per_second = |of: fn(&TrafficCounts) -> u64| {
+        let sum: u64 = record.sent.iter().map(|(before, after)| of(after) - of(before)).sum();
+        sum as f64 / drill.routers as f64 / drill.secs()
+    };
+    Traffic {
+        datagrams_per_second: per_second(|sent| sent.datagrams),
+        bytes_per_second: per_second(|sent| sent.bytes),
     }
 }
 
@@ -67,7 +57,7 @@
         ..Drill::default()
     };
     let record = play(&drill, programs, seed)?;
-    Ok(TrafficOfSize { routers, traffic: Traffic::of_drill(&drill, &record) })
+    Ok(TrafficOfSize { routers, traffic: traffic_of_drill(&drill, &record) })
 }
 
 /// Requires that a router's traffic does not grow with the number of routers.
