--- a/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -15,7 +15,7 @@
 
 pub use figures::figures;
 pub use process_slopes::Settings;
-pub use reducer_slopes::{idle_turn, probe_pass, pure, steady};
+pub use reducer_slopes::{health_check_tick_cpu_us, idle_tick_cpu_us, reducer_slopes, steady_counts};
 pub use reference_size::{CLIENTS, GROUPS, MEMBERS, ROUTERS, STATEMENTS};
 pub use size::size;
 pub use tables::tables;
@@ -25,7 +25,7 @@
 
 /// Measures all slopes. Those that can't be measured are left out, and the reason goes to standard error.
 pub fn measure(seed: u64, settings: &Settings) -> Vec<Slope> {
-    let mut slopes = pure(seed, settings.long).unwrap_or_else(|error| {
+    let mut slopes = reducer_slopes(seed, settings.long).unwrap_or_else(|error| {
         eprintln!("data path, pure: {error}");
         Vec::new()
     });
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -15,8 +15,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A fleet and a router; both end when it is dropped.
-pub struct Bed {
+/// An emulated fleet and a router process before it; both end when it is dropped.
+pub struct RouterTestbed {
     fleet: Option<RunningEmulator>,
     router: Option<Router>,
     groups: u32,
@@ -24,30 +24,30 @@
 
 /// How statements are spread over connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum ConnectionUse {
     /// In turn over this many, which stay open.
-    Kept(usize),
+    RoundRobin(usize),
     /// Each over a new one, which its client closes once it is answered.
-    Anew,
+    PerStatement,
     /// At random over this many; one that the router has closed is opened again.
-    ByChance(usize),
+    Random(usize),
 }
 
 /// What became of the statements of a paced load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Length of the measured time, in seconds.
-    pub secs: f64,
+pub struct LoadResult {
+    /// Length of the measured time.
+    pub seconds: f64,
     /// Statements that were sent.
-    pub asked: f64,
+    pub statements: f64,
     /// Connections that were opened for them.
-    pub opened: f64,
+    pub connections_opened: f64,
     /// Statements that failed.
     pub failed: f64,
     /// CPU seconds of the router.
-    pub cpu: f64,
+    pub cpu_s: f64,
     /// Sum of the latencies, with the time to open a connection, in seconds.
-    pub waited: f64,
+    pub total_latency_s: f64,
 }
 
 /// Threads of clients. More would only take CPU time from the router.
@@ -57,18 +57,24 @@
 /// One in this many statements is a write.
 const WRITE_ONE_IN: i32 = 5;
 
-impl Bed {
+impl RouterTestbed {
     /// Starts both. `memory_mb` and `sockets` are limits in the router's settings.
     ///
     /// # Errors
     /// If one of them can't be started.
-    pub fn start(binary: &Path, groups: u32, memory_mb: u64, sockets: usize, seed: u64) -> io::Result<Bed> {
+    pub fn start(
+        binary: &Path,
+        groups: u32,
+        memory_mb: u64,
+        sockets: usize,
+        seed: u64,
+    ) -> io::Result<RouterTestbed> {
         let scenario = Scenario { groups, ..Scenario::default() };
         let fleet = RunningEmulator::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
         let allowed = RouterLimits { cores: 1.0, memory_mb, sockets };
         let start = Start { allowed, ..Start::new(binary) };
         let router = Router::start(&scenario, &fleet, &start, seed)?;
-        Ok(Bed { fleet: Some(fleet), router: Some(router), groups })
+        Ok(RouterTestbed { fleet: Some(fleet), router: Some(router), groups })
     }
 
     fn address(&self) -> io::Result<SocketAddr> {
@@ -85,7 +91,7 @@
     ///
     /// # Errors
     /// If it has ended.
-    pub fn cpu(&self) -> io::Result<f64> {
+    pub fn cpu_s(&self) -> io::Result<f64> {
         let mut nanos = 0.0;
         for task in std::fs::read_dir(self.proc_path("task"))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
@@ -98,7 +104,7 @@
     ///
     /// # Errors
     /// If the router has ended.
-    pub fn resident(&self) -> io::Result<f64> {
+    pub fn resident_kib(&self) -> io::Result<f64> {
         let text = std::fs::read_to_string(self.proc_path("statm"))?;
         let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<f64>().ok());
         Ok(pages.unwrap_or(0.0) * PAGE_KIB)
@@ -116,7 +122,7 @@
     ///
     /// # Errors
     /// If one can't be opened.
-    pub fn rest(&self, clients: usize) -> io::Result<Vec<TcpStream>> {
+    pub fn open_idle_clients(&self, clients: usize) -> io::Result<Vec<TcpStream>> {
         let address = self.address()?;
         let open_part = |thread: usize| -> io::Result<Vec<TcpStream>> {
             (thread..clients).step_by(CLIENT_THREADS as usize).map(|_| open(address)).collect()
@@ -137,13 +143,19 @@
     ///
     /// # Errors
     /// If the router has ended.
-    pub fn ask(&self, way: Way, rate: f64, warm: Duration, span: Duration) -> io::Result<Seen> {
+    pub fn run_load(
+        &self,
+        connection_use: ConnectionUse,
+        rate: f64,
+        warm: Duration,
+        span: Duration,
+    ) -> io::Result<LoadResult> {
         let began = Instant::now();
         let measured_from = began + warm;
         let load = PacedLoad {
             address: self.address()?,
             groups: u64::from(self.groups),
-            way,
+            connection_use,
             rate,
             began,
             measured_from,
@@ -154,16 +166,16 @@
             let threads: Vec<_> =
                 (0..CLIENT_THREADS).map(|thread| scope.spawn(move || load.run_thread(thread))).collect();
             std::thread::sleep(measured_from.saturating_duration_since(Instant::now()));
-            let (cpu_before, from) = (self.cpu()?, Instant::now());
-            let mut total = Seen::default();
+            let (cpu_before, from) = (self.cpu_s()?, Instant::now());
+            let mut total = LoadResult::default();
             for thread in threads {
-                let seen = thread.join().map_err(|_| io::Error::other("an asker's thread fell"))?;
-                total.asked += seen.asked;
-                total.opened += seen.opened;
-                total.failed += seen.failed;
-                total.waited += seen.waited;
+                let result = thread.join().map_err(|_| io::Error::other("an asker's thread fell"))?;
+                total.statements += result.statements;
+                total.connections_opened += result.connections_opened;
+                total.failed += result.failed;
+                total.total_latency_s += result.total_latency_s;
             }
-            (total.cpu, total.secs) = (self.cpu()? - cpu_before, from.elapsed().as_secs_f64());
+            (total.cpu_s, total.seconds) = (self.cpu_s()? - cpu_before, from.elapsed().as_secs_f64());
             Ok(total)
         })
     }
@@ -174,7 +186,7 @@
     }
 }
 
-impl Drop for Bed {
+impl Drop for RouterTestbed {
     fn drop(&mut self) {
         self.router.take().map(Router::stop);
         self.fleet.take().map(RunningEmulator::stop);
@@ -185,7 +197,7 @@
 struct PacedLoad {
     address: SocketAddr,
     groups: u64,
-    way: Way,
+    connection_use: ConnectionUse,
     /// Statements a second, of all threads.
     rate: f64,
     began: Instant,
@@ -195,14 +207,14 @@
 
 impl PacedLoad {
     /// Sends the statements of one thread, each once the one before is answered.
-    fn run_thread(&self, thread: u64) -> Seen {
+    fn run_thread(&self, thread: u64) -> LoadResult {
         static NEXT_ID: AtomicU64 = AtomicU64::new(1);
-        let mut seen = Seen::default();
-        let connections = match self.way {
-            Way::Kept(count) | Way::ByChance(count) => {
+        let mut result = LoadResult::default();
+        let connections = match self.connection_use {
+            ConnectionUse::RoundRobin(count) | ConnectionUse::Random(count) => {
                 (count as u64).div_ceil(CLIENT_THREADS).max(1) as usize
             }
-            Way::Anew => 1,
+            ConnectionUse::PerStatement => 1,
         };
         let mut streams: VecDeque<Option<TcpStream>> = (0..connections).map(|_| None).collect();
         let mut rng = SmallRng::seed_from_u64(thread);
@@ -216,7 +228,7 @@
             let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
             let query = query(id, rng.random_range(0..self.groups), rng.random_range(0..WRITE_ONE_IN) == 0);
             let sent_at = Instant::now();
-            if let Way::ByChance(_) = self.way {
+            if let ConnectionUse::Random(_) = self.connection_use {
                 streams.swap(0, rng.random_range(0..connections));
             }
             let open_stream = streams.pop_front().flatten().filter(is_open);
@@ -227,15 +239,15 @@
                 Ok(stream)
             });
             let failed = answered.is_err();
-            streams.push_back(answered.ok().filter(|_| self.way != Way::Anew));
+            streams.push_back(answered.ok().filter(|_| self.connection_use != ConnectionUse::PerStatement));
             if sent_at >= self.measured_from {
-                seen.asked += 1.0;
-                seen.opened += f64::from(u8::from(opened));
-                seen.failed += f64::from(u8::from(failed));
-                seen.waited += sent_at.elapsed().as_secs_f64();
+                result.statements += 1.0;
+                result.connections_opened += f64::from(u8::from(opened));
+                result.failed += f64::from(u8::from(failed));
+                result.total_latency_s += sent_at.elapsed().as_secs_f64();
             }
         }
-        seen
+        result
     }
 }
 
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -1,8 +1,8 @@
 //! Slopes that are measured on a real router process: memory, descriptors and CPU.
 
-use super::process::{Bed, Way};
+use super::process::{ConnectionUse, RouterTestbed};
 use super::reducer_slopes::median;
-use super::simulation::OF_GROUP;
+use super::simulation::MEMBERS_PER_GROUP;
 use crate::capacity::slope::Slope;
 use std::io;
 use std::path::PathBuf;
@@ -26,15 +26,15 @@
     let (mut memory, mut descriptors, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     for clients in [500, 1000, 2000, 4000] {
         // So much memory that the router frees no buffer for lack of it.
-        let bed = Bed::start(router, 1, 2048, 20_000, seed)?;
-        let streams = bed.rest(clients)?;
-        memory.push((clients as f64, bed.resident()?));
-        descriptors.push((clients as f64, bed.descriptors()?));
+        let testbed = RouterTestbed::start(router, 1, 2048, 20_000, seed)?;
+        let streams = testbed.open_idle_clients(clients)?;
+        memory.push((clients as f64, testbed.resident_kib()?));
+        descriptors.push((clients as f64, testbed.descriptors()?));
         if settings.long {
             // Shorter than the idle timeout: none is closed yet.
-            let before = bed.cpu()?;
+            let before = testbed.cpu_s()?;
             std::thread::sleep(IDLE_CPU_SPAN);
-            cpu.push((clients as f64, (bed.cpu()? - before) / IDLE_CPU_SPAN.as_secs_f64() * 1e3));
+            cpu.push((clients as f64, (testbed.cpu_s()? - before) / IDLE_CPU_SPAN.as_secs_f64() * 1e3));
         }
         drop(streams);
     }
@@ -57,15 +57,18 @@
         true => (5, Duration::from_millis(500), Duration::from_millis(3000)),
         false => (3, Duration::from_millis(50), Duration::from_millis(350)),
     };
-    let bed = Bed::start(router, 1, 192, 20_000, seed)?;
-    let ways = [("statement_cpu_kept", Way::Kept(16)), ("statement_cpu_anew", Way::Anew)];
+    let testbed = RouterTestbed::start(router, 1, 192, 20_000, seed)?;
+    let uses = [
+        ("statement_cpu_kept", ConnectionUse::RoundRobin(16)),
+        ("statement_cpu_anew", ConnectionUse::PerStatement),
+    ];
     let mut points = [Vec::new(), Vec::new()];
     for rate in [200.0, 400.0, 800.0] {
         let mut runs = [Vec::new(), Vec::new()];
         for _ in 0..repeats {
-            for ((_, way), runs) in ways.iter().zip(&mut runs) {
-                let seen = bed.ask(*way, rate, warm, span)?;
-                runs.push((seen.asked / seen.secs, seen.cpu / seen.secs * 1e3));
+            for ((_, connection_use), runs) in uses.iter().zip(&mut runs) {
+                let result = testbed.run_load(*connection_use, rate, warm, span)?;
+                runs.push((result.statements / result.seconds, result.cpu_s / result.seconds * 1e3));
             }
         }
         for (points, runs) in points.iter_mut().zip(runs) {
@@ -74,7 +77,7 @@
         }
     }
     let slope = |((name, _), points)| Slope { name, x: "statements/s", y: "ms of CPU a second", points };
-    Ok(ways.into_iter().zip(points).map(slope).collect())
+    Ok(uses.into_iter().zip(points).map(slope).collect())
 }
 
 /// Memory by members, each of which the router has been connected to.
@@ -82,11 +85,16 @@
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let mut points = Vec::new();
     for groups in [26, 52, 104, 208] {
-        let bed = Bed::start(router, groups, 2048, 20_000, seed)?;
+        let testbed = RouterTestbed::start(router, groups, 2048, 20_000, seed)?;
         // Health checks and statements of all groups reach all members.
         let rate = f64::from(groups) * 8.0;
-        bed.ask(Way::Kept(16), rate.min(800.0), Duration::ZERO, Duration::from_millis(1500))?;
-        points.push((f64::from(groups * OF_GROUP), bed.resident()?));
+        testbed.run_load(
+            ConnectionUse::RoundRobin(16),
+            rate.min(800.0),
+            Duration::ZERO,
+            Duration::from_millis(1500),
+        )?;
+        points.push((f64::from(groups * MEMBERS_PER_GROUP), testbed.resident_kib()?));
     }
     Ok(vec![Slope { name: "member_memory", x: "members", y: "KiB resident", points }])
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -1,6 +1,6 @@
 //! Slopes that are measured on the router's own code in simulated time: no sockets, no system calls.
 
-use super::simulation::{Counts, OF_GROUP, Shape, Simulation, cpu as thread_cpu};
+use super::simulation::{Counts, MEMBERS_PER_GROUP, Shape, Simulation, thread_cpu_s};
 use crate::capacity::slope::Slope;
 use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 
@@ -18,19 +18,19 @@
 ///
 /// # Errors
 /// If a simulation can't be started.
-pub fn pure(seed: u64, long: bool) -> Result<Vec<Slope>, String> {
+pub fn reducer_slopes(seed: u64, long: bool) -> Result<Vec<Slope>, String> {
     let repeats = if long { 9 } else { 5 };
     let (mut idle_ticks, mut probe_passes) = (Vec::new(), Vec::new());
     for groups in [39, 78, 156, 313] {
         let shape = Shape { rate: 0.0, clients: 0, ..Shape::of(groups) };
         let members = shape.members() as f64;
-        idle_ticks.push((f64::from(groups), idle_turn(&shape, repeats, seed)?));
-        probe_passes.push((members, probe_pass(&shape, repeats, seed)? / members * 1e3));
+        idle_ticks.push((f64::from(groups), idle_tick_cpu_us(&shape, repeats, seed)?));
+        probe_passes.push((members, health_check_tick_cpu_us(&shape, repeats, seed)? / members * 1e3));
     }
     let mut with_idle_clients = Vec::new();
     for clients in [500, 1000, 2000, 4000, 5900] {
         let shape = Shape { rate: 0.0, clients, memory_mb: 1024, ..Shape::of(13) };
-        with_idle_clients.push((clients as f64, idle_turn(&shape, repeats, seed)?));
+        with_idle_clients.push((clients as f64, idle_tick_cpu_us(&shape, repeats, seed)?));
     }
     let (groups, warm, span): (&[u32], _, _) = match long {
         true => (&[39, 78, 156, 313], Span::from_millis(20_000), Span::from_millis(60_000)),
@@ -40,9 +40,9 @@
     let mut points: Vec<(f64, f64, Counts)> = Vec::new();
     for &groups in groups {
         let shape = Shape::of(groups);
-        let counts = steady(&shape, warm, span, seed)?;
+        let counts = steady_counts(&shape, warm, span, seed)?;
         // The statements that came, which scatter about the rate.
-        points.push((shape.members() as f64, counts.statements / counts.secs, counts));
+        points.push((shape.members() as f64, counts.statements / counts.seconds, counts));
     }
     let slope = |name, x, y, points| Slope { name, x, y, points };
     let by_members = |value: fn(&Counts) -> f64| {
@@ -55,18 +55,33 @@
         slope("turn_cpu_groups", "groups", "us of CPU an idle turn", idle_ticks),
         slope("turn_cpu_resting", "resting clients", "us of CPU an idle turn", with_idle_clients),
         slope("probe_pass_cpu", "members", "ns of CPU a member of a pass", probe_passes),
-        slope("links", "members", "connections to members", by_members(|counts| counts.links)),
-        slope("probes", "statements/s", "probes a second", by_rate(|counts| counts.probes / counts.secs)),
-        slope("opened", "statements/s", "client connections opened a second", by_rate(|c| c.opened / c.secs)),
+        slope("links", "members", "connections to members", by_members(|counts| counts.member_connections)),
+        slope(
+            "probes",
+            "statements/s",
+            "probes a second",
+            by_rate(|counts| counts.health_checks / counts.seconds),
+        ),
+        slope(
+            "opened",
+            "statements/s",
+            "client connections opened a second",
+            by_rate(|c| c.clients_reopened / c.seconds),
+        ),
         slope(
             "clients_open",
             "statements/s",
             "client connections that are open",
-            by_rate(|counts| counts.clients),
+            by_rate(|counts| counts.client_connections),
+        ),
+        slope("queries", "statements/s", "queries to members a second", by_rate(|c| c.queries / c.seconds)),
+        slope(
+            "member_bytes",
+            "statements/s",
+            "KB to members a second",
+            by_rate(|c| c.query_bytes / c.seconds / 1e3),
         ),
-        slope("queries", "statements/s", "queries to members a second", by_rate(|c| c.queries / c.secs)),
-        slope("member_bytes", "statements/s", "KB to members a second", by_rate(|c| c.bytes / c.secs / 1e3)),
-        slope("turns", "statements/s", "turns a second", by_rate(|counts| counts.turns / counts.secs)),
+        slope("turns", "statements/s", "turns a second", by_rate(|counts| counts.ticks / counts.seconds)),
     ])
 }
 
@@ -74,7 +89,7 @@
 ///
 /// # Errors
 /// If the simulation can't be started.
-pub fn steady(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
+pub fn steady_counts(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
     let mut simulation = Simulation::new(shape, seed)?;
     simulation.run(warm);
     Ok(simulation.run(span))
@@ -84,30 +99,30 @@
 ///
 /// # Errors
 /// If the simulation can't be started.
-pub fn idle_turn(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
+pub fn idle_tick_cpu_us(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
     let mut simulation = Simulation::new(shape, seed)?;
     simulation.run(Span::from_millis(1000));
-    simulation.open_all();
-    Ok(median((0..repeats).map(|_| simulation.idle_turn(IDLE_TICKS) * 1e6).collect()))
+    simulation.open_all_clients();
+    Ok(median((0..repeats).map(|_| simulation.idle_tick_cpu_s(IDLE_TICKS) * 1e6).collect()))
 }
 
 /// CPU microseconds of a tick in which health checks are due.
 ///
 /// # Errors
 /// If the router's settings can't be read.
-pub fn probe_pass(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
-    let (mut router, mut now) = Simulation::core(shape, seed)?;
+pub fn health_check_tick_cpu_us(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
+    let (mut router, mut now) = Simulation::routing_core(shape, seed)?;
     let mut passes = |count: usize| {
         let mut cpu = 0.0;
         for _ in 0..count {
             now = now + PROBE_PASS_INTERVAL;
-            let before = thread_cpu();
+            let before = thread_cpu_s();
             let output = router.tick(now);
-            cpu += thread_cpu() - before;
+            cpu += thread_cpu_s() - before;
             for member in output.health_checks {
                 let report = LoadReport {
                     position: Some(now),
-                    is_primary: Some(member.0 % OF_GROUP == 0),
+                    is_primary: Some(member.0 % MEMBERS_PER_GROUP == 0),
                     ..LoadReport::default()
                 };
                 router.on_health_check_ended(now, member, AttemptOutcome::Ok, Span::from_millis(1), report);
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -1,7 +1,7 @@
 //! The far ends of the router's connections: members, discovery and clients.
 
-use super::counts::cpu;
-use super::shape::OF_GROUP;
+use super::counts::thread_cpu_s;
+use super::shape::MEMBERS_PER_GROUP;
 use super::state::{Client, LATENCY, MemberConnection, ROUND_TRIP, Simulation, SimulationEvent};
 use crate::capacity::data_path::statement::query;
 use ladderpass::reducer::{ConnectionId, Event};
@@ -20,7 +20,7 @@
     pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
         let member = self.members.get(&address).copied().filter(|_| address != self.discovery);
         if let Some(member) = member {
-            self.counts.connects += 1.0;
+            self.counts.member_connections_opened += 1.0;
             self.connections_of_member[member] += 1;
         }
         self.connections.insert(id, MemberConnection { member, ..MemberConnection::default() });
@@ -36,8 +36,8 @@
             let client = std::mem::take(&mut self.clients[index]);
             match client.sent_at {
                 // The close crossed a statement, which its client has to send again.
-                Some(_) => self.counts.refused += 1.0,
-                None => self.counts.closed += 1.0,
+                Some(_) => self.counts.failed += 1.0,
+                None => self.counts.clients_closed += 1.0,
             }
         }
     }
@@ -79,9 +79,9 @@
                 (b'Z', true) => {
                     if let Some(sent_at) = client.sent_at.take() {
                         let took = (self.now - sent_at).secs();
-                        self.counts.waited += took;
-                        self.counts.longest = self.counts.longest.max(took);
-                        *(if served { &mut self.counts.served } else { &mut self.counts.refused }) += 1.0;
+                        self.counts.total_latency_s += took;
+                        self.counts.max_latency_s = self.counts.max_latency_s.max(took);
+                        *(if served { &mut self.counts.served } else { &mut self.counts.failed }) += 1.0;
                     }
                     served = false;
                 }
@@ -114,7 +114,7 @@
         while let Some((_, body, length)) = proto::parse_frame(input.get(parsed..).unwrap_or_default()) {
             parsed += length;
             self.counts.queries += 1.0;
-            self.counts.bytes += length as f64;
+            self.counts.query_bytes += length as f64;
             let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
             let answer = self.answer(member, statement, &mut answered_after);
             answers.push((answered_after, answer));
@@ -130,7 +130,7 @@
 
     /// The answer of a member to a statement; a read or a write adds its service time to `answered_after`.
     fn answer(&mut self, member: usize, statement: &str, answered_after: &mut Span) -> Vec<u8> {
-        let is_primary = (member as u32).is_multiple_of(OF_GROUP);
+        let is_primary = (member as u32).is_multiple_of(MEMBERS_PER_GROUP);
         let mut answer = Vec::new();
         match statement {
             "" => {
@@ -138,7 +138,7 @@
                 proto::put_ready(&mut answer);
             }
             HEALTH_CHECK => {
-                self.counts.probes += 1.0;
+                self.counts.health_checks += 1.0;
                 let position_s = self.now.nanos() as f64 / 1e9;
                 let report = format!("x0={position_s:.6},x1={},q=0", u8::from(is_primary));
                 proto::put_row(&mut answer, report.as_bytes(), false, is_primary, None);
@@ -149,7 +149,7 @@
                     self.counts.reads_at_primary += 1.0;
                 }
                 let service_time: f64 = self.rng.sample(Exp1);
-                *answered_after += self.shape.answer * (0.9 * service_time);
+                *answered_after += self.shape.answer_time * (0.9 * service_time);
                 proto::put_row(&mut answer, &[b'x'; 64], is_write, is_primary, Some(self.now));
             }
         }
@@ -173,16 +173,16 @@
 
     pub(super) fn deliver(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let before = cpu();
+            let before = thread_cpu_s();
             let buffer = self.reducer.read_buffer(id);
-            let took = cpu() - before - self.clock_overhead_s;
+            let took = thread_cpu_s() - before - self.clock_overhead_s;
             let (now, later) = bytes.split_at(buffer.len().min(bytes.len()));
             if now.is_empty() {
                 // The buffer is full: the rest is delivered later.
                 return self.schedule(LATENCY, SimulationEvent::Bytes(id, later.to_vec()));
             }
             buffer[..now.len()].copy_from_slice(now);
-            self.counts.cpu_else += took.max(0.0);
+            self.counts.other_cpu_s += took.max(0.0);
             self.apply(Event::Received(id, now.len(), Span::ZERO));
             bytes = later;
         }
@@ -215,7 +215,7 @@
         match open {
             Some(connection) => self.deliver(connection, &query),
             None => {
-                self.counts.opened += 1.0;
+                self.counts.clients_reopened += 1.0;
                 self.open_client(index);
                 self.clients[index].pending_query = Some(query);
             }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
@@ -8,49 +8,49 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Length of the time, in seconds.
-    pub secs: f64,
+    pub seconds: f64,
     /// Statements that clients sent.
     pub statements: f64,
     /// Statements that were answered with a row.
     pub served: f64,
     /// Statements that were answered otherwise, or whose connection was closed.
-    pub refused: f64,
+    pub failed: f64,
     /// Reads among the statements.
     pub reads: f64,
     /// Reads that came to a primary.
     pub reads_at_primary: f64,
     /// Statements whose client had to open a connection first.
-    pub opened: f64,
+    pub clients_reopened: f64,
     /// Idle clients whose connection the router closed.
-    pub closed: f64,
+    pub clients_closed: f64,
     /// Connections to members that were opened.
-    pub connects: f64,
+    pub member_connections_opened: f64,
     /// Health checks that came to members.
-    pub probes: f64,
+    pub health_checks: f64,
     /// Queries to members, with health checks and sync queries.
     pub queries: f64,
     /// Bytes of these queries.
-    pub bytes: f64,
+    pub query_bytes: f64,
     /// Ticks of the event loop.
-    pub turns: f64,
+    pub ticks: f64,
     /// CPU seconds in ticks.
-    pub cpu_turns: f64,
+    pub tick_cpu_s: f64,
     /// CPU seconds in all other events.
-    pub cpu_else: f64,
+    pub other_cpu_s: f64,
     /// Mean number of connections to members.
-    pub links: f64,
+    pub member_connections: f64,
     /// The most connections to any one member.
-    pub most_links: f64,
+    pub max_connections_of_member: f64,
     /// Mean number of open connections of clients.
-    pub clients: f64,
+    pub client_connections: f64,
     /// Sum of the latencies of statements, in seconds.
-    pub waited: f64,
+    pub total_latency_s: f64,
     /// The longest of these, in seconds.
-    pub longest: f64,
+    pub max_latency_s: f64,
 }
 
 /// The CPU time of this thread, in seconds.
-pub fn cpu() -> f64 {
+pub fn thread_cpu_s() -> f64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
 }
@@ -59,8 +59,8 @@
 pub(super) fn clock_overhead_s() -> f64 {
     let mut least = f64::INFINITY;
     for _ in 0..CLOCK_SAMPLES {
-        let before = cpu();
-        least = least.min(cpu() - before);
+        let before = thread_cpu_s();
+        least = least.min(thread_cpu_s() - before);
     }
     least
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
@@ -9,6 +9,6 @@
 mod shape;
 mod state;
 
-pub use counts::{Counts, cpu};
-pub use shape::{OF_GROUP, Shape};
+pub use counts::{Counts, thread_cpu_s};
+pub use shape::{MEMBERS_PER_GROUP, Shape};
 pub use state::Simulation;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
@@ -10,7 +10,7 @@
 /// What a simulation is made of: members, clients, their load, and the router's limits.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Groups of members, of [`OF_GROUP`] each.
+    /// Groups of members, of [`MEMBERS_PER_GROUP`] each.
     pub groups: u32,
     /// Statements a second, a fifth of them writes.
     pub rate: f64,
@@ -18,55 +18,56 @@
     pub clients: usize,
     /// Mean time from sending a statement to a member until its answer, nine tenths of it drawn from an exponential
     /// distribution.
-    pub answer: Span,
+    pub answer_time: Span,
     /// Number of routers in the settings; only one is simulated.
     pub routers: u32,
     /// Maximum staleness of reads.
-    pub bound_ms: f64,
+    pub max_read_age_ms: f64,
     /// Sockets that the router may have.
     pub sockets: usize,
     /// Memory that the router may have.
     pub memory_mb: u64,
     /// In place of the idle timeout after which the router closes a client.
-    pub client_idle: Option<Span>,
+    pub client_idle_timeout: Option<Span>,
     /// The router gossips and shares health checks, though no other router is there.
-    pub shares_probes: bool,
+    pub shares_health_checks: bool,
     /// Probability that a member has no connection left for this router and rejects it.
-    pub full: f64,
+    pub full_probability: f64,
 }
 
 /// Members of a group; the reference size has 940 in 313 groups.
-pub const OF_GROUP: u32 = 3;
+pub const MEMBERS_PER_GROUP: u32 = 3;
 
 impl Shape {
     /// A number of groups, with the rate for each member and the time between a client's statements of the reference size.
     pub fn of(groups: u32) -> Shape {
-        let rate = f64::from(groups * OF_GROUP) * 520.0 / 940.0;
+        let rate = f64::from(groups * MEMBERS_PER_GROUP) * 520.0 / 940.0;
         Shape {
             groups,
             rate,
             clients: (rate * 5900.0 / 520.0).round().max(1.0) as usize,
-            answer: Span::from_millis(5),
+            answer_time: Span::from_millis(5),
             routers: 460,
-            bound_ms: 2000.0,
+            max_read_age_ms: 2000.0,
             sockets: 24_000,
             memory_mb: 192,
-            client_idle: None,
-            shares_probes: false,
-            full: 0.0,
+            client_idle_timeout: None,
+            shares_health_checks: false,
+            full_probability: 0.0,
         }
     }
 
     /// Members of all groups.
     pub fn members(&self) -> usize {
-        (self.groups * OF_GROUP) as usize
+        (self.groups * MEMBERS_PER_GROUP) as usize
     }
 
     /// The router's settings, read from a file as a process does.
     pub(super) fn launch(&self, now: Time, seed: u64) -> Result<Launch, String> {
-        let mut scenario = Scenario { groups: self.groups, replicas: OF_GROUP - 1, ..Scenario::default() };
+        let mut scenario =
+            Scenario { groups: self.groups, replicas: MEMBERS_PER_GROUP - 1, ..Scenario::default() };
         for method in scenario.methods.iter_mut().filter(|method| !method.writes) {
-            method.max_age_ms = Some(self.bound_ms);
+            method.max_age_ms = Some(self.max_read_age_ms);
         }
         let allowed = RouterLimits { cores: 1.0, memory_mb: self.memory_mb, sockets: self.sockets };
         let address = |member: usize| SocketAddr::from(([10, 9, (member >> 8) as u8, member as u8], 5432));
@@ -90,8 +91,9 @@
         // A temporary file that stays behind does no harm.
         let _ = std::fs::remove_file(&path);
         let mut launch = launch.map_err(|errors| errors.to_string())?;
-        launch.limits.client_idle_timeout = self.client_idle.unwrap_or(launch.limits.client_idle_timeout);
-        launch.settings.deployment.gossip = self.shares_probes;
+        launch.limits.client_idle_timeout =
+            self.client_idle_timeout.unwrap_or(launch.limits.client_idle_timeout);
+        launch.settings.deployment.gossip = self.shares_health_checks;
         Ok(launch)
     }
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -1,7 +1,7 @@
 //! State and time of a simulation: its queue of events, and the router's event loop.
 
-use super::counts::{Counts, clock_overhead_s, cpu};
-use super::shape::{OF_GROUP, Shape};
+use super::counts::{Counts, clock_overhead_s, thread_cpu_s};
+use super::shape::{MEMBERS_PER_GROUP, Shape};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Endpoint, EndpointState, EndpointUpdate, MemberId, Router, Span, Time};
 use rand::rngs::SmallRng;
@@ -90,7 +90,8 @@
         }
         let discovery = launch.discovery;
         let mut rng = SmallRng::seed_from_u64(seed);
-        let full = (0..members.len()).map(|_| shape.full > 0.0 && rng.random::<f64>() < shape.full);
+        let full = (0..members.len())
+            .map(|_| shape.full_probability > 0.0 && rng.random::<f64>() < shape.full_probability);
         let mut simulation = Simulation {
             connections_of_member: vec![0; members.len()],
             rejects: full.collect(),
@@ -140,23 +141,23 @@
             self.run_event_loop();
         }
         let mut counts = self.counts;
-        counts.secs = (self.now - began).secs();
-        counts.links /= counts.secs;
-        counts.clients /= counts.secs;
+        counts.seconds = (self.now - began).secs();
+        counts.member_connections /= counts.seconds;
+        counts.client_connections /= counts.seconds;
         counts
     }
 
     /// Adds what is open now, for a time in seconds.
     fn count_connections(&mut self, secs: f64) {
         let to_members = &self.connections_of_member;
-        self.counts.links += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
-        self.counts.clients += secs * self.client_of_connection.len() as f64;
+        self.counts.member_connections += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
+        self.counts.client_connections += secs * self.client_of_connection.len() as f64;
         let most = to_members.iter().copied().max().unwrap_or(0);
-        self.counts.most_links = self.counts.most_links.max(f64::from(most));
+        self.counts.max_connections_of_member = self.counts.max_connections_of_member.max(f64::from(most));
     }
 
     /// Opens the connections of all clients, which stay idle.
-    pub fn open_all(&mut self) {
+    pub fn open_all_clients(&mut self) {
         for index in 0..self.clients.len() {
             self.open_client(index);
             self.run_event_loop();
@@ -167,21 +168,21 @@
     ///
     /// # Errors
     /// As [`Simulation::new`].
-    pub fn core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
+    pub fn routing_core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
         let now = EPOCH;
         let launch = shape.launch(now, seed)?;
         let mut router = Router::start(now, seed, launch.settings.deployment);
         let entries: Vec<Endpoint> = (0..shape.members() as u32)
             .map(|member| Endpoint {
                 member: MemberId(member),
-                group: member / OF_GROUP,
+                group: member / MEMBERS_PER_GROUP,
                 machine_kind: 0,
                 zone: 0,
                 id_hash: member,
                 concurrency: None,
                 state: EndpointState::Active,
                 started_at: None,
-                primary: member % OF_GROUP == 0,
+                primary: member % MEMBERS_PER_GROUP == 0,
             })
             .collect();
         router.on_endpoint_update(now, EndpointUpdate::Complete(&entries));
@@ -189,12 +190,12 @@
     }
 
     /// Mean CPU seconds of a tick with nothing to do, over a number of ticks.
-    pub fn idle_turn(&mut self, turns: usize) -> f64 {
-        let before = cpu();
+    pub fn idle_tick_cpu_s(&mut self, turns: usize) -> f64 {
+        let before = thread_cpu_s();
         for _ in 0..turns {
             self.reducer.handle(self.now, Event::Tick);
         }
-        (cpu() - before) / turns as f64
+        (thread_cpu_s() - before) / turns as f64
     }
 
     pub(super) fn draw_gap(&mut self) -> Span {
@@ -220,14 +221,14 @@
 
     pub(super) fn apply(&mut self, event: Event) {
         let is_tick = matches!(event, Event::Tick);
-        let before = cpu();
+        let before = thread_cpu_s();
         let effects = self.reducer.handle(self.now, event);
-        let took = (cpu() - before - self.clock_overhead_s).max(0.0);
+        let took = (thread_cpu_s() - before - self.clock_overhead_s).max(0.0);
         if is_tick {
-            self.counts.turns += 1.0;
-            self.counts.cpu_turns += took;
+            self.counts.ticks += 1.0;
+            self.counts.tick_cpu_s += took;
         } else {
-            self.counts.cpu_else += took;
+            self.counts.other_cpu_s += took;
         }
         self.effects.extend(effects);
     }
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -1,7 +1,7 @@
 //! One router at the reference size, simulated and as a real process, as a table.
 
-use super::process::{Bed, Seen, Way, is_open};
-use super::reducer_slopes::steady;
+use super::process::{ConnectionUse, LoadResult, RouterTestbed, is_open};
+use super::reducer_slopes::steady_counts;
 use super::reference_size::{CLIENTS, STATEMENTS};
 use super::simulation::{Counts, Shape, Simulation};
 use crate::router_log;
@@ -20,11 +20,11 @@
 /// If a simulation or the process can't be started.
 pub fn size(seed: u64, router: Option<&Path>) -> Result<String, String> {
     let (warm, span) = (Span::from_millis(15_000), Span::from_millis(40_000));
-    let at_once = Shape { answer: Span::from_nanos(1), routers: 1, ..Shape::of(313) };
-    let keeps_clients = Shape { client_idle: Some(Span::from_millis(600_000)), ..at_once.clone() };
-    let pure = steady(&at_once, warm, span, seed)?;
+    let at_once = Shape { answer_time: Span::from_nanos(1), routers: 1, ..Shape::of(313) };
+    let keeps_clients = Shape { client_idle_timeout: Some(Span::from_millis(600_000)), ..at_once.clone() };
+    let pure = steady_counts(&at_once, warm, span, seed)?;
     let mut kept = Simulation::new(&keeps_clients, seed)?;
-    kept.open_all();
+    kept.open_all_clients();
     kept.run(warm);
     let kept = kept.run(span);
     let real = router.map(|router| at_size(seed, router)).transpose().map_err(|error| error.to_string())?;
@@ -35,36 +35,44 @@
         text += &format!("| {name} | {:.1} | {:.1} | {real} |\n", value(&pure), value(&kept));
     };
     let measured = |value: fn(&AtSize) -> f64| real.as_ref().map(value);
-    row("statements/s", |c| c.statements / c.secs, measured(|r| r.seen.asked / r.seen.secs));
-    row("opened anew a second", |c| c.opened / c.secs, measured(|r| r.seen.opened / r.seen.secs));
-    row("client connections open", |c| c.clients, measured(|r| r.clients));
-    row("connections to members", |c| c.links, measured(|r| r.links));
-    row("connections to members made a second", |c| c.connects / c.secs, measured(|r| r.connects));
-    row("probes a second", |c| c.probes / c.secs, measured(|r| r.probes));
-    row("turns a second", |c| c.turns / c.secs, None);
+    row("statements/s", |c| c.statements / c.seconds, measured(|r| r.load.statements / r.load.seconds));
+    row(
+        "opened anew a second",
+        |c| c.clients_reopened / c.seconds,
+        measured(|r| r.load.connections_opened / r.load.seconds),
+    );
+    row("client connections open", |c| c.client_connections, measured(|r| r.clients));
+    row("connections to members", |c| c.member_connections, measured(|r| r.member_connections));
+    row(
+        "connections to members made a second",
+        |c| c.member_connections_opened / c.seconds,
+        measured(|r| r.member_connections_opened_per_second),
+    );
+    row("probes a second", |c| c.health_checks / c.seconds, measured(|r| r.health_checks_per_second));
+    row("turns a second", |c| c.ticks / c.seconds, None);
     row(
         "ms of CPU a second",
-        |c| (c.cpu_turns + c.cpu_else) / c.secs * 1e3,
-        measured(|r| r.seen.cpu / r.seen.secs * 1e3),
+        |c| (c.tick_cpu_s + c.other_cpu_s) / c.seconds * 1e3,
+        measured(|r| r.load.cpu_s / r.load.seconds * 1e3),
     );
-    row("of these in turns", |c| c.cpu_turns / c.secs * 1e3, None);
+    row("of these in turns", |c| c.tick_cpu_s / c.seconds * 1e3, None);
     row(
         "mean wait, ms",
-        |c| c.waited / c.served.max(1.0) * 1e3,
-        measured(|r| r.seen.waited / r.seen.asked * 1e3),
+        |c| c.total_latency_s / c.served.max(1.0) * 1e3,
+        measured(|r| r.load.total_latency_s / r.load.statements * 1e3),
     );
-    row("refused or failed", |c| c.refused, measured(|r| r.seen.failed));
+    row("refused or failed", |c| c.failed, measured(|r| r.load.failed));
     if let Some(real) = real {
         text += &format!(
             "\nReal: {:.0} KiB resident; {:.0} descriptors once the clients had gone.\n",
-            real.resident, real.descriptors
+            real.resident_kib, real.descriptors
         );
     }
     if let Some(router) = router {
-        let IdleClients { open, resident, descriptors } =
+        let IdleClients { open, resident_kib, descriptors } =
             idle_clients(seed, router).map_err(|error| error.to_string())?;
         text += &format!(
-            "\n5,900 at rest with 192 MB and 24,000 sockets told: {open} open, {resident:.0} KiB resident, \
+            "\n5,900 at rest with 192 MB and 24,000 sockets told: {open} open, {resident_kib:.0} KiB resident, \
              {descriptors:.0} descriptors.\n"
         );
     }
@@ -74,36 +82,38 @@
 /// A real router with all clients of the reference size idle.
 struct IdleClients {
     open: usize,
-    resident: f64,
+    resident_kib: f64,
     descriptors: f64,
 }
 
 /// With the usual memory, and enough sockets that no connection is evicted.
 fn idle_clients(seed: u64, router: &Path) -> io::Result<IdleClients> {
-    let bed = Bed::start(router, 1, 192, 24_000, seed)?;
-    let streams = bed.rest(CLIENTS as usize)?;
+    let testbed = RouterTestbed::start(router, 1, 192, 24_000, seed)?;
+    let streams = testbed.open_idle_clients(CLIENTS as usize)?;
     let open = streams.iter().filter(|stream| is_open(stream)).count();
-    Ok(IdleClients { open, resident: bed.resident()?, descriptors: bed.descriptors()? })
+    Ok(IdleClients { open, resident_kib: testbed.resident_kib()?, descriptors: testbed.descriptors()? })
 }
 
 /// A real router at the reference size.
 struct AtSize {
-    seen: Seen,
+    load: LoadResult,
+    /// Open connections of clients.
     clients: f64,
-    links: f64,
-    connects: f64,
-    probes: f64,
-    resident: f64,
+    /// Open connections to members.
+    member_connections: f64,
+    member_connections_opened_per_second: f64,
+    health_checks_per_second: f64,
+    resident_kib: f64,
     descriptors: f64,
 }
 
 /// Runs a real router before 939 emulated members, with 5,900 clients that send statements at random.
 fn at_size(seed: u64, router: &Path) -> io::Result<AtSize> {
-    let bed = Bed::start(router, 313, 192, 20_000, seed)?;
+    let testbed = RouterTestbed::start(router, 313, 192, 20_000, seed)?;
     let (warm, span) = (Duration::from_millis(24_000), Duration::from_millis(22_000));
-    let seen = bed.ask(Way::ByChance(CLIENTS as usize), STATEMENTS, warm, span)?;
+    let load = testbed.run_load(ConnectionUse::Random(CLIENTS as usize), STATEMENTS, warm, span)?;
     // The router's own stats, each of ten seconds; the last two lie within the time.
-    let log = bed.log();
+    let log = testbed.log();
     let stats: Vec<&String> = log.iter().filter(|line| router_log::is_stats(line)).rev().take(2).collect();
     let mean = |value: &dyn Fn(&str) -> Option<f64>| {
         stats.iter().filter_map(|line| value(line)).sum::<f64>() / stats.len().max(1) as f64
@@ -111,12 +121,12 @@
     let number = |name: &str| mean(&|line| router_log::number(line, name));
     let health_checks = mean(&|line| router_log::sum_by_outcome(line, "health_checks"));
     Ok(AtSize {
-        seen,
+        load,
         clients: number("clients"),
-        links: number("member_connections"),
-        connects: number("connects") / STATS_INTERVAL_S,
-        probes: health_checks / STATS_INTERVAL_S,
-        resident: bed.resident()?,
-        descriptors: bed.descriptors()?,
+        member_connections: number("member_connections"),
+        member_connections_opened_per_second: number("connects") / STATS_INTERVAL_S,
+        health_checks_per_second: health_checks / STATS_INTERVAL_S,
+        resident_kib: testbed.resident_kib()?,
+        descriptors: testbed.descriptors()?,
     })
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -1,6 +1,6 @@
 //! Tables of what the slopes don't show, where the router's behaviour is not linear; of its code in simulated time.
 
-use super::reducer_slopes::{probe_pass, steady};
+use super::reducer_slopes::{health_check_tick_cpu_us, steady_counts};
 use super::reference_size::{CLIENTS, MEMBERS};
 use super::simulation::{Shape, Simulation};
 use ladderpass_routing::Span;
@@ -29,11 +29,13 @@
         String::from("| rest until closed, s | opened anew, of statements | open of 5,900 | refused |\n");
     text += "|---|---|---|---|\n";
     for idle in [2.1, 5.0, 10.0, 30.0, 60.0] {
-        let shape = Shape { client_idle: Some(Span::from_secs_f64(idle)), ..base.clone() };
-        let counts = steady(&shape, Span::from_secs_f64(idle.max(15.0)), SPAN, seed)?;
-        let (opened, open) =
-            (counts.opened / counts.statements, counts.clients / base.clients as f64 * CLIENTS);
-        text += &format!("| {idle} | {:.1}% | {open:.0} | {:.0} |\n", opened * 100.0, counts.refused);
+        let shape = Shape { client_idle_timeout: Some(Span::from_secs_f64(idle)), ..base.clone() };
+        let counts = steady_counts(&shape, Span::from_secs_f64(idle.max(15.0)), SPAN, seed)?;
+        let (opened, open) = (
+            counts.clients_reopened / counts.statements,
+            counts.client_connections / base.clients as f64 * CLIENTS,
+        );
+        text += &format!("| {idle} | {:.1}% | {open:.0} | {:.0} |\n", opened * 100.0, counts.failed);
     }
     Ok(text)
 }
@@ -44,14 +46,19 @@
     text += "\n| answer time, ms | connections a pair | most of a pair | made a second at 940 | refused |\n";
     text += "|---|---|---|---|---|\n";
     for ms in [1, 5, 20, 50, 200, 400] {
-        let counts = steady(&Shape { answer: Span::from_millis(ms), ..base.clone() }, WARM_UP, SPAN, seed)?;
-        let (pairs, anew) = (base.members() as f64, counts.connects / counts.secs);
+        let counts = steady_counts(
+            &Shape { answer_time: Span::from_millis(ms), ..base.clone() },
+            WARM_UP,
+            SPAN,
+            seed,
+        )?;
+        let (pairs, anew) = (base.members() as f64, counts.member_connections_opened / counts.seconds);
         text += &format!(
             "| {ms} | {:.3} | {} | {:.2} | {:.2}% |\n",
-            counts.links / pairs,
-            counts.most_links,
+            counts.member_connections / pairs,
+            counts.max_connections_of_member,
             anew / pairs * MEMBERS,
-            counts.refused / (counts.served + counts.refused).max(1.0) * 100.0
+            counts.failed / (counts.served + counts.failed).max(1.0) * 100.0
         );
     }
     Ok(text)
@@ -66,16 +73,17 @@
     for (rate, bound) in
         [(0.05, 2.0), (0.14, 2.0), (0.553, 0.8), (0.553, 2.0), (0.553, 5.0), (2.2, 2.0), (8.8, 2.0)]
     {
-        let shape = Shape { rate: rate * base.members() as f64, bound_ms: bound * 1e3, ..base.clone() };
-        let counts = steady(&shape, WARM_UP, SPAN, seed)?;
-        let answered = (counts.served + counts.refused).max(1.0);
+        let shape =
+            Shape { rate: rate * base.members() as f64, max_read_age_ms: bound * 1e3, ..base.clone() };
+        let counts = steady_counts(&shape, WARM_UP, SPAN, seed)?;
+        let answered = (counts.served + counts.failed).max(1.0);
         text += &format!(
             "| {rate} | {bound} | {:.1}% | {:.2} | {:.2} | {:.3} | {:.2}% |\n",
             counts.reads_at_primary / counts.reads * 100.0,
-            counts.probes / counts.statements,
-            counts.waited / answered * 1e3,
-            counts.links / base.members() as f64,
-            counts.refused / answered * 100.0,
+            counts.health_checks / counts.statements,
+            counts.total_latency_s / answered * 1e3,
+            counts.member_connections / base.members() as f64,
+            counts.failed / answered * 100.0,
         );
     }
     Ok(text)
@@ -88,15 +96,15 @@
         "\n| members full for this router | statements refused | reads at the primary | connects/s at 940 ";
     text += "| mean wait, ms |\n|---|---|---|---|---|\n";
     for full in [0.0, 0.1, 0.36, 0.79] {
-        let counts = steady(&Shape { full, ..base.clone() }, WARM_UP, SPAN, seed)?;
-        let answered = (counts.served + counts.refused).max(1.0);
+        let counts = steady_counts(&Shape { full_probability: full, ..base.clone() }, WARM_UP, SPAN, seed)?;
+        let answered = (counts.served + counts.failed).max(1.0);
         text += &format!(
             "| {:.0}% | {:.1}% | {:.1}% | {:.1} | {:.2} |\n",
             full * 100.0,
-            counts.refused / answered * 100.0,
+            counts.failed / answered * 100.0,
             counts.reads_at_primary / counts.reads * 100.0,
-            counts.connects / counts.secs / base.members() as f64 * MEMBERS,
-            counts.waited / answered * 1e3,
+            counts.member_connections_opened / counts.seconds / base.members() as f64 * MEMBERS,
+            counts.total_latency_s / answered * 1e3,
         );
     }
     Ok(text)
@@ -113,10 +121,10 @@
         let counts = simulation.run(Span::from_millis(1000));
         text += &format!(
             "| {second} | {:.0} | {:.0} | {:.0} | {:.2} |\n",
-            counts.connects,
-            counts.probes,
+            counts.member_connections_opened,
+            counts.health_checks,
             counts.served,
-            counts.waited / counts.served.max(1.0) * 1e3
+            counts.total_latency_s / counts.served.max(1.0) * 1e3
         );
     }
     Ok(text)
@@ -128,12 +136,12 @@
     text += "\n| members | us of CPU of a pass, each alone | where probes are shared |\n|---|---|---|\n";
     for groups in [39, 78, 156, 313] {
         let alone = Shape::of(groups);
-        let shared = Shape { shares_probes: true, ..alone.clone() };
+        let shared = Shape { shares_health_checks: true, ..alone.clone() };
         text += &format!(
             "| {} | {:.1} | {:.1} |\n",
             alone.members(),
-            probe_pass(&alone, 9, seed)?,
-            probe_pass(&shared, 9, seed)?
+            health_check_tick_cpu_us(&alone, 9, seed)?,
+            health_check_tick_cpu_us(&shared, 9, seed)?
         );
     }
     Ok(text)
