--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -19,72 +19,77 @@
 /// # Errors
 /// If a simulation can't be started.
 pub fn reducer_slopes(seed: u64, long: bool) -> Result<Vec<Slope>, String> {
-    let repeats = if long { 9 } else { 5 };
-    let (mut idle_ticks, mut probe_passes) = (Vec::new(), Vec::new());
+    let mut slopes = tick_slopes(if long { 9 } else { 5 }, seed)?;
+    let loads = if long { measure_long(seed)? } else { measure_short(seed)? };
+    slopes.extend(count_slopes(&loads));
+    Ok(slopes)
+}
+
+/// Steady counts of one simulation.
+struct SteadyLoad {
+    members: f64,
+    /// Those that clients sent, which scatter about the rate.
+    statements_per_second: f64,
+    counts: Counts,
+}
+
+fn measure_long(seed: u64) -> Result<Vec<SteadyLoad>, String> {
+    measure_loads(&[39, 78, 156, 313], Span::from_millis(20_000), Span::from_millis(60_000), seed)
+}
+
+fn measure_short(seed: u64) -> Result<Vec<SteadyLoad>, String> {
+    measure_loads(&[26, 52, 104, 208], Span::from_millis(14_000), Span::from_millis(36_000), seed)
+}
+
+fn measure_loads(groups: &[u32], warm: Span, span: Span, seed: u64) -> Result<Vec<SteadyLoad>, String> {
+    let measure = |&groups: &u32| {
+        let shape = Shape::of(groups);
+        let counts = steady_counts(&shape, warm, span, seed)?;
+        let statements_per_second = counts.statements / counts.seconds;
+        Ok(SteadyLoad { members: shape.members() as f64, statements_per_second, counts })
+    };
+    groups.iter().map(measure).collect()
+}
+
+/// CPU time of ticks without load, by groups, members and idle clients.
+fn tick_slopes(repeats: usize, seed: u64) -> Result<Vec<Slope>, String> {
+    let (mut by_groups, mut by_members, mut by_clients) = (Vec::new(), Vec::new(), Vec::new());
     for groups in [39, 78, 156, 313] {
         let shape = Shape { rate: 0.0, clients: 0, ..Shape::of(groups) };
         let members = shape.members() as f64;
-        idle_ticks.push((f64::from(groups), idle_tick_cpu_us(&shape, repeats, seed)?));
-        probe_passes.push((members, health_check_tick_cpu_us(&shape, repeats, seed)? / members * 1e3));
+        by_groups.push((f64::from(groups), idle_tick_cpu_us(&shape, repeats, seed)?));
+        by_members.push((members, health_check_tick_cpu_us(&shape, repeats, seed)? / members * 1e3));
     }
-    let mut with_idle_clients = Vec::new();
     for clients in [500, 1000, 2000, 4000, 5900] {
         let shape = Shape { rate: 0.0, clients, memory_mb: 1024, ..Shape::of(13) };
-        with_idle_clients.push((clients as f64, idle_tick_cpu_us(&shape, repeats, seed)?));
-    }
-    let (groups, warm, span): (&[u32], _, _) = match long {
-        true => (&[39, 78, 156, 313], Span::from_millis(20_000), Span::from_millis(60_000)),
-        false => (&[26, 52, 104, 208], Span::from_millis(14_000), Span::from_millis(36_000)),
-    };
-    // Members, statements a second, and the counts.
-    let mut points: Vec<(f64, f64, Counts)> = Vec::new();
-    for &groups in groups {
-        let shape = Shape::of(groups);
-        let counts = steady_counts(&shape, warm, span, seed)?;
-        // The statements that came, which scatter about the rate.
-        points.push((shape.members() as f64, counts.statements / counts.seconds, counts));
+        by_clients.push((clients as f64, idle_tick_cpu_us(&shape, repeats, seed)?));
     }
     let slope = |name, x, y, points| Slope { name, x, y, points };
-    let by_members = |value: fn(&Counts) -> f64| {
-        points.iter().map(|(members, _, counts)| (*members, value(counts))).collect::<Vec<_>>()
-    };
-    let by_rate = |value: fn(&Counts) -> f64| {
-        points.iter().map(|(_, rate, counts)| (*rate, value(counts))).collect::<Vec<_>>()
-    };
     Ok(vec![
-        slope("turn_cpu_groups", "groups", "us of CPU an idle turn", idle_ticks),
-        slope("turn_cpu_resting", "resting clients", "us of CPU an idle turn", with_idle_clients),
-        slope("probe_pass_cpu", "members", "ns of CPU a member of a pass", probe_passes),
-        slope("links", "members", "connections to members", by_members(|counts| counts.member_connections)),
-        slope(
-            "probes",
-            "statements/s",
-            "probes a second",
-            by_rate(|counts| counts.health_checks / counts.seconds),
-        ),
-        slope(
-            "opened",
-            "statements/s",
-            "client connections opened a second",
-            by_rate(|c| c.clients_reopened / c.seconds),
-        ),
-        slope(
-            "clients_open",
-            "statements/s",
-            "client connections that are open",
-            by_rate(|counts| counts.client_connections),
-        ),
-        slope("queries", "statements/s", "queries to members a second", by_rate(|c| c.queries / c.seconds)),
-        slope(
-            "member_bytes",
-            "statements/s",
-            "KB to members a second",
-            by_rate(|c| c.query_bytes / c.seconds / 1e3),
-        ),
-        slope("turns", "statements/s", "turns a second", by_rate(|counts| counts.ticks / counts.seconds)),
+        slope("turn_cpu_groups", "groups", "us of CPU an idle turn", by_groups),
+        slope("turn_cpu_resting", "resting clients", "us of CPU an idle turn", by_clients),
+        slope("probe_pass_cpu", "members", "ns of CPU a member of a pass", by_members),
     ])
 }
 
+/// Counts by members, and by statements a second.
+fn count_slopes(loads: &[SteadyLoad]) -> Vec<Slope> {
+    let links = loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
+    let by_statements = |name, y, value: fn(&Counts) -> f64| {
+        let points = loads.iter().map(|load| (load.statements_per_second, value(&load.counts))).collect();
+        Slope { name, x: "statements/s", y, points }
+    };
+    vec![
+        Slope { name: "links", x: "members", y: "connections to members", points: links },
+        by_statements("probes", "probes a second", |c| c.health_checks / c.seconds),
+        by_statements("opened", "client connections opened a second", |c| c.clients_reopened / c.seconds),
+        by_statements("clients_open", "client connections that are open", |c| c.client_connections),
+        by_statements("queries", "queries to members a second", |c| c.queries / c.seconds),
+        by_statements("member_bytes", "KB to members a second", |c| c.query_bytes / c.seconds / 1e3),
+        by_statements("turns", "turns a second", |c| c.ticks / c.seconds),
+    ]
+}
+
 /// Counts over `span`, after a warm-up.
 ///
 /// # Errors
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -22,22 +22,22 @@
 const ANSWER_RULE: u8 = 1;
 
 /// A drill with its record.
-struct Played {
+struct PlayedDrill {
     label: &'static str,
     drill: Drill,
     record: DrillRecord,
 }
 
-impl Played {
-    fn new(LabelledDrill { label, drill }: LabelledDrill, record: DrillRecord) -> Played {
-        Played { label, drill, record }
+impl PlayedDrill {
+    fn new(LabelledDrill { label, drill }: LabelledDrill, record: DrillRecord) -> PlayedDrill {
+        PlayedDrill { label, drill, record }
     }
 }
 
 /// The records of all drills.
 struct Measurements {
     /// With the current program; the last one is the hardest.
-    current: Vec<Played>,
+    current: Vec<PlayedDrill>,
     /// The hardest drill without a warm-up.
     without_warm_up: DrillRecord,
     /// The hardest drill with the earlier program, if there is one.
@@ -118,15 +118,15 @@
             play_in_parallel([&hardest.drill, &without_warm_up], programs, seed)?;
         (hardest, without_warm_up, None)
     };
-    let mut current: Vec<Played> =
-        bursts.into_iter().zip(records).map(|(burst, record)| Played::new(burst, record)).collect();
-    current.push(Played::new(hardest, hardest_record));
+    let mut current: Vec<PlayedDrill> =
+        bursts.into_iter().zip(records).map(|(burst, record)| PlayedDrill::new(burst, record)).collect();
+    current.push(PlayedDrill::new(hardest, hardest_record));
     Ok(Measurements { current, without_warm_up, earlier })
 }
 
 /// Requires that cold members are never overloaded, and that they are in the hardest drill without a warm-up across routers.
 fn require_cold_members_served(table: &mut Table, measured: &Measurements) {
-    for Played { label, drill, record } in &measured.current {
+    for PlayedDrill { label, drill, record } in &measured.current {
         let WindowCapacity { cold, warm } = WindowCapacity::of(drill);
         let load = ColdMemberLoad::of(record);
         let label = format!("{label}: N {cold:.0} to {warm:.0}");
@@ -146,7 +146,7 @@
 
 /// Requires that no other rule than that on answers is broken, where routers are killed: their RPCs in flight are lost, and
 /// idle clients may send while the connection is being closed.
-fn require_no_violations_but_lost_answers(table: &mut Table, played: &Played) {
+fn require_no_violations_but_lost_answers(table: &mut Table, played: &PlayedDrill) {
     let record = &played.record;
     let unanswered = record.violations.iter().filter(|violation| violation.rule == ANSWER_RULE).count();
     let other = record.violations.iter().find(|violation| violation.rule != ANSWER_RULE);
--- a/crates/ladderpass-testbed/src/prove/membership/joint_history.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
@@ -39,30 +39,30 @@
 const LAGGING_MAX_READ_AGE_MS: f64 = 200.0;
 
 /// A faulty router, the drill that shows its fault, and the rule that it breaks.
-pub struct JointFault {
+pub struct FaultyRouterCase {
     rule: u8,
     switch: &'static str,
     drill: Drill,
 }
 
 /// The drill with healthy routers alone, and with one that is faulty.
-pub struct JointFaultRecords {
+pub struct FaultyRouterRecords {
     rule: u8,
     switch: &'static str,
     healthy: DrillRecord,
     faulty: DrillRecord,
 }
 
-impl JointFault {
+impl FaultyRouterCase {
     /// Plays both drills, one after the other.
     ///
     /// # Errors
     /// If a drill can't be played.
-    pub fn play(self, programs: Programs<'_>, seed: u64) -> io::Result<JointFaultRecords> {
+    pub fn play(self, programs: Programs<'_>, seed: u64) -> io::Result<FaultyRouterRecords> {
         let healthy = play(&self.drill, programs, seed)?;
         let faulty = BTreeMap::from([(FAULTY_ROUTER.to_owned(), self.switch.to_owned())]);
         let faulty = play(&Drill { faulty, ..self.drill }, programs, seed)?;
-        Ok(JointFaultRecords { rule: self.rule, switch: self.switch, healthy, faulty })
+        Ok(FaultyRouterRecords { rule: self.rule, switch: self.switch, healthy, faulty })
     }
 
     /// Does the drill need the machine's cores for itself?
@@ -72,13 +72,13 @@
 }
 
 /// One fault for each rule.
-pub fn joint_faults() -> Vec<JointFault> {
+pub fn faulty_router_cases() -> Vec<FaultyRouterCase> {
     vec![
-        JointFault { rule: 1, switch: "answers-late", drill: late_answers_drill() },
-        JointFault { rule: 2, switch: "resends", drill: lost_answers_drill() },
-        JointFault { rule: 3, switch: "ignores-drains", drill: drain_drill() },
-        JointFault { rule: COLD_MEMBER_RULE, switch: "ignores-warm-up", drill: cold_member_drill() },
-        JointFault { rule: 5, switch: "ignores-lag", drill: lagging_replicas_drill() },
+        FaultyRouterCase { rule: 1, switch: "answers-late", drill: late_answers_drill() },
+        FaultyRouterCase { rule: 2, switch: "resends", drill: lost_answers_drill() },
+        FaultyRouterCase { rule: 3, switch: "ignores-drains", drill: drain_drill() },
+        FaultyRouterCase { rule: COLD_MEMBER_RULE, switch: "ignores-warm-up", drill: cold_member_drill() },
+        FaultyRouterCase { rule: 5, switch: "ignores-lag", drill: lagging_replicas_drill() },
     ]
 }
 
@@ -147,8 +147,8 @@
 
 /// Requires that the checker finds each fault, and nothing among healthy routers. What overloads a cold member must not be
 /// found in the attempts of any router alone.
-pub fn require_violations_found(table: &mut Table, faults: &[JointFaultRecords]) {
-    for JointFaultRecords { rule, switch, healthy, faulty } in faults {
+pub fn require_violations_found(table: &mut Table, records: &[FaultyRouterRecords]) {
+    for FaultyRouterRecords { rule, switch, healthy, faulty } in records {
         let (healthy_rules, faulty_rules) = (broken_rules(healthy), broken_rules(faulty));
         let mut measured = format!("healthy {healthy_rules:?}, with it {faulty_rules:?}");
         let mut holds = healthy_rules.is_empty() && faulty_rules.contains(rule);
--- a/crates/ladderpass-testbed/src/prove/membership/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/mod.rs
@@ -4,8 +4,8 @@
 mod datagram_rules;
 mod detection;
 mod faulty_builds;
+mod faulty_routers;
 mod health_checks;
-mod joint_history;
 mod views;
 
 use super::Table;
@@ -17,8 +17,8 @@
 use crate::drill::play::{DrillRecord, Programs, play};
 use detection::{detection_drill, require_detection};
 use faulty_builds::{Beliefs, play_builds, require_faults_shown};
+use faulty_routers::{FaultyRouterCase, FaultyRouterRecords, faulty_router_cases, require_violations_found};
 use health_checks::{HealthCheckRecords, play_health_checks, require_health_checks};
-use joint_history::{JointFault, JointFaultRecords, joint_faults, require_violations_found};
 use std::io;
 use std::path::Path;
 
@@ -31,7 +31,7 @@
     traffic: Vec<TrafficOfSize>,
     health_checks: HealthCheckRecords,
     builds: Vec<Beliefs>,
-    joint_faults: Vec<JointFaultRecords>,
+    faulty_routers: Vec<FaultyRouterRecords>,
 }
 
 /// Runs the proof, prints its table, and writes the drill's records and charts to `out`. Returns whether it passes.
@@ -49,7 +49,7 @@
     require_detection(&mut table, &measured.detection);
     require_no_violations(&mut table, "kills, freeze, deafness, loss, split", &measured.detection);
     require_faults_shown(&mut table, &measured.builds);
-    require_violations_found(&mut table, &measured.joint_faults);
+    require_violations_found(&mut table, &measured.faulty_routers);
     require_health_checks(&mut table, &measured.health_checks, drill.scenario.member_count());
     require_flat_traffic(&mut table, &measured.traffic);
     measured.detection.write(&drill, out)?;
@@ -59,13 +59,14 @@
 
 /// Plays all drills, in parallel where they mostly wait.
 fn measure(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
-    let (heavy, light): (Vec<_>, Vec<_>) = joint_faults().into_iter().partition(JointFault::needs_all_cores);
+    let (heavy, light): (Vec<_>, Vec<_>) =
+        faulty_router_cases().into_iter().partition(FaultyRouterCase::needs_all_cores);
     let mut measured = std::thread::scope(|scope| {
         let detection = scope.spawn(|| play(drill, programs, seed));
         let health_checks = scope.spawn(|| play_health_checks(programs, seed));
         let builds =
             faulty_builds::THREADS.map(|builds| scope.spawn(move || play_builds(builds, programs, seed)));
-        let joint_faults = scope.spawn(|| play_joint_faults(light, programs, seed));
+        let faulty_routers = scope.spawn(|| play_cases(light, programs, seed));
         let traffic = scope.spawn(|| {
             let measure = |routers| measure_traffic(programs, routers, NO_OPERATOR, seed);
             FLEET_SIZES.into_iter().map(measure).collect()
@@ -76,19 +77,19 @@
             detection: join(detection)?,
             traffic: join(traffic)?,
             health_checks: join(health_checks)?,
-            joint_faults: join(joint_faults)?,
+            faulty_routers: join(faulty_routers)?,
         })
     })?;
-    measured.joint_faults.extend(play_joint_faults(heavy, programs, seed)?);
+    measured.faulty_routers.extend(play_cases(heavy, programs, seed)?);
     Ok(measured)
 }
 
-fn play_joint_faults(
-    faults: Vec<JointFault>,
+fn play_cases(
+    cases: Vec<FaultyRouterCase>,
     programs: Programs<'_>,
     seed: u64,
-) -> io::Result<Vec<JointFaultRecords>> {
-    faults.into_iter().map(|fault| fault.play(programs, seed)).collect()
+) -> io::Result<Vec<FaultyRouterRecords>> {
+    cases.into_iter().map(|case| case.play(programs, seed)).collect()
 }
 
 /// Requires that routers that start at the same time find each other.
