--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -12,6 +12,13 @@
 
 /// How often a router logs its stats, in seconds.
 const STATS_INTERVAL_S: f64 = 10.0;
+/// Groups of the reference size.
+const GROUPS: u32 = 313;
+/// How long simulations run before they are measured, and while they are.
+const WARM_UP: Span = Span::from_millis(15_000);
+const SPAN: Span = Span::from_millis(40_000);
+/// Longer than any simulation.
+const LONG_IDLE_TIMEOUT: Span = Span::from_millis(600_000);
 
 /// Measures one router at the reference size: its code in simulated time, with the idle timeout of today and with one that
 /// keeps all clients; and a real process, if there is a binary.
@@ -19,64 +26,73 @@
 /// # Errors
 /// If a simulation or the process can't be started.
 pub fn size(seed: u64, router: Option<&Path>) -> Result<String, String> {
-    let (warm, span) = (Span::from_millis(15_000), Span::from_millis(40_000));
-    let at_once = Shape { answer_time: Span::from_nanos(1), routers: 1, ..Shape::of(313) };
-    let keeps_clients = Shape { client_idle_timeout: Some(Span::from_millis(600_000)), ..at_once.clone() };
-    let pure = steady_counts(&at_once, warm, span, seed)?;
-    let mut kept = Simulation::new(&keeps_clients, seed)?;
-    kept.open_all_clients();
-    kept.run(warm);
-    let kept = kept.run(span);
+    let shape = Shape { answer_time: Span::from_nanos(1), routers: 1, ..Shape::of(GROUPS) };
+    let simulated = steady_counts(&shape, WARM_UP, SPAN, seed)?;
+    let with_clients_kept = counts_with_clients_kept(&shape, seed)?;
     let real = router.map(|router| at_size(seed, router)).transpose().map_err(|error| error.to_string())?;
+    let mut text = comparison_table(&simulated, &with_clients_kept, real.as_ref());
+    if let Some(real) = real {
+        text += &format!(
+            "\nReal: {:.0} KiB resident; {:.0} descriptors once the clients had gone.\n",
+            real.resident_kib, real.descriptors
+        );
+    }
+    if let Some(router) = router {
+        let IdleClients { open, resident_kib, descriptors } =
+            idle_clients(seed, router).map_err(|error| error.to_string())?;
+        text += &format!(
+            "\n5,900 at rest with 192 MB and 24,000 sockets told: {open} open, {resident_kib:.0} KiB resident, \
+             {descriptors:.0} descriptors.\n"
+        );
+    }
+    Ok(text)
+}
+
+/// All clients are connected from the start, and the router closes none.
+fn counts_with_clients_kept(shape: &Shape, seed: u64) -> Result<Counts, String> {
+    let shape = Shape { client_idle_timeout: Some(LONG_IDLE_TIMEOUT), ..shape.clone() };
+    let mut simulation = Simulation::new(&shape, seed)?;
+    simulation.open_all_clients();
+    simulation.run(WARM_UP);
+    Ok(simulation.run(SPAN))
+}
+
+fn comparison_table(simulated: &Counts, with_clients_kept: &Counts, real: Option<&AtSize>) -> String {
     let mut text = String::from("| at the size, one router | pure | pure, clients kept | real |\n");
     text += "|---|---|---|---|\n";
-    let mut row = |name: &str, value: fn(&Counts) -> f64, real: Option<f64>| {
-        let real = real.map_or("not seen".to_owned(), |real| format!("{real:.1}"));
-        text += &format!("| {name} | {:.1} | {:.1} | {real} |\n", value(&pure), value(&kept));
+    let mut row = |name: &str, value: fn(&Counts) -> f64, real_value: Option<fn(&AtSize) -> f64>| {
+        let real = real.zip(real_value).map(|(real, value)| format!("{:.1}", value(real)));
+        let real = real.unwrap_or("not seen".to_owned());
+        text += &format!("| {name} | {:.1} | {:.1} | {real} |\n", value(simulated), value(with_clients_kept));
     };
-    let measured = |value: fn(&AtSize) -> f64| real.as_ref().map(value);
-    row("statements/s", |c| c.statements / c.seconds, measured(|r| r.load.statements / r.load.seconds));
+    row("statements/s", |c| c.statements / c.seconds, Some(|r| r.load.statements / r.load.seconds));
     row(
         "opened anew a second",
         |c| c.clients_reopened / c.seconds,
-        measured(|r| r.load.connections_opened / r.load.seconds),
+        Some(|r| r.load.connections_opened / r.load.seconds),
     );
-    row("client connections open", |c| c.client_connections, measured(|r| r.clients));
-    row("connections to members", |c| c.member_connections, measured(|r| r.member_connections));
+    row("client connections open", |c| c.client_connections, Some(|r| r.clients));
+    row("connections to members", |c| c.member_connections, Some(|r| r.member_connections));
     row(
         "connections to members made a second",
         |c| c.member_connections_opened / c.seconds,
-        measured(|r| r.member_connections_opened_per_second),
+        Some(|r| r.member_connections_opened_per_second),
     );
-    row("probes a second", |c| c.health_checks / c.seconds, measured(|r| r.health_checks_per_second));
+    row("probes a second", |c| c.health_checks / c.seconds, Some(|r| r.health_checks_per_second));
     row("turns a second", |c| c.ticks / c.seconds, None);
     row(
         "ms of CPU a second",
         |c| (c.tick_cpu_s + c.other_cpu_s) / c.seconds * 1e3,
-        measured(|r| r.load.cpu_s / r.load.seconds * 1e3),
+        Some(|r| r.load.cpu_s / r.load.seconds * 1e3),
     );
     row("of these in turns", |c| c.tick_cpu_s / c.seconds * 1e3, None);
     row(
         "mean wait, ms",
         |c| c.total_latency_s / c.served.max(1.0) * 1e3,
-        measured(|r| r.load.total_latency_s / r.load.statements * 1e3),
+        Some(|r| r.load.total_latency_s / r.load.statements * 1e3),
     );
-    row("refused or failed", |c| c.failed, measured(|r| r.load.failed));
-    if let Some(real) = real {
-        text += &format!(
-            "\nReal: {:.0} KiB resident; {:.0} descriptors once the clients had gone.\n",
-            real.resident_kib, real.descriptors
-        );
-    }
-    if let Some(router) = router {
-        let IdleClients { open, resident_kib, descriptors } =
-            idle_clients(seed, router).map_err(|error| error.to_string())?;
-        text += &format!(
-            "\n5,900 at rest with 192 MB and 24,000 sockets told: {open} open, {resident_kib:.0} KiB resident, \
-             {descriptors:.0} descriptors.\n"
-        );
-    }
-    Ok(text)
+    row("refused or failed", |c| c.failed, Some(|r| r.load.failed));
+    text
 }
 
 /// A real router with all clients of the reference size idle.
@@ -109,7 +125,7 @@
 
 /// Runs a real router before 939 emulated members, with 5,900 clients that send statements at random.
 fn at_size(seed: u64, router: &Path) -> io::Result<AtSize> {
-    let testbed = RouterTestbed::start(router, 313, 192, 20_000, seed)?;
+    let testbed = RouterTestbed::start(router, GROUPS, 192, 20_000, seed)?;
     let (warm, span) = (Duration::from_millis(24_000), Duration::from_millis(22_000));
     let load = testbed.run_load(ConnectionUse::Random(CLIENTS as usize), STATEMENTS, warm, span)?;
     // The router's own stats, each of ten seconds; the last two lie within the time.
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
@@ -112,14 +112,14 @@
     launch.map_err(io::Error::other)
 }
 
-/// Writes the settings of all routers of a simulation to a file; `known` are entries of a cached endpoint list.
+/// Writes the settings of all routers of a simulation to a file; `cached_entries` are those of a cached endpoint list.
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn config(shape: &Shape, known: &str) -> io::Result<PathBuf> {
+pub fn config(shape: &Shape, cached_entries: &str) -> io::Result<PathBuf> {
     let scenario = Scenario { groups: shape.groups as u32, ..Scenario::default() };
     let allowed = RouterLimits { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
     let text = scenario.router_config(EPOCH, shape.seed, &allowed, &[]);
-    let text = text.replace("\"instances\":[]", &format!("\"instances\":[{known}]"));
-    write_temporary_file("told.json", &text)
+    let text = text.replace("\"instances\":[]", &format!("\"instances\":[{cached_entries}]"));
+    write_temporary_file("config.json", &text)
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -22,29 +22,37 @@
 
 /// The far end of a router's connection.
 pub(super) enum Peer {
+    /// A client; it is welcomed once its startup message is answered.
     Client { welcomed: bool, input: Vec<u8> },
+    /// A member, which first reads the startup message.
     Member { member: usize, startup_read: bool, input: Vec<u8> },
+    /// Discovery, which sends the endpoint list once it is watched.
     Discovery { watching: bool },
 }
 
 /// A connection of a router.
 pub(super) struct Connection {
+    /// Its far end.
     pub peer: Peer,
     /// Bytes for which the router's read buffer had no room yet.
     pub unread: Vec<u8>,
 }
 
+/// A router and the connections that it has.
 pub(super) struct SimulatedRouter {
     /// None while it is not running.
     pub reducer: Option<Reducer>,
     /// Number of the process: what was in flight to an earlier one is lost.
     pub incarnation: u32,
+    /// Its open connections.
     pub connections: HashMap<ConnectionId, Connection>,
     /// Connections of clients with nothing in flight, the last used last.
     pub idle_clients: Vec<ConnectionId>,
+    /// A tick follows the events of this moment.
     pub tick_scheduled: bool,
     /// Data came since the last tick.
     pub has_data: bool,
+    /// When it ticks without an event.
     pub wake_at: Time,
 }
 
@@ -175,8 +183,8 @@
         let entries: Vec<String> = (0..shape.members)
             .map(|index| list_entry(&shape, index, members[index].primary, "SERVING"))
             .collect();
-        let known = if shape.cached_endpoints { entries.join(",") } else { String::new() };
-        let config = config(&shape, &known)?;
+        let cached_entries = if shape.cached_endpoints { entries.join(",") } else { String::new() };
+        let config = config(&shape, &cached_entries)?;
         let mut simulation = Simulation {
             now: EPOCH,
             began: EPOCH,
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -1,8 +1,8 @@
 //! Faulty routers under shared admission control, told apart from healthy ones.
 
 use super::drills::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD};
-use super::measurements::Measurements;
 use super::measures::{mean, mean_logged, median_rejection_ms};
+use super::records::OverloadRecords;
 use crate::drill::play::DrillRecord;
 use crate::prove::Table;
 use crate::prove::scenarios::FLEET_ROUTERS;
@@ -21,17 +21,17 @@
 const MAX_REPORTS_WITHOUT_DEAD: f64 = 5.5;
 
 /// Requires that each faulty build shows its fault.
-pub(super) fn require_faults_shown(table: &mut Table, measured: &Measurements) {
-    require_late_rejections(table, measured);
-    require_clamped_reports(table, measured);
-    require_reports_of_dead(table, measured);
+pub(super) fn require_faults_shown(table: &mut Table, records: &OverloadRecords) {
+    require_late_rejections(table, records);
+    require_clamped_reports(table, records);
+    require_reports_of_dead(table, records);
 }
 
-fn require_late_rejections(table: &mut Table, measured: &Measurements) {
+fn require_late_rejections(table: &mut Table, records: &OverloadRecords) {
     let healthy_routers = 1..FLEET_ROUTERS;
     let healthy_ms =
-        healthy_routers.map(|router| median_rejection_ms(&measured.shared, router)).fold(0.0, f64::max);
-    let faulty_ms = median_rejection_ms(&measured.ignores_threshold, 0);
+        healthy_routers.map(|router| median_rejection_ms(&records.shared, router)).fold(0.0, f64::max);
+    let faulty_ms = median_rejection_ms(&records.ignores_threshold, 0);
     table.require(
         format!("  {IGNORES_THRESHOLD}"),
         "told apart",
@@ -41,12 +41,12 @@
 }
 
 /// Requires that healthy routers clamp the reports of a router that reports too much.
-fn require_clamped_reports(table: &mut Table, measured: &Measurements) {
+fn require_clamped_reports(table: &mut Table, records: &OverloadRecords) {
     let clamped = |record: &DrillRecord| {
         let of_router = |router| mean_logged(record, router, "clamped_reports", CLAMPED_REPORT_LINES);
         mean(&(1..FLEET_ROUTERS).map(of_router).collect::<Vec<_>>())
     };
-    let (faulty, healthy) = (clamped(&measured.reports_tenfold), clamped(&measured.shared));
+    let (faulty, healthy) = (clamped(&records.reports_tenfold), clamped(&records.shared));
     table.require(
         format!("  {REPORTS_TENFOLD}"),
         "told apart",
@@ -55,9 +55,9 @@
     );
 }
 
-fn require_reports_of_dead(table: &mut Table, measured: &Measurements) {
+fn require_reports_of_dead(table: &mut Table, records: &OverloadRecords) {
     let reports = |record: &DrillRecord| mean_logged(record, 0, "reports", REPORT_LINES);
-    let (faulty, healthy) = (reports(&measured.keeps_reports_of_dead), reports(&measured.failures));
+    let (faulty, healthy) = (reports(&records.keeps_reports_of_dead), reports(&records.failures));
     table.require(
         format!("  {KEEPS_REPORTS_OF_DEAD}"),
         "told apart",
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -5,8 +5,8 @@
 mod cost;
 mod drills;
 mod faulty_builds;
-mod measurements;
 mod measures;
+mod records;
 
 use super::Table;
 use super::checks::require_no_violations;
@@ -18,8 +18,8 @@
 use drills::{DRILL_END_S, FAILURE_DRILL_END_S, SHORT_DRILL_END_S, SPLIT};
 use drills::{clocks_apart, separate_admission, shared_admission};
 use faulty_builds::require_faults_shown;
-use measurements::{Measurements, measure};
 use measures::{ServedWrites, logged_values, served_writes, utility, utility_of_single_router};
+use records::{OverloadRecords, play_drills};
 use std::io;
 use std::ops::Range;
 use std::path::Path;
@@ -50,16 +50,16 @@
     if !table.require_faulty_build(programs) {
         return Ok(table.print());
     }
-    let measured = measure(programs, seed)?;
-    require_utility(&mut table, &measured);
-    require_served_writes(&mut table, &measured);
-    require_no_violations(&mut table, "three times what fits", &measured.shared);
-    require_utility_through_failures(&mut table, &measured);
-    require_service_with_clocks_apart(&mut table, &measured, programs);
-    require_faults_shown(&mut table, &measured);
+    let records = play_drills(programs, seed)?;
+    require_utility(&mut table, &records);
+    require_served_writes(&mut table, &records);
+    require_no_violations(&mut table, "three times what fits", &records.shared);
+    require_utility_through_failures(&mut table, &records);
+    require_service_with_clocks_apart(&mut table, &records, programs);
+    require_faults_shown(&mut table, &records);
     cost::require_low_cost(&mut table, programs, seed)?;
     require_flat_traffic(&mut table, &measure_traffic_of_sizes(programs, seed)?);
-    write_charts(&measured, out)?;
+    write_charts(&records, out)?;
     Ok(table.print())
 }
 
@@ -72,17 +72,17 @@
     })
 }
 
-fn require_utility(table: &mut Table, measured: &Measurements) {
-    let best = utility(&measured.single, OVERLOAD_S).max(1e-9);
-    let shared = utility(&measured.shared, OVERLOAD_S) / best;
-    let separate = utility(&measured.separate, OVERLOAD_S) / best;
+fn require_utility(table: &mut Table, records: &OverloadRecords) {
+    let best = utility(&records.single, OVERLOAD_S).max(1e-9);
+    let shared = utility(&records.shared, OVERLOAD_S) / best;
+    let separate = utility(&records.separate, OVERLOAD_S) / best;
     let compared = format!("{shared:.3}; each alone {separate:.3}");
     table.require("utility, of the router that sees all", "at least 0.95", compared, shared >= MIN_UTILITY);
 }
 
-fn require_served_writes(table: &mut Table, measured: &Measurements) {
-    let shared = served_writes(&shared_admission(), &measured.shared);
-    let separate = served_writes(&separate_admission(), &measured.separate);
+fn require_served_writes(table: &mut Table, records: &OverloadRecords) {
+    let shared = served_writes(&shared_admission(), &records.shared);
+    let separate = served_writes(&separate_admission(), &records.separate);
     table.require(
         "writes served well",
         "at least 0.98",
@@ -97,8 +97,8 @@
     );
 }
 
-fn require_utility_through_failures(table: &mut Table, measured: &Measurements) {
-    let Measurements { single, failures, .. } = measured;
+fn require_utility_through_failures(table: &mut Table, records: &OverloadRecords) {
+    let OverloadRecords { single, failures, .. } = records;
     require_no_violations(table, "a third killed, a split", failures);
     let after = utility_of_single_router(failures, single, AFTER_SPLIT_S);
     let holds = after >= MIN_UTILITY;
@@ -108,33 +108,33 @@
     table.require("  in the split, from its 2nd second on", "at least 0.9", format!("{during:.3}"), holds);
 }
 
-fn require_service_with_clocks_apart(table: &mut Table, measured: &Measurements, programs: Programs<'_>) {
-    let record = &measured.clocks_apart;
+fn require_service_with_clocks_apart(table: &mut Table, records: &OverloadRecords, programs: Programs<'_>) {
+    let record = &records.clocks_apart;
     require_no_violations(table, "clocks 200 ms apart, one without words", record);
     let ServedWrites { of_all: writes, .. } = served_writes(&clocks_apart(programs), record);
-    let utility = utility_of_single_router(record, &measured.single, CLOCKS_APART_S);
+    let utility = utility_of_single_router(record, &records.single, CLOCKS_APART_S);
     let holds = utility >= MIN_UTILITY_WITH_CLOCKS_APART && writes >= MIN_SERVED_WRITES_WITH_CLOCKS_APART;
     let served = format!("utility {utility:.3}, writes {writes:.3}");
     table.require("  served", "at least 0.85 and 0.95", served, holds);
 }
 
-fn write_charts(measured: &Measurements, out: &Path) -> io::Result<()> {
+fn write_charts(records: &OverloadRecords, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     let per_second = ("seconds", "a second");
     let compared: Vec<Line<'_>> = vec![
-        ("one sees all", measured.single.utility()),
-        ("as one", measured.shared.utility()),
-        ("each alone", measured.separate.utility()),
+        ("one sees all", records.single.utility()),
+        ("as one", records.shared.utility()),
+        ("each alone", records.separate.utility()),
     ];
     charts::lines(&out.join("utility.svg"), "Utility", per_second, &compared, false)?;
     let failures: Vec<Line<'_>> =
-        vec![("a third killed at 3 s, split from 5 to 11 s", measured.failures.utility())];
+        vec![("a third killed at 3 s, split from 5 to 11 s", records.failures.utility())];
     charts::lines(&out.join("harmed.svg"), "Utility", per_second, &failures, false)?;
     let names = router_names(0..FLEET_ROUTERS);
     let thresholds: Vec<Line<'_>> = names
         .iter()
         .enumerate()
-        .map(|(router, name)| (name.as_str(), admission_thresholds(&measured.shared, router)))
+        .map(|(router, name)| (name.as_str(), admission_thresholds(&records.shared, router)))
         .collect();
     let axes = ("seconds of its log", "rank");
     charts::lines(&out.join("floors.svg"), "Floor of each router", axes, &thresholds, false)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/measurements.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
@@ -8,7 +8,7 @@
 use std::io;
 
 /// The records of all drills under overload.
-pub struct Measurements {
+pub struct OverloadRecords {
     /// One router with full knowledge.
     pub single: DrillRecord,
     /// Shared admission control.
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If a drill can't be played.
-pub fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
+pub fn play_drills(programs: Programs<'_>, seed: u64) -> io::Result<OverloadRecords> {
     let compared = [&single_router(), &shared_admission(), &separate_admission()];
     let [single, shared, separate] = play_in_parallel(compared, programs, seed)?;
     std::thread::scope(|scope| {
@@ -41,7 +41,7 @@
         let ignores_threshold = play(&one_faulty_router(IGNORES_THRESHOLD), programs, seed);
         let reports_tenfold = play(&one_faulty_router(REPORTS_TENFOLD), programs, seed);
         let clocks_apart = play(&clocks_apart(programs), programs, seed);
-        Ok(Measurements {
+        Ok(OverloadRecords {
             single,
             shared,
             separate,
