--- a/crates/ladderpass-testbed/src/capacity/control/costs.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/costs.rs
@@ -152,7 +152,7 @@
     })
 }
 
-/// Mean seconds from a router's death until no other believes it to be alive, of [`DEATHS`] deaths one after the other.
+/// Mean seconds from a router's death until no other believes it to be alive, of a few deaths one after the other.
 ///
 /// # Errors
 /// If the simulation can't be started, or the routers don't find each other within a minute.
