--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -1,6 +1,6 @@
 //! Clients of simulated routers: each statement goes over an idle connection, or a new one.
 
-use super::counts::About;
+use super::counts::Subject;
 use super::simulation::{Connection, Peer, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
@@ -16,17 +16,17 @@
     pub(super) fn send_drawn_statement(&mut self, router: usize) {
         let group = self.rng.random_range(0..self.shape.groups);
         let is_write = self.rng.random_range(0.0..1.0) < self.shape.writes;
-        self.ask_of(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
+        self.send_statement(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
     }
 
     /// Sends a router a statement.
-    pub fn ask_of(&mut self, router: usize, method: &str, group: usize) {
+    pub fn send_statement(&mut self, router: usize, method: &str, group: usize) {
         if self.routers[router].reducer.is_none() {
             return;
         }
         let Some(client) = self.routers[router].idle_clients.pop().or_else(|| self.open_client(router))
         else {
-            self.counts[router].crowded += 1;
+            self.counts[router].unsent += 1;
             return;
         };
         self.last_statement += 1;
@@ -54,7 +54,7 @@
         let peer = Peer::Client { welcomed: false, input: Vec::new() };
         let connection = Connection { peer, unread: Vec::new() };
         self.routers[router].connections.insert(id, connection);
-        self.apply(router, Event::Accepted(id), About::Data);
+        self.apply(router, Event::Accepted(id), Subject::Connections);
         let mut startup = Vec::new();
         proto::put_startup(&mut startup);
         self.deliver(router, id, &startup);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -22,29 +22,37 @@
 
 /// The far end of a router's connection.
 pub(super) enum Peer {
+    /// A client; it is welcomed once its startup message is answered.
     Client { welcomed: bool, input: Vec<u8> },
+    /// A member, which first reads the startup message.
     Member { member: usize, startup_read: bool, input: Vec<u8> },
+    /// Discovery, which sends the endpoint list once it is watched.
     Discovery { watching: bool },
 }
 
 /// A connection of a router.
 pub(super) struct Connection {
+    /// Its far end.
     pub peer: Peer,
     /// Bytes for which the router's read buffer had no room yet.
     pub unread: Vec<u8>,
 }
 
+/// A router and the connections that it has.
 pub(super) struct SimulatedRouter {
     /// None while it is not running.
     pub reducer: Option<Reducer>,
     /// Number of the process: what was in flight to an earlier one is lost.
     pub incarnation: u32,
+    /// Its open connections.
     pub connections: HashMap<ConnectionId, Connection>,
     /// Connections of clients with nothing in flight, the last used last.
     pub idle_clients: Vec<ConnectionId>,
+    /// A tick follows the events of this moment.
     pub tick_scheduled: bool,
     /// Data came since the last tick.
     pub has_data: bool,
+    /// When it ticks without an event.
     pub wake_at: Time,
 }
 
@@ -127,7 +135,7 @@
     pub(super) routers: Vec<SimulatedRouter>,
     /// Its members.
     pub members: Vec<Member>,
-    /// By router, since the start or the last [`Simulation::count_anew`].
+    /// By router, since the start or the last [`Simulation::reset_counts`].
     pub counts: Vec<Counts>,
     /// Of the observed routers.
     pub cost: Cost,
@@ -140,11 +148,11 @@
     /// Discovery answers.
     pub discovery_up: bool,
     /// Watches a second to which a change of the endpoint list is sent.
-    pub told_rate: f64,
+    pub watch_events_per_second: f64,
     /// Messages and bytes that discovery sent.
     pub discovery: Flow,
     /// Pairs of regions that can't reach each other.
-    pub cut: Vec<(usize, usize)>,
+    pub cut_regions: Vec<(usize, usize)>,
     pub(super) datagrams_in_flight: u64,
     pub(super) last_statement: u64,
     pub(super) config: PathBuf,
@@ -175,8 +183,8 @@
         let entries: Vec<String> = (0..shape.members)
             .map(|index| list_entry(&shape, index, members[index].primary, "SERVING"))
             .collect();
-        let known = if shape.remembered { entries.join(",") } else { String::new() };
-        let config = config(&shape, &known)?;
+        let cached_entries = if shape.cached_endpoints { entries.join(",") } else { String::new() };
+        let config = config(&shape, &cached_entries)?;
         let mut simulation = Simulation {
             now: EPOCH,
             began: EPOCH,
@@ -191,9 +199,9 @@
             generation: FIRST_GENERATION,
             entries,
             discovery_up: true,
-            told_rate: 1e9,
+            watch_events_per_second: 1e9,
             discovery: Flow::default(),
-            cut: Vec::new(),
+            cut_regions: Vec::new(),
             datagrams_in_flight: 0,
             last_statement: 0,
             config,
@@ -201,7 +209,7 @@
         };
         for router in 0..simulation.shape.routers {
             let after = Span::from_nanos(simulation.rng.random_range(0..START_WITHIN_NS));
-            simulation.begin(router, after);
+            simulation.schedule_start(router, after);
         }
         Ok(simulation)
     }
@@ -232,13 +240,13 @@
     }
 
     /// Sets counts and costs to zero.
-    pub fn count_anew(&mut self) {
+    pub fn reset_counts(&mut self) {
         self.counts.iter_mut().for_each(|counts| *counts = Counts::default());
         (self.cost, self.discovery) = (Cost::default(), Flow::default());
     }
 
     /// Datagrams in flight.
-    pub fn flying(&self) -> u64 {
+    pub fn datagrams_in_flight(&self) -> u64 {
         self.datagrams_in_flight
     }
 
@@ -265,7 +273,7 @@
     /// Can two zones reach each other?
     pub(super) fn is_reachable(&self, zone: usize, other: usize) -> bool {
         let (one, other) = (REGION_OF_ZONE[zone], REGION_OF_ZONE[other]);
-        !self.cut.iter().any(|&(a, b)| (a, b) == (one, other) || (b, a) == (one, other))
+        !self.cut_regions.iter().any(|&(a, b)| (a, b) == (one, other) || (b, a) == (one, other))
     }
 
     /// Kills a router's process. Its state is lost, and nobody is notified.
@@ -276,7 +284,7 @@
     }
 
     /// Starts a router after a time, if it does not run then.
-    pub fn begin(&mut self, router: usize, after: Span) {
+    pub fn schedule_start(&mut self, router: usize, after: Span) {
         self.schedule(self.now + after, SimulationEvent::StartRouter { router });
     }
 
@@ -292,7 +300,7 @@
             let incarnation = self.routers[router].incarnation;
             for id in closed {
                 let key = ConnectionKey { router, incarnation, id };
-                self.schedule(self.now + self.shape.way, SimulationEvent::Closed(key));
+                self.schedule(self.now + self.shape.latency, SimulationEvent::Closed(key));
             }
         }
     }
--- a/crates/ladderpass-testbed/src/results/mod.rs
+++ b/crates/ladderpass-testbed/src/results/mod.rs
@@ -10,13 +10,10 @@
 //! | `report` | a table and charts of results that were read back |
 
 mod file;
+mod percent;
 mod report;
 mod table;
 
 pub use file::{ResultsError, write};
 pub use report::report;
 pub use table::table;
-
-fn percent(part: u64, of: u64) -> String {
-    format!("{:.2}%", part as f64 * 100.0 / of.max(1) as f64)
-}
--- a/crates/ladderpass-testbed/src/results/report.rs
+++ b/crates/ladderpass-testbed/src/results/report.rs
@@ -1,7 +1,7 @@
 //! Reports results that were read back: a table, and charts beside the file.
 
 use super::file::{Results, ResultsError};
-use super::percent;
+use super::percent::percent;
 use crate::charts::{self, Line};
 use serde_json::Value;
 use std::io;
--- a/crates/ladderpass-testbed/src/results/table.rs
+++ b/crates/ladderpass-testbed/src/results/table.rs
@@ -1,6 +1,6 @@
 //! The table of a run.
 
-use super::percent;
+use super::percent::percent;
 use crate::load::Counts;
 use crate::run::RunRecord;
 use ladderpass_emulator::Scenario;
--- a/crates/ladderpass-testbed/tests/simulated_routers.rs
+++ b/crates/ladderpass-testbed/tests/simulated_routers.rs
@@ -23,11 +23,11 @@
         }
         run(&mut simulation, 3000);
         let total = |count: fn(&Counts) -> u64| simulation.counts.iter().map(count).sum::<u64>();
-        let sent = total(|counts| counts.words.datagrams + counts.membership.datagrams);
-        let (received, lost) = (total(|counts| counts.heard), total(|counts| counts.lost));
-        assert_eq!(sent, received + lost + simulation.flying(), "loss {loss}, killed {killed}");
+        let sent = total(|counts| counts.gossip.datagrams + counts.membership.datagrams);
+        let (received, lost) = (total(|counts| counts.received), total(|counts| counts.lost));
+        assert_eq!(sent, received + lost + simulation.datagrams_in_flight(), "loss {loss}, killed {killed}");
         assert!(sent > 500 && (lost > 0) == (loss > 0.0), "{sent} sent, {lost} lost");
-        assert_eq!(total(|counts| counts.crowded), 0);
+        assert_eq!(total(|counts| counts.unsent), 0);
     }
 }
 
@@ -47,7 +47,7 @@
     let mut simulation = simulation(Shape::of(8, 4));
     run(&mut simulation, 6000);
     for (router, counts) in simulation.counts.iter().enumerate() {
-        assert!(counts.statements > 100 && counts.refused == 0, "{router}: {counts:?}");
+        assert!(counts.statements > 100 && counts.errors == 0, "{router}: {counts:?}");
         assert!(counts.answered + 2 >= counts.statements, "{router}: {counts:?}");
         assert_eq!(
             simulation.reducer(router).and_then(|reducer| reducer.fleet_view()).map(|view| view.0),
@@ -68,7 +68,7 @@
 fn all_routers_learn_of_a_list_change_and_of_another_primary() {
     let mut simulation = simulation(Shape::of(4, 2));
     run(&mut simulation, 4000);
-    let generation = simulation.change(5, "DRAINING");
+    let generation = simulation.change_endpoint(5, "DRAINING");
     run(&mut simulation, 100);
     for router in 0..4 {
         assert_eq!(simulation.reducer(router).map(|reducer| reducer.generation()), Some(generation));
