--- a/crates/ladderpass-routing/src/attempt_outcome.rs
+++ b/crates/ladderpass-routing/src/attempt_outcome.rs
@@ -17,9 +17,10 @@
     Unreachable,
     /// The connection broke, or brought a malformed answer, after the query was written; it may have had an effect.
     ConnectionLost,
-    /// Given up because its client has gone. It counts as one that may have run.
+    /// Abandoned: its client has gone or cancelled it. It counts as one that may have run.
     Cancelled,
-    /// The front had no connection for it. It is no sign about the member.
+    /// The front had no connection for it, or no time was left, or its client can't be seen any more, or its statement
+    /// can't be read. It is no sign about the member.
     NeverSent,
     /// Rejected without effect: the member is not the primary, or too far behind.
     NotServedHere,
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -1,6 +1,6 @@
 //! The limit on this router's attempts in flight at a member, and the share of reads that it may get.
 //!
-//! The limit follows the shortest answer time over the present one: it grows while answers are as quick as without
+//! The limit follows the typical answer time over the present one: it grows while answers are as quick as without
 //! load, and shrinks as they get slower. It is reduced at most once a round trip, since attempts sent before the last
 //! reduction only show the same congestion again. Routers with too little traffic for a limit to bind take the same
 //! share of their reads from a member that all of them know to be overloaded.
@@ -42,9 +42,9 @@
     limit.clamp(MIN_INITIAL_LIMIT, MAX_INITIAL_LIMIT)
 }
 
-/// Is there room for this RPC within this share of the member's limit? A limit below one is enforced by pauses between
-/// attempts, so that many routers with little traffic don't overload the member together.
-pub fn has_room(state: &RouterState, now: Time, index: usize, rpc: RpcId, share: f64) -> bool {
+/// Is there capacity for this RPC within this share of the member's limit? A limit below one is enforced by pauses
+/// between attempts, so that many routers with little traffic don't overload the member together.
+pub fn has_capacity(state: &RouterState, now: Time, index: usize, rpc: RpcId, share: f64) -> bool {
     let member = state.topology.member(index);
     let limit = member.concurrency_limit * share;
     let latency_ratio = load::latency_ratio(state, now, member, LAST_TWO_SECONDS);
--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -60,5 +60,6 @@
     let is_spill = !state.method_of(rpc).definition.consistency.primary_only();
     let share_by_method = if is_spill { SPILLED_READ_LIMIT_SHARE } else { 1.0 };
     let share = retry::limit_share(state, rpc) * share_by_method;
-    (!concurrency_limit::has_room(state, now, index, rpc, share)).then_some(Ineligible::AtConcurrencyLimit)
+    (!concurrency_limit::has_capacity(state, now, index, rpc, share))
+        .then_some(Ineligible::AtConcurrencyLimit)
 }
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -1,8 +1,8 @@
-//! What the log shows of RPCs that were not served by the ordinary path: counts of each reason, and a few examples.
+//! What the log shows of RPCs that did not go by the ordinary path: counts of each reason, and a few examples.
 //! Nothing here decides.
 
 use crate::eligibility;
-use crate::reasons::{Counts, Exception, GiveUpReason, Ineligible, PrimaryState, UnservedRpc};
+use crate::reasons::{Counts, Exception, ExceptionExample, GiveUpReason, Ineligible, PrimaryState};
 use crate::state::router_state::RouterState;
 use crate::time::Time;
 use crate::types::RpcId;
@@ -36,7 +36,7 @@
 
 fn log_example(state: &mut RouterState, now: Time, rpc: RpcId, what: Exception) {
     let rpc = &state.rpcs[rpc];
-    state.output.exceptions.examples.push(UnservedRpc {
+    state.output.exceptions.examples.push(ExceptionExample {
         group: rpc.arrival.group,
         method: rpc.arrival.method,
         attempts: rpc.attempts,
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -63,7 +63,7 @@
     Some(pending)
 }
 
-/// The utility of an answer, by second of a member's typical answer time.
+/// The utility of an answer, per second of a member's typical answer time.
 fn utility_per_sec(state: &RouterState, now: Time, rpc: RpcId) -> f64 {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let is_late = now + method.typical >= rpc.accepted_at + method.definition.soft_deadline;
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -147,9 +147,9 @@
     }
 }
 
-/// An RPC that left the ordinary path, given up or spilled to the primary, for the log.
+/// An RPC that did not go by the ordinary path, given up or spilled to the primary, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UnservedRpc {
+pub struct ExceptionExample {
     /// Index of its group.
     pub group: u32,
     /// Index of its method.
@@ -215,7 +215,7 @@
     /// How many.
     pub counts: ExceptionCounts,
     /// The first few of them.
-    pub examples: Vec<UnservedRpc>,
+    pub examples: Vec<ExceptionExample>,
 }
 
 /// Most examples between two ticks.
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Rejections: which RPCs the router sheds or gives up, and when their clients may come back.
+//! Rejections: which RPCs the router sheds or gives up, and when their clients may retry.
 //!
 //! Load is shed by priority at arrival, before anything else is done for an RPC. An accepted RPC is given up once no
 //! attempt is allowed or none could be answered in time.
@@ -99,7 +99,7 @@
     if client_may_retry { Decision::Reject { retry_after } } else { Decision::Fail }
 }
 
-/// When a rejected client may come back while an answer could still be of use, spread by chance.
+/// When a rejected client may retry while an answer could still be of use, spread by chance.
 pub fn retry_after(state: &mut RouterState) -> Span {
     state.deployment.max_retry_after
         * (GIVE_UP_RETRY_AFTER_SHARE * (MIN_GIVE_UP_JITTER + state.random.generate::<f64>()))
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -47,7 +47,7 @@
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
 
-/// Why the result of an attempt is the end of its RPC, if it is; else the RPC is selected a member again.
+/// Why the result of an attempt is the end of its RPC, if it is; else a member is selected for the RPC again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
         return Some(GiveUpReason::AttemptNotMade);
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -95,7 +95,7 @@
         rejection::priority(&self.state, now, arrival, overload)
     }
 
-    /// When a rejected client may come back, spread by chance: also one whose RPC was never accepted.
+    /// When a rejected client may retry, spread by chance: also one whose RPC was never accepted.
     pub fn retry_after(&mut self) -> Span {
         rejection::retry_after(&mut self.state)
     }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -149,7 +149,7 @@
             continue;
         }
         let share = limit_share * staleness::headroom(state, now, member, required);
-        if concurrency_limit::has_room(state, now, index, rpc, share) {
+        if concurrency_limit::has_capacity(state, now, index, rpc, share) {
             search.selected = Some(rank);
         } else {
             search.passed_over.add(Ineligible::AtConcurrencyLimit);
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -4,6 +4,8 @@
 //! by credit: each RPC that this router accepts adds a fraction to the credit of each member in slow start, and each
 //! attempt there takes one from it. Credit comes evenly, also for RPCs that were queued. If each router stays within
 //! its share, so does their sum.
+//!
+//! The share of reads that an overloaded member may get (`concurrency_limit`) is enforced here too.
 
 use crate::health_check_schedule::HEALTH_CHECK_WAIT;
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
@@ -30,7 +32,7 @@
     (age < duration).then(|| initial + (1.0 - initial) * age / duration)
 }
 
-/// Counts an RPC that was accepted, and pays its credit to the members of its group that are in slow start.
+/// Counts an RPC that was accepted, and adds its credit to the members of its group that are in slow start.
 pub fn record_accepted(state: &mut RouterState, now: Time, arrival: &Arrival) {
     let consistency = state.methods[arrival.method as usize].definition.consistency;
     let accepted = state.topology.accepted_mut(arrival.group, RECENT_BUCKET);
@@ -42,12 +44,12 @@
         let index = state.topology.groups[group].members[place];
         if let Some(share) = capacity_share(state, now, state.topology.member(index)) {
             let credit = credit_per_rpc(state, group, index, share, accepted);
-            pay_credit(state.topology.member_mut(index), now, credit);
+            add_credit(state.topology.member_mut(index), now, credit);
         }
     }
 }
 
-/// The credit, in attempts, that one accepted RPC pays a member with this share of its capacity.
+/// The credit, in attempts, that one accepted RPC adds to a member with this share of its capacity.
 ///
 /// The load at full capacity is a fair share of the group at its largest, or all writes where the member is the primary
 /// and these are more. Its part by `capacity_share` is divided by the RPCs accepted, and reduced by a margin for random
@@ -75,7 +77,7 @@
 }
 
 /// Adds credit. Whole attempts that were not used in time lapse; the fraction stays, so the phase does too.
-fn pay_credit(member: &mut Member, now: Time, credit: f64) {
+fn add_credit(member: &mut Member, now: Time, credit: f64) {
     if now - member.slow_start_credit_at > CREDIT_VALID_FOR {
         member.slow_start_credit %= 1.0;
     }
@@ -85,7 +87,8 @@
     member.slow_start_credit += credit;
 }
 
-/// Does slow start let a member have this RPC? Reads also have to fall within the member's share of reads.
+/// May a member have this RPC? In slow start it needs credit. Reads also have to fall within the member's share of
+/// reads, which is less than 1 after an overload, whether or not the member is in slow start.
 pub fn admits(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> bool {
     let member = state.topology.member(index);
     let draw = (state.rpcs[rpc].random_draw + index as f64 * DRAW_STEP_PER_MEMBER) % 1.0;
--- a/crates/ladderpass-routing/src/state/rpc.rs
+++ b/crates/ladderpass-routing/src/state/rpc.rs
@@ -15,7 +15,8 @@
     pub is_pending: bool,
     pub attempts_in_flight: u32,
     pub attempts: u32,
-    /// Drawn once, from 0 to 1: the smaller, the sooner it is sent where only a share of the RPCs may be.
+    /// Drawn once, from 0 to 1: the smaller, the sooner it is sent where only a share of the RPCs may be. Also the
+    /// admission draw, where a smaller one is shed sooner.
     pub random_draw: f64,
     pub last_attempt_at: Time,
     pub last_attempt_ended_at: Time,
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -256,7 +256,8 @@
     pub latency: Span,
     /// The RPC has its final answer, by this outcome or before it.
     pub rpc_complete: bool,
-    /// The retry budget does not allow a retry.
+    /// The retry budget does not allow a retry, or the client has cancelled the RPC, or it can't be seen whether it is
+    /// still there.
     pub retry_denied: bool,
     /// The role that the member showed, if any.
     pub role: Option<Role>,
@@ -324,7 +325,7 @@
     Queue,
     /// Final: a retry by the client does no harm.
     Reject {
-        /// When the client may come back.
+        /// How long the client is to wait before it retries.
         retry_after: Span,
     },
     /// Final: it failed, and may have had an effect.
@@ -346,7 +347,7 @@
     pub poll_endpoints: bool,
     /// Lines for the log; `#N` stands for the member of that index.
     pub log_messages: Vec<String>,
-    /// RPCs that were not served by the ordinary path, and why.
+    /// RPCs that did not go by the ordinary path, and why.
     pub exceptions: Exceptions,
     /// Members that are retired: each index may be given to another.
     pub retired_members: Vec<MemberId>,
--- a/crates/ladderpass/src/reducer/handlers/stats_log.rs
+++ b/crates/ladderpass/src/reducer/handlers/stats_log.rs
@@ -1,10 +1,10 @@
-//! Logs the counts every `Limits::stats_interval`, and examples of RPCs that were not served by the ordinary path, each
-//! with its reason.
+//! Logs the counts every `Limits::stats_interval`, and examples of RPCs that did not go by the ordinary path, each with
+//! its reason.
 
 use crate::reducer::Reducer;
 use crate::reducer::log_target;
 use crate::reducer::state::stats::Count;
-use ladderpass_routing::reasons::{Exception, Exceptions, PrimaryState, Reason, UnservedRpc};
+use ladderpass_routing::reasons::{Exception, ExceptionExample, Exceptions, PrimaryState, Reason};
 use ladderpass_routing::{Span, Time};
 
 impl Reducer {
@@ -49,20 +49,20 @@
     /// Counts what did not go by the ordinary path, and logs the first few examples.
     pub(in crate::reducer) fn record_exceptions(&mut self, exceptions: Exceptions) {
         self.stats.add_exceptions(&exceptions.counts);
-        for unserved in &exceptions.examples {
+        for example in &exceptions.examples {
             if !self.stats.try_count_example() {
                 return;
             }
-            self.log_example(unserved);
+            self.log_example(example);
         }
     }
 
-    fn log_example(&self, unserved: &UnservedRpc) {
-        let method = self.methods.name(unserved.method).unwrap_or("unknown");
-        let (group, attempts) = (unserved.group, unserved.attempts);
-        let waited_ms = whole_milliseconds(unserved.waited);
-        let left_ms = whole_milliseconds(unserved.time_left);
-        match &unserved.exception {
+    fn log_example(&self, example: &ExceptionExample) {
+        let method = self.methods.name(example.method).unwrap_or("unknown");
+        let (group, attempts) = (example.group, example.attempts);
+        let waited_ms = whole_milliseconds(example.waited);
+        let left_ms = whole_milliseconds(example.time_left);
+        match &example.exception {
             Exception::Spilled(passed_over) => tracing::info!(
                 target: log_target::STATS,
                 group,
