--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -78,8 +78,8 @@
     pub health_check_timeout: Span,
     /// Idle time after which a pooled connection is closed; shorter than the member's own, which would cross a statement.
     pub member_idle_timeout: Span,
-    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, or a further attempt within the
-    /// window of its idempotency key); then it is made again.
+    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, a session's write, or a
+    /// further attempt within the window of its idempotency key); then it is made again.
     pub fresh_send_timeout: Span,
     /// How long any other statement may take to be written: it carries the time that is left.
     pub write_timeout: Span,
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -46,6 +46,15 @@
 /// As a time to wake at: before any other, so that the event loop does not wait.
 const AT_ONCE: Time = Time::NEVER;
 
+/// The attempts in flight, counted in two ways that always agree.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptsInFlight {
+    /// RPCs with an attempt in flight.
+    pub rpcs: usize,
+    /// Connections that carry an attempt or are established for one.
+    pub connections: usize,
+}
+
 /// The state of the router on sockets.
 pub struct Reducer {
     /// The routing core.
@@ -140,11 +149,11 @@
         self.router.known_position(MemberId(self.members.names().get(id)?))
     }
 
-    /// RPCs with an attempt in flight, and connections that carry an attempt or are established for one: always as many.
-    pub fn attempts_in_flight(&self) -> (usize, usize) {
+    /// The attempts in flight.
+    pub fn attempts_in_flight(&self) -> AttemptsInFlight {
         let carries_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt(_)));
         let connections = self.connections.members().filter(|(_, member)| carries_attempt(member.job()));
-        (self.rpcs.attempts(), connections.count())
+        AttemptsInFlight { rpcs: self.rpcs.attempts_in_flight(), connections: connections.count() }
     }
 
     /// Attempts with the outcome `AttemptOutcome::Ok` since the stats were logged, and the time that these took there.
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -1,4 +1,4 @@
-//! Accepts RPCs: a client's statement is parsed, judged by the overload of this router and of all, and handed to the
+//! Accepts RPCs: a client's statement is parsed, assessed by the overload of this router and of all, and handed to the
 //! routing core.
 
 use super::rejections::{Rejection, StatementError};
@@ -40,7 +40,7 @@
         self.set_awaited(id, None);
         let Some(client) = self.connections.client_mut(id) else { return };
         let is_first = client.record_statement();
-        let is_crowded = is_first && self.exceeds_client_limit(now);
+        let is_crowded = is_first && self.evict_and_check_client_limit(now);
         let statement = match self.parse_statement(now, id, length) {
             Ok(statement) => statement,
             Err(error) => return self.answer_client_error(now, id, length, &error),
@@ -80,7 +80,7 @@
         }
         let description = RpcDescription {
             deadline,
-            bounds_staleness: self.methods.bounds_staleness(method),
+            requires_position: self.methods.requires_position(method),
             method,
             group,
             priority,
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -110,16 +110,16 @@
         }
         result.rpc_complete = is_ok || is_answered;
         if result.outcome == AttemptOutcome::DecisionExpired {
-            // No attempt was made: the retry budget pays for none after it.
+            // No attempt was made: no retry is withdrawn from the budget for the one after it.
             entry.discount_attempt();
         } else if let Some(peers) = &mut self.peers {
             if is_ok && entry.attempts() > 1 {
                 peers.record_retry_success(entry.description().group);
             } else if !result.rpc_complete && result.outcome != AttemptOutcome::NeverSent && !is_over {
                 let RpcDescription { group, priority, .. } = *entry.description();
-                let is_paid = peers.try_withdraw_retry(group, priority);
-                entry.set_retry_paid(is_paid);
-                result.retry_denied = !is_paid;
+                let is_withdrawn = peers.try_withdraw_retry(group, priority);
+                entry.set_retry_withdrawn(is_withdrawn);
+                result.retry_denied = !is_withdrawn;
             }
         }
         if is_answered {
--- a/crates/ladderpass/src/reducer/handlers/cancellation.rs
+++ b/crates/ladderpass/src/reducer/handlers/cancellation.rs
@@ -9,7 +9,7 @@
 
 impl Reducer {
     /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not fully sent is
-    /// taken back, and the client is answered at once. One that is sent is settled by its outcome, with no further
+    /// withdrawn, and the client is answered at once. One that is sent is settled by its outcome, with no further
     /// attempt.
     pub(super) fn cancel_rpc(&mut self, now: Time, key: CancelKey) {
         let id = self.newest_with_process_id(key.process_id);
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -13,7 +13,7 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::Time;
 
-/// Idle clients give up their buffers once all buffers take more than `pause_clients_at_buffer_bytes` over this.
+/// Idle clients give up their buffers once all buffers take more than `pause_clients_at_buffer_bytes` divided by this.
 const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
 
 /// Is there more to read of a client in this iteration?
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -63,8 +63,8 @@
     /// newcomers.
     pub(in crate::reducer) fn update_accepting(&mut self) {
         let connections = self.clients.len() + self.members.connection_count();
-        let has_room = connections < self.limits.connections || self.members.has_idle();
-        let accepts = has_room && self.clients.len() < self.limits.clients_accepted;
+        let has_capacity = connections < self.limits.connections || self.members.has_idle();
+        let accepts = has_capacity && self.clients.len() < self.limits.clients_accepted;
         if self.connection_limits.set_accepts_clients(accepts) {
             self.effects.push(Effect::Accept(accepts));
         }
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -55,7 +55,7 @@
         match member.job() {
             None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
             Some(_) if !member.is_established() && now < member.connect_deadline() => {
-                // The job is given up unsent; the connection may still be established for another.
+                // The job is abandoned unsent; the connection may still be established for another.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
             // Unreachable also where the deadline was the client's, and the member had little time.
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -157,28 +157,28 @@
         if self.discovery.is_current(id) && !is_unanswered {
             self.discovery.record_silence(now - self.limits.watch_silence_timeout);
         }
-        let silent = self.discovery.is_silence_within_limit(now, &self.limits);
+        let poll_immediately = self.discovery.is_silence_within_limit(now, &self.limits);
         let late_until = self.discovery.requested_at() + self.limits.late_watch_timeout;
         if is_unanswered && now < late_until {
             tracing::warn!(target: log_target::DISCOVERY_WATCH, "discovery watch: no answer yet");
             self.discovery.late().into_iter().for_each(|late| self.close_connection(late));
             self.discovery.demote_current();
             self.connections.set_deadline(id, Some(late_until));
-            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
+            return self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately });
         }
-        self.end_watch(now, id, "silence", silent);
+        self.end_watch(now, id, "silence", poll_immediately);
     }
 
     pub(super) fn on_watch_failed(&mut self, now: Time, id: ConnectionId, reason: &str) {
         self.end_watch(now, id, reason, false);
     }
 
-    fn end_watch(&mut self, now: Time, id: ConnectionId, reason: &str, silent: bool) {
+    fn end_watch(&mut self, now: Time, id: ConnectionId, reason: &str, poll_immediately: bool) {
         tracing::warn!(target: log_target::DISCOVERY_WATCH, reason, "discovery watch: ended");
         let has_successor = self.discovery.has_successor(id);
         self.close_connection(id);
         if !has_successor {
-            self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: silent });
+            self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately });
         }
     }
 }
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Are there more clients than are served? Those that are starting up or in the middle of a
-    /// statement are not counted.
-    pub(super) fn exceeds_client_limit(&mut self, now: Time) -> bool {
+    /// Evicts clients past the limit; true if there are still more than are served. Those that are starting up or in the
+    /// middle of a statement are not counted.
+    pub(super) fn evict_and_check_client_limit(&mut self, now: Time) -> bool {
         self.evict_excess_clients(now);
-        let uncounted = self.clients.evicting_count() + self.clients.without_statement();
+        let uncounted = self.clients.evicting_count() + self.clients.awaiting_startup_or_rest();
         self.clients.len() > self.limits.clients + uncounted
     }
 
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -67,7 +67,7 @@
         // a further attempt has no second effect.
         let is_retry_within_window =
             entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
-        let expires = description.bounds_staleness || is_retry_within_window;
+        let expires = description.requires_position || is_retry_within_window;
         let is_late = expires && now - member.assigned_at() > self.limits.fresh_send_timeout;
         if is_late && !self.router.may_still_attempt(now, rpc, member_id) {
             return Err(Some(AttemptOutcome::DecisionExpired));
@@ -111,14 +111,14 @@
     /// enough, that do not hold any more.
     pub(super) fn on_query_write_blocked(&mut self, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
-        let bounds_staleness = match member.job() {
+        let requires_position = match member.job() {
             Some(Job::Attempt(rpc)) => {
-                self.rpcs.get(rpc).is_some_and(|entry| entry.description().bounds_staleness)
+                self.rpcs.get(rpc).is_some_and(|entry| entry.description().requires_position)
             }
             _ => false,
         };
         let timeout =
-            if bounds_staleness { self.limits.fresh_send_timeout } else { self.limits.write_timeout };
+            if requires_position { self.limits.fresh_send_timeout } else { self.limits.write_timeout };
         if let Some(deadline) = member.write_deadline(timeout) {
             self.connections.set_deadline(id, Some(deadline));
         }
@@ -132,7 +132,7 @@
         self.connections.member(id).is_some_and(|member| member.is_established())
     }
 
-    /// No client waits for the answer to a connection's job any more: a query that is not fully written is taken back. A
+    /// No client waits for the answer to a connection's job any more: a query that is not fully written is withdrawn. A
     /// part of a query makes the connection useless, and never runs.
     pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -26,7 +26,7 @@
             self.set_job(now, id, job, deadline);
             return Some(id);
         }
-        if !self.make_room_for_member_connection(now) {
+        if !self.free_capacity_for_member_connection(now) {
             return None;
         }
         let id = self.next_id();
@@ -45,8 +45,8 @@
 
     /// Makes sure that one more connection to a member may be opened. Members may use what clients leave of
     /// `Limits::connections`; if that is used up, an idle member connection is closed, else a client evicted. Returns
-    /// whether there is room.
-    fn make_room_for_member_connection(&mut self, now: Time) -> bool {
+    /// whether there is capacity.
+    fn free_capacity_for_member_connection(&mut self, now: Time) -> bool {
         let limit = self.limits.connections;
         if self.members.connection_count() < limit.saturating_sub(self.clients.len()) {
             return true;
--- a/crates/ladderpass/src/reducer/handlers/peers.rs
+++ b/crates/ladderpass/src/reducer/handlers/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams of the other routers, and what the membership decides.
 //!
 //! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
-//! and is taken from those that may send it.
+//! and is accepted from those that may send it.
 
 use crate::reducer::Reducer;
 use crate::reducer::event::Effect;
--- a/crates/ladderpass/src/reducer/handlers/rejections.rs
+++ b/crates/ladderpass/src/reducer/handlers/rejections.rs
@@ -9,6 +9,7 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Span, Time};
 
+/// "Pushed back": rejected. Clients may depend on the text.
 const OVERLOADED: &str = "pushed back: the router has too much to do";
 /// The pause after a client's errors doubles up to this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
--- a/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -61,7 +61,7 @@
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
         let client = entry.take_client();
         let (group, is_cancelled) = (entry.description().group, entry.is_cancelled());
-        if let (true, Some(peers)) = (entry.take_retry_paid(), &mut self.peers) {
+        if let (true, Some(peers)) = (entry.take_retry_withdrawn(), &mut self.peers) {
             peers.refund_retry(group);
         }
         let time_with_members = entry.time_with_members(now);
@@ -91,11 +91,13 @@
                 if let Some(peers) = &mut self.peers {
                     peers.record_unplaced(group);
                 }
+                // "Pushed back": rejected. Clients may depend on the text.
                 let text = "pushed back: a further try is harmless";
                 pg::put_recoverable_error(&mut answer, "53300", text, retry_after_ms(retry_after));
             }
             _ => {
                 self.stats.count(Count::Failed);
+                // "Aborted": failed. Clients may depend on the text.
                 pg::put_recoverable_error(&mut answer, "58000", "aborted: it may have had an effect", None);
             }
         }
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -9,7 +9,7 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// The sets, in the order of eviction.
+/// How many sets there are; they stand in the order of eviction.
 const AWAITED_INPUTS: usize = 3;
 
 /// Which clients may be evicted.
@@ -82,7 +82,7 @@
     }
 
     /// Clients that are starting up or in the middle of a statement, also if they have sent complete ones before.
-    pub(in crate::reducer) fn without_statement(&self) -> usize {
+    pub(in crate::reducer) fn awaiting_startup_or_rest(&self) -> usize {
         self.by_awaited_input[AwaitedInput::Startup as usize].len()
             + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -12,7 +12,7 @@
 /// State of the watch.
 pub(in crate::reducer) struct DiscoveryWatch {
     address: SocketAddr,
-    /// The endpoint list in use, as discovery counts them.
+    /// The generation of the endpoint list in use, as discovery counts them.
     generation: u64,
     /// When this list, or a later one, was received last.
     received_at: Time,
@@ -34,7 +34,7 @@
     silent_since: Option<Time>,
 }
 
-/// A list that the watch has received, before its entries are read.
+/// What is decided on a list by its generation, before its entries are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ListVerdict {
     Accepted,
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -14,7 +14,8 @@
     received: u64,
     consumed: u64,
     batches: VecDeque<Batch>,
-    /// How long members have worked on this client's RPCs: what was sent behind them has not waited for the router.
+    /// Sum of `RpcInFlight::time_with_members` over this client's RPCs, time in the queue and for connecting included:
+    /// what was sent behind them has not waited for the router.
     time_with_members: Span,
 }
 
@@ -23,7 +24,7 @@
     /// The count of received bytes with which it ends.
     end: u64,
     arrived_at: Time,
-    /// How long members had worked for this client by then.
+    /// `InputArrivals::time_with_members` by then.
     time_with_members: Span,
 }
 
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -24,7 +24,7 @@
     connect_deadline: Time,
     job: Option<Job>,
     assigned_at: Time,
-    /// When the job is given up.
+    /// When the job times out.
     job_deadline: Time,
     /// Bytes of the query that are not yet written to the socket, without the empty query behind it.
     unwritten: usize,
@@ -260,7 +260,7 @@
         matches!(self.job, Some(Job::Attempt(_))) && is_unsent
     }
 
-    /// Takes its query back as far as that is possible.
+    /// Withdraws its query as far as that is possible.
     pub(in crate::reducer) fn withdraw_query(&mut self) -> Withdrawal {
         match (self.is_established, self.has_written_nothing) {
             (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
@@ -363,7 +363,7 @@
     }
 
     /// An error ends the connection where it does not answer a query that is fully written: the rest of that query could
-    /// not be taken back.
+    /// not be withdrawn.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
         let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
         let is_fatal = error.fatal;
--- a/crates/ladderpass/src/reducer/state/methods.rs
+++ b/crates/ladderpass/src/reducer/state/methods.rs
@@ -15,8 +15,8 @@
 }
 
 struct MethodProperties {
-    /// Its data must be as new at the send as it was at the decision: its age is limited, or its session has written.
-    bounds_staleness: bool,
+    /// Its member must have reached a position: its staleness is bounded, or it sees its session's writes.
+    requires_position: bool,
     is_write: bool,
     /// It may be attempted again within a window only.
     uses_idempotency_key: bool,
@@ -25,7 +25,7 @@
 impl MethodProperties {
     fn of(method: &Method) -> MethodProperties {
         MethodProperties {
-            bounds_staleness: matches!(
+            requires_position: matches!(
                 method.consistency,
                 Consistency::BoundedStaleness(_) | Consistency::Session
             ),
@@ -67,8 +67,8 @@
         self.has_session_methods && !self.session_write_age_carried
     }
 
-    pub(in crate::reducer) fn bounds_staleness(&self, index: u32) -> bool {
-        self.get(index).is_some_and(|method| method.bounds_staleness)
+    pub(in crate::reducer) fn requires_position(&self, index: u32) -> bool {
+        self.get(index).is_some_and(|method| method.requires_position)
     }
 
     /// None for an unknown method.
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Counts a statement and gives its RPC the overload state to be judged by. True where its rejection is certain: to
+    /// Counts a statement and gives its RPC the overload state to be assessed by. True where its rejection is certain: to
     /// look at it further would be work for nothing.
     pub(in crate::reducer) fn assess(
         &mut self,
@@ -267,7 +267,7 @@
     }
 }
 
-/// What a statement costs the router before it is judged.
+/// What a statement costs the router before it is assessed.
 pub(in crate::reducer) struct StatementCost {
     /// How long the router kept it waiting.
     pub(in crate::reducer) waited: Span,
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -17,7 +17,7 @@
 const SETTLING_TIME: Span = Span::from_millis(2000);
 /// Priorities for shared admission control go by utility alone: each RPC counts as costing the same.
 const UNIT_COST_SECS: f64 = 1e-4;
-/// Room for admission reports in a datagram of the membership.
+/// Most bytes of admission reports in a datagram of the membership.
 const PIGGYBACK_BYTES: usize = 150;
 
 /// State of the links to other routers.
@@ -150,7 +150,7 @@
         has_datagrams
     }
 
-    /// Was another incarnation of this router's address seen? Tells it once.
+    /// Was another incarnation of this router's address seen? True once.
     pub(in crate::reducer) fn take_address_conflict(&mut self) -> bool {
         self.membership.take_address_conflict()
     }
--- a/crates/ladderpass/src/reducer/state/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// In faulty builds: a member that tells a position tells this one.
+    /// In faulty builds: a member that reports a position reports this one.
     pub(in crate::reducer) fn override_position(&mut self, position: Time) {
         self.position = self.position.map(|_| position);
     }
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -10,8 +10,9 @@
 #[derive(Clone, Debug)]
 pub(in crate::reducer) struct RpcDescription {
     pub(in crate::reducer) deadline: Time,
-    /// Its data must be as new at the send as it was at the decision.
-    pub(in crate::reducer) bounds_staleness: bool,
+    /// Its member must have reached a position: the staleness bound's, or that of its session's last write. What holds
+    /// at the decision may not hold at the send.
+    pub(in crate::reducer) requires_position: bool,
     pub(in crate::reducer) method: u32,
     pub(in crate::reducer) group: u32,
     /// Its priority among all RPCs, where routers shed load together.
@@ -33,8 +34,8 @@
     attempts: u32,
     /// The retry budget knows of its first attempt.
     first_attempt_recorded: bool,
-    /// The retry budget has paid for an attempt that is not made yet.
-    retry_paid: bool,
+    /// A retry was withdrawn from the budget for an attempt that is not made yet.
+    retry_withdrawn: bool,
     /// The connection that carries its attempt, or is to.
     connection: Option<ConnectionId>,
     /// An attempt of it may have run without a good answer.
@@ -59,7 +60,7 @@
             waited_for_router: Span::ZERO,
             attempts: 0,
             first_attempt_recorded: false,
-            retry_paid: false,
+            retry_withdrawn: false,
             connection: None,
             may_have_run: false,
             is_cancelled: false,
@@ -80,7 +81,8 @@
         self.client.take()
     }
 
-    /// How long members have kept it.
+    /// Time since it was accepted, less what this router kept its answered queries, and their answers, waiting. Time in the
+    /// routing core's queue and for connecting is included.
     pub(in crate::reducer) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
@@ -92,7 +94,7 @@
     /// An attempt begins; true for the first one.
     pub(in crate::reducer) fn begin_attempt(&mut self) -> bool {
         self.attempts += 1;
-        self.retry_paid = false;
+        self.retry_withdrawn = false;
         !std::mem::replace(&mut self.first_attempt_recorded, true)
     }
 
@@ -118,13 +120,13 @@
         self.attempts
     }
 
-    pub(in crate::reducer) fn set_retry_paid(&mut self, is_paid: bool) {
-        self.retry_paid = is_paid;
+    pub(in crate::reducer) fn set_retry_withdrawn(&mut self, is_withdrawn: bool) {
+        self.retry_withdrawn = is_withdrawn;
     }
 
-    /// Has the retry budget paid for an attempt that will not be made? It is to be refunded then.
-    pub(in crate::reducer) fn take_retry_paid(&mut self) -> bool {
-        std::mem::take(&mut self.retry_paid)
+    /// Was a retry withdrawn from the budget for an attempt that will not be made? It is to be refunded then.
+    pub(in crate::reducer) fn take_retry_withdrawn(&mut self) -> bool {
+        std::mem::take(&mut self.retry_withdrawn)
     }
 
     pub(in crate::reducer) fn may_have_run(&self) -> bool {
@@ -165,7 +167,7 @@
     }
 
     /// How many RPCs have an attempt in flight.
-    pub(in crate::reducer) fn attempts(&self) -> usize {
+    pub(in crate::reducer) fn attempts_in_flight(&self) -> usize {
         self.in_flight.values().filter(|entry| entry.connection.is_some()).count()
     }
 
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -37,8 +37,11 @@
             self.report_load();
         }
         self.advance(Span::ZERO);
-        let (attempts, connections) = self.reducer.attempts_in_flight();
-        assert_eq!(attempts, connections, "attempts in flight, and connections that carry one");
+        let in_flight = self.reducer.attempts_in_flight();
+        assert_eq!(
+            in_flight.rpcs, in_flight.connections,
+            "attempts in flight, and connections that carry one"
+        );
     }
 
     fn choose_client(&mut self) -> Option<ConnectionId> {
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -139,8 +139,8 @@
         let effects = simulation.reducer.handle(simulation.now, Event::Closed(client));
         assert_eq!(effects.contains(&Effect::Close(link)), written > 0, "a part makes it useless");
         assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        let (out, links) = simulation.reducer.attempts_in_flight();
-        assert_eq!((out, links), (0, 0));
+        let in_flight = simulation.reducer.attempts_in_flight();
+        assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
     }
 }
 
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -95,7 +95,8 @@
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         assert_eq!(!simulation.peers.contains_key(&link), written > 0, "a part makes it useless");
         assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
-        assert_eq!(simulation.reducer.attempts_in_flight(), (0, 0));
+        let in_flight = simulation.reducer.attempts_in_flight();
+        assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
         simulation.write(client);
         assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
     }
