--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -48,6 +48,13 @@
     (band * PRIORITIES_PER_BAND + within_band) as u32
 }
 
+impl OverloadState {
+    /// Is an RPC of this priority shed? The random draw, from 0 to 1, spreads those at the threshold's own priority.
+    pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
+        f64::from(priority) + random_draw < self.admission_threshold
+    }
+}
+
 /// The overload for which an RPC that has just arrived must be shed: of this router, or of all together.
 pub fn overload_to_shed_for(
     state: &RouterState,
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -206,13 +206,6 @@
     pub queueing_delay: Span,
 }
 
-impl OverloadState {
-    /// Is an RPC of this priority shed, with this random draw from 0 to 1?
-    pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
-        f64::from(priority) + random_draw < self.admission_threshold
-    }
-}
-
 /// An RPC that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
