--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -1,7 +1,8 @@
 //! Outlier ejection: members that fail several times in a row get nothing until they answer again.
 //!
-//! A failure is a health check or a connection that failed, or the report of one by another router. Any answer that
-//! shows the member to be up readmits it. One that was away for long is taken to have started anew, and begins with
+//! A failure is a health check that failed, a connection that was not established or broke before a whole query was
+//! written, or the report of one by another router. A connection that broke later is none: the member may have run the
+//! query. Any answer that shows the member to be up readmits it. One that was away for long is taken to have started anew, and begins with
 //! a slow start.
 
 use crate::health_check_schedule;
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -56,7 +56,7 @@
     excess <= Span::ZERO || now - member.reported_at >= MIN_CATCH_UP.max(excess * CATCH_UP_SHARE_OF_EXCESS)
 }
 
-/// The share of a replica's concurrency limit that reads may use, from 0 to 1: less as its lag nears the bound, so that
+/// The share of a replica's concurrency limit that reads may use, 1 where replication has stopped: less as its lag nears the bound, so that
 /// it can catch up.
 pub fn headroom(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
     // Reads without a bound slow replication just as much. Where it has stopped, less load does not help.
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -44,7 +44,7 @@
     pub position: Time,
     /// When the position last advanced.
     pub position_advanced_at: Time,
-    /// When it last reported a position.
+    /// When it last reported anything, to this router or by gossip.
     pub reported_at: Time,
     /// Newest position that was published to all routers.
     pub published_position: Time,
@@ -53,7 +53,7 @@
     pub unreachable_published_at: Time,
     /// Age of the position in its last health check.
     pub reported_position_age: Option<Span>,
-    /// Replication lag, as last computed.
+    /// Replication lag, as last computed. Bounds of reads are compared with `position`; this serves unbounded reads.
     pub lag: Option<Span>,
     /// RPCs in flight there, by its last load report.
     pub reported_in_flight: Option<f64>,
@@ -62,7 +62,8 @@
     pub last_attempt_at: Time,
     /// Send time of the latest attempt that it has answered.
     pub latest_answered_attempt: Time,
-    /// Since when it has answered nothing while attempts were open.
+    /// Its last sign of life, by an answer, a health check or gossip; or since when it has answered nothing while attempts
+    /// were open.
     pub silent_since: Time,
     pub consecutive_failures: u32,
     /// When the first of the consecutive failures happened.
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -323,7 +323,7 @@
     },
     /// Final: it failed, and may have had an effect.
     Fail,
-    /// It has its final answer already.
+    /// Nothing is left to decide: it has its final answer, or its client has cancelled it and gets one from the front.
     AlreadyAnswered,
 }
 
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -50,7 +50,8 @@
     /// Evictions for one connection that there was no descriptor for. If something else is missing, each further one
     /// would close a client in vain.
     pub evictions_per_denial: u8,
-    /// Pause after a connection that there was no descriptor for, and nothing to evict.
+    /// Pause after a connection that there was no descriptor for, and nothing to evict; also of the listener after an
+    /// accept that failed.
     pub denied_connect_backoff: Span,
     /// Idle time after which a client is closed in any case.
     pub client_idle_timeout: Span,
@@ -137,7 +138,7 @@
     pub start_retry_timeout: Duration,
     /// Retries of a configuration that could not be read at SIGHUP.
     pub reload_retry: ReloadRetry,
-    /// Idle time after which a client is closed during a stop.
+    /// Idle time after which a client is closed that awaited a statement when the stop began.
     pub shutdown_idle_time: Span,
     /// How long a stop accepts connections and RPCs. SIGKILL may come 0.7 s after the longest deadline; the process ends
     /// once nothing is in flight.
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -18,7 +18,7 @@
     pub(in crate::reducer) fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let may_evict = connection.record_connect_denial() <= self.limits.evictions_per_denial;
-        if may_evict && self.free_a_descriptor(now) {
+        if may_evict && self.free_descriptor_after_denial(now) {
             return self.connection_limits.push_denied_connect(id);
         }
         match self.connections.get(id).map(|connection| &connection.remote) {
@@ -33,7 +33,7 @@
 
     /// A client that has been idle for long gives its descriptor up, else an idle member connection, else any client that
     /// waits for no answer.
-    fn free_a_descriptor(&mut self, now: Time) -> bool {
+    fn free_descriptor_after_denial(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
         if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
             self.close_after_final_read(client);
--- a/crates/ladderpass/src/reducer/state/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_ids.rs
@@ -16,7 +16,7 @@
     remembered: FxHashSet<u64>,
     /// Ids of RPCs in flight: they stay, however many come behind them.
     in_flight: FxHashSet<u64>,
-    /// The same ids by the step in which they expire. Their order within a step does not matter.
+    /// The remembered ids by the step in which they expire. Their order within a step does not matter.
     expiring: BTreeMap<i64, Vec<u64>>,
 }
 
@@ -29,12 +29,12 @@
         self.remembered.contains(&id) || self.in_flight.contains(&id)
     }
 
-    /// The RPC with this id is over.
-    pub(super) fn close(&mut self, id: u64) {
+    /// The RPC with this id is over. The id stays remembered until it expires.
+    pub(super) fn release_in_flight(&mut self, id: u64) {
         self.in_flight.remove(&id);
     }
 
-    /// An RPC with this id begins. The id is kept until it is closed, and until `expires_at` unless there are more than
+    /// An RPC with this id begins. The id is kept until it is released, and until `expires_at` unless there are more than
     /// `max_remembered`: then those that expire first go.
     pub(super) fn open(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -198,7 +198,7 @@
     /// Removes an RPC that has its final answer and no attempt in flight.
     pub(in crate::reducer) fn remove(&mut self, rpc: RpcId) {
         if let Some(entry) = self.in_flight.remove(&rpc) {
-            self.ids.close(entry.description.id_hash);
+            self.ids.release_in_flight(entry.description.id_hash);
         }
     }
 }
--- a/crates/ladderpass/src/sockets/accept.rs
+++ b/crates/ladderpass/src/sockets/accept.rs
@@ -25,8 +25,8 @@
         self.accept_batch();
     }
 
-    /// Closes the listener once all clients that wait there are accepted: their RPCs count as accepted. Where there is no room
-    /// for them yet, the reducer asks again.
+    /// Closes the listener once all clients that wait there are accepted, so that each of their statements gets an answer.
+    /// Where there is no capacity for them yet, the reducer asks again.
     pub(super) fn stop_listening(&mut self) {
         loop {
             match self.accept_batch() {
