--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -1,4 +1,4 @@
-//! A real router process before an emulated fleet, with idle clients or a paced load: its memory, descriptors and CPU time,
+//! A real router process before emulated members, with idle clients or a paced load: its memory, descriptors and CPU time,
 //! as the kernel counts them. Limits of the machine are used as they are.
 
 use super::statement::query;
@@ -15,9 +15,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// An emulated fleet and a router process before it; both end when it is dropped.
+/// An emulator and a router process before its members; both end when it is dropped.
 pub struct RouterTestbed {
-    fleet: Option<RunningEmulator>,
+    emulator: Option<RunningEmulator>,
     router: Option<Router>,
     groups: u32,
 }
@@ -70,11 +70,11 @@
         seed: u64,
     ) -> io::Result<RouterTestbed> {
         let scenario = Scenario { groups, ..Scenario::default() };
-        let fleet = RunningEmulator::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
+        let emulator = RunningEmulator::start(scenario.clone(), seed, Ipv4Addr::LOCALHOST)?;
         let allowed = RouterLimits { cores: 1.0, memory_mb, sockets };
         let start = Start { allowed, ..Start::new(binary) };
-        let router = Router::start(&scenario, &fleet, &start, seed)?;
-        Ok(RouterTestbed { fleet: Some(fleet), router: Some(router), groups })
+        let router = Router::start(&scenario, &emulator, &start, seed)?;
+        Ok(RouterTestbed { emulator: Some(emulator), router: Some(router), groups })
     }
 
     fn address(&self) -> io::Result<SocketAddr> {
@@ -189,7 +189,7 @@
 impl Drop for RouterTestbed {
     fn drop(&mut self) {
         self.router.take().map(Router::stop);
-        self.fleet.take().map(RunningEmulator::stop);
+        self.emulator.take().map(RunningEmulator::stop);
     }
 }
 
--- a/crates/ladderpass-testbed/src/cli/args.rs
+++ b/crates/ladderpass-testbed/src/cli/args.rs
@@ -33,7 +33,8 @@
     Cost(CostArgs),
 }
 
-// The fleet and the router before it. No doc comment: clap would show it as the help of each subcommand with these.
+// The emulated members and the router before them. No doc comment: clap would show it as the help of each subcommand with
+// these.
 #[derive(Args)]
 pub struct TestbedArgs {
     /// The fleet: a YAML file; without one three members of one group that answer at once
--- a/crates/ladderpass-testbed/src/cli/mod.rs
+++ b/crates/ladderpass-testbed/src/cli/mod.rs
@@ -3,7 +3,7 @@
 //! | module | subcommands |
 //! | --- | --- |
 //! | `args` | all: options, defaults and help |
-//! | `testbed` | `up`, and the fleet and router of `up` and `load` |
+//! | `testbed` | `up`, and the emulator and router of `up` and `load` |
 //! | `load` | `load`, `cost` |
 //! | `report` | `report` |
 //! | `prove` | `prove`, `capacity` |
--- a/crates/ladderpass-testbed/src/cli/testbed.rs
+++ b/crates/ladderpass-testbed/src/cli/testbed.rs
@@ -1,4 +1,4 @@
-//! The fleet and the router of `up` and `load`, by their options; and `up` itself.
+//! The emulator and the router of `up` and `load`, by their options; and `up` itself.
 
 use super::args::TestbedArgs;
 use super::error::CliError;
@@ -15,7 +15,7 @@
     std::fs::read_to_string(path).map_err(|error| CliError::file(path, error))
 }
 
-/// The fleet's scenario; the default one without a file.
+/// The emulator's scenario; the default one without a file.
 pub fn read_scenario(args: &TestbedArgs) -> Result<Scenario, CliError> {
     let Some(path) = &args.scenario else { return Ok(Scenario::default()) };
     Scenario::read(&read_file(path)?).map_err(|error| CliError::file(path, error))
@@ -31,14 +31,14 @@
     Ok(start)
 }
 
-/// Runs a fleet and a router until the process is interrupted. Returns only if something fails.
+/// Runs an emulator and a router until the process is interrupted. Returns only if something fails.
 pub fn serve_until_interrupted(args: &TestbedArgs) -> Result<(), CliError> {
     let scenario = read_scenario(args)?;
-    let fleet =
+    let emulator =
         RunningEmulator::start(scenario.clone(), args.seed, Ipv4Addr::LOCALHOST).map_err(CliError::failed)?;
     let start = Start { loud: true, ..router_start(args)? };
-    let mut router = Router::start(&scenario, &fleet, &start, args.seed).map_err(CliError::failed)?;
-    print_usage(&scenario, &fleet, &router);
+    let mut router = Router::start(&scenario, &emulator, &start, args.seed).map_err(CliError::failed)?;
+    print_usage(&scenario, &emulator, &router);
     loop {
         std::thread::sleep(ROUTER_CHECK_INTERVAL);
         if let Some(code) = router.ended() {
@@ -47,9 +47,9 @@
     }
 }
 
-fn print_usage(scenario: &Scenario, fleet: &RunningEmulator, router: &Router) {
+fn print_usage(scenario: &Scenario, emulator: &RunningEmulator, router: &Router) {
     let methods: Vec<&str> = scenario.methods.iter().map(|method| method.name.as_str()).collect();
-    println!("members {:?}, discovery {}", fleet.addresses, fleet.discovery);
+    println!("members {:?}, discovery {}", emulator.addresses, emulator.discovery);
     println!(
         "router  {} (methods {methods:?}); ask it with any client of PostgreSQL's simple queries:",
         router.address
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -45,7 +45,7 @@
     /// RPCs a second that a cold member can serve once it is warm.
     #[serde(rename = "bears")]
     pub warm_member_rpcs_per_second: f64,
-    /// The fleet.
+    /// The emulated members, and their methods.
     pub scenario: Scenario,
     /// Text of the operator's file beside `peers`.
     pub operator: String,
--- a/crates/ladderpass-testbed/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -1,4 +1,4 @@
-//! A drill: several routers as processes before an emulated fleet, with fault events on them and on all links between.
+//! A drill: several routers as processes before emulated members, with fault events on them and on all links between.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -79,7 +79,7 @@
             let rule = serde_json::to_string(rule).map_err(io::Error::other)?;
             self.router_links.send_command(&format!("add {rule}")).map_err(io::Error::other)?;
         }
-        self.change_fleet(event);
+        self.change_members(event);
         Ok(())
     }
 
@@ -147,23 +147,23 @@
     }
 
     /// Changes of members and of what discovery sends.
-    fn change_fleet(&mut self, event: &FaultEvent) {
+    fn change_members(&mut self, event: &FaultEvent) {
         if let Some(member) = event.drain {
-            self.fleet.drain(member);
+            self.emulator.drain(member);
             let at = now();
             let notified = (0..self.drill.routers).map(|router| DrainNotice { router, member, at });
             self.drain_notices.extend(notified);
         }
         if let Some(member) = event.ends {
-            self.fleet.apply(member, Input::Crash);
+            self.emulator.apply(member, Input::Crash);
         }
         if let Some(member) = event.begins {
-            self.fleet.apply(member, Input::Restart);
+            self.emulator.apply(member, Input::Restart);
         }
         if let Some((router, line)) = &event.line
             && let Some(router) = self.drill.router(router)
         {
-            self.fleet.send_line(router, line);
+            self.emulator.send_line(router, line);
         }
     }
 
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a drill: starts fleet, fault tools and routers, runs the load and the fault events, and checks the history.
+//! Plays a drill: starts emulator, fault tools and routers, runs the load and the fault events, and checks the history.
 //!
 //! All processes and threads end with the drill, however it ends. The routers' logs are used for their views of each
 //! other alone; all else is judged by what clients, members and fault tools saw.
@@ -85,7 +85,7 @@
         down: testbed.down.clone(),
     };
     let direct_plan = &direct_load_plan(drill, seed, &stop);
-    let members = &testbed.fleet.addresses;
+    let members = &testbed.emulator.addresses;
     let direct_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
     let (outcome, direct, events) = std::thread::scope(|scope| {
         let direct = (drill.direct_rpcs_per_second > 0.0)
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -88,10 +88,10 @@
         let addresses: Vec<SocketAddr> = self.starts.iter().filter_map(advertised_address).collect();
         let links = self.member_links();
         let summary = self.router_links.stop();
-        let fleet_started = self.fleet.started_at();
-        let execution_log = self.fleet.stop();
+        let emulator_started_at = self.emulator.started_at();
+        let execution_log = self.emulator.stop();
         let cold_starts =
-            ColdStart::all(&self.drill.scenario, fleet_started, self.drill.warm_member_rpcs_per_second);
+            ColdStart::all(&self.drill.scenario, emulator_started_at, self.drill.warm_member_rpcs_per_second);
         let answer = Span::from_millis(i64::from(self.drill.grace_ms));
         let history = History {
             scenario: &self.drill.scenario,
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -1,4 +1,4 @@
-//! The processes of a drill: fleet, fault tools and routers; which routers are absent, and since when.
+//! The processes of a drill: emulator, fault tools and routers; which routers are absent, and since when.
 
 use super::interrupt::check_interrupted;
 use super::start::{Programs, start_of};
@@ -31,7 +31,7 @@
     pub drill: &'a Drill,
     pub programs: Programs<'a>,
     pub seed: u64,
-    pub fleet: RunningEmulator,
+    pub emulator: RunningEmulator,
     /// The fault tool between clients and routers.
     pub client_links: driver::RunningTool,
     /// The fault tool between routers, members and discovery, and among routers.
@@ -62,17 +62,17 @@
     /// Starts all processes, and waits until the routers serve.
     pub fn start(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<DrillTestbed<'a>> {
         let scenario = Scenario { history: true, ..drill.scenario.clone() };
-        let fleet = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
+        let emulator = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
         let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
         let client_links = start_client_links(&addresses, seed)?;
-        let router_links = start_router_links(&fleet, &addresses, seed)?;
+        let router_links = start_router_links(&emulator, &addresses, seed)?;
         let advertised = router_links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
         router_links.send_command("watch").map_err(io::Error::other)?;
         let member_count = drill.scenario.member_count();
         let (mut members, mut discoveries) = (Vec::new(), Vec::new());
         for (router, links) in router_links.addresses.chunks(member_count + 1).enumerate() {
             let (of_members, discovery) = links.split_at(member_count);
-            fleet.set_list_addresses(router, of_members);
+            emulator.set_list_addresses(router, of_members);
             members.push(of_members.to_vec());
             discoveries.extend_from_slice(discovery);
         }
@@ -83,7 +83,7 @@
             drill,
             programs,
             seed,
-            fleet,
+            emulator,
             client_links,
             router_links,
             members,
@@ -240,18 +240,18 @@
 
 /// For each router in order, links to its members and to its discovery, and a datagram address.
 fn start_router_links(
-    fleet: &RunningEmulator,
+    emulator: &RunningEmulator,
     routers: &[SocketAddr],
     seed: u64,
 ) -> io::Result<driver::RunningTool> {
     let listen = any_loopback_port();
     let (mut links, mut ends) = (Vec::new(), Vec::new());
     for (router, address) in routers.iter().enumerate() {
-        for (member, &to) in fleet.addresses.iter().enumerate() {
+        for (member, &to) in emulator.addresses.iter().enumerate() {
             let name = format!("r{router}>member-{member}");
             links.push(LinkShape { name, listen, to, protocol: Protocol::Postgres });
         }
-        let to = fleet.discoveries[router];
+        let to = emulator.discoveries[router];
         links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, protocol: Protocol::Http });
         // Datagrams go to the port of the router's listener; `own_address` has checked that it is free for UDP too.
         ends.push(End { name: format!("r{router}"), address: listen, to: *address });
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -29,7 +29,7 @@
 
 /// The records of a run, as one history.
 pub struct History<'a> {
-    /// The fleet and its methods.
+    /// The members and their methods.
     pub scenario: &'a Scenario,
     /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
     pub links: &'a HashMap<usize, MemberLink>,
--- a/crates/ladderpass-testbed/src/history_checker/slow_start.rs
+++ b/crates/ladderpass-testbed/src/history_checker/slow_start.rs
@@ -27,7 +27,7 @@
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 
 impl ColdStart {
-    /// The members of a fleet that start cold at `at`, each with a `capacity` in RPCs a second.
+    /// The members of a scenario that start cold at `at`, each with a `capacity` in RPCs a second.
     pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<ColdStart> {
         let overload_window = Span::from_secs_f64(scenario.overload_ms / 1e3);
         let cold_start = |&member: &u32| ColdStart {
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! Test tooling for routers: loads, drills, proofs, capacity measurements, results and charts, before an emulated fleet.
+//! Test tooling for routers: loads, drills, proofs, capacity measurements, results and charts, before emulated members.
 //!
 //! The program `ladderpass-testbed` and the tests use it; routers don't depend on it.
 //!
@@ -7,7 +7,7 @@
 //! | [`router`] | a router as a child process: started, pinned, observed, stopped |
 //! | [`router_log`] | what log lines of routers say |
 //! | [`load`] | load generator: clients, their arrivals and retries, what became of each RPC; the prober |
-//! | [`run`] | one run: fleet, one router, load, fault events, and the record of all |
+//! | [`run`] | one run: emulator, one router, load, fault events, and the record of all |
 //! | [`drill`] | several routers with faults between all of them, from a YAML file; its record and report |
 //! | [`history_checker`] | the five invariants over what clients, the fault tool and members saw |
 //! | [`chaos`] | search for plans of faults that break an invariant |
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `ladderpass-testbed`: loads, experiments, proofs and charts on the emulated fleet.
+//! `ladderpass-testbed`: loads, experiments, proofs and charts on emulated members.
 //!
 //! The program is only a command line over the library of this package; a router that serves doesn't need it.
 
--- a/crates/ladderpass-testbed/src/prove/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/mod.rs
@@ -28,7 +28,7 @@
 /// Runs the proof and prints its table. Returns whether it passes.
 ///
 /// # Errors
-/// If the page can't be read, or a simulation, a router or the fleet can't be started.
+/// If the page can't be read, or a simulation, a router or the emulator can't be started.
 pub fn prove(router: &Path, seed: u64) -> io::Result<bool> {
     let mut table = Table::new("capacity");
     let page = std::fs::read_to_string(PAGE)?;
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -127,7 +127,7 @@
         ));
     }
     if let Some(member) = case.drained_member {
-        events.push((DRAIN_AT_S, Box::new(move |_, fleet| fleet.drain(member))));
+        events.push((DRAIN_AT_S, Box::new(move |_, emulator| emulator.drain(member))));
     }
     events
 }
@@ -142,7 +142,7 @@
     rules
 }
 
-/// What the case made difficult, and how often: the fault tool's decisions, or what the case does to the fleet.
+/// What the case made difficult, and how often: the fault tool's decisions, or what the case does to the members.
 fn exposure(case: &FaultCase, record: &RunRecord, decisions: usize) -> Exposure {
     let executions = &record.execution_log.executions;
     let started_at = |member| executions.iter().filter(|execution| execution.member == member).count();
--- a/crates/ladderpass-testbed/src/prove/faults/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/mod.rs
@@ -15,7 +15,7 @@
 /// Runs the proof and prints its table. Returns whether it passes.
 ///
 /// # Errors
-/// If a router, the fleet or the fault tool can't be started, or a connection fails.
+/// If a router, the emulator or the fault tool can't be started, or a connection fails.
 pub fn prove(binary: &Path, faulty: Option<&Path>, seed: u64) -> io::Result<bool> {
     let mut table = Table::new("faults");
     detection::require_detection(&mut table, binary, faulty, seed)?;
--- a/crates/ladderpass-testbed/src/prove/faults/overhead.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/overhead.rs
@@ -24,16 +24,16 @@
 /// Reports the speed of a connection to a member, directly and through the fault tool without rules.
 ///
 /// # Errors
-/// If the fleet or the fault tool can't be started, or a connection fails.
+/// If the emulator or the fault tool can't be started, or a connection fails.
 pub fn report_overhead(table: &mut Table, seed: u64) -> io::Result<()> {
     let mut scenario = Scenario::default();
     scenario.methods[0].name = "large".into();
     scenario.methods[0].value_bytes = LARGE_VALUE_BYTES;
-    let fleet = RunningEmulator::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
-    let mut links = run::links(&fleet.addresses[..1], fleet.discovery);
+    let emulator = RunningEmulator::start(scenario, seed, Ipv4Addr::LOCALHOST)?;
+    let mut links = run::links(&emulator.addresses[..1], emulator.discovery);
     links.truncate(1);
     let tool = RunningTool::start(Plan { seed, links, ..Plan::default() }, None)?;
-    let direct = measure_speed(fleet.addresses[0])?;
+    let direct = measure_speed(emulator.addresses[0])?;
     let through = measure_speed(tool.addresses[0])?;
     table.report(
         "round trip, median and 99th",
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -162,7 +162,7 @@
     );
 }
 
-/// Requires that retries don't keep the fleet overloaded once a member is back.
+/// Requires that retries don't keep the members overloaded once a member is back.
 fn require_recovery(table: &mut Table, records: &Compared) {
     let recovered = |record: &DrillRecord| {
         served_utility(record, AFTER_FAILURE_S) / served_utility(record, BEFORE_FAILURE_S)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
@@ -44,7 +44,7 @@
 /// Routers that keep the reports of dead ones.
 pub const KEEPS_REPORTS_OF_DEAD: &str = "keeps-the-deads-words";
 
-/// Fleet and methods of all drills.
+/// Members and methods of all drills.
 pub fn scenario() -> Scenario {
     overloaded_scenario(SHARES)
 }
--- a/crates/ladderpass-testbed/src/prove/overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/mod.rs
@@ -16,7 +16,7 @@
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If the fleet, a router or a load can't be started, or a chart can't be written.
+/// If the emulator, a router or a load can't be started, or a chart can't be written.
 pub fn prove(binary: &Path, earlier: Option<&Path>, seed: u64, out: &Path) -> io::Result<bool> {
     let scenario = Scenario::default();
     let routers = Routers::new(binary, earlier);
--- a/crates/ladderpass-testbed/src/prove/scenarios.rs
+++ b/crates/ladderpass-testbed/src/prove/scenarios.rs
@@ -1,4 +1,4 @@
-//! Parts of drills that several proofs share: fleets under overload, faulty routers, times of faults.
+//! Parts of drills that several proofs share: members under overload, faulty routers, times of faults.
 
 use ladderpass_emulator::Scenario;
 use std::collections::BTreeMap;
--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -44,17 +44,17 @@
 }
 
 impl Router {
-    /// Starts a router before a fleet, and waits until it serves.
+    /// Starts a router before emulated members, and waits until it serves.
     ///
     /// # Errors
     /// If it can't be started, ends at once, or does not serve in time.
     pub fn start(
         scenario: &Scenario,
-        fleet: &RunningEmulator,
+        emulator: &RunningEmulator,
         start: &Start,
         seed: u64,
     ) -> io::Result<Router> {
-        Router::start_before(scenario, &fleet.addresses, fleet.discovery, start, seed)
+        Router::start_before(scenario, &emulator.addresses, emulator.discovery, start, seed)
     }
 
     /// Starts a router that reaches members and discovery at these addresses, and waits until it serves.
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -1,12 +1,12 @@
-//! A testbed run: an emulated fleet, a router on a core of its own, a load and a prober, and the record of what all of
+//! A testbed run: an emulator of members, a router on a core of its own, a load and a prober, and the record of what all of
 //! them saw.
 //!
-//! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
+//! It decides the order in which these start and stop. Each run starts its own emulator, so that its record holds
 //! nothing of another run.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `upstream` | where the router reaches the fleet: directly, or through the fault tool |
+//! | `upstream` | where the router reaches members and discovery: directly, or through the fault tool |
 //! | `record` | what a run has recorded, and what is computed from it |
 
 mod record;
@@ -33,13 +33,13 @@
 /// How long a router that is shutting down may take to end before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
+/// A fault event: when, in seconds from the start of the load, and what is done to the router or the emulator.
 pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
 
 /// Runs a load against one router, with fault events.
 ///
 /// # Errors
-/// If the fleet, the router or the load can't be started.
+/// If the emulator, the router or the load can't be started.
 pub fn run(
     scenario: &Scenario,
     start: &Start,
@@ -81,17 +81,19 @@
     }
     let plan = &Plan { journal: true, ..plan.clone() };
     let with_history = Scenario { history: true, ..scenario.clone() };
-    let fleet = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let emulator = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
     let upstream = match rules {
-        None => Upstream { members: fleet.addresses.clone(), discovery: fleet.discovery, fault_tool: None },
-        Some(rules) => Upstream::through_fault_tool(&fleet, rules, plan.seed)?,
+        None => {
+            Upstream { members: emulator.addresses.clone(), discovery: emulator.discovery, fault_tool: None }
+        }
+        Some(rules) => Upstream::through_fault_tool(&emulator, rules, plan.seed)?,
     };
     let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
     let prober = Prober::start(router.address, PROBE_INTERVAL)?;
     let cpu_before = router.resource_usage().cpu_seconds;
     let outcome = load::run(scenario, router.address, plan, |secs| {
         for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
-            act(&router, &fleet);
+            act(&router, &emulator);
         }
         events.retain(|(when, _)| *when > secs);
         on_progress(secs);
@@ -102,14 +104,14 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut summary = upstream.fault_tool.map(driver::RunningTool::stop);
-    let drains = fleet.drains().into_iter();
+    let drains = emulator.drains().into_iter();
     let record = RunRecord {
         outcome,
         probe_delays,
         drain_notices: drains
             .map(|drain| DrainNotice { router: drain.list, member: drain.member, at: drain.at })
             .collect(),
-        execution_log: fleet.stop(),
+        execution_log: emulator.stop(),
         cpu_seconds: used.cpu_seconds - cpu_before,
         resident_bytes: used.resident_bytes,
         log,
--- a/crates/ladderpass-testbed/src/run/upstream.rs
+++ b/crates/ladderpass-testbed/src/run/upstream.rs
@@ -1,4 +1,4 @@
-//! Where a router reaches the fleet: directly, or through the fault tool.
+//! Where a router reaches members and discovery: directly, or through the fault tool.
 
 use ladderpass_emulator::RunningEmulator;
 use ladderpass_fault_injection::plan::LinkShape;
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Where the router reaches the fleet: directly, or through the fault tool.
+/// Where the router reaches members and discovery: directly, or through the fault tool.
 pub(super) struct Upstream {
     /// One for each member, in order.
     pub members: Vec<SocketAddr>,
@@ -15,20 +15,24 @@
 }
 
 impl Upstream {
-    /// Starts the fault tool before a fleet, whose discovery then gives the tool's addresses.
-    pub fn through_fault_tool(fleet: &RunningEmulator, rules: Vec<Rule>, seed: u64) -> io::Result<Upstream> {
-        let links = links(&fleet.addresses, fleet.discovery);
+    /// Starts the fault tool before an emulator, whose discovery then gives the tool's addresses.
+    pub fn through_fault_tool(
+        emulator: &RunningEmulator,
+        rules: Vec<Rule>,
+        seed: u64,
+    ) -> io::Result<Upstream> {
+        let links = links(&emulator.addresses, emulator.discovery);
         let plan = Plan { seed, links, rules, ..Plan::default() };
         let fault_tool = driver::RunningTool::start(plan, None)?;
         fault_tool.send_command("watch").map_err(io::Error::other)?;
         let mut members = fault_tool.addresses.clone();
-        let discovery = members.pop().unwrap_or(fleet.discovery);
-        fleet.set_addresses(&members);
+        let discovery = members.pop().unwrap_or(emulator.discovery);
+        emulator.set_addresses(&members);
         Ok(Upstream { members, discovery, fault_tool: Some(fault_tool) })
     }
 }
 
-/// The links of the fault tool before a fleet: its members in order, then discovery.
+/// The links of the fault tool before an emulator: its members in order, then discovery.
 pub fn links(members: &[SocketAddr], discovery: SocketAddr) -> Vec<LinkShape> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let member_link = |(index, &to): (usize, &SocketAddr)| LinkShape {
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -144,8 +144,8 @@
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
     let events: Vec<FaultEvent<'_>> = vec![
-        (0.5, Box::new(|_, fleet| fleet.drain(1))),
-        (0.9, Box::new(move |_, fleet| fleet.send_line(0, old))),
+        (0.5, Box::new(|_, emulator| emulator.drain(1))),
+        (0.9, Box::new(move |_, emulator| emulator.send_line(0, old))),
     ];
     // Rule 3 is checked over the whole run: the drain applies whatever the old list says.
     let (seen, _) = run_load(9, &[], events);
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -120,14 +120,14 @@
 fn a_router_with_gossip_publishes_what_members_reported_to_it() {
     let _turn = wait_for_turn();
     let scenario = Scenario::default();
-    let fleet = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
+    let emulator = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
     let other = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
     other.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
     let (own, others) = (free_addresses(1)[0], other.local_addr().expect("bound"));
     let mut start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     start.operator = Some(format!("peers: {{me: 0, all: ['{own}', '{others}']}}\nmembers: {{zone: a}}"));
     let router =
-        Router::start_before(&scenario, &fleet.addresses, fleet.discovery, &start, 3).expect("router");
+        Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3).expect("router");
     let plan = Plan { connections: 20, pipeline: 1, ..open_plan(3, &[(1.0, 50.0)]) };
     load::run(&scenario, router.address, &plan, |_| {}).expect("load");
     let mut buffer = [0; 512];
@@ -157,5 +157,5 @@
     let after = load::run(&scenario, router.address, &plan, |_| {}).expect("load");
     assert_eq!(after.total().ok, after.total().due, "{:?}", after.total());
     router.stop();
-    fleet.stop();
+    emulator.stop();
 }
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -112,8 +112,8 @@
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
         (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
-        (1.0, Box::new(|_, fleet| fleet.apply(1, Input::Crash))),
-        (2.0, Box::new(|_, fleet| fleet.apply(1, Input::Restart))),
+        (1.0, Box::new(|_, emulator| emulator.apply(1, Input::Crash))),
+        (2.0, Box::new(|_, emulator| emulator.apply(1, Input::Restart))),
     ];
     let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), events);
     assert_all_answered(&seen);
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -140,7 +140,7 @@
             fault_events.push((at, Box::new(move |router, _| drop(stop_times.terminate(router)))));
         }
         if let Some(at) = self.drains_at {
-            fault_events.push((secs(at), Box::new(|_, fleet| fleet.drain(1))));
+            fault_events.push((secs(at), Box::new(|_, emulator| emulator.drain(1))));
         }
         fault_events.push((secs(kill_at), Box::new(move |router, _| stop_times.kill(router))));
         fault_events
