--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -106,17 +106,17 @@
     let asked: Vec<usize> = out.iter().map(|(id, _)| id.parse().expect("a number")).collect();
     assert!((1..29).contains(&asked.len()), "some are held, not {:?}", asked);
     // All but the last of the clients with pending RPCs leave.
-    let held: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
-    let last = *held.last().expect("some are held");
+    let pending: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
+    let last = *pending.last().expect("some are held");
     let mut clients: Vec<Option<TcpStream>> = stay.into_iter().map(Some).collect();
-    held.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
+    pending.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
     harness.settle();
     sleep(Duration::from_millis(300));
     for (_, link) in out {
         harness.answer_rpc(0, link);
     }
     let (id, link) = harness.next_rpc(0);
-    assert_eq!(id, last.to_string(), "of {} that left none is sent on", held.len() - 1);
+    assert_eq!(id, last.to_string(), "of {} that left none is sent on", pending.len() - 1);
     harness.answer_rpc(0, link);
     harness.assert_write_succeeds("after");
 }
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -71,7 +71,7 @@
 /// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
 /// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
 #[test]
-fn hang_up_twice_follows_the_last_address() {
+fn sighup_twice_follows_the_last_address() {
     let mut harness = start_harness(|config| config);
     let good = std::fs::read_to_string(&harness.config_file).expect("its file");
     let (silent, last) = (bind_listener(), bind_listener());
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -26,7 +26,7 @@
 
 /// A reload while the router stops changes nothing for clients that wait for an answer.
 #[test]
-fn hang_up_during_the_stop_loses_nothing() {
+fn sighup_during_the_stop_loses_nothing() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -271,15 +271,15 @@
     };
     until(" listening ");
     std::fs::write(&operator, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
-    let hang_up = |process: &Child| {
+    let send_sighup = |process: &Child| {
         let pid = nix::unistd::Pid::from_raw(process.id() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
     };
-    hang_up(&process);
+    send_sighup(&process);
     let line = until("configuration not reloaded");
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
     std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
-    hang_up(&process);
+    send_sighup(&process);
     until("configuration reloaded discovery=");
     let _ =
         (process.kill(), process.wait(), std::fs::remove_file(config_file), std::fs::remove_file(operator));
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -107,24 +107,24 @@
 
     /// A connection to a member comes up or ends, or its query is answered, well or badly.
     fn act_as_member(&mut self) {
-        let Some(id) = self.choose_from(self.peers.keys().copied().collect()) else { return };
+        let Some(id) = self.choose_from(self.member_ends.keys().copied().collect()) else { return };
         let (what, position) = (self.roll(16), self.now.nanos() as u64 / 1_000_000);
-        let peer = self.peers.get_mut(&id).expect("it is there");
+        let member_end = self.member_ends.get_mut(&id).expect("it is there");
         if what == 0 {
-            self.peers.remove(&id);
+            self.member_ends.remove(&id);
             return self.apply(Event::Closed(id));
         }
-        if !peer.up {
-            peer.up = what != 1;
+        if !member_end.up {
+            member_end.up = what != 1;
             return self.apply(if what == 1 { Event::ConnectDenied(id) } else { Event::Connected(id) });
         }
-        if !peer.startup_done {
-            peer.startup_done = true;
-            peer.inbox.clear();
+        if !member_end.startup_done {
+            member_end.startup_done = true;
+            member_end.inbox.clear();
             return self.feed(id, &welcome());
         }
-        let Some(asked) = peer.query.take() else {
-            if std::mem::take(&mut peer.fence_queued) {
+        let Some(asked) = member_end.query.take() else {
+            if std::mem::take(&mut member_end.sync_query_queued) {
                 self.feed(id, &empty_query_response());
             } else if what == 1 {
                 self.feed(id, &row(b"early", "leader", position));
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{empty_query_response, frame, query, row, startup, statement};
 use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt};
-use crate::simulation::{Client, Peer, Simulation, launch_changed_by};
+use crate::simulation::{Client, MemberEnd, Simulation, launch_changed_by};
 use ladderpass::reducer::{ConnectionId, Effect, Event};
 use ladderpass_routing::Span;
 
@@ -23,10 +23,10 @@
         let mut simulation = clients_that_sent(8, |nth| query(&text(nth)));
         (0..8).for_each(|nth| simulation.expect_statement(&text(nth), true));
         let position = (simulation.now.nanos() / 1_000_000) as u64 - age_ms;
-        let probed: Vec<ConnectionId> = simulation.peers.keys().copied().collect();
+        let probed: Vec<ConnectionId> = simulation.member_ends.keys().copied().collect();
         for (nth, &id) in probed.iter().enumerate() {
             simulation.establish(id);
-            simulation.peers.get_mut(&id).expect("it came up").query = None;
+            simulation.member_ends.get_mut(&id).expect("it came up").query = None;
             let seconds = position as f64 / 1e3;
             let report = format!("x0={seconds:.3},x1={}", u8::from(nth == 0));
             simulation.feed(id, &row(report.as_bytes(), "follower", position));
@@ -34,12 +34,12 @@
         }
         simulation.advance(Span::ZERO);
         let late: Vec<ConnectionId> =
-            simulation.peers.keys().filter(|id| !probed.contains(id)).copied().collect();
+            simulation.member_ends.keys().filter(|id| !probed.contains(id)).copied().collect();
         assert!(!late.is_empty(), "some wait for a connection: {method}, {age_ms} ms");
         simulation.now = simulation.now + Span::from_millis(waited_ms as i64);
         // Waited for the first connection; decided again, it may be sent on one that is established later.
         simulation.establish(late[0]);
-        let asked = simulation.peers[&late[0]].query.is_some();
+        let asked = simulation.member_ends[&late[0]].query.is_some();
         assert_eq!(asked, sent, "{method}, of data {age_ms} ms old");
     }
 }
@@ -79,17 +79,17 @@
 fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
         let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
-        simulation.peers.get_mut(&link).expect("it is there").query = None;
+        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
         simulation.feed(link, &row(b"7", "follower", 1));
         simulation.write(client);
         assert_eq!(simulation.clients[&client].answers, 1);
         assert!(
-            simulation.peers[&link].fence_queued,
+            simulation.member_ends[&link].sync_query_queued,
             "an empty query stands behind the one that was answered"
         );
         simulation.feed(link, &surplus);
         simulation.feed(link, &empty_query_response());
-        assert!(!simulation.peers.contains_key(&link));
+        assert!(!simulation.member_ends.contains_key(&link));
     }
 }
 
@@ -164,7 +164,7 @@
             let has_it = |&&id: &&ConnectionId| {
                 String::from_utf8_lossy(simulation.reducer.outgoing(id)).contains("id=8,")
             };
-            let Some(&link) = simulation.peers.keys().find(has_it) else {
+            let Some(&link) = simulation.member_ends.keys().find(has_it) else {
                 panic!("{method}: it is not sent")
             };
             if written > 0 {
@@ -195,28 +195,29 @@
         simulation.receive(client, &startup());
         for _ in 0..6 {
             simulation.advance(Span::from_millis(5));
-            for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
-                if !simulation.peers[&id].up {
+            for id in simulation.member_ends.keys().copied().collect::<Vec<_>>() {
+                if !simulation.member_ends[&id].up {
                     simulation.establish(id);
                 }
-                let Some(peer) = simulation.peers.get_mut(&id) else { continue };
-                if peer.query.take().is_some() {
+                let Some(member_end) = simulation.member_ends.get_mut(&id) else { continue };
+                if member_end.query.take().is_some() {
                     let leads = simulation.ports[&id] == 7000;
                     let report =
                         format!("x0={}.{:03},x1={}", reached / 1000, reached % 1000, u8::from(leads));
                     simulation.feed(id, &row(report.as_bytes(), "follower", 0));
-                } else if std::mem::take(&mut peer.fence_queued) {
+                } else if std::mem::take(&mut member_end.sync_query_queued) {
                     simulation.feed(id, &empty_query_response());
                 }
             }
         }
         simulation.receive(client, &query(&text));
         simulation.advance(Span::ZERO);
-        let asked = |(id, peer): (&ConnectionId, &Peer)| {
-            let it = peer.query.as_deref().is_some_and(|text| text.contains("id=7,"));
+        let asked = |(id, member_end): (&ConnectionId, &MemberEnd)| {
+            let it = member_end.query.as_deref().is_some_and(|text| text.contains("id=7,"));
             it.then(|| simulation.ports[id])
         };
-        let went: Vec<u16> = simulation.peers.iter().filter_map(asked).map(|port| port.min(7001)).collect();
+        let went: Vec<u16> =
+            simulation.member_ends.iter().filter_map(asked).map(|port| port.min(7001)).collect();
         assert_eq!(went, [port], "short by {short_by} ms");
     }
 }
@@ -227,7 +228,7 @@
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     simulation.feed(link, &row(b"7", "follower", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
-    assert!(!simulation.peers.contains_key(&link), "abandoned");
+    assert!(!simulation.member_ends.contains_key(&link), "abandoned");
     assert_eq!(simulation.clients[&client].answers, 0, "a read that may go elsewhere");
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("write");
     simulation.feed(link, &row(b"7", "leader", 1)[..40]);
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{empty_query_response, error_response, id_and_rest, query, row, startup, statement};
 use crate::scenarios::{FirstAttempt, answers_of, send_first_attempt, served, unserved};
-use crate::simulation::{Client, Peer, Simulation};
+use crate::simulation::{Client, MemberEnd, Simulation};
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
 
@@ -25,7 +25,7 @@
     simulation.send_cancel_request(idle);
     simulation.send_cancel_request((process, idle.1));
     assert_eq!(answers_of(&simulation, client), []);
-    simulation.peers.get_mut(&link).expect("it is there").query = None;
+    simulation.member_ends.get_mut(&link).expect("it is there").query = None;
     simulation.receive(link, &row(b"7", "follower", 1));
     simulation.send_cancel_request((process, secret));
     simulation.advance(Span::ZERO);
@@ -53,16 +53,16 @@
     for _ in 0..200 {
         simulation.advance(Span::from_millis(5));
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
-            let Some(peer) = simulation.peers.get_mut(&id) else { continue };
-            if !peer.up {
+        for id in simulation.member_ends.keys().copied().collect::<Vec<_>>() {
+            let Some(member_end) = simulation.member_ends.get_mut(&id) else { continue };
+            if !member_end.up {
                 simulation.establish(id);
-            } else if let Some(asked) = peer.query.take() {
+            } else if let Some(asked) = member_end.query.take() {
                 assert_ne!(id_and_rest(&asked).0, "7", "it was cancelled");
                 let report = format!("x0={}.9,x1=1", position / 1000);
                 let value = if asked == "SHOW server_load" { report } else { id_and_rest(&asked).0 };
                 simulation.feed(id, &row(value.as_bytes(), "leader", position));
-            } else if std::mem::take(&mut peer.fence_queued) {
+            } else if std::mem::take(&mut member_end.sync_query_queued) {
                 simulation.feed(id, &empty_query_response());
             }
         }
@@ -93,7 +93,7 @@
             simulation.reducer.handle(simulation.now, Event::Written(link, written));
         }
         simulation.send_cancel_request(simulation.cancel_key_of(client));
-        assert_eq!(!simulation.peers.contains_key(&link), written > 0, "a part makes it useless");
+        assert_eq!(!simulation.member_ends.contains_key(&link), written > 0, "a part makes it useless");
         assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
         assert_eq!(simulation.reducer.attempts_in_flight(), (0, 0));
         simulation.write(client);
@@ -118,13 +118,13 @@
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         assert_eq!(answers_of(&simulation, client), [], "it is out");
-        simulation.peers.get_mut(&link).expect("it is there").query = None;
+        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
         match ends {
             "well" => simulation
                 .receive(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position)),
             "refused" => simulation.receive(link, &error_response("53300")),
             _ => {
-                simulation.peers.remove(&link);
+                simulation.member_ends.remove(&link);
                 simulation.apply(Event::Closed(link));
             }
         }
@@ -132,8 +132,10 @@
         assert_eq!(answers_of(&simulation, client), [wanted], "{method} {ends}");
         for _ in 0..100 {
             simulation.advance(Span::from_millis(5));
-            let asked = |peer: &Peer| peer.query.as_ref().is_some_and(|asked| asked.contains("id=7,"));
-            assert!(!simulation.peers.values().any(asked), "{method} {ends}: a further attempt");
+            let asked = |member_end: &MemberEnd| {
+                member_end.query.as_ref().is_some_and(|asked| asked.contains("id=7,"))
+            };
+            assert!(!simulation.member_ends.values().any(asked), "{method} {ends}: a further attempt");
         }
     }
 }
--- a/crates/ladderpass/tests/reducer/checks.rs
+++ b/crates/ladderpass/tests/reducer/checks.rs
@@ -35,11 +35,11 @@
                     client.answered_at = Some(self.now);
                 }
                 client.answers = ready;
-            } else if let Some(peer) = self.peers.get_mut(&id) {
-                peer.inbox.extend_from_slice(&bytes);
-                if peer.startup_done {
-                    let (found, used) = frames(&peer.inbox);
-                    peer.inbox.drain(..used);
+            } else if let Some(member_end) = self.member_ends.get_mut(&id) {
+                member_end.inbox.extend_from_slice(&bytes);
+                if member_end.startup_done {
+                    let (found, used) = frames(&member_end.inbox);
+                    member_end.inbox.drain(..used);
                     found.into_iter().for_each(|(kind, body)| self.check_query(id, kind, &body));
                 }
             }
@@ -57,16 +57,23 @@
             assert_eq!(statement.text, rest, "byte for byte but d");
             assert!(!(statement.runs_once && statement.may_have_run), "rule 2: it may have run before");
             statement.may_have_run = true;
-            let out = self.peers.values().filter(|peer| peer.query.as_ref() == Some(&text)).count();
+            let out = self
+                .member_ends
+                .values()
+                .filter(|member_end| member_end.query.as_ref() == Some(&text))
+                .count();
             assert_eq!(out, 0, "rule 2: a second copy");
         }
-        let peer = self.peers.get_mut(&id).expect("it is there");
+        let member_end = self.member_ends.get_mut(&id).expect("it is there");
         if text.is_empty() {
-            assert!(peer.query.is_some() && !peer.fence_queued, "an empty query stands behind a query");
-            peer.fence_queued = true;
+            assert!(
+                member_end.query.is_some() && !member_end.sync_query_queued,
+                "an empty query stands behind a query"
+            );
+            member_end.sync_query_queued = true;
             return;
         }
-        assert!(peer.query.is_none() && !peer.fence_queued, "two at once on a connection");
-        peer.query = Some(text);
+        assert!(member_end.query.is_none() && !member_end.sync_query_queued, "two at once on a connection");
+        member_end.query = Some(text);
     }
 }
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -15,7 +15,7 @@
         let FirstAttempt { mut simulation, client, link } =
             send_first_attempt_in(Simulation::overloaded(vec![255; 600]), "read");
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        simulation.peers.get_mut(&link).expect("it is there").query = None;
+        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
         let value = row(&[b'v'; 60_000], "follower", position);
         let mut rest = &value[..];
         while !rest.is_empty() {
--- a/crates/ladderpass/tests/reducer/scenarios.rs
+++ b/crates/ladderpass/tests/reducer/scenarios.rs
@@ -78,19 +78,19 @@
     simulation.feed(client, &[startup(), query(&text)].concat());
     for _ in 0..20 {
         simulation.advance(Span::from_millis(5));
-        for id in simulation.peers.keys().copied().collect::<Vec<_>>() {
-            if !simulation.peers.get(&id).is_some_and(|peer| peer.up) {
+        for id in simulation.member_ends.keys().copied().collect::<Vec<_>>() {
+            if !simulation.member_ends.get(&id).is_some_and(|member_end| member_end.up) {
                 simulation.establish(id);
             }
-            let Some(peer) = simulation.peers.get_mut(&id) else { continue };
-            match peer.query.as_deref() {
+            let Some(member_end) = simulation.member_ends.get_mut(&id) else { continue };
+            match member_end.query.as_deref() {
                 Some("SHOW server_load") => {
                     let report = format!("x0={}.9,x1={}", position / 1000, u8::from(method == "write"));
-                    peer.query = None;
+                    member_end.query = None;
                     simulation.feed(id, &row(report.as_bytes(), "follower", position));
                 }
                 Some(_) => return FirstAttempt { simulation, client, link: id },
-                None if std::mem::take(&mut peer.fence_queued) => {
+                None if std::mem::take(&mut member_end.sync_query_queued) => {
                     simulation.feed(id, &empty_query_response())
                 }
                 None => {}
--- a/crates/ladderpass/tests/reducer/simulation.rs
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -28,14 +28,14 @@
 
 /// The other side of a connection to a member.
 #[derive(Default)]
-pub struct Peer {
+pub struct MemberEnd {
     pub up: bool,
     pub startup_done: bool,
     pub inbox: Vec<u8>,
     /// The query that it has not answered yet.
     pub query: Option<String>,
     /// An empty query follows that one.
-    pub fence_queued: bool,
+    pub sync_query_queued: bool,
 }
 
 /// A statement that a client has sent.
@@ -55,7 +55,7 @@
     pub now: Time,
     pub choices: VecDeque<u8>,
     pub clients: BTreeMap<ConnectionId, Client>,
-    pub peers: BTreeMap<ConnectionId, Peer>,
+    pub member_ends: BTreeMap<ConnectionId, MemberEnd>,
     /// Ports of the members, by connection.
     pub ports: BTreeMap<ConnectionId, u16>,
     /// Watches, and whether each is open.
@@ -100,7 +100,7 @@
             now,
             choices: choices.into(),
             clients: BTreeMap::new(),
-            peers: BTreeMap::new(),
+            member_ends: BTreeMap::new(),
             ports: BTreeMap::new(),
             watches: Vec::new(),
             statements: HashMap::new(),
@@ -142,13 +142,13 @@
                 }
                 Effect::Connect(id, address) => {
                     self.ports.insert(id, address.port());
-                    self.peers.insert(id, Peer::default());
+                    self.member_ends.insert(id, MemberEnd::default());
                 }
                 // Now and then a socket takes nothing for a while.
                 Effect::Write(_) if self.choices.len() % 5 == 4 => {}
                 Effect::Write(id) => self.write(id),
                 Effect::Close(id) => {
-                    self.peers.remove(&id);
+                    self.member_ends.remove(&id);
                     self.watches.retain(|(watch, _)| *watch != id);
                     if let Some(client) = self.clients.remove(&id) {
                         let unanswered = client.due.len() > client.answers;
@@ -170,12 +170,12 @@
 
     /// A connection to a member is established, with nothing in flight but what is sent with that.
     pub fn establish(&mut self, id: ConnectionId) {
-        self.peers.insert(id, Peer { up: true, startup_done: true, ..Peer::default() });
+        self.member_ends.insert(id, MemberEnd { up: true, startup_done: true, ..MemberEnd::default() });
         self.apply(Event::Connected(id));
         self.write(id);
-        self.peers.get_mut(&id).expect("it came up").inbox.clear();
-        let peer = self.peers.get_mut(&id).expect("it came up");
-        (peer.query, peer.fence_queued) = (None, false);
+        self.member_ends.get_mut(&id).expect("it came up").inbox.clear();
+        let member_end = self.member_ends.get_mut(&id).expect("it came up");
+        (member_end.query, member_end.sync_query_queued) = (None, false);
         self.feed(id, &welcome());
         self.write(id);
     }
@@ -231,7 +231,7 @@
     pub fn advance(&mut self, span: Span) {
         self.now = self.now + span;
         self.apply(Event::Tick);
-        let behind: Vec<ConnectionId> = self.clients.keys().chain(self.peers.keys()).copied().collect();
+        let behind: Vec<ConnectionId> = self.clients.keys().chain(self.member_ends.keys()).copied().collect();
         behind.into_iter().for_each(|id| self.write(id));
         self.apply(Event::Tick);
     }
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -41,7 +41,7 @@
     pipeline: usize,
     crowd: usize,
     term_at: Span,
-    hang_ups: Vec<Span>,
+    sighups_at: Vec<Span>,
     terms: usize,
     drains_at: Option<Span>,
     pauses_at: Vec<Span>,
@@ -69,16 +69,16 @@
         let mut random = WyRand::new_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut below = |limit: u64| random.generate_range(0..limit);
         let term_at = Span::from_millis(700 + below(500) as i64);
-        let hang_up = |at: u64| Span::from_millis(100 + at as i64);
+        let after_start = |at: u64| Span::from_millis(100 + at as i64);
         SoakRun {
             deadline: Span::from_millis([300, 500, 1000, 2000][below(4) as usize]),
             pipeline: [1, 1, 4][below(3) as usize],
             crowd: [0, 0, 300][below(3) as usize],
             term_at,
-            hang_ups: (0..below(5)).map(|_| hang_up(below(2000))).collect(),
+            sighups_at: (0..below(5)).map(|_| after_start(below(2000))).collect(),
             terms: 1 + below(3) as usize,
             drains_at: (below(3) == 0).then(|| term_at - Span::from_millis(100 + below(300) as i64)),
-            pauses_at: (0..below(3)).map(|_| hang_up(below(1500))).collect(),
+            pauses_at: (0..below(3)).map(|_| after_start(below(1500))).collect(),
             failures: (0..below(3))
                 .map(|_| {
                     let (call, errno) = CALLS[below(CALLS.len() as u64) as usize];
@@ -127,7 +127,7 @@
                 }),
             ));
         }
-        for &at in &self.hang_ups {
+        for &at in &self.sighups_at {
             fault_events.push((secs(at), Box::new(move |router, _| signal(router, Signal::SIGHUP))));
         }
         for &at in &self.pauses_at {
