--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -1,7 +1,7 @@
 //! Search for faults that break an invariant: plans of fault rules are drawn from a seed and played under load against a real
 //! router. A plan that breaks an invariant is reduced to the fewest rules that still do, and written to a file.
 
-use crate::load;
+use crate::load::{self, Phase};
 use crate::router::Start;
 use crate::run::{self, open_plan};
 use ladderpass_emulator::Scenario;
@@ -62,7 +62,7 @@
         connections: 300,
         pipeline: 1,
         deadline: Span::from_millis(1000),
-        ..open_plan(seed, &[(1.0, 400.0)])
+        ..open_plan(seed, &[Phase { seconds: 1.0, rate_per_second: 400.0 }])
     };
     let (record, summary) = run::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
     let mut violations = record.violation_texts(ANSWER_GRACE);
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -20,8 +20,21 @@
     RGBColor(140, 86, 75),
 ];
 
-/// A line of a chart: its name, and its points.
-pub type Line<'a> = (&'a str, Vec<(f64, f64)>);
+/// A line of a chart.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Line<'a> {
+    /// Its name in the legend.
+    pub name: &'a str,
+    /// Its points (x, y), in the order in which they are connected.
+    pub points: Vec<(f64, f64)>,
+}
+
+impl<'a> Line<'a> {
+    /// A line of this name through these points.
+    pub fn new(name: &'a str, points: Vec<(f64, f64)>) -> Line<'a> {
+        Line { name, points }
+    }
+}
 
 fn drawing_error(error: impl std::fmt::Display) -> io::Error {
     io::Error::other(error.to_string())
@@ -38,7 +51,7 @@
     lines: &[Line<'_>],
     log_x: bool,
 ) -> io::Result<()> {
-    let points = || lines.iter().flat_map(|(_, points)| points.iter());
+    let points = || lines.iter().flat_map(|line| line.points.iter());
     let max_x = points().map(|point| point.0).fold(0.0, f64::max);
     let min_x = points().map(|point| point.0).fold(f64::MAX, f64::min);
     let max_y = points().map(|point| point.1).fold(0.0, f64::max).max(1e-9) * 1.05;
@@ -50,11 +63,11 @@
         ($x:expr) => {{
             let mut chart = builder.build_cartesian_2d($x, 0.0..max_y).map_err(drawing_error)?;
             chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw().map_err(drawing_error)?;
-            for ((name, points), colour) in lines.iter().zip(COLOURS.iter().cycle()) {
-                let series = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
+            for (line, colour) in lines.iter().zip(COLOURS.iter().cycle()) {
+                let series = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
                 let legend =
                     move |(x, y)| PathElement::new(vec![(x, y), (x + 20, y)], colour.stroke_width(2));
-                chart.draw_series(series).map_err(drawing_error)?.label(*name).legend(legend);
+                chart.draw_series(series).map_err(drawing_error)?.label(line.name).legend(legend);
             }
             let mut labels = chart.configure_series_labels();
             labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(drawing_error)?;
@@ -71,9 +84,8 @@
 ///
 /// # Errors
 /// As [`lines`].
-pub fn goodput(path: &Path, curves: &[(&str, &[(f64, f64)])]) -> io::Result<()> {
-    let shown: Vec<Line<'_>> = curves.iter().map(|(name, points)| (*name, points.to_vec())).collect();
-    lines(path, "Goodput against offered load", ("offered, in calm loads", "utility a second"), &shown, false)
+pub fn goodput(path: &Path, curves: &[Line<'_>]) -> io::Result<()> {
+    lines(path, "Goodput against offered load", ("offered, in calm loads", "utility a second"), curves, false)
 }
 
 /// Draws the distribution of the event loop's delay.
@@ -89,7 +101,7 @@
             counted += step.count_at_value();
             (step.value_iterated_to() as f64 / 1e3, counted as f64 / total)
         });
-        shown.push((*name, points.collect::<Vec<_>>()));
+        shown.push(Line::new(name, points.collect()));
     }
     lines(
         path,
@@ -118,21 +130,21 @@
         let good = slices
             .iter()
             .filter_map(|slice| Some((slice.at_s, slice.counts.get(index)?.good as f64 * per_second)));
-        shown.push((&method.name, good.collect()));
+        shown.push(Line::new(&method.name, good.collect()));
     }
     let rejected =
         |slice: &crate::load::Slice| slice.counts.iter().map(|counts| counts.rejected).sum::<u64>() as f64;
-    shown.push((
+    shown.push(Line::new(
         "pushed back",
         slices.iter().map(|slice| (slice.at_s, rejected(slice) * per_second)).collect(),
     ));
     lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &shown, false)?;
     let pressure_path = path.with_file_name("pressure.svg");
     let shown = [
-        ("pressure", figures(&record.log, "pressure", METRICS_INTERVAL_S)),
-        ("delay part", figures(&record.log, "delay_part", METRICS_INTERVAL_S)),
-        ("floor", figures(&record.log, "floor", METRICS_INTERVAL_S)),
-        ("cpu", figures(&record.log, "cpu_used", METRICS_INTERVAL_S)),
+        Line::new("pressure", figures(&record.log, "pressure", METRICS_INTERVAL_S)),
+        Line::new("delay part", figures(&record.log, "delay_part", METRICS_INTERVAL_S)),
+        Line::new("floor", figures(&record.log, "floor", METRICS_INTERVAL_S)),
+        Line::new("cpu", figures(&record.log, "cpu_used", METRICS_INTERVAL_S)),
     ];
     lines(&pressure_path, "Pressure over time", ("s", "part"), &shown, false)
 }
--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -6,6 +6,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
+use ladderpass_testbed::load::Phase;
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::RunRecord;
 use ladderpass_testbed::{load, results, run};
@@ -33,7 +34,7 @@
         floods: args.floods,
         ..run::open_plan(args.testbed.seed, &phases)
     };
-    let total_s: f64 = phases.iter().map(|(secs, _)| secs).sum();
+    let total_s: f64 = phases.iter().map(|phase| phase.seconds).sum();
     let progress = progress_bar(total_s)?;
     let start = router_start(&args.testbed)?;
     let on_progress = |secs: f64| progress.set_position((secs * PROGRESS_STEPS_PER_SECOND) as u64);
@@ -52,13 +53,13 @@
 }
 
 /// Parses a phase `SECONDSxRATE`.
-fn parse_phase(text: &str) -> Result<(f64, f64), CliError> {
+fn parse_phase(text: &str) -> Result<Phase, CliError> {
     let parse = || {
         let (secs, rate) = text.split_once('x')?;
-        let (secs, rate): (f64, f64) = (secs.parse().ok()?, rate.parse().ok()?);
-        let is_allowed =
-            (0.0..=MAX_PHASE_SECONDS).contains(&secs) && (0.0..=MAX_RPCS_PER_SECOND).contains(&rate);
-        is_allowed.then_some((secs, rate))
+        let phase = Phase { seconds: secs.parse().ok()?, rate_per_second: rate.parse().ok()? };
+        let is_allowed = (0.0..=MAX_PHASE_SECONDS).contains(&phase.seconds)
+            && (0.0..=MAX_RPCS_PER_SECOND).contains(&phase.rate_per_second);
+        is_allowed.then_some(phase)
     };
     parse().ok_or_else(|| CliError::Phase(text.to_owned()))
 }
--- a/crates/ladderpass-testbed/src/cli/simulated_routers.rs
+++ b/crates/ladderpass-testbed/src/cli/simulated_routers.rs
@@ -1,4 +1,5 @@
-//! `hollow`: what a simulated router sends and computes a second, or how that grows with the numbers of routers, groups and members.
+//! `hollow`: what a simulated router sends and computes a second, or how that grows with the numbers of routers, groups and
+//! members.
 
 use super::args::SimulatedRoutersArgs;
 use super::error::CliError;
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -2,6 +2,7 @@
 
 use super::errors::{DrillError, FaultEventError};
 use super::event::FaultEvent;
+use crate::load::Phase;
 use ladderpass_emulator::Scenario;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -14,8 +15,8 @@
     pub routers: usize,
     /// Routers are peers: they agree on who is alive, and gossip.
     pub peers: bool,
-    /// Phases of the load, one after the other: seconds, and RPCs a second.
-    pub phases: Vec<(f64, f64)>,
+    /// Phases of the load, one after the other; in the file, pairs of seconds and RPCs a second.
+    pub phases: Vec<Phase>,
     /// Connections of clients.
     pub clients: usize,
     /// How many times the connections of the last router the first one has; those between follow geometrically.
@@ -72,7 +73,7 @@
         Drill {
             routers: 4,
             peers: true,
-            phases: vec![(5.0, 200.0)],
+            phases: vec![Phase { seconds: 5.0, rate_per_second: 200.0 }],
             clients: 80,
             connection_skew: 4.0,
             roaming: 0.3,
@@ -147,8 +148,9 @@
                 return Err(DrillError::OutOfRange { key, value, min, max });
             }
         }
-        let is_allowed =
-            |&(secs, rate): &(f64, f64)| (0.0..=3600.0).contains(&secs) && (0.0..=20_000.0).contains(&rate);
+        let is_allowed = |phase: &Phase| {
+            (0.0..=3600.0).contains(&phase.seconds) && (0.0..=20_000.0).contains(&phase.rate_per_second)
+        };
         if self.phases.is_empty() || !self.phases.iter().all(is_allowed) {
             return Err(DrillError::Phases);
         }
@@ -187,7 +189,7 @@
 
     /// Length of the load in seconds.
     pub fn secs(&self) -> f64 {
-        self.phases.iter().map(|(secs, _)| secs).sum()
+        self.phases.iter().map(|phase| phase.seconds).sum()
     }
 
     /// The index of the router `rN`.
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -16,7 +16,7 @@
 pub use view::{RouterChange, RouterView, parse_view};
 
 use super::Drill;
-use crate::load::{self, LoadBalancer, Outcome, Plan};
+use crate::load::{self, LoadBalancer, Outcome, Phase, Plan};
 use crate::run::open_plan;
 use ladderpass_routing::Span;
 use std::io;
@@ -120,6 +120,6 @@
         pipeline: 1,
         deadline: Span::from_millis(i64::from(drill.deadline_ms)),
         stop: Some(stop.clone()),
-        ..open_plan(!seed, &[(drill.secs(), drill.direct_rpcs_per_second)])
+        ..open_plan(!seed, &[Phase { seconds: drill.secs(), rate_per_second: drill.direct_rpcs_per_second }])
     }
 }
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -223,23 +223,23 @@
         let views: Vec<Line<'_>> = names
             .iter()
             .enumerate()
-            .map(|(router, name)| (name.as_str(), self.live_router_counts(router)))
+            .map(|(router, name)| Line::new(name, self.live_router_counts(router)))
             .collect();
-        if views.iter().any(|(_, points)| !points.is_empty()) {
+        if views.iter().any(|line| !line.points.is_empty()) {
             let axes = ("seconds", "routers");
             charts::lines(&folder.join("views.svg"), "How many routers each counts on", axes, &views, false)?;
         }
         let per_second = ("seconds", "a second");
-        let served: Vec<Line<'_>> = vec![("utility served", self.utility())];
+        let served: Vec<Line<'_>> = vec![Line::new("utility served", self.utility())];
         charts::lines(&folder.join("utility.svg"), "Utility", per_second, &served, false)?;
         let methods = drill.scenario.methods.iter().enumerate();
         let rejections: Vec<Line<'_>> =
-            methods.map(|(index, method)| (method.name.as_str(), self.rejection_rate(index))).collect();
+            methods.map(|(index, method)| Line::new(&method.name, self.rejection_rate(index))).collect();
         charts::lines(&folder.join("pushed-back.svg"), "Pushed back", per_second, &rejections, false)?;
         let names: Vec<String> =
             (0..drill.scenario.member_count()).map(|member| format!("member {member}")).collect();
         let work: Vec<Line<'_>> =
-            names.iter().zip(0..).map(|(name, member)| (name.as_str(), self.attempt_rate(member))).collect();
+            names.iter().zip(0..).map(|(name, member)| Line::new(name, self.attempt_rate(member))).collect();
         charts::lines(&folder.join("work.svg"), "Begun at members", per_second, &work, false)
     }
 }
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -91,7 +91,7 @@
                     break;
                 };
                 self.next_arrival.rate_per_second = phase.rate_per_second;
-                self.next_arrival.phase_ends = self.next_arrival.phase_ends + phase.duration;
+                self.next_arrival.phase_ends = self.next_arrival.phase_ends + phase.duration();
             } else {
                 let rpc = self.draw_rpc(due);
                 self.queue.push_back(rpc);
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -200,6 +200,6 @@
         return 0;
     }
     let phases = plan.arrivals.phases().iter();
-    let due: f64 = phases.map(|phase| phase.duration.secs() * phase.rate_per_second).sum();
+    let due: f64 = phases.map(|phase| phase.duration().secs() * phase.rate_per_second).sum();
     (due * JOURNAL_MARGIN).min(JOURNAL_MAX_RESERVED) as usize
 }
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -1,6 +1,7 @@
 //! What a load is: its arrivals, connections, deadlines and retries.
 
 use ladderpass_routing::Span;
+use serde::Deserialize;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
@@ -14,19 +15,34 @@
 }
 
 /// A phase of a load with open arrivals.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
+#[serde(from = "(f64, f64)")]
 pub struct Phase {
-    /// Its length.
-    pub duration: Span,
+    /// Its length, in seconds.
+    pub seconds: f64,
     /// RPCs a second that are due, on average.
     pub rate_per_second: f64,
 }
 
+impl Phase {
+    /// Its length.
+    pub(super) fn duration(&self) -> Span {
+        Span::from_secs_f64(self.seconds)
+    }
+}
+
+/// Files of drills give a phase as a pair.
+impl From<(f64, f64)> for Phase {
+    fn from((seconds, rate_per_second): (f64, f64)) -> Phase {
+        Phase { seconds, rate_per_second }
+    }
+}
+
 impl Arrivals {
     /// For how long RPCs are due.
     pub fn duration(&self) -> Span {
         match self {
-            Arrivals::Open(phases) => phases.iter().fold(Span::ZERO, |sum, phase| sum + phase.duration),
+            Arrivals::Open(phases) => phases.iter().fold(Span::ZERO, |sum, phase| sum + phase.duration()),
             Arrivals::Closed(duration) => *duration,
         }
     }
@@ -70,10 +86,7 @@
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
-            arrivals: Arrivals::Open(vec![Phase {
-                duration: Span::from_millis(1000),
-                rate_per_second: 1000.0,
-            }]),
+            arrivals: Arrivals::Open(vec![Phase { seconds: 1.0, rate_per_second: 1000.0 }]),
             connections: 64,
             pipeline: 16,
             deadline: Span::from_millis(1000),
--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -5,9 +5,10 @@
 use crate::capacity::slope::Slope;
 use crate::capacity::traffic::Traffic;
 use crate::capacity::{control, simulated_routers};
-use crate::charts;
+use crate::charts::{self, Line};
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
+use crate::load::Phase;
 use crate::prove::parallel::join;
 use crate::prove::traffic::traffic_of_drill;
 use std::fmt::Write as _;
@@ -92,7 +93,7 @@
 fn write_slope_chart(slope: &Slope, out: &Path) -> io::Result<()> {
     let fit = slope.fit();
     let fitted = slope.points.iter().map(|&(x, _)| (x, fit.at(x))).collect();
-    let lines = [("measured", slope.points.clone()), ("fit", fitted)];
+    let lines = [Line::new("measured", slope.points.clone()), Line::new("fit", fitted)];
     let path = out.join(format!("{}.svg", slope.name));
     charts::lines(&path, slope.name, (slope.x, slope.y), &lines, false)
 }
@@ -130,7 +131,10 @@
         connection_skew: 1.0,
         roaming: 0.0,
         clients: CLIENTS_PER_ROUTER * routers,
-        phases: vec![(COMPARISON_S, RPCS_PER_SECOND_AND_ROUTER * routers as f64)],
+        phases: vec![Phase {
+            seconds: COMPARISON_S,
+            rate_per_second: RPCS_PER_SECOND_AND_ROUTER * routers as f64,
+        }],
         ..Drill::default()
     };
     drill.scenario.groups = groups;
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -1,7 +1,7 @@
 //! Runs a case with the real router or a faulty one, and finds the rules that it breaks.
 
 use super::cases::{CASES, FaultCase};
-use crate::load::{self, Plan};
+use crate::load::{self, Phase, Plan};
 use crate::prove::Table;
 use crate::router::Start;
 use crate::run::{self, FaultEvent, RunRecord, open_plan};
@@ -104,7 +104,7 @@
         connections: CONNECTIONS,
         pipeline: 1,
         deadline: DEADLINE,
-        ..open_plan(seed, &[(LOAD_S, RPCS_PER_SECOND)])
+        ..open_plan(seed, &[Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }])
     }
 }
 
@@ -121,13 +121,12 @@
 fn fault_events(case: &FaultCase) -> Vec<FaultEvent<'static>> {
     let mut events: Vec<FaultEvent<'static>> = Vec::new();
     if case.terminate {
-        events.push((
-            TERMINATE_AT_S,
-            Box::new(|router, _| router.signal(Signal::SIGTERM).expect("the router runs")),
-        ));
+        events.push(FaultEvent::at(TERMINATE_AT_S, |router, _| {
+            router.signal(Signal::SIGTERM).expect("the router runs")
+        }));
     }
     if let Some(member) = case.drained_member {
-        events.push((DRAIN_AT_S, Box::new(move |_, emulator| emulator.drain(member))));
+        events.push(FaultEvent::at(DRAIN_AT_S, move |_, emulator| emulator.drain(member)));
     }
     events
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
@@ -1,6 +1,7 @@
 //! The drills: answers are lost, members reject attempts, and a member, a router and a part of the network fail.
 
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::scenarios::{
     FLEET_ROUTERS, FaultWindow, faulty_routers, overloaded_scenario, owned_names, router_names,
 };
@@ -62,7 +63,7 @@
 /// Members reject what they can't start soon, under 2.5 times the load that they can serve.
 pub fn members_reject(operator: &str) -> Drill {
     Drill {
-        phases: vec![(REJECTION_DRILL_END_S, OVERLOAD_RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: REJECTION_DRILL_END_S, rate_per_second: OVERLOAD_RPCS_PER_SECOND }],
         scenario: Scenario { queue: QUEUED_RPCS, ..overloaded_scenario(OVERLOAD_SHARES) },
         clients: OVERLOAD_CLIENTS,
         ..drill(operator, REJECTION_DRILL_END_S, Vec::new())
@@ -89,7 +90,7 @@
         connection_skew: 4.0,
         roaming: 0.0,
         clients: CLIENTS,
-        phases: vec![(seconds, CALM_RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds, rate_per_second: CALM_RPCS_PER_SECOND }],
         scenario: overloaded_scenario(CALM_SHARES),
         operator: operator.into(),
         events,
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -2,6 +2,7 @@
 
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::checks::{highest, is_flat, lowest};
 use crate::prove::parallel::join;
@@ -55,7 +56,7 @@
         routers,
         connection_skew: 1.0,
         clients: CLIENTS,
-        phases: vec![(LOAD_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }],
         operator: SHED_AND_BUDGET_TOGETHER.into(),
         scenario,
         idle_s: IDLE_S,
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -197,15 +197,15 @@
 fn write_charts(measured: &Measurements, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     let retries: Vec<Line<'_>> = vec![
-        ("from the budget", retry_ratios(&measured.answers_lost.budgets)),
-        ("without", retry_ratios(&measured.answers_lost.without)),
-        ("spends without asking", retry_ratios(&measured.spends_without_asking)),
+        Line::new("from the budget", retry_ratios(&measured.answers_lost.budgets)),
+        Line::new("without", retry_ratios(&measured.answers_lost.without)),
+        Line::new("spends without asking", retry_ratios(&measured.spends_without_asking)),
     ];
     let title = "Further call-outs, of first ones";
     charts::lines(&out.join("further.svg"), title, ("seconds", "part"), &retries, false)?;
     let utility: Vec<Line<'_>> = vec![
-        ("with budgets", measured.member_down.budgets.utility()),
-        ("without", measured.member_down.without.utility()),
+        Line::new("with budgets", measured.member_down.budgets.utility()),
+        Line::new("without", measured.member_down.without.utility()),
     ];
     let title = "Utility: a member gone from 3 to 6 s";
     charts::lines(&out.join("trigger.svg"), title, ("seconds", "a second"), &utility, false)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
@@ -2,6 +2,7 @@
 
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::parallel::join;
 use crate::prove::scenarios::{SHED_ALONE, SHED_TOGETHER};
@@ -60,7 +61,7 @@
         routers: ROUTERS,
         connection_skew: 1.0,
         clients: CLIENTS,
-        phases: vec![(LOAD_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }],
         operator: operator.into(),
         ..Drill::default()
     };
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
@@ -2,6 +2,7 @@
 
 use crate::drill::play::Programs;
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::scenarios::{
     FLEET_ROUTERS, FaultWindow, SHED_ALONE, SHED_TOGETHER, faulty_routers, overloaded_scenario, owned_names,
     router_names,
@@ -108,7 +109,7 @@
         connection_skew: UNEVENNESS,
         roaming: 0.0,
         clients: CLIENTS,
-        phases: vec![(seconds, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds, rate_per_second: RPCS_PER_SECOND }],
         scenario: scenario(),
         operator: operator.into(),
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -122,19 +122,19 @@
     std::fs::create_dir_all(out)?;
     let per_second = ("seconds", "a second");
     let compared: Vec<Line<'_>> = vec![
-        ("one sees all", records.single.utility()),
-        ("as one", records.shared.utility()),
-        ("each alone", records.separate.utility()),
+        Line::new("one sees all", records.single.utility()),
+        Line::new("as one", records.shared.utility()),
+        Line::new("each alone", records.separate.utility()),
     ];
     charts::lines(&out.join("utility.svg"), "Utility", per_second, &compared, false)?;
     let failures: Vec<Line<'_>> =
-        vec![("a third killed at 3 s, split from 5 to 11 s", records.failures.utility())];
+        vec![Line::new("a third killed at 3 s, split from 5 to 11 s", records.failures.utility())];
     charts::lines(&out.join("harmed.svg"), "Utility", per_second, &failures, false)?;
     let names = router_names(0..FLEET_ROUTERS);
     let thresholds: Vec<Line<'_>> = names
         .iter()
         .enumerate()
-        .map(|(router, name)| (name.as_str(), admission_thresholds(&records.shared, router)))
+        .map(|(router, name)| Line::new(name, admission_thresholds(&records.shared, router)))
         .collect();
     let axes = ("seconds of its log", "rank");
     charts::lines(&out.join("floors.svg"), "Floor of each router", axes, &thresholds, false)
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
@@ -1,6 +1,7 @@
 //! The drills: routers before groups with cold members, under bursts, some with restarts of routers.
 
 use crate::drill::{Drill, FaultEvent};
+use crate::load;
 use crate::prove::scenarios::faulty_routers;
 use crate::prove::scenarios::router_names;
 use ladderpass_emulator::Scenario;
@@ -27,6 +28,13 @@
     factor: f64,
 }
 
+impl Phase {
+    /// The phase as the load plays it, if the drill's rate is so many RPCs a second.
+    fn of_rate(self, rate_per_second: f64) -> load::Phase {
+        load::Phase { seconds: self.seconds, rate_per_second: rate_per_second * self.factor }
+    }
+}
+
 /// The warm-up takes 10 s from before the routers' start: a burst in its middle.
 const BURST_IN_THE_MIDDLE: [Phase; 3] = [
     Phase { seconds: 2.5, factor: 1.0 },
@@ -87,7 +95,7 @@
         peers: false,
         connection_skew: 4.0,
         clients: routers * CLIENTS_PER_ROUTER,
-        phases: phases.iter().map(|phase| (phase.seconds, total_rate * phase.factor)).collect(),
+        phases: phases.iter().map(|phase| phase.of_rate(total_rate)).collect(),
         max_settle_s: SETTLE_S,
         deadline_ms: DEADLINE_MS,
         grace_ms: ANSWER_TOLERANCE_MS,
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -33,10 +33,10 @@
     std::fs::create_dir_all(out)?;
     let mut lines: Vec<Line<'_>> = Vec::new();
     if let Some(windows) = windows(current) {
-        lines.extend([("allowed", windows.limit), ("shares paid out", windows.rpcs)]);
+        lines.extend([Line::new("allowed", windows.limit), Line::new("shares paid out", windows.rpcs)]);
     }
-    lines.extend(earlier.and_then(windows).map(|windows| ("before", windows.rpcs)));
-    lines.extend(windows(without_warm_up).map(|windows| ("ignores-warm-up", windows.rpcs)));
+    lines.extend(earlier.and_then(windows).map(|windows| Line::new("before", windows.rpcs)));
+    lines.extend(windows(without_warm_up).map(|windows| Line::new("ignores-warm-up", windows.rpcs)));
     let title = "RPCs within 3 s at a cold member, by its age";
     charts::lines(&out.join("window.svg"), title, ("seconds", "RPCs"), &lines, false)
 }
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -5,6 +5,7 @@
 use super::views::{agreement_delay_s, detection_delays_s, false_alarms, live_counts};
 use crate::drill::play::DrillRecord;
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::scenarios::{FaultWindow, owned_names, router_names};
 
@@ -63,7 +64,7 @@
     ];
     Drill {
         routers: ROUTERS,
-        phases: vec![(DRILL_END_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: DRILL_END_S, rate_per_second: RPCS_PER_SECOND }],
         clients: CLIENTS,
         events,
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
@@ -5,6 +5,7 @@
 use super::views::{detection_delays_s, false_alarms, live_counts, returns_after};
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::scenarios::{faulty_routers, owned_names};
 use std::fmt;
@@ -118,7 +119,7 @@
         FaultEvent { at: LOSS_AT_S, lasts: LOSS_LASTS_S, datagrams: Some(lost), ..FaultEvent::default() };
     Drill {
         routers: ROUTERS,
-        phases: vec![(DRILL_END_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: DRILL_END_S, rate_per_second: RPCS_PER_SECOND }],
         clients: CLIENTS,
         faulty: switch.map(|switch| faulty_routers(0..ROUTERS, switch)).unwrap_or_default(),
         events: vec![
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
@@ -3,6 +3,7 @@
 
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::Table;
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
@@ -21,13 +22,13 @@
 
 const DRAINED_MEMBER: u32 = 1;
 const DRAIN_AT_S: f64 = 0.6;
-const DRAIN_PHASE: (f64, f64) = (2.5, 600.0);
+const DRAIN_PHASE: Phase = Phase { seconds: 2.5, rate_per_second: 600.0 };
 const DRAIN_CLIENTS: usize = 200;
 
 const COLD_MEMBER: u32 = 2;
 const COLD_OVERLOAD_MS: f64 = 500.0;
 const COLD_CAPACITY_RPCS_PER_SECOND: f64 = 640.0;
-const COLD_PHASE: (f64, f64) = (1.5, 2600.0);
+const COLD_PHASE: Phase = Phase { seconds: 1.5, rate_per_second: 2600.0 };
 const COLD_CLIENTS: usize = 400;
 /// Idle time before the load, which then falls late in the warm-up: there the attempts of the healthy routers weigh as much
 /// as those of the faulty one.
@@ -67,7 +68,7 @@
 
     /// Does the drill need the machine's cores for itself?
     pub fn needs_all_cores(&self) -> bool {
-        self.drill.phases.iter().any(|(_, rate)| *rate > MAX_PARALLEL_RPCS_PER_SECOND)
+        self.drill.phases.iter().any(|phase| phase.rate_per_second > MAX_PARALLEL_RPCS_PER_SECOND)
     }
 }
 
@@ -85,7 +86,7 @@
 fn base_drill() -> Drill {
     Drill {
         routers: ROUTERS,
-        phases: vec![(LOAD_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }],
         clients: CLIENTS,
         connection_skew: 1.0,
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
@@ -4,6 +4,7 @@
 use super::views::{detection_delays_s, seconds};
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::checks::require_no_violations;
 use crate::prove::scenarios::{faulty_routers, owned_names, router_names};
@@ -85,7 +86,7 @@
     let kill = owned_names(&["r0", "r3", "r6"]);
     let mut drill = Drill {
         routers: ROUTERS,
-        phases: vec![(COUNTED_S.end, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: COUNTED_S.end, rate_per_second: RPCS_PER_SECOND }],
         clients: CLIENTS,
         scenario,
         events: vec![FaultEvent { at: KILL_AT_S, kill, ..FaultEvent::default() }],
--- a/crates/ladderpass-testbed/src/prove/membership/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/mod.rs
@@ -12,7 +12,7 @@
 use super::checks::require_no_violations;
 use super::parallel::join;
 use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
-use crate::charts;
+use crate::charts::{self, Line};
 use crate::drill::Drill;
 use crate::drill::play::{DrillRecord, Programs, play};
 use detection::{detection_drill, require_detection};
@@ -100,6 +100,6 @@
 
 fn write_traffic_chart(sizes: &[TrafficOfSize], out: &Path) -> io::Result<()> {
     let points = sizes.iter().map(|size| (size.routers as f64, size.traffic.datagrams_per_second)).collect();
-    let lines = [("datagrams", points)];
+    let lines = [Line::new("datagrams", points)];
     charts::lines(&out.join("load.svg"), "Datagrams a router", ("routers", "a second"), &lines, false)
 }
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -2,6 +2,7 @@
 //! and with short delays.
 
 use super::routers::{Routers, WARM_UP_S};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::run::{self, RunRecord, open_plan};
 use ladderpass_emulator::Scenario;
@@ -49,7 +50,10 @@
     rate: f64,
     seed: u64,
 ) -> io::Result<bool> {
-    let phases = [(WARM_UP_S, rate * 0.5), (LOAD_S, rate)];
+    let phases = [
+        Phase { seconds: WARM_UP_S, rate_per_second: rate * 0.5 },
+        Phase { seconds: LOAD_S, rate_per_second: rate },
+    ];
     let (mut calm, mut disturbed) = (0, 0);
     while calm < CALM_RUNS {
         let plan = open_plan(seed + calm + disturbed, &phases);
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -1,7 +1,8 @@
 //! Goodput by offered load, with overload control and without.
 
 use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
-use crate::charts;
+use crate::charts::{self, Line};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::router::Start;
 use crate::run::{self, open_plan};
@@ -46,7 +47,11 @@
 /// Utility a second at a multiple of the calm load.
 fn goodput(scenario: &Scenario, start: &Start, calm_rate: f64, factor: f64, seed: u64) -> io::Result<f64> {
     let rate = calm_rate * factor;
-    let phases = [(WARM_UP_S, calm_rate * 0.5), (SETTLE_S, rate), (MEASURED_S, rate)];
+    let phases = [
+        Phase { seconds: WARM_UP_S, rate_per_second: calm_rate * 0.5 },
+        Phase { seconds: SETTLE_S, rate_per_second: rate },
+        Phase { seconds: MEASURED_S, rate_per_second: rate },
+    ];
     let record = run::run(scenario, start, &open_plan(seed, &phases), vec![])?;
     let from_s = WARM_UP_S + SETTLE_S;
     Ok(record.outcome.utility_rate(from_s, from_s + MEASURED_S))
@@ -70,8 +75,10 @@
     /// # Errors
     /// If it can't be written.
     pub(super) fn write_chart(&self, out: &Path) -> io::Result<()> {
-        let curves: [(&str, &[(f64, f64)]); 2] =
-            [("watching itself", &self.controlled), ("without the file", &self.uncontrolled)];
+        let curves = [
+            Line::new("watching itself", self.controlled.clone()),
+            Line::new("without the file", self.uncontrolled.clone()),
+        ];
         charts::goodput(&out.join("goodput.svg"), &curves)
     }
 }
--- a/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -2,6 +2,7 @@
 
 use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
 use crate::charts;
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::run::{self, LoopDelay, RunRecord, open_plan};
 use ladderpass_emulator::Scenario;
@@ -45,10 +46,10 @@
     seed: u64,
 ) -> io::Result<TripleLoad> {
     let phases = [
-        (WARM_UP_S, calm_rate * 0.5),
-        (RISE_S - WARM_UP_S, calm_rate),
-        (FALL_S - RISE_S, calm_rate * LOAD_FACTOR),
-        (END_S - FALL_S, calm_rate),
+        Phase { seconds: WARM_UP_S, rate_per_second: calm_rate * 0.5 },
+        Phase { seconds: RISE_S - WARM_UP_S, rate_per_second: calm_rate },
+        Phase { seconds: FALL_S - RISE_S, rate_per_second: calm_rate * LOAD_FACTOR },
+        Phase { seconds: END_S - FALL_S, rate_per_second: calm_rate },
     ];
     let controlled = run::run(scenario, &routers.controlled, &open_plan(seed, &phases), vec![])?;
     let uncontrolled = run::run(scenario, &routers.uncontrolled, &open_plan(seed, &phases[..3]), vec![])?;
--- a/crates/ladderpass-testbed/src/prove/traffic.rs
+++ b/crates/ladderpass-testbed/src/prove/traffic.rs
@@ -5,6 +5,7 @@
 use crate::capacity::traffic::Traffic;
 use crate::drill::Drill;
 use crate::drill::play::{DrillRecord, Programs, play};
+use crate::load::Phase;
 use ladderpass_fault_injection::TrafficCounts;
 use std::io;
 
@@ -51,7 +52,7 @@
     let drill = Drill {
         routers,
         idle_s: IDLE_S,
-        phases: vec![(LOAD_S, LOAD_RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: LOAD_S, rate_per_second: LOAD_RPCS_PER_SECOND }],
         clients: CLIENTS,
         operator: operator.into(),
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/results/report.rs
+++ b/crates/ladderpass-testbed/src/results/report.rs
@@ -50,9 +50,9 @@
     };
     let mut lines: Vec<Line<'_>> = Vec::new();
     for (index, name) in results.methods.iter().enumerate() {
-        lines.push((name, points(&|slice| slice["counts"][index]["good"].as_f64())));
+        lines.push(Line::new(name, points(&|slice| slice["counts"][index]["good"].as_f64())));
     }
-    lines.push(("pushed back", points(&|slice| Some(rejections(slice)))));
+    lines.push(Line::new("pushed back", points(&|slice| Some(rejections(slice)))));
     charts::lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &lines, false)
 }
 
@@ -68,10 +68,10 @@
         results.metrics.iter().enumerate().filter_map(point).collect()
     };
     let lines = [
-        ("pressure", points("pressure")),
-        ("delay part", points("delay_part")),
-        ("cpu", points("cpu_used")),
-        ("floor", points("floor")),
+        Line::new("pressure", points("pressure")),
+        Line::new("delay part", points("delay_part")),
+        Line::new("cpu", points("cpu_used")),
+        Line::new("floor", points("floor")),
     ];
     charts::lines(path, "Pressure over time", ("figures told", "part"), &lines, false)
 }
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -22,7 +22,7 @@
 use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::{self, RunSummary};
-use ladderpass_routing::{Span, Time};
+use ladderpass_routing::Time;
 use record::WARM_MEMBER_RPCS_PER_SECOND;
 use std::io;
 use std::net::Ipv4Addr;
@@ -33,8 +33,21 @@
 /// How long a router that is shutting down may take to end before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A fault event: when, in seconds from the start of the load, and what is done to the router or the emulator.
-pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
+type Act<'a> = Box<dyn FnMut(&Router, &RunningEmulator) + 'a>;
+
+/// What is done to the router or the emulator at a time of the load.
+pub struct FaultEvent<'a> {
+    /// When, in seconds from the start of the load.
+    at_s: f64,
+    act: Act<'a>,
+}
+
+impl<'a> FaultEvent<'a> {
+    /// Does `act` once, `at_s` seconds after the start of the load.
+    pub fn at(at_s: f64, act: impl FnMut(&Router, &RunningEmulator) + 'a) -> FaultEvent<'a> {
+        FaultEvent { at_s, act: Box::new(act) }
+    }
+}
 
 /// Runs a load against one router, with fault events.
 ///
@@ -92,10 +105,10 @@
     let prober = Prober::start(router.address, PROBE_INTERVAL)?;
     let cpu_before = router.resource_usage().cpu_seconds;
     let outcome = load::run(scenario, router.address, plan, |secs| {
-        for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
-            act(&router, &emulator);
+        for event in events.iter_mut().filter(|event| event.at_s <= secs) {
+            (event.act)(&router, &emulator);
         }
-        events.retain(|(when, _)| *when > secs);
+        events.retain(|event| event.at_s > secs);
         on_progress(secs);
     })?;
     let used = router.resource_usage();
@@ -142,14 +155,10 @@
     })
 }
 
-/// A plan of open arrivals: phases with their seconds and RPCs a second.
-pub fn open_plan(seed: u64, phases: &[(f64, f64)]) -> Plan {
-    let phase = |&(secs, rate_per_second): &(f64, f64)| Phase {
-        duration: Span::from_secs_f64(secs),
-        rate_per_second,
-    };
+/// A plan of open arrivals in these phases, one after the other.
+pub fn open_plan(seed: u64, phases: &[Phase]) -> Plan {
     Plan {
-        arrivals: Arrivals::Open(phases.iter().map(phase).collect()),
+        arrivals: Arrivals::Open(phases.to_vec()),
         connections: 200,
         pipeline: 64,
         seed,
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -9,7 +9,7 @@
 use failing_syscalls::FailingSyscall;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, RunRecord, open_plan};
 use one_at_a_time::wait_for_turn;
@@ -28,7 +28,11 @@
 /// Runs a load of two seconds against a router whose calls fail.
 fn run_load(start: &Start) -> RunRecord {
     let _turn = wait_for_turn();
-    let plan = Plan { connections: 60, deadline: DEADLINE, ..open_plan(5, &[(2.0, 300.0)]) };
+    let plan = Plan {
+        connections: 60,
+        deadline: DEADLINE,
+        ..open_plan(5, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
+    };
     let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     assert_eq!(seen.ended, None, "the process goes on: {}", seen.log.join("\n"));
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -7,7 +7,7 @@
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::RunSummary;
 use ladderpass_routing::Span;
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open_plan};
 use nix::sys::signal::Signal;
@@ -24,7 +24,7 @@
         connections: 400,
         pipeline: 1,
         deadline: Span::from_millis(2000),
-        ..open_plan(seed, &[(2.0, 300.0)])
+        ..open_plan(seed, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
     };
     let scenario = Scenario::default();
     let done = run::run_through(&scenario, &start, &plan, Some(rules), events, |_| {});
@@ -116,7 +116,7 @@
 fn faults_during_sighup_lose_nothing() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> =
-        vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs")))];
+        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGHUP).expect("it runs"))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
     run_load(7, &rules, events);
 }
@@ -144,8 +144,8 @@
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
     let events: Vec<FaultEvent<'_>> = vec![
-        (0.5, Box::new(|_, emulator| emulator.drain(1))),
-        (0.9, Box::new(move |_, emulator| emulator.send_line(0, old))),
+        FaultEvent::at(0.5, |_, emulator| emulator.drain(1)),
+        FaultEvent::at(0.9, move |_, emulator| emulator.send_line(0, old)),
     ];
     // Rule 3 is checked over the whole run: the drain applies whatever the old list says.
     let (seen, _) = run_load(9, &[], events);
@@ -170,7 +170,7 @@
         connections: 60,
         pipeline: 1,
         deadline: Span::from_millis(2000),
-        ..open_plan(10, &[(7.0, 60.0)])
+        ..open_plan(10, &[Phase { seconds: 7.0, rate_per_second: 60.0 }])
     };
     let (seen, left) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
@@ -196,10 +196,10 @@
         connections: 200,
         pipeline: 1,
         deadline: Span::from_millis(2000),
-        ..open_plan(11, &[(2.0, 200.0)])
+        ..open_plan(11, &[Phase { seconds: 2.0, rate_per_second: 200.0 }])
     };
     let events: Vec<FaultEvent<'_>> =
-        vec![(0.8, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
+        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
     let (seen, _) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
@@ -219,7 +219,7 @@
             connections: 400,
             pipeline: 1,
             deadline: Span::from_millis(2000),
-            ..open_plan(seed, &[(2.0, 300.0)])
+            ..open_plan(seed, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
         };
         // Garbled bytes within a value can't be detected on the way.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::Time;
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{DrillRecord, Programs, play};
-use ladderpass_testbed::load::{self, Counts, Plan};
+use ladderpass_testbed::load::{self, Counts, Phase, Plan};
 use ladderpass_testbed::router::{Router, Start};
 use ladderpass_testbed::run::open_plan;
 use one_at_a_time::wait_for_turn;
@@ -30,7 +30,7 @@
     let mut scenario = Scenario { cores: 2, ..Scenario::default() };
     scenario.methods.iter_mut().for_each(|method| method.work_ms = 20.0);
     Drill {
-        phases: vec![(3.0, rate * 4.0)],
+        phases: vec![Phase { seconds: 3.0, rate_per_second: rate * 4.0 }],
         // No more connections than are in use all the time: the router closes one that is idle for two seconds, and the
         // load might choose it for an RPC at that moment.
         clients: if rate < 100.0 { (rate * 4.0 / 3.0) as usize } else { 1200 },
@@ -128,7 +128,11 @@
     start.operator = Some(format!("peers: {{me: 0, all: ['{own}', '{others}']}}\nmembers: {{zone: a}}"));
     let router =
         Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3).expect("router");
-    let plan = Plan { connections: 20, pipeline: 1, ..open_plan(3, &[(1.0, 50.0)]) };
+    let plan = Plan {
+        connections: 20,
+        pipeline: 1,
+        ..open_plan(3, &[Phase { seconds: 1.0, rate_per_second: 50.0 }])
+    };
     load::run(&scenario, router.address, &plan, |_| {}).expect("load");
     let mut buffer = [0; 512];
     let (count, from) = loop {
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -6,7 +6,7 @@
 use ladderpass_emulator::{Input, Scenario};
 use ladderpass_routing::Span;
 use ladderpass_testbed::charts;
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open_plan};
 use nix::sys::signal::Signal;
@@ -23,7 +23,7 @@
 }
 
 /// A load that a slow build on one core can serve too, with long deadlines.
-fn gentle(seed: u64, phases: &[(f64, f64)]) -> Plan {
+fn gentle(seed: u64, phases: &[Phase]) -> Plan {
     Plan { connections: 50, deadline: Span::from_millis(4000), ..open_plan(seed, phases) }
 }
 
@@ -44,7 +44,12 @@
     let _turn = wait_for_turn();
     let mut start = start(SHORT);
     start.operator = None;
-    let seen = run(&Scenario::default(), &start, &gentle(1, &[(1.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start,
+        &gentle(1, &[Phase { seconds: 1.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     let total = seen.outcome.total();
     assert!(total.ok > 400 && total.rejected == 0, "{total:?}");
 }
@@ -54,7 +59,12 @@
     let _turn = wait_for_turn();
     // Four fifths of the work are reads: only reads are shed, until more than all of them would be.
     let short = "overload:\n  memory: {from: 0.001, full: 0.2}\n";
-    let seen = run(&Scenario::default(), &start(short), &gentle(2, &[(2.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start(short),
+        &gentle(2, &[Phase { seconds: 2.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     assert_all_answered(&seen);
     let (reads, writes) = (seen.outcome.of(0), seen.outcome.of(1));
     assert!(reads.rejected > 50, "{reads:?}");
@@ -77,7 +87,13 @@
         start("log: {figures: 100ms}\noverload: {slow_reader: 500ms, delay: {from: 2s, full: 4s}}\n");
     start.allowed.memory_mb = 64;
     // They connect first, the others later.
-    let plan = Plan { slow_readers: 100, ..gentle(3, &[(3.5, 0.0), (2.5, 100.0)]) };
+    let plan = Plan {
+        slow_readers: 100,
+        ..gentle(
+            3,
+            &[Phase { seconds: 3.5, rate_per_second: 0.0 }, Phase { seconds: 2.5, rate_per_second: 100.0 }],
+        )
+    };
     let seen = run(&scenario, &start, &plan, vec![]);
     assert_all_answered(&seen);
     let after = seen.counts(5.0, 6.0);
@@ -97,7 +113,14 @@
 #[test]
 fn one_flood_among_polite_clients_is_what_is_shed() {
     let _turn = wait_for_turn();
-    let plan = Plan { floods: 1, flood_depth: 400, ..gentle(4, &[(0.5, 400.0), (2.0, 400.0)]) };
+    let plan = Plan {
+        floods: 1,
+        flood_depth: 400,
+        ..gentle(
+            4,
+            &[Phase { seconds: 0.5, rate_per_second: 400.0 }, Phase { seconds: 2.0, rate_per_second: 400.0 }],
+        )
+    };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, vec![]);
     assert_all_answered(&seen);
     let (flood, polite) = (&seen.outcome.flood, seen.counts(0.5, 2.5));
@@ -111,11 +134,16 @@
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
-        (1.0, Box::new(|_, emulator| emulator.apply(1, Input::Crash))),
-        (2.0, Box::new(|_, emulator| emulator.apply(1, Input::Restart))),
+        FaultEvent::at(0.5, |router, _| router.signal(Signal::SIGHUP).expect("it runs")),
+        FaultEvent::at(1.0, |_, emulator| emulator.apply(1, Input::Crash)),
+        FaultEvent::at(2.0, |_, emulator| emulator.apply(1, Input::Restart)),
     ];
-    let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), events);
+    let seen = run(
+        &Scenario::default(),
+        &start(SHORT),
+        &gentle(5, &[Phase { seconds: 3.0, rate_per_second: 500.0 }]),
+        events,
+    );
     assert_all_answered(&seen);
     assert!(
         seen.log.iter().any(|line| line.contains("configuration reloaded discovery=")),
@@ -125,8 +153,8 @@
     assert_eq!(seen.ended, None, "it runs on");
     // SIGTERM in the middle: what was accepted is answered, then the process exits with success.
     let events: Vec<FaultEvent<'_>> =
-        vec![(1.0, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
-    let plan = Plan { connections: 50, ..gentle(6, &[(1.2, 500.0)]) };
+        vec![FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
+    let plan = Plan { connections: 50, ..gentle(6, &[Phase { seconds: 1.2, rate_per_second: 500.0 }]) };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, events);
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
     assert_eq!(seen.counts(0.0, 0.9).unanswered, 0);
@@ -136,10 +164,15 @@
 fn a_stall_of_800_ms_is_answered_for() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        (1.0, Box::new(|router, _| router.signal(Signal::SIGSTOP).expect("it runs"))),
-        (1.8, Box::new(|router, _| router.signal(Signal::SIGCONT).expect("it is stopped"))),
+        FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGSTOP).expect("it runs")),
+        FaultEvent::at(1.8, |router, _| router.signal(Signal::SIGCONT).expect("it is stopped")),
     ];
-    let seen = run(&Scenario::default(), &start("overload: {}\n"), &gentle(7, &[(4.0, 300.0)]), events);
+    let seen = run(
+        &Scenario::default(),
+        &start("overload: {}\n"),
+        &gentle(7, &[Phase { seconds: 4.0, rate_per_second: 300.0 }]),
+        events,
+    );
     assert_all_answered(&seen);
     let after = seen.counts(3.8, 4.0);
     assert!(after.ok == after.due, "two seconds after: {after:?}");
@@ -159,7 +192,12 @@
     });
     let mut start = start("overload: {}\n");
     start.cpu = Some(core);
-    let seen = run(&Scenario::default(), &start, &gentle(8, &[(3.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start,
+        &gentle(8, &[Phase { seconds: 3.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     stop.store(true, Ordering::Relaxed);
     hog.join().expect("it ends");
     assert_all_answered(&seen);
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -13,7 +13,7 @@
 use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
-use ladderpass_testbed::load::{Plan, RpcRecord};
+use ladderpass_testbed::load::{Phase, Plan, RpcRecord};
 use ladderpass_testbed::run::{self, FaultEvent, links, open_plan};
 use loss_checker::{KILL_AFTER, StopTimes, check_run, signal};
 use nanorand::{Rng, WyRand};
@@ -120,29 +120,27 @@
         if self.crowd > 0 {
             let mut crowd = Vec::new();
             let count = self.crowd;
-            fault_events.push((
-                0.2,
-                Box::new(move |router, _| {
-                    crowd.extend((0..count).filter_map(|_| TcpStream::connect(router.address).ok()));
-                }),
-            ));
+            fault_events.push(FaultEvent::at(0.2, move |router, _| {
+                crowd.extend((0..count).filter_map(|_| TcpStream::connect(router.address).ok()));
+            }));
         }
         for &at in &self.sighups_at {
-            fault_events.push((secs(at), Box::new(move |router, _| signal(router, Signal::SIGHUP))));
+            fault_events.push(FaultEvent::at(secs(at), move |router, _| signal(router, Signal::SIGHUP)));
         }
         for &at in &self.pauses_at {
-            fault_events.push((secs(at), Box::new(move |router, _| signal(router, Signal::SIGSTOP))));
-            fault_events.push((secs(at + PAUSE), Box::new(move |router, _| signal(router, Signal::SIGCONT))));
+            fault_events.push(FaultEvent::at(secs(at), move |router, _| signal(router, Signal::SIGSTOP)));
+            fault_events
+                .push(FaultEvent::at(secs(at + PAUSE), move |router, _| signal(router, Signal::SIGCONT)));
         }
         for nth in 0..self.terms {
             let at = secs(self.term_at) + nth as f64 * 0.15;
             // One that has ended already gets none.
-            fault_events.push((at, Box::new(move |router, _| drop(stop_times.terminate(router)))));
+            fault_events.push(FaultEvent::at(at, move |router, _| drop(stop_times.terminate(router))));
         }
         if let Some(at) = self.drains_at {
-            fault_events.push((secs(at), Box::new(|_, emulator| emulator.drain(1))));
+            fault_events.push(FaultEvent::at(secs(at), |_, emulator| emulator.drain(1)));
         }
-        fault_events.push((secs(kill_at), Box::new(move |router, _| stop_times.kill(router))));
+        fault_events.push(FaultEvent::at(secs(kill_at), move |router, _| stop_times.kill(router)));
         fault_events
     }
 }
@@ -156,7 +154,7 @@
     let sockets = if soak_run.crowd > 0 { 256 } else { 1024 };
     start.allowed = RouterLimits { cores: 1.0, memory_mb: 64, sockets };
     let kill_at = soak_run.term_at + soak_run.deadline + KILL_AFTER;
-    let phases = [(secs(kill_at) + 0.3, 150.0)];
+    let phases = [Phase { seconds: secs(kill_at) + 0.3, rate_per_second: 150.0 }];
     let plan = Plan {
         connections: 40,
         pipeline: soak_run.pipeline,
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -15,7 +15,7 @@
 use ladderpass_emulator::Scenario;
 use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_routing::{Span, Time};
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::run::{FaultEvent, open_plan, run};
 use loss_checker::{KILL_AFTER, StopTimes, check_run};
 use router_harness::{bind_listener, read_answer, start_harness_with, write_statement};
@@ -171,23 +171,20 @@
     start.allowed =
         RouterLimits { cores: 1.0, memory_mb: 64, sockets: if case.crowd > 0 { 256 } else { 1024 } };
     let kill_at = TERM_AT + (DEADLINE + KILL_AFTER).secs();
-    let phases = [(kill_at + 0.3, 150.0)];
+    let phases = [Phase { seconds: kill_at + 0.3, rate_per_second: 150.0 }];
     let plan = Plan { connections: 40, pipeline: 4, deadline: DEADLINE, ..open_plan(case.seed, &phases) };
     let stop_times = &StopTimes::default();
     let crowd: RefCell<Vec<TcpStream>> = RefCell::default();
     let mut fault_events: Vec<FaultEvent<'_>> = Vec::new();
     for nth in 1..12 {
         let crowd = &crowd;
-        fault_events.push((
-            f64::from(nth) * 0.1,
-            Box::new(move |router, _| {
-                let arrivals = (0..case.crowd).filter_map(|_| TcpStream::connect(router.address).ok());
-                crowd.borrow_mut().extend(arrivals);
-            }),
-        ));
+        fault_events.push(FaultEvent::at(f64::from(nth) * 0.1, move |router, _| {
+            let arrivals = (0..case.crowd).filter_map(|_| TcpStream::connect(router.address).ok());
+            crowd.borrow_mut().extend(arrivals);
+        }));
     }
-    fault_events.push((TERM_AT, Box::new(|router, _| stop_times.terminate(router).expect("it runs"))));
-    fault_events.push((kill_at, Box::new(|router, _| stop_times.kill(router))));
+    fault_events.push(FaultEvent::at(TERM_AT, |router, _| stop_times.terminate(router).expect("it runs")));
+    fault_events.push(FaultEvent::at(kill_at, |router, _| stop_times.kill(router)));
     let seen = run(&Scenario::default(), &start, &plan, fault_events);
     let seen = seen.unwrap_or_else(|fault| panic!("{case:?}: {fault}"));
     // What arrives while a close is under way is not read: "if that crosses a request it has not read, the client sends the
@@ -264,7 +261,11 @@
         let lasts = Duration::from_millis(300);
         let delay = FailingSyscall { after, every, count: 5, ..FailingSyscall::delay(call, lasts) };
         let start = failing_syscalls::start(&[delay], &[]);
-        let plan = Plan { connections: 40, deadline: DEADLINE, ..open_plan(950 + nth, &[(3.5, 150.0)]) };
+        let plan = Plan {
+            connections: 40,
+            deadline: DEADLINE,
+            ..open_plan(950 + nth, &[Phase { seconds: 3.5, rate_per_second: 150.0 }])
+        };
         let seen = run(&Scenario::default(), &start, &plan, Vec::new());
         let seen = seen.unwrap_or_else(|fault| panic!("{delay:?}: {fault}"));
         let total = seen.outcome.total();
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -8,7 +8,7 @@
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
 use ladderpass_testbed::history_checker::{ColdStart, check_slow_start_at_members};
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::run::{self, RunRecord, open_plan};
 use one_at_a_time::wait_for_turn;
 use std::time::Duration;
@@ -25,7 +25,8 @@
 fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> RunRecord {
     let _turn = wait_for_turn();
     let deadline = Span::from_millis(1500);
-    let plan = Plan { connections: 60, deadline, ..open_plan(5, &[(2.0, rate)]) };
+    let plan =
+        Plan { connections: 60, deadline, ..open_plan(5, &[Phase { seconds: 2.0, rate_per_second: rate }]) };
     let seen = run::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
