--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -6,6 +6,7 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
+use ladderpass_testbed::load::Phase;
 use ladderpass_testbed::router::Start;
 use ladderpass_testbed::run::RunRecord;
 use ladderpass_testbed::{load, results, run};
@@ -31,9 +32,9 @@
         max_retries: args.repeats,
         slow_readers: args.slow_readers,
         floods: args.floods,
-        ..run::open(args.testbed.seed, &phases)
+        ..run::open_plan(args.testbed.seed, &phases)
     };
-    let total_s: f64 = phases.iter().map(|(secs, _)| secs).sum();
+    let total_s: f64 = phases.iter().map(|phase| phase.seconds).sum();
     let progress = progress_bar(total_s)?;
     let start = router_start(&args.testbed)?;
     let on_progress = |secs: f64| progress.set_position((secs * PROGRESS_STEPS_PER_SECOND) as u64);
@@ -41,7 +42,7 @@
     progress.finish_and_clear();
     let record = result.map_err(CliError::failed)?;
     println!("{}", results::table(&scenario, &record));
-    let violations = record.broken(ANSWER_GRACE);
+    let violations = record.violation_texts(ANSWER_GRACE);
     if let Some(path) = &args.out {
         write_results(path, args, &start, &scenario, &record).map_err(|error| CliError::file(path, error))?;
     }
@@ -52,13 +53,13 @@
 }
 
 /// Parses a phase `SECONDSxRATE`.
-fn parse_phase(text: &str) -> Result<(f64, f64), CliError> {
+fn parse_phase(text: &str) -> Result<Phase, CliError> {
     let parse = || {
         let (secs, rate) = text.split_once('x')?;
-        let (secs, rate): (f64, f64) = (secs.parse().ok()?, rate.parse().ok()?);
-        let is_allowed =
-            (0.0..=MAX_PHASE_SECONDS).contains(&secs) && (0.0..=MAX_RPCS_PER_SECOND).contains(&rate);
-        is_allowed.then_some((secs, rate))
+        let phase = Phase { seconds: secs.parse().ok()?, rate_per_second: rate.parse().ok()? };
+        let is_allowed = (0.0..=MAX_PHASE_SECONDS).contains(&phase.seconds)
+            && (0.0..=MAX_RPCS_PER_SECOND).contains(&phase.rate_per_second);
+        is_allowed.then_some(phase)
     };
     parse().ok_or_else(|| CliError::Phase(text.to_owned()))
 }
@@ -110,8 +111,8 @@
         "{}: {:.0} RPCs/s, {:.1} us of CPU an RPC, pushed back {:.1}%, unanswered {}, faults {:?}",
         binary.display(),
         total.due as f64 / args.seconds,
-        record.cpu * 1e6 / total.due.max(1) as f64,
-        100.0 * total.pushed_back as f64 / total.due.max(1) as f64,
+        record.cpu_seconds * 1e6 / total.due.max(1) as f64,
+        100.0 * total.rejected as f64 / total.due.max(1) as f64,
         total.unanswered,
         record.outcome.faults,
     );
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a drill: starts fleet, fault tools and routers, runs the load and the fault events, and checks the history.
+//! Plays a drill: starts emulator, fault tools and routers, runs the load and the fault events, and checks the history.
 //!
 //! All processes and threads end with the drill, however it ends. The routers' logs are used for their views of each
 //! other alone; all else is judged by what clients, members and fault tools saw.
@@ -16,8 +16,8 @@
 pub use view::{RouterChange, RouterView, parse_view};
 
 use super::Drill;
-use crate::load::{self, LoadBalancer, Outcome, Plan};
-use crate::run::open;
+use crate::load::{self, LoadBalancer, Outcome, Phase, Plan};
+use crate::run::open_plan;
 use ladderpass_routing::Span;
 use std::io;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
         down: testbed.down.clone(),
     };
     let direct_plan = &direct_load_plan(drill, seed, &stop);
-    let members = &testbed.fleet.addresses;
+    let members = &testbed.emulator.addresses;
     let direct_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
     let (outcome, direct, events) = std::thread::scope(|scope| {
         let direct = (drill.direct_rpcs_per_second > 0.0)
@@ -109,7 +109,7 @@
         max_retries: drill.max_retries,
         journal: true,
         stop: Some(stop.clone()),
-        ..open(seed, &drill.phases)
+        ..open_plan(seed, &drill.phases)
     }
 }
 
@@ -120,6 +120,6 @@
         pipeline: 1,
         deadline: Span::from_millis(i64::from(drill.deadline_ms)),
         stop: Some(stop.clone()),
-        ..open(!seed, &[(drill.secs(), drill.direct_rpcs_per_second)])
+        ..open_plan(!seed, &[Phase { seconds: drill.secs(), rate_per_second: drill.direct_rpcs_per_second }])
     }
 }
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -29,7 +29,7 @@
 
 /// The records of a run, as one history.
 pub struct History<'a> {
-    /// The fleet and its methods.
+    /// The members and their methods.
     pub scenario: &'a Scenario,
     /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
     pub links: &'a HashMap<usize, MemberLink>,
@@ -42,7 +42,7 @@
     /// The start of the fault tool, from which the times of `attempts` count.
     pub tool_started_at: Time,
     /// What members saw.
-    pub truth: &'a ExecutionLog,
+    pub execution_log: &'a ExecutionLog,
     /// When routers could not answer.
     pub absences: &'a [Absence],
     /// When routers were notified that members drain.
--- a/crates/ladderpass-testbed/src/history_checker/slow_start.rs
+++ b/crates/ladderpass-testbed/src/history_checker/slow_start.rs
@@ -27,7 +27,7 @@
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 
 impl ColdStart {
-    /// The members of a fleet that start cold at `at`, each with a `capacity` in RPCs a second.
+    /// The members of a scenario that start cold at `at`, each with a `capacity` in RPCs a second.
     pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<ColdStart> {
         let overload_window = Span::from_secs_f64(scenario.overload_ms / 1e3);
         let cold_start = |&member: &u32| ColdStart {
@@ -59,8 +59,11 @@
 }
 
 /// Checks rule 4 (cold members) over the attempts that came to members, whichever router sent them.
-pub fn check_slow_start_at_members(cold_starts: &[ColdStart], truth: &ExecutionLog) -> SlowStartCheck {
-    let numbered = (0..).zip(&truth.arrivals);
+pub fn check_slow_start_at_members(
+    cold_starts: &[ColdStart],
+    execution_log: &ExecutionLog,
+) -> SlowStartCheck {
+    let numbered = (0..).zip(&execution_log.arrivals);
     let attempts = numbered.map(|(rpc, arrival)| Event {
         at: arrival.at,
         kind: EventKind::AttemptSent { rpc, member: arrival.member },
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -91,7 +91,7 @@
                     break;
                 };
                 self.next_arrival.rate_per_second = phase.rate_per_second;
-                self.next_arrival.phase_ends = self.next_arrival.phase_ends + phase.duration;
+                self.next_arrival.phase_ends = self.next_arrival.phase_ends + phase.duration();
             } else {
                 let rpc = self.draw_rpc(due);
                 self.queue.push_back(rpc);
@@ -160,7 +160,7 @@
                 self.count(rpc.due, rpc.method, |counts| counts.unsent += 1);
             }
             for (_, rpc) in std::mem::take(&mut self.retries) {
-                self.count(rpc.due, rpc.method, |counts| counts.pushed_back += 1);
+                self.count(rpc.due, rpc.method, |counts| counts.rejected += 1);
             }
         }
     }
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -1,10 +1,10 @@
 //! Runs a case with the real router or a faulty one, and finds the rules that it breaks.
 
 use super::cases::{CASES, FaultCase};
-use crate::load::{self, Plan};
+use crate::load::{self, Phase, Plan};
 use crate::prove::Table;
 use crate::router::Start;
-use crate::run::{self, FaultEvent, RunRecord, open};
+use crate::run::{self, FaultEvent, RunRecord, open_plan};
 use ladderpass_emulator::Scenario;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
@@ -104,7 +104,7 @@
         connections: CONNECTIONS,
         pipeline: 1,
         deadline: DEADLINE,
-        ..open(seed, &[(LOAD_S, RPCS_PER_SECOND)])
+        ..open_plan(seed, &[Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }])
     }
 }
 
@@ -121,13 +121,12 @@
 fn fault_events(case: &FaultCase) -> Vec<FaultEvent<'static>> {
     let mut events: Vec<FaultEvent<'static>> = Vec::new();
     if case.terminate {
-        events.push((
-            TERMINATE_AT_S,
-            Box::new(|router, _| router.signal(Signal::SIGTERM).expect("the router runs")),
-        ));
+        events.push(FaultEvent::at(TERMINATE_AT_S, |router, _| {
+            router.signal(Signal::SIGTERM).expect("the router runs")
+        }));
     }
     if let Some(member) = case.drained_member {
-        events.push((DRAIN_AT_S, Box::new(move |_, fleet| fleet.drain(member))));
+        events.push(FaultEvent::at(DRAIN_AT_S, move |_, emulator| emulator.drain(member)));
     }
     events
 }
@@ -142,9 +141,9 @@
     rules
 }
 
-/// What the case made difficult, and how often: the fault tool's decisions, or what the case does to the fleet.
+/// What the case made difficult, and how often: the fault tool's decisions, or what the case does to the members.
 fn exposure(case: &FaultCase, record: &RunRecord, decisions: usize) -> Exposure {
-    let executions = &record.truth.executions;
+    let executions = &record.execution_log.executions;
     let started_at = |member| executions.iter().filter(|execution| execution.member == member).count();
     if !case.cold_members.is_empty() {
         let count = case.cold_members.iter().map(|member| started_at(*member)).sum();
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -2,6 +2,7 @@
 
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::checks::{highest, is_flat, lowest};
 use crate::prove::parallel::join;
@@ -55,7 +56,7 @@
         routers,
         connection_skew: 1.0,
         clients: CLIENTS,
-        phases: vec![(LOAD_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }],
         operator: SHED_AND_BUDGET_TOGETHER.into(),
         scenario,
         idle_s: IDLE_S,
@@ -63,7 +64,7 @@
     };
     let record = play(&drill, programs, seed)?;
     let from = record.outcome.began + SETTLE;
-    let health_checks = record.truth.health_checks.iter().filter(|(at, _)| *at >= from).count();
+    let health_checks = record.execution_log.health_checks.iter().filter(|(at, _)| *at >= from).count();
     let members = drill.scenario.member_count() as f64;
     Ok(health_checks as f64 / members / (drill.secs() - SETTLE.secs()))
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -33,10 +33,10 @@
     std::fs::create_dir_all(out)?;
     let mut lines: Vec<Line<'_>> = Vec::new();
     if let Some(windows) = windows(current) {
-        lines.extend([("allowed", windows.limit), ("shares paid out", windows.rpcs)]);
+        lines.extend([Line::new("allowed", windows.limit), Line::new("shares paid out", windows.rpcs)]);
     }
-    lines.extend(earlier.and_then(windows).map(|windows| ("before", windows.rpcs)));
-    lines.extend(windows(without_warm_up).map(|windows| ("ignores-warm-up", windows.rpcs)));
+    lines.extend(earlier.and_then(windows).map(|windows| Line::new("before", windows.rpcs)));
+    lines.extend(windows(without_warm_up).map(|windows| Line::new("ignores-warm-up", windows.rpcs)));
     let title = "RPCs within 3 s at a cold member, by its age";
     charts::lines(&out.join("window.svg"), title, ("seconds", "RPCs"), &lines, false)
 }
@@ -44,7 +44,7 @@
 /// The windows of the first member that started cold.
 fn windows(record: &DrillRecord) -> Option<ColdMemberWindows> {
     let started = record.cold_starts.first()?;
-    let arrivals = record.truth.arrivals.iter().filter(|arrival| arrival.member == started.member);
+    let arrivals = record.execution_log.arrivals.iter().filter(|arrival| arrival.member == started.member);
     let times: Vec<Time> = arrivals.map(|arrival| arrival.at).collect();
     let (warm_s, window_s) = (started.warm_up_time.secs(), started.overload_window.secs());
     let mut windows = ColdMemberWindows { rpcs: Vec::new(), limit: Vec::new() };
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -5,6 +5,7 @@
 use super::views::{agreement_delay_s, detection_delays_s, false_alarms, live_counts};
 use crate::drill::play::DrillRecord;
 use crate::drill::{Drill, FaultEvent};
+use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::scenarios::{FaultWindow, owned_names, router_names};
 
@@ -16,7 +17,7 @@
 const KILL_AT_S: f64 = 1.0;
 const RESTART_AT_S: f64 = 4.0;
 const FREEZE: FaultWindow = FaultWindow { at_s: 5.0, lasts_s: 3.0 };
-/// All datagrams of one router are lost.
+/// All datagrams that one router sends are lost.
 const MUTE: FaultWindow = FaultWindow { at_s: 9.5, lasts_s: 4.0 };
 const LOSS: FaultWindow = FaultWindow { at_s: 14.5, lasts_s: 5.0 };
 const SPLIT: FaultWindow = FaultWindow { at_s: 20.5, lasts_s: 4.0 };
@@ -63,7 +64,7 @@
     ];
     Drill {
         routers: ROUTERS,
-        phases: vec![(DRILL_END_S, RPCS_PER_SECOND)],
+        phases: vec![Phase { seconds: DRILL_END_S, rate_per_second: RPCS_PER_SECOND }],
         clients: CLIENTS,
         events,
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -1,12 +1,12 @@
-//! A testbed run: an emulated fleet, a router on a core of its own, a load and a prober, and the record of what all of
+//! A testbed run: an emulator of members, a router on a core of its own, a load and a prober, and the record of what all of
 //! them saw.
 //!
-//! It decides the order in which these start and stop. Each run starts its own fleet, so that the fleet's record holds
+//! It decides the order in which these start and stop. Each run starts its own emulator, so that its record holds
 //! nothing of another run.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `upstream` | where the router reaches the fleet: directly, or through the fault tool |
+//! | `upstream` | where the router reaches members and discovery: directly, or through the fault tool |
 //! | `record` | what a run has recorded, and what is computed from it |
 
 mod record;
@@ -22,7 +22,7 @@
 use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_fault_injection::Rule;
 use ladderpass_fault_injection::driver::{self, RunSummary};
-use ladderpass_routing::{Span, Time};
+use ladderpass_routing::Time;
 use record::WARM_MEMBER_RPCS_PER_SECOND;
 use std::io;
 use std::net::Ipv4Addr;
@@ -33,13 +33,26 @@
 /// How long a router that is shutting down may take to end before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A fault event: when, in seconds from the start of the load, and what is done to the router or the fleet.
-pub type FaultEvent<'a> = (f64, Box<dyn FnMut(&Router, &RunningEmulator) + 'a>);
+type Act<'a> = Box<dyn FnMut(&Router, &RunningEmulator) + 'a>;
+
+/// What is done to the router or the emulator at a time of the load.
+pub struct FaultEvent<'a> {
+    /// When, in seconds from the start of the load.
+    at_s: f64,
+    act: Act<'a>,
+}
+
+impl<'a> FaultEvent<'a> {
+    /// Does `act` once, `at_s` seconds after the start of the load.
+    pub fn at(at_s: f64, act: impl FnMut(&Router, &RunningEmulator) + 'a) -> FaultEvent<'a> {
+        FaultEvent { at_s, act: Box::new(act) }
+    }
+}
 
 /// Runs a load against one router, with fault events.
 ///
 /// # Errors
-/// If the fleet, the router or the load can't be started.
+/// If the emulator, the router or the load can't be started.
 pub fn run(
     scenario: &Scenario,
     start: &Start,
@@ -81,19 +94,21 @@
     }
     let plan = &Plan { journal: true, ..plan.clone() };
     let with_history = Scenario { history: true, ..scenario.clone() };
-    let fleet = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
+    let emulator = RunningEmulator::start(with_history, plan.seed, Ipv4Addr::LOCALHOST)?;
     let upstream = match rules {
-        None => Upstream { members: fleet.addresses.clone(), discovery: fleet.discovery, fault_tool: None },
-        Some(rules) => Upstream::through_fault_tool(&fleet, rules, plan.seed)?,
+        None => {
+            Upstream { members: emulator.addresses.clone(), discovery: emulator.discovery, fault_tool: None }
+        }
+        Some(rules) => Upstream::through_fault_tool(&emulator, rules, plan.seed)?,
     };
     let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
     let prober = Prober::start(router.address, PROBE_INTERVAL)?;
     let cpu_before = router.resource_usage().cpu_seconds;
     let outcome = load::run(scenario, router.address, plan, |secs| {
-        for (_, act) in events.iter_mut().filter(|(when, _)| *when <= secs) {
-            act(&router, &fleet);
+        for event in events.iter_mut().filter(|event| event.at_s <= secs) {
+            (event.act)(&router, &emulator);
         }
-        events.retain(|(when, _)| *when > secs);
+        events.retain(|event| event.at_s > secs);
         on_progress(secs);
     })?;
     let used = router.resource_usage();
@@ -102,16 +117,16 @@
     let absences = shutdown_absence(&router).into_iter().collect();
     let log = router.stop();
     let mut summary = upstream.fault_tool.map(driver::RunningTool::stop);
-    let drains = fleet.drains().into_iter();
+    let drains = emulator.drains().into_iter();
     let record = RunRecord {
         outcome,
         probe_delays,
         drain_notices: drains
             .map(|drain| DrainNotice { router: drain.list, member: drain.member, at: drain.at })
             .collect(),
-        truth: fleet.stop(),
-        cpu: used.cpu_seconds - cpu_before,
-        resident: used.resident_bytes,
+        execution_log: emulator.stop(),
+        cpu_seconds: used.cpu_seconds - cpu_before,
+        resident_bytes: used.resident_bytes,
         log,
         ended,
         warm_member_rpcs_per_second: WARM_MEMBER_RPCS_PER_SECOND,
@@ -140,14 +155,10 @@
     })
 }
 
-/// A plan of open arrivals: phases with their seconds and RPCs a second.
-pub fn open(seed: u64, phases: &[(f64, f64)]) -> Plan {
-    let phase = |&(secs, rate_per_second): &(f64, f64)| Phase {
-        duration: Span::from_secs_f64(secs),
-        rate_per_second,
-    };
+/// A plan of open arrivals in these phases, one after the other.
+pub fn open_plan(seed: u64, phases: &[Phase]) -> Plan {
     Plan {
-        arrivals: Arrivals::Open(phases.iter().map(phase).collect()),
+        arrivals: Arrivals::Open(phases.to_vec()),
         connections: 200,
         pipeline: 64,
         seed,
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -6,9 +6,9 @@
 use ladderpass_emulator::{Input, Scenario};
 use ladderpass_routing::Span;
 use ladderpass_testbed::charts;
-use ladderpass_testbed::load::Plan;
+use ladderpass_testbed::load::{Phase, Plan};
 use ladderpass_testbed::router::Start;
-use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open};
+use ladderpass_testbed::run::{self, FaultEvent, RunRecord, open_plan};
 use nix::sys::signal::Signal;
 use one_at_a_time::wait_for_turn;
 use std::path::Path;
@@ -23,20 +23,20 @@
 }
 
 /// A load that a slow build on one core can serve too, with long deadlines.
-fn gentle(seed: u64, phases: &[(f64, f64)]) -> Plan {
-    Plan { connections: 50, deadline: Span::from_millis(4000), ..open(seed, phases) }
+fn gentle(seed: u64, phases: &[Phase]) -> Plan {
+    Plan { connections: 50, deadline: Span::from_millis(4000), ..open_plan(seed, phases) }
 }
 
 fn run(scenario: &Scenario, start: &Start, plan: &Plan, events: Vec<FaultEvent<'_>>) -> RunRecord {
     let seen = run::run(scenario, start, plan, events).unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(seen.broken(Span::from_millis(4000)), Vec::<String>::new());
+    assert_eq!(seen.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
     seen
 }
 
 fn assert_all_answered(seen: &RunRecord) {
     let total = seen.outcome.total();
     assert_eq!((total.unanswered, total.unsent), (0, 0), "{total:?}");
-    assert_eq!(total.due, total.ok + total.pushed_back + total.aborted + total.late, "{total:?}");
+    assert_eq!(total.due, total.ok + total.rejected + total.aborted + total.late, "{total:?}");
 }
 
 #[test]
@@ -44,9 +44,14 @@
     let _turn = wait_for_turn();
     let mut start = start(SHORT);
     start.operator = None;
-    let seen = run(&Scenario::default(), &start, &gentle(1, &[(1.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start,
+        &gentle(1, &[Phase { seconds: 1.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     let total = seen.outcome.total();
-    assert!(total.ok > 400 && total.pushed_back == 0, "{total:?}");
+    assert!(total.ok > 400 && total.rejected == 0, "{total:?}");
 }
 
 #[test]
@@ -54,11 +59,16 @@
     let _turn = wait_for_turn();
     // Four fifths of the work are reads: only reads are shed, until more than all of them would be.
     let short = "overload:\n  memory: {from: 0.001, full: 0.2}\n";
-    let seen = run(&Scenario::default(), &start(short), &gentle(2, &[(2.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start(short),
+        &gentle(2, &[Phase { seconds: 2.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     assert_all_answered(&seen);
     let (reads, writes) = (seen.outcome.of(0), seen.outcome.of(1));
-    assert!(reads.pushed_back > 50, "{reads:?}");
-    assert_eq!((writes.pushed_back, writes.aborted), (0, 0), "{writes:?}");
+    assert!(reads.rejected > 50, "{reads:?}");
+    assert_eq!((writes.rejected, writes.aborted), (0, 0), "{writes:?}");
     assert!(seen.outcome.come_back_ms.min() >= 10 && seen.outcome.come_back_ms.max() <= 500);
     assert!(seen.outcome.come_back_ms.max() > seen.outcome.come_back_ms.min() + 10, "spread by chance");
 }
@@ -77,12 +87,18 @@
         start("log: {figures: 100ms}\noverload: {slow_reader: 500ms, delay: {from: 2s, full: 4s}}\n");
     start.allowed.memory_mb = 64;
     // They connect first, the others later.
-    let plan = Plan { slow_readers: 100, ..gentle(3, &[(3.5, 0.0), (2.5, 100.0)]) };
+    let plan = Plan {
+        slow_readers: 100,
+        ..gentle(
+            3,
+            &[Phase { seconds: 3.5, rate_per_second: 0.0 }, Phase { seconds: 2.5, rate_per_second: 100.0 }],
+        )
+    };
     let seen = run(&scenario, &start, &plan, vec![]);
     assert_all_answered(&seen);
     let after = seen.counts(5.0, 6.0);
     assert!(after.due > 50 && after.ok == after.due, "once they are gone: {after:?}");
-    assert!(seen.resident < 64 << 20, "{} bytes", seen.resident);
+    assert!(seen.resident_bytes < 64 << 20, "{} bytes", seen.resident_bytes);
     // A close after unread bytes never arrives there: the router's own metrics show that they are closed.
     let slow = charts::figures(&seen.log, "slow_readers", 0.1);
     let most = slow.iter().map(|figure| figure.1).fold(0.0, f64::max);
@@ -97,13 +113,20 @@
 #[test]
 fn one_flood_among_polite_clients_is_what_is_shed() {
     let _turn = wait_for_turn();
-    let plan = Plan { floods: 1, flood_depth: 400, ..gentle(4, &[(0.5, 400.0), (2.0, 400.0)]) };
+    let plan = Plan {
+        floods: 1,
+        flood_depth: 400,
+        ..gentle(
+            4,
+            &[Phase { seconds: 0.5, rate_per_second: 400.0 }, Phase { seconds: 2.0, rate_per_second: 400.0 }],
+        )
+    };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, vec![]);
     assert_all_answered(&seen);
     let (flood, polite) = (&seen.outcome.flood, seen.counts(0.5, 2.5));
-    assert!(flood.pushed_back > flood.ok, "{flood:?}");
+    assert!(flood.rejected > flood.ok, "{flood:?}");
     let part = |pushed: u64, due: u64| pushed as f64 / due.max(1) as f64;
-    let (theirs, ours) = (part(flood.pushed_back, flood.due), part(polite.pushed_back, polite.due));
+    let (theirs, ours) = (part(flood.rejected, flood.due), part(polite.rejected, polite.due));
     assert!(ours < theirs * 0.8, "polite {ours:.2}, flood {theirs:.2}");
 }
 
@@ -111,22 +134,27 @@
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        (0.5, Box::new(|router, _| router.signal(Signal::SIGHUP).expect("it runs"))),
-        (1.0, Box::new(|_, fleet| fleet.apply(1, Input::Crash))),
-        (2.0, Box::new(|_, fleet| fleet.apply(1, Input::Restart))),
+        FaultEvent::at(0.5, |router, _| router.signal(Signal::SIGHUP).expect("it runs")),
+        FaultEvent::at(1.0, |_, emulator| emulator.apply(1, Input::Crash)),
+        FaultEvent::at(2.0, |_, emulator| emulator.apply(1, Input::Restart)),
     ];
-    let seen = run(&Scenario::default(), &start(SHORT), &gentle(5, &[(3.0, 500.0)]), events);
+    let seen = run(
+        &Scenario::default(),
+        &start(SHORT),
+        &gentle(5, &[Phase { seconds: 3.0, rate_per_second: 500.0 }]),
+        events,
+    );
     assert_all_answered(&seen);
     assert!(
         seen.log.iter().any(|line| line.contains("configuration reloaded discovery=")),
         "SIGHUP was taken"
     );
-    assert!(seen.outcome.total().pushed_back > 100 && seen.outcome.total().ok > 300);
+    assert!(seen.outcome.total().rejected > 100 && seen.outcome.total().ok > 300);
     assert_eq!(seen.ended, None, "it runs on");
     // SIGTERM in the middle: what was accepted is answered, then the process exits with success.
     let events: Vec<FaultEvent<'_>> =
-        vec![(1.0, Box::new(|router, _| router.signal(Signal::SIGTERM).expect("it runs")))];
-    let plan = Plan { connections: 50, ..gentle(6, &[(1.2, 500.0)]) };
+        vec![FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
+    let plan = Plan { connections: 50, ..gentle(6, &[Phase { seconds: 1.2, rate_per_second: 500.0 }]) };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, events);
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
     assert_eq!(seen.counts(0.0, 0.9).unanswered, 0);
@@ -136,10 +164,15 @@
 fn a_stall_of_800_ms_is_answered_for() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        (1.0, Box::new(|router, _| router.signal(Signal::SIGSTOP).expect("it runs"))),
-        (1.8, Box::new(|router, _| router.signal(Signal::SIGCONT).expect("it is stopped"))),
+        FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGSTOP).expect("it runs")),
+        FaultEvent::at(1.8, |router, _| router.signal(Signal::SIGCONT).expect("it is stopped")),
     ];
-    let seen = run(&Scenario::default(), &start("overload: {}\n"), &gentle(7, &[(4.0, 300.0)]), events);
+    let seen = run(
+        &Scenario::default(),
+        &start("overload: {}\n"),
+        &gentle(7, &[Phase { seconds: 4.0, rate_per_second: 300.0 }]),
+        events,
+    );
     assert_all_answered(&seen);
     let after = seen.counts(3.8, 4.0);
     assert!(after.ok == after.due, "two seconds after: {after:?}");
@@ -159,7 +192,12 @@
     });
     let mut start = start("overload: {}\n");
     start.cpu = Some(core);
-    let seen = run(&Scenario::default(), &start, &gentle(8, &[(3.0, 500.0)]), vec![]);
+    let seen = run(
+        &Scenario::default(),
+        &start,
+        &gentle(8, &[Phase { seconds: 3.0, rate_per_second: 500.0 }]),
+        vec![],
+    );
     stop.store(true, Ordering::Relaxed);
     hog.join().expect("it ends");
     assert_all_answered(&seen);
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -13,8 +13,8 @@
 use ladderpass_emulator::scenario::RouterLimits;
 use ladderpass_fault_injection::Rule;
 use ladderpass_routing::Span;
-use ladderpass_testbed::load::{Plan, RpcRecord};
-use ladderpass_testbed::run::{self, FaultEvent, links, open};
+use ladderpass_testbed::load::{Phase, Plan, RpcRecord};
+use ladderpass_testbed::run::{self, FaultEvent, links, open_plan};
 use loss_checker::{KILL_AFTER, StopTimes, check_run, signal};
 use nanorand::{Rng, WyRand};
 use nix::sys::signal::Signal;
@@ -41,7 +41,7 @@
     pipeline: usize,
     crowd: usize,
     term_at: Span,
-    hang_ups: Vec<Span>,
+    sighups_at: Vec<Span>,
     terms: usize,
     drains_at: Option<Span>,
     pauses_at: Vec<Span>,
@@ -69,16 +69,16 @@
         let mut random = WyRand::new_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut below = |limit: u64| random.generate_range(0..limit);
         let term_at = Span::from_millis(700 + below(500) as i64);
-        let hang_up = |at: u64| Span::from_millis(100 + at as i64);
+        let after_start = |at: u64| Span::from_millis(100 + at as i64);
         SoakRun {
             deadline: Span::from_millis([300, 500, 1000, 2000][below(4) as usize]),
             pipeline: [1, 1, 4][below(3) as usize],
             crowd: [0, 0, 300][below(3) as usize],
             term_at,
-            hang_ups: (0..below(5)).map(|_| hang_up(below(2000))).collect(),
+            sighups_at: (0..below(5)).map(|_| after_start(below(2000))).collect(),
             terms: 1 + below(3) as usize,
             drains_at: (below(3) == 0).then(|| term_at - Span::from_millis(100 + below(300) as i64)),
-            pauses_at: (0..below(3)).map(|_| hang_up(below(1500))).collect(),
+            pauses_at: (0..below(3)).map(|_| after_start(below(1500))).collect(),
             failures: (0..below(3))
                 .map(|_| {
                     let (call, errno) = CALLS[below(CALLS.len() as u64) as usize];
@@ -120,29 +120,27 @@
         if self.crowd > 0 {
             let mut crowd = Vec::new();
             let count = self.crowd;
-            fault_events.push((
-                0.2,
-                Box::new(move |router, _| {
-                    crowd.extend((0..count).filter_map(|_| TcpStream::connect(router.address).ok()));
-                }),
-            ));
+            fault_events.push(FaultEvent::at(0.2, move |router, _| {
+                crowd.extend((0..count).filter_map(|_| TcpStream::connect(router.address).ok()));
+            }));
         }
-        for &at in &self.hang_ups {
-            fault_events.push((secs(at), Box::new(move |router, _| signal(router, Signal::SIGHUP))));
+        for &at in &self.sighups_at {
+            fault_events.push(FaultEvent::at(secs(at), move |router, _| signal(router, Signal::SIGHUP)));
         }
         for &at in &self.pauses_at {
-            fault_events.push((secs(at), Box::new(move |router, _| signal(router, Signal::SIGSTOP))));
-            fault_events.push((secs(at + PAUSE), Box::new(move |router, _| signal(router, Signal::SIGCONT))));
+            fault_events.push(FaultEvent::at(secs(at), move |router, _| signal(router, Signal::SIGSTOP)));
+            fault_events
+                .push(FaultEvent::at(secs(at + PAUSE), move |router, _| signal(router, Signal::SIGCONT)));
         }
         for nth in 0..self.terms {
             let at = secs(self.term_at) + nth as f64 * 0.15;
             // One that has ended already gets none.
-            fault_events.push((at, Box::new(move |router, _| drop(stop_times.terminate(router)))));
+            fault_events.push(FaultEvent::at(at, move |router, _| drop(stop_times.terminate(router))));
         }
         if let Some(at) = self.drains_at {
-            fault_events.push((secs(at), Box::new(|_, fleet| fleet.drain(1))));
+            fault_events.push(FaultEvent::at(secs(at), |_, emulator| emulator.drain(1)));
         }
-        fault_events.push((secs(kill_at), Box::new(move |router, _| stop_times.kill(router))));
+        fault_events.push(FaultEvent::at(secs(kill_at), move |router, _| stop_times.kill(router)));
         fault_events
     }
 }
@@ -156,12 +154,12 @@
     let sockets = if soak_run.crowd > 0 { 256 } else { 1024 };
     start.allowed = RouterLimits { cores: 1.0, memory_mb: 64, sockets };
     let kill_at = soak_run.term_at + soak_run.deadline + KILL_AFTER;
-    let phases = [(secs(kill_at) + 0.3, 150.0)];
+    let phases = [Phase { seconds: secs(kill_at) + 0.3, rate_per_second: 150.0 }];
     let plan = Plan {
         connections: 40,
         pipeline: soak_run.pipeline,
         deadline: soak_run.deadline,
-        ..open(seed, &phases)
+        ..open_plan(seed, &phases)
     };
     let stop_times = &StopTimes::default();
     let fault_events = soak_run.fault_events(kill_at, stop_times);
