--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Attempts: what is recorded when one starts, and what its result shows of the member.
+//! Attempts: what is recorded when an attempt starts, and what its result shows about the member.
 //!
-//! What follows for the RPC, a retry or its final answer, is decided in `retry`, `rejection` and `selection`.
+//! Whether a retry or the final answer of the RPC follows is decided in `retry`, `rejection` and `selection`.
 
 use crate::concurrency_limit;
 use crate::gossip;
@@ -27,7 +27,7 @@
     Decision::Attempt { member: member.id, timeout }
 }
 
-/// Records what the result of an attempt shows of the member.
+/// Records what the result of an attempt shows about the member.
 pub fn record_result(
     state: &mut RouterState,
     now: Time,
@@ -39,12 +39,12 @@
     let attempt = OpenAttempt { sent_at, method: arrival.method };
     let method = &state.methods[arrival.method as usize];
     let member = state.topology.member(index);
-    // A timeout after less than an overdue answer takes is the client's own, and says nothing about the member; nor
-    // does an answer that was lost in the network.
+    // An answer is overdue after a multiple of the typical time. A timeout before that was set by the client, and says
+    // nothing about the member. Neither does an answer that was lost in the network.
     let ended_early = result.latency < method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
     let was_lost = load::is_lost(state, now, member, attempt);
     let is_evidence = result.outcome != AttemptOutcome::TimedOut || !(ended_early || was_lost);
-    // A member that reports its role is up, whatever else it answers.
+    // A member that reports its role is up, whatever its answer is.
     if result.role.is_some() || matches!(result.outcome, AttemptOutcome::Ok | AttemptOutcome::NotServedHere) {
         outlier_ejection::record_success(state, now, index);
     }
@@ -61,7 +61,7 @@
     record_role(state, now, index, result);
 }
 
-/// Records what the outcome alone shows. `is_evidence`: the outcome says something about the member.
+/// Records what the outcome alone shows about the member. `is_evidence` is whether the outcome says anything about it.
 fn record_outcome(
     state: &mut RouterState,
     now: Time,
@@ -94,14 +94,14 @@
     }
 }
 
-/// Is the position of this result the commit of a write, and not a position of the member?
+/// Returns whether the position of this result is the commit of a write, rather than a position of the member.
 fn is_commit(state: &RouterState, result: &AttemptResult, arrival: &Arrival) -> bool {
     let consistency = state.methods[arrival.method as usize].definition.consistency;
     result.outcome == AttemptOutcome::Ok && consistency == Consistency::Write
 }
 
-/// The session's later reads must see a write that may have run. Without a reported commit it is taken to have
-/// committed by now.
+/// Records the end of a session's write. Later reads of the session must see a write that may have run. Without a
+/// reported commit, the write is assumed to have committed by now, with a margin of one tick.
 fn record_session_write(
     state: &mut RouterState,
     now: Time,
--- a/crates/ladderpass-routing/src/attempt_outcome.rs
+++ b/crates/ladderpass-routing/src/attempt_outcome.rs
@@ -1,39 +1,40 @@
-//! How attempts and health checks end, and whether an RPC may have run then.
+//! The outcomes of attempts and health checks, and which of them prove that an RPC never ran.
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It was answered.
+    /// The member answered.
     Ok,
-    /// Answered with an error; it may have had an effect.
+    /// The member answered with an error. The RPC may have had an effect.
     Failed,
-    /// Rejected without effect: the member is at its limit, or draining. Also an attempt that the front withdrew unsent
-    /// because its member began to drain.
+    /// The member rejected the RPC without effect, because the member is at its limit or draining. This is also the
+    /// outcome of an attempt that the front withdrew before the send because the member began to drain.
     Rejected,
-    /// Not answered in time; it may have had an effect.
+    /// The member did not answer in time. The RPC may have had an effect.
     TimedOut,
-    /// It never ran: no connection was established in time, or it broke, or took no more bytes, before all of the query
-    /// was written.
+    /// The RPC never ran. No connection was established in time, or the connection broke or took no more bytes before
+    /// the whole query was written.
     Unreachable,
-    /// The connection broke, or brought a malformed answer, after the query was written; it may have had an effect.
+    /// The connection broke or brought a malformed answer after the query was written. The RPC may have had an effect.
     ConnectionLost,
-    /// Abandoned: its client has gone or cancelled it. It counts as one that may have run.
+    /// The attempt was abandoned because the client has left or has cancelled the RPC. The RPC counts as one that may
+    /// have run.
     Cancelled,
-    /// The front had no connection for it, or no time was left, or its client can't be seen any more, or its statement
-    /// can't be read. It is no sign about the member.
+    /// The attempt was never sent: the front had no connection for it, no time was left, the front can no longer see
+    /// whether the client is connected, or the statement can't be read. This says nothing about the member.
     NeverSent,
-    /// Rejected without effect: the member is not the primary, or too far behind.
+    /// The member rejected the RPC without effect, because it is not the primary or is too far behind.
     NotServedHere,
-    /// Never sent: its connection was up too late for the decision to hold. It is no sign about the member, and counts
-    /// as no attempt.
+    /// The attempt was never sent, because its connection was established too late for the decision to hold. This says
+    /// nothing about the member, and does not count as an attempt.
     DecisionExpired,
 }
 
 impl AttemptOutcome {
-    /// How many outcomes there are.
+    /// The number of outcomes.
     pub const COUNT: usize = AttemptOutcome::DecisionExpired as usize + 1;
 
-    /// All outcomes, in the order of their numbers.
+    /// All outcomes, in the order of their discriminants.
     pub const ALL: [AttemptOutcome; AttemptOutcome::COUNT] = [
         AttemptOutcome::Ok,
         AttemptOutcome::Failed,
@@ -47,7 +48,7 @@
         AttemptOutcome::DecisionExpired,
     ];
 
-    /// Does it prove that the RPC never ran?
+    /// Returns whether the outcome proves that the RPC never ran.
     pub fn never_ran(self) -> bool {
         use AttemptOutcome::{DecisionExpired, NeverSent, NotServedHere, Rejected, Unreachable};
         matches!(self, NeverSent | Unreachable | Rejected | NotServedHere | DecisionExpired)
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -1,5 +1,5 @@
-//! What the log shows of RPCs that did not go by the ordinary path: counts of each reason, and a few examples.
-//! Nothing here decides.
+//! What the log shows of RPCs that were given up or spilled to the primary: the counts of each reason, and a few
+//! examples. This module makes no decisions.
 
 use crate::eligibility;
 use crate::reasons::{Counts, Exception, ExceptionExample, GiveUpReason, Ineligible, PrimaryState};
@@ -7,7 +7,7 @@
 use crate::time::Time;
 use crate::types::RpcId;
 
-/// An RPC is given up.
+/// Records that an RPC is given up.
 pub fn log_given_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) {
     state.output.exceptions.counts.given_up.add(reason);
     if state.output.exceptions.accepts_example() {
@@ -16,7 +16,7 @@
     }
 }
 
-/// Could the primary have got this RPC?
+/// Returns whether the primary could have got this RPC.
 fn primary_state(state: &RouterState, now: Time, rpc: RpcId) -> PrimaryState {
     let group = state.topology.groups.get(state.rpcs[rpc].arrival.group as usize);
     let Some(index) = group.and_then(|group| group.primary) else { return PrimaryState::Unknown };
@@ -24,7 +24,7 @@
     ineligible.map_or(PrimaryState::Eligible, PrimaryState::Ineligible)
 }
 
-/// A read goes to the primary, past these replicas.
+/// Records that a read goes to the primary. `passed_over` counts why no replica could get it.
 pub fn log_spill(state: &mut RouterState, now: Time, rpc: RpcId, passed_over: Counts<Ineligible>) {
     let exceptions = &mut state.output.exceptions;
     exceptions.counts.spilled += 1;
--- a/crates/ladderpass-routing/src/lib.rs
+++ b/crates/ladderpass-routing/src/lib.rs
@@ -1,8 +1,8 @@
 //! ladderpass decides which member of a group (a primary and its replicas) serves each RPC.
 //!
-//! This crate knows no wire and reads no clock: a front decodes what it receives into calls on [`Router`] and on the
-//! handle [`RpcId`], and carries out each [`Decision`] that it gets back. Each mechanism is a module of functions over
-//! the router's state; `router` has the public calls alone.
+//! This crate contains no wire protocol and reads no clock. A front (the program around this crate) decodes what it
+//! receives into calls on [`Router`] and on the handle [`RpcId`], and carries out each [`Decision`] that they return.
+//! Each mechanism is a module of functions over the router's state. The module `router` contains only the public calls.
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -1,54 +1,56 @@
-//! Why an RPC was not served, and why a member did not get it, for the log and its counts. Nothing here decides.
+//! The reasons why an RPC was not served and why a member did not get it, for the log and its counts. This module makes
+//! no decisions.
 
 use crate::time::Span;
 use std::fmt::{self, Display, Formatter};
 use std::marker::PhantomData;
 
-/// Why an RPC was given up.
+/// The reason why an RPC was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// An attempt may have had its effect, and the method allows no retry, or none any more.
+    /// An attempt may have had its effect, and the method allows no retry, or no longer allows one.
     MayHaveRun,
     /// An answer would come too late to be of any use.
     TooLate,
-    /// It was queued for the longest share of its client's time, or that time is nearly over.
+    /// The RPC was queued for the longest allowed share of its client's time, or that time is nearly over.
     OutOfTime,
-    /// It has had as many attempts as are allowed.
+    /// The RPC has had the maximum number of attempts.
     NoAttemptLeft,
-    /// The front could not make the attempt: it had no connection, or lost sight of the client.
+    /// The front could not make the attempt, because it had no connection or could not see whether the client is still
+    /// connected.
     AttemptNotMade,
-    /// Several members have answered it with an error.
+    /// The RPC was answered with an error several times.
     FaultyRequest,
-    /// The retry budget does not allow a further attempt.
+    /// The front denied a further attempt, because the retry budget does not allow one or the client may have left.
     RetryBudgetExhausted,
-    /// No capacity was idle, and a marked client retry gets no other.
+    /// No capacity was idle, and a marked client retry may use only idle capacity.
     NoIdleCapacity,
 }
 
-/// Why a member could not get an RPC.
+/// The reason why a member could not get an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ineligible {
-    /// It is draining, or not on the endpoint list.
+    /// The member is draining, or not on the endpoint list.
     NotListed,
-    /// Its last three health checks or connections failed; for a primary, the last one.
+    /// The last three health checks or connections of the member failed. For a primary, the last one failed.
     Ejected,
-    /// It would answer too late.
+    /// The member would answer too late.
     TooSlow,
-    /// An attempt of this RPC has just ended there without success.
+    /// An attempt of this RPC at the member has just ended without success.
     TriedBefore,
-    /// It is in slow start, or overloaded, and has had its share.
+    /// The member is in slow start or overloaded, and has had its share.
     SlowStart,
-    /// Its concurrency limit is reached.
+    /// The concurrency limit of the member is reached.
     AtConcurrencyLimit,
-    /// Its position is not known to be recent enough.
+    /// The position of the member is not known to be recent enough.
     Stale,
 }
 
-/// A reason that is counted.
+/// A kind of reason that is counted.
 pub trait Reason: Copy + PartialEq + 'static {
-    /// Every reason of its kind, in the order in which they are shown: eight at most.
+    /// All reasons of this kind, in the order in which they are shown. There are at most eight.
     const ALL: &'static [Self];
-    /// The reason as the log shows it.
+    /// Returns the text of the reason in the log.
     fn text(self) -> &'static str;
 }
 
@@ -102,10 +104,10 @@
     }
 }
 
-/// The most reasons of one kind: the length of [`Reason::ALL`] is at most this.
+/// The maximum number of reasons of one kind, which bounds the length of [`Reason::ALL`].
 const MAX_REASONS: usize = 8;
 
-/// How often each reason held.
+/// How often each reason applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts<R> {
     counts: [u32; MAX_REASONS],
@@ -119,14 +121,14 @@
 }
 
 impl<R: Reason> Counts<R> {
-    /// Counts a reason once.
+    /// Adds one to the count of a reason.
     pub fn add(&mut self, reason: R) {
         if let Some(index) = R::ALL.iter().position(|&counted| counted == reason) {
             self.counts[index] += 1;
         }
     }
 
-    /// Adds the counts of another.
+    /// Adds the counts of `other` to these.
     pub fn merge(&mut self, other: &Counts<R>) {
         for (count, other_count) in self.counts.iter_mut().zip(other.counts) {
             *count += other_count;
@@ -134,7 +136,7 @@
     }
 }
 
-/// As in "2 stale, 1 ejected"; "none" where all counts are zero.
+/// Formats the counts as in "2 stale, 1 ejected", or as "none" where all counts are zero.
 impl<R: Reason> Display for Counts<R> {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let counted = R::ALL.iter().zip(self.counts).filter(|&(_, count)| count > 0);
@@ -147,61 +149,62 @@
     }
 }
 
-/// An RPC that did not go by the ordinary path, given up or spilled to the primary, for the log.
+/// A logged example of an RPC that was given up or spilled to the primary.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExceptionExample {
-    /// Index of its group.
+    /// The index of the RPC's group.
     pub group: u32,
-    /// Index of its method.
+    /// The index of the RPC's method.
     pub method: u32,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub attempts: u32,
-    /// Time since it was accepted.
+    /// The time since the RPC was accepted.
     pub waited: Span,
-    /// Time until its deadline.
+    /// The time until the deadline of the RPC.
     pub time_left: Span,
-    /// What happened to it.
+    /// What happened to the RPC.
     pub exception: Exception,
 }
 
-/// Could the primary have got an RPC that was given up?
+/// Whether the primary could have got an RPC that was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryState {
     /// The group has no known primary.
     Unknown,
-    /// It could.
+    /// The primary could have got the RPC.
     Eligible,
-    /// It could not, for this reason.
+    /// The primary could not have got the RPC, for this reason.
     Ineligible(Ineligible),
 }
 
-/// How an RPC left the ordinary path.
+/// An exceptional event in the handling of an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Exception {
-    /// It was given up.
+    /// The RPC was given up.
     GivenUp {
-        /// Why.
+        /// The reason why the RPC was given up.
         reason: GiveUpReason,
-        /// Could the primary have got it?
+        /// Whether the primary could have got the RPC.
         primary: PrimaryState,
     },
-    /// A read went to the primary, past these replicas.
+    /// A read was sent to the primary, because none of the replicas could get it. The counts hold the reasons against
+    /// them.
     Spilled(Counts<Ineligible>),
 }
 
-/// How many RPCs left the ordinary path.
+/// How many RPCs were given up or spilled to the primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExceptionCounts {
-    /// RPCs that were given up, by the reason.
+    /// The RPCs that were given up, by reason.
     pub given_up: Counts<GiveUpReason>,
-    /// Reads that went to a primary, past its replicas.
+    /// The number of reads that were sent to a primary because no replica could get them.
     pub spilled: u32,
-    /// Replicas that these were not sent to, by the reason.
+    /// The replicas that could not get these reads, by reason.
     pub passed_over: Counts<Ineligible>,
 }
 
 impl ExceptionCounts {
-    /// Adds the counts of another.
+    /// Adds the counts of `other` to these.
     pub fn merge(&mut self, other: &ExceptionCounts) {
         self.given_up.merge(&other.given_up);
         self.spilled += other.spilled;
@@ -209,20 +212,20 @@
     }
 }
 
-/// RPCs that left the ordinary path since the last tick.
+/// The RPCs that were given up or spilled to the primary since the last tick.
 #[derive(Clone, Debug, Default)]
 pub struct Exceptions {
-    /// How many.
+    /// The number of these RPCs.
     pub counts: ExceptionCounts,
-    /// The first few of them.
+    /// The first few of these RPCs.
     pub examples: Vec<ExceptionExample>,
 }
 
-/// Most examples between two ticks.
+/// The maximum number of examples between two ticks.
 const MAX_EXAMPLES: usize = 4;
 
 impl Exceptions {
-    /// May a further example be added?
+    /// Returns whether a further example may be added.
     pub fn accepts_example(&self) -> bool {
         self.examples.len() < MAX_EXAMPLES
     }
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -1,7 +1,7 @@
 //! Rejections: which RPCs the router sheds or gives up, and when their clients may retry.
 //!
-//! Load is shed by priority at arrival, before anything else is done for an RPC. An accepted RPC is given up once no
-//! attempt is allowed or none could be answered in time.
+//! RPCs are shed by priority on arrival, before anything else is done for them. An accepted RPC is given up once no
+//! further attempt is allowed, or none could be answered in time.
 
 use crate::exception_log;
 use crate::pending;
@@ -12,25 +12,28 @@
 use crate::types::{Arrival, Decision, OverloadState, RpcId};
 use nanorand::Rng;
 
-/// Priorities in a band. The bands, from the lowest: late answers, connections over their fair share, retries that the
-/// client has marked, and all others.
+/// The number of priorities in a band. The bands are, from the lowest: late answers, connections over their fair share,
+/// retries that the client has marked, and all other RPCs.
 const PRIORITIES_PER_BAND: f64 = 64.0;
-/// Priorities for each doubling of utility by cost, and the binary logarithm that the lowest stands for.
+/// Within a band, the number of priorities for each doubling of the utility per second of cost, and the binary
+/// logarithm of that quotient at the band's lowest priority.
 const PRIORITIES_PER_DOUBLING: f64 = 4.0;
 const LOWEST_LOG2_UTILITY_PER_SEC: f64 = 8.0;
-/// The Retry-After of an RPC that was shed, as a share of the longest: this without pressure, 1 under full pressure,
-/// each times a random factor from `MIN_SHED_JITTER` to 1. So it is 0.1 to 1 of the longest.
+/// The Retry-After of a shed RPC, as a share of the longest one: this value without pressure and 1 at full pressure,
+/// each times a random factor from `MIN_SHED_JITTER` to 1. The result is 0.1 to 1 of the longest.
 const SHED_RETRY_AFTER_SHARE: f64 = 0.2;
 const MIN_SHED_JITTER: f64 = 0.5;
-/// The Retry-After of an RPC that was given up while an answer could still be of use, as a share of the longest, times a
-/// random factor from `MIN_GIVE_UP_JITTER` to one more. So it is 0.175 to 0.525 of the longest.
+/// The Retry-After of an RPC that is given up while an answer could still be of use, as a share of the longest one,
+/// times a random factor from `MIN_GIVE_UP_JITTER` to `MIN_GIVE_UP_JITTER` + 1. The result is 0.175 to 0.525 of the
+/// longest.
 const GIVE_UP_RETRY_AFTER_SHARE: f64 = 0.35;
 const MIN_GIVE_UP_JITTER: f64 = 0.5;
-/// An RPC is given up so many ticks before its deadline.
+/// An RPC is given up this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: f64 = 2.0;
 
-/// The priority of an RPC among those that want this router's capacity: less for what would be late, for who floods,
-/// for client retries, and for a low utility by its cost.
+/// Returns the priority of an RPC among those that compete for this router's capacity. It is lower for an RPC that
+/// would be answered late, for a connection over its fair share, for a client retry, and for a low utility relative to
+/// the cost.
 pub fn priority(state: &RouterState, now: Time, arrival: &Arrival, overload: &OverloadState) -> u32 {
     let method = &state.methods[arrival.method as usize];
     let answered_at = now + overload.queueing_delay + method.typical;
@@ -49,13 +52,15 @@
 }
 
 impl OverloadState {
-    /// Is an RPC of this priority shed? The random draw, from 0 to 1, spreads those at the threshold's own priority.
+    /// Returns whether an RPC of this priority is shed. The random draw, from 0 to 1, selects which of the RPCs at the
+    /// threshold's own priority are shed.
     pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
         f64::from(priority) + random_draw < self.admission_threshold
     }
 }
 
-/// The overload for which an RPC that has just arrived must be shed: of this router, or of all together.
+/// Returns the overload for which an RPC that has just arrived must be shed, of either this router or all routers
+/// together.
 pub fn overload_to_shed_for(
     state: &RouterState,
     now: Time,
@@ -68,7 +73,7 @@
         .find(|overload| overload.sheds(priority(state, now, arrival, overload), random_draw))
 }
 
-/// Rejects an RPC that was never sent. The Retry-After grows with the pressure, from 0 to 1, spread by chance.
+/// Rejects an RPC that was never sent. The Retry-After is randomized, and grows with the pressure (from 0 to 1).
 pub fn shed(state: &mut RouterState, rpc: RpcId, pressure: f64) -> Decision {
     let share = (SHED_RETRY_AFTER_SHARE + (1.0 - SHED_RETRY_AFTER_SHARE) * pressure)
         * (MIN_SHED_JITTER + (1.0 - MIN_SHED_JITTER) * state.random.generate::<f64>());
@@ -76,7 +81,7 @@
     Decision::Reject { retry_after: state.deployment.max_retry_after * share }
 }
 
-/// Why no further attempt of this RPC is to be made, if so.
+/// Returns the reason why no further attempt of this RPC is to be made, if there is one.
 pub fn reason_to_give_up(state: &RouterState, now: Time, rpc: RpcId) -> Option<GiveUpReason> {
     let accepted = &state.rpcs[rpc];
     if !retry::may_run(state, now, rpc) {
@@ -85,7 +90,7 @@
     if accepted.attempts >= state.deployment.max_attempts {
         return Some(GiveUpReason::NoAttemptLeft);
     }
-    // An RPC that has just arrived is given up only once it is too late for any answer.
+    // An RPC that has just arrived is given up only if it is already too late for any answer.
     let has_just_arrived = accepted.attempts == 0 && !accepted.is_pending;
     let answer_takes = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
     if now + answer_takes >= state.useful_until(rpc) {
@@ -95,7 +100,7 @@
     (pending::queued_too_long(accepted, now) || deadline_is_near).then_some(GiveUpReason::OutOfTime)
 }
 
-/// Gives the final answer to an RPC that will not be served here.
+/// Gives up an RPC: returns the final answer to one that will not be served here.
 pub fn give_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) -> Decision {
     exception_log::log_given_up(state, now, rpc, reason);
     let client_may_retry = retry::client_may_retry(state, rpc);
@@ -106,7 +111,7 @@
     if client_may_retry { Decision::Reject { retry_after } } else { Decision::Fail }
 }
 
-/// When a rejected client may retry while an answer could still be of use, spread by chance.
+/// Returns the randomized delay after which a rejected client may retry while an answer could still be of use.
 pub fn retry_after(state: &mut RouterState) -> Span {
     state.deployment.max_retry_after
         * (GIVE_UP_RETRY_AFTER_SHARE * (MIN_GIVE_UP_JITTER + state.random.generate::<f64>()))
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,10 +1,11 @@
-//! Retries: whether an RPC may be sent again, and what its retries may use.
+//! Retries: whether an RPC may be sent again, and what share of a member's limit its retries may use.
 //!
-//! How many attempts an RPC may have at most stands in the deployment (`max_attempts`) and is checked, with all else
-//! that ends an RPC, in `rejection::reason_to_give_up`.
+//! The maximum number of attempts of an RPC is set in the deployment (`max_attempts`). It is checked in
+//! `rejection::reason_to_give_up`, with all other reasons that end an RPC.
 //!
-//! An RPC must not have its effect twice. An idempotent one may be sent again at any time, one with an idempotency key
-//! within the window in which repeats are recognised, and any other only while no attempt of it may have run.
+//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. One with an idempotency key
+//! may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
+//! attempts may have run.
 
 use crate::load::{self, LATENCY_MARGIN, SILENT_AFTER_TYPICAL_LATENCIES};
 use crate::reasons::GiveUpReason;
@@ -13,14 +14,14 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC that so many members have answered with an error is itself at fault.
+/// An RPC with this many error answers is taken to be faulty itself.
 const ERRORS_TO_FAULT_RPC: usize = 2;
-/// Share of a concurrency limit that marked client retries may use: what is idle.
+/// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
-/// The link to a zone is degraded above this latency ratio.
+/// The link to a zone counts as degraded above this latency ratio.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
 
-/// May an attempt be made now without a second effect? One that is sent now takes a while to arrive.
+/// Returns whether an attempt can be made now without a second effect. Some time is allowed for the attempt to arrive.
 pub fn may_run(state: &RouterState, now: Time, rpc: RpcId) -> bool {
     let method = state.method_of(rpc);
     match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
@@ -32,7 +33,7 @@
     }
 }
 
-/// May the client retry this RPC itself, with this router or another one?
+/// Returns whether the client itself may retry this RPC, at this router or another one.
 pub fn client_may_retry(state: &RouterState, rpc: RpcId) -> bool {
     let never_ran = state.rpcs[rpc].may_have_run_since.is_none();
     match state.method_of(rpc).definition.idempotency {
@@ -42,12 +43,13 @@
     }
 }
 
-/// Have enough members answered this RPC with an error to take the RPC itself for faulty?
+/// Returns whether this RPC has had enough error answers to be taken for faulty itself.
 pub fn is_faulty(rpc: &RpcState) -> bool {
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
 
-/// Why the result of an attempt is the end of its RPC, if it is; else a member is selected for the RPC again.
+/// Returns the reason why the RPC ends with this result of an attempt. With `None`, a member is selected for the RPC
+/// again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
         return Some(GiveUpReason::AttemptNotMade);
@@ -58,19 +60,20 @@
     result.retry_denied.then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
-/// Is it a retry that the client has marked? It competes with first requests, which have more utility.
+/// Returns whether the RPC is an idempotent one that the client has marked as a retry. Such RPCs compete with first
+/// requests, which have more utility.
 pub fn is_client_retry(state: &RouterState, rpc: RpcId) -> bool {
     let is_idempotent = state.method_of(rpc).definition.idempotency == Idempotency::Idempotent;
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
-/// The share of a concurrency limit that this RPC may use.
+/// Returns the share of a concurrency limit that this RPC may use.
 pub fn limit_share(state: &RouterState, rpc: RpcId) -> f64 {
     if is_client_retry(state, rpc) { CLIENT_RETRY_LIMIT_SHARE } else { 1.0 }
 }
 
-/// The timeout of a first attempt over a degraded link, so that a second one can still be in time. None: as long as the
-/// client waits.
+/// Returns the timeout of a first attempt over a degraded link, which leaves enough time for a second attempt. `None`
+/// means that the attempt may take as long as the client waits.
 pub fn first_attempt_timeout(state: &RouterState, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let retry_takes = method.typical * LATENCY_MARGIN;
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -1,8 +1,8 @@
-//! The router: its public calls, each of which updates the state by the mechanism that it concerns.
+//! The public calls of the router. Each call updates the state through the mechanism that it concerns.
 //!
-//! After [`Router::start`] comes [`Router::on_endpoint_update`]. [`Router::accept`] gives a handle and a first
-//! decision; what happens to the RPC later is a call on the handle. [`Router::tick`] follows each batch of calls. The
-//! clock is what the caller passes as `now`.
+//! [`Router::start`] is followed by [`Router::on_endpoint_update`]. [`Router::accept`] returns a handle and a first
+//! decision, and later events of the RPC are calls on its handle. [`Router::tick`] follows each batch of calls. The
+//! caller passes the time as `now`.
 
 use crate::attempt;
 use crate::endpoints;
@@ -30,13 +30,13 @@
 };
 use nanorand::{Rng, WyRand};
 
-/// A router: what one instance knows. Instances share nothing.
+/// A router: the state of one instance. Instances share no state.
 pub struct Router {
     state: RouterState,
 }
 
 impl Router {
-    /// A router that knows nothing but its deployment. `seed`: of its random choices.
+    /// Creates a router that has no information but its deployment. `seed` determines the random choices.
     pub fn start(now: Time, seed: u64, deployment: Deployment) -> Router {
         let bounds = deployment.methods.iter().filter_map(|method| method.consistency.max_staleness());
         Router {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Sets how far the clock of `now` may differ from the members'. Prevents stale reads, and too much load on
-    /// members in slow start, where the router started while its clock was stepped.
+    /// Sets how far the clock of `now` may differ from the members' clock. If the router started while its clock was
+    /// stepped, this prevents stale reads, and too much load on members in slow start.
     pub fn set_clock_difference(&mut self, difference: ClockDifference) {
         self.state.clock = difference;
     }
 
-    /// Sets which of the routers this is, from 0, and how many there are by now.
+    /// Sets the index of this router among all routers, from 0, and the present number of routers.
     pub fn set_router_position(&mut self, router_index: u32, router_count: u32) {
         self.state.deployment.router_index = router_index;
         self.state.deployment.router_count = router_count;
     }
 
-    /// Accepts an RPC: it will have one final answer. A handle and the first decision are returned.
+    /// Accepts an RPC, which will have exactly one final answer. Returns the handle and the first decision.
     pub fn accept(&mut self, now: Time, arrival: Arrival) -> (RpcId, Decision) {
         let state = &mut self.state;
         let write_age = arrival.last_write_age.filter(|_| state.deployment.session_write_age_carried);
@@ -89,19 +89,20 @@
         (rpc, decision)
     }
 
-    /// The priority of an RPC under an overload: below [`PRIORITY_COUNT`](crate::PRIORITY_COUNT), the lowest shed
-    /// first.
+    /// Returns the priority of an RPC under an overload, which is below [`PRIORITY_COUNT`](crate::PRIORITY_COUNT). The
+    /// lowest priorities are shed first.
     pub fn priority(&self, now: Time, arrival: &Arrival, overload: &OverloadState) -> u32 {
         rejection::priority(&self.state, now, arrival, overload)
     }
 
-    /// When a rejected client may retry, spread by chance: also one whose RPC was never accepted.
+    /// Returns the randomized delay after which a rejected client may retry, also for a client whose RPC was never
+    /// accepted.
     pub fn retry_after(&mut self) -> Span {
         rejection::retry_after(&mut self.state)
     }
 
-    /// May an attempt that has waited for its connection still be made there? What the router knows of a member may
-    /// have become too old meanwhile.
+    /// Returns whether an attempt that has waited for its connection may still be made at this member. What the router
+    /// knows of the member may have become too old in the meantime.
     pub fn may_still_attempt(&self, now: Time, rpc: RpcId, member: MemberId) -> bool {
         let state = &self.state;
         let Some(accepted) = state.rpcs.get(rpc) else { return false };
@@ -118,12 +119,12 @@
         may_use_replica && state.topology.member(index).position >= required
     }
 
-    /// Takes an update of the endpoint list, or the failure of a poll.
+    /// Processes an update of the endpoint list, or the failure of a poll.
     pub fn on_endpoint_update(&mut self, now: Time, update: EndpointUpdate) {
         endpoints::on_update(&mut self.state, now, update);
     }
 
-    /// Takes the result of a health check.
+    /// Processes the result of a health check.
     pub fn on_health_check_ended(
         &mut self,
         now: Time,
@@ -135,13 +136,13 @@
         health_check::on_ended(&mut self.state, now, member, outcome, latency, report);
     }
 
-    /// Takes an update on a member from another router.
+    /// Processes an update on a member from another router.
     pub fn on_peer_update(&mut self, now: Time, update: MemberUpdate) {
         gossip::on_peer_update(&mut self.state, now, &update);
     }
 
-    /// Decides on the pending RPCs, and returns what is due: health checks, polls of the endpoint list, gossip, and
-    /// when to call again.
+    /// Decides on the pending RPCs. Returns the decisions and what is due: health checks, polls of the endpoint list,
+    /// gossip, and the time of the next call.
     pub fn tick(&mut self, now: Time) -> TickOutput {
         let state = &mut self.state;
         for group in 0..state.topology.groups.len() {
@@ -162,19 +163,19 @@
         std::mem::take(&mut state.output)
     }
 
-    /// Does the endpoint list name this member as one that serves?
+    /// Returns whether the endpoint list names this member as one that serves RPCs.
     pub fn is_active(&self, member: MemberId) -> bool {
         self.known_member(member).is_some_and(|known| known.endpoint_state == EndpointState::Active)
     }
 
-    /// The newest proven position of a member; none where no list has named it.
+    /// Returns the newest position that a member has proven, or `None` for a member that no list has named.
     pub fn known_position(&self, member: MemberId) -> Option<KnownPosition> {
         let known = self.known_member(member)?;
         let primary = self.state.topology.groups.get(known.group)?.primary;
         Some(KnownPosition { position: known.position, is_primary: primary == Some(member.0 as usize) })
     }
 
-    /// What this router sees of each active member, for a load report to the other routers.
+    /// Returns the load of each active member, for a load report to the other routers.
     pub fn member_loads(&self, now: Time) -> impl Iterator<Item = MemberLoad> {
         let members = self.state.topology.members.iter().flatten();
         members
@@ -195,8 +196,9 @@
         }
     }
 
-    /// Sets this router's share of the RPCs that all routers may have in flight at a member. It replaces the share of
-    /// reads that an overloaded member may get from routers with little traffic: both together would leave it idle.
+    /// Sets this router's share of the RPCs that all routers may have in flight at a member. This limit replaces the
+    /// share of reads that an overloaded member may get from routers with little traffic, because both together would
+    /// leave the member idle.
     pub fn set_concurrency_limit(&mut self, member: MemberId, limit: f64) {
         if self.state.topology.contains(member) {
             let member = self.state.topology.member_mut(member.0 as usize);
@@ -211,7 +213,7 @@
 }
 
 impl RpcId {
-    /// An attempt of this RPC has ended.
+    /// Processes the end of an attempt of this RPC, and returns the next decision.
     pub fn on_attempt_ended(self, router: &mut Router, now: Time, result: AttemptResult) -> Decision {
         let state = &mut router.state;
         let index = result.member.0 as usize;
@@ -237,7 +239,7 @@
         selection::select(state, now, self)
     }
 
-    /// The client has given up, or the deadline has passed.
+    /// Ends the RPC because the client has given up, or because the deadline has passed.
     pub fn abandon(self, router: &mut Router) {
         router.state.rpcs.close(self);
     }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -1,14 +1,15 @@
-//! Selection: the member that an RPC is sent to.
+//! Selection of the member to which an RPC is sent.
 //!
 //! 1. An RPC that may not be sent again, or could not be answered in time, is given up (`rejection`).
-//! 2. A router that has just started waits for the first answers of the group: its list may be old.
-//! 3. Of the replicas that are eligible, fresh enough and below their concurrency limit, the least loaded is selected;
-//!    ties go to the one that was sent the least work.
-//! 4. A read that no replica is known to be fresh enough for waits for a health check of the next one.
-//! 5. What no replica takes, and what only the primary may serve, goes to the primary if it is eligible. A read that
-//!    does so spills.
-//! 6. Anything else is queued (`pending`). A marked client retry of an idempotent method is given up instead, unless a
-//!    health check may yet help it.
+//! 2. A router that has just started waits for the first answers of the group, because its list may be old.
+//! 3. Of the replicas that are eligible, fresh enough and below their concurrency limit, the least loaded is selected.
+//!    Ties go to the one that was sent the least work.
+//! 4. A read for which no replica is known to be fresh enough waits for a health check of the replica that would be
+//!    selected next.
+//! 5. An RPC that no replica can get, or that only the primary may serve, goes to the primary if the primary is
+//!    eligible. A read that does so spills.
+//! 6. Any other RPC is queued (`pending`). A marked client retry of an idempotent method is given up instead, unless a
+//!    health check may still help it.
 
 use crate::attempt;
 use crate::concurrency_limit;
@@ -27,11 +28,11 @@
 use crate::types::{Consistency, Decision, RpcId};
 use nanorand::{Rng, WyRand};
 
-/// Work sent to a member of another zone weighs this much more.
+/// The weight of work sent to a member of another zone, relative to work sent to the router's own zone.
 const OTHER_ZONE_WEIGHT: f64 = 2.0;
 
-/// The order in which replicas are selected: the least loaded, then the one that was sent the least work, in seconds
-/// at its present speed.
+/// The order in which replicas are selected: by load, then by the work that was sent to the replica, in seconds at its
+/// present speed. The lowest rank is selected.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     load: f64,
@@ -39,14 +40,14 @@
     index: usize,
 }
 
-/// What was found among the replicas of a group.
+/// The result of a search among the replicas of a group.
 struct ReplicaSearch {
     selected: Option<Rank>,
-    /// The first by rank of those that may be fresh enough, but have not proven it.
+    /// The lowest rank among the replicas that may be fresh enough, but have not proven it.
     best_unproven: Option<Rank>,
-    /// A health check that may prove one to be fresh enough is in progress or due.
+    /// Whether a health check that may prove a replica to be fresh enough is in progress or due.
     expects_report: bool,
-    /// Why the others were passed over.
+    /// The reasons why the other replicas were passed over.
     passed_over: Counts<Ineligible>,
 }
 
@@ -95,26 +96,26 @@
     state.topology.groups[group].pending = still_pending;
 }
 
-/// Does an RPC wait for the first answers of its group?
+/// Returns whether RPCs wait for the first answers of their group.
 fn awaits_first_answers(state: &RouterState, now: Time, group: usize) -> bool {
     !state.topology.groups[group].has_answered
         && state.deployment.health_checks_report_position
         && health_check_schedule::awaits_first_results(state, now)
 }
 
-/// Does a read that no replica was selected for wait for a report that could prove one to be fresh enough?
+/// Returns whether a read for which no replica was selected waits for a report that could prove one to be fresh enough.
 fn waits_for_report(state: &RouterState, replicas: &ReplicaSearch) -> bool {
     let report_can_come = replicas.expects_report || replicas.best_unproven.is_some();
     state.deployment.health_checks_report_position && report_can_come
 }
 
-/// The primary of an RPC's group, if the RPC may go there now.
+/// Returns the primary of an RPC's group, if the RPC may go there now.
 fn eligible_primary(state: &RouterState, now: Time, rpc: RpcId) -> Option<usize> {
     let primary = state.topology.groups[state.rpcs[rpc].arrival.group as usize].primary?;
     eligibility::reason_against_primary(state, now, primary, rpc).is_none().then_some(primary)
 }
 
-/// Compares the replicas of an RPC's group, each of which may get it, with a random number drawn for each eligible one.
+/// Compares the replicas of an RPC's group. A random number is drawn for each eligible one.
 fn search_replicas(state: &RouterState, now: Time, rpc: RpcId, random: &mut WyRand) -> ReplicaSearch {
     let mut search = ReplicaSearch {
         selected: None,
@@ -139,7 +140,7 @@
         if !staleness::is_fresh_enough(member, consistency, required) {
             search.passed_over.add(Ineligible::Stale);
             search.expects_report |= health_check_schedule::result_is_expected(state, now, member);
-            // Reads of any data go by the last lag reported, however old: no check is made for them.
+            // Reads of any data rely on the last reported lag, however old it is, so no check is made for them.
             if consistency != Consistency::Any {
                 consider_for_check(state, now, &mut search, rank, required);
             }
@@ -158,8 +159,8 @@
     search
 }
 
-/// Makes a replica the best of those that have not proven to be fresh enough, if it has the first rank among those that
-/// a health check could prove it of.
+/// Makes this replica the best of those that have not proven to be fresh enough, if a health check could prove it to be
+/// and its rank is the lowest so far.
 fn consider_for_check(
     state: &RouterState,
     now: Time,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Could a health check of this replica, requested now, prove it to be fresh enough?
+/// Returns whether a health check of this replica, requested now, could prove it to be fresh enough.
 fn can_be_checked(state: &RouterState, now: Time, index: usize, required: Time) -> bool {
     let member = state.topology.member(index);
     member.health_check_sent_at.is_none()
@@ -181,8 +182,8 @@
         && health_check_schedule::next_request_at(state, index) <= now
 }
 
-/// The rank of a replica. A random amount, of the work of one RPC on average, prevents that routers which send little
-/// all begin with the same member.
+/// Returns the rank of a replica. It includes a random amount of work, on average that of one RPC, so that routers
+/// which send little do not all begin with the same member.
 fn rank(state: &RouterState, now: Time, rpc: RpcId, index: usize, random: &mut WyRand) -> Rank {
     let member = state.topology.member(index);
     let random_work_secs = -(1.0 - random.generate::<f64>()).ln() * state.method_of(rpc).typical.secs();
--- a/crates/ladderpass-routing/src/state.rs
+++ b/crates/ladderpass-routing/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of a router: one module for each kind of thing. Nothing here decides.
+//! The state of a router, with one module for each kind of state. These modules make no decisions.
 
 pub mod group;
 pub mod latency;
--- a/crates/ladderpass-routing/src/state/group.rs
+++ b/crates/ladderpass-routing/src/state/group.rs
@@ -1,5 +1,5 @@
-//! The groups and members that the endpoint list has named, and what is measured over several of them. Nothing here
-//! decides.
+//! The groups and members that the endpoint list has named, and what is measured across several members. This module
+//! makes no decisions.
 
 use super::member::Member;
 use crate::sliding_window::SlidingWindow;
@@ -10,16 +10,16 @@
 /// A primary and its replicas.
 #[derive(Default)]
 pub struct Group {
-    /// Indexes of its members.
+    /// The indexes of the group's members.
     pub members: Vec<usize>,
     pub primary: Option<usize>,
-    /// Most active members that it has had at once.
+    /// The largest number of active members that the group has had at once.
     pub max_members: usize,
-    /// One of its members has answered this router, or another one.
+    /// Whether a member of the group has answered this router or another one.
     pub has_answered: bool,
     /// RPCs that wait for a decision.
     pub pending: Vec<RpcId>,
-    /// When the pending RPCs were last examined.
+    /// The time at which the pending RPCs were last examined.
     pub pending_examined_at: Time,
 }
 
@@ -30,15 +30,16 @@
     pub groups: Vec<Group>,
     /// Answer times over the typical ones, by kind of machine.
     machine_kind_latency: Vec<SlidingWindow>,
-    /// The same by zone, over a longer time, with failures of its members.
+    /// Answer times over the typical ones, by zone. This window is longer, and includes failures of the zone's members.
     zone_latency: Vec<SlidingWindow>,
-    /// RPCs accepted, by group; the sum counts those for the primary alone.
+    /// Accepted RPCs, by group. The count of the window is of all of them, the sum of those that only the primary may
+    /// serve.
     accepted: Vec<SlidingWindow>,
-    /// How many members are listed; none where the list has changed since they were counted.
+    /// The number of listed members, or `None` where the list has changed since they were counted.
     listed_count: Cell<Option<usize>>,
 }
 
-/// The window of this index; those before it are made too.
+/// Returns the window of this index. It is created with all windows before it if it does not exist.
 fn window_at(windows: &mut Vec<SlidingWindow>, index: u32, bucket: Span) -> &mut SlidingWindow {
     let index = index as usize;
     windows.resize_with(windows.len().max(index + 1), || SlidingWindow::new(bucket));
@@ -67,7 +68,7 @@
         window_at(&mut self.accepted, group, bucket)
     }
 
-    /// The group of this index; it is made where the list has not named it yet.
+    /// Returns the group of this index. It is created if the list has not named it yet.
     pub fn group_mut(&mut self, group: u32) -> &mut Group {
         let group = group as usize;
         self.groups.resize_with(self.groups.len().max(group + 1), Group::default);
@@ -86,7 +87,7 @@
         self.members[index].as_mut().expect("members of groups are known")
     }
 
-    /// The group that a member belongs to.
+    /// Returns the group to which a member belongs.
     pub fn group_of(&self, index: usize) -> &Group {
         &self.groups[self.member(index).group]
     }
@@ -99,8 +100,8 @@
         self.listed_count.take();
     }
 
-    /// Drops the members that were removed from the list before this time and have nothing in flight, and returns
-    /// their ids. Prevents memory, and passes over all members, from growing where nodes are replaced all the time.
+    /// Drops the members that were removed from the list before this time and have nothing in flight, and returns their
+    /// ids. Otherwise memory and the time of passes over all members would grow where nodes are replaced all the time.
     pub fn remove_retired(&mut self, before: Time) -> Vec<MemberId> {
         self.listed_count.take();
         let is_retired = |member: &&Member| {
@@ -116,7 +117,7 @@
         retired
     }
 
-    /// Raises `max_members` to the number of active members, if that is more.
+    /// Raises `max_members` to the present number of active members, if that is more.
     pub fn update_max_members(&mut self, group: usize) {
         let members = self.groups[group].members.iter();
         let active =
@@ -124,9 +125,9 @@
         self.groups[group].max_members = self.groups[group].max_members.max(active);
     }
 
-    /// How many members are listed. They are counted once for each change of the list, as passes over all members ask
-    /// for this at each of them. Every list update ends with `remove_retired`; within one the count may be the
-    /// one of before.
+    /// Returns the number of listed members. It is counted once for each change of the list, because passes over all
+    /// members need it for each of them. Every update of the list ends with `remove_retired`, which discards the count.
+    /// During an update, the count may be the previous one.
     pub fn listed_count(&self) -> usize {
         if let Some(count) = self.listed_count.get() {
             return count;
--- a/crates/ladderpass-routing/src/state/latency.rs
+++ b/crates/ladderpass-routing/src/state/latency.rs
@@ -1,30 +1,32 @@
-//! A method and the answer times that were measured for it. Nothing here decides.
+//! A method and the answer times that were measured for it. This module makes no decisions.
 
 use crate::sliding_window::SlidingWindow;
 use crate::time::{Span, Time};
 use crate::types::{Consistency, Method};
 
-/// A method of the deployment with its answer times over all members.
+/// A method of the deployment, with its answer times at all members.
 pub struct MethodLatency {
     pub definition: Method,
     /// Answer times, in seconds.
     pub answers: SlidingWindow,
-    /// The typical answer time: the quickest mean of the recent buckets, so about the time without load.
+    /// The typical answer time. It is the lowest mean of a recent bucket, and so about the answer time without load.
     pub typical: Span,
 }
 
 impl MethodLatency {
-    /// `typical` is assumed until answers are measured, in buckets of this width.
+    /// Creates the state of a method without answers. `typical` is assumed until answers are measured, and `bucket` is
+    /// the width of the buckets in which they are recorded.
     pub fn new(method: &Method, typical: Span, bucket: Span) -> MethodLatency {
         MethodLatency { definition: method.clone(), answers: SlidingWindow::new(bucket), typical }
     }
 
-    /// The session, where the method writes.
+    /// Returns the session if the method is a write.
     pub fn writing_session(&self, session: Option<u32>) -> Option<u32> {
         session.filter(|_| self.definition.consistency == Consistency::Write)
     }
 
-    /// Until when an answer has any utility for an RPC that was accepted then and has this deadline.
+    /// Returns the time until which an answer has any utility, for an RPC with this time of acceptance and this
+    /// deadline.
     pub fn useful_until(&self, accepted_at: Time, deadline: Time) -> Time {
         if self.definition.late_utility_share > 0.0 {
             deadline
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -1,14 +1,15 @@
-//! What a router knows of one member, and the bookkeeping of the attempts that it has made there. Nothing here decides.
+//! What a router knows about one member, and the record of this router's attempts there. This module makes no
+//! decisions.
 
 use crate::sliding_window::SlidingWindow;
 use crate::time::{Span, Time};
 use crate::types::{EndpointState, MemberId};
 use std::collections::VecDeque;
 
-/// Buckets in which failed attempts are counted.
+/// The number of buckets in which failed attempts are counted.
 const FAILURE_BUCKETS: usize = 4;
 
-/// Who saw what is recorded of a member.
+/// The router that made an observation of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedBy {
     ThisRouter,
@@ -28,74 +29,78 @@
     pub group: usize,
     pub machine_kind: u32,
     pub zone: u32,
-    /// The number by which all routers know it.
+    /// A number that identifies the member at all routers.
     pub id_hash: u32,
-    /// RPCs that it works on at once, by the endpoint list.
+    /// The number of RPCs that the member can process at once, according to the endpoint list.
     pub concurrency: Option<f64>,
     pub endpoint_state: EndpointState,
     pub endpoint_state_since: Time,
-    /// Latest time at which it has shown to be the primary.
+    /// The latest time at which the member has shown that it is the primary.
     pub primary_seen_at: Time,
-    /// Latest time at which it has shown to be a replica.
+    /// The latest time at which the member has shown that it is a replica.
     pub replica_seen_at: Time,
-    /// The endpoint list alone calls it primary.
+    /// Whether the endpoint list names the member as the primary, and the member has not contradicted it. Unlike
+    /// `primary_seen_at`, this is no evidence from the member itself.
     pub listed_as_primary: bool,
-    /// Newest proven position.
+    /// The newest position that the member has proven.
     pub position: Time,
-    /// When the position last advanced.
+    /// The time at which `position` last advanced.
     pub position_advanced_at: Time,
-    /// When it last reported anything, to this router or by gossip.
+    /// The time of the member's last report of any kind, to this router or by gossip.
     pub reported_at: Time,
-    /// Newest position that was published to all routers.
+    /// The newest position of the member that any router has published to all routers.
     pub published_position: Time,
     pub published_at: Time,
-    /// When it was last published that this member is unreachable.
+    /// The time at which a router last published that this member is unreachable.
     pub unreachable_published_at: Time,
-    /// Age of the position in its last health check.
+    /// The age of the position in the member's last health check.
     pub reported_position_age: Option<Span>,
-    /// Replication lag, as last computed. Bounds of reads are compared with `position`; this serves unbounded reads.
+    /// The replication lag, as last computed. It decides on reads of any data, while reads that require a position
+    /// compare that position with `position`. The lag also reduces the share of the concurrency limit that reads may
+    /// use.
     pub lag: Option<Span>,
-    /// RPCs in flight there, by its last load report.
+    /// The number of RPCs in flight at the member, according to its last load report.
     pub reported_in_flight: Option<f64>,
-    /// Attempts by this router that have not ended, the oldest first.
+    /// This router's attempts that have not ended, the oldest first.
     pub open_attempts: VecDeque<OpenAttempt>,
     pub last_attempt_at: Time,
-    /// Send time of the latest attempt that it has answered.
+    /// The send time of the latest attempt that the member has answered successfully.
     pub latest_answered_attempt: Time,
-    /// Its last sign of life, by an answer, a health check or gossip; or since when it has answered nothing while attempts
-    /// were open.
+    /// The member's last sign of life, by an answer, a health check or gossip. If an attempt was started after that
+    /// while none was open, it is the start of that attempt.
     pub silent_since: Time,
     pub consecutive_failures: u32,
-    /// When the first of the consecutive failures happened.
+    /// The time of the first of the consecutive failures.
     pub failing_since: Time,
-    /// The health check in progress, by when it was sent.
+    /// The send time of the health check in progress, if there is one.
     pub health_check_sent_at: Option<Time>,
     pub last_health_check_at: Time,
     pub next_health_check_at: Time,
-    /// Share of the reads, from 0 to 1, that may go there; less while it is overloaded.
+    /// The share of reads, from 0 to 1, that the member may get. It is reduced while the member is overloaded.
     pub read_share: f64,
     pub read_share_updated_at: Time,
-    /// When it started, and began its slow start; none where no start is known.
+    /// The time at which the member started, and with it its slow start, or `None` if no start is known.
     pub started_at: Option<Time>,
-    /// Attempts that it may get from this router during slow start, and the fraction of a further one.
+    /// The number of attempts that the member may get from this router during slow start. The fraction counts towards
+    /// the next attempt.
     pub slow_start_credit: f64,
-    /// When the credit last reached a whole attempt.
+    /// The time at which the credit last reached a whole attempt.
     pub slow_start_credit_at: Time,
-    /// Attempts that this router may have in flight there.
+    /// The number of attempts that this router may have in flight at the member.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Time,
-    /// Failed attempts of the last two seconds, which count as load; those that count towards ejection are
+    /// Failed attempts of the last two seconds, which count as load. Failures that count towards ejection are in
     /// `consecutive_failures`.
     pub recent_failures: SlidingWindow<FAILURE_BUCKETS>,
     /// Answer times over the typical ones.
     pub latency_ratios: SlidingWindow,
-    /// Work sent, in seconds of typical answer time.
+    /// The work sent to the member, in seconds of typical answer time.
     pub work_sent: SlidingWindow,
 }
 
 impl Member {
-    /// A member of which nothing is known. Failures and answers are counted in buckets of the width `answer_bucket`,
-    /// the work that it is sent in buckets of the width `work_bucket`.
+    /// Creates a member about which nothing is known. Failures and answers are counted in buckets of the width
+    /// `answer_bucket`, and the work sent to the member in buckets of the width `work_bucket`.
     pub fn new(
         id: MemberId,
         group: usize,
@@ -152,7 +157,8 @@
         }
     }
 
-    /// RPCs in flight there by its last load report, with the one to be sent, over what it works on at once.
+    /// Returns the number of RPCs in flight at the member by its last load report, plus the one to be sent, over the
+    /// number that it can process at once.
     pub fn reported_utilization(&self) -> Option<f64> {
         self.reported_in_flight
             .zip(self.concurrency)
--- a/crates/ladderpass-routing/src/state/router_state.rs
+++ b/crates/ladderpass-routing/src/state/router_state.rs
@@ -1,4 +1,4 @@
-//! All that one router knows. The mechanisms are functions over this state; nothing here decides.
+//! The whole state of one router. The mechanisms are functions over this state, which makes no decisions itself.
 
 use super::group::Topology;
 use super::latency::MethodLatency;
@@ -14,27 +14,27 @@
 pub struct RouterState {
     pub deployment: Deployment,
     pub started_at: Time,
-    /// The least staleness bound of any method.
+    /// The smallest staleness bound of any method.
     pub min_staleness_bound: Span,
-    /// How far the clock of `now` may differ from the one that positions are read from.
+    /// How far the clock of `now` may differ from the members' clock, by which positions are given.
     pub clock: ClockDifference,
     pub random: WyRand,
     pub methods: Vec<MethodLatency>,
     pub topology: Topology,
     pub rpcs: RpcTable,
     pub session_writes: SessionWrites,
-    /// RPCs accepted, of all groups.
+    /// The RPCs that have arrived for all groups, including those that were shed.
     pub accepted: SlidingWindow,
-    /// When the health checks that are due are to be looked for.
+    /// The time at which to look for health checks that are due.
     pub next_health_check_at: Time,
     pub next_endpoint_poll_at: Option<Time>,
     pub endpoint_poll_failures: u32,
-    /// What the next tick returns.
+    /// The output of the next tick.
     pub output: TickOutput,
 }
 
 impl RouterState {
-    /// What the members' clock shows now, at the latest.
+    /// Returns the latest time that the members' clock may show now.
     pub fn latest_time_of_members_clock(&self, now: Time) -> Time {
         now + self.clock.behind
     }
@@ -43,13 +43,13 @@
         &self.methods[self.rpcs[rpc].arrival.method as usize]
     }
 
-    /// Until when an answer to this RPC has any utility.
+    /// Returns the time until which an answer to this RPC has any utility.
     pub fn useful_until(&self, rpc: RpcId) -> Time {
         let state = &self.rpcs[rpc];
         self.method_of(rpc).useful_until(state.accepted_at, state.arrival.deadline)
     }
 
-    /// How many routers there are; one at least.
+    /// Returns the number of routers, which is at least one.
     pub fn router_count(&self) -> u32 {
         self.deployment.router_count.max(1)
     }
--- a/crates/ladderpass-routing/src/state/rpc.rs
+++ b/crates/ladderpass-routing/src/state/rpc.rs
@@ -1,32 +1,34 @@
-//! The RPCs that were accepted, until each is answered and none of its attempts is in flight. Nothing here decides.
+//! The RPCs that were accepted. Each is stored until it is answered and none of its attempts is in flight. This module
+//! makes no decisions.
 
 use crate::time::Time;
 use crate::types::{Arrival, AttemptOutcome, RpcId};
 
-/// An RPC that was accepted.
+/// The state of an accepted RPC.
 pub struct RpcState {
-    /// Counts the uses of this slot, so that a handle of an earlier RPC does not fit.
+    /// The number of earlier RPCs in this slot, by which the handle of an earlier RPC is recognised as invalid.
     generation: u32,
     pub arrival: Arrival,
     pub accepted_at: Time,
-    /// It has no final answer yet.
+    /// Whether the RPC has no final answer yet.
     pub is_open: bool,
-    /// It waits among the pending RPCs of its group.
+    /// Whether the RPC is among the pending ones of its group.
     pub is_pending: bool,
     pub attempts_in_flight: u32,
     pub attempts: u32,
-    /// Drawn once, from 0 to 1: the smaller, the sooner it is sent where only a share of the RPCs may be. Also the
-    /// admission draw, where a smaller one is shed sooner.
+    /// A random number from 0 to 1, drawn once. Where only a share of the RPCs may be sent, those with smaller draws
+    /// are sent. It is also the admission draw, where RPCs with smaller draws are shed sooner.
     pub random_draw: f64,
     pub last_attempt_at: Time,
     pub last_attempt_ended_at: Time,
-    /// Send time of the first attempt that may have run.
+    /// The send time of the first attempt that may have run.
     pub may_have_run_since: Option<Time>,
-    /// Members at which an attempt has ended.
+    /// The members at which an attempt has ended.
     pub tried_members: Vec<usize>,
-    /// Members that answered it with an error. None is blamed before another has served it.
+    /// The members that answered the RPC with an error. The errors count against them only once another attempt has
+    /// succeeded.
     pub error_members: Vec<usize>,
-    /// Commit of the session's last write, where the RPC carries its age.
+    /// The commit of the session's last write, if the RPC carries the age of that write.
     pub session_write: Time,
 }
 
@@ -38,7 +40,8 @@
         self.last_attempt_at = now;
     }
 
-    /// An attempt has ended. Returns the members to blame for the errors that they answered: another has served it.
+    /// Records the end of an attempt. After a success, returns the members that answered earlier attempts with an
+    /// error, because the errors were then their own.
     pub fn record_attempt_ended(&mut self, now: Time, index: usize, outcome: AttemptOutcome) -> Vec<usize> {
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
         if outcome == AttemptOutcome::DecisionExpired {
@@ -54,7 +57,7 @@
     }
 }
 
-/// The RPCs, in slots that are reused; a handle of an earlier use does not fit.
+/// A table of RPCs in reused slots. The handle of an RPC is invalid once its slot has been freed.
 #[derive(Default)]
 pub struct RpcTable {
     slots: Vec<RpcState>,
@@ -87,17 +90,17 @@
         RpcId { slot, generation: self.slots[slot as usize].generation }
     }
 
-    /// The RPC of a handle; none once its slot has been given back.
+    /// Returns the RPC of a handle, or `None` once its slot has been freed.
     pub fn get(&self, rpc: RpcId) -> Option<&RpcState> {
         self.slots.get(rpc.slot as usize).filter(|state| state.generation == rpc.generation)
     }
 
-    /// The same, to be changed.
+    /// Returns the RPC of a handle for modification, or `None` once its slot has been freed.
     pub fn get_mut(&mut self, rpc: RpcId) -> Option<&mut RpcState> {
         self.slots.get_mut(rpc.slot as usize).filter(|state| state.generation == rpc.generation)
     }
 
-    /// The RPC has its final answer; its slot is given back once none of its attempts is in flight.
+    /// Closes an RPC that has its final answer. Its slot is freed once none of its attempts is in flight.
     pub fn close(&mut self, rpc: RpcId) {
         let Some(state) = self.get_mut(rpc) else { return };
         state.is_open = false;
--- a/crates/ladderpass-routing/src/time.rs
+++ b/crates/ladderpass-routing/src/time.rs
@@ -1,8 +1,9 @@
-//! Points in time and spans of time, in nanoseconds: two types, so that they can't be mixed up. Sums saturate.
+//! Points in time and spans of time, in nanoseconds. They are separate types so that one can't be passed for the other.
+//! Additions and subtractions saturate.
 
 use std::ops::{Add, AddAssign, Mul, Sub};
 
-/// A point on the clock that the caller passes; its zero has no meaning.
+/// A point on the clock that the caller passes to the router. The zero of this clock has no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(i64);
 
@@ -11,47 +12,47 @@
 pub struct Span(i64);
 
 impl Time {
-    /// Earlier than any time that a clock shows: when something happened that has not happened yet.
+    /// The time of an event that has not happened yet. It is earlier than any time that a clock shows.
     pub const NEVER: Time = Time(i64::MIN / 2);
 
-    /// The point at this many nanoseconds from the clock's zero.
+    /// Returns the point at this many nanoseconds from the clock's zero.
     pub const fn from_nanos(nanos: i64) -> Time {
         Time(nanos)
     }
 
-    /// Nanoseconds from the clock's zero.
+    /// Returns the nanoseconds from the clock's zero.
     pub const fn nanos(self) -> i64 {
         self.0
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Span = Span(0);
-    /// Longer than any time that is measured.
+    /// A span longer than any that can be measured.
     pub const MAX: Span = Span(i64::MAX / 4);
 
-    /// Its length in nanoseconds.
+    /// Returns the length of the span in nanoseconds.
     pub const fn nanos(self) -> i64 {
         self.0
     }
 
-    /// A span of this many nanoseconds.
+    /// Returns a span of this many nanoseconds.
     pub const fn from_nanos(nanos: i64) -> Span {
         Span(nanos)
     }
 
-    /// A span of this many milliseconds.
+    /// Returns a span of this many milliseconds.
     pub const fn from_millis(millis: i64) -> Span {
         Span(millis * 1_000_000)
     }
 
-    /// A span of this many seconds, cut to whole nanoseconds.
+    /// Returns a span of this many seconds, truncated to whole nanoseconds.
     pub fn from_secs_f64(secs: f64) -> Span {
         Span((secs * 1e9) as i64)
     }
 
-    /// Its length in seconds.
+    /// Returns the length of the span in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -1,15 +1,15 @@
-//! What crosses the router's public calls: the deployment, RPCs and their outcomes, decisions, and what routers and
-//! members report. Nothing here decides.
+//! The types of the router's public calls: the deployment, RPCs and their outcomes, decisions, and the reports of
+//! routers and members. This module makes no decisions.
 
 pub use crate::attempt_outcome::AttemptOutcome;
 use crate::reasons::Exceptions;
 use crate::time::{Span, Time};
 
-/// A member of a group, by the small index that the front gave its id.
+/// A member of a group, identified by the small index that the front assigned to the member's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u32);
 
-/// Handle of an RPC that was accepted. What happens to it later is a call on this handle.
+/// The handle of an accepted RPC. Later events of the RPC are reported by calls on its handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RpcId {
     pub(crate) slot: u32,
@@ -19,25 +19,25 @@
 /// How recent the data behind an answer must be, and which members may serve it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Any data, unless its member is known to lag by 30 s or more.
+    /// Data of any age will do, unless the member is known to lag by 30 s or more.
     Any,
-    /// Not older than this when the attempt is sent.
+    /// The data must be no older than this when the attempt is sent.
     BoundedStaleness(Span),
-    /// All that the session has written.
+    /// The data must include all writes of the session.
     Session,
-    /// All that was committed before the RPC arrived: served by the primary alone.
+    /// The data must include everything that was committed before the RPC arrived. Only the primary serves the RPC.
     Fresh,
-    /// A write: served by the primary alone.
+    /// The RPC is a write. Only the primary serves it.
     Write,
 }
 
 impl Consistency {
-    /// May the primary of the group serve it, and no other member?
+    /// Returns whether only the primary of the group may serve the RPC.
     pub fn primary_only(self) -> bool {
         matches!(self, Consistency::Fresh | Consistency::Write)
     }
 
-    /// The staleness bound, where there is one.
+    /// Returns the staleness bound, or `None` for a consistency without one.
     pub fn max_staleness(self) -> Option<Span> {
         match self {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -46,102 +46,104 @@
     }
 }
 
-/// What running an RPC twice would do.
+/// The effect of running an RPC twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The same as running it once.
+    /// Running the RPC twice has the same effect as running it once.
     Idempotent,
-    /// Members recognise repeats and drop them.
+    /// Members recognise repeats by an idempotency key, and drop them.
     IdempotencyKey {
-        /// Repeats are recognised by every member of every group, else by those of the RPC's own group.
+        /// Whether the members of all groups recognise repeats, rather than only those of the RPC's own group.
         across_groups: bool,
-        /// For how long after the first send that may have run.
+        /// How long members recognise repeats, counted from the send of the first attempt that may have run.
         window: Span,
     },
-    /// Its effect would happen twice.
+    /// Running the RPC twice has its effect twice.
     NonIdempotent,
 }
 
 /// A method of the deployment.
 #[derive(Clone, Debug)]
 pub struct Method {
-    /// How recent the data behind its answers must be.
+    /// How recent the data behind an answer must be.
     pub consistency: Consistency,
-    /// What a retry would do.
+    /// The effect of a retry.
     pub idempotency: Idempotency,
-    /// An answer after this has less utility, or none.
+    /// The time from the arrival of an RPC after which an answer has less utility, or none.
     pub soft_deadline: Span,
     /// The utility of an answer before the soft deadline.
     pub utility: f64,
-    /// Share of the utility that an answer after the soft deadline still has.
+    /// The share of the utility that an answer after the soft deadline still has.
     pub late_utility_share: f64,
 }
 
 /// How the endpoint list names the primary of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryInList {
-    /// At any time, though late.
+    /// The list names the primary at any time, but with a delay.
     Delayed,
-    /// As it was when the router started.
+    /// The list names the primary as it was when the router started, and no later change of it.
     AtStart,
-    /// Not at all.
+    /// The list never names the primary.
     Absent,
 }
 
-/// What a router is given at its start.
+/// The settings with which a router is started.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The methods; an arrival names one by its index.
+    /// The methods. An arrival refers to a method by its index in this list.
     pub methods: Vec<Method>,
     /// How the endpoint list names primaries.
     pub primary_in_list: PrimaryInList,
-    /// Clients say, with each session read, how long ago the session's last write was.
+    /// Whether clients report the age of the session's last write with each session read.
     pub session_write_age_carried: bool,
-    /// How often the endpoint list has to be polled at the least; none where updates come without polls.
+    /// The longest time within which the endpoint list must be polled, or `None` where updates arrive without polls.
     pub endpoint_poll_interval: Option<Span>,
-    /// Members may be health-checked.
+    /// Whether members may be health-checked.
     pub health_checks: bool,
-    /// A health check's answer reports a position and the role, not liveness alone.
+    /// Whether the answer to a health check reports a position and the role, and not only that the member is up.
     pub health_checks_report_position: bool,
-    /// How many routers there are.
+    /// The number of routers.
     pub router_count: u32,
-    /// Which of them this is, from 0.
+    /// The index of this router among all routers, from 0.
     pub router_index: u32,
-    /// Routers may exchange what members reported to them.
+    /// Whether routers may exchange what members reported to them.
     pub gossip: bool,
-    /// Most attempts of one RPC: 1 allows no retry.
+    /// The maximum number of attempts of one RPC. A value of 1 allows no retry.
     pub max_attempts: u32,
-    /// The longest Retry-After.
+    /// The longest Retry-After that a client may be given.
     pub max_retry_after: Span,
-    /// Least time between two batches of events, and so the margin for what is decided between them.
+    /// The shortest time between two batches of events, which decisions therefore use as a margin.
     pub tick: Span,
-    /// Share of its capacity that a member has at its start.
+    /// The share of its capacity that a member has when it starts.
     pub slow_start_capacity: f64,
-    /// How long a member takes to reach its full capacity.
+    /// The time that a member takes from its start to reach its full capacity.
     pub slow_start_duration: Span,
-    /// The window in which a member warming up must not get more than its capacity.
+    /// The window over which a member in slow start must not get more RPCs than it can take.
     pub overload_window: Span,
-    /// A member warming up can take this multiple of its present capacity over that window.
+    /// The multiple of its present capacity that a member in slow start can take over `overload_window`.
     pub overload_multiple: f64,
-    /// Only an entry that says `Draining` binds; a member that left the list may still be sent RPCs.
+    /// Whether a member that is removed from the list may still be sent RPCs, so that only an entry in the state
+    /// `Draining` forbids them.
     pub removal_is_advisory: bool,
 }
 
 impl Deployment {
-    /// Does a health check by one router save the others theirs?
+    /// Returns whether routers share the results of health checks, so that a check by one router saves the others
+    /// theirs.
     pub fn shares_health_checks(&self) -> bool {
         self.gossip && self.health_checks_report_position
     }
 }
 
-/// The state of a member by the endpoint list.
+/// The state of a member according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It serves.
+    /// The member serves RPCs.
     Active,
-    /// It finishes what it has, and gets nothing new.
+    /// The member finishes the RPCs that it has, and gets no new ones.
     Draining,
-    /// It is not on the list any more.
+    /// The member is no longer on the list.
     Removed,
 }
 
@@ -150,226 +152,231 @@
 pub struct Endpoint {
     /// The member.
     pub member: MemberId,
-    /// Its group, by index.
+    /// The index of the member's group.
     pub group: u32,
-    /// The list calls it the primary.
+    /// Whether the list names the member as the primary.
     pub primary: bool,
-    /// Its state.
+    /// The state of the member.
     pub state: EndpointState,
-    /// When it started, if the list says so.
+    /// The time at which the member started, if the list reports it.
     pub started_at: Option<Time>,
-    /// Kind of machine, by the small index that the front gave it.
+    /// The member's kind of machine, identified by the small index that the front assigned to it.
     pub machine_kind: u32,
-    /// RPCs that it works on at once without slowing them, where the list says so.
+    /// The number of RPCs that the member can process at once without slowing them, if the list reports it.
     pub concurrency: Option<f64>,
-    /// Its zone, by the small index that the front gave it; zero is the router's own.
+    /// The member's zone, identified by the small index that the front assigned to it. Zero is the router's own zone.
     pub zone: u32,
-    /// A number by which all routers know it.
+    /// A number that identifies the member at all routers.
     pub id_hash: u32,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum EndpointUpdate<'a> {
-    /// The whole list as this router last had it, before its start or before it polls another service; it may be
-    /// stale.
+    /// A whole list from before the router's start, or from the previous discovery service while another one is polled.
+    /// It may be stale, and does not count as the answer to a poll.
     Cached(&'a [Endpoint]),
     /// The whole list.
     Complete(&'a [Endpoint]),
-    /// The entries that have changed.
+    /// The entries of the list that have changed.
     Changes(&'a [Endpoint]),
-    /// Changes from the service of before, while another one is polled: they don't stand for its answer.
+    /// Changed entries from the previous discovery service while another one is polled. They do not count as the answer
+    /// of the new service.
     ChangesDuringMove(&'a [Endpoint]),
     /// A poll failed, or the watch broke.
     Failed {
-        /// Is the list polled again at once, rather than after a backoff? Changes that were missed count as received
-        /// soon, as when a watch fell silent, moved to another address, or brought an older list.
+        /// Whether the list is polled again at once, rather than after a backoff. It is when a watch fell silent, moved
+        /// to another address or brought an older list, because the changes that were missed count as received soon.
         poll_immediately: bool,
     },
 }
 
-/// How many priorities there are.
+/// The number of priorities.
 pub const PRIORITY_COUNT: usize = 256;
 
-/// An overload for which RPCs are shed: the router's own, or that of all routers together.
+/// An overload for which RPCs are shed, of either this router or all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadState {
-    /// From 0, no overload, to 1.
+    /// The pressure of the overload, from 0 (none) to 1.
     pub pressure: f64,
-    /// RPCs of a priority below this are shed; the fraction is the share of that priority which is.
+    /// RPCs of a priority below this are shed. The fractional part is the share that is shed of the RPCs whose priority
+    /// equals the integer part.
     pub admission_threshold: f64,
-    /// What an RPC of this method costs the router, in seconds.
+    /// The cost of an RPC of this method to the router, in seconds.
     pub cost_secs: f64,
-    /// Its connection takes far more than a fair share.
+    /// Whether the connection of the RPC takes far more than a fair share.
     pub exceeds_fair_share: bool,
-    /// How long arrivals wait for the router.
+    /// How long arriving RPCs wait until the router processes them.
     pub queueing_delay: Span,
 }
 
 /// An RPC that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Index of its method.
+    /// The index of the RPC's method.
     pub method: u32,
-    /// Index of its group.
+    /// The index of the RPC's group.
     pub group: u32,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Time,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked the RPC as a retry.
     pub is_client_retry: bool,
-    /// Its session, if it has one.
+    /// The session of the RPC, if it has one.
     pub session: Option<u32>,
-    /// Age of the session's last write, where the client says so.
+    /// The age of the session's last write, if the client reports it.
     pub last_write_age: Option<Span>,
-    /// The router's own overload; none where it is not measured.
+    /// The overload of this router, or `None` where it is not measured.
     pub router_overload: Option<OverloadState>,
-    /// The overload of all routers together; none where they don't exchange it.
+    /// The overload of all routers together, or `None` where the routers do not exchange it.
     pub fleet_overload: Option<OverloadState>,
-    /// Drawn for its session, alike by all routers, from 0 to 1: the smaller, the sooner it is shed.
+    /// The random draw of the session, from 0 to 1 and the same at all routers. RPCs with a smaller draw are shed
+    /// sooner.
     pub admission_draw: Option<f64>,
 }
 
-/// A member's role in its group.
+/// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes the writes.
+    /// The member executes the writes.
     Primary,
-    /// It follows the primary.
+    /// The member replicates the primary.
     Replica,
 }
 
 /// The result of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptResult {
-    /// Where it was made.
+    /// The member at which the attempt was made.
     pub member: MemberId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// Time from its send to its end.
+    /// The time from the send of the attempt to its end.
     pub latency: Span,
-    /// The RPC has its final answer, by this outcome or before it.
+    /// Whether the RPC has its final answer, from this attempt or from before.
     pub rpc_complete: bool,
-    /// The retry budget does not allow a retry, or the client has cancelled the RPC, or it can't be seen whether it is
-    /// still there.
+    /// Whether no retry may follow: the retry budget does not allow one, the client has cancelled the RPC, or the front
+    /// can't see whether the client is still connected.
     pub retry_denied: bool,
-    /// The role that the member showed, if any.
+    /// The role that the member showed, if it showed one.
     pub role: Option<Role>,
-    /// A proven position of the member; for a write that succeeded, its commit.
+    /// A position that the member has proven. For a write that succeeded, it is the position of the commit.
     pub position: Option<Time>,
 }
 
-/// What a member reports of itself in a health check.
+/// What a member reports about itself in a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The position that it has reached.
+    /// The position that the member has reached.
     pub position: Option<Time>,
-    /// Is it the primary?
+    /// Whether the member is the primary.
     pub is_primary: Option<bool>,
-    /// RPCs in flight there.
+    /// The number of RPCs in flight at the member.
     pub in_flight: Option<f64>,
 }
 
-/// What a router saw of a member.
+/// What a router has observed of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberObservation {
-    /// It showed to be a replica.
+    /// The member showed that it is a replica.
     Replica,
-    /// It showed to be the primary.
+    /// The member showed that it is the primary.
     Primary,
-    /// The router could not reach it.
+    /// The router could not reach the member.
     Unreachable,
 }
 
-/// What one router passes on to the others about a member.
+/// An update on a member that one router sends to the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberUpdate {
     /// The member.
     pub member: MemberId,
-    /// What was seen of it.
+    /// What the sender has observed of the member.
     pub observation: MemberObservation,
-    /// A replica's position; else when a primary showed to be one, or a member could not be reached.
+    /// For a replica, its position. Otherwise the time at which the primary showed its role, or at which the member
+    /// could not be reached.
     pub at: Time,
-    /// The sender is in the zone of the router that receives this.
+    /// Whether the sender is in the same zone as the router that receives the update.
     pub same_zone: bool,
-    /// Its answer time over the typical one, as the sender measured it; zero where unknown.
+    /// The member's answer time over the typical one, as the sender measured it, or zero if it is unknown.
     pub latency_ratio: f64,
-    /// RPCs in flight there, by its load report.
+    /// The number of RPCs in flight at the member, according to its load report.
     pub in_flight: Option<f64>,
 }
 
 impl MemberUpdate {
-    /// An update from the same zone, without the member's load.
+    /// Creates an update from the same zone, without the member's load.
     pub fn new(member: MemberId, observation: MemberObservation, at: Time) -> MemberUpdate {
         MemberUpdate { member, observation, at, same_zone: true, latency_ratio: 0.0, in_flight: None }
     }
 }
 
-/// What to do with an RPC.
+/// The decision on an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it to a member.
+    /// Send the RPC to a member.
     Attempt {
         /// The member.
         member: MemberId,
-        /// How long to wait for the answer; none: as long as the client does.
+        /// How long to wait for the answer, or `None` to wait for as long as the client does.
         timeout: Option<Span>,
     },
-    /// Keep it: [`Router::tick`](crate::Router::tick) will decide, or the outcome of the attempt in flight.
+    /// Keep the RPC. It is decided by a later [`Router::tick`](crate::Router::tick), or by the outcome of the attempt
+    /// in flight.
     Queue,
-    /// Final: a retry by the client does no harm.
+    /// Reject the RPC. This is its final answer, and a retry by the client does no harm.
     Reject {
         /// How long the client is to wait before it retries.
         retry_after: Span,
     },
-    /// Final: it failed, and may have had an effect.
+    /// Fail the RPC. This is its final answer, and the RPC may have had an effect.
     Fail,
-    /// Nothing is left to decide: it has its final answer, or its client has cancelled it and gets one from the front.
+    /// Do nothing. The RPC has its final answer, or its client has cancelled it and gets an answer from the front.
     AlreadyAnswered,
 }
 
-/// What [`Router::tick`](crate::Router::tick) asks of the front.
+/// What [`Router::tick`](crate::Router::tick) requests of the front.
 #[derive(Debug, Default)]
 pub struct TickOutput {
-    /// Decisions on RPCs that were queued.
+    /// The decisions on queued RPCs.
     pub decisions: Vec<(RpcId, Decision)>,
-    /// Members to check.
+    /// The members to which a health check is to be sent.
     pub health_checks: Vec<MemberId>,
-    /// Updates for all other routers.
+    /// The updates to send to all other routers.
     pub gossip: Vec<MemberUpdate>,
-    /// Poll the endpoint list, and watch its changes.
+    /// Whether to poll the endpoint list and watch its changes.
     pub poll_endpoints: bool,
-    /// Lines for the log; `#N` stands for the member of that index.
+    /// Lines for the log. `#N` stands for the member of index N.
     pub log_messages: Vec<String>,
-    /// RPCs that did not go by the ordinary path, and why.
+    /// The RPCs that were given up or spilled to the primary, and why.
     pub exceptions: Exceptions,
-    /// Members that are retired: each index may be given to another.
+    /// The members that are retired. The index of each may be assigned to another member.
     pub retired_members: Vec<MemberId>,
-    /// When to call `tick` again, if nothing happens before.
+    /// The time at which to call `tick` again if no event happens before.
     pub wake_at: Option<Time>,
 }
 
 /// The newest position that a member has proven, and its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPosition {
-    /// Up to where it has applied its group's log.
+    /// The position up to which the member has applied its group's log.
     pub position: Time,
-    /// This router knows it as its group's primary.
+    /// Whether this router takes the member to be its group's primary.
     pub is_primary: bool,
 }
 
-/// The load of a member, as this router alone sees it.
+/// The load of a member as this router sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLoad {
     /// The member.
     pub member: MemberId,
-    /// The number by which all routers know it.
+    /// The number that identifies the member at all routers.
     pub id_hash: u32,
-    /// Index of its group.
+    /// The index of the member's group.
     pub group: u32,
-    /// Answer time over the typical one.
+    /// The member's answer time over the typical one.
     pub latency_ratio: f64,
-    /// Attempts of this router in flight there.
+    /// The number of attempts by this router in flight at the member.
     pub in_flight: f64,
-    /// Of the attempts that ended within the last second, the share that it rejected or failed.
+    /// The share of the attempts that ended within the last second which the member rejected or failed.
     pub failure_share: f64,
 }
