--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -34,7 +34,7 @@
     }
 }
 
-fn log_example(state: &mut RouterState, now: Time, rpc: RpcId, what: Exception) {
+fn log_example(state: &mut RouterState, now: Time, rpc: RpcId, exception: Exception) {
     let rpc = &state.rpcs[rpc];
     state.output.exceptions.examples.push(ExceptionExample {
         group: rpc.arrival.group,
@@ -42,6 +42,6 @@
         attempts: rpc.attempts,
         waited: now - rpc.accepted_at,
         time_left: rpc.arrival.deadline - now,
-        exception: what,
+        exception,
     });
 }
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -92,8 +92,8 @@
     }
     // An RPC that has just arrived is given up only if it is already too late for any answer.
     let has_just_arrived = accepted.attempts == 0 && !accepted.is_pending;
-    let answer_takes = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
-    if now + answer_takes >= state.useful_until(rpc) {
+    let answer_duration = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
+    if now + answer_duration >= state.useful_until(rpc) {
         return Some(GiveUpReason::TooLate);
     }
     let deadline_is_near = now + state.deployment.tick * TICKS_BEFORE_DEADLINE >= accepted.arrival.deadline;
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -26,8 +26,8 @@
     let method = state.method_of(rpc);
     match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
         (Idempotency::Idempotent, _) | (_, None) => true,
-        (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
-            now + method.typical * LATENCY_MARGIN - first < window
+        (Idempotency::IdempotencyKey { window, .. }, Some(first_sent_at)) => {
+            now + method.typical * LATENCY_MARGIN - first_sent_at < window
         }
         (Idempotency::NonIdempotent, Some(_)) => false,
     }
@@ -76,14 +76,14 @@
 /// means that the attempt may take as long as the client waits.
 pub fn first_attempt_timeout(state: &RouterState, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
-    let retry_takes = method.typical * LATENCY_MARGIN;
+    let retry_duration = method.typical * LATENCY_MARGIN;
     let timeout = match method.definition.idempotency {
-        Idempotency::Idempotent => rpc.accepted_at + method.definition.soft_deadline - now - retry_takes,
-        Idempotency::IdempotencyKey { window, .. } => window - retry_takes * 2.0,
+        Idempotency::Idempotent => rpc.accepted_at + method.definition.soft_deadline - now - retry_duration,
+        Idempotency::IdempotencyKey { window, .. } => window - retry_duration * 2.0,
         Idempotency::NonIdempotent => return None,
     };
     let zone = state.topology.member(index).zone;
     let is_degraded = load::zone_latency_ratio(state, now, zone) > DEGRADED_ZONE_LATENCY_RATIO;
-    let answers_fit = timeout >= method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
-    (is_degraded && rpc.attempts == 0 && answers_fit).then_some(timeout)
+    let leaves_time_to_answer = timeout >= method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
+    (is_degraded && rpc.attempts == 0 && leaves_time_to_answer).then_some(timeout)
 }
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -219,9 +219,9 @@
         let index = result.member.0 as usize;
         let Some(rpc) = state.rpcs.get_mut(self) else { return Decision::AlreadyAnswered };
         let (arrival, sent_at) = (rpc.arrival, rpc.last_attempt_at);
-        let members_to_blame = rpc.record_attempt_ended(now, index, result.outcome);
+        let members_at_fault = rpc.record_attempt_ended(now, index, result.outcome);
         let is_over = result.rpc_complete || !rpc.is_open;
-        for index in members_to_blame {
+        for index in members_at_fault {
             let member = state.topology.members[index].iter_mut();
             member.for_each(|member| member.recent_failures.record(now, 1.0));
         }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -105,8 +105,8 @@
 
 /// Returns whether a read for which no replica was selected waits for a report that could prove one to be fresh enough.
 fn waits_for_report(state: &RouterState, replicas: &ReplicaSearch) -> bool {
-    let report_can_come = replicas.expects_report || replicas.best_unproven.is_some();
-    state.deployment.health_checks_report_position && report_can_come
+    let report_may_arrive = replicas.expects_report || replicas.best_unproven.is_some();
+    state.deployment.health_checks_report_position && report_may_arrive
 }
 
 /// Returns the primary of an RPC's group, if the RPC may go there now.
