--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -90,7 +90,8 @@
     if accepted.attempts >= state.deployment.max_attempts {
         return Some(GiveUpReason::NoAttemptLeft);
     }
-    // An RPC that has just arrived is given up only if it is already too late for any answer.
+    // The typical answer time is not counted for an RPC that has just arrived, so that it is given up as too late only
+    // once no answer could be of use.
     let has_just_arrived = accepted.attempts == 0 && !accepted.is_pending;
     let answer_duration = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
     if now + answer_duration >= state.useful_until(rpc) {
@@ -100,7 +101,7 @@
     (pending::queued_too_long(accepted, now) || deadline_is_near).then_some(GiveUpReason::OutOfTime)
 }
 
-/// Gives up an RPC: returns the final answer to one that will not be served here.
+/// Gives up an RPC that will not be served here. Returns its final answer.
 pub fn give_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) -> Decision {
     exception_log::log_given_up(state, now, rpc, reason);
     let client_may_retry = retry::client_may_retry(state, rpc);
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,7 +1,8 @@
-//! Retries: whether an RPC may be sent again, and what share of a member's limit its retries may use.
+//! Retries: whether an RPC may be sent again, what share of a concurrency limit client retries may use, and which
+//! timeout of a first attempt leaves time for a second one.
 //!
 //! The maximum number of attempts of an RPC is set in the deployment (`max_attempts`). It is checked in
-//! `rejection::reason_to_give_up`, with all other reasons that end an RPC.
+//! `rejection::reason_to_give_up`, which also checks the deadlines.
 //!
 //! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. One with an idempotency key
 //! may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
@@ -14,7 +15,7 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC with this many error answers is taken to be faulty itself.
+/// An RPC with this many error answers is itself taken to be faulty.
 const ERRORS_TO_FAULT_RPC: usize = 2;
 /// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
@@ -43,7 +44,7 @@
     }
 }
 
-/// Returns whether this RPC has had enough error answers to be taken for faulty itself.
+/// Returns whether this RPC has had enough error answers to be itself taken for faulty.
 pub fn is_faulty(rpc: &RpcState) -> bool {
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -237,7 +237,7 @@
 /// The role of a member in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// The member executes the writes.
+    /// The member executes writes.
     Primary,
     /// The member replicates the primary.
     Replica,
@@ -377,6 +377,6 @@
     pub latency_ratio: f64,
     /// The number of attempts by this router in flight at the member.
     pub in_flight: f64,
-    /// The share of the attempts that ended within the last second which the member rejected or failed.
+    /// The share of the attempts that ended within the last second at the member which it rejected or failed.
     pub failure_share: f64,
 }
