--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,10 +1,12 @@
-//! Retries: whether an RPC may be sent again, and what its retries may use.
+//! Retries: whether an RPC may be sent again, what share of a concurrency limit client retries may use, and which
+//! timeout of a first attempt leaves time for a second one.
 //!
-//! How many attempts an RPC may have at most stands in the deployment (`max_attempts`) and is checked, with all else
-//! that ends an RPC, in `rejection::reason_to_give_up`.
+//! The maximum number of attempts of an RPC is set in the deployment (`max_attempts`). It is checked in
+//! `rejection::reason_to_give_up`, which also checks the deadlines.
 //!
-//! An RPC must not have its effect twice. An idempotent one may be sent again at any time, one with an idempotency key
-//! within the window in which repeats are recognised, and any other only while no attempt of it may have run.
+//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. One with an idempotency key
+//! may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
+//! attempts may have run.
 
 use crate::load::{self, LATENCY_MARGIN, SILENT_AFTER_TYPICAL_LATENCIES};
 use crate::reasons::GiveUpReason;
@@ -13,26 +15,26 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC that so many members have answered with an error is itself at fault.
+/// An RPC with this many error answers is itself taken to be faulty.
 const ERRORS_TO_FAULT_RPC: usize = 2;
-/// Share of a concurrency limit that marked client retries may use: what is idle.
+/// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
-/// The link to a zone is degraded above this latency ratio.
+/// The link to a zone counts as degraded above this latency ratio.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
 
-/// May an attempt be made now without a second effect? One that is sent now takes a while to arrive.
+/// Returns whether an attempt can be made now without a second effect. Some time is allowed for the attempt to arrive.
 pub fn may_run(state: &RouterState, now: Time, rpc: RpcId) -> bool {
     let method = state.method_of(rpc);
     match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
         (Idempotency::Idempotent, _) | (_, None) => true,
-        (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
-            now + method.typical * LATENCY_MARGIN - first < window
+        (Idempotency::IdempotencyKey { window, .. }, Some(first_sent_at)) => {
+            now + method.typical * LATENCY_MARGIN - first_sent_at < window
         }
         (Idempotency::NonIdempotent, Some(_)) => false,
     }
 }
 
-/// May the client retry this RPC itself, with this router or another one?
+/// Returns whether the client itself may retry this RPC, at this router or another one.
 pub fn client_may_retry(state: &RouterState, rpc: RpcId) -> bool {
     let never_ran = state.rpcs[rpc].may_have_run_since.is_none();
     match state.method_of(rpc).definition.idempotency {
@@ -42,12 +44,13 @@
     }
 }
 
-/// Have enough members answered this RPC with an error to take the RPC itself for faulty?
+/// Returns whether this RPC has had enough error answers to be itself taken for faulty.
 pub fn is_faulty(rpc: &RpcState) -> bool {
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
 
-/// Why the result of an attempt is the end of its RPC, if it is; else a member is selected for the RPC again.
+/// Returns the reason why the RPC ends with this result of an attempt. With `None`, a member is selected for the RPC
+/// again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
         return Some(GiveUpReason::AttemptNotMade);
@@ -58,29 +61,30 @@
     result.retry_denied.then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
-/// Is it a retry that the client has marked? It competes with first requests, which have more utility.
+/// Returns whether the RPC is an idempotent one that the client has marked as a retry. Such RPCs compete with first
+/// requests, which have more utility.
 pub fn is_client_retry(state: &RouterState, rpc: RpcId) -> bool {
     let is_idempotent = state.method_of(rpc).definition.idempotency == Idempotency::Idempotent;
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
-/// The share of a concurrency limit that this RPC may use.
+/// Returns the share of a concurrency limit that this RPC may use.
 pub fn limit_share(state: &RouterState, rpc: RpcId) -> f64 {
     if is_client_retry(state, rpc) { CLIENT_RETRY_LIMIT_SHARE } else { 1.0 }
 }
 
-/// The timeout of a first attempt over a degraded link, so that a second one can still be in time. None: as long as the
-/// client waits.
+/// Returns the timeout of a first attempt over a degraded link, which leaves enough time for a second attempt. `None`
+/// means that the attempt may take as long as the client waits.
 pub fn first_attempt_timeout(state: &RouterState, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
-    let retry_takes = method.typical * LATENCY_MARGIN;
+    let retry_duration = method.typical * LATENCY_MARGIN;
     let timeout = match method.definition.idempotency {
-        Idempotency::Idempotent => rpc.accepted_at + method.definition.soft_deadline - now - retry_takes,
-        Idempotency::IdempotencyKey { window, .. } => window - retry_takes * 2.0,
+        Idempotency::Idempotent => rpc.accepted_at + method.definition.soft_deadline - now - retry_duration,
+        Idempotency::IdempotencyKey { window, .. } => window - retry_duration * 2.0,
         Idempotency::NonIdempotent => return None,
     };
     let zone = state.topology.member(index).zone;
     let is_degraded = load::zone_latency_ratio(state, now, zone) > DEGRADED_ZONE_LATENCY_RATIO;
-    let answers_fit = timeout >= method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
-    (is_degraded && rpc.attempts == 0 && answers_fit).then_some(timeout)
+    let leaves_time_to_answer = timeout >= method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
+    (is_degraded && rpc.attempts == 0 && leaves_time_to_answer).then_some(timeout)
 }
