--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -1,32 +1,34 @@
-//! What work costs this router, learnt from its traffic by recursive least squares with forgetting.
+//! The CPU time that work costs this router, learnt from its traffic by recursive least squares with forgetting.
 //!
-//! Each iteration of the event loop gives one equation: busy time = RPCs served, RPCs rejected and KiB moved, each
-//! times its cost. The model starts from a guess that the first hundreds of RPCs replace.
+//! Each iteration of the event loop gives one equation: its busy time is the sum of RPCs served, RPCs rejected and KiB
+//! moved, each times its cost. The initial costs are estimates, which the first few hundred RPCs replace.
 
 use ladderpass_routing::Span;
 
-/// What a cost is learnt for: RPCs served, RPCs rejected and KiB moved. The constants below are their indexes.
+/// The number of features that have a cost: RPCs served, RPCs rejected and KiB moved. The constants below are their
+/// indexes.
 const FEATURES: usize = 3;
 const SERVED: usize = 0;
 const REJECTED: usize = 1;
 const KIB: usize = 2;
 
-/// The costs at the start, by feature, and the limits of any cost, in seconds.
+/// The initial costs, by feature, and the limits of every cost, in seconds.
 const INITIAL_COST_SECS: [f64; FEATURES] = [20e-6, 7e-6, 0.5e-6];
 const MIN_COST_SECS: f64 = 0.05e-6;
 const MAX_COST_SECS: f64 = 0.01;
-/// Weight that earlier iterations keep with each new one.
+/// Each new iteration multiplies the weight of the earlier ones by this factor.
 const FORGETTING_FACTOR: f64 = 0.998;
-/// How much one iteration moves the mean size of an RPC.
+/// Weight of one iteration in the moving average of the size of an RPC.
 const MEAN_KIB_WEIGHT: f64 = 0.05;
-/// Variance of the initial costs, never exceeded later. Bytes come with their RPCs: what can't be distinguished is
-/// attributed to the RPCs.
+/// Variances of the initial costs, by feature. Later variances never exceed them. The variance of the cost of a KiB is
+/// the smallest, so that time is attributed to RPCs where it can't be told whether RPCs or their bytes took it.
 const INITIAL_VARIANCE: [f64; FEATURES] = [0.05, 0.05, 0.002];
-/// Keeps the covariance positive.
+/// The least variance of a cost. It keeps the diagonal of the covariance matrix positive.
 const MIN_VARIANCE: f64 = 1e-9;
-/// An iteration of this length or longer is a stall and teaches nothing.
+/// An iteration of this length or longer is treated as a stall, and nothing is learnt from it.
 const MAX_BUSY_SECS: f64 = 1.0;
-/// Limit of a prediction error, in initial costs of an RPC: another process may have had the core.
+/// Limit of a prediction error, as a multiple of the initial cost of serving an RPC. Errors are limited because another
+/// process may have had the core.
 const MAX_ERROR_IN_INITIAL_COSTS: f64 = 2.0;
 
 /// Work done in one iteration of the event loop.
@@ -49,10 +51,10 @@
 /// The learnt costs.
 #[derive(Clone, Debug)]
 pub struct CostModel {
-    /// Seconds for one of each feature.
+    /// The cost of one unit of each feature, in seconds.
     costs: [f64; FEATURES],
     covariance: [[f64; FEATURES]; FEATURES],
-    /// Mean KiB of a served RPC.
+    /// Moving average of the KiB that a served RPC moves.
     mean_kib: f64,
 }
 
@@ -67,7 +69,7 @@
 }
 
 impl CostModel {
-    /// Learns from one iteration: its work and the time that it was busy.
+    /// Learns from one iteration of the event loop, by its work and its busy time.
     pub fn learn(&mut self, work: Work, busy: Span) {
         let features = work.features();
         let secs = busy.secs();
@@ -81,12 +83,13 @@
         if work.served > 0.0 {
             self.mean_kib += (work.kib / work.served - self.mean_kib) * MEAN_KIB_WEIGHT;
         }
-        // By RPC, so that one long iteration does not outweigh a hundred short ones.
+        // The equation is divided by the number of RPCs, so that one long iteration does not outweigh a hundred short
+        // ones.
         let scale = 1.0 / rpcs;
         self.update(features.map(|value| value * scale), secs * scale);
     }
 
-    /// One step of recursive least squares: `features` took `secs` seconds.
+    /// Makes one step of recursive least squares for work with these features, which took `secs` seconds.
     fn update(&mut self, features: [f64; FEATURES], secs: f64) {
         let gain: [f64; FEATURES] =
             std::array::from_fn(|i| (0..FEATURES).map(|j| self.covariance[i][j] * features[j]).sum());
@@ -99,7 +102,7 @@
         }
         for (i, row) in self.covariance.iter_mut().enumerate() {
             for (j, value) in row.iter_mut().enumerate() {
-                // Forgetting would let it grow without limit where a kind of work does not occur.
+                // Without a limit, forgetting would let a value grow endlessly while its kind of work does not occur.
                 let max = (INITIAL_VARIANCE[i] * INITIAL_VARIANCE[j]).sqrt();
                 *value = ((*value - gain[i] * gain[j] / innovation) / FORGETTING_FACTOR).clamp(-max, max);
             }
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Seconds that it takes to serve an RPC that moves so many KiB.
+    /// Seconds that it takes to serve an RPC that moves `kib` KiB.
     pub fn serve_secs(&self, kib: f64) -> f64 {
         self.costs[SERVED] + self.costs[KIB] * kib.max(0.0)
     }
@@ -117,7 +120,7 @@
         self.serve_secs(self.mean_kib)
     }
 
-    /// Seconds that it takes to reject an RPC: never more than to serve one of mean size.
+    /// Seconds that it takes to reject an RPC, at most those that serving one of mean size takes.
     pub fn reject_secs(&self) -> f64 {
         self.costs[REJECTED].min(self.mean_serve_secs())
     }
--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -1,12 +1,13 @@
-//! Fair shares of the router among connections: which of them take much more than the others on average.
+//! Fair shares of the router among connections. It detects connections that take much more than the average of the
+//! others.
 
 use ladderpass_routing::{Span, Time};
 
-/// Recorded work decays by a factor e in this time; a connection counts as active in intervals of it.
+/// Recorded work decays by a factor e in this time. Active connections are counted in intervals of this length.
 const DECAY_TIME: Span = Span::from_millis(500);
-/// Longer gaps decay no further.
+/// A longer time without work decays the recorded work no further.
 const MAX_DECAY_SECS: f64 = 60.0;
-/// With fewer other active connections there is no fair share.
+/// With fewer other active connections no connection exceeds its fair share.
 const MIN_OTHER_CLIENTS: f64 = 4.0;
 
 /// Recent work of one connection, in the unit of [`FairShares::record`]. The caller stores it with the connection.
@@ -23,14 +24,14 @@
 pub struct FairShares {
     total_work: f64,
     updated_at: Time,
-    /// The present interval: which multiple of `DECAY_TIME` has begun.
+    /// The number of the current interval, in multiples of `DECAY_TIME`.
     interval: i64,
-    /// Connections that have sent work in the present interval.
+    /// Connections that have sent work in the current interval.
     active: f64,
     active_in_previous_interval: f64,
 }
 
-/// Recorded work after some time without any more.
+/// What is left at `to` of the work recorded at `from`.
 fn decayed(work: f64, from: Time, to: Time) -> f64 {
     work * (-(to - from).secs().clamp(0.0, MAX_DECAY_SECS) / DECAY_TIME.secs()).exp()
 }
@@ -56,12 +57,12 @@
         client.updated_at = now;
     }
 
-    /// Connections that have sent work in this interval or the one before.
+    /// The number of connections that are active: the greater of the counts of the current and the previous interval.
     pub fn active_clients(&self) -> f64 {
         self.active.max(self.active_in_previous_interval)
     }
 
-    /// Does the connection take more than `multiple` times what the others take on average?
+    /// True if the connection takes more than `multiple` times what the other active connections take on average.
     pub fn exceeds_fair_share(&self, client: &ClientUsage, multiple: f64) -> bool {
         let others = self.active_clients() - 1.0;
         let work_of_others = (self.total_work - client.work).max(0.0);
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -1,5 +1,6 @@
-//! The entry points of the overload control: statements, RPCs, iterations of the event loop and resource samples come
-//! in; the overload state of each RPC, the pace of accepts and the slow reader timeout come out.
+//! The entry points of the overload control. The caller records statements, RPCs, iterations of the event loop and
+//! resource samples, and gets the overload state for each RPC, the number of connections to accept and the slow reader
+//! timeout.
 
 use crate::cost_model::{CostModel, Work};
 use crate::fair_shares::{ClientUsage, FairShares};
@@ -13,32 +14,33 @@
 
 /// CPU shares are smoothed with this time constant.
 const CPU_TIME_CONSTANT: Span = Span::from_millis(250);
-/// Delay alone never sheds everything: the highest priorities stay admitted, so that a queue of RPCs that are all alike
-/// drains by serving too.
+/// The queueing delay alone never raises the pressure above this limit. The highest priorities stay admitted, so that
+/// a queue of RPCs that all have the same priority drains by serving as well as by rejecting.
 const MAX_DELAY_PRESSURE: f64 = 0.97;
-/// A lower pressure is the remainder of one that has passed, and sheds nothing.
+/// A lower pressure sheds nothing: it is only what the smoothing has left of an earlier pressure.
 const MIN_SHEDDING_PRESSURE: f64 = 0.005;
-/// What is left under full pressure of the connections accepted in an iteration, and of the slow reader timeout.
+/// The shares of the connections accepted in an iteration, and of the slow reader timeout, that are left under full
+/// pressure.
 const MIN_ACCEPT_SHARE: f64 = 1.0 / 16.0;
 const MIN_SLOW_READER_TIMEOUT_SHARE: f64 = 0.1;
-/// The size of a method's RPCs is averaged over a window of so many buckets.
+/// The mean size of a method's RPCs is that of a sliding window with this number and width of buckets.
 const METHOD_SIZE_BUCKETS: usize = 8;
 const METHOD_SIZE_BUCKET_WIDTH: Span = Span::from_millis(500);
 const BYTES_PER_KIB: f64 = 1024.0;
 const BYTES_PER_MIB: f64 = 1_048_576.0;
 
-/// What operators are notified of.
+/// An event that operators are notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OverloadEvent {
     /// The level of the pressure has changed.
     LevelChanged {
-        /// The level so far.
+        /// The previous level.
         before: Level,
-        /// The level from now on.
+        /// The new level.
         after: Level,
-        /// The present pressure, from 0 to 1.
+        /// The current pressure, from 0 to 1.
         pressure: f64,
-        /// The gauge that it comes from.
+        /// The gauge that causes the pressure.
         dominant: Gauge,
     },
 }
@@ -53,24 +55,24 @@
     shares: FairShares,
     costs: CostModel,
     queueing_delay: QueueingDelay,
-    /// By method: KiB that its RPCs move.
+    /// The KiB that the RPCs of each method move, by method.
     method_kib: Vec<SlidingWindow<METHOD_SIZE_BUCKETS>>,
     /// Work of the current iteration of the event loop.
     work: Work,
     last_sample: ResourceSample,
     /// Smoothed share of the allowed CPU time that this process used.
     cpu_share: f64,
-    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, since other processes
-    /// took it or a CPU quota was used up.
+    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, because other processes had
+    /// it or a CPU quota was used up.
     stolen_share: f64,
     admission_threshold: f64,
     events: Vec<OverloadEvent>,
-    /// Changes of the level since the metrics were taken.
+    /// Changes of the level since the last call of `take_metrics`.
     level_changes: u32,
 }
 
 impl Governor {
-    /// No pressure, for a router that serves so many methods.
+    /// Creates the overload control, without pressure, of a router that serves `method_count` methods.
     pub fn new(now: Time, settings: Settings, limits: ResourceLimits, method_count: usize) -> Governor {
         Governor {
             pressure: Pressure::new(now, settings),
@@ -91,19 +93,19 @@
         }
     }
 
-    /// Applies new settings and limits. Learnt costs stay; the pressure starts anew.
+    /// Applies new settings and limits. The learnt costs stay, and the pressure starts from zero again.
     pub fn reconfigure(&mut self, now: Time, settings: Settings, limits: ResourceLimits) {
         self.settings = settings;
         self.limits = limits;
         self.pressure = Pressure::new(now, settings);
     }
 
-    /// A statement of this length is handled, after it has waited for this router.
+    /// Records that a statement of this length is being handled, after it waited for this router.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         self.queueing_delay.record_statement(now, waited, length_bytes);
     }
 
-    /// The process did not run until now.
+    /// Records that the process did not run for a while and has resumed now.
     pub fn record_stall(&mut self, now: Time) {
         self.queueing_delay.record_stall(now);
     }
@@ -130,8 +132,8 @@
         self.update_pressure(now);
     }
 
-    /// An iteration of the event loop is over. It was busy for so long, and leaves so many sockets with pending events
-    /// and so many bytes of statements that were read and not handled.
+    /// Ends an iteration of the event loop that was busy for `busy`. It leaves `waiting_sockets` sockets with pending
+    /// events, and `waiting_bytes` bytes of statements that were read but not handled.
     pub fn end_iteration(&mut self, now: Time, busy: Span, waiting_sockets: usize, waiting_bytes: usize) {
         let work = std::mem::take(&mut self.work);
         self.costs.learn(work, busy);
@@ -165,7 +167,7 @@
         };
     }
 
-    /// The router's overload state, as the routing core needs it to admit an RPC of this method on this connection.
+    /// The overload state by which the routing core decides whether to admit an RPC of this method on this connection.
     pub fn overload_state(&self, now: Time, method: u32, client: &ClientUsage) -> OverloadState {
         OverloadState {
             pressure: self.pressure.value(),
@@ -176,14 +178,14 @@
         }
     }
 
-    /// How many seconds this router takes to serve an RPC of this method.
+    /// Seconds that this router takes to serve an RPC of this method, by the mean size of its RPCs.
     fn serve_secs(&self, now: Time, method: u32) -> f64 {
         let window = self.method_kib.get(method as usize);
         let kib = window.map_or(WindowTotals::default(), |window| window.totals(now, METHOD_SIZE_BUCKETS));
         self.costs.serve_secs(kib.mean().unwrap_or(0.0))
     }
 
-    /// Records an RPC of this priority that came on a connection, whether it is admitted or not. `state` is what
+    /// Records an RPC of this priority that arrived on a connection, whether it is admitted or not. `state` is what
     /// `overload_state` returned for it.
     pub fn record_arrival(
         &mut self,
@@ -193,11 +195,11 @@
         client: &mut ClientUsage,
     ) {
         self.priorities.record(now, priority, state.cost_secs);
-        // In RPCs of mean cost, so that the unit does not depend on what the costs are learnt to be.
+        // The work is recorded in RPCs of mean cost, so that its unit does not change with the learnt costs.
         self.shares.record(now, client, state.cost_secs / self.costs.mean_serve_secs());
     }
 
-    /// Records that an RPC of this method was answered. The bytes are those of its statement and its response.
+    /// Records that an RPC of this method was answered. `bytes` is the length of its statement and its response.
     pub fn record_served(&mut self, now: Time, method: u32, bytes: usize) {
         let kib = bytes as f64 / BYTES_PER_KIB;
         if let Some(window) = self.method_kib.get_mut(method as usize) {
@@ -207,29 +209,29 @@
         self.work.kib += kib;
     }
 
-    /// Records that an RPC was rejected, or was admitted and got no good answer. Its cost counts as that of a
-    /// rejection.
+    /// Records that an RPC was rejected, or was admitted and not answered successfully. The cost model counts both as
+    /// a rejection.
     pub fn record_rejected(&mut self) {
         self.work.rejected += 1.0;
     }
 
-    /// The present pressure, from 0 to 1.
+    /// The current pressure, from 0 to 1.
     pub fn pressure(&self) -> f64 {
         self.pressure.value()
     }
 
-    /// The present level.
+    /// The current level.
     pub fn level(&self) -> Level {
         self.pressure.level()
     }
 
-    /// How many connections to accept in an iteration, one at least: `max` without pressure.
+    /// How many connections to accept in an iteration: `max` without pressure, fewer with it, and at least one.
     pub fn accept_budget(&self, max: usize) -> usize {
         let share = 1.0 - self.pressure.value() * (1.0 - MIN_ACCEPT_SHARE);
         ((max as f64 * share) as usize).max(1)
     }
 
-    /// How long to wait for a client that reads none of its responses.
+    /// How long to wait for a client that reads none of its responses. Memory pressure shortens it.
     pub fn slow_reader_timeout(&self) -> Span {
         let memory = self.pressure.gauge(Gauge::Memory).max(self.pressure.gauge(Gauge::Buffers));
         self.settings.slow_reader_timeout * (1.0 - memory * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
@@ -240,7 +242,7 @@
         self.settings.slow_reader_bytes
     }
 
-    /// Bytes of connection buffers up to which they raise no pressure.
+    /// The most bytes that connection buffers may take without raising the pressure.
     pub fn unpressured_buffer_bytes(&self) -> usize {
         (self.settings.buffers.from * self.limits.buffer_bytes as f64) as usize
     }
@@ -250,13 +252,13 @@
         self.settings.sample_interval
     }
 
-    /// Takes the events since the last call.
+    /// Returns and clears the events since the last call.
     pub fn take_events(&mut self) -> Vec<OverloadEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Metrics by the names that the log and the testbed read. The longest delay and the number of level changes are
-    /// those since the last call.
+    /// Returns the metrics, under the names that the log and the testbed use. The longest delay and the number of level
+    /// changes are those since the last call.
     pub fn take_metrics(&mut self) -> Vec<(&'static str, f64)> {
         let longest_delay = self.queueing_delay.take_longest();
         let level_changes = std::mem::take(&mut self.level_changes);
--- a/crates/ladderpass-overload/src/lib.rs
+++ b/crates/ladderpass-overload/src/lib.rs
@@ -1,16 +1,18 @@
-//! Overload of the router itself: resource samples and the work of the event loop come in; a pressure from 0 to 1, an
-//! admission threshold, and the pace of accepts come out.
+//! Overload control of the router itself. From resource samples and the work of the event loop it computes a pressure
+//! from 0 to 1, an admission threshold, and how many connections to accept in an iteration.
 //!
 //! - [`Governor`] (`governor`): the entry points. It composes the other modules.
 //! - `queueing_delay`: how long statements wait for this router, measured and predicted.
-//! - `cost_model`: what serving and rejecting an RPC cost, learnt by recursive least squares.
+//! - `cost_model`: the costs of serving and of rejecting an RPC, learnt by recursive least squares.
 //! - `pressure`: one pressure from several gauges, smoothed, and its level with hysteresis.
-//! - `priority_histogram`: how the offered work spreads over priorities, and the threshold that sheds a share of it.
+//! - `priority_histogram`: the distribution of the offered work over priorities, and the threshold that sheds a given
+//!   share of it.
 //! - `fair_shares`: which connections take much more than their share.
-//! - `sample`: what is measured of the process, and its limits; `settings`: what an operator can set.
+//! - `sample`: the measured resource usage of the process, and its limits.
+//! - `settings`: the settings of an operator.
 //!
-//! The package does no I/O, reads no clock and rejects no RPC: the routing core does, by the threshold that it is given
-//! (`docs/design/overload.md`).
+//! The package does no I/O, reads no clock and rejects no RPC. The routing core rejects RPCs, by the threshold that it
+//! is given (`docs/design/overload.md`).
 
 mod cost_model;
 mod fair_shares;
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -1,4 +1,4 @@
-//! One pressure from several gauges, smoothed, and the level that operators see, with hysteresis.
+//! One smoothed pressure from several gauges, and its level with hysteresis, which operators see.
 
 use crate::settings::Settings;
 use ladderpass_routing::{Span, Time};
@@ -8,7 +8,7 @@
 pub enum Gauge {
     /// How long statements wait for the router.
     Delay,
-    /// CPU used.
+    /// CPU time.
     Cpu,
     /// Resident memory.
     Memory,
@@ -18,7 +18,7 @@
     Descriptors,
 }
 
-/// The least pressure of a level.
+/// The least pressure of the levels `Shedding` and `Saturated`.
 const MIN_SHEDDING_LEVEL_PRESSURE: f64 = 0.05;
 const MIN_SATURATED_LEVEL_PRESSURE: f64 = 0.9;
 
@@ -27,7 +27,7 @@
     [Gauge::Delay, Gauge::Cpu, Gauge::Memory, Gauge::Buffers, Gauge::Descriptors];
 
 impl Gauge {
-    /// Its name in the log.
+    /// The name of the gauge in the log.
     pub fn name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The name of the metric with the fraction of its band that it fills.
+    /// The name of the metric that shows the smoothed fraction of the gauge's band.
     pub fn metric_name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay_part",
@@ -50,7 +50,7 @@
     }
 }
 
-/// A summary of the pressure for operators. Nothing is decided by it.
+/// A summary of the pressure for operators. No decision depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
     /// Nothing is shed.
@@ -58,12 +58,12 @@
     Calm,
     /// Some RPCs of low priority are shed.
     Shedding,
-    /// Hardly any but RPCs of the highest priority are admitted.
+    /// Few RPCs are admitted besides those of the highest priorities.
     Saturated,
 }
 
 impl Level {
-    /// Its name in the log.
+    /// The name of the level in the log.
     pub fn name(self) -> &'static str {
         match self {
             Level::Calm => "calm",
@@ -72,13 +72,13 @@
         }
     }
 
-    /// The level of a pressure, without hysteresis.
+    /// The level that belongs to a pressure, without hysteresis.
     fn of_pressure(pressure: f64) -> Level {
         let levels = [Level::Saturated, Level::Shedding, Level::Calm];
         levels.into_iter().find(|level| pressure >= level.min_pressure()).unwrap_or_default()
     }
 
-    /// The pressure from which on the level is reached.
+    /// The least pressure of the level.
     fn min_pressure(self) -> f64 {
         match self {
             Level::Calm => 0.0,
@@ -88,21 +88,22 @@
     }
 }
 
-/// The greatest of the gauges, each smoothed with one time constant upwards and another downwards.
+/// The greatest of the smoothed gauges. A rising gauge is smoothed with another time constant than a falling one.
 #[derive(Clone, Debug)]
 pub struct Pressure {
     settings: Settings,
-    /// By gauge: the last reading, and the smoothed one, as fractions of the gauge's band.
+    /// The last reading of each gauge, as a fraction of its band.
     readings: [f64; GAUGE_COUNT],
+    /// The smoothed reading of each gauge.
     smoothed: [f64; GAUGE_COUNT],
     updated_at: Time,
     level: Level,
-    /// Since when the pressure is below the present level.
+    /// When the pressure fell below the current level. `None` while it is not below it.
     below_level_since: Option<Time>,
 }
 
 impl Pressure {
-    /// No pressure.
+    /// Creates a pressure of zero.
     pub fn new(now: Time, settings: Settings) -> Pressure {
         Pressure {
             settings,
@@ -114,12 +115,12 @@
         }
     }
 
-    /// Records a reading: the fraction of its band that the gauge fills from now on.
+    /// Sets the reading of a gauge, as a fraction of its band. It holds until the next call.
     pub fn set_gauge(&mut self, gauge: Gauge, fraction: f64) {
         self.readings[gauge as usize] = if fraction.is_finite() { fraction.clamp(0.0, 1.0) } else { 0.0 };
     }
 
-    /// Smooths the readings up to now. Returns the previous level if the level has changed.
+    /// Moves the smoothed gauges towards their readings, up to `now`. Returns the previous level if the level changed.
     pub fn advance(&mut self, now: Time) -> Option<Level> {
         let elapsed = (now - self.updated_at).max(Span::ZERO);
         self.updated_at = self.updated_at.max(now);
@@ -133,7 +134,7 @@
         (before != self.level).then_some(before)
     }
 
-    /// Raises the level at once, and lowers it after a calm time, so that it does not follow every burst.
+    /// Raises the level at once, and lowers it only after `calm_after`, so that it does not follow every burst.
     fn update_level(&mut self, now: Time) {
         let reached = Level::of_pressure(self.value());
         if reached < self.level {
@@ -151,19 +152,19 @@
         self.smoothed.iter().copied().fold(0.0, f64::max)
     }
 
-    /// The gauge that the pressure comes from.
+    /// The gauge with the greatest smoothed reading, which determines the pressure.
     pub fn dominant_gauge(&self) -> Gauge {
         let smoothed = |gauge: &Gauge| self.smoothed[*gauge as usize];
         let dominant = GAUGES.iter().max_by(|one, other| smoothed(one).total_cmp(&smoothed(other)));
         dominant.copied().unwrap_or(Gauge::Delay)
     }
 
-    /// The smoothed fraction of its band that a gauge fills.
+    /// The smoothed reading of a gauge, as a fraction of its band.
     pub fn gauge(&self, gauge: Gauge) -> f64 {
         self.smoothed[gauge as usize]
     }
 
-    /// The present level.
+    /// The current level.
     pub fn level(&self) -> Level {
         self.level
     }
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -1,17 +1,17 @@
-//! How the work that was offered recently spreads over priorities, and the threshold below which a given share of it
+//! The distribution of recently offered work over priorities, and the threshold below which a given share of that work
 //! lies.
 
 use ladderpass_routing::{PRIORITY_COUNT, Span, Time};
 
-/// A sliding window of one second, in buckets that are reused.
+/// The number and width of the buckets, which together make a sliding window of one second.
 const BUCKETS: usize = 4;
 const BUCKET_WIDTH: Span = Span::from_millis(250);
 
-/// Work offered in the last second, by priority. Its unit is the caller's.
+/// Work offered in the last second, by priority. The caller chooses the unit of work.
 #[derive(Clone, Debug)]
 pub struct PriorityHistogram {
     buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
-    /// Which multiple of the width each bucket holds.
+    /// The number of the interval that each bucket covers, in multiples of the bucket width.
     bucket_numbers: [i64; BUCKETS],
     /// The sum over all buckets, by priority.
     by_priority: [f64; PRIORITY_COUNT],
@@ -31,7 +31,7 @@
 }
 
 impl PriorityHistogram {
-    /// Records work that was offered at a priority, in any one unit.
+    /// Records work that was offered at a priority. All calls must use the same unit of work.
     pub fn record(&mut self, now: Time, priority: u32, work: f64) {
         let number = now.nanos().div_euclid(BUCKET_WIDTH.nanos());
         let index = number.rem_euclid(BUCKETS as i64) as usize;
@@ -45,16 +45,17 @@
         self.total += work;
     }
 
+    /// Reuses the bucket at this index for the interval with this number, and recomputes the sums.
     fn start_bucket(&mut self, index: usize, number: i64) {
         self.bucket_numbers[index] = number;
         self.buckets[index] = [0.0; PRIORITY_COUNT];
-        // Buckets that nothing was recorded in meanwhile are out of the window too.
+        // Other buckets have left the window too, if no work was recorded in the intervals since.
         for (bucket, other) in self.buckets.iter_mut().zip(&self.bucket_numbers) {
             if *other <= number - BUCKETS as i64 {
                 *bucket = [0.0; PRIORITY_COUNT];
             }
         }
-        // Summed anew, so that rounding errors don't add up.
+        // The sums are recomputed from the buckets, so that rounding errors don't accumulate.
         self.by_priority = [0.0; PRIORITY_COUNT];
         for bucket in &self.buckets {
             for (sum, work) in self.by_priority.iter_mut().zip(bucket) {
@@ -64,8 +65,8 @@
         self.total = self.by_priority.iter().sum();
     }
 
-    /// The priority below which this share of the work lies. Its fraction is the share of that priority which does.
-    /// Nothing lies below 0, everything below `PRIORITY_COUNT`.
+    /// The priority below which this share of the work lies. The fractional part is the share of that priority's own
+    /// work that lies below the threshold. No work lies below 0, and all work lies below `PRIORITY_COUNT`.
     pub fn admission_threshold(&self, share: f64) -> f64 {
         if share <= 0.0 || self.total <= 0.0 {
             return 0.0;
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -1,33 +1,34 @@
-//! How long statements wait for this router, once an iteration of the event loop: the greater of what is predicted for
-//! those that wait now and a share of what was measured.
+//! How long statements wait for this router, computed at the end of each iteration of the event loop. The delay is the
+//! greater of the wait that is predicted for the statements in the queue and a share of the measured mean wait.
 //!
-//! The prediction leads: the measured wait tells of a queue only once it has grown as long.
+//! The prediction reacts first: the measured wait shows a long queue only after statements have waited through it.
 
 use ladderpass_routing::{Span, Time};
 
-/// The mean length of a statement at the start.
+/// Initial value of the mean length of a statement.
 const INITIAL_STATEMENT_BYTES: f64 = 128.0;
-/// Weight of one statement in the mean length.
+/// Weight of one statement in the moving average of the length.
 const MEAN_LENGTH_WEIGHT: f64 = 0.01;
-/// Factor on the measured mean wait, where it is compared with the predicted one.
+/// The measured mean wait is multiplied by this factor before it is compared with the predicted wait.
 const MEASURED_WAIT_WEIGHT: f64 = 0.5;
 
-/// What an RPC costs on average at present, in seconds, and the share of RPCs that are rejected.
+/// The current mean costs of an RPC in seconds, and the share of RPCs that are rejected.
 pub(crate) struct MeanCosts {
     pub serve_secs: f64,
     pub reject_secs: f64,
     pub rejected_share: f64,
 }
 
-/// Waits of the current iteration and the delay of the one before.
+/// The waits measured in the current iteration, and the delay computed at the end of the previous one.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingDelay {
     /// How many statements were handled in this iteration.
     statements: f64,
-    /// The sum of their waits.
+    /// The sum of the waits of the statements handled in this iteration.
     total_wait: Span,
     mean_statement_bytes: f64,
-    /// When the process last resumed from a stall. Waits before are not this router's work.
+    /// When the process last resumed from a stall. Waiting time before it is not counted, since this router's work did
+    /// not cause it.
     resumed_at: Time,
     current: Span,
     /// The longest wait since the last call of `take_longest`.
@@ -46,7 +47,7 @@
         }
     }
 
-    /// A statement of this length is handled, after it has waited for this router.
+    /// Records that a statement of this length is being handled, after it waited for this router.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         let waited = waited.min((now - self.resumed_at).max(Span::ZERO));
         self.longest = self.longest.max(waited);
@@ -55,12 +56,12 @@
         self.mean_statement_bytes += (length_bytes as f64 - self.mean_statement_bytes) * MEAN_LENGTH_WEIGHT;
     }
 
-    /// The process did not run until now.
+    /// Records that the process did not run for a while and has resumed now.
     pub fn record_stall(&mut self, now: Time) {
         self.resumed_at = now;
     }
 
-    /// Ends an iteration that leaves so many sockets and so many bytes of statements waiting.
+    /// Ends an iteration, and computes the delay from the sockets and the bytes of statements that are left waiting.
     pub fn end_iteration(&mut self, waiting_sockets: usize, waiting_bytes: usize, costs: &MeanCosts) {
         let statements = waiting_sockets as f64 + waiting_bytes as f64 / self.mean_statement_bytes.max(1.0);
         let rejected = costs.rejected_share;
@@ -72,12 +73,12 @@
         self.current = predicted.max(mean_wait * MEASURED_WAIT_WEIGHT);
     }
 
-    /// The delay of the last iteration.
+    /// The delay as of the end of the last iteration.
     pub fn current(&self) -> Span {
         self.current
     }
 
-    /// The longest wait since the last call.
+    /// Returns and clears the longest wait since the last call.
     pub fn take_longest(&mut self) -> Span {
         std::mem::take(&mut self.longest)
     }
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -1,13 +1,13 @@
-//! What is measured of the process, and the limits that it is compared with.
+//! The measured resource usage of the process, and the limits that it is compared with.
 
 use ladderpass_routing::Span;
 
-/// The process's resource usage. What is not known is zero.
+/// The process's resource usage. A value that is not known is zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceSample {
     /// Wall clock time since the previous sample.
     pub wall: Span,
-    /// Of that, the time in which the event loop did not wait for events.
+    /// The part of the wall clock time in which the event loop did not wait for events.
     pub busy: Span,
     /// CPU time used since the previous sample.
     pub cpu: Span,
@@ -20,26 +20,27 @@
 }
 
 impl ResourceSample {
-    /// Share of the time in which the process was runnable and had no core: another process's work, or a CPU quota.
+    /// Share of the wall clock time in which the process was runnable and had no core, because another process had it
+    /// or a CPU quota was used up.
     pub fn stolen_share(&self) -> f64 {
         let stolen = (self.busy - self.cpu).secs().max(0.0);
         if self.wall <= Span::ZERO { 0.0 } else { (stolen / self.wall.secs()).min(1.0) }
     }
 
-    /// CPU used, as a share of so many cores.
+    /// CPU time used, as a share of the time of `cores` cores.
     pub fn cpu_share(&self, cores: f64) -> f64 {
         if self.wall <= Span::ZERO { 0.0 } else { self.cpu.secs() / (self.wall.secs() * cores.max(1e-3)) }
     }
 }
 
-/// What the process may use.
+/// The most resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// CPU cores, also fractions of one.
+    /// Number of CPU cores, which may be fractional.
     pub cores: f64,
     /// Resident memory.
     pub memory_bytes: usize,
-    /// Of that, memory of the connections' buffers.
+    /// The part of the memory that the connections' buffers may take.
     pub buffer_bytes: usize,
     /// File descriptors.
     pub descriptors: usize,
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -1,39 +1,41 @@
-//! What an operator can set, with the defaults. It is read and checked elsewhere.
+//! The settings of the overload control that an operator can change, and their defaults. The package that reads the
+//! operator's file parses and checks them.
 
 use ladderpass_routing::Span;
 
-/// Where the concave curve reaches half of the full pressure, in widths of the band.
+/// The concave curve reaches half of the full pressure at this many widths of the band beyond its start.
 const CONCAVE_HALF_WIDTHS: f64 = 0.25;
-/// Pressure at the end of a band by the concave curve: 1 / (1 + [`CONCAVE_HALF_WIDTHS`]).
+/// The pressure of the concave curve at the end of the band: 1 / (1 + [`CONCAVE_HALF_WIDTHS`]).
 const CONCAVE_FRACTION_AT_FULL: f64 = 0.8;
-/// What is left of the full pressure beyond the band: 1 - [`CONCAVE_FRACTION_AT_FULL`].
+/// The remaining pressure, which the concave curve approaches beyond the band: 1 - [`CONCAVE_FRACTION_AT_FULL`].
 const CONCAVE_FRACTION_BEYOND: f64 = 0.2;
-/// How slowly the pressure rises beyond the band, in widths of it.
+/// Beyond the band, the concave curve takes this many widths of the band to cover half of the remaining pressure.
 const CONCAVE_TAIL_WIDTHS: f64 = 8.0;
 
 /// The range of a gauge over which its pressure rises, in the gauge's unit: seconds for the delay, a share of what is
 /// allowed for the resources.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
-    /// Up to here there is no pressure.
+    /// Up to this value there is no pressure.
     pub from: f64,
-    /// From here on the pressure is full.
+    /// From this value on the pressure is full.
     pub full: f64,
 }
 
 impl Band {
-    /// A band.
+    /// Creates a band.
     pub const fn new(from: f64, full: f64) -> Band {
         Band { from, full }
     }
 
-    /// Pressure of a value: from 0 to 1 in proportion within the band.
+    /// The pressure of a value. Within the band it rises linearly from 0 to 1.
     pub fn fraction(self, value: f64) -> f64 {
         ((value - self.from) / (self.full - self.from).max(1e-9)).clamp(0.0, 1.0)
     }
 
-    /// Pressure of a value by a curve that rises quickly at first, reaches four fifths at `full` and approaches 1 ever
-    /// more slowly beyond. So the highest priorities are shed last, and only by a queue that stays.
+    /// The pressure of a value by a concave curve. It rises quickly at first, reaches four fifths at `full` and
+    /// approaches 1 ever more slowly beyond. The highest priorities are therefore shed last, and only by a queue that
+    /// persists.
     pub fn concave_fraction(self, value: f64) -> f64 {
         let widths = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
         let beyond = widths - 1.0;
@@ -48,10 +50,10 @@
 /// Bands and times of the overload control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How long statements wait for the router, in seconds, by the concave curve.
+    /// The band of the queueing delay, in seconds. Its pressure follows the concave curve.
     pub delay: Band,
-    /// CPU, as a share of what is allowed. On a whole core CPU can't pass its allowance and shows as delay; the band is
-    /// for a process with a fraction of a core.
+    /// CPU time, as a share of what is allowed. A process with a whole core can't use more than it is allowed, and a
+    /// lack of CPU shows as queueing delay instead. The band is for a process with a fraction of a core.
     pub cpu: Band,
     /// Resident memory, as a share of what is allowed.
     pub memory: Band,
@@ -63,14 +65,14 @@
     pub rise: Span,
     /// Time constant with which the pressure follows a falling gauge.
     pub fall: Span,
-    /// A level is lowered once the pressure was below it for this long.
+    /// The level is lowered once the pressure has been below it for this long.
     pub calm_after: Span,
-    /// A connection that takes more than so many times its fair share has a lower priority.
+    /// A connection that takes more than this multiple of its fair share gets a lower priority.
     pub fair_share_multiple: f64,
-    /// A client that reads none of its responses is closed after this, and after a tenth of it under full memory
-    /// pressure.
+    /// A client that reads none of its responses is disconnected after this time, and after a tenth of it under full
+    /// memory pressure.
     pub slow_reader_timeout: Span,
-    /// The most that unread responses of one client may hold.
+    /// The most bytes of unread responses that one client may have.
     pub slow_reader_bytes: usize,
     /// How often the resource usage is sampled.
     pub sample_interval: Span,
--- a/crates/ladderpass-overload/tests/cost_model.rs
+++ b/crates/ladderpass-overload/tests/cost_model.rs
@@ -1,4 +1,4 @@
-//! The costs of serving and rejecting, learnt from iterations of the event loop.
+//! Tests of the cost model, which learns the costs of serving and rejecting from iterations of the event loop.
 
 use ladderpass_overload::{CostModel, Work};
 use ladderpass_routing::Span;
--- a/crates/ladderpass-overload/tests/governor/resources.rs
+++ b/crates/ladderpass-overload/tests/governor/resources.rs
@@ -1,4 +1,4 @@
-//! Resources that other processes take, or that run short.
+//! Tests of a core that another process uses too, and of memory that runs short.
 
 use crate::simulation::{READ, SERVE_SECS, Simulation, WRITE, at, mixed};
 use ladderpass_overload::{Governor, Level, ResourceLimits, ResourceSample, Settings};
@@ -14,7 +14,7 @@
     assert_eq!(sim.served_late, 0);
     assert!(sim.wait_p999_secs(3.0, 8.0) < 0.06, "{}", sim.wait_p999_secs(3.0, 8.0));
     let reads = sim.sum(READ, 10, 12);
-    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+    assert_eq!(reads.sent, reads.served_in_time, "all reads are served again two seconds after the slowdown");
 }
 
 #[test]
--- a/crates/ladderpass-overload/tests/governor/shedding.rs
+++ b/crates/ladderpass-overload/tests/governor/shedding.rs
@@ -1,11 +1,12 @@
-//! Load that exceeds what the router can serve: what is shed, what is served in time, and how it recovers.
+//! Tests of load that exceeds what the router can serve: which RPCs are shed, which are served in time, and how the
+//! router recovers.
 
 use crate::simulation::{
     CLIENT_TIMEOUT_SECS, ClientCounts, READ, Rate, Request, SERVE_SECS, Simulation, WRITE, at, mixed,
 };
 use ladderpass_overload::{Level, OverloadEvent};
 
-/// Half of what the server can do when calm, three times that between the fifth second and the 35th.
+/// Half of the server's capacity in normal operation, and three times that rate from second 5 to second 35.
 fn surge(now_secs: f64) -> f64 {
     let calm = 0.5 / SERVE_SECS;
     if (5.0..35.0).contains(&now_secs) { calm * 3.0 } else { calm }
@@ -18,11 +19,11 @@
     let writes = sim.sum(WRITE, 5, 35);
     assert!(f64::from(writes.served_in_time) > 0.99 * f64::from(writes.sent), "writes: {writes:?}");
     assert!(sim.wait_p999_secs(5.0, 35.0) < 0.050, "{}", sim.wait_p999_secs(5.0, 35.0));
-    assert_eq!(sim.served_late, 0, "no client without a response in its time");
+    assert_eq!(sim.served_late, 0, "every RPC that is served is answered within its client's timeout");
     let reads = sim.sum(READ, 37, 40);
-    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+    assert_eq!(reads.sent, reads.served_in_time, "all reads are served again two seconds after the surge");
     let reads = sim.sum(READ, 5, 35).served_in_time;
-    assert!(f64::from(reads) > 0.5 * 30.0 / SERVE_SECS, "the remaining capacity serves reads: {reads}");
+    assert!(f64::from(reads) > 0.5 * 30.0 / SERVE_SECS, "reads served with the remaining capacity: {reads}");
     // Without the governor the queue grows past every client's timeout.
     let mut sim = Simulation::new(false, 200, 1);
     sim.run(40.0, surge, mixed);
@@ -33,7 +34,7 @@
 #[test]
 fn a_client_that_floods_among_two_hundred_is_shed_itself() {
     let mut sim = Simulation::new(true, 201, 2);
-    // 200 polite clients with 0.4 of the capacity; one that sends twice the capacity.
+    // 200 clients together send 0.4 of the capacity, and one client sends twice the capacity.
     sim.run(
         10.0,
         |_| 2.4 / SERVE_SECS,
@@ -54,7 +55,7 @@
         polite.served += client.served;
         polite.rejected += client.rejected;
     }
-    assert!(f64::from(polite.rejected) < 0.02 * f64::from(polite.served), "polite ones: {polite:?}");
+    assert!(f64::from(polite.rejected) < 0.02 * f64::from(polite.served), "the other clients: {polite:?}");
     assert!(sim.by_client[200].rejected > sim.by_client[200].served, "{:?}", sim.by_client[200]);
 }
 
@@ -75,7 +76,7 @@
         "{} of {sent}",
         sim.first_attempts_rejected
     );
-    // Clients that time out before a read could be answered: under pressure none of their RPCs is served.
+    // Client 1 times out before a read could be answered. Under pressure none of its RPCs is served.
     let mut sim = Simulation::new(true, 200, 4);
     sim.run(
         10.0,
@@ -95,7 +96,7 @@
     let mut sim = Simulation::new(true, 200, 5);
     sim.run(10.0, |_| 3.0 / SERVE_SECS, |rng, _| Request { method: WRITE, ..mixed(rng, 0.0) });
     let writes = sim.sum(WRITE, 1, 10);
-    // With rejecting at a tenth of serving, (1 - 3 / 10) / (1 - 1 / 10) of a server's time is left.
+    // Rejecting costs a tenth of serving, so (1 - 3 / 10) / (1 - 1 / 10) of the server's time is left for serving.
     assert!(f64::from(writes.served_in_time) > 0.6 * 9.0 / SERVE_SECS, "{writes:?}");
     assert!(writes.rejected > writes.served_in_time && sim.served_late == 0);
     assert!(sim.wait_p999_secs(1.0, 10.0) < 0.06, "{}", sim.wait_p999_secs(1.0, 10.0));
@@ -105,7 +106,7 @@
 fn a_stall_of_800_ms_sheds_little_of_what_arrived_meanwhile() {
     let mut sim = Simulation::new(true, 200, 6);
     sim.run(2.0, |_| 0.5 / SERVE_SECS, mixed);
-    // The process does not run: RPCs wait, and it knows when it resumed.
+    // While the process does not run, RPCs queue up. The governor is notified when the process resumes.
     let resumed_secs = sim.now_secs + 0.8;
     let mut sent_secs = sim.now_secs;
     while sent_secs < resumed_secs {
@@ -114,13 +115,13 @@
         sent_secs += SERVE_SECS * 2.0;
     }
     sim.now_secs = resumed_secs;
-    sim.governor.as_mut().expect("it has a governor").record_stall(at(resumed_secs));
+    sim.governor.as_mut().expect("the simulation has a governor").record_stall(at(resumed_secs));
     sim.run(5.0, |_| 0.5 / SERVE_SECS, mixed);
-    assert_eq!(sim.served_late, 0, "each is answered in its time");
+    assert_eq!(sim.served_late, 0, "every RPC that is served is answered within its client's timeout");
     let writes = sim.sum(WRITE, 2, 4);
     assert!(f64::from(writes.served_in_time) > 0.97 * f64::from(writes.sent), "writes: {writes:?}");
     let reads = sim.sum(READ, 5, 7);
-    assert_eq!(reads.sent, reads.served_in_time, "calm again two seconds after");
+    assert_eq!(reads.sent, reads.served_in_time, "all reads are served again two seconds after the stall");
 }
 
 #[test]
@@ -135,9 +136,9 @@
         let mut sim = Simulation::new(true, 200, seed);
         sim.run(20.0, rate, mixed);
         let load = rate(0.0) * SERVE_SECS;
-        assert!(sim.events.len() <= 20, "{load}: {} changes in 20 s", sim.events.len());
+        assert!(sim.events.len() <= 20, "load {load}: {} level changes in 20 s", sim.events.len());
         let Some(OverloadEvent::LevelChanged { after, .. }) = sim.events.first() else {
-            panic!("{load}: the level never changed")
+            panic!("load {load}: the level never changed")
         };
         assert_ne!(*after, Level::Calm);
     }
@@ -151,11 +152,14 @@
         let all = &sim.retry_after_secs[sim.retry_after_secs.len() / 2..];
         let min = all.iter().copied().fold(f64::MAX, f64::min);
         let max = all.iter().copied().fold(0.0f64, f64::max);
-        assert!(all.iter().all(|&secs| secs > 0.0 && secs <= 0.5), "within the deployment's limit");
-        assert!(max > 1.5 * min, "{min} to {max}");
+        assert!(
+            all.iter().all(|&secs| secs > 0.0 && secs <= 0.5),
+            "a retry-after is not within the deployment's limit"
+        );
+        assert!(max > 1.5 * min, "retry-after from {min} to {max} s");
         all.iter().sum::<f64>() / all.len() as f64
     };
     let light = mean_retry_after_secs(|_| 1.2 / SERVE_SECS);
     let heavy = mean_retry_after_secs(|_| 4.0 / SERVE_SECS);
-    assert!(heavy > 1.2 * light, "{light} {heavy}");
+    assert!(heavy > 1.2 * light, "mean retry-after: {light} s under light load, {heavy} s under heavy load");
 }
--- a/crates/ladderpass-overload/tests/governor/simulation.rs
+++ b/crates/ladderpass-overload/tests/governor/simulation.rs
@@ -1,4 +1,4 @@
-//! A router with one server in simulated time, and the clients that send to it.
+//! The simulation: a router with one server in simulated time, and the clients that send to it.
 
 use ladderpass_overload::{ClientUsage, Governor, OverloadEvent, ResourceLimits, Settings};
 use ladderpass_routing::{
@@ -53,11 +53,11 @@
     }
 }
 
-/// A linear congruential generator: the same everywhere.
+/// A linear congruential generator, which gives the same numbers on every platform.
 pub struct Rng(u64);
 
 impl Rng {
-    /// From 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub fn next_f64(&mut self) -> f64 {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 11) as f64 / (1u64 << 53) as f64
@@ -74,10 +74,10 @@
     pub timeout_secs: f64,
 }
 
-/// RPCs a second at a time.
+/// The RPCs a second that clients send at a given time, in seconds.
 pub type Rate = fn(f64) -> f64;
 
-/// RPCs by what became of them.
+/// Numbers of RPCs by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub sent: u32,
@@ -85,7 +85,7 @@
     pub rejected: u32,
 }
 
-/// RPCs of one client by what became of them.
+/// Numbers of one client's RPCs by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientCounts {
     pub served: u32,
@@ -105,13 +105,13 @@
     pub now_secs: f64,
     pub queue: VecDeque<Request>,
     pub rng: Rng,
-    /// By second of sending, by method.
+    /// Counts by the second in which the RPCs were sent, and by method.
     seconds: Vec<[Counts; 2]>,
     pub served_late: u32,
     waits: Vec<Wait>,
     pub events: Vec<OverloadEvent>,
     pub retry_after_secs: Vec<f64>,
-    /// Factor on what serving and rejecting take, at a time.
+    /// The factor by which serving and rejecting take longer at a given time, in seconds.
     pub slowdown: fn(f64) -> f64,
     pub by_client: Vec<ClientCounts>,
     pub first_attempts_rejected: u32,
@@ -147,13 +147,13 @@
         &mut self.seconds[second][request.method as usize]
     }
 
-    /// A client sends.
+    /// Adds an RPC to the queue and counts it as sent.
     pub fn enqueue(&mut self, request: Request) {
         self.counts_of(request).sent += 1;
         self.queue.push_back(request);
     }
 
-    /// Runs for this time with RPCs at this rate; `draw` says what each is.
+    /// Runs the simulation for `secs` seconds. RPCs arrive at random at this rate, and `draw` makes each of them.
     pub fn run(&mut self, secs: f64, rate: Rate, draw: fn(&mut Rng, f64) -> Request) {
         let mut next_secs = self.now_secs;
         let until_secs = self.now_secs + secs;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// An iteration of the event loop.
+    /// Runs one iteration of the event loop.
     fn run_iteration(&mut self) {
         let started_secs = self.now_secs;
         for _ in 0..RPCS_PER_ITERATION {
@@ -242,7 +242,7 @@
         }
     }
 
-    /// RPCs of a method that were sent in these seconds.
+    /// Sums the counts of a method's RPCs that were sent from second `from` until second `to`.
     pub fn sum(&self, method: u32, from: usize, to: usize) -> Counts {
         let mut sum = Counts::default();
         for second in &self.seconds[from..to.min(self.seconds.len())] {
@@ -254,7 +254,7 @@
         sum
     }
 
-    /// The wait that all but a thousandth of the RPCs sent in these seconds stayed within.
+    /// The 99.9th percentile of the waits of RPCs that were sent from second `from` until second `to`.
     pub fn wait_p999_secs(&self, from: f64, to: f64) -> f64 {
         let waits = self.waits.iter().filter(|wait| (from..to).contains(&wait.sent_secs));
         let mut waits: Vec<f64> = waits.map(|wait| wait.secs).collect();
@@ -263,7 +263,7 @@
     }
 }
 
-/// One in ten is a write; 200 clients.
+/// Makes an RPC of one of 200 clients. One RPC in ten is a write.
 pub fn mixed(rng: &mut Rng, _: f64) -> Request {
     let method = if rng.next_f64() < 0.1 { WRITE } else { READ };
     let client = (rng.next_f64() * 200.0) as usize;
