--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -233,8 +233,8 @@
 
     /// How long to wait for a client that reads none of its responses. Memory pressure shortens it.
     pub fn slow_reader_timeout(&self) -> Span {
-        let memory = self.pressure.gauge(Gauge::Memory).max(self.pressure.gauge(Gauge::Buffers));
-        self.settings.slow_reader_timeout * (1.0 - memory * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
+        let memory_pressure = self.pressure.gauge(Gauge::Memory).max(self.pressure.gauge(Gauge::Buffers));
+        self.settings.slow_reader_timeout * (1.0 - memory_pressure * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
     }
 
     /// The most bytes of unread responses that one client may have.
--- a/crates/ladderpass-overload/tests/cost_model.rs
+++ b/crates/ladderpass-overload/tests/cost_model.rs
@@ -4,7 +4,7 @@
 use ladderpass_routing::Span;
 
 #[test]
-fn it_learns_the_costs_of_serving_and_rejecting_in_any_mix() {
+fn learns_the_costs_of_serving_and_rejecting_from_any_mix_of_work() {
     let mut costs = CostModel::default();
     for iteration in 0..3000u32 {
         let (served, rejected) = (f64::from(iteration * 7 % 20), f64::from(iteration * 3 % 50));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_iteration_makes_a_cost_absurd() {
+fn costs_stay_positive_and_bounded_after_implausible_iterations() {
     let mut costs = CostModel::default();
     for (served, busy_secs) in
         [(0.0, 0.5), (f64::NAN, 0.1), (1.0, f64::INFINITY), (1e300, 0.9), (1.0, -1.0), (3.0, 0.9)]
--- a/crates/ladderpass-overload/tests/governor/resources.rs
+++ b/crates/ladderpass-overload/tests/governor/resources.rs
@@ -1,14 +1,14 @@
 //! Tests of a core that another process uses too, and of memory that runs short.
 
-use crate::simulation::{READ, SERVE_SECS, Simulation, WRITE, at, mixed};
+use crate::simulation::{READ, SERVE_SECS, Simulation, WRITE, at, mixed_request};
 use ladderpass_overload::{Governor, Level, ResourceLimits, ResourceSample, Settings};
 use ladderpass_routing::Span;
 
 #[test]
-fn a_process_that_takes_the_core_is_met_like_a_load() {
+fn writes_are_served_in_time_while_another_process_slows_the_router_down() {
     let mut sim = Simulation::new(true, 200, 7);
     sim.slowdown = |now_secs| if (3.0..8.0).contains(&now_secs) { 3.0 } else { 1.0 };
-    sim.run(12.0, |_| 0.8 / SERVE_SECS, mixed);
+    sim.run(12.0, |_| 0.8 / SERVE_SECS, mixed_request);
     let writes = sim.sum(WRITE, 3, 8);
     assert!(f64::from(writes.served_in_time) > 0.99 * f64::from(writes.sent), "writes: {writes:?}");
     assert_eq!(sim.served_late, 0);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn memory_alone_raises_the_pressure_and_shortens_the_slow_reader_timeout() {
+fn memory_use_alone_raises_the_pressure_and_shortens_the_slow_reader_timeout() {
     let limits =
         ResourceLimits { cores: 1.0, memory_bytes: 100 << 20, buffer_bytes: 25 << 20, descriptors: 1000 };
     let mut governor = Governor::new(at(0.0), Settings::default(), limits, 2);
--- a/crates/ladderpass-overload/tests/governor/simulation.rs
+++ b/crates/ladderpass-overload/tests/governor/simulation.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    fn counts_of(&mut self, request: Request) -> &mut Counts {
+    fn counts_mut(&mut self, request: Request) -> &mut Counts {
         let second = request.sent_secs as usize;
         self.seconds.resize(self.seconds.len().max(second + 1), Default::default());
         &mut self.seconds[second][request.method as usize]
@@ -149,7 +149,7 @@
 
     /// Adds an RPC to the queue and counts it as sent.
     pub fn enqueue(&mut self, request: Request) {
-        self.counts_of(request).sent += 1;
+        self.counts_mut(request).sent += 1;
         self.queue.push_back(request);
     }
 
@@ -222,7 +222,7 @@
     }
 
     fn record_rejected(&mut self, request: Request) {
-        self.counts_of(request).rejected += 1;
+        self.counts_mut(request).rejected += 1;
         self.first_attempts_rejected += u32::from(!request.is_client_retry);
         self.by_client[request.client].rejected += 1;
         if let Some(governor) = &mut self.governor {
@@ -233,7 +233,7 @@
     fn record_served(&mut self, request: Request) {
         self.by_client[request.client].served += 1;
         if self.now_secs <= request.sent_secs + request.timeout_secs {
-            self.counts_of(request).served_in_time += 1;
+            self.counts_mut(request).served_in_time += 1;
         } else {
             self.served_late += 1;
         }
@@ -264,7 +264,7 @@
 }
 
 /// Makes an RPC of one of 200 clients. One RPC in ten is a write.
-pub fn mixed(rng: &mut Rng, _: f64) -> Request {
+pub fn mixed_request(rng: &mut Rng, _: f64) -> Request {
     let method = if rng.next_f64() < 0.1 { WRITE } else { READ };
     let client = (rng.next_f64() * 200.0) as usize;
     Request { sent_secs: 0.0, method, client, is_client_retry: false, timeout_secs: CLIENT_TIMEOUT_SECS }
