--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -1,8 +1,8 @@
-//! How many RPCs all routers together may have in flight at each member, and this router's quota of it.
+//! How many RPCs all routers together may have in flight at each member, and this router's quota of them.
 //!
-//! A member's capacity follows a gradient: it shrinks with the ratio of its latency to the typical one, grows by its
-//! square root while it is used, and follows the median of all routers' estimates. The quota is this router's share of
-//! the offered load.
+//! A member's capacity follows a gradient: it shrinks with the ratio of the member's latency to the typical one, grows
+//! by its square root while it is in use, and follows the median of all routers' estimates. The quota is this router's
+//! share of the offered load.
 
 use crate::consensus::move_towards_median;
 use crate::peer_reports::WeightedReport;
@@ -10,34 +10,37 @@
 use crate::totals::FleetTotals;
 use ladderpass_routing::{MemberId, MemberLoad};
 
-/// The capacity of a member of which nothing is known, and its bounds: RPCs in flight there, of all routers together.
+/// The initial capacity of a member, and the bounds of any capacity, as RPCs in flight of all routers together.
 const INITIAL_CAPACITY: f64 = 2.0;
 const MIN_CAPACITY: f64 = 1.0;
 const MAX_CAPACITY: f64 = 4096.0;
-/// Up to this latency ratio the capacity does not shrink: a member with an empty queue is not full.
+/// Up to this latency ratio the capacity does not shrink, since a member whose queue is empty is not full.
 const MAX_HEALTHY_LATENCY_RATIO: f64 = 1.3;
-/// A failed RPC counts as one whose latency is longer by so many times: a member with a short queue rejects and never
-/// answers slowly.
+/// A failed RPC counts as one whose latency is longer by this multiple. Failures count because a member with a short
+/// queue rejects RPCs and never answers slowly.
 const FAILURE_LATENCY_WEIGHT: f64 = 10.0;
-/// A capacity grows while so many times the RPCs in flight fill it: an unused one would be filled at once by a burst.
+/// A capacity grows only while the RPCs in flight, times this factor, fill it. If an unused capacity grew, a burst
+/// could fill it at once.
 const USED_MARGIN: f64 = 1.25;
-/// Share of the way to the target capacity that one step goes.
+/// One step moves the capacity by this share of its distance to the target.
 const CAPACITY_STEP: f64 = 0.3;
-/// Weight of the present load in its moving average.
+/// Weight of the latest value in the moving averages of a member's load and of the quota.
 const SMOOTHING_WEIGHT: f64 = 0.4;
-/// Weight of the latency that a router without RPCs in flight observes, in RPCs.
+/// Weight, in RPCs in flight, that is added to the weight of each router's latency ratio. It gives a weight to routers
+/// without RPCs in flight.
 const IDLE_WEIGHT: f64 = 0.05;
-/// The quota may grow by this factor in a step, and to this value at once.
+/// The quota may grow by this factor in a step.
 const MAX_QUOTA_GROWTH: f64 = 1.3;
+/// A step may raise the quota to this value, however small it was.
 const ALWAYS_ALLOWED_QUOTA: f64 = 0.02;
-/// The quota is updated only with reports of this share of the other routers, or of so many.
+/// The quota is updated only while this share of the other routers report, or this number of them.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
 
-/// This router's limits, for the routing core.
+/// This router's limits at members, for the routing core.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberLimits {
-    /// One of each member that this router observes.
+    /// One limit for each member that this router observes.
     pub members: Vec<MemberLimit>,
 }
 
@@ -50,7 +53,8 @@
     pub max_in_flight: f64,
 }
 
-/// This router's quota after a step, from 0 to 1: its share of what is offered. Where too few others report, it stays.
+/// This router's quota after a step, from 0 to 1. It follows this router's share of the offered load, and stays while
+/// too few other routers report.
 pub(crate) fn compute_quota(quota: f64, totals: &FleetTotals) -> f64 {
     let share = if totals.offered > 0.0 {
         (totals.own_offered / totals.offered).min(1.0)
@@ -64,8 +68,9 @@
     (quota + (share - quota) * SMOOTHING_WEIGHT).min(max_quota)
 }
 
-/// How many RPCs this router may have in flight at a member of this capacity. The square root leaves capacity for
-/// bursts, as in staffing by random arrivals; all routers' limits add up to a little more than the capacity.
+/// How many RPCs this router may have in flight at a member of this capacity. The square root is a margin for bursts,
+/// as in the square root staffing rule for random arrivals. All routers' limits add up to a little more than the
+/// capacity.
 pub(crate) fn compute_limit(capacity: f64, quota: f64) -> f64 {
     let share = capacity * quota;
     share + share.sqrt()
@@ -76,8 +81,8 @@
     load.id_hash as u16
 }
 
-/// This router's estimates of a member after a step, from its own load there and the others' reports. `scale`: the
-/// factor from the routers that reported to all that are alive.
+/// This router's estimates of a member after a step, from this router's load there and the others' reports. `scale` is
+/// the ratio of all live routers to those that reported.
 pub(crate) fn estimate_member(
     known: Option<&MemberReport>,
     load: &MemberLoad,
@@ -104,8 +109,8 @@
     own
 }
 
-/// What all routers that reported observe at a member: RPCs in flight, the latency ratio weighted by them, and the
-/// capacity that they estimate.
+/// Combines this router's observations of a member with those reported by others. It sums the RPCs in flight, averages
+/// the latency ratios with the RPCs in flight as weights, and moves this router's capacity towards the median.
 fn observe_member(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
     let mut in_flight = own.in_flight;
     let mut weighted_latency = own.latency_ratio * (own.in_flight + IDLE_WEIGHT);
--- a/crates/ladderpass-admission/src/consensus.rs
+++ b/crates/ladderpass-admission/src/consensus.rs
@@ -1,16 +1,17 @@
-//! How a router's own estimate follows the estimates of the others.
+//! How a router's own estimate follows the estimates of the other routers.
 
-/// Share of the way to the median that an estimate moves in a step: enough to hold all routers together, while each
-/// goes on from its own, since what others report is some steps old.
+/// In each step an estimate moves by this share of its distance to the median. The share is large enough to keep the
+/// estimates of all routers close to each other. It is well below 1 because the reports of others are some steps old,
+/// so that each router mainly continues from its own estimate.
 const CONSENSUS_WEIGHT: f64 = 0.2;
 
-/// The upper median; 0 of nothing.
+/// The upper median, or 0 if there are no values. Sorts the values.
 pub(crate) fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Moves an estimate towards the median of all routers' estimates, its own among them.
+/// Moves this router's estimate towards the median of all routers' estimates, which include its own.
 pub(crate) fn move_towards_median(own: f64, estimates: &mut [f64]) -> f64 {
     own + (median(estimates) - own) * CONSENSUS_WEIGHT
 }
--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -1,8 +1,8 @@
-//! The entry points of the shared admission control: counts of this router and reports of the others come in; reports,
-//! thresholds and limits come out.
+//! The entry points of the shared admission control. The caller records this router's RPCs and passes in the reports of
+//! other routers, and gets reports to send, thresholds and limits.
 //!
-//! Each router computes for itself, by the same rule on the same reports. A report counts while it is fresh and its
-//! router is alive, and only up to a limit; a router that receives too few keeps its quota.
+//! Each router computes its thresholds for itself, by the same rules from the same reports. A report counts while it is
+//! recent and its router is alive, and only up to a limit. A router that receives too few reports keeps its quota.
 
 use crate::capacity::MemberLimits;
 use crate::faulty::Faulty;
@@ -14,11 +14,12 @@
 use ladderpass_routing::{MemberLoad, PRIORITY_COUNT, Span, Time};
 use std::collections::BTreeMap;
 
-/// Length of a step: how often thresholds and limits are computed and a new report is made.
+/// Length of a step. Thresholds and limits are computed and new reports are made once a step.
 const STEP: Span = Span::from_millis(250);
-/// Own reports in a bundle; the rest of it forwards those of others.
+/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of others.
 const MAX_OWN_REPORTS: usize = 4;
-/// How far the reports that a bundle begins with move on with each bundle.
+/// Each bundle begins this many reports after the beginning of the previous one, so that reports that do not fit
+/// into one bundle can go into a later one.
 const BUNDLE_ROTATION: usize = 3;
 
 /// The shared admission control, as one router computes it.
@@ -28,13 +29,13 @@
     groups: BTreeMap<u32, Group>,
     reports: PeerReports,
     next_step_at: Time,
-    /// With which reports the next bundle begins.
+    /// The index at which the next bundle begins, modulo the number of reports.
     rotation: usize,
     faulty: Faulty,
 }
 
 impl AdmissionController {
-    /// `own`: the id by which the other routers know this one.
+    /// Starts without groups or reports. `own` is the id by which the other routers identify this one.
     pub fn start(now: Time, own: u32, faulty: Faulty) -> AdmissionController {
         AdmissionController {
             own_router: own,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A new group starts with the quota of one router among equals.
+    /// Returns the state of a group. The quota of a new group is an equal share among the live routers.
     fn group_mut(&mut self, group: u32) -> &mut Group {
         let quota = 1.0 / (self.reports.alive_count() as f64 + 1.0);
         self.groups.entry(group).or_insert_with(|| Group::new(quota))
@@ -58,7 +59,7 @@
         self.reports.set_alive(others);
     }
 
-    /// Records an RPC that this router was offered.
+    /// Records an RPC that this router was offered, whether it is admitted or not.
     pub fn record_offered(&mut self, group: u32, priority: u32) {
         let priority = priority.min(PRIORITY_COUNT as u32 - 1) as u8;
         *self.group_mut(group).counts.offered.entry(priority).or_default() += 1.0;
@@ -90,7 +91,7 @@
         self.reports.alive_count()
     }
 
-    /// What all routers reject of a group's load: nothing of a group that is not known.
+    /// The admission threshold of a group. An unknown group has none, and all its RPCs are admitted.
     pub fn threshold(&self, group: u32) -> GroupThreshold {
         if self.faulty == Faulty::IgnoresThreshold {
             return GroupThreshold::default();
@@ -98,19 +99,19 @@
         self.groups.get(&group).map_or(GroupThreshold::default(), |group| group.admission.group_threshold())
     }
 
-    /// When [`AdmissionController::tick`] is due.
+    /// When [`AdmissionController::tick`] is due next.
     pub fn wake_at(&self) -> Time {
         self.next_step_at
     }
 
-    /// A bundle of reports was received.
+    /// Stores the reports of a bundle that was received.
     pub fn on_reports(&mut self, now: Time, bytes: &[u8]) {
         for report in decode_reports(bytes) {
             self.reports.insert(now, report);
         }
     }
 
-    /// A bundle to send: this router's own reports first, then those of others, as many as fit into `max_bytes`.
+    /// Encodes a bundle to send: reports of this router first, then those of others, as many as fit into `max_bytes`.
     pub fn encode_reports(&mut self, now: Time, max_bytes: usize) -> Vec<u8> {
         let mut bytes = vec![REPORT_VERSION];
         let groups: Vec<u32> = self.groups.keys().copied().collect();
@@ -132,7 +133,7 @@
         let factor = if self.faulty == Faulty::ReportsTenfold { 10.0 } else { 1.0 };
         let offered = group.rates.offered.iter().rev();
         let offered = offered.map(|(&priority, &rate)| OfferedRate { priority, per_second: rate * factor });
-        // Of many members, each report has some in turn.
+        // If there are more members than fit, successive reports list different ones in turn.
         let count = group.members.len();
         let first = if count > MAX_MEMBERS { usize::from(self.sequence) * MAX_MEMBERS % count } else { 0 };
         let members = group.members.values().cycle().skip(first).take(count.min(MAX_MEMBERS));
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Computes thresholds and limits anew, where a step is due. `loads` is what this router observes at its members.
+    /// If a step is due, recomputes the thresholds and returns the limits. `loads` is what this router observes at its
+    /// members.
     pub fn tick(&mut self, now: Time, loads: &[MemberLoad]) -> Option<MemberLimits> {
         if now < self.next_step_at {
             return None;
@@ -168,7 +170,7 @@
         Some(limits)
     }
 
-    /// What the log shows of each group, as of the last step.
+    /// The metrics of each group for the log, as of the last step.
     pub fn metrics(&self) -> impl Iterator<Item = GroupMetrics> {
         self.groups.values().map(|group| group.metrics)
     }
--- a/crates/ladderpass-admission/src/faulty.rs
+++ b/crates/ladderpass-admission/src/faulty.rs
@@ -1,15 +1,15 @@
 //! Deliberate faults that the tests must detect.
 
-/// A deliberate fault. No release can switch one on.
+/// A deliberate fault. No release build can enable one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
     /// No fault.
     #[default]
     NotFaulty,
-    /// Admits everything.
+    /// Admits every RPC.
     IgnoresThreshold,
-    /// Reports ten times the load that it was offered.
+    /// Reports ten times the load that the router was offered.
     ReportsTenfold,
-    /// Reports of dead routers count for ever.
+    /// Counts the reports of dead routers for ever.
     KeepsReportsOfDeadRouters,
 }
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -1,4 +1,4 @@
-//! The state of one group, and the step that computes it anew.
+//! The state of one group, and the step that updates it.
 
 use crate::capacity::{MemberLimit, MemberLimits, compute_limit, compute_quota, estimate_member, report_id};
 use crate::peer_reports::WeightedReport;
@@ -10,12 +10,13 @@
 use ladderpass_routing::MemberLoad;
 use std::collections::BTreeMap;
 
-/// What the log shows of a group.
+/// The metrics of a group for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupMetrics {
     /// The id of the group.
     pub group: u32,
-    /// The priority below which all routers reject. Its fraction is the share of that priority which is rejected.
+    /// The priority below which all routers reject RPCs. The fractional part is the rejected share of that priority's
+    /// own RPCs.
     pub threshold: f64,
     /// RPCs a second that all routers were offered.
     pub offered: f64,
@@ -23,30 +24,30 @@
     pub admitted: f64,
     /// RPCs a second that all routers served.
     pub served: f64,
-    /// RPCs a second that were admitted and that no member had capacity for.
+    /// RPCs a second, of all routers, that were admitted and that no member had capacity for.
     pub unplaced: f64,
-    /// Reports of other routers that have any weight.
+    /// Number of reports of other routers with a weight above 0.
     pub reports: usize,
-    /// Reports that were cut to the limit.
+    /// Number of reports whose load was reduced to the limit.
     pub clamped_reports: usize,
-    /// RPCs that all routers may have in flight at the members together.
+    /// RPCs that all routers together may have in flight at all members.
     pub capacity: f64,
     /// This router's share of the capacity.
     pub quota: f64,
 }
 
-/// All that this router knows of a group.
+/// The state of a group at this router.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
-    /// Counts since the last step.
+    /// This router's counts since the last step.
     pub counts: Rates,
     pub rates: Rates,
     pub admission: AdmissionThreshold,
-    /// By the id of a member: this router's observations, and its estimate of the capacity.
+    /// This router's observations of each member and its estimate of the capacity, by the member's id in reports.
     pub members: BTreeMap<u16, MemberReport>,
     /// This router's share of the capacity.
     quota: f64,
-    /// Of this router, as the retry budget counts them; reported along.
+    /// This router's rates as its retry budget counts them. The reports include them.
     pub retry_rates: RetryRates,
     pub metrics: GroupMetrics,
 }
@@ -64,13 +65,13 @@
         }
     }
 
-    /// Ends the counting of a step of this length: the rates follow its counts.
+    /// Updates the rates with the counts of a step of this length, and resets the counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
         self.rates.follow(&counts, secs);
     }
 
-    /// Computes threshold, capacities and quota anew, and appends this router's limits at the group's members.
+    /// Updates the threshold, the capacities and the quota, and appends this router's limits at the group's members.
     pub fn update(
         &mut self,
         id: u32,
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -1,17 +1,20 @@
-//! Admission control that all routers share: each reports what it was offered and what became of it, and all compute
-//! the same admission threshold by group, and this router's limit of RPCs in flight at each member.
+//! Admission control that all routers share. Each router reports the RPCs that it was offered and their outcomes. From
+//! these reports each router computes, for each group, the admission threshold that all have in common, and its own
+//! limits of RPCs in flight at the members.
 //!
 //! - [`AdmissionController`] (`controller`): the entry points. It composes the other modules, every 250 ms.
-//! - `rates`: moving averages of what this router was offered and served.
-//! - `report`: the encoding of what a router reports of a group, the rates of its retry budget included;
-//!   `peer_reports`: those received, weighted by age.
-//! - `totals`: what all routers were offered and served, from the reports.
+//! - `rates`: moving averages of the rates of RPCs that this router was offered and served.
+//! - `report`: the encoding of a router's report of a group, which includes the rates of its retry budget.
+//! - `peer_reports`: the reports received from other routers, weighted by age.
+//! - `totals`: the rates of RPCs that all routers were offered and served, from the reports.
 //! - `threshold`: how many RPCs a second are admitted, and the priority below which all routers reject.
-//! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of it.
+//! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of them.
 //! - `consensus`: how a router's estimate follows those of the others.
-//! - `group`: the state of one group; `draw`: the random draw of a session, the same at all routers.
+//! - `group`: the state of one group.
+//! - `draw`: the random draw of a session, which is the same at all routers.
+//! - `faulty`: deliberate faults for tests.
 //!
-//! The package does no I/O, reads no clock and rejects no RPC: the routing core does, by the threshold
+//! The package does no I/O, reads no clock and rejects no RPC. The routing core rejects RPCs, by the threshold
 //! (`docs/design/fleet-overload.md`).
 
 mod capacity;
--- a/crates/ladderpass-admission/src/peer_reports.rs
+++ b/crates/ladderpass-admission/src/peer_reports.rs
@@ -1,15 +1,15 @@
-//! The reports of other routers, each with a weight that fades with its age.
+//! The reports of other routers, each with a weight that decreases with its age.
 
 use crate::faulty::Faulty;
 use crate::report::GroupReport;
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
-/// A report has its full weight up to this age. From there on the weight falls in proportion.
+/// A report has its full weight up to this age. Beyond it the weight decreases linearly.
 const FRESH_FOR: Span = Span::from_millis(1500);
-/// A report of this age has no weight, and is dropped.
+/// A report of this age has no weight and is dropped.
 const STALE_AFTER: Span = Span::from_millis(4000);
-/// Bounds what other routers can make this one store.
+/// Bounds the memory that other routers can make this one use.
 const MAX_REPORTS: usize = 4096;
 
 /// A report and its weight, from 0 to 1.
@@ -26,7 +26,7 @@
 
 struct StoredReport {
     report: GroupReport,
-    /// When it was made, by this router's clock.
+    /// When the report was made, by this router's clock.
     made_at: Time,
 }
 
@@ -36,7 +36,7 @@
     reports: BTreeMap<ReportKey, StoredReport>,
     /// Ids of the other routers that are alive.
     alive: HashSet<u32>,
-    /// A deliberate fault: reports of dead routers count for ever.
+    /// Enables the deliberate fault [`Faulty::KeepsReportsOfDeadRouters`].
     keeps_dead: bool,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sets which other routers are alive; reports of the others are dropped.
+    /// Sets which other routers are alive, and drops the reports of routers that are not.
     pub fn set_alive(&mut self, routers: impl Iterator<Item = u32>) {
         self.alive = routers.collect();
         if !self.keeps_dead {
@@ -59,12 +59,12 @@
         }
     }
 
-    /// How many other routers are alive.
+    /// Number of other routers that are alive.
     pub fn alive_count(&self) -> usize {
         self.alive.len()
     }
 
-    /// Stores a report of a live router that is newer than what is known of it.
+    /// Stores a report of a live router, if it is newer than the stored report of that router and group.
     pub fn insert(&mut self, now: Time, report: GroupReport) {
         let is_accepted = self.alive.contains(&report.router) || self.keeps_dead;
         if report.router == self.own_router || !is_accepted || report.age >= STALE_AFTER {
@@ -73,7 +73,8 @@
         let made_at = now - report.age;
         let key = ReportKey { router: report.router, group: report.group };
         match self.reports.get(&key) {
-            // A router that has restarted counts from zero: then a report is replaced once it is stale.
+            // The sequence of a router that has restarted begins at zero again, so an older sequence number is accepted
+            // once the stored report is stale.
             Some(known) if !is_newer(&report, &known.report) && made_at - known.made_at < STALE_AFTER => {}
             None if self.reports.len() >= MAX_REPORTS => {}
             _ => {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The reports of a group that have any weight.
+    /// The reports of a group that have a weight above 0.
     pub fn of_group(&self, now: Time, group: u32) -> impl Iterator<Item = WeightedReport<'_>> {
         let stored = self.reports.values().filter(move |stored| stored.report.group == group);
         let weighted = stored.map(move |stored| WeightedReport {
@@ -98,7 +99,7 @@
         weighted.filter(|weighted| weighted.weight > 0.0)
     }
 
-    /// The weight of a report that was made then, from 0 to 1.
+    /// The weight, from 0 to 1, of a report that was made at this time.
     fn weight(&self, now: Time, made_at: Time) -> f64 {
         if self.keeps_dead {
             return 1.0;
@@ -107,7 +108,8 @@
         (1.0 - (age - FRESH_FOR).secs() / (STALE_AFTER - FRESH_FOR).secs()).clamp(0.0, 1.0)
     }
 
-    /// Fresh reports with their present age, to be forwarded, in an order that begins with the given one.
+    /// Reports younger than `FRESH_FOR`, with their current age, to be forwarded. The order begins at index `first`,
+    /// modulo the number of stored reports, and wraps around.
     pub fn fresh_from(&self, now: Time, first: usize) -> impl Iterator<Item = GroupReport> {
         let stored: Vec<&StoredReport> = self.reports.values().collect();
         (0..stored.len()).filter_map(move |offset| {
@@ -118,6 +120,7 @@
     }
 }
 
+/// Compares sequence numbers modulo 2^16.
 fn is_newer(report: &GroupReport, known: &GroupReport) -> bool {
     report.sequence.wrapping_sub(known.sequence) as i16 > 0
 }
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -1,19 +1,20 @@
-//! What this router was offered for a group and what became of it, as moving averages of rates.
+//! Moving averages of the rates of RPCs that this router was offered for a group, and of their outcomes.
 
 use std::collections::BTreeMap;
 
-/// Rates follow the counts within about a second: the weight of a step's counts grows with its length, up to a maximum.
+/// The weight of a step's counts is its length in seconds times this factor, up to a maximum. Rates then follow the
+/// counts within about a second.
 const COUNT_WEIGHT_PER_SECOND: f64 = 2.4;
 const MAX_COUNT_WEIGHT: f64 = 0.8;
-/// A lower rate is dropped. RPCs a second.
+/// A priority with a lower rate, in RPCs a second, is dropped.
 const MIN_RATE: f64 = 0.005;
 /// Prevents a division by zero.
 const MIN_STEP_SECS: f64 = 1e-3;
 
-/// Rates of this router, a second; or counts of the current step.
+/// Rates of this router in RPCs a second, or counts of RPCs in the current step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rates {
-    /// By priority.
+    /// RPCs that this router was offered, by priority.
     pub offered: BTreeMap<u8, f64>,
     pub served: f64,
     pub unplaced: f64,
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -1,42 +1,42 @@
-//! The encoding of what a router reports of one group: some forty bytes, with amounts on a logarithmic scale (within
-//! 4%).
+//! The encoding of a router's report of one group. It takes some forty bytes, and its amounts are on a logarithmic
+//! scale (within 4%).
 //!
-//! What can't be decoded is dropped, with all that follows it.
+//! A report that can't be decoded is dropped, with everything that follows it in the bundle.
 
 use ladderpass_retry_budget::RetryRates;
 use ladderpass_routing::Span;
 
-/// The first byte of a bundle of reports. One of another version is dropped, so that routers of two versions can run
-/// side by side.
+/// The first byte of a bundle of reports. A bundle of another version is dropped, so that routers of two versions can
+/// run side by side.
 pub const REPORT_VERSION: u8 = 2;
 
-/// Amounts: 0, or a power of the step times the least amount.
+/// An encoded amount is either 0 or `MIN_AMOUNT` times a power of `AMOUNT_STEP`.
 const MIN_AMOUNT: f64 = 0.01;
 const AMOUNT_STEP: f64 = 1.065;
 const AGE_STEP: Span = Span::from_millis(50);
-/// The most priorities and members in a report: their counts share a byte.
+/// The most priorities and members in a report. Their counts share a byte.
 const MAX_PRIORITIES: usize = 6;
 pub(crate) const MAX_MEMBERS: usize = 8;
 
-/// Router, sequence, age, group and the byte with the counts.
+/// The head consists of router, sequence, age, group and the byte with the counts.
 const HEAD_BYTES: usize = 4 + 2 + 1 + 4 + 1;
 const PRIORITY_BYTES: usize = 1 + 1;
-/// Served, unplaced, admitted and the four retry rates.
+/// The rates are those of served, unplaced and admitted RPCs and the four retry rates.
 const RATES_BYTES: usize = 3 + 4;
 const MEMBER_BYTES: usize = 2 + 3;
 
-/// What one router was offered for a group over the last second, and what became of it.
+/// A router's report of the RPCs that it was offered for a group over the last second, and of their outcomes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupReport {
     /// The id of the router.
     pub router: u32,
-    /// Of two reports of a router the later one has the higher number, modulo 2^16.
+    /// The sequence number of the report. It increases with each step of the router, modulo 2^16.
     pub sequence: u16,
-    /// How old the report is when it is sent.
+    /// The age of the report when it is sent.
     pub age: Span,
     /// The id of the group.
     pub group: u32,
-    /// What it was offered, the highest priority first.
+    /// The rates that the router was offered by priority, the highest priority first.
     pub offered: Vec<OfferedRate>,
     /// RPCs a second that were served.
     pub served: f64,
@@ -44,13 +44,13 @@
     pub unplaced: f64,
     /// The router's estimate of how many RPCs a second all routers can admit.
     pub admitted: f64,
-    /// Its first attempts and retries.
+    /// The router's rates of first attempts and retries.
     pub retry_rates: RetryRates,
-    /// What the router observed at members.
+    /// The router's observations of members.
     pub members: Vec<MemberReport>,
 }
 
-/// How much of one priority a router was offered.
+/// The rate of RPCs of one priority that a router was offered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OfferedRate {
     /// The priority.
@@ -59,16 +59,16 @@
     pub per_second: f64,
 }
 
-/// What one router observed at a member.
+/// One router's observations of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MemberReport {
-    /// The id of the member.
+    /// The low 16 bits of the member's id hash.
     pub id_hash: u16,
-    /// RPCs of this router in flight there, on average.
+    /// Moving average of the RPCs in flight from the router to the member.
     pub in_flight: f64,
-    /// Latency, as a multiple of the typical one.
+    /// The member's latency as a multiple of the typical one.
     pub latency_ratio: f64,
-    /// The router's estimate of how many RPCs all routers can have in flight there.
+    /// The router's estimate of how many RPCs all routers together can have in flight at the member.
     pub capacity: f64,
 }
 
@@ -83,7 +83,7 @@
     if byte == 0 { 0.0 } else { MIN_AMOUNT * AMOUNT_STEP.powi(i32::from(byte) - 1) }
 }
 
-/// Appends a report to a bundle, unless the bundle would exceed `max_bytes`. True where it was appended.
+/// Appends a report to a bundle, unless the bundle would exceed `max_bytes`. Returns true if it was appended.
 pub fn append_report(report: &GroupReport, bytes: &mut Vec<u8>, max_bytes: usize) -> bool {
     let priorities = report.offered.len().min(MAX_PRIORITIES);
     let members = report.members.len().min(MAX_MEMBERS);
@@ -108,7 +108,7 @@
     true
 }
 
-/// Decodes a bundle, up to the first report that is malformed.
+/// Decodes the reports of a bundle, up to the first malformed one.
 pub fn decode_reports(bytes: &[u8]) -> Vec<GroupReport> {
     let Some((&REPORT_VERSION, mut rest)) = bytes.split_first() else { return Vec::new() };
     std::iter::from_fn(|| decode_report(&mut rest)).collect()
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -1,45 +1,50 @@
 //! How many RPCs a second all routers admit to a group, and the priority threshold that follows from it.
 //!
-//! It is computed anew in each step, every 250 ms. Without a threshold all is admitted. One begins when too large a
-//! share of the admitted RPCs is unplaced: no member had capacity for them. The admitted rate then falls by a small
-//! factor a step while that goes on, never below the decaying peak of the served rate, and rises after a pause, ever
-//! faster. The factors are small because unplaced RPCs are reported late: larger ones would oscillate.
+//! Both are updated in each step, every 250 ms. Without a threshold every RPC is admitted. A threshold begins when too
+//! large a share of the admitted RPCs is unplaced, which means that no member had capacity for them. While that lasts,
+//! the admitted rate falls by a small factor a step, but never below the decaying peak of the served rate. Afterwards
+//! it rises after a pause, ever faster. The factors are small because unplaced RPCs are reported late, so that larger
+//! factors would make the rate oscillate.
 
 use crate::totals::FleetTotals;
 
-/// A threshold begins, and falls, while more than this share of what is admitted is unplaced.
+/// A threshold begins, or the admitted rate falls, while more than this share of the admitted RPCs is unplaced.
 const MAX_UNPLACED_SHARE: f64 = 0.06;
-/// The first admitted rate, as a multiple of what was served. It decays to 1 over so many steps: counts and reports of
-/// a load that has just begun are too low.
+/// The admitted rate that a threshold begins with, as a multiple of the peak of the served rate. It is above 1 because
+/// counts and reports of a load that has just begun are too low.
 const INITIAL_MULTIPLE_OF_SERVED: f64 = 1.4;
+/// The lower bound of the admitted rate decays from that multiple to the peak itself over this many steps.
 const INITIAL_MULTIPLE_STEPS: f64 = 8.0;
-/// No threshold begins in a step in which the load grew by more: its size is not known yet.
+/// No threshold begins in a step in which this router's load grew by more than this factor, since the size of the load
+/// is not known yet.
 const MAX_GROWTH_OF_KNOWN_LOAD: f64 = 1.25;
-/// Factor on the highest served rate in each step.
+/// The peak of the served rate is multiplied by this factor in each step.
 const PEAK_SERVED_DECAY: f64 = 0.985;
-/// Factor on the admitted rate in a step with too many unplaced RPCs.
+/// The admitted rate is multiplied by this factor in a step with too many unplaced RPCs.
 const DECREASE_FACTOR: f64 = 0.985;
-/// The same where more than this share of the admitted RPCs is unplaced.
+/// The factor in a step in which more than `FAST_DECREASE_UNPLACED_SHARE` of the admitted RPCs are unplaced.
 const FAST_DECREASE_FACTOR: f64 = 0.97;
 const FAST_DECREASE_UNPLACED_SHARE: f64 = 0.15;
-/// Steps without unplaced RPCs before the admitted rate rises.
+/// The admitted rate rises only after this many steps without too many unplaced RPCs.
 const STEPS_BEFORE_INCREASE: u32 = 2;
-/// The increase in a step, as a share of the admitted rate: the smallest, doubled with each step without unplaced RPCs
-/// up to the largest. With a threshold it starts at twice the smallest.
+/// Bounds of the increase in a step, as a share of the admitted rate. The increase starts at the smallest, or with a
+/// threshold at twice the smallest, and doubles with each further step without too many unplaced RPCs.
 const MIN_INCREASE: f64 = 0.01;
 const MAX_INCREASE: f64 = 0.05;
-/// Keeps the shift in range; the largest increase is reached sooner.
+/// Keeps the shift in range. The largest increase is reached with fewer doublings.
 const MAX_DOUBLINGS: u32 = 8;
-/// Added to each increase, so that a rate near zero grows too. RPCs a second.
+/// RPCs a second that are added to each increase, so that a rate near zero grows too.
 const INCREASE_PER_SECOND: f64 = 0.5;
-/// The admitted rate never exceeds what is offered by more: a factor, and RPCs a second.
+/// The admitted rate is limited to the offered rate times this factor, plus `OFFERED_HEADROOM_PER_SECOND` RPCs a
+/// second.
 const OFFERED_HEADROOM: f64 = 1.2;
 const OFFERED_HEADROOM_PER_SECOND: f64 = 1.0;
 
-/// What all routers reject of a group's load, as of the last step.
+/// The admission threshold of a group, as of the last step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupThreshold {
-    /// RPCs of a lower priority are rejected; the fraction is the share of its own priority which is. 0: none is.
+    /// RPCs of a lower priority are rejected. The fractional part is the rejected share of that priority's own RPCs. At
+    /// 0 no RPC is rejected.
     pub priority: f64,
     /// Share of the offered load that is rejected, from 0 to 1.
     pub pressure: f64,
@@ -50,31 +55,32 @@
 pub(crate) struct AdmissionThreshold {
     /// RPCs a second that all routers together admit.
     pub admitted: f64,
-    /// The priority below which all RPCs are rejected. Its fraction is the share of that priority which is rejected.
+    /// The priority below which all RPCs are rejected. The fractional part is the rejected share of that priority's own
+    /// RPCs.
     pub threshold: f64,
     /// Share of the offered load that is rejected.
     pub pressure: f64,
     steps_without_unplaced: u32,
     steps_with_threshold: u32,
-    /// What this router was offered a step ago.
+    /// The rate that this router was offered, as of the previous step.
     previous_own_offered: f64,
-    /// The highest rate that was served, which decays with each step.
+    /// The peak of the served rate, which decays with each step.
     peak_served: f64,
 }
 
 impl AdmissionThreshold {
-    /// What is rejected from now on.
+    /// The threshold and the pressure for the routing core.
     pub fn group_threshold(&self) -> GroupThreshold {
         GroupThreshold { priority: self.threshold, pressure: self.pressure }
     }
 
-    /// One step, by the present rates of all routers.
+    /// Makes one step, from the current rates of all routers.
     pub fn update(&mut self, totals: &FleetTotals) {
         self.update_admitted(totals);
         self.update_threshold(totals);
     }
 
-    /// The rate that all routers admit in the next step.
+    /// Updates the rate that all routers admit.
     fn update_admitted(&mut self, totals: &FleetTotals) {
         let has_threshold = self.threshold > 0.0;
         let max_admitted = totals.offered * OFFERED_HEADROOM + OFFERED_HEADROOM_PER_SECOND;
@@ -93,11 +99,12 @@
             (true, true) => self.decreased_rate(before, totals.unplaced),
             (false, _) => self.increased_rate(before, has_threshold),
         };
-        // A rate above what is offered rejects nothing, so a still higher one has no effect.
+        // A rate above the offered one rejects nothing, so a still higher rate would have no effect.
         self.admitted = admitted.min(max_admitted);
     }
 
-    /// The admitted rate after a step in which too many RPCs were unplaced: never below the peak of the served rate.
+    /// The admitted rate after a step in which too many RPCs were unplaced. It is never below the peak of the served
+    /// rate.
     fn decreased_rate(&self, before: f64, unplaced: f64) -> f64 {
         let initial_share_left =
             (1.0 - f64::from(self.steps_with_threshold) / INITIAL_MULTIPLE_STEPS).max(0.0);
@@ -107,7 +114,7 @@
         (self.peak_served * (1.0 + initial_excess)).max(before * factor)
     }
 
-    /// The admitted rate after a step without too many unplaced RPCs.
+    /// The admitted rate after a step in which not too many RPCs were unplaced.
     fn increased_rate(&self, before: f64, has_threshold: bool) -> f64 {
         if has_threshold && self.steps_without_unplaced <= STEPS_BEFORE_INCREASE {
             return before;
@@ -117,7 +124,7 @@
         before * (1.0 + increase) + INCREASE_PER_SECOND
     }
 
-    /// Admits the priorities from the highest on, as many as fit.
+    /// Sets the threshold such that the admitted rate goes to the highest priorities first.
     fn update_threshold(&mut self, totals: &FleetTotals) {
         let mut remaining = self.admitted;
         self.threshold = 0.0;
--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -1,7 +1,8 @@
-//! What all routers together were offered and served for a group, from this router's rates and the others' reports.
+//! The rates at which all routers together were offered and served RPCs of a group, from this router's rates and the
+//! others' reports.
 //!
-//! A report counts by its weight, and no more than a multiple of the typical load, so that a false one can't move the
-//! totals far. Where only some live routers reported recently, they stand for all.
+//! A report counts by its weight, and for no more than a multiple of the typical load, so that a false report can't
+//! move the totals far. If only some live routers reported recently, the totals are scaled up to all of them.
 
 use crate::consensus::{median, move_towards_median};
 use crate::peer_reports::WeightedReport;
@@ -9,32 +10,33 @@
 use crate::report::GroupReport;
 use std::collections::BTreeMap;
 
-/// A report counts for no more than so many times the median load.
+/// A report counts for no more than this multiple of the typical load.
 const MAX_LOAD_MULTIPLE: f64 = 3.0;
 
-/// Rates of all routers, a second.
+/// Rates of all routers, in RPCs a second.
 pub(crate) struct FleetTotals {
-    /// By priority, of the routers that reported: `scale` makes it the rate of all.
+    /// Offered rates by priority, of this router and those that reported. They are not scaled up to all routers.
     pub offered_by_priority: BTreeMap<u8, f64>,
+    /// The ratio of all live routers to those that reported, this router included in both.
     pub scale: f64,
     pub offered: f64,
     pub served: f64,
     pub unplaced: f64,
-    /// What this router itself was offered.
+    /// The rate that this router itself was offered.
     pub own_offered: f64,
-    /// This router's estimate of what all can admit, moved towards that of the others.
+    /// This router's estimate of the rate that all routers can admit, moved towards the median of all estimates.
     pub admitted: f64,
     /// Sum of the weights of the reports.
     pub reporting_peers: f64,
-    /// Number of other routers, no less than that sum.
+    /// Number of other routers that are alive, but at least `reporting_peers`.
     pub peers: f64,
-    /// Reports that were cut to the limit.
+    /// Number of reports whose load was reduced to the limit.
     pub clamped_reports: usize,
 }
 
 impl FleetTotals {
-    /// Adds up this router's rates and the others' reports. `own_admitted`: this router's estimate of the admitted
-    /// rate; `alive_peers`: how many other routers are alive.
+    /// Adds up this router's rates and the others' reports. `own_admitted` is this router's estimate of the admitted
+    /// rate, and `alive_peers` the number of other routers that are alive.
     pub fn sum(
         own: &Rates,
         own_admitted: f64,
@@ -77,7 +79,7 @@
     }
 }
 
-/// The median load of a router, or this router's own where that is higher: it is known to be true.
+/// The median load of a router, or this router's own load if that is higher, since its own load is certainly true.
 fn typical_load(own_offered: f64, reports: &[WeightedReport<'_>]) -> f64 {
     let reported = reports.iter().map(|weighted| total_offered(weighted.report));
     let mut loads: Vec<f64> = reported.chain([own_offered]).collect();
--- a/crates/ladderpass-admission/tests/draw.rs
+++ b/crates/ladderpass-admission/tests/draw.rs
@@ -1,4 +1,4 @@
-//! The random draw of a session.
+//! Tests of the random draw of a session.
 
 use ladderpass_admission::admission_draw;
 use ladderpass_routing::{Span, Time};
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity of members and this router's quota of it.
+//! Tests of the capacity of members and of a router's quota of it.
 
 use crate::simulation::{GROUP, LOW, START, STEP, Simulation, uneven_overload};
 use ladderpass_admission::{AdmissionController, Faulty};
@@ -12,10 +12,10 @@
     let before = quota(&sim);
     sim.loss = 1.0;
     sim.run(40);
-    assert!(quota(&sim) <= before * 1.2, "{} of {before}", quota(&sim));
+    assert!(quota(&sim) <= before * 1.2, "quota {}, before the loss {before}", quota(&sim));
 }
 
-/// Found by drills with short queues: a member that rejects answers quickly, and its capacity stayed high.
+/// Drills with short queues found this: a member that rejects RPCs answers quickly, so its capacity stayed high.
 #[test]
 fn failures_reduce_a_members_capacity_as_slow_answers_do() {
     let limit_after = |failure_share: f64| {
@@ -36,5 +36,10 @@
         }
         limit
     };
-    assert!(limit_after(0.4) < limit_after(0.0) * 0.6, "{} {}", limit_after(0.4), limit_after(0.0));
+    assert!(
+        limit_after(0.4) < limit_after(0.0) * 0.6,
+        "limit {} with failures, {} without",
+        limit_after(0.4),
+        limit_after(0.0)
+    );
 }
--- a/crates/ladderpass-admission/tests/model/main.rs
+++ b/crates/ladderpass-admission/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! Routers that run the real admission control in simulated time, with bounds on what they measure.
-//! `cargo test -p ladderpass-admission --test model -- --nocapture` prints the measures.
+//! Tests of routers that run the real admission control in simulated time, with bounds on the measured results.
+//! `cargo test -p ladderpass-admission --test model -- --nocapture` prints the results.
 
 mod capacity;
 mod reports;
--- a/crates/ladderpass-admission/tests/model/reports.rs
+++ b/crates/ladderpass-admission/tests/model/reports.rs
@@ -1,4 +1,4 @@
-//! Reports that are false, old, or from routers that are not alive.
+//! Tests of reports that are false, old, or from routers that are not alive.
 
 use crate::simulation::{GROUP, LOW, STEP, Simulation, uneven_overload};
 use ladderpass_admission::{AdmissionController, Faulty};
@@ -11,7 +11,7 @@
     let served = sim.run_and_measure(20);
     let clamped: usize = sim.routers[0].metrics().map(|group| group.clamped_reports).sum();
     println!("model: false reports: high {:.3}, used {:.3}, clamped {clamped}", served.high, served.used);
-    assert!(served.high > 0.97 && served.used > 0.9 && clamped > 0, "{served:?} {clamped}");
+    assert!(served.high > 0.97 && served.used > 0.9 && clamped > 0, "{served:?}, {clamped} reports clamped");
 }
 
 #[test]
@@ -21,7 +21,7 @@
     let reports = |sim: &Simulation| sim.routers[0].metrics().map(|group| group.reports).sum::<usize>();
     assert_eq!(reports(&sim), 3);
     sim.alive[3] = false;
-    // The membership does not report the death: the reports fade all the same.
+    // The membership does not notify the routers of the death, and the reports still expire.
     sim.run(20);
     assert_eq!(reports(&sim), 2);
     let bytes = sim.routers[1].encode_reports(sim.now, 210);
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -1,5 +1,5 @@
-//! Routers before members whose latency grows with the RPCs in flight, in steps of 250 ms. Reports are a step old, and
-//! some are lost.
+//! The simulation: routers send RPCs to members whose latency grows with the RPCs in flight, in steps of 250 ms.
+//! Reports arrive a step late, and some are lost.
 
 use ladderpass_admission::{AdmissionController, Faulty};
 use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
@@ -16,7 +16,7 @@
 const CORES_PER_MEMBER: f64 = 2.0;
 const MAX_IN_FLIGHT_PER_CORE: f64 = 4.0;
 
-/// RPCs, or RPCs a second, by priority.
+/// Numbers of RPCs, or RPCs a second, by priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     pub high: f64,
@@ -33,27 +33,28 @@
     }
 }
 
-/// What was served over some steps: of the high priority, as a share of what was offered; of all, as a share of what the
-/// members can serve.
+/// The shares of RPCs that were served over some steps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedShares {
+    /// RPCs of the high priority that were served, as a share of those that were offered.
     pub high: f64,
+    /// All RPCs that were served, as a share of those that the members can serve.
     pub used: f64,
 }
 
 pub struct Simulation {
     pub now: Time,
     pub routers: Vec<AdmissionController>,
-    /// RPCs a second that each is offered.
+    /// RPCs a second that each router is offered.
     pub load: Vec<Load>,
     pub alive: Vec<bool>,
-    /// RPCs a second that the members serve together.
+    /// RPCs a second that all members together can serve.
     serves: f64,
     members: u32,
     rng: WyRand,
-    /// Share of reports that are lost.
+    /// The share of reports that are lost.
     pub loss: f64,
-    /// Above 0, routers below this index and the others do not reach each other.
+    /// If above 0, routers below this index and the other routers can't reach each other.
     pub partitioned_at: usize,
     limits: Vec<Vec<f64>>,
     last_step: ServedShares,
@@ -80,7 +81,7 @@
         sim
     }
 
-    /// A random whole number with this mean.
+    /// Returns a random whole number with this mean.
     fn draw(&mut self, mean: f64) -> usize {
         mean.max(0.0).floor() as usize + usize::from(self.rng.generate::<f64>() < mean.fract())
     }
@@ -89,7 +90,7 @@
         self.partitioned_at > 0 && (other < self.partitioned_at) != (one < self.partitioned_at)
     }
 
-    /// Tells each router which others are alive and reachable.
+    /// Notifies each router of the others that are alive and reachable.
     pub fn update_membership(&mut self) {
         for index in 0..self.routers.len() {
             let is_reachable =
@@ -110,7 +111,7 @@
         self.exchange_reports(&alive);
     }
 
-    /// Offers each router its load. Returns what each admits, by its threshold.
+    /// Offers each router its load. Returns the RPCs that each router admits by its threshold.
     fn offer(&mut self, alive: &[usize]) -> Vec<Load> {
         let secs = STEP.secs();
         let mut admitted = vec![Load::default(); self.routers.len()];
@@ -127,7 +128,8 @@
         admitted
     }
 
-    /// The members serve the high priority first, as much as they can of all.
+    /// Serves the admitted RPCs up to the capacity of the members, those of the high priority first. Records the
+    /// results at the routers and runs their steps.
     fn serve(&mut self, alive: &[usize], admitted: &[Load]) {
         let capacity = self.serves * STEP.secs();
         let high = admitted.iter().fold(0.0, |sum, load| sum + load.high);
@@ -176,7 +178,7 @@
         f64::from(self.members) * CORES_PER_MEMBER
     }
 
-    /// RPCs in flight at all members: as many as the limits allow, where more are admitted than served.
+    /// RPCs in flight at all members. They are limited by the routers' limits while more RPCs are admitted than served.
     fn in_flight(&self, alive: &[usize], utilisation: f64) -> f64 {
         let limits = alive.iter().fold(0.0, |sum, &index| sum + self.limits[index].iter().sum::<f64>());
         match utilisation > 1.0 {
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Each router sends its reports to some others at random, as probes and acks of the membership do.
+    /// Sends each router's reports to some random other routers, as the probes and acks of the membership do.
     fn exchange_reports(&mut self, alive: &[usize]) {
         for &index in alive {
             let bytes = self.routers[index].encode_reports(self.now, REPORT_BYTES);
@@ -203,7 +205,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Runs, and returns the means over these steps.
+    /// Runs this many steps, and returns the mean shares over them.
     pub fn run_and_measure(&mut self, steps: usize) -> ServedShares {
         let mut mean = ServedShares::default();
         for _ in 0..steps {
@@ -214,14 +216,15 @@
         mean
     }
 
-    /// Thresholds of the routers that are alive.
+    /// The thresholds of the routers that are alive.
     pub fn thresholds(&self) -> Vec<f64> {
         let alive = (0..self.routers.len()).filter(|&index| self.alive[index]);
         alive.map(|index| self.routers[index].threshold(GROUP).priority).collect()
     }
 }
 
-/// Unevenly spread over the routers, 2.5 times what the members serve, a tenth of it of the high priority.
+/// A load of 2.5 times the RPCs that the members can serve, unevenly spread over the routers. A tenth of it has the
+/// high priority.
 pub fn uneven_overload(count: usize, serves: f64) -> Vec<Load> {
     let parts: f64 = (1..=count).map(|index| index as f64).sum();
     let total = serves * 2.5;
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -1,4 +1,4 @@
-//! The admission threshold: all routers agree on it, and it follows the load.
+//! Tests of the admission threshold: all routers agree on it, and it follows the load.
 
 use crate::simulation::{GROUP, HIGH, LOW, START, STEP, Simulation, spread, uneven_overload};
 use ladderpass_admission::{AdmissionController, Faulty, GroupThreshold};
@@ -46,7 +46,7 @@
     let mut sim = Simulation::new(3, uneven_overload(12, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     (0..4).for_each(|index| sim.alive[index * 3] = false);
-    // Their clients go to the others.
+    // The clients of the dead routers connect to the other routers.
     let lost: f64 = (0..4).map(|index| sim.load[index * 3].total()).sum();
     let factor = 1.0 + lost / (750.0 - lost);
     sim.load.iter_mut().for_each(|load| *load = load.times(factor));
@@ -68,7 +68,8 @@
     assert!(served.high > 0.98 && served.used > 0.93, "{served:?}");
 }
 
-/// Found by drills with immediate rejections: a threshold from the first quarter of a second's counts admitted 13 of 67.
+/// Drills with immediate rejections found this: a threshold computed from the counts of the first quarter of a second
+/// admitted 13 RPCs of 67.
 #[test]
 fn no_threshold_begins_while_the_load_still_grows() {
     let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
@@ -84,7 +85,7 @@
     assert_eq!(&thresholds[..2], &[0.0, 0.0]);
     assert!(thresholds[7] > f64::from(LOW), "{thresholds:?}");
     let admitted = controller.metrics().map(|group| group.admitted).sum::<f64>();
-    assert!(admitted > 110.0, "{admitted} of 300 where 120 are served");
+    assert!(admitted > 110.0, "{admitted} of 300 RPCs a second admitted, where 120 are served");
 }
 
 #[test]
--- a/crates/ladderpass-admission/tests/report.rs
+++ b/crates/ladderpass-admission/tests/report.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of load reports.
+//! Tests of the encoding and decoding of load reports.
 
 use ladderpass_admission::{
     GroupReport, MemberReport, OfferedRate, REPORT_VERSION, append_report, decode_reports,
