--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -84,12 +84,12 @@
 /// This router's estimates of a member after a step, from this router's load there and the others' reports. `scale` is
 /// the ratio of all live routers to those that reported.
 pub(crate) fn estimate_member(
-    known: Option<&MemberReport>,
+    previous: Option<&MemberReport>,
     load: &MemberLoad,
     reports: &[WeightedReport<'_>],
     scale: f64,
 ) -> MemberReport {
-    let mut own = known.copied().unwrap_or(MemberReport {
+    let mut own = previous.copied().unwrap_or(MemberReport {
         id_hash: report_id(load),
         in_flight: load.in_flight,
         latency_ratio: load.latency_ratio,
@@ -98,20 +98,20 @@
     own.in_flight += (load.in_flight - own.in_flight) * SMOOTHING_WEIGHT;
     let latency_ratio = load.latency_ratio * (1.0 + FAILURE_LATENCY_WEIGHT * load.failure_share);
     own.latency_ratio += (latency_ratio - own.latency_ratio) * SMOOTHING_WEIGHT;
-    let observed = observe_member(&own, reports);
-    let before = observed.capacity.max(MIN_CAPACITY);
-    let gradient = MAX_HEALTHY_LATENCY_RATIO / observed.latency_ratio.max(MAX_HEALTHY_LATENCY_RATIO);
-    let target = before * gradient + before.sqrt();
-    let is_used = observed.in_flight * scale * USED_MARGIN >= before;
-    let may_follow = target < before || is_used;
-    let step = if may_follow { (target - before) * CAPACITY_STEP } else { 0.0 };
-    own.capacity = (before + step).clamp(MIN_CAPACITY, MAX_CAPACITY);
+    let combined = combine_observations(&own, reports);
+    let previous_capacity = combined.capacity.max(MIN_CAPACITY);
+    let gradient = MAX_HEALTHY_LATENCY_RATIO / combined.latency_ratio.max(MAX_HEALTHY_LATENCY_RATIO);
+    let target = previous_capacity * gradient + previous_capacity.sqrt();
+    let is_in_use = combined.in_flight * scale * USED_MARGIN >= previous_capacity;
+    let is_step_allowed = target < previous_capacity || is_in_use;
+    let step = if is_step_allowed { (target - previous_capacity) * CAPACITY_STEP } else { 0.0 };
+    own.capacity = (previous_capacity + step).clamp(MIN_CAPACITY, MAX_CAPACITY);
     own
 }
 
 /// Combines this router's observations of a member with those reported by others. It sums the RPCs in flight, averages
 /// the latency ratios with the RPCs in flight as weights, and moves this router's capacity towards the median.
-fn observe_member(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
+fn combine_observations(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
     let mut in_flight = own.in_flight;
     let mut weighted_latency = own.latency_ratio * (own.in_flight + IDLE_WEIGHT);
     let mut capacities = vec![own.capacity];
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -68,7 +68,7 @@
     /// Updates the rates with the counts of a step of this length, and resets the counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
-        self.rates.follow(&counts, secs);
+        self.rates.update(&counts, secs);
     }
 
     /// Updates the threshold, the capacities and the quota, and appends this router's limits at the group's members.
@@ -86,8 +86,8 @@
         let mut total_capacity = 0.0;
         let mut members = BTreeMap::new();
         for load in loads.iter().filter(|load| load.group == id) {
-            let known = self.members.get(&report_id(load));
-            let member = estimate_member(known, load, reports, totals.scale);
+            let previous = self.members.get(&report_id(load));
+            let member = estimate_member(previous, load, reports, totals.scale);
             total_capacity += member.capacity;
             let max_in_flight = compute_limit(member.capacity, self.quota);
             limits.members.push(MemberLimit { member: load.member, max_in_flight });
--- a/crates/ladderpass-admission/src/peer_reports.rs
+++ b/crates/ladderpass-admission/src/peer_reports.rs
@@ -37,7 +37,7 @@
     /// Ids of the other routers that are alive.
     alive: HashSet<u32>,
     /// Enables the deliberate fault [`Faulty::KeepsReportsOfDeadRouters`].
-    keeps_dead: bool,
+    keeps_reports_of_dead_routers: bool,
 }
 
 impl PeerReports {
@@ -46,14 +46,14 @@
             own_router,
             reports: BTreeMap::new(),
             alive: HashSet::new(),
-            keeps_dead: faulty == Faulty::KeepsReportsOfDeadRouters,
+            keeps_reports_of_dead_routers: faulty == Faulty::KeepsReportsOfDeadRouters,
         }
     }
 
     /// Sets which other routers are alive, and drops the reports of routers that are not.
     pub fn set_alive(&mut self, routers: impl Iterator<Item = u32>) {
         self.alive = routers.collect();
-        if !self.keeps_dead {
+        if !self.keeps_reports_of_dead_routers {
             let alive = &self.alive;
             self.reports.retain(|key, _| alive.contains(&key.router));
         }
@@ -66,7 +66,7 @@
 
     /// Stores a report of a live router, if it is newer than the stored report of that router and group.
     pub fn insert(&mut self, now: Time, report: GroupReport) {
-        let is_accepted = self.alive.contains(&report.router) || self.keeps_dead;
+        let is_accepted = self.alive.contains(&report.router) || self.keeps_reports_of_dead_routers;
         if report.router == self.own_router || !is_accepted || report.age >= STALE_AFTER {
             return;
         }
@@ -75,7 +75,7 @@
         match self.reports.get(&key) {
             // The sequence of a router that has restarted begins at zero again, so an older sequence number is accepted
             // once the stored report is stale.
-            Some(known) if !is_newer(&report, &known.report) && made_at - known.made_at < STALE_AFTER => {}
+            Some(stored) if !is_newer(&report, &stored.report) && made_at - stored.made_at < STALE_AFTER => {}
             None if self.reports.len() >= MAX_REPORTS => {}
             _ => {
                 self.reports.insert(key, StoredReport { report, made_at });
@@ -84,7 +84,7 @@
     }
 
     pub fn remove_stale(&mut self, now: Time) {
-        if !self.keeps_dead {
+        if !self.keeps_reports_of_dead_routers {
             self.reports.retain(|_, stored| now - stored.made_at < STALE_AFTER);
         }
     }
@@ -101,7 +101,7 @@
 
     /// The weight, from 0 to 1, of a report that was made at this time.
     fn weight(&self, now: Time, made_at: Time) -> f64 {
-        if self.keeps_dead {
+        if self.keeps_reports_of_dead_routers {
             return 1.0;
         }
         let age = now - made_at;
@@ -121,6 +121,6 @@
 }
 
 /// Compares sequence numbers modulo 2^16.
-fn is_newer(report: &GroupReport, known: &GroupReport) -> bool {
-    report.sequence.wrapping_sub(known.sequence) as i16 > 0
+fn is_newer(report: &GroupReport, stored: &GroupReport) -> bool {
+    report.sequence.wrapping_sub(stored.sequence) as i16 > 0
 }
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -26,7 +26,7 @@
     }
 
     /// Moves the rates towards the counts of a step of this length, in seconds.
-    pub fn follow(&mut self, counts: &Rates, secs: f64) {
+    pub fn update(&mut self, counts: &Rates, secs: f64) {
         let weight = (secs * COUNT_WEIGHT_PER_SECOND).clamp(0.0, MAX_COUNT_WEIGHT);
         let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * weight;
         for priority in counts.offered.keys() {
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -85,15 +85,16 @@
         let has_threshold = self.threshold > 0.0;
         let max_admitted = totals.offered * OFFERED_HEADROOM + OFFERED_HEADROOM_PER_SECOND;
         let before = if has_threshold { totals.admitted } else { max_admitted };
-        let has_excess = totals.unplaced > MAX_UNPLACED_SHARE * before.min(totals.offered).max(1.0);
+        let has_too_many_unplaced =
+            totals.unplaced > MAX_UNPLACED_SHARE * before.min(totals.offered).max(1.0);
         self.steps_without_unplaced =
-            if has_excess { 0 } else { self.steps_without_unplaced.saturating_add(1) };
+            if has_too_many_unplaced { 0 } else { self.steps_without_unplaced.saturating_add(1) };
         self.peak_served = totals.served.max(self.peak_served * PEAK_SERVED_DECAY);
         let is_load_known = totals.own_offered <= self.previous_own_offered * MAX_GROWTH_OF_KNOWN_LOAD;
         self.previous_own_offered = totals.own_offered;
         self.steps_with_threshold =
             if has_threshold { self.steps_with_threshold.saturating_add(1) } else { 0 };
-        let admitted = match (has_excess, has_threshold) {
+        let admitted = match (has_too_many_unplaced, has_threshold) {
             (true, false) if is_load_known => self.peak_served * INITIAL_MULTIPLE_OF_SERVED,
             (true, false) => before,
             (true, true) => self.decreased_rate(before, totals.unplaced),
@@ -109,8 +110,8 @@
         let initial_share_left =
             (1.0 - f64::from(self.steps_with_threshold) / INITIAL_MULTIPLE_STEPS).max(0.0);
         let initial_excess = initial_share_left * (INITIAL_MULTIPLE_OF_SERVED - 1.0);
-        let has_large_excess = unplaced > FAST_DECREASE_UNPLACED_SHARE * before;
-        let factor = if has_large_excess { FAST_DECREASE_FACTOR } else { DECREASE_FACTOR };
+        let needs_fast_decrease = unplaced > FAST_DECREASE_UNPLACED_SHARE * before;
+        let factor = if needs_fast_decrease { FAST_DECREASE_FACTOR } else { DECREASE_FACTOR };
         (self.peak_served * (1.0 + initial_excess)).max(before * factor)
     }
 
--- a/crates/ladderpass-admission/tests/draw.rs
+++ b/crates/ladderpass-admission/tests/draw.rs
@@ -4,7 +4,7 @@
 use ladderpass_routing::{Span, Time};
 
 #[test]
-fn a_session_keeps_its_draw_in_an_epoch_and_gets_another_in_the_next() {
+fn the_draw_of_a_session_is_stable_within_an_epoch_and_changes_with_the_epoch() {
     let now = Time::from_nanos(1_800_000_000_000_000_000);
     assert_eq!(admission_draw(b"k7", now), admission_draw(b"k7", now + Span::from_millis(200)));
     assert_ne!(admission_draw(b"k7", now), admission_draw(b"k7", now + Span::from_millis(20_000)));
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -5,19 +5,19 @@
 use ladderpass_routing::{MemberId, MemberLoad};
 
 #[test]
-fn a_router_that_receives_no_reports_any_more_keeps_its_quota() {
+fn the_quota_does_not_grow_after_reports_stop_arriving() {
     let mut sim = Simulation::new(6, uneven_overload(4, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     let quota = |sim: &Simulation| sim.routers[0].metrics().map(|group| group.quota).sum::<f64>();
     let before = quota(&sim);
-    sim.loss = 1.0;
+    sim.report_loss = 1.0;
     sim.run(40);
     assert!(quota(&sim) <= before * 1.2, "quota {}, before the loss {before}", quota(&sim));
 }
 
 /// Drills with short queues found this: a member that rejects RPCs answers quickly, so its capacity stayed high.
 #[test]
-fn failures_reduce_a_members_capacity_as_slow_answers_do() {
+fn failed_rpcs_reduce_the_limit_at_a_member() {
     let limit_after = |failure_share: f64| {
         let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
         let mut limit = 0.0;
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -39,7 +39,7 @@
     /// RPCs of the high priority that were served, as a share of those that were offered.
     pub high: f64,
     /// All RPCs that were served, as a share of those that the members can serve.
-    pub used: f64,
+    pub utilisation: f64,
 }
 
 pub struct Simulation {
@@ -49,11 +49,11 @@
     pub load: Vec<Load>,
     pub alive: Vec<bool>,
     /// RPCs a second that all members together can serve.
-    serves: f64,
+    service_rate: f64,
     members: u32,
     rng: WyRand,
     /// The share of reports that are lost.
-    pub loss: f64,
+    pub report_loss: f64,
     /// If above 0, routers below this index and the other routers can't reach each other.
     pub partitioned_at: usize,
     limits: Vec<Vec<f64>>,
@@ -61,17 +61,22 @@
 }
 
 impl Simulation {
-    pub fn new(seed: u64, load: Vec<Load>, serves: f64, faulty: impl Fn(usize) -> Faulty) -> Simulation {
+    pub fn new(
+        seed: u64,
+        load: Vec<Load>,
+        service_rate: f64,
+        faulty: impl Fn(usize) -> Faulty,
+    ) -> Simulation {
         let count = load.len();
         let start = |index: usize| AdmissionController::start(START, index as u32 + 1, faulty(index));
         let mut sim = Simulation {
             now: START,
             routers: (0..count).map(start).collect(),
             alive: vec![true; count],
-            serves,
+            service_rate,
             members: 3,
             rng: WyRand::new_seed(seed),
-            loss: 0.0,
+            report_loss: 0.0,
             partitioned_at: 0,
             limits: vec![vec![2.0; 3]; count],
             load,
@@ -82,7 +87,7 @@
     }
 
     /// Returns a random whole number with this mean.
-    fn draw(&mut self, mean: f64) -> usize {
+    fn random_count(&mut self, mean: f64) -> usize {
         mean.max(0.0).floor() as usize + usize::from(self.rng.generate::<f64>() < mean.fract())
     }
 
@@ -119,7 +124,7 @@
             let threshold = self.routers[index].threshold(GROUP).priority;
             let admitted_share = |priority: u32| (1.0 - (threshold - f64::from(priority))).clamp(0.0, 1.0);
             let load = self.load[index];
-            let (high, low) = (self.draw(load.high * secs), self.draw(load.low * secs));
+            let (high, low) = (self.random_count(load.high * secs), self.random_count(load.low * secs));
             (0..high).for_each(|_| self.routers[index].record_offered(GROUP, HIGH));
             (0..low).for_each(|_| self.routers[index].record_offered(GROUP, LOW));
             admitted[index] =
@@ -131,7 +136,7 @@
     /// Serves the admitted RPCs up to the capacity of the members, those of the high priority first. Records the
     /// results at the routers and runs their steps.
     fn serve(&mut self, alive: &[usize], admitted: &[Load]) {
-        let capacity = self.serves * STEP.secs();
+        let capacity = self.service_rate * STEP.secs();
         let high = admitted.iter().fold(0.0, |sum, load| sum + load.high);
         let low = admitted.iter().fold(0.0, |sum, load| sum + load.low);
         let served_high = high.min(capacity);
@@ -145,9 +150,9 @@
                 high: own.high * served_high / high.max(1e-9),
                 low: own.low * served_low / low.max(1e-9),
             };
-            let served = self.draw(served_of_own.total());
+            let served = self.random_count(served_of_own.total());
             (0..served).for_each(|_| self.routers[index].record_served(GROUP));
-            let unplaced = self.draw(own.high + own.low - served_of_own.high - served_of_own.low);
+            let unplaced = self.random_count(own.high + own.low - served_of_own.high - served_of_own.low);
             (0..unplaced).for_each(|_| self.routers[index].record_unplaced(GROUP));
             let share = (own.high + own.low) / (high + low).max(1e-9);
             let loads: Vec<MemberLoad> = (0..self.members)
@@ -170,7 +175,7 @@
         let offered_high = alive.iter().map(|&index| self.load[index].high).sum::<f64>() * STEP.secs();
         ServedShares {
             high: if offered_high > 0.0 { served_high / offered_high } else { 1.0 },
-            used: served / (self.serves * STEP.secs()),
+            utilisation: served / (self.service_rate * STEP.secs()),
         }
     }
 
@@ -193,7 +198,7 @@
             let bytes = self.routers[index].encode_reports(self.now, REPORT_BYTES);
             for _ in 0..REPORT_RECEIVERS {
                 let other = self.rng.generate_range(0..self.routers.len());
-                let is_lost = self.rng.generate::<f64>() < self.loss;
+                let is_lost = self.rng.generate::<f64>() < self.report_loss;
                 if other != index && self.alive[other] && !is_lost && !self.are_partitioned(index, other) {
                     self.routers[other].on_reports(self.now, &bytes);
                 }
@@ -211,7 +216,7 @@
         for _ in 0..steps {
             self.step();
             mean.high += self.last_step.high / steps as f64;
-            mean.used += self.last_step.used / steps as f64;
+            mean.utilisation += self.last_step.utilisation / steps as f64;
         }
         mean
     }
@@ -225,12 +230,12 @@
 
 /// A load of 2.5 times the RPCs that the members can serve, unevenly spread over the routers. A tenth of it has the
 /// high priority.
-pub fn uneven_overload(count: usize, serves: f64) -> Vec<Load> {
-    let parts: f64 = (1..=count).map(|index| index as f64).sum();
-    let total = serves * 2.5;
+pub fn uneven_overload(count: usize, service_rate: f64) -> Vec<Load> {
+    let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
+    let total = service_rate * 2.5;
     let load = |index: usize| Load {
-        high: total * 0.1 * index as f64 / parts,
-        low: total * 0.9 * index as f64 / parts,
+        high: total * 0.1 * index as f64 / weight_sum,
+        low: total * 0.9 * index as f64 / weight_sum,
     };
     (1..=count).map(load).collect()
 }
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -4,20 +4,20 @@
 use ladderpass_admission::{AdmissionController, Faulty, GroupThreshold};
 
 #[test]
-fn three_hundred_routers_agree_on_one_threshold() {
-    for loss in [0.0, 0.2] {
+fn three_hundred_routers_converge_on_one_threshold() {
+    for report_loss in [0.0, 0.2] {
         let mut sim = Simulation::new(1, uneven_overload(300, 3000.0), 3000.0, |_| Faulty::NotFaulty);
-        sim.loss = loss;
+        sim.report_loss = report_loss;
         sim.run(40);
         let served = sim.run_and_measure(20);
         let thresholds = sim.thresholds();
         println!(
-            "model: 300, loss {loss}: high {:.3}, used {:.3}, thresholds within {:.2}",
+            "model: 300, report loss {report_loss}: high {:.3}, utilisation {:.3}, thresholds within {:.2}",
             served.high,
-            served.used,
+            served.utilisation,
             spread(&thresholds)
         );
-        assert!(served.high > 0.99 && served.used > 0.93, "{served:?}");
+        assert!(served.high > 0.99 && served.utilisation > 0.93, "{served:?}");
         assert!(spread(&thresholds) < 1.0, "{thresholds:?}");
         let is_between = |&threshold: &f64| threshold > f64::from(LOW) && threshold < f64::from(HIGH);
         assert!(thresholds.iter().all(is_between), "{thresholds:?}");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_step_of_load_is_met_within_seconds_and_so_is_its_end() {
+fn the_threshold_follows_a_rise_and_a_fall_of_the_load_within_seconds() {
     let mut sim = Simulation::new(2, uneven_overload(8, 300.0), 300.0, |_| Faulty::NotFaulty);
     let heavy = sim.load.clone();
     sim.load.iter_mut().for_each(|load| *load = load.times(0.2));
@@ -34,38 +34,38 @@
     sim.load = heavy.clone();
     sim.run(8);
     let served = sim.run_and_measure(8);
-    println!("model: 2 s after a step: high {:.3}, used {:.3}", served.high, served.used);
-    assert!(served.high > 0.97 && served.used > 0.9, "{served:?}");
+    println!("model: 2 s after a step: high {:.3}, utilisation {:.3}", served.high, served.utilisation);
+    assert!(served.high > 0.97 && served.utilisation > 0.9, "{served:?}");
     sim.load = heavy.iter().map(|load| load.times(0.2)).collect();
     sim.run(8);
     assert_eq!(sim.thresholds(), vec![0.0; 8]);
 }
 
 #[test]
-fn dead_routers_and_a_partition_leave_the_members_used_and_not_overloaded() {
+fn members_stay_utilised_and_high_priority_rpcs_are_served_after_deaths_and_in_a_partition() {
     let mut sim = Simulation::new(3, uneven_overload(12, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     (0..4).for_each(|index| sim.alive[index * 3] = false);
     // The clients of the dead routers connect to the other routers.
-    let lost: f64 = (0..4).map(|index| sim.load[index * 3].total()).sum();
-    let factor = 1.0 + lost / (750.0 - lost);
+    let load_of_dead_routers: f64 = (0..4).map(|index| sim.load[index * 3].total()).sum();
+    let factor = 1.0 + load_of_dead_routers / (750.0 - load_of_dead_routers);
     sim.load.iter_mut().for_each(|load| *load = load.times(factor));
     sim.run(6);
     sim.update_membership();
     let served = sim.run_and_measure(8);
-    println!("model: after a third died: high {:.3}, used {:.3}", served.high, served.used);
-    assert!(served.high > 0.98 && served.used > 0.93, "{served:?}");
+    println!("model: after a third died: high {:.3}, utilisation {:.3}", served.high, served.utilisation);
+    assert!(served.high > 0.98 && served.utilisation > 0.93, "{served:?}");
     sim.partitioned_at = 6;
     sim.run(6);
     sim.update_membership();
     let served = sim.run_and_measure(30);
-    println!("model: in a partition: high {:.3}, used {:.3}", served.high, served.used);
-    assert!(served.high > 0.97 && served.used > 0.93, "{served:?}");
+    println!("model: in a partition: high {:.3}, utilisation {:.3}", served.high, served.utilisation);
+    assert!(served.high > 0.97 && served.utilisation > 0.93, "{served:?}");
     sim.partitioned_at = 0;
     sim.update_membership();
     sim.run(8);
     let served = sim.run_and_measure(10);
-    assert!(served.high > 0.98 && served.used > 0.93, "{served:?}");
+    assert!(served.high > 0.98 && served.utilisation > 0.93, "{served:?}");
 }
 
 /// Drills with immediate rejections found this: a threshold computed from the counts of the first quarter of a second
--- a/crates/ladderpass-admission/tests/report.rs
+++ b/crates/ladderpass-admission/tests/report.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_report_survives_encoding_within_the_resolution_and_a_truncated_one_is_dropped() {
+fn reports_are_decoded_within_the_resolution_and_truncated_ones_are_dropped() {
     let mut bytes = vec![REPORT_VERSION];
     assert!(append_report(&report(), &mut bytes, 200) && append_report(&report(), &mut bytes, 200));
     let too_small = bytes.len() + 20;
