--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -1,4 +1,4 @@
-//! Withdrawals from this router's part of the shared budget, and the step that computes it anew.
+//! Withdrawals from this router's part of the shared budget, and the step that recomputes that part.
 
 use crate::faulty::Faulty;
 use crate::metrics::GroupMetrics;
@@ -7,32 +7,32 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Length of a step, the same as that of the reports between routers.
+/// Length of a step. Reports between routers are made in steps of the same length.
 const STEP: Span = Span::from_millis(250);
-/// The balance is refilled for no more than this many steps at once, however long the router stalled.
+/// The balance is refilled for at most this many steps at once, even after a longer stall of the router.
 const MAX_STEPS_REFILLED: f64 = 2.0;
-/// The largest balance, in seconds of the quota and in retries: the greater of both, so that a small quota can be spent
-/// at all.
+/// The largest balance, in seconds of the quota.
 const MAX_BALANCE_SECS: f64 = 0.5;
+/// The largest balance is never less than this number of retries, so that a router can also spend a small quota.
 const MIN_MAX_BALANCE: f64 = 1.0;
-/// Share of the balance beyond the first retry that is reserved for RPCs of at least the mean priority.
+/// The share of the largest balance, beyond its first retry, that is reserved for RPCs of at least the mean priority.
 const RESERVED_SHARE: f64 = 0.5;
-/// Retries that a new group may spend.
+/// The balance of a new group, in retries.
 const INITIAL_BALANCE: f64 = 1.0;
 /// Weight of one RPC in the moving average of the priorities.
 const PRIORITY_WEIGHT: f64 = 0.1;
 
-/// This router's part of the budget of a group.
+/// This router's part of the retry budget of a group.
 #[derive(Clone, Debug)]
 struct GroupBudget {
-    /// Counts of the current step.
+    /// This router's counts of the current step.
     counts: RetryRates,
     rates: RetryRates,
     /// Retries that may be withdrawn now.
     balance: f64,
-    /// Retries added to the balance a second.
+    /// Retries a second that are added to the balance.
     quota: f64,
-    /// Moving average of the priorities of RPCs that wanted a retry.
+    /// Moving average of the priorities of RPCs that requested a retry.
     mean_priority: f64,
     metrics: GroupMetrics,
 }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The most retries that may be saved.
+    /// The largest balance, in retries.
     fn max_balance(&self) -> f64 {
         (self.quota * MAX_BALANCE_SECS).max(MIN_MAX_BALANCE)
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Computes the quota anew from the rates of all routers, and refills the balance for `secs` seconds of it.
+    /// Recomputes the quota from the rates of all routers, and refills the balance with `secs` seconds of the quota.
     fn rebalance(&mut self, secs: f64, fleet: &FleetRates, never_lowers_quota: bool) {
         let ratio = fleet.ratio();
         let own_quota = fleet.own_quota(ratio);
@@ -72,7 +72,8 @@
         } else if fleet.has_enough_reports() {
             own_quota
         } else {
-            // With too few reports it takes no more than it had, nor than the ratio of its own first attempts.
+            // With too few reports, the quota exceeds neither the previous one nor the ratio of this router's own first
+            // attempts.
             self.quota.min(ratio * fleet.own.first_attempts)
         };
         self.balance = (self.balance + self.quota * secs).min(self.max_balance());
@@ -91,7 +92,7 @@
 }
 
 impl RetryBudget {
-    /// No group is known yet.
+    /// Starts without groups. A group is added when its first RPC is recorded.
     pub fn start(now: Time, faulty: Faulty) -> RetryBudget {
         RetryBudget { groups: BTreeMap::new(), last_step_at: now, faulty }
     }
@@ -105,7 +106,7 @@
         self.group_mut(group).counts.first_attempts += 1.0;
     }
 
-    /// An RPC of this priority could use a retry. True where the budget grants it.
+    /// Requests a retry for an RPC of this priority. Returns true if the budget grants it.
     pub fn try_withdraw(&mut self, group: u32, priority: u32) -> bool {
         let always_grants = self.faulty == Faulty::GrantsEveryRetry;
         let budget = self.group_mut(group);
@@ -126,7 +127,7 @@
         true
     }
 
-    /// A granted retry is not made.
+    /// Puts a granted retry that was not made back into the balance.
     pub fn refund(&mut self, group: u32) {
         if self.faulty == Faulty::NeverRefunds {
             return;
@@ -141,13 +142,13 @@
         self.group_mut(group).counts.retries_succeeded += 1.0;
     }
 
-    /// What this router reports of a group.
+    /// The rates that this router reports of a group.
     pub fn own_rates(&self, group: u32) -> RetryRates {
         self.groups.get(&group).map_or(RetryRates::default(), |budget| budget.rates)
     }
 
-    /// Ends a step: computes all quotas anew. `peer_rates` gives what others reported of a group; `alive_peers` is how
-    /// many others are alive.
+    /// Ends a step and recomputes all quotas. `peer_rates` returns the rates that other routers reported of a group,
+    /// and `alive_peers` is the number of other routers that are alive.
     pub fn rebalance<I>(&mut self, now: Time, alive_peers: usize, peer_rates: impl Fn(u32) -> I)
     where
         I: Iterator<Item = WeightedRates>,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// What the log shows of each group, as of the last step.
+    /// The metrics of each group for the log, as of the last step.
     pub fn metrics(&self) -> impl Iterator<Item = GroupMetrics> {
         self.groups.values().map(|budget| budget.metrics)
     }
--- a/crates/ladderpass-retry-budget/src/faulty.rs
+++ b/crates/ladderpass-retry-budget/src/faulty.rs
@@ -1,6 +1,6 @@
 //! Deliberate faults that the tests must detect.
 
-/// A deliberate fault. No release can switch one on.
+/// A deliberate fault. No release build can enable one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
     /// No fault.
@@ -8,6 +8,6 @@
     NotFaulty,
     /// Grants every retry.
     GrantsEveryRetry,
-    /// Ignores refunds, and never lowers its quota.
+    /// Ignores refunds, and never lowers a quota.
     NeverRefunds,
 }
--- a/crates/ladderpass-retry-budget/src/lib.rs
+++ b/crates/ladderpass-retry-budget/src/lib.rs
@@ -1,15 +1,18 @@
-//! A retry budget that all routers share: how many retries all may spend on a group, and this router's quota of it.
+//! A retry budget that all routers share: how many retries all routers may spend on a group, and this router's quota of
+//! them.
 //!
-//! - [`RetryBudget`] (`budget`): withdrawals, refunds, and the step that computes the budget anew.
+//! - [`RetryBudget`] (`budget`): withdrawals, refunds, and the step that recomputes the quotas.
 //! - `quota`: the budget of all routers and this router's quota, from the rates of all.
 //! - `rates`: rates of first attempts and retries, as routers report them.
-//! - `metrics`: what the log shows; `faulty`: deliberate faults for tests.
+//! - `metrics`: the metrics for the log.
+//! - `faulty`: deliberate faults for tests.
 //!
-//! What all routers spend stays within a ratio of their first attempts, up to the age of reports and one saved retry a
-//! router. The ratio is high while retries succeed and near zero while they fail. What a router does not need the
-//! others get; one that receives too few reports keeps its quota, never more.
+//! The retries of all routers stay within a ratio of their first attempts. They may exceed it by the effect of the age
+//! of reports, and by one saved retry a router. The ratio is high while retries succeed and near zero while they fail.
+//! The quota that a router does not need goes to the others. A router that receives too few reports does not raise its
+//! quota.
 //!
-//! The package does no I/O and reads no clock. It never decides what becomes of an RPC whose retry is denied
+//! The package does no I/O and reads no clock. The caller decides how to handle an RPC whose retry is denied
 //! (`docs/design/fleet-budgets.md`).
 
 mod budget;
--- a/crates/ladderpass-retry-budget/src/metrics.rs
+++ b/crates/ladderpass-retry-budget/src/metrics.rs
@@ -1,20 +1,20 @@
-//! What the log shows of a group.
+//! The metrics of a group for the log.
 
 use crate::rates::RetryRates;
 
-/// The budget of a group, as of the last step.
+/// The retry budget of a group, as of the last step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupMetrics {
     /// The id of the group.
     pub group: u32,
-    /// Attempts a second of all routers that reported.
+    /// Rates of all routers that reported, this router included, in attempts a second.
     pub fleet: RetryRates,
     /// Retries that all routers may spend, as a share of their first attempts.
     pub ratio: f64,
     /// Retries a second that this router may spend.
     pub quota: f64,
-    /// Retries that this router has saved.
+    /// Retries that this router may withdraw now.
     pub balance: f64,
-    /// Retries denied by this router since the start.
+    /// Number of retries that this router has denied since it started.
     pub denied: u64,
 }
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -1,31 +1,31 @@
-//! The budget of all routers, from their rates, and this router's quota of it.
+//! The retry budget of all routers, computed from their rates, and this router's quota of it.
 
 use crate::rates::{RetryRates, WeightedRates};
 
-/// Retries that all routers may spend while all retries succeed, as a share of their first attempts.
+/// The retries that all routers may spend while all retries succeed, as a share of their first attempts.
 const MAX_RATIO: f64 = 0.5;
-/// The same while no retry succeeds: enough to detect that they succeed again.
+/// The same share while no retry succeeds. It is large enough to detect that retries succeed again.
 const MIN_RATIO: f64 = 0.02;
 /// Weight of the prior estimate of the success share, in granted retries a second.
 const PRIOR_WEIGHT_PER_SECOND: f64 = 4.0;
-/// What a router needs beside the retries that it wants, as a share of its first attempts: one that never wanted a
-/// retry has some quota at once.
+/// A router's need of retries is the rate of the retries that it requests plus this share of its first attempts. The
+/// share gives some quota at once to a router that has not requested a retry yet.
 const NEED_SHARE_OF_FIRST_ATTEMPTS: f64 = 0.05;
-/// A quota follows from the totals once this share of the other routers reports, or so many.
+/// A quota is computed from the totals only while this share of the other routers report, or this number of them.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
-/// Prevents divisions by zero. Attempts a second.
+/// The least divisor of rates, in attempts a second. It prevents divisions by zero.
 const MIN_RATE: f64 = 1e-9;
 
 /// Rates of all routers, and how many of them reported.
 pub(crate) struct FleetRates {
     /// This router's own rates.
     pub own: RetryRates,
-    /// The sum of the rates of all that reported, by weight, this router included.
+    /// The weighted sum of the rates of all routers that reported, and of this router's.
     pub total: RetryRates,
     /// Sum of the weights of the reports.
     reporting_peers: f64,
-    /// How many other routers are alive.
+    /// Number of other routers that are alive.
     peers: f64,
 }
 
@@ -44,7 +44,7 @@
         FleetRates { own, total, reporting_peers, peers: alive_peers as f64 }
     }
 
-    /// Factor from the routers that reported to all that are alive.
+    /// The ratio of all live routers to those that reported, this router included in both.
     fn scale(&self) -> f64 {
         if self.reporting_peers > 0.0 {
             (self.peers + 1.0).max(self.reporting_peers + 1.0) / (self.reporting_peers + 1.0)
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Share of the retries that succeed, from 0 to 1. Where few were granted recently, the share of first attempts
-    /// that succeed counts more.
+    /// Estimate of the share of retries that succeed, from 0 to 1. The fewer retries were granted recently, the more
+    /// the prior counts, which is the share of attempts that needed no retry.
     fn success_share(&self) -> f64 {
         let total = &self.total;
         let attempts = total.first_attempts + total.retries_granted;
@@ -70,7 +70,7 @@
         MIN_RATIO + (MAX_RATIO - MIN_RATIO) * success * success
     }
 
-    /// This router's quota of the budget, by its need of retries. Retries a second.
+    /// This router's quota of the budget in retries a second, in proportion to its need of retries.
     pub fn own_quota(&self, ratio: f64) -> f64 {
         let scale = self.scale();
         let budget = ratio * self.total.first_attempts * scale;
@@ -78,7 +78,7 @@
         budget * needed_retries(self.own) / needed_by_all.max(MIN_RATE)
     }
 
-    /// Do enough routers report for a quota to follow from the totals?
+    /// True if enough routers report to compute a quota from the totals.
     pub fn has_enough_reports(&self) -> bool {
         self.reporting_peers >= (self.peers * MIN_REPORTING_SHARE).min(ENOUGH_REPORTING_PEERS)
     }
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -1,16 +1,16 @@
-//! Rates of first attempts and retries.
+//! The rates of first attempts and retries.
 
 /// Weight of the latest counts in the moving averages.
 const COUNT_WEIGHT: f64 = 0.4;
-/// A shorter step counts as this long: its counts are too few for a rate.
+/// A shorter step counts as one of this length, since its counts are too low to compute a rate from.
 const MIN_STEP_SECS: f64 = 0.05;
 
-/// What one router reports of a group: attempts a second. Also counts of a step.
+/// The rates that a router reports of a group, in attempts a second, or the counts of a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryRates {
     /// First attempts.
     pub first_attempts: f64,
-    /// Retries that RPCs could have used.
+    /// Retries that RPCs requested of the budget.
     pub retries_wanted: f64,
     /// Retries that the budget granted.
     pub retries_granted: f64,
@@ -18,17 +18,17 @@
     pub retries_succeeded: f64,
 }
 
-/// What another router reports of a group, with the weight of its report.
+/// The rates that another router reports of a group, with the weight of its report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedRates {
     /// Attempts a second.
     pub rates: RetryRates,
-    /// From 0 to 1: less for an older report.
+    /// The weight, from 0 to 1. It is lower for an older report.
     pub weight: f64,
 }
 
 impl RetryRates {
-    /// The rates in the order in which reports carry them: first attempts; retries wanted, granted, succeeded.
+    /// The rates in the order in which reports encode them: first attempts, then retries wanted, granted and succeeded.
     pub fn to_array(self) -> [f64; 4] {
         [self.first_attempts, self.retries_wanted, self.retries_granted, self.retries_succeeded]
     }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Adds the rates of another router, each times this weight.
+    /// Adds the rates of another router, multiplied by this weight.
     pub(crate) fn add_weighted(&mut self, other: RetryRates, weight: f64) {
         self.first_attempts += other.first_attempts * weight;
         self.retries_wanted += other.retries_wanted * weight;
@@ -51,7 +51,7 @@
         self.retries_succeeded += other.retries_succeeded * weight;
     }
 
-    /// The moving averages after a step with these counts, of this length in seconds.
+    /// The moving averages after a step with these counts, which took `secs` seconds.
     pub(crate) fn smoothed(self, counts: RetryRates, secs: f64) -> RetryRates {
         let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * COUNT_WEIGHT;
         RetryRates {
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,5 +1,6 @@
-//! Routers in steps of 250 ms: first attempts fail at random, retries succeed at random, reports are a step old, routers
-//! die and are partitioned. What all routers spend is counted from outside.
+//! Tests of the retry budget in a simulation of routers in steps of 250 ms. First attempts fail at random, retries
+//! succeed at random, reports arrive a step late, and routers die and are partitioned. The simulation itself counts the
+//! attempts of all routers.
 
 use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates, WeightedRates};
 use ladderpass_routing::{Span, Time};
@@ -11,7 +12,7 @@
 const LOW: u32 = 190;
 const MAX_RETRIES: u32 = 3;
 
-/// Attempts of all routers.
+/// Numbers of attempts of all routers.
 #[derive(Clone, Copy, Default)]
 struct Attempts {
     first: f64,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Retries as shares of first attempts.
+/// Numbers of retries as shares of the first attempts.
 #[derive(Debug)]
 struct RetryShares {
     wanted: f64,
@@ -45,10 +46,11 @@
     /// First attempts a second of each router.
     first_attempts_per_second: Vec<f64>,
     alive: Vec<bool>,
-    /// Above 0, routers below this index and the others do not reach each other.
+    /// If above 0, routers below this index and the other routers can't reach each other.
     partitioned_at: usize,
-    /// Probability that a first attempt fails, and that a retry succeeds.
+    /// Probability that a first attempt fails.
     failure_share: f64,
+    /// Probability that a retry succeeds.
     retry_success_share: f64,
     rng: WyRand,
     steps: Vec<Attempts>,
@@ -89,7 +91,7 @@
         self.rebalance(&alive);
     }
 
-    /// One RPC at a router: a first attempt, and retries while they fail and are granted.
+    /// Runs one RPC at a router: a first attempt, and then retries while attempts fail and the budget grants retries.
     fn run_rpc(&mut self, index: usize, attempts: &mut Attempts) {
         self.routers[index].record_first_attempt(GROUP);
         attempts.first += 1.0;
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Each router computes its quota from what the others reported in the step before.
+    /// Each router computes its quota from the rates that the others reported last.
     fn rebalance(&mut self, alive: &[usize]) {
         let reported = self.reported.clone();
         for &index in alive {
@@ -132,7 +134,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Retries over the last steps.
+    /// The shares of retries over the last steps.
     fn retry_shares(&self, steps: usize) -> RetryShares {
         let sum = Attempts::sum(&self.steps[self.steps.len() - steps..]);
         let first = sum.first.max(1.0);
@@ -153,7 +155,7 @@
         sim.failure_share = 0.2;
         sim.run(40);
         let RetryShares { wanted, granted } = sim.retry_shares(20);
-        assert!(granted > 0.85 * wanted && granted > 0.15, "{granted} of {wanted}");
+        assert!(granted > 0.85 * wanted && granted > 0.15, "granted {granted} of {wanted} wanted");
     }
 }
 
@@ -163,7 +165,7 @@
         let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
-        // The first second has what was saved, and what reports do not show yet.
+        // In the first second, routers spend what they saved, and reports do not show the failures yet.
         sim.run(4);
         let first_second = sim.retry_shares(4).granted;
         sim.run(8);
@@ -171,11 +173,14 @@
         println!(
             "model: under faults {wanted:.2} wanted, {granted:.3} granted; in the first second {first_second:.2}"
         );
-        assert!(first_second < 0.75 && wanted > 0.8 && granted < 0.12, "{first_second} {wanted} {granted}");
+        assert!(
+            first_second < 0.75 && wanted > 0.8 && granted < 0.12,
+            "first second {first_second}, then granted {granted} of {wanted} wanted"
+        );
         (sim.failure_share, sim.retry_success_share) = (0.2, 1.0);
         sim.run(12);
         let RetryShares { wanted, granted } = sim.retry_shares(4);
-        assert!(granted > 0.8 * wanted, "{granted} of {wanted}");
+        assert!(granted > 0.8 * wanted, "granted {granted} of {wanted} wanted");
     }
 }
 
@@ -183,7 +188,7 @@
 fn a_router_in_need_gets_what_the_others_leave() {
     let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
-    // Router 0 alone wants retries, for each of its RPCs.
+    // Only router 0 requests retries, one for each of its RPCs.
     for _ in 0..24 {
         for _ in 0..12 {
             sim.routers[0].try_withdraw(GROUP, LOW);
@@ -192,9 +197,9 @@
         sim.run(1);
     }
     let quota = sim.routers[0].metrics().map(|group| group.quota).sum::<f64>();
-    assert!(quota > 40.0, "{quota} a second of about 48 wanted");
+    assert!(quota > 40.0, "quota of {quota} retries a second, of about 48 wanted");
     let all: f64 = sim.routers.iter().flat_map(RetryBudget::metrics).map(|group| group.quota).sum();
-    assert!(all <= 0.51 * 400.0, "{all}");
+    assert!(all <= 0.51 * 400.0, "all quotas: {all} retries a second");
 }
 
 #[test]
@@ -208,20 +213,20 @@
         sim.partitioned_at = 5;
         sim.run(16);
         sim.partitioned_at = 0;
-        // It resumes with what it had saved, and no more.
+        // Router 0 resumes after a stall. It may spend the balance that it had saved, and no more.
         sim.alive[0] = true;
         sim.run(8);
         for steps in sim.steps.windows(8) {
             let Attempts { first, retries_granted, .. } = Attempts::sum(steps);
             assert!(
                 retries_granted <= 0.5 * 1.15 * first + 12.0,
-                "seed {seed}: {retries_granted} of {first}"
+                "seed {seed}: {retries_granted} retries for {first} first attempts"
             );
         }
     }
 }
 
-/// Without the budget each failure leads to three retries.
+/// Without the budget, a failure leads to up to three retries. The shares of retries must show each deliberate fault.
 #[test]
 fn deliberate_faults_are_detected() {
     let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::GrantsEveryRetry);
@@ -251,6 +256,6 @@
             sim.run(1);
         }
     }
-    // A fifth of the withdrawals are of high priority: they get more than a fifth.
+    // A fifth of the requests have the high priority, and they get more than a fifth of the retries.
     assert!(granted_high * 4 > granted_low, "{granted_low} low, {granted_high} high");
 }
