--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    fn draw(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.generate::<f64>() < probability
     }
 
@@ -84,7 +84,7 @@
         let mut attempts = Attempts::default();
         for &index in &alive {
             let mean = self.first_attempts_per_second[index] * STEP.secs();
-            let count = mean.floor() as usize + usize::from(self.draw(mean.fract()));
+            let count = mean.floor() as usize + usize::from(self.random_bool(mean.fract()));
             (0..count).for_each(|_| self.run_rpc(index, &mut attempts));
         }
         self.steps.push(attempts);
@@ -95,17 +95,17 @@
     fn run_rpc(&mut self, index: usize, attempts: &mut Attempts) {
         self.routers[index].record_first_attempt(GROUP);
         attempts.first += 1.0;
-        let mut has_failed = self.draw(self.failure_share);
+        let mut has_failed = self.random_bool(self.failure_share);
         let mut retries = 0;
         while has_failed && retries < MAX_RETRIES {
             attempts.retries_wanted += 1.0;
-            let priority = if self.draw(0.2) { HIGH } else { LOW };
+            let priority = if self.random_bool(0.2) { HIGH } else { LOW };
             if !self.routers[index].try_withdraw(GROUP, priority) {
                 break;
             }
             attempts.retries_granted += 1.0;
             retries += 1;
-            has_failed = !self.draw(self.retry_success_share);
+            has_failed = !self.random_bool(self.retry_success_share);
             if !has_failed {
                 self.routers[index].record_success(GROUP);
             }
@@ -143,14 +143,14 @@
 }
 
 /// A load that is unevenly spread over the routers.
-fn uneven(count: usize, total: f64) -> Vec<f64> {
-    let parts: f64 = (1..=count).map(|index| index as f64).sum();
-    (1..=count).map(|index| total * index as f64 / parts).collect()
+fn uneven_load(count: usize, total: f64) -> Vec<f64> {
+    let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
+    (1..=count).map(|index| total * index as f64 / weight_sum).collect()
 }
 
 #[test]
-fn few_failures_get_all_retries_also_where_each_router_sees_little() {
-    for rates in [uneven(8, 400.0), vec![3.0; 40]] {
+fn most_retries_are_granted_while_few_attempts_fail_even_with_little_load_per_router() {
+    for rates in [uneven_load(8, 400.0), vec![3.0; 40]] {
         let mut sim = Simulation::new(1, rates, |_| Faulty::NotFaulty);
         sim.failure_share = 0.2;
         sim.run(40);
@@ -160,8 +160,8 @@
 }
 
 #[test]
-fn while_retries_fail_hardly_any_is_granted_and_the_budget_recovers_within_seconds() {
-    for rates in [uneven(8, 400.0), vec![3.0; 40]] {
+fn few_retries_are_granted_while_retries_fail_and_the_budget_recovers_within_seconds() {
+    for rates in [uneven_load(8, 400.0), vec![3.0; 40]] {
         let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_router_in_need_gets_what_the_others_leave() {
+fn a_router_that_needs_retries_gets_the_quota_that_the_others_do_not_need() {
     let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
     // Only router 0 requests retries, one for each of its RPCs.
@@ -203,9 +203,9 @@
 }
 
 #[test]
-fn deaths_a_partition_and_a_stall_leave_the_sum_within_the_budget() {
+fn the_sum_of_retries_stays_within_the_budget_after_deaths_a_partition_and_a_stall() {
     for seed in 0..20 {
-        let mut sim = Simulation::new(seed, uneven(12, 600.0), |_| Faulty::NotFaulty);
+        let mut sim = Simulation::new(seed, uneven_load(12, 600.0), |_| Faulty::NotFaulty);
         (sim.failure_share, sim.retry_success_share) = (0.5, 0.5);
         sim.run(16);
         (0..4).for_each(|index| sim.alive[index * 3] = false);
@@ -229,11 +229,11 @@
 /// Without the budget, a failure leads to up to three retries. The shares of retries must show each deliberate fault.
 #[test]
 fn deliberate_faults_are_detected() {
-    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::GrantsEveryRetry);
+    let mut sim = Simulation::new(5, uneven_load(8, 400.0), |_| Faulty::GrantsEveryRetry);
     (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
     sim.run(24);
     assert!(sim.retry_shares(8).granted > 1.5);
-    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::NeverRefunds);
+    let mut sim = Simulation::new(5, uneven_load(8, 400.0), |_| Faulty::NeverRefunds);
     sim.run(8);
     (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
     sim.run(24);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn the_last_of_a_low_balance_goes_to_high_priorities() {
+fn a_low_balance_is_reserved_for_high_priorities() {
     let mut sim = Simulation::new(6, vec![100.0], |_| Faulty::NotFaulty);
     (sim.failure_share, sim.retry_success_share) = (0.3, 0.5);
     sim.run(40);
