--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -1,5 +1,5 @@
-//! Routers before members whose latency grows with the RPCs in flight, in steps of 250 ms. Reports are a step old, and
-//! some are lost.
+//! The simulation: routers send RPCs to members whose latency grows with the RPCs in flight, in steps of 250 ms.
+//! Reports arrive a step late, and some are lost.
 
 use ladderpass_admission::{AdmissionController, Faulty};
 use ladderpass_routing::{MemberId, MemberLoad, Span, Time};
@@ -16,7 +16,7 @@
 const CORES_PER_MEMBER: f64 = 2.0;
 const MAX_IN_FLIGHT_PER_CORE: f64 = 4.0;
 
-/// RPCs, or RPCs a second, by priority.
+/// Numbers of RPCs, or RPCs a second, by priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     pub high: f64,
@@ -33,44 +33,50 @@
     }
 }
 
-/// What was served over some steps: of the high priority, as a share of what was offered; of all, as a share of what the
-/// members can serve.
+/// The shares of RPCs that were served over some steps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedShares {
+    /// RPCs of the high priority that were served, as a share of those that were offered.
     pub high: f64,
-    pub used: f64,
+    /// All RPCs that were served, as a share of those that the members can serve.
+    pub utilisation: f64,
 }
 
 pub struct Simulation {
     pub now: Time,
     pub routers: Vec<AdmissionController>,
-    /// RPCs a second that each is offered.
+    /// RPCs a second that each router is offered.
     pub load: Vec<Load>,
     pub alive: Vec<bool>,
-    /// RPCs a second that the members serve together.
-    serves: f64,
+    /// RPCs a second that all members together can serve.
+    service_rate: f64,
     members: u32,
     rng: WyRand,
-    /// Share of reports that are lost.
-    pub loss: f64,
-    /// Above 0, routers below this index and the others do not reach each other.
+    /// The share of reports that are lost.
+    pub report_loss: f64,
+    /// If above 0, routers below this index and the other routers can't reach each other.
     pub partitioned_at: usize,
     limits: Vec<Vec<f64>>,
     last_step: ServedShares,
 }
 
 impl Simulation {
-    pub fn new(seed: u64, load: Vec<Load>, serves: f64, faulty: impl Fn(usize) -> Faulty) -> Simulation {
+    pub fn new(
+        seed: u64,
+        load: Vec<Load>,
+        service_rate: f64,
+        faulty: impl Fn(usize) -> Faulty,
+    ) -> Simulation {
         let count = load.len();
         let start = |index: usize| AdmissionController::start(START, index as u32 + 1, faulty(index));
         let mut sim = Simulation {
             now: START,
             routers: (0..count).map(start).collect(),
             alive: vec![true; count],
-            serves,
+            service_rate,
             members: 3,
             rng: WyRand::new_seed(seed),
-            loss: 0.0,
+            report_loss: 0.0,
             partitioned_at: 0,
             limits: vec![vec![2.0; 3]; count],
             load,
@@ -80,8 +86,8 @@
         sim
     }
 
-    /// A random whole number with this mean.
-    fn draw(&mut self, mean: f64) -> usize {
+    /// Returns a random whole number with this mean.
+    fn random_count(&mut self, mean: f64) -> usize {
         mean.max(0.0).floor() as usize + usize::from(self.rng.generate::<f64>() < mean.fract())
     }
 
@@ -89,7 +95,7 @@
         self.partitioned_at > 0 && (other < self.partitioned_at) != (one < self.partitioned_at)
     }
 
-    /// Tells each router which others are alive and reachable.
+    /// Notifies each router of the others that are alive and reachable.
     pub fn update_membership(&mut self) {
         for index in 0..self.routers.len() {
             let is_reachable =
@@ -110,7 +116,7 @@
         self.exchange_reports(&alive);
     }
 
-    /// Offers each router its load. Returns what each admits, by its threshold.
+    /// Offers each router its load. Returns the RPCs that each router admits by its threshold.
     fn offer(&mut self, alive: &[usize]) -> Vec<Load> {
         let secs = STEP.secs();
         let mut admitted = vec![Load::default(); self.routers.len()];
@@ -118,7 +124,7 @@
             let threshold = self.routers[index].threshold(GROUP).priority;
             let admitted_share = |priority: u32| (1.0 - (threshold - f64::from(priority))).clamp(0.0, 1.0);
             let load = self.load[index];
-            let (high, low) = (self.draw(load.high * secs), self.draw(load.low * secs));
+            let (high, low) = (self.random_count(load.high * secs), self.random_count(load.low * secs));
             (0..high).for_each(|_| self.routers[index].record_offered(GROUP, HIGH));
             (0..low).for_each(|_| self.routers[index].record_offered(GROUP, LOW));
             admitted[index] =
@@ -127,9 +133,10 @@
         admitted
     }
 
-    /// The members serve the high priority first, as much as they can of all.
+    /// Serves the admitted RPCs up to the capacity of the members, those of the high priority first. Records the
+    /// results at the routers and runs their steps.
     fn serve(&mut self, alive: &[usize], admitted: &[Load]) {
-        let capacity = self.serves * STEP.secs();
+        let capacity = self.service_rate * STEP.secs();
         let high = admitted.iter().fold(0.0, |sum, load| sum + load.high);
         let low = admitted.iter().fold(0.0, |sum, load| sum + load.low);
         let served_high = high.min(capacity);
@@ -143,9 +150,9 @@
                 high: own.high * served_high / high.max(1e-9),
                 low: own.low * served_low / low.max(1e-9),
             };
-            let served = self.draw(served_of_own.total());
+            let served = self.random_count(served_of_own.total());
             (0..served).for_each(|_| self.routers[index].record_served(GROUP));
-            let unplaced = self.draw(own.high + own.low - served_of_own.high - served_of_own.low);
+            let unplaced = self.random_count(own.high + own.low - served_of_own.high - served_of_own.low);
             (0..unplaced).for_each(|_| self.routers[index].record_unplaced(GROUP));
             let share = (own.high + own.low) / (high + low).max(1e-9);
             let loads: Vec<MemberLoad> = (0..self.members)
@@ -168,7 +175,7 @@
         let offered_high = alive.iter().map(|&index| self.load[index].high).sum::<f64>() * STEP.secs();
         ServedShares {
             high: if offered_high > 0.0 { served_high / offered_high } else { 1.0 },
-            used: served / (self.serves * STEP.secs()),
+            utilisation: served / (self.service_rate * STEP.secs()),
         }
     }
 
@@ -176,7 +183,7 @@
         f64::from(self.members) * CORES_PER_MEMBER
     }
 
-    /// RPCs in flight at all members: as many as the limits allow, where more are admitted than served.
+    /// RPCs in flight at all members. They are limited by the routers' limits while more RPCs are admitted than served.
     fn in_flight(&self, alive: &[usize], utilisation: f64) -> f64 {
         let limits = alive.iter().fold(0.0, |sum, &index| sum + self.limits[index].iter().sum::<f64>());
         match utilisation > 1.0 {
@@ -185,13 +192,13 @@
         }
     }
 
-    /// Each router sends its reports to some others at random, as probes and acks of the membership do.
+    /// Sends each router's reports to some random other routers, as the probes and acks of the membership do.
     fn exchange_reports(&mut self, alive: &[usize]) {
         for &index in alive {
             let bytes = self.routers[index].encode_reports(self.now, REPORT_BYTES);
             for _ in 0..REPORT_RECEIVERS {
                 let other = self.rng.generate_range(0..self.routers.len());
-                let is_lost = self.rng.generate::<f64>() < self.loss;
+                let is_lost = self.rng.generate::<f64>() < self.report_loss;
                 if other != index && self.alive[other] && !is_lost && !self.are_partitioned(index, other) {
                     self.routers[other].on_reports(self.now, &bytes);
                 }
@@ -203,31 +210,32 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Runs, and returns the means over these steps.
+    /// Runs this many steps, and returns the mean shares over them.
     pub fn run_and_measure(&mut self, steps: usize) -> ServedShares {
         let mut mean = ServedShares::default();
         for _ in 0..steps {
             self.step();
             mean.high += self.last_step.high / steps as f64;
-            mean.used += self.last_step.used / steps as f64;
+            mean.utilisation += self.last_step.utilisation / steps as f64;
         }
         mean
     }
 
-    /// Thresholds of the routers that are alive.
+    /// The thresholds of the routers that are alive.
     pub fn thresholds(&self) -> Vec<f64> {
         let alive = (0..self.routers.len()).filter(|&index| self.alive[index]);
         alive.map(|index| self.routers[index].threshold(GROUP).priority).collect()
     }
 }
 
-/// Unevenly spread over the routers, 2.5 times what the members serve, a tenth of it of the high priority.
-pub fn uneven_overload(count: usize, serves: f64) -> Vec<Load> {
-    let parts: f64 = (1..=count).map(|index| index as f64).sum();
-    let total = serves * 2.5;
+/// A load of 2.5 times the RPCs that the members can serve, unevenly spread over the routers. A tenth of it has the
+/// high priority.
+pub fn uneven_overload(count: usize, service_rate: f64) -> Vec<Load> {
+    let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
+    let total = service_rate * 2.5;
     let load = |index: usize| Load {
-        high: total * 0.1 * index as f64 / parts,
-        low: total * 0.9 * index as f64 / parts,
+        high: total * 0.1 * index as f64 / weight_sum,
+        low: total * 0.9 * index as f64 / weight_sum,
     };
     (1..=count).map(load).collect()
 }
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -1,5 +1,6 @@
-//! Routers in steps of 250 ms: first attempts fail at random, retries succeed at random, reports are a step old, routers
-//! die and are partitioned. What all routers spend is counted from outside.
+//! Tests of the retry budget in a simulation of routers in steps of 250 ms. First attempts fail at random, retries
+//! succeed at random, reports arrive a step late, and routers die and are partitioned. The simulation itself counts the
+//! attempts of all routers.
 
 use ladderpass_retry_budget::{Faulty, RetryBudget, RetryRates, WeightedRates};
 use ladderpass_routing::{Span, Time};
@@ -11,7 +12,7 @@
 const LOW: u32 = 190;
 const MAX_RETRIES: u32 = 3;
 
-/// Attempts of all routers.
+/// Numbers of attempts of all routers.
 #[derive(Clone, Copy, Default)]
 struct Attempts {
     first: f64,
@@ -31,7 +32,7 @@
     }
 }
 
-/// Retries as shares of first attempts.
+/// Numbers of retries as shares of the first attempts.
 #[derive(Debug)]
 struct RetryShares {
     wanted: f64,
@@ -45,10 +46,11 @@
     /// First attempts a second of each router.
     first_attempts_per_second: Vec<f64>,
     alive: Vec<bool>,
-    /// Above 0, routers below this index and the others do not reach each other.
+    /// If above 0, routers below this index and the other routers can't reach each other.
     partitioned_at: usize,
-    /// Probability that a first attempt fails, and that a retry succeeds.
+    /// Probability that a first attempt fails.
     failure_share: f64,
+    /// Probability that a retry succeeds.
     retry_success_share: f64,
     rng: WyRand,
     steps: Vec<Attempts>,
@@ -72,7 +74,7 @@
         }
     }
 
-    fn draw(&mut self, probability: f64) -> bool {
+    fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.generate::<f64>() < probability
     }
 
@@ -82,35 +84,35 @@
         let mut attempts = Attempts::default();
         for &index in &alive {
             let mean = self.first_attempts_per_second[index] * STEP.secs();
-            let count = mean.floor() as usize + usize::from(self.draw(mean.fract()));
+            let count = mean.floor() as usize + usize::from(self.random_bool(mean.fract()));
             (0..count).for_each(|_| self.run_rpc(index, &mut attempts));
         }
         self.steps.push(attempts);
         self.rebalance(&alive);
     }
 
-    /// One RPC at a router: a first attempt, and retries while they fail and are granted.
+    /// Runs one RPC at a router: a first attempt, and then retries while attempts fail and the budget grants retries.
     fn run_rpc(&mut self, index: usize, attempts: &mut Attempts) {
         self.routers[index].record_first_attempt(GROUP);
         attempts.first += 1.0;
-        let mut has_failed = self.draw(self.failure_share);
+        let mut has_failed = self.random_bool(self.failure_share);
         let mut retries = 0;
         while has_failed && retries < MAX_RETRIES {
             attempts.retries_wanted += 1.0;
-            let priority = if self.draw(0.2) { HIGH } else { LOW };
+            let priority = if self.random_bool(0.2) { HIGH } else { LOW };
             if !self.routers[index].try_withdraw(GROUP, priority) {
                 break;
             }
             attempts.retries_granted += 1.0;
             retries += 1;
-            has_failed = !self.draw(self.retry_success_share);
+            has_failed = !self.random_bool(self.retry_success_share);
             if !has_failed {
                 self.routers[index].record_success(GROUP);
             }
         }
     }
 
-    /// Each router computes its quota from what the others reported in the step before.
+    /// Each router computes its quota from the rates that the others reported last.
     fn rebalance(&mut self, alive: &[usize]) {
         let reported = self.reported.clone();
         for &index in alive {
@@ -132,7 +134,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Retries over the last steps.
+    /// The shares of retries over the last steps.
     fn retry_shares(&self, steps: usize) -> RetryShares {
         let sum = Attempts::sum(&self.steps[self.steps.len() - steps..]);
         let first = sum.first.max(1.0);
@@ -141,29 +143,29 @@
 }
 
 /// A load that is unevenly spread over the routers.
-fn uneven(count: usize, total: f64) -> Vec<f64> {
-    let parts: f64 = (1..=count).map(|index| index as f64).sum();
-    (1..=count).map(|index| total * index as f64 / parts).collect()
+fn uneven_load(count: usize, total: f64) -> Vec<f64> {
+    let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
+    (1..=count).map(|index| total * index as f64 / weight_sum).collect()
 }
 
 #[test]
-fn few_failures_get_all_retries_also_where_each_router_sees_little() {
-    for rates in [uneven(8, 400.0), vec![3.0; 40]] {
+fn most_retries_are_granted_while_few_attempts_fail_even_with_little_load_per_router() {
+    for rates in [uneven_load(8, 400.0), vec![3.0; 40]] {
         let mut sim = Simulation::new(1, rates, |_| Faulty::NotFaulty);
         sim.failure_share = 0.2;
         sim.run(40);
         let RetryShares { wanted, granted } = sim.retry_shares(20);
-        assert!(granted > 0.85 * wanted && granted > 0.15, "{granted} of {wanted}");
+        assert!(granted > 0.85 * wanted && granted > 0.15, "granted {granted} of {wanted} wanted");
     }
 }
 
 #[test]
-fn while_retries_fail_hardly_any_is_granted_and_the_budget_recovers_within_seconds() {
-    for rates in [uneven(8, 400.0), vec![3.0; 40]] {
+fn few_retries_are_granted_while_retries_fail_and_the_budget_recovers_within_seconds() {
+    for rates in [uneven_load(8, 400.0), vec![3.0; 40]] {
         let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
-        // The first second has what was saved, and what reports do not show yet.
+        // In the first second, routers spend what they saved, and reports do not show the failures yet.
         sim.run(4);
         let first_second = sim.retry_shares(4).granted;
         sim.run(8);
@@ -171,19 +173,22 @@
         println!(
             "model: under faults {wanted:.2} wanted, {granted:.3} granted; in the first second {first_second:.2}"
         );
-        assert!(first_second < 0.75 && wanted > 0.8 && granted < 0.12, "{first_second} {wanted} {granted}");
+        assert!(
+            first_second < 0.75 && wanted > 0.8 && granted < 0.12,
+            "first second {first_second}, then granted {granted} of {wanted} wanted"
+        );
         (sim.failure_share, sim.retry_success_share) = (0.2, 1.0);
         sim.run(12);
         let RetryShares { wanted, granted } = sim.retry_shares(4);
-        assert!(granted > 0.8 * wanted, "{granted} of {wanted}");
+        assert!(granted > 0.8 * wanted, "granted {granted} of {wanted} wanted");
     }
 }
 
 #[test]
-fn a_router_in_need_gets_what_the_others_leave() {
+fn a_router_that_needs_retries_gets_the_quota_that_the_others_do_not_need() {
     let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
-    // Router 0 alone wants retries, for each of its RPCs.
+    // Only router 0 requests retries, one for each of its RPCs.
     for _ in 0..24 {
         for _ in 0..12 {
             sim.routers[0].try_withdraw(GROUP, LOW);
@@ -192,15 +197,15 @@
         sim.run(1);
     }
     let quota = sim.routers[0].metrics().map(|group| group.quota).sum::<f64>();
-    assert!(quota > 40.0, "{quota} a second of about 48 wanted");
+    assert!(quota > 40.0, "quota of {quota} retries a second, of about 48 wanted");
     let all: f64 = sim.routers.iter().flat_map(RetryBudget::metrics).map(|group| group.quota).sum();
-    assert!(all <= 0.51 * 400.0, "{all}");
+    assert!(all <= 0.51 * 400.0, "all quotas: {all} retries a second");
 }
 
 #[test]
-fn deaths_a_partition_and_a_stall_leave_the_sum_within_the_budget() {
+fn the_sum_of_retries_stays_within_the_budget_after_deaths_a_partition_and_a_stall() {
     for seed in 0..20 {
-        let mut sim = Simulation::new(seed, uneven(12, 600.0), |_| Faulty::NotFaulty);
+        let mut sim = Simulation::new(seed, uneven_load(12, 600.0), |_| Faulty::NotFaulty);
         (sim.failure_share, sim.retry_success_share) = (0.5, 0.5);
         sim.run(16);
         (0..4).for_each(|index| sim.alive[index * 3] = false);
@@ -208,27 +213,27 @@
         sim.partitioned_at = 5;
         sim.run(16);
         sim.partitioned_at = 0;
-        // It resumes with what it had saved, and no more.
+        // Router 0 resumes after a stall. It may spend the balance that it had saved, and no more.
         sim.alive[0] = true;
         sim.run(8);
         for steps in sim.steps.windows(8) {
             let Attempts { first, retries_granted, .. } = Attempts::sum(steps);
             assert!(
                 retries_granted <= 0.5 * 1.15 * first + 12.0,
-                "seed {seed}: {retries_granted} of {first}"
+                "seed {seed}: {retries_granted} retries for {first} first attempts"
             );
         }
     }
 }
 
-/// Without the budget each failure leads to three retries.
+/// Without the budget, a failure leads to up to three retries. The shares of retries must show each deliberate fault.
 #[test]
 fn deliberate_faults_are_detected() {
-    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::GrantsEveryRetry);
+    let mut sim = Simulation::new(5, uneven_load(8, 400.0), |_| Faulty::GrantsEveryRetry);
     (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
     sim.run(24);
     assert!(sim.retry_shares(8).granted > 1.5);
-    let mut sim = Simulation::new(5, uneven(8, 400.0), |_| Faulty::NeverRefunds);
+    let mut sim = Simulation::new(5, uneven_load(8, 400.0), |_| Faulty::NeverRefunds);
     sim.run(8);
     (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
     sim.run(24);
@@ -236,7 +241,7 @@
 }
 
 #[test]
-fn the_last_of_a_low_balance_goes_to_high_priorities() {
+fn a_low_balance_is_reserved_for_high_priorities() {
     let mut sim = Simulation::new(6, vec![100.0], |_| Faulty::NotFaulty);
     (sim.failure_share, sim.retry_success_share) = (0.3, 0.5);
     sim.run(40);
@@ -251,6 +256,6 @@
             sim.run(1);
         }
     }
-    // A fifth of the withdrawals are of high priority: they get more than a fifth.
+    // A fifth of the requests have the high priority, and they get more than a fifth of the retries.
     assert!(granted_high * 4 > granted_low, "{granted_low} low, {granted_high} high");
 }
