--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -1,9 +1,9 @@
-//! Eligibility: which members may get an RPC at all, before any are compared.
+//! Eligibility: which members may get an RPC at all, before members are compared with each other.
 //!
-//! Inputs are the endpoint list, the member's failures, the expected time of its next answer, the RPC's earlier
-//! attempts, slow start and the share of reads; for a primary also its concurrency limit. The reasons are checked in
-//! the order of the code, and the log has the first that holds. How fresh a replica is, and its limit, are checked in
-//! `selection`.
+//! Eligibility depends on the endpoint list, the member's failures, the expected time of its next answer, the RPC's
+//! earlier attempts, slow start and the share of reads, and for a primary also on its concurrency limit. The reasons
+//! are checked in the order in which they stand in the code, and the log shows the first one that holds. `selection`
+//! checks whether a replica is fresh enough and below its concurrency limit.
 
 use crate::concurrency_limit;
 use crate::load::{self, LATENCY_MARGIN};
@@ -15,10 +15,12 @@
 use crate::time::Time;
 use crate::types::{EndpointState, RpcId};
 
-/// Share of the primary's concurrency limit for reads that a replica could serve: the rest is reserved for writes.
+/// The share of the primary's concurrency limit that is open to reads which a replica could serve. The rest is
+/// reserved for writes, and for reads that only the primary may serve.
 const SPILLED_READ_LIMIT_SHARE: f64 = 0.3;
 
-/// Why this RPC can't go to this member now. These reasons apply to replicas and primaries alike.
+/// Returns why this RPC can't go to this member now, or `None` if it can. These reasons apply to replicas and
+/// primaries alike.
 pub fn reason_against(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> Option<Ineligible> {
     let member = state.topology.member(index);
     let typical = state.method_of(rpc).typical;
@@ -42,8 +44,8 @@
     None
 }
 
-/// Why this RPC can't go to its group's primary now. A primary gets nothing after a single failure, as no other member
-/// can take what waits there.
+/// Returns why this RPC can't go to its group's primary now, or `None` if it can. A primary gets no RPC after a
+/// single failure, because no other member can take over the RPCs that wait there.
 pub fn reason_against_primary(
     state: &RouterState,
     now: Time,
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Gossip: updates on members that routers send each other.
+//! Gossip: updates about members that routers send to each other.
 //!
-//! A router publishes what a member has reported to it (the role, the position, the RPCs in flight) and its latency
-//! ratio, at most as often as positions need to be refreshed. Other routers use an update as if the member had reported
-//! to them, except that failures and their end count only from routers of the same zone, which share its links.
+//! A router publishes what a member has reported to it (the role, the position, the RPCs in flight) and the member's
+//! latency ratio, at most as often as positions need to be refreshed. Other routers use an update as if the member
+//! had reported to them. Failures and recoveries are an exception: they count only if they come from a router of the
+//! same zone, because routers of one zone share the links to the member.
 
 use crate::concurrency_limit;
 use crate::health_check_schedule::GOSSIP_INTERVAL_WITHOUT_PRIMARY;
@@ -19,8 +20,9 @@
 /// A report that a member is unreachable counts only while it is younger than this.
 const UNREACHABLE_VALID_FOR: Span = Span::from_millis(1000);
 
-/// Publishes what a member has reported to this router, unless an update on it was published or received recently.
-/// `at`: its position, or when it showed its role. `latency_ratio`: 0 where unknown.
+/// Publishes what a member has reported to this router, unless an update about the member was published or received
+/// recently. `at` is the member's position, or the time at which it showed its role. `latency_ratio` is 0 where it is
+/// unknown.
 pub fn publish(
     state: &mut RouterState,
     now: Time,
@@ -44,7 +46,7 @@
     }
 }
 
-/// Records the role that a member has shown to this router. A new primary is published at once.
+/// Records the role that a member has shown to this router at the time `at`. A new primary is published at once.
 pub fn record_role_and_publish(state: &mut RouterState, now: Time, index: usize, role: Role, at: Time) {
     let before = state.topology.group_of(index).primary;
     primary::record_role(state, index, role, at);
@@ -55,8 +57,8 @@
     }
 }
 
-/// Takes an update from another router. Members that no list has named stay unknown, and no true report is ahead of
-/// the clock.
+/// Applies an update from another router. An update about a member that no list has named is ignored, and so is one
+/// that is ahead of the members' clock, because no correct report can be.
 pub fn on_peer_update(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     if !state.topology.contains(update.member) || update.at > state.latest_time_of_members_clock(now) {
         return;
@@ -70,7 +72,8 @@
     record_report(state.topology.member_mut(index), now, update, role);
     concurrency_limit::update_read_share(state, now, index);
     if update.latency_ratio > 0.0 {
-        // The attempt was sent before the answer was published: a limit that was reduced since stays as it is.
+        // The update does not contain when the attempt was sent, so its send time is estimated. A limit that was
+        // reduced since then stays as it is.
         let sent_at = now - load::min_typical_latency(state) * update.latency_ratio;
         concurrency_limit::follow_latency(state, now, index, sent_at, ObservedBy::Peer);
     }
@@ -83,20 +86,20 @@
     primary::record_role(state, index, role, update.at);
 }
 
-/// Another router could not reach the member. That counts as one failure for routers of its zone, if it is recent and
-/// this router has received nothing from the member since.
+/// Records that another router could not reach the member. For routers of the same zone this counts as one failure,
+/// if the report is recent and this router has received nothing from the member since.
 fn record_unreachable(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     let age = state.latest_time_of_members_clock(now) - update.at;
     let index = update.member.0 as usize;
     let member = state.topology.member_mut(index);
-    // What one router has published need not be published by this one too.
+    // Another router has published this already, so this router need not publish it again.
     member.unreachable_published_at = now;
     if update.same_zone && age < UNREACHABLE_VALID_FOR && member.silent_since < update.at {
         outlier_ejection::record_failure(state, now, index, ObservedBy::Peer);
     }
 }
 
-/// Records what another router reports of a member's load and position.
+/// Records the load and the position of a member that another router has reported.
 fn record_report(member: &mut Member, now: Time, update: &MemberUpdate, role: Role) {
     member.published_position = member.published_position.max(update.at);
     member.published_at = now;
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -1,7 +1,7 @@
 //! Health checks: sending those that are due, and recording their results.
 //!
-//! A check shows that a member is up. Where the deployment has load reports, it also shows the member's role, its
-//! position and how many RPCs it has in flight. When checks are due is decided in `health_check_schedule`.
+//! A check shows that a member is up. Where the deployment has load reports, the check also shows the member's role,
+//! its position and how many RPCs it has in flight. `health_check_schedule` decides when checks are due.
 
 use crate::concurrency_limit;
 use crate::gossip;
@@ -13,10 +13,10 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, EndpointState, LoadReport, MemberId, MemberObservation, Role};
 
-/// A check without a result counts as failed after this.
+/// A check that has no result after this time counts as failed.
 const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(1500);
 
-/// Sends the checks that are due, and fails those that have timed out.
+/// Sends the checks that are due, and counts those that have timed out as failures.
 pub fn send_due_checks(state: &mut RouterState, now: Time) {
     state.next_health_check_at = now + MIN_ROUND;
     for index in 0..state.topology.members.len() {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Fails a check of this member that has timed out, and sends one where it is due.
+/// Counts a failure if a check of this member has timed out, and sends a check if one is due.
 fn check_member(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member_mut(index);
     if member.health_check_sent_at.is_some_and(|sent_at| now - sent_at > HEALTH_CHECK_TIMEOUT) {
@@ -39,7 +39,8 @@
     let interval = health_check_schedule::check_interval(state, now, index);
     let shares_health_checks = state.deployment.shares_health_checks();
     let member = state.topology.member_mut(index);
-    // The round may have become shorter. A shared round goes by turns from the first check on.
+    // The round may have become shorter since the check was scheduled. Without shared checks, a member that was never
+    // in contact is checked at once. With shared checks, its first check keeps its time slot.
     let last_contact_at = member.last_health_check_at.max(member.reported_at);
     if last_contact_at != Time::NEVER || !shares_health_checks {
         member.next_health_check_at = member.next_health_check_at.min(last_contact_at + interval);
@@ -57,7 +58,7 @@
     state.next_health_check_at = state.next_health_check_at.min(next_event_at);
 }
 
-/// A check has ended.
+/// Records the result of a health check.
 pub fn on_ended(
     state: &mut RouterState,
     now: Time,
@@ -77,13 +78,14 @@
             outlier_ejection::record_success(state, now, index);
             record_report(state, now, index, latency, report);
         }
-        // It is up, but rejects further checks, or has nothing to report yet.
+        // The member is up, but rejects further checks, or has nothing to report yet.
         AttemptOutcome::Ok | AttemptOutcome::Rejected => {
             outlier_ejection::record_success(state, now, index);
         }
-        // The connection broke, or the answer could not be read: something did answer.
+        // The connection broke, or the answer could not be read. This is not counted as a failure, because something
+        // did answer.
         AttemptOutcome::ConnectionLost => health_check_schedule::request_check(state, now, index),
-        // This router had no descriptor for it, which is no sign about the member.
+        // This router had no file descriptor for the check, which shows nothing about the member.
         AttemptOutcome::NeverSent => {
             health_check_schedule::set_next_check(state, index, now + RECHECK_AFTER);
         }
@@ -110,7 +112,8 @@
     let at = report.position.unwrap_or(sent_at);
     match report.is_primary {
         Some(true) => gossip::record_role_and_publish(state, now, index, Role::Primary, at),
-        // Positions never go back: one from before the member was seen as primary is an old report, not a new role.
+        // Positions never decrease. A position from before the member was seen as primary comes from an old report,
+        // and shows no new role.
         Some(false) if report.position.is_none_or(|at| at >= member.primary_seen_at) => {
             gossip::record_role_and_publish(state, now, index, Role::Replica, at);
         }
@@ -126,7 +129,8 @@
     if state.deployment.gossip {
         concurrency_limit::update_read_share(state, now, index);
     }
-    // Reports may be delayed. The primary's own position is the present, so its age shows by how much.
+    // Reports may be delayed. The primary's own position is always current, so the age of the position that it
+    // reports shows the delay.
     let primary = state.topology.group_of(index).primary;
     let report_delay =
         primary.map(|index| state.topology.member(index).reported_position_age.unwrap_or(Span::ZERO));
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -1,9 +1,9 @@
-//! When each member's next health check is due, and how routers share them.
+//! The schedule of health checks: when each member's next check is due, and how routers share the checks.
 //!
-//! A router that shares no results checks each member periodically, more seldom the fewer RPCs it accepts. Routers
-//! that exchange gossip share one round: each has a turn for a member, ordered by a hash that all of them know, and a
-//! result that arrives by gossip puts the others' checks off. Apart from the round, a check of a member may be
-//! requested when an RPC waits for its report.
+//! A router that shares no results checks each member periodically. The fewer RPCs it accepts, the less often it does
+//! so. Routers that exchange gossip share one round. Each of them has a time slot for each member, in an order given
+//! by a hash that all of them compute alike, and a result that arrives by gossip postpones the checks by the others.
+//! In addition to the round, a check of a member may be requested when an RPC waits for the member's report.
 
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
 use crate::staleness::position_refresh_interval;
@@ -12,49 +12,54 @@
 use crate::time::{Span, Time};
 use nanorand::{Rng, WyRand};
 
-/// The shortest and the longest time for a round of periodic checks, one of each listed member.
+/// The shortest time for a round of periodic checks. A round has one check of each listed member.
 pub const MIN_ROUND: Span = Span::from_millis(1000);
+/// The longest time for a round of periodic checks.
 const MAX_ROUND: Span = Span::from_millis(60_000);
-/// Between these, a round is as long as it takes to send no more checks than this for each RPC accepted.
+/// Between `MIN_ROUND` and `MAX_ROUND`, a round takes as long as is needed to send at most this many checks for each
+/// RPC accepted.
 const MAX_CHECKS_PER_RPC: f64 = 0.2;
-/// The interval between two checks of a member is the round times a random factor: the first, and up to the second
-/// more.
+/// The interval between two checks of a member is the round multiplied by a random factor. The factor is at least
+/// `MIN_ROUND_JITTER`, and exceeds it by at most `ROUND_JITTER_RANGE`.
 const MIN_ROUND_JITTER: f64 = 0.75;
 const ROUND_JITTER_RANGE: f64 = 0.5;
-/// Length of one router's turn in a shared round.
+/// Duration of one router's time slot in a shared round.
 const TURN_LENGTH: Span = Span::from_millis(50);
-/// A member is not checked again on request within this.
+/// A member is not checked again on request within this time.
 const MIN_REQUEST_INTERVAL: Span = Span::from_millis(200);
-/// A member whose check failed, or was not sent, is checked again after this. The time is doubled for each further
-/// failure, by at most so many doublings.
+/// A member whose check failed or was not sent is checked again after this time. The time is doubled for each further
+/// consecutive failure.
 pub const RECHECK_AFTER: Span = Span::from_millis(500);
+/// The time until the next check is doubled at most this many times.
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
-/// A read whose replicas have no recent report waits this long for the check of the next one.
+/// A read for which no replica has a recent report waits this long for the check of one of them.
 pub const HEALTH_CHECK_WAIT: Span = Span::from_millis(60);
-/// How long RPCs are pending for the first results at a router that has just started.
+/// At a router that has just started, RPCs wait up to this long for the first results.
 const FIRST_RESULTS_WAIT: Span = Span::from_millis(300);
-/// Interval of gossip about a member of a group without a primary.
+/// An update about a member of a group without a primary may be published again after this time, or after the refresh
+/// interval of positions if that is shorter.
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
-/// Routers that want a report spread their requests over so many times `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
+/// Routers that want a report spread their requests over this many times `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
 const REQUEST_SPREAD_INTERVALS: f64 = 4.0;
 const NANOS_PER_MS: i64 = 1_000_000;
-/// Where a member's id hash stands among the bits that choose the first router to check it.
+/// A member's id hash is shifted left by this many bits in the seed that determines which router checks the member
+/// first.
 const ID_HASH_SHIFT: u32 = 20;
 
-/// Is the router so young that first results are still to come?
+/// Has the router started so recently that first results may still arrive?
 pub fn awaits_first_results(state: &RouterState, now: Time) -> bool {
     now - state.started_at < FIRST_RESULTS_WAIT
 }
 
-/// Until when a read waits for a check that was sent at `sent_at`. A router that has just started waits for the first
-/// results of its replicas too, or its first reads would all go to the primary.
+/// The time until which a read waits for a check that was sent at `sent_at`. A router that has just started also
+/// waits for the first results of its replicas. Otherwise its first reads would all go to the primary.
 fn wait_deadline(state: &RouterState, member: &Member, sent_at: Time) -> Time {
     let never_reported = member.reported_at == Time::NEVER;
     let first_results_due = if never_reported { state.started_at + FIRST_RESULTS_WAIT } else { Time::NEVER };
     first_results_due.max(sent_at + HEALTH_CHECK_WAIT)
 }
 
-/// Is a check of this member in progress, or due, that a read should wait for?
+/// Is a check of this member in progress or due, so that a read should wait for its result?
 pub fn result_is_expected(state: &RouterState, now: Time, member: &Member) -> bool {
     match member.health_check_sent_at {
         Some(sent_at) => now < wait_deadline(state, member, sent_at),
@@ -62,7 +67,7 @@
     }
 }
 
-/// How long a round of periodic checks takes.
+/// The duration of a round of periodic checks.
 fn round_duration(state: &RouterState, now: Time) -> Span {
     let measured_secs = RECENT_BUCKET.secs() * ALL_BUCKETS as f64;
     let checks_per_sec = state.accepted.totals(now, ALL_BUCKETS).count / measured_secs * MAX_CHECKS_PER_RPC;
@@ -80,20 +85,22 @@
     (round + TURN_LENGTH * turn_of_this_router(state, index)).min(MAX_ROUND)
 }
 
-/// The turn of this router to check a member, from 0. It changes with each report that is passed on.
+/// The number of this router's time slot for the check of a member, from 0. It changes with each report that is
+/// published.
 fn turn_of_this_router(state: &RouterState, index: usize) -> f64 {
     let member = state.topology.member(index);
-    // All routers that received the member's last report agree on this number.
+    // All routers that received the member's last report compute the same seed.
     let position_ms = (member.published_position.nanos() / NANOS_PER_MS) as u64;
     let agreed = position_ms ^ (u64::from(member.id_hash) << ID_HASH_SHIFT);
-    // Halved so that the sum with the router's index can't overflow.
+    // The value is halved so that adding the router's index can't overflow.
     let first_router = WyRand::new_seed(agreed).generate::<u64>() / 2;
     ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
 }
 
-/// From when on a check of this member may be requested. A report that another router receives comes by gossip
-/// soon, so those that want one request it by turns. A member that answered its last check without a report has none
-/// for a while: reads must not wait for it until they time out.
+/// The earliest time at which a check of this member may be requested. A report that another router receives arrives
+/// by gossip soon, so the routers that want one make their requests one after another. After a check without a
+/// report, no check is requested for `MIN_REQUEST_INTERVAL`, because reads must not wait for such a member until they
+/// time out.
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
     let member = state.topology.member(index);
     let by_gossip = if state.deployment.gossip {
@@ -109,7 +116,7 @@
     (member.reported_at + by_gossip).max(no_request_before)
 }
 
-/// Makes a check of this member due, though not more often than it can report anything new.
+/// Makes a check of this member due, but not before the member can report anything new.
 pub fn request_check(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member(index);
     let earliest = next_request_at(state, index).max(member.last_health_check_at + MIN_REQUEST_INTERVAL);
@@ -128,8 +135,8 @@
     }
 }
 
-/// Schedules the next check of a member that failed so many times in a row. Where routers exchange gossip, an ejected
-/// member is checked once a round at most: the other routers check it too.
+/// Schedules the next check of a member after this many consecutive failures. Where routers exchange gossip, an
+/// ejected member is checked at most once per round, because the other routers check it too.
 pub fn schedule_recheck(state: &mut RouterState, now: Time, index: usize, failures: u32, is_ejected: bool) {
     let backoff = RECHECK_AFTER * f64::from(1 << (failures - 1).min(MAX_RECHECK_DOUBLINGS));
     let shared_round = if state.deployment.gossip { round_duration(state, now) } else { Span::ZERO };
@@ -137,7 +144,7 @@
     set_next_check(state, index, now + wait);
 }
 
-/// Sets when the next check of a member is due, and sees to it that the schedule is looked at by then.
+/// Sets when the next check of a member is due, and makes sure that the router looks for due checks by then.
 pub fn set_next_check(state: &mut RouterState, index: usize, due: Time) {
     state.topology.member_mut(index).next_health_check_at = due;
     state.next_health_check_at = state.next_health_check_at.min(due);
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -1,9 +1,9 @@
 //! How busy a member is, as this router sees it.
 //!
-//! Inputs are the attempts in flight, the answers and failures of the last seconds, and load reports. Answer times are
-//! compared as latency ratios: the time of an answer over the typical time of its method, so 1 means as quick as
-//! without load. The least loaded eligible member is selected; silence and failures count as load, so that a member
-//! that fails fast or has stalled does not look idle.
+//! The load of a member depends on the attempts in flight, the answers and failures of the last seconds, and load
+//! reports. Answer times are compared as latency ratios. A latency ratio is the time of an answer divided by the
+//! typical answer time of its method, so 1 means as quick as without load. The least loaded eligible member is
+//! selected. Silence and failures count as load, so that a member that fails fast or has stalled does not look idle.
 
 use crate::sliding_window::{DEFAULT_BUCKETS, WindowTotals};
 use crate::state::latency::MethodLatency;
@@ -14,56 +14,61 @@
 
 /// Width of a bucket in which answers and failures are counted.
 pub const RECENT_BUCKET: Span = Span::from_millis(500);
-/// How many buckets of `RECENT_BUCKET` cover the last second, and the last two.
+/// Number of buckets of `RECENT_BUCKET` that cover the last second.
 pub const LAST_SECOND: usize = 2;
+/// Number of buckets of `RECENT_BUCKET` that cover the last two seconds.
 pub const LAST_TWO_SECONDS: usize = 4;
-/// All buckets of a window: 4 s of `RECENT_BUCKET`, 20 s of a zone's answers, 40 s of a method's.
+/// All buckets of a window: 4 s of `RECENT_BUCKET`, 20 s of a zone's answers, 40 s of a method's answers.
 pub const ALL_BUCKETS: usize = DEFAULT_BUCKETS;
 
 /// Width of a bucket of a method's answer times.
 const TYPICAL_LATENCY_BUCKET: Span = Span::from_millis(5000);
-/// Answers that a bucket needs before its mean may be the typical time.
+/// A bucket needs this many answers before its mean may be used as the typical answer time.
 const TYPICAL_LATENCY_MIN_ANSWERS: f64 = 8.0;
-/// The typical time is at most this share of the soft deadline: congestion since the start must not pass for typical.
+/// The typical answer time is at most this share of the soft deadline, so that congestion which has lasted since the
+/// router's start is not taken to be typical.
 const MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE: f64 = 0.2;
-/// The typical time is at least this share of a tick: shorter times are not distinguished.
+/// The typical answer time is at least this share of a tick, because shorter times are not distinguished.
 const MIN_TYPICAL_SHARE_OF_TICK: f64 = 0.2;
 
-/// Answer times vary: this multiple of the typical time must fit where an answer has to be in time.
+/// Answer times vary. Where an answer must be in time, the time left must allow this multiple of the typical one.
 pub const LATENCY_MARGIN: f64 = 1.5;
-/// A member is silent, or an answer overdue, after this multiple of the typical time.
+/// A member counts as silent, and an answer as overdue, after this multiple of the typical answer time.
 pub const SILENT_AFTER_TYPICAL_LATENCIES: f64 = 3.0;
-/// A failed attempt counts as so many attempts in flight.
+/// A failed attempt counts as this many attempts in flight.
 const FAILURE_LOAD: f64 = 2.0;
-/// An attempt counts as lost in transit if it takes this multiple of the typical time while later ones are answered.
+/// An attempt counts as lost in transit if it takes this multiple of the typical answer time while later attempts are
+/// answered.
 const LOST_AFTER_TYPICAL_LATENCIES: f64 = 12.0;
-/// Load reports count for this long.
+/// Load reports are used for this long.
 const LOAD_REPORT_VALID_FOR: Span = Span::from_millis(2000);
-/// What is assumed of a kind of machine before its members have answered: so many answers, with latency ratios of this
-/// sum, so 4/3 on average.
+/// The latency ratio of a kind of machine is estimated from its answers and a few assumed ones. This is the sum of
+/// the assumed latency ratios.
 const KIND_PRIOR_RATIO_SUM: f64 = 4.0;
+/// The number of the assumed answers. Their mean latency ratio is 4/3.
 const KIND_PRIOR_ANSWERS: f64 = 3.0;
-/// A prior estimate weighs as much as so many answers of the member itself.
+/// A prior estimate has the weight of this many answers of the member itself.
 const PRIOR_WEIGHT_ANSWERS: f64 = 3.0;
 
 /// The router's own zone.
 pub const OWN_ZONE: u32 = 0;
-/// Width of a bucket of the answer times of a zone.
+/// Width of a bucket of a zone's answer times.
 const ZONE_LATENCY_BUCKET: Span = Span::from_millis(2500);
 /// The first of a member's consecutive failures counts as an answer with this latency ratio for its zone.
 const ZONE_FAILURE_LATENCY_RATIO: f64 = 8.0;
 
-/// A member is congested above this latency ratio, and no longer so after an answer at or below the second.
+/// A member is congested above this latency ratio.
 const CONGESTED_LATENCY_RATIO: f64 = 2.0;
+/// A congested member has recovered after an answer with this latency ratio or a lower one.
 const RECOVERED_LATENCY_RATIO: f64 = 1.2;
 
-/// What is assumed of a method before anything is measured.
+/// The assumed latency of a method before any answer is measured.
 pub fn initial_method_latency(method: &Method) -> MethodLatency {
     let typical = method.soft_deadline * MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE;
     MethodLatency::new(method, typical, TYPICAL_LATENCY_BUCKET)
 }
 
-/// The load of a member, in attempts: those in flight, and what recent failures and silence add.
+/// The load of a member, in attempts: the attempts in flight, and what recent failures and silence add to them.
 pub fn member_load(state: &RouterState, now: Time, member: &Member) -> f64 {
     let silent_for = if member.open_attempts.is_empty() { Span::ZERO } else { now - member.silent_since };
     let silent_latencies = silent_for.secs() / min_typical_latency(state).secs().max(1e-4);
@@ -72,9 +77,9 @@
     attempts_in_flight(state, now, member) + failures * FAILURE_LOAD + silence_load
 }
 
-/// Attempts of this router in flight at a member, without those that were lost in transit.
+/// The number of this router's attempts in flight at a member, without those that were lost in transit.
 pub fn attempts_in_flight(state: &RouterState, now: Time, member: &Member) -> f64 {
-    // Younger attempts can't be lost by any method's typical time; they are not looked at.
+    // Attempts younger than this are not lost by any method's typical answer time, so they are not examined.
     let min_age = min_typical_latency(state) * LOST_AFTER_TYPICAL_LATENCIES;
     let may_be_lost = member.open_attempts.iter().take_while(|attempt| {
         now - attempt.sent_at > min_age && attempt.sent_at < member.latest_answered_attempt
@@ -83,15 +88,16 @@
     (member.open_attempts.len() - lost) as f64
 }
 
-/// Was this attempt lost in transit? It is long overdue though a later one was answered: no sign of congestion.
+/// Was this attempt lost in transit? It was if it is long overdue although a later attempt was answered. This is no
+/// sign of congestion.
 pub fn is_lost(state: &RouterState, now: Time, member: &Member, attempt: OpenAttempt) -> bool {
     let typical = state.methods[attempt.method as usize].typical;
     attempt.sent_at < member.latest_answered_attempt
         && now - attempt.sent_at > typical * LOST_AFTER_TYPICAL_LATENCIES
 }
 
-/// The latency ratio of a member over the last buckets of `RECENT_BUCKET`. The fewer answers it has given, the more
-/// those of all members with its kind of machine count.
+/// The latency ratio of a member over the given number of buckets of `RECENT_BUCKET`. The fewer answers the member
+/// has given, the more the answers of all members with its kind of machine count.
 pub fn latency_ratio(state: &RouterState, now: Time, member: &Member, buckets: usize) -> f64 {
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
     let of_kind = state
@@ -103,16 +109,18 @@
     (sum + PRIOR_WEIGHT_ANSWERS * prior) / (count + PRIOR_WEIGHT_ANSWERS)
 }
 
-/// The latency ratio to expect of the next answer: the member's own, and at least that of the link to its zone.
+/// The latency ratio to expect of the next answer: that of the member itself, and at least that of the link to its
+/// zone.
 pub fn expected_latency_ratio(state: &RouterState, now: Time, member: &Member) -> f64 {
-    // An idle member has no new answers to show that it has recovered: old ones count for a shorter time.
+    // An idle member gives no new answers that could show its recovery, so old answers count for a shorter time.
     let buckets = if member.open_attempts.is_empty() { LAST_SECOND } else { LAST_TWO_SECONDS };
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
     let own = (sum + PRIOR_WEIGHT_ANSWERS * reported_overload(now, member)) / (count + PRIOR_WEIGHT_ANSWERS);
     own.max(zone_latency_ratio(state, now, member.zone))
 }
 
-/// Answer times of another zone over those of the router's own: above 1 where the link is slow or loses messages.
+/// The latency ratio of another zone divided by that of the router's own zone. It is above 1 where the link is slow
+/// or loses messages.
 pub fn zone_latency_ratio(state: &RouterState, now: Time, zone: u32) -> f64 {
     if zone == OWN_ZONE {
         return 1.0;
@@ -120,14 +128,15 @@
     mean_latency_ratio_of_zone(state, now, zone) / mean_latency_ratio_of_zone(state, now, OWN_ZONE).max(1.0)
 }
 
-/// The mean latency ratio of a zone's members; without answers it is 1.
+/// The mean latency ratio of a zone's members, or 1 without answers.
 fn mean_latency_ratio_of_zone(state: &RouterState, now: Time, zone: u32) -> f64 {
     let window = state.topology.zone_latency(zone);
     let totals = window.map_or(WindowTotals::default(), |window| window.totals(now, ALL_BUCKETS));
     (totals.sum + PRIOR_WEIGHT_ANSWERS) / (totals.count + PRIOR_WEIGHT_ANSWERS)
 }
 
-/// The RPCs in flight at a member over what it works on at once, by a recent load report; 1 at the least.
+/// The RPCs in flight at a member divided by the number that it works on at once, by a recent load report. The result
+/// is at least 1.
 fn reported_overload(now: Time, member: &Member) -> f64 {
     if now - member.reported_at < LOAD_REPORT_VALID_FOR {
         member.reported_utilization().unwrap_or(1.0).max(1.0)
@@ -136,17 +145,17 @@
     }
 }
 
-/// The least typical answer time of any method.
+/// The shortest typical answer time of any method.
 pub fn min_typical_latency(state: &RouterState) -> Span {
     state.methods.iter().map(|method| method.typical).min().unwrap_or(Span::ZERO)
 }
 
-/// Records a first failure of a member against its zone.
+/// Records the first of a member's consecutive failures against its zone.
 pub fn record_zone_failure(state: &mut RouterState, now: Time, zone: u32) {
     state.topology.zone_latency_mut(zone, ZONE_LATENCY_BUCKET).record(now, ZONE_FAILURE_LATENCY_RATIO);
 }
 
-/// Records the time of an answer. Returns its latency ratio.
+/// Records the time of an answer, and returns its latency ratio.
 pub fn record_answer(
     state: &mut RouterState,
     now: Time,
@@ -156,7 +165,7 @@
 ) -> f64 {
     let typical_secs = update_typical_latency(state, now, attempt.method, latency);
     let ratio = latency.secs() / typical_secs.max(1e-6);
-    // One quick answer shows that congestion is over, which the window would remember for longer.
+    // One quick answer shows that congestion is over, although the window would still count the slow answers.
     let has_recovered = ratio <= RECOVERED_LATENCY_RATIO
         && latency_ratio(state, now, state.topology.member(index), LAST_TWO_SECONDS)
             > CONGESTED_LATENCY_RATIO;
@@ -173,7 +182,8 @@
     ratio
 }
 
-/// Records an answer to a method. Returns the method's typical answer time in seconds, unrounded.
+/// Records the time of an answer to a method. Returns the method's typical answer time in seconds, without the
+/// rounding to nanoseconds.
 fn update_typical_latency(state: &mut RouterState, now: Time, method: u32, latency: Span) -> f64 {
     let min = state.deployment.tick.secs() * MIN_TYPICAL_SHARE_OF_TICK;
     let method = &mut state.methods[method as usize];
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -1,9 +1,9 @@
-//! Outlier ejection: members that fail several times in a row get nothing until they answer again.
+//! Outlier ejection: a member that fails several times in a row gets no RPCs until it answers again.
 //!
-//! A failure is a health check that failed, a connection that was not established or broke before a whole query was
-//! written, or the report of one by another router. A connection that broke later is none: the member may have run the
-//! query. Any answer that shows the member to be up readmits it. One that was away for long is taken to have started anew, and begins with
-//! a slow start.
+//! A failure is a failed health check, a connection that was not established or broke before a whole query was
+//! written, or the report of such a failure by another router. A connection that breaks later is not a failure,
+//! because the member may have run the query. Any answer that shows the member to be up readmits it. A member that
+//! was away for long is assumed to have restarted, and begins with a slow start.
 
 use crate::health_check_schedule;
 use crate::load;
@@ -12,19 +12,19 @@
 use crate::time::{Span, Time};
 use crate::types::{MemberObservation, MemberUpdate};
 
-/// Consecutive failures after which a member is ejected.
+/// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// A member that is readmitted after a longer absence has started anew.
+/// A member that is readmitted after a longer absence than this is assumed to have restarted.
 const RESTARTED_AFTER_ABSENCE: Span = Span::from_millis(1000);
-/// That a member is unreachable is published at most this often.
+/// This router publishes at most this often that a member is unreachable.
 const UNREACHABLE_GOSSIP_INTERVAL: Span = Span::from_millis(1000);
 
-/// Does a member get nothing, since it has failed too many times in a row?
+/// Has the member failed so many times in a row that it gets no RPCs?
 pub fn is_ejected(member: &Member) -> bool {
     member.consecutive_failures >= FAILURES_TO_EJECT
 }
 
-/// Ends the failures of a member that has shown to be up.
+/// Resets the consecutive failures of a member that has shown that it is up.
 pub fn record_success(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member_mut(index);
     if is_ejected(member) {
@@ -38,7 +38,8 @@
     member.silent_since = now;
 }
 
-/// Counts a failure. One that this router saw itself is published, and the member is checked again soon.
+/// Counts a failure of a member. If this router observed the failure itself, it publishes the failure and checks the
+/// member again soon.
 pub fn record_failure(state: &mut RouterState, now: Time, index: usize, observed_by: ObservedBy) {
     let member = state.topology.member_mut(index);
     if member.consecutive_failures == 0 {
@@ -68,8 +69,8 @@
     }
 }
 
-/// Ends the failures of members whose next check would be due. For routers without health checks: an attempt takes
-/// the place of the check.
+/// Resets the failures of members whose next check would be due. This is for routers without health checks, where an
+/// attempt takes the place of the check.
 pub fn expire_failures(state: &mut RouterState, now: Time) {
     let members = state.topology.members.iter_mut().flatten();
     members
--- a/crates/ladderpass-routing/src/position.rs
+++ b/crates/ladderpass-routing/src/position.rs
@@ -1,10 +1,12 @@
-//! Positions that a member has proven: by a health check, by an answer, or to another router that passed it on.
+//! Positions that a member has proven. A member proves its position by a health check, by an answer, or to another
+//! router that has published the position.
 
 use crate::health_check_schedule;
 use crate::state::router_state::RouterState;
 use crate::time::Time;
 
-/// Records a position. It never goes back, and stays true however late it comes.
+/// Records a position that a member has reported. The recorded position never decreases. A position stays valid
+/// however late its report arrives.
 pub fn record_position(state: &mut RouterState, now: Time, index: usize, position: Time) {
     let check_interval = health_check_schedule::check_interval(state, now, index);
     let member_time = state.latest_time_of_members_clock(now);
@@ -14,7 +16,7 @@
         member.position_advanced_at = now;
     }
     member.reported_at = now;
-    // The report saves a health check.
+    // The report takes the place of a health check.
     member.next_health_check_at = member.next_health_check_at.max(now + check_interval);
     member.lag = member.lag.map(|lag| lag.min(member_time - member.position));
 }
--- a/crates/ladderpass-routing/src/primary.rs
+++ b/crates/ladderpass-routing/src/primary.rs
@@ -1,15 +1,15 @@
-//! Which member is a group's primary.
+//! The choice of a group's primary among the group's members.
 //!
-//! What a member shows of its own role outweighs the endpoint list, which may be seconds late. Of several members that
-//! have shown to be primary, the latest wins, unless it has shown to be a replica since. Times are those of the
-//! members' clock.
+//! What a member shows of its own role takes precedence over the endpoint list, which may be seconds late. Of several
+//! members that have shown themselves to be primary, the one that did so last is chosen, unless it has shown itself
+//! to be a replica since. All times are those of the members' clock.
 
 use crate::state::member::Member;
 use crate::state::router_state::RouterState;
 use crate::time::Time;
 use crate::types::{EndpointState, Role};
 
-/// Records that a member has shown its role, as of then.
+/// Records the role that a member has shown, as of the time `at`.
 pub fn record_role(state: &mut RouterState, index: usize, role: Role, at: Time) {
     let member = state.topology.member_mut(index);
     match role {
@@ -23,7 +23,7 @@
     update_primary(state, group);
 }
 
-/// Finds the primary of a group by the present evidence, and logs a change.
+/// Determines the primary of a group from the present evidence, and logs a change.
 pub fn update_primary(state: &mut RouterState, group: usize) {
     let topology = &state.topology;
     let candidates =
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -1,61 +1,65 @@
-//! How far the router's clock may differ from the members' clock, by the positions that members report.
+//! Determines how far the router's clock may differ from the members' clock, from the positions that members report.
 //!
-//! A router reads its wall clock once, at its start, and goes by the monotonic clock from there; one that starts while
-//! its wall clock is stepped is wrong for good. A position is a point in time that has passed. One that is ahead of the
-//! router's clock shows that the clock is behind, and the newest of all bounds how far it can be ahead. Errors are on
-//! the safe side: a clock that may be behind requires newer positions, and one that may be ahead takes members in slow
-//! start to be younger. This module reads no clock, and decides nothing about an RPC.
+//! A router reads its wall clock once, at its start, and uses the monotonic clock from then on. A router that starts
+//! while its wall clock is stepped keeps that error for as long as it runs. A position is a point in time that has
+//! passed. A position that is ahead of the router's clock shows that the clock is behind, and the newest position of
+//! all bounds how far the clock can be ahead. Errors are on the safe side: a clock that may be behind requires newer
+//! positions, and with a clock that may be ahead, members in slow start are taken to be younger. This module reads no
+//! clock and makes no decision about RPCs.
 
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
-/// Clocks that differ by less than this count as the same; positions are reported in whole milliseconds.
+/// Clocks that differ by less than this are taken to be equal. Positions are reported in whole milliseconds.
 const SAME_CLOCK_WITHIN: Span = Span::from_millis(50);
-/// So many positions that agree within the second value confirm how far the clock is behind: a single one may be
-/// corrupt.
+/// This many positions that agree confirm how far the clock is behind. A single position may be corrupt.
 const POSITIONS_TO_CONFIRM: usize = 3;
+/// A position supports a later one if it was at most this much less ahead of the clock, or further ahead.
 const POSITIONS_AGREE_WITHIN: Span = Span::from_millis(250);
-/// A position ahead of the clock that no others confirm counts for this long.
+/// A position ahead of the clock that no others confirm is used for this long.
 const UNCONFIRMED_VALID_FOR: Span = Span::from_millis(3000);
+/// Largest number of positions ahead of the clock that are stored.
 const MAX_LEADS_KEPT: usize = 32;
-/// A position that is further ahead is corrupt.
+/// A position that is further ahead than this is corrupt.
 const MAX_LEAD: Span = Span::from_millis(86_400_000);
-/// Positions may be this old without the clock being ahead.
+/// A position may be this old when it is reported, without the clock being ahead.
 const MAX_REPORT_AGE: Span = Span::from_millis(1000);
 
 /// How far the router's clock may differ from the members'.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// It may be behind by this.
+    /// The router's clock may be behind by this.
     pub behind: Span,
-    /// It may be ahead by this.
+    /// The router's clock may be ahead by this.
     pub ahead: Span,
 }
 
-/// A position that was ahead of the clock.
+/// A position that was ahead of the router's clock when it was reported.
 #[derive(Clone, Copy, Debug)]
 struct Lead {
     reported_at: Time,
     lead: Span,
 }
 
-/// Compares the clock with the positions that members report.
+/// Compares the router's clock with the positions that members report.
 #[derive(Debug)]
 pub struct ReferenceClock {
     leads: VecDeque<Lead>,
+    /// How far the clock is behind, as confirmed by several positions.
     confirmed: Span,
-    /// Least age of a position when it was reported; none before the first one.
+    /// Least age that a position had when it was reported, or `None` before the first one.
     min_report_age: Option<Span>,
 }
 
 impl ReferenceClock {
-    /// `positions_expected`: members report positions, so that some are to come.
+    /// Creates a comparison without any positions. `positions_expected` means that members report positions. The
+    /// clock may then be ahead by any amount until the first one is reported.
     pub fn new(positions_expected: bool) -> ReferenceClock {
         let min_report_age = (!positions_expected).then_some(Span::ZERO);
         ReferenceClock { leads: VecDeque::new(), confirmed: Span::ZERO, min_report_age }
     }
 
-    /// A member has just reported this position.
+    /// Records a position that a member has just reported.
     pub fn record_position(&mut self, now: Time, position: Time) {
         let lead = position - now;
         if lead > MAX_LEAD {
@@ -76,7 +80,7 @@
         }
     }
 
-    /// The difference that the positions reported so far, and within the last seconds, allow.
+    /// The possible difference, by the confirmed positions and by the unconfirmed ones of the last seconds.
     pub fn difference(&self, now: Time) -> ClockDifference {
         let recent = self.leads.iter().filter(|lead| now - lead.reported_at <= UNCONFIRMED_VALID_FOR);
         let unconfirmed = recent.map(|lead| lead.lead).max().unwrap_or(Span::ZERO);
@@ -87,7 +91,7 @@
         }
     }
 
-    /// How far the clock is behind for certain.
+    /// How far the clock is certainly behind.
     pub fn confirmed(&self) -> Span {
         self.confirmed
     }
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -1,35 +1,36 @@
-//! A sliding window: counts and sums over the last buckets of time, each of which is reused in turn.
+//! A sliding window: the number and the sum of the values that were recorded in the most recent buckets of time. The
+//! buckets are reused in turn.
 
 use crate::time::{Span, Time};
 
-/// Buckets of a window whose type names no other number.
+/// Number of buckets of a window whose type gives no other number.
 pub const DEFAULT_BUCKETS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// Which multiple of the width it stands for.
+    /// The start of the bucket, as a multiple of the width.
     number: i64,
     count: f64,
     sum: f64,
 }
 
-/// How many amounts were recorded over some buckets, and their sum.
+/// The number and the sum of the values that were recorded in some buckets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowTotals {
-    /// Amounts recorded.
+    /// Number of the values.
     pub count: f64,
-    /// Their sum.
+    /// Sum of the values.
     pub sum: f64,
 }
 
 impl WindowTotals {
-    /// The mean amount; none where nothing was recorded.
+    /// The mean of the values, or `None` if there are none.
     pub fn mean(self) -> Option<f64> {
         (self.count > 0.0).then(|| self.sum / self.count)
     }
 }
 
-/// The last `N` buckets of one width. A bucket is emptied when its turn comes again.
+/// The last `N` buckets of equal width. A bucket is emptied before it is reused.
 #[derive(Clone, Debug)]
 pub struct SlidingWindow<const N: usize = DEFAULT_BUCKETS> {
     width: Span,
@@ -37,17 +38,17 @@
 }
 
 impl<const N: usize> SlidingWindow<N> {
-    /// An empty window.
+    /// Creates an empty window whose buckets have this width.
     pub fn new(width: Span) -> Self {
         SlidingWindow { width, buckets: [Bucket { number: i64::MIN, ..Bucket::default() }; N] }
     }
 
-    /// The number of the bucket that this time falls into.
+    /// The number of the bucket that contains this time.
     fn bucket_number(&self, at: Time) -> i64 {
         at.nanos().div_euclid(self.width.nanos())
     }
 
-    /// Records an amount now.
+    /// Records a value in the current bucket.
     pub fn record(&mut self, now: Time, amount: f64) {
         let number = self.bucket_number(now);
         let bucket = &mut self.buckets[number.rem_euclid(N as i64) as usize];
@@ -58,12 +59,12 @@
         bucket.sum += amount;
     }
 
-    /// Forgets all that was recorded.
+    /// Discards all recorded values.
     pub fn clear(&mut self) {
         *self = SlidingWindow::new(self.width);
     }
 
-    /// What was recorded in the current bucket and those before it, this many in all.
+    /// The totals of the given number of buckets, which are the current one and those before it.
     pub fn totals(&self, now: Time, buckets: usize) -> WindowTotals {
         let newest = self.bucket_number(now);
         let included = newest - buckets.min(N) as i64 + 1..=newest;
@@ -75,7 +76,7 @@
         totals
     }
 
-    /// The smallest mean of a bucket, among those of the window with at least `min_count` amounts.
+    /// The smallest mean among the buckets of the window with at least `min_count` values.
     pub fn min_bucket_mean(&self, now: Time, min_count: f64) -> Option<f64> {
         let newest = self.bucket_number(now);
         self.buckets
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,11 +1,12 @@
-//! Slow start: a member that has started gets a share of the traffic that rises to its full one.
+//! Slow start: a member that has just started gets a share of the traffic that rises to its full share.
 //!
-//! The share is `slow_start_capacity` at its start and grows linearly to 1 over `slow_start_duration`. It is enforced
-//! by credit: each RPC that this router accepts adds a fraction to the credit of each member in slow start, and each
-//! attempt there takes one from it. Credit comes evenly, also for RPCs that were queued. If each router stays within
-//! its share, so does their sum.
+//! The share of its capacity is `slow_start_capacity` at its start and grows linearly to 1 over
+//! `slow_start_duration`. It is enforced by credit. Each RPC that this router accepts adds a fraction of an attempt
+//! to the credit of each member of its group that is in slow start, and each attempt at a member subtracts one from
+//! the member's credit. RPCs add their credit when they are accepted, even if they are queued then, so the credit
+//! grows evenly. If each router stays within its share, so does the sum of all routers.
 //!
-//! The share of reads that an overloaded member may get (`concurrency_limit`) is enforced here too.
+//! The share of reads that an overloaded member may get (`concurrency_limit`) is also enforced here.
 
 use crate::health_check_schedule::HEALTH_CHECK_WAIT;
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
@@ -15,16 +16,20 @@
 use crate::time::{Span, Time};
 use crate::types::{Arrival, Consistency, RpcId};
 
-/// Fair shares that a member in slow start gets at most, where the settings allow a multiple.
+/// A member in slow start gets at most this many fair shares, even if `overload_multiple` allows more.
 const MAX_FAIR_SHARES: f64 = 2.0;
-/// Margin for random variation, in square roots of the attempts that all routers send.
+/// Safety margin for random variation, in standard deviations. The standard deviation is taken to be the square root
+/// of the number of attempts that all routers send in an overload window.
 const VARIATION_MARGIN_ROOTS: f64 = 3.0;
-/// Whole attempts of credit lapse after this, or all routers with nothing to send would spend theirs at once.
+/// Whole attempts of credit expire after this time. Otherwise all routers that had nothing to send could use their
+/// credit at the same time.
 const CREDIT_VALID_FOR: Span = HEALTH_CHECK_WAIT;
-/// Shifts the random draw of an RPC for each member, so that an RPC which one member may not have does not miss all.
+/// The random draw of an RPC is shifted by this for each member, so that an RPC which falls outside the share of
+/// reads of one member does not fall outside that of all.
 const DRAW_STEP_PER_MEMBER: f64 = 0.618;
 
-/// The share of its capacity that a member in slow start is sure to have, from 0 to 1; none once it has all of it.
+/// The share of its capacity that a member in slow start is certain to have, from 0 to 1, or `None` once it has its
+/// full capacity.
 pub fn capacity_share(state: &RouterState, now: Time, member: &Member) -> Option<f64> {
     let duration = state.deployment.slow_start_duration.secs();
     let age = (now - member.started_at? - state.clock.ahead).secs().max(0.0);
@@ -32,7 +37,7 @@
     (age < duration).then(|| initial + (1.0 - initial) * age / duration)
 }
 
-/// Counts an RPC that was accepted, and adds its credit to the members of its group that are in slow start.
+/// Counts an accepted RPC, and adds its credit to the members of its group that are in slow start.
 pub fn record_accepted(state: &mut RouterState, now: Time, arrival: &Arrival) {
     let consistency = state.methods[arrival.method as usize].definition.consistency;
     let accepted = state.topology.accepted_mut(arrival.group, RECENT_BUCKET);
@@ -51,10 +56,12 @@
 
 /// The credit, in attempts, that one accepted RPC adds to a member with this share of its capacity.
 ///
-/// The load at full capacity is a fair share of the group at its largest, or all writes where the member is the primary
-/// and these are more. Its part by `capacity_share` is divided by the RPCs accepted, and reduced by a margin for random
-/// variation: the sum over all routers must stay within what the member can do in an overload window. `accepted`: the
-/// RPCs of the group in the measured window; the sum counts those for the primary alone.
+/// The load at full capacity is a fair share of the group at its largest, or all writes if the member is the primary
+/// and the writes are more. This load is multiplied by `capacity_share` and by the multiple of a fair share that the
+/// settings allow. It is divided by the number of accepted RPCs and reduced by a margin for random variation, because
+/// the sum over all routers must stay within what the member can do in an overload window. `accepted.count` is the
+/// number of the group's RPCs in the measured window, and `accepted.sum` is the number of those that only the primary
+/// may serve.
 fn credit_per_rpc(
     state: &RouterState,
     group: usize,
@@ -76,7 +83,8 @@
     max_attempts / count / margin
 }
 
-/// Adds credit. Whole attempts that were not used in time lapse; the fraction stays, so the phase does too.
+/// Adds credit. Whole attempts of credit that were not used in time expire. The fraction is kept, and with it the
+/// phase that keeps the routers from sending their attempts at the same time.
 fn add_credit(member: &mut Member, now: Time, credit: f64) {
     if now - member.slow_start_credit_at > CREDIT_VALID_FOR {
         member.slow_start_credit %= 1.0;
@@ -87,8 +95,8 @@
     member.slow_start_credit += credit;
 }
 
-/// May a member have this RPC? In slow start it needs credit. Reads also have to fall within the member's share of
-/// reads, which is less than 1 after an overload, whether or not the member is in slow start.
+/// May a member get this RPC? In slow start the member needs credit for it. A read also has to fall within the
+/// member's share of reads, which is less than 1 after an overload, whether or not the member is in slow start.
 pub fn admits(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> bool {
     let member = state.topology.member(index);
     let draw = (state.rpcs[rpc].random_draw + index as f64 * DRAW_STEP_PER_MEMBER) % 1.0;
