--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -21,7 +21,7 @@
 /// The limit is never reduced below this.
 const MIN_LIMIT: f64 = 0.1;
 /// The limit is multiplied by this after a rejection or a timeout.
-const LIMIT_SHARE_AFTER_REJECTION: f64 = 0.65;
+const REJECTION_DECREASE_FACTOR: f64 = 0.65;
 /// Weight of the current limit when it is averaged with the limit that an answer suggests.
 const LIMIT_SMOOTHING: f64 = 0.75;
 /// An answer suggests the current limit divided by the latency ratio, plus the square root of the current limit. That
@@ -73,23 +73,23 @@
     let member = state.topology.member(index);
     let relative_speed = 1.0 / load::latency_ratio(state, now, member, LAST_TWO_SECONDS).max(1.0);
     let in_flight = load::attempts_in_flight(state, now, member) + 1.0;
-    let max_bindable_limit = in_flight * MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT;
+    let max_binding_limit = in_flight * MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT;
     let member = state.topology.member_mut(index);
     let limit = member.concurrency_limit;
     let target = limit * relative_speed + limit.sqrt().min(limit * MAX_LIMIT_GROWTH_SHARE);
     if target < limit {
-        let present = limit.min(max_bindable_limit);
-        let suggested = target.min(max_bindable_limit);
-        let reduced = present * LIMIT_SMOOTHING + suggested * (1.0 - LIMIT_SMOOTHING);
+        let current = limit.min(max_binding_limit);
+        let suggested = target.min(max_binding_limit);
+        let reduced = current * LIMIT_SMOOTHING + suggested * (1.0 - LIMIT_SMOOTHING);
         reduce_limit(state, now, index, sent_at, reduced);
-    } else if observed_by == ObservedBy::ThisRouter && max_bindable_limit > limit {
+    } else if observed_by == ObservedBy::ThisRouter && max_binding_limit > limit {
         member.concurrency_limit = limit * LIMIT_SMOOTHING + target * (1.0 - LIMIT_SMOOTHING);
     }
 }
 
 /// Reduces the limit after an attempt that was sent at `sent_at` was rejected or timed out.
 pub fn reduce_after_rejection(state: &mut RouterState, now: Time, index: usize, sent_at: Time) {
-    let reduced = state.topology.member(index).concurrency_limit * LIMIT_SHARE_AFTER_REJECTION;
+    let reduced = state.topology.member(index).concurrency_limit * REJECTION_DECREASE_FACTOR;
     reduce_limit(state, now, index, sent_at, reduced);
 }
 
--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -34,8 +34,8 @@
     if now + typical * (expected_ratio * LATENCY_MARGIN) >= state.useful_until(rpc) {
         return Some(Ineligible::TooSlow);
     }
-    let attempts = &state.rpcs[rpc];
-    if attempts.tried_members.contains(&index) && now - attempts.last_attempt_ended_at < typical {
+    let rpc_state = &state.rpcs[rpc];
+    if rpc_state.tried_members.contains(&index) && now - rpc_state.last_attempt_ended_at < typical {
         return Some(Ineligible::TriedBefore);
     }
     if !slow_start::admits(state, now, index, rpc) {
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -24,7 +24,7 @@
 const MIN_ROUND_JITTER: f64 = 0.75;
 const ROUND_JITTER_RANGE: f64 = 0.5;
 /// Duration of one router's time slot in a shared round.
-const TURN_LENGTH: Span = Span::from_millis(50);
+const SLOT_DURATION: Span = Span::from_millis(50);
 /// A member is not checked again on request within this time.
 const MIN_REQUEST_INTERVAL: Span = Span::from_millis(200);
 /// A member whose check failed or was not sent is checked again after this time. The time is doubled for each further
@@ -82,18 +82,18 @@
         return round_duration(state, now) * jitter;
     }
     let round = MIN_ROUND.max(position_refresh_interval(state));
-    (round + TURN_LENGTH * turn_of_this_router(state, index)).min(MAX_ROUND)
+    (round + SLOT_DURATION * slot_of_this_router(state, index)).min(MAX_ROUND)
 }
 
 /// The number of this router's time slot for the check of a member, from 0. It changes with each report that is
 /// published.
-fn turn_of_this_router(state: &RouterState, index: usize) -> f64 {
+fn slot_of_this_router(state: &RouterState, index: usize) -> f64 {
     let member = state.topology.member(index);
     // All routers that received the member's last report compute the same seed.
     let position_ms = (member.published_position.nanos() / NANOS_PER_MS) as u64;
-    let agreed = position_ms ^ (u64::from(member.id_hash) << ID_HASH_SHIFT);
+    let shared_seed = position_ms ^ (u64::from(member.id_hash) << ID_HASH_SHIFT);
     // The value is halved so that adding the router's index can't overflow.
-    let first_router = WyRand::new_seed(agreed).generate::<u64>() / 2;
+    let first_router = WyRand::new_seed(shared_seed).generate::<u64>() / 2;
     ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
 }
 
@@ -104,8 +104,8 @@
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
     let member = state.topology.member(index);
     let by_gossip = if state.deployment.gossip {
-        let turn = turn_of_this_router(state, index);
-        let intervals = 1.0 + REQUEST_SPREAD_INTERVALS * turn / f64::from(state.router_count());
+        let slot = slot_of_this_router(state, index);
+        let intervals = 1.0 + REQUEST_SPREAD_INTERVALS * slot / f64::from(state.router_count());
         GOSSIP_INTERVAL_WITHOUT_PRIMARY * intervals
     } else {
         Span::ZERO
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -100,11 +100,11 @@
 /// has given, the more the answers of all members with its kind of machine count.
 pub fn latency_ratio(state: &RouterState, now: Time, member: &Member, buckets: usize) -> f64 {
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
-    let of_kind = state
+    let kind_totals = state
         .topology
         .machine_kind_latency(member.machine_kind)
         .map_or(WindowTotals::default(), |window| window.totals(now, buckets));
-    let kind_ratio = (of_kind.sum + KIND_PRIOR_RATIO_SUM) / (of_kind.count + KIND_PRIOR_ANSWERS);
+    let kind_ratio = (kind_totals.sum + KIND_PRIOR_RATIO_SUM) / (kind_totals.count + KIND_PRIOR_ANSWERS);
     let prior = kind_ratio * reported_overload(now, member);
     (sum + PRIOR_WEIGHT_ANSWERS * prior) / (count + PRIOR_WEIGHT_ANSWERS)
 }
@@ -115,8 +115,9 @@
     // An idle member gives no new answers that could show its recovery, so old answers count for a shorter time.
     let buckets = if member.open_attempts.is_empty() { LAST_SECOND } else { LAST_TWO_SECONDS };
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
-    let own = (sum + PRIOR_WEIGHT_ANSWERS * reported_overload(now, member)) / (count + PRIOR_WEIGHT_ANSWERS);
-    own.max(zone_latency_ratio(state, now, member.zone))
+    let own_ratio =
+        (sum + PRIOR_WEIGHT_ANSWERS * reported_overload(now, member)) / (count + PRIOR_WEIGHT_ANSWERS);
+    own_ratio.max(zone_latency_ratio(state, now, member.zone))
 }
 
 /// The latency ratio of another zone divided by that of the router's own zone. It is above 1 where the link is slow
@@ -189,9 +190,10 @@
     let method = &mut state.methods[method as usize];
     method.answers.record(now, latency.secs());
     let WindowTotals { count, sum } = method.answers.totals(now, ALL_BUCKETS);
-    let quickest = method.answers.min_bucket_mean(now, TYPICAL_LATENCY_MIN_ANSWERS).unwrap_or(sum / count);
+    let fastest_mean =
+        method.answers.min_bucket_mean(now, TYPICAL_LATENCY_MIN_ANSWERS).unwrap_or(sum / count);
     let max = method.definition.soft_deadline.secs() * MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE;
-    let typical = quickest.min(max).max(min);
+    let typical = fastest_mean.min(max).max(min);
     method.typical = Span::from_secs_f64(typical);
     typical
 }
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -15,7 +15,7 @@
 /// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 /// A member that is readmitted after a longer absence than this is assumed to have restarted.
-const RESTARTED_AFTER_ABSENCE: Span = Span::from_millis(1000);
+const MIN_RESTART_ABSENCE: Span = Span::from_millis(1000);
 /// This router publishes at most this often that a member is unreachable.
 const UNREACHABLE_GOSSIP_INTERVAL: Span = Span::from_millis(1000);
 
@@ -28,7 +28,7 @@
 pub fn record_success(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member_mut(index);
     if is_ejected(member) {
-        if now - member.failing_since > RESTARTED_AFTER_ABSENCE {
+        if now - member.failing_since > MIN_RESTART_ABSENCE {
             member.started_at = Some(now);
         }
         state.output.log_messages.push(format!("#{index} readmitted"));
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -11,15 +11,15 @@
 use std::collections::VecDeque;
 
 /// Clocks that differ by less than this are taken to be equal. Positions are reported in whole milliseconds.
-const SAME_CLOCK_WITHIN: Span = Span::from_millis(50);
+const CLOCK_TOLERANCE: Span = Span::from_millis(50);
 /// This many positions that agree confirm how far the clock is behind. A single position may be corrupt.
 const POSITIONS_TO_CONFIRM: usize = 3;
 /// A position supports a later one if it was at most this much less ahead of the clock, or further ahead.
-const POSITIONS_AGREE_WITHIN: Span = Span::from_millis(250);
+const AGREEMENT_TOLERANCE: Span = Span::from_millis(250);
 /// A position ahead of the clock that no others confirm is used for this long.
 const UNCONFIRMED_VALID_FOR: Span = Span::from_millis(3000);
 /// Largest number of positions ahead of the clock that are stored.
-const MAX_LEADS_KEPT: usize = 32;
+const MAX_STORED_LEADS: usize = 32;
 /// A position that is further ahead than this is corrupt.
 const MAX_LEAD: Span = Span::from_millis(86_400_000);
 /// A position may be this old when it is reported, without the clock being ahead.
@@ -67,14 +67,14 @@
         }
         let before = self.min_report_age.unwrap_or(Span::MAX);
         self.min_report_age = Some(before.min(Span::ZERO.max(Span::ZERO - lead)));
-        if lead <= self.confirmed + SAME_CLOCK_WITHIN {
+        if lead <= self.confirmed + CLOCK_TOLERANCE {
             return;
         }
         self.leads.push_back(Lead { reported_at: now, lead });
-        if self.leads.len() > MAX_LEADS_KEPT {
+        if self.leads.len() > MAX_STORED_LEADS {
             self.leads.pop_front();
         }
-        let agreeing = self.leads.iter().filter(|other| other.lead + POSITIONS_AGREE_WITHIN >= lead);
+        let agreeing = self.leads.iter().filter(|other| other.lead + AGREEMENT_TOLERANCE >= lead);
         if agreeing.count() >= POSITIONS_TO_CONFIRM {
             self.confirmed = lead;
         }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -148,7 +148,7 @@
         if search.selected.is_some_and(|best| rank >= best) {
             continue;
         }
-        let share = limit_share * staleness::headroom(state, now, member, required);
+        let share = limit_share * staleness::limit_share_by_lag(state, now, member, required);
         if concurrency_limit::has_capacity(state, now, index, rpc, share) {
             search.selected = Some(rank);
         } else {
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -49,14 +49,14 @@
     }
 
     /// Records a value in the current bucket.
-    pub fn record(&mut self, now: Time, amount: f64) {
+    pub fn record(&mut self, now: Time, value: f64) {
         let number = self.bucket_number(now);
         let bucket = &mut self.buckets[number.rem_euclid(N as i64) as usize];
         if bucket.number != number {
             *bucket = Bucket { number, ..Bucket::default() };
         }
         bucket.count += 1.0;
-        bucket.sum += amount;
+        bucket.sum += value;
     }
 
     /// Discards all recorded values.
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -20,7 +20,7 @@
 const MAX_FAIR_SHARES: f64 = 2.0;
 /// Safety margin for random variation, in standard deviations. The standard deviation is taken to be the square root
 /// of the number of attempts that all routers send in an overload window.
-const VARIATION_MARGIN_ROOTS: f64 = 3.0;
+const VARIATION_MARGIN_STD_DEVS: f64 = 3.0;
 /// Whole attempts of credit expire after this time. Otherwise all routers that had nothing to send could use their
 /// credit at the same time.
 const CREDIT_VALID_FOR: Span = HEALTH_CHECK_WAIT;
@@ -79,7 +79,7 @@
     let max_attempts = fair_shares * capacity_share * full_load;
     let measured_secs = RECENT_BUCKET.secs() * ALL_BUCKETS as f64;
     let attempts_in_window = max_attempts * all_routers_window_secs / measured_secs;
-    let margin = 1.0 + VARIATION_MARGIN_ROOTS / attempts_in_window.sqrt();
+    let margin = 1.0 + VARIATION_MARGIN_STD_DEVS / attempts_in_window.sqrt();
     max_attempts / count / margin
 }
 
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -24,9 +24,9 @@
 const REPLICATION_STOPPED_AFTER: Span = Span::from_millis(500);
 /// Reads may use this share of the concurrency limit of a replica without lag. The lag, as a share of the staleness
 /// bound, is subtracted from it.
-const HEADROOM_WITHOUT_LAG: f64 = 0.9;
+const LIMIT_SHARE_WITHOUT_LAG: f64 = 0.9;
 /// Reads may use at least this share of a replica's concurrency limit.
-const MIN_HEADROOM: f64 = 0.1;
+const MIN_LIMIT_SHARE: f64 = 0.1;
 
 /// The position that a replica must have proven to serve this RPC now.
 pub fn required_position(state: &RouterState, now: Time, rpc: RpcId) -> Time {
@@ -63,7 +63,7 @@
 
 /// The share of a replica's concurrency limit that reads may use. It decreases as the lag approaches the staleness
 /// bound, so that the replica can catch up. For reads without a bound it is 1 where replication has stopped.
-pub fn headroom(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
+pub fn limit_share_by_lag(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
     // Reads without a bound slow replication as much as others do, so the smallest bound of any method is used for
     // them. Where replication has stopped, less load does not help.
     let unbounded = required == Time::NEVER;
@@ -76,7 +76,7 @@
         state.latest_time_of_members_clock(now) - required
     };
     let lag_share = member.lag.map_or(0.0, |lag| lag.secs() / bound.secs().max(1e-6));
-    (HEADROOM_WITHOUT_LAG - lag_share).clamp(MIN_HEADROOM, 1.0)
+    (LIMIT_SHARE_WITHOUT_LAG - lag_share).clamp(MIN_LIMIT_SHARE, 1.0)
 }
 
 /// The age at which a position is refreshed, or published to other routers.
