--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -16,7 +16,7 @@
 /// A check that has no result after this time counts as failed.
 const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(1500);
 
-/// Sends the checks that are due, and counts those that have timed out as failures.
+/// Sends the health checks that are due, and counts a failure for each check that has timed out.
 pub fn send_due_checks(state: &mut RouterState, now: Time) {
     state.next_health_check_at = now + MIN_ROUND;
     for index in 0..state.topology.members.len() {
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -27,8 +27,8 @@
 const SLOT_DURATION: Span = Span::from_millis(50);
 /// A member is not checked again on request within this time.
 const MIN_REQUEST_INTERVAL: Span = Span::from_millis(200);
-/// A member whose check failed or was not sent is checked again after this time. The time is doubled for each further
-/// consecutive failure.
+/// A member that has failed, or whose check was not sent, is checked again after this time. The time is doubled for
+/// each further consecutive failure.
 pub const RECHECK_AFTER: Span = Span::from_millis(500);
 /// The time until the next check is doubled at most this many times.
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -31,7 +31,8 @@
 /// The typical answer time is at least this share of a tick, because shorter times are not distinguished.
 const MIN_TYPICAL_SHARE_OF_TICK: f64 = 0.2;
 
-/// Answer times vary. Where an answer must be in time, the time left must allow this multiple of the typical one.
+/// Answer times vary. Where an answer must arrive in time, the time left must be at least this multiple of the
+/// typical answer time.
 pub const LATENCY_MARGIN: f64 = 1.5;
 /// A member counts as silent, and an answer as overdue, after this multiple of the typical answer time.
 pub const SILENT_AFTER_TYPICAL_LATENCIES: f64 = 3.0;
--- a/crates/ladderpass-routing/src/primary.rs
+++ b/crates/ladderpass-routing/src/primary.rs
@@ -9,7 +9,7 @@
 use crate::time::Time;
 use crate::types::{EndpointState, Role};
 
-/// Records the role that a member has shown, as of the time `at`.
+/// Records that a member has shown this role, as of the time `at`.
 pub fn record_role(state: &mut RouterState, index: usize, role: Role, at: Time) {
     let member = state.topology.member_mut(index);
     match role {
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -22,8 +22,8 @@
 const MIN_CATCH_UP: Span = Span::from_millis(250);
 /// Replication counts as stopped when a position has not advanced for this long.
 const REPLICATION_STOPPED_AFTER: Span = Span::from_millis(500);
-/// Reads may use this share of the concurrency limit of a replica without lag. The lag, as a share of the staleness
-/// bound, is subtracted from it.
+/// Reads may use this share of the concurrency limit of a replica without lag. The replica's lag, as a share of the
+/// staleness bound, is subtracted from this share.
 const LIMIT_SHARE_WITHOUT_LAG: f64 = 0.9;
 /// Reads may use at least this share of a replica's concurrency limit.
 const MIN_LIMIT_SHARE: f64 = 0.1;
