--- a/crates/ladderpass-membership/tests/message.rs
+++ b/crates/ladderpass-membership/tests/message.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_datagram_survives_encoding_and_a_truncated_one_is_dropped_or_has_fewer_updates() {
+fn a_datagram_decodes_to_the_encoded_message_and_a_truncated_one_is_dropped_or_has_fewer_updates() {
     let whole = message();
     let bytes = whole.encode();
     assert_eq!(bytes.len(), message().encoded_bytes());
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn legacy_routers_drop_the_first_byte() {
+fn no_legacy_gossip_starts_with_the_first_byte() {
     // Legacy gossip consists of letters, digits, - and _.
     assert!(!FIRST_BYTE.is_ascii_alphanumeric() && FIRST_BYTE != b'-' && FIRST_BYTE != b'_');
 }
 
 #[test]
-fn a_later_start_overrides_every_refutation_of_an_earlier_one() {
+fn a_later_start_has_a_higher_incarnation_than_every_refutation_of_an_earlier_start() {
     let first = Incarnation::of_start(1000);
     let refuted = (0..100).fold(first, |incarnation, _| incarnation.next());
     assert!(first < refuted && refuted < Incarnation::of_start(1001));
--- a/crates/ladderpass-membership/tests/model/convergence.rs
+++ b/crates/ladderpass-membership/tests/model/convergence.rs
@@ -5,7 +5,7 @@
 use nanorand::Rng;
 
 #[test]
-fn three_hundred_routers_that_start_at_once_converge() {
+fn three_hundred_routers_started_at_once_converge_and_then_send_few_datagrams() {
     let mut sim = Simulation::new(1, Settings::default());
     (0..300).for_each(|_| sim.join());
     let convergence = sim.run_until_converged(ms(15_000));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_datagrams_of_a_router_do_not_grow_with_the_cluster() {
+fn the_traffic_of_a_router_does_not_grow_with_the_cluster() {
     let loads: Vec<(f64, f64)> =
         [4, 8, 32, 128].into_iter().map(|count| Simulation::converged(2, count).load(ms(10_000))).collect();
     println!("model: datagrams and bytes a router a second at 4, 8, 32, 128: {loads:.1?}");
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_tenth_of_the_routers_is_replaced_five_times() {
+fn replacing_a_tenth_of_the_routers_five_times_causes_no_false_deaths() {
     let mut sim = Simulation::converged(7, 50);
     for tenth in 0..5 {
         for index in tenth * 5 + 5..tenth * 5 + 10 {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_router_table_is_bounded() {
+fn the_router_table_is_limited_to_max_routers() {
     let settings = Settings { max_routers: 50, ..Settings::default() };
     let mut sim = Simulation::new(14, settings);
     (0..120).for_each(|_| sim.join());
@@ -61,7 +61,7 @@
 /// Random faults: a view never counts a router twice or leaves itself out, a tick is due within a round, and once the
 /// faults end all routers converge.
 #[test]
-fn random_faults_end_in_convergence() {
+fn all_routers_converge_after_random_faults() {
     for seed in 0..12 {
         let mut sim = Simulation::new(100 + seed, Settings::default());
         let count = 3 + (seed as usize * 3) % 14;
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -5,7 +5,7 @@
 use ladderpass_routing::Span;
 
 #[test]
-fn one_death_is_detected_and_so_are_seven_in_ten_at_once() {
+fn one_dead_router_and_seventy_percent_dead_at_once_are_detected_in_time() {
     let mut sim = Simulation::converged(3, 60);
     let detected = sim.kill(&[7], ms(10_000));
     println!(
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn false_deaths_are_short_under_loss_and_with_frozen_routers() {
+fn false_deaths_are_corrected_within_two_seconds_under_packet_loss_and_with_frozen_routers() {
     let mut sim = Simulation::converged(5, 100);
     sim.loss = 0.2;
     sim.run(ms(10_000));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_router_frozen_for_three_seconds_is_dead_and_returns_when_it_wakes() {
+fn a_router_frozen_for_three_and_a_half_seconds_is_confirmed_dead_and_returns_when_it_resumes() {
     let mut sim = Simulation::converged(10, 8);
     sim.routers[2].process = Process::Frozen;
     sim.run(ms(3500));
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 #[test]
-fn a_restart_with_the_clock_set_back_replaces_the_dead_router() {
+fn a_router_restarted_with_its_clock_set_back_replaces_the_dead_one() {
     let mut sim = Simulation::converged(11, 6);
     let before = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
     sim.routers[4].process = Process::Ended;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn replayed_datagrams_and_those_of_strangers_change_nothing() {
+fn replayed_datagrams_and_datagrams_of_unknown_senders_do_not_change_the_view() {
     let mut sim = Simulation::new(13, Settings::default());
     (0..4).for_each(|_| sim.join());
     // What router 3 sends is captured, and replayed when it is dead, and by a stranger.
--- a/crates/ladderpass-membership/tests/model/partitions.rs
+++ b/crates/ladderpass-membership/tests/model/partitions.rs
@@ -4,7 +4,7 @@
 use ladderpass_membership::Settings;
 
 #[test]
-fn each_side_of_a_partition_works_alone_and_both_merge_when_it_heals() {
+fn each_side_of_a_partition_counts_only_its_own_routers_and_both_merge_after_repair() {
     let mut sim = Simulation::converged(6, 60);
     sim.is_cut = Box::new(|one, other| (one < 24) != (other < 24));
     sim.run(ms(10_000));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn two_routers_with_a_broken_link_do_not_suspect_each_other() {
+fn two_routers_without_a_link_between_them_do_not_count_each_other_as_dead() {
     let mut sim = Simulation::converged(8, 8);
     sim.is_cut = Box::new(|one, other| one + other == 7 && one.min(other) == 3);
     sim.run(ms(10_000));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn without_any_configured_router_it_works_alone_and_finds_them_when_they_start() {
+fn a_router_without_any_running_listed_router_runs_alone_and_joins_when_they_start() {
     let mut sim = Simulation::new(12, Settings::default());
     (0..5).for_each(|_| sim.join());
     (0..3).for_each(|index| sim.routers[index].process = Process::Ended);
