--- a/crates/ladderpass-membership/tests/message.rs
+++ b/crates/ladderpass-membership/tests/message.rs
@@ -23,13 +23,13 @@
 
 #[test]
 fn a_datagram_decodes_to_the_encoded_message_and_a_truncated_one_is_dropped_or_has_fewer_updates() {
-    let whole = message();
-    let bytes = whole.encode();
+    let original = message();
+    let bytes = original.encode();
     assert_eq!(bytes.len(), message().encoded_bytes());
     assert_eq!(Message::decode(&bytes), Some(message()));
     for length in 0..bytes.len() {
         let truncated = Message::decode(&bytes[..length]);
-        assert!(truncated.is_none_or(|message| message.updates.len() < whole.updates.len()), "{length}");
+        assert!(truncated.is_none_or(|message| message.updates.len() < original.updates.len()), "{length}");
     }
     assert_eq!(Message::decode(&[&bytes[..], &[0]].concat()), None);
     let with_piggyback = Message { piggyback: vec![7, 8, 9], ..message() };
--- a/crates/ladderpass-membership/tests/model/convergence.rs
+++ b/crates/ladderpass-membership/tests/model/convergence.rs
@@ -20,10 +20,12 @@
     let loads: Vec<(f64, f64)> =
         [4, 8, 32, 128].into_iter().map(|count| Simulation::converged(2, count).load(ms(10_000))).collect();
     println!("model: datagrams and bytes a router a second at 4, 8, 32, 128: {loads:.1?}");
-    for part in [0, 1] {
-        let of = |load: &(f64, f64)| if part == 0 { load.0 } else { load.1 };
-        let (min, max) =
-            (loads.iter().map(of).fold(f64::MAX, f64::min), loads.iter().map(of).fold(0.0, f64::max));
+    for quantity in [0, 1] {
+        let value_of = |load: &(f64, f64)| if quantity == 0 { load.0 } else { load.1 };
+        let (min, max) = (
+            loads.iter().map(value_of).fold(f64::MAX, f64::min),
+            loads.iter().map(value_of).fold(0.0, f64::max),
+        );
         assert!(max <= 1.2 * min, "{loads:?}");
     }
 }
@@ -67,26 +69,26 @@
         let count = 3 + (seed as usize * 3) % 14;
         (0..count).for_each(|_| sim.join());
         for _ in 0..25 {
-            let one = sim.rng.generate_range(0..sim.routers.len());
+            let random_index = sim.rng.generate_range(0..sim.routers.len());
             match sim.rng.generate_range(0..7u32) {
-                0 => sim.routers[one].process = Process::Ended,
-                1 if sim.routers[one].process == Process::Running => {
-                    sim.routers[one].process = Process::Frozen
+                0 => sim.routers[random_index].process = Process::Ended,
+                1 if sim.routers[random_index].process == Process::Running => {
+                    sim.routers[random_index].process = Process::Frozen
                 }
-                2 => sim.restart(one),
+                2 => sim.restart(random_index),
                 3 => sim.loss = sim.rng.generate::<f64>() * 0.4,
-                4 => sim.is_cut = Box::new(move |from, _| from == one),
-                5 => sim.is_cut = Box::new(move |from, to| (from < one) != (to < one)),
+                4 => sim.is_cut = Box::new(move |from, _| from == random_index),
+                5 => sim.is_cut = Box::new(move |from, to| (from < random_index) != (to < random_index)),
                 _ => sim.is_cut = Box::new(|_, _| false),
             }
             sim.run(ms(300));
             for index in sim.running() {
                 let view = sim.routers[index].membership.view();
-                let mut alive = sim.live_at(index);
+                let mut alive = sim.alive_at(index);
                 alive.dedup();
                 assert_eq!((alive.len(), alive[view.position]), (view.count, address(index)));
-                let wake = sim.routers[index].membership.wake_at();
-                assert!(wake - sim.now <= sim.settings.probe_interval, "seed {seed}");
+                let wake_at = sim.routers[index].membership.wake_at();
+                assert!(wake_at - sim.now <= sim.settings.probe_interval, "seed {seed}");
             }
         }
         (sim.loss, sim.is_cut) = (0.0, Box::new(|_, _| false));
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -47,7 +47,7 @@
         frozen.iter().for_each(|&index| sim.routers[index].process = Process::Frozen);
         sim.run(ms(1000));
         for &index in &frozen {
-            sim.thaw(index);
+            sim.resume(index);
         }
         sim.run(ms(500));
     }
@@ -68,7 +68,7 @@
     sim.routers[2].process = Process::Frozen;
     sim.run(ms(3500));
     assert_eq!(sim.routers[0].membership.view().count, 7);
-    sim.thaw(2);
+    sim.resume(2);
     let convergence = sim.run_until_converged(ms(3000));
     assert!(convergence < ms(1500), "{convergence:?}");
     assert_eq!(
@@ -82,7 +82,7 @@
 struct FaultyRun {
     false_deaths: usize,
     /// Router 0 counts the dead router 5 as dead, also after late datagrams of it.
-    is_dead_router_gone: bool,
+    is_dead_router_removed: bool,
     count: usize,
     has_converged: bool,
 }
@@ -109,29 +109,35 @@
             sim.routers[index].membership.on_datagram(sim.now, address(5), &bytes);
         }
         let view = sim.routers[0].membership.view();
-        let is_dead_router_gone =
+        let is_dead_router_removed =
             sim.routers[0].membership.peers(sim.now).all(|peer| peer.address != address(5));
         sim.restart(5);
         sim.run(ms(4000));
         let has_converged = sim.has_converged();
-        FaultyRun { false_deaths, is_dead_router_gone, count: view.count, has_converged }
+        FaultyRun { false_deaths, is_dead_router_removed, count: view.count, has_converged }
     };
-    let sound = run(Faulty::NotFaulty);
+    let correct = run(Faulty::NotFaulty);
     assert!(
-        sound.false_deaths < 10 && sound.is_dead_router_gone && sound.count == 7 && sound.has_converged,
-        "{sound:?}"
+        correct.false_deaths < 10
+            && correct.is_dead_router_removed
+            && correct.count == 7
+            && correct.has_converged,
+        "{correct:?}"
     );
-    let many_false_deaths = 5 * (sound.false_deaths + 4);
-    assert!(!run(Faulty::NeverSuspects).is_dead_router_gone);
-    let hasty = run(Faulty::ConfirmsImmediately).false_deaths;
-    assert!(hasty > many_false_deaths, "{hasty} of {}", sound.false_deaths);
-    let forgetful = run(Faulty::IgnoresIncarnations);
+    let many_false_deaths = 5 * (correct.false_deaths + 4);
+    assert!(!run(Faulty::NeverSuspects).is_dead_router_removed);
+    let immediate = run(Faulty::ConfirmsImmediately).false_deaths;
+    assert!(immediate > many_false_deaths, "{immediate} of {}", correct.false_deaths);
+    let ignores_incarnations = run(Faulty::IgnoresIncarnations);
     assert!(
-        forgetful.false_deaths > many_false_deaths
-            || !forgetful.is_dead_router_gone
-            || !forgetful.has_converged,
-        "{forgetful:?}"
+        ignores_incarnations.false_deaths > many_false_deaths
+            || !ignores_incarnations.is_dead_router_removed
+            || !ignores_incarnations.has_converged,
+        "{ignores_incarnations:?}"
+    );
+    let counts_dead_routers = run(Faulty::CountsDeadRouters);
+    assert!(
+        counts_dead_routers.is_dead_router_removed && counts_dead_routers.count == 8,
+        "{counts_dead_routers:?}"
     );
-    let counts_dead = run(Faulty::CountsDeadRouters);
-    assert!(counts_dead.is_dead_router_gone && counts_dead.count == 8, "{counts_dead:?}");
 }
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -10,7 +10,7 @@
     let before = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
     sim.routers[4].process = Process::Ended;
     sim.run(ms(5000));
-    sim.starts = -60_000;
+    sim.start_clock_offset_ms = -60_000;
     sim.restart(4);
     sim.run_until_converged(ms(3000));
     let after = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
@@ -35,14 +35,14 @@
         let index = sim.index_of[to];
         sim.routers[index].membership.on_datagram(now, address(3), bytes);
     }
-    let stranger: SocketAddr = "192.0.2.9:7400".parse().expect("an address");
+    let unknown_sender: SocketAddr = "192.0.2.9:7400".parse().expect("an address");
     let before = sim.routers[0].membership.counts().dropped;
     for (_, bytes) in &captured {
-        sim.routers[0].membership.on_datagram(now, stranger, bytes);
+        sim.routers[0].membership.on_datagram(now, unknown_sender, bytes);
         sim.routers[0].membership.on_datagram(now, address(1), bytes);
     }
     assert_eq!(sim.routers[0].membership.counts().dropped - before, 2 * captured.len() as u64);
-    assert!(sim.routers[0].membership.take_outgoing().iter().all(|(to, _)| *to != stranger));
+    assert!(sim.routers[0].membership.take_outgoing().iter().all(|(to, _)| *to != unknown_sender));
     sim.run(ms(1000));
     assert!(captured.len() > 20);
     assert_eq!(sim.routers[0].membership.view().digest, digest);
--- a/crates/ladderpass-membership/tests/model/partitions.rs
+++ b/crates/ladderpass-membership/tests/model/partitions.rs
@@ -6,7 +6,7 @@
 #[test]
 fn each_side_of_a_partition_counts_only_its_own_routers_and_both_merge_after_repair() {
     let mut sim = Simulation::converged(6, 60);
-    sim.is_cut = Box::new(|one, other| (one < 24) != (other < 24));
+    sim.is_cut = Box::new(|from, to| (from < 24) != (to < 24));
     sim.run(ms(10_000));
     for index in 0..60 {
         let view = sim.routers[index].membership.view();
@@ -23,7 +23,7 @@
 #[test]
 fn two_routers_without_a_link_between_them_do_not_count_each_other_as_dead() {
     let mut sim = Simulation::converged(8, 8);
-    sim.is_cut = Box::new(|one, other| one + other == 7 && one.min(other) == 3);
+    sim.is_cut = Box::new(|from, to| from + to == 7 && from.min(to) == 3);
     sim.run(ms(10_000));
     assert_eq!(sim.false_death_count, 0);
     assert!(sim.has_converged());
@@ -32,7 +32,7 @@
 #[test]
 fn an_isolated_router_disseminates_no_deaths() {
     let mut sim = Simulation::converged(9, 8);
-    sim.is_cut = Box::new(|one, _| one == 3);
+    sim.is_cut = Box::new(|from, _| from == 3);
     sim.run(ms(8000));
     let others = sim.running().into_iter().filter(|&index| index != 3);
     for index in others {
@@ -47,7 +47,7 @@
         .iter()
         .enumerate()
         .filter(|(index, _)| *index != 3)
-        .map(|(_, r)| r.false_death_count)
+        .map(|(_, router)| router.false_death_count)
         .sum();
     assert_eq!(
         others, 0,
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -19,7 +19,7 @@
 pub struct Router {
     pub membership: Membership,
     pub process: Process,
-    wake: Time,
+    wake_at: Time,
     /// Sender and bytes of the datagrams that arrived while it was frozen.
     socket_buffer: Vec<Datagram>,
     /// Running routers that it counts as dead, and since when.
@@ -53,7 +53,7 @@
     pub false_death_count: usize,
     pub settings: Settings,
     /// Routers started so far, in milliseconds that each start is later by the wall clock.
-    pub starts: i64,
+    pub start_clock_offset_ms: i64,
 }
 
 pub const STEP: Span = Span::from_millis(5);
@@ -62,8 +62,8 @@
     SocketAddr::from((Ipv4Addr::new(10, 0, (index >> 8) as u8, index as u8), 7400))
 }
 
-pub fn ms(ms: i64) -> Span {
-    Span::from_millis(ms)
+pub fn ms(millis: i64) -> Span {
+    Span::from_millis(millis)
 }
 
 impl Simulation {
@@ -80,7 +80,7 @@
             longest_false_death: Span::ZERO,
             false_death_count: 0,
             settings,
-            starts: 0,
+            start_clock_offset_ms: 0,
         }
     }
 
@@ -102,23 +102,23 @@
     }
 
     fn start_membership(&mut self, index: usize) -> Membership {
-        self.starts += 1;
-        let unix = self.now.nanos() / 1_000_000 + self.starts;
-        let own = LocalRouter { address: address(index), started_unix_ms: unix };
+        self.start_clock_offset_ms += 1;
+        let started_unix_ms = self.now.nanos() / 1_000_000 + self.start_clock_offset_ms;
+        let local = LocalRouter { address: address(index), started_unix_ms };
         let network = Network { address: IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), prefix_bits: 8 };
         let listed = [address(0), address(1), address(2)];
-        Membership::start(self.now, self.rng.generate(), own, &listed, &[network], self.settings)
+        Membership::start(self.now, self.rng.generate(), local, &listed, &[network], self.settings)
     }
 
     pub fn join(&mut self) {
         let index = self.routers.len();
         let membership = self.start_membership(index);
-        let (wake, socket_buffer, false_deaths) = (self.now, Vec::new(), BTreeMap::new());
+        let (wake_at, socket_buffer, false_deaths) = (self.now, Vec::new(), BTreeMap::new());
         self.index_of.insert(address(index), index);
         self.routers.push(Router {
             membership,
             process: Process::Running,
-            wake,
+            wake_at,
             socket_buffer,
             false_deaths,
             false_death_count: 0,
@@ -129,7 +129,7 @@
     /// Starts a new process at the same address.
     pub fn restart(&mut self, index: usize) {
         self.routers[index].membership = self.start_membership(index);
-        (self.routers[index].process, self.routers[index].wake) = (Process::Running, self.now);
+        (self.routers[index].process, self.routers[index].wake_at) = (Process::Running, self.now);
         self.routers[index].socket_buffer.clear();
     }
 
@@ -147,7 +147,7 @@
                 self.in_transit.insert((self.now + delay, self.datagrams_sent), datagram);
             }
         }
-        self.routers[index].wake = self.routers[index].membership.wake_at();
+        self.routers[index].wake_at = self.routers[index].membership.wake_at();
     }
 
     pub fn run(&mut self, span: Span) {
@@ -171,7 +171,8 @@
                 }
             }
             for index in 0..self.routers.len() {
-                if self.routers[index].process == Process::Running && self.routers[index].wake <= self.now {
+                if self.routers[index].process == Process::Running && self.routers[index].wake_at <= self.now
+                {
                     self.routers[index].membership.tick(self.now);
                     self.transmit(index);
                 }
@@ -192,7 +193,7 @@
     }
 
     /// Lets a frozen process run. What arrived meanwhile is read first.
-    pub fn thaw(&mut self, index: usize) {
+    pub fn resume(&mut self, index: usize) {
         self.routers[index].process = Process::Running;
         for (from, bytes) in std::mem::take(&mut self.routers[index].socket_buffer) {
             self.routers[index].membership.on_datagram(self.now, from, &bytes);
@@ -238,7 +239,7 @@
     }
 
     /// Routers that this one counts as alive, itself included.
-    pub fn live_at(&self, index: usize) -> Vec<SocketAddr> {
+    pub fn alive_at(&self, index: usize) -> Vec<SocketAddr> {
         let mut alive: Vec<_> =
             self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
         alive.push(address(index));
@@ -248,15 +249,15 @@
 
     /// Does every running router count just the running ones as alive?
     pub fn has_converged(&self) -> bool {
-        let mut truth: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
-        truth.sort_unstable();
-        self.running().into_iter().all(|index| self.live_at(index) == truth)
+        let mut running: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
+        running.sort_unstable();
+        self.running().into_iter().all(|index| self.alive_at(index) == running)
     }
 
     /// Runs until the cluster has converged, for `max` at most. Returns how long that took.
-    pub fn run_until_converged(&mut self, max: Span) -> Span {
+    pub fn run_until_converged(&mut self, timeout: Span) -> Span {
         let started = self.now;
-        while !self.has_converged() && self.now - started < max {
+        while !self.has_converged() && self.now - started < timeout {
             self.run(ms(20));
         }
         assert!(self.has_converged(), "not converged after {:.1} s", (self.now - started).secs());
@@ -264,7 +265,7 @@
     }
 
     /// Ends these. Returns the seconds until each of the others has detected each of them, sorted.
-    pub fn kill(&mut self, victims: &[usize], max: Span) -> Vec<f64> {
+    pub fn kill(&mut self, victims: &[usize], timeout: Span) -> Vec<f64> {
         victims.iter().for_each(|&index| self.routers[index].process = Process::Ended);
         let started = self.now;
         let mut detected = Vec::new();
@@ -272,7 +273,7 @@
         for &dead in victims {
             pending.extend(self.running().into_iter().map(|index| (index, dead)));
         }
-        while !pending.is_empty() && self.now - started < max {
+        while !pending.is_empty() && self.now - started < timeout {
             self.run(ms(20));
             let now = self.now;
             let mut alive_at: HashMap<usize, HashSet<SocketAddr>> = HashMap::new();
