--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -68,9 +68,9 @@
             updates.extend(state_of_receiver.filter(|known| known.state != State::Alive));
         }
         let piggyback = if is_probe { self.piggyback.clone() } else { Vec::new() };
-        let own = self.own_state();
+        let sender_state = self.local_state();
         let mut message =
-            Message { kind: draft.kind, sequence: draft.sequence, digest, own, updates, piggyback };
+            Message { kind: draft.kind, sequence: draft.sequence, digest, sender_state, updates, piggyback };
         if message.encoded_bytes() > self.settings.max_datagram_bytes {
             message.piggyback.clear();
         }
@@ -88,7 +88,7 @@
         let max = self.settings.max_datagram_bytes / MIN_UPDATE_BYTES + 1;
         for pending in self.updates.least_transmitted(max) {
             if let Some(update) = self.routers.state_update(pending.router)
-                && !mentions(message, pending.router)
+                && !has_update_about(message, pending.router)
             {
                 if update_bytes(&update) > space {
                     break;
@@ -113,7 +113,7 @@
             if update_bytes(&update) > space {
                 return;
             }
-            if !mentions(message, router) {
+            if !has_update_about(message, router) {
                 space -= update_bytes(&update);
                 message.updates.push(update);
             }
@@ -130,7 +130,7 @@
     pub(crate) fn record_same_view(&mut self) {
         let limit = self.transmission_limit();
         let routers = &self.routers;
-        self.updates.record_covered(TRANSMISSIONS_PER_SAME_VIEW, limit, |router| {
+        self.updates.add_transmissions(TRANSMISSIONS_PER_SAME_VIEW, limit, |router| {
             routers.state_update(router).is_some_and(|known| known.state != State::Suspect)
         });
     }
@@ -179,6 +179,6 @@
     }
 }
 
-fn mentions(message: &Message, router: SocketAddr) -> bool {
+fn has_update_about(message: &Message, router: SocketAddr) -> bool {
     message.updates.iter().any(|update| update.router == router)
 }
--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -12,12 +12,12 @@
 pub(crate) struct LocalHealth {
     score: u32,
     last_acknowledged_at: Time,
-    isolated_after: Span,
+    isolation_timeout: Span,
 }
 
 impl LocalHealth {
-    pub fn new(now: Time, isolated_after: Span) -> LocalHealth {
-        LocalHealth { score: 0, last_acknowledged_at: now, isolated_after }
+    pub fn new(now: Time, isolation_timeout: Span) -> LocalHealth {
+        LocalHealth { score: 0, last_acknowledged_at: now, isolation_timeout }
     }
 
     /// 0 when healthy, up to 8.
@@ -47,7 +47,7 @@
 
     /// Has no router acknowledged this one for so long that it may be the one that is cut off?
     pub fn is_isolated(&self, now: Time) -> bool {
-        now - self.last_acknowledged_at > self.isolated_after
+        now - self.last_acknowledged_at > self.isolation_timeout
     }
 
     /// This router did not run for so long: missing acknowledgements in that time prove nothing.
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -80,7 +80,7 @@
     pub fn start(
         now: Time,
         seed: u64,
-        own: LocalRouter,
+        local: LocalRouter,
         listed: &[SocketAddr],
         networks: &[Network],
         settings: Settings,
@@ -88,17 +88,17 @@
         let mut rng = WyRand::new_seed(seed);
         // Routers that start together should not probe together.
         let first_round_share = rng.generate_range(0..1000u32) as f64 / 1000.0;
-        let others = listed.iter().copied().filter(|&address| address != own.address);
+        let others = listed.iter().copied().filter(|&address| address != local.address);
         Membership {
-            local: own.address,
-            incarnation: Incarnation::of_start(own.started_unix_ms),
-            routers: RouterTable::new(own.address, settings),
+            local: local.address,
+            incarnation: Incarnation::of_start(local.started_unix_ms),
+            routers: RouterTable::new(local.address, settings),
             senders: Senders::new(now, others, networks),
             probe_order: Vec::new(),
             probes: ProbeTable::new(rng.generate()),
             rng,
             updates: UpdateQueue::default(),
-            health: LocalHealth::new(now, settings.isolated_after),
+            health: LocalHealth::new(now, settings.isolation_timeout),
             next_round_at: now + settings.probe_interval * first_round_share,
             round: 0,
             gossip_sent: 0,
@@ -127,7 +127,7 @@
 
     /// Where gossip of other mechanisms is sent to: live routers, and legacy routers that sent gossip recently.
     pub fn gossip_targets(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
-        let legacy = self.senders.recent_legacy(now).filter(|&router| !self.routers.contains(router));
+        let legacy = self.senders.recent_legacy_routers(now).filter(|&router| !self.routers.contains(router));
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
     }
 
@@ -191,16 +191,16 @@
         }
         self.apply_sender_state(now, from, &message);
         self.store_piggyback(from, &message);
-        self.apply_updates_about_others(now, from, &message);
+        self.apply_updates_about_other_routers(now, from, &message);
         if self.is_leaving {
             return;
         }
-        let subject = message.updates.first().copied();
+        let first_update = message.updates.first().copied();
         match message.kind {
             Kind::Ping => self.on_ping(from, message.sequence, view_differs),
             Kind::Ack => self.on_ack(now, from, &message, view_differs),
-            Kind::PingRequest => self.on_ping_request(now, from, message.sequence, subject),
-            Kind::IndirectAck => self.on_indirect_ack(now, message.sequence, subject),
+            Kind::PingRequest => self.on_ping_request(now, from, message.sequence, first_update),
+            Kind::IndirectAck => self.on_indirect_ack(now, message.sequence, first_update),
             Kind::Nack => self.on_nack(now, message.sequence),
             Kind::Gossip => {}
         }
@@ -217,7 +217,7 @@
     /// Accepts a datagram only from a known router or a configured address or network, and only where the sender
     /// reports its own state under that address.
     fn is_accepted(&self, from: SocketAddr, message: &Message) -> bool {
-        message.own.router == from && from != self.local && self.may_participate(from)
+        message.sender_state.router == from && from != self.local && self.may_participate(from)
     }
 
     /// Does this router exchange membership with that one?
@@ -232,7 +232,7 @@
         if !acks_probe && self.is_confirmed_dead(from) {
             self.probe_for_return(now, from);
         } else {
-            self.apply_update(now, &message.own);
+            self.apply_update(now, &message.sender_state);
         }
     }
 
@@ -241,10 +241,10 @@
             && self.settings.faulty != Faulty::IgnoresIncarnations
     }
 
-    fn apply_updates_about_others(&mut self, now: Time, from: SocketAddr, message: &Message) {
+    fn apply_updates_about_other_routers(&mut self, now: Time, from: SocketAddr, message: &Message) {
         // The first update of these names the target of the indirect probe.
-        let names_target = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
-        for update in message.updates.iter().skip(usize::from(names_target)) {
+        let has_probe_update = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
+        for update in message.updates.iter().skip(usize::from(has_probe_update)) {
             // The sender's own state stands in the message's head.
             if update.router != from {
                 self.apply_update(now, update);
@@ -286,8 +286,8 @@
         self.view_syncs_sent = 0;
         self.next_round_at = now + self.settings.probe_interval;
         self.routers.remove_old_tombstones(now);
-        self.probe_next(now);
-        self.probe_absent(now);
+        self.probe_next_router(now);
+        self.probe_absent_routers(now);
     }
 
     /// Shuts down: notifies some routers, which notify the others. From now on it neither probes nor answers.
@@ -298,7 +298,7 @@
     }
 
     /// This router's own state, as it is disseminated.
-    pub(crate) fn own_state(&self) -> StateUpdate {
+    pub(crate) fn local_state(&self) -> StateUpdate {
         let state = if self.is_leaving { State::Left } else { State::Alive };
         StateUpdate { router: self.local, state, incarnation: self.incarnation, suspected_by: 0 }
     }
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -12,7 +12,7 @@
 const VERSION: u8 = 1;
 
 /// First byte, version, kind, sequence and digest.
-const HEAD_BYTES: usize = 1 + 1 + 1 + 4 + 4;
+const HEADER_BYTES: usize = 1 + 1 + 1 + 4 + 4;
 const INCARNATION_BYTES: usize = 8;
 const SUSPECTED_BY_BYTES: usize = 2;
 /// Address and port.
@@ -59,7 +59,7 @@
     /// Digest of the sender's view, its own incarnation included.
     pub digest: u32,
     /// The sender's own state.
-    pub own: StateUpdate,
+    pub sender_state: StateUpdate,
     /// States of other routers.
     pub updates: Vec<StateUpdate>,
     /// Opaque payload of another mechanism. Empty where there is none.
@@ -77,7 +77,7 @@
     /// The encoded size, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         let updates = self.updates.iter().map(update_bytes).sum::<usize>();
-        HEAD_BYTES + update_bytes(&self.own) + updates + self.piggyback_bytes()
+        HEADER_BYTES + update_bytes(&self.sender_state) + updates + self.piggyback_bytes()
     }
 
     fn piggyback_bytes(&self) -> usize {
@@ -91,7 +91,7 @@
         bytes.extend([FIRST_BYTE, VERSION, kind]);
         bytes.extend(self.sequence.to_be_bytes());
         bytes.extend(self.digest.to_be_bytes());
-        for update in [&self.own].into_iter().chain(&self.updates) {
+        for update in [&self.sender_state].into_iter().chain(&self.updates) {
             encode_update(update, &mut bytes);
         }
         if !self.piggyback.is_empty() {
@@ -111,7 +111,7 @@
         let kind = *KINDS.get(usize::from(kind))?;
         let sequence = u32::from_be_bytes(take_bytes(&mut rest)?);
         let digest = u32::from_be_bytes(take_bytes(&mut rest)?);
-        let own = decode_update(&mut rest)?;
+        let sender_state = decode_update(&mut rest)?;
         let mut updates = Vec::new();
         let mut piggyback = Vec::new();
         while let Some((&first, payload)) = rest.split_first() {
@@ -121,7 +121,7 @@
             }
             updates.push(decode_update(&mut rest)?);
         }
-        Some(Message { kind, sequence, digest, own, updates, piggyback })
+        Some(Message { kind, sequence, digest, sender_state, updates, piggyback })
     }
 }
 
--- a/crates/ladderpass-membership/src/network.rs
+++ b/crates/ladderpass-membership/src/network.rs
@@ -18,8 +18,8 @@
 impl Network {
     /// Does it contain this address? An IPv4 network has no IPv6 address, nor the reverse.
     pub fn contains(&self, ip: IpAddr) -> bool {
-        let (address, address_bits) = aligned_bits(ip);
-        let (network, network_bits) = aligned_bits(self.address);
+        let (address, address_bits) = left_aligned_bits(ip);
+        let (network, network_bits) = left_aligned_bits(self.address);
         let prefix_bits = self.prefix_bits.min(address_bits);
         address_bits == network_bits
             && (prefix_bits == 0 || (address ^ network) >> (IPV6_BITS - prefix_bits) == 0)
@@ -34,7 +34,7 @@
 }
 
 /// An address as the high bits of a number, and how many bits it has.
-fn aligned_bits(ip: IpAddr) -> (u128, u8) {
+fn left_aligned_bits(ip: IpAddr) -> (u128, u8) {
     match ip {
         IpAddr::V4(ip) => (u128::from(u32::from(ip)) << (IPV6_BITS - IPV4_BITS), IPV4_BITS),
         IpAddr::V6(ip) => (u128::from(ip), IPV6_BITS),
--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -26,14 +26,14 @@
 
 impl Membership {
     /// Probes the next live router. Each is probed once before any is probed again.
-    pub(crate) fn probe_next(&mut self, now: Time) {
+    pub(crate) fn probe_next_router(&mut self, now: Time) {
         if let Some(target) = self.next_probe_target() {
             self.send_probe(now, target, ProbePurpose::FailureDetection);
         }
     }
 
     /// Probes absent routers (dead, or configured and never seen) to find out whether they have returned.
-    pub(crate) fn probe_absent(&mut self, now: Time) {
+    pub(crate) fn probe_absent_routers(&mut self, now: Time) {
         let is_alone = self.routers.cluster_size() == 1;
         if !is_alone && !self.round.is_multiple_of(ROUNDS_BETWEEN_ABSENT_PROBES) {
             return;
@@ -65,7 +65,7 @@
             relays: 0,
             nacks: 0,
         };
-        self.probes.own.insert(sequence, probe);
+        self.probes.initiated.insert(sequence, probe);
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
@@ -82,13 +82,14 @@
     pub(crate) fn on_ack(&mut self, now: Time, from: SocketAddr, message: &Message, view_differs: bool) {
         if let Some(relayed) = self.probes.relayed.remove(&message.sequence) {
             self.record_acknowledgement(now);
-            let answer = Draft::new(Kind::IndirectAck, relayed.requester_sequence).with_update(message.own);
+            let answer =
+                Draft::new(Kind::IndirectAck, relayed.requester_sequence).with_update(message.sender_state);
             return self.send(relayed.requester, answer);
         }
         if !self.probes.is_target(message.sequence, from) {
             return;
         }
-        let Some(probe) = self.probes.own.remove(&message.sequence) else { return };
+        let Some(probe) = self.probes.initiated.remove(&message.sequence) else { return };
         self.record_acknowledgement(now);
         if probe.purpose == ProbePurpose::FailureDetection {
             self.health.improve();
@@ -113,8 +114,8 @@
         }
         let sequence = self.probes.next_sequence();
         // The requester waits until its round is over; the nack must arrive before.
-        let requester_waits = self.settings.probe_interval - self.settings.ack_timeout;
-        let nack_at = now + requester_waits * NACK_SHARE_OF_WAIT;
+        let requester_wait = self.settings.probe_interval - self.settings.ack_timeout;
+        let nack_at = now + requester_wait * NACK_SHARE_OF_WAIT;
         let deadline = now + self.settings.probe_interval * RELAY_TIMEOUT_ROUNDS;
         let relayed = RelayedProbe { requester, requester_sequence, nack_at, deadline };
         self.probes.relayed.insert(sequence, relayed);
@@ -127,7 +128,7 @@
         let Some(target) = target.filter(|update| self.probes.is_target(sequence, update.router)) else {
             return;
         };
-        self.probes.own.remove(&sequence);
+        self.probes.initiated.remove(&sequence);
         self.apply_update(now, &target);
         self.health.improve();
     }
@@ -135,7 +136,7 @@
     /// A relay has no ack either: its nack shows that this router's own link works.
     pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
         self.record_acknowledgement(now);
-        if let Some(probe) = self.probes.own.get_mut(&sequence) {
+        if let Some(probe) = self.probes.initiated.get_mut(&sequence) {
             probe.nacks = (probe.nacks + 1).min(probe.relays);
         }
     }
@@ -151,7 +152,7 @@
 
     /// Sends the nacks that are due and ends relayed probes without an ack.
     pub(crate) fn advance_relayed_probes(&mut self, now: Time) {
-        for sequence in self.probes.due_relayed(now) {
+        for sequence in self.probes.due_relayed_probes(now) {
             let Some(relayed) = self.probes.relayed.get_mut(&sequence) else { continue };
             if relayed.deadline <= now {
                 self.probes.relayed.remove(&sequence);
@@ -160,15 +161,15 @@
             // One nack is enough.
             relayed.nack_at = relayed.deadline;
             let (requester, requester_sequence) = (relayed.requester, relayed.requester_sequence);
-            let nack = Draft::new(Kind::Nack, requester_sequence).with_update(self.own_state());
+            let nack = Draft::new(Kind::Nack, requester_sequence).with_update(self.local_state());
             self.send(requester, nack);
         }
     }
 
     /// Asks for indirect probes where they are due, and suspects the targets of failed probes.
     pub(crate) fn advance_probes(&mut self, now: Time) {
-        for sequence in self.probes.due(now) {
-            let Some(probe) = self.probes.own.get(&sequence) else { continue };
+        for sequence in self.probes.due_probes(now) {
+            let Some(probe) = self.probes.initiated.get(&sequence) else { continue };
             if probe.deadline <= now {
                 self.fail_probe(now, sequence);
             } else {
@@ -179,7 +180,7 @@
     }
 
     fn fail_probe(&mut self, now: Time, sequence: u32) {
-        let Some(probe) = self.probes.own.remove(&sequence) else { return };
+        let Some(probe) = self.probes.initiated.remove(&sequence) else { return };
         if probe.purpose == ProbePurpose::ReturnDetection {
             return;
         }
@@ -201,7 +202,7 @@
                 self.select_responsive_peers(now, self.settings.indirect_probes, target)
             }
         };
-        if let Some(probe) = self.probes.own.get_mut(&sequence) {
+        if let Some(probe) = self.probes.initiated.get_mut(&sequence) {
             probe.indirect_at = probe.deadline;
             probe.relays = relays.len();
         }
@@ -214,7 +215,7 @@
         if purpose == ProbePurpose::FailureDetection
             && self.probes.failure_detection_count() < MAX_CONCURRENT_PROBES
         {
-            self.probe_next(now);
+            self.probe_next_router(now);
         }
     }
 }
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -69,7 +69,7 @@
 /// All probes in flight, by sequence number.
 pub(crate) struct ProbeTable {
     /// Probes that this router sent for itself.
-    pub own: BTreeMap<u32, Probe>,
+    pub initiated: BTreeMap<u32, Probe>,
     /// Probes on behalf of other routers.
     pub relayed: BTreeMap<u32, RelayedProbe>,
     last_sequence: u32,
@@ -77,7 +77,7 @@
 
 impl ProbeTable {
     pub fn new(last_sequence: u32) -> ProbeTable {
-        ProbeTable { own: BTreeMap::new(), relayed: BTreeMap::new(), last_sequence }
+        ProbeTable { initiated: BTreeMap::new(), relayed: BTreeMap::new(), last_sequence }
     }
 
     pub fn next_sequence(&mut self) -> u32 {
@@ -87,22 +87,22 @@
 
     /// Forgets all probes.
     pub fn clear(&mut self) {
-        self.own.clear();
+        self.initiated.clear();
         self.relayed.clear();
     }
 
     pub fn is_probing(&self, target: SocketAddr) -> bool {
-        self.own.values().any(|probe| probe.target == target)
+        self.initiated.values().any(|probe| probe.target == target)
     }
 
     /// Is this the target of the probe with that sequence number?
     pub fn is_target(&self, sequence: u32, router: SocketAddr) -> bool {
-        self.own.get(&sequence).is_some_and(|probe| probe.target == router)
+        self.initiated.get(&sequence).is_some_and(|probe| probe.target == router)
     }
 
     /// Probes of routers that are alive.
     pub fn failure_detection_count(&self) -> usize {
-        self.own.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
+        self.initiated.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
     }
 
     pub fn can_relay(&self) -> bool {
@@ -110,13 +110,13 @@
     }
 
     /// Sequence numbers of the probes that an indirect probe is due for, or that have failed.
-    pub fn due(&self, now: Time) -> Vec<u32> {
-        let due = self.own.iter().filter(|(_, probe)| probe.is_due(now));
+    pub fn due_probes(&self, now: Time) -> Vec<u32> {
+        let due = self.initiated.iter().filter(|(_, probe)| probe.is_due(now));
         due.map(|(&sequence, _)| sequence).collect()
     }
 
     /// Sequence numbers of the relayed probes that a nack is due for, or that have ended.
-    pub fn due_relayed(&self, now: Time) -> Vec<u32> {
+    pub fn due_relayed_probes(&self, now: Time) -> Vec<u32> {
         let due =
             self.relayed.iter().filter(|(_, relayed)| relayed.deadline <= now || relayed.nack_at <= now);
         due.map(|(&sequence, _)| sequence).collect()
@@ -124,8 +124,8 @@
 
     /// When any of them is due next.
     pub fn wake_at(&self) -> Option<Time> {
-        let own = self.own.values().map(Probe::wake_at);
+        let initiated = self.initiated.values().map(Probe::wake_at);
         let relayed = self.relayed.values().map(|relayed| relayed.nack_at.min(relayed.deadline));
-        own.chain(relayed).min()
+        initiated.chain(relayed).min()
     }
 }
--- a/crates/ladderpass-membership/src/router_hash.rs
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -16,7 +16,7 @@
 }
 
 /// The id by which a suspicion names the router that has it.
-pub(crate) fn suspected_by_id(router: SocketAddr) -> u16 {
+pub(crate) fn suspecting_router_id(router: SocketAddr) -> u16 {
     salted_hash(router, VIEW_SALT) as u16
 }
 
@@ -27,12 +27,12 @@
         IpAddr::V6(ip) => u128::from(ip),
     };
     let parts = [(ip >> 64) as u64, ip as u64, u64::from(router.port()), salt];
-    let mixed = parts.into_iter().fold(0u64, |hash, part| mix(hash ^ part));
+    let mixed = parts.into_iter().fold(0u64, |hash, part| splitmix64_step(hash ^ part));
     (mixed >> 32) as u32
 }
 
 /// One step of splitmix64, whose constants these are.
-fn mix(state: u64) -> u64 {
+fn splitmix64_step(state: u64) -> u64 {
     let mut z = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/ladderpass-membership/src/router_state.rs
+++ b/crates/ladderpass-membership/src/router_state.rs
@@ -48,7 +48,7 @@
 
 impl State {
     /// Is the router dead, or has it left?
-    pub fn is_gone(self) -> bool {
+    pub fn is_dead_or_left(self) -> bool {
         self >= State::Dead
     }
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -3,7 +3,7 @@
 //! Invariants: a state changes only to a higher incarnation, or to a greater state of the same incarnation; every
 //! suspicion has a deadline; the table is bounded, and tombstones (routers that died or left) are evicted first.
 
-use crate::router_hash::{salted_hash, suspected_by_id};
+use crate::router_hash::{salted_hash, suspecting_router_id};
 use crate::router_state::{Incarnation, State, StateUpdate};
 use crate::settings::{Faulty, Settings};
 use crate::suspicion_timeout::{Suspicion, suspicion_timeout};
@@ -20,7 +20,7 @@
     pub state: State,
     pub incarnation: Incarnation,
     /// Since when this router counts it as alive, or as gone.
-    pub counted_since: Time,
+    pub liveness_changed_at: Time,
     /// When it last acked a probe of this router, since its last start.
     pub last_ack: Time,
     /// Present while it is suspected.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Confidence {
     /// It acked a probe of this router so long ago.
-    Answered(Span),
+    Acked(Span),
     /// Only other routers reported it.
     Reported,
     /// It is suspected, and has so much time left to refute.
@@ -106,12 +106,12 @@
     }
 
     pub fn alive(&self) -> impl Iterator<Item = (&SocketAddr, &KnownRouter)> {
-        self.routers.iter().filter(|(_, known)| !known.state.is_gone())
+        self.routers.iter().filter(|(_, known)| !known.state.is_dead_or_left())
     }
 
     /// Routers that are dead or have left.
-    pub fn gone(&self) -> impl Iterator<Item = &SocketAddr> {
-        self.routers.iter().filter(|(_, known)| known.state.is_gone()).map(|(router, _)| router)
+    pub fn tombstones(&self) -> impl Iterator<Item = &SocketAddr> {
+        self.routers.iter().filter(|(_, known)| known.state.is_dead_or_left()).map(|(router, _)| router)
     }
 
     pub fn get(&self, router: SocketAddr) -> Option<&KnownRouter> {
@@ -128,7 +128,7 @@
     }
 
     pub fn is_alive(&self, router: SocketAddr) -> bool {
-        self.routers.get(&router).is_some_and(|known| !known.state.is_gone())
+        self.routers.get(&router).is_some_and(|known| !known.state.is_dead_or_left())
     }
 
     /// Live routers, this one included.
@@ -137,14 +137,14 @@
     }
 
     /// Digest of the view: the same for two routers that count the same ones as alive, in the same incarnations.
-    pub fn digest(&mut self, own: Incarnation) -> u32 {
-        self.alive_summary().digest ^ salted_hash(self.local, own.0)
+    pub fn digest(&mut self, local_incarnation: Incarnation) -> u32 {
+        self.alive_summary().digest ^ salted_hash(self.local, local_incarnation.0)
     }
 
     /// The present state of a router, in the form in which it is disseminated.
     pub fn state_update(&self, router: SocketAddr) -> Option<StateUpdate> {
         let known = self.routers.get(&router)?;
-        let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspected_by);
+        let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspecting_router);
         Some(StateUpdate {
             router,
             state: known.state,
@@ -167,7 +167,7 @@
         let is_greater_state = same_incarnation && update.state > known.state;
         // What this router found while it was isolated counts for less than any report of a live router.
         let corrects_isolated_finding =
-            known.found_dead_while_isolated && same_incarnation && !update.state.is_gone();
+            known.found_dead_while_isolated && same_incarnation && !update.state.is_dead_or_left();
         let overrides = is_newer || is_greater_state || corrects_isolated_finding;
         if !overrides && self.settings.faulty != Faulty::IgnoresIncarnations {
             return None;
@@ -177,16 +177,19 @@
             State::Suspect => self.mark_suspect(now, update),
             // The report may come from the other side of a partition, or from a router that did not receive the ack.
             State::Dead if self.has_acked_recently(now, update.router) => {
-                let suspected_by = suspected_by_id(update.router);
+                let suspected_by = suspecting_router_id(update.router);
                 self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
             }
-            State::Dead | State::Left => self.mark_gone(now, update.router, update.incarnation, update.state),
+            State::Dead | State::Left => {
+                self.mark_dead_or_left(now, update.router, update.incarnation, update.state)
+            }
         }
     }
 
     fn has_acked_recently(&self, now: Time, router: SocketAddr) -> bool {
         let max_ack_age = self.settings.probe_interval * RECENT_ACK_ROUNDS;
-        let has_acked = |known: &KnownRouter| now - known.last_ack < max_ack_age && !known.state.is_gone();
+        let has_acked =
+            |known: &KnownRouter| now - known.last_ack < max_ack_age && !known.state.is_dead_or_left();
         self.settings.faulty != Faulty::ConfirmsImmediately
             && self.routers.get(&router).is_some_and(has_acked)
     }
@@ -200,7 +203,7 @@
         let known = KnownRouter {
             state: if update.state == State::Suspect { State::Alive } else { update.state },
             incarnation: update.incarnation,
-            counted_since: now,
+            liveness_changed_at: now,
             last_ack: Time::NEVER,
             suspicion: None,
             found_dead_while_isolated: false,
@@ -223,10 +226,10 @@
         if self.routers.len() < self.settings.max_routers {
             return true;
         }
-        let tombstones = self.routers.iter().filter(|(_, known)| known.state.is_gone());
-        let oldest = tombstones.min_by_key(|(_, known)| known.counted_since).map(|(&router, _)| router);
+        let tombstones = self.routers.iter().filter(|(_, known)| known.state.is_dead_or_left());
+        let oldest = tombstones.min_by_key(|(_, known)| known.liveness_changed_at).map(|(&router, _)| router);
         match oldest {
-            Some(oldest) if !state.is_gone() => self.routers.remove(&oldest).is_some(),
+            Some(oldest) if !state.is_dead_or_left() => self.routers.remove(&oldest).is_some(),
             _ => false,
         }
     }
@@ -236,8 +239,8 @@
         let known = self.routers.get_mut(&update.router)?;
         let previous = known.state;
         let has_restarted = known.incarnation.started_ms() != update.incarnation.started_ms();
-        if previous.is_gone() || has_restarted {
-            known.counted_since = now;
+        if previous.is_dead_or_left() || has_restarted {
+            known.liveness_changed_at = now;
             known.last_ack = Time::NEVER;
         }
         known.state = State::Alive;
@@ -252,38 +255,38 @@
         match self.settings.faulty {
             Faulty::NeverSuspects => return None,
             Faulty::ConfirmsImmediately => {
-                return self.mark_gone(now, update.router, update.incarnation, State::Dead);
+                return self.mark_dead_or_left(now, update.router, update.incarnation, State::Dead);
             }
             _ => {}
         }
         self.alive_summary = None;
         let known = self.routers.get_mut(&update.router)?;
-        let was_gone = known.state.is_gone();
-        if was_gone {
-            known.counted_since = now;
+        let was_dead_or_left = known.state.is_dead_or_left();
+        if was_dead_or_left {
+            known.liveness_changed_at = now;
         }
         known.state = State::Suspect;
         known.incarnation = update.incarnation;
         known.found_dead_while_isolated = false;
         known.suspicion = Some(Suspicion::start(now));
         self.confirm_suspicion(update.router, update.suspected_by);
-        Some(if was_gone { Change::Refuted } else { Change::Suspected })
+        Some(if was_dead_or_left { Change::Refuted } else { Change::Suspected })
     }
 
     /// Records one more router that suspects this one, which shortens the timeout. This confirms the suspicion, not
-    /// the death: [`RouterTable::mark_gone`] does that.
+    /// the death: [`RouterTable::mark_dead_or_left`] does that.
     pub fn confirm_suspicion(&mut self, router: SocketAddr, suspected_by: u16) {
-        let max = self.settings.confirmations + 1;
+        let max = self.settings.required_confirmations + 1;
         let cluster_size = self.cluster_size();
         let known = self.routers.get_mut(&router);
         let Some(suspicion) = known.and_then(|known| known.suspicion.as_mut()) else { return };
-        suspicion.add_suspecting(suspected_by, max);
-        let timeout = suspicion_timeout(&self.settings, cluster_size, suspicion.suspecting_count());
+        suspicion.add_suspecting_router(suspected_by, max);
+        let timeout = suspicion_timeout(&self.settings, cluster_size, suspicion.suspecting_router_count());
         suspicion.set_timeout(timeout);
     }
 
     /// Makes a router a tombstone: confirmed dead, or left.
-    pub fn mark_gone(
+    pub fn mark_dead_or_left(
         &mut self,
         now: Time,
         router: SocketAddr,
@@ -297,10 +300,10 @@
         known.incarnation = incarnation;
         known.suspicion = None;
         known.found_dead_while_isolated = false;
-        if previous.is_gone() {
+        if previous.is_dead_or_left() {
             return None;
         }
-        known.counted_since = now;
+        known.liveness_changed_at = now;
         Some(if state == State::Left { Change::Left } else { Change::Died })
     }
 
@@ -350,22 +353,23 @@
 
     /// Removes tombstones that are old enough.
     pub fn remove_old_tombstones(&mut self, now: Time) {
-        let max_age = self.settings.forget_dead_after;
-        self.routers.retain(|_, known| !known.state.is_gone() || now - known.counted_since < max_age);
+        let max_age = self.settings.tombstone_retention;
+        self.routers
+            .retain(|_, known| !known.state.is_dead_or_left() || now - known.liveness_changed_at < max_age);
     }
 
     /// A live router, as other mechanisms see it.
     pub fn peer(&self, now: Time, router: SocketAddr) -> Option<Peer> {
-        let known = self.routers.get(&router).filter(|known| !known.state.is_gone())?;
+        let known = self.routers.get(&router).filter(|known| !known.state.is_dead_or_left())?;
         let confidence = match &known.suspicion {
             Some(suspicion) => Confidence::Suspected((suspicion.deadline() - now).max(Span::ZERO)),
-            None if known.last_ack != Time::NEVER => Confidence::Answered(now - known.last_ack),
+            None if known.last_ack != Time::NEVER => Confidence::Acked(now - known.last_ack),
             None => Confidence::Reported,
         };
         Some(Peer {
             address: router,
             started_ms: known.incarnation.started_ms(),
-            alive_since: known.counted_since,
+            alive_since: known.liveness_changed_at,
             confidence,
         })
     }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -49,7 +49,7 @@
     }
 
     /// Configured addresses that legacy gossip came from recently.
-    pub fn recent_legacy(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
+    pub fn recent_legacy_routers(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let is_recent =
             move |listed: &&ListedRouter| now - listed.last_legacy_gossip_at < LEGACY_GOSSIP_TIMEOUT;
         self.listed.iter().filter(is_recent).map(|listed| listed.address)
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -16,19 +16,19 @@
     /// How many routers are asked for an indirect probe.
     pub indirect_probes: usize,
     /// The shortest suspicion timeout, for up to ten routers. It grows with the logarithm of their number.
-    pub min_suspicion: Span,
+    pub min_suspicion_timeout: Span,
     /// The longest suspicion timeout, without any confirmation, as a multiple of the shortest.
     pub max_suspicion_factor: f64,
     /// Confirmations by other routers that shorten a suspicion timeout to the shortest.
-    pub confirmations: usize,
+    pub required_confirmations: usize,
     /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
     /// Maximum number of routers in the table, tombstones included.
     pub max_routers: usize,
     /// How long a tombstone of a router that died or left is kept. A dead router is probed for its return meanwhile.
-    pub forget_dead_after: Span,
+    pub tombstone_retention: Span,
     /// Without an acknowledgement by any router for this long, this router counts as isolated.
-    pub isolated_after: Span,
+    pub isolation_timeout: Span,
     /// A deliberate fault, for tests of the tests.
     pub faulty: Faulty,
 }
@@ -39,13 +39,13 @@
             probe_interval: Span::from_millis(250),
             ack_timeout: Span::from_millis(80),
             indirect_probes: 3,
-            min_suspicion: Span::from_millis(900),
+            min_suspicion_timeout: Span::from_millis(900),
             max_suspicion_factor: 2.2,
-            confirmations: 2,
+            required_confirmations: 2,
             max_datagram_bytes: 256,
             max_routers: 2000,
-            forget_dead_after: Span::from_millis(120_000),
-            isolated_after: Span::from_millis(1500),
+            tombstone_retention: Span::from_millis(120_000),
+            isolation_timeout: Span::from_millis(1500),
             faulty: Faulty::NotFaulty,
         }
     }
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -3,7 +3,7 @@
 //! This router refutes a suspicion of itself with a higher incarnation. `suspicion_timeout` has the time to refute.
 
 use crate::membership::Membership;
-use crate::router_hash::suspected_by_id;
+use crate::router_hash::suspecting_router_id;
 use crate::router_state::{State, StateUpdate};
 use crate::settings::Faulty;
 use ladderpass_routing::Time;
@@ -16,10 +16,10 @@
         let Some(last_ack) = self.routers.get(target).map(|known| known.last_ack) else { return };
         let has_acked_since = last_ack > probe_sent_at;
         let Some(known) = self.routers.state_update(target) else { return };
-        if known.state.is_gone() || has_acked_since {
+        if known.state.is_dead_or_left() || has_acked_since {
             return;
         }
-        let suspicion = StateUpdate { suspected_by: suspected_by_id(self.local), ..known };
+        let suspicion = StateUpdate { suspected_by: suspecting_router_id(self.local), ..known };
         if known.state == State::Suspect {
             self.routers.confirm_suspicion(target, suspicion.suspected_by);
             self.gossip_change(now, suspicion);
@@ -32,7 +32,7 @@
     pub(crate) fn confirm_dead(&mut self, now: Time, router: SocketAddr) {
         let Some(known) = self.routers.state_update(router) else { return };
         let is_isolated = self.health.is_isolated(now);
-        let Some(change) = self.routers.mark_gone(now, router, known.incarnation, State::Dead) else {
+        let Some(change) = self.routers.mark_dead_or_left(now, router, known.incarnation, State::Dead) else {
             return;
         };
         if is_isolated {
@@ -58,7 +58,7 @@
         }
         self.address_conflict |= is_later && update.incarnation.started_ms() > self.incarnation.started_ms();
         self.incarnation = if is_later { update.incarnation.next_start() } else { update.incarnation.next() };
-        self.gossip_change(now, self.own_state());
+        self.gossip_change(now, self.local_state());
         if update.state != State::Alive && !is_later {
             // Others got no ack from this router: it may be slow.
             self.health.degrade(1);
--- a/crates/ladderpass-membership/src/suspicion_timeout.rs
+++ b/crates/ladderpass-membership/src/suspicion_timeout.rs
@@ -22,19 +22,19 @@
     }
 
     /// Records a router that suspects as well, each once and no more than `max`.
-    pub fn add_suspecting(&mut self, router_id: u16, max: usize) {
+    pub fn add_suspecting_router(&mut self, router_id: u16, max: usize) {
         if !self.suspected_by.contains(&router_id) && self.suspected_by.len() < max {
             self.suspected_by.push(router_id);
         }
     }
 
     /// How many routers suspect it.
-    pub fn suspecting_count(&self) -> usize {
+    pub fn suspecting_router_count(&self) -> usize {
         self.suspected_by.len()
     }
 
     /// The id of the router that suspected it first.
-    pub fn first_suspected_by(&self) -> Option<u16> {
+    pub fn first_suspecting_router(&self) -> Option<u16> {
         self.suspected_by.first().copied()
     }
 
@@ -61,16 +61,20 @@
     }
 }
 
-/// How long a router may refute the suspicion of `suspecting_count` routers, among `cluster_size` routers.
+/// How long a router may refute the suspicion of `suspecting_router_count` routers, among `cluster_size` routers.
 ///
-/// From `min_suspicion` times the decimal logarithm of the cluster size, once enough routers have confirmed it, up to
+/// From `min_suspicion_timeout` times the decimal logarithm of the cluster size, once enough routers have confirmed it, up to
 /// `max_suspicion_factor` times that, while none has.
-pub(crate) fn suspicion_timeout(settings: &Settings, cluster_size: usize, suspecting_count: usize) -> Span {
-    let min = settings.min_suspicion * (cluster_size as f64).log10().max(1.0);
+pub(crate) fn suspicion_timeout(
+    settings: &Settings,
+    cluster_size: usize,
+    suspecting_router_count: usize,
+) -> Span {
+    let min = settings.min_suspicion_timeout * (cluster_size as f64).log10().max(1.0);
     let max = min * settings.max_suspicion_factor;
     // Neither this router nor the suspected one can confirm it.
-    let enough = settings.confirmations.min(cluster_size.saturating_sub(2)).max(1);
-    let confirmations = suspecting_count.saturating_sub(1).min(enough);
-    let confirmed_share = ((confirmations + 1) as f64).ln() / ((enough + 1) as f64).ln();
+    let required = settings.required_confirmations.min(cluster_size.saturating_sub(2)).max(1);
+    let confirmations = suspecting_router_count.saturating_sub(1).min(required);
+    let confirmed_share = ((confirmations + 1) as f64).ln() / ((required + 1) as f64).ln();
     max - (max - min) * confirmed_share
 }
--- a/crates/ladderpass-membership/src/update_queue.rs
+++ b/crates/ladderpass-membership/src/update_queue.rs
@@ -58,7 +58,7 @@
 
     /// Counts `transmissions` more for the updates about the routers that `is_covered` accepts; an update that was sent
     /// `limit` times is done.
-    pub fn record_covered(
+    pub fn add_transmissions(
         &mut self,
         transmissions: u32,
         limit: u32,
--- a/crates/ladderpass-membership/src/updates.rs
+++ b/crates/ladderpass-membership/src/updates.rs
@@ -23,14 +23,14 @@
                 self.updates.push(update.router);
             }
         }
-        self.forward_disbelieved_death(update);
+        self.forward_rejected_death(update);
     }
 
     /// A reported death that is not believed here yet goes to the router concerned at once, so that it can refute.
-    fn forward_disbelieved_death(&mut self, update: &StateUpdate) {
+    fn forward_rejected_death(&mut self, update: &StateUpdate) {
         let known = self.routers.state_update(update.router);
         let is_current = known.is_some_and(|known| update.incarnation >= known.incarnation);
-        if update.state.is_gone() && is_current && self.routers.is_alive(update.router) {
+        if update.state.is_dead_or_left() && is_current && self.routers.is_alive(update.router) {
             self.gossip(update.router, *update);
         }
     }
@@ -43,8 +43,8 @@
         match change {
             Change::Joined | Change::Refuted => {
                 // At a random place, so that the last to join need not wait for all others.
-                let place = self.rng.generate_range(0..=self.probe_order.len());
-                self.probe_order.insert(place, router);
+                let position = self.rng.generate_range(0..=self.probe_order.len());
+                self.probe_order.insert(position, router);
             }
             Change::Suspected | Change::Died | Change::Left => {}
         }
--- a/crates/ladderpass-membership/src/view.rs
+++ b/crates/ladderpass-membership/src/view.rs
@@ -30,9 +30,10 @@
         settings: &Settings,
     ) -> View {
         // A deliberate fault counts the dead as well.
-        let counts_gone = settings.faulty == Faulty::CountsDeadRouters;
+        let counts_dead_routers = settings.faulty == Faulty::CountsDeadRouters;
         let counted = || {
-            let routers = routers.iter().filter(|(_, known)| counts_gone || !known.state.is_gone());
+            let routers =
+                routers.iter().filter(|(_, known)| counts_dead_routers || !known.state.is_dead_or_left());
             routers.map(|(&router, _)| router)
         };
         let digest = counted().chain([local]).fold(0, |digest, router| digest ^ view_hash(router));
@@ -42,7 +43,7 @@
             count: counted().count() + 1,
             digest,
             suspected: routers.alive().filter(|(_, known)| known.state == State::Suspect).count(),
-            gone: routers.gone().count() + never_seen.count(),
+            gone: routers.tombstones().count() + never_seen.count(),
         }
     }
 }
--- a/crates/ladderpass-membership/tests/message.rs
+++ b/crates/ladderpass-membership/tests/message.rs
@@ -10,12 +10,12 @@
         suspected_by,
     };
     let updates = vec![update("[fd00::7]:99", State::Suspect, 700), update("10.1.2.3:65535", State::Left, 0)];
-    let own = update("127.0.0.9:7400", State::Alive, 0);
+    let sender_state = update("127.0.0.9:7400", State::Alive, 0);
     Message {
         kind: Kind::PingRequest,
         sequence: 77,
         digest: 0xdead_beef,
-        own,
+        sender_state,
         updates,
         piggyback: Vec::new(),
     }
