--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -1,7 +1,9 @@
-//! Dissemination: updates piggybacked on every datagram, gossip about a change, and view synchronisation.
+//! Dissemination of updates: piggybacked on every datagram, as gossip after a change, and by view synchronisation.
 //!
-//! An update is sent a logarithmic number of times, the least sent first. A datagram carries a digest of the sender's
-//! view; where the receiver's differs, both send what they know of all routers (anti-entropy), within limits by round.
+//! The number of times that an update is sent grows with the logarithm of the number of routers. The updates that were
+//! sent least often go first. Each datagram carries a digest of its sender's view. A router that receives a ping or an
+//! ack with a digest other than its own sends the states of all routers that it knows (anti-entropy), within limits
+//! per round.
 
 use crate::membership::Membership;
 use crate::message::{Kind, Message, update_bytes};
@@ -10,27 +12,28 @@
 use nanorand::Rng;
 use std::net::SocketAddr;
 
-/// The most datagrams with nothing but updates in a round.
+/// Maximum number of datagrams in a round that carry only updates.
 const MAX_GOSSIP_PER_ROUND: usize = 6;
-/// The most datagrams with the view in a round, and for one ping or ack.
+/// Maximum number of datagrams in a round that carry the view.
 const MAX_VIEW_SYNCS_PER_ROUND: usize = 16;
+/// Maximum number of datagrams that carry the view after one ping or ack.
 const MAX_VIEW_SYNCS_AT_ONCE: usize = 5;
-/// Routers that a change is sent to at once.
+/// Number of routers to which a change is sent immediately.
 const CHANGE_FANOUT: usize = 2;
-/// How often an update is sent, as a multiple of the binary logarithm of the number of routers.
+/// How often an update is sent, as a multiple of the binary logarithm of the number of routers plus one.
 const RETRANSMIT_MULTIPLIER: f64 = 3.0;
-/// Another router with the same view counts as so many transmissions.
+/// A datagram from a router with the same view counts as this many transmissions of each update that the digest covers.
 const TRANSMISSIONS_PER_SAME_VIEW: u32 = 3;
-/// Encoded size of the shortest update.
+/// Encoded size of the shortest update, in bytes.
 const MIN_UPDATE_BYTES: usize = 15;
 
-/// A message before its state and updates are filled in.
+/// A message before the sender's state, the digest and the pending updates are added.
 pub(crate) struct Draft {
     pub kind: Kind,
     pub sequence: u32,
     /// Updates that must be in the message.
     pub updates: Vec<StateUpdate>,
-    /// Use the space that is left for what is known of all routers.
+    /// Whether the remaining space is filled with the states of all known routers.
     pub fill_with_view: bool,
 }
 
@@ -49,7 +52,7 @@
 }
 
 impl Membership {
-    /// Completes a draft, and queues it as a datagram to be sent.
+    /// Completes a draft and queues it as an outgoing datagram.
     pub(crate) fn send(&mut self, to: SocketAddr, draft: Draft) {
         let bytes = self.compose(to, draft).encode();
         self.counts.sent += 1;
@@ -57,13 +60,14 @@
         self.outgoing.push((to, bytes));
     }
 
-    /// Adds this router's state, the digest, the piggybacked payload and as many pending updates as fit.
+    /// Adds this router's state, the digest, the piggybacked payload and as many pending updates as fit. If the draft
+    /// asks for it, the remaining space is filled with the view.
     fn compose(&mut self, to: SocketAddr, draft: Draft) -> Message {
         let digest = self.routers.digest(self.incarnation);
         let mut updates = draft.updates;
         let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
         if is_probe || draft.fill_with_view {
-            // Lifeguard's buddy system: a router that is not counted as alive is notified of that, to refute it.
+            // Lifeguard's buddy system: a receiver that is suspected, dead or left is notified, so that it can refute.
             let state_of_receiver = self.routers.state_update(to);
             updates.extend(state_of_receiver.filter(|known| known.state != State::Alive));
         }
@@ -82,7 +86,8 @@
         message
     }
 
-    /// Appends the least sent updates that fit into `space` bytes. Returns the space that is left.
+    /// Appends as many updates as fit into `space` bytes, those that were sent least often first. Returns the remaining
+    /// space.
     fn append_pending_updates(&mut self, message: &mut Message, mut space: usize) -> usize {
         let limit = self.transmission_limit();
         let max = self.settings.max_datagram_bytes / MIN_UPDATE_BYTES + 1;
@@ -101,8 +106,8 @@
         space
     }
 
-    /// Appends the states of all routers from a random one on, as many as fit. Deaths found while this router was
-    /// isolated are not disseminated.
+    /// Appends as many states of known routers as fit, starting at a random router. Deaths that this router found while
+    /// it was isolated are not disseminated.
     fn append_view(&mut self, message: &mut Message, mut space: usize) {
         let first = self.rng.generate_range(0..self.routers.len());
         let disseminated = self.routers.iter().filter(|(_, known)| !known.found_dead_while_isolated);
@@ -120,13 +125,14 @@
         }
     }
 
-    /// How often an update is sent in all.
+    /// The number of transmissions after which an update is no longer sent.
     fn transmission_limit(&mut self) -> u32 {
         let doublings = ((self.routers.cluster_size() + 1) as f64).log2();
         (RETRANSMIT_MULTIPLIER * doublings).ceil() as u32
     }
 
-    /// Another router has the same view, so it knows the updates that the digest covers: all but suspicions.
+    /// Records that another router has the same view. It therefore knows all updates that the digest covers, which are
+    /// all updates except suspicions.
     pub(crate) fn record_same_view(&mut self) {
         let limit = self.transmission_limit();
         let routers = &self.routers;
@@ -135,7 +141,8 @@
         });
     }
 
-    /// Sends the view in as many datagrams as it needs, within the limits.
+    /// Sends the view in several datagrams, within the limits. Their number is estimated from the size of the shortest
+    /// update.
     pub(crate) fn send_view(&mut self, to: SocketAddr) {
         let view_bytes = self.routers.len() * MIN_UPDATE_BYTES;
         let datagrams = view_bytes
@@ -148,7 +155,7 @@
         }
     }
 
-    /// Sends one update at once, within the limit of a round.
+    /// Sends one update immediately, within the limit per round.
     pub(crate) fn gossip(&mut self, to: SocketAddr, update: StateUpdate) {
         if self.gossip_sent < MAX_GOSSIP_PER_ROUND {
             self.gossip_sent += 1;
@@ -156,14 +163,14 @@
         }
     }
 
-    /// Sends a change to some routers at once, without waiting for a probe.
+    /// Sends a change to some routers immediately, without waiting for the next probe.
     pub(crate) fn gossip_change(&mut self, now: Time, update: StateUpdate) {
         for peer in self.select_responsive_peers(now, CHANGE_FANOUT, update.router) {
             self.gossip(peer, update);
         }
     }
 
-    /// As `gossip_change`, and first to the router that the update is about.
+    /// Like `gossip_change`, but sends the change to the router that the update is about first.
     pub(crate) fn gossip_change_to_subject(&mut self, now: Time, update: StateUpdate) {
         let peers = self.select_responsive_peers(now, CHANGE_FANOUT, update.router);
         for to in [update.router].into_iter().chain(peers) {
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Notifies some routers that this router leaves.
+    /// Notifies some routers that this router is leaving.
     pub(crate) fn announce_leave(&mut self, now: Time) {
         for peer in self.select_responsive_peers(now, MAX_GOSSIP_PER_ROUND, self.local) {
             self.send(peer, Draft::gossip());
--- a/crates/ladderpass-membership/src/lib.rs
+++ b/crates/ladderpass-membership/src/lib.rs
@@ -1,19 +1,24 @@
 //! Failure detection among routers: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard (Dadgar, Phillips, Currey, 2018).
 //!
-//! Inputs are datagrams of other routers and the time; outputs are datagrams, the view of who is alive, and its
-//! changes. The package does no I/O, reads no clock and decides nothing about an RPC (`docs/design/membership.md`).
+//! The inputs are datagrams from other routers and the time. The outputs are datagrams, the view of which routers are
+//! alive, and the changes of that view. The package does no I/O, reads no clock and makes no decisions about RPCs. Its
+//! design is described in `docs/design/membership.md`.
 //!
-//! - [`Membership`] (`membership`): the entry points. It composes the other modules.
-//! - `probe`: direct and indirect probes (ping, ping-req, ack, nack); `probe_table`: those in flight.
-//! - `suspicion`: a failed probe leads to a suspicion, which is refuted or confirmed as a death; `suspicion_timeout`:
-//!   how long a suspected router has to refute, by the number of routers and confirmations.
-//! - `router_table`: the state of each known router and which update overrides it.
+//! - [`Membership`] (`membership`): the entry points, which combine the other modules.
+//! - `probe`: direct and indirect probes (ping, ping-req, ack, nack).
+//! - `probe_table`: the probes in flight.
+//! - `suspicion`: the suspicion after a failed probe, and its refutation or its confirmation as a death.
+//! - `suspicion_timeout`: how long a suspected router has to refute, given the number of routers and of confirmations.
+//! - `router_table`: the state of each known router, and which updates override it.
 //! - `updates`: applies received updates and disseminates the changes.
-//! - `dissemination`: piggybacked updates, gossip and view synchronisation; `update_queue`: updates yet to be sent.
-//! - `peer_selection`: whom to probe, to ask for an indirect probe, and to send gossip to.
+//! - `dissemination`: piggybacked updates, gossip and view synchronisation.
+//! - `update_queue`: the updates that are still to be sent.
+//! - `peer_selection`: which routers are probed, are asked for an indirect probe, or receive gossip.
 //! - `local_health`: Lifeguard's local health score, and whether this router is isolated.
-//! - `senders`: from which addresses datagrams are accepted; `network`: networks in CIDR form.
-//! - `message`, `router_state`: the datagram and its parts; `router_hash`: ids derived from addresses.
+//! - `senders`: the addresses from which datagrams are accepted.
+//! - `network`: networks in CIDR form.
+//! - `message`, `router_state`: the datagram between routers and the router states in it.
+//! - `router_hash`: ids derived from addresses.
 
 mod dissemination;
 mod local_health;
--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -1,14 +1,16 @@
-//! Lifeguard's local health: how much this router distrusts its own findings, and whether it is isolated.
+//! Lifeguard's local health score, which tells how unreliable this router's own findings are, and whether the router
+//! is isolated.
 //!
-//! The score grows with missed acks and nacks, refuted suspicions of itself and stalls; it multiplies the timeouts of
-//! this router's probes. A router that no other has acknowledged for a while is isolated.
+//! The score grows with missing acks and nacks, with refutations of suspicions about this router, and with stalls. The
+//! timeouts of this router's probes are multiplied by the score plus one. A router is isolated if no other router has
+//! acknowledged it for a while.
 
 use ladderpass_routing::{Span, Time};
 
 /// The worst health score.
 const MAX_SCORE: u32 = 8;
 
-/// The health score and the last acknowledgement.
+/// The health score, and when another router last acknowledged this one.
 pub(crate) struct LocalHealth {
     score: u32,
     last_acknowledged_at: Time,
@@ -20,37 +22,38 @@
         LocalHealth { score: 0, last_acknowledged_at: now, isolation_timeout }
     }
 
-    /// 0 when healthy, up to 8.
+    /// The score: 0 when healthy, up to 8.
     pub fn score(&self) -> u32 {
         self.score
     }
 
-    /// Factor on the timeouts of this router's probes.
+    /// The factor by which the timeouts of this router's probes are multiplied.
     pub fn timeout_multiplier(&self) -> f64 {
         f64::from(self.score + 1)
     }
 
-    /// A probe of this router was acked: its findings count for more.
+    /// Improves the score by one step, since a probe that this router sent was acked.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Something speaks against this router's own health, by so many steps.
+    /// Worsens the score by this many steps, since there are signs that this router itself is slow or cut off.
     pub fn degrade(&mut self, steps: u32) {
         self.score = (self.score + steps).min(MAX_SCORE);
     }
 
-    /// Another router has shown that it receives this one's datagrams.
+    /// Records that another router has received a datagram of this one.
     pub fn record_acknowledgement(&mut self, now: Time) {
         self.last_acknowledged_at = now;
     }
 
-    /// Has no router acknowledged this one for so long that it may be the one that is cut off?
+    /// Whether no router has acknowledged this one for so long that this router may be the one that is cut off.
     pub fn is_isolated(&self, now: Time) -> bool {
         now - self.last_acknowledged_at > self.isolation_timeout
     }
 
-    /// This router did not run for so long: missing acknowledgements in that time prove nothing.
+    /// Records that this router did not run for this long, which worsens the score by one step. Acknowledgements that
+    /// are missing from that time prove nothing, so the time does not count towards isolation.
     pub fn record_stall(&mut self, stall: Span) {
         self.degrade(1);
         self.last_acknowledged_at = self.last_acknowledged_at + stall;
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -1,8 +1,10 @@
-//! The entry points of the failure detector: a datagram was received, time has passed, this router shuts down.
+//! The entry points of the failure detector, which are called when a datagram was received, when time has passed, and
+//! when this router shuts down.
 //!
-//! Time runs in rounds of [`Settings::probe_interval`]. In each, one live router is probed; acks, suspicions and
-//! datagrams are handled as they come. A silent router is dead only after its suspicion timeout, and the findings of a
-//! router that stalled or is isolated don't count.
+//! Time is divided into rounds of [`Settings::probe_interval`]. One live router is probed in each round. Acks,
+//! suspicions and datagrams are handled as they arrive. A router that does not answer counts as dead only after its
+//! suspicion timeout. Deaths that this router finds while it is isolated are not disseminated, and answers that are
+//! missing because of a stall do not count.
 
 use crate::local_health::LocalHealth;
 use crate::message::{Kind, Message};
@@ -18,30 +20,30 @@
 use nanorand::{Rng, WyRand};
 use std::net::SocketAddr;
 
-/// A gap between two ticks of more than so many rounds is a stall of this router.
+/// A gap between two ticks that is longer than this many rounds counts as a stall of this router.
 const STALL_ROUNDS: f64 = 1.6;
-/// Bounds the payloads that are stored until they are taken.
+/// Maximum number of received payloads that are stored until they are taken.
 const MAX_RECEIVED_PIGGYBACKS: usize = 64;
 
-/// This router.
+/// The address and start time of this router.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalRouter {
-    /// Where the others send to.
+    /// The address to which other routers send datagrams.
     pub address: SocketAddr,
-    /// The wall clock at its start, in Unix milliseconds.
+    /// The wall clock at this router's start, in Unix milliseconds.
     pub started_unix_ms: i64,
 }
 
-/// Datagrams since the start.
+/// Counts of datagrams since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes sent, without headers of UDP and IP.
+    /// Bytes sent, without UDP and IP headers.
     pub bytes: u64,
     /// Datagrams received and decoded.
     pub received: u64,
-    /// Datagrams that could not be decoded, or came from an address that is not accepted.
+    /// Datagrams that could not be decoded or came from an address that is not accepted.
     pub dropped: u64,
 }
 
@@ -53,30 +55,32 @@
     pub(crate) routers: RouterTable,
     pub(crate) senders: Senders,
     pub(crate) rng: WyRand,
-    /// Routers still to be probed before any is probed again, the next one last.
+    /// Routers that are still to be probed before any router is probed again. The next router to be probed is last.
     pub(crate) probe_order: Vec<SocketAddr>,
     pub(crate) probes: ProbeTable,
     pub(crate) updates: UpdateQueue,
     pub(crate) health: LocalHealth,
     pub(crate) next_round_at: Time,
     pub(crate) round: u64,
-    /// Datagrams sent in this round that carry nothing but updates.
+    /// Number of datagrams sent in this round that carry only updates.
     pub(crate) gossip_sent: usize,
-    /// Datagrams sent in this round that carry the view.
+    /// Number of datagrams sent in this round that carry the view.
     pub(crate) view_syncs_sent: usize,
     pub(crate) last_tick_at: Time,
     pub(crate) is_leaving: bool,
     pub(crate) outgoing: Vec<(SocketAddr, Vec<u8>)>,
     pub(crate) changes: Vec<(SocketAddr, Change)>,
     pub(crate) counts: DatagramCounts,
-    /// An update about this router came that only another process at its address can have sent.
+    /// Whether an update about this router was received whose start time can only be that of another process at the
+    /// same address.
     pub(crate) address_conflict: bool,
     pub(crate) piggyback: Vec<u8>,
     received_piggybacks: Vec<Vec<u8>>,
 }
 
 impl Membership {
-    /// `listed`: addresses of other routers; `networks`: those from which others may join.
+    /// Starts the failure detector. `listed` are the addresses of other routers, `networks` the networks from which
+    /// routers that are not listed may join.
     pub fn start(
         now: Time,
         seed: u64,
@@ -86,7 +90,7 @@
         settings: Settings,
     ) -> Membership {
         let mut rng = WyRand::new_seed(seed);
-        // Routers that start together should not probe together.
+        // The first round starts at a random time, so that routers started together do not probe at the same time.
         let first_round_share = rng.generate_range(0..1000u32) as f64 / 1000.0;
         let others = listed.iter().copied().filter(|&address| address != local.address);
         Membership {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// The present view of who is alive.
+    /// The current view of which routers are alive.
     pub fn view(&self) -> View {
         View::compute(self.local, &self.routers, &self.senders, &self.settings)
     }
@@ -125,39 +129,40 @@
         self.routers.alive().filter_map(move |(&router, _)| self.routers.peer(now, router))
     }
 
-    /// Where gossip of other mechanisms is sent to: live routers, and legacy routers that sent gossip recently.
+    /// The routers to which gossip of other mechanisms is sent: live routers, and legacy routers that sent gossip
+    /// recently.
     pub fn gossip_targets(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let legacy = self.senders.recent_legacy_routers(now).filter(|&router| !self.routers.contains(router));
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
     }
 
-    /// Records that gossip of other mechanisms came from this address. True where it may be accepted: from configured
-    /// addresses and live routers. A configured router that is not in the router table runs a legacy version.
+    /// Records that gossip of other mechanisms came from this address. Returns whether it may be accepted, which is so
+    /// for listed addresses and live routers. A listed router that is not in the router table runs a legacy version.
     pub fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.senders.record_legacy_gossip(now, from) || self.routers.is_alive(from)
     }
 
-    /// Takes the changes of the view since the last call.
+    /// Takes the changes of the view that were made since the last call.
     pub fn take_changes(&mut self) -> Vec<(SocketAddr, Change)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes the datagrams to send.
+    /// Takes the datagrams that are to be sent.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Datagrams since the start.
+    /// Counts of datagrams since the start.
     pub fn counts(&self) -> DatagramCounts {
         self.counts
     }
 
-    /// Sets the payload that each ping and ack carries from now on, where it fits.
+    /// Sets the payload that each ping and ack carries from now on if it fits.
     pub fn set_piggyback(&mut self, payload: Vec<u8>) {
         self.piggyback = payload;
     }
 
-    /// Takes the payloads that live routers have sent.
+    /// Takes the payloads that were received from live routers.
     pub fn take_piggybacked(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.received_piggybacks)
     }
@@ -167,18 +172,18 @@
         self.health.score()
     }
 
-    /// Does another process use this router's address? Reported once.
+    /// Whether another process uses or has used this router's address. An occurrence is reported once.
     pub fn take_address_conflict(&mut self) -> bool {
         std::mem::take(&mut self.address_conflict)
     }
 
-    /// When [`Membership::tick`] is due.
+    /// When [`Membership::tick`] is next due.
     pub fn wake_at(&self) -> Time {
         let deadlines = self.probes.wake_at().into_iter().chain(self.routers.next_suspicion_deadline());
         deadlines.chain([self.next_round_at]).min().unwrap_or(self.next_round_at)
     }
 
-    /// A datagram was received.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(message) = Message::decode(bytes).filter(|message| self.is_accepted(from, message)) else {
             self.counts.dropped += 1;
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Stores the piggybacked payload of a live router until it is taken. Beyond the limit it is dropped.
+    /// Stores the piggybacked payload of a live router until it is taken. A payload beyond the limit is dropped.
     fn store_piggyback(&mut self, from: SocketAddr, message: &Message) {
         let has_space = self.received_piggybacks.len() < MAX_RECEIVED_PIGGYBACKS;
         if !message.piggyback.is_empty() && self.routers.is_alive(from) && has_space {
@@ -214,19 +219,20 @@
         }
     }
 
-    /// Accepts a datagram only from a known router or a configured address or network, and only where the sender
-    /// reports its own state under that address.
+    /// Whether a datagram is accepted. It must come from a known router, a listed address or a configured network, and
+    /// the sender must report its own state under the address that it sends from.
     fn is_accepted(&self, from: SocketAddr, message: &Message) -> bool {
         message.sender_state.router == from && from != self.local && self.may_participate(from)
     }
 
-    /// Does this router exchange membership with that one?
+    /// Whether this router exchanges membership datagrams with the given one.
     pub(crate) fn may_participate(&self, router: SocketAddr) -> bool {
         self.routers.contains(router) || self.senders.is_configured(router)
     }
 
-    /// The sender's own state. One that was confirmed dead is probed first, unless this is the ack of a probe: a
-    /// datagram from before its death may arrive late, even with a refutation that no router has seen.
+    /// Applies the sender's own state. A sender that was confirmed dead is probed first, unless the message is the ack
+    /// of a probe: a datagram from before the death may arrive late, even one with a refutation that no router has
+    /// received.
     fn apply_sender_state(&mut self, now: Time, from: SocketAddr, message: &Message) {
         let acks_probe = message.kind == Kind::Ack && self.probes.is_target(message.sequence, from);
         if !acks_probe && self.is_confirmed_dead(from) {
@@ -242,17 +248,17 @@
     }
 
     fn apply_updates_about_other_routers(&mut self, now: Time, from: SocketAddr, message: &Message) {
-        // The first update of these names the target of the indirect probe.
+        // The first update in these messages belongs to the indirect probe and is handled with it.
         let has_probe_update = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
         for update in message.updates.iter().skip(usize::from(has_probe_update)) {
-            // The sender's own state stands in the message's head.
+            // The sender's own state is in `sender_state`, which has been handled already.
             if update.router != from {
                 self.apply_update(now, update);
             }
         }
     }
 
-    /// Time has passed.
+    /// Handles the passage of time: stalls, due probes, expired suspicions and the start of a round.
     pub fn tick(&mut self, now: Time) {
         let since_last_tick = now - self.last_tick_at;
         self.last_tick_at = now;
@@ -272,7 +278,8 @@
         }
     }
 
-    /// What did not arrive while this router did not run proves nothing about others.
+    /// Discards the probes in flight and extends all suspicions after a stall. Datagrams that did not arrive while this
+    /// router did not run prove nothing about other routers.
     fn recover_from_stall(&mut self, now: Time, stall: Span) {
         self.probes.clear();
         self.routers.postpone_suspicions(stall);
@@ -290,14 +297,15 @@
         self.probe_absent_routers(now);
     }
 
-    /// Shuts down: notifies some routers, which notify the others. From now on it neither probes nor answers.
+    /// Shuts down. This router notifies some routers, which notify the others, and from then on neither probes nor
+    /// answers.
     pub fn leave(&mut self, now: Time) {
         self.is_leaving = true;
         self.probes.clear();
         self.announce_leave(now);
     }
 
-    /// This router's own state, as it is disseminated.
+    /// This router's own state as it is disseminated.
     pub(crate) fn local_state(&self) -> StateUpdate {
         let state = if self.is_leaving { State::Left } else { State::Alive };
         StateUpdate { router: self.local, state, incarnation: self.incarnation, suspected_by: 0 }
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -1,37 +1,39 @@
-//! The datagram between routers: a head, the sender's own state, updates about other routers, and a piggybacked
-//! payload.
+//! The datagram between routers. It consists of a header, the sender's own state, updates about other routers, and a
+//! piggybacked payload.
 //!
-//! The first byte differs from that of every legacy gossip datagram, so that legacy routers drop these unread. A
-//! datagram that can't be decoded in full is dropped.
+//! The first byte differs from that of every legacy gossip datagram, so that legacy routers drop these datagrams
+//! without decoding them. A datagram that cannot be decoded completely is dropped.
 
 use crate::router_state::{Incarnation, State, StateUpdate};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The first byte of each datagram. Legacy gossip never begins with it.
+/// The first byte of each datagram. Legacy gossip never starts with it.
 pub const FIRST_BYTE: u8 = b'!';
 const VERSION: u8 = 1;
 
-/// First byte, version, kind, sequence and digest.
+/// Encoded size of the first byte, version, kind, sequence number and digest.
 const HEADER_BYTES: usize = 1 + 1 + 1 + 4 + 4;
 const INCARNATION_BYTES: usize = 8;
 const SUSPECTED_BY_BYTES: usize = 2;
-/// Address and port.
+/// Encoded size of an IPv4 address and port.
 const IPV4_ADDRESS_BYTES: usize = 4 + 2;
+/// Encoded size of an IPv6 address and port.
 const IPV6_ADDRESS_BYTES: usize = 16 + 2;
 
-/// Flags before an update: the state in the low bits, and whether the address is of IPv6.
+/// The bits of an update's first byte that hold the state.
 const STATE_MASK: u8 = 3;
+/// The bit of an update's first byte that is set if the address is an IPv6 address.
 const IPV6_FLAG: u8 = 1 << 2;
-/// Precedes the piggybacked payload. No update begins with it.
+/// The byte that precedes the piggybacked payload. No update starts with it.
 const PIGGYBACK_MARKER: u8 = 1 << 7;
 
-/// Position on the wire of each state.
+/// The states in the order of their numbers on the wire.
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// What a datagram is.
+/// The kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A probe. Its receiver answers with an `Ack`.
+    /// A probe, which the receiver answers with an `Ack`.
     Ping,
     /// The answer to a `Ping`.
     Ack,
@@ -39,30 +41,30 @@
     PingRequest,
     /// The router of the first update has answered an indirect probe.
     IndirectAck,
-    /// The indirect probe has no answer yet, but its relay is alive (Lifeguard).
+    /// The indirect probe has no answer yet, but the relay is alive (Lifeguard).
     Nack,
-    /// Updates alone.
+    /// A datagram that carries only updates.
     Gossip,
 }
 
-/// Position on the wire of each kind.
+/// The kinds in the order of their numbers on the wire.
 const KINDS: [Kind; 6] =
     [Kind::Ping, Kind::Ack, Kind::PingRequest, Kind::IndirectAck, Kind::Nack, Kind::Gossip];
 
 /// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it is.
+    /// The kind of the datagram.
     pub kind: Kind,
-    /// Identifies a probe. Its answer carries the same number.
+    /// The sequence number of a probe. The answer to the probe carries the same number.
     pub sequence: u32,
-    /// Digest of the sender's view, its own incarnation included.
+    /// Digest of the sender's view, including the sender's own incarnation.
     pub digest: u32,
     /// The sender's own state.
     pub sender_state: StateUpdate,
-    /// States of other routers.
+    /// The states of other routers.
     pub updates: Vec<StateUpdate>,
-    /// Opaque payload of another mechanism. Empty where there is none.
+    /// Opaque payload of another mechanism. It is empty if there is none.
     pub piggyback: Vec<u8>,
 }
 
@@ -84,7 +86,7 @@
         if self.piggyback.is_empty() { 0 } else { 1 + self.piggyback.len() }
     }
 
-    /// The datagram's bytes.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.encoded_bytes());
         let kind = KINDS.iter().position(|&kind| kind == self.kind).unwrap_or_default() as u8;
@@ -101,7 +103,7 @@
         bytes
     }
 
-    /// Decodes a datagram. None where any part of it is malformed or of another version.
+    /// Decodes a datagram. Returns `None` if any part of it is malformed or its version is another one.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let mut rest = bytes;
         let [first, version, kind] = take_bytes::<3>(&mut rest)?;
--- a/crates/ladderpass-membership/src/peer_selection.rs
+++ b/crates/ladderpass-membership/src/peer_selection.rs
@@ -1,4 +1,4 @@
-//! Which routers are probed, relay an indirect probe, or receive gossip.
+//! Selects the routers that are probed, that relay an indirect probe, or that receive gossip.
 
 use crate::membership::Membership;
 use crate::router_state::State;
@@ -6,11 +6,12 @@
 use nanorand::Rng;
 use std::net::SocketAddr;
 
-/// Routers are ranked by the time since their last ack, in steps of so many rounds; beyond the last step all are alike.
+/// Routers are ranked by the time since their last ack, counted in steps of this many rounds.
 const ACK_AGE_STEP_ROUNDS: i64 = 4;
+/// Routers whose last ack is at least this many steps ago are ranked equally.
 const MAX_ACK_AGE_STEPS: i64 = 16;
 
-/// A candidate; the least comes first.
+/// A candidate for selection. Candidates are taken in ascending order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedPeer {
     ack_age_steps: i64,
@@ -19,7 +20,8 @@
 }
 
 impl Membership {
-    /// The next live router that is not being probed, in an order shuffled anew after each pass.
+    /// Returns the next live router that is not being probed. The order is shuffled again after each pass over all
+    /// routers.
     pub(crate) fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             let Some(router) = self.probe_order.pop() else {
@@ -39,14 +41,14 @@
         }
     }
 
-    /// Routers that are dead, and configured ones that were never seen.
+    /// Routers that are dead, and listed routers that were never seen.
     pub(crate) fn absent_routers(&self) -> Vec<SocketAddr> {
         let dead = self.routers.iter().filter(|(_, known)| known.state == State::Dead);
         let never_seen = self.senders.listed().filter(|&listed| !self.routers.contains(listed));
         dead.map(|(&router, _)| router).chain(never_seen).collect()
     }
 
-    /// One of these routers at random; none of none.
+    /// Returns one of these routers at random, or `None` if there are none.
     pub(crate) fn pick_random(&mut self, routers: &[SocketAddr]) -> Option<SocketAddr> {
         if routers.is_empty() {
             return None;
@@ -54,8 +56,9 @@
         Some(routers[self.rng.generate_range(0..routers.len())])
     }
 
-    /// Up to `count` unsuspected routers other than `except`, those with the latest acks first and else at random.
-    /// When many routers die at once, a router that has just acked is the most likely to be there.
+    /// Returns up to `count` routers other than `except` that are alive and not suspected. Those with the latest acks
+    /// come first, in random order among equals. When many routers die at once, a router that has just acked is the
+    /// most likely one to be still running.
     pub(crate) fn select_responsive_peers(
         &mut self,
         now: Time,
--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -1,8 +1,9 @@
 //! Direct and indirect probes of SWIM.
 //!
-//! A probe sends a ping. Without an ack within [`crate::Settings::ack_timeout`] other routers are asked to ping the
-//! same target (ping-req) until the round is over; then it is suspected. Both timeouts grow with the local health
-//! score. A relay that has no answer either sends a nack, which tells the prober that its own link works (Lifeguard).
+//! A probe begins with a ping. If no ack arrives within [`crate::Settings::ack_timeout`], other routers (relays) are
+//! asked to ping the same target (ping-req). If no ack arrives before the round is over, the target is suspected. Both
+//! timeouts grow with the local health score. A relay that receives no ack either sends a nack, from which the prober
+//! learns that its own link works (Lifeguard).
 
 use crate::dissemination::Draft;
 use crate::membership::Membership;
@@ -12,27 +13,28 @@
 use ladderpass_routing::Time;
 use std::net::SocketAddr;
 
-/// Failure detection probes in flight at once. Where acks are missing, more than one is sent in a round.
+/// Maximum number of failure detection probes in flight. More than one is sent in a round when acks are missing.
 const MAX_CONCURRENT_PROBES: usize = 4;
-/// How long a relayed probe waits for its ack, in rounds.
+/// How long a relay waits for the ack of a relayed probe, in rounds.
 const RELAY_TIMEOUT_ROUNDS: f64 = 2.0;
-/// When a relay sends a nack, as a share of the time that the requester waits for it.
+/// How long a relay waits before it sends a nack, as a share of the time that the requester waits for an answer.
 const NACK_SHARE_OF_WAIT: f64 = 0.5;
-/// Absent routers (dead, or configured and never seen) that are probed at a time, once in so many rounds.
+/// Number of absent routers (dead, or listed and never seen) that are probed at a time.
 const ABSENT_PROBES: usize = 1;
+/// Absent routers are probed once in this many rounds.
 const ROUNDS_BETWEEN_ABSENT_PROBES: u64 = 2;
-/// The same for a router that knows no other live one: it probes in each round.
+/// Number of absent routers that are probed in each round by a router that knows no other live router.
 const ABSENT_PROBES_WHEN_ALONE: usize = 3;
 
 impl Membership {
-    /// Probes the next live router. Each is probed once before any is probed again.
+    /// Probes the next live router. Each router is probed once before any router is probed again.
     pub(crate) fn probe_next_router(&mut self, now: Time) {
         if let Some(target) = self.next_probe_target() {
             self.send_probe(now, target, ProbePurpose::FailureDetection);
         }
     }
 
-    /// Probes absent routers (dead, or configured and never seen) to find out whether they have returned.
+    /// Probes absent routers (dead, or listed and never seen) to find out whether they have returned.
     pub(crate) fn probe_absent_routers(&mut self, now: Time) {
         let is_alone = self.routers.cluster_size() == 1;
         if !is_alone && !self.round.is_multiple_of(ROUNDS_BETWEEN_ABSENT_PROBES) {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Probes a router that is gone, or was never seen, unless it is being probed.
+    /// Probes a router that is dead or was never seen, unless a probe of it is already in flight.
     pub(crate) fn probe_for_return(&mut self, now: Time, target: SocketAddr) {
         if !self.is_leaving && !self.probes.is_probing(target) {
             self.send_probe(now, target, ProbePurpose::ReturnDetection);
@@ -69,7 +71,7 @@
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
-    /// Answers a ping with an ack; where the views differ, also with this router's view.
+    /// Answers a ping with an ack. If the views differ, this router's view is sent too.
     pub(crate) fn on_ping(&mut self, from: SocketAddr, sequence: u32, view_differs: bool) {
         let ack = Draft { fill_with_view: view_differs, ..Draft::new(Kind::Ack, sequence) };
         self.send(from, ack);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Ends the probe that an ack answers: a relayed one by an answer to its requester, else one of this router's own.
+    /// Ends the probe that an ack answers. If this router relayed the probe, the requester is notified.
     pub(crate) fn on_ack(&mut self, now: Time, from: SocketAddr, message: &Message, view_differs: bool) {
         if let Some(relayed) = self.probes.relayed.remove(&message.sequence) {
             self.record_acknowledgement(now);
@@ -113,7 +115,7 @@
             return;
         }
         let sequence = self.probes.next_sequence();
-        // The requester waits until its round is over; the nack must arrive before.
+        // The requester waits until its round is over. The nack must arrive before that.
         let requester_wait = self.settings.probe_interval - self.settings.ack_timeout;
         let nack_at = now + requester_wait * NACK_SHARE_OF_WAIT;
         let deadline = now + self.settings.probe_interval * RELAY_TIMEOUT_ROUNDS;
@@ -122,7 +124,7 @@
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
-    /// Ends the probe whose target has answered another router.
+    /// Ends a probe whose target has answered a relay.
     pub(crate) fn on_indirect_ack(&mut self, now: Time, sequence: u32, target: Option<StateUpdate>) {
         self.record_acknowledgement(now);
         let Some(target) = target.filter(|update| self.probes.is_target(sequence, update.router)) else {
@@ -133,7 +135,7 @@
         self.health.improve();
     }
 
-    /// A relay has no ack either: its nack shows that this router's own link works.
+    /// Counts a nack. The relay has received no ack either, and its nack shows that this router's own link works.
     pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
         self.record_acknowledgement(now);
         if let Some(probe) = self.probes.initiated.get_mut(&sequence) {
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Another router has shown that it receives this one's datagrams. After an isolation the suspected routers get
-    /// their time once more: their refutations could not arrive.
+    /// Records that another router has received a datagram of this one. After an isolation the suspected routers get
+    /// the full time to refute again, since their refutations could not arrive.
     fn record_acknowledgement(&mut self, now: Time) {
         if self.health.is_isolated(now) {
             self.routers.restart_suspicions(now);
@@ -150,7 +152,7 @@
         self.health.record_acknowledgement(now);
     }
 
-    /// Sends the nacks that are due and ends relayed probes without an ack.
+    /// Sends the nacks that are due, and ends the relayed probes whose time has passed without an ack.
     pub(crate) fn advance_relayed_probes(&mut self, now: Time) {
         for sequence in self.probes.due_relayed_probes(now) {
             let Some(relayed) = self.probes.relayed.get_mut(&sequence) else { continue };
@@ -158,7 +160,7 @@
                 self.probes.relayed.remove(&sequence);
                 continue;
             }
-            // One nack is enough.
+            // Only one nack is sent for each relayed probe.
             relayed.nack_at = relayed.deadline;
             let (requester, requester_sequence) = (relayed.requester, relayed.requester_sequence);
             let nack = Draft::new(Kind::Nack, requester_sequence).with_update(self.local_state());
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Asks for indirect probes where they are due, and suspects the targets of failed probes.
+    /// Requests the indirect probes that are due, and suspects the targets of failed probes.
     pub(crate) fn advance_probes(&mut self, now: Time) {
         for sequence in self.probes.due_probes(now) {
             let Some(probe) = self.probes.initiated.get(&sequence) else { continue };
@@ -184,7 +186,7 @@
         if probe.purpose == ProbePurpose::ReturnDetection {
             return;
         }
-        // Relays without a nack show that it may be this router that is cut off.
+        // If relays have sent no nack either, this router may be the one that is cut off.
         self.health.degrade(probe.missed_nacks());
         self.suspect(now, probe.target, probe.sent_at);
     }
@@ -211,7 +213,7 @@
             let request = Draft { updates: target_state.clone(), ..Draft::new(Kind::PingRequest, sequence) };
             self.send(relay, request);
         }
-        // Where one ack is missing others may be too: the next router is probed without waiting for the round.
+        // If one ack is missing, others may be missing too, so the next router is probed before the next round.
         if purpose == ProbePurpose::FailureDetection
             && self.probes.failure_detection_count() < MAX_CONCURRENT_PROBES
         {
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -1,38 +1,39 @@
-//! Probes in flight: those that this router sent for itself, and those that it relays for others.
+//! Probes in flight: those that this router initiated, and those that it relays for other routers.
 
 use ladderpass_routing::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bounds what other routers can make this one store.
+/// Maximum number of relayed probes, which limits what other routers can make this one store.
 const MAX_RELAYED_PROBES: usize = 256;
 
-/// Why a router is probed.
+/// The reason why a router is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProbePurpose {
-    /// To detect its failure: a probe without an ack leads to a suspicion.
+    /// The probe is to detect a failure. A missing ack leads to a suspicion.
     FailureDetection,
-    /// To find out whether a router that is gone or was never seen has come back: a missing ack changes nothing.
+    /// The probe is to find out whether a router that is dead or was never seen is running now. A missing ack changes
+    /// nothing.
     ReturnDetection,
 }
 
-/// A probe that this router sent and that has no ack yet.
+/// A probe that this router initiated and that has no ack yet.
 pub(crate) struct Probe {
     pub target: SocketAddr,
     pub purpose: ProbePurpose,
     pub sent_at: Time,
-    /// When other routers are asked for an indirect probe.
+    /// When other routers are asked for indirect probes.
     pub indirect_at: Time,
-    /// When the probe has failed.
+    /// When the probe fails unless an ack has arrived.
     pub deadline: Time,
-    /// How many routers were asked for an indirect probe.
+    /// How many routers were asked for indirect probes.
     pub relays: usize,
-    /// How many of these answered with a nack.
+    /// How many of the relays answered with a nack.
     pub nacks: usize,
 }
 
 impl Probe {
-    /// Is an indirect probe due, or has the probe failed?
+    /// Whether indirect probes are due or the probe has failed.
     pub fn is_due(&self, now: Time) -> bool {
         let has_failed = self.deadline <= now;
         let indirect_is_due = self.relays == 0 && self.indirect_at <= now;
@@ -46,8 +47,8 @@
         }
     }
 
-    /// How much a failed probe says against this router's own health: each relay without a nack counts, and a probe
-    /// without relays as one.
+    /// The number of steps by which this failed probe worsens this router's health score. Each relay that sent no nack
+    /// counts as one step, and so does a probe without relays.
     pub fn missed_nacks(&self) -> u32 {
         match self.relays {
             0 => 1,
@@ -56,19 +57,19 @@
     }
 }
 
-/// An indirect probe on behalf of another router.
+/// An indirect probe that this router sends on behalf of another router.
 pub(crate) struct RelayedProbe {
     pub requester: SocketAddr,
     /// The requester's sequence number of the probe.
     pub requester_sequence: u32,
-    /// When a nack is sent to the requester, as there is no ack yet.
+    /// When a nack is sent to the requester unless an ack has arrived.
     pub nack_at: Time,
     pub deadline: Time,
 }
 
 /// All probes in flight, by sequence number.
 pub(crate) struct ProbeTable {
-    /// Probes that this router sent for itself.
+    /// Probes that this router initiated.
     pub initiated: BTreeMap<u32, Probe>,
     /// Probes on behalf of other routers.
     pub relayed: BTreeMap<u32, RelayedProbe>,
@@ -85,7 +86,7 @@
         self.last_sequence
     }
 
-    /// Forgets all probes.
+    /// Discards all probes.
     pub fn clear(&mut self) {
         self.initiated.clear();
         self.relayed.clear();
@@ -95,12 +96,12 @@
         self.initiated.values().any(|probe| probe.target == target)
     }
 
-    /// Is this the target of the probe with that sequence number?
+    /// Whether the router is the target of the initiated probe with this sequence number.
     pub fn is_target(&self, sequence: u32, router: SocketAddr) -> bool {
         self.initiated.get(&sequence).is_some_and(|probe| probe.target == router)
     }
 
-    /// Probes of routers that are alive.
+    /// The number of failure detection probes in flight.
     pub fn failure_detection_count(&self) -> usize {
         self.initiated.values().filter(|probe| probe.purpose == ProbePurpose::FailureDetection).count()
     }
@@ -109,20 +110,20 @@
         self.relayed.len() < MAX_RELAYED_PROBES
     }
 
-    /// Sequence numbers of the probes that an indirect probe is due for, or that have failed.
+    /// Sequence numbers of the initiated probes that have failed or for which indirect probes are due.
     pub fn due_probes(&self, now: Time) -> Vec<u32> {
         let due = self.initiated.iter().filter(|(_, probe)| probe.is_due(now));
         due.map(|(&sequence, _)| sequence).collect()
     }
 
-    /// Sequence numbers of the relayed probes that a nack is due for, or that have ended.
+    /// Sequence numbers of the relayed probes that have ended or for which a nack is due.
     pub fn due_relayed_probes(&self, now: Time) -> Vec<u32> {
         let due =
             self.relayed.iter().filter(|(_, relayed)| relayed.deadline <= now || relayed.nack_at <= now);
         due.map(|(&sequence, _)| sequence).collect()
     }
 
-    /// When any of them is due next.
+    /// When the next probe is due, initiated or relayed.
     pub fn wake_at(&self) -> Option<Time> {
         let initiated = self.initiated.values().map(Probe::wake_at);
         let relayed = self.relayed.values().map(|relayed| relayed.nack_at.min(relayed.deadline));
--- a/crates/ladderpass-membership/src/router_hash.rs
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -1,21 +1,21 @@
-//! Ids derived from a router's address, the same at all routers.
+//! Ids that are derived from a router's address and are the same at all routers.
 
 use std::net::{IpAddr, SocketAddr};
 
 const VIEW_SALT: u64 = 0;
 const ROUTER_HASH_SALT: u64 = 1;
 
-/// The id by which other mechanisms refer to a router.
+/// The id with which other mechanisms refer to a router.
 pub fn router_hash(router: SocketAddr) -> u32 {
     salted_hash(router, ROUTER_HASH_SALT)
 }
 
-/// A router's part of the digest that [`crate::View`] shows.
+/// The hash of a router in the digest of [`crate::View`].
 pub(crate) fn view_hash(router: SocketAddr) -> u32 {
     salted_hash(router, VIEW_SALT)
 }
 
-/// The id by which a suspicion names the router that has it.
+/// The id with which a suspicion refers to a router that suspects.
 pub(crate) fn suspecting_router_id(router: SocketAddr) -> u16 {
     salted_hash(router, VIEW_SALT) as u16
 }
@@ -31,7 +31,7 @@
     (mixed >> 32) as u32
 }
 
-/// One step of splitmix64, whose constants these are.
+/// One step of splitmix64, with the constants of that generator.
 fn splitmix64_step(state: u64) -> u64 {
     let mut z = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/ladderpass-membership/src/router_state.rs
+++ b/crates/ladderpass-membership/src/router_state.rs
@@ -1,12 +1,14 @@
-//! The state of a router as one router reports it to another: alive, suspect, dead or left, in which incarnation.
+//! The state of a router as other routers report it: alive, suspect, dead or left, in a given incarnation.
 
 use std::net::SocketAddr;
 
-/// Low bits of an incarnation, which count refutations. The bits above are the milliseconds of the router's start.
+/// The number of low bits of an incarnation that count refutations. The bits above are the router's start time in
+/// milliseconds.
 const REFUTATION_BITS: u32 = 16;
 
-/// Orders what is reported of a router: a start time in Unix milliseconds, and the number of refutations since. An
-/// update with a higher incarnation overrides any with a lower one.
+/// A version number that orders the reports about a router. It consists of the router's start time in Unix
+/// milliseconds and the number of refutations since then. An update with a higher incarnation overrides any update with
+/// a lower one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
@@ -16,52 +18,52 @@
         Incarnation((unix_ms.max(0) as u64) << REFUTATION_BITS)
     }
 
-    /// The incarnation after one more refutation. When the count overflows, the start moves on by a millisecond.
+    /// The incarnation after one more refutation. If the count overflows, the start time increases by one millisecond.
     pub fn next(self) -> Incarnation {
         Incarnation(self.0.saturating_add(1))
     }
 
-    /// The first incarnation with a later start: for a router that restarted with its clock set back.
+    /// The first incarnation with a later start time. It is for a router that was restarted with its clock set back.
     pub fn next_start(self) -> Incarnation {
         let next_start_ms = (self.0 >> REFUTATION_BITS).saturating_add(1).min(u64::MAX >> REFUTATION_BITS);
         Incarnation(next_start_ms << REFUTATION_BITS)
     }
 
-    /// The start of the router, in Unix milliseconds of its own clock.
+    /// The router's start time, in Unix milliseconds of its own clock.
     pub fn started_ms(self) -> u64 {
         self.0 >> REFUTATION_BITS
     }
 }
 
-/// The state of a router. In the same incarnation a greater state overrides a lesser one.
+/// The state of a router. Within the same incarnation a greater state overrides a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It answers, or another router reported that it does.
+    /// The router answers, or another router reported that it does.
     Alive,
-    /// A probe of it failed. It is dead unless it refutes before the suspicion timeout.
+    /// A probe of the router failed. The router counts as dead after the suspicion timeout unless it refutes.
     Suspect,
-    /// The suspicion timeout passed without a refutation.
+    /// The suspicion timeout has passed without a refutation.
     Dead,
-    /// It shut down and said so.
+    /// The router shut down and announced it.
     Left,
 }
 
 impl State {
-    /// Is the router dead, or has it left?
+    /// Whether the router is dead or has left.
     pub fn is_dead_or_left(self) -> bool {
         self >= State::Dead
     }
 }
 
-/// The state of one router, as a message carries it.
+/// The state of one router as a message carries it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateUpdate {
     /// The router that the update is about.
     pub router: SocketAddr,
-    /// Its state.
+    /// The state of that router.
     pub state: State,
-    /// The incarnation in which it has that state.
+    /// The incarnation in which the router has that state.
     pub incarnation: Incarnation,
-    /// Of a suspicion: the id of the router that suspected it first. Zero otherwise.
+    /// The id of the router that suspected it first if the state is a suspicion, and zero otherwise.
     pub suspected_by: u16,
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -1,7 +1,11 @@
-//! The state of every known router, and which update overrides it.
+//! The state of every known router, and the rules by which an update overrides it.
 //!
-//! Invariants: a state changes only to a higher incarnation, or to a greater state of the same incarnation; every
-//! suspicion has a deadline; the table is bounded, and tombstones (routers that died or left) are evicted first.
+//! Invariants:
+//!
+//! - A state changes only to one of a higher incarnation, or to a greater state of the same incarnation. An exception
+//!   is a death that this router found while it was isolated, which a report of the same incarnation corrects.
+//! - Every suspicion has a deadline.
+//! - The size of the table is limited. Only tombstones (routers that died or left) are evicted from it.
 
 use crate::router_hash::{salted_hash, suspecting_router_id};
 use crate::router_state::{Incarnation, State, StateUpdate};
@@ -11,76 +15,80 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A router that acked within so many rounds is suspected, not confirmed dead, when others report its death.
+/// If other routers report the death of a router that has acked a probe of this router within this many rounds, the
+/// router is suspected and not confirmed dead.
 const RECENT_ACK_ROUNDS: f64 = 4.0;
 
-/// What is known of another router.
+/// What this router knows about another router.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownRouter {
     pub state: State,
     pub incarnation: Incarnation,
-    /// Since when this router counts it as alive, or as gone.
+    /// When this router began to count the other router's current process as alive, or to count the other router as
+    /// dead or left.
     pub liveness_changed_at: Time,
-    /// When it last acked a probe of this router, since its last start.
+    /// When the other router last acked a probe of this router since it started or returned. `Time::NEVER` if it has
+    /// not.
     pub last_ack: Time,
-    /// Present while it is suspected.
+    /// The suspicion, while the other router is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Its death was found while this router was isolated, so it may be this router's own fault.
+    /// Whether this router found the other one dead while this router was isolated. This router's own link may then be
+    /// the cause.
     pub found_dead_while_isolated: bool,
 }
 
-/// How an update changed the view of a router.
+/// A change of the view of one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was not known before.
+    /// The router was not known before.
     Joined,
-    /// A probe of it failed, here or at another router.
+    /// A probe of the router failed, at this router or another one.
     Suspected,
-    /// It refuted a suspicion, or has returned.
+    /// The router refuted a suspicion, or has returned.
     Refuted,
-    /// It is confirmed dead.
+    /// The router is confirmed dead.
     Died,
-    /// It shut down.
+    /// The router shut down.
     Left,
 }
 
-/// How sure it is that a router is alive.
+/// How certain it is that a router is alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Confidence {
-    /// It acked a probe of this router so long ago.
+    /// The router acked a probe of this router this long ago.
     Acked(Span),
-    /// Only other routers reported it.
+    /// Only other routers have reported that the router is alive.
     Reported,
-    /// It is suspected, and has so much time left to refute.
+    /// The router is suspected and has this much time left to refute.
     Suspected(Span),
 }
 
 /// A router that is counted as alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// Where it receives datagrams.
+    /// The address at which the router receives datagrams.
     pub address: SocketAddr,
-    /// Its start in Unix milliseconds of its own clock. Another number means that it has restarted.
+    /// The router's start time in Unix milliseconds of its own clock. It changes when the router restarts.
     pub started_ms: u64,
-    /// Since when it is counted as alive.
+    /// The time since which the router is counted as alive.
     pub alive_since: Time,
-    /// How sure that is.
+    /// How certain it is that the router is alive.
     pub confidence: Confidence,
 }
 
-/// Number of live routers and the digest of their incarnations.
+/// The number of live routers and the digest of their addresses and incarnations.
 #[derive(Clone, Copy)]
 struct AliveSummary {
     count: usize,
     digest: u32,
 }
 
-/// All known routers but this one.
+/// All known routers except this one.
 pub(crate) struct RouterTable {
     local: SocketAddr,
     routers: BTreeMap<SocketAddr, KnownRouter>,
     settings: Settings,
-    /// Cached, so that a message's cost does not grow with the number of routers. None after a change.
+    /// Cached so that the cost of a message does not grow with the number of routers. It is `None` after a change.
     alive_summary: Option<AliveSummary>,
 }
 
@@ -122,7 +130,7 @@
         self.routers.contains_key(&router)
     }
 
-    /// Known routers, tombstones included.
+    /// The number of known routers, including tombstones.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
@@ -131,17 +139,17 @@
         self.routers.get(&router).is_some_and(|known| !known.state.is_dead_or_left())
     }
 
-    /// Live routers, this one included.
+    /// The number of live routers, including this one.
     pub fn cluster_size(&mut self) -> usize {
         self.alive_summary().count + 1
     }
 
-    /// Digest of the view: the same for two routers that count the same ones as alive, in the same incarnations.
+    /// Digest of the view. It is the same at two routers that count the same routers as alive in the same incarnations.
     pub fn digest(&mut self, local_incarnation: Incarnation) -> u32 {
         self.alive_summary().digest ^ salted_hash(self.local, local_incarnation.0)
     }
 
-    /// The present state of a router, in the form in which it is disseminated.
+    /// The current state of a router in the form in which it is disseminated.
     pub fn state_update(&self, router: SocketAddr) -> Option<StateUpdate> {
         let known = self.routers.get(&router)?;
         let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspecting_router);
@@ -153,7 +161,7 @@
         })
     }
 
-    /// Applies an update where it overrides what is known. Returns the change of the view, if there is one.
+    /// Applies an update if it overrides the known state. Returns the change of the view, if there is one.
     pub fn apply(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         let Some(known) = self.routers.get(&update.router) else { return self.insert(now, update) };
         let same_incarnation = update.incarnation == known.incarnation;
@@ -165,7 +173,8 @@
         }
         let is_newer = update.incarnation > known.incarnation;
         let is_greater_state = same_incarnation && update.state > known.state;
-        // What this router found while it was isolated counts for less than any report of a live router.
+        // Any report that a router is alive or suspected overrides a death that this router found while it was
+        // isolated.
         let corrects_isolated_finding =
             known.found_dead_while_isolated && same_incarnation && !update.state.is_dead_or_left();
         let overrides = is_newer || is_greater_state || corrects_isolated_finding;
@@ -175,7 +184,7 @@
         match update.state {
             State::Alive => self.mark_alive(now, update),
             State::Suspect => self.mark_suspect(now, update),
-            // The report may come from the other side of a partition, or from a router that did not receive the ack.
+            // The report may come from the other side of a partition, or from a router that did not receive an ack.
             State::Dead if self.has_acked_recently(now, update.router) => {
                 let suspected_by = suspecting_router_id(update.router);
                 self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
@@ -194,8 +203,8 @@
             && self.routers.get(&router).is_some_and(has_acked)
     }
 
-    /// Adds a router that was not known. One that is dead or has left is kept as a tombstone, so that a late update
-    /// does not bring it back.
+    /// Adds a router that was not known. If the router is dead or has left, it is stored as a tombstone, so that a late
+    /// update does not add it as a live router.
     fn insert(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         if update.router == self.local || !self.ensure_space_for(update.state) {
             return None;
@@ -220,8 +229,8 @@
         }
     }
 
-    /// Is there space for a router in this state? In a full table the oldest tombstone is evicted for a live router. A
-    /// live router is never evicted.
+    /// Whether there is space for a router in this state. If the table is full, the oldest tombstone is evicted to make
+    /// space for a live router. A live router is never evicted.
     fn ensure_space_for(&mut self, state: State) -> bool {
         if self.routers.len() < self.settings.max_routers {
             return true;
@@ -250,7 +259,7 @@
         (previous != State::Alive).then_some(Change::Refuted)
     }
 
-    /// Starts a suspicion.
+    /// Marks a router as suspected and starts its suspicion.
     pub fn mark_suspect(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         match self.settings.faulty {
             Faulty::NeverSuspects => return None,
@@ -273,8 +282,8 @@
         Some(if was_dead_or_left { Change::Refuted } else { Change::Suspected })
     }
 
-    /// Records one more router that suspects this one, which shortens the timeout. This confirms the suspicion, not
-    /// the death: [`RouterTable::mark_dead_or_left`] does that.
+    /// Records another router that suspects the given one, which shortens the suspicion timeout. This confirms the
+    /// suspicion but not the death, which is confirmed by [`RouterTable::mark_dead_or_left`].
     pub fn confirm_suspicion(&mut self, router: SocketAddr, suspected_by: u16) {
         let max = self.settings.required_confirmations + 1;
         let cluster_size = self.cluster_size();
@@ -285,7 +294,7 @@
         suspicion.set_timeout(timeout);
     }
 
-    /// Makes a router a tombstone: confirmed dead, or left.
+    /// Marks a router as confirmed dead or as left, so that its entry becomes a tombstone.
     pub fn mark_dead_or_left(
         &mut self,
         now: Time,
@@ -307,7 +316,7 @@
         Some(if state == State::Left { Change::Left } else { Change::Died })
     }
 
-    /// A probe of this router was acked.
+    /// Records that the given router acked a probe.
     pub fn record_ack(&mut self, now: Time, router: SocketAddr) {
         if let Some(known) = self.routers.get_mut(&router) {
             known.last_ack = now;
@@ -320,7 +329,7 @@
         }
     }
 
-    /// Routers whose time to refute is over.
+    /// The routers whose time to refute is over.
     pub fn expired_suspicions(&self, now: Time) -> Vec<SocketAddr> {
         let has_expired = |suspicion: &Suspicion| suspicion.deadline() <= now;
         let expired =
@@ -328,7 +337,7 @@
         expired.map(|(&router, _)| router).collect()
     }
 
-    /// When the first suspicion ends.
+    /// When the first suspicion expires.
     pub fn next_suspicion_deadline(&self) -> Option<Time> {
         self.suspicions().map(Suspicion::deadline).min()
     }
@@ -341,24 +350,25 @@
         self.routers.values_mut().filter_map(|known| known.suspicion.as_mut())
     }
 
-    /// This router did not run for so long: what it did not receive meanwhile proves nothing.
+    /// Postpones the deadlines of all suspicions by the time for which this router did not run, since datagrams that it
+    /// did not receive in that time prove nothing.
     pub fn postpone_suspicions(&mut self, by: Span) {
         self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
     }
 
-    /// Gives every suspected router its full time to refute once more.
+    /// Gives every suspected router its full time to refute again.
     pub fn restart_suspicions(&mut self, now: Time) {
         self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
     }
 
-    /// Removes tombstones that are old enough.
+    /// Removes tombstones that have been kept for [`Settings::tombstone_retention`].
     pub fn remove_old_tombstones(&mut self, now: Time) {
         let max_age = self.settings.tombstone_retention;
         self.routers
             .retain(|_, known| !known.state.is_dead_or_left() || now - known.liveness_changed_at < max_age);
     }
 
-    /// A live router, as other mechanisms see it.
+    /// Returns a live router in the form that other mechanisms use.
     pub fn peer(&self, now: Time, router: SocketAddr) -> Option<Peer> {
         let known = self.routers.get(&router).filter(|known| !known.state.is_dead_or_left())?;
         let confidence = match &known.suspicion {
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -1,35 +1,38 @@
 //! Settings of the failure detector.
 //!
-//! The time to find a dead router is that until its probe fails plus the suspicion timeout. The timeout is the shortest
-//! where enough other routers suspect it too, and the longest where none does: by the defaults 1.98 s with two routers,
-//! and from 2.2 s to 4.9 s with 300.
+//! The time to detect a dead router is the time until a probe of it fails plus the suspicion timeout. The timeout is
+//! shortest if enough other routers confirm the suspicion, and longest if none does. With the default settings it is
+//! 1.98 s with two routers, and between 2.2 s and 4.9 s with 300 routers.
 
 use ladderpass_routing::Span;
 
 /// Intervals, timeouts and limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Length of a protocol round: one router is probed in each.
+    /// Length of a protocol round. One live router is probed in each round, or more if acks are missing.
     pub probe_interval: Span,
     /// How long to wait for a direct ack before other routers are asked for an indirect probe.
     pub ack_timeout: Span,
     /// How many routers are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The shortest suspicion timeout, for up to ten routers. It grows with the logarithm of their number.
+    /// The shortest suspicion timeout with up to ten routers. With more routers it grows with the logarithm of their
+    /// number.
     pub min_suspicion_timeout: Span,
-    /// The longest suspicion timeout, without any confirmation, as a multiple of the shortest.
+    /// The longest suspicion timeout as a multiple of the shortest one. It applies to a suspicion without
+    /// confirmations.
     pub max_suspicion_factor: f64,
-    /// Confirmations by other routers that shorten a suspicion timeout to the shortest.
+    /// Number of confirmations by other routers that reduce the suspicion timeout to the shortest one.
     pub required_confirmations: usize,
     /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// Maximum number of routers in the table, tombstones included.
+    /// Maximum number of routers in the table, including tombstones.
     pub max_routers: usize,
-    /// How long a tombstone of a router that died or left is kept. A dead router is probed for its return meanwhile.
+    /// How long the tombstone of a router that died or left is kept. As long as the tombstone of a dead router is kept,
+    /// the router is probed to detect its return.
     pub tombstone_retention: Span,
-    /// Without an acknowledgement by any router for this long, this router counts as isolated.
+    /// This router counts as isolated if no other router has acknowledged it for this long.
     pub isolation_timeout: Span,
-    /// A deliberate fault, for tests of the tests.
+    /// The deliberate fault of this router, if it has one.
     pub faulty: Faulty,
 }
 
@@ -59,9 +62,9 @@
     NotFaulty,
     /// A router that was alive once is never suspected.
     NeverSuspects,
-    /// One missed ack, or one update with a suspicion, confirms a death.
+    /// One failed probe, or one update with a suspicion, confirms a death.
     ConfirmsImmediately,
-    /// The latest update overrides any other, whatever its incarnation.
+    /// The latest update overrides any other, regardless of the incarnations.
     IgnoresIncarnations,
     /// Dead routers are counted in the view.
     CountsDeadRouters,
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -1,6 +1,7 @@
-//! Suspicion: a router whose probe failed is suspected, may refute, and is confirmed dead after the suspicion timeout.
+//! Suspicions. A router is suspected when a probe of it fails. It may refute the suspicion, and is otherwise confirmed
+//! dead after the suspicion timeout, which the module `suspicion_timeout` computes.
 //!
-//! This router refutes a suspicion of itself with a higher incarnation. `suspicion_timeout` has the time to refute.
+//! This router refutes a suspicion about itself with a higher incarnation.
 
 use crate::membership::Membership;
 use crate::router_hash::suspecting_router_id;
@@ -10,8 +11,8 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// A probe got no ack, direct or indirect: starts a suspicion, or joins the present one as another suspecting
-    /// router, which shortens its timeout.
+    /// Handles a probe that received no ack, direct or indirect. Starts a suspicion, or adds this router to the routers
+    /// that have an existing suspicion, which shortens its timeout.
     pub(crate) fn suspect(&mut self, now: Time, target: SocketAddr, probe_sent_at: Time) {
         let Some(last_ack) = self.routers.get(target).map(|known| known.last_ack) else { return };
         let has_acked_since = last_ack > probe_sent_at;
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The suspicion timeout of a router is over: it is dead.
+    /// Confirms that a router is dead, since its suspicion timeout has passed.
     pub(crate) fn confirm_dead(&mut self, now: Time, router: SocketAddr) {
         let Some(known) = self.routers.state_update(router) else { return };
         let is_isolated = self.health.is_isolated(now);
@@ -36,7 +37,7 @@
             return;
         };
         if is_isolated {
-            // Not disseminated: it may be this router that is cut off.
+            // The death is not disseminated, since this router may be the one that is cut off.
             self.routers.mark_found_dead_while_isolated(router);
             self.changes.push((router, change));
             return;
@@ -44,8 +45,8 @@
         self.on_change(now, router, change);
     }
 
-    /// Refutes a report that this router is not alive, and moves on to a later start where its address was used by a
-    /// router with a higher incarnation.
+    /// Refutes a report that this router is not alive. If another process at this router's address had a higher
+    /// incarnation, this router takes an incarnation with a later start time than that one's.
     pub(crate) fn refute(&mut self, now: Time, update: &StateUpdate) {
         if self.is_leaving || self.settings.faulty == Faulty::IgnoresIncarnations {
             return;
@@ -60,7 +61,7 @@
         self.incarnation = if is_later { update.incarnation.next_start() } else { update.incarnation.next() };
         self.gossip_change(now, self.local_state());
         if update.state != State::Alive && !is_later {
-            // Others got no ack from this router: it may be slow.
+            // This router may be slow, since other routers received no ack from it.
             self.health.degrade(1);
         }
     }
--- a/crates/ladderpass-membership/src/update_queue.rs
+++ b/crates/ladderpass-membership/src/update_queue.rs
@@ -1,43 +1,43 @@
-//! Updates that are still to be disseminated, by the router they are about, with how often each was sent.
+//! Queue of the routers whose state is still to be disseminated, with the number of times that each state was sent.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bounds what other routers can make this one store.
+/// Maximum number of pending updates, which limits what other routers can make this one store.
 const MAX_PENDING_UPDATES: usize = 4096;
 
-/// An update to send: the least sent go first.
+/// An update that is to be sent. The order of the fields puts updates that were sent least often first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PendingUpdate {
     pub transmissions: u32,
     pub router: SocketAddr,
 }
 
-/// The routers that there are new updates about.
+/// The routers about which there are updates to send, with the number of transmissions so far.
 #[derive(Default)]
 pub(crate) struct UpdateQueue {
     transmissions: BTreeMap<SocketAddr, u32>,
 }
 
 impl UpdateQueue {
-    /// Queues the present state of a router anew.
+    /// Queues the current state of a router, with no transmissions so far.
     pub fn push(&mut self, router: SocketAddr) {
         self.transmissions.insert(router, 0);
     }
 
-    /// Drops updates beyond the limit.
+    /// Drops updates while there are more than the limit.
     pub fn enforce_limit(&mut self) {
         while self.transmissions.len() > MAX_PENDING_UPDATES {
             self.transmissions.pop_first();
         }
     }
 
-    /// Up to `max` of the least sent updates, in order.
+    /// Returns up to `max` updates, those that were sent least often first.
     pub fn least_transmitted(&self, max: usize) -> Vec<PendingUpdate> {
         let pending = self.transmissions.iter();
         let mut pending: Vec<PendingUpdate> =
             pending.map(|(&router, &transmissions)| PendingUpdate { transmissions, router }).collect();
-        // Only those that fit into a datagram need an order.
+        // Only the updates that can fit into a datagram need to be sorted.
         if pending.len() > max {
             pending.select_nth_unstable(max);
             pending.truncate(max);
@@ -46,7 +46,7 @@
         pending
     }
 
-    /// Counts one transmission; an update that was sent `limit` times is done.
+    /// Counts one transmission. An update that was sent `limit` times is removed.
     pub fn record_transmission(&mut self, sent: PendingUpdate, limit: u32) {
         let transmissions = sent.transmissions + 1;
         if transmissions >= limit {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Counts `transmissions` more for the updates about the routers that `is_covered` accepts; an update that was sent
-    /// `limit` times is done.
+    /// Counts `transmissions` more transmissions for the updates about each router for which `is_covered` is true. An
+    /// update that was sent `limit` times is removed.
     pub fn add_transmissions(
         &mut self,
         transmissions: u32,
--- a/crates/ladderpass-membership/src/updates.rs
+++ b/crates/ladderpass-membership/src/updates.rs
@@ -1,4 +1,4 @@
-//! Applies received updates to the router table, and reports and disseminates the changes of the view.
+//! Applies received updates to the router table, and reports and disseminates the resulting changes of the view.
 
 use crate::membership::Membership;
 use crate::router_state::StateUpdate;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Applies an update about any router, this one included.
+    /// Applies an update about any router, including this one.
     pub(crate) fn apply_update(&mut self, now: Time, update: &StateUpdate) {
         if update.router == self.local {
             return self.refute(now, update);
@@ -26,7 +26,8 @@
         self.forward_rejected_death(update);
     }
 
-    /// A reported death that is not believed here yet goes to the router concerned at once, so that it can refute.
+    /// If this router still counts a router as alive after a report that it is dead or has left, the report is sent to
+    /// that router immediately, so that it can refute.
     fn forward_rejected_death(&mut self, update: &StateUpdate) {
         let known = self.routers.state_update(update.router);
         let is_current = known.is_some_and(|known| update.incarnation >= known.incarnation);
@@ -35,14 +36,15 @@
         }
     }
 
-    /// The view of a router has changed: reports and disseminates it.
+    /// Handles a change of the view of a router: reports the change and disseminates it.
     pub(crate) fn on_change(&mut self, now: Time, router: SocketAddr, change: Change) {
         self.changes.push((router, change));
         self.updates.push(router);
         self.updates.enforce_limit();
         match change {
             Change::Joined | Change::Refuted => {
-                // At a random place, so that the last to join need not wait for all others.
+                // The router is inserted at a random position, so that a router that joined last is not always probed
+                // last.
                 let position = self.rng.generate_range(0..=self.probe_order.len());
                 self.probe_order.insert(position, router);
             }
@@ -50,7 +52,7 @@
         }
         let Some(update) = self.routers.state_update(router) else { return };
         if matches!(change, Change::Suspected | Change::Died) {
-            // The router concerned must know it to refute it.
+            // The router that the update is about must learn of it, so that it can refute.
             self.gossip_change_to_subject(now, update);
         } else {
             self.gossip_change(now, update);
--- a/crates/ladderpass-membership/src/view.rs
+++ b/crates/ladderpass-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The view of who is alive, as other mechanisms use it.
+//! The view of which routers are alive, in the form that other mechanisms use.
 
 use crate::router_hash::view_hash;
 use crate::router_state::State;
@@ -7,18 +7,18 @@
 use crate::settings::{Faulty, Settings};
 use std::net::SocketAddr;
 
-/// Which routers this one counts as alive.
+/// A summary of which routers this router counts as alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
-    /// This router's place among the live ones in the order of addresses, from 0.
+    /// The index of this router among the live routers in the order of addresses, starting at 0.
     pub position: usize,
-    /// Live routers, this one included.
+    /// The number of live routers, including this one.
     pub count: usize,
-    /// The same at two routers that count the same ones as alive.
+    /// A digest that is the same at two routers that count the same routers as alive.
     pub digest: u32,
-    /// Live routers that are suspected.
+    /// The number of live routers that are suspected.
     pub suspected: usize,
-    /// Routers that are dead or have left, and configured ones that were never seen.
+    /// The number of routers that are dead or have left, and of listed routers that were never seen.
     pub gone: usize,
 }
 
@@ -29,7 +29,7 @@
         senders: &Senders,
         settings: &Settings,
     ) -> View {
-        // A deliberate fault counts the dead as well.
+        // With this deliberate fault, routers that are dead or have left are counted too.
         let counts_dead_routers = settings.faulty == Faulty::CountsDeadRouters;
         let counted = || {
             let routers =
