--- a/crates/ladderpass-membership/tests/message.rs
+++ b/crates/ladderpass-membership/tests/message.rs
@@ -4,7 +4,7 @@
 
 fn message() -> Message {
     let update = |text: &str, state, suspected_by| StateUpdate {
-        router: text.parse().expect("an address"),
+        router: text.parse().expect("valid address"),
         state,
         incarnation: Incarnation::of_start(1_800_000_000_123).next(),
         suspected_by,
@@ -29,7 +29,10 @@
     assert_eq!(Message::decode(&bytes), Some(message()));
     for length in 0..bytes.len() {
         let truncated = Message::decode(&bytes[..length]);
-        assert!(truncated.is_none_or(|message| message.updates.len() < original.updates.len()), "{length}");
+        assert!(
+            truncated.is_none_or(|message| message.updates.len() < original.updates.len()),
+            "truncated to {length} bytes"
+        );
     }
     assert_eq!(Message::decode(&[&bytes[..], &[0]].concat()), None);
     let with_piggyback = Message { piggyback: vec![7, 8, 9], ..message() };
@@ -39,7 +42,7 @@
 
 #[test]
 fn no_legacy_gossip_starts_with_the_first_byte() {
-    // Legacy gossip consists of letters, digits, - and _.
+    // Legacy gossip consists only of letters, digits, `-` and `_`.
     assert!(!FIRST_BYTE.is_ascii_alphanumeric() && FIRST_BYTE != b'-' && FIRST_BYTE != b'_');
 }
 
--- a/crates/ladderpass-membership/tests/model/convergence.rs
+++ b/crates/ladderpass-membership/tests/model/convergence.rs
@@ -1,4 +1,4 @@
-//! All routers come to the same view, at a bounded cost.
+//! All routers converge to the same view, with bounded traffic and memory.
 
 use crate::simulation::{Process, Simulation, address, ms};
 use ladderpass_membership::Settings;
@@ -9,17 +9,19 @@
     let mut sim = Simulation::new(1, Settings::default());
     (0..300).for_each(|_| sim.join());
     let convergence = sim.run_until_converged(ms(15_000));
-    println!("model: 300 started at once converge after {:.1} s", convergence.secs());
+    println!("model: 300 routers started at once converged after {:.1} s", convergence.secs());
     let (datagrams, bytes) = sim.load(ms(2000));
-    println!("model: calm, 300: {datagrams:.1} datagrams, {bytes:.0} bytes a router a second");
-    assert!(datagrams < 40.0, "{datagrams}");
+    println!(
+        "model: 300 converged routers: {datagrams:.1} datagrams, {bytes:.0} bytes per router and second"
+    );
+    assert!(datagrams < 40.0, "{datagrams} datagrams per router and second");
 }
 
 #[test]
 fn the_traffic_of_a_router_does_not_grow_with_the_cluster() {
     let loads: Vec<(f64, f64)> =
         [4, 8, 32, 128].into_iter().map(|count| Simulation::converged(2, count).load(ms(10_000))).collect();
-    println!("model: datagrams and bytes a router a second at 4, 8, 32, 128: {loads:.1?}");
+    println!("model: datagrams and bytes per router and second with 4, 8, 32, 128 routers: {loads:.1?}");
     for quantity in [0, 1] {
         let value_of = |load: &(f64, f64)| if quantity == 0 { load.0 } else { load.1 };
         let (min, max) = (
@@ -45,7 +47,10 @@
         sim.run(ms(1000));
     }
     let convergence = sim.run_until_converged(ms(5000));
-    println!("model: joins and leaves by tenths: agreed {:.2} s after the last", convergence.secs());
+    println!(
+        "model: a tenth of the routers replaced five times: converged {:.2} s after the last round",
+        convergence.secs()
+    );
     assert_eq!(sim.false_death_count, 0);
 }
 
@@ -60,8 +65,8 @@
     }
 }
 
-/// Random faults: a view never counts a router twice or leaves itself out, a tick is due within a round, and once the
-/// faults end all routers converge.
+/// Under random faults no view counts a router twice or omits its own router, and a tick is always due within a round.
+/// Once the faults end, all routers converge.
 #[test]
 fn all_routers_converge_after_random_faults() {
     for seed in 0..12 {
@@ -88,7 +93,10 @@
                 alive.dedup();
                 assert_eq!((alive.len(), alive[view.position]), (view.count, address(index)));
                 let wake_at = sim.routers[index].membership.wake_at();
-                assert!(wake_at - sim.now <= sim.settings.probe_interval, "seed {seed}");
+                assert!(
+                    wake_at - sim.now <= sim.settings.probe_interval,
+                    "seed {seed}: no tick is due within a round"
+                );
             }
         }
         (sim.loss, sim.is_cut) = (0.0, Box::new(|_, _| false));
@@ -98,6 +106,6 @@
             }
         }
         let convergence = sim.run_until_converged(ms(20_000));
-        assert!(convergence < ms(9000), "seed {seed}: {:.1} s", convergence.secs());
+        assert!(convergence < ms(9000), "seed {seed}: converged after {:.1} s", convergence.secs());
     }
 }
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -1,4 +1,4 @@
-//! Dead routers are detected in time, and live ones are not taken for dead.
+//! Dead routers are detected in time, and running routers are not counted as dead, or only for a short time.
 
 use crate::simulation::{Process, Simulation, address, median, ms};
 use ladderpass_membership::{Faulty, Settings};
@@ -9,7 +9,7 @@
     let mut sim = Simulation::converged(3, 60);
     let detected = sim.kill(&[7], ms(10_000));
     println!(
-        "model: one of 60: median {:.2} s, worst {:.2} s",
+        "model: detection of one dead router of 60: median {:.2} s, worst {:.2} s",
         median(&detected),
         detected[detected.len() - 1]
     );
@@ -18,13 +18,13 @@
     let dead: Vec<usize> = (0..300).filter(|index| index % 10 < 7).collect();
     let detected = sim.kill(&dead, ms(20_000));
     println!(
-        "model: 210 of 300 at once: median {:.2} s, worst {:.2} s",
+        "model: detection of 210 of 300 routers dead at once: median {:.2} s, worst {:.2} s",
         median(&detected),
         detected[detected.len() - 1]
     );
     assert!(
         median(&detected) < 6.0 && detected[detected.len() - 1] < 12.0,
-        "{}",
+        "worst {} s",
         detected[detected.len() - 1]
     );
     assert_eq!(sim.longest_false_death(), Span::ZERO, "a running router was counted as dead");
@@ -36,7 +36,7 @@
     sim.loss = 0.2;
     sim.run(ms(10_000));
     println!(
-        "model: 20% loss, 100: {} false deaths, longest {:.2} s",
+        "model: 100 routers with 20% packet loss: {} false deaths, longest {:.2} s",
         sim.false_death_count,
         sim.longest_false_death().secs()
     );
@@ -52,14 +52,14 @@
         sim.run(ms(500));
     }
     println!(
-        "model: with a tenth frozen for 1 s: {} false deaths, longest {:.2} s",
+        "model: 100 routers with 20% packet loss and a tenth frozen for 1 s at a time: {} false deaths, longest {:.2} s",
         sim.false_death_count,
         sim.longest_false_death().secs()
     );
     assert!(sim.longest_false_death() < ms(2000));
     sim.loss = 0.0;
     let convergence = sim.run_until_converged(ms(6000));
-    println!("model: converged {:.2} s after the last", convergence.secs());
+    println!("model: converged {:.2} s after the packet loss ended", convergence.secs());
 }
 
 #[test]
@@ -73,21 +73,22 @@
     assert!(convergence < ms(1500), "{convergence:?}");
     assert_eq!(
         sim.false_death_count, 0,
-        "it counted others as dead whose datagrams it did not receive while it was frozen"
+        "the resumed router counted routers as dead whose datagrams it did not receive while it was frozen"
     );
 }
 
-/// What a run with a deliberate fault shows.
+/// The measured values of a run, with or without a deliberate fault.
 #[derive(Debug)]
 struct FaultyRun {
     false_deaths: usize,
-    /// Router 0 counts the dead router 5 as dead, also after late datagrams of it.
+    /// Whether router 0 counts the dead router 5 as dead, even after late datagrams from it.
     is_dead_router_removed: bool,
+    /// Number of routers that router 0 counts as alive while router 5 is dead.
     count: usize,
     has_converged: bool,
 }
 
-/// Each deliberate fault shows in the measures of these tests.
+/// Each deliberate fault must show in the measured values of these tests.
 #[test]
 fn deliberate_faults_are_detected() {
     let run = |faulty| {
@@ -103,7 +104,7 @@
         let captured = sim.run_and_capture(address(5), 200);
         sim.routers[5].process = Process::Ended;
         sim.run(ms(5000));
-        // What it sent when it was alive arrives late.
+        // Datagrams that router 5 sent while it was running arrive late.
         for (to, bytes) in captured {
             let index = sim.index_of[&to];
             sim.routers[index].membership.on_datagram(sim.now, address(5), &bytes);
@@ -127,7 +128,11 @@
     let many_false_deaths = 5 * (correct.false_deaths + 4);
     assert!(!run(Faulty::NeverSuspects).is_dead_router_removed);
     let immediate = run(Faulty::ConfirmsImmediately).false_deaths;
-    assert!(immediate > many_false_deaths, "{immediate} of {}", correct.false_deaths);
+    assert!(
+        immediate > many_false_deaths,
+        "{immediate} false deaths with the fault, {} without",
+        correct.false_deaths
+    );
     let ignores_incarnations = run(Faulty::IgnoresIncarnations);
     assert!(
         ignores_incarnations.false_deaths > many_false_deaths
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -14,7 +14,8 @@
     sim.restart(4);
     sim.run_until_converged(ms(3000));
     let after = sim.routers[0].membership.peers(sim.now).find(|peer| peer.address == address(4));
-    let (before, after) = (before.expect("it was there"), after.expect("it is there"));
+    let (before, after) =
+        (before.expect("router 4 was alive before"), after.expect("router 4 is alive after its restart"));
     assert!(
         after.started_ms > before.started_ms && after.alive_since > before.alive_since,
         "{before:?} {after:?}"
@@ -25,7 +26,8 @@
 fn replayed_datagrams_and_datagrams_of_unknown_senders_do_not_change_the_view() {
     let mut sim = Simulation::new(13, Settings::default());
     (0..4).for_each(|_| sim.join());
-    // What router 3 sends is captured, and replayed when it is dead, and by a stranger.
+    // The datagrams of router 3 are captured. After its death they are replayed from its own address, from an unknown
+    // address and from the address of another router.
     let captured = sim.run_and_capture(address(3), 400);
     sim.run_until_converged(ms(3000));
     sim.kill(&[3], ms(8000));
@@ -35,7 +37,7 @@
         let index = sim.index_of[to];
         sim.routers[index].membership.on_datagram(now, address(3), bytes);
     }
-    let unknown_sender: SocketAddr = "192.0.2.9:7400".parse().expect("an address");
+    let unknown_sender: SocketAddr = "192.0.2.9:7400".parse().expect("valid address");
     let before = sim.routers[0].membership.counts().dropped;
     for (_, bytes) in &captured {
         sim.routers[0].membership.on_datagram(now, unknown_sender, bytes);
@@ -48,11 +50,12 @@
     assert_eq!(sim.routers[0].membership.view().digest, digest);
 }
 
-/// A router whose datagrams are late is suspected, refutes and is confirmed dead; then its refutations arrive.
+/// A router whose datagrams are late is suspected, refutes the suspicion and is confirmed dead. Its refutations arrive
+/// only after that.
 #[test]
 fn a_late_refutation_does_not_revive_a_dead_router() {
     let mut sim = Simulation::converged(16, 6);
-    // Nothing that it sends arrives, and all of it is captured.
+    // No datagram from router 4 arrives, and all of them are captured.
     sim.is_cut = Box::new(|from, _| from == 4);
     let mut captured: Vec<(SocketAddr, Vec<u8>)> = Vec::new();
     for _ in 0..200 {
@@ -71,7 +74,7 @@
     assert_eq!(sim.routers[0].membership.view().digest, digest);
     sim.run(ms(1000));
     assert!(sim.running().into_iter().all(|index| sim.routers[index].membership.view().digest == digest));
-    // A restart at its address joins as ever.
+    // A router restarted at the same address joins as usual.
     sim.is_cut = Box::new(|_, _| false);
     sim.restart(4);
     sim.run_until_converged(ms(3000));
--- a/crates/ladderpass-membership/tests/model/main.rs
+++ b/crates/ladderpass-membership/tests/model/main.rs
@@ -1,5 +1,7 @@
-//! Clusters that run the real failure detector in simulated time, with bounds on what they measure.
-//! `cargo test -p ladderpass-membership --test model -- --nocapture` prints the measures.
+//! Clusters of routers that run the real failure detector in simulated time. The tests check bounds on detection times,
+//! false deaths, convergence and traffic.
+//!
+//! `cargo test -p ladderpass-membership --test model -- --nocapture` prints the measured values.
 
 mod convergence;
 mod failure_detection;
--- a/crates/ladderpass-membership/tests/model/partitions.rs
+++ b/crates/ladderpass-membership/tests/model/partitions.rs
@@ -10,12 +10,12 @@
     sim.run(ms(10_000));
     for index in 0..60 {
         let view = sim.routers[index].membership.view();
-        assert_eq!(view.count, if index < 24 { 24 } else { 36 }, "{index}: {view:?}");
+        assert_eq!(view.count, if index < 24 { 24 } else { 36 }, "router {index}: {view:?}");
     }
     sim.is_cut = Box::new(|_, _| false);
     sim.reset_false_deaths();
     let convergence = sim.run_until_converged(ms(10_000));
-    println!("model: a partition of 10 s healed after {:.2} s", convergence.secs());
+    println!("model: the sides of a partition of 10 s merged {:.2} s after its repair", convergence.secs());
     assert!(convergence < ms(4000), "{convergence:?}");
     assert!(sim.longest_false_death() < ms(2000));
 }
@@ -36,12 +36,12 @@
     sim.run(ms(8000));
     let others = sim.running().into_iter().filter(|&index| index != 3);
     for index in others {
-        assert_eq!(sim.routers[index].membership.view().count, 7, "{index}");
+        assert_eq!(sim.routers[index].membership.view().count, 7, "router {index}");
     }
     sim.is_cut = Box::new(|_, _| false);
     sim.reset_false_deaths();
     let convergence = sim.run_until_converged(ms(6000));
-    // Its own findings end with the first ack; no other router may have applied one.
+    // The isolated router corrects its own findings after the first ack. No other router may have applied any of them.
     let others: usize = sim
         .routers
         .iter()
@@ -51,7 +51,7 @@
         .sum();
     assert_eq!(
         others, 0,
-        "it disseminated what it found while it was isolated; converged after {convergence:?}"
+        "the isolated router disseminated deaths that it found while it was isolated; converged after {convergence:?}"
     );
 }
 
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -1,4 +1,5 @@
-//! A cluster of routers in simulated time: datagrams are delayed, lost and cut, processes stop, freeze and restart.
+//! A cluster of routers in simulated time. Datagrams are delayed and lost, links are cut, and processes end, freeze and
+//! restart.
 
 use ladderpass_membership::{Change, LocalRouter, Membership, Network, Settings};
 use ladderpass_routing::{Span, Time};
@@ -6,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// What the process of a router does.
+/// The state of a router's process.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Process {
     Running,
@@ -20,16 +21,16 @@
     pub membership: Membership,
     pub process: Process,
     wake_at: Time,
-    /// Sender and bytes of the datagrams that arrived while it was frozen.
+    /// Senders and bytes of the datagrams that arrived while the process was frozen.
     socket_buffer: Vec<Datagram>,
-    /// Running routers that it counts as dead, and since when.
+    /// Running routers that this router counts as dead, and the time since which it does.
     false_deaths: BTreeMap<usize, Time>,
     pub false_death_count: usize,
-    /// Receiver and bytes of the datagrams that it sent and that were lost.
+    /// Receivers and bytes of the datagrams that this router sent and that were lost.
     pub lost: Vec<Datagram>,
 }
 
-/// A datagram on its way.
+/// A datagram in transit.
 pub struct InTransit {
     from: SocketAddr,
     to: SocketAddr,
@@ -40,19 +41,21 @@
     pub now: Time,
     pub routers: Vec<Router>,
     pub rng: WyRand,
-    /// By time of arrival, in the order of sending.
+    /// Datagrams in transit, by time of arrival and then in the order of sending.
     in_transit: BTreeMap<(Time, u64), InTransit>,
     datagrams_sent: u64,
-    /// Share of datagrams that are lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Is the link from one router to another cut?
+    /// Whether the link from the first router to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
-    /// The longest that a router counted a running one as dead, among those that ended, and how often any did.
+    /// The longest time for which a router counted a running one as dead, among the false deaths that have ended.
     longest_false_death: Span,
+    /// How often a router counted a running one as dead.
     pub false_death_count: usize,
     pub settings: Settings,
-    /// Routers started so far, in milliseconds that each start is later by the wall clock.
+    /// Added to the wall clock when a router starts, in milliseconds. It increases by one with each start, so that the
+    /// start times differ.
     pub start_clock_offset_ms: i64,
 }
 
@@ -84,7 +87,7 @@
         }
     }
 
-    /// A cluster of `count` routers, of which each was configured with the first three, that has converged.
+    /// Returns a cluster of `count` routers that has had 8 s to converge. The first three routers are listed at each.
     pub fn converged(seed: u64, count: usize) -> Simulation {
         let mut sim = Simulation::new(seed, Settings::default());
         (0..count).for_each(|_| sim.join());
@@ -133,7 +136,7 @@
         self.routers[index].socket_buffer.clear();
     }
 
-    /// Puts what a router sends on its way.
+    /// Puts the outgoing datagrams of a router in transit unless they are lost.
     pub fn transmit(&mut self, index: usize) {
         for (to, bytes) in self.routers[index].membership.take_outgoing() {
             let Some(&other) = self.index_of.get(&to) else { continue };
@@ -181,7 +184,8 @@
         }
     }
 
-    /// Runs step by step and copies what this router has in transit after each: receivers and bytes.
+    /// Runs step by step, and after each step copies the datagrams from this router that are in transit. Returns their
+    /// receivers and bytes.
     pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
         let mut captured = Vec::new();
         for _ in 0..steps {
@@ -192,7 +196,7 @@
         captured
     }
 
-    /// Lets a frozen process run. What arrived meanwhile is read first.
+    /// Resumes a frozen process, which first reads the datagrams that arrived while it was frozen.
     pub fn resume(&mut self, index: usize) {
         self.routers[index].process = Process::Running;
         for (from, bytes) in std::mem::take(&mut self.routers[index].socket_buffer) {
@@ -201,7 +205,7 @@
         self.transmit(index);
     }
 
-    /// Compares the changes that the routers report with what is true.
+    /// Compares the changes that the routers report with the actual states of the processes.
     fn record_changes(&mut self) {
         for index in 0..self.routers.len() {
             if self.routers[index].process != Process::Running {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// The longest that a router counted a running one as dead, those that go on included.
+    /// The longest time for which a router counted a running one as dead, including false deaths that have not ended.
     pub fn longest_false_death(&self) -> Span {
         let pending = self.routers.iter().filter(|router| router.process == Process::Running);
         let pending = pending.flat_map(|router| router.false_deaths.iter());
@@ -238,7 +242,7 @@
         (0..self.routers.len()).filter(|&index| self.routers[index].process == Process::Running).collect()
     }
 
-    /// Routers that this one counts as alive, itself included.
+    /// The routers that this one counts as alive, including itself.
     pub fn alive_at(&self, index: usize) -> Vec<SocketAddr> {
         let mut alive: Vec<_> =
             self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
@@ -247,14 +251,14 @@
         alive
     }
 
-    /// Does every running router count just the running ones as alive?
+    /// Whether every running router counts exactly the running routers as alive.
     pub fn has_converged(&self) -> bool {
         let mut running: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
         running.sort_unstable();
         self.running().into_iter().all(|index| self.alive_at(index) == running)
     }
 
-    /// Runs until the cluster has converged, for `max` at most. Returns how long that took.
+    /// Runs until the cluster has converged, for at most `timeout`. Returns how long that took.
     pub fn run_until_converged(&mut self, timeout: Span) -> Span {
         let started = self.now;
         while !self.has_converged() && self.now - started < timeout {
@@ -264,7 +268,8 @@
         self.now - started
     }
 
-    /// Ends these. Returns the seconds until each of the others has detected each of them, sorted.
+    /// Ends the processes of the victims. Returns the seconds until each running router has detected the death of each
+    /// victim, sorted.
     pub fn kill(&mut self, victims: &[usize], timeout: Span) -> Vec<f64> {
         victims.iter().for_each(|&index| self.routers[index].process = Process::Ended);
         let started = self.now;
@@ -288,12 +293,12 @@
                 is_pending
             });
         }
-        assert!(pending.is_empty(), "{} never detected", pending.len());
+        assert!(pending.is_empty(), "{} deaths were not detected in time", pending.len());
         detected.sort_by(f64::total_cmp);
         detected
     }
 
-    /// Datagrams and bytes that a running router sends a second, over this time.
+    /// Runs for this time. Returns the datagrams and bytes that each running router has sent per second on average.
     pub fn load(&mut self, span: Span) -> (f64, f64) {
         let sum = |sim: &Simulation| {
             let counts = sim.running().into_iter().map(|index| sim.routers[index].membership.counts());
