--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -32,12 +32,12 @@
         f64::from(self.score + 1)
     }
 
-    /// Improves the score by one step, since a probe that this router sent was acked.
+    /// Improves the score by one step. Called when a probe that this router sent was acked.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Worsens the score by this many steps, since there are signs that this router itself is slow or cut off.
+    /// Worsens the score by this many steps. Called on signs that this router itself is slow or cut off.
     pub fn degrade(&mut self, steps: u32) {
         self.score = (self.score + steps).min(MAX_SCORE);
     }
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -71,7 +71,7 @@
 pub(crate) struct ProbeTable {
     /// Probes that this router initiated.
     pub initiated: BTreeMap<u32, Probe>,
-    /// Probes on behalf of other routers.
+    /// Indirect probes that this router sends on behalf of other routers.
     pub relayed: BTreeMap<u32, RelayedProbe>,
     last_sequence: u32,
 }
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Confirms that a router is dead, since its suspicion timeout has passed.
+    /// Marks a router as confirmed dead after its suspicion timeout has passed.
     pub(crate) fn confirm_dead(&mut self, now: Time, router: SocketAddr) {
         let Some(known) = self.routers.state_update(router) else { return };
         let is_isolated = self.health.is_isolated(now);
