--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -293,7 +293,11 @@
                 is_pending
             });
         }
-        assert!(pending.is_empty(), "{} deaths were not detected in time", pending.len());
+        assert!(
+            pending.is_empty(),
+            "{} pairs of a router and a death that it did not detect in time",
+            pending.len()
+        );
         detected.sort_by(f64::total_cmp);
         detected
     }
