--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -1,9 +1,13 @@
-//! The state of every known router, and which update overrides it.
+//! The state of every known router, and the rules by which an update overrides it.
 //!
-//! Invariants: a state changes only to a higher incarnation, or to a greater state of the same incarnation; every
-//! suspicion has a deadline; the table is bounded, and tombstones (routers that died or left) are evicted first.
+//! Invariants:
+//!
+//! - A state changes only to one of a higher incarnation, or to a greater state of the same incarnation. An exception
+//!   is a death that this router found while it was isolated, which a report of the same incarnation corrects.
+//! - Every suspicion has a deadline.
+//! - The size of the table is limited. Only tombstones (routers that died or left) are evicted from it.
 
-use crate::router_hash::{salted_hash, suspected_by_id};
+use crate::router_hash::{salted_hash, suspecting_router_id};
 use crate::router_state::{Incarnation, State, StateUpdate};
 use crate::settings::{Faulty, Settings};
 use crate::suspicion_timeout::{Suspicion, suspicion_timeout};
@@ -11,76 +15,80 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A router that acked within so many rounds is suspected, not confirmed dead, when others report its death.
+/// If other routers report the death of a router that has acked a probe of this router within this many rounds, the
+/// router is suspected and not confirmed dead.
 const RECENT_ACK_ROUNDS: f64 = 4.0;
 
-/// What is known of another router.
+/// What this router knows about another router.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownRouter {
     pub state: State,
     pub incarnation: Incarnation,
-    /// Since when this router counts it as alive, or as gone.
-    pub counted_since: Time,
-    /// When it last acked a probe of this router, since its last start.
+    /// When this router began to count the other router's current process as alive, or to count the other router as
+    /// dead or left.
+    pub liveness_changed_at: Time,
+    /// When the other router last acked a probe of this router since it started or returned. `Time::NEVER` if it has
+    /// not.
     pub last_ack: Time,
-    /// Present while it is suspected.
+    /// The suspicion, while the other router is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Its death was found while this router was isolated, so it may be this router's own fault.
+    /// Whether this router found the other one dead while this router was isolated. This router's own link may then be
+    /// the cause.
     pub found_dead_while_isolated: bool,
 }
 
-/// How an update changed the view of a router.
+/// A change of the view of one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was not known before.
+    /// The router was not known before.
     Joined,
-    /// A probe of it failed, here or at another router.
+    /// A probe of the router failed, at this router or another one.
     Suspected,
-    /// It refuted a suspicion, or has returned.
+    /// The router refuted a suspicion, or has returned.
     Refuted,
-    /// It is confirmed dead.
+    /// The router is confirmed dead.
     Died,
-    /// It shut down.
+    /// The router shut down.
     Left,
 }
 
-/// How sure it is that a router is alive.
+/// How certain it is that a router is alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Confidence {
-    /// It acked a probe of this router so long ago.
-    Answered(Span),
-    /// Only other routers reported it.
+    /// The router acked a probe of this router this long ago.
+    Acked(Span),
+    /// Only other routers have reported that the router is alive.
     Reported,
-    /// It is suspected, and has so much time left to refute.
+    /// The router is suspected and has this much time left to refute.
     Suspected(Span),
 }
 
 /// A router that is counted as alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// Where it receives datagrams.
+    /// The address at which the router receives datagrams.
     pub address: SocketAddr,
-    /// Its start in Unix milliseconds of its own clock. Another number means that it has restarted.
+    /// The router's start time in Unix milliseconds of its own clock. It changes when the router restarts.
     pub started_ms: u64,
-    /// Since when it is counted as alive.
+    /// The time since which the router is counted as alive.
     pub alive_since: Time,
-    /// How sure that is.
+    /// How certain it is that the router is alive.
     pub confidence: Confidence,
 }
 
-/// Number of live routers and the digest of their incarnations.
+/// The number of live routers and the digest of their addresses and incarnations.
 #[derive(Clone, Copy)]
 struct AliveSummary {
     count: usize,
     digest: u32,
 }
 
-/// All known routers but this one.
+/// All known routers except this one.
 pub(crate) struct RouterTable {
     local: SocketAddr,
     routers: BTreeMap<SocketAddr, KnownRouter>,
     settings: Settings,
-    /// Cached, so that a message's cost does not grow with the number of routers. None after a change.
+    /// Cached so that the cost of a message does not grow with the number of routers. It is `None` after a change.
     alive_summary: Option<AliveSummary>,
 }
 
@@ -106,12 +114,12 @@
     }
 
     pub fn alive(&self) -> impl Iterator<Item = (&SocketAddr, &KnownRouter)> {
-        self.routers.iter().filter(|(_, known)| !known.state.is_gone())
+        self.routers.iter().filter(|(_, known)| !known.state.is_dead_or_left())
     }
 
     /// Routers that are dead or have left.
-    pub fn gone(&self) -> impl Iterator<Item = &SocketAddr> {
-        self.routers.iter().filter(|(_, known)| known.state.is_gone()).map(|(router, _)| router)
+    pub fn tombstones(&self) -> impl Iterator<Item = &SocketAddr> {
+        self.routers.iter().filter(|(_, known)| known.state.is_dead_or_left()).map(|(router, _)| router)
     }
 
     pub fn get(&self, router: SocketAddr) -> Option<&KnownRouter> {
@@ -122,29 +130,29 @@
         self.routers.contains_key(&router)
     }
 
-    /// Known routers, tombstones included.
+    /// The number of known routers, including tombstones.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
 
     pub fn is_alive(&self, router: SocketAddr) -> bool {
-        self.routers.get(&router).is_some_and(|known| !known.state.is_gone())
+        self.routers.get(&router).is_some_and(|known| !known.state.is_dead_or_left())
     }
 
-    /// Live routers, this one included.
+    /// The number of live routers, including this one.
     pub fn cluster_size(&mut self) -> usize {
         self.alive_summary().count + 1
     }
 
-    /// Digest of the view: the same for two routers that count the same ones as alive, in the same incarnations.
-    pub fn digest(&mut self, own: Incarnation) -> u32 {
-        self.alive_summary().digest ^ salted_hash(self.local, own.0)
+    /// Digest of the view. It is the same at two routers that count the same routers as alive in the same incarnations.
+    pub fn digest(&mut self, local_incarnation: Incarnation) -> u32 {
+        self.alive_summary().digest ^ salted_hash(self.local, local_incarnation.0)
     }
 
-    /// The present state of a router, in the form in which it is disseminated.
+    /// The current state of a router in the form in which it is disseminated.
     pub fn state_update(&self, router: SocketAddr) -> Option<StateUpdate> {
         let known = self.routers.get(&router)?;
-        let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspected_by);
+        let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspecting_router);
         Some(StateUpdate {
             router,
             state: known.state,
@@ -153,7 +161,7 @@
         })
     }
 
-    /// Applies an update where it overrides what is known. Returns the change of the view, if there is one.
+    /// Applies an update if it overrides the known state. Returns the change of the view, if there is one.
     pub fn apply(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         let Some(known) = self.routers.get(&update.router) else { return self.insert(now, update) };
         let same_incarnation = update.incarnation == known.incarnation;
@@ -165,9 +173,10 @@
         }
         let is_newer = update.incarnation > known.incarnation;
         let is_greater_state = same_incarnation && update.state > known.state;
-        // What this router found while it was isolated counts for less than any report of a live router.
+        // Any report that a router is alive or suspected overrides a death that this router found while it was
+        // isolated.
         let corrects_isolated_finding =
-            known.found_dead_while_isolated && same_incarnation && !update.state.is_gone();
+            known.found_dead_while_isolated && same_incarnation && !update.state.is_dead_or_left();
         let overrides = is_newer || is_greater_state || corrects_isolated_finding;
         if !overrides && self.settings.faulty != Faulty::IgnoresIncarnations {
             return None;
@@ -175,24 +184,27 @@
         match update.state {
             State::Alive => self.mark_alive(now, update),
             State::Suspect => self.mark_suspect(now, update),
-            // The report may come from the other side of a partition, or from a router that did not receive the ack.
+            // The report may come from the other side of a partition, or from a router that did not receive an ack.
             State::Dead if self.has_acked_recently(now, update.router) => {
-                let suspected_by = suspected_by_id(update.router);
+                let suspected_by = suspecting_router_id(update.router);
                 self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
             }
-            State::Dead | State::Left => self.mark_gone(now, update.router, update.incarnation, update.state),
+            State::Dead | State::Left => {
+                self.mark_dead_or_left(now, update.router, update.incarnation, update.state)
+            }
         }
     }
 
     fn has_acked_recently(&self, now: Time, router: SocketAddr) -> bool {
         let max_ack_age = self.settings.probe_interval * RECENT_ACK_ROUNDS;
-        let has_acked = |known: &KnownRouter| now - known.last_ack < max_ack_age && !known.state.is_gone();
+        let has_acked =
+            |known: &KnownRouter| now - known.last_ack < max_ack_age && !known.state.is_dead_or_left();
         self.settings.faulty != Faulty::ConfirmsImmediately
             && self.routers.get(&router).is_some_and(has_acked)
     }
 
-    /// Adds a router that was not known. One that is dead or has left is kept as a tombstone, so that a late update
-    /// does not bring it back.
+    /// Adds a router that was not known. If the router is dead or has left, it is stored as a tombstone, so that a late
+    /// update does not add it as a live router.
     fn insert(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         if update.router == self.local || !self.ensure_space_for(update.state) {
             return None;
@@ -200,7 +212,7 @@
         let known = KnownRouter {
             state: if update.state == State::Suspect { State::Alive } else { update.state },
             incarnation: update.incarnation,
-            counted_since: now,
+            liveness_changed_at: now,
             last_ack: Time::NEVER,
             suspicion: None,
             found_dead_while_isolated: false,
@@ -217,16 +229,16 @@
         }
     }
 
-    /// Is there space for a router in this state? In a full table the oldest tombstone is evicted for a live router. A
-    /// live router is never evicted.
+    /// Whether there is space for a router in this state. If the table is full, the oldest tombstone is evicted to make
+    /// space for a live router. A live router is never evicted.
     fn ensure_space_for(&mut self, state: State) -> bool {
         if self.routers.len() < self.settings.max_routers {
             return true;
         }
-        let tombstones = self.routers.iter().filter(|(_, known)| known.state.is_gone());
-        let oldest = tombstones.min_by_key(|(_, known)| known.counted_since).map(|(&router, _)| router);
+        let tombstones = self.routers.iter().filter(|(_, known)| known.state.is_dead_or_left());
+        let oldest = tombstones.min_by_key(|(_, known)| known.liveness_changed_at).map(|(&router, _)| router);
         match oldest {
-            Some(oldest) if !state.is_gone() => self.routers.remove(&oldest).is_some(),
+            Some(oldest) if !state.is_dead_or_left() => self.routers.remove(&oldest).is_some(),
             _ => false,
         }
     }
@@ -236,8 +248,8 @@
         let known = self.routers.get_mut(&update.router)?;
         let previous = known.state;
         let has_restarted = known.incarnation.started_ms() != update.incarnation.started_ms();
-        if previous.is_gone() || has_restarted {
-            known.counted_since = now;
+        if previous.is_dead_or_left() || has_restarted {
+            known.liveness_changed_at = now;
             known.last_ack = Time::NEVER;
         }
         known.state = State::Alive;
@@ -247,43 +259,43 @@
         (previous != State::Alive).then_some(Change::Refuted)
     }
 
-    /// Starts a suspicion.
+    /// Marks a router as suspected and starts its suspicion.
     pub fn mark_suspect(&mut self, now: Time, update: &StateUpdate) -> Option<Change> {
         match self.settings.faulty {
             Faulty::NeverSuspects => return None,
             Faulty::ConfirmsImmediately => {
-                return self.mark_gone(now, update.router, update.incarnation, State::Dead);
+                return self.mark_dead_or_left(now, update.router, update.incarnation, State::Dead);
             }
             _ => {}
         }
         self.alive_summary = None;
         let known = self.routers.get_mut(&update.router)?;
-        let was_gone = known.state.is_gone();
-        if was_gone {
-            known.counted_since = now;
+        let was_dead_or_left = known.state.is_dead_or_left();
+        if was_dead_or_left {
+            known.liveness_changed_at = now;
         }
         known.state = State::Suspect;
         known.incarnation = update.incarnation;
         known.found_dead_while_isolated = false;
         known.suspicion = Some(Suspicion::start(now));
         self.confirm_suspicion(update.router, update.suspected_by);
-        Some(if was_gone { Change::Refuted } else { Change::Suspected })
+        Some(if was_dead_or_left { Change::Refuted } else { Change::Suspected })
     }
 
-    /// Records one more router that suspects this one, which shortens the timeout. This confirms the suspicion, not
-    /// the death: [`RouterTable::mark_gone`] does that.
+    /// Records another router that suspects the given one, which shortens the suspicion timeout. This confirms the
+    /// suspicion but not the death, which is confirmed by [`RouterTable::mark_dead_or_left`].
     pub fn confirm_suspicion(&mut self, router: SocketAddr, suspected_by: u16) {
-        let max = self.settings.confirmations + 1;
+        let max = self.settings.required_confirmations + 1;
         let cluster_size = self.cluster_size();
         let known = self.routers.get_mut(&router);
         let Some(suspicion) = known.and_then(|known| known.suspicion.as_mut()) else { return };
-        suspicion.add_suspecting(suspected_by, max);
-        let timeout = suspicion_timeout(&self.settings, cluster_size, suspicion.suspecting_count());
+        suspicion.add_suspecting_router(suspected_by, max);
+        let timeout = suspicion_timeout(&self.settings, cluster_size, suspicion.suspecting_router_count());
         suspicion.set_timeout(timeout);
     }
 
-    /// Makes a router a tombstone: confirmed dead, or left.
-    pub fn mark_gone(
+    /// Marks a router as confirmed dead or as left, so that its entry becomes a tombstone.
+    pub fn mark_dead_or_left(
         &mut self,
         now: Time,
         router: SocketAddr,
@@ -297,14 +309,14 @@
         known.incarnation = incarnation;
         known.suspicion = None;
         known.found_dead_while_isolated = false;
-        if previous.is_gone() {
+        if previous.is_dead_or_left() {
             return None;
         }
-        known.counted_since = now;
+        known.liveness_changed_at = now;
         Some(if state == State::Left { Change::Left } else { Change::Died })
     }
 
-    /// A probe of this router was acked.
+    /// Records that the given router acked a probe.
     pub fn record_ack(&mut self, now: Time, router: SocketAddr) {
         if let Some(known) = self.routers.get_mut(&router) {
             known.last_ack = now;
@@ -317,7 +329,7 @@
         }
     }
 
-    /// Routers whose time to refute is over.
+    /// The routers whose time to refute is over.
     pub fn expired_suspicions(&self, now: Time) -> Vec<SocketAddr> {
         let has_expired = |suspicion: &Suspicion| suspicion.deadline() <= now;
         let expired =
@@ -325,7 +337,7 @@
         expired.map(|(&router, _)| router).collect()
     }
 
-    /// When the first suspicion ends.
+    /// When the first suspicion expires.
     pub fn next_suspicion_deadline(&self) -> Option<Time> {
         self.suspicions().map(Suspicion::deadline).min()
     }
@@ -338,34 +350,36 @@
         self.routers.values_mut().filter_map(|known| known.suspicion.as_mut())
     }
 
-    /// This router did not run for so long: what it did not receive meanwhile proves nothing.
+    /// Postpones the deadlines of all suspicions by the time for which this router did not run, since datagrams that it
+    /// did not receive in that time prove nothing.
     pub fn postpone_suspicions(&mut self, by: Span) {
         self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
     }
 
-    /// Gives every suspected router its full time to refute once more.
+    /// Gives every suspected router its full time to refute again.
     pub fn restart_suspicions(&mut self, now: Time) {
         self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
     }
 
-    /// Removes tombstones that are old enough.
+    /// Removes tombstones that have been kept for [`Settings::tombstone_retention`].
     pub fn remove_old_tombstones(&mut self, now: Time) {
-        let max_age = self.settings.forget_dead_after;
-        self.routers.retain(|_, known| !known.state.is_gone() || now - known.counted_since < max_age);
+        let max_age = self.settings.tombstone_retention;
+        self.routers
+            .retain(|_, known| !known.state.is_dead_or_left() || now - known.liveness_changed_at < max_age);
     }
 
-    /// A live router, as other mechanisms see it.
+    /// Returns a live router in the form that other mechanisms use.
     pub fn peer(&self, now: Time, router: SocketAddr) -> Option<Peer> {
-        let known = self.routers.get(&router).filter(|known| !known.state.is_gone())?;
+        let known = self.routers.get(&router).filter(|known| !known.state.is_dead_or_left())?;
         let confidence = match &known.suspicion {
             Some(suspicion) => Confidence::Suspected((suspicion.deadline() - now).max(Span::ZERO)),
-            None if known.last_ack != Time::NEVER => Confidence::Answered(now - known.last_ack),
+            None if known.last_ack != Time::NEVER => Confidence::Acked(now - known.last_ack),
             None => Confidence::Reported,
         };
         Some(Peer {
             address: router,
             started_ms: known.incarnation.started_ms(),
-            alive_since: known.counted_since,
+            alive_since: known.liveness_changed_at,
             confidence,
         })
     }
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -1,4 +1,5 @@
-//! A cluster of routers in simulated time: datagrams are delayed, lost and cut, processes stop, freeze and restart.
+//! A cluster of routers in simulated time. Datagrams are delayed and lost, links are cut, and processes end, freeze and
+//! restart.
 
 use ladderpass_membership::{Change, LocalRouter, Membership, Network, Settings};
 use ladderpass_routing::{Span, Time};
@@ -6,7 +7,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// What the process of a router does.
+/// The state of a router's process.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Process {
     Running,
@@ -19,17 +20,17 @@
 pub struct Router {
     pub membership: Membership,
     pub process: Process,
-    wake: Time,
-    /// Sender and bytes of the datagrams that arrived while it was frozen.
+    wake_at: Time,
+    /// Senders and bytes of the datagrams that arrived while the process was frozen.
     socket_buffer: Vec<Datagram>,
-    /// Running routers that it counts as dead, and since when.
+    /// Running routers that this router counts as dead, and the time since which it does.
     false_deaths: BTreeMap<usize, Time>,
     pub false_death_count: usize,
-    /// Receiver and bytes of the datagrams that it sent and that were lost.
+    /// Receivers and bytes of the datagrams that this router sent and that were lost.
     pub lost: Vec<Datagram>,
 }
 
-/// A datagram on its way.
+/// A datagram in transit.
 pub struct InTransit {
     from: SocketAddr,
     to: SocketAddr,
@@ -40,20 +41,22 @@
     pub now: Time,
     pub routers: Vec<Router>,
     pub rng: WyRand,
-    /// By time of arrival, in the order of sending.
+    /// Datagrams in transit, by time of arrival and then in the order of sending.
     in_transit: BTreeMap<(Time, u64), InTransit>,
     datagrams_sent: u64,
-    /// Share of datagrams that are lost.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Is the link from one router to another cut?
+    /// Whether the link from the first router to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
-    /// The longest that a router counted a running one as dead, among those that ended, and how often any did.
+    /// The longest time for which a router counted a running one as dead, among the false deaths that have ended.
     longest_false_death: Span,
+    /// How often a router counted a running one as dead.
     pub false_death_count: usize,
     pub settings: Settings,
-    /// Routers started so far, in milliseconds that each start is later by the wall clock.
-    pub starts: i64,
+    /// Added to the wall clock when a router starts, in milliseconds. It increases by one with each start, so that the
+    /// start times differ.
+    pub start_clock_offset_ms: i64,
 }
 
 pub const STEP: Span = Span::from_millis(5);
@@ -62,8 +65,8 @@
     SocketAddr::from((Ipv4Addr::new(10, 0, (index >> 8) as u8, index as u8), 7400))
 }
 
-pub fn ms(ms: i64) -> Span {
-    Span::from_millis(ms)
+pub fn ms(millis: i64) -> Span {
+    Span::from_millis(millis)
 }
 
 impl Simulation {
@@ -80,11 +83,11 @@
             longest_false_death: Span::ZERO,
             false_death_count: 0,
             settings,
-            starts: 0,
+            start_clock_offset_ms: 0,
         }
     }
 
-    /// A cluster of `count` routers, of which each was configured with the first three, that has converged.
+    /// Returns a cluster of `count` routers that has had 8 s to converge. The first three routers are listed at each.
     pub fn converged(seed: u64, count: usize) -> Simulation {
         let mut sim = Simulation::new(seed, Settings::default());
         (0..count).for_each(|_| sim.join());
@@ -102,23 +105,23 @@
     }
 
     fn start_membership(&mut self, index: usize) -> Membership {
-        self.starts += 1;
-        let unix = self.now.nanos() / 1_000_000 + self.starts;
-        let own = LocalRouter { address: address(index), started_unix_ms: unix };
+        self.start_clock_offset_ms += 1;
+        let started_unix_ms = self.now.nanos() / 1_000_000 + self.start_clock_offset_ms;
+        let local = LocalRouter { address: address(index), started_unix_ms };
         let network = Network { address: IpAddr::V4(Ipv4Addr::new(10, 0, 0, 0)), prefix_bits: 8 };
         let listed = [address(0), address(1), address(2)];
-        Membership::start(self.now, self.rng.generate(), own, &listed, &[network], self.settings)
+        Membership::start(self.now, self.rng.generate(), local, &listed, &[network], self.settings)
     }
 
     pub fn join(&mut self) {
         let index = self.routers.len();
         let membership = self.start_membership(index);
-        let (wake, socket_buffer, false_deaths) = (self.now, Vec::new(), BTreeMap::new());
+        let (wake_at, socket_buffer, false_deaths) = (self.now, Vec::new(), BTreeMap::new());
         self.index_of.insert(address(index), index);
         self.routers.push(Router {
             membership,
             process: Process::Running,
-            wake,
+            wake_at,
             socket_buffer,
             false_deaths,
             false_death_count: 0,
@@ -129,11 +132,11 @@
     /// Starts a new process at the same address.
     pub fn restart(&mut self, index: usize) {
         self.routers[index].membership = self.start_membership(index);
-        (self.routers[index].process, self.routers[index].wake) = (Process::Running, self.now);
+        (self.routers[index].process, self.routers[index].wake_at) = (Process::Running, self.now);
         self.routers[index].socket_buffer.clear();
     }
 
-    /// Puts what a router sends on its way.
+    /// Puts the outgoing datagrams of a router in transit unless they are lost.
     pub fn transmit(&mut self, index: usize) {
         for (to, bytes) in self.routers[index].membership.take_outgoing() {
             let Some(&other) = self.index_of.get(&to) else { continue };
@@ -147,7 +150,7 @@
                 self.in_transit.insert((self.now + delay, self.datagrams_sent), datagram);
             }
         }
-        self.routers[index].wake = self.routers[index].membership.wake_at();
+        self.routers[index].wake_at = self.routers[index].membership.wake_at();
     }
 
     pub fn run(&mut self, span: Span) {
@@ -171,7 +174,8 @@
                 }
             }
             for index in 0..self.routers.len() {
-                if self.routers[index].process == Process::Running && self.routers[index].wake <= self.now {
+                if self.routers[index].process == Process::Running && self.routers[index].wake_at <= self.now
+                {
                     self.routers[index].membership.tick(self.now);
                     self.transmit(index);
                 }
@@ -180,7 +184,8 @@
         }
     }
 
-    /// Runs step by step and copies what this router has in transit after each: receivers and bytes.
+    /// Runs step by step, and after each step copies the datagrams from this router that are in transit. Returns their
+    /// receivers and bytes.
     pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
         let mut captured = Vec::new();
         for _ in 0..steps {
@@ -191,8 +196,8 @@
         captured
     }
 
-    /// Lets a frozen process run. What arrived meanwhile is read first.
-    pub fn thaw(&mut self, index: usize) {
+    /// Resumes a frozen process, which first reads the datagrams that arrived while it was frozen.
+    pub fn resume(&mut self, index: usize) {
         self.routers[index].process = Process::Running;
         for (from, bytes) in std::mem::take(&mut self.routers[index].socket_buffer) {
             self.routers[index].membership.on_datagram(self.now, from, &bytes);
@@ -200,7 +205,7 @@
         self.transmit(index);
     }
 
-    /// Compares the changes that the routers report with what is true.
+    /// Compares the changes that the routers report with the actual states of the processes.
     fn record_changes(&mut self) {
         for index in 0..self.routers.len() {
             if self.routers[index].process != Process::Running {
@@ -225,7 +230,7 @@
         }
     }
 
-    /// The longest that a router counted a running one as dead, those that go on included.
+    /// The longest time for which a router counted a running one as dead, including false deaths that have not ended.
     pub fn longest_false_death(&self) -> Span {
         let pending = self.routers.iter().filter(|router| router.process == Process::Running);
         let pending = pending.flat_map(|router| router.false_deaths.iter());
@@ -237,8 +242,8 @@
         (0..self.routers.len()).filter(|&index| self.routers[index].process == Process::Running).collect()
     }
 
-    /// Routers that this one counts as alive, itself included.
-    pub fn live_at(&self, index: usize) -> Vec<SocketAddr> {
+    /// The routers that this one counts as alive, including itself.
+    pub fn alive_at(&self, index: usize) -> Vec<SocketAddr> {
         let mut alive: Vec<_> =
             self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
         alive.push(address(index));
@@ -246,25 +251,26 @@
         alive
     }
 
-    /// Does every running router count just the running ones as alive?
+    /// Whether every running router counts exactly the running routers as alive.
     pub fn has_converged(&self) -> bool {
-        let mut truth: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
-        truth.sort_unstable();
-        self.running().into_iter().all(|index| self.live_at(index) == truth)
+        let mut running: Vec<SocketAddr> = self.running().into_iter().map(address).collect();
+        running.sort_unstable();
+        self.running().into_iter().all(|index| self.alive_at(index) == running)
     }
 
-    /// Runs until the cluster has converged, for `max` at most. Returns how long that took.
-    pub fn run_until_converged(&mut self, max: Span) -> Span {
+    /// Runs until the cluster has converged, for at most `timeout`. Returns how long that took.
+    pub fn run_until_converged(&mut self, timeout: Span) -> Span {
         let started = self.now;
-        while !self.has_converged() && self.now - started < max {
+        while !self.has_converged() && self.now - started < timeout {
             self.run(ms(20));
         }
         assert!(self.has_converged(), "not converged after {:.1} s", (self.now - started).secs());
         self.now - started
     }
 
-    /// Ends these. Returns the seconds until each of the others has detected each of them, sorted.
-    pub fn kill(&mut self, victims: &[usize], max: Span) -> Vec<f64> {
+    /// Ends the processes of the victims. Returns the seconds until each running router has detected the death of each
+    /// victim, sorted.
+    pub fn kill(&mut self, victims: &[usize], timeout: Span) -> Vec<f64> {
         victims.iter().for_each(|&index| self.routers[index].process = Process::Ended);
         let started = self.now;
         let mut detected = Vec::new();
@@ -272,7 +278,7 @@
         for &dead in victims {
             pending.extend(self.running().into_iter().map(|index| (index, dead)));
         }
-        while !pending.is_empty() && self.now - started < max {
+        while !pending.is_empty() && self.now - started < timeout {
             self.run(ms(20));
             let now = self.now;
             let mut alive_at: HashMap<usize, HashSet<SocketAddr>> = HashMap::new();
@@ -287,12 +293,16 @@
                 is_pending
             });
         }
-        assert!(pending.is_empty(), "{} never detected", pending.len());
+        assert!(
+            pending.is_empty(),
+            "{} pairs of a router and a death that it did not detect in time",
+            pending.len()
+        );
         detected.sort_by(f64::total_cmp);
         detected
     }
 
-    /// Datagrams and bytes that a running router sends a second, over this time.
+    /// Runs for this time. Returns the datagrams and bytes that each running router has sent per second on average.
     pub fn load(&mut self, span: Span) -> (f64, f64) {
         let sum = |sim: &Simulation| {
             let counts = sim.running().into_iter().map(|index| sim.routers[index].membership.counts());
