--- a/crates/ladderpass-routing/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -59,7 +59,7 @@
 }
 
 /// A member answers a health check with its position and role.
-pub fn report(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
+pub fn answer_health_check(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
     let report = LoadReport { position: Some(at(position_ms)), is_primary: Some(primary), in_flight: None };
     router.on_health_check_ended(at(ms), MemberId(member), AttemptOutcome::Ok, Span::from_millis(1), report);
 }
@@ -122,23 +122,23 @@
     let mut router = Router::start(at(0), 7, deployment);
     let list: Vec<Endpoint> = (0..=replicas).map(|m| endpoint(m, m == 0)).collect();
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
-    report_all(&mut router, replicas, 0);
+    answer_all_health_checks(&mut router, replicas, 0);
     router
 }
 
 /// Every member answers a health check and is up to date.
-pub fn report_all(router: &mut Router, replicas: u32, ms: i64) {
+pub fn answer_all_health_checks(router: &mut Router, replicas: u32, ms: i64) {
     for member in 0..=replicas {
-        report(router, ms, member, ms, member == 0);
+        answer_health_check(router, ms, member, ms, member == 0);
     }
 }
 
 /// Sends `count` RPCs of a method, each answered after `latency_ms`; returns how many each member got.
-pub fn serve(router: &mut Router, method: u32, from: i64, count: i64, latency_ms: i64) -> Vec<u32> {
+pub fn serve_rpcs(router: &mut Router, method: u32, from: i64, count: i64, latency_ms: i64) -> Vec<u32> {
     let mut got = vec![0; 5];
     for n in 0..count {
         let ms = from + n * (latency_ms + 1);
-        report_all(router, 4, ms);
+        answer_all_health_checks(router, 4, ms);
         let first = router.accept(at(ms), arrival(method, ms));
         let later = router.tick(at(ms)).decisions;
         for (rpc, decision) in std::iter::once(first).chain(later) {
@@ -156,15 +156,15 @@
 }
 
 /// How many of nine RPCs, all at once, are sent.
-pub fn burst(router: &mut Router, method: u32, ms: i64) -> usize {
-    report_all(router, 4, ms);
+pub fn count_sent_of_burst(router: &mut Router, method: u32, ms: i64) -> usize {
+    answer_all_health_checks(router, 4, ms);
     (0..9).filter(|_| sent_to(router.accept(at(ms), arrival(method, ms)).1).is_some()).count()
 }
 
 /// Eight RPCs at a time for a second, all answered at once: limits grow from where they start.
 pub fn grow_limits(router: &mut Router, method: u32, from: i64) {
     for ms in (from..from + 1000).step_by(25) {
-        report_all(router, 4, ms);
+        answer_all_health_checks(router, 4, ms);
         let sent: Vec<_> = (0..8).map(|_| router.accept(at(ms), arrival(method, ms))).collect();
         for (rpc, decision) in sent {
             match sent_to(decision) {
--- a/crates/ladderpass-routing/tests/concurrency_limit.rs
+++ b/crates/ladderpass-routing/tests/concurrency_limit.rs
@@ -6,11 +6,11 @@
 use ladderpass_routing::*;
 
 #[test]
-fn the_limit_shrinks_under_congestion_and_grows_again_after_it() {
+fn the_limit_shrinks_under_congestion_and_grows_again_afterwards() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
-    serve(&mut router, 1, 1, 40, 20);
+    serve_rpcs(&mut router, 1, 1, 40, 20);
     let burst = |router: &mut Router, ms: i64| {
-        report_all(router, 4, ms);
+        answer_all_health_checks(router, 4, ms);
         let mut sent = Vec::new();
         for _ in 0..40 {
             let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
@@ -30,7 +30,7 @@
     for rpc in after {
         rpc.on_attempt_ended(&mut router, at(4020), result(0, AttemptOutcome::Ok, 19));
     }
-    serve(&mut router, 1, 7000, 60, 20);
+    serve_rpcs(&mut router, 1, 7000, 60, 20);
     assert!(burst(&mut router, 9000).len() >= 2, "the limit stayed down");
 }
 
@@ -38,10 +38,10 @@
 fn lost_attempts_do_not_count_against_the_limit() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
     grow_limits(&mut router, 1, 0);
-    report_all(&mut router, 4, 1000);
+    answer_all_health_checks(&mut router, 4, 1000);
     let lost: Vec<RpcId> = (0..3).map(|_| router.accept(at(1000), arrival(1, 1000)).0).collect();
-    serve(&mut router, 1, 1001, 1, 20);
-    assert!(burst(&mut router, 1, 2500) >= 3, "lost attempts fill the limit");
+    serve_rpcs(&mut router, 1, 1001, 1, 20);
+    assert!(count_sent_of_burst(&mut router, 1, 2500) >= 3, "lost attempts fill the limit");
     for rpc in lost {
         assert_eq!(
             rpc.on_attempt_ended(&mut router, at(2990), result(0, AttemptOutcome::TimedOut, 1990)),
@@ -54,46 +54,46 @@
 fn rejections_reduce_the_limit() {
     let sent_after = |rejections: usize| {
         let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
-        serve(&mut router, 1, 1, 40, 20);
+        serve_rpcs(&mut router, 1, 1, 40, 20);
         for _ in 0..rejections {
-            report_all(&mut router, 4, 1000);
+            answer_all_health_checks(&mut router, 4, 1000);
             let (rpc, _) = router.accept(at(1000), arrival(1, 1000));
             rpc.on_attempt_ended(&mut router, at(1000), result(0, AttemptOutcome::Rejected, 1));
             rpc.abandon(&mut router);
             router.tick(at(1000));
         }
-        burst(&mut router, 1, 5000)
+        count_sent_of_burst(&mut router, 1, 5000)
     };
     assert!(sent_after(3) < sent_after(0), "{} after, {} before", sent_after(3), sent_after(0));
 }
 
 #[test]
-fn congestion_reduces_a_limit_that_is_hardly_used() {
+fn congestion_reduces_the_limit_of_a_lightly_loaded_member() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
-    serve(&mut router, 1, 1, 40, 20);
-    serve(&mut router, 1, 6000, 4, 150);
-    let sent = burst(&mut router, 1, 6700);
+    serve_rpcs(&mut router, 1, 1, 40, 20);
+    serve_rpcs(&mut router, 1, 6000, 4, 150);
+    let sent = count_sent_of_burst(&mut router, 1, 6700);
     assert!(sent <= 2, "{sent} at once under congestion");
 }
 
 /// A member that has stalled answers all that it had at once, late. That is one event and not congestion for each answer,
 /// nor lasting congestion once the member is as quick as ever.
 #[test]
-fn a_stall_is_not_taken_for_lasting_congestion() {
+fn a_stall_does_not_count_as_lasting_congestion() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
     grow_limits(&mut router, 1, 0);
-    serve(&mut router, 1, 4000, 10, 20);
-    report_all(&mut router, 4, 4500);
+    serve_rpcs(&mut router, 1, 4000, 10, 20);
+    answer_all_health_checks(&mut router, 4, 4500);
     let stalled: Vec<RpcId> = (0..8).map(|_| router.accept(at(4500), arrival(1, 4500)).0).collect();
     for rpc in stalled {
         rpc.on_attempt_ended(&mut router, at(5000), result(0, AttemptOutcome::Ok, 500));
     }
     router.tick(at(5000));
-    report_all(&mut router, 4, 5010);
+    answer_all_health_checks(&mut router, 4, 5010);
     // One at a time, as quick as ever: each goes at once.
     let at_once = (0..40).filter(|round| {
         let ms = 5010 + round * 25;
-        report_all(&mut router, 4, ms);
+        answer_all_health_checks(&mut router, 4, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
         if sent_to(decision).is_some() {
             rpc.on_attempt_ended(&mut router, at(ms + 20), result(0, AttemptOutcome::Ok, 20));
@@ -109,13 +109,13 @@
 
 /// A client that gives up before its answer could be late shows no congestion.
 #[test]
-fn early_time_outs_do_not_reduce_the_limit() {
+fn timeouts_before_an_answer_is_overdue_do_not_reduce_the_limit() {
     let sent_after = |latency_ms: i64| {
         let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
         grow_limits(&mut router, 1, 0);
         for n in 0..6 {
             let ms = 1000 + n * 100;
-            report_all(&mut router, 4, ms);
+            answer_all_health_checks(&mut router, 4, ms);
             let (rpc, _) = router.accept(at(ms), arrival(1, ms));
             rpc.on_attempt_ended(
                 &mut router,
@@ -124,7 +124,7 @@
             );
             router.tick(at(ms + latency_ms));
         }
-        burst(&mut router, 1, 1700)
+        count_sent_of_burst(&mut router, 1, 1700)
     };
     assert!(
         sent_after(50) > sent_after(90),
--- a/crates/ladderpass-routing/tests/endpoints.rs
+++ b/crates/ladderpass-routing/tests/endpoints.rs
@@ -6,7 +6,7 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_failed_poll_is_repeated_well_within_its_interval() {
+fn a_failed_poll_is_retried_after_a_backoff_shorter_than_the_poll_interval() {
     let mut router = router_with_replicas(1, |d| d.endpoint_poll_interval = Some(Span::from_millis(10_000)));
     assert!(router.tick(at(0)).poll_endpoints);
     router.on_endpoint_update(at(100), EndpointUpdate::Failed { poll_immediately: false });
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_router_with_an_empty_list_answers_in_time_and_follows_the_next_update() {
+fn with_an_empty_list_rpcs_are_rejected_in_time_and_the_next_update_is_applied() {
     let mut router = Router::start(at(0), 7, deployment());
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&[]));
     let rpcs = [0, 1].map(|method| router.accept(at(0), arrival(method, 0)));
@@ -29,21 +29,21 @@
     }
     assert_eq!(waiting, 0, "rejected before their clients give up");
     router.on_endpoint_update(at(3000), EndpointUpdate::Complete(&[endpoint(0, true)]));
-    report(&mut router, 3000, 0, 3000, true);
+    answer_health_check(&mut router, 3000, 0, 3000, true);
     assert_eq!(sent_to(router.accept(at(3000), arrival(1, 3000)).1), Some(0));
 }
 
 /// Where nodes are replaced all the time, the tables and the passes over them stay as small as the members that are there.
 /// An index that is reused never stands for its earlier member.
 #[test]
-fn members_removed_long_ago_are_forgotten_and_their_indexes_reused() {
+fn removed_members_are_retired_and_their_indexes_reused() {
     let mut router = new_router();
-    let (mut now, mut free, mut next) = (5, Vec::new(), 3);
+    let (mut now, mut retired, mut next_unused) = (5, Vec::new(), 3);
     let mut present = [0, 1, 2];
-    let mut most = 0;
+    let mut max_indexes = 0;
     for generation in 0..300 {
         for &member in &present {
-            report(&mut router, now, member, now - 1, member == present[0]);
+            answer_health_check(&mut router, now, member, now - 1, member == present[0]);
         }
         let (rpc, decision) = router.accept(at(now), arrival(1, now));
         let attempted = sent_to(decision);
@@ -51,8 +51,8 @@
         if let Some(attempted) = attempted {
             rpc.on_attempt_ended(&mut router, at(now), result(attempted, AttemptOutcome::Ok, 1));
         }
-        let member = free.pop().unwrap_or(next);
-        next = next.max(member + 1);
+        let member = retired.pop().unwrap_or(next_unused);
+        next_unused = next_unused.max(member + 1);
         let nth = generation % 3;
         let removed = Endpoint { state: EndpointState::Removed, ..endpoint(present[nth], false) };
         present[nth] = member;
@@ -62,14 +62,14 @@
             let output = router.tick(at(now + step * 400));
             assert!(output.health_checks.iter().all(|id| present.contains(&id.0)));
             assert!(output.retired_members.iter().all(|id| !present.contains(&id.0)));
-            free.extend(output.retired_members.iter().map(|id| id.0));
+            retired.extend(output.retired_members.iter().map(|id| id.0));
             output
                 .health_checks
                 .iter()
-                .for_each(|id| report(&mut router, now + step * 400, id.0, now, false));
+                .for_each(|id| answer_health_check(&mut router, now + step * 400, id.0, now, false));
         }
         now += 2000;
-        most = most.max(next);
+        max_indexes = max_indexes.max(next_unused);
     }
-    assert!(most < 30, "{most} indexes for three members at a time");
+    assert!(max_indexes < 30, "{max_indexes} indexes for three members at a time");
 }
--- a/crates/ladderpass-routing/tests/expired_decisions.rs
+++ b/crates/ladderpass-routing/tests/expired_decisions.rs
@@ -16,13 +16,13 @@
     let mut router = Router::start(at(0), 7, deployment);
     let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
-    (0..3).for_each(|member| report(&mut router, 0, member, 0, member == 0));
+    (0..3).for_each(|member| answer_health_check(&mut router, 0, member, 0, member == 0));
     router
 }
 
 /// The RPC may go to the same member at once, as it never was there, and with the one attempt that it is allowed.
 #[test]
-fn an_expired_decision_counts_as_no_attempt_and_no_failure() {
+fn an_expired_decision_counts_neither_as_an_attempt_nor_as_a_failure() {
     let mut router = router(|deployment| deployment.max_attempts = 1);
     let (rpc, mut decision) = router.accept(at(1), arrival(READ, 1));
     for ms in 2..20 {
@@ -38,13 +38,13 @@
 
 /// As long as the replica is known to be fresh enough for the send.
 #[test]
-fn a_read_may_still_go_to_its_replica_while_that_is_fresh_enough() {
+fn a_delayed_read_may_be_sent_only_while_its_replica_is_fresh_enough() {
     let mut router = router(|_| {});
     let (rpc, decision) = router.accept(at(1), arrival(READ, 1));
     let member = MemberId(sent_to(decision).expect("it goes to a replica"));
     assert!(router.may_still_attempt(at(BOUND_MS - 5), rpc, member));
     assert!(!router.may_still_attempt(at(BOUND_MS - 4), rpc, member), "a tick less, for its last byte");
-    report(&mut router, BOUND_MS, member.0, BOUND_MS - 100, false);
+    answer_health_check(&mut router, BOUND_MS, member.0, BOUND_MS - 100, false);
     assert!(router.may_still_attempt(at(BOUND_MS), rpc, member), "it has reported a newer position");
     router.on_endpoint_update(
         at(BOUND_MS),
@@ -55,13 +55,13 @@
 
 /// A write goes to the primary alone, whichever that is by then, and one that has its answer goes nowhere.
 #[test]
-fn a_write_may_still_go_to_the_primary_alone() {
+fn a_delayed_write_may_be_sent_only_to_the_current_primary() {
     let mut router = router(|_| {});
     let (rpc, decision) = router.accept(at(1), arrival(WRITE, 1));
     assert_eq!(sent_to(decision), Some(0));
     assert!(router.may_still_attempt(at(100), rpc, MemberId(0)));
     assert!(!router.may_still_attempt(at(100), rpc, MemberId(1)));
-    report(&mut router, 100, 1, 100, true);
+    answer_health_check(&mut router, 100, 1, 100, true);
     assert!(!router.may_still_attempt(at(101), rpc, MemberId(0)), "another is primary");
     assert!(router.may_still_attempt(at(101), rpc, MemberId(1)));
     rpc.on_attempt_ended(&mut router, at(102), result(0, AttemptOutcome::ConnectionLost, 1));
--- a/crates/ladderpass-routing/tests/gossip.rs
+++ b/crates/ladderpass-routing/tests/gossip.rs
@@ -8,7 +8,7 @@
 /// Prevents reads from going to the primary, or waiting for a health check without a report, at each router that has not
 /// reached a replica within the bound.
 #[test]
-fn a_position_from_another_router_serves_until_the_bound() {
+fn a_position_received_by_gossip_is_valid_until_the_staleness_bound() {
     let mut router = router_with_gossip(|_| ());
     assert_eq!(sent_to(router.accept(at(10), arrival(0, 10)).1), Some(0), "nothing is known of the replicas");
     router.on_peer_update(at(20), peer_update(1, MemberObservation::Replica, 15));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_member_that_only_another_router_knows_is_sent_nothing() {
+fn gossip_about_a_member_that_no_list_has_named_is_ignored() {
     let mut router = router_with_gossip(|_| ());
     router.on_peer_update(at(20), peer_update(7, MemberObservation::Primary, 15));
     router.on_peer_update(at(20), peer_update(7, MemberObservation::Replica, 15));
@@ -30,7 +30,7 @@
 
 /// Prevents each router from having to find out for itself, where the list names the first primary for ever.
 #[test]
-fn a_new_primary_seen_by_another_router_gets_the_writes() {
+fn writes_go_to_a_new_primary_learned_by_gossip() {
     let mut router = router_with_gossip(|deployment| deployment.primary_in_list = PrimaryInList::AtStart);
     router.on_peer_update(at(20), peer_update(2, MemberObservation::Primary, 15));
     assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(2));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_report_is_published_once_in_a_share_of_the_bound() {
+fn a_report_is_published_only_if_no_router_published_one_recently() {
     let mut router = router_with_gossip(|_| ());
     router.on_peer_update(at(1), peer_update(1, MemberObservation::Replica, 0));
     let mut published = 0;
@@ -74,7 +74,7 @@
 
 /// Prevents each router of a zone from losing RPCs to the same dead member: three updates from its zone count.
 #[test]
-fn updates_of_the_same_zone_eject_a_member_and_readmit_it() {
+fn gossip_from_the_same_zone_ejects_and_readmits_a_member() {
     let mut router = router_with_gossip(|_| ());
     let report_position = |router: &mut Router, ms| {
         router.on_peer_update(at(ms), peer_update(1, MemberObservation::Replica, ms - 1))
@@ -98,7 +98,7 @@
 
 /// Prevents a member from holding dozens of RPCs while no router has two in flight there.
 #[test]
-fn reads_are_taken_from_an_overloaded_member_and_given_back() {
+fn an_overloaded_member_gets_fewer_reads_until_it_recovers() {
     let mut router = router_with_gossip(|deployment| deployment.health_checks_report_position = true);
     let reads = |router: &mut Router, from: i64, in_flight: f64| {
         let mut sent = 0;
@@ -121,16 +121,16 @@
         }
         sent
     };
-    let (calm, overloaded) = (reads(&mut router, 100, 0.0), reads(&mut router, 5000, 30.0));
+    let (before, overloaded) = (reads(&mut router, 100, 0.0), reads(&mut router, 5000, 30.0));
     (0..4).for_each(|nth| _ = reads(&mut router, 10_000 + nth * 5000, 0.0));
     let after = reads(&mut router, 30_000, 0.0);
-    assert!(calm >= 30 && overloaded <= calm / 3 && after >= 25, "{calm}, {overloaded}, {after}");
+    assert!(before >= 30 && overloaded <= before / 3 && after >= 25, "{before}, {overloaded}, {after}");
 }
 
 /// A router alone learns only from its own few health checks: a share taken during congestion would
 /// stay away for a quarter of a minute.
 #[test]
-fn a_router_without_gossip_takes_no_share_of_the_reads() {
+fn without_gossip_load_reports_do_not_reduce_the_share_of_reads() {
     let mut router = router_with_gossip(|deployment| deployment.gossip = false);
     for ms in (0..3000).step_by(100) {
         let report = LoadReport { position: Some(at(ms)), is_primary: Some(false), in_flight: Some(50.0) };
--- a/crates/ladderpass-routing/tests/health_check.rs
+++ b/crates/ladderpass-routing/tests/health_check.rs
@@ -6,14 +6,14 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_read_without_a_recent_report_waits_for_a_health_check_of_the_next_replica() {
+fn a_read_waits_for_a_health_check_of_one_replica_when_all_reports_are_old() {
     let mut router = router_with_replicas(4, |_| {});
     router.tick(at(4999));
     let (rpc, decision) = router.accept(at(5000), arrival(0, 5000));
     assert_eq!(decision, Decision::Queue);
     let checked = router.tick(at(5000)).health_checks;
     assert_eq!(checked.len(), 1, "one of four replicas");
-    report(&mut router, 5001, checked[0].0, 5000, false);
+    answer_health_check(&mut router, 5001, checked[0].0, 5000, false);
     let decisions = router.tick(at(5001)).decisions;
     assert_eq!(decisions, [(rpc, Decision::Attempt { member: checked[0], timeout: None })]);
 }
@@ -24,13 +24,13 @@
 fn a_read_spills_when_its_replicas_reject_health_checks() {
     let mut router = router_with_replicas(3, |_| {});
     router.tick(at(4999));
-    report(&mut router, 4999, 0, 4999, true);
+    answer_health_check(&mut router, 4999, 0, 4999, true);
     let (rpc, decision) = router.accept(at(5000), arrival(0, 5000));
     assert_eq!(decision, Decision::Queue);
     for ms in 5000..5100 {
         let output = router.tick(at(ms));
-        if let Some(&(of, decision)) = output.decisions.first() {
-            assert_eq!((of, sent_to(decision)), (rpc, Some(0)), "at {ms}");
+        if let Some(&(decided, decision)) = output.decisions.first() {
+            assert_eq!((decided, sent_to(decision)), (rpc, Some(0)), "at {ms}");
             return;
         }
         for id in output.health_checks {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn health_checks_are_as_frequent_as_the_rpcs_allow() {
+fn the_health_check_rate_follows_the_rpc_rate() {
     let count_checks = |rpc_every_ms: i64| {
         let mut router = router_with_replicas(4, |d| d.methods[1].late_utility_share = 0.5);
         let mut count = 0;
@@ -60,7 +60,7 @@
             }
             let checked = router.tick(at(ms)).health_checks;
             count += checked.len();
-            checked.iter().for_each(|id| report(&mut router, ms, id.0, ms, id.0 == 0));
+            checked.iter().for_each(|id| answer_health_check(&mut router, ms, id.0, ms, id.0 == 0));
         }
         count
     };
@@ -70,7 +70,7 @@
 
 /// Prevents a first answer without a report from being taken for one of a replica that is far behind.
 #[test]
-fn a_member_with_nothing_to_report_yet_is_checked_again_soon() {
+fn a_member_that_answers_a_health_check_without_a_report_is_checked_again_soon() {
     let mut router = Router::start(at(0), 7, deployment());
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&[endpoint(0, true), endpoint(1, false)]));
     let (_, first) = router.accept(at(0), arrival(0, 0));
@@ -86,13 +86,13 @@
     });
     assert!(router.tick(at(1)).decisions.is_empty());
     assert_eq!(router.tick(at(210)).health_checks.len(), 2);
-    report(&mut router, 211, 1, 200, false);
+    answer_health_check(&mut router, 211, 1, 200, false);
     assert_eq!(router.tick(at(211)).decisions.iter().find_map(|(_, decision)| sent_to(*decision)), Some(1));
 }
 
 /// A health check whose connection breaks, or whose answer can't be read, does not show that the member is gone.
 #[test]
-fn broken_health_checks_are_repeated_and_eject_no_member() {
+fn health_checks_whose_connection_broke_are_repeated_and_eject_no_member() {
     let mut router = router_with_replicas(1, |_| {});
     for n in 0..5 {
         router.on_health_check_ended(
@@ -104,13 +104,13 @@
         );
     }
     assert!(router.tick(at(400)).health_checks.contains(&MemberId(1)), "checked again soon");
-    report(&mut router, 401, 1, 400, false);
+    answer_health_check(&mut router, 401, 1, 400, false);
     assert_eq!(sent_to(router.accept(at(402), arrival(0, 402)).1), Some(1));
 }
 
 /// The router itself had no descriptor for them. That is no sign about the member, which is checked again soon.
 #[test]
-fn health_checks_that_were_never_sent_eject_no_member() {
+fn health_checks_that_were_never_sent_are_repeated_and_eject_no_member() {
     let mut router = router_with_replicas(1, |_| {});
     for n in 0..5 {
         router.on_health_check_ended(
--- a/crates/ladderpass-routing/tests/invariants/check.rs
+++ b/crates/ladderpass-routing/tests/invariants/check.rs
@@ -45,12 +45,12 @@
             }
             _ => {}
         }
-        let is_bound = if self.deployment.removal_is_advisory {
-            self.seen_draining[index]
+        let is_excluded = if self.deployment.removal_is_advisory {
+            self.is_last_known_draining[index]
         } else {
             self.states[index] != EndpointState::Active
         };
-        assert!(!is_bound, "rule 3: sent to a member that is draining or removed");
+        assert!(!is_excluded, "rule 3: sent to a member that is draining or removed");
         self.check_freshness(rpc, member);
         self.check_slow_start(rpc, member);
     }
@@ -80,20 +80,20 @@
         let share = self.deployment.slow_start_capacity + (1.0 - self.deployment.slow_start_capacity) * age;
         let attempt = Attempt { member: member.0, sent_at: now };
         self.rpcs.get_mut(&rpc).expect("checked before").attempt = Some(attempt);
-        self.sent.retain(|attempt| attempt.sent_at > window_start);
-        self.sent.push(attempt);
+        self.recent_attempts.retain(|attempt| attempt.sent_at > window_start);
+        self.recent_attempts.push(attempt);
         let sent = self
-            .sent
+            .recent_attempts
             .iter()
             .filter(|attempt| attempt.member == member.0 && attempt.sent_at >= self.started_at[index]);
-        let open = self
+        let sendable = self
             .rpcs
             .values()
             .filter(|rpc| rpc.accepted_at > window_start || !rpc.is_answered || rpc.attempt.is_some());
-        let most = 5.0 + 2.0 * share * open.count() as f64;
+        let limit = 5.0 + 2.0 * share * sendable.count() as f64;
         assert!(
-            age > 1.0 || sent.count() as f64 <= most,
-            "rule 4: more than {most} to a member in slow start"
+            age > 1.0 || sent.count() as f64 <= limit,
+            "rule 4: more than {limit} to a member in slow start"
         );
     }
 }
--- a/crates/ladderpass-routing/tests/invariants/main.rs
+++ b/crates/ladderpass-routing/tests/invariants/main.rs
@@ -10,7 +10,7 @@
 
 /// The invariants hold at every step, and the same seed and calls give the same decisions.
 #[test]
-fn the_invariants_hold_after_every_step() {
+fn the_invariants_hold_after_every_step_and_equal_seeds_give_equal_runs() {
     fn final_states(seed: u64) -> Vec<String> {
         let mut run = Run::new(seed);
         (0..400).for_each(|_| run.step());
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -34,12 +34,12 @@
     pub router: Router,
     pub rpcs: HashMap<RpcId, TrackedRpc>,
     pub states: Vec<EndpointState>,
-    pub seen_draining: Vec<bool>,
+    pub is_last_known_draining: Vec<bool>,
     pub positions: Vec<Time>,
     /// A result said replica, and nothing has said primary since.
     pub is_replica: Vec<bool>,
     pub started_at: Vec<Time>,
-    pub sent: Vec<Attempt>,
+    pub recent_attempts: Vec<Attempt>,
     /// Commit of each session's last write that was answered here.
     pub commits: Vec<Time>,
 }
@@ -80,11 +80,11 @@
             router,
             rpcs: HashMap::new(),
             states: vec![EndpointState::Active; member_count],
-            seen_draining: vec![false; member_count],
+            is_last_known_draining: vec![false; member_count],
             positions: vec![Time::NEVER; member_count],
             is_replica: vec![false; member_count],
             started_at: vec![Time::NEVER; member_count],
-            sent: Vec::new(),
+            recent_attempts: Vec::new(),
             commits: vec![Time::NEVER; 3],
         };
         run.restart();
@@ -96,7 +96,7 @@
         let seed = self.random.generate::<u64>();
         self.router = Router::start(self.now, seed, self.deployment.clone());
         self.rpcs.clear();
-        self.sent.clear();
+        self.recent_attempts.clear();
         for times in [&mut self.positions, &mut self.started_at, &mut self.commits] {
             times.fill(Time::NEVER);
         }
@@ -111,32 +111,33 @@
                 }
             })
             .collect();
-        self.seen_draining = self.states.iter().map(|&state| state == EndpointState::Draining).collect();
+        self.is_last_known_draining =
+            self.states.iter().map(|&state| state == EndpointState::Draining).collect();
         let states = &self.states;
         let list: Vec<Endpoint> =
             (0..MEMBERS).map(|m| Endpoint { state: states[m as usize], ..endpoint(m, m == 0) }).collect();
         self.router.on_endpoint_update(self.now, EndpointUpdate::Cached(&list));
     }
 
-    fn below(&mut self, most: u32) -> u32 {
-        self.random.generate_range(0..most)
+    fn random_below(&mut self, limit: u32) -> u32 {
+        self.random.generate_range(0..limit)
     }
 
-    fn one<T: Copy>(&mut self, of: &[T]) -> T {
-        of[self.below(of.len() as u32) as usize]
+    fn random_choice<T: Copy>(&mut self, choices: &[T]) -> T {
+        choices[self.random_below(choices.len() as u32) as usize]
     }
 
     /// A position up to 1.5 s old, or none.
     fn random_position(&mut self) -> Option<Time> {
-        (self.below(2) == 0).then(|| self.now - Span::from_millis(i64::from(self.below(1500))))
+        (self.random_below(2) == 0).then(|| self.now - Span::from_millis(i64::from(self.random_below(1500))))
     }
 
     /// One call on the router, or some time, and a tick.
     pub fn step(&mut self) {
-        if self.below(150) == 0 {
+        if self.random_below(150) == 0 {
             self.restart();
         }
-        match self.below(13) {
+        match self.random_below(13) {
             12 => self.peer_update(),
             0..=3 => self.accept(),
             4..=6 => self.end_attempt(),
@@ -144,7 +145,7 @@
             8 => self.update_endpoints(),
             9 => self.abandon(),
             _ => {
-                let pause = Span::from_millis(self.one(&[1, 5, 20, 300, 1200]));
+                let pause = Span::from_millis(self.random_choice(&[1, 5, 20, 300, 1200]));
                 self.now = self.now + pause;
             }
         }
@@ -152,12 +153,13 @@
     }
 
     fn accept(&mut self) {
-        let method = self.below(self.deployment.methods.len() as u32);
+        let method = self.random_below(self.deployment.methods.len() as u32);
         let mut arrival = arrival(method, 0);
-        arrival.deadline = self.now + Span::from_millis(i64::from(self.below(2000)));
-        arrival.is_client_retry = self.below(4) == 0;
-        arrival.session = Some(self.below(3));
-        arrival.last_write_age = (self.below(2) == 0).then(|| Span::from_millis(i64::from(self.below(900))));
+        arrival.deadline = self.now + Span::from_millis(i64::from(self.random_below(2000)));
+        arrival.is_client_retry = self.random_below(4) == 0;
+        arrival.session = Some(self.random_below(3));
+        arrival.last_write_age =
+            (self.random_below(2) == 0).then(|| Span::from_millis(i64::from(self.random_below(900))));
         let (rpc, decision) = self.router.accept(self.now, arrival);
         let session_write = self.commits[arrival.session.expect("set above") as usize];
         let tracked = TrackedRpc {
@@ -173,26 +175,26 @@
     }
 
     /// In an order that does not depend on hashes.
-    fn rpcs_that(&self, is_wanted: impl Fn(&TrackedRpc) -> bool) -> Vec<RpcId> {
+    fn sorted_rpcs_where(&self, condition: impl Fn(&TrackedRpc) -> bool) -> Vec<RpcId> {
         let mut rpcs: Vec<RpcId> =
-            self.rpcs.iter().filter(|(_, tracked)| is_wanted(tracked)).map(|(&rpc, _)| rpc).collect();
+            self.rpcs.iter().filter(|(_, tracked)| condition(tracked)).map(|(&rpc, _)| rpc).collect();
         rpcs.sort_by_key(|rpc| format!("{rpc:?}"));
         rpcs
     }
 
     fn end_attempt(&mut self) {
-        let in_flight = self.rpcs_that(|tracked| tracked.attempt.is_some());
+        let in_flight = self.sorted_rpcs_where(|tracked| tracked.attempt.is_some());
         if in_flight.is_empty() {
             return;
         }
-        let rpc = self.one(&in_flight);
+        let rpc = self.random_choice(&in_flight);
         use AttemptOutcome::{
             Cancelled, ConnectionLost, Failed, NeverSent, NotServedHere, Rejected, TimedOut, Unreachable,
         };
         let failures =
             [Failed, Rejected, TimedOut, Unreachable, ConnectionLost, Cancelled, NeverSent, NotServedHere];
-        let outcome = failures.get(self.below(10) as usize).copied().unwrap_or(AttemptOutcome::Ok);
-        let role = self.one(&[None, Some(Role::Primary), Some(Role::Replica)]);
+        let outcome = failures.get(self.random_below(10) as usize).copied().unwrap_or(AttemptOutcome::Ok);
+        let role = self.random_choice(&[None, Some(Role::Primary), Some(Role::Replica)]);
         let position = self.random_position();
         let tracked = self.rpcs.get_mut(&rpc).expect("chosen from it");
         let Attempt { member, sent_at } = tracked.attempt.take().expect("chosen for it");
@@ -231,15 +233,15 @@
             assert_eq!(decision, Decision::AlreadyAnswered, "nothing follows the end");
         }
         self.check(rpc, decision);
-        if self.below(4) == 0 && rpc_complete {
+        if self.random_below(4) == 0 && rpc_complete {
             // A late or doubled result of an RPC that has its answer changes nothing.
             assert_eq!(rpc.on_attempt_ended(&mut self.router, self.now, result), Decision::AlreadyAnswered);
         }
     }
 
     fn end_health_check(&mut self) {
-        let member = self.below(MEMBERS);
-        let outcome = self.one(&[
+        let member = self.random_below(MEMBERS);
+        let outcome = self.random_choice(&[
             AttemptOutcome::Ok,
             AttemptOutcome::Ok,
             AttemptOutcome::Ok,
@@ -247,7 +249,7 @@
             AttemptOutcome::Rejected,
         ]);
         let position = self.random_position();
-        let is_primary = self.one(&[None, Some(true), Some(false)]);
+        let is_primary = self.random_choice(&[None, Some(true), Some(false)]);
         if outcome == AttemptOutcome::Ok {
             let index = member as usize;
             self.positions[index] = self.positions[index].max(position.unwrap_or(Time::NEVER));
@@ -255,28 +257,28 @@
                 self.is_replica[index] = false;
             }
         }
-        let in_flight = self.one(&[None, Some(0.0), Some(50.0)]);
+        let in_flight = self.random_choice(&[None, Some(0.0), Some(50.0)]);
         let report = LoadReport { position, is_primary, in_flight };
         self.router.on_health_check_ended(self.now, MemberId(member), outcome, Span::from_millis(1), report);
     }
 
     /// An update from another router: late, in any order, about members that no list has named, or from the future.
     fn peer_update(&mut self) {
-        let member = self.one(&[0, 1, 2, 3, 299]);
-        let observation = self.one(&[
+        let member = self.random_choice(&[0, 1, 2, 3, 299]);
+        let observation = self.random_choice(&[
             MemberObservation::Replica,
             MemberObservation::Primary,
             MemberObservation::Unreachable,
         ]);
-        let ahead = Span::from_millis(i64::from(self.below(4) / 3) * 400);
+        let ahead = Span::from_millis(i64::from(self.random_below(4) / 3) * 400);
         let at = self.random_position().unwrap_or(self.now) + ahead;
         let index = member as usize;
         if observation != MemberObservation::Unreachable && at <= self.now && index < self.positions.len() {
             self.positions[index] = self.positions[index].max(at);
             self.is_replica[index] &= observation != MemberObservation::Primary;
         }
-        let (same_zone, latency_ratio) = (self.below(2) == 0, self.one(&[0.0, 1.0, 30.0]));
-        let in_flight = self.one(&[None, Some(40.0)]);
+        let (same_zone, latency_ratio) = (self.random_below(2) == 0, self.random_choice(&[0.0, 1.0, 30.0]));
+        let in_flight = self.random_choice(&[None, Some(40.0)]);
         self.router.on_peer_update(
             self.now,
             MemberUpdate { member: MemberId(member), observation, at, same_zone, latency_ratio, in_flight },
@@ -284,7 +286,7 @@
     }
 
     fn update_endpoints(&mut self) {
-        match self.below(20) {
+        match self.random_below(20) {
             0 | 1 => {
                 return self
                     .router
@@ -303,26 +305,26 @@
             }
             _ => {}
         }
-        let member = self.below(MEMBERS);
-        let state = self.one(&[
+        let member = self.random_below(MEMBERS);
+        let state = self.random_choice(&[
             EndpointState::Active,
             EndpointState::Active,
             EndpointState::Draining,
             EndpointState::Removed,
         ]);
-        let mut entry = endpoint(member, self.below(2) == 0);
+        let mut entry = endpoint(member, self.random_below(2) == 0);
         entry.state = state;
-        entry.started_at = (self.below(3) == 0).then_some(self.now);
+        entry.started_at = (self.random_below(3) == 0).then_some(self.now);
         let index = member as usize;
-        self.seen_draining[index] =
-            state == EndpointState::Draining || self.seen_draining[index] && state == EndpointState::Removed;
+        self.is_last_known_draining[index] = state == EndpointState::Draining
+            || self.is_last_known_draining[index] && state == EndpointState::Removed;
         self.states[index] = state;
         self.started_at[index] = entry.started_at.unwrap_or(self.started_at[index]);
         self.router.on_endpoint_update(self.now, EndpointUpdate::Changes(&[entry]));
     }
 
     fn abandon(&mut self) {
-        if let Some(&rpc) = self.rpcs_that(|tracked| !tracked.is_answered).first() {
+        if let Some(&rpc) = self.sorted_rpcs_where(|tracked| !tracked.is_answered).first() {
             self.rpcs.get_mut(&rpc).expect("listed").is_answered = true;
             rpc.abandon(&mut self.router);
         }
--- a/crates/ladderpass-routing/tests/load.rs
+++ b/crates/ladderpass-routing/tests/load.rs
@@ -6,11 +6,11 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_member_that_fails_fast_does_not_look_idle() {
+fn failed_attempts_count_as_load_on_a_member_that_fails_fast() {
     let mut router = router_with_replicas(2, |_| {});
     let mut failed = 0;
     for ms in 1..40 {
-        report_all(&mut router, 2, ms);
+        answer_all_health_checks(&mut router, 2, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
         let Some(member) = sent_to(decision) else { continue };
         let outcome = if member == 1 { AttemptOutcome::Failed } else { AttemptOutcome::Ok };
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn a_slow_machine_gets_fewer_rpcs() {
+fn a_slow_member_gets_fewer_rpcs() {
     let mut router = router_with_replicas(2, |_| {});
     let mut got = [0; 3];
     for n in 0..60 {
         let ms = 1 + n * 61;
-        report_all(&mut router, 2, ms);
+        answer_all_health_checks(&mut router, 2, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
         let member = sent_to(decision).expect("nothing else is in flight");
         got[member as usize] += 1;
@@ -44,10 +44,10 @@
 }
 
 #[test]
-fn a_silent_member_does_not_look_least_loaded() {
+fn a_silent_member_is_not_selected_as_the_least_loaded() {
     let mut router = router_with_replicas(2, |_| {});
-    serve(&mut router, 0, 1, 40, 20);
-    report_all(&mut router, 4, 900);
+    serve_rpcs(&mut router, 0, 1, 40, 20);
+    answer_all_health_checks(&mut router, 4, 900);
     let accept = |router: &mut Router| sent_to(router.accept(at(1500), arrival(0, 1500)).1);
     let first = [0, 1].map(|_| router.accept(at(900), arrival(0, 900)));
     let (answered, member) =
@@ -59,16 +59,16 @@
 
 /// A member with nothing in flight can't show that its congestion is over: it is tried again after a second.
 #[test]
-fn an_idle_member_is_tried_again_sooner_after_congestion_than_a_busy_one() {
+fn an_idle_member_is_tried_again_about_a_second_after_congestion() {
     let mut router = router_with_replicas(1, |_| {});
     grow_limits(&mut router, 1, 0);
-    report_all(&mut router, 4, 4500);
+    answer_all_health_checks(&mut router, 4, 4500);
     let slow: Vec<RpcId> = (0..8).map(|_| router.accept(at(4500), arrival(1, 4500)).0).collect();
     for rpc in slow {
         rpc.on_attempt_ended(&mut router, at(5000), result(0, AttemptOutcome::Ok, 500));
     }
     for (ms, sent) in [(5100, false), (6050, true)] {
-        report_all(&mut router, 4, ms);
+        answer_all_health_checks(&mut router, 4, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
         assert_eq!(sent_to(decision).is_some(), sent, "{ms}");
         rpc.abandon(&mut router);
--- a/crates/ladderpass-routing/tests/outlier_ejection.rs
+++ b/crates/ladderpass-routing/tests/outlier_ejection.rs
@@ -6,7 +6,7 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_member_readmitted_after_a_long_absence_is_in_slow_start() {
+fn a_member_readmitted_after_a_long_absence_goes_through_slow_start() {
     let mut router = router_with_replicas(3, |_| {});
     for ms in [1, 600, 1200, 1800] {
         router.on_health_check_ended(
@@ -22,13 +22,13 @@
         messages.iter().any(|message| message.contains("#3 ejected after 3 consecutive failures")),
         "{messages:?}"
     );
-    let got = serve(&mut router, 0, 2000, 80, 20);
+    let got = serve_rpcs(&mut router, 0, 2000, 80, 20);
     assert!(f64::from(got[3]) <= 0.6 * f64::from(got[1]), "{got:?}");
 }
 
 /// Where health checks are not allowed, a primary that was unreachable once would never be tried again.
 #[test]
-fn without_health_checks_an_unreachable_member_is_tried_again() {
+fn without_health_checks_an_unreachable_primary_is_tried_again_after_a_delay() {
     let mut router =
         router_with_replicas(1, |d| (d.health_checks, d.health_checks_report_position) = (false, false));
     let (rpc, decision) = router.accept(at(0), arrival(1, 0));
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -7,7 +7,7 @@
 
 /// Prevents an RPC that nothing can serve from being kept until its client has no time left to turn elsewhere.
 #[test]
-fn an_rpc_that_can_be_sent_nowhere_is_rejected_by_half_of_its_time() {
+fn an_rpc_without_an_eligible_member_is_rejected_by_half_of_its_deadline() {
     let mut router = router_with_replicas(2, |_| ());
     for member in 0..=2 {
         (0..3).for_each(|_| {
@@ -26,15 +26,18 @@
     assert_eq!(first, Decision::Queue);
     assert!(router.tick(at(100)).decisions.is_empty());
     let decided = router.tick(at(220)).decisions;
-    assert!(matches!(decided[..], [(it, Decision::Reject { .. })] if it == rpc), "{decided:?}");
+    assert!(
+        matches!(decided[..], [(decided_rpc, Decision::Reject { .. })] if decided_rpc == rpc),
+        "{decided:?}"
+    );
 }
 
 /// Where more is pending than the members have capacity for, the newest goes first: its client waits for the longest from
 /// now on.
 #[test]
-fn the_newest_pending_rpc_goes_first() {
+fn the_newest_pending_rpc_is_sent_first() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
-    report_all(&mut router, 4, 1000);
+    answer_all_health_checks(&mut router, 4, 1000);
     let accepted: Vec<_> = (0..30).map(|n| router.accept(at(1000 + n), arrival(1, 1000 + n))).collect();
     let (sent, pending): (Vec<_>, Vec<_>) = accepted.into_iter().partition(|(_, d)| sent_to(*d).is_some());
     assert!(!sent.is_empty() && pending.len() > 1, "{} of 30 are pending", pending.len());
--- a/crates/ladderpass-routing/tests/primary.rs
+++ b/crates/ladderpass-routing/tests/primary.rs
@@ -6,30 +6,30 @@
 use ladderpass_routing::*;
 
 #[test]
-fn the_list_does_not_undo_a_role_that_a_member_has_shown() {
+fn a_role_shown_by_a_member_outweighs_the_endpoint_list() {
     let mut router = router_with_replicas(2, |_| {});
     let write_sent_to = |router: &mut Router, ms: i64| {
         let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
         rpc.on_attempt_ended(router, at(ms), result(sent_to(decision)?, AttemptOutcome::Ok, 5));
         sent_to(decision)
     };
-    report(&mut router, 100, 2, 100, true);
+    answer_health_check(&mut router, 100, 2, 100, true);
     router.on_endpoint_update(
         at(200),
         EndpointUpdate::Complete(&[endpoint(0, true), endpoint(1, false), endpoint(2, false)]),
     );
     assert_eq!(write_sent_to(&mut router, 200), Some(2));
     // A report from before a claim is no change of role; a later claim wins.
-    report(&mut router, 210, 2, 50, false);
+    answer_health_check(&mut router, 210, 2, 50, false);
     assert_eq!(write_sent_to(&mut router, 210), Some(2));
-    report(&mut router, 220, 1, 215, true);
+    answer_health_check(&mut router, 220, 1, 215, true);
     assert_eq!(write_sent_to(&mut router, 220), Some(1));
 }
 
 #[test]
-fn a_write_that_is_not_served_waits_for_the_new_primary() {
+fn a_write_that_a_former_primary_does_not_serve_waits_for_the_new_primary() {
     let mut router = new_router();
-    report(&mut router, 5, 0, 4, true);
+    answer_health_check(&mut router, 5, 0, 4, true);
     let (rpc, _) = router.accept(at(10), arrival(1, 10));
     let not_served = AttemptResult {
         role: Some(Role::Replica),
@@ -37,6 +37,6 @@
         ..result(0, AttemptOutcome::NotServedHere, 1)
     };
     assert_eq!(rpc.on_attempt_ended(&mut router, at(11), not_served), Decision::Queue);
-    report(&mut router, 20, 2, 18, true);
+    answer_health_check(&mut router, 20, 2, 18, true);
     assert_eq!(sent_to(router.tick(at(20)).decisions[0].1), Some(2));
 }
--- a/crates/ladderpass-routing/tests/reference_clock.rs
+++ b/crates/ladderpass-routing/tests/reference_clock.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn clocks_that_agree_differ_by_nothing() {
+fn clocks_that_agree_have_no_difference() {
     let mut clock = ReferenceClock::new(true);
     for now in (0..10_000).step_by(100) {
         report_positions(&mut clock, now, -20);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_clock_that_is_behind_requires_newer_positions_at_once_and_for_good() {
+fn a_clock_that_is_behind_is_detected_at_the_first_position_and_confirmed_by_three() {
     for lead in [500, 5000, 3_600_000] {
         let mut clock = ReferenceClock::new(true);
         clock.record_position(at(0), at(lead));
@@ -41,7 +41,7 @@
 
 /// One position that no others confirm is corrupt: it counts for some seconds, and then no more.
 #[test]
-fn a_corrupt_position_lapses() {
+fn a_position_ahead_of_the_clock_expires_if_no_others_confirm_it() {
     let mut clock = ReferenceClock::new(true);
     report_positions(&mut clock, 0, -20);
     clock.record_position(at(100), at(7000));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn until_a_position_is_reported_the_clock_may_be_ahead_by_any_time() {
+fn the_clock_may_be_ahead_by_any_time_until_a_position_is_reported() {
     let mut clock = ReferenceClock::new(true);
     assert_eq!(clock.difference(at(0)).ahead, Span::MAX);
     report_positions(&mut clock, 0, -20_000);
--- a/crates/ladderpass-routing/tests/retry.rs
+++ b/crates/ladderpass-routing/tests/retry.rs
@@ -6,7 +6,7 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_member_that_rejected_an_rpc_does_not_get_it_again_at_once() {
+fn a_rejected_rpc_is_not_sent_to_the_same_member_again_at_once() {
     let mut router = router_with_replicas(1, |_| {});
     let (rpc, decision) = router.accept(at(10), arrival(0, 10));
     assert_eq!(sent_to(decision), Some(1));
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn a_repeat_that_the_client_has_marked_is_not_queued() {
+fn a_marked_client_retry_is_rejected_instead_of_queued() {
     let mut router = router_with_replicas(1, |_| {});
     let ms = 2000;
-    report(&mut router, ms, 0, ms - 1, true);
-    report(&mut router, ms, 1, 0, false);
+    answer_health_check(&mut router, ms, 0, ms - 1, true);
+    answer_health_check(&mut router, ms, 1, 0, false);
     router.on_endpoint_update(
         at(ms),
         EndpointUpdate::Changes(&[Endpoint { state: EndpointState::Draining, ..endpoint(0, true) }]),
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn a_write_that_may_have_run_is_neither_retried_nor_rejected() {
+fn a_non_idempotent_write_that_may_have_run_fails_without_a_retry() {
     let mut router = new_router();
-    report(&mut router, 5, 0, 4, true);
+    answer_health_check(&mut router, 5, 0, 4, true);
     let (rpc, decision) = router.accept(at(10), arrival(1, 10));
     assert_eq!(sent_to(decision), Some(0));
     assert_eq!(
@@ -46,20 +46,20 @@
 
 /// The retry budget is spent: the answer comes at once, as the method allows.
 #[test]
-fn an_rpc_whose_retry_is_denied_is_answered_at_once() {
+fn an_rpc_whose_retry_is_denied_gets_its_final_answer_at_once() {
     let checked_router = || {
         let mut router = new_router();
-        report(&mut router, 5, 0, 4, true);
-        report(&mut router, 5, 1, 4, false);
+        answer_health_check(&mut router, 5, 0, 4, true);
+        answer_health_check(&mut router, 5, 1, 4, false);
         router
     };
     for (method, denied) in [(0, false), (0, true), (1, true)] {
         let mut router = checked_router();
         let (rpc, decision) = router.accept(at(10), arrival(method, 10));
         let member = sent_to(decision).expect("one has capacity");
-        let broken =
+        let connection_lost =
             AttemptResult { retry_denied: denied, ..result(member, AttemptOutcome::ConnectionLost, 5) };
-        let next = rpc.on_attempt_ended(&mut router, at(15), broken);
+        let next = rpc.on_attempt_ended(&mut router, at(15), connection_lost);
         let is_allowed = match (method, denied) {
             (0, false) => matches!(next, Decision::Attempt { .. } | Decision::Queue),
             (0, true) => matches!(next, Decision::Reject { .. }),
@@ -71,24 +71,26 @@
 
 /// Prevents work on RPCs that fail wherever they are sent, and members blamed for them.
 #[test]
-fn two_errors_end_an_rpc_and_blame_no_member() {
+fn an_rpc_that_fails_on_two_members_is_rejected_and_counts_against_neither() {
     let mut router = router_with_gossip(|_| ());
     for ms in (10..400).step_by(10) {
         router.on_peer_update(at(ms), peer_update(1, MemberObservation::Replica, ms - 1));
         router.on_peer_update(at(ms), peer_update(2, MemberObservation::Replica, ms - 1));
         let (rpc, first) = router.accept(at(ms), arrival(0, ms));
-        let Some(one) = sent_to(first) else { panic!("{first:?} at {ms}") };
-        let second = rpc.on_attempt_ended(&mut router, at(ms + 1), result(one, AttemptOutcome::Failed, 1));
-        let Some(other) = sent_to(second) else { panic!("{second:?} at {ms}") };
-        assert_ne!(one, other);
-        let end = rpc.on_attempt_ended(&mut router, at(ms + 2), result(other, AttemptOutcome::Failed, 1));
+        let Some(first_member) = sent_to(first) else { panic!("{first:?} at {ms}") };
+        let second =
+            rpc.on_attempt_ended(&mut router, at(ms + 1), result(first_member, AttemptOutcome::Failed, 1));
+        let Some(second_member) = sent_to(second) else { panic!("{second:?} at {ms}") };
+        assert_ne!(first_member, second_member);
+        let end =
+            rpc.on_attempt_ended(&mut router, at(ms + 2), result(second_member, AttemptOutcome::Failed, 1));
         assert!(matches!(end, Decision::Reject { .. }), "{end:?}");
     }
 }
 
 /// Prevents RPCs from waiting two seconds for an answer that was lost on a slow and lossy link between zones.
 #[test]
-fn a_first_attempt_over_a_degraded_link_has_a_timeout_and_others_have_none() {
+fn a_first_attempt_has_a_timeout_only_over_a_degraded_link() {
     let mut deployment = Deployment { gossip: true, ..deployment() };
     deployment.methods[0].soft_deadline = Span::from_millis(1000);
     let mut router = Router::start(at(0), 1, deployment);
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -12,7 +12,7 @@
 
 const STEP_MS: i64 = 5;
 /// When members start: by then each router knows its share of the traffic.
-const STARTS: i64 = 4000;
+const STARTS_AT_MS: i64 = 4000;
 
 #[derive(Clone)]
 struct Case {
@@ -23,20 +23,20 @@
     /// RPCs a second that all clients send, outside of the burst.
     rate: f64,
     /// Share of writes.
-    writes: f64,
+    write_share: f64,
     /// Members in slow start.
     starting: Vec<u32>,
     /// Traffic of the first router over that of the last one.
-    uneven: f64,
+    traffic_ratio: f64,
     /// The primary is removed at the first time; at the second one the first starting member takes its place.
-    leaderless: Option<(i64, i64)>,
+    without_primary: Option<(i64, i64)>,
     /// When so many of the routers are restarted.
     restart: Option<(i64, usize)>,
     /// The multiple of its present capacity that the settings allow.
-    multiple: f64,
+    overload_multiple: f64,
     /// When clients send half as much again.
     burst: (i64, i64),
-    lasts: i64,
+    duration_ms: i64,
 }
 
 impl Default for Case {
@@ -46,22 +46,22 @@
             members: 3,
             capacity: 300.0,
             rate: 600.0,
-            writes: 0.2,
+            write_share: 0.2,
             starting: vec![2],
-            uneven: 1.0,
-            leaderless: None,
+            traffic_ratio: 1.0,
+            without_primary: None,
             restart: None,
-            multiple: 1.0,
+            overload_multiple: 1.0,
             burst: (7000, 9500),
-            lasts: 15_000,
+            duration_ms: 15_000,
         }
     }
 }
 
 impl Case {
     /// A member can serve so many RPCs in the overload time right after its start; clients send two thirds of what fits.
-    fn of(n: f64) -> Case {
-        let capacity = n / (0.2 * 3.0);
+    fn with_initial_capacity(rpcs_per_window: f64) -> Case {
+        let capacity = rpcs_per_window / (0.2 * 3.0);
         Case { capacity, rate: capacity * 2.0, ..Case::default() }
     }
 }
@@ -93,10 +93,10 @@
         let deployment = Deployment {
             overload_window: Span::from_millis(3000),
             router_count: case.routers as u32,
-            overload_multiple: case.multiple,
+            overload_multiple: case.overload_multiple,
             ..deployment()
         };
-        let step = case.uneven.powf(1.0 / (case.routers.max(2) - 1) as f64);
+        let step = case.traffic_ratio.powf(1.0 / (case.routers.max(2) - 1) as f64);
         let weights: Vec<f64> = (0..case.routers).map(|nth| step.powi(-(nth as i32))).collect();
         let sum: f64 = weights.iter().sum();
         let mut model = Model {
@@ -126,16 +126,17 @@
 
     /// The primary is 0; where that is removed, the first starting member.
     fn primary(&self, ms: i64) -> Option<u32> {
-        match self.case.leaderless {
+        match self.case.without_primary {
             Some((from, to)) if ms >= from => (ms >= to).then(|| self.case.starting[0]),
             _ => Some(0),
         }
     }
 
     fn list(&self, ms: i64) -> Vec<Endpoint> {
-        let is_removed = self.case.leaderless.is_some_and(|(from, _)| ms >= from);
+        let is_removed = self.case.without_primary.is_some_and(|(from, _)| ms >= from);
         let listed = |member: u32| Endpoint {
-            started_at: (ms >= STARTS && self.case.starting.contains(&member)).then_some(at(STARTS)),
+            started_at: (ms >= STARTS_AT_MS && self.case.starting.contains(&member))
+                .then_some(at(STARTS_AT_MS)),
             state: if is_removed && member == 0 { EndpointState::Removed } else { EndpointState::Active },
             ..endpoint(member, self.primary(ms) == Some(member))
         };
@@ -144,8 +145,8 @@
 
     fn on_decision(&mut self, ms: i64, router: usize, rpc: RpcId, decision: Decision) {
         if let Some(member) = sent_to(decision) {
-            let what = EventKind::AttemptSent { rpc: self.events.len() as u64, member };
-            self.events.push(Event { at: at(ms), kind: what });
+            let kind = EventKind::AttemptSent { rpc: self.events.len() as u64, member };
+            self.events.push(Event { at: at(ms), kind });
             let latency_ms = (-(1.0 - self.random.generate::<f64>()).ln() * MEAN_LATENCY_MS as f64) as i64;
             let ends = ms + (1 + latency_ms / STEP_MS) * STEP_MS;
             self.attempts.entry(ends).or_default().push(Attempt { router, rpc, member });
@@ -154,12 +155,12 @@
 
     fn step(&mut self, ms: i64) {
         let list = self.list(ms);
-        if ms == STARTS || self.case.leaderless.is_some_and(|(from, to)| ms == from || ms == to) {
+        if ms == STARTS_AT_MS || self.case.without_primary.is_some_and(|(from, to)| ms == from || ms == to) {
             self.routers
                 .iter_mut()
                 .for_each(|router| router.on_endpoint_update(at(ms), EndpointUpdate::Complete(&list)));
         }
-        if ms == STARTS {
+        if ms == STARTS_AT_MS {
             self.record_starts(ms);
         }
         if let Some((_, count)) = self.case.restart.filter(|&(when, _)| when == ms) {
@@ -175,7 +176,7 @@
         for (router, count) in arrivals.into_iter().enumerate() {
             for _ in 0..count {
                 self.sent += 1;
-                let method = u32::from(self.random.generate::<f64>() < self.case.writes);
+                let method = u32::from(self.random.generate::<f64>() < self.case.write_share);
                 let (rpc, decision) = self.routers[router].accept(at(ms), arrival(method, ms));
                 self.on_decision(ms, router, rpc, decision);
             }
@@ -186,18 +187,13 @@
     /// For the checker: members start.
     fn record_starts(&mut self, ms: i64) {
         for &member in &self.case.starting {
-            let (capacity, cold_from) =
-                (self.case.capacity * self.case.multiple, self.deployment.slow_start_capacity);
-            let (warm_within, overload_for) =
+            let (capacity, initial_fraction) =
+                (self.case.capacity * self.case.overload_multiple, self.deployment.slow_start_capacity);
+            let (warm_up_time, overload_window) =
                 (self.deployment.slow_start_duration, self.deployment.overload_window);
-            let what = EventKind::Started {
-                member,
-                capacity,
-                initial_fraction: cold_from,
-                warm_up_time: warm_within,
-                overload_window: overload_for,
-            };
-            self.events.push(Event { at: at(ms), kind: what });
+            let kind =
+                EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window };
+            self.events.push(Event { at: at(ms), kind });
         }
     }
 
@@ -205,9 +201,9 @@
     fn arrivals(&mut self, ms: i64) -> Vec<u32> {
         let burst_factor = if (self.case.burst.0..self.case.burst.1).contains(&ms) { 1.5 } else { 1.0 };
         let mean = self.case.rate * burst_factor * STEP_MS as f64 / 1e3;
-        let mut left = self.random.generate::<f64>().max(1e-300).ln() + mean;
+        let mut remaining = self.random.generate::<f64>().max(1e-300).ln() + mean;
         let mut arrivals = vec![0; self.routers.len()];
-        while left > 0.0 {
+        while remaining > 0.0 {
             let mut draw = self.random.generate::<f64>();
             let weights = self.weights.iter();
             let router = weights.take_while(|weight| {
@@ -216,7 +212,7 @@
             });
             let router = router.count();
             arrivals[router.min(self.weights.len() - 1)] += 1;
-            left += self.random.generate::<f64>().max(1e-300).ln();
+            remaining += self.random.generate::<f64>().max(1e-300).ln();
         }
         arrivals
     }
@@ -256,22 +252,22 @@
 
 fn run(case: Case, seed: u64) -> Outcome {
     let mut model = Model::new(case, seed);
-    for ms in (0..=model.case.lasts).step_by(STEP_MS as usize) {
+    for ms in (0..=model.case.duration_ms).step_by(STEP_MS as usize) {
         model.step(ms);
     }
     let (mut checker, mut violations) = (SlowStart::default(), Vec::new());
     model.events.iter().for_each(|event| checker.observe(event, &mut violations));
-    let goes_to_starting = |event: &&Event| match event.kind {
+    let is_to_starting = |event: &&Event| match event.kind {
         EventKind::AttemptSent { member, .. } => {
-            event.at >= at(STARTS) && model.case.starting.contains(&member)
+            event.at >= at(STARTS_AT_MS) && model.case.starting.contains(&member)
         }
         _ => false,
     };
-    let to_starting = model.events.iter().filter(goes_to_starting).count();
+    let to_starting = model.events.iter().filter(is_to_starting).count();
     Outcome { violations, to_starting, served_share: f64::from(model.served) / f64::from(model.sent) }
 }
 
-fn assert_kept(what: &str, case: Case, seeds: std::ops::Range<u64>) {
+fn assert_never_overloaded(scenario: &str, case: Case, seeds: std::ops::Range<u64>) {
     let (mut violations, mut to_starting, mut served_shares) = (Vec::new(), 0, 0.0);
     let count = (seeds.end - seeds.start) as f64;
     for seed in seeds {
@@ -282,87 +278,111 @@
         served_shares += outcome.served_share;
     }
     println!(
-        "{what}: {} violations, {:.1} to starting members, {:.4} served",
+        "{scenario}: {} violations, {:.1} to starting members, {:.4} served",
         violations.len(),
         to_starting as f64 / count,
         served_shares / count
     );
-    assert!(to_starting > 0, "{what}: the starting members got nothing");
-    assert!(violations.is_empty(), "{what}: {violations:#?}");
+    assert!(to_starting > 0, "{scenario}: the starting members got nothing");
+    assert!(violations.is_empty(), "{scenario}: {violations:#?}");
 }
 
 /// Two thirds of what fits, and half as much again for a while.
 #[test]
-fn eight_routers_before_one_starting_member_of_three() {
-    assert_kept("8 routers", Case { routers: 8, ..Case::default() }, 0..10);
+fn a_starting_member_is_not_overloaded_by_eight_routers() {
+    assert_never_overloaded("8 routers", Case { routers: 8, ..Case::default() }, 0..10);
 }
 
 #[test]
-fn thirty_routers_from_two_to_two_thousand_rpcs_in_the_time() {
+fn a_starting_member_of_any_capacity_is_not_overloaded_by_thirty_routers() {
     for n in [2.0, 5.0, 20.0, 100.0, 400.0] {
-        assert_kept(&format!("30 routers, N from {n}"), Case::of(n), 0..10);
+        assert_never_overloaded(&format!("30 routers, N from {n}"), Case::with_initial_capacity(n), 0..10);
     }
-    assert_kept("30 routers, N from 2000", Case { lasts: 9500, ..Case::of(2000.0) }, 0..2);
+    assert_never_overloaded(
+        "30 routers, N from 2000",
+        Case { duration_ms: 9500, ..Case::with_initial_capacity(2000.0) },
+        0..2,
+    );
 }
 
 /// Reads alone, as many as fit, all the time: chance has nothing but the margin of the mean.
 #[test]
-fn full_load_all_the_time() {
+fn a_starting_member_is_not_overloaded_at_constant_full_load() {
     for n in [2.0, 5.0, 20.0, 100.0] {
         for routers in [8, 24, 30] {
-            let case = Case { routers, rate: Case::of(n).rate * 1.5, writes: 0.0, ..Case::of(n) };
+            let case = Case {
+                routers,
+                rate: Case::with_initial_capacity(n).rate * 1.5,
+                write_share: 0.0,
+                ..Case::with_initial_capacity(n)
+            };
             // Up to the end of slow start.
-            let case = Case { burst: (0, 0), lasts: STARTS + 9_995, ..case };
-            assert_kept(&format!("{routers} routers, full load, N from {n}"), case, 0..6);
+            let case = Case { burst: (0, 0), duration_ms: STARTS_AT_MS + 9_995, ..case };
+            assert_never_overloaded(&format!("{routers} routers, full load, N from {n}"), case, 0..6);
         }
     }
 }
 
 #[test]
-fn one_router_sees_ten_times_what_another_does() {
+fn a_starting_member_is_not_overloaded_by_routers_with_uneven_traffic() {
     for n in [6.0, 100.0] {
-        assert_kept(&format!("uneven, N from {n}"), Case { uneven: 10.0, ..Case::of(n) }, 0..10);
+        assert_never_overloaded(
+            &format!("uneven, N from {n}"),
+            Case { traffic_ratio: 10.0, ..Case::with_initial_capacity(n) },
+            0..10,
+        );
     }
 }
 
 #[test]
-fn several_starting_members_at_once() {
+fn several_members_that_start_at_once_are_not_overloaded() {
     for n in [10.0, 180.0] {
-        let five =
-            Case { members: 5, starting: vec![3, 4], rate: Case::of(n).capacity * 5.0 / 1.5, ..Case::of(n) };
-        assert_kept(&format!("two starting of five, N from {n}"), five, 0..10);
-        let case = Case { starting: vec![1, 2], ..Case::of(n) };
-        assert_kept(&format!("two starting of three, N from {n}"), case, 0..10);
+        let five = Case {
+            members: 5,
+            starting: vec![3, 4],
+            rate: Case::with_initial_capacity(n).capacity * 5.0 / 1.5,
+            ..Case::with_initial_capacity(n)
+        };
+        assert_never_overloaded(&format!("two starting of five, N from {n}"), five, 0..10);
+        let case = Case { starting: vec![1, 2], ..Case::with_initial_capacity(n) };
+        assert_never_overloaded(&format!("two starting of three, N from {n}"), case, 0..10);
     }
 }
 
 #[test]
-fn a_third_of_the_routers_is_restarted_in_the_middle_of_slow_start() {
+fn a_starting_member_is_not_overloaded_when_a_third_of_the_routers_restart() {
     for n in [10.0, 400.0] {
-        let case = Case { restart: Some((8000, 10)), ..Case::of(n) };
-        assert_kept(&format!("ten restart, N from {n}"), case, 0..10);
+        let case = Case { restart: Some((8000, 10)), ..Case::with_initial_capacity(n) };
+        assert_never_overloaded(&format!("ten restart, N from {n}"), case, 0..10);
     }
 }
 
 /// All writes wait while there is no primary, and a starting member is the next one: in the burst, as many as fit its full
 /// capacity.
 #[test]
-fn a_starting_primary_with_queued_writes() {
+fn a_starting_primary_is_not_overloaded_by_queued_writes() {
     for n in [10.0, 100.0] {
-        let case = Case { leaderless: Some((4000, 4900)), writes: 0.33, ..Case::of(n) };
-        assert_kept(&format!("queued writes, N from {n}"), case.clone(), 0..10);
+        let case =
+            Case { without_primary: Some((4000, 4900)), write_share: 0.33, ..Case::with_initial_capacity(n) };
+        assert_never_overloaded(&format!("queued writes, N from {n}"), case.clone(), 0..10);
         let late = Case { burst: (10_500, 13_500), ..case };
-        assert_kept(&format!("queued writes, a late burst, N from {n}"), late, 0..10);
+        assert_never_overloaded(&format!("queued writes, a late burst, N from {n}"), late, 0..10);
     }
 }
 
 /// Settings that allow a multiple of the present capacity let a starting member get more, and no more than that.
 #[test]
-fn a_starting_member_gets_more_where_the_settings_allow_a_multiple() {
-    let got = [1.0, 1.5, 2.0, 4.0].map(|multiple| {
-        let case = Case { multiple, writes: 0.0, burst: (0, 0), starting: vec![1, 2], ..Case::of(100.0) };
-        let case = Case { rate: case.rate * 1.5, lasts: STARTS + 9_995, ..case };
-        assert_kept(&format!("the settings allow {multiple} times"), case.clone(), 0..6);
+fn a_starting_member_gets_more_if_the_settings_allow_a_multiple_of_its_capacity() {
+    let got = [1.0, 1.5, 2.0, 4.0].map(|overload_multiple| {
+        let case = Case {
+            overload_multiple,
+            write_share: 0.0,
+            burst: (0, 0),
+            starting: vec![1, 2],
+            ..Case::with_initial_capacity(100.0)
+        };
+        let case = Case { rate: case.rate * 1.5, duration_ms: STARTS_AT_MS + 9_995, ..case };
+        assert_never_overloaded(&format!("the settings allow {overload_multiple} times"), case.clone(), 0..6);
         run(case, 7).to_starting as f64
     });
     assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
@@ -370,12 +390,21 @@
 
 /// The limit holds however few routers there are, and whatever they send.
 #[test]
-fn one_two_and_three_routers_alone() {
+fn a_starting_member_is_not_overloaded_by_one_to_three_routers() {
     for routers in [1, 2, 3] {
         for n in [1.0, 2.0, 5.0, 20.0, 100.0, 400.0] {
-            assert_kept(&format!("{routers} routers, N from {n}"), Case { routers, ..Case::of(n) }, 0..10);
-            let writes = Case { routers, leaderless: Some((4000, 4900)), writes: 0.33, ..Case::of(n) };
-            assert_kept(&format!("{routers} routers, queued writes, N from {n}"), writes, 0..10);
+            assert_never_overloaded(
+                &format!("{routers} routers, N from {n}"),
+                Case { routers, ..Case::with_initial_capacity(n) },
+                0..10,
+            );
+            let writes = Case {
+                routers,
+                without_primary: Some((4000, 4900)),
+                write_share: 0.33,
+                ..Case::with_initial_capacity(n)
+            };
+            assert_never_overloaded(&format!("{routers} routers, queued writes, N from {n}"), writes, 0..10);
         }
     }
 }
--- a/crates/ladderpass-routing/tests/staleness.rs
+++ b/crates/ladderpass-routing/tests/staleness.rs
@@ -6,31 +6,31 @@
 use ladderpass_routing::*;
 
 #[test]
-fn a_replica_whose_lag_nears_the_bound_gets_less() {
+fn a_replica_whose_lag_nears_the_staleness_bound_gets_fewer_reads() {
     let sent = |lag: i64| {
         let mut router = router_with_replicas(1, |_| {});
         grow_limits(&mut router, 0, 0);
-        report(&mut router, 3000, 0, 3000, true);
-        report(&mut router, 3000, 1, 3000 - lag, false);
-        let to = (0..20).map(|_| sent_to(router.accept(at(3000), arrival(0, 3000)).1));
-        to.filter(|to| *to == Some(1)).count()
+        answer_health_check(&mut router, 3000, 0, 3000, true);
+        answer_health_check(&mut router, 3000, 1, 3000 - lag, false);
+        let destinations = (0..20).map(|_| sent_to(router.accept(at(3000), arrival(0, 3000)).1));
+        destinations.filter(|member| *member == Some(1)).count()
     };
     assert!(sent(700) >= 1 && sent(700) < sent(0), "{} near the bound, {} without lag", sent(700), sent(0));
 }
 
 /// Prevents reads of data that are within the bound at the decision, and past it at the last byte sent.
 #[test]
-fn a_tick_of_the_bound_is_reserved_for_the_send() {
-    for (ms, wanted) in [(790, true), (798, false)] {
+fn one_tick_of_the_staleness_bound_is_reserved_for_the_send() {
+    for (ms, expected) in [(790, true), (798, false)] {
         let mut router = router_with_replicas(1, |_| ());
         let (_, decision) = router.accept(at(ms), arrival(0, ms));
-        assert_eq!(sent_to(decision) == Some(1), wanted, "{ms}");
+        assert_eq!(sent_to(decision) == Some(1), expected, "{ms}");
     }
 }
 
 /// A write whose answer is late or lost may have committed, and its session must see it.
 #[test]
-fn a_session_sees_a_write_whose_answer_is_late_or_lost() {
+fn a_session_read_sees_a_write_whose_answer_is_late_or_lost() {
     for outcome in [
         AttemptOutcome::Ok,
         AttemptOutcome::ConnectionLost,
@@ -41,18 +41,18 @@
             d.session_write_age_carried = false;
             d.methods.push(method(Consistency::Session, Idempotency::Idempotent));
         });
-        let of = |session, method, ms| Arrival { session: Some(session), ..arrival(method, ms) };
+        let session_arrival = |session, method, ms| Arrival { session: Some(session), ..arrival(method, ms) };
         // Replicas report their positions all the time, 40 ms behind.
         let report_positions = |router: &mut Router, ms: i64| {
             router.tick(at(ms));
-            report(router, ms, 0, ms, true);
-            [1, 2].into_iter().for_each(|member| report(router, ms, member, ms - 40, false));
+            answer_health_check(router, ms, 0, ms, true);
+            [1, 2].into_iter().for_each(|member| answer_health_check(router, ms, member, ms - 40, false));
         };
         report_positions(&mut router, 1000);
-        let (write, decision) = router.accept(at(1000), of(5, 1, 1000));
+        let (write, decision) = router.accept(at(1000), session_arrival(5, 1, 1000));
         assert_eq!(sent_to(decision), Some(0));
         let read = |router: &mut Router, ms, session| {
-            let (rpc, decision) = router.accept(at(ms), of(session, 4, ms));
+            let (rpc, decision) = router.accept(at(ms), session_arrival(session, 4, ms));
             rpc.abandon(router);
             router.tick(at(ms));
             matches!(sent_to(decision), Some(1 | 2))
--- a/crates/ladderpass-routing/tests/startup.rs
+++ b/crates/ladderpass-routing/tests/startup.rs
@@ -11,12 +11,12 @@
 const READ: u32 = 0;
 
 /// A router whose primary alone has answered, 5 ms after the start.
-fn router_with_primary_alone() -> Router {
+fn router_with_answer_of_primary_only() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
     let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
     router.tick(at(0));
-    report(&mut router, 5, 0, 5, true);
+    answer_health_check(&mut router, 5, 0, 5, true);
     router
 }
 
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn a_first_read_waits_for_the_first_answer_of_a_replica() {
-    let mut router = router_with_primary_alone();
+fn a_first_read_waits_for_the_first_health_check_of_a_replica() {
+    let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
     assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered yet");
-    report(&mut router, 152, 2, 152, false);
+    answer_health_check(&mut router, 152, 2, 152, false);
     assert_eq!(decided_by(&mut router, 155, 155), [(155, Some(2))]);
 }
 
 /// Silent replicas are waited for no longer than a new router waits for any first answer.
 #[test]
-fn a_first_read_spills_once_a_new_router_has_waited() {
-    let mut router = router_with_primary_alone();
+fn a_first_read_spills_after_the_wait_of_a_new_router() {
+    let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
     assert_eq!(decided_by(&mut router, 15, 295), Vec::new());
@@ -52,10 +52,10 @@
 
 /// Later each of the two is waited for as long as any health check, 60 ms, one after the other.
 #[test]
-fn a_later_read_waits_for_a_health_check_of_each_replica() {
-    let mut router = router_with_primary_alone();
+fn a_later_read_spills_after_waiting_for_a_health_check_of_each_replica() {
+    let mut router = router_with_answer_of_primary_only();
     for member in 1..3 {
-        report(&mut router, 6, member, 6, false);
+        answer_health_check(&mut router, 6, member, 6, false);
     }
     router.tick(at(7));
     // Their reports are too old by then, and nobody answers.
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn a_new_router_queues_rpcs_until_the_first_answers() {
+fn a_new_router_queues_rpcs_until_a_member_answers_a_health_check() {
     let mut router = new_router();
     let (_, decision) = router.accept(at(1), arrival(0, 1));
     assert_eq!(decision, Decision::Queue);
-    report(&mut router, 5, 1, 0, false);
+    answer_health_check(&mut router, 5, 1, 0, false);
     assert_eq!(sent_to(router.tick(at(5)).decisions[0].1), Some(1));
 }
