--- a/crates/ladderpass-routing/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! What the tests share: a small deployment, routers before it, and short ways to call them.
+//! Shared fixtures: a small deployment, routers in front of it, and helpers to call the routers.
 #![allow(dead_code)]
 
 use ladderpass_routing::*;
 
-/// A time, in milliseconds from where the tests begin.
+/// The time that is `ms` milliseconds after the start of a test.
 pub fn at(ms: i64) -> Time {
     Time::from_nanos(1_000_000_000_000 + ms * 1_000_000)
 }
@@ -18,7 +18,7 @@
     }
 }
 
-/// Methods: 0 bounded read, 1 write.
+/// A deployment with two methods: 0 is a read with a staleness bound, 1 is a write.
 pub fn deployment() -> Deployment {
     Deployment {
         methods: vec![
@@ -58,7 +58,7 @@
     }
 }
 
-/// A member answers a health check with its position and role.
+/// Ends a health check of a member, whose answer reports its position and role.
 pub fn answer_health_check(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
     let report = LoadReport { position: Some(at(position_ms)), is_primary: Some(primary), in_flight: None };
     router.on_health_check_ended(at(ms), MemberId(member), AttemptOutcome::Ok, Span::from_millis(1), report);
@@ -78,7 +78,7 @@
     }
 }
 
-/// The member that an attempt goes to.
+/// Returns the member that an attempt is sent to, or none if the decision is no attempt.
 pub fn sent_to(decision: Decision) -> Option<u32> {
     match decision {
         Decision::Attempt { member, .. } => Some(member.0),
@@ -98,7 +98,7 @@
     }
 }
 
-/// A router that has just started, before a primary and two replicas that are being checked.
+/// Starts a router for a primary and two replicas. Their first health checks are in flight.
 pub fn new_router() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
     router.on_endpoint_update(
@@ -109,9 +109,10 @@
     router
 }
 
-/// A router before a primary and replicas that have all reported.
+/// Starts a router for a primary and replicas that have all answered a health check.
 ///
-/// Methods: 0 bounded read, 1 write, 2 `any` read, 3 long `any` read.
+/// Methods: 0 is a read with a staleness bound, 1 is a write, 2 is an `any` read, and 3 is an `any` read with a soft
+/// deadline of 6 s.
 pub fn router_with_replicas(replicas: u32, change: impl Fn(&mut Deployment)) -> Router {
     let mut deployment = deployment();
     deployment.methods.push(method(Consistency::Any, Idempotency::Idempotent));
@@ -126,14 +127,15 @@
     router
 }
 
-/// Every member answers a health check and is up to date.
+/// Ends a health check of every member. All of them are up to date.
 pub fn answer_all_health_checks(router: &mut Router, replicas: u32, ms: i64) {
     for member in 0..=replicas {
         answer_health_check(router, ms, member, ms, member == 0);
     }
 }
 
-/// Sends `count` RPCs of a method, each answered after `latency_ms`; returns how many each member got.
+/// Sends `count` RPCs of a method, one after the other. Each is answered after `latency_ms`. Returns how many attempts
+/// each member got.
 pub fn serve_rpcs(router: &mut Router, method: u32, from: i64, count: i64, latency_ms: i64) -> Vec<u32> {
     let mut got = vec![0; 5];
     for n in 0..count {
@@ -155,13 +157,14 @@
     got
 }
 
-/// How many of nine RPCs, all at once, are sent.
+/// Accepts nine RPCs at once, and returns how many of them are sent to a member immediately.
 pub fn count_sent_of_burst(router: &mut Router, method: u32, ms: i64) -> usize {
     answer_all_health_checks(router, 4, ms);
     (0..9).filter(|_| sent_to(router.accept(at(ms), arrival(method, ms)).1).is_some()).count()
 }
 
-/// Eight RPCs at a time for a second, all answered at once: limits grow from where they start.
+/// Accepts eight RPCs every 25 ms for one second, and answers those that are sent after 20 ms, so that the concurrency
+/// limits grow from their initial values.
 pub fn grow_limits(router: &mut Router, method: u32, from: i64) {
     for ms in (from..from + 1000).step_by(25) {
         answer_all_health_checks(router, 4, ms);
@@ -178,7 +181,7 @@
     }
 }
 
-/// What another router of the zone saw of a member.
+/// An update that another router of the same zone sends about a member.
 pub fn peer_update(member: u32, observation: MemberObservation, ms: i64) -> MemberUpdate {
     MemberUpdate {
         member: MemberId(member),
@@ -190,7 +193,8 @@
     }
 }
 
-/// A router before a primary and two replicas, of which nothing is known; health checks report no positions.
+/// Starts a router with gossip for a primary and two replicas. No member has reported anything yet, and health checks
+/// report no positions.
 pub fn router_with_gossip(change: impl Fn(&mut Deployment)) -> Router {
     let mut deployment =
         Deployment { gossip: true, health_checks_report_position: false, ..self::deployment() };
--- a/crates/ladderpass-routing/tests/concurrency_limit.rs
+++ b/crates/ladderpass-routing/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The limit of attempts in flight at a member follows its answer times.
+//! The concurrency limit of a member follows the member's answer times.
 
 mod common;
 
@@ -20,18 +20,18 @@
     };
     let before = burst(&mut router, 1000);
     let count = before.len();
-    assert!(count < 40, "all of a burst went out");
+    assert!(count < 40, "the limit did not hold back any RPC of a burst");
     for rpc in before {
         rpc.on_attempt_ended(&mut router, at(1900), result(0, AttemptOutcome::TimedOut, 900));
     }
     router.tick(at(4999));
     let after = burst(&mut router, 4001);
-    assert!(after.len() < count, "{} after congestion, {count} before", after.len());
+    assert!(after.len() < count, "a burst of {} is sent after congestion, {count} before it", after.len());
     for rpc in after {
         rpc.on_attempt_ended(&mut router, at(4020), result(0, AttemptOutcome::Ok, 19));
     }
     serve_rpcs(&mut router, 1, 7000, 60, 20);
-    assert!(burst(&mut router, 9000).len() >= 2, "the limit stayed down");
+    assert!(burst(&mut router, 9000).len() >= 2, "the limit did not grow again after congestion");
 }
 
 #[test]
@@ -41,7 +41,7 @@
     answer_all_health_checks(&mut router, 4, 1000);
     let lost: Vec<RpcId> = (0..3).map(|_| router.accept(at(1000), arrival(1, 1000)).0).collect();
     serve_rpcs(&mut router, 1, 1001, 1, 20);
-    assert!(count_sent_of_burst(&mut router, 1, 2500) >= 3, "lost attempts fill the limit");
+    assert!(count_sent_of_burst(&mut router, 1, 2500) >= 3, "lost attempts count against the limit");
     for rpc in lost {
         assert_eq!(
             rpc.on_attempt_ended(&mut router, at(2990), result(0, AttemptOutcome::TimedOut, 1990)),
@@ -64,7 +64,12 @@
         }
         count_sent_of_burst(&mut router, 1, 5000)
     };
-    assert!(sent_after(3) < sent_after(0), "{} after, {} before", sent_after(3), sent_after(0));
+    assert!(
+        sent_after(3) < sent_after(0),
+        "{} sent after rejections, {} without",
+        sent_after(3),
+        sent_after(0)
+    );
 }
 
 #[test]
@@ -73,11 +78,11 @@
     serve_rpcs(&mut router, 1, 1, 40, 20);
     serve_rpcs(&mut router, 1, 6000, 4, 150);
     let sent = count_sent_of_burst(&mut router, 1, 6700);
-    assert!(sent <= 2, "{sent} at once under congestion");
+    assert!(sent <= 2, "{sent} RPCs sent at once under congestion");
 }
 
-/// A member that has stalled answers all that it had at once, late. That is one event and not congestion for each answer,
-/// nor lasting congestion once the member is as quick as ever.
+/// A member that stalled answers all of its attempts late and at the same time. These answers count as one sign of
+/// congestion, and congestion ends once the member answers as quickly as before.
 #[test]
 fn a_stall_does_not_count_as_lasting_congestion() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
@@ -90,7 +95,7 @@
     }
     router.tick(at(5000));
     answer_all_health_checks(&mut router, 4, 5010);
-    // One at a time, as quick as ever: each goes at once.
+    // RPCs arrive one at a time and are answered as quickly as before the stall, so each is sent immediately.
     let at_once = (0..40).filter(|round| {
         let ms = 5010 + round * 25;
         answer_all_health_checks(&mut router, 4, ms);
@@ -104,10 +109,11 @@
         sent_to(decision).is_some()
     });
     let at_once = at_once.count();
-    assert!(at_once >= 38, "{at_once} of 40");
+    assert!(at_once >= 38, "{at_once} of 40 RPCs were sent immediately");
 }
 
-/// A client that gives up before its answer could be late shows no congestion.
+/// A timeout shows no congestion if the client gave up before the answer was overdue, which it is after three typical
+/// answer times.
 #[test]
 fn timeouts_before_an_answer_is_overdue_do_not_reduce_the_limit() {
     let sent_after = |latency_ms: i64| {
@@ -128,7 +134,7 @@
     };
     assert!(
         sent_after(50) > sent_after(90),
-        "{} after impatient clients, {} after slow answers",
+        "{} sent after early timeouts, {} after timeouts of overdue answers",
         sent_after(50),
         sent_after(90)
     );
--- a/crates/ladderpass-routing/tests/endpoints.rs
+++ b/crates/ladderpass-routing/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and its polls.
+//! Updates and polls of the endpoint list.
 
 mod common;
 
@@ -10,11 +10,20 @@
     let mut router = router_with_replicas(1, |d| d.endpoint_poll_interval = Some(Span::from_millis(10_000)));
     assert!(router.tick(at(0)).poll_endpoints);
     router.on_endpoint_update(at(100), EndpointUpdate::Failed { poll_immediately: false });
-    assert!(!router.tick(at(100)).poll_endpoints, "at once would load the service");
+    assert!(
+        !router.tick(at(100)).poll_endpoints,
+        "polled again without a backoff, which would load the discovery service"
+    );
     let polled = (1..50).find(|n| router.tick(at(100 + n * 100)).poll_endpoints);
-    assert!(polled.is_some_and(|n| n <= 40), "polled again after {polled:?} tenths of a second");
+    assert!(
+        polled.is_some_and(|n| n <= 40),
+        "not retried within 4 s, but after {polled:?} tenths of a second"
+    );
     router.on_endpoint_update(at(6000), EndpointUpdate::Changes(&[]));
-    assert!((0..200).all(|n| !router.tick(at(6000 + n * 100)).poll_endpoints), "the watch is open");
+    assert!(
+        (0..200).all(|n| !router.tick(at(6000 + n * 100)).poll_endpoints),
+        "polled although the watch is open"
+    );
 }
 
 #[test]
@@ -27,14 +36,14 @@
     for ms in (10..2000).step_by(10) {
         waiting -= router.tick(at(ms)).decisions.len();
     }
-    assert_eq!(waiting, 0, "rejected before their clients give up");
+    assert_eq!(waiting, 0, "some RPCs were not rejected before their deadline");
     router.on_endpoint_update(at(3000), EndpointUpdate::Complete(&[endpoint(0, true)]));
     answer_health_check(&mut router, 3000, 0, 3000, true);
     assert_eq!(sent_to(router.accept(at(3000), arrival(1, 3000)).1), Some(0));
 }
 
-/// Where nodes are replaced all the time, the tables and the passes over them stay as small as the members that are there.
-/// An index that is reused never stands for its earlier member.
+/// Guards against tables, and passes over them, that grow with every member ever listed where members are replaced all
+/// the time. A reused index must never refer to the member that had it before.
 #[test]
 fn removed_members_are_retired_and_their_indexes_reused() {
     let mut router = new_router();
@@ -47,7 +56,10 @@
         }
         let (rpc, decision) = router.accept(at(now), arrival(1, now));
         let attempted = sent_to(decision);
-        assert!(attempted.is_none_or(|member| present.contains(&member)), "{attempted:?} has left");
+        assert!(
+            attempted.is_none_or(|member| present.contains(&member)),
+            "an attempt was sent to {attempted:?}, which was removed"
+        );
         if let Some(attempted) = attempted {
             rpc.on_attempt_ended(&mut router, at(now), result(attempted, AttemptOutcome::Ok, 1));
         }
@@ -71,5 +83,5 @@
         now += 2000;
         max_indexes = max_indexes.max(next_unused);
     }
-    assert!(max_indexes < 30, "{max_indexes} indexes for three members at a time");
+    assert!(max_indexes < 30, "{max_indexes} indexes were in use for three members at a time");
 }
--- a/crates/ladderpass-routing/tests/expired_decisions.rs
+++ b/crates/ladderpass-routing/tests/expired_decisions.rs
@@ -1,4 +1,4 @@
-//! Attempts that were never sent because their connection came up too late for the decision to hold.
+//! Attempts that were never sent because their connection was established after the decision had expired.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 const READ: u32 = 0;
 const WRITE: u32 = 1;
-/// The bound of these reads; a tick is 5 ms.
+/// The staleness bound of the reads. A tick is 5 ms.
 const BOUND_MS: i64 = 800;
 
 fn router(change: impl Fn(&mut Deployment)) -> Router {
@@ -20,40 +20,45 @@
     router
 }
 
-/// The RPC may go to the same member at once, as it never was there, and with the one attempt that it is allowed.
+/// The RPC never reached the member, so it may be sent there again immediately, and it still has the one attempt that
+/// the deployment allows.
 #[test]
 fn an_expired_decision_counts_neither_as_an_attempt_nor_as_a_failure() {
     let mut router = router(|deployment| deployment.max_attempts = 1);
     let (rpc, mut decision) = router.accept(at(1), arrival(READ, 1));
     for ms in 2..20 {
-        let member = sent_to(decision).expect("it goes to a replica");
-        assert_ne!(member, 0, "{ms}: a read spilled, though both replicas serve");
+        let member = sent_to(decision).expect("the read is sent to a replica");
+        assert_ne!(member, 0, "{ms} ms: a read spilled although both replicas may serve it");
         decision =
             rpc.on_attempt_ended(&mut router, at(ms), result(member, AttemptOutcome::DecisionExpired, 1));
     }
-    let member = sent_to(decision).expect("it goes to a replica");
+    let member = sent_to(decision).expect("the read is sent to a replica");
     let last = rpc.on_attempt_ended(&mut router, at(20), result(member, AttemptOutcome::Rejected, 1));
-    assert!(matches!(last, Decision::Reject { .. }), "that was the one attempt: {last:?}");
+    assert!(matches!(last, Decision::Reject { .. }), "not rejected after its only attempt: {last:?}");
 }
 
-/// As long as the replica is known to be fresh enough for the send.
+/// A read whose connection was established late may be sent as long as the replica is known to be fresh enough.
 #[test]
 fn a_delayed_read_may_be_sent_only_while_its_replica_is_fresh_enough() {
     let mut router = router(|_| {});
     let (rpc, decision) = router.accept(at(1), arrival(READ, 1));
-    let member = MemberId(sent_to(decision).expect("it goes to a replica"));
+    let member = MemberId(sent_to(decision).expect("the read is sent to a replica"));
     assert!(router.may_still_attempt(at(BOUND_MS - 5), rpc, member));
-    assert!(!router.may_still_attempt(at(BOUND_MS - 4), rpc, member), "a tick less, for its last byte");
+    assert!(
+        !router.may_still_attempt(at(BOUND_MS - 4), rpc, member),
+        "one tick of the bound is reserved for sending the last byte"
+    );
     answer_health_check(&mut router, BOUND_MS, member.0, BOUND_MS - 100, false);
-    assert!(router.may_still_attempt(at(BOUND_MS), rpc, member), "it has reported a newer position");
+    assert!(router.may_still_attempt(at(BOUND_MS), rpc, member), "the replica has reported a newer position");
     router.on_endpoint_update(
         at(BOUND_MS),
         EndpointUpdate::Changes(&[Endpoint { state: EndpointState::Draining, ..endpoint(member.0, false) }]),
     );
-    assert!(!router.may_still_attempt(at(BOUND_MS), rpc, member), "it is draining");
+    assert!(!router.may_still_attempt(at(BOUND_MS), rpc, member), "the replica is draining");
 }
 
-/// A write goes to the primary alone, whichever that is by then, and one that has its answer goes nowhere.
+/// A write may be sent only to the member that is the primary at that time. It may not be sent at all once it has its
+/// final answer.
 #[test]
 fn a_delayed_write_may_be_sent_only_to_the_current_primary() {
     let mut router = router(|_| {});
@@ -62,8 +67,11 @@
     assert!(router.may_still_attempt(at(100), rpc, MemberId(0)));
     assert!(!router.may_still_attempt(at(100), rpc, MemberId(1)));
     answer_health_check(&mut router, 100, 1, 100, true);
-    assert!(!router.may_still_attempt(at(101), rpc, MemberId(0)), "another is primary");
+    assert!(!router.may_still_attempt(at(101), rpc, MemberId(0)), "another member is the primary now");
     assert!(router.may_still_attempt(at(101), rpc, MemberId(1)));
     rpc.on_attempt_ended(&mut router, at(102), result(0, AttemptOutcome::ConnectionLost, 1));
-    assert!(!router.may_still_attempt(at(103), rpc, MemberId(1)), "it has failed, as it may have run");
+    assert!(
+        !router.may_still_attempt(at(103), rpc, MemberId(1)),
+        "the write has failed, since it may have run"
+    );
 }
--- a/crates/ladderpass-routing/tests/fnv1a.rs
+++ b/crates/ladderpass-routing/tests/fnv1a.rs
@@ -1,4 +1,4 @@
-//! FNV-1a gives the published values: routers of different versions must agree on them.
+//! FNV-1a hashes must match the published test vectors, since routers of different versions must agree on them.
 
 use ladderpass_routing::fnv1a;
 
--- a/crates/ladderpass-routing/tests/gossip.rs
+++ b/crates/ladderpass-routing/tests/gossip.rs
@@ -1,23 +1,31 @@
-//! Updates on members that routers send each other.
+//! Updates about members that routers exchange.
 
 mod common;
 
 use common::*;
 use ladderpass_routing::*;
 
-/// Prevents reads from going to the primary, or waiting for a health check without a report, at each router that has not
-/// reached a replica within the bound.
+/// Without gossip, every router that has had no answer from a replica within the bound would send its reads to the
+/// primary, or delay them until a health check.
 #[test]
 fn a_position_received_by_gossip_is_valid_until_the_staleness_bound() {
     let mut router = router_with_gossip(|_| ());
-    assert_eq!(sent_to(router.accept(at(10), arrival(0, 10)).1), Some(0), "nothing is known of the replicas");
+    assert_eq!(
+        sent_to(router.accept(at(10), arrival(0, 10)).1),
+        Some(0),
+        "no replica has proven a position yet"
+    );
     router.on_peer_update(at(20), peer_update(1, MemberObservation::Replica, 15));
     assert_eq!(sent_to(router.accept(at(30), arrival(0, 30)).1), Some(1));
-    // Late, doubled and older updates take nothing back; one of the future does not count.
+    // A late, repeated or older update does not lower a known position. An update from the future is ignored.
     router.on_peer_update(at(40), peer_update(1, MemberObservation::Replica, 3));
     router.on_peer_update(at(40), peer_update(2, MemberObservation::Replica, 500));
     assert_eq!(sent_to(router.accept(at(200), arrival(0, 200)).1), Some(1));
-    assert_ne!(sent_to(router.accept(at(815), arrival(0, 815)).1), Some(1), "800 ms are over");
+    assert_ne!(
+        sent_to(router.accept(at(815), arrival(0, 815)).1),
+        Some(1),
+        "the position is older than the bound of 800 ms"
+    );
 }
 
 #[test]
@@ -28,14 +36,18 @@
     assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(0));
 }
 
-/// Prevents each router from having to find out for itself, where the list names the first primary for ever.
+/// Guards against every router having to discover a new primary for itself where the list always names the first one.
 #[test]
 fn writes_go_to_a_new_primary_learned_by_gossip() {
     let mut router = router_with_gossip(|deployment| deployment.primary_in_list = PrimaryInList::AtStart);
     router.on_peer_update(at(20), peer_update(2, MemberObservation::Primary, 15));
     assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(2));
     router.on_peer_update(at(40), peer_update(0, MemberObservation::Primary, 5));
-    assert_eq!(sent_to(router.accept(at(50), arrival(1, 50)).1), Some(2), "an older claim");
+    assert_eq!(
+        sent_to(router.accept(at(50), arrival(1, 50)).1),
+        Some(2),
+        "an older update must not change the primary"
+    );
 }
 
 #[test]
@@ -55,7 +67,7 @@
         rpc.on_attempt_ended(&mut router, at(ms + 5), answer);
         published += router.tick(at(ms + 5)).gossip.len();
     }
-    assert_eq!(published, 0, "others have just published it");
+    assert_eq!(published, 0, "other routers have just published it");
     let (rpc, _) = router.accept(at(2000), arrival(0, 2000));
     let answer = AttemptResult {
         role: Some(Role::Replica),
@@ -72,7 +84,8 @@
     );
 }
 
-/// Prevents each router of a zone from losing RPCs to the same dead member: three updates from its zone count.
+/// Guards against every router of a zone losing RPCs to the same unreachable member. Three updates from the same zone
+/// eject it, and updates from other zones do not count.
 #[test]
 fn gossip_from_the_same_zone_ejects_and_readmits_a_member() {
     let mut router = router_with_gossip(|_| ());
@@ -86,17 +99,22 @@
             MemberUpdate { same_zone: false, ..peer_update(1, MemberObservation::Unreachable, ms - 1) },
         );
     }
-    assert_eq!(sent_to(router.accept(at(50), arrival(0, 50)).1), Some(1), "updates from other zones");
+    assert_eq!(
+        sent_to(router.accept(at(50), arrival(0, 50)).1),
+        Some(1),
+        "updates from other zones ejected the member"
+    );
     for ms in [60, 70, 80] {
         router.on_peer_update(at(ms), peer_update(1, MemberObservation::Unreachable, ms - 1));
     }
     assert_ne!(sent_to(router.accept(at(90), arrival(0, 90)).1), Some(1));
     report_position(&mut router, 100);
     let served = (0..20).filter(|n| sent_to(router.accept(at(110 + n), arrival(0, 110 + n)).1) == Some(1));
-    assert!(served.count() > 0, "it is readmitted");
+    assert!(served.count() > 0, "the member was not readmitted");
 }
 
-/// Prevents a member from holding dozens of RPCs while no router has two in flight there.
+/// Guards against a member having dozens of RPCs in flight while each router has at most one in flight there, so that
+/// no router's own concurrency limit binds.
 #[test]
 fn an_overloaded_member_gets_fewer_reads_until_it_recovers() {
     let mut router = router_with_gossip(|deployment| deployment.health_checks_report_position = true);
@@ -124,11 +142,14 @@
     let (before, overloaded) = (reads(&mut router, 100, 0.0), reads(&mut router, 5000, 30.0));
     (0..4).for_each(|nth| _ = reads(&mut router, 10_000 + nth * 5000, 0.0));
     let after = reads(&mut router, 30_000, 0.0);
-    assert!(before >= 30 && overloaded <= before / 3 && after >= 25, "{before}, {overloaded}, {after}");
+    assert!(
+        before >= 30 && overloaded <= before / 3 && after >= 25,
+        "reads sent: {before} before the overload, {overloaded} during it, {after} after it"
+    );
 }
 
-/// A router alone learns only from its own few health checks: a share taken during congestion would
-/// stay away for a quarter of a minute.
+/// Without gossip, a router gets load reports only from its own infrequent health checks. A share of reads that it
+/// reduced during congestion would take a quarter of a minute to recover.
 #[test]
 fn without_gossip_load_reports_do_not_reduce_the_share_of_reads() {
     let mut router = router_with_gossip(|deployment| deployment.gossip = false);
--- a/crates/ladderpass-routing/tests/health_check.rs
+++ b/crates/ladderpass-routing/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! When members are checked, and what the results show.
+//! The times at which members are checked, and the effects of the results.
 
 mod common;
 
@@ -12,14 +12,14 @@
     let (rpc, decision) = router.accept(at(5000), arrival(0, 5000));
     assert_eq!(decision, Decision::Queue);
     let checked = router.tick(at(5000)).health_checks;
-    assert_eq!(checked.len(), 1, "one of four replicas");
+    assert_eq!(checked.len(), 1, "one of the four replicas is checked");
     answer_health_check(&mut router, 5001, checked[0].0, 5000, false);
     let decisions = router.tick(at(5001)).decisions;
     assert_eq!(decisions, [(rpc, Decision::Attempt { member: checked[0], timeout: None })]);
 }
 
-/// All replicas are at their limit and reject health checks too. A read must not wait for one after the other until its time
-/// is over, while the primary is idle.
+/// All replicas are at their limit and reject health checks too. A read must not wait for one replica after the other
+/// until its deadline while the primary is idle.
 #[test]
 fn a_read_spills_when_its_replicas_reject_health_checks() {
     let mut router = router_with_replicas(3, |_| {});
@@ -30,7 +30,7 @@
     for ms in 5000..5100 {
         let output = router.tick(at(ms));
         if let Some(&(decided, decision)) = output.decisions.first() {
-            assert_eq!((decided, sent_to(decision)), (rpc, Some(0)), "at {ms}");
+            assert_eq!((decided, sent_to(decision)), (rpc, Some(0)), "at {ms} ms");
             return;
         }
         for id in output.health_checks {
@@ -43,7 +43,7 @@
             );
         }
     }
-    panic!("it waits for replicas that report nothing");
+    panic!("the read still waits for replicas that reject health checks");
 }
 
 #[test]
@@ -65,10 +65,10 @@
         count
     };
     let (busy, idle) = (count_checks(10), count_checks(5000));
-    assert!(busy > 200 && idle > 0 && idle < 20, "{busy} when busy, {idle} when idle");
+    assert!(busy > 200 && idle > 0 && idle < 20, "{busy} health checks when busy, {idle} when idle");
 }
 
-/// Prevents a first answer without a report from being taken for one of a replica that is far behind.
+/// A first answer without a report must not be taken as the answer of a replica that is far behind.
 #[test]
 fn a_member_that_answers_a_health_check_without_a_report_is_checked_again_soon() {
     let mut router = Router::start(at(0), 7, deployment());
@@ -90,7 +90,7 @@
     assert_eq!(router.tick(at(211)).decisions.iter().find_map(|(_, decision)| sent_to(*decision)), Some(1));
 }
 
-/// A health check whose connection breaks, or whose answer can't be read, does not show that the member is gone.
+/// A health check whose connection broke, or whose answer could not be read, does not show that the member is down.
 #[test]
 fn health_checks_whose_connection_broke_are_repeated_and_eject_no_member() {
     let mut router = router_with_replicas(1, |_| {});
@@ -103,12 +103,16 @@
             LoadReport::default(),
         );
     }
-    assert!(router.tick(at(400)).health_checks.contains(&MemberId(1)), "checked again soon");
+    assert!(
+        router.tick(at(400)).health_checks.contains(&MemberId(1)),
+        "the replica is not checked again soon"
+    );
     answer_health_check(&mut router, 401, 1, 400, false);
     assert_eq!(sent_to(router.accept(at(402), arrival(0, 402)).1), Some(1));
 }
 
-/// The router itself had no descriptor for them. That is no sign about the member, which is checked again soon.
+/// The router itself had no file descriptor for these checks. That shows nothing about the member, which is checked
+/// again soon.
 #[test]
 fn health_checks_that_were_never_sent_are_repeated_and_eject_no_member() {
     let mut router = router_with_replicas(1, |_| {});
@@ -130,7 +134,10 @@
     }
     let messages = router.tick(at(104)).log_messages;
     assert!(!messages.iter().any(|message| message.contains("ejected")), "{messages:?}");
-    assert_eq!(sent_to(router.accept(at(105), arrival(1, 105)).1), Some(0), "the primary is still one");
+    assert_eq!(sent_to(router.accept(at(105), arrival(1, 105)).1), Some(0), "the primary was ejected");
     assert_eq!(sent_to(router.accept(at(105), arrival(0, 105)).1), Some(1));
-    assert!(router.tick(at(700)).health_checks.contains(&MemberId(1)), "checked again soon");
+    assert!(
+        router.tick(at(700)).health_checks.contains(&MemberId(1)),
+        "the replica is not checked again soon"
+    );
 }
--- a/crates/ladderpass-routing/tests/invariants/check.rs
+++ b/crates/ladderpass-routing/tests/invariants/check.rs
@@ -1,21 +1,21 @@
-//! The invariants that each decision is checked against. Rules are numbered as by the users.
+//! Checks each decision against the invariants, which have the rule numbers of `ladderpass_invariants`.
 
 use crate::run::{Attempt, Run};
 use ladderpass_routing::*;
 
 impl Run {
-    /// Checks a decision on an RPC, and records it.
+    /// Checks a decision on an RPC and records it.
     pub fn check(&mut self, rpc: RpcId, decision: Decision) {
-        let tracked = self.rpcs.get_mut(&rpc).expect("a decision is on an RPC that was accepted");
+        let tracked = self.rpcs.get_mut(&rpc).expect("decisions are made only on accepted RPCs");
         let method = &self.deployment.methods[tracked.arrival.method as usize];
         match decision {
             Decision::Queue | Decision::AlreadyAnswered => {}
             Decision::Fail => {
-                assert!(!tracked.is_answered, "rule 1: a second final answer");
+                assert!(!tracked.is_answered, "rule 1: an RPC got a second final answer");
                 tracked.is_answered = true;
             }
             Decision::Reject { retry_after } => {
-                assert!(!tracked.is_answered, "rule 1: a second final answer");
+                assert!(!tracked.is_answered, "rule 1: an RPC got a second final answer");
                 assert!(retry_after >= Span::ZERO && retry_after <= self.deployment.max_retry_after);
                 let client_may_retry = match method.idempotency {
                     Idempotency::Idempotent => true,
@@ -24,7 +24,10 @@
                     }
                     Idempotency::NonIdempotent => tracked.may_have_run_since.is_none(),
                 };
-                assert!(client_may_retry, "rule 2: rejected, and it may have run");
+                assert!(
+                    client_may_retry,
+                    "rule 2: an RPC that may have run was rejected, though its client must not retry it"
+                );
                 tracked.is_answered = true;
             }
             Decision::Attempt { member, .. } => self.check_attempt(rpc, member),
@@ -36,12 +39,17 @@
         let tracked = &self.rpcs[&rpc];
         let method = &self.deployment.methods[tracked.arrival.method as usize];
         let index = member.0 as usize;
-        assert!(!tracked.is_answered, "rule 1: sent after its answer");
-        assert!(tracked.attempt.is_none(), "two attempts at once");
+        assert!(!tracked.is_answered, "rule 1: an RPC was sent after its final answer");
+        assert!(tracked.attempt.is_none(), "an RPC has two attempts in flight");
         match (method.idempotency, tracked.may_have_run_since) {
-            (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: a second effect"),
+            (Idempotency::NonIdempotent, Some(_)) => {
+                panic!("rule 2: a non-idempotent RPC was sent again after it may have run")
+            }
             (Idempotency::IdempotencyKey { window, .. }, Some(first)) => {
-                assert!(now - first < window, "rule 2: sent past the window");
+                assert!(
+                    now - first < window,
+                    "rule 2: an RPC was sent again after the window of its idempotency key"
+                );
             }
             _ => {}
         }
@@ -50,7 +58,7 @@
         } else {
             self.states[index] != EndpointState::Active
         };
-        assert!(!is_excluded, "rule 3: sent to a member that is draining or removed");
+        assert!(!is_excluded, "rule 3: an RPC was sent to a member that is draining or removed");
         self.check_freshness(rpc, member);
         self.check_slow_start(rpc, member);
     }
@@ -69,10 +77,14 @@
             _ => Time::NEVER,
         };
         let is_proven = self.positions[index] >= required;
-        assert!(is_proven || !self.is_replica[index], "rule 5: a stale read");
+        assert!(
+            is_proven || !self.is_replica[index],
+            "rule 5: a read was sent to a replica that is not known to be fresh enough"
+        );
     }
 
-    /// Rule 4: a member in slow start gets its share of what there was to be sent, and a little for chance.
+    /// Checks rule 4: a member in slow start gets at most its share of the RPCs that could be sent in the overload
+    /// window. The limit is twice that share plus 5 attempts, to allow for random variation.
     fn check_slow_start(&mut self, rpc: RpcId, member: MemberId) {
         let (now, index) = (self.now, member.0 as usize);
         let window_start = now - self.deployment.overload_window;
@@ -93,7 +105,7 @@
         let limit = 5.0 + 2.0 * share * sendable.count() as f64;
         assert!(
             age > 1.0 || sent.count() as f64 <= limit,
-            "rule 4: more than {limit} to a member in slow start"
+            "rule 4: more than {limit} attempts were sent to a member in slow start"
         );
     }
 }
--- a/crates/ladderpass-routing/tests/invariants/main.rs
+++ b/crates/ladderpass-routing/tests/invariants/main.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs: whatever happens, the invariants hold after every step.
+//! Seeded random runs of one router, which check the invariants at every step.
 
 mod check;
 #[path = "../common/mod.rs"]
@@ -8,7 +8,7 @@
 use quickcheck::{Gen, QuickCheck};
 use run::Run;
 
-/// The invariants hold at every step, and the same seed and calls give the same decisions.
+/// The invariants hold at every step, and two runs with the same seed make the same decisions.
 #[test]
 fn the_invariants_hold_after_every_step_and_equal_seeds_give_equal_runs() {
     fn final_states(seed: u64) -> Vec<String> {
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -1,4 +1,4 @@
-//! A random run: calls on one router in any order, with what they have reported to it.
+//! A random run: calls on one router in random order, and a record of what they reported to it.
 
 use crate::common::*;
 use ladderpass_routing::*;
@@ -11,10 +11,10 @@
 pub struct TrackedRpc {
     pub arrival: Arrival,
     pub accepted_at: Time,
-    /// Commit of the session's last write that was answered here before this RPC arrived.
+    /// The commit position of the session's last write that this router answered before this RPC arrived.
     pub session_write: Time,
     pub attempt: Option<Attempt>,
-    /// Send time of the first attempt that may have run.
+    /// The send time of the first attempt that may have run.
     pub may_have_run_since: Option<Time>,
     pub is_answered: bool,
 }
@@ -26,7 +26,7 @@
     pub sent_at: Time,
 }
 
-/// What was reported to the router, for its decisions to be checked against.
+/// A router, and what was reported to it, which its decisions are checked against.
 pub struct Run {
     pub random: WyRand,
     pub now: Time,
@@ -34,13 +34,15 @@
     pub router: Router,
     pub rpcs: HashMap<RpcId, TrackedRpc>,
     pub states: Vec<EndpointState>,
+    /// For each member: its last entry in the endpoint list that was not `Removed` was `Draining`.
     pub is_last_known_draining: Vec<bool>,
     pub positions: Vec<Time>,
-    /// A result said replica, and nothing has said primary since.
+    /// For each member: an attempt's result showed it to be a replica, and no later report showed it to be the primary.
     pub is_replica: Vec<bool>,
     pub started_at: Vec<Time>,
+    /// Attempts sent within the overload window.
     pub recent_attempts: Vec<Attempt>,
-    /// Commit of each session's last write that was answered here.
+    /// The commit position of each session's last write that this router answered.
     pub commits: Vec<Time>,
 }
 
@@ -91,7 +93,7 @@
         run
     }
 
-    /// A router starts with nothing but a list, which may be old.
+    /// Starts the router again. It knows nothing but a cached endpoint list, which may be stale.
     fn restart(&mut self) {
         let seed = self.random.generate::<u64>();
         self.router = Router::start(self.now, seed, self.deployment.clone());
@@ -127,12 +129,12 @@
         choices[self.random_below(choices.len() as u32) as usize]
     }
 
-    /// A position up to 1.5 s old, or none.
+    /// Returns a position up to 1.5 s old, or none.
     fn random_position(&mut self) -> Option<Time> {
         (self.random_below(2) == 0).then(|| self.now - Span::from_millis(i64::from(self.random_below(1500))))
     }
 
-    /// One call on the router, or some time, and a tick.
+    /// Makes one random call on the router, or lets time pass, and then ticks.
     pub fn step(&mut self) {
         if self.random_below(150) == 0 {
             self.restart();
@@ -174,7 +176,7 @@
         self.check(rpc, decision);
     }
 
-    /// In an order that does not depend on hashes.
+    /// Returns the RPCs that meet a condition, in an order that does not depend on the hash map.
     fn sorted_rpcs_where(&self, condition: impl Fn(&TrackedRpc) -> bool) -> Vec<RpcId> {
         let mut rpcs: Vec<RpcId> =
             self.rpcs.iter().filter(|(_, tracked)| condition(tracked)).map(|(&rpc, _)| rpc).collect();
@@ -196,8 +198,9 @@
         let outcome = failures.get(self.random_below(10) as usize).copied().unwrap_or(AttemptOutcome::Ok);
         let role = self.random_choice(&[None, Some(Role::Primary), Some(Role::Replica)]);
         let position = self.random_position();
-        let tracked = self.rpcs.get_mut(&rpc).expect("chosen from it");
-        let Attempt { member, sent_at } = tracked.attempt.take().expect("chosen for it");
+        let tracked = self.rpcs.get_mut(&rpc).expect("the RPC was chosen from this map");
+        let Attempt { member, sent_at } =
+            tracked.attempt.take().expect("the RPC was chosen for its attempt in flight");
         let is_answer = matches!(outcome, AttemptOutcome::Ok | NotServedHere | Rejected | Failed);
         let (role, position) = if is_answer { (role, position) } else { (None, None) };
         if !matches!(outcome, Rejected | Unreachable | NeverSent | NotServedHere) {
@@ -217,7 +220,7 @@
         if let Some(role) = role {
             self.is_replica[index] = role == Role::Replica;
         }
-        // The typical time for all, so that attempts can be counted for their work.
+        // All attempts take the typical answer time, so that each stands for the same amount of work.
         let latency = Span::from_millis(100);
         let result = AttemptResult {
             member: MemberId(member),
@@ -230,11 +233,15 @@
         };
         let decision = rpc.on_attempt_ended(&mut self.router, self.now, result);
         if rpc_complete {
-            assert_eq!(decision, Decision::AlreadyAnswered, "nothing follows the end");
+            assert_eq!(
+                decision,
+                Decision::AlreadyAnswered,
+                "a decision was made on an RPC that has its final answer"
+            );
         }
         self.check(rpc, decision);
         if self.random_below(4) == 0 && rpc_complete {
-            // A late or doubled result of an RPC that has its answer changes nothing.
+            // A late or repeated result changes nothing for an RPC that has its final answer.
             assert_eq!(rpc.on_attempt_ended(&mut self.router, self.now, result), Decision::AlreadyAnswered);
         }
     }
@@ -262,7 +269,8 @@
         self.router.on_health_check_ended(self.now, MemberId(member), outcome, Span::from_millis(1), report);
     }
 
-    /// An update from another router: late, in any order, about members that no list has named, or from the future.
+    /// Passes on an update from another router. It may be late or out of order, name a member that no list has named,
+    /// or have a time in the future.
     fn peer_update(&mut self) {
         let member = self.random_choice(&[0, 1, 2, 3, 299]);
         let observation = self.random_choice(&[
@@ -292,11 +300,12 @@
                     .router
                     .on_endpoint_update(self.now, EndpointUpdate::Failed { poll_immediately: false });
             }
-            // An empty list, and members that are not known yet; both may come back.
+            // A complete list that is empty. Its members may be listed again later.
             2 => {
                 self.states.fill(EndpointState::Removed);
                 return self.router.on_endpoint_update(self.now, EndpointUpdate::Complete(&[]));
             }
+            // An entry of a member and a group that were not known before. It may come again later.
             3 => {
                 return self.router.on_endpoint_update(
                     self.now,
@@ -325,7 +334,7 @@
 
     fn abandon(&mut self) {
         if let Some(&rpc) = self.sorted_rpcs_where(|tracked| !tracked.is_answered).first() {
-            self.rpcs.get_mut(&rpc).expect("listed").is_answered = true;
+            self.rpcs.get_mut(&rpc).expect("the RPC is in this map").is_answered = true;
             rpc.abandon(&mut self.router);
         }
     }
@@ -337,14 +346,14 @@
         }
         assert!(
             self.deployment.health_checks || output.health_checks.is_empty(),
-            "no health checks where they are not allowed"
+            "health checks were requested where they are not allowed"
         );
         assert!(self.deployment.endpoint_poll_interval.is_some() || !output.poll_endpoints);
-        // Rule 1: a pending RPC has its answer before its deadline.
+        // Rule 1: a pending RPC gets its final answer before its deadline.
         for tracked in self.rpcs.values() {
             assert!(
                 tracked.is_answered || tracked.attempt.is_some() || self.now < tracked.arrival.deadline,
-                "an RPC was lost"
+                "rule 1: an RPC has no final answer at its deadline"
             );
         }
     }
--- a/crates/ladderpass-routing/tests/load.rs
+++ b/crates/ladderpass-routing/tests/load.rs
@@ -1,4 +1,4 @@
-//! How load, failures and silence of a member weigh in its selection.
+//! The weight of a member's load, failures and silence in its selection.
 
 mod common;
 
@@ -20,7 +20,7 @@
             rpc.on_attempt_ended(&mut router, at(ms), result(member, AttemptOutcome::Ok, 1));
         }
     }
-    assert!(failed <= 3, "{failed} of 39 went to the member that fails");
+    assert!(failed <= 3, "{failed} of 39 RPCs were sent to the member that fails");
 }
 
 #[test]
@@ -31,7 +31,7 @@
         let ms = 1 + n * 61;
         answer_all_health_checks(&mut router, 2, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(0, ms));
-        let member = sent_to(decision).expect("nothing else is in flight");
+        let member = sent_to(decision).expect("no attempt is in flight");
         got[member as usize] += 1;
         let latency_ms = if member == 1 { 60 } else { 20 };
         rpc.on_attempt_ended(
@@ -51,13 +51,17 @@
     let accept = |router: &mut Router| sent_to(router.accept(at(1500), arrival(0, 1500)).1);
     let first = [0, 1].map(|_| router.accept(at(900), arrival(0, 900)));
     let (answered, member) =
-        first.iter().find_map(|(rpc, d)| Some((*rpc, sent_to(*d)?))).expect("one went out");
+        first.iter().find_map(|(rpc, d)| Some((*rpc, sent_to(*d)?))).expect("one of the two RPCs is sent");
     answered.on_attempt_ended(&mut router, at(1500), result(member, AttemptOutcome::Ok, 20));
     assert_eq!(accept(&mut router), Some(member));
-    assert_eq!(accept(&mut router), Some(member), "one in flight at each, the other silent");
+    assert_eq!(
+        accept(&mut router),
+        Some(member),
+        "each member has one attempt in flight, and the other member is silent"
+    );
 }
 
-/// A member with nothing in flight can't show that its congestion is over: it is tried again after a second.
+/// A member with nothing in flight can't show that its congestion is over, so it is tried again after a second.
 #[test]
 fn an_idle_member_is_tried_again_about_a_second_after_congestion() {
     let mut router = router_with_replicas(1, |_| {});
@@ -70,7 +74,7 @@
     for (ms, sent) in [(5100, false), (6050, true)] {
         answer_all_health_checks(&mut router, 4, ms);
         let (rpc, decision) = router.accept(at(ms), arrival(1, ms));
-        assert_eq!(sent_to(decision).is_some(), sent, "{ms}");
+        assert_eq!(sent_to(decision).is_some(), sent, "at {ms} ms");
         rpc.abandon(&mut router);
         router.tick(at(ms));
     }
--- a/crates/ladderpass-routing/tests/outlier_ejection.rs
+++ b/crates/ladderpass-routing/tests/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Members that fail several times in a row get nothing until they answer again.
+//! A member that fails several times in a row is ejected: it gets no attempts until it answers again.
 
 mod common;
 
@@ -26,7 +26,7 @@
     assert!(f64::from(got[3]) <= 0.6 * f64::from(got[1]), "{got:?}");
 }
 
-/// Where health checks are not allowed, a primary that was unreachable once would never be tried again.
+/// Guards against a primary that was unreachable once and is never tried again where health checks are not allowed.
 #[test]
 fn without_health_checks_an_unreachable_primary_is_tried_again_after_a_delay() {
     let mut router =
@@ -41,6 +41,6 @@
         rpc.abandon(&mut router);
         sent_to(decision)
     };
-    assert_eq!(sent(200), None, "no attempt");
+    assert_eq!(sent(200), None, "the primary was tried again too soon");
     assert_eq!(sent(1000), Some(0));
 }
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -1,11 +1,11 @@
-//! RPCs that wait for a member.
+//! Pending RPCs, which wait until a member may serve them.
 
 mod common;
 
 use common::*;
 use ladderpass_routing::*;
 
-/// Prevents an RPC that nothing can serve from being kept until its client has no time left to turn elsewhere.
+/// Guards against an RPC that no member can serve being kept until its client has no time left for a retry elsewhere.
 #[test]
 fn an_rpc_without_an_eligible_member_is_rejected_by_half_of_its_deadline() {
     let mut router = router_with_replicas(2, |_| ());
@@ -32,15 +32,15 @@
     );
 }
 
-/// Where more is pending than the members have capacity for, the newest goes first: its client waits for the longest from
-/// now on.
+/// If more RPCs are pending than the members have capacity for, the newest is sent first, since its client will wait
+/// for the longest time from now.
 #[test]
 fn the_newest_pending_rpc_is_sent_first() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
     answer_all_health_checks(&mut router, 4, 1000);
     let accepted: Vec<_> = (0..30).map(|n| router.accept(at(1000 + n), arrival(1, 1000 + n))).collect();
     let (sent, pending): (Vec<_>, Vec<_>) = accepted.into_iter().partition(|(_, d)| sent_to(*d).is_some());
-    assert!(!sent.is_empty() && pending.len() > 1, "{} of 30 are pending", pending.len());
+    assert!(!sent.is_empty() && pending.len() > 1, "{} of 30 RPCs are pending", pending.len());
     sent[0].0.on_attempt_ended(&mut router, at(1040), result(0, AttemptOutcome::Ok, 20));
     let next = router.tick(at(1040)).decisions;
     assert_eq!(next.first().map(|(rpc, _)| *rpc), pending.last().map(|(rpc, _)| *rpc));
--- a/crates/ladderpass-routing/tests/primary.rs
+++ b/crates/ladderpass-routing/tests/primary.rs
@@ -1,4 +1,4 @@
-//! Which member is taken for the primary of its group.
+//! The choice of the member that a router takes for the primary of its group.
 
 mod common;
 
@@ -19,7 +19,8 @@
         EndpointUpdate::Complete(&[endpoint(0, true), endpoint(1, false), endpoint(2, false)]),
     );
     assert_eq!(write_sent_to(&mut router, 200), Some(2));
-    // A report from before a claim is no change of role; a later claim wins.
+    // A replica report from before member 2 was seen as the primary changes nothing. A newer primary report of another
+    // member does.
     answer_health_check(&mut router, 210, 2, 50, false);
     assert_eq!(write_sent_to(&mut router, 210), Some(2));
     answer_health_check(&mut router, 220, 1, 215, true);
--- a/crates/ladderpass-routing/tests/reference_clock.rs
+++ b/crates/ladderpass-routing/tests/reference_clock.rs
@@ -1,4 +1,4 @@
-//! How far a router's clock is off, by the positions that members report.
+//! The difference between a router's clock and the members' clock, estimated from the positions that members report.
 
 mod common;
 
@@ -10,7 +10,8 @@
     Span::from_millis(ms)
 }
 
-/// The primary reports the present of a clock that is so far ahead; a replica lags behind it.
+/// The primary reports the present time of a clock that is `lead` milliseconds ahead of the router's. A replica reports
+/// a position 3 s behind the primary's.
 fn report_positions(clock: &mut ReferenceClock, now: i64, lead: i64) {
     clock.record_position(at(now), at(now + lead));
     clock.record_position(at(now), at(now + lead - 3000));
@@ -30,16 +31,24 @@
     for lead in [500, 5000, 3_600_000] {
         let mut clock = ReferenceClock::new(true);
         clock.record_position(at(0), at(lead));
-        assert_eq!(clock.difference(at(0)).behind, ms(lead), "the first is enough to require more");
+        assert_eq!(
+            clock.difference(at(0)).behind,
+            ms(lead),
+            "the first position is enough to require newer ones"
+        );
         for now in [100, 200, 300] {
             report_positions(&mut clock, now, lead);
         }
-        assert_eq!(clock.difference(at(60_000)).behind, ms(lead), "three that agree confirm it");
+        assert_eq!(
+            clock.difference(at(60_000)).behind,
+            ms(lead),
+            "three positions that agree confirm it, so it does not expire"
+        );
         assert_eq!(clock.confirmed(), ms(lead));
     }
 }
 
-/// One position that no others confirm is corrupt: it counts for some seconds, and then no more.
+/// A single position ahead of the clock that no others confirm may be corrupt, so it counts only for a few seconds.
 #[test]
 fn a_position_ahead_of_the_clock_expires_if_no_others_confirm_it() {
     let mut clock = ReferenceClock::new(true);
@@ -51,7 +60,11 @@
     }
     assert_eq!(clock.difference(at(5000)).behind, ms(0));
     clock.record_position(at(5000), at(400 * 86_400_000));
-    assert_eq!(clock.difference(at(5000)).behind, ms(0), "further ahead than any clock");
+    assert_eq!(
+        clock.difference(at(5000)).behind,
+        ms(0),
+        "a position more than a day ahead is corrupt and ignored"
+    );
 }
 
 #[test]
@@ -61,6 +74,10 @@
     report_positions(&mut clock, 0, -20_000);
     assert_eq!(clock.difference(at(0)).ahead, ms(20_000));
     clock.record_position(at(10), at(-90));
-    assert_eq!(clock.difference(at(10)).ahead, ms(0), "a report may be delayed by this");
+    assert_eq!(
+        clock.difference(at(10)).ahead,
+        ms(0),
+        "a report may be delayed by 100 ms without the clock being ahead"
+    );
     assert_eq!(ReferenceClock::new(false).difference(at(0)), Default::default());
 }
--- a/crates/ladderpass-routing/tests/retry.rs
+++ b/crates/ladderpass-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, and where.
+//! The RPCs that may be sent again, and the members that they may be sent to.
 
 mod common;
 
@@ -44,7 +44,8 @@
     );
 }
 
-/// The retry budget is spent: the answer comes at once, as the method allows.
+/// If the retry budget allows no retry, the RPC gets its final answer immediately: a rejection if its client may retry
+/// it, else a failure.
 #[test]
 fn an_rpc_whose_retry_is_denied_gets_its_final_answer_at_once() {
     let checked_router = || {
@@ -56,7 +57,7 @@
     for (method, denied) in [(0, false), (0, true), (1, true)] {
         let mut router = checked_router();
         let (rpc, decision) = router.accept(at(10), arrival(method, 10));
-        let member = sent_to(decision).expect("one has capacity");
+        let member = sent_to(decision).expect("a member has capacity");
         let connection_lost =
             AttemptResult { retry_denied: denied, ..result(member, AttemptOutcome::ConnectionLost, 5) };
         let next = rpc.on_attempt_ended(&mut router, at(15), connection_lost);
@@ -65,11 +66,12 @@
             (0, true) => matches!(next, Decision::Reject { .. }),
             _ => next == Decision::Fail,
         };
-        assert!(is_allowed, "{method} {denied}: {next:?}");
+        assert!(is_allowed, "method {method}, retry denied: {denied}, decision: {next:?}");
     }
 }
 
-/// Prevents work on RPCs that fail wherever they are sent, and members blamed for them.
+/// Guards against further attempts of an RPC that fails on every member, and against counting these errors as failures
+/// of the members.
 #[test]
 fn an_rpc_that_fails_on_two_members_is_rejected_and_counts_against_neither() {
     let mut router = router_with_gossip(|_| ());
@@ -88,7 +90,8 @@
     }
 }
 
-/// Prevents RPCs from waiting two seconds for an answer that was lost on a slow and lossy link between zones.
+/// Guards against an RPC waiting two seconds, until its deadline, for an answer that was lost on a slow and lossy link
+/// between zones.
 #[test]
 fn a_first_attempt_has_a_timeout_only_over_a_degraded_link() {
     let mut deployment = Deployment { gossip: true, ..deployment() };
--- a/crates/ladderpass-routing/tests/selection.rs
+++ b/crates/ladderpass-routing/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which member an RPC is sent to.
+//! The selection of the member that an RPC is sent to.
 
 mod common;
 
@@ -43,8 +43,8 @@
         (count, decisions.iter().find(|(rpc, _)| *rpc == write).and_then(|(_, d)| sent_to(*d)))
     };
     let ((reads, next), (writes, _)) = (sent(0), sent(1));
-    assert!(reads >= 1 && reads * 2 < writes, "{reads} reads spilled, {writes} writes");
-    assert_eq!(next, Some(0), "a write after the reads");
+    assert!(reads >= 1 && reads * 2 < writes, "{reads} reads spilled, {writes} writes were sent");
+    assert_eq!(next, Some(0), "a write after the spilled reads was not sent to the primary");
 }
 
 #[test]
@@ -69,7 +69,7 @@
         let mut router = Router::start(at(0), seed, deployment());
         router.on_endpoint_update(at(0), EndpointUpdate::Cached(&[0, 1, 2, 3].map(|m| endpoint(m, m == 0))));
         answer_all_health_checks(&mut router, 3, 0);
-        got[sent_to(router.accept(at(1), arrival(0, 1)).1).expect("all are fresh") as usize] += 1;
+        got[sent_to(router.accept(at(1), arrival(0, 1)).1).expect("the read is sent") as usize] += 1;
     }
     assert!(got[0] == 0 && got[1..].iter().all(|&n| n > 8), "{got:?}");
 }
--- a/crates/ladderpass-routing/tests/slow_start.rs
+++ b/crates/ladderpass-routing/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Members that have just started get a share of the traffic that grows.
+//! Slow start: a member that has just started gets a growing share of the traffic.
 
 mod common;
 
@@ -29,5 +29,5 @@
     (0..60).for_each(|_| assert_eq!(router.accept(at(1000), arrival(1, 1000)).1, Decision::Queue));
     answer_health_check(&mut router, 1500, 1, 1500, true);
     let first = router.tick(at(1500)).decisions.iter().filter(|(_, d)| sent_to(*d).is_some()).count();
-    assert!(first <= 2, "{first} of 60 writes at once");
+    assert!(first <= 2, "{first} of 60 writes were sent at once");
 }
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -1,6 +1,8 @@
-//! Slow start before many routers that exchange nothing: whatever each of them sees, in no window of the settings'
-//! overload time do all of them together send a member more than it can serve then, plus 2 roots of that and 2. The checker
-//! of rule 4 looks at all windows.
+//! A model of slow start with many routers that exchange nothing.
+//!
+//! Whatever traffic each router has, all of them together must not overload a starting member. In every window as long
+//! as the overload window of the settings, they may send it at most what it can serve in that window, plus a margin of
+//! 2 square roots of that number and 2 RPCs. The checker of rule 4 examines all windows.
 
 mod common;
 
@@ -11,30 +13,30 @@
 use std::collections::BTreeMap;
 
 const STEP_MS: i64 = 5;
-/// When members start: by then each router knows its share of the traffic.
+/// The time at which members start. By then each router knows its share of the traffic.
 const STARTS_AT_MS: i64 = 4000;
 
 #[derive(Clone)]
 struct Case {
     routers: usize,
     members: u32,
-    /// RPCs a second that a member can serve at its full capacity.
+    /// RPCs per second that a member can serve at its full capacity.
     capacity: f64,
-    /// RPCs a second that all clients send, outside of the burst.
+    /// RPCs per second that all clients send together outside the burst.
     rate: f64,
-    /// Share of writes.
+    /// Share of the RPCs that are writes.
     write_share: f64,
-    /// Members in slow start.
+    /// Members that start at `STARTS_AT_MS`.
     starting: Vec<u32>,
-    /// Traffic of the first router over that of the last one.
+    /// Traffic of the first router as a multiple of the last one's.
     traffic_ratio: f64,
-    /// The primary is removed at the first time; at the second one the first starting member takes its place.
+    /// The primary is removed at the first time, and the first starting member becomes the primary at the second one.
     without_primary: Option<(i64, i64)>,
-    /// When so many of the routers are restarted.
+    /// The time of a restart of routers, and how many of them are restarted.
     restart: Option<(i64, usize)>,
-    /// The multiple of its present capacity that the settings allow.
+    /// The multiple of its present capacity that the settings allow a starting member to get.
     overload_multiple: f64,
-    /// When clients send half as much again.
+    /// The period in which clients send 1.5 times `rate`.
     burst: (i64, i64),
     duration_ms: i64,
 }
@@ -59,7 +61,8 @@
 }
 
 impl Case {
-    /// A member can serve so many RPCs in the overload time right after its start; clients send two thirds of what fits.
+    /// A case in which a member can serve `rpcs_per_window` RPCs in an overload window right after its start. Clients
+    /// send two thirds of what three members can serve at full capacity.
     fn with_initial_capacity(rpcs_per_window: f64) -> Case {
         let capacity = rpcs_per_window / (0.2 * 3.0);
         Case { capacity, rate: capacity * 2.0, ..Case::default() }
@@ -72,7 +75,7 @@
     random: WyRand,
     routers: Vec<Router>,
     weights: Vec<f64>,
-    /// Attempts by when they are answered.
+    /// Attempts in flight, by the time at which they are answered.
     attempts: BTreeMap<i64, Vec<Attempt>>,
     events: Vec<Event>,
     served: u32,
@@ -124,7 +127,7 @@
         router
     }
 
-    /// The primary is 0; where that is removed, the first starting member.
+    /// Member 0 is the primary. After it was removed, there is none until the first starting member takes its place.
     fn primary(&self, ms: i64) -> Option<u32> {
         match self.case.without_primary {
             Some((from, to)) if ms >= from => (ms >= to).then(|| self.case.starting[0]),
@@ -184,7 +187,7 @@
         }
     }
 
-    /// For the checker: members start.
+    /// Records the starts of members for the checker.
     fn record_starts(&mut self, ms: i64) {
         for &member in &self.case.starting {
             let (capacity, initial_fraction) =
@@ -197,7 +200,8 @@
         }
     }
 
-    /// A Poisson number of arrivals, each at a router by its weight: how many there are at each.
+    /// Draws a Poisson number of arrivals, assigns each to a router by the routers' weights, and returns how many each
+    /// router gets.
     fn arrivals(&mut self, ms: i64) -> Vec<u32> {
         let burst_factor = if (self.case.burst.0..self.case.burst.1).contains(&ms) { 1.5 } else { 1.0 };
         let mean = self.case.rate * burst_factor * STEP_MS as f64 / 1e3;
@@ -244,7 +248,7 @@
 
 struct Outcome {
     violations: Vec<Violation>,
-    /// Attempts at members in slow start.
+    /// Attempts at starting members since their start.
     to_starting: usize,
     /// Share of all RPCs that were served.
     served_share: f64,
@@ -278,16 +282,16 @@
         served_shares += outcome.served_share;
     }
     println!(
-        "{scenario}: {} violations, {:.1} to starting members, {:.4} served",
+        "{scenario}: {} violations, {:.1} attempts per run at starting members, {:.4} of all RPCs served",
         violations.len(),
         to_starting as f64 / count,
         served_shares / count
     );
-    assert!(to_starting > 0, "{scenario}: the starting members got nothing");
+    assert!(to_starting > 0, "{scenario}: no attempt was sent to the starting members");
     assert!(violations.is_empty(), "{scenario}: {violations:#?}");
 }
 
-/// Two thirds of what fits, and half as much again for a while.
+/// Clients send two thirds of what the members can serve at full capacity, and 1.5 times that during the burst.
 #[test]
 fn a_starting_member_is_not_overloaded_by_eight_routers() {
     assert_never_overloaded("8 routers", Case { routers: 8, ..Case::default() }, 0..10);
@@ -296,16 +300,21 @@
 #[test]
 fn a_starting_member_of_any_capacity_is_not_overloaded_by_thirty_routers() {
     for n in [2.0, 5.0, 20.0, 100.0, 400.0] {
-        assert_never_overloaded(&format!("30 routers, N from {n}"), Case::with_initial_capacity(n), 0..10);
+        assert_never_overloaded(
+            &format!("30 routers, {n} RPCs per window at the start"),
+            Case::with_initial_capacity(n),
+            0..10,
+        );
     }
     assert_never_overloaded(
-        "30 routers, N from 2000",
+        "30 routers, 2000 RPCs per window at the start",
         Case { duration_ms: 9500, ..Case::with_initial_capacity(2000.0) },
         0..2,
     );
 }
 
-/// Reads alone, as many as fit, all the time: chance has nothing but the margin of the mean.
+/// Clients send only reads, always as many as the members can serve at full capacity. Random variation has no slack
+/// other than the margin by which routers reduce the mean.
 #[test]
 fn a_starting_member_is_not_overloaded_at_constant_full_load() {
     for n in [2.0, 5.0, 20.0, 100.0] {
@@ -316,9 +325,13 @@
                 write_share: 0.0,
                 ..Case::with_initial_capacity(n)
             };
-            // Up to the end of slow start.
+            // The run ends with the members' slow start.
             let case = Case { burst: (0, 0), duration_ms: STARTS_AT_MS + 9_995, ..case };
-            assert_never_overloaded(&format!("{routers} routers, full load, N from {n}"), case, 0..6);
+            assert_never_overloaded(
+                &format!("{routers} routers, full load, {n} RPCs per window at the start"),
+                case,
+                0..6,
+            );
         }
     }
 }
@@ -327,7 +340,7 @@
 fn a_starting_member_is_not_overloaded_by_routers_with_uneven_traffic() {
     for n in [6.0, 100.0] {
         assert_never_overloaded(
-            &format!("uneven, N from {n}"),
+            &format!("uneven, {n} RPCs per window at the start"),
             Case { traffic_ratio: 10.0, ..Case::with_initial_capacity(n) },
             0..10,
         );
@@ -343,9 +356,17 @@
             rate: Case::with_initial_capacity(n).capacity * 5.0 / 1.5,
             ..Case::with_initial_capacity(n)
         };
-        assert_never_overloaded(&format!("two starting of five, N from {n}"), five, 0..10);
+        assert_never_overloaded(
+            &format!("two starting of five, {n} RPCs per window at the start"),
+            five,
+            0..10,
+        );
         let case = Case { starting: vec![1, 2], ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(&format!("two starting of three, N from {n}"), case, 0..10);
+        assert_never_overloaded(
+            &format!("two starting of three, {n} RPCs per window at the start"),
+            case,
+            0..10,
+        );
     }
 }
 
@@ -353,24 +374,33 @@
 fn a_starting_member_is_not_overloaded_when_a_third_of_the_routers_restart() {
     for n in [10.0, 400.0] {
         let case = Case { restart: Some((8000, 10)), ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(&format!("ten restart, N from {n}"), case, 0..10);
+        assert_never_overloaded(&format!("ten restart, {n} RPCs per window at the start"), case, 0..10);
     }
 }
 
-/// All writes wait while there is no primary, and a starting member is the next one: in the burst, as many as fit its full
-/// capacity.
+/// All writes wait while there is no primary, and a starting member becomes the next one. During the burst, clients
+/// send as many writes as the primary can serve at full capacity.
 #[test]
 fn a_starting_primary_is_not_overloaded_by_queued_writes() {
     for n in [10.0, 100.0] {
         let case =
             Case { without_primary: Some((4000, 4900)), write_share: 0.33, ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(&format!("queued writes, N from {n}"), case.clone(), 0..10);
+        assert_never_overloaded(
+            &format!("queued writes, {n} RPCs per window at the start"),
+            case.clone(),
+            0..10,
+        );
         let late = Case { burst: (10_500, 13_500), ..case };
-        assert_never_overloaded(&format!("queued writes, a late burst, N from {n}"), late, 0..10);
+        assert_never_overloaded(
+            &format!("queued writes, a late burst, {n} RPCs per window at the start"),
+            late,
+            0..10,
+        );
     }
 }
 
-/// Settings that allow a multiple of the present capacity let a starting member get more, and no more than that.
+/// If the settings allow a multiple of the present capacity, a starting member gets more, but never more than that
+/// multiple. No member gets more than two fair shares, so a multiple of 4 changes little over one of 2.
 #[test]
 fn a_starting_member_gets_more_if_the_settings_allow_a_multiple_of_its_capacity() {
     let got = [1.0, 1.5, 2.0, 4.0].map(|overload_multiple| {
@@ -388,13 +418,13 @@
     assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
 }
 
-/// The limit holds however few routers there are, and whatever they send.
+/// The bound also holds for a few routers, whatever traffic they have.
 #[test]
 fn a_starting_member_is_not_overloaded_by_one_to_three_routers() {
     for routers in [1, 2, 3] {
         for n in [1.0, 2.0, 5.0, 20.0, 100.0, 400.0] {
             assert_never_overloaded(
-                &format!("{routers} routers, N from {n}"),
+                &format!("{routers} routers, {n} RPCs per window at the start"),
                 Case { routers, ..Case::with_initial_capacity(n) },
                 0..10,
             );
@@ -404,7 +434,11 @@
                 write_share: 0.33,
                 ..Case::with_initial_capacity(n)
             };
-            assert_never_overloaded(&format!("{routers} routers, queued writes, N from {n}"), writes, 0..10);
+            assert_never_overloaded(
+                &format!("{routers} routers, queued writes, {n} RPCs per window at the start"),
+                writes,
+                0..10,
+            );
         }
     }
 }
--- a/crates/ladderpass-routing/tests/staleness.rs
+++ b/crates/ladderpass-routing/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! What reads must see.
+//! The data that reads must see, and the members that may serve them.
 
 mod common;
 
@@ -15,20 +15,26 @@
         let destinations = (0..20).map(|_| sent_to(router.accept(at(3000), arrival(0, 3000)).1));
         destinations.filter(|member| *member == Some(1)).count()
     };
-    assert!(sent(700) >= 1 && sent(700) < sent(0), "{} near the bound, {} without lag", sent(700), sent(0));
+    assert!(
+        sent(700) >= 1 && sent(700) < sent(0),
+        "{} reads sent near the bound, {} without lag",
+        sent(700),
+        sent(0)
+    );
 }
 
-/// Prevents reads of data that are within the bound at the decision, and past it at the last byte sent.
+/// Guards against reads of data that is within the bound when the attempt is decided, and past it when the last byte is
+/// sent.
 #[test]
 fn one_tick_of_the_staleness_bound_is_reserved_for_the_send() {
     for (ms, expected) in [(790, true), (798, false)] {
         let mut router = router_with_replicas(1, |_| ());
         let (_, decision) = router.accept(at(ms), arrival(0, ms));
-        assert_eq!(sent_to(decision) == Some(1), expected, "{ms}");
+        assert_eq!(sent_to(decision) == Some(1), expected, "at {ms} ms");
     }
 }
 
-/// A write whose answer is late or lost may have committed, and its session must see it.
+/// A write whose answer is late or lost may have committed, so later reads of its session must see it.
 #[test]
 fn a_session_read_sees_a_write_whose_answer_is_late_or_lost() {
     for outcome in [
@@ -42,7 +48,7 @@
             d.methods.push(method(Consistency::Session, Idempotency::Idempotent));
         });
         let session_arrival = |session, method, ms| Arrival { session: Some(session), ..arrival(method, ms) };
-        // Replicas report their positions all the time, 40 ms behind.
+        // Replicas report positions that are 40 ms old.
         let report_positions = |router: &mut Router, ms: i64| {
             router.tick(at(ms));
             answer_health_check(router, ms, 0, ms, true);
@@ -58,22 +64,25 @@
             matches!(sent_to(decision), Some(1 | 2))
         };
         report_positions(&mut router, 1050);
-        assert!(read(&mut router, 1050, 5), "{outcome:?}: no answer to it can be known yet");
+        assert!(
+            read(&mut router, 1050, 5),
+            "{outcome:?}: the write was sent too recently for its answer to be known"
+        );
         assert!(
             !read(&mut router, 1130, 5),
-            "{outcome:?}: it may be committed at 1030, and they are at 1010"
+            "{outcome:?}: the write may have committed at 1030 ms, and the replicas are at 1010 ms"
         );
-        assert!(read(&mut router, 1130, 6), "{outcome:?}: another session's");
-        // The answer broke off before its end: it carries no position.
+        assert!(read(&mut router, 1130, 6), "{outcome:?}: a read of another session need not see the write");
+        // The result of the write carries no position, as when the answer broke off before its end.
         write.on_attempt_ended(&mut router, at(1140), result(0, outcome, 140));
         write.abandon(&mut router);
         report_positions(&mut router, 1150);
         assert_eq!(
             read(&mut router, 1150, 5),
             outcome == AttemptOutcome::Rejected,
-            "{outcome:?}: may have run by 1140"
+            "{outcome:?}: unless it was rejected, the write may have committed by 1140 ms"
         );
         report_positions(&mut router, 2000);
-        assert!(read(&mut router, 2000, 5), "{outcome:?}: they have reached 1960");
+        assert!(read(&mut router, 2000, 5), "{outcome:?}: the replicas have reached 1960 ms");
     }
 }
--- a/crates/ladderpass-routing/tests/startup.rs
+++ b/crates/ladderpass-routing/tests/startup.rs
@@ -1,7 +1,8 @@
 //! The first RPCs of a router that has just started, while not all members have answered their first health check.
 //!
-//! The primary's first answer is no report of the replicas: first reads wait for theirs too, as long as a new router
-//! waits for any first answer. They must not all go to the primary.
+//! The primary's first answer shows nothing about the replicas. The first reads therefore also wait for the replicas'
+//! first answers, for as long as a new router waits for any first answer (300 ms after its start). Otherwise they would
+//! all go to the primary.
 
 mod common;
 
@@ -10,7 +11,7 @@
 
 const READ: u32 = 0;
 
-/// A router whose primary alone has answered, 5 ms after the start.
+/// Starts a router of whose members only the primary has answered a health check, 5 ms after the start.
 fn router_with_answer_of_primary_only() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
     let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
@@ -20,7 +21,7 @@
     router
 }
 
-/// What is decided on pending RPCs up to a time.
+/// Returns the decisions on pending RPCs between two times: when each was made, and the member of the attempt.
 fn decided_by(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
     let mut decided = Vec::new();
     for ms in (from..=to).step_by(5) {
@@ -35,12 +36,12 @@
     let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
-    assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered yet");
+    assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered a health check yet");
     answer_health_check(&mut router, 152, 2, 152, false);
     assert_eq!(decided_by(&mut router, 155, 155), [(155, Some(2))]);
 }
 
-/// Silent replicas are waited for no longer than a new router waits for any first answer.
+/// A read waits for silent replicas no longer than a new router waits for any first answer: 300 ms after its start.
 #[test]
 fn a_first_read_spills_after_the_wait_of_a_new_router() {
     let mut router = router_with_answer_of_primary_only();
@@ -50,7 +51,7 @@
     assert_eq!(decided_by(&mut router, 300, 310), [(300, Some(0))]);
 }
 
-/// Later each of the two is waited for as long as any health check, 60 ms, one after the other.
+/// Later on, a read waits for a health check of each of the two replicas in turn, 60 ms for each.
 #[test]
 fn a_later_read_spills_after_waiting_for_a_health_check_of_each_replica() {
     let mut router = router_with_answer_of_primary_only();
@@ -58,7 +59,7 @@
         answer_health_check(&mut router, 6, member, 6, false);
     }
     router.tick(at(7));
-    // Their reports are too old by then, and nobody answers.
+    // By then the replicas' reports are too old, and no health check is answered.
     let (_, decision) = router.accept(at(3000), arrival(READ, 3000));
     assert_eq!(decision, Decision::Queue);
     let decided = decided_by(&mut router, 3005, 3200);
