--- a/crates/ladderpass-routing/tests/startup.rs
+++ b/crates/ladderpass-routing/tests/startup.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the decisions on pending RPCs between two times: when each was made, and the member of the attempt.
-fn decided_by(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
+fn decisions_between(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
     let mut decided = Vec::new();
     for ms in (from..=to).step_by(5) {
         let decisions = router.tick(at(ms)).decisions;
@@ -36,9 +36,13 @@
     let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
-    assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered a health check yet");
+    assert_eq!(
+        decisions_between(&mut router, 15, 150),
+        Vec::new(),
+        "no replica has answered a health check yet"
+    );
     answer_health_check(&mut router, 152, 2, 152, false);
-    assert_eq!(decided_by(&mut router, 155, 155), [(155, Some(2))]);
+    assert_eq!(decisions_between(&mut router, 155, 155), [(155, Some(2))]);
 }
 
 /// A read waits for silent replicas no longer than a new router waits for any first answer: 300 ms after its start.
@@ -47,8 +51,8 @@
     let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
-    assert_eq!(decided_by(&mut router, 15, 295), Vec::new());
-    assert_eq!(decided_by(&mut router, 300, 310), [(300, Some(0))]);
+    assert_eq!(decisions_between(&mut router, 15, 295), Vec::new());
+    assert_eq!(decisions_between(&mut router, 300, 310), [(300, Some(0))]);
 }
 
 /// Later on, a read waits for a health check of each of the two replicas in turn, 60 ms for each.
@@ -62,7 +66,7 @@
     // By then the replicas' reports are too old, and no health check is answered.
     let (_, decision) = router.accept(at(3000), arrival(READ, 3000));
     assert_eq!(decision, Decision::Queue);
-    let decided = decided_by(&mut router, 3005, 3200);
+    let decided = decisions_between(&mut router, 3005, 3200);
     assert_eq!(decided.first().map(|&(_, member)| member), Some(Some(0)), "{decided:?}");
     assert!(decided[0].0 <= 3000 + 2 * 60 + 10, "{decided:?}");
 }
