--- a/crates/ladderpass-routing/tests/startup.rs
+++ b/crates/ladderpass-routing/tests/startup.rs
@@ -1,7 +1,8 @@
 //! The first RPCs of a router that has just started, while not all members have answered their first health check.
 //!
-//! The primary's first answer is no report of the replicas: first reads wait for theirs too, as long as a new router
-//! waits for any first answer. They must not all go to the primary.
+//! The primary's first answer shows nothing about the replicas. The first reads therefore also wait for the replicas'
+//! first answers, for as long as a new router waits for any first answer (300 ms after its start). Otherwise they would
+//! all go to the primary.
 
 mod common;
 
@@ -10,18 +11,18 @@
 
 const READ: u32 = 0;
 
-/// A router whose primary alone has answered, 5 ms after the start.
-fn router_with_primary_alone() -> Router {
+/// Starts a router of whose members only the primary has answered a health check, 5 ms after the start.
+fn router_with_answer_of_primary_only() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
     let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
     router.on_endpoint_update(at(0), EndpointUpdate::Cached(&list));
     router.tick(at(0));
-    report(&mut router, 5, 0, 5, true);
+    answer_health_check(&mut router, 5, 0, 5, true);
     router
 }
 
-/// What is decided on pending RPCs up to a time.
-fn decided_by(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
+/// Returns the decisions on pending RPCs between two times: when each was made, and the member of the attempt.
+fn decisions_between(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
     let mut decided = Vec::new();
     for ms in (from..=to).step_by(5) {
         let decisions = router.tick(at(ms)).decisions;
@@ -31,46 +32,50 @@
 }
 
 #[test]
-fn a_first_read_waits_for_the_first_answer_of_a_replica() {
-    let mut router = router_with_primary_alone();
+fn a_first_read_waits_for_the_first_health_check_of_a_replica() {
+    let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
-    assert_eq!(decided_by(&mut router, 15, 150), Vec::new(), "no replica has answered yet");
-    report(&mut router, 152, 2, 152, false);
-    assert_eq!(decided_by(&mut router, 155, 155), [(155, Some(2))]);
+    assert_eq!(
+        decisions_between(&mut router, 15, 150),
+        Vec::new(),
+        "no replica has answered a health check yet"
+    );
+    answer_health_check(&mut router, 152, 2, 152, false);
+    assert_eq!(decisions_between(&mut router, 155, 155), [(155, Some(2))]);
 }
 
-/// Silent replicas are waited for no longer than a new router waits for any first answer.
+/// A read waits for silent replicas no longer than a new router waits for any first answer: 300 ms after its start.
 #[test]
-fn a_first_read_spills_once_a_new_router_has_waited() {
-    let mut router = router_with_primary_alone();
+fn a_first_read_spills_after_the_wait_of_a_new_router() {
+    let mut router = router_with_answer_of_primary_only();
     let (_, decision) = router.accept(at(10), arrival(READ, 10));
     assert_eq!(decision, Decision::Queue);
-    assert_eq!(decided_by(&mut router, 15, 295), Vec::new());
-    assert_eq!(decided_by(&mut router, 300, 310), [(300, Some(0))]);
+    assert_eq!(decisions_between(&mut router, 15, 295), Vec::new());
+    assert_eq!(decisions_between(&mut router, 300, 310), [(300, Some(0))]);
 }
 
-/// Later each of the two is waited for as long as any health check, 60 ms, one after the other.
+/// Later on, a read waits for a health check of each of the two replicas in turn, 60 ms for each.
 #[test]
-fn a_later_read_waits_for_a_health_check_of_each_replica() {
-    let mut router = router_with_primary_alone();
+fn a_later_read_spills_after_waiting_for_a_health_check_of_each_replica() {
+    let mut router = router_with_answer_of_primary_only();
     for member in 1..3 {
-        report(&mut router, 6, member, 6, false);
+        answer_health_check(&mut router, 6, member, 6, false);
     }
     router.tick(at(7));
-    // Their reports are too old by then, and nobody answers.
+    // By then the replicas' reports are too old, and no health check is answered.
     let (_, decision) = router.accept(at(3000), arrival(READ, 3000));
     assert_eq!(decision, Decision::Queue);
-    let decided = decided_by(&mut router, 3005, 3200);
+    let decided = decisions_between(&mut router, 3005, 3200);
     assert_eq!(decided.first().map(|&(_, member)| member), Some(Some(0)), "{decided:?}");
     assert!(decided[0].0 <= 3000 + 2 * 60 + 10, "{decided:?}");
 }
 
 #[test]
-fn a_new_router_queues_rpcs_until_the_first_answers() {
+fn a_new_router_queues_rpcs_until_a_member_answers_a_health_check() {
     let mut router = new_router();
     let (_, decision) = router.accept(at(1), arrival(0, 1));
     assert_eq!(decision, Decision::Queue);
-    report(&mut router, 5, 1, 0, false);
+    answer_health_check(&mut router, 5, 1, 0, false);
     assert_eq!(sent_to(router.tick(at(5)).decisions[0].1), Some(1));
 }
