--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -1,14 +1,16 @@
-//! All state of the router on sockets, and every change of it.
+//! Holds the state of the router on sockets, and makes every change to it.
 //!
-//! `handle(now, Event)` changes the state and returns the effects that it asks for. The reducer makes no system call,
-//! reads no clock and holds no socket. Where and when an RPC goes is decided by the routing core, `Router`; the reducer
-//! carries that out.
+//! `handle(now, Event)` changes the state and returns the effects that the event loop is to carry out. The reducer
+//! makes no system call, reads no clock and owns no socket. The routing core, `Router`, decides where and when an RPC
+//! goes, and the reducer carries out its decisions.
 //!
-//! - `state` has the tables that the reducer is composed of, each in a module of its own with fields that no other module
-//!   can write. A table knows nothing of `Reducer`.
-//! - `handlers` has methods of `Reducer`, a module a mechanism: each event is handled there, by the tables' methods.
+//! - `state` has the tables that the reducer is composed of. Each table is in a module of its own, and its fields are
+//!   private to that module. A table does not refer to `Reducer`. Only the buffers and the remote side of a
+//!   `Connection` are open to the handlers.
+//! - `handlers` has the methods of `Reducer` that handle events, with one module for each mechanism. They change the
+//!   tables by the tables' methods.
 //!
-//! Imports go one way: handlers import `Reducer` and the tables, this module the tables alone.
+//! Imports go one way: the handlers import `Reducer` and the tables, and this module imports the tables but no handler.
 
 pub mod connection_id;
 mod event;
@@ -43,15 +45,15 @@
 use state::shutdown::Shutdown;
 use state::stats::Stats;
 
-/// As a time to wake at: before any other, so that the event loop does not wait.
+/// A wake-up time that is earlier than any other, so that the event loop does not wait.
 const AT_ONCE: Time = Time::NEVER;
 
-/// The attempts in flight, counted in two ways that always agree.
+/// The number of attempts in flight, counted in two ways. The two counts always agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptsInFlight {
-    /// RPCs with an attempt in flight.
+    /// The number of RPCs with an attempt in flight.
     pub rpcs: usize,
-    /// Connections that carry an attempt or are established for one.
+    /// The number of connections that carry an attempt or are being established for one.
     pub connections: usize,
 }
 
@@ -59,14 +61,14 @@
 pub struct Reducer {
     /// The routing core.
     router: Router,
-    /// How far this router's clock differs from the members'.
+    /// Estimates how far this router's clock differs from the members' clock.
     reference_clock: ReferenceClock,
     limits: Limits,
-    /// Configuration that takes a restart to change.
+    /// The configuration that only a restart can change.
     fixed: Fixed,
     faulty: Faulty,
     methods: MethodTable,
-    /// Names of the values in a load report.
+    /// The names of the columns that a load report must contain.
     report_columns: Vec<String>,
     connections: Connections,
     connection_limits: ConnectionLimits,
@@ -77,22 +79,23 @@
     endpoints: EndpointIndexes,
     discovery: DiscoveryWatch,
     gossip_codec: GossipCodec,
-    /// None: the operator's file names no other routers.
+    /// The links to the other routers, or `None` if the operator's file has no `peers` section.
     peers: Option<Box<PeerLinks>>,
     overload: OverloadMonitor,
     shutdown: Shutdown,
-    /// How long the process stalled before this iteration: what is read now may have waited as long.
+    /// How long the process stalled before this iteration. Bytes that are read in this iteration may have waited for as
+    /// long.
     stall: Span,
-    /// When the routing core is to be ticked next.
+    /// When the routing core needs its next tick.
     router_wake_at: Option<Time>,
     stats: Stats,
-    /// A buffer that is used again for each answer of the router's own.
+    /// A buffer that is reused for each rejection of an RPC at its arrival.
     scratch: Vec<u8>,
     effects: Vec<Effect>,
 }
 
 impl Reducer {
-    /// The state at the start of the process, with the endpoint list that the configuration has cached.
+    /// Returns the state at the start of the process, with the endpoint list that is cached in the configuration.
     pub fn start(now: Time, launch: Launch) -> Reducer {
         let peers = PeerLinks::new(now, &launch).map(Box::new);
         let operator = &launch.operator;
@@ -134,34 +137,37 @@
         reducer
     }
 
-    /// An id for a connection that is about to be accepted.
+    /// Returns an id for a connection that is about to be accepted or opened.
     pub fn next_id(&mut self) -> ConnectionId {
         self.connections.next_id()
     }
 
-    /// How many members the reducer has state of.
+    /// Returns the number of member indexes that the reducer has state for, including the free indexes of retired
+    /// members.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
 
-    /// The newest proven position of a member, by its id, and whether it is known as a primary.
+    /// Returns the newest proven position of the member with this id, and whether the member is known as the primary of
+    /// its group.
     pub fn known_position(&self, id: &str) -> Option<KnownPosition> {
         self.router.known_position(MemberId(self.members.names().get(id)?))
     }
 
-    /// The attempts in flight.
+    /// Counts the attempts in flight.
     pub fn attempts_in_flight(&self) -> AttemptsInFlight {
         let carries_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt(_)));
         let connections = self.connections.members().filter(|(_, member)| carries_attempt(member.job()));
         AttemptsInFlight { rpcs: self.rpcs.attempts_in_flight(), connections: connections.count() }
     }
 
-    /// Attempts with the outcome `AttemptOutcome::Ok` since the stats were logged, and the time that these took there.
+    /// Returns the number of attempts that ended with `AttemptOutcome::Ok` since the stats were last logged, and the
+    /// sum of their latencies.
     pub fn answered_attempts(&self) -> (u32, Span) {
         self.stats.answered_attempts()
     }
 
-    /// When `Event::Tick` is due at the latest.
+    /// Returns when `Event::Tick` is due at the latest, or `None` if nothing is scheduled.
     pub fn wake_at(&self) -> Option<Time> {
         let has_pending_work =
             self.clients.has_pending_work() || self.connection_limits.has_denied_connects();
@@ -181,7 +187,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// Handles an event, and returns what the event loop is to do.
+    /// Handles an event, and returns the effects that the event loop is to carry out.
     pub fn handle(&mut self, now: Time, event: Event) -> Vec<Effect> {
         match event {
             Event::Accepted(id) => self.on_accepted(now, id),
@@ -221,7 +227,8 @@
         self.stall = span;
     }
 
-    /// Takes over what a running process can of a configuration that was read again.
+    /// Applies the parts of a reloaded configuration that can change while the process runs, and logs the changes that
+    /// need a restart.
     fn on_configuration_reloaded(&mut self, now: Time, launch: Launch) {
         for key in self.fixed.differing(&launch.fixed) {
             tracing::warn!(key, "configuration change needs a restart");
@@ -232,9 +239,10 @@
         self.move_watch(now, launch.discovery);
     }
 
-    /// Handles what the batch of events has left, and what is due by the clock.
+    /// Handles the work that the batch of events has left, and all that is due by now.
     fn tick(&mut self, now: Time) {
-        // All that the batch has read comes first, also the ends of connections: no RPC begins for a client that has left.
+        // The whole batch has been read by now, including the ends of connections, so no RPC begins for a client that
+        // is known to have left.
         self.read_ready_clients(now);
         self.request_final_reads();
         self.retry_denied_connects();
@@ -244,7 +252,8 @@
         self.tick_peers(now);
         self.tick_router(now);
         self.update_accepting();
-        // Not before the next events: a client may have left while it was answered.
+        // Deferred clients are read only after the next events, which may show that a client left while it was
+        // answered.
         for id in self.clients.take_deferred() {
             if let Some(client) = self.connections.client_mut(id) {
                 client.end_iteration();
@@ -256,7 +265,7 @@
         }
     }
 
-    /// Carries out what the routing core wants done by now.
+    /// Gives the routing core its tick, and carries out what it requests.
     fn tick_router(&mut self, now: Time) {
         self.router.set_clock_difference(self.reference_clock.difference(now));
         let output = self.router.tick(now);
--- a/crates/ladderpass/src/reducer/connection_id.rs
+++ b/crates/ladderpass/src/reducer/connection_id.rs
@@ -1,5 +1,5 @@
-//! The id by which the event loop and the reducer name a connection.
+//! Identifies connections between the event loop and the reducer.
 
-/// Names one connection for the life of the process: ids are never used twice.
+/// The id of a connection. An id is not reused during the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -1,4 +1,5 @@
-//! What the event loop and the reducer tell each other: an event goes in, effects come out.
+//! The interface between the event loop and the reducer: the event loop passes in events, and carries out the effects
+//! that the reducer returns.
 
 use super::connection_id::ConnectionId;
 use crate::launch::Launch;
@@ -6,65 +7,69 @@
 use ladderpass_routing::Span;
 use std::net::SocketAddr;
 
-/// What happened at a socket, to the process or to its configuration.
+/// Something that happened at a socket, to the process or to its configuration.
 #[derive(Debug)]
 pub enum Event {
-    /// A client has connected; the id is one from `Reducer::next_id`.
+    /// A client was accepted. The id was obtained from `Reducer::next_id`.
     Accepted(ConnectionId),
-    /// A connection that `Effect::Connect` asked for is established.
+    /// A TCP connection that `Effect::Connect` requested is established.
     Connected(ConnectionId),
-    /// So many bytes were read into `Reducer::read_buffer`; the last of them had waited that long in the kernel.
+    /// This number of bytes was read into `Reducer::read_buffer`. The span is how long the last of them had waited in
+    /// the kernel, or zero if the kernel gave no timestamp.
     Received(ConnectionId, usize, Span),
-    /// The socket holds more than one event may read.
+    /// The socket may hold more bytes: either it was read as often as one event allows, or a read failed temporarily.
     MoreToRead(ConnectionId),
-    /// After `MoreToRead`, or a full buffer: the socket was read until it was empty.
+    /// The socket was read until it was empty, after an earlier `MoreToRead` or an empty `Reducer::read_buffer`.
     SocketEmpty(ConnectionId),
-    /// The socket was read once more for `Effect::CloseIfQuiet`; its bytes were reported before this.
+    /// The read that `Effect::CloseIfQuiet` requested is over. The bytes that it found were reported before this event.
     ReadToEnd(ConnectionId),
-    /// So many bytes of `Reducer::outgoing` were written.
+    /// This number of bytes of `Reducer::outgoing` was written.
     Written(ConnectionId, usize),
-    /// The other side has closed the connection, or it was never established.
+    /// The connection was closed by the other side, has failed, or was never established.
     Closed(ConnectionId),
-    /// The system had no descriptor or memory for a connection that was asked for.
+    /// The system had no descriptor or no memory for a connection that `Effect::Connect` requested.
     ConnectDenied(ConnectionId),
     /// The socket accepts no more of `Reducer::outgoing` for now.
     WriteBlocked(ConnectionId),
     /// The process's resource usage was sampled.
     ResourcesSampled(ResourceSample),
-    /// An iteration of the event loop took that long, with so many sockets still to be read.
+    /// An iteration of the event loop is over. The fields are how long it was busy, and how many ready sockets it left
+    /// for the next iteration.
     IterationWorked(Span, usize),
     /// All connections that waited at the listener were accepted, and it is closed.
     ListenerClosed,
-    /// The process did not run for that long: what is read in this batch may have waited since.
+    /// The process did not run for this span. Bytes that are read in this batch may have waited for as long.
     Stalled(Span),
-    /// A datagram has arrived from that address.
+    /// A datagram has arrived from this address.
     DatagramReceived(SocketAddr, Vec<u8>),
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigurationReloaded(Box<Launch>),
-    /// SIGTERM.
+    /// The process has received SIGTERM.
     Terminate,
     /// The batch of events is over, or the time of `Reducer::wake_at` has come.
     Tick,
 }
 
-/// What the event loop is to do.
+/// Something that the event loop is to do for the reducer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Connect to the address, and report `Connected`, `Closed` or `ConnectDenied`.
     Connect(ConnectionId, SocketAddr),
-    /// Write what `Reducer::outgoing` holds.
+    /// Write the bytes that `Reducer::outgoing` returns.
     Write(ConnectionId),
-    /// Read on: the buffer has space again.
+    /// Read the connection, because its buffer may take more bytes again or its client is about to be evicted.
     Read(ConnectionId),
     /// Close the connection.
     Close(ConnectionId),
-    /// Read the socket until it is empty, report `ReadToEnd`, and close it at once if the answer asks for that.
+    /// Read the socket until it is empty, report `ReadToEnd`, and close the connection at once if the reducer still
+    /// requests that.
     CloseIfQuiet(ConnectionId),
     /// Start or stop accepting clients.
     Accept(bool),
-    /// Send what `Reducer::take_datagrams` holds.
+    /// Send the datagrams that `Reducer::take_datagrams` returns.
     SendDatagrams,
-    /// Accept what waits at the listener, close it, and report `ListenerClosed`.
+    /// Accept the clients that wait at the listener, close it, and report `ListenerClosed`. If not all of them can be
+    /// accepted yet, the reducer requests this again.
     StopListening,
     /// End the process.
     Exit,
--- a/crates/ladderpass/src/reducer/handlers.rs
+++ b/crates/ladderpass/src/reducer/handlers.rs
@@ -1,5 +1,5 @@
-//! Handles events, a module a mechanism: each has methods of `Reducer`, which change the tables in `state` and ask for
-//! effects.
+//! Handles events, with one module for each mechanism. Each module has methods of `Reducer`, which change the tables in
+//! `state` and request effects.
 
 mod accept_rpc;
 mod attempts;
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -1,5 +1,5 @@
-//! Accepts RPCs: a client's statement is parsed, assessed by the overload of this router and of all, and handed to the
-//! routing core.
+//! Accepts RPCs: parses a client's statement, assesses it by the overload of this router and of all routers, and passes
+//! it to the routing core.
 
 use super::rejections::{Rejection, StatementError};
 use crate::faulty::Faulty;
@@ -15,27 +15,28 @@
 use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time, fnv1a};
 use std::ops::Range;
 
-/// The longest wait that a statement may name: more than any client waits, and within what a time can hold.
+/// The maximum wait of a statement, to which a longer one is shortened. No client waits for longer, and a `Time` can
+/// represent it.
 const MAX_WAIT_MS: f64 = 3.6e6;
-/// How late the faulty build answers.
+/// How much later than its client's deadline an RPC ends with `Faulty::AnswersLate`.
 const FAULTY_LATENESS: Span = Span::from_millis(1000);
-/// Of a session's hash the first 16 bits are its index.
+/// The shift that leaves the 16 highest bits of a session's hash, which are the session's index.
 const SESSION_HASH_SHIFT: u32 = 64 - 16;
 
 /// A statement that can become an RPC.
 struct Statement {
     arrival: Arrival,
-    /// Where it says how long its client waits.
+    /// The range of the statement's text that says how long its client waits.
     wait_at: Range<usize>,
     id_hash: u64,
-    /// Its priority, where routers shed load together.
+    /// The priority of the RPC, or zero without shared admission control.
     priority: u32,
-    /// All routers reject RPCs of its priority in this group.
+    /// Whether shared admission control rejects the RPC for its priority in its group.
     is_shed_by_fleet: bool,
 }
 
 impl Reducer {
-    /// Accepts the RPC whose statement, of this length, is at the front of a client's input, or rejects it.
+    /// Accepts or rejects the RPC whose statement, of this length, is at the front of a client's input.
     pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
         self.set_awaited(id, None);
         let Some(client) = self.connections.client_mut(id) else { return };
@@ -47,7 +48,8 @@
         };
         if is_crowded {
             self.stats.count(Count::Crowded);
-            // Accepted and rejected with an error, rather than left unanswered at the listener.
+            // Too many clients are connected. This one was accepted so that it gets an error here, rather than no
+            // answer at the listener.
             return self.reject_statement(now, id, length, Rejection::Crowded);
         }
         if self.rpcs.len() >= self.limits.rpcs_in_flight {
@@ -117,8 +119,8 @@
         let group = self.endpoints.group(comment.group).ok_or_else(|| {
             StatementError::new("22023", format!("unknown group {} in cluster", comment.group))
         })?;
-        // The client's time runs from when it sent the statement, also while that waited behind others, or the process
-        // stalled.
+        // The client's wait runs from when it sent the statement, also while the statement waited behind others or the
+        // process stalled.
         let arrived = client.arrival_of(now, length);
         let waited = arrived.as_ref().map_or(Span::ZERO, |arrived| arrived.waited_for_router);
         let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
@@ -127,7 +129,7 @@
         let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
         let cost = StatementCost { waited, bytes: length };
         if self.overload.assess(now, &self.router, &mut arrival, client.usage_mut(), cost) {
-            // The routing core is certain to reject it, so the rest of the statement is not parsed or checked.
+            // The routing core is certain to reject this RPC, so the rest of the statement is not parsed or checked.
             let wait_at = comment.wait_at;
             return Ok(Statement { arrival, wait_at, id_hash: 0, priority: 0, is_shed_by_fleet: false });
         }
@@ -136,7 +138,7 @@
         if self.methods.is_write(method) != Some(is_write) {
             return Err(StatementError::new("42601", "the statement has not the form of its method"));
         }
-        // At a member it would be a second copy of the RPC that has this id.
+        // At a member this statement would be a second copy of the RPC that already has this id.
         let id_hash = self.rpcs.hash_id(comment.id);
         if self.rpcs.is_duplicate(id_hash) {
             return Err(StatementError::new("23505", "its id is that of another RPC"));
@@ -161,7 +163,8 @@
     deadline: Time,
     comment: &pg::StatementComment<'_>,
 ) -> Arrival {
-    // A write ahead of the clock here stays ahead: it is compared with positions, not with the clock.
+    // A write that is ahead of this router's clock gets a negative age, because it is compared with positions and not
+    // with the clock.
     let last_write_ms = comment.after_ms.filter(|&ms| ms > 0.0);
     Arrival {
         method,
@@ -176,7 +179,8 @@
     }
 }
 
-/// A small index for a session. Two sessions that share one see each other's writes, which is only stricter.
+/// Returns a small index for a session. Two sessions with the same index see each other's writes, which is only
+/// stricter.
 fn session_index(key: &str) -> u32 {
     (fnv1a::hash(key.as_bytes()) >> SESSION_HASH_SHIFT) as u32
 }
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts of RPCs: each decision of the routing core is carried out, and each outcome is handed back to it. It decides
-//! what comes next.
+//! Carries out the routing core's decisions on RPCs, and returns the outcome of each attempt to the routing core, which
+//! decides what comes next.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -10,8 +10,9 @@
 use crate::reducer::state::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
-/// Has the client sent more than can be read? Its end may stand behind that. Prevents attempts for a client that has left
-/// unseen; one that stays and sends so much ahead is rejected too.
+/// Returns whether the client has sent more than can be read now, so that an end of its connection can't be seen yet.
+/// This prevents attempts for clients that have left. A client that has not left and sends so much ahead is rejected
+/// too.
 fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
     client.and_then(|client| connections.get(client)).is_some_and(Connection::is_read_paused)
 }
@@ -58,7 +59,7 @@
         mut report: LoadReport,
     ) {
         result.position = result.position.and_then(|position| self.plausible_position(now, position));
-        // A member that has made no report yet sends zeros, also for its role.
+        // A member that has made no report yet sends zeros, also for its role, so nothing of such a report is used.
         if let Some(position) = report.position
             && self.plausible_position(now, position).is_none()
         {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// A position of a member, unless it is before all time, or further ahead than clocks may differ. Prevents stale reads,
-    /// and a primary that never changes again.
+    /// Returns a member's position, or `None` if it is not positive or is further ahead than clocks may differ. Using
+    /// such a position could lead to stale reads, and to a primary that never changes again.
     fn plausible_position(&mut self, now: Time, position: Time) -> Option<Time> {
         if position.nanos() <= 0 {
             return None;
@@ -110,7 +111,7 @@
         }
         result.rpc_complete = is_ok || is_answered;
         if result.outcome == AttemptOutcome::DecisionExpired {
-            // No attempt was made: no retry is withdrawn from the budget for the one after it.
+            // No attempt was made, so no retry is withdrawn from the budget for the next one.
             entry.discount_attempt();
         } else if let Some(peers) = &mut self.peers {
             if is_ok && entry.attempts() > 1 {
--- a/crates/ladderpass/src/reducer/handlers/cancellation.rs
+++ b/crates/ladderpass/src/reducer/handlers/cancellation.rs
@@ -1,4 +1,4 @@
-//! RPCs whose clients give up: a cancel request, or the end of a client's connection.
+//! Ends RPCs whose clients give up, by a cancel request or by the end of their connections.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -8,9 +8,9 @@
 use ladderpass_routing::{Decision, Time};
 
 impl Reducer {
-    /// Cancels what a client waits for; a key that no connection has does nothing. An attempt that is not fully sent is
-    /// withdrawn, and the client is answered at once. One that is sent is settled by its outcome, with no further
-    /// attempt.
+    /// Cancels the RPC that the client with this key waits for. A key that no client has is ignored. If the RPC's
+    /// attempt is not fully sent, the attempt is withdrawn and the client is answered at once. If it is fully sent, its
+    /// outcome settles the RPC, and no further attempt is made.
     pub(super) fn cancel_rpc(&mut self, now: Time, key: CancelKey) {
         let id = self.newest_with_process_id(key.process_id);
         let is_valid = self.cancel_keys.is_valid(id, key.secret);
@@ -32,15 +32,16 @@
         }
     }
 
-    /// The newest connection whose id ends with this process id; those before it are long closed.
+    /// Returns the newest connection id that ends with this process id. Older connections with the same end were closed
+    /// long ago.
     fn newest_with_process_id(&self, process_id: u32) -> ConnectionId {
         let ConnectionId(last) = self.connections.last_id();
         let id = u64::from(process_id) | last & !u64::from(u32::MAX);
         ConnectionId(if id > last { id.wrapping_sub(1 << 32) } else { id })
     }
 
-    /// A client's connection has ended. An attempt that is sent goes on, and says something of its member; one that is
-    /// not fully sent does not.
+    /// Handles the end of a client's connection. An attempt that is fully sent goes on, because its outcome is
+    /// information about the member. Any other attempt is withdrawn.
     pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         let phase = client.phase();
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -1,4 +1,4 @@
-//! Reads what clients send: startup messages and statements, each client's up to its next RPC.
+//! Reads what clients send: startup messages and statements. Each client is read up to its next RPC.
 
 use super::rejections::{Rejection, StatementError};
 use super::rpc_answers::front_message_length;
@@ -13,21 +13,23 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::Time;
 
-/// Idle clients give up their buffers once all buffers take more than `pause_clients_at_buffer_bytes` divided by this.
+/// The buffers of a client that becomes idle are freed if all buffers together take more than
+/// `pause_clients_at_buffer_bytes` divided by this.
 const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
 
-/// Is there more to read of a client in this iteration?
+/// Whether to go on reading a client in this iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continue,
     Stop,
 }
 
-/// A message of a client.
+/// A message from a client, and how it is handled.
 enum ClientMessage {
-    /// It has not arrived completely.
+    /// The message has not arrived completely.
     Incomplete,
-    /// It is answered with these bytes, and the connection is closed where the protocol asks for that.
+    /// The message is answered with these bytes, which may be none. Then the connection is closed if the protocol
+    /// requires that.
     Answered {
         length: usize,
         answer: Vec<u8>,
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Reads what a client has sent, up to its next RPC. After `statements_per_iteration` messages the rest is
-    /// left for the next iteration, so that others have their turn.
+    /// Reads what a client has sent, up to its next RPC. After `statements_per_iteration` messages the rest is left for
+    /// the next iteration, so that other clients get their turn.
     fn read_client(&mut self, now: Time, id: ConnectionId) {
         for _ in 0..self.limits.statements_per_iteration {
             if self.read_client_message(now, id) == Progress::Stop {
@@ -90,7 +92,7 @@
             Some(_) => return Progress::Stop,
             None => {}
         }
-        // A client that does not read its answers gets no more of them.
+        // No further message is handled for a client that does not read its answers.
         if connection.output.len() > self.limits.buffer_initial_bytes {
             let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
             self.connections.set_deadline(id, deadline);
@@ -137,20 +139,21 @@
         }
     }
 
-    /// A statement has arrived completely. It becomes an RPC only once the client's socket has been read until it was empty:
-    /// an end of the connection behind the statement is then known, and no attempt is made for a client that has left.
+    /// Handles a statement that has arrived completely. It becomes an RPC only once the client's socket has been read
+    /// until it was empty. If the client closed the connection behind the statement, that is known by then, and no
+    /// attempt is made for a client that has left.
     fn on_statement(&mut self, now: Time, id: ConnectionId, length: usize) -> Progress {
         let is_past_accept_time = self.is_past_accept_time(now);
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
         let (is_read_paused, has_unread_bytes) = (connection.is_read_paused(), connection.has_unread_bytes());
         let Remote::Client(client) = &mut connection.remote else { return Progress::Stop };
-        // No RPC begins so late in a shutdown that SIGKILL could come before its answer.
+        // No RPC begins so late in a shutdown that SIGKILL could come before the RPC's answer.
         if is_past_accept_time {
             self.reject_statement(now, id, length, Rejection::Stopping);
             return Progress::Continue;
         }
-        // The client has sent more than its buffer holds, so an end of its connection can't be seen yet. The statement is
-        // rejected to make room for the rest; counted with `Count::Full`.
+        // The client has sent more than its buffer holds, so an end of its connection can't be seen yet. The statement
+        // is rejected to make space for the rest. It is counted as `Count::Full`.
         if is_read_paused {
             self.stats.count(Count::Full);
             self.reject_statement(now, id, length, Rejection::SentAhead);
@@ -168,7 +171,7 @@
         Progress::Continue
     }
 
-    /// Bytes at the front of a client's input are handled.
+    /// Removes handled bytes from the front of a client's input, and resumes reading if that was paused.
     pub(super) fn consume_input(&mut self, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.consume(count);
@@ -183,8 +186,9 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Memory was short for too long for the rest of a statement: its bytes are dropped as they arrive, and it is rejected
-    /// after the last one, within its client's time.
+    /// Begins to skip a statement whose rest has waited too long for memory. Its bytes are dropped as they arrive, and
+    /// it is rejected after the last one. The timeout of a message still applies to it. A client that is not in the
+    /// middle of a statement is closed instead.
     pub(super) fn skip_statement(&mut self, now: Time, id: ConnectionId) {
         self.connections.stop_waiting_for_memory(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -204,7 +208,8 @@
         self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
     }
 
-    /// The client has sent no complete message: it is idle, or in the middle of one.
+    /// Sets what is awaited from a client that has sent no complete message, and until when. The client is idle, or in
+    /// the middle of a message.
     fn await_client_input(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let Remote::Client(client) = &connection.remote else { return };
@@ -212,7 +217,7 @@
             return;
         }
         if !connection.input.is_empty() {
-            // The timeout of a message runs from its first byte on.
+            // The timeout of a message runs from its first byte.
             let since = match client.awaited() {
                 Some((AwaitedInput::StatementRest, since)) => since,
                 _ => now,
@@ -223,7 +228,7 @@
             let timeout = if waits_for_memory { limits.memory_wait_timeout } else { limits.message_timeout };
             return self.connections.set_deadline(id, Some(since + timeout));
         }
-        // The client is not closed before its answer is written; what it sends meanwhile is read.
+        // The client is not closed before its answer is written. What it sends in the meantime is read.
         if !connection.output.is_empty() {
             let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
             self.set_awaited(id, None);
@@ -236,7 +241,8 @@
         self.await_next_statement(now, id);
     }
 
-    /// The client is idle. It is closed after a while, and its buffers are freed meanwhile where memory is short.
+    /// Sets the timeout after which an idle client is closed, and frees the client's buffers if memory is short. During
+    /// a shutdown a client that has sent a statement before is closed now.
     fn await_next_statement(&mut self, now: Time, id: ConnectionId) {
         let is_stopping = self.shutdown.has_begun();
         let timeout = match is_stopping {
@@ -260,7 +266,8 @@
         }
     }
 
-    /// After an overrun the client's socket stayed empty: nothing stands behind what was read.
+    /// Reads a client again at the end of its refill time. Its socket stayed empty after the overrun, so nothing
+    /// follows what was read.
     pub(super) fn on_refill_timeout(&mut self, now: Time, id: ConnectionId) {
         if let Some(client) = self.connections.client_mut(id) {
             client.clear_refill();
@@ -268,7 +275,7 @@
         self.read_client(now, id);
     }
 
-    /// The pause after a client's error is over.
+    /// Reads a client again at the end of the pause after its error.
     pub(super) fn resume_after_error(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Remote::Client(client) = &mut connection.remote else { return };
@@ -307,7 +314,7 @@
     match pg::parse_frame_header(input.make_contiguous()) {
         Ok(None) => ClientMessage::Incomplete,
         Err(_) => ClientMessage::fatal(input.len(), "08P01", "malformed message"),
-        // Rejected by its header alone: the body is not received.
+        // The message is rejected by its header alone, and its body is not received.
         Ok(Some(pg::FrameHeader { length, .. })) if length > max_bytes => {
             ClientMessage::fatal(input.len(), "54000", "the message is too long")
         }
@@ -319,7 +326,7 @@
     }
 }
 
-/// Handles a complete message after startup; only simple queries are served.
+/// Handles a complete message after startup. Only simple queries are served.
 fn handle_message(client: &mut Client, kind: u8, body: &[u8], length: usize) -> ClientMessage {
     let mut answer = Vec::new();
     match (kind, pg::parse_query(body)) {
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -1,4 +1,4 @@
-//! Events of single connections: bytes received and written, connections established and closed.
+//! Handles the events of single connections: bytes received and written, and connections established and closed.
 
 use crate::faulty::Faulty;
 use crate::pg;
@@ -12,7 +12,8 @@
 const STARTUP_DATABASE: &str = "orders";
 
 impl Reducer {
-    /// Where the next bytes of a connection may be read to; empty where it must wait for space or memory.
+    /// Returns the buffer to read a connection's next bytes into. The buffer is empty if the connection is not to be
+    /// read now, because it must wait for space or memory, is closing, or pauses after an error of its client.
     pub fn read_buffer(&mut self, id: ConnectionId) -> &mut [u8] {
         let is_memory_short = self.is_memory_short(id);
         let limits = &self.limits;
@@ -40,8 +41,9 @@
         }
     }
 
-    /// Must a full buffer wait for memory to grow? Where memory is short, statements wait before answers do; either way
-    /// their time goes on.
+    /// Returns whether a connection's input buffer is full and must wait for memory before it can grow. The limit for
+    /// clients is lower than for members, so that statements wait before answers do. Deadlines go on while a connection
+    /// waits.
     fn is_memory_short(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match connection.remote {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// What is to be written on a connection next.
+    /// Returns the bytes to write on a connection next.
     pub fn outgoing(&self, id: ConnectionId) -> &[u8] {
         self.connections.get(id).map_or(&[], |connection| connection.output.first_slice())
     }
@@ -87,7 +89,7 @@
         self.write(id, &startup);
     }
 
-    /// Puts bytes into a connection's output.
+    /// Appends bytes to a connection's output, and requests a write.
     pub(super) fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.append(bytes, self.limits.buffer_initial_bytes, usize::MAX);
@@ -95,7 +97,8 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Closes a connection once its output is written, or was not read for too long.
+    /// Closes a connection once its output is written, or after `unread_answer_timeout` if the other side does not read
+    /// it.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.set_closing();
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Closes a connection and forgets it; its job or RPC is the caller's to end.
+    /// Closes a connection and drops its state. The caller must end the connection's job or RPC.
     pub(super) fn close_connection(&mut self, id: ConnectionId) {
         self.set_awaited(id, None);
         let Some(connection) = self.connections.remove(id) else { return };
@@ -127,14 +130,14 @@
         }
     }
 
-    /// The buffers of a connection may have grown or shrunk.
+    /// Counts the memory of a connection's buffers again, because they may have grown or shrunk.
     pub(super) fn update_buffer_bytes(&mut self, id: ConnectionId) {
         if self.connections.update_buffer_bytes(id) {
             self.resume_reads();
         }
     }
 
-    /// Memory was freed: where there is enough, connections that wait for it are read on.
+    /// Reads the connections that wait for memory, if enough of it is free again.
     fn resume_reads(&mut self) {
         if self.connections.buffer_bytes() < self.limits.pause_clients_at_buffer_bytes {
             let waiting = self.connections.take_waiting_for_memory();
@@ -157,7 +160,8 @@
                 self.clients.add_unread_bytes(count);
                 self.clients.cancel_eviction(id);
                 let refill_until = now + self.limits.refill_quiet_time;
-                // What waited for space in its own buffer says nothing of this router's pace.
+                // Bytes that waited for space in the client's own buffer were not delayed by this router, so their wait
+                // does not count.
                 let arrived_at = if was_paused { now } else { now - waited.max(self.stall) };
                 client.record_received(now, arrived_at, count, refill_until);
                 let skipped = client.skip_received(count);
@@ -206,7 +210,8 @@
             }
             Remote::Client(_) => {
                 is_client = true;
-                // Its next statement is read in the next iteration: the write may show that the client has left.
+                // The client's next statement is read in the next iteration, because the write may show that the client
+                // has left.
                 if is_done && !is_closing {
                     self.clients.defer(id);
                 }
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -1,4 +1,5 @@
-//! The limit of connections: which give their descriptors up where there are none left, and whether clients are accepted.
+//! Enforces the limit of connections: closes connections for others if no descriptors are left, and decides whether
+//! clients are accepted.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -8,13 +9,15 @@
 use ladderpass_routing::{AttemptOutcome, Time};
 
 impl Reducer {
-    /// May a further client be accepted?
+    /// Returns whether another client may be accepted.
     pub fn accepts_clients(&self) -> bool {
         self.connection_limits.accepts_clients()
     }
 
-    /// There was no descriptor for a connect. Something else gives one up, so that clients can't take all of them from
-    /// discovery, health checks and attempts. A member is not blamed for what this router lacks.
+    /// Handles a connect for which the system had no descriptor or no memory. Another connection is closed for it, at
+    /// most `Limits::evictions_per_denial` times, so that clients can't take all descriptors from discovery, health
+    /// checks and attempts. The denial does not count against the member, because it is this router that lacks
+    /// something.
     pub(in crate::reducer) fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let may_evict = connection.record_connect_denial() <= self.limits.evictions_per_denial;
@@ -31,8 +34,8 @@
         }
     }
 
-    /// A client that has been idle for long gives its descriptor up, else an idle member connection, else any client that
-    /// waits for no answer.
+    /// Closes a connection to free its descriptor: a client past its eviction age, else the member connection that has
+    /// been idle longest, else any client that waits for no answer. Returns whether there was such a connection.
     fn free_descriptor_after_denial(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
         if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
@@ -47,7 +50,7 @@
         true
     }
 
-    /// Retries connects that were denied, now that others have given their descriptors up.
+    /// Retries the connects that were denied, now that other connections are closed for them.
     pub(in crate::reducer) fn retry_denied_connects(&mut self) {
         for id in self.connection_limits.take_denied_connects() {
             let address = match self.connections.get(id).map(|connection| &connection.remote) {
@@ -59,8 +62,9 @@
         }
     }
 
-    /// Accepts clients while there are connections for them; idle member connections count as such, as they are closed for
-    /// newcomers.
+    /// Accepts clients while there are fewer than `clients_accepted` of them, and fewer connections than `connections`.
+    /// The second limit does not apply while a member connection is idle, because an idle one is closed for a new
+    /// client.
     pub(in crate::reducer) fn update_accepting(&mut self) {
         let connections = self.clients.len() + self.members.connection_count();
         let has_capacity = connections < self.limits.connections || self.members.has_idle();
@@ -70,7 +74,7 @@
         }
     }
 
-    /// A client has gone: another one may be accepted.
+    /// Accepts clients again after one was closed.
     pub(super) fn resume_accepting(&mut self) {
         if self.connection_limits.set_accepts_clients(true) {
             self.effects.push(Effect::Accept(true));
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -1,4 +1,4 @@
-//! What happens at the deadline of a connection: it has one at most, for what it is used for at that time.
+//! Handles the deadlines of connections. A connection has at most one deadline, which depends on its current use.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -29,7 +29,8 @@
         let Remote::Client(client) = &connection.remote else { return };
         match client.phase() {
             ClientPhase::InRpc(rpc) => {
-                // The client's time is all but up: it is answered whatever the routing core does.
+                // The client's deadline has almost passed, so the RPC is answered now regardless of what the routing
+                // core does.
                 tracing::debug!(target: log_target::DEADLINES, "RPC unanswered at its deadline");
                 self.answer_unserved(now, rpc, Decision::Fail);
                 rpc.abandon(&mut self.router);
@@ -39,7 +40,7 @@
                 self.on_refill_timeout(now, id);
             }
             _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
-            // Memory was freed while it waited for that: it has the time of any other.
+            // Memory was freed while the client waited for it, so its statement has the same timeout as any other.
             _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited()
                 && now < since + self.limits.message_timeout =>
             {
@@ -55,14 +56,14 @@
         match member.job() {
             None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
             Some(_) if !member.is_established() && now < member.connect_deadline() => {
-                // The job is abandoned unsent; the connection may still be established for another.
+                // The job is abandoned unsent. The connection may still be established for another job.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
-            // Unreachable also where the deadline was the client's, and the member had little time.
+            // The outcome is `Unreachable` also if the deadline was the client's and the member had little time.
             Some(_) if !member.is_query_sent() => {
                 self.end_member_connection(now, id, AttemptOutcome::Unreachable);
             }
-            // An answer that has begun and does not end would take the time for another attempt.
+            // An answer that has begun and does not end would use up the time for another attempt.
             Some(_) if member.has_answer_begun() => {
                 self.on_malformed_message(now, id);
             }
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of discovery: its answers, silence and end, and its move to another address. When to poll is the routing
-//! core's decision.
+//! Handles the watch of discovery: its answers, its silence, its end, and its move to another address. The routing core
+//! decides when to poll.
 
 use crate::discovery::{Listing, WatchReader};
 use crate::reducer::Reducer;
@@ -12,12 +12,13 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// The generation of the endpoint list in use, as discovery counts them.
+    /// Returns the generation of the endpoint list in use, by discovery's count.
     pub fn generation(&self) -> u64 {
         self.discovery.generation()
     }
 
-    /// Follows discovery to another address, which is polled at once, whatever backoff the routing core has set.
+    /// Moves the watch to another address of discovery. That address is polled at once, even if the routing core is in
+    /// a backoff.
     pub(in crate::reducer) fn move_watch(&mut self, now: Time, address: SocketAddr) {
         if address == self.discovery.address() {
             return;
@@ -26,7 +27,8 @@
         let has_answered = |id| connections.discovery(id).is_some_and(WatchReader::has_read_listing);
         let unused = self.discovery.move_to(address, has_answered);
         unused.into_iter().for_each(|id| self.close_connection(id));
-        // The core starts the poll, so that its own backoff does not end, and start another, in the middle of this one.
+        // The routing core starts this poll itself. Otherwise its backoff could end, and start another poll, in the
+        // middle of this one.
         self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: true });
     }
 
@@ -34,7 +36,7 @@
         self.connections.discovery(id).is_some_and(WatchReader::has_read_listing)
     }
 
-    /// Is the watch in the middle of a list?
+    /// Returns whether the watch has received the beginning of a list but not its end.
     fn is_within_list(&self, id: ConnectionId) -> bool {
         self.connections.discovery(id).is_some_and(WatchReader::is_within_object)
     }
@@ -52,7 +54,7 @@
 
     /// Reads what discovery has sent.
     pub(super) fn read_watch(&mut self, now: Time, id: ConnectionId) {
-        // A list that begins and never ends is no sign of life, however much of it arrives.
+        // A list that begins and never ends is no progress, however much of it arrives.
         let mut has_progressed = !self.is_within_list(id);
         loop {
             let Some(Connection { input, remote: Remote::Discovery(reader), .. }) =
@@ -74,13 +76,13 @@
     }
 
     fn extend_watch_deadline(&mut self, now: Time, id: ConnectionId, has_progressed: bool) {
-        // A late request keeps the time that it has left.
+        // A late request keeps its deadline.
         if self.discovery.late() == Some(id) {
             return;
         }
         if !self.has_answered(id) {
-            // Answered with a head, or the beginning of a list: it may take as long as a watch may be silent, and the rest
-            // has the time of a first answer.
+            // Only the head of the answer or the beginning of a list has arrived. The first list may take
+            // `watch_silence_timeout` in all, and `watch_answer_timeout` from one read to the next.
             let last = self.discovery.requested_at() + self.limits.watch_silence_timeout;
             let deadline = last.min(now + self.limits.watch_answer_timeout);
             return self.connections.set_deadline(id, Some(deadline));
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Takes over a list; false where the watch has ended.
+    /// Applies a list. Returns false if the watch has ended.
     fn on_listing(&mut self, now: Time, id: ConnectionId, listing: &Listing) -> bool {
         if !self.adopt_first_answer(id) {
             self.close_connection(id);
@@ -118,8 +120,9 @@
         true
     }
 
-    /// An overloaded discovery takes long for each request, and puts the next at the end of its queue: of two requests the one
-    /// that is answered first becomes the watch. False for one whose successor was answered before.
+    /// Makes the first of two open requests to be answered the current watch. An overloaded discovery takes long for
+    /// each request and puts the next one at the end of its queue, so the late request may be answered first. Returns
+    /// false for a late request if the next one was answered before it.
     fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
         let Some(late) = self.discovery.late() else { return true };
         if late != id {
@@ -137,7 +140,7 @@
         true
     }
 
-    /// The deadline of a watch has passed: it was denied a descriptor, or is silent.
+    /// Handles the deadline of a watch. A watch that was denied a descriptor connects again. Any other watch is silent.
     pub(super) fn on_discovery_deadline(&mut self, now: Time, id: ConnectionId) {
         if self.discovery.take_denied() != Some(id) {
             return self.on_watch_silent(now, id);
@@ -150,8 +153,9 @@
         self.effects.push(Effect::Connect(id, self.discovery.address()));
     }
 
-    /// A watch that had answered has fallen silent, or a request after one has no answer: discovery is polled again at
-    /// once, while what is missed does not count as notified yet.
+    /// Handles a watch that was silent for too long, or a request that has no answer. After a watch that had answered
+    /// fell silent, discovery is polled again at once for as long as the changes missed since then do not count as
+    /// notified by the protocol.
     fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
         let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
         if self.discovery.is_current(id) && !is_unanswered {
--- a/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Endpoint lists: their entries are read, members get indexes and addresses, and the routing core gets the update. It
-//! judges the members.
+//! Applies endpoint lists: reads their entries, gives members indexes and addresses, and passes the update to the
+//! routing core, which judges the members.
 
 use crate::discovery::{Instance, Listing};
 use crate::faulty::Faulty;
@@ -28,8 +28,8 @@
 }
 
 impl Reducer {
-    /// Takes over an endpoint list. `is_cached`: it was read from the configuration. `is_previous`: it comes from the
-    /// address that discovery had before.
+    /// Applies an endpoint list. If `is_cached` is set, the list was read from the configuration. If `is_previous` is
+    /// set, it comes from the address that discovery had before.
     pub(in crate::reducer) fn apply_listing(
         &mut self,
         now: Time,
@@ -55,7 +55,8 @@
             complete = listing.reset,
             "endpoint list"
         );
-        // A list of the previous address must not count as the answer of the new one, which would never be polled then.
+        // A list from the previous address must not count as the answer of the new address, which would then never be
+        // polled.
         let update = match (is_cached || is_previous, listing.reset) {
             (true, false) if is_previous => EndpointUpdate::ChangesDuringMove(&entries),
             (true, _) => EndpointUpdate::Cached(&entries),
@@ -67,7 +68,8 @@
         Ok(())
     }
 
-    /// The member of an entry, at the entry's address; None for one that is removed and not known.
+    /// Returns the index of an entry's member, which gets the entry's address. Returns `None` for a removed entry whose
+    /// member is not known.
     fn member_of(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
         let address = instance.host_port.parse::<SocketAddr>();
         let known = self.members.names().get(&instance.instance_id);
@@ -78,7 +80,7 @@
                 self.members.set_retired(index as usize, false);
                 Ok(Some(index))
             }
-            // One that is removed needs no address.
+            // A removed entry needs no valid address.
             (Some(index), Err(_)) if is_removed => Ok(Some(index)),
             (None, _) if is_removed => Ok(None),
             (None, Ok(address)) => Ok(Some(self.members.add(&instance.instance_id, address))),
@@ -97,7 +99,8 @@
                 EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
                 state => state,
             },
-            // By the clock here; no member starts in the future.
+            // The time is converted to this router's clock, and limited to the present because no member starts in the
+            // future.
             started_at: instance
                 .started_at()
                 .map(|born| now.min(born - clock_difference))
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -1,5 +1,5 @@
-//! Closes clients that wait for no answer, each after a final read of its socket: those whose time is over, and, where there
-//! are too many clients, those that have waited longest (eviction).
+//! Closes clients that wait for no answer, each after a final read of its socket. These are clients whose timeout has
+//! passed and, if there are too many clients, those whose input has been awaited longest (eviction).
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -35,9 +35,10 @@
         }
     }
 
-    /// Evicts clients past the limit that have had their time: first those that have not started up, soon; then those in
-    /// the middle of a statement; then those idle for a while. A client that was just answered is likely to write again,
-    /// which would cross the close.
+    /// Evicts clients in excess of the limit that have reached their eviction age: first those that have not completed
+    /// their startup, whose age is the shortest, then those in the middle of a statement, then idle ones. Idle clients
+    /// have an age too because a client that was just answered is likely to send another statement, which would cross
+    /// the close.
     pub(in crate::reducer) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
@@ -45,34 +46,35 @@
         }
     }
 
-    /// Evicts clients past the limit; true if there are still more than are served. Those that are starting up or in the
-    /// middle of a statement are not counted.
+    /// Evicts clients in excess of the limit, and returns whether there are still more than `Limits::clients`. Clients
+    /// that are being evicted, starting up, or in the middle of a statement are not counted.
     pub(super) fn evict_and_check_client_limit(&mut self, now: Time) -> bool {
         self.evict_excess_clients(now);
         let uncounted = self.clients.evicting_count() + self.clients.awaiting_startup_or_rest();
         self.clients.len() > self.limits.clients + uncounted
     }
 
-    /// Closes a client's connection soon. Its socket is read now, and once more right before the close, as a query may
-    /// have arrived that was not read yet.
+    /// Closes a client's connection after a final read. The socket is read now and once more right before the close,
+    /// because a query may have arrived that was not read yet.
     pub(super) fn close_after_final_read(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         self.clients.begin_eviction(id, client.awaited());
         self.effects.push(Effect::Read(id));
     }
 
-    /// Has the sockets of all that are being evicted read once more, each right before its close.
+    /// Requests the final read of each client that is being evicted, right before its close.
     pub(in crate::reducer) fn request_final_reads(&mut self) {
         self.effects.extend(self.clients.evicting().map(Effect::CloseIfQuiet));
     }
 
-    /// The final read has found nothing, else the eviction was cancelled.
+    /// Closes a client after its final read. That read has found nothing, since it would otherwise have cancelled the
+    /// eviction.
     pub(in crate::reducer) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
         if !self.clients.is_evicting(id) {
             return;
         }
         let Some(connection) = self.connections.get(id) else { return };
-        // A read that failed for a moment is made again, and the final read with it.
+        // A read that failed temporarily is retried, and the final read is requested again.
         if connection.has_unread_bytes() && !connection.is_read_paused() {
             return;
         }
--- a/crates/ladderpass/src/reducer/handlers/member_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_answers.rs
@@ -1,5 +1,5 @@
-//! Reads what members send: the end of their startup, and answers to queries. What can't be parsed is no answer, says
-//! nothing of the member, and closes the connection.
+//! Reads what members send: the end of their startup, and answers to queries. A message that can't be parsed is not
+//! used as an answer or as information about the member, and its connection is closed.
 
 use crate::faulty::Faulty;
 use crate::pg;
@@ -17,7 +17,7 @@
         while self.read_member_message(now, id) {}
     }
 
-    /// Reads one message; false where there is none, or the connection is over.
+    /// Reads one message. Returns false if there is none, or if the connection has ended.
     fn read_member_message(&mut self, now: Time, id: ConnectionId) -> bool {
         let Some(Connection { input, remote: Remote::Member(member), .. }) = self.connections.get_mut(id)
         else {
@@ -65,8 +65,8 @@
         true
     }
 
-    /// Closes a connection on which a message has arrived that has no place there, or that does not end in time. False:
-    /// there is nothing more to read.
+    /// Closes a connection on which a message is malformed, arrives out of place or does not end in time. Returns
+    /// false, because there is nothing more to read.
     pub(super) fn on_malformed_message(&mut self, now: Time, id: ConnectionId) -> bool {
         let Some(member) = self.connections.member(id) else { return false };
         let outcome =
@@ -82,7 +82,7 @@
         false
     }
 
-    /// The member has completed its startup.
+    /// Handles the completion of a member's startup.
     fn on_member_established(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let connect_began_at = member.connect_deadline() - self.limits.connect_timeout;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The member has answered the query of a connection's job, and is ready for the next one.
+    /// Handles a complete answer to the query of a connection's job. The member is ready for the next query.
     fn on_answer_complete(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         let Some(answered) = member.take_answered_job(now) else { return };
@@ -133,7 +133,7 @@
         self.on_job_ended(now, job, result, report);
     }
 
-    /// The load report at the front of a connection's input.
+    /// Returns the load report at the front of a connection's input.
     fn load_report(&mut self, id: ConnectionId) -> LoadReport {
         let Some(connection) = self.connections.get_mut(id) else { return LoadReport::default() };
         let max_bytes = self.limits.member_buffer_bytes;
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of member connections: queries are written, withdrawn, and end with an outcome.
+//! Runs the jobs of member connections: writes and withdraws their queries, and ends each job with an outcome.
 
 use crate::faulty::Faulty;
 use crate::pg;
@@ -22,13 +22,14 @@
         }
     }
 
-    /// Writes the query of a connection's job, and an empty query behind it. The connection is used again once the member
-    /// has answered that one with nothing before it: a second answer, or noise, would go to the next RPC's client.
+    /// Writes the query of a connection's job, and an empty query (the sync query) behind it. The connection is used
+    /// again only once the member has answered the sync query with nothing before that answer. Otherwise a second
+    /// answer, or noise, would go to the next RPC's client.
     pub(super) fn send_query(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let mut query = Vec::new();
         match member.job() {
-            // The empty query was written behind the query before it.
+            // The sync query was written behind the query before it.
             None | Some(Job::SyncQuery) => return,
             Some(Job::HealthCheck) => pg::put_query(&mut query, &[HEALTH_CHECK_QUERY]),
             Some(Job::Attempt(rpc)) => {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Puts the statement of an RPC, with the time that is left. The error says how the attempt ends unsent; None where
-    /// there is no such RPC.
+    /// Puts the statement of an RPC into `query`, with the time that is left. The error is the outcome with which the
+    /// attempt ends unsent, or `None` if there is no such RPC.
     fn put_attempt_query(
         &mut self,
         now: Time,
@@ -63,8 +64,8 @@
         };
         let (member_id, deadline) = (MemberId(member.member() as u32), member.job_deadline());
         let description = entry.description();
-        // What was true at the decision may have changed: the data may be too old now, and the window may be over in which
-        // a further attempt has no second effect.
+        // What was true at the decision may have changed. The member's data may be too old now, and the window in which
+        // a further attempt has no second effect may be over.
         let is_retry_within_window =
             entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
         let expires = description.requires_position || is_retry_within_window;
@@ -74,7 +75,7 @@
         }
         let client = entry.client().and_then(|client| self.connections.get_mut(client));
         let client = client.ok_or(Some(AttemptOutcome::Cancelled))?;
-        // It may have left unseen while the connection was established.
+        // The client may have left unseen while the connection was being established.
         if client.is_read_paused() {
             return Err(Some(AttemptOutcome::NeverSent));
         }
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// The job of a connection has ended; the connection itself goes on.
+    /// Ends the job of a connection with this outcome. The connection itself is kept.
     pub(super) fn release_job(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
         if member.job().is_none() {
@@ -107,8 +108,8 @@
         self.on_job_ended(now, job, result, LoadReport::default());
     }
 
-    /// The socket accepts no more of the query. A member that reads it late would go by a time left, and by data new
-    /// enough, that do not hold any more.
+    /// Sets the deadline of a query of which the socket accepts no more bytes. If the member read it late, the time
+    /// left that it states would be wrong, and the member's data might no longer be new enough.
     pub(super) fn on_query_write_blocked(&mut self, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let requires_position = match member.job() {
@@ -132,8 +133,8 @@
         self.connections.member(id).is_some_and(|member| member.is_established())
     }
 
-    /// No client waits for the answer to a connection's job any more: a query that is not fully written is withdrawn. A
-    /// part of a query makes the connection useless, and never runs.
+    /// Withdraws the query of a connection's job if it is not fully written, because no client waits for its answer any
+    /// more. A partly written query never runs, and its connection is closed because it can't be used any more.
     pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         match member.withdraw_query() {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Closes a connection to a member; its job ends with this outcome.
+    /// Closes a connection to a member, and ends its job with this outcome.
     pub(super) fn end_member_connection(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
         let index = member.member();
@@ -160,7 +161,7 @@
             self.forward_answer(now, id, rpc);
         }
         self.close_connection(id);
-        // A shorter deadline is the client's: no reason to close the member's other connections.
+        // A shorter deadline is the client's, and is no reason to close the member's other connections.
         if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
             self.close_silent_connections(index, assigned_at);
         }
--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -1,5 +1,5 @@
-//! Connections to members: taken from the pool or opened for a job, returned, and closed where a member has another
-//! address, drains, has vanished or is retired.
+//! Manages the connections to members: takes them from the pool or opens them for a job, returns them, and closes them
+//! if their member has another address, drains, has vanished or is retired.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Gives a job to a connection of a member: an idle one, else a new one. None if there can be none.
+    /// Gives a job to a connection of a member, either an idle one or else a new one. Returns `None` if no connection
+    /// can be opened.
     pub(super) fn assign_job(
         &mut self,
         now: Time,
@@ -43,9 +44,9 @@
         Some(id)
     }
 
-    /// Makes sure that one more connection to a member may be opened. Members may use what clients leave of
-    /// `Limits::connections`; if that is used up, an idle member connection is closed, else a client evicted. Returns
-    /// whether there is capacity.
+    /// Makes sure that one more connection to a member may be opened. Members may use as many of `Limits::connections`
+    /// as clients leave. If those are used up, the member connection that has been idle longest is closed, or else a
+    /// client past its eviction age. Returns whether there is capacity.
     fn free_capacity_for_member_connection(&mut self, now: Time) -> bool {
         let limit = self.limits.connections;
         if self.members.connection_count() < limit.saturating_sub(self.clients.len()) {
@@ -66,7 +67,7 @@
         false
     }
 
-    /// The member connection that has been idle longest.
+    /// Returns the member connection that has been idle longest.
     pub(super) fn longest_idle_connection(&self) -> Option<ConnectionId> {
         let since = |&id: &ConnectionId| {
             self.connections.member(id).map_or(Time::NEVER, |member| member.idle_since())
@@ -74,8 +75,8 @@
         self.members.longest_idle().min_by_key(since)
     }
 
-    /// A connection that is established and has no job takes the job of one that is still being established, or becomes
-    /// idle.
+    /// Gives an established connection without a job the job of one that is still being established, or else makes it
+    /// idle. If the member has another address by now, the connection is closed instead.
     pub(super) fn return_to_pool(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         member.set_idle(now);
@@ -97,8 +98,9 @@
         self.connections.set_deadline(id, Some(now + self.limits.member_idle_timeout));
     }
 
-    /// After silence on one connection, closes the idle ones of that member on which nothing was received since: a machine
-    /// that vanished leaves them open, and a write into one may never be answered.
+    /// Closes the idle connections of a member on which nothing was received since this time, after a query on another
+    /// of its connections was not answered. A machine that vanished leaves its connections open, and a query on one of
+    /// them may never be answered.
     pub(super) fn close_silent_connections(&mut self, index: usize, since: Time) {
         let is_silent = |&&id: &&ConnectionId| {
             self.connections.member(id).is_some_and(|member| member.last_received_at() < since)
@@ -115,8 +117,9 @@
         }
     }
 
-    /// Connections to a member's old address are not used again. What was not sent goes to the new address: it is no
-    /// failure of the member, which may listen there already.
+    /// Sets a member's address. Connections to the old address are not used again. Jobs whose connections are not
+    /// established move to the new address, where the member may already listen. They don't count as failures of the
+    /// member.
     pub(super) fn change_member_address(&mut self, now: Time, index: usize, address: SocketAddr) {
         if !self.members.set_address(index, address) {
             return;
@@ -142,8 +145,9 @@
         }
     }
 
-    /// Some members drain or have left: attempts of which no byte was sent to them go elsewhere. Their connections might be
-    /// established, or accept bytes again, only after the member's grace period.
+    /// Closes the idle connections of members that drain or have left, and ends the attempts of which no byte was sent
+    /// to such members, so that they go to other members. The connections of these attempts might be established, or
+    /// accept bytes again, only after the member's grace period.
     pub(super) fn withdraw_from_inactive_members(&mut self, now: Time) {
         let is_inactive = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let inactive: FxHashSet<usize> = (0..self.members.len()).filter(is_inactive).collect();
@@ -158,15 +162,16 @@
         }
     }
 
-    /// The routing core has retired the member: it no longer tracks it.
+    /// Closes the idle connections of a member that the routing core has retired and no longer tracks, and frees the
+    /// member's index if it has no other connections.
     pub(in crate::reducer) fn retire_member(&mut self, index: usize) {
         self.close_idle_connections(index);
         self.members.set_retired(index, true);
         self.release_member_index(index);
     }
 
-    /// Frees the index of a retired member, not before its last connection is closed: a late answer would be taken for
-    /// the next member's.
+    /// Frees the index of a retired member once its last connection is closed. If the index were used again before
+    /// that, a late answer would be taken for one of the next member.
     pub(super) fn release_member_index(&mut self, index: usize) {
         if self.members.try_release(index) {
             self.gossip_codec.id_hashes.remove(index as u32);
--- a/crates/ladderpass/src/reducer/handlers/overload.rs
+++ b/crates/ladderpass/src/reducer/handlers/overload.rs
@@ -1,4 +1,4 @@
-//! Samples of the process's resource usage, and slow readers, which are closed.
+//! Handles samples of the process's resource usage, and closes slow readers.
 
 use crate::reducer::Reducer;
 use crate::reducer::log_target;
@@ -7,12 +7,13 @@
 use ladderpass_routing::Time;
 
 impl Reducer {
-    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
+    /// Returns when the process's resource usage is to be sampled next, or `None` if the router does not monitor its
+    /// own load.
     pub fn next_sample_at(&self) -> Option<Time> {
         self.overload.next_sample_at()
     }
 
-    /// How many connections to accept for one event.
+    /// Returns how many connections to accept for one event.
     pub fn accept_budget(&self) -> usize {
         self.overload.accept_budget(self.limits.accepts_per_event)
     }
--- a/crates/ladderpass/src/reducer/handlers/peers.rs
+++ b/crates/ladderpass/src/reducer/handlers/peers.rs
@@ -1,7 +1,7 @@
-//! Datagrams of the other routers, and what the membership decides.
+//! Handles the datagrams of the other routers, and applies what the membership decides.
 //!
-//! The routing core's position among the routers follows the membership's view. Gossip goes to routers that are alive,
-//! and is accepted from those that may send it.
+//! The routing core gets this router's position among the routers from the membership's view. Gossip about members goes
+//! to routers that are alive, and is accepted from routers that may send it.
 
 use crate::reducer::Reducer;
 use crate::reducer::event::Effect;
@@ -12,12 +12,12 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// How many routers are alive, this one included, and a digest of just these; None without peers.
+    /// Returns how many routers are alive, this one included, and a digest of this set. Returns `None` without peers.
     pub fn fleet_view(&self) -> Option<(usize, u32)> {
         self.peers.as_ref().map(|peers| (peers.view().count, peers.view().digest))
     }
 
-    /// Metrics of shared admission control, by group.
+    /// Returns the metrics of shared admission control, by group.
     pub fn admission_metrics(&self) -> Vec<GroupMetrics> {
         self.peers.as_ref().map_or(Vec::new(), |peers| peers.admission_metrics())
     }
@@ -27,7 +27,7 @@
         self.peers.as_mut().map_or(Vec::new(), |peers| peers.take_datagrams())
     }
 
-    /// A datagram: of the membership by its first byte, else gossip on members.
+    /// Handles a datagram. Its first byte tells datagrams of the membership from gossip about members.
     pub(in crate::reducer) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if bytes.first() == Some(&FIRST_BYTE) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Sends the routing core's updates on members to all other routers.
+    /// Sends the routing core's updates about members to all other routers.
     pub(in crate::reducer) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
         let messages = self.gossip_codec.encode(updates, self.members.names());
         let Some(peers) = self.peers.as_deref_mut() else { return };
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes over what the membership has decided.
+    /// Applies what the membership has decided.
     fn apply_membership(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if peers.collect_membership_output() {
--- a/crates/ladderpass/src/reducer/handlers/rejections.rs
+++ b/crates/ladderpass/src/reducer/handlers/rejections.rs
@@ -1,5 +1,6 @@
-//! Statements that do not become RPCs: rejected for want of something, or answered with an error of the client's own.
-//! None of them has an effect.
+//! Answers statements that do not become RPCs. They are rejected because the router lacks time, memory or capacity for
+//! them or the client has sent too much ahead, or they are answered with an error of the client's own. None of them has
+//! an effect.
 
 use super::rpc_answers::retry_after_ms;
 use crate::pg;
@@ -9,12 +10,12 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Span, Time};
 
-/// "Pushed back": rejected. Clients may depend on the text.
+/// "Pushed back" means rejected. Clients may depend on the text.
 const OVERLOADED: &str = "pushed back: the router has too much to do";
-/// The pause after a client's errors doubles up to this many times.
+/// The maximum number of times that the pause after a client's errors doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// Why a statement is rejected; its client may try again.
+/// Why a statement is rejected. Its client may try again.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Rejection {
     /// The process is about to end.
@@ -40,7 +41,7 @@
     }
 }
 
-/// An ErrorResponse to a statement; a fatal one closes the connection.
+/// An ErrorResponse to a statement. A fatal one closes the connection.
 struct ErrorAnswer<'a> {
     is_fatal: bool,
     code: &'a str,
@@ -53,7 +54,7 @@
         let (is_fatal, code, text) = match self {
             Rejection::Stopping => (false, "57P03", "the router stops"),
             Rejection::SentAhead => (false, "53300", "too much is sent ahead"),
-            // "held": in flight. Clients may depend on the text.
+            // "Held" means in flight. Clients may depend on the text.
             Rejection::Full => (false, "53300", "too many RPCs are held"),
             Rejection::Memory => (false, "53300", "memory is short"),
             Rejection::Crowded => (true, "53300", "too many connections"),
@@ -63,7 +64,7 @@
 }
 
 impl Reducer {
-    /// Rejects an RPC of which nothing is kept, so that rejecting it stays cheap.
+    /// Rejects an RPC at its arrival. Nothing is kept of the RPC, so that many rejections stay cheap.
     pub(super) fn reject_at_arrival(&mut self, id: ConnectionId, length: usize, retry_after: Span) {
         let mut answer = std::mem::take(&mut self.scratch);
         answer.clear();
@@ -73,7 +74,7 @@
         self.scratch = answer;
     }
 
-    /// Rejects a statement, and says after how long to retry.
+    /// Rejects a statement, and tells the client after how long it may retry.
     pub(super) fn reject_statement(
         &mut self,
         now: Time,
@@ -100,8 +101,9 @@
         }
     }
 
-    /// Answers a statement with an error of its own. So that a client that sends errors as fast as they are answered does
-    /// not take the others' time, what it sends next is read after a pause, and after some errors it is closed.
+    /// Answers a statement that has an error of the client's own. What the client sends next is read after a pause, and
+    /// after `Limits::client_errors` such errors in a row the next one closes the connection. So a client that sends
+    /// errors as fast as they are answered does not take the time of other clients.
     pub(super) fn answer_client_error(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -1,4 +1,4 @@
-//! The final answer of each RPC: a member's answer is forwarded, or an error is written.
+//! Writes the final answer of each RPC, which is a member's forwarded answer or an error.
 
 use crate::buffer::Buffer;
 use crate::faulty::Faulty;
@@ -12,12 +12,13 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Decision, RpcId, Span, Time};
 
-/// A retry-after in milliseconds; none for less than one.
+/// Returns a retry-after in milliseconds, or `None` if it is less than one millisecond.
 pub(super) fn retry_after_ms(retry_after: Span) -> Option<i64> {
     Some(retry_after.nanos() / 1_000_000).filter(|&ms| ms > 0)
 }
 
-/// The length of the message at the front of a buffer, complete or not; zero where there is none.
+/// Returns the length of the message at the front of a buffer, even if it has not arrived completely, or zero if there
+/// is none.
 pub(super) fn front_message_length(input: &mut Buffer) -> usize {
     pg::parse_frame_header(input.make_contiguous()).ok().flatten().map_or(0, |header| header.length)
 }
@@ -55,8 +56,8 @@
         self.finish_statement(client);
     }
 
-    /// Writes the final answer of an RPC that is not served. `AlreadyAnswered`: the routing core does not know it any
-    /// more, as it was cancelled.
+    /// Writes the final answer of an RPC that is not served. `Decision::AlreadyAnswered` stands for an RPC that its
+    /// client has cancelled and that had no effect.
     pub(super) fn answer_unserved(&mut self, now: Time, rpc: RpcId, decision: Decision) {
         let Some(entry) = self.rpcs.get_mut(rpc) else { return };
         let client = entry.take_client();
@@ -81,7 +82,7 @@
     fn unserved_answer(&mut self, group: u32, is_cancelled: bool, decision: Decision) -> Vec<u8> {
         let mut answer = Vec::new();
         match decision {
-            // Where it may have had an effect the answer says no more than that, cancelled or not.
+            // An RPC that may have had an effect is answered with just that (below), whether it is cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if is_cancelled => {
                 self.stats.count(Count::Cancelled);
                 pg::put_recoverable_error(&mut answer, "57014", "cancelled at the client's request", None);
@@ -91,20 +92,21 @@
                 if let Some(peers) = &mut self.peers {
                     peers.record_unplaced(group);
                 }
-                // "Pushed back": rejected. Clients may depend on the text.
+                // "Pushed back" means rejected. Clients may depend on the text.
                 let text = "pushed back: a further try is harmless";
                 pg::put_recoverable_error(&mut answer, "53300", text, retry_after_ms(retry_after));
             }
             _ => {
                 self.stats.count(Count::Failed);
-                // "Aborted": failed. Clients may depend on the text.
+                // "Aborted" means failed. Clients may depend on the text.
                 pg::put_recoverable_error(&mut answer, "58000", "aborted: it may have had an effect", None);
             }
         }
         answer
     }
 
-    /// The client's statement is answered; what it sent behind it is read in the next iteration.
+    /// Removes an answered statement from its client's input. What the client sent behind the statement is read in the
+    /// next iteration.
     fn finish_statement(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if let Remote::Client(client) = &mut connection.remote {
@@ -117,7 +119,8 @@
     }
 }
 
-/// Puts the result of an answer, without what else the member has sent, and a ReadyForQuery.
+/// Appends the result of an answer and a ReadyForQuery to `output`. Other messages that the member has sent are left
+/// out.
 fn push_result(mut answer: &[u8], output: &mut Buffer, max_bytes: usize, initial_bytes: usize) {
     while let Ok(Some(pg::Frame { kind, length, .. })) = pg::parse_frame(answer, max_bytes) {
         let (message, rest) = answer.split_at(length);
--- a/crates/ladderpass/src/reducer/handlers/shutdown.rs
+++ b/crates/ladderpass/src/reducer/handlers/shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown after SIGTERM: the router serves on for `Limits::shutdown_accept_time`, closes each connection once it
-//! is idle, then begins nothing new, and ends once all clients have their answers.
+//! Shuts down gracefully after SIGTERM. The router goes on serving for `Limits::shutdown_accept_time`, and closes each
+//! client's connection once it is idle. After that it closes the listener and begins no RPC, and the process ends once
+//! all clients have their answers.
 
 use crate::faulty::Faulty;
 use crate::reducer::Reducer;
@@ -21,7 +22,8 @@
         if self.faulty.is(Faulty::DropsRequestsAtStop) {
             self.effects.push(Effect::Exit);
         }
-        // A client just answered is likely to write again, which would cross the close: it is served, or idle first.
+        // A client that was just answered is likely to send another statement, which would cross the close. So it is
+        // served until it has been idle for `shutdown_idle_time`.
         for (since, id) in self.clients.awaiting(AwaitedInput::NextStatement) {
             self.connections.set_deadline(id, Some(since + self.limits.shutdown_idle_time));
         }
@@ -34,7 +36,7 @@
         if !self.shutdown.is_listener_closed() {
             self.effects.push(Effect::StopListening);
         }
-        // A client in the middle of a message has its time to end it, and is rejected then.
+        // A client in the middle of a message may complete it within its timeout, and is rejected then.
         let awaiting = self.clients.awaiting(AwaitedInput::Startup);
         let awaiting = awaiting.chain(self.clients.awaiting(AwaitedInput::NextStatement));
         let has_sent_nothing = |&id: &ConnectionId| {
@@ -44,7 +46,7 @@
         idle.into_iter().for_each(|id| self.close_after_final_read(id));
     }
 
-    /// The shutdown has lasted for so long that nothing new is begun.
+    /// Returns whether the shutdown has lasted for so long that no RPC begins any more.
     pub(super) fn is_past_accept_time(&self, now: Time) -> bool {
         self.shutdown.has_lasted(now, self.limits.shutdown_accept_time)
     }
--- a/crates/ladderpass/src/reducer/load_report.rs
+++ b/crates/ladderpass/src/reducer/load_report.rs
@@ -1,10 +1,11 @@
-//! Load reports: what a member answers to a health check.
+//! Parses load reports, which members send in answer to health checks.
 
 use crate::pg;
 use ladderpass_config::{IN_FLIGHT_COLUMN, POSITION_COLUMN, PRIMARY_COLUMN};
 use ladderpass_routing::{LoadReport, Time};
 
-/// The load report in the row of an answer; an empty one where it lacks one of the columns, or can't be parsed.
+/// Returns the load report in the row of an answer, or an empty report if the row lacks one of the columns or can't be
+/// parsed.
 pub(super) fn read_load_report(mut answer: &[u8], max_bytes: usize, columns: &[String]) -> LoadReport {
     while let Ok(Some(pg::Frame { kind, body, length })) = pg::parse_frame(answer, max_bytes) {
         if let (b'D', Ok(Some(value))) = (kind, pg::parse_single_column(body)) {
--- a/crates/ladderpass/src/reducer/log_target.rs
+++ b/crates/ladderpass/src/reducer/log_target.rs
@@ -1,5 +1,5 @@
-//! Targets of the log lines in `handlers` and `state`. Operators filter by them (`RUST_LOG`), so a line keeps its target
-//! when its code moves.
+//! The targets of the log lines in `handlers` and `state`. Operators filter by them (`RUST_LOG`), so a line keeps its
+//! target when its code moves to another module.
 
 pub(super) const ACCEPT_RPC: &str = "ladderpass::reducer::accept_rpc";
 pub(super) const ATTEMPTS: &str = "ladderpass::reducer::attempts";
--- a/crates/ladderpass/src/reducer/peer_log.rs
+++ b/crates/ladderpass/src/reducer/peer_log.rs
@@ -1,4 +1,4 @@
-//! Log lines on the other routers: who is alive, and the metrics of shared admission control and of the retry budget.
+//! Logs which routers are alive, and the metrics of shared admission control and of the shared retry budget.
 
 use ladderpass_admission::GroupMetrics as AdmissionMetrics;
 use ladderpass_membership::{Change, Membership, View};
@@ -6,10 +6,11 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// Most routers that one line names.
+/// The maximum number of routers that one line names.
 const MAX_NAMED_ROUTERS: usize = 6;
 
-/// Whom this router takes for alive has changed. The testbed reads this line, also from earlier programs.
+/// Logs the membership's view, and the changes that led to it. The testbed parses this line, also in logs of earlier
+/// versions of the router.
 pub(super) fn log_view(view: &View, changes: &[(SocketAddr, Change)]) {
     let changes = changes_text(changes);
     tracing::info!("fleet: view {:08x} of {}, this is {}{changes}", view.digest, view.count, view.position);
@@ -75,7 +76,7 @@
     }
 }
 
-/// Who joined and left, up to the most that one line names.
+/// Describes the changes other than suspicions, for at most `MAX_NAMED_ROUTERS` routers.
 fn changes_text(changes: &[(SocketAddr, Change)]) -> String {
     let named = changes.iter().filter(|(_, change)| *change != Change::Suspected);
     let mut text = String::new();
