--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -201,7 +201,7 @@
             Event::ConnectDenied(id) => self.on_connect_denied(now, id),
             Event::WriteBlocked(id) => self.on_write_blocked(now, id),
             Event::ResourcesSampled(sample) => self.on_resources_sampled(now, sample),
-            Event::IterationWorked(busy, unread_sockets) => {
+            Event::IterationEnded(busy, unread_sockets) => {
                 let unread_bytes = self.clients.unread_bytes();
                 self.overload.end_iteration(now, busy, unread_sockets, unread_bytes, &self.connections);
             }
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -35,7 +35,7 @@
     ResourcesSampled(ResourceSample),
     /// An iteration of the event loop is over. The fields are how long it was busy, and how many ready sockets it left
     /// for the next iteration.
-    IterationWorked(Span, usize),
+    IterationEnded(Span, usize),
     /// All connections that waited at the listener were accepted, and it is closed.
     ListenerClosed,
     /// The process did not run for this span. Bytes that are read in this batch may have waited for as long.
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -126,7 +126,7 @@
         let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
         let wait = Span::from_secs_f64(comment.wait_ms.min(MAX_WAIT_MS) / 1e3);
         let lateness = if self.faulty.is(Faulty::AnswersLate) { FAULTY_LATENESS } else { Span::ZERO };
-        let mut arrival = arrival_of(now, method, group, arrived_at + wait + lateness, &comment);
+        let mut arrival = build_arrival(now, method, group, arrived_at + wait + lateness, &comment);
         let cost = StatementCost { waited, bytes: length };
         if self.overload.assess(now, &self.router, &mut arrival, client.usage_mut(), cost) {
             // The routing core is certain to reject this RPC, so the rest of the statement is not parsed or checked.
@@ -156,7 +156,7 @@
     }
 }
 
-fn arrival_of(
+fn build_arrival(
     now: Time,
     method: u32,
     group: u32,
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -34,8 +34,8 @@
         if let (true, Some(peers)) = (is_first, &mut self.peers) {
             peers.record_first_attempt(group);
         }
-        let last = deadline - self.limits.answer_margin;
-        let deadline = timeout.map_or(last, |timeout| last.min(now + timeout));
+        let latest = deadline - self.limits.answer_margin;
+        let deadline = timeout.map_or(latest, |timeout| latest.min(now + timeout));
         let is_possible = deadline > now && !may_have_left(&self.connections, client);
         let connection = match is_possible {
             true => self.assign_job(now, member.0 as usize, Job::Attempt(rpc), deadline),
@@ -103,27 +103,27 @@
         });
         entry.end_attempt(result.outcome);
         let is_ok = result.outcome == AttemptOutcome::Ok;
-        let is_answered = entry.client().is_none();
-        let is_over = entry.is_cancelled() || may_have_left(&self.connections, entry.client());
-        result.retry_denied |= is_over;
+        let has_no_client = entry.client().is_none();
+        let is_abandoned = entry.is_cancelled() || may_have_left(&self.connections, entry.client());
+        result.retry_denied |= is_abandoned;
         if is_ok {
             self.stats.add_answer_time(result.latency);
         }
-        result.rpc_complete = is_ok || is_answered;
+        result.rpc_complete = is_ok || has_no_client;
         if result.outcome == AttemptOutcome::DecisionExpired {
             // No attempt was made, so no retry is withdrawn from the budget for the next one.
             entry.discount_attempt();
         } else if let Some(peers) = &mut self.peers {
             if is_ok && entry.attempts() > 1 {
                 peers.record_retry_success(entry.description().group);
-            } else if !result.rpc_complete && result.outcome != AttemptOutcome::NeverSent && !is_over {
+            } else if !result.rpc_complete && result.outcome != AttemptOutcome::NeverSent && !is_abandoned {
                 let RpcDescription { group, priority, .. } = *entry.description();
                 let is_withdrawn = peers.try_withdraw_retry(group, priority);
                 entry.set_retry_withdrawn(is_withdrawn);
                 result.retry_denied = !is_withdrawn;
             }
         }
-        if is_answered {
+        if has_no_client {
             self.rpcs.remove(rpc);
         }
         let decision = rpc.on_attempt_ended(&mut self.router, now, result);
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -199,7 +199,7 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.consume(count);
         connection.output.shrink_if_empty(self.limits.buffer_initial_bytes);
-        let (is_done, is_closing) = (connection.output.is_empty(), connection.is_closing());
+        let (all_written, is_closing) = (connection.output.is_empty(), connection.is_closing());
         let mut is_client = false;
         match &mut connection.remote {
             Remote::Member(member) => {
@@ -212,7 +212,7 @@
                 is_client = true;
                 // The client's next statement is read in the next iteration, because the write may show that the client
                 // has left.
-                if is_done && !is_closing {
+                if all_written && !is_closing {
                     self.clients.defer(id);
                 }
             }
@@ -220,9 +220,9 @@
         }
         self.update_buffer_bytes(id);
         if is_client {
-            self.overload.record_client_read(now, id, is_done);
+            self.overload.record_client_read(now, id, all_written);
         }
-        if is_done && is_closing {
+        if all_written && is_closing {
             self.close_connection(id);
         }
     }
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -83,8 +83,8 @@
         if !self.has_answered(id) {
             // Only the head of the answer or the beginning of a list has arrived. The first list may take
             // `watch_silence_timeout` in all, and `watch_answer_timeout` from one read to the next.
-            let last = self.discovery.requested_at() + self.limits.watch_silence_timeout;
-            let deadline = last.min(now + self.limits.watch_answer_timeout);
+            let latest = self.discovery.requested_at() + self.limits.watch_silence_timeout;
+            let deadline = latest.min(now + self.limits.watch_answer_timeout);
             return self.connections.set_deadline(id, Some(deadline));
         }
         if has_progressed || !self.is_within_list(id) {
--- a/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -43,8 +43,8 @@
         }
         let mut entries = Vec::with_capacity(listing.instances.len());
         for instance in &listing.instances {
-            if let Some(member) = self.member_of(now, instance)? {
-                entries.push(self.endpoint_of(now, instance, member));
+            if let Some(member) = self.update_member(now, instance)? {
+                entries.push(self.endpoint_from(now, instance, member));
             }
         }
         self.discovery.set_generation(offered);
@@ -70,7 +70,7 @@
 
     /// Returns the index of an entry's member, which gets the entry's address. Returns `None` for a removed entry whose
     /// member is not known.
-    fn member_of(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
+    fn update_member(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
         let address = instance.host_port.parse::<SocketAddr>();
         let known = self.members.names().get(&instance.instance_id);
         let is_removed = instance.state() == EndpointState::Removed;
@@ -88,7 +88,7 @@
         }
     }
 
-    fn endpoint_of(&mut self, now: Time, instance: &Instance, member: u32) -> Endpoint {
+    fn endpoint_from(&mut self, now: Time, instance: &Instance, member: u32) -> Endpoint {
         let clock_difference = self.reference_clock.confirmed();
         let indexes = &mut self.endpoints;
         Endpoint {
@@ -103,7 +103,7 @@
             // future.
             started_at: instance
                 .started_at()
-                .map(|born| now.min(born - clock_difference))
+                .map(|started_at| now.min(started_at - clock_difference))
                 .filter(|_| !self.faulty.is(Faulty::IgnoresWarmUp)),
             machine_kind: indexes.intern_machine_kind(&instance.machine_type),
             concurrency: indexes.concurrency(instance.weight),
--- a/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -44,8 +44,8 @@
             initial_bytes,
         );
         if self.faulty.is(Faulty::AnswersTwice) {
-            let complete: Vec<u8> = to.output.make_contiguous().to_vec();
-            to.output.append(&complete, initial_bytes, usize::MAX);
+            let answer: Vec<u8> = to.output.make_contiguous().to_vec();
+            to.output.append(&answer, initial_bytes, usize::MAX);
         }
         if let Some(peers) = &mut self.peers {
             peers.record_served(group);
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -122,7 +122,7 @@
         let Some(due) = self.reducer.next_sample_at() else { return };
         let busy = self.usage.mark_waiting();
         let has_pending_events = self.has_pending_events;
-        self.apply(Event::IterationWorked(span(busy), self.ready.len()));
+        self.apply(Event::IterationEnded(span(busy), self.ready.len()));
         if self.clock.now() >= due {
             let sample = self.usage.sample(self.connections.len());
             self.apply(Event::ResourcesSampled(sample));
--- a/crates/ladderpass/tests/recorded_bytes/simulation.rs
+++ b/crates/ladderpass/tests/recorded_bytes/simulation.rs
@@ -250,7 +250,7 @@
         self.handle(router, Event::ResourcesSampled(sample));
         let busy = Span::from_nanos(i64::from(self.below(3000)) * 1000);
         let ready_sockets = self.below(20) as usize;
-        self.handle(router, Event::IterationWorked(busy, ready_sockets));
+        self.handle(router, Event::IterationEnded(busy, ready_sockets));
     }
 
     /// Bytes come in, as far as there is room for them; what has no room is lost with this simulation.
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -100,7 +100,7 @@
         }));
         let busy = Span::from_millis(self.roll(40) as i64);
         let waiting = self.roll(200);
-        self.apply(Event::IterationWorked(busy, waiting));
+        self.apply(Event::IterationEnded(busy, waiting));
         if let Some(id) = self.choose_client()
             && !self.reducer.outgoing(id).is_empty()
         {
