--- a/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -20,9 +20,11 @@
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         match self {
             ListingError::OlderGeneration { offered, current } => {
-                write!(formatter, "generation {offered} after {current}")
+                write!(formatter, "generation {offered} is older than generation {current}")
+            }
+            ListingError::InvalidAddress(address) => {
+                write!(formatter, "hostPort {address:?} is not an address with a port")
             }
-            ListingError::InvalidAddress(address) => write!(formatter, "hostPort {address:?} is no address"),
         }
     }
 }
