--- a/crates/ladderpass/src/buffer.rs
+++ b/crates/ladderpass/src/buffer.rs
@@ -1,10 +1,10 @@
-//! A ring buffer of bytes, one for each direction of a connection: starts small, grows up to a limit, and gives its
-//! memory back when it is empty.
+//! A ring buffer of bytes. Each connection has one for each direction. A buffer starts small, grows up to a limit, and
+//! releases its memory when it is empty.
 //!
-//! It keeps bytes and their order. It doesn't parse them, touches no socket, and never grows past the limit that the
-//! caller gives.
+//! The buffer stores bytes in order. It doesn't parse them, makes no system call, and never grows past the limit that
+//! the caller passes.
 
-/// A ring buffer. Sizes are in bytes.
+/// A ring buffer. All sizes are in bytes.
 #[derive(Debug, Default)]
 pub struct Buffer {
     bytes: Vec<u8>,
@@ -13,23 +13,23 @@
 }
 
 impl Buffer {
-    /// Bytes that it holds.
+    /// Returns the number of bytes stored.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Returns whether the buffer stores no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Memory that it takes.
+    /// Returns the memory allocated for the buffer.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Contiguous free space to read into; empty when the buffer is full at `limit`. A full buffer doubles its size,
-    /// from `initial` on.
+    /// Returns contiguous free space to read into, which is empty when the buffer is full at `limit`. A full buffer
+    /// first grows: to `initial` from nothing, then to twice its size each time.
     pub fn free_space(&mut self, initial: usize, limit: usize) -> &mut [u8] {
         if self.len == self.bytes.len() {
             self.resize(self.len.saturating_mul(2).max(initial).min(limit));
@@ -44,12 +44,12 @@
         self.bytes.get_mut(free).unwrap_or_default()
     }
 
-    /// Adds `count` bytes that were written at the front of the space from [`Buffer::free_space`].
+    /// Adds the `count` bytes that the caller has written to the start of the slice from [`Buffer::free_space`].
     pub fn commit(&mut self, count: usize) {
         self.len = (self.len + count).min(self.bytes.len());
     }
 
-    /// Appends all of `bytes`, or nothing where that would exceed `limit`.
+    /// Appends all of `bytes` and returns true, or appends nothing and returns false if that would exceed `limit`.
     pub fn append(&mut self, bytes: &[u8], initial: usize, limit: usize) -> bool {
         let wanted = self.len + bytes.len();
         if wanted > limit {
@@ -73,13 +73,13 @@
         true
     }
 
-    /// The first bytes, as far as they are contiguous, to be written out.
+    /// Returns the first bytes, as far as they are contiguous, for the caller to write out.
     pub fn first_slice(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.bytes.len());
         self.bytes.get(self.head..end).unwrap_or_default()
     }
 
-    /// All bytes, made contiguous, to be parsed.
+    /// Makes the bytes contiguous, and returns all of them for the caller to parse.
     pub fn make_contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -88,7 +88,7 @@
         self.first_slice()
     }
 
-    /// Drops `count` bytes from the front.
+    /// Removes `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
@@ -99,7 +99,7 @@
         };
     }
 
-    /// Gives its memory back if it is empty and has grown beyond `initial`.
+    /// Releases the buffer's memory if it is empty and has grown beyond `initial`.
     pub fn shrink_if_empty(&mut self, initial: usize) {
         if self.len == 0 && self.bytes.len() > initial {
             *self = Buffer::default();
--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -1,7 +1,7 @@
-//! The connections' sockets, by connection id, in one epoll set that the event loop watches as a single source.
+//! The sockets of all connections, by connection id, in one epoll set that the event loop watches as a single source.
 //!
-//! The table owns the sockets and knows which of them are ready. It doesn't look into bytes, and doesn't decide when to
-//! read or write.
+//! The table owns the sockets and records which of them are ready. It doesn't interpret bytes, and doesn't decide when
+//! to read or write.
 
 use crate::reducer::ConnectionId;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Events taken from the kernel by one call.
+/// The number of events that one call to the kernel returns at most.
 const EVENTS_PER_CALL: usize = 1024;
 
-/// The epoll set, as a source of the event loop.
+/// The epoll set, as an event source of the event loop.
 pub struct EpollSet(Epoll);
 
 impl AsFd for EpollSet {
@@ -25,79 +25,82 @@
     }
 }
 
-/// A client's, a member's or discovery's connection.
+/// A connection to a client, a member or discovery.
 pub struct Connection {
-    /// Its socket.
+    /// The connection's socket.
     pub stream: TcpStream,
-    /// The connect is under way: the first time that it is writable shows how that went.
+    /// Whether the connect is in progress. Its result is known when the socket first becomes writable.
     pub connecting: bool,
-    /// Opened by this router: to a member, or to discovery.
+    /// Whether this router opened the connection, to a member or to discovery.
     pub is_outbound: bool,
-    /// The last read did not empty the socket.
+    /// Whether the last read may have left bytes in the socket.
     pub unread: bool,
-    /// The latest time at which its socket is known to have been empty.
+    /// The latest time at which the socket is known to have been empty.
     pub last_empty_at: Instant,
-    /// What the kernel reported and is still to be handled. While there is any, the connection is queued once.
+    /// Readiness that the kernel has reported and the event loop has not handled. While it is set, the connection is in
+    /// the queue once.
     pending: Option<Readiness>,
-    /// Space for the kernel's receive timestamp.
+    /// Buffer for the control message with the kernel's receive timestamp.
     timestamp_space: Vec<u8>,
 }
 
-/// Bytes that were read from a connection.
+/// The result of a read from a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedBytes {
-    /// How many; none at the end of the stream.
+    /// The number of bytes read; 0 at the end of the stream.
     pub count: usize,
-    /// When the last of them came, by the kernel's wall clock.
+    /// When the last of the bytes arrived, by the kernel's wall clock; `None` if the kernel gave no timestamp.
     pub timestamp: Option<Duration>,
 }
 
-/// Whose connection has become ready.
+/// Which kind of connection has become ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// One that this router opened.
+    /// A connection that this router opened.
     Member,
-    /// One that a client opened.
+    /// A connection that a client opened.
     Client,
-    /// A client that has closed its side. Reported at once, also when the connection is queued already.
+    /// A connection that its client has closed. It is reported immediately, even if the connection is already queued.
     ClosedClient,
 }
 
-/// What a connection is ready for.
+/// The operations that a connection is ready for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Readiness {
-    /// There are bytes to read.
+    /// Whether there are bytes to read.
     pub readable: bool,
-    /// There is space to write.
+    /// Whether the socket accepts bytes.
     pub writable: bool,
-    /// The other side has closed it, or it is broken: it is to be read to its end.
+    /// Whether the other side has closed the connection, or the connection has failed. The socket then has to be read
+    /// to its end.
     pub closed: bool,
 }
 
-/// A stream that epoll could not watch, and why.
+/// A stream that could not be registered with epoll, and the reason.
 #[derive(Debug, thiserror::Error)]
 #[error("connection can't be watched: {source}")]
 pub struct RegisterError {
     /// The stream, which is still open.
     pub stream: TcpStream,
-    /// Why it can't be watched.
+    /// The system's error.
     pub source: io::Error,
 }
 
-/// All connections, by their ids.
+/// All connections, by connection id.
 pub struct ConnectionTable {
     epoll: Rc<EpollSet>,
-    // The ids are this router's own: nobody can choose them so that they collide.
+    // A fast hash without protection against chosen keys is safe here: the router assigns the ids itself, so no other
+    // party can make them collide.
     connections: FxHashMap<ConnectionId, Connection>,
-    /// When the kernel was asked last, and gave all events that it had.
+    /// When the last poll began that took all events that the kernel had.
     polled_at: Instant,
     events: Vec<EpollEvent>,
 }
 
 impl Connection {
-    /// A connection whose socket was empty at `last_empty_at`.
+    /// Creates a connection whose socket was empty at `last_empty_at`.
     pub fn new(stream: TcpStream, is_outbound: bool, last_empty_at: Instant) -> Connection {
-        // Without timestamps the time in the kernel counts as zero.
+        // Without timestamps, the time that bytes wait in the kernel counts as zero.
         if let Err(error) = setsockopt(&stream, sockopt::ReceiveTimestampns, &true) {
             tracing::debug!(%error, "no receive timestamps");
         }
@@ -112,16 +115,16 @@
         }
     }
 
-    /// Reads once.
+    /// Makes one read call.
     ///
     /// # Errors
     ///
-    /// The system's error, also where there is nothing to read yet.
+    /// Returns the system's error, including `WouldBlock` if there is nothing to read yet.
     pub fn read(&mut self, buffer: &mut [u8]) -> io::Result<ReceivedBytes> {
         let mut parts = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
         let message = recvmsg::<()>(fd, &mut parts, Some(&mut self.timestamp_space), MsgFlags::empty())?;
-        // The bytes have been read, whether or not the timestamp can be.
+        // The bytes have been read even if the control messages can't be parsed, so that is not an error.
         let timestamps = message.cmsgs().into_iter().flatten().filter_map(|control| match control {
             ControlMessageOwned::ScmTimestampns(timestamp) => Some(Duration::from(timestamp)),
             _ => None,
@@ -129,9 +132,10 @@
         Ok(ReceivedBytes { count: message.bytes, timestamp: timestamps.last() })
     }
 
-    /// Adds what the kernel reported; the event's source if the connection has to be queued for it.
+    /// Adds the readiness that the kernel reported. Returns the event's source if the connection has to be queued or,
+    /// for a closed client, handled immediately.
     fn record_event(&mut self, flags: EpollFlags, polled_at: Instant) -> Option<EventSource> {
-        // Had what is reported now been there at the last poll, it would have been reported then.
+        // If there had been anything to read at the last poll, the kernel would have reported it then.
         if self.pending.is_none() && !self.unread {
             self.last_empty_at = self.last_empty_at.max(polled_at);
         }
@@ -153,11 +157,11 @@
 }
 
 impl ConnectionTable {
-    /// An empty table.
+    /// Creates an empty table.
     ///
     /// # Errors
     ///
-    /// The system's error where there can be no epoll set.
+    /// Returns the system's error if the epoll set can't be created.
     pub fn new() -> io::Result<ConnectionTable> {
         Ok(ConnectionTable {
             epoll: Rc::new(EpollSet(Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?)),
@@ -167,16 +171,16 @@
         })
     }
 
-    /// The epoll set, to be watched by the event loop.
+    /// Returns the epoll set, for the event loop to watch.
     pub fn epoll(&self) -> Rc<EpollSet> {
         self.epoll.clone()
     }
 
-    /// Has a connection watched.
+    /// Registers a connection with epoll and adds it to the table.
     ///
     /// # Errors
     ///
-    /// The stream and the system's error where it can't be watched.
+    /// Returns the stream and the system's error if the registration fails.
     pub fn add(&mut self, id: ConnectionId, connection: Connection) -> Result<(), RegisterError> {
         let flags = EpollFlags::EPOLLIN | EpollFlags::EPOLLOUT | EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLET;
         match self.epoll.0.add(&connection.stream, EpollEvent::new(flags, id.0)) {
@@ -188,43 +192,44 @@
         }
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// The connection with this id.
+    /// Returns the connection with this id.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
-    /// The connection with this id.
+    /// Returns the connection with this id, mutable.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
-    /// Closes a connection, which takes it out of the epoll set too.
+    /// Closes a connection, which also removes it from the epoll set. Returns whether it was in the table.
     pub fn remove(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
-    /// When all that the kernel had to report was known last.
+    /// Returns when the last poll began that took all events that the kernel had.
     pub fn polled_at(&self) -> Instant {
         self.polled_at
     }
 
-    /// The kernel had nothing to report at that time.
+    /// Records that the kernel had no events at that time.
     pub fn record_no_events(&mut self, at: Instant) {
         self.polled_at = self.polled_at.max(at);
     }
 
-    /// Hands each connection that has become ready to `enqueue`, without waiting. One that is queued already is not
-    /// queued again, or busy connections would fill the queue. All events that the kernel has are taken, but no more
-    /// than there are sockets: a close behind a thousand other events is known as soon as those.
+    /// Passes each connection that has become ready to `enqueue`, without waiting. A connection that is already queued
+    /// is not queued again; otherwise busy connections would fill the queue. The poll takes all events that the kernel
+    /// has, so that a close behind a thousand other events is noticed together with them. The number of calls to the
+    /// kernel is bounded by the number of sockets.
     ///
     /// # Errors
     ///
-    /// The system's error where the kernel can't be asked.
+    /// Returns the system's error if the call to the kernel fails.
     pub fn poll(&mut self, mut enqueue: impl FnMut(ConnectionId, EventSource)) -> io::Result<()> {
         let began = Instant::now();
         for _ in 0..=self.connections.len() / self.events.len() {
@@ -247,7 +252,7 @@
         Ok(())
     }
 
-    /// Takes what a connection is ready for, with the connection.
+    /// Takes the pending readiness of a connection, and returns it with the connection.
     pub fn take_readiness(&mut self, id: ConnectionId) -> Option<(Readiness, &mut Connection)> {
         let connection = self.connections.get_mut(&id)?;
         Some((connection.pending.take()?, connection))
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -1,72 +1,74 @@
-//! The watch of the endpoint list at discovery: an HTTP/1.1 response in chunks, with one JSON object a line.
+//! The watch of the endpoint list at discovery: a chunked HTTP/1.1 response that carries one JSON object after another,
+//! each ended by a newline.
 //!
-//! Bytes in, values out: this module touches no connection, and doesn't know what the list means to the router.
+//! This module only parses: it uses no connection, and doesn't decide what the list means for the router.
 
 use crate::buffer::Buffer;
 use ladderpass_routing::{EndpointState, Time};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Header fields of a response that are read at the most.
+/// The largest number of header fields that a response may have.
 const MAX_HEADERS: usize = 32;
-/// A chunk's size line with its extensions is not longer.
+/// The longest size line of a chunk, extensions included.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
 
-/// One line of a watch, or the endpoint list that a router starts with.
+/// One object of a watch, or the endpoint list that a router starts with.
 #[derive(Debug, Deserialize)]
 pub struct Listing {
-    /// The version of the list; it grows with each change.
+    /// The version of the list, which increases with each change.
     pub generation: u64,
-    /// The complete list; otherwise the entries that have changed.
+    /// Whether `instances` is the complete list. Otherwise it contains only the entries that have changed.
     #[serde(default)]
     pub reset: bool,
-    /// The entries.
+    /// The entries of the list.
     pub instances: Vec<Instance>,
 }
 
-/// An entry of the list: a member.
+/// An entry of the list, which describes one member.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
     /// The member's id.
     pub instance_id: String,
-    /// Its address, as `address:port`.
+    /// The member's address, as `address:port`.
     pub host_port: String,
-    /// The kind of its machine; members of a kind are alike in speed.
+    /// The type of its machine. Members with the same type are similar in speed.
     #[serde(default)]
     pub machine_type: String,
-    /// The group that it belongs to.
+    /// The group that the member belongs to.
     pub cell: f64,
-    /// Whether it serves.
+    /// Whether the member serves RPCs.
     pub lifecycle: Lifecycle,
-    /// When its process started, in Unix milliseconds; 0 where that is not known.
+    /// When the member's process started, in Unix milliseconds; 0 if that is not known.
     #[serde(default)]
     pub started_at_ms: f64,
     /// `leader` for the group's primary.
     #[serde(default)]
     pub role: Option<String>,
-    /// Its zone.
+    /// The member's zone.
     #[serde(default)]
     pub zone: String,
-    /// Its size, where the operator's file says that weights are sizes.
+    /// The member's size: how many RPCs it works on at once. It only counts if the operator's file says that weights
+    /// are sizes.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
-/// Whether a member serves, in discovery's words.
+/// The lifecycle state of a member, with the names that discovery uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Lifecycle {
-    /// It takes RPCs.
+    /// The member accepts RPCs.
     Serving,
-    /// It takes no new RPCs.
+    /// The member accepts no new RPCs.
     Draining,
-    /// It is no member any more.
+    /// The instance is no longer a member.
     Deleted,
 }
 
 impl Instance {
-    /// Its state, in the terms of the routing core.
+    /// Returns the member's state, as the routing core defines it.
     pub fn state(&self) -> EndpointState {
         match self.lifecycle {
             Lifecycle::Serving => EndpointState::Active,
@@ -75,76 +77,77 @@
         }
     }
 
-    /// When its process started, by its own clock.
+    /// Returns when the member's process started, by the member's own clock; `None` if that is not known.
     pub fn started_at(&self) -> Option<Time> {
         (self.started_at_ms > 0.0).then(|| Time::from_nanos((self.started_at_ms * 1e6) as i64))
     }
 
-    /// Whether the list says that it is its group's primary.
+    /// Returns whether the list marks the member as its group's primary.
     pub fn is_primary(&self) -> bool {
         self.role.as_deref() == Some("leader")
     }
 }
 
-/// The HTTP request that opens a watch: what has changed since this generation, and whatever changes later.
+/// Returns the HTTP request that opens a watch. Discovery responds with the changes since `generation`, and then with
+/// each later change.
 pub fn watch_request(host: &str, generation: u64) -> String {
     format!("GET /catalog/members?watch=1&from={generation} HTTP/1.1\r\nHost: {host}\r\nAccept: */*\r\n\r\n")
 }
 
-/// Why a watch can't be read any further.
+/// The reason why a watch can't be read any further.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// The response's head is not HTTP/1.1.
+    /// The status line and headers of the response are not valid HTTP.
     #[error("bad head: {0}")]
     Head(httparse::Error),
-    /// Discovery did not answer with 200.
+    /// Discovery responded with a status other than 200.
     #[error("status {0}")]
     Status(u16),
-    /// The response is of another transfer encoding.
+    /// The response does not have the transfer encoding `chunked`.
     #[error("the answer is not chunked")]
     NotChunked,
     /// Discovery ended the response.
     #[error("the watch has ended")]
     Ended,
-    /// A chunk is too large for this machine.
+    /// The size of a chunk does not fit into the machine's `usize`.
     #[error("chunk too large")]
     ChunkTooLarge,
-    /// The line before a chunk is too long.
+    /// The size line of a chunk exceeds `MAX_CHUNK_HEAD_BYTES`.
     #[error("bad chunk")]
     ChunkHeadTooLong,
-    /// The line before a chunk gives no size.
+    /// The size line of a chunk contains no valid size.
     #[error("bad chunk size")]
     ChunkSize,
-    /// The chunk is longer than its size.
+    /// The bytes after a chunk are not the line break that ends it, so the chunk's size is wrong.
     #[error("a chunk does not end where it said")]
     ChunkEnd,
-    /// A line exceeds the limit.
+    /// An object, or an empty line, is longer than the limit.
     #[error("a line is too long")]
     LineTooLong,
-    /// A line is no listing.
+    /// A complete object is not a valid [`Listing`].
     #[error("bad line: {0}")]
     Line(#[source] serde_json::Error),
 }
 
-/// Where in the response the reader stands.
+/// The part of the response that the reader expects next.
 #[derive(Debug, Default)]
 enum Position {
     #[default]
     Head,
     ChunkHead,
-    /// So many bytes of a chunk are still to come.
+    /// The rest of a chunk, with the number of its bytes that have not been read.
     Chunk(usize),
     ChunkEnd,
 }
 
-/// Whether the reader got any further.
+/// The result of one parsing step.
 enum Step {
     Advanced,
     Listing(Listing),
     NeedsMoreBytes,
 }
 
-/// Reads the response of one watch as its bytes come.
+/// An incremental parser for the response to one watch.
 #[derive(Debug, Default)]
 pub struct WatchReader {
     position: Position,
@@ -153,7 +156,8 @@
     nesting: Nesting,
 }
 
-/// How deep in a JSON object the bytes so far end. An indented object takes many lines.
+/// The nesting depth at the end of the bytes read so far. It tells where an object ends, since an indented object takes
+/// many lines.
 #[derive(Debug, Default)]
 struct Nesting {
     depth: i64,
@@ -177,21 +181,22 @@
 }
 
 impl WatchReader {
-    /// Whether a line has been read that is not empty.
+    /// Returns whether a line that is not empty has been read.
     pub fn has_read_listing(&self) -> bool {
         self.has_read
     }
 
-    /// Whether the bytes so far end in the middle of an object.
+    /// Returns whether the bytes read so far end in the middle of an object.
     pub fn is_within_object(&self) -> bool {
         self.nesting.depth > 0
     }
 
-    /// Consumes what it can of the buffer; the next listing, or None when more bytes are needed.
+    /// Consumes bytes of the buffer up to the end of the next listing, and returns that listing. Returns `None` if more
+    /// bytes are needed.
     ///
     /// # Errors
     ///
-    /// The response has ended, can't be read, or has a line of more than `max_line_bytes`.
+    /// Fails if the response has ended, can't be parsed, or contains an object of more than `max_line_bytes`.
     pub fn read_listing(
         &mut self,
         buffer: &mut Buffer,
@@ -254,7 +259,7 @@
         }
     }
 
-    /// Reads up to the next line's end in a chunk of which `left` bytes are still to come.
+    /// Reads up to the next line break in a chunk of which `left` bytes have not been read.
     fn read_chunk(
         &mut self,
         buffer: &mut Buffer,
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -1,5 +1,6 @@
-//! Deliberately faulty routers: one switch each, set by `LADDERPASS_FAULTY`. The invariant checkers are tested against
-//! them. Only builds with the feature `faulty` have them, and no release is one.
+//! Deliberate faults of a router, of which `LADDERPASS_FAULTY` selects one. The invariant checkers are tested against
+//! routers with such a fault. Only builds with the feature `faulty` contain the faults, and no release has that
+//! feature.
 
 use ladderpass_admission as admission;
 use ladderpass_membership as membership;
@@ -7,29 +8,29 @@
 use ladderpass_routing::Span;
 use thiserror::Error;
 
-/// What a router does wrong.
+/// The fault that a router has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
-    /// Nothing.
+    /// The router has no fault.
     #[default]
     NotFaulty,
-    /// Takes a write whose connection was lost for one that never ran, and sends it again.
+    /// Treats a write whose connection was lost as one that never ran, and sends it again.
     Resends,
     /// Answers a client twice.
     AnswersTwice,
-    /// Goes on with an RPC for a second past its client's deadline.
+    /// Continues an RPC for one second past its client's deadline.
     AnswersLate,
-    /// Forwards a row whose column is not as long as it says.
+    /// Forwards a row whose column is not as long as its length field states.
     ForwardsTornRows,
-    /// Takes every reported position for up to date.
+    /// Treats every reported position as up to date.
     IgnoresLag,
-    /// Goes on sending to draining members.
+    /// Continues to send RPCs to draining members.
     IgnoresDrains,
-    /// Sends as much to members that are warming up as to the others.
+    /// Sends as many RPCs to members that are warming up as to the others.
     IgnoresWarmUp,
-    /// Uses a connection again on which an answer may still be under way.
+    /// Reuses a connection on which an answer may still arrive.
     ReusesBusyConnections,
-    /// Forwards what there is of a message whose length is impossible.
+    /// Forwards the received part of a message whose length is impossible.
     TrustsLengths,
     /// Exits at SIGTERM with RPCs in flight.
     DropsRequestsAtStop,
@@ -41,23 +42,23 @@
     RetryBudget(retry_budget::Faulty),
 }
 
-/// An environment variable for faulty routers that can't be read.
+/// An environment variable for faulty routers has an invalid value.
 #[derive(Debug, Error)]
 pub enum FaultyError {
-    /// It names no fault.
+    /// `LADDERPASS_FAULTY` is not the name of a fault.
     #[error("LADDERPASS_FAULTY: {0:?} is no switch")]
     UnknownSwitch(String),
-    /// It is no number of milliseconds.
+    /// `LADDERPASS_CLOCK_MS` is not a number of milliseconds.
     #[error("LADDERPASS_CLOCK_MS: {0:?} is no number")]
     ClockOffset(String),
 }
 
 impl Faulty {
-    /// The fault with this name in `LADDERPASS_FAULTY`.
+    /// Returns the fault that the value of `LADDERPASS_FAULTY` names.
     ///
     /// # Errors
     ///
-    /// There is no such name.
+    /// Fails if no fault has this name.
     pub fn read(name: Option<String>) -> Result<Faulty, FaultyError> {
         match name.as_deref().filter(|_| cfg!(feature = "faulty")) {
             None => Ok(Faulty::NotFaulty),
@@ -88,12 +89,13 @@
         }
     }
 
-    /// Whether the router has this fault. Never without the feature, so that the compiler leaves the fault out.
+    /// Returns whether the router has this fault. Without the feature this is always false, so the compiler removes the
+    /// code of the fault.
     pub fn is(self, other: Faulty) -> bool {
         cfg!(feature = "faulty") && self == other
     }
 
-    /// The fault of the shared retry budget, if that is where it is.
+    /// Returns the fault of the shared retry budget, or its `NotFaulty`.
     pub fn retry_budget(self) -> retry_budget::Faulty {
         match self {
             Faulty::RetryBudget(faulty) if cfg!(feature = "faulty") => faulty,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// The fault of the shared admission control, if that is where it is.
+    /// Returns the fault of the shared admission control, or its `NotFaulty`.
     pub fn admission(self) -> admission::Faulty {
         match self {
             Faulty::Admission(faulty) if cfg!(feature = "faulty") => faulty,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// The fault of the membership protocol, if that is where it is.
+    /// Returns the fault of the membership protocol, or its `NotFaulty`.
     pub fn membership(self) -> membership::Faulty {
         match self {
             Faulty::Membership(faulty) if cfg!(feature = "faulty") => faulty,
@@ -118,11 +120,12 @@
     }
 }
 
-/// How far the wall clock is off by `LADDERPASS_CLOCK_MS`: a machine whose clock was stepped. Zero without the feature.
+/// Returns the offset of the wall clock that `LADDERPASS_CLOCK_MS` sets, which simulates a machine whose clock is
+/// wrong. Without the feature the offset is zero.
 ///
 /// # Errors
 ///
-/// The value is no number of milliseconds.
+/// Fails if the value is not a number of milliseconds.
 pub fn clock_offset(value: Option<String>) -> Result<Span, FaultyError> {
     let Some(text) = value.filter(|_| cfg!(feature = "faulty")) else { return Ok(Span::ZERO) };
     let ms = text.parse::<i32>().map_err(|_| FaultyError::ClockOffset(text))?;
--- a/crates/ladderpass/src/io_errors.rs
+++ b/crates/ladderpass/src/io_errors.rs
@@ -1,23 +1,24 @@
-//! Errors of system calls: which ones are transient, so that the call is worth making again.
+//! Classifies errors of system calls: which ones are transient, so that the call may succeed when it is made again.
 
 use nix::errno::Errno;
 use std::io;
 
-/// Whether an error on an open connection says only that the kernel had no memory for the call, or that a signal came:
-/// the connection itself is sound.
+/// Returns whether an error on an open connection only means that the kernel had no memory for the call, or that a
+/// signal interrupted it. The connection itself still works then.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(errno(error), Some(Errno::ENOMEM | Errno::ENOBUFS | Errno::EINTR))
 }
 
-/// Whether descriptors, ports or memory are used up. Any other error of an accept or a connect is that one
-/// connection's, which ended while it waited, or the other side's.
+/// Returns whether descriptors, ports or memory are exhausted. Any other error of an accept or a connect concerns that
+/// one connection, which ended while it waited, or the other side.
 pub fn is_resource_exhausted(error: &io::Error) -> bool {
     use Errno::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC};
     matches!(errno(error), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EADDRNOTAVAIL))
 }
 
-/// Whether a start that failed may succeed later: other processes may release descriptors and memory, and an address
-/// that is in use may belong to a process that is about to end.
+/// Returns whether a start that failed may succeed later. Other processes may release descriptors and memory, and an
+/// address that is in use may belong to a process that is about to end. An address that this machine does not have
+/// (`EADDRNOTAVAIL`) is a lasting error here.
 pub fn is_transient_at_start(error: &io::Error) -> bool {
     let address = matches!(errno(error), Some(Errno::EADDRNOTAVAIL));
     !address
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -1,8 +1,8 @@
-//! The configuration that a router starts with, and reads again in full at SIGHUP: the variables `RELAY_*`, the JSON file
-//! that `RELAY_CONFIG` names, and the operator's file. All defaults are filled in here.
+//! The configuration that a router reads at its start, and again in full at SIGHUP: the variables `RELAY_*`, the JSON
+//! file that `RELAY_CONFIG` names, and the operator's file. All defaults are filled in here.
 //!
-//! No other module reads the environment. What is wrong is reported whole, one error a line; after an error nothing
-//! of it is used.
+//! No other module interprets environment variables, except that `main.rs` reads `RUST_LOG`. All errors are reported
+//! together, one per line, and a configuration with an error is not used at all.
 
 mod environment;
 mod errors;
@@ -27,38 +27,39 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a start waits for files that can't be opened for a moment, such as for want of descriptors.
+/// How long a start waits for files that temporarily can't be read, for example because the system is out of
+/// descriptors.
 const START_RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Everything that a router is configured with.
+/// The complete configuration of a router.
 #[derive(Debug)]
 pub struct Launch {
-    /// Address of discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// What holds until a restart.
+    /// The part that only a restart changes.
     pub fixed: Fixed,
-    /// Seed of the random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The endpoint list to start with, until discovery has sent another.
+    /// The endpoint list that the router uses until discovery has sent one.
     pub cached_endpoints: Listing,
-    /// Settings of the deployment.
+    /// The settings of the deployment.
     pub settings: DeploymentSettings,
-    /// Sizes, counts and timeouts of this router.
+    /// The sizes, counts and timeouts of this router.
     pub limits: Limits,
-    /// What overload is measured against.
+    /// The resources relative to which overload is measured.
     pub resource_limits: ResourceLimits,
-    /// Descriptors as configured; the process may be allowed fewer.
+    /// The configured number of descriptors. The system may allow the process fewer.
     pub configured_sockets: usize,
-    /// Settings of the installation.
+    /// The settings of the operator's file.
     pub operator: Operator,
-    /// What a build for fault injection does wrong.
+    /// The fault of a build for fault injection.
     pub faulty: Faulty,
-    /// By how much the wall clock is off, in a build for fault injection.
+    /// The offset of the wall clock in a build for fault injection.
     pub clock_offset: Span,
 }
 
-/// What a running process can't change any more.
+/// The part of the configuration that a running process can't change.
 #[derive(Debug)]
 pub struct Fixed {
     /// The router's name.
@@ -69,7 +70,7 @@
 }
 
 impl Fixed {
-    /// The variables and keys whose values differ: they wait for a restart.
+    /// Returns the variables and keys whose values differ. These changes take effect only after a restart.
     pub fn differing(&self, other: &Fixed) -> Vec<String> {
         let mut keys = Vec::new();
         if self.name != other.name {
@@ -88,10 +89,11 @@
 }
 
 impl Launch {
-    /// Reads the configuration at the start, and waits a while for files that can't be opened for a moment.
+    /// Reads the configuration at the start of the process. Waits up to `START_RETRY_TIMEOUT` for files that
+    /// temporarily can't be read.
     ///
     /// # Errors
-    /// As [`Launch::read`].
+    /// The same as of [`Launch::read`].
     pub fn read_at_start(
         variable: impl Fn(&str) -> Option<String>,
         operator_path: Option<&Path>,
@@ -108,11 +110,11 @@
         Launch::read(variable, operator_path)
     }
 
-    /// Reads the configuration from the variables that `variable` gives, the file that one of them names, and the
-    /// operator's file.
+    /// Reads the configuration from the environment variables that `variable` returns, the file that `RELAY_CONFIG`
+    /// names, and the operator's file.
     ///
     /// # Errors
-    /// Everything that is wrong with it: one wrong part hides no error of another.
+    /// Returns the errors of all parts: an error in one part hides no error in another.
     pub fn read(
         variable: impl Fn(&str) -> Option<String>,
         operator_path: Option<&Path>,
@@ -132,18 +134,20 @@
         }
     }
 
-    /// What holds, defaults included, one thing a line.
+    /// Returns the effective configuration, defaults included, with one value per line.
     pub fn summary(&self) -> String {
         summary::summarize(self)
     }
 
-    /// The configuration without the operator's file; none where a part of it could not be read.
+    /// Combines the parts of the configuration, without the operator's file. Returns `None` if a part could not be
+    /// read.
     fn assemble(environment: Environment, file: ConfigFile, injection: FaultInjection) -> Option<Launch> {
         let mut settings = file.settings;
         let descriptors = file.sockets.min(open_file_limit());
         let limits = Limits::of(file.memory_mb, descriptors, &settings);
-        // On sockets nothing comes unasked, also where the settings say that lists are pushed. There the endpoint list
-        // of discovery counts as known to the router at once, so a lost watch has to be back within the drain grace.
+        // A router on sockets receives the endpoint list only in response to a request, even if the settings say that
+        // lists are pushed. With those settings, a change of discovery's list counts as known to the router
+        // immediately, so a lost watch must be replaced within the drain grace.
         settings
             .deployment
             .endpoint_poll_interval
@@ -172,11 +176,11 @@
     }
 
     fn set_operator(&mut self, operator: Operator) {
-        // The users' protocol has no messages between routers: their addresses come from the operator.
+        // The platform's protocol has no messages between routers, so the operator's file gives the routers' addresses.
         let deployment = &mut self.settings.deployment;
         deployment.gossip = operator.peers.is_some();
         if let Some(peers) = &operator.peers {
-            // Until the routers have found each other there are as many as are listed.
+            // Until the routers have found each other, the number of listed routers serves as their count.
             let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
             (deployment.router_index, deployment.router_count) = (0, others as u32 + 1);
         }
@@ -208,8 +212,8 @@
     }
 }
 
-/// Descriptors that the system lets this process open. Where these are fewer than configured, clients, who may always
-/// be more, would otherwise take the last ones from discovery, health checks and attempts.
+/// Returns how many descriptors the system lets this process open. If these are fewer than configured, clients would
+/// otherwise take the last ones from discovery, health checks and attempts, since any number of clients may connect.
 fn open_file_limit() -> usize {
     let limit = getrlimit(Resource::RLIMIT_NOFILE).map_or(u64::MAX, |(soft, _)| soft);
     usize::try_from(limit).unwrap_or(usize::MAX)
--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -1,20 +1,20 @@
-//! The environment variables `RELAY_*`, and those of builds for fault injection.
+//! The environment variables `RELAY_*`, and the variables of builds for fault injection.
 
 use super::errors::{AddressError, LaunchError, LaunchErrors};
 use crate::faulty::{self, Faulty};
 use ladderpass_routing::Span;
 use std::net::SocketAddr;
 
-/// Name of the variable with the path of the JSON file.
+/// The name of the variable with the path of the JSON file.
 pub(super) const CONFIG_PATH: &str = "RELAY_CONFIG";
-/// Name of the variable with the router's name.
+/// The name of the variable with the router's name.
 pub(super) const ROUTER_NAME: &str = "RELAY_NAME";
-/// Name of the variable with the address that clients connect to.
+/// The name of the variable with the address that clients connect to.
 pub(super) const LISTEN_ADDRESS: &str = "RELAY_LISTEN";
 
 const DISCOVERY_ADDRESS: &str = "RELAY_DISCOVERY";
 
-/// The values of the variables that every router needs; none for one that is missing or wrong.
+/// The values of the variables that every router needs. A value that is missing or invalid is `None`.
 pub(super) struct Environment {
     pub(super) name: Option<String>,
     pub(super) listen: Option<SocketAddr>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a build for fault injection does wrong; nothing in a release.
+/// The settings of a build for fault injection. In other builds both have no effect. An invalid value is `None`.
 pub(super) struct FaultInjection {
     pub(super) faulty: Option<Faulty>,
     pub(super) clock_offset: Option<Span>,
@@ -62,7 +62,7 @@
     text.parse().map_err(|_| AddressError { key, text: text.to_owned() })
 }
 
-/// The value of a variable that must be set, and not be empty.
+/// Returns the value of a variable, or an error if it is not set or is empty.
 fn require(
     variable: &impl Fn(&str) -> Option<String>,
     name: &'static str,
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of the configuration that a router starts with. Each prints as one line with the variable or the file, the key
-//! and what is allowed.
+//! Errors of the configuration that a router starts with. Each names the variable or the file, the key and, where there
+//! is one, the allowed range. An error prints as one line, unless it quotes text that has several.
 
 use crate::faulty::FaultyError;
 use ladderpass_config::operator::OperatorFileError;
@@ -8,32 +8,32 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Everything that is wrong with the configuration.
+/// All errors of the configuration.
 pub type LaunchErrors = ErrorList<LaunchError>;
 
-/// Everything that is wrong with the file that `RELAY_CONFIG` names.
+/// All errors of the file that `RELAY_CONFIG` names.
 pub(super) type ConfigFileErrors = ErrorList<ConfigFileError>;
 
-/// One thing that is wrong with the configuration.
+/// An error of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
-    /// A variable that is needed is not set, or is empty.
+    /// A required variable is not set, or is empty.
     #[error("{variable}: not set; needed is {needed}")]
     NotSet {
         /// The variable's name.
         variable: &'static str,
-        /// What it should hold.
+        /// A description of the expected value.
         needed: &'static str,
     },
-    /// A variable holds no address.
+    /// The value of a variable is not an address.
     #[error(transparent)]
     Address(#[from] AddressError),
-    /// The file that `RELAY_CONFIG` names.
+    /// The file that `RELAY_CONFIG` names has an error.
     #[error("{}", prefix_lines(&format!("RELAY_CONFIG: {}: ", .path), .error))]
     ConfigFile {
         /// The file's path.
         path: String,
-        /// What is wrong with it.
+        /// The error of the file.
         error: ConfigFileError,
     },
     /// The operator's file can't be read.
@@ -44,20 +44,20 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The operator's file holds something that is not allowed.
+    /// The operator's file has an error.
     #[error("{}: {error}", .path.display())]
     OperatorFile {
         /// The file's path.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error of the file.
         error: OperatorFileError,
     },
-    /// A variable of builds for fault injection, with its name.
+    /// A variable of builds for fault injection is invalid; the error's text names it.
     #[error("{0}")]
     FaultInjection(#[from] FaultyError),
 }
 
-/// One thing that is wrong with the file that `RELAY_CONFIG` names.
+/// An error of the file that `RELAY_CONFIG` names.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file can't be read.
@@ -66,35 +66,35 @@
     /// The file is not JSON, or a value is missing or has another type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The seed of the random numbers.
+    /// The seed of the random number generator is invalid.
     #[error("seed: {0:?} is not a number in hex of at most 64 bits")]
     Seed(String),
-    /// The address of discovery.
+    /// The address of discovery is invalid.
     #[error(transparent)]
     Address(#[from] AddressError),
-    /// The memory that the router may use, in MiB.
+    /// The memory that the router may use, in MiB, is out of range.
     #[error("limits.memory_mb: must be above 0, and at most {max}")]
     Memory {
-        /// The most that is allowed.
+        /// The largest allowed value.
         max: u64,
     },
-    /// The descriptors that the router may open.
+    /// The number of descriptors that the router may open is too small.
     #[error("limits.sockets: {sockets} is less than the {min} needed")]
     Sockets {
-        /// The number that was read.
+        /// The configured value.
         sockets: usize,
-        /// The least that is allowed.
+        /// The smallest allowed value.
         min: usize,
     },
-    /// The cores that the router may use.
+    /// The number of cores that the router may use is out of range.
     #[error("limits.cores: {cores} is not above 0 and up to {max}")]
     Cores {
-        /// The number that was read.
+        /// The configured value.
         cores: f64,
-        /// The most that is allowed.
+        /// The largest allowed value.
         max: f64,
     },
-    /// The settings of the deployment.
+    /// The settings of the deployment have an error.
     #[error("settings.{0}")]
     Settings(#[from] SettingsError),
 }
@@ -103,13 +103,14 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {text:?} is no address and port; allowed is address:port")]
 pub struct AddressError {
-    /// The variable or key.
+    /// The name of the variable or key.
     pub key: &'static str,
-    /// The text that was read.
+    /// The invalid text.
     pub text: String,
 }
 
-/// The text of an error with a prefix before each line: JSON errors quote what was read, which may have several.
+/// Returns the text of an error with a prefix before each line. The text may have several lines, because JSON errors
+/// quote the input.
 fn prefix_lines(prefix: &str, error: &impl Display) -> String {
     error.to_string().lines().map(|line| format!("{prefix}{line}")).collect::<Vec<_>>().join("\n")
 }
--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -1,5 +1,5 @@
-//! The JSON file that `RELAY_CONFIG` names: seed, limits of the machine, the cached endpoint list, and the settings of
-//! the deployment.
+//! The JSON file that `RELAY_CONFIG` names. It contains the seed, the limits of the machine, the cached endpoint list,
+//! the settings of the deployment and, optionally, the address of discovery.
 
 use super::environment::parse_address;
 use super::errors::{ConfigFileError, ConfigFileErrors};
@@ -14,9 +14,9 @@
 const DEFAULT_CORES: f64 = 1.0;
 const MAX_CORES: f64 = 1024.0;
 
-/// What the file says, checked.
+/// The checked content of the file.
 pub(super) struct ConfigFile {
-    /// Goes before `RELAY_DISCOVERY`, which can't be changed while a process runs.
+    /// The address of discovery. It overrides `RELAY_DISCOVERY`, which can't be changed while the process runs.
     pub(super) discovery: Option<SocketAddr>,
     pub(super) seed: u64,
     pub(super) cores: f64,
@@ -24,11 +24,12 @@
     pub(super) sockets: usize,
     pub(super) cached_endpoints: Listing,
     pub(super) settings: DeploymentSettings,
-    /// The settings as they stand in the file.
+    /// The unparsed settings, to find the keys that differ after a reload.
     pub(super) settings_json: Value,
 }
 
-/// Wire shape of the file. serde prints the struct's name in its errors, so it keeps the name that operators have seen.
+/// The structure of the JSON file. serde prints the name of this struct in error messages, so the name stays as
+/// operators have seen it.
 #[derive(Deserialize)]
 struct Told {
     discovery: Option<String>,
@@ -39,7 +40,7 @@
     settings: Value,
 }
 
-/// What the machine allows.
+/// The resources of the machine that the router may use. serde prints the name of this struct, too.
 #[derive(Deserialize)]
 struct Allowed {
     cores: Option<f64>,
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -1,4 +1,4 @@
-//! What `ladderpass check` prints: the configuration that holds, defaults included, one thing a line.
+//! The output of `ladderpass check`: the effective configuration, defaults included, with one value per line.
 
 use super::Launch;
 use ladderpass_config::operator::{Operator, Peers};
@@ -6,7 +6,7 @@
 use ladderpass_routing::{Consistency, Idempotency, Span};
 use std::fmt::Write;
 
-/// Lines of a key and its value.
+/// A text table with one key and its value per line.
 #[derive(Default)]
 struct Table(String);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The configuration, one line a thing.
+/// Returns the effective configuration with one value per line.
 pub(super) fn summarize(launch: &Launch) -> String {
     let mut table = Table::default();
     add_launch(&mut table, launch);
@@ -59,7 +59,8 @@
     }
 }
 
-/// Operators may compare what is printed, so the words don't follow the names in the code.
+/// Describes a consistency level. Operators may compare the output of two versions, so these words stay when names in
+/// the code change.
 fn describe_consistency(consistency: Consistency) -> String {
     match consistency {
         Consistency::Any => "Any".to_owned(),
@@ -70,6 +71,7 @@
     }
 }
 
+/// Describes the idempotency of a method, in words that stay as those of `describe_consistency` do.
 fn describe_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Idempotent".to_owned(),
--- a/crates/ladderpass/src/lib.rs
+++ b/crates/ladderpass/src/lib.rs
@@ -1,7 +1,7 @@
-//! The router as a library: the process (`main.rs`) runs it on sockets, simulations run it without any.
+//! The router as a library. The process (`main.rs`) runs it on sockets, and simulations run it without sockets.
 //!
-//! Events go one way: `sockets` turns readiness, timers and signals into events, and hands them to `reducer`, which
-//! holds all state and returns effects for `sockets` to carry out.
+//! Data flows in one direction: `sockets` turns readiness, timers and signals into events and passes them to `reducer`,
+//! which holds all state and returns effects for `sockets` to carry out.
 
 pub mod buffer;
 mod connection_table;
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -1,7 +1,7 @@
 //! Resource limits and timeouts of a router on sockets: sizes in bytes, counts, and durations.
 //!
-//! They follow from the machine's allowance and the settings, are filled in once at the start, and are handed to the
-//! modules that keep them. Values that decide where or when an RPC goes are in `ladderpass-routing`.
+//! They are computed from the machine's resources and the settings whenever the configuration is read, at the start and
+//! at SIGHUP. Values that decide where or when an RPC is sent are in `ladderpass-routing`.
 
 use ladderpass_config::DeploymentSettings;
 use ladderpass_routing::Span;
@@ -11,65 +11,72 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     // Memory of buffers, in bytes.
-    /// First size of a buffer, which grows up to its limit.
+    /// The first size of a buffer, which then grows up to its limit.
     pub buffer_initial_bytes: usize,
-    /// Largest input buffer of a client: statements that it has sent ahead of the answers.
+    /// The largest input buffer of a client, which holds statements that the client sent before it had the answers to
+    /// the earlier ones.
     pub client_buffer_bytes: usize,
-    /// Largest input buffer of a member's connection: one answer.
+    /// The largest input buffer of a member's connection, which holds one answer.
     pub member_buffer_bytes: usize,
-    /// Largest input buffer of the watch of discovery.
+    /// The largest input buffer of the watch of discovery.
     pub discovery_buffer_bytes: usize,
-    /// Longest line of discovery: the complete endpoint list.
+    /// The longest object that discovery may send, which is the complete endpoint list.
     pub discovery_line_bytes: usize,
-    /// Longest first message of a client.
+    /// The longest first message of a client.
     pub startup_message_bytes: usize,
-    /// Longest statement with its frame; a longer one is rejected by its head.
+    /// The longest statement, including its frame. A longer one is rejected as soon as its frame header has arrived.
     pub statement_bytes: usize,
-    /// Memory of all buffers together, in bytes, above which those of clients don't grow. Less than
+    /// The total memory of all buffers above which buffers of clients don't grow. It is less than
     /// `pause_members_at_buffer_bytes`, so that statements wait before answers do.
     pub pause_clients_at_buffer_bytes: usize,
-    /// Memory of all buffers above which none grows.
+    /// The total memory of all buffers above which no buffer grows.
     pub pause_members_at_buffer_bytes: usize,
-    /// How long a statement waits for memory to be read into, before it is rejected.
+    /// How long the rest of a statement may wait for buffer memory before the statement is rejected.
     pub memory_wait_timeout: Span,
 
     // Connections.
-    /// Connections of clients and members together; members have those that clients leave.
+    /// The most connections of clients and members together. Members may use those that clients do not use.
     pub connections: usize,
-    /// Clients that are served. Above it, and up to `clients_accepted`, new ones are rejected at their first statement.
+    /// The most clients that are served. Above this, and up to `clients_accepted`, new clients are rejected at their
+    /// first statement.
     pub clients: usize,
-    /// Clients that are connected; above it none is accepted.
+    /// The most clients that are connected. At this number no further client is accepted.
     pub clients_accepted: usize,
-    /// Clients from which on those that have waited for `eviction_ages` are closed: other clients, and members, may need
-    /// the descriptors.
+    /// The number of clients above which those that have been waited for as long as `eviction_ages` are closed, because
+    /// other clients and members may need the descriptors.
     pub clients_before_eviction: usize,
-    /// How long a client may be waited for under eviction: to open its connection, to end a statement, and to begin one.
+    /// How long the router waits for a client before it may evict it: for the startup message, for the rest of a
+    /// statement, and for the next statement.
     pub eviction_ages: [Span; 3],
-    /// Connections beyond `connections` while evicted clients close, which takes one more event loop iteration.
+    /// How many connections beyond `connections` are allowed while evicted clients are being closed, which takes one
+    /// more iteration of the event loop.
     pub evicting_clients: usize,
-    /// Evictions for one connection that there was no descriptor for. If something else is missing, each further one
-    /// would close a client in vain.
+    /// How many other connections are closed at most to free a descriptor for one connect that was denied. If the
+    /// system lacks something other than descriptors, closing more of them would not help.
     pub evictions_per_denial: u8,
-    /// Pause after a connection that there was no descriptor for, and nothing to evict; also of the listener after an
-    /// accept that failed.
+    /// The pause before the connect of the watch is retried when it was denied and no other connection could be closed
+    /// for it. It is also the longest time for which the listener is suspended after an accept failed for lack of
+    /// resources.
     pub denied_connect_backoff: Span,
-    /// Idle time after which a client is closed in any case.
+    /// The idle time after which a client is closed however few clients there are.
     pub client_idle_timeout: Span,
-    /// Errors of a client that are answered; the next one closes its connection.
+    /// The number of errors after which a client may continue. The next one closes its connection.
     pub client_errors: u32,
-    /// Pause before a client is read again after its first error; doubled with each further one.
+    /// The pause before the router continues to read a client after its first error. It doubles with each further
+    /// error.
     pub client_error_backoff: Span,
-    /// Connections that the kernel accepts ahead of the router.
+    /// The number of connections that the kernel queues until the router accepts them.
     pub backlog: i32,
 
     // RPCs.
-    /// RPCs in flight.
+    /// The most RPCs that may be in flight.
     pub rpcs_in_flight: usize,
-    /// Ids of RPCs, in flight or ended, that are remembered, by which a client's second copy of an RPC is recognized.
+    /// The number of ids of RPCs, in flight or ended, that are remembered to recognize a second copy of an RPC from a
+    /// client.
     pub remembered_ids: usize,
-    /// How long past its deadline an RPC's id is remembered.
+    /// How long the id of an RPC is remembered after the RPC's deadline.
     pub remembered_id_ttl: Span,
-    /// Part of an RPC's time that the router needs itself, to write the answer before the deadline.
+    /// The time before an RPC's deadline that the router reserves for itself, to write the answer in time.
     pub answer_margin: Span,
 
     // Calls to members.
@@ -77,100 +84,109 @@
     pub connect_timeout: Span,
     /// How long a health check may take.
     pub health_check_timeout: Span,
-    /// Idle time after which a pooled connection is closed; shorter than the member's own, which would cross a statement.
+    /// The idle time after which a pooled connection is closed. It is shorter than the member's own idle timeout:
+    /// otherwise the member could close the connection just as a statement is sent on it.
     pub member_idle_timeout: Span,
-    /// How long a decision may wait to be sent where it depends on the time (bounded staleness, a session's write, or a
-    /// further attempt within the window of its idempotency key); then it is made again.
+    /// How long a routing decision that depends on the time may wait before its attempt is sent. After that it is
+    /// checked again. A decision depends on the time with bounded staleness, with a session's write, and for a further
+    /// attempt within the window of its idempotency key. This is also the longest time that writing a statement may
+    /// take if the data must have reached a position.
     pub fresh_send_timeout: Span,
-    /// How long any other statement may take to be written: it carries the time that is left.
+    /// How long any other statement may take to be written, since it contains the remaining time of the RPC.
     pub write_timeout: Span,
-    /// How long the rest of an answer that has begun may take.
+    /// How long an answer may take from its beginning to its end, and how long the sync query after it may take.
     pub partial_answer_timeout: Span,
-    /// How far ahead of this router a replication position may be; clocks of members are never further ahead.
+    /// How far a replication position may be ahead of this router's clock, corrected by the known clock difference. The
+    /// clocks of members are never further ahead.
     pub max_clock_lead: Span,
 
-    // Clients that are slow.
-    /// How long a client may take for its first message, and for the rest of a message that has begun.
+    // Slow clients.
+    /// How long a client may take to send its first message, and the rest of a message that has begun.
     pub message_timeout: Span,
     /// How long a client may take to read an answer.
     pub unread_answer_timeout: Span,
-    /// How long the socket of a client that overran its buffer must be empty before it counts as read. Longer than a
-    /// round trip: the client's kernel may have kept the rest back until there was room.
+    /// How long the socket of a client that filled its input buffer must stay empty before all that the client had sent
+    /// counts as read. This is longer than a round trip, because the client's kernel may have held back the rest until
+    /// the receive window opened.
     pub refill_quiet_time: Span,
 
     // The watch of discovery.
-    /// How long a watch may go without a byte until its first line is complete; in all it has `watch_silence_timeout`.
+    /// How long a watch may go without a byte before its first list is complete. The first list may take no longer than
+    /// `watch_silence_timeout` in total.
     pub watch_answer_timeout: Span,
-    /// How long a watch without an answer is kept beside the next one. A busy discovery answers or rejects within 2 s.
+    /// How long after its request a watch without an answer stays open in parallel with the next one. An overloaded
+    /// discovery answers or rejects a request within 2 s.
     pub late_watch_timeout: Span,
-    /// How long a watch may be silent before it has failed. The protocol has an empty line every 2 s, and leaves 6 s
-    /// (`notified_within`) for two further calls.
+    /// How long a watch may be silent before it counts as failed. In the protocol, discovery sends an empty line every
+    /// 2 s, and the 6 s of `notified_within` leave time for two further requests.
     pub watch_silence_timeout: Span,
-    /// Time after a change from which on a router counts as notified of it, by the protocol.
+    /// The time after a change of the endpoint list from which on the protocol counts a router as notified of it.
     pub notified_within: Span,
 
     // The event loop.
-    /// Connections accepted in one go, so that clients that are connected get their turn.
+    /// How many connections are accepted per event, so that clients that are already connected are not delayed.
     pub accepts_per_event: usize,
-    /// Reads from one connection in one go, so that others get their turn.
+    /// How many reads are made from one connection per event, so that the other connections are not delayed.
     pub reads_per_event: usize,
-    /// Sockets that are handled before the reducer's tick.
+    /// How many ready sockets are handled before the reducer's next tick.
     pub sockets_per_iteration: usize,
-    /// Statements of one connection that are handled before the others get their turn.
+    /// How many messages of one client are handled per iteration, so that the other clients are not delayed.
     pub statements_per_iteration: usize,
-    /// How long the event loop waits at most, so that a stall of the process shows.
+    /// The longest time that the event loop waits, so that a stall of the process is noticed.
     pub max_poll_wait: Duration,
-    /// How long past its wait the event loop may wake before that counts as a stall.
+    /// How late the event loop must wake from its wait for the delay to count as a stall.
     pub stall_threshold: Duration,
-    /// Sockets that were polled longer ago are polled again before a deadline counts.
+    /// The longest time since the last poll of the sockets. If it is exceeded, they are polled again before any
+    /// deadline is checked.
     pub max_poll_age: Duration,
-    /// Pause before a system call that failed for a moment is made again.
+    /// The pause before a system call that failed temporarily is made again.
     pub failed_call_backoff: Duration,
-    /// How long the event loop's own calls may fail before the process ends.
+    /// How long the event loop's own system calls may fail before the process ends.
     pub event_loop_failure_timeout: Duration,
     /// How often statistics are logged.
     pub stats_interval: Span,
 
     // Start, reload and stop.
-    /// Pause before a start opens again what it could not open for a moment.
+    /// The pause before a start that failed temporarily is retried.
     pub start_retry_interval: Duration,
-    /// How long a start does so.
+    /// How long a start is retried.
     pub start_retry_timeout: Duration,
-    /// Retries of a configuration that could not be read at SIGHUP.
+    /// The retries of a configuration that could not be read at SIGHUP.
     pub reload_retry: ReloadRetry,
-    /// Idle time after which a client is closed that awaited a statement when the stop began.
+    /// The idle time after which a client is closed if the router awaited its next statement when the shutdown began.
     pub shutdown_idle_time: Span,
-    /// How long a stop accepts connections and RPCs. SIGKILL may come 0.7 s after the longest deadline; the process ends
-    /// once nothing is in flight.
+    /// How long connections and RPCs are accepted after a shutdown has begun. SIGKILL may come 0.7 s after the longest
+    /// deadline. The process ends once nothing is in flight.
     pub shutdown_accept_time: Span,
 }
 
-/// Retries of a configuration that could not be read at SIGHUP.
+/// The retries of a configuration that could not be read at SIGHUP.
 #[derive(Clone, Copy, Debug)]
 pub struct ReloadRetry {
-    /// Pause between two retries.
+    /// The pause between two retries.
     pub interval: Duration,
-    /// How long they go on. By the protocol, a router counts as notified of a new configuration after 4 s.
+    /// How long the retries continue. The protocol counts a router as notified of a new configuration after 4 s.
     pub timeout: Duration,
 }
 
-/// Longest value of the protocol.
+/// The longest value in the protocol.
 const VALUE_BYTES: usize = 64 << 10;
-/// What a statement or an answer has beside its value.
+/// The number of bytes that a statement or an answer may have in addition to its value.
 const FRAME_BYTES: usize = 8 << 10;
-/// In hex a value takes twice its size.
+/// The longest statement or answer. A value in hex takes twice its size.
 const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + FRAME_BYTES;
-/// What a buffer has beside complete statements, so that the head of the next one fits.
+/// The space that an input buffer has in addition to complete messages, so that the beginning of the next message fits.
 const BUFFER_SLACK_BYTES: usize = 16 << 10;
-/// Statements that a client may send ahead.
+/// The number of statements that a client's input buffer has space for.
 const STATEMENTS_AHEAD: usize = 4;
-/// Standard streams, event loop, signals, listener, discovery, and what the runtime opens.
+/// The descriptors reserved for the standard streams, the event loop, signals, the listener, discovery, and those that
+/// the runtime opens.
 const RESERVED_DESCRIPTORS: usize = 32;
 const MIN_CONNECTIONS: usize = 8;
-/// Share of the member's own idle timeout after which a pooled connection is closed.
+/// The share of the member's own idle timeout after which a pooled connection is closed.
 const MEMBER_IDLE_SHARE: f64 = 0.8;
 
-/// Limits for a machine and settings that set none.
+/// The limits that apply if neither the machine nor the settings determine them.
 const DEFAULTS: Limits = Limits {
     buffer_initial_bytes: 4 << 10,
     client_buffer_bytes: STATEMENTS_AHEAD * STATEMENT_BYTES + BUFFER_SLACK_BYTES,
@@ -230,7 +246,7 @@
 };
 
 impl Limits {
-    /// The limits of a router that may use `memory_mb` MiB of memory and may open `descriptors`.
+    /// Returns the limits of a router that may use `memory_mb` MiB of memory and open `descriptors` descriptors.
     pub fn of(memory_mb: u64, descriptors: usize, settings: &DeploymentSettings) -> Limits {
         let memory = usize::try_from(memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20);
         let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -1,4 +1,4 @@
-//! The router's process: its command line, its log, and its start.
+//! The router's process: command line, log setup and start.
 
 use clap::{Parser, Subcommand};
 use ladderpass::{launch, sockets};
@@ -71,13 +71,14 @@
     }
 }
 
-/// Logs what is wrong, a line each.
+/// Logs each line of the errors' text, and returns the exit code of a failure.
 fn exit_with_errors(errors: &impl Display) -> ExitCode {
     errors.to_string().lines().for_each(|error| tracing::error!("{error}"));
     ExitCode::FAILURE
 }
 
-/// Logs to standard error. A span is logged when it closes, with its duration; spans are made at debug only.
+/// Sets up the log, which goes to standard error. A span is logged with its duration when it closes. The router creates
+/// spans at debug level only.
 fn start_log(json: bool) {
     let filter = std::env::var("RUST_LOG").unwrap_or_default();
     let filter = if filter.is_empty() { "info" } else { &filter };
--- a/crates/ladderpass/src/pg/error_response.rs
+++ b/crates/ladderpass/src/pg/error_response.rs
@@ -1,28 +1,28 @@
-//! ErrorResponse messages: those of members are read, and the router's own are written.
+//! ErrorResponse messages. The router parses those of members, and writes its own.
 
 use super::frame::put_ready;
 use super::primitives::{Malformed, split_text};
 use std::io::Write;
 
-/// Length of an SQLSTATE.
+/// The length of an SQLSTATE code.
 const CODE_BYTES: usize = 5;
 
-/// What an ErrorResponse says, as far as it matters here.
+/// The fields of an ErrorResponse that the router uses.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// Its SQLSTATE.
+    /// The SQLSTATE code.
     pub code: String,
-    /// The connection is over with it.
+    /// Whether its severity is FATAL or PANIC, so that the sender closes the connection.
     pub fatal: bool,
-    /// Its text for people.
+    /// The human-readable message.
     pub message: String,
 }
 
-/// Reads an ErrorResponse.
+/// Parses the body of an ErrorResponse.
 ///
 /// # Errors
 ///
-/// The body is no list of fields with an SQLSTATE.
+/// Fails if the body is not a list of fields with an SQLSTATE code.
 pub fn parse_error_response(mut body: &[u8]) -> Result<ErrorResponse, Malformed> {
     let mut response = ErrorResponse::default();
     loop {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Appends an ErrorResponse; `detail` goes into the field D.
+/// Appends an ErrorResponse, with `detail` in the field D.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, detail: Option<i64>) {
     let start = out.len();
     out.extend_from_slice(b"E\0\0\0\0");
@@ -61,7 +61,7 @@
     out[start + 1..start + 5].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends an ErrorResponse after which the connection goes on.
+/// Appends an ErrorResponse after which the connection stays usable, and a ReadyForQuery message.
 pub fn put_recoverable_error(out: &mut Vec<u8>, code: &str, message: &str, detail: Option<i64>) {
     put_error(out, "ERROR", code, message, detail);
     put_ready(out);
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -1,11 +1,11 @@
-//! Frames: one type byte, a length of four bytes, and a body.
+//! Frames: each has a type byte, a length of four bytes, and a body.
 
 use super::primitives::{Malformed, read_u32};
 
 /// A ReadyForQuery message outside of any transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
 
-/// The type byte and the length.
+/// The number of bytes of the type and the length.
 const HEADER_BYTES: usize = 5;
 
 /// The first five bytes of a frame.
@@ -13,7 +13,7 @@
 pub struct FrameHeader {
     /// The type byte.
     pub kind: u8,
-    /// How many bytes the frame takes, the type byte included.
+    /// The number of bytes of the frame, including the type byte.
     pub length: usize,
 }
 
@@ -22,33 +22,33 @@
 pub struct Frame<'a> {
     /// The type byte.
     pub kind: u8,
-    /// What follows type and length.
+    /// The bytes after the type and the length.
     pub body: &'a [u8],
-    /// How many bytes the frame takes, the type byte included.
+    /// The number of bytes of the frame, including the type byte.
     pub length: usize,
 }
 
-/// The type and total length of the frame that begins here, by its first five bytes alone; None until they are there.
+/// Parses the first five bytes of a frame. Returns `None` if `bytes` has fewer.
 ///
 /// # Errors
 ///
-/// These bytes begin no frame.
+/// Fails if these bytes can't begin a frame.
 pub fn parse_frame_header(bytes: &[u8]) -> Result<Option<FrameHeader>, Malformed> {
     let (Some(&kind), Some(length)) = (bytes.first(), bytes.get(1..).and_then(read_u32)) else {
         return Ok(None);
     };
-    // The protocol's lengths are signed.
+    // Lengths are signed in the protocol, and include their own four bytes.
     if length < 4 || length > i32::MAX as u32 || !kind.is_ascii_alphabetic() {
         return Err(Malformed);
     }
     Ok(Some(FrameHeader { kind, length: length as usize + 1 }))
 }
 
-/// The frame that begins here; None until all of it is there.
+/// Parses the frame at the start of `bytes`. Returns `None` if the frame is not complete.
 ///
 /// # Errors
 ///
-/// These bytes begin no frame, or one of more than `max_bytes`.
+/// Fails if these bytes can't begin a frame, or begin one of more than `max_bytes`.
 pub fn parse_frame(bytes: &[u8], max_bytes: usize) -> Result<Option<Frame<'_>>, Malformed> {
     match parse_frame_header(bytes)? {
         Some(FrameHeader { length, .. }) if length > max_bytes => Err(Malformed),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Appends a frame to `out`.
+/// Appends a frame to `out`, with the concatenated `parts` as its body.
 pub fn put_frame(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(kind);
--- a/crates/ladderpass/src/pg/primitives.rs
+++ b/crates/ladderpass/src/pg/primitives.rs
@@ -1,18 +1,18 @@
-//! What all messages are made of: numbers, and texts ended by a zero.
+//! The elements of all messages: numbers, and texts that end with a zero byte.
 
 use thiserror::Error;
 
-/// Bytes that can't be a message.
+/// The error for bytes that are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("malformed message")]
 pub struct Malformed;
 
-/// A number at the front, in network byte order.
+/// Returns the number at the start of `bytes`, in network byte order.
 pub(super) fn read_u32(bytes: &[u8]) -> Option<u32> {
     bytes.first_chunk::<4>().map(|four| u32::from_be_bytes(*four))
 }
 
-/// A text ended by a zero, and what follows it.
+/// Splits `bytes` into the text before the first zero byte, and the bytes after that.
 pub(super) fn split_text(bytes: &[u8]) -> Result<(&[u8], &[u8]), Malformed> {
     let end = bytes.iter().position(|&byte| byte == 0).ok_or(Malformed)?;
     let (text, rest) = bytes.split_at(end);
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -1,4 +1,4 @@
-//! The first message on a connection, which has no type byte, and what answers it.
+//! The first message on a connection, which has no type byte, and the reply to it.
 
 use super::frame::{put_frame, put_ready};
 use super::primitives::{Malformed, read_u32};
@@ -8,36 +8,36 @@
 const SSL_REQUEST: u32 = 80_877_103;
 const GSSENC_REQUEST: u32 = 80_877_104;
 
-/// What the first message asks for.
+/// The request in the first message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialMessage {
-    /// A session.
+    /// The client starts a session.
     Startup,
-    /// TLS or GSS encryption; the answer is one byte, no.
+    /// The client asks for TLS or GSS encryption. The reply is a single byte that declines it.
     Encryption,
-    /// To cancel the statement of another connection.
+    /// The client asks to cancel the statement of another connection.
     Cancel {
-        /// The process id that the other connection was given.
+        /// The process id that the other connection received.
         process: u32,
-        /// The secret key that it was given.
+        /// The secret key that the other connection received.
         secret: u32,
     },
 }
 
-/// An initial message, and how many bytes it takes.
+/// An initial message and its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InitialFrame {
-    /// What it asks for.
+    /// The request.
     pub message: InitialMessage,
-    /// How many bytes it takes.
+    /// The number of bytes of the message.
     pub length: usize,
 }
 
-/// The first message and its length; None until all of it is there.
+/// Parses the first message on a connection. Returns `None` if it is not complete.
 ///
 /// # Errors
 ///
-/// These bytes begin no such message, or one of more than `max_bytes`.
+/// Fails if these bytes can't begin such a message, or begin one of more than `max_bytes`.
 pub fn parse_initial_message(bytes: &[u8], max_bytes: usize) -> Result<Option<InitialFrame>, Malformed> {
     let Some(length) = read_u32(bytes) else { return Ok(None) };
     let length = length as usize;
@@ -51,7 +51,8 @@
             let number = |from| message_bytes.get(from..).and_then(read_u32).ok_or(Malformed);
             InitialMessage::Cancel { process: number(8)?, secret: number(12)? }
         }
-        // Any minor version of 3. Names and values follow, each ended by a zero; after the last a further zero.
+        // Any minor version of 3 is accepted. Names and values follow, each with a zero byte at its end, and then one
+        // further zero byte.
         Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message_bytes.ends_with(&[0]) => {
             InitialMessage::Startup
         }
@@ -60,7 +61,8 @@
     Ok(Some(InitialFrame { message, length }))
 }
 
-/// Appends the answer to a client's startup: no password asked, parameters, the key for cancel requests, ready.
+/// Appends the reply to a client's startup message: AuthenticationOk (no password is required), the parameters, the key
+/// for cancel requests, and ReadyForQuery.
 pub fn put_startup_reply(out: &mut Vec<u8>, process: u32, secret: u32) {
     put_frame(out, b'R', &[&[0; 4]]);
     for (name, value) in [
--- a/crates/ladderpass/src/pg/statement_comment.rs
+++ b/crates/ladderpass/src/pg/statement_comment.rs
@@ -1,35 +1,35 @@
-//! The comment at a statement's end, by which a client describes its RPC: `/* id=...,c=...,d=...,cluster=... */`.
+//! The comment at the end of a statement, in which a client describes its RPC: `/* id=...,c=...,d=...,cluster=... */`.
 
 use std::ops::Range;
 use thiserror::Error;
 
-/// Longest id that is accepted.
+/// The longest accepted id.
 const MAX_ID_BYTES: usize = 64;
-/// Longest number that is accepted.
+/// The longest accepted number.
 const MAX_NUMBER_BYTES: usize = 20;
 
-/// What a statement says of itself in its comment.
+/// The parsed comment of a statement.
 #[derive(Debug, PartialEq)]
 pub struct StatementComment<'a> {
     /// The RPC's id (`id`).
     pub id: &'a str,
-    /// Its method (`c`).
+    /// The RPC's method (`c`).
     pub method: &'a str,
     /// How long the client waits for the answer, in milliseconds (`d`).
     pub wait_ms: f64,
     /// The byte range of the value of `d` in the statement.
     pub wait_at: Range<usize>,
-    /// Its group of members (`cluster`).
+    /// The group of members that the RPC is for (`cluster`).
     pub group: f64,
-    /// The client has sent it before (`r`).
+    /// Whether the client has sent the RPC before (`r`).
     pub resent: bool,
-    /// The position that its data must have reached, in milliseconds (`after`).
+    /// The position that the data must have reached, in milliseconds (`after`).
     pub after_ms: Option<f64>,
-    /// The statement before the comment, which is not checked here.
+    /// The text of the statement before the comment. This module does not check it.
     pub head: &'a str,
 }
 
-/// What is wrong with a comment. Clients get this text.
+/// An error in a comment. Clients receive its text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommentError {
     /// The statement does not end with a comment.
@@ -38,18 +38,18 @@
     /// A name occurs twice.
     #[error("{0} stands twice in the comment")]
     Duplicate(String),
-    /// A name that must be there is not.
+    /// A required name is missing.
     #[error("{0} is missing in the comment")]
     Missing(&'static str),
-    /// The id is too long, or not printable ASCII without spaces.
+    /// The id is too long, or contains a space or a character that is not printable ASCII.
     #[error("id is no short word in the comment")]
     BadId,
-    /// A value is not a decimal number of digits and a point.
+    /// A value is too long, or is not a decimal number of digits and at most one point.
     #[error("{0} is no number in the comment")]
     NotANumber(&'static str),
 }
 
-/// The pairs of a comment as they are read.
+/// The pairs of a comment that have been read so far.
 #[derive(Default)]
 struct Pairs<'a> {
     id: Option<&'a str>,
@@ -60,17 +60,17 @@
     after_ms: Option<f64>,
 }
 
-/// The value of `d`, and its byte range in the statement.
+/// The value of `d` and its byte range in the statement.
 struct Wait {
     ms: f64,
     at: Range<usize>,
 }
 
-/// Reads the comment at a statement's end.
+/// Parses the comment at the end of a statement.
 ///
 /// # Errors
 ///
-/// What is wrong with it, in the words that the client gets.
+/// Returns the first error of the comment, with the text that the client receives.
 pub fn parse_comment(statement: &str) -> Result<StatementComment<'_>, CommentError> {
     let trimmed = statement.trim_end().trim_end_matches(';').trim_end();
     let inner = trimmed.strip_suffix("*/").ok_or(CommentError::NoComment)?;
@@ -93,7 +93,7 @@
     })
 }
 
-/// Reads the pairs of the comment whose inside begins at `start`. Unknown names are passed over.
+/// Reads the pairs of the comment whose content begins at `start`. Unknown names are ignored.
 fn read_pairs(inner: &str, start: usize) -> Result<Pairs<'_>, CommentError> {
     let mut pairs = Pairs::default();
     let mut pair_start = start;
@@ -121,7 +121,7 @@
     Ok(pairs)
 }
 
-/// Where the value of the pair at `pair_start` begins: after the equals sign and any spaces.
+/// Returns where the value of the pair at `pair_start` begins, after the equals sign and any spaces.
 fn value_start(inner: &str, pair: &str, pair_start: usize) -> usize {
     let from = pair_start + pair.find('=').map_or(0, |equals| equals + 1);
     from + inner.get(from..).map_or(0, |rest| rest.len() - rest.trim_start().len())
--- a/crates/ladderpass/src/pg/statement_form.rs
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -1,22 +1,23 @@
-//! Which statements are passed on: an INSERT of a key and a value in hex, or a SELECT by key.
+//! The forms of statements that the router forwards: an INSERT of a key and a value in hex, or a SELECT by key.
 //!
-//! A member closes the connection on a statement that it can't read, which would look like a failure of the member.
+//! A member closes the connection when it can't parse a statement, which would look like a failure of the member.
 
-/// Tokens of each form: an empty one stands for any identifier, a quote for any quoted text.
+/// The tokens of a SELECT. In both forms an empty token matches any identifier, and a quote matches any quoted text.
 const SELECT: [&str; 8] = ["SELECT", "", "FROM", "", "WHERE", "", "=", "'"];
+/// The tokens of an INSERT.
 const INSERT: [&str; 16] =
     ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
 
-/// What the form of a statement shows.
+/// The parsed form of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementForm<'a> {
-    /// It is an INSERT.
+    /// Whether the statement is an INSERT.
     pub writes: bool,
-    /// The key, without the quotes around it.
+    /// The key, without its enclosing quotes.
     pub key: &'a str,
 }
 
-/// The form of a statement; None where it has neither.
+/// Parses a statement. Returns `None` if it has neither of the two forms.
 pub fn parse_statement_form(statement: &str) -> Option<StatementForm<'_>> {
     let mut rest = statement;
     let writes = statement.trim_start().starts_with(['I', 'i']);
@@ -39,7 +40,7 @@
     (value_is_hex && rest.trim().is_empty()).then_some(StatementForm { writes, key })
 }
 
-/// Takes a word, a quoted text with its quotes, or a single character off the front.
+/// Removes the first token from `rest` and returns it: a word, a quoted text with its quotes, or a single character.
 fn take_token<'a>(rest: &mut &'a str) -> Option<&'a str> {
     let text = rest.trim_start();
     let first = text.chars().next()?;
@@ -55,7 +56,7 @@
     Some(token)
 }
 
-/// Where the quoted text ends that begins here. Two quotes in a row stand for one.
+/// Returns where the quoted text at the start of `text` ends. Two consecutive quotes in it represent one quote.
 fn end_of_quoted(text: &str) -> Option<usize> {
     let mut end = 1;
     loop {
--- a/crates/ladderpass/src/sockets.rs
+++ b/crates/ladderpass/src/sockets.rs
@@ -1,21 +1,22 @@
-//! The router on real sockets: turns readiness, timers and signals into events for the reducer, and carries out the
-//! effects that it returns.
+//! The router on real sockets. These modules turn readiness, timers and signals into events for the reducer, and carry
+//! out the effects that it returns.
 //!
-//! The modules here own the sockets and the clock. They decide nothing: which connection is used, when, and what is
-//! written on it is up to the reducer.
+//! They own the sockets and the clock. The reducer decides which connection is used, when, and what is written on it.
 //!
 //! | module | what it does |
 //! | --- | --- |
 //! | `start` | opens all sockets and registers them with the event loop, with retries |
 //! | `event_loop` | waits for events, and runs one iteration after another |
-//! | `server` | the state that all iterations share; hands events to the reducer |
+//! | `server` | holds the state that all iterations share, and passes events to the reducer |
 //! | `effects` | carries out the reducer's effects |
-//! | `accept` | takes clients from the listener; `listener` is its socket, and whether it is enabled |
+//! | `accept` | accepts clients from the listener |
+//! | `listener` | holds the listening socket, and enables or disables it in the event loop |
 //! | `connection_io` | connects, reads, writes and closes connections |
-//! | `deferred` | calls that failed for a moment and are made again |
-//! | `datagrams` | messages of other routers |
+//! | `deferred` | lists calls that failed temporarily and are made again |
+//! | `datagrams` | sends and receives the messages between routers |
 //! | `reload` | reads the configuration again after SIGHUP |
-//! | `clock`, `resource_usage` | the time; what the process uses |
+//! | `clock` | gives the time, and how long bytes had waited in the kernel |
+//! | `resource_usage` | measures the resources that the process uses |
 
 mod accept;
 mod clock;
--- a/crates/ladderpass/src/sockets/accept.rs
+++ b/crates/ladderpass/src/sockets/accept.rs
@@ -1,4 +1,4 @@
-//! Takes clients from the listener, as far as the reducer has room for them.
+//! Accepts clients from the listener while the reducer has capacity for them.
 
 use super::connection_io::ReadMode;
 use super::deferred::AcceptedClient;
@@ -8,25 +8,26 @@
 use std::io::ErrorKind;
 use std::time::Instant;
 
-/// What became of the clients that wait at the listener.
+/// The result of accepting the clients that wait at the listener.
 enum AcceptOutcome {
-    /// None waits any more.
+    /// No client is waiting.
     AllAccepted,
-    /// More may wait than one go accepts.
+    /// The limit per event is used up, and more clients may be waiting.
     MoreWaiting,
-    /// The next one can't be accepted now.
+    /// No further client can be accepted for now.
     Blocked,
 }
 
 impl Server {
-    /// Accepts clients, a limited number in one go. Then polls connections, as clients that
-    /// waited for long may have left.
+    /// Accepts a limited number of clients, then polls connections, because clients that had waited for long may have
+    /// left.
     pub(super) fn accept_clients(&mut self) {
         self.accept_batch();
     }
 
-    /// Closes the listener once all clients that wait there are accepted, so that each of their statements gets an answer.
-    /// Where there is no capacity for them yet, the reducer asks again.
+    /// Accepts all clients that wait at the listener, so that each of their statements gets an answer, and closes the
+    /// listener. If there is no capacity for them yet, the listener stays open, and the reducer requests this effect
+    /// again.
     pub(super) fn stop_listening(&mut self) {
         loop {
             match self.accept_batch() {
@@ -39,7 +40,8 @@
         self.apply(Event::ListenerClosed);
     }
 
-    /// Starts to serve a client. If its socket can't be registered now, that is retried: its requests must not be lost.
+    /// Starts to serve a client. If its socket can't be registered now, the registration is retried, because the
+    /// client's requests must not be lost.
     pub(super) fn admit_client(&mut self, client: AcceptedClient) {
         let AcceptedClient { id, stream } = client;
         if let Err(error) = self.register(id, stream, false) {
@@ -49,7 +51,7 @@
         }
         self.apply(Event::Accepted(id));
         self.read(id, ReadMode::UntilBlocked);
-        // A client that had already closed releases its descriptor before the next one is accepted.
+        // The descriptor of a client that has already left is released before the next client is accepted.
         self.close_if_requested(id);
     }
 
@@ -84,7 +86,7 @@
                 }
                 Err(error) if !is_resource_exhausted(&error) => tracing::debug!(%error, "accept failed"),
                 Err(error) => {
-                    // It also ends after `Limits::denied_connect_backoff`.
+                    // The suspension also ends after `Limits::denied_connect_backoff`.
                     tracing::warn!(%error, "accept failed, listener suspended until a connection closes");
                     self.listener.suspend();
                     return AcceptOutcome::Blocked;
--- a/crates/ladderpass/src/sockets/clock.rs
+++ b/crates/ladderpass/src/sockets/clock.rs
@@ -1,13 +1,14 @@
-//! The clock: wall-clock time that can't jump, and how long bytes had waited in the kernel before they were read.
+//! The clock. It gives wall-clock time that can't jump, and how long bytes had waited in the kernel before they were
+//! read.
 
 use crate::wall_clock::WallClock;
 use ladderpass_routing::{Span, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Readings of two clocks within this count as simultaneous.
+/// Readings of two clocks that are less than this apart count as simultaneous.
 const SIMULTANEOUS_READINGS: Duration = Duration::from_millis(1);
 
-/// One reading of the wall clock at start, advanced by the monotonic clock from there on.
+/// A clock that reads the wall clock once at the start and advances by the monotonic clock.
 pub(super) struct Clock {
     started_at: Time,
     started: Instant,
@@ -15,7 +16,8 @@
 }
 
 impl Clock {
-    /// Starts the clock. `offset` is how far the wall clock is off, in a build with the feature `faulty`.
+    /// Starts the clock. `offset` is added to the wall clock to simulate a wrong one; it is zero without the feature
+    /// `faulty`.
     pub(super) fn start(offset: Span) -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock {
@@ -29,7 +31,8 @@
         self.started_at + span(self.started.elapsed())
     }
 
-    /// How long bytes with this timestamp of the kernel had waited, on a connection that was last known to be empty at `last_empty_at`.
+    /// Returns how long bytes with this timestamp of the kernel had waited, on a connection whose socket was last known
+    /// to be empty at `last_empty_at`.
     pub(super) fn time_in_kernel(&mut self, timestamp: Duration, last_empty_at: Instant) -> Span {
         let before = self.started.elapsed();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/ladderpass/src/sockets/connection_io.rs
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -1,4 +1,4 @@
-//! Connects, reads, writes and closes connections, straight from and into the reducer's buffers.
+//! Connects, reads, writes and closes connections. Reads and writes use the reducer's buffers directly.
 
 use super::server::Server;
 use crate::connection_table::{Connection, ReceivedBytes, RegisterError};
@@ -11,27 +11,27 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// When a socket counts as read to its end.
+/// When a socket counts as empty.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadMode {
-    /// After a read that has not filled its buffer: the kernel reports what comes later.
+    /// After a read that has not filled its buffer. The kernel reports bytes that arrive later.
     UntilShortRead,
-    /// Once the kernel reports that nothing is left: a close may follow a short read.
+    /// After a read that would block. A short read does not show a close that follows the bytes.
     UntilBlocked,
 }
 
-/// What a single read of a connection leads to.
+/// The next step after a single read of a connection.
 enum ReadStep {
-    /// There may be more.
+    /// There may be more to read.
     Continue,
-    /// The socket was empty after a read that began at that time.
+    /// The socket is empty. The read that showed it began at this time.
     SocketEmpty(Instant),
-    /// Nothing more is read now: closed, no space in the buffer, or the call failed.
+    /// Nothing more can be read now, since the connection is closed, the buffer is full, or the call failed.
     Stop,
 }
 
 impl Server {
-    /// Starts a connect. Its failure is an event too.
+    /// Starts a connect. A failure is reported to the reducer as an event.
     pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
         let registered = begin_connect(address)
             .and_then(|stream| self.register(id, stream, true).map_err(|error| error.source));
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Adds a connection to those that are watched.
+    /// Sets up a socket, and adds its connection to the connection table.
     pub(super) fn register(
         &mut self,
         id: ConnectionId,
@@ -52,7 +52,7 @@
         if let Err(source) = stream.set_nonblocking(true) {
             return Err(RegisterError { stream, source });
         }
-        // Without it answers may come a little later, and no more.
+        // Without TCP_NODELAY some answers arrive a little later, which is no reason to fail.
         if let Err(error) = stream.set_nodelay(true) {
             tracing::debug!(%error, "TCP_NODELAY not set");
         }
@@ -60,8 +60,8 @@
         self.connections.add(id, Connection::new(stream, is_outbound, last_empty_at))
     }
 
-    /// Handles ready connections, a limited number in one go: a large batch would delay timers, deadlines and members'
-    /// answers. The rest is handled after the reducer's next tick.
+    /// Handles a limited number of ready connections, because a large batch would delay timers, deadlines and members'
+    /// answers. The remaining ones are handled after the reducer's next tick.
     pub(super) fn handle_ready_connections(&mut self) {
         for _ in 0..self.limits.sockets_per_iteration {
             let Some(id) = self.ready.pop_front() else { return };
@@ -82,7 +82,7 @@
                 Ok(Some(_)) | Err(_) => return self.apply(Event::Closed(id)),
             }
         }
-        // The close of a client was applied when it was polled.
+        // `poll_connections` has already reported that the client closed the connection.
         if ready.closed && !is_outbound {
             return;
         }
@@ -94,9 +94,9 @@
         }
     }
 
-    /// Reads what is there, as far as the reducer has space, and up to a number of reads: a client that sends without
-    /// end must not starve the others. Where that leaves something unread, the reducer is told once the socket has been
-    /// read to its end after all.
+    /// Reads the available bytes while the reducer has space for them, with a limited number of reads, so that a client
+    /// that sends without pause does not starve the others. If bytes stay unread, the reducer gets `Event::SocketEmpty`
+    /// once the socket has been read to its end.
     pub(super) fn read(&mut self, id: ConnectionId, mode: ReadMode) {
         for _ in 0..self.limits.reads_per_event {
             match self.read_once(id, mode) {
@@ -151,7 +151,8 @@
         ReadStep::Stop
     }
 
-    /// The socket was empty after a read that began at `read_began_at`.
+    /// Records that a read that began at `read_began_at` emptied the socket. Reports that to the reducer if bytes had
+    /// been left unread before.
     fn on_socket_empty(&mut self, id: ConnectionId, read_began_at: Instant) {
         let was_unread = self.connections.get_mut(id).is_some_and(|connection| {
             connection.last_empty_at = read_began_at;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Writes all that there is, as far as the socket takes it.
+    /// Writes all outgoing bytes, as far as the socket accepts them.
     pub(super) fn write(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
@@ -179,21 +180,22 @@
                     return self.apply(Event::WriteBlocked(id));
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // The kernel reports no event for space that there was all along.
+                // The kernel reports no event if the socket was writable all the time, so the write is made again
+                // later.
                 Err(error) if is_transient(&error) => return self.deferred.writes.push(id),
                 Err(_) => return self.apply(Event::Closed(id)),
             }
         }
     }
 
-    /// Closes a connection, which may end a suspension of the listener.
+    /// Closes a connection. This ends a suspension of the listener, because a descriptor is free again.
     pub(super) fn close(&mut self, id: ConnectionId) {
         if self.connections.remove(id) {
             self.listener.on_descriptor_released();
         }
     }
 
-    /// Carries out the close of a connection, if the reducer asked for it, ahead of all other effects.
+    /// Closes a connection before all other effects are carried out, if the reducer has requested that.
     pub(super) fn close_if_requested(&mut self, id: ConnectionId) {
         if let Some(nth) = self.effects.iter().rposition(|effect| *effect == Effect::Close(id)) {
             self.effects.remove(nth);
@@ -201,8 +203,8 @@
         }
     }
 
-    /// Reads all that a connection holds, and closes it if the reducer still asks for that. Nothing else is done in
-    /// between, so no statement that has arrived meanwhile is lost.
+    /// Reads a connection's socket to its end, and closes the connection if the reducer then requests that. Nothing
+    /// else happens between the last read and the close, so a statement that had already arrived is not lost.
     pub(super) fn close_if_quiet(&mut self, id: ConnectionId) {
         self.read(id, ReadMode::UntilBlocked);
         self.apply(Event::ReadToEnd(id));
--- a/crates/ladderpass/src/sockets/datagrams.rs
+++ b/crates/ladderpass/src/sockets/datagrams.rs
@@ -1,16 +1,17 @@
-//! The UDP socket for messages between routers. Datagrams may get lost on any network: failures are logged only.
+//! The UDP socket for messages between routers. Datagrams may get lost on any network, so a failure to send is only
+//! logged.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// A longer datagram is truncated.
+/// The number of bytes of a datagram that are received. The rest of a longer one is lost.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 2048;
 
 /// The socket for messages between routers.
 pub(super) struct PeerSocket(Rc<UdpSocket>);
 
-/// A datagram, and the address that it came from.
+/// A received datagram, and the address of its sender.
 pub(super) struct Datagram {
     pub(super) from: SocketAddr,
     pub(super) bytes: Vec<u8>,
@@ -21,13 +22,13 @@
         PeerSocket(socket)
     }
 
-    /// The next datagram, read into `buffer` and copied from there; None where there is none, or none can be read.
+    /// Returns the next datagram, or `None` if none is waiting or the call failed. `buffer` is overwritten.
     pub(super) fn receive(&self, buffer: &mut [u8; MAX_DATAGRAM_BYTES]) -> Option<Datagram> {
         let (count, from) = self.0.recv_from(buffer).ok()?;
         Some(Datagram { from, bytes: buffer[..count].to_vec() })
     }
 
-    /// Sends a datagram once.
+    /// Sends a datagram, and does not retry if that fails.
     pub(super) fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if let Err(error) = self.0.send_to(bytes, to) {
             tracing::debug!(%to, %error, "datagram not sent");
@@ -35,7 +36,7 @@
     }
 }
 
-/// Binds the socket at `address`.
+/// Binds a non-blocking socket to `address`.
 pub(super) fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
--- a/crates/ladderpass/src/sockets/deferred.rs
+++ b/crates/ladderpass/src/sockets/deferred.rs
@@ -1,18 +1,19 @@
-//! Calls that failed for a moment, as for want of memory, and are made again in the next iteration.
+//! Calls that failed temporarily, for example because the kernel had no memory, and that the next iteration makes
+//! again.
 
 use crate::reducer::ConnectionId;
 use std::net::TcpStream;
 
-/// What is still to be done once a call no longer fails.
+/// The calls to make again.
 #[derive(Default)]
 pub(super) struct DeferredCalls {
     pub(super) reads: Vec<ConnectionId>,
     pub(super) writes: Vec<ConnectionId>,
-    /// Accepted clients whose sockets could not be registered with epoll.
+    /// Accepted clients whose sockets could not be registered.
     pub(super) registrations: Vec<AcceptedClient>,
 }
 
-/// A client that the listener gave out.
+/// A client that was accepted from the listener.
 pub(super) struct AcceptedClient {
     pub(super) id: ConnectionId,
     pub(super) stream: TcpStream,
--- a/crates/ladderpass/src/sockets/effects.rs
+++ b/crates/ladderpass/src/sockets/effects.rs
@@ -1,15 +1,15 @@
-//! Carries out the effects that the reducer asks for, in their order.
+//! Carries out the effects that the reducer has returned, in order.
 
 use super::connection_io::ReadMode;
 use super::server::Server;
 use crate::reducer::Effect;
 
 impl Server {
-    /// Carries out all effects, and those that they lead to.
+    /// Carries out all effects, including those that result from them.
     pub(super) fn carry_out_effects(&mut self) {
         while !self.effects.is_empty() {
-            // A client may have left while the batch was worked on: connections are polled once more right before new
-            // attempts are written, so that members don't work for clients that are gone.
+            // A client may have left while the batch was handled. Connections are polled once more right before new
+            // attempts are written, so that members don't work for clients that have left.
             if self.writes_to_member() {
                 self.poll_connections();
             }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether an effect writes to a connection that this router opened.
+    /// Returns whether an effect writes to a connection that this router opened.
     fn writes_to_member(&self) -> bool {
         let is_outbound = |id| self.connections.get(id).is_some_and(|connection| connection.is_outbound);
         self.effects.iter().any(|effect| matches!(*effect, Effect::Write(id) if is_outbound(id)))
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for events, has them handled in batches, and gives the reducer its tick after each batch.
+//! The event loop. It waits for events, handles them in batches, and ticks the reducer after each batch.
 
 use super::clock::span;
 use super::connection_io::ReadMode;
@@ -10,22 +10,23 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Why the router could not start, or not go on.
+/// The reason why the router could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A socket could not be opened.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The event loop has failed for too long to wait for its sources.
+    /// The event loop could not wait for its sources for longer than `Limits::event_loop_failure_timeout`.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
 }
 
-/// Serves until the process is told to stop.
+/// Runs the router until it has shut down, which SIGTERM or SIGINT starts.
 ///
 /// # Errors
 ///
-/// The router can't start with these sockets, or its event loop has failed for good.
+/// Fails if the sockets can't be opened, or if the event loop fails for longer than
+/// `Limits::event_loop_failure_timeout`.
 pub fn run(launch: Launch, operator_file: Option<PathBuf>) -> Result<(), RunError> {
     let StartedSockets { mut event_loop, sockets } = open_with_retries(&launch)?;
     let router = launch.fixed.name.clone();
@@ -78,8 +79,8 @@
 }
 
 impl Server {
-    /// After a batch of events: ends a suspension of the listener, retries a reload, carries out the effects of the batch,
-    /// catches up after a stall, then gives the reducer its tick and carries out its effects.
+    /// Finishes a batch of events: ends an expired suspension of the listener, retries a failed reload, carries out the
+    /// effects of the batch and catches up after a stall. Then ticks the reducer and carries out the resulting effects.
     fn finish_batch(&mut self) {
         self.listener.end_expired_suspension();
         self.retry_reload();
@@ -90,8 +91,8 @@
         self.carry_out_effects();
     }
 
-    /// After a stall of the process, handles everything that has arrived before any deadline is checked: otherwise
-    /// members and clients would be blamed for the stall.
+    /// Handles everything that has arrived, if the last poll is too old, as after a stall of the process. This happens
+    /// before any deadline is checked; otherwise the stall would count against members and clients.
     fn catch_up(&mut self) {
         if self.connections.polled_at().elapsed() < self.limits.max_poll_age {
             return;
@@ -103,7 +104,7 @@
         self.carry_out_effects();
     }
 
-    /// How long to wait for events: not at all while there is something to be done.
+    /// Returns how long to wait for events, which is zero while work is pending.
     fn next_wait(&self) -> Duration {
         let wait = match self.reducer.wake_at() {
             _ if self.has_pending_events || !self.partly_read.is_empty() || !self.ready.is_empty() => {
@@ -116,8 +117,8 @@
         if self.deferred.is_empty() { wait } else { wait.min(self.limits.failed_call_backoff) }
     }
 
-    /// Reports to the reducer how long this iteration was busy and, at intervals, what the process uses; then carries out
-    /// the effects.
+    /// Reports to the reducer how long this iteration was busy and, at intervals, the resource usage of the process.
+    /// Then carries out the effects.
     fn sample_usage(&mut self) {
         let Some(due) = self.reducer.next_sample_at() else { return };
         let busy = self.usage.mark_waiting();
@@ -131,8 +132,8 @@
         self.carry_out_effects();
     }
 
-    /// Handles connections although the event loop can't wait for its sources, as where the kernel has no memory to arm
-    /// them. The sources report what they have once the loop waits again.
+    /// Handles connections while the event loop can't wait for its sources, for example because the kernel has no
+    /// memory to register them. The sources report their pending events once the loop can wait again.
     fn serve_without_event_loop(&mut self, error: &calloop::Error) {
         tracing::warn!(%error, "event loop can't wait, connections are polled");
         std::thread::sleep(self.limits.failed_call_backoff);
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Makes calls again that failed for a moment.
+    /// Repeats the calls that failed temporarily.
     fn resume_deferred(&mut self) {
         for client in std::mem::take(&mut self.deferred.registrations) {
             self.admit_client(client);
--- a/crates/ladderpass/src/sockets/listener.rs
+++ b/crates/ladderpass/src/sockets/listener.rs
@@ -1,7 +1,7 @@
 //! The listening socket, and whether the event loop watches it.
 //!
-//! It is disabled while the reducer has no room for another client. After an accept that failed for want of descriptors
-//! or memory it is suspended until a connection closes, or a backoff has passed.
+//! The event loop does not watch it while the reducer has no capacity for another client. After an accept failed for
+//! lack of descriptors or memory, the listener is suspended until a connection closes or a backoff has passed.
 
 use calloop::{LoopHandle, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -10,24 +10,24 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The listening socket in an event loop with the shared data `D`.
+/// The listening socket, registered in an event loop with the shared data `D`.
 pub(super) struct Listener<D: 'static> {
     handle: LoopHandle<'static, D>,
-    /// None once it is closed.
+    /// The socket, or `None` once it is closed.
     socket: Option<RegisteredListener>,
-    /// The reducer wants new connections.
+    /// Whether the reducer wants new connections.
     wanted: bool,
-    /// The event loop watches it.
+    /// Whether the event loop watches the socket.
     enabled: bool,
-    /// When accept found no descriptor, or no memory.
+    /// When an accept last failed for lack of descriptors or memory; `None` unless the listener is suspended.
     exhausted_at: Option<Instant>,
-    /// How long it stays suspended after that at most.
+    /// The longest time for which the listener is suspended after that.
     denied_connect_backoff: Duration,
     /// When an accept last found no client waiting.
     empty_at: Instant,
 }
 
-/// A listening socket that the event loop knows.
+/// A listening socket with its registration in the event loop.
 pub(super) struct RegisteredListener {
     pub(super) socket: Rc<TcpListener>,
     pub(super) token: RegistrationToken,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The socket to accept from; None once it is closed.
+    /// Returns the socket to accept from, or `None` once it is closed.
     pub(super) fn socket(&self) -> Option<Rc<TcpListener>> {
         self.socket.as_ref().map(|registered| registered.socket.clone())
     }
@@ -59,45 +59,47 @@
         self.enabled
     }
 
-    /// Whether the reducer wants new connections.
+    /// Sets whether the reducer wants new connections.
     pub(super) fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
         self.update();
     }
 
-    /// Watches the socket, or stops watching it, as is due. Called in each iteration, as a call may have failed.
+    /// Has the event loop watch the socket, or stop watching it, as the state requires. Each iteration calls this,
+    /// because an earlier call may have failed.
     pub(super) fn update(&mut self) {
         self.set_enabled(self.wanted && self.exhausted_at.is_none());
     }
 
-    /// Stops watching the socket, which stays ready: it would wake the loop over and over.
+    /// Suspends the listener. The socket stays ready meanwhile, so watching it would wake the event loop again and
+    /// again.
     pub(super) fn suspend(&mut self) {
         self.exhausted_at = Some(Instant::now());
         self.set_enabled(false);
     }
 
-    /// Ends a suspension that has lasted for its backoff: the descriptors may have been used up by other processes,
-    /// while none of this process's connections closes.
+    /// Ends a suspension whose backoff has passed. Other processes may have used up the descriptors and released them
+    /// again, without a close of any of this process's connections.
     pub(super) fn end_expired_suspension(&mut self) {
         if self.exhausted_at.is_some_and(|since| since.elapsed() >= self.denied_connect_backoff) {
             self.exhausted_at = None;
         }
     }
 
-    /// Ends a suspension, as a connection has closed.
+    /// Ends a suspension, because a connection has closed.
     pub(super) fn on_descriptor_released(&mut self) {
         if self.exhausted_at.take().is_some() {
             self.set_enabled(self.wanted);
         }
     }
 
-    /// No client waited at that time.
+    /// Records that no client was waiting at that time.
     pub(super) fn record_empty(&mut self, at: Instant) {
         self.empty_at = at;
     }
 
-    /// When an accept last found no client waiting: a client accepted since then connected later, so it had sent nothing
-    /// before.
+    /// Returns when an accept last found no client waiting. A client that is accepted afterwards connected later than
+    /// that, so it had sent nothing before.
     pub(super) fn empty_at(&self) -> Instant {
         self.empty_at
     }
@@ -116,13 +118,13 @@
         let done = if enabled { self.handle.enable(token) } else { self.handle.disable(token) };
         match done {
             Ok(()) => self.enabled = enabled,
-            // The next iteration tries again.
+            // The next iteration retries this.
             Err(error) => tracing::error!(%error, enabled, "listener not updated in the event loop"),
         }
     }
 }
 
-/// Opens a socket that listens at `address`.
+/// Opens a non-blocking socket that listens at `address`.
 pub(super) fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
--- a/crates/ladderpass/src/sockets/reload.rs
+++ b/crates/ladderpass/src/sockets/reload.rs
@@ -1,21 +1,21 @@
 //! Reads the configuration again after SIGHUP.
 //!
-//! A wrong or half-written file changes nothing: the router keeps what it has. The files are read again for a while, as
-//! one may be in the middle of being written, or the system short of something.
+//! If a file is invalid or incomplete, the router keeps its current configuration. Reading is then retried for a while,
+//! because a file may be in the middle of being written, or the system may temporarily lack resources.
 
 use crate::launch::Launch;
 use crate::limits::ReloadRetry;
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Where the configuration is read from, and whether a reload is still to be retried.
+/// The path of the operator's file, and a failed reload that is being retried.
 pub(super) struct ConfigurationReload {
     operator_file: Option<PathBuf>,
     retry: ReloadRetry,
     failed: Option<FailedReload>,
 }
 
-/// A reload that failed, and is retried.
+/// A failed reload that is being retried.
 struct FailedReload {
     tried_at: Instant,
     give_up_at: Instant,
@@ -26,7 +26,7 @@
         ConfigurationReload { operator_file, retry, failed: None }
     }
 
-    /// Reads the configuration; logs what is wrong with it.
+    /// Reads the configuration. Logs its errors and starts to retry if that fails.
     pub(super) fn reload(&mut self) -> Option<Launch> {
         let now = Instant::now();
         self.failed = None;
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Retries a reload that failed, if that is due. Its errors were logged the first time.
+    /// Retries a failed reload if the next attempt is due. Errors are not logged, since those of the first attempt
+    /// were.
     pub(super) fn retry_if_due(&mut self) -> Option<Launch> {
         let now = Instant::now();
         let failed = self.failed.as_mut()?;
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -1,6 +1,6 @@
-//! What the process uses: CPU time, busy time of the event loop, memory, file descriptors.
+//! Measures the resources that the process uses: CPU time, busy time of the event loop, memory and file descriptors.
 //!
-//! It measures since the last sample, and judges nothing: `ladderpass-overload` does.
+//! Times are measured since the last sample. `ladderpass-overload` evaluates the samples.
 
 use super::clock::span;
 use ladderpass_overload::ResourceSample;
@@ -10,19 +10,19 @@
 use std::os::unix::fs::FileExt;
 use std::time::{Duration, Instant};
 
-/// Assumed number of descriptors that are no connections: three standard streams, and those of the event loop, its
-/// wake-up and signals, epoll, listener, peers and `statm`.
+/// The assumed number of descriptors in addition to connections: three standard streams, and those of the event loop,
+/// its wake-up and signals, the epoll set, the listener, the peer socket and `statm`.
 const OTHER_DESCRIPTORS: usize = 10;
 const PAGE_BYTES: usize = 4096;
 
-/// What the process has used since the last sample.
+/// The resource usage of the process since the last sample.
 pub(super) struct ResourceUsage {
-    /// Since when the event loop has not been waiting.
+    /// When the event loop woke, unless `mark_waiting` was called since.
     awake_since: Option<Instant>,
     busy: Duration,
     sampled_at: Instant,
     cpu: Duration,
-    /// None where it can't be read: the memory of the buffers is then all that is known.
+    /// The file `/proc/self/statm`, or `None` if it can't be opened. Then only the memory of the buffers is known.
     statm: Option<File>,
 }
 
@@ -37,19 +37,19 @@
         }
     }
 
-    /// The event loop no longer waits.
+    /// Records that the event loop no longer waits.
     pub(super) fn mark_awake(&mut self) {
         self.awake_since.get_or_insert_with(Instant::now);
     }
 
-    /// The event loop is about to wait; gives how long it has been busy.
+    /// Records that the event loop is about to wait, and returns how long it has been busy.
     pub(super) fn mark_waiting(&mut self) -> Duration {
         let busy = self.awake_since.take().map_or(Duration::ZERO, |since| since.elapsed());
         self.busy += busy;
         busy
     }
 
-    /// What was used since the sample before this one.
+    /// Returns the usage since the previous sample.
     pub(super) fn sample(&mut self, connections: usize) -> ResourceSample {
         let (now, cpu) = (Instant::now(), cpu_time());
         let sample = ResourceSample {
@@ -57,7 +57,7 @@
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
             resident_bytes: self.resident_bytes().unwrap_or(0),
-            // The reducer fills it in.
+            // The reducer sets this.
             buffer_bytes: 0,
             descriptors: connections + OTHER_DESCRIPTORS,
         };
@@ -73,7 +73,7 @@
     }
 }
 
-/// CPU time that the process has used, in user and system mode.
+/// Returns the CPU time that the process has used in user and system mode.
 fn cpu_time() -> Duration {
     let Ok(usage) = getrusage(UsageWho::RUSAGE_SELF) else { return Duration::ZERO };
     let micros = usage.user_time().num_microseconds() + usage.system_time().num_microseconds();
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -15,32 +15,33 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A running router: its sockets, its reducer, and what is to be done next.
+/// A running router: its sockets, its reducer, and its pending work.
 pub(super) struct Server {
     pub(super) clock: Clock,
     pub(super) reducer: Reducer,
     pub(super) connections: ConnectionTable,
     pub(super) listener: Listener<Server>,
-    /// None where the operator's file names no peers.
+    /// The socket for messages between routers, or `None` if the operator's file names no peers.
     pub(super) peer_socket: Option<PeerSocket>,
     pub(super) reload: ConfigurationReload,
     pub(super) usage: ResourceUsage,
     pub(super) limits: EventLoopLimits,
-    /// Calls that failed for a moment.
+    /// Calls that failed temporarily and are made again.
     pub(super) deferred: DeferredCalls,
-    /// What the reducer asked for and was not carried out yet.
+    /// Effects that the reducer has returned and that have not been carried out.
     pub(super) effects: Vec<Effect>,
-    /// The reducer got events since its last tick.
+    /// Whether the reducer has handled an event since its last tick, other than the reports of `sample_usage`.
     pub(super) has_pending_events: bool,
-    /// Connections that are ready and were not handled yet: those of members first, then those of clients.
+    /// Connections that are ready and have not been handled: first those that this router opened, then those of
+    /// clients.
     pub(super) ready: VecDeque<ConnectionId>,
-    /// Connections with more to read than one call of `read` reads.
+    /// Connections that a call of `read` has left with more to read.
     pub(super) partly_read: Vec<ConnectionId>,
-    /// Connections were polled in this iteration.
+    /// Whether connections were polled in this iteration.
     pub(super) polled: bool,
-    /// When the event loop was to be awake at the latest.
+    /// The latest time at which the event loop should have woken from its wait.
     pub(super) wake_by: Option<Instant>,
-    /// The reducer asked to exit.
+    /// Whether the reducer has requested to exit.
     pub(super) is_exiting: bool,
 }
 
@@ -51,15 +52,16 @@
     pub(super) peer_socket: Option<PeerSocket>,
 }
 
-/// How much is done in one go, and how long the event loop waits.
+/// How much work one iteration does, and how long the event loop waits.
 pub(super) struct EventLoopLimits {
-    /// Reads from one connection before others are read.
+    /// How many reads are made from one connection before others are read.
     pub(super) reads_per_event: usize,
-    /// Ready connections handled before the reducer's next tick.
+    /// How many ready connections, or datagrams, are handled before the reducer's next tick.
     pub(super) sockets_per_iteration: usize,
     pub(super) max_wait: Duration,
     pub(super) stall_threshold: Duration,
-    /// Connections are polled again before any deadline counts if the last poll is older.
+    /// The longest time since the last poll of connections. If it is exceeded, they are polled again before any
+    /// deadline is checked.
     pub(super) max_poll_age: Duration,
     pub(super) failed_call_backoff: Duration,
     pub(super) failure_timeout: Duration,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Hands an event to the reducer, and keeps the effects that it asks for.
+    /// Passes an event to the reducer, and stores the effects that it returns.
     pub(super) fn apply(&mut self, event: Event) {
         let now = self.clock.now();
         self.has_pending_events = !matches!(event, Event::Tick);
@@ -120,9 +122,9 @@
         self.effects.extend(effects);
     }
 
-    /// Reports a stall if the event loop woke long after it was due. Called before connections are
-    /// polled and before clients are accepted, whichever comes first: it takes `wake_by`, so only the first call after a
-    /// wait can report. Also marks the event loop as awake.
+    /// Reports a stall if the event loop woke long after the end of its wait, and marks the event loop as awake. This
+    /// is called both before connections are polled and before clients are accepted. It takes `wake_by`, so only the
+    /// first call after a wait can report a stall.
     pub(super) fn check_stall(&mut self) {
         self.usage.mark_awake();
         let late = self.wake_by.take().map(|by| Instant::now().saturating_duration_since(by));
@@ -131,15 +133,15 @@
         }
     }
 
-    /// Called when the event loop reports that connections are ready.
+    /// Handles the event loop's notification that connections are ready.
     pub(super) fn on_connections_ready(&mut self) {
         self.check_stall();
         self.poll_connections();
     }
 
-    /// Queues connections that are ready: members first, as their answers finish RPCs while clients' statements start
-    /// new ones. Closes of clients skip the queue: what such a client has sent is never started, so that members don't
-    /// work on RPCs whose clients have left.
+    /// Queues the connections that are ready. Those of members go to the front, because their answers finish RPCs while
+    /// clients' statements start new ones. Closes of clients skip the queue: the statements of such a client are not
+    /// started, so that members don't work on RPCs whose clients have left.
     pub(super) fn poll_connections(&mut self) {
         self.polled = true;
         let mut closed_clients = Vec::new();
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Takes datagrams of other routers, a limited number in one go so that a flood can't hold up the loop. Which
-    /// senders count is the reducer's decision.
+    /// Receives a limited number of datagrams, so that a flood of them can't block the event loop. The reducer decides
+    /// which senders it accepts.
     pub(super) fn receive_datagrams(&mut self) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         for _ in 0..self.limits.sockets_per_iteration {
@@ -168,13 +170,13 @@
         }
     }
 
-    /// Reads the configuration after SIGHUP.
+    /// Reads the configuration again, after SIGHUP.
     pub(super) fn reload_configuration(&mut self) {
         let launch = self.reload.reload();
         self.on_configuration_read(launch);
     }
 
-    /// Retries a reload that failed, if that is due.
+    /// Retries a failed reload if the next attempt is due.
     pub(super) fn retry_reload(&mut self) {
         let launch = self.reload.retry_if_due();
         self.on_configuration_read(launch);
--- a/crates/ladderpass/src/sockets/start.rs
+++ b/crates/ladderpass/src/sockets/start.rs
@@ -1,4 +1,4 @@
-//! The start: opens all that the event loop waits for, and tries again where a call failed for a moment.
+//! The start of the router. It opens everything that the event loop waits for, and retries if a call fails temporarily.
 
 use super::datagrams::{self, PeerSocket};
 use super::listener::{self, RegisteredListener};
@@ -16,38 +16,38 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The step of a start that failed, and why.
+/// The step of a start that failed, and its error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The event loop, its epoll set of connections, or their registration.
+    /// The event loop or the epoll set of connections could not be created, or that set could not be registered.
     #[error("event loop: {0}")]
     EventLoop(#[source] io::Error),
-    /// The handler of SIGTERM, SIGINT and SIGHUP.
+    /// The handler of SIGTERM, SIGINT and SIGHUP could not be set up.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// The UDP socket for messages between routers.
+    /// The UDP socket for messages between routers could not be opened or registered.
     #[error("peers.listen: {address}: {source}")]
     PeerSocket {
-        /// Where it was to be bound.
+        /// The address to bind the socket to.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
-    /// The socket that clients connect to.
+    /// The socket that clients connect to could not be opened.
     #[error("RELAY_LISTEN: {address}: {source}")]
     Listen {
-        /// Where it was to listen.
+        /// The address to listen at.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
-    /// The registration of that socket with the event loop.
+    /// The socket that clients connect to could not be registered with the event loop.
     #[error("listener: {0}")]
     Listener(#[source] io::Error),
 }
 
 impl StartError {
-    /// Whether the same start may succeed a little later.
+    /// Returns whether the same start may succeed a little later.
     fn is_transient(&self) -> bool {
         match self {
             StartError::EventLoop(error)
@@ -59,14 +59,14 @@
     }
 }
 
-/// The event loop, and the sockets that it waits for.
+/// The event loop and the sockets that it waits for.
 pub(super) struct StartedSockets {
     pub(super) event_loop: EventLoop<'static, Server>,
     pub(super) sockets: Sockets,
 }
 
-/// Opens all sockets. Errors that may pass are retried for a while, as the address may belong to a process that is
-/// about to end.
+/// Opens all sockets. Transient errors are retried for a while, for example because the address may belong to a process
+/// that is about to end.
 pub(super) fn open_with_retries(launch: &Launch) -> Result<StartedSockets, StartError> {
     let give_up_at = Instant::now() + launch.limits.start_retry_timeout;
     loop {
@@ -126,7 +126,7 @@
     Ok(RegisteredListener { socket, token })
 }
 
-/// Has `on_ready` called whenever `source` has something to read.
+/// Registers `source` with the event loop, which calls `on_ready` whenever there is something to read.
 fn watch<F: AsFd + 'static>(
     handle: &LoopHandle<'static, Server>,
     source: F,
@@ -140,7 +140,7 @@
     inserted.map_err(|failure| system_error(failure.error))
 }
 
-/// The system's own error, where the event loop passes one on.
+/// Extracts the system's error from an error of the event loop, or wraps the latter if it has none.
 fn system_error(error: calloop::Error) -> io::Error {
     match error {
         calloop::Error::IoError(error) => error,
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -1,35 +1,36 @@
-//! How long bytes had waited in the kernel before they were read.
+//! Computes how long bytes had waited in the kernel before they were read.
 //!
-//! The kernel stamps received bytes by the wall clock, which may be stepped while they wait. So a timestamp is compared
-//! with each offset between wall clock and monotonic clock that may have been in force, and each result with the time
-//! for which the connection can have held anything, which the monotonic clock gives. This module reads no clock itself.
+//! The kernel timestamps received bytes by the wall clock, which may be stepped while they wait. So the age of a
+//! timestamp is computed with each offset between wall clock and monotonic clock that may have been in force. An age
+//! counts only if it is at most the time since the connection was last empty, which the monotonic clock gives. This
+//! module reads no clock itself.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Two offsets that differ by more than this differ by a step of the wall clock.
+/// If two offsets differ by more than this, the wall clock was stepped between them.
 const MIN_STEP_NANOS: i128 = 5_000_000;
-/// An earlier offset is kept for this long: no bytes that a router waits for stay in the kernel's buffers for longer.
+/// How long an earlier offset is kept. Bytes that a router waits for don't stay in the kernel's buffers any longer.
 const KEEP_EARLIER_OFFSETS: Duration = Duration::from_secs(10);
 const MAX_EARLIER_OFFSETS: usize = 4;
 
-/// How far the wall clock is ahead of the monotonic one, now and before its last steps.
+/// How far the wall clock is ahead of the monotonic clock, now and before its last steps.
 #[derive(Debug, Default)]
 pub struct WallClock {
     offset_nanos: Option<i128>,
     earlier: VecDeque<EarlierOffset>,
 }
 
-/// An offset from before a step.
+/// An offset that was in force before a step of the wall clock.
 #[derive(Debug)]
 struct EarlierOffset {
     nanos: i128,
-    /// The monotonic time at which the step showed.
+    /// The monotonic time at which the step was noticed.
     ended_at: Duration,
 }
 
 impl WallClock {
-    /// Takes a reading of both clocks in one instant.
+    /// Records a simultaneous reading of both clocks.
     pub fn record_reading(&mut self, monotonic: Duration, wall: Duration) {
         let offset = nanos(wall) - nanos(monotonic);
         let before = self.offset_nanos.replace(offset);
@@ -42,8 +43,9 @@
         }
     }
 
-    /// How long bytes with this timestamp had waited at `monotonic`, at most `max`. Where no offset fits the timestamp
-    /// the answer is `max`, which errs towards less remaining time for the client.
+    /// Returns how long bytes with this timestamp had waited at the time `monotonic`, at most `max`. If several offsets
+    /// fit the timestamp, the shortest wait counts. If no offset fits, the result is `max`, which errs towards less
+    /// remaining time for the client.
     pub fn time_in_kernel(&self, monotonic: Duration, timestamp: Duration, max: Duration) -> Duration {
         let age = |offset: i128| nanos(monotonic) + offset - nanos(timestamp);
         let offsets = self.offset_nanos.iter().chain(self.earlier.iter().map(|earlier| &earlier.nanos));
