--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -207,7 +207,7 @@
                 Position::Head => self.read_head(buffer)?,
                 Position::ChunkHead => self.read_chunk_head(buffer)?,
                 Position::Chunk(0) => self.advance(Position::ChunkEnd),
-                Position::Chunk(left) => self.read_chunk(buffer, left, max_line_bytes)?,
+                Position::Chunk(remaining) => self.read_chunk(buffer, remaining, max_line_bytes)?,
                 Position::ChunkEnd => self.read_chunk_end(buffer)?,
             };
             match step {
@@ -259,25 +259,25 @@
         }
     }
 
-    /// Reads up to the next line break in a chunk of which `left` bytes have not been read.
+    /// Reads up to the next line break in a chunk of which `remaining` bytes have not been read.
     fn read_chunk(
         &mut self,
         buffer: &mut Buffer,
-        left: usize,
+        remaining: usize,
         max_line_bytes: usize,
     ) -> Result<Step, WatchError> {
         let bytes = buffer.make_contiguous();
         if bytes.is_empty() {
             return Ok(Step::NeedsMoreBytes);
         }
-        let chunk = bytes.get(..left).unwrap_or(bytes);
+        let chunk = bytes.get(..remaining).unwrap_or(bytes);
         let end = chunk.iter().position(|&byte| byte == b'\n');
         let used = end.map_or(chunk.len(), |end| end + 1);
         let part = chunk.get(..used).unwrap_or_default();
         self.line.extend_from_slice(part);
         self.nesting.scan(part);
         buffer.consume(used);
-        self.position = Position::Chunk(left - used);
+        self.position = Position::Chunk(remaining - used);
         if self.line.len() > max_line_bytes {
             return Err(WatchError::LineTooLong);
         }
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -79,9 +79,11 @@
         if self.listen != other.listen {
             keys.push(LISTEN_ADDRESS.to_owned());
         }
-        if let (Some(own), Some(others)) = (self.settings.as_object(), other.settings.as_object()) {
-            let all = own.keys().chain(others.keys().filter(|key| !own.contains_key(*key)));
-            let different = all.filter(|key| own.get(*key) != others.get(*key));
+        if let (Some(settings), Some(other_settings)) =
+            (self.settings.as_object(), other.settings.as_object())
+        {
+            let all = settings.keys().chain(other_settings.keys().filter(|key| !settings.contains_key(*key)));
+            let different = all.filter(|key| settings.get(*key) != other_settings.get(*key));
             keys.extend(different.map(|key| format!("settings.{key}")));
         }
         keys
@@ -189,20 +191,20 @@
 }
 
 fn read_config_file(path: &str, errors: &mut LaunchErrors) -> Option<ConfigFile> {
-    let in_file = |error: ConfigFileError| LaunchError::ConfigFile { path: path.to_owned(), error };
-    let text = std::fs::read_to_string(path).map_err(|error| in_file(error.into()));
+    let to_launch_error = |error: ConfigFileError| LaunchError::ConfigFile { path: path.to_owned(), error };
+    let text = std::fs::read_to_string(path).map_err(|error| to_launch_error(error.into()));
     match parse_config_file(&errors.ok_or_push(text)?) {
         Ok(file) => Some(file),
         Err(file_errors) => {
-            errors.extend(file_errors, in_file);
+            errors.extend(file_errors, to_launch_error);
             None
         }
     }
 }
 
 fn read_operator_file(path: &Path, errors: &mut LaunchErrors) -> Option<Operator> {
-    let unreadable = |source| LaunchError::OperatorFileUnreadable { path: path.to_owned(), source };
-    let text = errors.ok_or_push(std::fs::read_to_string(path).map_err(unreadable))?;
+    let to_launch_error = |source| LaunchError::OperatorFileUnreadable { path: path.to_owned(), source };
+    let text = errors.ok_or_push(std::fs::read_to_string(path).map_err(to_launch_error))?;
     match operator::read(&text) {
         Ok(operator) => Some(operator),
         Err(file_errors) => {
--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -24,7 +24,7 @@
 
 impl Environment {
     pub(super) fn read(variable: &impl Fn(&str) -> Option<String>, errors: &mut LaunchErrors) -> Environment {
-        let read = |name, needed| require(variable, name, needed);
+        let read = |name, expected| require(variable, name, expected);
         let read_address = |name| -> Result<SocketAddr, LaunchError> {
             Ok(parse_address(name, &require(variable, name, "address:port")?)?)
         };
@@ -66,8 +66,8 @@
 fn require(
     variable: &impl Fn(&str) -> Option<String>,
     name: &'static str,
-    needed: &'static str,
+    expected: &'static str,
 ) -> Result<String, LaunchError> {
     let value = variable(name).filter(|value| !value.is_empty());
-    value.ok_or(LaunchError::NotSet { variable: name, needed })
+    value.ok_or(LaunchError::NotSet { variable: name, expected })
 }
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -18,12 +18,12 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
     /// A required variable is not set, or is empty.
-    #[error("{variable}: not set; needed is {needed}")]
+    #[error("{variable}: not set; needed is {expected}")]
     NotSet {
         /// The variable's name.
         variable: &'static str,
         /// A description of the expected value.
-        needed: &'static str,
+        expected: &'static str,
     },
     /// The value of a variable is not an address.
     #[error(transparent)]
--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -28,21 +28,24 @@
     pub(super) settings_json: Value,
 }
 
-/// The structure of the JSON file. serde prints the name of this struct in error messages, so the name stays as
-/// operators have seen it.
+/// The structure of the JSON file.
 #[derive(Deserialize)]
-struct Told {
+// `expecting` keeps the text of an error that operators have seen.
+#[serde(expecting = "struct Told")]
+struct ConfigFileJson {
     discovery: Option<String>,
     seed: String,
-    limits: Allowed,
+    limits: MachineLimits,
     #[serde(rename = "known")]
     cached_endpoints: Listing,
     settings: Value,
 }
 
-/// The resources of the machine that the router may use. serde prints the name of this struct, too.
+/// The resources of the machine that the router may use.
 #[derive(Deserialize)]
-struct Allowed {
+// `expecting` keeps the text of an error that operators have seen.
+#[serde(expecting = "struct Allowed")]
+struct MachineLimits {
     cores: Option<f64>,
     memory_mb: u64,
     sockets: usize,
@@ -53,7 +56,7 @@
     let mut errors = ConfigFileErrors::default();
     let file = ladderpass_config::parse(&mut serde_json::Deserializer::from_str(text));
     let Some(file) = errors.ok_or_push(file.map_err(ConfigFileError::from)) else { return Err(errors) };
-    let Told { discovery, seed, limits, cached_endpoints, settings: settings_json } = file;
+    let ConfigFileJson { discovery, seed, limits, cached_endpoints, settings: settings_json } = file;
     let seed = u64::from_str_radix(&seed, 16).map_err(|_| ConfigFileError::Seed(seed));
     let seed = errors.ok_or_push(seed);
     let discovery = discovery
@@ -77,7 +80,7 @@
     }
 }
 
-fn check_limits(limits: &Allowed, cores: f64, errors: &mut ConfigFileErrors) {
+fn check_limits(limits: &MachineLimits, cores: f64, errors: &mut ConfigFileErrors) {
     if limits.memory_mb == 0 || limits.memory_mb > MAX_MEMORY_MB {
         errors.push(ConfigFileError::Memory { max: MAX_MEMORY_MB });
     }
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -170,11 +170,11 @@
 }
 
 /// The longest value in the protocol.
-const VALUE_BYTES: usize = 64 << 10;
+const MAX_VALUE_BYTES: usize = 64 << 10;
 /// The number of bytes that a statement or an answer may have in addition to its value.
-const FRAME_BYTES: usize = 8 << 10;
+const OVERHEAD_BYTES: usize = 8 << 10;
 /// The longest statement or answer. A value in hex takes twice its size.
-const STATEMENT_BYTES: usize = 2 * VALUE_BYTES + FRAME_BYTES;
+const MAX_STATEMENT_BYTES: usize = 2 * MAX_VALUE_BYTES + OVERHEAD_BYTES;
 /// The space that an input buffer has in addition to complete messages, so that the beginning of the next message fits.
 const BUFFER_SLACK_BYTES: usize = 16 << 10;
 /// The number of statements that a client's input buffer has space for.
@@ -189,12 +189,12 @@
 /// The limits that apply if neither the machine nor the settings determine them.
 const DEFAULTS: Limits = Limits {
     buffer_initial_bytes: 4 << 10,
-    client_buffer_bytes: STATEMENTS_AHEAD * STATEMENT_BYTES + BUFFER_SLACK_BYTES,
-    member_buffer_bytes: STATEMENT_BYTES + BUFFER_SLACK_BYTES,
+    client_buffer_bytes: STATEMENTS_AHEAD * MAX_STATEMENT_BYTES + BUFFER_SLACK_BYTES,
+    member_buffer_bytes: MAX_STATEMENT_BYTES + BUFFER_SLACK_BYTES,
     discovery_buffer_bytes: 64 << 10,
     discovery_line_bytes: 8 << 20,
     startup_message_bytes: 10_000,
-    statement_bytes: STATEMENT_BYTES,
+    statement_bytes: MAX_STATEMENT_BYTES,
     pause_clients_at_buffer_bytes: usize::MAX,
     pause_members_at_buffer_bytes: usize::MAX,
     memory_wait_timeout: Span::from_millis(100),
--- a/crates/ladderpass/src/sockets/clock.rs
+++ b/crates/ladderpass/src/sockets/clock.rs
@@ -10,8 +10,8 @@
 
 /// A clock that reads the wall clock once at the start and advances by the monotonic clock.
 pub(super) struct Clock {
-    started_at: Time,
-    started: Instant,
+    wall_at_start: Time,
+    started_at: Instant,
     wall_clock: WallClock,
 }
 
@@ -21,22 +21,22 @@
     pub(super) fn start(offset: Span) -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock {
-            started_at: Time::from_nanos(wall.as_nanos() as i64) + offset,
-            started: Instant::now(),
+            wall_at_start: Time::from_nanos(wall.as_nanos() as i64) + offset,
+            started_at: Instant::now(),
             wall_clock: WallClock::default(),
         }
     }
 
     pub(super) fn now(&self) -> Time {
-        self.started_at + span(self.started.elapsed())
+        self.wall_at_start + span(self.started_at.elapsed())
     }
 
     /// Returns how long bytes with this timestamp of the kernel had waited, on a connection whose socket was last known
     /// to be empty at `last_empty_at`.
     pub(super) fn time_in_kernel(&mut self, timestamp: Duration, last_empty_at: Instant) -> Span {
-        let before = self.started.elapsed();
+        let before = self.started_at.elapsed();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let now = self.started.elapsed();
+        let now = self.started_at.elapsed();
         // A pause of the process between the two readings would look like a step of the wall clock.
         if now - before < SIMULTANEOUS_READINGS {
             self.wall_clock.record_reading(before, wall);
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -73,7 +73,7 @@
         server.usage.mark_awake();
         server.handle_ready_connections();
         partly_read.into_iter().for_each(|id| server.read(id, ReadMode::UntilBlocked));
-        server.resume_deferred();
+        server.retry_deferred_calls();
     }
     Ok(())
 }
@@ -144,7 +144,7 @@
     }
 
     /// Repeats the calls that failed temporarily.
-    fn resume_deferred(&mut self) {
+    fn retry_deferred_calls(&mut self) {
         for client in std::mem::take(&mut self.deferred.registrations) {
             self.admit_client(client);
         }
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub struct WallClock {
     offset_nanos: Option<i128>,
-    earlier: VecDeque<EarlierOffset>,
+    earlier_offsets: VecDeque<EarlierOffset>,
 }
 
 /// An offset that was in force before a step of the wall clock.
@@ -35,11 +35,13 @@
         let offset = nanos(wall) - nanos(monotonic);
         let before = self.offset_nanos.replace(offset);
         if let Some(before) = before.filter(|before| (before - offset).abs() > MIN_STEP_NANOS) {
-            self.earlier.push_back(EarlierOffset { nanos: before, ended_at: monotonic });
+            self.earlier_offsets.push_back(EarlierOffset { nanos: before, ended_at: monotonic });
         }
         let is_old = |earlier: &EarlierOffset| earlier.ended_at + KEEP_EARLIER_OFFSETS < monotonic;
-        while self.earlier.len() > MAX_EARLIER_OFFSETS || self.earlier.front().is_some_and(is_old) {
-            self.earlier.pop_front();
+        while self.earlier_offsets.len() > MAX_EARLIER_OFFSETS
+            || self.earlier_offsets.front().is_some_and(is_old)
+        {
+            self.earlier_offsets.pop_front();
         }
     }
 
@@ -48,7 +50,8 @@
     /// remaining time for the client.
     pub fn time_in_kernel(&self, monotonic: Duration, timestamp: Duration, max: Duration) -> Duration {
         let age = |offset: i128| nanos(monotonic) + offset - nanos(timestamp);
-        let offsets = self.offset_nanos.iter().chain(self.earlier.iter().map(|earlier| &earlier.nanos));
+        let offsets =
+            self.offset_nanos.iter().chain(self.earlier_offsets.iter().map(|earlier| &earlier.nanos));
         let fits = |age: &i128| (-MIN_STEP_NANOS..=nanos(max) + MIN_STEP_NANOS).contains(age);
         let age = offsets.map(|&offset| age(offset)).filter(fits).min();
         let age = age.and_then(|age| u64::try_from(age.max(0)).ok());
