--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -76,9 +76,9 @@
     pub closed: bool,
 }
 
-/// A stream that could not be registered with epoll, and the reason.
+/// The error for a stream that could not be registered.
 #[derive(Debug, thiserror::Error)]
-#[error("connection can't be watched: {source}")]
+#[error("connection can't be registered: {source}")]
 pub struct RegisterError {
     /// The stream, which is still open.
     pub stream: TcpStream,
@@ -102,7 +102,7 @@
     pub fn new(stream: TcpStream, is_outbound: bool, last_empty_at: Instant) -> Connection {
         // Without timestamps, the time that bytes wait in the kernel counts as zero.
         if let Err(error) = setsockopt(&stream, sockopt::ReceiveTimestampns, &true) {
-            tracing::debug!(%error, "no receive timestamps");
+            tracing::debug!(%error, "receive timestamps not enabled");
         }
         Connection {
             stream,
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -98,34 +98,34 @@
 #[derive(Debug, Error)]
 pub enum WatchError {
     /// The status line and headers of the response are not valid HTTP.
-    #[error("bad head: {0}")]
+    #[error("invalid response head: {0}")]
     Head(httparse::Error),
     /// Discovery responded with a status other than 200.
-    #[error("status {0}")]
+    #[error("HTTP status {0}")]
     Status(u16),
     /// The response does not have the transfer encoding `chunked`.
-    #[error("the answer is not chunked")]
+    #[error("the response is not chunked")]
     NotChunked,
     /// Discovery ended the response.
-    #[error("the watch has ended")]
+    #[error("discovery ended the watch")]
     Ended,
     /// The size of a chunk does not fit into the machine's `usize`.
-    #[error("chunk too large")]
+    #[error("a chunk is too large")]
     ChunkTooLarge,
     /// The size line of a chunk exceeds `MAX_CHUNK_HEAD_BYTES`.
-    #[error("bad chunk")]
+    #[error("the size line of a chunk is too long")]
     ChunkHeadTooLong,
     /// The size line of a chunk contains no valid size.
-    #[error("bad chunk size")]
+    #[error("invalid chunk size")]
     ChunkSize,
     /// The bytes after a chunk are not the line break that ends it, so the chunk's size is wrong.
-    #[error("a chunk does not end where it said")]
+    #[error("a chunk does not end after its size")]
     ChunkEnd,
     /// An object, or an empty line, is longer than the limit.
-    #[error("a line is too long")]
+    #[error("a JSON object is too long")]
     LineTooLong,
     /// A complete object is not a valid [`Listing`].
-    #[error("bad line: {0}")]
+    #[error("invalid JSON object: {0}")]
     Line(#[source] serde_json::Error),
 }
 
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -46,10 +46,10 @@
 #[derive(Debug, Error)]
 pub enum FaultyError {
     /// `LADDERPASS_FAULTY` is not the name of a fault.
-    #[error("LADDERPASS_FAULTY: {0:?} is no switch")]
+    #[error("LADDERPASS_FAULTY: {0:?} is not a known fault")]
     UnknownSwitch(String),
     /// `LADDERPASS_CLOCK_MS` is not a number of milliseconds.
-    #[error("LADDERPASS_CLOCK_MS: {0:?} is no number")]
+    #[error("LADDERPASS_CLOCK_MS: {0:?} is not a number of milliseconds")]
     ClockOffset(String),
 }
 
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
     /// A required variable is not set, or is empty.
-    #[error("{variable}: not set; needed is {expected}")]
+    #[error("{variable}: not set; expected {expected}")]
     NotSet {
         /// The variable's name.
         variable: &'static str,
@@ -67,7 +67,7 @@
     #[error(transparent)]
     Json(#[from] JsonError),
     /// The seed of the random number generator is invalid.
-    #[error("seed: {0:?} is not a number in hex of at most 64 bits")]
+    #[error("seed: {0:?} is not a hexadecimal number of at most 64 bits")]
     Seed(String),
     /// The address of discovery is invalid.
     #[error(transparent)]
@@ -79,7 +79,7 @@
         max: u64,
     },
     /// The number of descriptors that the router may open is too small.
-    #[error("limits.sockets: {sockets} is less than the {min} needed")]
+    #[error("limits.sockets: {sockets}; must be at least {min}")]
     Sockets {
         /// The configured value.
         sockets: usize,
@@ -87,7 +87,7 @@
         min: usize,
     },
     /// The number of cores that the router may use is out of range.
-    #[error("limits.cores: {cores} is not above 0 and up to {max}")]
+    #[error("limits.cores: {cores}; must be above 0, and at most {max}")]
     Cores {
         /// The configured value.
         cores: f64,
@@ -101,7 +101,7 @@
 
 /// A text that is not an address with a port.
 #[derive(Debug, thiserror::Error)]
-#[error("{key}: {text:?} is no address and port; allowed is address:port")]
+#[error("{key}: {text:?} is not an address with a port; allowed is address:port")]
 pub struct AddressError {
     /// The name of the variable or key.
     pub key: &'static str,
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -83,28 +83,28 @@
 }
 
 fn add_peers(table: &mut Table, peers: Option<&Peers>) {
-    let Some(peers) = peers else { return table.add("peers", "off: routers tell each other nothing") };
+    let Some(peers) = peers else { return table.add("peers", "off: no messages between routers") };
     let (address, listen, listed) = (peers.address, peers.listen, peers.listed.len());
-    table.add("peers", format!("{address}, heard at {listen}, {listed} listed"));
+    table.add("peers", format!("{address}, listening at {listen}, {listed} listed"));
     let networks: Vec<String> = peers.networks.iter().map(|network| network.to_string()).collect();
-    let networks = if networks.is_empty() { "the listed alone".into() } else { networks.join(", ") };
+    let networks = if networks.is_empty() { "only listed routers".into() } else { networks.join(", ") };
     table.add("peers.networks", networks);
     if peers.legacy_form {
-        table.add("peers.me, peers.all", "the form of before: write listen and listed");
+        table.add("peers.me, peers.all", "deprecated: use listen and listed instead");
     }
 }
 
 fn add_shared_and_members(table: &mut Table, operator: &Operator) {
-    let alone = "off: each alone";
-    table.add("fleet.sheds", if operator.shared_admission { "all routers as one" } else { alone });
-    table.add("fleet.budgets", if operator.shared_retry_budget { "of all routers" } else { alone });
+    let separate = "off: each router separately";
+    table.add("fleet.sheds", if operator.shared_admission { "all routers together" } else { separate });
+    table.add("fleet.budgets", if operator.shared_retry_budget { "of all routers" } else { separate });
     table.add("members.zone", operator.zone.as_deref().unwrap_or("off: all members are equally near"));
     table.add("members.sizes", if operator.weights_are_concurrency { "by the list's weight" } else { "off" });
 }
 
 fn add_overload(table: &mut Table, settings: Option<&Settings>) {
     let Some(settings) = settings else {
-        return table.add("overload", "off: the router does not watch itself");
+        return table.add("overload", "off: the router does not detect overload");
     };
     let delay = settings.delay;
     table.add("overload.delay", format!("from {} full {}", rounded_ms(delay.from), rounded_ms(delay.full)));
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -12,24 +12,26 @@
 use tracing_subscriber::util::SubscriberInitExt;
 
 const HELP: &str = "\
-What the platform tells comes by variables: RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY (address:port), and
-RELAY_CONFIG, the path of a JSON file. RUST_LOG sets the log's levels, also by target: `info,ladderpass=debug`.
+The platform configures the router by environment variables: RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY
+(address:port), and RELAY_CONFIG, the path of a JSON file. RUST_LOG sets the log levels, also by target:
+`info,ladderpass=debug`.
 
-Signals: SIGHUP reads all of this again, and keeps the old where the new is wrong; SIGTERM stops once all that was
-taken is answered.
+Signals: SIGHUP reads the JSON file and the operator's file again, and keeps the current configuration if the new one
+is invalid; SIGTERM and SIGINT stop the router once all accepted RPCs are answered.
 
-Exit codes: 0 it was stopped, or all holds; 1 what it is told is wrong, or it can't listen; 2 the command line is wrong.
+Exit codes: 0 the router was stopped, or the checked configuration is valid; 1 the configuration is invalid, or the
+router can't start or continue; 2 the command line is invalid.
 
 Examples:
-  ladderpass                                      serve, as the platform starts it
-  ladderpass --operator deploy/operator.yaml      serve, with the installation's own settings
-  ladderpass check --operator deploy/operator.yaml  read all, say what holds, start nothing";
+  ladderpass                                        serve, as the platform starts it
+  ladderpass --operator deploy/operator.yaml        serve, with the settings of the operator's file
+  ladderpass check --operator deploy/operator.yaml  check and print the configuration, start nothing";
 
-/// A proxy before a primary and its replicas: reads go to replicas that are fresh enough, writes to the primary
+/// A proxy in front of a primary and its replicas: reads go to replicas that are fresh enough, writes to the primary
 #[derive(Parser)]
 #[command(name = "ladderpass", version, after_help = HELP)]
 struct Cli {
-    /// The operator's file (YAML); without it the router does only what the platform tells
+    /// The operator's file (YAML); without it the router uses only the platform's configuration
     #[arg(long, global = true, value_name = "FILE")]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -38,9 +40,9 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve in the foreground (also what happens without a command)
+    /// Serve in the foreground (the default without a command)
     Serve,
-    /// Read and check all that the router is told, say what holds with its defaults, and end
+    /// Read and check the whole configuration, print it with its defaults, and exit
     Check,
 }
 
