--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -202,7 +202,7 @@
         self.connections.get(&id)
     }
 
-    /// Returns the connection with this id, mutable.
+    /// Returns the connection with this id, for changes.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -95,7 +95,7 @@
     /// temporarily can't be read.
     ///
     /// # Errors
-    /// The same as of [`Launch::read`].
+    /// Returns the errors of [`Launch::read`].
     pub fn read_at_start(
         variable: impl Fn(&str) -> Option<String>,
         operator_path: Option<&Path>,
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Describes the idempotency of a method, in words that stay as those of `describe_consistency` do.
+/// Describes the idempotency of a method. These words stay for the same reason as those of `describe_consistency`.
 fn describe_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Idempotent".to_owned(),
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -45,8 +45,8 @@
     /// The number of clients above which those that have been waited for as long as `eviction_ages` are closed, because
     /// other clients and members may need the descriptors.
     pub clients_before_eviction: usize,
-    /// How long the router waits for a client before it may evict it: for the startup message, for the rest of a
-    /// statement, and for the next statement.
+    /// How long the router waits for a client's startup message, for the rest of a statement, and for the next
+    /// statement, before the client may be evicted.
     pub eviction_ages: [Span; 3],
     /// How many connections beyond `connections` are allowed while evicted clients are being closed, which takes one
     /// more iteration of the event loop.
