--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -1,5 +1,5 @@
-//! The JSON file that `RELAY_CONFIG` names: seed, limits of the machine, the cached endpoint list, and the settings of
-//! the deployment.
+//! The JSON file that `RELAY_CONFIG` names. It contains the seed, the limits of the machine, the cached endpoint list,
+//! the settings of the deployment and, optionally, the address of discovery.
 
 use super::environment::parse_address;
 use super::errors::{ConfigFileError, ConfigFileErrors};
@@ -14,9 +14,9 @@
 const DEFAULT_CORES: f64 = 1.0;
 const MAX_CORES: f64 = 1024.0;
 
-/// What the file says, checked.
+/// The checked content of the file.
 pub(super) struct ConfigFile {
-    /// Goes before `RELAY_DISCOVERY`, which can't be changed while a process runs.
+    /// The address of discovery. It overrides `RELAY_DISCOVERY`, which can't be changed while the process runs.
     pub(super) discovery: Option<SocketAddr>,
     pub(super) seed: u64,
     pub(super) cores: f64,
@@ -24,24 +24,28 @@
     pub(super) sockets: usize,
     pub(super) cached_endpoints: Listing,
     pub(super) settings: DeploymentSettings,
-    /// The settings as they stand in the file.
+    /// The unparsed settings, to find the keys that differ after a reload.
     pub(super) settings_json: Value,
 }
 
-/// Wire shape of the file. serde prints the struct's name in its errors, so it keeps the name that operators have seen.
+/// The structure of the JSON file.
 #[derive(Deserialize)]
-struct Told {
+// `expecting` keeps the text of an error that operators have seen.
+#[serde(expecting = "struct Told")]
+struct ConfigFileJson {
     discovery: Option<String>,
     seed: String,
-    limits: Allowed,
+    limits: MachineLimits,
     #[serde(rename = "known")]
     cached_endpoints: Listing,
     settings: Value,
 }
 
-/// What the machine allows.
+/// The resources of the machine that the router may use.
 #[derive(Deserialize)]
-struct Allowed {
+// `expecting` keeps the text of an error that operators have seen.
+#[serde(expecting = "struct Allowed")]
+struct MachineLimits {
     cores: Option<f64>,
     memory_mb: u64,
     sockets: usize,
@@ -52,7 +56,7 @@
     let mut errors = ConfigFileErrors::default();
     let file = ladderpass_config::parse(&mut serde_json::Deserializer::from_str(text));
     let Some(file) = errors.ok_or_push(file.map_err(ConfigFileError::from)) else { return Err(errors) };
-    let Told { discovery, seed, limits, cached_endpoints, settings: settings_json } = file;
+    let ConfigFileJson { discovery, seed, limits, cached_endpoints, settings: settings_json } = file;
     let seed = u64::from_str_radix(&seed, 16).map_err(|_| ConfigFileError::Seed(seed));
     let seed = errors.ok_or_push(seed);
     let discovery = discovery
@@ -76,7 +80,7 @@
     }
 }
 
-fn check_limits(limits: &Allowed, cores: f64, errors: &mut ConfigFileErrors) {
+fn check_limits(limits: &MachineLimits, cores: f64, errors: &mut ConfigFileErrors) {
     if limits.memory_mb == 0 || limits.memory_mb > MAX_MEMORY_MB {
         errors.push(ConfigFileError::Memory { max: MAX_MEMORY_MB });
     }
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -1,4 +1,4 @@
-//! What `ladderpass check` prints: the configuration that holds, defaults included, one thing a line.
+//! The output of `ladderpass check`: the effective configuration, defaults included, with one value per line.
 
 use super::Launch;
 use ladderpass_config::operator::{Operator, Peers};
@@ -6,7 +6,7 @@
 use ladderpass_routing::{Consistency, Idempotency, Span};
 use std::fmt::Write;
 
-/// Lines of a key and its value.
+/// A text table with one key and its value per line.
 #[derive(Default)]
 struct Table(String);
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// The configuration, one line a thing.
+/// Returns the effective configuration with one value per line.
 pub(super) fn summarize(launch: &Launch) -> String {
     let mut table = Table::default();
     add_launch(&mut table, launch);
@@ -59,7 +59,8 @@
     }
 }
 
-/// Operators may compare what is printed, so the words don't follow the names in the code.
+/// Describes a consistency level. Operators may compare the output of two versions, so these words stay when names in
+/// the code change.
 fn describe_consistency(consistency: Consistency) -> String {
     match consistency {
         Consistency::Any => "Any".to_owned(),
@@ -70,6 +71,7 @@
     }
 }
 
+/// Describes the idempotency of a method. These words stay for the same reason as those of `describe_consistency`.
 fn describe_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Idempotent".to_owned(),
@@ -81,28 +83,28 @@
 }
 
 fn add_peers(table: &mut Table, peers: Option<&Peers>) {
-    let Some(peers) = peers else { return table.add("peers", "off: routers tell each other nothing") };
+    let Some(peers) = peers else { return table.add("peers", "off: no messages between routers") };
     let (address, listen, listed) = (peers.address, peers.listen, peers.listed.len());
-    table.add("peers", format!("{address}, heard at {listen}, {listed} listed"));
+    table.add("peers", format!("{address}, listening at {listen}, {listed} listed"));
     let networks: Vec<String> = peers.networks.iter().map(|network| network.to_string()).collect();
-    let networks = if networks.is_empty() { "the listed alone".into() } else { networks.join(", ") };
+    let networks = if networks.is_empty() { "only listed routers".into() } else { networks.join(", ") };
     table.add("peers.networks", networks);
     if peers.legacy_form {
-        table.add("peers.me, peers.all", "the form of before: write listen and listed");
+        table.add("peers.me, peers.all", "deprecated: use listen and listed instead");
     }
 }
 
 fn add_shared_and_members(table: &mut Table, operator: &Operator) {
-    let alone = "off: each alone";
-    table.add("fleet.sheds", if operator.shared_admission { "all routers as one" } else { alone });
-    table.add("fleet.budgets", if operator.shared_retry_budget { "of all routers" } else { alone });
+    let separate = "off: each router separately";
+    table.add("fleet.sheds", if operator.shared_admission { "all routers together" } else { separate });
+    table.add("fleet.budgets", if operator.shared_retry_budget { "of all routers" } else { separate });
     table.add("members.zone", operator.zone.as_deref().unwrap_or("off: all members are equally near"));
     table.add("members.sizes", if operator.weights_are_concurrency { "by the list's weight" } else { "off" });
 }
 
 fn add_overload(table: &mut Table, settings: Option<&Settings>) {
     let Some(settings) = settings else {
-        return table.add("overload", "off: the router does not watch itself");
+        return table.add("overload", "off: the router does not detect overload");
     };
     let delay = settings.delay;
     table.add("overload.delay", format!("from {} full {}", rounded_ms(delay.from), rounded_ms(delay.full)));
