--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -36,7 +36,7 @@
 ];
 
 #[test]
-fn what_is_not_set_hides_no_error_of_the_operators_file() {
+fn missing_variables_do_not_hide_errors_in_the_operator_file() {
     let path = write_file("operator", OPERATOR);
     let path_text = path.to_str().expect("plain");
     let (faults, output) = run(&[], &["check", "--operator", path_text]);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn errors_of_the_platforms_file_stand_beside_the_others() {
+fn errors_in_the_platform_configuration_are_reported_with_all_others() {
     let operator = write_file("beside", "overload: {fair: 0}\n");
     let platform = write_file(
         "platform",
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named_in_the_error() {
     let (faults, output) = run(&[("RELAY_CONFIG", "/dev/null/a")], &["check", "--operator", "/dev/null/b"]);
     assert_eq!(output.status.code(), Some(1));
     for wanted in ["RELAY_CONFIG: /dev/null/a: ", "/dev/null/b: "] {
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn nine_in_ten_that_start_at_once_are_ready_in_time() {
+fn nine_in_ten_routers_started_at_once_serve_a_client_within_ten_seconds() {
     let asked = std::env::var("LADDERPASS_READY").unwrap_or_default();
     let mut asked = asked.splitn(3, ',');
     let mut number = |or: usize| asked.next().and_then(|text| text.parse().ok()).unwrap_or(or);
--- a/crates/ladderpass/tests/descriptor_limit/main.rs
+++ b/crates/ladderpass/tests/descriptor_limit/main.rs
@@ -24,7 +24,7 @@
 /// descriptors than configured, and knows it. Where it has fewer than it knows (its limit was lowered, or the system has no
 /// more) clients that are not accepted yet may have to wait, or are rejected.
 #[test]
-fn idle_clients_leave_descriptors_to_discovery_health_checks_and_attempts() {
+fn idle_clients_do_not_starve_discovery_health_checks_and_attempts_of_descriptors() {
     let known = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
     let lowered = [(24, 12), (64, 12), (1024, 12), (1024, 40), (1024, 300)];
     for (known, (configured, free)) in
@@ -59,7 +59,7 @@
 /// Idle clients have all descriptors, which are fewer than the router knows of. One of them sends a statement: its attempt
 /// gets a descriptor.
 #[test]
-fn an_attempt_gets_its_descriptor_from_an_idle_client() {
+fn an_attempt_takes_the_descriptor_of_an_idle_client_when_none_is_free() {
     for method in ["read", "write"] {
         for free in [8, 40, 200] {
             let mut machine = machine(3, 1024, free);
@@ -90,7 +90,7 @@
 /// A start with 940 members in the cached list, discovery down or silent, a third of the members silent or unreachable:
 /// clients are accepted and served, at once and later, with few descriptors and with many.
 #[test]
-fn a_start_with_940_members_accepts_and_serves() {
+fn a_router_started_with_940_members_accepts_and_serves_clients() {
     for sockets in [1024, 4096] {
         for discovery in [Discovery::Down, Discovery::Silent] {
             let what = format!("{sockets} descriptors, discovery {discovery:?}");
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -27,7 +27,7 @@
 /// The client cancels before the connection is established: one answer at once, and the RPC is never sent. The next one is
 /// served.
 #[test]
-fn what_is_cancelled_before_the_connection_is_up_is_not_forwarded() {
+fn an_rpc_cancelled_before_its_member_connection_is_established_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     let mut client = TcpStream::connect(&harness.address).expect("it listens");
     client.set_read_timeout(Some(PATIENCE)).expect("it can");
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -145,7 +145,7 @@
 /// connections that are not established yet, and one rejects what it has. The router stalls meanwhile for 0.15 s, and then
 /// finds all closes at once, with what members have sent before them: no pending RPC is started, and none is retried.
 #[test]
-fn clients_that_leave_in_one_burst_are_not_forwarded() {
+fn rpcs_of_clients_that_disconnect_in_one_burst_are_not_forwarded() {
     let members: Vec<TcpListener> = (0..6).map(|_| bind_listener()).collect();
     let long_deadlines = |config: String| {
         config.replace("750000000", "60000000000").replace("\"sockets\":1024", "\"sockets\":8192")
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -9,7 +9,7 @@
 
 /// Statement and close arrive together: on a new connection, and on one that was served before.
 #[test]
-fn a_client_that_asks_and_leaves_in_one_instant_is_not_forwarded() {
+fn a_statement_that_arrives_together_with_its_clients_close_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let mut known = harness.client();
@@ -26,7 +26,7 @@
 
 /// A half close counts as a close: nobody can tell them apart before bytes are written.
 #[test]
-fn a_half_close_of_a_client_counts_as_its_close() {
+fn a_half_close_by_a_client_is_treated_as_a_close() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let mut half = harness.client();
@@ -40,7 +40,7 @@
 
 /// After an error of the client nothing is read for a while, and its close once went unseen too.
 #[test]
-fn a_client_that_leaves_in_the_backoff_after_its_error_is_not_forwarded() {
+fn a_statement_of_a_client_that_disconnects_during_the_backoff_after_its_error_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let mut client = harness.client();
@@ -57,7 +57,7 @@
 
 /// The connection is established once the client has left.
 #[test]
-fn a_client_that_leaves_before_the_connection_is_up_is_not_forwarded() {
+fn an_rpc_whose_client_disconnects_before_the_member_connection_is_established_is_not_forwarded() {
     leave_before_the_connection_is_up(|_| None);
 }
 
@@ -84,14 +84,14 @@
 /// that closes a connection takes 25 us, and the write was sent 9.6 ms after it; with a child that took 60 ms to start it was
 /// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
 #[test]
-fn a_client_that_closes_is_gone_though_a_copy_of_its_socket_is_open() {
+fn an_rpc_is_not_forwarded_after_its_clients_close_although_a_copy_of_the_socket_is_open() {
     leave_before_the_connection_is_up(|client| Some(client.try_clone().expect("it can")));
 }
 
 /// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
 /// figure of `docs/results.md`.
 #[test]
-fn clients_that_leave_while_their_rpcs_are_pending_are_not_forwarded() {
+fn pending_rpcs_of_clients_that_disconnect_are_not_forwarded() {
     let mut harness = start_harness(|config| {
         config.replace("750000000,\"Effect\":\"side", "60000000000,\"Effect\":\"side")
     });
--- a/crates/ladderpass/tests/disconnects/crossing_closes.rs
+++ b/crates/ladderpass/tests/disconnects/crossing_closes.rs
@@ -9,7 +9,7 @@
 
 /// Connections that were reset while they waited at the listener block no other.
 #[test]
-fn resets_at_the_listener_bar_nobody() {
+fn connections_reset_before_accept_do_not_block_other_clients() {
     let mut harness = start_harness(|config| config);
     harness.pause();
     for _ in 0..8 {
@@ -22,7 +22,7 @@
 
 /// The idle time-out of a connection ends when its next statement has already arrived: that is accepted.
 #[test]
-fn an_idle_close_that_crosses_a_query_yields() {
+fn a_query_that_has_arrived_when_the_idle_timeout_ends_is_accepted() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     sleep(Duration::from_millis(1500));
@@ -38,7 +38,7 @@
 
 /// A complete answer counts, although the member closes right after it.
 #[test]
-fn a_members_end_right_behind_its_answer_spoils_nothing() {
+fn a_complete_answer_is_forwarded_although_the_member_closes_right_after_it() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -52,7 +52,7 @@
 
 /// An answer and its client's close cross: nobody gets the answer, and the connection to the member stays in step.
 #[test]
-fn an_answer_that_crosses_its_clients_end_goes_to_nobody_else() {
+fn an_answer_that_crosses_its_clients_close_is_sent_to_no_other_client() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -78,7 +78,7 @@
 
 /// A member closes its idle connection just when the next RPC comes: the close is seen first, and the RPC is sent once.
 #[test]
-fn a_members_idle_end_that_crosses_a_statement_is_seen_first() {
+fn a_member_close_that_crosses_a_statement_is_handled_before_the_statement() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let mut client = harness.client();
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -26,7 +26,7 @@
 
 /// No descriptors left: clients at the listener wait, and are served once some are free again.
 #[test]
-fn clients_at_the_listener_are_served_once_there_are_descriptors_again() {
+fn clients_waiting_to_be_accepted_are_served_once_descriptors_are_free_again() {
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     harness.assert_write_succeeds("1");
@@ -40,7 +40,7 @@
 
 /// Silent clients have all descriptors that clients may have: attempts get theirs.
 #[test]
-fn attempts_have_descriptors_beside_clients_that_use_all() {
+fn attempts_get_descriptors_although_clients_use_all_that_they_may() {
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
@@ -59,7 +59,7 @@
 /// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
 /// The RPC is answered at once, and the next one is served.
 #[test]
-fn a_member_is_not_blamed_for_descriptors_that_are_short() {
+fn a_shortage_of_descriptors_is_not_counted_as_a_member_failure() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
     let mut client = harness.client();
     harness.settle();
@@ -89,7 +89,7 @@
 /// Clients that had left before they were accepted have no descriptor: each releases its own before the next one is
 /// accepted.
 #[test]
-fn clients_that_have_left_the_listener_use_no_descriptors() {
+fn clients_that_disconnect_before_accept_hold_no_descriptors() {
     let log = temp_file("");
     let shell = format!("ulimit -n 24; exec \"$0\" 2>{}", log.display());
     let harness = start_harness_with(
@@ -109,7 +109,7 @@
 /// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
 /// connects to discovery within 6 s of its return.
 #[test]
-fn discovery_is_watched_in_time_though_idle_clients_fill_the_descriptors() {
+fn discovery_is_watched_again_in_time_although_idle_clients_fill_the_descriptors() {
     for count in [24, 100] {
         let shell = format!("ulimit -n {count}; exec \"$0\"");
         let mut harness = start_harness_with(
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -12,7 +12,7 @@
 
 /// With pushed lists no watch was ever opened once, and drains were never known.
 #[test]
-fn a_list_that_is_pushed_is_watched_and_watched_again() {
+fn a_pushed_list_is_watched_and_its_watch_is_reopened_after_it_ends() {
     let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
     harness.assert_write_succeeds("1");
     let moved = instance(0, &harness.member_address(1), "SERVING");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_list_that_comes_indented_counts() {
+fn an_indented_list_is_accepted() {
     let mut harness = start_harness(|config| config);
     let moved = instance(0, &harness.member_address(1), "SERVING")
         .replace("\"m-0\"", "\n  \"m-0\"\n")
@@ -44,7 +44,7 @@
 
 /// What a silent watch would have sent must be known 6 s later. Both this watch and the next fall silent.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time_and_so_is_the_next() {
+fn a_silent_watch_is_reopened_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
     let since = Instant::now();
     let second = accept_connection(&harness.discovery);
@@ -57,7 +57,7 @@
 
 /// Lines inside an object that never ends count as silence.
 #[test]
-fn a_list_that_never_ends_is_a_silent_one() {
+fn a_watch_whose_list_never_ends_is_treated_as_silent() {
     let mut harness = start_harness(|config| config);
     let since = Instant::now();
     harness.send_watch_bytes(b"{\"generation\":2,\n\"reset\":false,\n");
@@ -71,7 +71,7 @@
 /// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
 /// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
 #[test]
-fn sighup_twice_follows_the_last_address() {
+fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
     let good = std::fs::read_to_string(&harness.config_file).expect("its file");
     let (silent, last) = (bind_listener(), bind_listener());
@@ -101,7 +101,7 @@
 /// The new address answers with a head and empty lines, and no list: that is no answer, and it is polled again in time.
 /// Once it never was.
 #[test]
-fn a_new_address_that_sends_no_list_is_polled_again() {
+fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
     let empty = bind_listener();
     let to = empty.local_addr().expect("an address").to_string();
@@ -122,7 +122,7 @@
 /// Discovery starts again with lower generations: older lists are rejected, but not for longer than a change may be late,
 /// from when the current list was received.
 #[test]
-fn a_discovery_that_counts_anew_is_believed_in_the_end() {
+fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
     harness.generation = 50;
     let here = instance(0, &harness.member_address(0), "SERVING");
@@ -151,7 +151,7 @@
 /// Three RPCs wait for their connection when their member's address changes: they go to the new address, and none counts
 /// as a failure of the member, which would eject it.
 #[test]
-fn what_waits_for_a_connection_goes_to_the_new_address() {
+fn rpcs_that_wait_for_a_connection_go_to_the_new_address_of_their_member() {
     let mut harness = start_harness(|config| config);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
     for (nth, client) in clients.iter_mut().enumerate() {
@@ -173,7 +173,7 @@
 
 /// The connection is not established yet when its member drains: the RPC goes elsewhere at once, and that member gets none.
 #[test]
-fn a_drain_withdraws_what_waits_for_its_connection() {
+fn an_rpc_that_waits_for_a_connection_to_a_draining_member_goes_elsewhere() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "read", 60_000, "1"))).expect("the router reads");
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -54,20 +54,20 @@
 
 /// The client's buffer is full with what follows its first RPC, and the close comes after that.
 #[test]
-fn a_client_that_leaves_with_a_full_buffer_is_not_forwarded() {
+fn statements_of_a_client_that_disconnects_with_a_full_buffer_are_not_forwarded() {
     assert_eq!(count_forwarded_behind(|round| statements_behind(round, 72)), 0);
 }
 
 /// The client has sent more than buffer and socket hold, so that the kernel holds its close back: its bytes are read up to
 /// the close, and no RPC among them is started. After a half close no reset shows that it has left.
 #[test]
-fn a_client_whose_close_its_kernel_delays_is_noticed() {
+fn statements_of_a_client_whose_close_the_kernel_delays_are_not_forwarded() {
     assert_eq!(count_forwarded_behind(|round| statements_behind(round, 1000)), 0);
 }
 
 /// The same, and the member that has its first RPC rejects it: no other member gets it.
 #[test]
-fn nothing_follows_a_failed_attempt_of_a_client_whose_close_its_kernel_delays() {
+fn a_failed_attempt_is_not_retried_when_the_kernel_delays_the_clients_close() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&statement("first", "read", 60_000, "1"))).expect("the router reads");
@@ -81,7 +81,7 @@
 /// A client that stays is served: all that it has sent ahead as far as there is space; beyond that some statements are
 /// rejected, each is answered, and once all is read the rest is served.
 #[test]
-fn a_client_that_sends_much_ahead_and_stays_is_answered() {
+fn a_client_that_pipelines_many_statements_and_stays_gets_every_answer() {
     for (count, all) in [(60, true), (160, false)] {
         let mut harness = start_harness(|config| config);
         let mut client = harness.client();
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -10,7 +10,7 @@
 
 /// The process once exited 10 s after SIGTERM, whatever was unanswered.
 #[test]
-fn a_stop_waits_for_clients_that_have_longer_than_ten_seconds() {
+fn shutdown_waits_for_rpcs_that_take_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -26,7 +26,7 @@
 
 /// A reload while the router stops changes nothing for clients that wait for an answer.
 #[test]
-fn sighup_during_the_stop_loses_nothing() {
+fn sighup_during_shutdown_loses_no_rpc() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -44,7 +44,7 @@
 
 /// A client that sends without end can't keep the router from exiting, and clients that wait at the listener are served.
 #[test]
-fn what_waits_at_the_listener_at_the_stop_is_served() {
+fn clients_that_wait_to_be_accepted_at_sigterm_are_served() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     harness.pause();
--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -22,7 +22,7 @@
 
 /// The table of docs/endings.md: the state before, by how watches end, by how the list is delivered.
 #[test]
-fn a_change_is_read_in_time_after_the_return_however_watches_ended() {
+fn a_change_is_read_in_time_after_an_outage_however_watches_ended() {
     let mut late = Vec::new();
     for before in BEFORE {
         for ending in ENDINGS {
@@ -47,7 +47,7 @@
 /// Discovery is away for longer than lists may be late, and has a lower generation when it is back: its list is accepted
 /// once it has been sent twice, the second time as a whole.
 #[test]
-fn a_discovery_that_comes_back_and_counts_anew_is_believed_in_time() {
+fn lower_generations_after_an_outage_are_accepted_in_time() {
     for (whole, seed) in
         [true, false].into_iter().flat_map(|whole| (1..=SEEDS).map(move |seed| (whole, seed)))
     {
@@ -88,7 +88,7 @@
 /// The fleet's watches stay spread out and few: in each 100 ms of an outage at most a fifth of the routers, or half where
 /// a watch is due within part of 1 s; and per router and second at most the given rate.
 #[test]
-fn a_whole_fleet_stays_apart_and_does_not_hammer() {
+fn watches_of_a_fleet_stay_spread_out_and_rate_limited_during_an_outage() {
     for (mode, ending, most, most_a_second) in [
         (Mode::Polled(60_000), Refused, 92, 0.36),
         (Mode::Polled(60_000), Hangs, 92, 0.36),
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn one_is_killed_and_started_again_and_one_is_paused() {
+fn a_killed_and_a_paused_router_are_declared_dead_and_rejoin() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 5, phases: [[10, 60]], clients: 40, deeds: [{at: 0.5, kill: [r1]}, {at: 0.5, freeze: [r2], for: 4}, {at: 5, start: [r1]}]}",
@@ -61,7 +61,7 @@
 
 /// A router announces its SIGTERM, so that nobody has to detect it.
 #[test]
-fn one_that_ends_says_so_and_its_clients_go_elsewhere() {
+fn a_terminating_router_announces_that_it_leaves_and_its_clients_go_elsewhere() {
     let _turn = wait_for_turn();
     let (_, played) =
         play_drill("{routers: 4, phases: [[4, 60]], clients: 40, deeds: [{at: 1, term: [r3]}]}");
@@ -73,7 +73,7 @@
 
 /// Both sides reach all members: each goes on by itself, and no invariant is broken in either.
 #[test]
-fn a_split_leaves_two_fleets_that_become_one_again() {
+fn a_split_forms_two_fleets_that_merge_again() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 5, phases: [[12, 60]], clients: 40, deeds: [{at: 0.5, split: [[r0, r1], [r2, r3, r4]], for: 6}]}",
@@ -86,7 +86,7 @@
 
 /// One router by itself, cut off from members: it answers its clients all the same.
 #[test]
-fn one_that_is_cut_off_from_all_still_answers() {
+fn a_router_cut_off_from_all_others_and_all_members_still_answers_its_clients() {
     let _turn = wait_for_turn();
     let (drill, played) = play_drill(
         "{routers: 3, phases: [[5, 60]], clients: 40, roaming: 0, deeds: [{at: 1, split: [[r2], [r0, r1, member-0, member-1, member-2, discovery]], for: 3}]}",
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn datagrams_lost_doubled_late_and_overtaken_change_no_view() {
+fn lost_duplicated_delayed_and_reordered_datagrams_change_no_view() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 4, phases: [[6, 60]], clients: 40, deeds: [\
@@ -112,7 +112,7 @@
 
 /// Forty processes in the same second, on as many cores as there are.
 #[test]
-fn forty_started_at_once_find_each_other() {
+fn forty_routers_started_at_once_find_each_other() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill("{routers: 40, phases: [[1, 40]], clients: 40, roaming: 0}");
     assert!(
@@ -127,7 +127,7 @@
 /// old admission threshold, one whose updates get lost, one without gossip, members that warm up, and one router with eight
 /// times the load of the others.
 #[test]
-fn the_fleet_sheds_as_one_while_parts_fail_and_keeps_the_rules() {
+fn shared_admission_control_breaks_no_invariant_while_parts_of_the_fleet_fail() {
     let _turn = wait_for_turn();
     let (drill, played) = play_drill(
         "{routers: 6, uneven: 8, phases: [[9, 250]], clients: 300, quiet: [r3], \
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_router_that_does_not_start_is_reported_with_its_last_lines() {
+fn a_router_that_does_not_start_is_reported_with_its_last_log_lines() {
     let _turn = wait_for_turn();
     let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("allowed");
     let error = play(&drill, programs(), 1).err().expect("it can't start").to_string();
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn large_values_pass_whole_and_pipelined_statements_in_order() {
+fn large_values_are_forwarded_whole_and_pipelined_statements_answered_in_order() {
     let router = router(|n, text| {
         let length = if text.contains("INSERT") { 128 << 10 } else { 5 };
         Some(row(&vec![b'v'; length], role(n), now_ms()))
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again() {
+fn a_write_that_may_have_run_is_not_retried() {
     // Replicas reject reads, which never ran; the primary closes the connection on a write, which may have run.
     let router = router(|n, text| match (n, text.contains("INSERT")) {
         (0, true) => None,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn bad_frames_close_one_connection_and_encryption_is_declined() {
+fn malformed_frames_close_only_their_own_connection_and_encryption_is_declined() {
     let router = router(|n, _| Some(row(b"v", role(n), now_ms())));
     let mut other = router.client();
     for junk in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_planned_stop_answers_what_was_accepted_and_ends_well() {
+fn shutdown_answers_accepted_rpcs_and_exits_successfully() {
     let mut router = router(|n, _| {
         thread::sleep(Duration::from_millis(300));
         Some(row(b"v", role(n), now_ms()))
@@ -106,7 +106,7 @@
 /// SIGHUP once ended the process. Now a broken file changes nothing, and a good one moves the watch: the list of the new
 /// address is accepted, although its generations are lower.
 #[test]
-fn after_a_reload_it_keeps_serving_and_follows_discovery_to_another_address() {
+fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
     let mut client = router.client();
     let good = std::fs::read_to_string(&router.config_file).expect("its file");
@@ -142,7 +142,7 @@
 /// More clients than the router can accept, most of them silent, wait at the listener at SIGTERM: statements among them
 /// are answered all the same.
 #[test]
-fn a_planned_stop_accepts_all_that_wait_at_a_crowded_listener() {
+fn shutdown_answers_every_statement_that_waits_at_a_crowded_listener() {
     let mut router = router_with(
         |config| config.replace("\"sockets\":1024", "\"sockets\":64"),
         |n, _| Some(row(b"v", role(n), now_ms())),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_bad_start_names_the_key() {
+fn an_invalid_configuration_at_start_is_reported_with_its_key() {
     let good = router_config(&["127.0.0.1:1".to_owned()]);
     for (text, listen, key) in [
         (good.clone(), "nowhere", "RELAY_LISTEN"),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn check_says_what_holds_with_its_defaults_or_names_the_key() {
+fn check_prints_the_effective_settings_or_names_the_wrong_key() {
     let CheckOutput { summary, errors, exit_code } = check(None, |config| config);
     assert_eq!((errors.as_str(), exit_code), ("", Some(0)));
     assert!(
@@ -253,7 +253,7 @@
 /// purpose the test fails with that message; of 200,000 ports given back so 343 came again within the next 12 that were
 /// asked for. The port is one that the system does not give now (`router_address`).
 #[test]
-fn a_wrong_operators_file_at_sighup_leaves_the_old_one() {
+fn an_invalid_operator_file_at_sighup_leaves_the_settings_unchanged() {
     let (sender, _statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, |_, _| None, sender.clone())).collect();
     let (config_file, operator) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
@@ -290,7 +290,7 @@
 /// It passes. It is here because the router that `failing_calls` makes of its own binary panicked there once its log was
 /// at `info`: it reported a failed log write on standard error, which panics where that fails too. The program does not.
 #[test]
-fn a_log_that_nobody_reads_ends_no_process() {
+fn a_log_that_can_not_be_written_does_not_end_the_process() {
     let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
     for log in [Stdio::from(full), Stdio::piped()] {
         let (sender, statements) = channel();
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -68,31 +68,31 @@
 }
 
 #[test]
-fn calls_that_do_not_fail_change_nothing() {
+fn intercepted_calls_that_do_not_fail_change_nothing() {
     let failure = FailingSyscall { count: 0, ..FailingSyscall::of(libc::SYS_recvmsg, libc::ENOMEM) };
     assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
 /// The event loop arms its sources again for each wait.
 #[test]
-fn the_loop_goes_on_where_its_sources_can_not_be_armed() {
+fn the_event_loop_continues_after_failing_to_arm_its_sources() {
     assert_all_served_despite(&[FailingSyscall::of(libc::SYS_epoll_ctl, libc::ENOMEM)]);
 }
 
 #[test]
-fn a_read_that_fails_for_want_of_memory_is_made_again() {
+fn a_read_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
     assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_recvmsg, errno)));
 }
 
 #[test]
-fn a_write_that_fails_for_want_of_memory_is_made_again() {
+fn a_write_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
     assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_sendto, errno)));
 }
 
 #[test]
-fn a_client_that_can_not_be_accepted_for_a_moment_is_served() {
+fn a_client_whose_accept_fails_transiently_is_served() {
     use libc::{
         ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM, EPROTO, ETIMEDOUT,
     };
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_client_that_can_not_be_watched_for_a_moment_is_served() {
+fn a_client_whose_epoll_registration_fails_transiently_is_served() {
     let adds = Some(libc::EPOLL_CTL_ADD as u64);
     let failure = |errno| FailingSyscall {
         operation: adds,
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_member_that_can_not_be_called_for_a_moment_is_called_again() {
+fn a_connect_to_a_member_that_fails_transiently_is_retried() {
     use libc::{EADDRNOTAVAIL, EAGAIN, ECONNREFUSED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE};
     use libc::{ENOBUFS, ENOMEM, ETIMEDOUT};
     assert_all_served_despite_errors(libc::SYS_connect, &[EADDRNOTAVAIL, EAGAIN, ECONNREFUSED], 1);
@@ -146,14 +146,14 @@
 }
 
 #[test]
-fn options_that_can_not_be_set_or_read_for_a_moment_cost_nothing() {
+fn transient_socket_option_failures_affect_no_rpc() {
     assert_all_served_despite_errors(libc::SYS_setsockopt, &[libc::ENOBUFS, libc::ENOMEM], 3);
     assert_all_served_despite_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
 }
 
 /// The event loop and the sockets wait by one of these calls.
 #[test]
-fn a_wait_that_is_interrupted_is_made_again() {
+fn an_interrupted_epoll_wait_is_retried() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
     let failures = calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::of(call, libc::EINTR) });
     let seen = assert_all_served(&failing_syscalls::start(&failures, &[]));
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_log_that_can_not_be_written_stops_nothing() {
+fn log_write_failures_affect_no_rpc() {
     let errors = [libc::ENOSPC, libc::EIO, libc::EAGAIN, libc::EPIPE, libc::EINTR];
     let at_once = |errno| FailingSyscall {
         after: Duration::ZERO,
@@ -173,7 +173,7 @@
 
 /// A lost connection shows by any of these errors; only the RPC in flight on it is lost, and nothing runs twice.
 #[test]
-fn a_broken_connection_costs_no_more_than_itself() {
+fn a_broken_connection_fails_only_the_rpc_in_flight_on_it() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
         let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE];
         let failures =
@@ -238,7 +238,7 @@
 
 /// The list of the new discovery applies 4 s after SIGHUP, although the file could not be read at once.
 #[test]
-fn a_configuration_that_can_not_be_read_for_a_moment_is_read_again() {
+fn a_configuration_read_that_fails_transiently_is_retried() {
     let _turn = wait_for_turn();
     let [first, second] =
         [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a port"));
@@ -258,7 +258,7 @@
 
 /// A start survives a failure of any call that it makes.
 #[test]
-fn calls_that_fail_at_the_start_refuse_nothing() {
+fn calls_that_fail_transiently_at_start_do_not_prevent_serving() {
     let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
     let at_start = |call, errno| FailingSyscall {
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn without_rules_the_tool_changes_nothing() {
+fn without_fault_rules_the_proxy_changes_nothing() {
     let _turn = wait_for_turn();
     let (seen, left) = run_load(1, &[], vec![]);
     let total = seen.outcome.total();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_swallowed_acknowledgement_is_no_reason_to_send_again() {
+fn a_write_whose_acknowledgement_is_lost_is_not_retried() {
     let _turn = wait_for_turn();
     let rule = "{name: r, link: member-0, when: {message: CommandComplete, holds: INSERT, nth: 20}, do: swallow, times: 3}";
     let (seen, _) = run_load(3, &[rule], vec![]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn spoilt_rows_lengths_and_second_copies_are_served_to_nobody() {
+fn corrupt_and_duplicated_frames_are_not_forwarded_to_clients() {
     let _turn = wait_for_turn();
     // A rule counts its matches by link. Some 430 reads are due, so whichever way they are balanced, one of the three links
     // passes 140 rows.
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn silence_resets_and_refusals_of_all_members_at_once_leave_nobody_waiting() {
+fn every_client_is_answered_while_all_members_are_silent_reset_and_refuse_connections() {
     let _turn = wait_for_turn();
     // The tool's clock starts before the router, however long that takes to start: the resets wait for the silence.
     let rules = [
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn discovery_cut_inside_a_chunk_is_asked_again() {
+fn a_watch_cut_inside_a_chunk_is_reopened() {
     let _turn = wait_for_turn();
     let rules = ["{name: r, link: discovery, when: {message: Chunk}, do: {truncate: {keep: 2}}, times: 2}"];
     let (seen, left) = run_load(6, &rules, vec![]);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn faults_during_sighup_lose_nothing() {
+fn faults_during_sighup_lose_no_rpc() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> =
         vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGHUP).expect("it runs"))];
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_cut_inside_a_length_field_is_no_answer() {
+fn reads_whose_answer_is_cut_inside_a_length_field_are_retried_elsewhere() {
     let _turn = wait_for_turn();
     // After the type byte come four bytes of length: cut after one, two and three of them.
     let rules = [
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_watch_that_goes_back_a_generation_is_not_believed() {
+fn a_watch_that_sends_an_older_generation_is_rejected() {
     let _turn = wait_for_turn();
     // First the drain, in generation 2; then an older list, in which all members serve.
     let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn silence_past_every_bound_is_noticed_and_asked_about_anew() {
+fn service_recovers_from_a_silent_watch_and_a_silent_member() {
     let _turn = wait_for_turn();
     let rules = [
         "{name: watch, link: discovery, when: {message: Chunk, nth: 2}, do: silence}",
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn faults_during_sigterm_lose_nothing_that_was_taken() {
+fn faults_during_sigterm_lose_no_accepted_rpc() {
     let _turn = wait_for_turn();
     let rules = [
         "{name: late, when: {after_ms: 500, message: RowDescription}, do: {delay: {ms: 150}}, times: 0}",
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_plan_and_whatever_it_is_no_rule_breaks() {
+fn randomly_drawn_fault_plans_break_no_invariant() {
     let _turn = wait_for_turn();
     for seed in [21, 22] {
         let links =
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn both_kinds_before_the_same_members_keep_the_rules_and_serve_all() {
+fn routers_with_and_without_gossip_serve_the_same_members_and_break_no_invariant() {
     let _turn = wait_for_turn();
     let drill = drill(&WITHOUT_GOSSIP, 25.0, 0.0);
     let played = play_drill(&drill);
@@ -91,7 +91,7 @@
 
 /// At twice the capacity of the members.
 #[test]
-fn in_overload_neither_kind_starves_the_other() {
+fn under_overload_neither_kind_of_router_starves_the_other() {
     let _turn = wait_for_turn();
     let drill = drill(&WITHOUT_GOSSIP, 150.0, 0.0);
     let played = play_drill(&drill);
@@ -103,7 +103,7 @@
 /// The same clients in front of routers of both kinds, and beside clients without any limit: the check tells these cases
 /// apart, so it would notice a kind of router that is greedy.
 #[test]
-fn a_greedy_kind_is_found_to_starve_the_others() {
+fn the_check_tells_greedy_clients_from_routers_of_the_other_kind() {
     let _turn = wait_for_turn();
     let calm = drill(&WITHOUT_GOSSIP, 60.0, 0.0);
     let beside_the_other = both(&calm, &play_drill(&calm));
@@ -117,7 +117,7 @@
 
 /// The test is the other router: it receives what members reported to the router, and the router ignores strangers.
 #[test]
-fn a_router_with_gossip_publishes_what_members_reported_to_it() {
+fn a_router_with_gossip_publishes_what_it_observed_of_members_and_ignores_noise() {
     let _turn = wait_for_turn();
     let scenario = Scenario::default();
     let emulator = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
