--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -21,11 +21,11 @@
     (lines, output)
 }
 
-const OPERATOR: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
+const OPERATOR_FILE: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
                         dealy: {from: 1ms}\n  fair: 0\npeers:\n  listen: here\n  listed: [127.0.0.1:1, there]\n";
 
 /// Line, key and allowed values that each error names.
-const EXPECTED: [[&str; 3]; 7] = [
+const EXPECTED_ERRORS: [[&str; 3]; 7] = [
     ["line 2: ", "log.format", "text and json"],
     ["line 3: ", "overlaod", "allowed are log, overload, peers"],
     ["line 6: ", "overload.delay.from", "written with their unit"],
@@ -37,25 +37,25 @@
 
 #[test]
 fn missing_variables_do_not_hide_errors_in_the_operator_file() {
-    let path = write_file("operator", OPERATOR);
+    let path = write_file("operator", OPERATOR_FILE);
     let path_text = path.to_str().expect("plain");
-    let (faults, output) = run(&[], &["check", "--operator", path_text]);
+    let (errors, output) = run(&[], &["check", "--operator", path_text]);
     assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0));
     let variables = ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"];
     for key in variables {
         assert!(
-            faults.iter().any(|fault| fault.starts_with(&format!("{key}: not set"))),
-            "{key}: {faults:#?}"
+            errors.iter().any(|error| error.starts_with(&format!("{key}: not set"))),
+            "{key}: {errors:#?}"
         );
     }
-    for wanted in EXPECTED {
-        let named = |fault: &&String| {
-            fault.starts_with(&format!("{path_text}: {}", wanted[0]))
-                && wanted.iter().all(|part| fault.contains(part))
+    for expected in EXPECTED_ERRORS {
+        let matches_expected = |error: &&String| {
+            error.starts_with(&format!("{path_text}: {}", expected[0]))
+                && expected.iter().all(|part| error.contains(part))
         };
-        assert_eq!(faults.iter().filter(named).count(), 1, "{wanted:?}: {faults:#?}");
+        assert_eq!(errors.iter().filter(matches_expected).count(), 1, "{expected:?}: {errors:#?}");
     }
-    assert_eq!(faults.len(), variables.len() + EXPECTED.len(), "{faults:#?}");
+    assert_eq!(errors.len(), variables.len() + EXPECTED_ERRORS.len(), "{errors:#?}");
     std::fs::remove_file(path).expect("its own file");
 }
 
@@ -71,25 +71,25 @@
         (operator.to_str().expect("plain"), platform.to_str().expect("plain"));
     let variables = [("RELAY_NAME", "r"), ("RELAY_LISTEN", "nowhere"), ("RELAY_DISCOVERY", "127.0.0.1:1")];
     let variables = [&variables[..], &[("RELAY_CONFIG", platform_text)]].concat();
-    let (faults, output) = run(&variables, &["--operator", operator_text, "check"]);
+    let (errors, output) = run(&variables, &["--operator", operator_text, "check"]);
     assert_eq!(output.status.code(), Some(1));
-    let of_platform = |key: &str| format!("RELAY_CONFIG: {platform_text}: {key}: ");
-    let wanted = [
+    let platform_error = |key: &str| format!("RELAY_CONFIG: {platform_text}: {key}: ");
+    let expected = [
         "RELAY_LISTEN: \"nowhere\"".to_owned(),
-        of_platform("seed"),
-        of_platform("limits.memory_mb"),
-        of_platform("limits.sockets"),
-        of_platform("limits.cores"),
+        platform_error("seed"),
+        platform_error("limits.memory_mb"),
+        platform_error("limits.sockets"),
+        platform_error("limits.cores"),
         format!("RELAY_CONFIG: {platform_text}: settings."),
         format!("{operator_text}: line 1: overload.fair: "),
     ];
-    assert_eq!(faults.len(), wanted.len(), "{faults:#?}");
-    for (fault, wanted) in faults.iter().zip(wanted) {
-        assert!(fault.starts_with(&wanted), "{wanted}: {faults:#?}");
+    assert_eq!(errors.len(), expected.len(), "{errors:#?}");
+    for (error, expected) in errors.iter().zip(expected) {
+        assert!(error.starts_with(&expected), "{expected}: {errors:#?}");
     }
     // The same at a start, in the log.
     let (log, output) = run(&variables, &["--operator", operator_text]);
-    assert_eq!((output.status.code(), log.len()), (Some(1), faults.len()), "{log:#?}");
+    assert_eq!((output.status.code(), log.len()), (Some(1), errors.len()), "{log:#?}");
     for path in [operator, platform] {
         std::fs::remove_file(path).expect("its own file");
     }
@@ -97,9 +97,9 @@
 
 #[test]
 fn a_missing_file_is_named_in_the_error() {
-    let (faults, output) = run(&[("RELAY_CONFIG", "/dev/null/a")], &["check", "--operator", "/dev/null/b"]);
+    let (errors, output) = run(&[("RELAY_CONFIG", "/dev/null/a")], &["check", "--operator", "/dev/null/b"]);
     assert_eq!(output.status.code(), Some(1));
-    for wanted in ["RELAY_CONFIG: /dev/null/a: ", "/dev/null/b: "] {
-        assert!(faults.iter().any(|fault| fault.starts_with(wanted)), "{wanted}: {faults:#?}");
+    for expected in ["RELAY_CONFIG: /dev/null/a: ", "/dev/null/b: "] {
+        assert!(errors.iter().any(|error| error.starts_with(expected)), "{expected}: {errors:#?}");
     }
 }
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 const MEMBERS: usize = 940;
-const READY: Duration = Duration::from_secs(10);
+const MAX_TIME_TO_SERVE: Duration = Duration::from_secs(10);
 /// Threads of fake members; each has one address of leaders, one of followers, and two of members that hang.
 const THREADS: usize = 6;
 
@@ -40,19 +40,19 @@
     health_checks: Arc<AtomicUsize>,
 }
 
-fn members() -> Members {
+fn start_members() -> Members {
     let health_checks = Arc::new(AtomicUsize::new(0));
-    let mut at: [Vec<SocketAddr>; 4] = Default::default();
+    let mut addresses_by_kind: [Vec<SocketAddr>; 4] = Default::default();
     for _ in 0..THREADS {
         let kinds = [MemberKind::Leader, MemberKind::Follower, MemberKind::Silent, MemberKind::NotAccepting];
         let listeners =
             kinds.map(|kind| (kind, TcpListener::bind(unique_loopback_address()).expect("a port")));
         for (kind, listener) in &listeners {
-            at[*kind as usize].push(listener.local_addr().expect("an address"));
+            addresses_by_kind[*kind as usize].push(listener.local_addr().expect("an address"));
         }
         let health_checks = health_checks.clone();
         // The thread ends with the test's process.
-        thread::spawn(move || serve(&listeners, &health_checks).expect("it can"));
+        thread::spawn(move || serve_members(&listeners, &health_checks).expect("it can"));
     }
     // In each group the leader and one follower serve; all second followers hang.
     let kind = |n: usize| match n % 6 {
@@ -61,36 +61,40 @@
         2 => MemberKind::Silent,
         _ => MemberKind::NotAccepting,
     };
-    let addresses = (0..MEMBERS).map(|n| at[kind(n) as usize][n / 6 % THREADS].to_string()).collect();
+    let addresses =
+        (0..MEMBERS).map(|n| addresses_by_kind[kind(n) as usize][n / 6 % THREADS].to_string()).collect();
     Members { addresses, health_checks }
 }
 
-fn serve(listeners: &[(MemberKind, TcpListener); 4], health_checks: &AtomicUsize) -> std::io::Result<()> {
-    let set = Epoll::new(EpollCreateFlags::empty())?;
+fn serve_members(
+    listeners: &[(MemberKind, TcpListener); 4],
+    health_checks: &AtomicUsize,
+) -> std::io::Result<()> {
+    let epoll = Epoll::new(EpollCreateFlags::empty())?;
     for (nth, (kind, listener)) in
         listeners.iter().enumerate().filter(|(_, (kind, _))| *kind != MemberKind::NotAccepting)
     {
         listener.set_nonblocking(true)?;
-        set.add(listener, EpollEvent::new(EpollFlags::EPOLLIN, nth as u64))?;
+        epoll.add(listener, EpollEvent::new(EpollFlags::EPOLLIN, nth as u64))?;
         assert!(*kind != MemberKind::NotAccepting);
     }
     let mut connections: HashMap<u64, (MemberKind, TcpStream, Vec<u8>)> = HashMap::new();
-    let mut last = listeners.len() as u64;
+    let mut last_id = listeners.len() as u64;
     let mut events = [EpollEvent::empty(); 256];
     loop {
-        let count = set.wait(&mut events, EpollTimeout::NONE).unwrap_or(0);
+        let count = epoll.wait(&mut events, EpollTimeout::NONE).unwrap_or(0);
         for event in &events[..count] {
             let id = event.data();
             if let Some((kind, listener)) = listeners.get(id as usize) {
                 while let Ok((stream, _)) = listener.accept() {
                     stream.set_nonblocking(true)?;
                     stream.set_nodelay(true)?;
-                    last += 1;
-                    set.add(&stream, EpollEvent::new(EpollFlags::EPOLLIN, last))?;
-                    connections.insert(last, (*kind, stream, Vec::new()));
+                    last_id += 1;
+                    epoll.add(&stream, EpollEvent::new(EpollFlags::EPOLLIN, last_id))?;
+                    connections.insert(last_id, (*kind, stream, Vec::new()));
                 }
             } else if let Some((kind, stream, received)) = connections.get_mut(&id)
-                && !answer_received(*kind, stream, received, health_checks)
+                && !answer_input(*kind, stream, received, health_checks)
             {
                 connections.remove(&id);
             }
@@ -99,7 +103,7 @@
 }
 
 /// Answers what has arrived; false once the connection has closed.
-fn answer_received(
+fn answer_input(
     kind: MemberKind,
     stream: &mut TcpStream,
     received: &mut Vec<u8>,
@@ -142,38 +146,50 @@
 }
 
 /// One process, from its start to its first client served.
-struct Start {
+struct StartMeasurement {
     process: Child,
     config_file: PathBuf,
     welcomed: Duration,
     served: Duration,
     /// Its CPU time by then, and its peak memory in MB.
     cpu: Duration,
-    resident: f64,
+    resident_mb: f64,
 }
 
-impl Drop for Start {
+impl Drop for StartMeasurement {
     fn drop(&mut self) {
         let _ = (self.process.kill(), self.process.wait(), std::fs::remove_file(&self.config_file));
     }
 }
 
-fn start(nth: usize, binary: &Path, config: &str, discovery: &str, address: String) -> Start {
+fn measure_start(
+    nth: usize,
+    binary: &Path,
+    config: &str,
+    discovery: &str,
+    address: String,
+) -> StartMeasurement {
     let config_file = temp_file(&config.replace("8c1f30d27a5be964", &format!("8c1f30d27a5b{nth:04x}")));
     let mut command = Command::new(binary);
     command.env("RELAY_NAME", format!("n{nth}")).env("RELAY_LISTEN", &address).env("RUST_LOG", "error");
     command.env("RELAY_DISCOVERY", discovery).env("RELAY_CONFIG", &config_file).stdin(Stdio::null());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let process = command.spawn().expect("it starts");
     let never = Duration::MAX;
-    let mut start =
-        Start { process, config_file, welcomed: never, served: never, cpu: Duration::ZERO, resident: 0.0 };
-    for again in 0.. {
-        if begun.elapsed() > READY * 2 {
+    let mut measurement = StartMeasurement {
+        process,
+        config_file,
+        welcomed: never,
+        served: never,
+        cpu: Duration::ZERO,
+        resident_mb: 0.0,
+    };
+    for nth_try in 0.. {
+        if started_at.elapsed() > MAX_TIME_TO_SERVE * 2 {
             break;
         }
-        let group = 1 + (nth * 7 + again) % (MEMBERS / 3);
-        let read = statement(&format!("{nth}x{again}"), "read", 4000, &group.to_string());
+        let group = 1 + (nth * 7 + nth_try) % (MEMBERS / 3);
+        let read = statement(&format!("{nth}x{nth_try}"), "read", 4000, &group.to_string());
         if let Ok(mut stream) = TcpStream::connect(&address) {
             stream.set_read_timeout(Some(Duration::from_secs(5))).expect("it can");
             let _ = stream.write_all(&[startup(), query(&read)].concat());
@@ -181,8 +197,8 @@
             while let Some((kind, _)) = next_frame(&mut stream) {
                 ready += u32::from(kind == b'Z');
                 match (kind, ready) {
-                    (b'Z', 1) => start.welcomed = start.welcomed.min(begun.elapsed()),
-                    (b'D', _) => start.served = start.served.min(begun.elapsed()),
+                    (b'Z', 1) => measurement.welcomed = measurement.welcomed.min(started_at.elapsed()),
+                    (b'D', _) => measurement.served = measurement.served.min(started_at.elapsed()),
                     _ => {}
                 }
                 if ready > 1 {
@@ -190,61 +206,70 @@
                 }
             }
         }
-        if start.served < never {
+        if measurement.served < never {
             break;
         }
         thread::sleep(Duration::from_millis(10));
     }
-    let of = |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", start.process.id()));
-    let first = |text: &str| text.split_whitespace().next().and_then(|number| number.parse::<f64>().ok());
-    let (cpu, status) = (of("schedstat").unwrap_or_default(), of("status").unwrap_or_default());
-    start.cpu = Duration::from_secs_f64(first(&cpu).unwrap_or(0.0) / 1e9);
-    let most = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or_default();
-    start.resident = first(most).unwrap_or(0.0) / 1024.0;
-    start
+    let read_proc_file =
+        |file: &str| std::fs::read_to_string(format!("/proc/{}/{file}", measurement.process.id()));
+    let first_number =
+        |text: &str| text.split_whitespace().next().and_then(|number| number.parse::<f64>().ok());
+    let (cpu, status) =
+        (read_proc_file("schedstat").unwrap_or_default(), read_proc_file("status").unwrap_or_default());
+    measurement.cpu = Duration::from_secs_f64(first_number(&cpu).unwrap_or(0.0) / 1e9);
+    let peak_memory = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or_default();
+    measurement.resident_mb = first_number(peak_memory).unwrap_or(0.0) / 1024.0;
+    measurement
 }
 
 /// The median, the ninth decile and the maximum.
-fn spread(mut of: Vec<f64>) -> String {
-    of.sort_by(f64::total_cmp);
-    let at = |part: f64| of[((of.len() - 1) as f64 * part) as usize];
-    format!("{:.1} (median), {:.1} (nine in ten), {:.1} (most)", at(0.5), at(0.9), at(1.0))
+fn summarize(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
+    let quantile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
+    format!("{:.1} (median), {:.1} (nine in ten), {:.1} (most)", quantile(0.5), quantile(0.9), quantile(1.0))
 }
 
 #[test]
 fn nine_in_ten_routers_started_at_once_serve_a_client_within_ten_seconds() {
-    let asked = std::env::var("LADDERPASS_READY").unwrap_or_default();
-    let mut asked = asked.splitn(3, ',');
-    let mut number = |or: usize| asked.next().and_then(|text| text.parse().ok()).unwrap_or(or);
+    let arguments = std::env::var("LADDERPASS_READY").unwrap_or_default();
+    let mut arguments = arguments.splitn(3, ',');
+    let mut number = |default: usize| arguments.next().and_then(|text| text.parse().ok()).unwrap_or(default);
     let (count, sockets) = (number(12), number(96));
-    let binary: PathBuf = asked.next().unwrap_or(env!("CARGO_BIN_EXE_ladderpass")).into();
-    let members = members();
+    let binary: PathBuf = arguments.next().unwrap_or(env!("CARGO_BIN_EXE_ladderpass")).into();
+    let members = start_members();
     let config = Arc::new(grouped_router_config(&members.addresses, sockets));
-    let silent = TcpListener::bind(unique_loopback_address()).expect("a port");
-    let silent = (silent.local_addr().expect("an address").to_string(), Some(silent));
-    let down = router_address();
+    let silent_discovery = TcpListener::bind(unique_loopback_address()).expect("a port");
+    let silent_discovery =
+        (silent_discovery.local_addr().expect("an address").to_string(), Some(silent_discovery));
+    let down_address = router_address();
     let addresses: Vec<String> = (0..count).map(|_| router_address()).collect();
-    for (what, (discovery, _)) in [("down", &(down, None)), ("silent", &silent)] {
+    for (discovery_state, (discovery, _)) in [("down", &(down_address, None)), ("silent", &silent_discovery)]
+    {
         let before = members.health_checks.load(Ordering::Relaxed);
-        let starts: Vec<_> = (0..count)
+        let measurements: Vec<_> = (0..count)
             .map(|nth| {
                 let (binary, config, discovery) = (binary.clone(), config.clone(), discovery.clone());
                 let address = addresses[nth].clone();
-                thread::spawn(move || start(nth, &binary, &config, &discovery, address))
+                thread::spawn(move || measure_start(nth, &binary, &config, &discovery, address))
             })
             .collect();
         thread::sleep(Duration::from_secs(1));
         let health_checks = members.health_checks.load(Ordering::Relaxed) - before;
-        let starts: Vec<Start> =
-            starts.into_iter().map(|start| start.join().expect("it is measured")).collect();
-        let all = |of: fn(&Start) -> f64| spread(starts.iter().map(of).collect());
-        println!("{count} processes of {sockets} descriptors, discovery {what}");
-        println!("  welcomed, ms: {}", all(|start| start.welcomed.as_secs_f64() * 1e3));
-        println!("  served, ms:   {}", all(|start| start.served.as_secs_f64() * 1e3));
-        println!("  CPU, ms:      {}", all(|start| start.cpu.as_secs_f64() * 1e3));
-        println!("  memory, MB:   {}", all(|start| start.resident));
+        let measurements: Vec<StartMeasurement> =
+            measurements.into_iter().map(|measurement| measurement.join().expect("it is measured")).collect();
+        let summary = |of: fn(&StartMeasurement) -> f64| summarize(measurements.iter().map(of).collect());
+        println!("{count} processes of {sockets} descriptors, discovery {discovery_state}");
+        println!("  welcomed, ms: {}", summary(|measurement| measurement.welcomed.as_secs_f64() * 1e3));
+        println!("  served, ms:   {}", summary(|measurement| measurement.served.as_secs_f64() * 1e3));
+        println!("  CPU, ms:      {}", summary(|measurement| measurement.cpu.as_secs_f64() * 1e3));
+        println!("  memory, MB:   {}", summary(|measurement| measurement.resident_mb));
         println!("  probes in the first second: {health_checks}");
-        let ready = starts.iter().filter(|start| start.served <= READY).count();
-        assert!(ready * 10 >= count * 9, "{ready} of {count} are ready within {READY:?}, discovery {what}");
+        let ready_count =
+            measurements.iter().filter(|measurement| measurement.served <= MAX_TIME_TO_SERVE).count();
+        assert!(
+            ready_count * 10 >= count * 9,
+            "{ready_count} of {count} are ready within {MAX_TIME_TO_SERVE:?}, discovery {discovery_state}"
+        );
     }
 }
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// The port of discovery.
-const DISCOVERY: u16 = 8500;
+const DISCOVERY_PORT: u16 = 8500;
 /// The port of the first member.
-const MEMBERS: u16 = 10_000;
+const FIRST_MEMBER_PORT: u16 = 10_000;
 /// One way between router and any peer.
 const NETWORK_DELAY: Span = Span::from_millis(1);
 
@@ -38,16 +38,16 @@
 /// The reducer on a machine that has a limit of descriptors.
 pub struct Machine {
     reducer: Reducer,
-    began: Time,
+    started_at: Time,
     pub now: Time,
-    groups: usize,
+    group_count: usize,
     /// Descriptors that are free, and connections that have one.
-    pub free: usize,
-    pub open: BTreeSet<ConnectionId>,
+    pub free_descriptors: usize,
+    pub open_connections: BTreeSet<ConnectionId>,
     events: BTreeMap<(Time, u64), (ConnectionId, NetworkEvent)>,
-    last: u64,
+    last_event_number: u64,
     pub discovery: Discovery,
-    pub list: String,
+    pub list_line: String,
     /// Members that accept connections and send nothing, and those that can't be reached.
     pub is_silent: fn(usize) -> bool,
     pub is_unreachable: fn(usize) -> bool,
@@ -59,18 +59,18 @@
     listening: bool,
     pub idle_clients: Option<ClientBytes>,
     pub waiting_clients: VecDeque<usize>,
-    accepted: usize,
+    accepted_clients: usize,
     pub clients_by_connection: HashMap<ConnectionId, usize>,
     /// When members got health checks, and what clients with a statement got: when, and the types of the frames.
     pub health_checks: Vec<(Time, usize)>,
     pub answers: BTreeMap<usize, (Time, Vec<u8>)>,
-    pub listed_at: Option<Time>,
+    pub list_received_at: Option<Time>,
     pub max_open: usize,
 }
 
 /// The address of a member.
 pub fn address(n: usize) -> String {
-    format!("127.0.0.1:{}", usize::from(MEMBERS) + n)
+    format!("127.0.0.1:{}", usize::from(FIRST_MEMBER_PORT) + n)
 }
 
 /// A router that is configured for so many descriptors, on a machine that has `free`.
@@ -82,15 +82,15 @@
     launch.limits = limits::Limits::of(192, configured, &launch.settings);
     Machine {
         reducer: Reducer::start(now, launch),
-        began: now,
+        started_at: now,
         now,
-        groups: members.div_ceil(3),
-        free,
-        open: BTreeSet::new(),
+        group_count: members.div_ceil(3),
+        free_descriptors: free,
+        open_connections: BTreeSet::new(),
         events: BTreeMap::new(),
-        last: 0,
+        last_event_number: 0,
         discovery: Discovery::Down,
-        list: String::new(),
+        list_line: String::new(),
         is_silent: |_| false,
         is_unreachable: |_| false,
         member_connections: HashMap::new(),
@@ -99,11 +99,11 @@
         listening: true,
         idle_clients: None,
         waiting_clients: VecDeque::new(),
-        accepted: 0,
+        accepted_clients: 0,
         clients_by_connection: HashMap::new(),
         health_checks: Vec::new(),
         answers: BTreeMap::new(),
-        listed_at: None,
+        list_received_at: None,
         max_open: 0,
     }
 }
@@ -111,23 +111,23 @@
 impl Machine {
     /// Milliseconds since the start.
     pub fn ms(&self, at: Time) -> f64 {
-        (at - self.began).secs() * 1e3
+        (at - self.started_at).secs() * 1e3
     }
 
     /// Whether there is a descriptor for this connection, which then has it.
     fn take_descriptor(&mut self, id: ConnectionId) -> bool {
-        if self.free == 0 {
+        if self.free_descriptors == 0 {
             return false;
         }
-        self.free -= 1;
-        self.max_open = self.max_open.max(self.open.len() + 1);
-        self.open.insert(id)
+        self.free_descriptors -= 1;
+        self.max_open = self.max_open.max(self.open_connections.len() + 1);
+        self.open_connections.insert(id)
     }
 
     /// Schedules what the other side does on a connection.
-    fn later(&mut self, span: Span, id: ConnectionId, what: NetworkEvent) {
-        self.last += 1;
-        self.events.insert((self.now + span, self.last), (id, what));
+    fn schedule(&mut self, span: Span, id: ConnectionId, event: NetworkEvent) {
+        self.last_event_number += 1;
+        self.events.insert((self.now + span, self.last_event_number), (id, event));
     }
 
     /// The reducer handles this event; what it asks for is done.
@@ -144,7 +144,7 @@
                 }
                 Effect::Write(id) => self.write(id),
                 Effect::Close(id) => {
-                    self.free += usize::from(self.open.remove(&id));
+                    self.free_descriptors += usize::from(self.open_connections.remove(&id));
                     self.watches.remove(&id);
                     Vec::new()
                 }
@@ -166,24 +166,24 @@
 
     /// The router connects to discovery or to a member.
     fn connect(&mut self, id: ConnectionId, port: u16) {
-        if port == DISCOVERY {
+        if port == DISCOVERY_PORT {
             self.watches.insert(id);
             match self.discovery {
-                Discovery::Down => self.later(NETWORK_DELAY, id, NetworkEvent::Refused),
-                _ => self.later(NETWORK_DELAY, id, NetworkEvent::Connected),
+                Discovery::Down => self.schedule(NETWORK_DELAY, id, NetworkEvent::Refused),
+                _ => self.schedule(NETWORK_DELAY, id, NetworkEvent::Connected),
             }
             return;
         }
-        let n = usize::from(port - MEMBERS);
+        let n = usize::from(port - FIRST_MEMBER_PORT);
         self.member_connections.insert(id, n);
         if !(self.is_unreachable)(n) {
-            self.later(NETWORK_DELAY, id, NetworkEvent::Connected);
+            self.schedule(NETWORK_DELAY, id, NetworkEvent::Connected);
         }
     }
 
     /// Sends all that the router has for a connection; the other side answers.
     fn write(&mut self, id: ConnectionId) -> Vec<Effect> {
-        if !self.open.contains(&id) {
+        if !self.open_connections.contains(&id) {
             return Vec::new();
         }
         let bytes = self.reducer.outgoing(id).to_vec();
@@ -193,15 +193,15 @@
         if self.watches.contains(&id) {
             if self.discovery == Discovery::Up && written.ends_with(b"\r\n\r\n") {
                 written.clear();
-                let answer = [WATCH_HEAD, &chunk(self.list.as_bytes())].concat();
-                self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
-                self.listed_at.get_or_insert(self.now + NETWORK_DELAY);
+                let answer = [WATCH_HEAD, &chunk(self.list_line.as_bytes())].concat();
+                self.schedule(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
+                self.list_received_at.get_or_insert(self.now + NETWORK_DELAY);
             }
         } else if let Some(&n) = self.member_connections.get(&id) {
             self.answer_as_member(id, n);
         } else if let Some(&nth) = self.clients_by_connection.get(&id) {
-            let (found, _) = frames(written);
-            let kinds: Vec<u8> = found.iter().map(|(kind, _)| *kind).collect();
+            let (answer_frames, _) = frames(written);
+            let kinds: Vec<u8> = answer_frames.iter().map(|(kind, _)| *kind).collect();
             // After the answer to the startup.
             if let Some(at) = kinds.iter().position(|kind| *kind == b'Z').filter(|at| kinds.len() > at + 1) {
                 self.answers.entry(nth).or_insert((self.now, kinds[at + 1..].to_vec()));
@@ -212,7 +212,7 @@
 
     /// Bytes arrive, as far as there is space.
     pub fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
-        while !bytes.is_empty() && self.open.contains(&id) {
+        while !bytes.is_empty() && self.open_connections.contains(&id) {
             let buffer = self.reducer.read_buffer(id);
             let count = buffer.len().min(bytes.len());
             if count == 0 {
@@ -227,22 +227,22 @@
     /// Accepts waiting clients, as far as the router wants them and there are descriptors.
     fn accept_clients(&mut self) {
         for _ in 0..64 {
-            if !self.listening || !self.reducer.accepts_clients() || self.free == 0 {
+            if !self.listening || !self.reducer.accepts_clients() || self.free_descriptors == 0 {
                 return;
             }
             let client = self.waiting_clients.pop_front();
             let bytes = match (client, self.idle_clients) {
                 (Some(nth), _) => {
-                    let group = 1 + nth % self.groups;
+                    let group = 1 + nth % self.group_count;
                     let text = statement(&format!("a{nth}"), "read", 2000, &group.to_string());
                     [startup(), query(&text)].concat()
                 }
-                (None, Some(idle_clients)) => idle_clients(self.accepted),
+                (None, Some(idle_clients)) => idle_clients(self.accepted_clients),
                 (None, None) => return,
             };
             let id = self.reducer.next_id();
             assert!(self.take_descriptor(id));
-            self.accepted += 1;
+            self.accepted_clients += 1;
             self.clients_by_connection.extend(client.map(|nth| (id, nth)));
             self.apply(Event::Accepted(id));
             self.receive(id, &bytes);
@@ -250,9 +250,9 @@
     }
 
     /// Runs for this time.
-    pub fn run(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
-        let (mut at, mut ticks) = (self.now, 0);
+        let (mut at, mut iterations_at_this_time) = (self.now, 0);
         loop {
             self.accept_clients();
             self.apply(Event::Tick);
@@ -262,17 +262,17 @@
                 return self.now = until;
             }
             self.now = self.now.max(next);
-            ticks = if self.now == at { ticks + 1 } else { 0 };
+            iterations_at_this_time = if self.now == at { iterations_at_this_time + 1 } else { 0 };
             at = self.now;
-            assert!(ticks < 10_000, "it spins at {} ms", self.ms(at));
+            assert!(iterations_at_this_time < 10_000, "it spins at {} ms", self.ms(at));
             while let Some((&key, _)) = self.events.first_key_value()
                 && key.0 <= self.now
             {
-                let Some((id, what)) = self.events.remove(&key) else { continue };
-                if !self.open.contains(&id) {
+                let Some((id, event)) = self.events.remove(&key) else { continue };
+                if !self.open_connections.contains(&id) {
                     continue;
                 }
-                match what {
+                match event {
                     NetworkEvent::Connected => self.apply(Event::Connected(id)),
                     NetworkEvent::Refused => {
                         self.apply(Event::Closed(id));
@@ -284,10 +284,10 @@
     }
 
     /// Runs while a client with a statement connects at this interval.
-    pub fn run_with_clients(&mut self, from: usize, to: usize, every: Span) {
+    pub fn run_with_clients(&mut self, from: usize, to: usize, interval: Span) {
         for nth in from..to {
             self.waiting_clients.push_back(nth);
-            self.run(every);
+            self.run_for(interval);
         }
     }
 
@@ -309,23 +309,23 @@
         let written = self.written.entry(id).or_default();
         if written.starts_with(b"\0\0") {
             written.clear();
-            return self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(welcome()));
+            return self.schedule(NETWORK_DELAY, id, NetworkEvent::Bytes(welcome()));
         }
-        let (found, used) = frames(written);
+        let (answer_frames, used) = frames(written);
         written.drain(..used);
-        let (ms, leads) = (self.now.nanos() as u64 / 1_000_000, n.is_multiple_of(3));
-        let role = if leads { "leader" } else { "follower" };
-        for (_, body) in found {
+        let (ms, is_primary) = (self.now.nanos() as u64 / 1_000_000, n.is_multiple_of(3));
+        let role = if is_primary { "leader" } else { "follower" };
+        for (_, body) in answer_frames {
             let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
             let answer = match text.as_str() {
                 "" => empty_query_response(),
                 "SHOW server_load" => {
                     self.health_checks.push((self.now, n));
-                    row(format!("x0={:.3},x1={}", ms as f64 / 1e3, u8::from(leads)).as_bytes(), role, ms)
+                    row(format!("x0={:.3},x1={}", ms as f64 / 1e3, u8::from(is_primary)).as_bytes(), role, ms)
                 }
                 _ => row(b"x", role, ms),
             };
-            self.later(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
+            self.schedule(NETWORK_DELAY, id, NetworkEvent::Bytes(answer));
         }
     }
 }
--- a/crates/ladderpass/tests/descriptor_limit/main.rs
+++ b/crates/ladderpass/tests/descriptor_limit/main.rs
@@ -25,32 +25,37 @@
 /// more) clients that are not accepted yet may have to wait, or are rejected.
 #[test]
 fn idle_clients_do_not_starve_discovery_health_checks_and_attempts_of_descriptors() {
-    let known = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
-    let lowered = [(24, 12), (64, 12), (1024, 12), (1024, 40), (1024, 300)];
-    for (known, (configured, free)) in
-        known.map(|case| (true, case)).into_iter().chain(lowered.map(|case| (false, case)))
+    let known_limits = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
+    let lowered_limits = [(24, 12), (64, 12), (1024, 12), (1024, 40), (1024, 300)];
+    for (limit_is_known, (configured, free)) in known_limits
+        .map(|limits| (true, limits))
+        .into_iter()
+        .chain(lowered_limits.map(|limits| (false, limits)))
     {
         for (name, idle_clients) in IDLE_CLIENTS {
-            for down in [Discovery::Down, Discovery::Silent] {
-                let what = format!("{configured} configured, {free} free, {down:?}, clients {name}");
+            for outage in [Discovery::Down, Discovery::Silent] {
+                let case = format!("{configured} configured, {free} free, {outage:?}, clients {name}");
                 let mut machine = machine(3, configured, free);
-                (machine.discovery, machine.idle_clients) = (down, Some(idle_clients));
+                (machine.discovery, machine.idle_clients) = (outage, Some(idle_clients));
                 machine.run_with_clients(0, 86, Span::from_millis(200));
                 let entry = instance(5, &address(5), "SERVING");
-                machine.list = format!("{{\"generation\":2,\"reset\":false,\"instances\":[{entry}]}}\n");
+                machine.list_line = format!("{{\"generation\":2,\"reset\":false,\"instances\":[{entry}]}}\n");
                 machine.discovery = Discovery::Up;
-                let back = machine.now;
+                let returned_at = machine.now;
                 machine.run_with_clients(86, 116, Span::from_millis(200));
-                let listed = machine.listed_at.unwrap_or_else(|| panic!("no list within 6 s: {what}"));
+                let listed_at =
+                    machine.list_received_at.unwrap_or_else(|| panic!("no list within 6 s: {case}"));
                 machine.run_with_clients(116, 150, Span::from_millis(200));
-                let soon = listed + Span::from_millis(1000);
-                let probed = machine.health_checks.iter().any(|&(at, n)| n == 5 && at <= soon);
-                assert!(probed, "the new member is not probed: {what}");
-                let probed = |n: usize| machine.health_checks.iter().any(|&(at, of)| of == n && at >= back);
-                assert!((0..3).all(probed), "probes of the others have stopped: {what}");
-                machine.run(Span::from_millis(2000));
+                let health_check_deadline = listed_at + Span::from_millis(1000);
+                let probed =
+                    machine.health_checks.iter().any(|&(at, n)| n == 5 && at <= health_check_deadline);
+                assert!(probed, "the new member is not probed: {case}");
+                let probed =
+                    |n: usize| machine.health_checks.iter().any(|&(at, of)| of == n && at >= returned_at);
+                assert!((0..3).all(probed), "probes of the others have stopped: {case}");
+                machine.run_for(Span::from_millis(2000));
                 let unserved = machine.unserved(150);
-                assert!(!known || unserved.is_empty(), "not served: {unserved:?}: {what}");
+                assert!(!limit_is_known || unserved.is_empty(), "not served: {unserved:?}: {case}");
             }
         }
     }
@@ -64,24 +69,29 @@
         for free in [8, 40, 200] {
             let mut machine = machine(3, 1024, free);
             machine.idle_clients = Some(|_| startup());
-            machine.run(Span::from_millis(400));
-            assert!(machine.free == 0, "clients have all");
+            machine.run_for(Span::from_millis(400));
+            assert!(machine.free_descriptors == 0, "clients have all");
             // Closes member connections that health checks have opened.
-            let member_connections: Vec<ConnectionId> =
-                machine.member_connections.keys().copied().filter(|id| machine.open.contains(id)).collect();
+            let member_connections: Vec<ConnectionId> = machine
+                .member_connections
+                .keys()
+                .copied()
+                .filter(|id| machine.open_connections.contains(id))
+                .collect();
             member_connections.into_iter().for_each(|id| {
-                machine.free += usize::from(machine.open.remove(&id));
+                machine.free_descriptors += usize::from(machine.open_connections.remove(&id));
                 machine.apply(Event::Closed(id));
             });
-            machine.run(Span::from_millis(20));
-            assert!(machine.free == 0, "clients have all");
+            machine.run_for(Span::from_millis(20));
+            assert!(machine.free_descriptors == 0, "clients have all");
             let is_idle_client = |id: &ConnectionId| {
                 !machine.member_connections.contains_key(id) && !machine.watches.contains(id)
             };
-            let &client = machine.open.iter().rev().find(|id| is_idle_client(id)).expect("some client");
+            let &client =
+                machine.open_connections.iter().rev().find(|id| is_idle_client(id)).expect("some client");
             machine.clients_by_connection.insert(client, 0);
             machine.receive(client, &query(&statement("7", method, 2000, "1")));
-            machine.run(Span::from_millis(1000));
+            machine.run_for(Span::from_millis(1000));
             assert_eq!(machine.unserved(1), [], "{method}, {free} free");
         }
     }
@@ -93,21 +103,22 @@
 fn a_router_started_with_940_members_accepts_and_serves_clients() {
     for sockets in [1024, 4096] {
         for discovery in [Discovery::Down, Discovery::Silent] {
-            let what = format!("{sockets} descriptors, discovery {discovery:?}");
+            let case = format!("{sockets} descriptors, discovery {discovery:?}");
             let mut machine = machine(940, sockets, sockets - 20);
             machine.discovery = discovery;
             machine.is_silent = |n| n % 6 == 2;
             machine.is_unreachable = |n| n % 6 == 5;
             machine.waiting_clients.extend(0..10);
-            machine.run(Span::from_millis(500));
+            machine.run_for(Span::from_millis(500));
             machine.run_with_clients(10, 110, Span::from_millis(50));
-            machine.run(Span::from_millis(2000));
+            machine.run_for(Span::from_millis(2000));
             let unserved = machine.unserved(110);
-            assert!(unserved.is_empty(), "not served: {unserved:?}: {what}");
-            let last = machine.answers.iter().filter(|(nth, _)| **nth < 10).map(|(_, (at, _))| *at).max();
-            let last = machine.ms(last.expect("all are served"));
-            assert!(last < 1000.0, "the first are served after {last} ms: {what}");
-            println!("{what}: first 10 served by {last} ms, most descriptors {}", machine.max_open);
+            assert!(unserved.is_empty(), "not served: {unserved:?}: {case}");
+            let last_answer =
+                machine.answers.iter().filter(|(nth, _)| **nth < 10).map(|(_, (at, _))| *at).max();
+            let last_ms = machine.ms(last_answer.expect("all are served"));
+            assert!(last_ms < 1000.0, "the first are served after {last_ms} ms: {case}");
+            println!("{case}: first 10 served by {last_ms} ms, most descriptors {}", machine.max_open);
         }
     }
 }
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -16,11 +16,11 @@
 
 /// Sends a cancel request; once its connection is closed, without an answer, the router has handled it.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
-    let mut other = TcpStream::connect(&harness.address).expect("it listens");
-    other.set_read_timeout(Some(PATIENCE)).expect("it can");
-    other.write_all(&cancel(key)).expect("the router reads");
+    let mut connection = TcpStream::connect(&harness.address).expect("it listens");
+    connection.set_read_timeout(Some(PATIENCE)).expect("it can");
+    connection.write_all(&cancel(key)).expect("the router reads");
     let mut answer = Vec::new();
-    other.read_to_end(&mut answer).expect("it is closed");
+    connection.read_to_end(&mut answer).expect("it is closed");
     assert_eq!(answer, b"");
 }
 
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -20,9 +20,9 @@
 #[derive(Debug, Default, PartialEq)]
 struct LateAttempts {
     /// Of RPCs sent right before the leave.
-    first: usize,
+    first_attempts: usize,
     /// Of RPCs that had an attempt before.
-    further: usize,
+    retries: usize,
     /// Of RPCs that were pending.
     pending: usize,
     /// On connections that were established late.
@@ -64,7 +64,7 @@
     }
 
     /// The others leave, by a close, a reset or a half close. Returns the connections that stay open on this side.
-    fn leave(self) -> Vec<TcpStream> {
+    fn disconnect(self) -> Vec<TcpStream> {
         let mut kept = Vec::new();
         for (nth, stream) in self.streams {
             match nth % 3 {
@@ -93,8 +93,8 @@
     fn accept(harness: &mut RouterHarness) -> Members {
         let mut unanswered: Vec<Vec<TcpStream>> = (0..6).map(|_| Vec::new()).collect();
         let mut in_flight: Vec<Vec<Attempt>> = (0..6).map(|_| Vec::new()).collect();
-        let quiet = Instant::now() + Duration::from_millis(1500);
-        while Instant::now() < quiet {
+        let until = Instant::now() + Duration::from_millis(1500);
+        while Instant::now() < until {
             for n in [1, 2] {
                 while let Some(stream) =
                     accept_connection_within(&harness.members[n], Duration::from_millis(2))
@@ -123,7 +123,7 @@
             link.write_all(&error_response("53300")).expect("it reads");
             harness.idle_connections[3].push(link);
         }
-        let late: Vec<(usize, u16)> = [1, 2]
+        let late_connections: Vec<(usize, u16)> = [1, 2]
             .into_iter()
             .flat_map(|n| self.unanswered[n].iter().map(move |link| (n, peer_port(link))))
             .collect();
@@ -133,7 +133,7 @@
                 harness.idle_connections[n].push(link);
             }
         }
-        late
+        late_connections
     }
 }
 
@@ -154,31 +154,33 @@
     let mut clients = Clients::connect(&harness);
     let mut members = Members::accept(&mut harness);
     let attempted: Vec<String> = members.in_flight.iter().flatten().map(|(id, _)| id.clone()).collect();
-    let unsent: Vec<TcpStream> = (0..20).map(|_| harness.client()).collect();
+    let last_moment_clients: Vec<TcpStream> = (0..20).map(|_| harness.client()).collect();
     clients.cancel(&harness, &attempted);
     harness.pause();
-    for (nth, mut stream) in unsent.into_iter().enumerate() {
+    for (nth, mut stream) in last_moment_clients.into_iter().enumerate() {
         let text = statement(&format!("unsent-{nth}"), "read", 60_000, "1");
         stream.write_all(&query(&text)).expect("the kernel takes it");
     }
-    let _kept = clients.leave();
-    let late = members.answer(&mut harness);
+    let _kept = clients.disconnect();
+    let late_connections = members.answer(&mut harness);
     sleep(Duration::from_millis(150));
     harness.resume();
-    let mut begun = LateAttempts::default();
+    let mut late_attempts = LateAttempts::default();
     let until = Instant::now() + Duration::from_millis(1500);
     while Instant::now() < until {
         for (n, in_flight) in members.in_flight.iter_mut().enumerate() {
             let Some((id, link)) = harness.next_rpc_within(n, Duration::from_millis(10)) else { continue };
             match () {
-                () if id.starts_with("unsent") => begun.first += 1,
-                () if attempted.contains(&id) => begun.further += 1,
-                () if late.contains(&(n, peer_port(&link))) => begun.on_late_connections += 1,
-                () => begun.pending += 1,
+                () if id.starts_with("unsent") => late_attempts.first_attempts += 1,
+                () if attempted.contains(&id) => late_attempts.retries += 1,
+                () if late_connections.contains(&(n, peer_port(&link))) => {
+                    late_attempts.on_late_connections += 1
+                }
+                () => late_attempts.pending += 1,
             }
             in_flight.push((id, link));
         }
     }
-    assert_eq!(begun, LateAttempts::default(), "attempts begun more than 0.1 s after the leave");
+    assert_eq!(late_attempts, LateAttempts::default(), "attempts begun more than 0.1 s after the leave");
     harness.settle();
 }
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -12,13 +12,15 @@
 fn a_statement_that_arrives_together_with_its_clients_close_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
-    let mut known = harness.client();
+    let mut served_client = harness.client();
     harness.pause();
-    known.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
-    close(known);
-    let mut new = TcpStream::connect(&harness.address).expect("it listens");
-    new.write_all(&[startup(), query(&write_statement("gone-too"))].concat()).expect("the kernel takes it");
-    close(new);
+    served_client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    close(served_client);
+    let mut new_client = TcpStream::connect(&harness.address).expect("it listens");
+    new_client
+        .write_all(&[startup(), query(&write_statement("gone-too"))].concat())
+        .expect("the kernel takes it");
+    close(new_client);
     harness.resume();
     harness.assert_write_succeeds("2");
     harness.assert_write_succeeds("3");
@@ -29,13 +31,13 @@
 fn a_half_close_by_a_client_is_treated_as_a_close() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
-    let mut half = harness.client();
+    let mut client = harness.client();
     harness.pause();
-    half.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
-    half.shutdown(std::net::Shutdown::Write).expect("it can");
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    client.shutdown(std::net::Shutdown::Write).expect("it can");
     harness.resume();
     harness.assert_write_succeeds("2");
-    assert!(next_frame(&mut half).is_none());
+    assert!(next_frame(&mut client).is_none());
 }
 
 /// After an error of the client nothing is read for a while, and its close once went unseen too.
@@ -58,16 +60,16 @@
 /// The connection is established once the client has left.
 #[test]
 fn an_rpc_whose_client_disconnects_before_the_member_connection_is_established_is_not_forwarded() {
-    leave_before_the_connection_is_up(|_| None);
+    check_disconnect_before_member_connection(|_| None);
 }
 
 /// `copied`: a copy of the client's socket that stays open.
-fn leave_before_the_connection_is_up(copied: fn(&TcpStream) -> Option<TcpStream>) {
+fn check_disconnect_before_member_connection(copy_socket: fn(&TcpStream) -> Option<TcpStream>) {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("gone"))).expect("the router reads");
     let mut link = harness.accept_member_connection(0);
-    let copy = copied(&client);
+    let copy = copy_socket(&client);
     close(client);
     harness.settle();
     link.write_all(&welcome()).expect("it reads");
@@ -85,7 +87,7 @@
 /// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
 #[test]
 fn an_rpc_is_not_forwarded_after_its_clients_close_although_a_copy_of_the_socket_is_open() {
-    leave_before_the_connection_is_up(|client| Some(client.try_clone().expect("it can")));
+    check_disconnect_before_member_connection(|client| Some(client.try_clone().expect("it can")));
 }
 
 /// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
@@ -95,24 +97,24 @@
     let mut harness = start_harness(|config| {
         config.replace("750000000,\"Effect\":\"side", "60000000000,\"Effect\":\"side")
     });
-    let mut stay: Vec<TcpStream> = (0..30).map(|_| harness.client()).collect();
-    for (nth, client) in stay.iter_mut().enumerate() {
+    let mut streams: Vec<TcpStream> = (0..30).map(|_| harness.client()).collect();
+    for (nth, client) in streams.iter_mut().enumerate() {
         client.write_all(&query(&write_statement(&format!("{nth}")))).expect("the router reads");
     }
-    let mut out = Vec::new();
-    while let Some(asked) = harness.next_rpc_within(0, Duration::from_millis(500)) {
-        out.push(asked);
+    let mut in_flight = Vec::new();
+    while let Some(attempt) = harness.next_rpc_within(0, Duration::from_millis(500)) {
+        in_flight.push(attempt);
     }
-    let asked: Vec<usize> = out.iter().map(|(id, _)| id.parse().expect("a number")).collect();
-    assert!((1..29).contains(&asked.len()), "some are held, not {:?}", asked);
+    let attempted: Vec<usize> = in_flight.iter().map(|(id, _)| id.parse().expect("a number")).collect();
+    assert!((1..29).contains(&attempted.len()), "some are held, not {:?}", attempted);
     // All but the last of the clients with pending RPCs leave.
-    let pending: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
+    let pending: Vec<usize> = (0..30).filter(|nth| !attempted.contains(nth)).collect();
     let last = *pending.last().expect("some are held");
-    let mut clients: Vec<Option<TcpStream>> = stay.into_iter().map(Some).collect();
+    let mut clients: Vec<Option<TcpStream>> = streams.into_iter().map(Some).collect();
     pending.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
     harness.settle();
     sleep(Duration::from_millis(300));
-    for (_, link) in out {
+    for (_, link) in in_flight {
         harness.answer_rpc(0, link);
     }
     let (id, link) = harness.next_rpc(0);
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -30,11 +30,11 @@
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     harness.assert_write_succeeds("1");
-    let mut many: Vec<TcpStream> =
+    let mut waiting_clients: Vec<TcpStream> =
         (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
-    many.truncate(25);
+    waiting_clients.truncate(25);
     sleep(Duration::from_millis(200));
-    many.clear();
+    waiting_clients.clear();
     harness.assert_write_succeeds("2");
 }
 
@@ -44,7 +44,7 @@
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
-    let many: Vec<TcpStream> =
+    let waiting_clients: Vec<TcpStream> =
         (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
     sleep(Duration::from_millis(100));
     for (nth, client) in clients.iter_mut().enumerate() {
@@ -53,7 +53,7 @@
         assert_eq!(id, nth.to_string());
         close(link);
     }
-    drop(many);
+    drop(waiting_clients);
 }
 
 /// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
@@ -63,8 +63,8 @@
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
     let mut client = harness.client();
     harness.settle();
-    let at = format!("/proc/{}/fd", harness.process.id());
-    let allow = |count: usize| {
+    let descriptor_folder = format!("/proc/{}/fd", harness.process.id());
+    let set_descriptor_limit = |count: usize| {
         let pid = harness.process.id().to_string();
         let status =
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
@@ -74,14 +74,15 @@
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
-    let used = (0..).find(|n| !PathBuf::from(format!("{at}/{n}")).exists()).expect("few are open");
-    allow(used);
+    let lowest_unused =
+        (0..).find(|n| !PathBuf::from(format!("{descriptor_folder}/{n}")).exists()).expect("few are open");
+    set_descriptor_limit(lowest_unused);
     for nth in 0..4 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(execute(&mut client, &statement(&nth.to_string(), "write", 60_000, "1")).1, "53300");
-        assert!(begun.elapsed() < Duration::from_secs(5), "its time was waited for");
+        assert!(started_at.elapsed() < Duration::from_secs(5), "its time was waited for");
     }
-    allow(1024);
+    set_descriptor_limit(1024);
     close(client);
     harness.assert_write_succeeds("after");
 }
@@ -101,9 +102,9 @@
     (0..100).for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel takes it")));
     harness.resume();
     harness.settle();
-    let said = std::fs::read_to_string(&log).expect("its log");
+    let log_text = std::fs::read_to_string(&log).expect("its log");
     std::fs::remove_file(log).expect("its own file");
-    assert!(!said.contains("Too many open files"), "{said}");
+    assert!(!log_text.contains("Too many open files"), "{log_text}");
 }
 
 /// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
@@ -117,16 +118,16 @@
             |config| config,
             |command| run_in_shell(&shell, command),
         );
-        let back = harness.discovery.local_addr().expect("an address");
+        let discovery_address = harness.discovery.local_addr().expect("an address");
         (harness.discovery, harness.watch) = (bind_listener(), None);
         let stop = Arc::new(AtomicBool::new(false));
-        let crowd = connect_idle_clients(harness.address.clone(), stop.clone());
+        let idle_clients = connect_idle_clients(harness.address.clone(), stop.clone());
         sleep(Duration::from_millis(4500));
-        harness.discovery = TcpListener::bind(back).expect("nobody else took it");
-        let call = accept_connection_within(&harness.discovery, Duration::from_secs(6));
-        assert!(call.is_some(), "discovery is not called within 6 s, {count} descriptors");
+        harness.discovery = TcpListener::bind(discovery_address).expect("nobody else took it");
+        let watch_connection = accept_connection_within(&harness.discovery, Duration::from_secs(6));
+        assert!(watch_connection.is_some(), "discovery is not called within 6 s, {count} descriptors");
         stop.store(true, Ordering::Relaxed);
-        crowd.join().expect("it ends");
+        idle_clients.join().expect("it ends");
     }
 }
 
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -32,10 +32,10 @@
         .replace("\"m-0\"", "\n  \"m-0\"\n")
         .replace(',', ",\n\t");
     let lines = format!("{{\n \"generation\" : 2,\n \"reset\":false,\n\"instances\":[\n{moved}\n]\n}}\n\n");
-    let (one, two) = lines.split_at(lines.len() / 2);
-    harness.send_watch_bytes(one.as_bytes());
+    let (first_half, second_half) = lines.split_at(lines.len() / 2);
+    harness.send_watch_bytes(first_half.as_bytes());
     harness.settle();
-    harness.send_watch_bytes(two.as_bytes());
+    harness.send_watch_bytes(second_half.as_bytes());
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -46,23 +46,31 @@
 #[test]
 fn a_silent_watch_is_reopened_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
-    let since = Instant::now();
+    let started_at = Instant::now();
     let second = accept_connection(&harness.discovery);
-    assert!(since.elapsed() < Duration::from_millis(4000), "asked again after {:?}", since.elapsed());
+    assert!(
+        started_at.elapsed() < Duration::from_millis(4000),
+        "asked again after {:?}",
+        started_at.elapsed()
+    );
     read_watch_request(&second);
     let third = accept_connection(&harness.discovery);
     read_watch_request(&third);
-    assert!(since.elapsed() < Duration::from_millis(5500), "a third time after {:?}", since.elapsed());
+    assert!(
+        started_at.elapsed() < Duration::from_millis(5500),
+        "a third time after {:?}",
+        started_at.elapsed()
+    );
 }
 
 /// Lines inside an object that never ends count as silence.
 #[test]
 fn a_watch_whose_list_never_ends_is_treated_as_silent() {
     let mut harness = start_harness(|config| config);
-    let since = Instant::now();
+    let started_at = Instant::now();
     harness.send_watch_bytes(b"{\"generation\":2,\n\"reset\":false,\n");
     while accept_connection_within(&harness.discovery, Duration::from_millis(300)).is_none() {
-        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
+        assert!(started_at.elapsed() < Duration::from_secs(6), "asked again");
         let watch = harness.watch.as_mut().expect("open");
         let _ = watch.write_all(b"1\r\n\n\r\n");
     }
@@ -73,14 +81,15 @@
 #[test]
 fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
-    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let config_text = std::fs::read_to_string(&harness.config_file).expect("its file");
     let (silent, last) = (bind_listener(), bind_listener());
-    let at = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-    for to in [at(&silent), at(&last)] {
-        let discovery_key = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
-        std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    let address_of = |l: &TcpListener| l.local_addr().expect("an address").to_string();
+    for new_address in [address_of(&silent), address_of(&last)] {
+        let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
+        std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
+            .expect("written");
         harness.signal(Signal::SIGHUP);
-        close(accept_connection(if to == at(&silent) { &silent } else { &last }));
+        close(accept_connection(if new_address == address_of(&silent) { &silent } else { &last }));
         harness.settle();
     }
     let moved = instance(0, &harness.member_address(1), "SERVING");
@@ -103,18 +112,19 @@
 #[test]
 fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
-    let empty = bind_listener();
-    let to = empty.local_addr().expect("an address").to_string();
-    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
-    let discovery_key = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
-    std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    let new_discovery = bind_listener();
+    let new_address = new_discovery.local_addr().expect("an address").to_string();
+    let config_text = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
+    std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
+        .expect("written");
     harness.signal(Signal::SIGHUP);
-    let mut first = accept_connection(&empty);
+    let mut first = accept_connection(&new_discovery);
     read_watch_request(&first);
     first.write_all(WATCH_HEAD).expect("it reads");
-    let since = Instant::now();
-    while accept_connection_within(&empty, Duration::from_millis(300)).is_none() {
-        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
+    let started_at = Instant::now();
+    while accept_connection_within(&new_discovery, Duration::from_millis(300)).is_none() {
+        assert!(started_at.elapsed() < Duration::from_secs(6), "asked again");
         let _ = first.write_all(b"1\r\n\n\r\n");
     }
 }
@@ -125,9 +135,9 @@
 fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
     harness.generation = 50;
-    let here = instance(0, &harness.member_address(0), "SERVING");
-    let since = Instant::now();
-    harness.send_listing(&here, true);
+    let current = instance(0, &harness.member_address(0), "SERVING");
+    let started_at = Instant::now();
+    harness.send_listing(&current, true);
     harness.settle();
     let moved = instance(0, &harness.member_address(1), "SERVING");
     loop {
@@ -136,13 +146,13 @@
         harness.settle();
         let mut client = harness.client();
         client
-            .write_all(&query(&write_statement(&format!("{:?}", since.elapsed()))))
+            .write_all(&query(&write_statement(&format!("{:?}", started_at.elapsed()))))
             .expect("the router reads");
-        let accepted = since.elapsed() > Duration::from_secs(6);
+        let accepted = started_at.elapsed() > Duration::from_secs(6);
         match harness.next_rpc_within(usize::from(accepted), Duration::from_millis(500)) {
             Some((_, link)) if !accepted => harness.answer_rpc(0, link),
             Some(_) => return,
-            None => assert!(since.elapsed() < Duration::from_secs(14), "refused for ever"),
+            None => assert!(started_at.elapsed() < Duration::from_secs(14), "refused for ever"),
         }
         harness.open_watch();
     }
@@ -177,14 +187,14 @@
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "read", 60_000, "1"))).expect("the router reads");
-    let mut late = harness.accept_member_connection(1);
+    let mut unanswered = harness.accept_member_connection(1);
     let draining = instance(1, &harness.member_address(1), "DRAINING");
     harness.send_listing(&draining, false);
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "1", "the primary has it");
-    let _ = late.write_all(&welcome());
+    let _ = unanswered.write_all(&welcome());
     let mut rest = Vec::new();
-    let _ = late.read_to_end(&mut rest);
+    let _ = unanswered.read_to_end(&mut rest);
     assert!(!rest.contains(&b'Q'), "nothing goes to the one that drains");
     harness.answer_rpc(0, link);
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -9,45 +9,45 @@
 
 /// Eight times: a client sends an RPC, then `behind` as far as the kernel takes it, and leaves, by a close and a half
 /// close in turn, 0.12 s before its RPC is answered. How many of the later statements the member gets.
-fn count_forwarded_behind(behind: impl Fn(usize) -> Vec<u8>) -> usize {
+fn count_forwarded_after(bytes_after: impl Fn(usize) -> Vec<u8>) -> usize {
     let mut harness = start_harness(|config| config);
     let mut forwarded = 0;
     for round in 0..8 {
         let mut client = harness.client();
         client.write_all(&query(&write_statement(&format!("first-{round}")))).expect("the router reads");
         let link = harness.wait_for_rpc(0, &format!("first-{round}"), &mut forwarded);
-        let half = send_and_leave(&harness, client, &behind(round), round % 2 == 1);
+        let kept = send_and_disconnect(&harness, client, &bytes_after(round), round % 2 == 1);
         harness.answer_rpc(0, link);
         let mut next = harness.client();
         next.write_all(&query(&write_statement(&format!("next-{round}")))).expect("the router reads");
         let link = harness.wait_for_rpc(0, &format!("next-{round}"), &mut forwarded);
         harness.answer_rpc(0, link);
         assert_eq!(read_answer(&mut next).0, b"TDCZ");
-        drop(half);
+        drop(kept);
     }
     forwarded
 }
 
 /// Sends as far as the kernel takes it, and leaves; a half close keeps the connection. Returns 0.12 s after that.
-fn send_and_leave(
+fn send_and_disconnect(
     harness: &RouterHarness,
     mut client: TcpStream,
-    mut rest: &[u8],
-    half: bool,
+    mut bytes: &[u8],
+    is_half_close: bool,
 ) -> Option<TcpStream> {
     client.set_nonblocking(true).expect("it can");
-    while let Ok(count @ 1..) = client.write(rest) {
-        rest = &rest[count..];
+    while let Ok(count @ 1..) = client.write(bytes) {
+        bytes = &bytes[count..];
         harness.settle();
     }
     client.shutdown(std::net::Shutdown::Write).expect("it can");
-    let kept = Some(client).filter(|_| half);
+    let kept = Some(client).filter(|_| is_half_close);
     sleep(Duration::from_millis(120));
     harness.settle();
     kept
 }
 
-fn statements_behind(round: usize, count: usize) -> Vec<u8> {
+fn later_statements(round: usize, count: usize) -> Vec<u8> {
     let statement = |nth| write_statement(&format!("gone-{round}-{nth}")).replace("9f03", &"9f".repeat(4000));
     (0..count).flat_map(|nth| query(&statement(nth))).collect()
 }
@@ -55,14 +55,14 @@
 /// The client's buffer is full with what follows its first RPC, and the close comes after that.
 #[test]
 fn statements_of_a_client_that_disconnects_with_a_full_buffer_are_not_forwarded() {
-    assert_eq!(count_forwarded_behind(|round| statements_behind(round, 72)), 0);
+    assert_eq!(count_forwarded_after(|round| later_statements(round, 72)), 0);
 }
 
 /// The client has sent more than buffer and socket hold, so that the kernel holds its close back: its bytes are read up to
 /// the close, and no RPC among them is started. After a half close no reset shows that it has left.
 #[test]
 fn statements_of_a_client_whose_close_the_kernel_delays_are_not_forwarded() {
-    assert_eq!(count_forwarded_behind(|round| statements_behind(round, 1000)), 0);
+    assert_eq!(count_forwarded_after(|round| later_statements(round, 1000)), 0);
 }
 
 /// The same, and the member that has its first RPC rejects it: no other member gets it.
@@ -73,7 +73,7 @@
     client.write_all(&query(&statement("first", "read", 60_000, "1"))).expect("the router reads");
     let (id, mut link) = harness.next_rpc(1);
     assert_eq!(id, "first");
-    let _half = send_and_leave(&harness, client, &statements_behind(0, 1000), true);
+    let _kept = send_and_disconnect(&harness, client, &later_statements(0, 1000), true);
     link.write_all(&error_response("53300")).expect("it reads");
     assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
 }
@@ -82,11 +82,11 @@
 /// rejected, each is answered, and once all is read the rest is served.
 #[test]
 fn a_client_that_pipelines_many_statements_and_stays_gets_every_answer() {
-    for (count, all) in [(60, true), (160, false)] {
+    for (count, all_served) in [(60, true), (160, false)] {
         let mut harness = start_harness(|config| config);
         let mut client = harness.client();
         let mut writer = client.try_clone().expect("it can");
-        let bytes = statements_behind(0, count);
+        let bytes = later_statements(0, count);
         let writing = std::thread::spawn(move || writer.write_all(&bytes));
         let reading = std::thread::spawn(move || {
             let answers: Vec<_> = (0..count).map(|_| read_answer(&mut client)).collect();
@@ -102,6 +102,6 @@
         let served = answers.iter().filter(|(kinds, _)| kinds == b"TDCZ").count();
         let rejected = answers.iter().filter(|(kinds, code)| kinds == b"EZ" && code == "53300").count();
         assert_eq!(served + rejected, count, "{answers:?}");
-        assert!(served == count || !all && served >= 60, "{served} of {count}");
+        assert!(served == count || !all_served && served >= 60, "{served} of {count}");
     }
 }
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -49,14 +49,14 @@
     harness.assert_write_succeeds("1");
     harness.pause();
     harness.signal(Signal::SIGTERM);
-    let mut new = TcpStream::connect(&harness.address).expect("it listens");
-    new.set_read_timeout(Some(PATIENCE)).expect("it can");
-    new.write_all(&[startup(), query(&write_statement("2"))].concat()).expect("the kernel takes it");
+    let mut client = TcpStream::connect(&harness.address).expect("it listens");
+    client.set_read_timeout(Some(PATIENCE)).expect("it can");
+    client.write_all(&[startup(), query(&write_statement("2"))].concat()).expect("the kernel takes it");
     harness.resume();
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "2");
     harness.answer_rpc(0, link);
-    while next_frame(&mut new).expect("a welcome").0 != b'Z' {}
-    assert_eq!(read_answer(&mut new).0, b"TDCZ");
+    while next_frame(&mut client).expect("a welcome").0 != b'Z' {}
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
     harness.assert_clean_exit();
 }
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{launch_with_discovery, router_config, simulated_members};
 use Ending::{
-    Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
-    OlderList, Refused, Reset, SpoiltLine, Status,
+    ConnectHangs, EndlessEmptyLines, EndlessList, ErrorStatus, HeadThenClose, HeadThenSilence, InvalidLine,
+    NoAnswer, NoDescriptor, NotChunked, OlderList, Random, Refused, Reset, UnfinishedList,
 };
 use ladderpass::launch;
 
@@ -11,66 +11,71 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
     /// The connect is never answered.
-    NeverUp,
+    ConnectHangs,
     /// It connects, and never answers.
-    Hangs,
+    NoAnswer,
     Refused,
     /// No descriptor for it.
-    Denied,
+    NoDescriptor,
     /// Reset once it was written.
     Reset,
-    Status,
+    ErrorStatus,
     NotChunked,
-    SpoiltLine,
+    InvalidLine,
     /// A response head, and then a close.
-    EndsEarly,
+    HeadThenClose,
     /// A response head, and then nothing.
-    HeadAlone,
+    HeadThenSilence,
     /// A response head, and empty lines for ever.
-    EmptyLines,
+    EndlessEmptyLines,
     /// A list that begins, and then nothing, or bytes for ever.
-    HalfAList,
-    ListForEver,
+    UnfinishedList,
+    EndlessList,
     /// A list from before.
     OlderList,
     /// Another one of these each time.
-    Any,
+    Random,
 }
 
 pub const ENDINGS: [Ending; 15] = [
-    NeverUp,
-    Hangs,
+    ConnectHangs,
+    NoAnswer,
     Refused,
-    Denied,
+    NoDescriptor,
     Reset,
-    Status,
+    ErrorStatus,
     NotChunked,
-    SpoiltLine,
-    EndsEarly,
-    HeadAlone,
-    EmptyLines,
-    HalfAList,
-    ListForEver,
+    InvalidLine,
+    HeadThenClose,
+    HeadThenSilence,
+    EndlessEmptyLines,
+    UnfinishedList,
+    EndlessList,
     OlderList,
-    Any,
+    Random,
 ];
 
 /// The state when discovery goes down.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Before {
+pub enum OutageStart {
     /// The process starts while it is away.
-    Start,
+    ProcessStart,
     /// The watch is reset, or falls silent.
-    Watch,
-    SilentWatch,
+    WatchCloses,
+    WatchFallsSilent,
     /// It has moved: SIGHUP, while the old address serves on with nothing new.
-    HangUp,
+    Reload,
     /// SIGHUP in the middle of an outage of the old address, mostly while a watch is being opened.
-    HangUpInOutage,
+    ReloadDuringOutage,
 }
 
-pub const BEFORE: [Before; 5] =
-    [Before::Start, Before::Watch, Before::SilentWatch, Before::HangUp, Before::HangUpInOutage];
+pub const OUTAGE_STARTS: [OutageStart; 5] = [
+    OutageStart::ProcessStart,
+    OutageStart::WatchCloses,
+    OutageStart::WatchFallsSilent,
+    OutageStart::Reload,
+    OutageStart::ReloadDuringOutage,
+];
 
 /// How the list is delivered, by the settings: polled within `MustAskIn`, or pushed with this `DrainGrace`.
 #[derive(Clone, Copy, Debug)]
@@ -92,7 +97,7 @@
 pub const NEW_PORT: u16 = 8600;
 
 /// A router of three members, whose random numbers are of this seed, with discovery at this port.
-pub fn launch_with(mode: Mode, seed: u64, port: u16) -> launch::Launch {
+pub fn outage_launch(mode: Mode, seed: u64, port: u16) -> launch::Launch {
     let members = simulated_members(3);
     let text = router_config(&members)
         .replace("\"Probes\":true", "\"Probes\":false")
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -2,10 +2,10 @@
 
 use crate::common::{SIMULATION_START, WATCH_HEAD, chunk, instance, simulated_members};
 use crate::scenario::Ending::{
-    Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
-    OlderList, Refused, Reset, SpoiltLine, Status,
+    ConnectHangs, EndlessEmptyLines, EndlessList, ErrorStatus, HeadThenClose, HeadThenSilence, InvalidLine,
+    NoAnswer, NoDescriptor, NotChunked, OlderList, Random, Refused, Reset, UnfinishedList,
 };
-use crate::scenario::{ENDINGS, Ending, Mode, NEW_PORT, OLD_PORT, launch_with};
+use crate::scenario::{ENDINGS, Ending, Mode, NEW_PORT, OLD_PORT, outage_launch};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
@@ -19,14 +19,14 @@
 /// What discovery does on a watch.
 #[derive(Clone, Debug)]
 enum DiscoveryEvent {
-    Up,
+    Connected,
     Bytes(Vec<u8>),
     /// It sends the list that it has.
-    Answer,
+    AnswerWithList,
     /// It sends the same bytes at this interval.
-    Trickle(Vec<u8>, Span),
-    Ends,
-    Denied,
+    Repeat(Vec<u8>, Span),
+    Closed,
+    NoDescriptor,
 }
 
 /// The reducer, and the discovery service that it watches.
@@ -37,16 +37,16 @@
     pub ending: Ending,
     pub max_answer_ms: u64,
     /// The generation that discovery has after its return, and whether it sends the whole list to all.
-    pub counts_from: u64,
-    pub whole: bool,
+    pub generation_after_return: u64,
+    pub sends_whole_list: bool,
     /// The generation that the last watch asked for.
     requested_from: u64,
     /// The port that is away, from when to when.
-    pub away: (u16, Time, Time),
+    pub unreachable: (u16, Time, Time),
     /// Open watches, with the port that they connected to.
     watches: BTreeMap<ConnectionId, u16>,
     events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
-    last: u64,
+    last_event_number: u64,
     /// When watches were opened.
     pub opened: Vec<(Time, u16)>,
     /// When the change of the return was read.
@@ -73,9 +73,9 @@
 
 impl Simulation {
     /// A router whose discovery is at the old port; `away`: which port can't be reached, from when to when.
-    pub fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> Simulation {
+    pub fn new(mode: Mode, seed: u64, ending: Ending, unreachable: (u16, Time, Time)) -> Simulation {
         Simulation {
-            reducer: Reducer::start(SIMULATION_START, launch_with(mode, seed, OLD_PORT)),
+            reducer: Reducer::start(SIMULATION_START, outage_launch(mode, seed, OLD_PORT)),
             now: SIMULATION_START,
             random: WyRand::new_seed(seed),
             ending,
@@ -84,27 +84,27 @@
             } else {
                 MAX_ANSWER_MS
             },
-            counts_from: 9,
-            whole: true,
+            generation_after_return: 9,
+            sends_whole_list: true,
             requested_from: 0,
-            away,
+            unreachable,
             watches: BTreeMap::new(),
             events: BTreeMap::new(),
-            last: 0,
+            last_event_number: 0,
             opened: Vec::new(),
             read_at: None,
         }
     }
 
     /// Whether discovery can't be reached at this port now.
-    fn is_away(&self, port: u16) -> bool {
-        self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
+    fn is_unreachable(&self, port: u16) -> bool {
+        self.unreachable.0 == port && (self.unreachable.1..self.unreachable.2).contains(&self.now)
     }
 
     /// Schedules what discovery does on a watch.
-    fn after(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
-        self.last += 1;
-        self.events.insert((self.now + span, self.last), (id, event));
+    fn schedule(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
+        self.last_event_number += 1;
+        self.events.insert((self.now + span, self.last_event_number), (id, event));
     }
 
     fn apply(&mut self, event: Event) {
@@ -131,76 +131,80 @@
     fn on_connect(&mut self, id: ConnectionId, port: u16) {
         self.opened.push((self.now, port));
         self.watches.insert(id, port);
-        let little = ms(self.random.generate_range(0..40));
-        if !self.is_away(port) {
-            self.after(little, id, DiscoveryEvent::Up);
+        let short_delay = ms(self.random.generate_range(0..40));
+        if !self.is_unreachable(port) {
+            self.schedule(short_delay, id, DiscoveryEvent::Connected);
             let within = ms(self.random.generate_range(40..self.max_answer_ms) as i64);
-            self.after(within, id, DiscoveryEvent::Answer);
-            return self.after(within, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(2000)));
+            self.schedule(within, id, DiscoveryEvent::AnswerWithList);
+            return self.schedule(within, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(2000)));
         }
         let ending = match self.ending {
-            Any => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
+            Random => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
             ending => ending,
         };
-        let later = little + ms(self.random.generate_range(0..1400));
-        if !matches!(ending, NeverUp | Refused | Denied) {
-            self.after(little, id, DiscoveryEvent::Up);
+        let long_delay = short_delay + ms(self.random.generate_range(0..1400));
+        if !matches!(ending, ConnectHangs | Refused | NoDescriptor) {
+            self.schedule(short_delay, id, DiscoveryEvent::Connected);
         }
         let bytes = |bytes: &[u8]| DiscoveryEvent::Bytes(bytes.to_vec());
         match ending {
-            NeverUp | Hangs | Any => {}
-            Refused => self.after(little, id, DiscoveryEvent::Ends),
-            Denied => self.after(Span::ZERO, id, DiscoveryEvent::Denied),
-            Reset => self.after(later, id, DiscoveryEvent::Ends),
-            Status => self.after(later, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
-            NotChunked => self.after(later, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")),
-            SpoiltLine => self.after(later, id, answer_with(&chunk(b"{\"generation\":}\n"))),
-            EndsEarly => {
-                self.after(little, id, bytes(WATCH_HEAD));
-                self.after(later, id, DiscoveryEvent::Ends);
+            ConnectHangs | NoAnswer | Random => {}
+            Refused => self.schedule(short_delay, id, DiscoveryEvent::Closed),
+            NoDescriptor => self.schedule(Span::ZERO, id, DiscoveryEvent::NoDescriptor),
+            Reset => self.schedule(long_delay, id, DiscoveryEvent::Closed),
+            ErrorStatus => {
+                self.schedule(long_delay, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
             }
-            HeadAlone => self.after(later, id, bytes(WATCH_HEAD)),
-            EmptyLines => {
-                self.after(little, id, bytes(WATCH_HEAD));
-                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(700)));
+            NotChunked => {
+                self.schedule(long_delay, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"))
             }
-            HalfAList => self.after(later, id, answer_with(&chunk(b"{\"generation\":9,\n"))),
-            ListForEver => {
-                self.after(little, id, answer_with(&chunk(b"{\"generation\":9,\n")));
-                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(300)));
+            InvalidLine => self.schedule(long_delay, id, answer_with(&chunk(b"{\"generation\":}\n"))),
+            HeadThenClose => {
+                self.schedule(short_delay, id, bytes(WATCH_HEAD));
+                self.schedule(long_delay, id, DiscoveryEvent::Closed);
             }
-            OlderList => self.after(later, id, answer_with(&list(0, 3, true))),
+            HeadThenSilence => self.schedule(long_delay, id, bytes(WATCH_HEAD)),
+            EndlessEmptyLines => {
+                self.schedule(short_delay, id, bytes(WATCH_HEAD));
+                self.schedule(long_delay, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(700)));
+            }
+            UnfinishedList => self.schedule(long_delay, id, answer_with(&chunk(b"{\"generation\":9,\n"))),
+            EndlessList => {
+                self.schedule(short_delay, id, answer_with(&chunk(b"{\"generation\":9,\n")));
+                self.schedule(long_delay, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(300)));
+            }
+            OlderList => self.schedule(long_delay, id, answer_with(&list(0, 3, true))),
         }
     }
 
     /// Discovery does this on a watch, if it is still open.
-    fn carry_out(&mut self, id: ConnectionId, event: DiscoveryEvent) {
+    fn perform(&mut self, id: ConnectionId, event: DiscoveryEvent) {
         // What a silent discovery would have sent is lost with the watch, whenever it comes back.
         let Some(&port) = self.watches.get(&id) else { return };
         match event {
-            DiscoveryEvent::Up => self.apply(Event::Connected(id)),
+            DiscoveryEvent::Connected => self.apply(Event::Connected(id)),
             DiscoveryEvent::Bytes(bytes) => {
                 let buffer = self.reducer.read_buffer(id);
                 buffer[..bytes.len()].copy_from_slice(&bytes);
                 self.apply(Event::Received(id, bytes.len(), Span::ZERO));
             }
-            DiscoveryEvent::Answer => {
-                let (generation, count) = match port == self.away.0 && self.now >= self.away.2 {
-                    true => (self.counts_from, 4),
+            DiscoveryEvent::AnswerWithList => {
+                let (generation, count) = match port == self.unreachable.0 && self.now >= self.unreachable.2 {
+                    true => (self.generation_after_return, 4),
                     false => (5, 3),
                 };
-                let whole = self.whole || self.requested_from == 0;
-                self.carry_out(id, answer_with(&list(generation, count, whole)));
+                let whole = self.sends_whole_list || self.requested_from == 0;
+                self.perform(id, answer_with(&list(generation, count, whole)));
             }
-            DiscoveryEvent::Trickle(bytes, every) => {
-                self.carry_out(id, DiscoveryEvent::Bytes(bytes.clone()));
-                self.after(every, id, DiscoveryEvent::Trickle(bytes, every));
+            DiscoveryEvent::Repeat(bytes, interval) => {
+                self.perform(id, DiscoveryEvent::Bytes(bytes.clone()));
+                self.schedule(interval, id, DiscoveryEvent::Repeat(bytes, interval));
             }
-            DiscoveryEvent::Ends => {
+            DiscoveryEvent::Closed => {
                 self.watches.remove(&id);
                 self.apply(Event::Closed(id));
             }
-            DiscoveryEvent::Denied => {
+            DiscoveryEvent::NoDescriptor => {
                 self.watches.remove(&id);
                 self.apply(Event::ConnectDenied(id));
             }
@@ -208,7 +212,7 @@
     }
 
     /// Runs until then.
-    pub fn run(&mut self, until: Time) {
+    pub fn run_until(&mut self, until: Time) {
         loop {
             self.apply(Event::Tick);
             if self.read_at.is_none() && self.reducer.member_count() > 3 {
@@ -222,11 +226,12 @@
                 return;
             }
             self.now = next;
-            while let Some(((at, last), _)) = self.events.first_key_value().map(|(key, _)| (*key, ()))
+            while let Some(((at, last_event_number), _)) =
+                self.events.first_key_value().map(|(key, _)| (*key, ()))
                 && at <= self.now
             {
-                let (id, event) = self.events.remove(&(at, last)).expect("it is the first");
-                self.carry_out(id, event);
+                let (id, event) = self.events.remove(&(at, last_event_number)).expect("it is the first");
+                self.perform(id, event);
             }
         }
     }
@@ -239,7 +244,7 @@
     /// Closes the watches of this port.
     pub fn close_watches(&mut self, port: u16) {
         let open = self.watches.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
-        open.collect::<Vec<_>>().into_iter().for_each(|id| self.carry_out(id, DiscoveryEvent::Ends));
+        open.collect::<Vec<_>>().into_iter().for_each(|id| self.perform(id, DiscoveryEvent::Closed));
     }
 
     /// Open watches end, or only fall silent.
@@ -249,6 +254,6 @@
 
     /// SIGHUP: discovery is at the new port from now on.
     pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
-        self.apply(Event::ConfigurationReloaded(Box::new(launch_with(mode, seed, NEW_PORT))));
+        self.apply(Event::ConfigurationReloaded(Box::new(outage_launch(mode, seed, NEW_PORT))));
     }
 }
--- a/crates/ladderpass/tests/drill_interrupt.rs
+++ b/crates/ladderpass/tests/drill_interrupt.rs
@@ -8,14 +8,15 @@
 
 /// Processes that this one has started and that have not ended.
 fn children() -> Vec<String> {
-    let own = std::process::id().to_string();
+    let own_pid = std::process::id().to_string();
     let processes = std::fs::read_dir("/proc").expect("it can be read").filter_map(Result::ok);
     let stats = processes.filter_map(|entry| std::fs::read_to_string(entry.path().join("stat")).ok());
     stats
         .filter(|stat| {
-            let after = stat.rsplit_once(')').map_or("", |(_, after)| after);
-            let mut fields = after.split_whitespace();
-            fields.next() != Some("Z") && fields.next() == Some(&own)
+            let fields_after_name =
+                stat.rsplit_once(')').map_or("", |(_, fields_after_name)| fields_after_name);
+            let mut fields = fields_after_name.split_whitespace();
+            fields.next() != Some("Z") && fields.next() == Some(&own_pid)
         })
         .collect()
 }
@@ -25,19 +26,19 @@
     interrupted();
     let drill = Drill::read("{routers: 4, phases: [[60, 40]], clients: 20}").expect("allowed");
     let program = Path::new(env!("CARGO_BIN_EXE_ladderpass"));
-    let began = Instant::now();
-    let run = std::thread::spawn(move || {
+    let started_at = Instant::now();
+    let drill_run = std::thread::spawn(move || {
         let programs = Programs { router: program, faulty: None, earlier: None };
         play(&drill, programs, 1).err().map(|fault| fault.kind())
     });
     while children().len() < 4 {
-        assert!(began.elapsed() < Duration::from_secs(30), "the routers did not start");
+        assert!(started_at.elapsed() < Duration::from_secs(30), "the routers did not start");
         std::thread::sleep(Duration::from_millis(20));
     }
     std::thread::sleep(Duration::from_secs(1));
     kill(nix::unistd::Pid::this(), Signal::SIGINT).expect("it is this process");
-    let ended = run.join().expect("it does not panic");
+    let ended = drill_run.join().expect("it does not panic");
     assert_eq!(ended, Some(std::io::ErrorKind::Interrupted));
     assert_eq!(children(), Vec::<String>::new());
-    assert!(began.elapsed() < Duration::from_secs(40));
+    assert!(started_at.elapsed() < Duration::from_secs(40));
 }
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -25,21 +25,21 @@
 }
 
 /// What a router logged of another, in order.
-fn views_of(played: &DrillRecord, viewer: usize, of: usize) -> Vec<&str> {
+fn logged_changes(played: &DrillRecord, viewer: usize, subject: usize) -> Vec<&str> {
     let changes = played.views[viewer].iter().flat_map(|view| &view.changes);
     changes
-        .filter(|change| change.address == played.addresses[of])
+        .filter(|change| change.address == played.addresses[subject])
         .map(|change| change.text.as_str())
         .collect()
 }
 
 fn assert_agreed(played: &DrillRecord, count: usize) {
-    let last: Vec<_> = (0..played.views.len())
+    let last_views: Vec<_> = (0..played.views.len())
         .filter(|&nth| played.alive[nth])
         .map(|nth| played.views[nth].last().map(|view| (view.digest, view.count)))
         .collect();
-    assert!(last.iter().all(|view| *view == last[0]), "{last:?}");
-    assert_eq!(last[0].map(|(_, count)| count), Some(count));
+    assert!(last_views.iter().all(|view| *view == last_views[0]), "{last_views:?}");
+    assert_eq!(last_views[0].map(|(_, count)| count), Some(count));
 }
 
 #[test]
@@ -50,9 +50,9 @@
     );
     assert!(played.settled.is_some());
     for viewer in [0, 3, 4] {
-        for of in [1, 2] {
+        for subject in [1, 2] {
             // A router that refutes a later suspicion is logged as back once more.
-            let views = views_of(&played, viewer, of);
+            let views = logged_changes(&played, viewer, subject);
             assert!(views.contains(&"died") && views.last() == Some(&"is back"), "{views:?}");
         }
     }
@@ -65,8 +65,9 @@
     let _turn = wait_for_turn();
     let (_, played) =
         play_drill("{routers: 4, phases: [[4, 60]], clients: 40, deeds: [{at: 1, term: [r3]}]}");
-    let last: Vec<_> = (0..3).map(|viewer| views_of(&played, viewer, 3).last().copied()).collect();
-    assert!(last.contains(&Some("left")), "{last:?}");
+    let last_views: Vec<_> =
+        (0..3).map(|viewer| logged_changes(&played, viewer, 3).last().copied()).collect();
+    assert!(last_views.contains(&Some("left")), "{last_views:?}");
     assert!(!played.alive[3]);
     assert_agreed(&played, 3);
 }
@@ -78,9 +79,9 @@
     let (_, played) = play_drill(
         "{routers: 5, phases: [[12, 60]], clients: 40, deeds: [{at: 0.5, split: [[r0, r1], [r2, r3, r4]], for: 6}]}",
     );
-    let least =
+    let min_view =
         |router: usize| played.views[router].iter().skip_while(|view| view.count < 5).map(|v| v.count).min();
-    assert_eq!((least(0), least(4)), (Some(2), Some(3)));
+    assert_eq!((min_view(0), min_view(4)), (Some(2), Some(3)));
     assert_agreed(&played, 5);
 }
 
@@ -136,11 +137,14 @@
          {name: move, writes: true, work_ms: 20, soft_deadline_ms: 800, utility: 8, share: 0.1}]}, \
          deeds: [{at: 1, mute: [r2], for: 3}, {at: 3, kill: [r4, r5]}, {at: 5, freeze: [r1], for: 3}]}",
     );
-    let thresholds = |router: usize| {
+    let count_thresholds = |router: usize| {
         let lines = played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet"));
         lines.filter(|line| !line.contains("threshold=0.00 ")).count()
     };
-    assert!(thresholds(0) > 3 && thresholds(2) > 3, "no admission threshold at all: there is no overload");
+    assert!(
+        count_thresholds(0) > 3 && count_thresholds(2) > 3,
+        "no admission threshold at all: there is no overload"
+    );
     let names_retries =
         |line: &&String| line.contains("retry budget group=") && !line.contains("retries_wanted=0.0 ");
     assert!(played.logs[0].iter().any(|line| names_retries(&line)), "no retry was wanted");
@@ -159,12 +163,12 @@
          scenario: {groups: 2}, deeds: [{at: 1, ends: 0}]}",
     );
     // RPCs alternate between the groups: those of the second group have odd numbers.
-    let of_second = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
-    let served = of_second.clone().filter(|entry| {
+    let of_second_group = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
+    let served = of_second_group.clone().filter(|entry| {
         entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
     });
-    let (served, asked) = (served.count(), of_second.count());
-    assert!(asked > 50 && served * 100 >= asked * 97, "{served} of {asked}");
+    let (served, total) = (served.count(), of_second_group.count());
+    assert!(total > 50 && served * 100 >= total * 97, "{served} of {total}");
 }
 
 #[test]
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -73,9 +73,9 @@
 fn malformed_frames_close_only_their_own_connection_and_encryption_is_declined() {
     let router = router(|n, _| Some(row(b"v", role(n), now_ms())));
     let mut other = router.client();
-    for junk in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
+    for malformed in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
         let mut client = TcpStream::connect(&router.address).expect("it listens");
-        client.write_all(junk).expect("written");
+        client.write_all(malformed).expect("written");
         let mut rest = Vec::new();
         assert!(client.read_to_end(&mut rest).is_err() || rest.first() == Some(&b'E'));
     }
@@ -109,31 +109,32 @@
 fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
     let mut client = router.client();
-    let good = std::fs::read_to_string(&router.config_file).expect("its file");
-    let mut value = |nth: usize| {
+    let valid_config = std::fs::read_to_string(&router.config_file).expect("its file");
+    let mut execute_write = |nth: usize| {
         let (kinds, row) = execute(&mut client, &statement(&nth.to_string(), "write", 30_000, "1"));
         assert_eq!(kinds, b"TDCZ");
         row[6..].to_vec()
     };
     for broken in [
         "",
-        &good[..good.len() / 2],
-        &good.replace("\"seed\":\"8c", "\"discovery\":\"nowhere\",\"seed\":\"8c"),
+        &valid_config[..valid_config.len() / 2],
+        &valid_config.replace("\"seed\":\"8c", "\"discovery\":\"nowhere\",\"seed\":\"8c"),
     ] {
         std::fs::write(&router.config_file, broken).expect("written");
         router.signal("HUP");
         thread::sleep(Duration::from_millis(50));
-        assert_eq!(value(broken.len()), b"old");
+        assert_eq!(execute_write(broken.len()), b"old");
     }
     let (sender, _statements) = channel();
     let moved = fake_member(0, |_, _| Some(row(b"new", "leader", now_ms())), sender);
     let list = format!(r#"{{"generation":0,"reset":true,"instances":[{}]}}"#, instance(0, &moved, "SERVING"));
     let discovery_key = format!("\"discovery\":\"{}\",\"seed\":\"8c", fake_discovery(list));
-    std::fs::write(&router.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    std::fs::write(&router.config_file, valid_config.replace("\"seed\":\"8c", &discovery_key))
+        .expect("written");
     (0..3).for_each(|_| router.signal("HUP"));
-    let before = std::time::Instant::now();
-    while value(before.elapsed().as_millis() as usize + 1_000_000) != b"new" {
-        assert!(before.elapsed() < Duration::from_secs(4), "it follows within 4 s");
+    let signalled_at = std::time::Instant::now();
+    while execute_write(signalled_at.elapsed().as_millis() as usize + 1_000_000) != b"new" {
+        assert!(signalled_at.elapsed() < Duration::from_secs(4), "it follows within 4 s");
         thread::sleep(Duration::from_millis(20));
     }
     assert!(router.process.try_wait().expect("a process").is_none(), "it goes on");
@@ -149,7 +150,7 @@
     );
     let _silent: Vec<TcpStream> =
         (0..40).map(|_| TcpStream::connect(&router.address).expect("it listens")).collect();
-    let mut asking: Vec<TcpStream> = (0..8)
+    let mut clients_with_statement: Vec<TcpStream> = (0..8)
         .map(|nth| {
             let mut stream = TcpStream::connect(&router.address).expect("it listens");
             let text = statement(&nth.to_string(), "read", 30_000, "1");
@@ -158,7 +159,7 @@
         })
         .collect();
     router.signal("TERM");
-    for stream in &mut asking {
+    for stream in &mut clients_with_statement {
         let kinds: Vec<u8> = std::iter::from_fn(|| next_frame(stream)).map(|(kind, _)| kind).collect();
         assert!(kinds.ends_with(b"TDCZ") || kinds.contains(&b'E'), "{kinds:?}");
     }
@@ -167,24 +168,24 @@
 
 #[test]
 fn an_invalid_configuration_at_start_is_reported_with_its_key() {
-    let good = router_config(&["127.0.0.1:1".to_owned()]);
+    let valid = router_config(&["127.0.0.1:1".to_owned()]);
     for (text, listen, key) in [
-        (good.clone(), "nowhere", "RELAY_LISTEN"),
-        (good.replace("\"seed\":\"8c", "\"seed\":\"xx"), "127.0.0.1:0", "seed"),
-        (good.replace("\"sockets\":1024", "\"sockets\":\"many\""), "127.0.0.1:0", "limits.sockets"),
-        (good.replace("\"Slo\":750000000,\"Effect\":\"pure\"", "\"Effect\":\"pure\""), "127.0.0.1:0", "Slo"),
-        (good.replace("\"side_effect\"", "\"odd\""), "127.0.0.1:0", "settings.Services[1].Effect"),
-        (good.replace("\"seed\"", "\"discovery\":7,\"seed\""), "127.0.0.1:0", "discovery"),
-        (good.replacen("\"Slo\":750000000", "\"Slo\":0", 1), "127.0.0.1:0", "Services[0].Slo"),
-        (good.replace("\"Slo\":750000000", "\"Slo\":null"), "127.0.0.1:0", "Slo"),
-        (good.replace("\"Worth\":6.0", "\"Worth\":-6.0"), "127.0.0.1:0", "Services[1].Worth"),
-        (good.replace("\"AttemptsCap\":6", "\"AttemptsCap\":0"), "127.0.0.1:0", "Allowed.AttemptsCap"),
-        (good.replace("\"ColdFrom\":0.2", "\"ColdFrom\":20"), "127.0.0.1:0", "Contract.ColdFrom"),
-        (good.replace("\"ColdFrom\":0.2", "\"TipMultiple\":-4"), "127.0.0.1:0", "Contract.TipMultiple"),
-        (good.replace("\"MustAskIn\":10000000000,", ""), "127.0.0.1:0", "Contract.MustAskIn"),
-        (good.replace("\"subscribe\"", "\"sometimes\""), "127.0.0.1:0", "RegistryMode"),
-        (good.replace("\"ConnIdle\":15000000000", "\"ConnIdle\":-1"), "127.0.0.1:0", "Allowed.ConnIdle"),
-        (good.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
+        (valid.clone(), "nowhere", "RELAY_LISTEN"),
+        (valid.replace("\"seed\":\"8c", "\"seed\":\"xx"), "127.0.0.1:0", "seed"),
+        (valid.replace("\"sockets\":1024", "\"sockets\":\"many\""), "127.0.0.1:0", "limits.sockets"),
+        (valid.replace("\"Slo\":750000000,\"Effect\":\"pure\"", "\"Effect\":\"pure\""), "127.0.0.1:0", "Slo"),
+        (valid.replace("\"side_effect\"", "\"odd\""), "127.0.0.1:0", "settings.Services[1].Effect"),
+        (valid.replace("\"seed\"", "\"discovery\":7,\"seed\""), "127.0.0.1:0", "discovery"),
+        (valid.replacen("\"Slo\":750000000", "\"Slo\":0", 1), "127.0.0.1:0", "Services[0].Slo"),
+        (valid.replace("\"Slo\":750000000", "\"Slo\":null"), "127.0.0.1:0", "Slo"),
+        (valid.replace("\"Worth\":6.0", "\"Worth\":-6.0"), "127.0.0.1:0", "Services[1].Worth"),
+        (valid.replace("\"AttemptsCap\":6", "\"AttemptsCap\":0"), "127.0.0.1:0", "Allowed.AttemptsCap"),
+        (valid.replace("\"ColdFrom\":0.2", "\"ColdFrom\":20"), "127.0.0.1:0", "Contract.ColdFrom"),
+        (valid.replace("\"ColdFrom\":0.2", "\"TipMultiple\":-4"), "127.0.0.1:0", "Contract.TipMultiple"),
+        (valid.replace("\"MustAskIn\":10000000000,", ""), "127.0.0.1:0", "Contract.MustAskIn"),
+        (valid.replace("\"subscribe\"", "\"sometimes\""), "127.0.0.1:0", "RegistryMode"),
+        (valid.replace("\"ConnIdle\":15000000000", "\"ConnIdle\":-1"), "127.0.0.1:0", "Allowed.ConnIdle"),
+        (valid.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
     ] {
         let config_file = temp_file(&text);
         let output = router_command(listen, "127.0.0.1:1", &config_file).output().expect("it starts");
@@ -202,17 +203,17 @@
 }
 
 /// Runs `ladderpass check` with this operator's file and a changed configuration.
-fn check(operator: Option<&str>, change: fn(String) -> String) -> CheckOutput {
+fn check(operator_file: Option<&str>, change: fn(String) -> String) -> CheckOutput {
     let members = simulated_members(3);
     let config_file = temp_file(&change(router_config(&members)));
     let mut command = router_command("127.0.0.1:6432", "127.0.0.1:8500", &config_file);
     command.arg("check").stdout(Stdio::piped());
-    let operator = operator.map(temp_file);
-    if let Some(path) = &operator {
+    let operator_file = operator_file.map(temp_file);
+    if let Some(path) = &operator_file {
         command.arg("--operator").arg(path);
     }
     let output = command.output().expect("it starts");
-    for path in [Some(config_file), operator].into_iter().flatten() {
+    for path in [Some(config_file), operator_file].into_iter().flatten() {
         let _ = std::fs::remove_file(path);
     }
     let text = |bytes| String::from_utf8(bytes).expect("text");
@@ -256,33 +257,38 @@
 fn an_invalid_operator_file_at_sighup_leaves_the_settings_unchanged() {
     let (sender, _statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, |_, _| None, sender.clone())).collect();
-    let (config_file, operator) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
+    let (config_file, operator_file) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
     let mut command = router_command(&router_address(), &fake_discovery(NO_CHANGE.to_owned()), &config_file);
     let mut process =
-        command.arg("--operator").arg(&operator).env("RUST_LOG", "info").spawn().expect("it starts");
+        command.arg("--operator").arg(&operator_file).env("RUST_LOG", "info").spawn().expect("it starts");
     let mut lines = BufReader::new(process.stderr.take().expect("its log")).lines().map_while(Result::ok);
-    let mut seen: Vec<String> = Vec::new();
-    let mut until = |part: &str| loop {
-        let line = lines.next().unwrap_or_else(|| panic!("{part:?} is logged; the log has ended: {seen:#?}"));
-        seen.push(line.clone());
+    let mut lines_seen: Vec<String> = Vec::new();
+    let mut wait_for_line = |part: &str| loop {
+        let line =
+            lines.next().unwrap_or_else(|| panic!("{part:?} is logged; the log has ended: {lines_seen:#?}"));
+        lines_seen.push(line.clone());
         if line.contains(part) {
             break line;
         }
     };
-    until(" listening ");
-    std::fs::write(&operator, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
+    wait_for_line(" listening ");
+    std::fs::write(&operator_file, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
     let send_sighup = |process: &Child| {
         let pid = nix::unistd::Pid::from_raw(process.id() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
     };
     send_sighup(&process);
-    let line = until("configuration not reloaded");
+    let line = wait_for_line("configuration not reloaded");
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
-    std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
+    std::fs::write(&operator_file, "overload: {fair: 9}\n").expect("its own file");
     send_sighup(&process);
-    until("configuration reloaded discovery=");
-    let _ =
-        (process.kill(), process.wait(), std::fs::remove_file(config_file), std::fs::remove_file(operator));
+    wait_for_line("configuration reloaded discovery=");
+    let _ = (
+        process.kill(),
+        process.wait(),
+        std::fs::remove_file(config_file),
+        std::fs::remove_file(operator_file),
+    );
 }
 
 /// A log that nobody reads: standard error on a full disk, or a pipe whose reader has gone.
@@ -291,8 +297,8 @@
 /// at `info`: it reported a failed log write on standard error, which panics where that fails too. The program does not.
 #[test]
 fn a_log_that_can_not_be_written_does_not_end_the_process() {
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
-    for log in [Stdio::from(full), Stdio::piped()] {
+    let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
+    for log in [Stdio::from(full_device), Stdio::piped()] {
         let (sender, statements) = channel();
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
         let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -33,27 +33,27 @@
         deadline: DEADLINE,
         ..open_plan(5, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
     };
-    let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
-    let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(seen.ended, None, "the process goes on: {}", seen.log.join("\n"));
-    seen
+    let record = run::run(&Scenario::default(), start, &plan, Vec::new());
+    let record = record.unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(record.ended, None, "the process goes on: {}", record.log.join("\n"));
+    record
 }
 
 /// The same; each RPC is served before its deadline.
 fn assert_all_served(start: &Start) -> RunRecord {
-    let seen = run_load(start);
-    let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
-    assert_eq!(seen.violation_texts(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
+    let record = run_load(start);
+    let (total, log) = (record.outcome.total(), record.log.join("\n"));
+    assert_eq!(record.violation_texts(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
     assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}\n{log}");
     assert_eq!(total.ok, total.due, "{total:?}\n{log}");
-    seen
+    record
 }
 
 /// The same with these failures, which must all have happened: otherwise the run shows nothing.
 fn assert_all_served_despite(failures: &[FailingSyscall]) {
-    let seen = assert_all_served(&failing_syscalls::start(failures, &[]));
-    let all = seen.log.iter().filter(|line| line.contains("all failures of call")).count();
-    assert_eq!(all, failures.len(), "{}", seen.log.join("\n"));
+    let record = assert_all_served(&failing_syscalls::start(failures, &[]));
+    let completed = record.log.iter().filter(|line| line.contains("all failures of call")).count();
+    assert_eq!(completed, failures.len(), "{}", record.log.join("\n"));
 }
 
 /// The same with these errors of one call, so many each, while clients and members connect.
@@ -62,33 +62,33 @@
         after: Duration::ZERO,
         every: 2,
         count,
-        ..FailingSyscall::of(call, errno)
+        ..FailingSyscall::with_errno(call, errno)
     };
     assert_all_served_despite(&errors.iter().map(failure).collect::<Vec<_>>());
 }
 
 #[test]
 fn intercepted_calls_that_do_not_fail_change_nothing() {
-    let failure = FailingSyscall { count: 0, ..FailingSyscall::of(libc::SYS_recvmsg, libc::ENOMEM) };
+    let failure = FailingSyscall { count: 0, ..FailingSyscall::with_errno(libc::SYS_recvmsg, libc::ENOMEM) };
     assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
 /// The event loop arms its sources again for each wait.
 #[test]
 fn the_event_loop_continues_after_failing_to_arm_its_sources() {
-    assert_all_served_despite(&[FailingSyscall::of(libc::SYS_epoll_ctl, libc::ENOMEM)]);
+    assert_all_served_despite(&[FailingSyscall::with_errno(libc::SYS_epoll_ctl, libc::ENOMEM)]);
 }
 
 #[test]
 fn a_read_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_recvmsg, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::with_errno(libc::SYS_recvmsg, errno)));
 }
 
 #[test]
 fn a_write_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_sendto, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::with_errno(libc::SYS_sendto, errno)));
 }
 
 #[test]
@@ -103,13 +103,13 @@
 
 #[test]
 fn a_client_whose_epoll_registration_fails_transiently_is_served() {
-    let adds = Some(libc::EPOLL_CTL_ADD as u64);
+    let add_operation = Some(libc::EPOLL_CTL_ADD as u64);
     let failure = |errno| FailingSyscall {
-        operation: adds,
+        operation: add_operation,
         after: Duration::ZERO,
         every: 4,
         count: 8,
-        ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
+        ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
     };
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
     // A client that has sent its statement is answered on that connection; the load above would open another one.
@@ -117,10 +117,10 @@
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
         let failure = FailingSyscall {
-            operation: adds,
+            operation: add_operation,
             every: 1,
             count: 5,
-            ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
+            ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
         };
         let router = RouterWithoutMembers::start(&[failure], &discovery);
         assert!(router.accepts_within(Duration::from_secs(5)));
@@ -155,9 +155,10 @@
 #[test]
 fn an_interrupted_epoll_wait_is_retried() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
-    let failures = calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::of(call, libc::EINTR) });
-    let seen = assert_all_served(&failing_syscalls::start(&failures, &[]));
-    assert!(seen.log.iter().any(|line| line.contains("all failures of call")), "{}", seen.log.join("\n"));
+    let failures =
+        calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::with_errno(call, libc::EINTR) });
+    let record = assert_all_served(&failing_syscalls::start(&failures, &[]));
+    assert!(record.log.iter().any(|line| line.contains("all failures of call")), "{}", record.log.join("\n"));
 }
 
 #[test]
@@ -166,7 +167,7 @@
     let at_once = |errno| FailingSyscall {
         after: Duration::ZERO,
         every: 1,
-        ..FailingSyscall::of(libc::SYS_write, errno)
+        ..FailingSyscall::with_errno(libc::SYS_write, errno)
     };
     assert_all_served(&failing_syscalls::start(&errors.map(at_once), &[]));
 }
@@ -176,12 +177,15 @@
 fn a_broken_connection_fails_only_the_rpc_in_flight_on_it() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
         let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE];
-        let failures =
-            errors.map(|errno| FailingSyscall { every: 40, count: 3, ..FailingSyscall::of(call, errno) });
-        let seen = run_load(&failing_syscalls::start(&failures, &[]));
-        let violations = seen.violations(Span::from_millis(50));
+        let failures = errors.map(|errno| FailingSyscall {
+            every: 40,
+            count: 3,
+            ..FailingSyscall::with_errno(call, errno)
+        });
+        let record = run_load(&failing_syscalls::start(&failures, &[]));
+        let violations = record.violations(Span::from_millis(50));
         assert!(violations.iter().all(|violation| violation.rule == 1), "{violations:?}");
-        let total = seen.outcome.total();
+        let total = record.outcome.total();
         assert!(total.due - total.ok <= 2 * 3 * failures.len() as u64, "{total:?}");
     }
 }
@@ -211,8 +215,8 @@
         RouterWithoutMembers { process, config, address }
     }
 
-    fn accepts_within(&self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    fn accepts_within(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if std::net::TcpStream::connect(&self.address).is_ok() {
                 return true;
@@ -224,9 +228,9 @@
 }
 
 /// Whether the router connects to discovery in this time.
-fn is_watched_within(discovery: &TcpListener, patience: Duration) -> bool {
+fn is_watched_within(discovery: &TcpListener, timeout: Duration) -> bool {
     discovery.set_nonblocking(true).expect("it can");
-    let until = Instant::now() + patience;
+    let until = Instant::now() + timeout;
     while Instant::now() < until {
         if discovery.accept().is_ok() {
             return true;
@@ -240,19 +244,21 @@
 #[test]
 fn a_configuration_read_that_fails_transiently_is_retried() {
     let _turn = wait_for_turn();
-    let [first, second] =
+    let [old_discovery, new_discovery] =
         [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a port"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::EIO, libc::EINTR, libc::ENOMEM] {
-        let failure = FailingSyscall { every: 1, count: 5, ..FailingSyscall::of(libc::SYS_openat, errno) };
-        let router = RouterWithoutMembers::start(&[failure], &first);
-        assert!(is_watched_within(&first, Duration::from_secs(5)), "it starts");
+        let failure =
+            FailingSyscall { every: 1, count: 5, ..FailingSyscall::with_errno(libc::SYS_openat, errno) };
+        let router = RouterWithoutMembers::start(&[failure], &old_discovery);
+        assert!(is_watched_within(&old_discovery, Duration::from_secs(5)), "it starts");
         std::thread::sleep(Duration::from_millis(1200));
-        let good = std::fs::read_to_string(&router.config).expect("its file");
-        let moved = format!("{{\"discovery\":\"{}\",", second.local_addr().expect("an address"));
-        std::fs::write(&router.config, good.replacen('{', &moved, 1)).expect("written");
+        let valid_config = std::fs::read_to_string(&router.config).expect("its file");
+        let new_discovery_key =
+            format!("{{\"discovery\":\"{}\",", new_discovery.local_addr().expect("an address"));
+        std::fs::write(&router.config, valid_config.replacen('{', &new_discovery_key, 1)).expect("written");
         let pid = nix::unistd::Pid::from_raw(router.process.id() as i32);
         nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
-        assert!(is_watched_within(&second, Duration::from_secs(2)), "error {errno}");
+        assert!(is_watched_within(&new_discovery, Duration::from_secs(2)), "error {errno}");
     }
 }
 
@@ -265,7 +271,7 @@
         after: Duration::ZERO,
         every: 1,
         count: 3,
-        ..FailingSyscall::of(call, errno)
+        ..FailingSyscall::with_errno(call, errno)
     };
     for failure in [
         at_start(libc::SYS_epoll_ctl, libc::ENOMEM),
--- a/crates/ladderpass/tests/failing_syscalls/mod.rs
+++ b/crates/ladderpass/tests/failing_syscalls/mod.rs
@@ -14,7 +14,7 @@
 
 /// The environment variable that makes the test `router_process` a router: its failures and clock steps, separated by
 /// semicolons.
-const PLAN: &str = "LADDERPASS_TEST_PLAN";
+const PLAN_VARIABLE: &str = "LADDERPASS_TEST_PLAN";
 
 /// What happens to a system call.
 #[derive(Clone, Copy, Debug)]
@@ -49,21 +49,21 @@
 
 impl FailingSyscall {
     /// Twenty calls, every third from one second on, that fail with this errno.
-    pub fn of(call: i64, errno: i32) -> FailingSyscall {
+    pub fn with_errno(call: i64, errno: i32) -> FailingSyscall {
         let (fault, after) = (SyscallFault::Error(errno), Duration::from_millis(1000));
         FailingSyscall { call, fault, operation: None, after, every: 3, count: 20 }
     }
 
     /// Calls that are delayed.
-    pub fn delay(call: i64, lasts: Duration) -> FailingSyscall {
-        FailingSyscall { fault: SyscallFault::Delay(lasts), ..FailingSyscall::of(call, 0) }
+    pub fn delay(call: i64, duration: Duration) -> FailingSyscall {
+        FailingSyscall { fault: SyscallFault::Delay(duration), ..FailingSyscall::with_errno(call, 0) }
     }
 
     fn encode(&self) -> String {
         let operation = self.operation.map_or(-1, |operation| operation as i64);
         let (kind, number) = match self.fault {
             SyscallFault::Error(errno) => ("error", i64::from(errno)),
-            SyscallFault::Delay(lasts) => ("delay", lasts.as_millis() as i64),
+            SyscallFault::Delay(duration) => ("delay", duration.as_millis() as i64),
         };
         let after = self.after.as_millis();
         format!("{kind} {number} {} {operation} {after} {} {}", self.call, self.every, self.count)
@@ -108,7 +108,7 @@
         arguments: ["--exact", "router_process", "--nocapture", "--test-threads=1"]
             .map(String::from)
             .to_vec(),
-        variables: vec![(PLAN.to_owned(), plan.join(";"))],
+        variables: vec![(PLAN_VARIABLE.to_owned(), plan.join(";"))],
         ..Start::new(Path::new(&program))
     }
 }
@@ -122,24 +122,24 @@
 
 /// The body of the test `router_process`: serves until it gets a signal if this process has a plan, else does nothing.
 pub fn serve_if_planned() {
-    let Ok(plan) = std::env::var(PLAN) else { return };
-    let began = Instant::now();
+    let Ok(plan) = std::env::var(PLAN_VARIABLE) else { return };
+    let started_at = Instant::now();
     let (failures, mut steps) = read_plan(&plan);
     // Steps due at once come before any reading of the clock: a process that starts with a wrong one.
     step_clock(&mut steps, Duration::ZERO);
     std::thread::spawn(move || {
         while !steps.is_empty() {
-            step_clock(&mut steps, began.elapsed());
+            step_clock(&mut steps, started_at.elapsed());
             std::thread::sleep(Duration::from_millis(1));
         }
     });
     let calls: Vec<i64> = failures.iter().map(|failure| failure.call).collect();
     let (sender, receiver) = std::sync::mpsc::channel();
     // Started before there is a filter, so that its own calls are not watched.
-    std::thread::spawn(move || supervise(receiver, failures, began));
+    std::thread::spawn(move || supervise(receiver, failures, started_at));
     let done = std::thread::spawn(move || {
         if !calls.is_empty() {
-            sender.send(filter(&calls)).expect("the supervisor waits");
+            sender.send(install_filter(&calls)).expect("the supervisor waits");
         }
         let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
         // As in the program: a failure to log is not reported on standard error, which would panic.
@@ -166,10 +166,10 @@
                 let numbers = numbers.try_into().expect("five numbers");
                 failures.push(FailingSyscall::decode(SyscallFault::Error(errno as i32), numbers));
             }
-            ("delay", &[lasts, ref numbers @ ..]) => {
-                let lasts = Duration::from_millis(lasts as u64);
+            ("delay", &[duration, ref numbers @ ..]) => {
+                let duration = Duration::from_millis(duration as u64);
                 let numbers = numbers.try_into().expect("five numbers");
-                failures.push(FailingSyscall::decode(SyscallFault::Delay(lasts), numbers));
+                failures.push(FailingSyscall::decode(SyscallFault::Delay(duration), numbers));
             }
             ("step", &[after, by]) => steps.push((Duration::from_millis(after as u64), by)),
             _ => panic!("{line}"),
@@ -212,7 +212,7 @@
 
 /// Signals are for the router's thread: no other thread of this process may receive them.
 extern "C" fn block_signals() {
-    if std::env::var_os(PLAN).is_none() {
+    if std::env::var_os(PLAN_VARIABLE).is_none() {
         return;
     }
     // SAFETY: the set is initialised before it is used.
@@ -255,15 +255,15 @@
 }
 
 /// The ioctl that receives a question, `SECCOMP_IOCTL_NOTIF_RECV`.
-const RECEIVE: libc::Ioctl = 0xc050_2100_u32 as libc::Ioctl;
+const RECEIVE_NOTIFICATION: libc::Ioctl = 0xc050_2100_u32 as libc::Ioctl;
 /// The ioctl that answers it, `SECCOMP_IOCTL_NOTIF_SEND`.
-const SEND: libc::Ioctl = 0xc018_2101_u32 as libc::Ioctl;
+const SEND_RESPONSE: libc::Ioctl = 0xc018_2101_u32 as libc::Ioctl;
 /// The flag of an answer that lets the call go on, `SECCOMP_USER_NOTIF_FLAG_CONTINUE`.
-const CONTINUE: u32 = 1;
+const CONTINUE_CALL: u32 = 1;
 
 /// Has the kernel ask about these calls of the current thread and of those that it starts; the descriptor from which the
 /// questions are read.
-fn filter(calls: &[i64]) -> i32 {
+fn install_filter(calls: &[i64]) -> i32 {
     let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter { code: code as u16, jt, jf, k };
     let load = libc::BPF_LD | libc::BPF_W | libc::BPF_ABS;
     let equals = libc::BPF_JMP | libc::BPF_JEQ | libc::BPF_K;
@@ -286,25 +286,26 @@
 }
 
 /// Answers the kernel's questions: a call goes on, fails or is delayed, as the failures have it.
-fn supervise(listener: Receiver<i32>, failures: Vec<FailingSyscall>, began: Instant) {
+fn supervise(listener: Receiver<i32>, failures: Vec<FailingSyscall>, started_at: Instant) {
     let Ok(listener) = listener.recv() else { return };
-    let mut left: Vec<(FailingSyscall, u64, u64)> = failures.into_iter().map(|f| (f, 0, f.count)).collect();
+    let mut remaining: Vec<(FailingSyscall, u64, u64)> =
+        failures.into_iter().map(|f| (f, 0, f.count)).collect();
     loop {
         // SAFETY: both structs are the kernel's, of the size that the requests name, and zeroed as it asks.
         unsafe {
-            let mut asked: Notification = std::mem::zeroed();
-            if libc::ioctl(listener, RECEIVE, &mut asked) != 0 {
+            let mut notification: Notification = std::mem::zeroed();
+            if libc::ioctl(listener, RECEIVE_NOTIFICATION, &mut notification) != 0 {
                 continue;
             }
-            let mut response = Response { id: asked.id, value: 0, error: 0, flags: CONTINUE };
-            let matching = |failure: &FailingSyscall| {
-                failure.call == i64::from(asked.call)
-                    && failure.operation.is_none_or(|operation| operation == asked.arguments[1])
-                    && began.elapsed() >= failure.after
+            let mut response = Response { id: notification.id, value: 0, error: 0, flags: CONTINUE_CALL };
+            let matches = |failure: &FailingSyscall| {
+                failure.call == i64::from(notification.call)
+                    && failure.operation.is_none_or(|operation| operation == notification.arguments[1])
+                    && started_at.elapsed() >= failure.after
             };
-            left.iter_mut().filter(|(failure, ..)| matching(failure)).for_each(|(_, seen, _)| *seen += 1);
-            let due = left.iter_mut().find(|(failure, seen, count)| {
-                matching(failure) && *count > 0 && seen.is_multiple_of(failure.every)
+            remaining.iter_mut().filter(|(failure, ..)| matches(failure)).for_each(|(_, seen, _)| *seen += 1);
+            let due = remaining.iter_mut().find(|(failure, seen, count)| {
+                matches(failure) && *count > 0 && seen.is_multiple_of(failure.every)
             });
             if let Some((failure, _, count)) = due {
                 *count -= 1;
@@ -316,15 +317,15 @@
                             eprintln!("all failures of call {call} with {errno} have happened");
                         }
                     }
-                    SyscallFault::Delay(lasts) => {
+                    SyscallFault::Delay(duration) => {
                         if last {
                             eprintln!("all delays of call {call} have happened");
                         }
-                        std::thread::sleep(lasts);
+                        std::thread::sleep(duration);
                     }
                 }
             }
-            libc::ioctl(listener, SEND, &response);
+            libc::ioctl(listener, SEND_RESPONSE, &response);
         }
     }
 }
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -28,28 +28,28 @@
     };
     let scenario = Scenario::default();
     let done = run::run_through(&scenario, &start, &plan, Some(rules), events, |_| {});
-    let (seen, left) = done.unwrap_or_else(|error| panic!("{error}"));
-    let left = left.expect("it ran");
-    assert_eq!(seen.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
-    assert_eq!(left.never_fired, Vec::<String>::new(), "a plan that does nothing shows nothing");
-    let total = seen.outcome.total();
+    let (run_record, fault_summary) = done.unwrap_or_else(|error| panic!("{error}"));
+    let fault_summary = fault_summary.expect("it ran");
+    assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
+    assert_eq!(fault_summary.never_fired, Vec::<String>::new(), "a plan that does nothing shows nothing");
+    let total = run_record.outcome.total();
     assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}");
     assert!(total.ok > 100, "{total:?}");
-    (seen, left)
+    (run_record, fault_summary)
 }
 
 /// Each such write was answered as failed and ran once: it is not sent again, and not waited for until its deadline.
-fn assert_aborted(seen: &RunRecord, most: u64) {
-    let writes = seen.outcome.of(1);
-    assert!((1..=most).contains(&writes.aborted), "{writes:?}");
+fn assert_aborted(run_record: &RunRecord, max_aborted: u64) {
+    let writes = run_record.outcome.of(1);
+    assert!((1..=max_aborted).contains(&writes.aborted), "{writes:?}");
 }
 
 #[test]
 fn without_fault_rules_the_proxy_changes_nothing() {
     let _turn = wait_for_turn();
-    let (seen, left) = run_load(1, &[], vec![]);
-    let total = seen.outcome.total();
-    assert_eq!((total.ok, left.record.len()), (total.due, 0), "{total:?}");
+    let (run_record, fault_summary) = run_load(1, &[], vec![]);
+    let total = run_record.outcome.total();
+    assert_eq!((total.ok, fault_summary.record.len()), (total.due, 0), "{total:?}");
 }
 
 #[test]
@@ -57,17 +57,17 @@
     let _turn = wait_for_turn();
     let rule = "{name: r, link: member-0, when: {message: CommandComplete, holds: INSERT, nth: 20}, \
                 do: {half_close: {side: server}}, times: 3}";
-    let (seen, left) = run_load(2, &[rule], vec![]);
-    assert_eq!(left.record.len(), 3);
-    assert_aborted(&seen, 3);
+    let (run_record, fault_summary) = run_load(2, &[rule], vec![]);
+    assert_eq!(fault_summary.record.len(), 3);
+    assert_aborted(&run_record, 3);
 }
 
 #[test]
 fn a_write_whose_acknowledgement_is_lost_is_not_retried() {
     let _turn = wait_for_turn();
     let rule = "{name: r, link: member-0, when: {message: CommandComplete, holds: INSERT, nth: 20}, do: swallow, times: 3}";
-    let (seen, _) = run_load(3, &[rule], vec![]);
-    assert_aborted(&seen, 3);
+    let (run_record, _) = run_load(3, &[rule], vec![]);
+    assert_aborted(&run_record, 3);
 }
 
 #[test]
@@ -82,9 +82,9 @@
         "{name: cut, when: {message: DataRow, nth: 130}, do: {truncate: {keep: 3}}, times: 5}",
         "{name: probe, when: {message: DataRow, holds: x0=, nth: 1}, do: flip_length, times: 2}",
     ];
-    let (seen, left) = run_load(4, &rules, vec![]);
-    assert!(left.record.len() >= 20, "{}", left.record.len());
-    let reads = seen.outcome.of(0);
+    let (run_record, fault_summary) = run_load(4, &rules, vec![]);
+    assert!(fault_summary.record.len() >= 20, "{}", fault_summary.record.len());
+    let reads = run_record.outcome.of(0);
     assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
 }
 
@@ -104,11 +104,12 @@
 fn a_watch_cut_inside_a_chunk_is_reopened() {
     let _turn = wait_for_turn();
     let rules = ["{name: r, link: discovery, when: {message: Chunk}, do: {truncate: {keep: 2}}, times: 2}"];
-    let (seen, left) = run_load(6, &rules, vec![]);
+    let (run_record, fault_summary) = run_load(6, &rules, vec![]);
     assert!(
-        left.record.len() == 2 && seen.log.iter().any(|line| line.contains("discovery watch: ")),
+        fault_summary.record.len() == 2
+            && run_record.log.iter().any(|line| line.contains("discovery watch: ")),
         "{:?}",
-        seen.log
+        run_record.log
     );
 }
 
@@ -130,9 +131,9 @@
         "{name: two, when: {message: DataRow, nth: 60}, do: {truncate: {keep: 3}}, times: 4}",
         "{name: three, when: {message: CommandComplete, nth: 90}, do: {truncate: {keep: 4}}, times: 4}",
     ];
-    let (seen, left) = run_load(8, &rules, vec![]);
-    assert_eq!(left.record.len(), 12);
-    let reads = seen.outcome.of(0);
+    let (run_record, fault_summary) = run_load(8, &rules, vec![]);
+    assert_eq!(fault_summary.record.len(), 12);
+    let reads = run_record.outcome.of(0);
     assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
 }
 
@@ -140,21 +141,21 @@
 fn a_watch_that_sends_an_older_generation_is_rejected() {
     let _turn = wait_for_turn();
     // First the drain, in generation 2; then an older list, in which all members serve.
-    let old = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
+    let older_list = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
     let events: Vec<FaultEvent<'_>> = vec![
         FaultEvent::at(0.5, |_, emulator| emulator.drain(1)),
-        FaultEvent::at(0.9, move |_, emulator| emulator.send_line(0, old)),
+        FaultEvent::at(0.9, move |_, emulator| emulator.send_line(0, older_list)),
     ];
     // Rule 3 is checked over the whole run: the drain applies whatever the old list says.
-    let (seen, _) = run_load(9, &[], events);
-    let after = seen.outcome.began + Span::from_millis(1000);
+    let (run_record, _) = run_load(9, &[], events);
+    let drained_by = run_record.outcome.began + Span::from_millis(1000);
     assert!(
-        !seen.execution_log.executions.iter().any(|ran| ran.member == 1 && ran.at > after),
+        !run_record.execution_log.executions.iter().any(|ran| ran.member == 1 && ran.at > drained_by),
         "its drain was undone"
     );
-    assert!(seen.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", seen.log);
+    assert!(run_record.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", run_record.log);
 }
 
 #[test]
@@ -172,15 +173,15 @@
         deadline: Span::from_millis(2000),
         ..open_plan(10, &[Phase { seconds: 7.0, rate_per_second: 60.0 }])
     };
-    let (seen, left) =
+    let (run_record, fault_summary) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
-    assert_eq!(seen.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
-    assert_eq!(left.expect("it ran").never_fired, Vec::<String>::new());
+    assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
+    assert_eq!(fault_summary.expect("it ran").never_fired, Vec::<String>::new());
     // Discovery sends a line every second: 4.5 s of silence end the watch.
-    assert!(seen.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", seen.log);
-    let last = seen.counts(6.0, 6.9);
-    assert!(last.ok * 100 >= last.due * 95, "{last:?}");
+    assert!(run_record.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", run_record.log);
+    let last_counts = run_record.counts(6.0, 6.9);
+    assert!(last_counts.ok * 100 >= last_counts.due * 95, "{last_counts:?}");
 }
 
 #[test]
@@ -200,11 +201,11 @@
     };
     let events: Vec<FaultEvent<'_>> =
         vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
-    let (seen, _) =
+    let (run_record, _) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
-    assert_eq!(seen.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
-    assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
+    assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
+    assert_eq!(run_record.ended, Some(Some(0)), "{:?}", run_record.log.last());
 }
 
 #[test]
@@ -223,9 +224,10 @@
         };
         // Garbled bytes within a value can't be detected on the way.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
-        let (seen, _) = run::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
-            .unwrap_or_else(|error| panic!("{error}"));
-        assert_eq!(seen.violation_texts(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
-        assert_eq!(seen.outcome.total().unanswered, 0, "seed {seed}");
+        let (run_record, _) =
+            run::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
+                .unwrap_or_else(|error| panic!("{error}"));
+        assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(run_record.outcome.total().unanswered, 0, "seed {seed}");
     }
 }
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -15,7 +15,7 @@
 use std::path::Path;
 
 /// A kind is starved if it has less than this part of the other's good answers.
-const MIN_PART_OF_OTHER: f64 = 0.5;
+const MIN_SHARE_OF_OTHER: f64 = 0.5;
 
 /// Addresses that were free a moment ago.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
@@ -62,20 +62,20 @@
 
 const WITHOUT_GOSSIP: [&str; 2] = ["r0", "r1"];
 
-fn both(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
+fn counts_by_kind(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
     [played.counts_of(drill, &[0, 1]), played.counts_of(drill, &[2, 3])]
 }
 
 fn is_starved(one: &Counts, other: &Counts) -> bool {
-    let (least, most) = (one.good.min(other.good) as f64, one.good.max(other.good) as f64);
-    most == 0.0 || least / most < MIN_PART_OF_OTHER
+    let (fewer, more) = (one.good.min(other.good) as f64, one.good.max(other.good) as f64);
+    more == 0.0 || fewer / more < MIN_SHARE_OF_OTHER
 }
 
 /// A kind is harmed if less than this part of its RPCs is answered well, though the members had the capacity.
-const MIN_GOOD_PART: f64 = 0.9;
+const MIN_GOOD_SHARE: f64 = 0.9;
 
 fn is_harmed(counts: &Counts) -> bool {
-    (counts.good as f64) < MIN_GOOD_PART * counts.due as f64
+    (counts.good as f64) < MIN_GOOD_SHARE * counts.due as f64
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let drill = drill(&WITHOUT_GOSSIP, 25.0, 0.0);
     let played = play_drill(&drill);
     assert_no_violations(&played);
-    for total in both(&drill, &played) {
+    for total in counts_by_kind(&drill, &played) {
         assert!(total.good * 10 >= total.due * 8, "{total:?}");
     }
 }
@@ -96,8 +96,8 @@
     let drill = drill(&WITHOUT_GOSSIP, 150.0, 0.0);
     let played = play_drill(&drill);
     assert_no_violations(&played);
-    let [old, new] = both(&drill, &played);
-    assert!(!is_starved(&old, &new), "old {old:?}, new {new:?}");
+    let [without_gossip, with_gossip] = counts_by_kind(&drill, &played);
+    assert!(!is_starved(&without_gossip, &with_gossip), "old {without_gossip:?}, new {with_gossip:?}");
 }
 
 /// The same clients in front of routers of both kinds, and beside clients without any limit: the check tells these cases
@@ -105,13 +105,13 @@
 #[test]
 fn the_check_tells_greedy_clients_from_routers_of_the_other_kind() {
     let _turn = wait_for_turn();
-    let calm = drill(&WITHOUT_GOSSIP, 60.0, 0.0);
-    let beside_the_other = both(&calm, &play_drill(&calm));
-    let rude = drill(&WITHOUT_GOSSIP, 60.0, 2400.0);
-    let beside_a_greedy = both(&rude, &play_drill(&rude));
+    let normal_drill = drill(&WITHOUT_GOSSIP, 60.0, 0.0);
+    let normal_counts = counts_by_kind(&normal_drill, &play_drill(&normal_drill));
+    let greedy_drill = drill(&WITHOUT_GOSSIP, 60.0, 2400.0);
+    let greedy_counts = counts_by_kind(&greedy_drill, &play_drill(&greedy_drill));
     for kind in [0, 1] {
-        assert!(!is_harmed(&beside_the_other[kind]), "beside the other kind {beside_the_other:?}");
-        assert!(is_harmed(&beside_a_greedy[kind]), "beside a greedy kind {beside_a_greedy:?}");
+        assert!(!is_harmed(&normal_counts[kind]), "beside the other kind {normal_counts:?}");
+        assert!(is_harmed(&greedy_counts[kind]), "beside a greedy kind {greedy_counts:?}");
     }
 }
 
@@ -121,11 +121,12 @@
     let _turn = wait_for_turn();
     let scenario = Scenario::default();
     let emulator = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
-    let other = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
-    other.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
-    let (own, others) = (free_addresses(1)[0], other.local_addr().expect("bound"));
+    let test_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
+    test_socket.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
+    let (router_peer, test_peer) = (free_addresses(1)[0], test_socket.local_addr().expect("bound"));
     let mut start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
-    start.operator = Some(format!("peers: {{me: 0, all: ['{own}', '{others}']}}\nmembers: {{zone: a}}"));
+    start.operator =
+        Some(format!("peers: {{me: 0, all: ['{router_peer}', '{test_peer}']}}\nmembers: {{zone: a}}"));
     let router =
         Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3).expect("router");
     let plan = Plan {
@@ -137,12 +138,12 @@
     let mut buffer = [0; 512];
     let (count, from) = loop {
         // It also sends messages of the membership protocol.
-        let (count, from) = other.recv_from(&mut buffer).expect("it publishes within seconds");
+        let (count, from) = test_socket.recv_from(&mut buffer).expect("it publishes within seconds");
         if buffer[0] != ladderpass_membership::FIRST_BYTE {
             break (count, from);
         }
     };
-    assert_eq!(from, own);
+    assert_eq!(from, router_peer);
     let text = std::str::from_utf8(&buffer[..count]).expect("letters");
     let now = ladderpass_emulator::loopback::now() - Time::default();
     let updates = ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a message").updates;
@@ -152,9 +153,9 @@
     );
     // Noise, from the other router and from a stranger, changes nothing.
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
-    for socket in [&other, &stranger] {
+    for socket in [&test_socket, &stranger] {
         for noise in [&b""[..], b"\xff\xfe", b"AAAAAAAAAAAAAAAAAAAAAAA", &[b'B'; 512]] {
-            socket.send_to(noise, own).expect("sent");
+            socket.send_to(noise, router_peer).expect("sent");
         }
     }
     let plan = Plan { seed: 4, ..plan };
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -83,7 +83,12 @@
                 .map(|_| {
                     let (call, errno) = CALLS[below(CALLS.len() as u64) as usize];
                     let (after, every) = (Duration::from_millis(300 + below(1500)), 1 + below(6));
-                    FailingSyscall { after, every, count: 1 + below(20), ..FailingSyscall::of(call, errno) }
+                    FailingSyscall {
+                        after,
+                        every,
+                        count: 1 + below(20),
+                        ..FailingSyscall::with_errno(call, errno)
+                    }
                 })
                 .collect(),
             steps: (0..below(3))
