--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -1,16 +1,18 @@
-//! `ladderpass check`, and a start with a wrong configuration: all errors at once, each in one line with its place.
+//! `ladderpass check`, and a router started with an invalid configuration. Both report all errors at once, each in one
+//! line with its file and key.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A file of this test's own.
+/// Writes a file that no other test uses.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
     std::fs::write(&path, text).expect("writes");
     path
 }
 
-/// Runs the program with these variables and no others of the router's.
+/// Runs the program with these environment variables; the router's other variables are removed. Returns the lines of
+/// standard error, and the output.
 fn run(variables: &[(&str, &str)], arguments: &[&str]) -> (Vec<String>, Output) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     for key in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG", "RUST_LOG"] {
@@ -24,7 +26,7 @@
 const OPERATOR_FILE: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
                         dealy: {from: 1ms}\n  fair: 0\npeers:\n  listen: here\n  listed: [127.0.0.1:1, there]\n";
 
-/// Line, key and allowed values that each error names.
+/// The line, the key and the allowed values that each error of `OPERATOR_FILE` must name.
 const EXPECTED_ERRORS: [[&str; 3]; 7] = [
     ["line 2: ", "log.format", "text and json"],
     ["line 3: ", "overlaod", "allowed are log, overload, peers"],
@@ -87,7 +89,7 @@
     for (error, expected) in errors.iter().zip(expected) {
         assert!(error.starts_with(&expected), "{expected}: {errors:#?}");
     }
-    // The same at a start, in the log.
+    // Without `check` the process logs the same number of errors and exits.
     let (log, output) = run(&variables, &["--operator", operator_text]);
     assert_eq!((output.status.code(), log.len()), (Some(1), errors.len()), "{log:#?}");
     for path in [operator, platform] {
--- a/crates/ladderpass/tests/common/fake_servers.rs
+++ b/crates/ladderpass/tests/common/fake_servers.rs
@@ -1,4 +1,4 @@
-//! A router process over loopback, and fake members and a fake discovery that are threads of the test.
+//! A router process on loopback, with fake members and a fake discovery that run as threads of the test.
 
 use super::{
     empty_query_response, next_frame, now_ms, query, router_address, router_config, row, startup, temp_file,
@@ -12,15 +12,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a fake member answers to a statement; None closes the connection.
+/// Computes the answer of a fake member to a statement. None closes the connection.
 pub type Answer = fn(n: usize, statement: &str) -> Option<Vec<u8>>;
 
-/// A fake member: accepts all connections, sends each statement to `statements`, and answers it by `answer`.
+/// Starts a fake member and returns its address. The member accepts all connections, sends each statement to `statements`,
+/// and answers it with `answer`.
 pub fn fake_member(n: usize, answer: Answer, statements: Sender<(usize, String)>) -> String {
     slow_fake_member(Duration::ZERO, n, answer, statements)
 }
 
-/// A fake member that waits for so long before it answers a startup message.
+/// Like [`fake_member`], but the member waits for `wait` before it answers a startup message.
 pub fn slow_fake_member(
     wait: Duration,
     n: usize,
@@ -38,7 +39,7 @@
     address
 }
 
-/// One connection to a fake member, until it ends.
+/// Serves one connection to a fake member until the connection ends.
 fn serve_connection(
     wait: Duration,
     n: usize,
@@ -75,10 +76,10 @@
     if n == 0 { "leader" } else { "follower" }
 }
 
-/// A line of discovery that changes nothing in the configured list.
+/// A line of a watch that leaves the configured endpoint list unchanged.
 pub const NO_CHANGE: &str = r#"{"generation":1,"reset":false,"instances":[]}"#;
 
-/// A fake discovery: each watch gets this line, then an empty one every second.
+/// Starts a fake discovery and returns its address. Each watch gets this line, and then an empty line every second.
 pub fn fake_discovery(line: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -104,12 +105,12 @@
     address
 }
 
-/// A router process, killed at the end of the test.
+/// A router process, which is killed when this value is dropped.
 pub struct Router {
     pub process: Child,
     pub address: String,
     pub config_file: PathBuf,
-    /// The statements that members have got, with the member's number.
+    /// The statements that members have received, each with the member's number.
     pub statements: Receiver<(usize, String)>,
 }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// The command of a router with this configuration; its log goes to a pipe.
+/// The command that starts a router with this configuration. Its log goes to a pipe.
 pub fn router_command(listen: &str, discovery: &str, config_file: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", listen).env("RELAY_DISCOVERY", discovery);
@@ -127,19 +128,19 @@
     command
 }
 
-/// A router in front of three fake members, once it has answered an empty query.
+/// Starts a router in front of three fake members, and returns once it has answered an empty query.
 pub fn router(answer: Answer) -> Router {
     router_with(|config| config, answer)
 }
 
-/// The same with a changed configuration.
+/// Like [`router`], with a changed configuration.
 pub fn router_with(change: fn(String) -> String, answer: Answer) -> Router {
     let (sender, statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
     router_with_members(&members, statements, change)
 }
 
-/// The same in front of these members, whose statements come from `statements`.
+/// Like [`router_with`], in front of these members, whose statements arrive on `statements`.
 pub fn router_with_members(
     members: &[String],
     statements: Receiver<(usize, String)>,
@@ -148,7 +149,7 @@
     router_logging_to(Stdio::inherit(), members, statements, change)
 }
 
-/// The same, with its log written to `log`.
+/// Like [`router_with_members`], with the log written to `log`.
 pub fn router_logging_to(
     log: Stdio,
     members: &[String],
@@ -166,13 +167,13 @@
 }
 
 impl Router {
-    /// Sends a signal of this name, such as `TERM`.
+    /// Sends the process the signal with this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("sh").success());
     }
 
-    /// A client's connection on which the startup is done.
+    /// Connects a client, and completes its startup.
     pub fn client(&self) -> TcpStream {
         let mut stream = loop {
             match TcpStream::connect(&self.address) {
@@ -187,7 +188,7 @@
     }
 }
 
-/// The answer to a statement: its frames' types, and the bodies of rows and errors.
+/// Sends a statement and reads its answer: the types of its frames, and the body of its last row or error.
 pub fn execute(client: &mut TcpStream, statement: &str) -> (Vec<u8>, Vec<u8>) {
     client.write_all(&query(statement)).expect("the router reads");
     let (mut kinds, mut last_body) = (Vec::new(), Vec::new());
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the router's tests share: its configuration, statements, and protocol messages.
+//! Configurations, statements and protocol messages that the router's tests share.
 #![allow(dead_code)]
 
 pub mod fake_servers;
@@ -10,23 +10,23 @@
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// When a simulated router starts.
+/// The time at which a simulated router starts.
 pub const SIMULATION_START: Time = Time::from_nanos(1_796_000_000_000_000_000);
 
-/// The head of discovery's answer to a watch.
+/// The head of the HTTP response with which discovery answers a watch.
 pub const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A chunk of discovery's answer.
+/// One chunk of discovery's HTTP response.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
 
-/// Addresses of so many simulated members, from port 7000 of loopback on.
+/// The addresses of `count` simulated members: loopback ports from 7000 on.
 pub fn simulated_members(count: usize) -> Vec<String> {
     (0..count).map(|n| format!("127.0.0.1:{}", 7000 + n)).collect()
 }
 
-/// The configuration of a router whose members, of one group, have these addresses; member 0 is the primary.
+/// The configuration of a router in front of one group of members with these addresses. Member 0 is the primary.
 pub fn router_config(members: &[String]) -> String {
     let instances: Vec<String> = (0..members.len()).map(|n| instance(n, &members[n], "SERVING")).collect();
     let settings = r#"{"Allowed":{"AttemptsCap":6,"ConnIdle":15000000000,"ConnectTimeout":250000000,"MaxRetryAfter":500000000,
@@ -43,8 +43,8 @@
     )
 }
 
-/// The configuration of a router with so many descriptors, and a leader and two followers in each group; groups are
-/// numbered from one.
+/// The configuration of a router that may open `sockets` descriptors, in front of groups of one leader and two followers.
+/// Groups are numbered from one.
 pub fn grouped_router_config(members: &[String], sockets: usize) -> String {
     let of_group = |n: usize| instance_in_group(n, &members[n]);
     let instances: Vec<String> = (0..members.len()).map(of_group).collect();
@@ -53,14 +53,14 @@
         .replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"))
 }
 
-/// The entry of a serving member in the endpoint list; three make a group, of which the first is the leader.
+/// The endpoint list entry of a serving member. Every three consecutive members form a group, whose first member is the leader.
 pub fn instance_in_group(n: usize, address: &str) -> String {
     instance(n, address, "SERVING")
         .replace("\"cell\":1", &format!("\"cell\":{}", n / 3 + 1))
         .replace("\"follower\"", if n.is_multiple_of(3) { "\"leader\"" } else { "\"follower\"" })
 }
 
-/// The entry of a member in the endpoint list, with a lifecycle such as `SERVING`; member 0 is the leader.
+/// The endpoint list entry of a member with a lifecycle such as `SERVING`. Member 0 is the leader.
 pub fn instance(n: usize, address: &str, lifecycle: &str) -> String {
     let role = if n == 0 { "leader" } else { "follower" };
     format!(
@@ -68,7 +68,7 @@
     )
 }
 
-/// A temporary file with this text; no other test has its name.
+/// Writes the text to a temporary file whose name no other test uses.
 pub fn temp_file(text: &str) -> PathBuf {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let next = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -77,12 +77,12 @@
     path
 }
 
-/// What a process with this configuration starts with; discovery is at port 8500 of loopback.
+/// The launch parameters of a process with this configuration. Discovery is at port 8500 of loopback.
 pub fn launch_with_config(config: &str) -> Launch {
     launch_with_discovery(config, "127.0.0.1:8500")
 }
 
-/// The same with discovery at this address.
+/// Like [`launch_with_config`], with discovery at this address.
 pub fn launch_with_discovery(config: &str, discovery: &str) -> Launch {
     let path = temp_file(config);
     let variable = |key: &str| {
@@ -98,7 +98,7 @@
     launch.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A free port of the system's choice, on an address that no other caller gets, for a fake server that keeps it.
+/// A loopback address that no other caller gets, with port 0: the system chooses a free port when a fake server binds it.
 pub fn unique_loopback_address() -> String {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
     let nth = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -106,12 +106,12 @@
     format!("127.{}.{}.{nth}:0", 1 + pid / 250 % 250, pid % 250)
 }
 
-/// An address for a router that is about to start: nobody else gets it in between.
+/// A free address for a router that is about to start. The system does not give its port away before the router binds it.
 pub fn router_address() -> String {
     ladderpass_testbed::router::own_address().expect("a port").to_string()
 }
 
-/// A read or a write of this id, with its deadline in milliseconds from now on, for a group of members.
+/// A read or a write with this id, for a group of members. Its deadline is `wait_ms` milliseconds after it is sent.
 pub fn statement(id: &str, method: &str, wait_ms: u64, group: &str) -> String {
     let comment = format!("/* id={id},c={method},d={wait_ms},cluster={group} */");
     match method {
@@ -124,18 +124,18 @@
     }
 }
 
-/// A message of the wire protocol: its type, its length, and the body.
+/// A message of the wire protocol, made of its type, its length and its body.
 pub fn frame(kind: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[kind][..], &length, body].concat()
 }
 
-/// A simple query.
+/// A simple query message.
 pub fn query(statement: &str) -> Vec<u8> {
     frame(b'Q', format!("{statement}\0").as_bytes())
 }
 
-/// The startup message of a client.
+/// A client's startup message.
 pub fn startup() -> Vec<u8> {
     let body = b"\0\x03\0\0user\0web\0database\0orders\0\0";
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
@@ -146,14 +146,14 @@
     [16, 80_877_102, process, secret].into_iter().flat_map(u32::to_be_bytes).collect()
 }
 
-/// Process id and secret key among the answer to a startup message.
+/// The process id and the secret key in the answer to a startup message.
 pub fn cancel_key(frames: &[(u8, Vec<u8>)]) -> (u32, u32) {
     let (_, body) = frames.iter().find(|(kind, _)| *kind == b'K').expect("the welcome has a key");
     let number = |from: usize| u32::from_be_bytes(body[from..from + 4].try_into().expect("four bytes"));
     (number(0), number(4))
 }
 
-/// A member's answer with one row of one column; its position is in Unix milliseconds.
+/// A member's answer with one row of one column. `position_ms` is the member's position in Unix milliseconds.
 pub fn row(value: &[u8], role: &str, position_ms: u64) -> Vec<u8> {
     let column = [&b"\0\x01"[..], &(value.len() as u32).to_be_bytes(), value].concat();
     [
@@ -172,7 +172,7 @@
     [frame(b'I', b""), frame(b'Z', b"I")].concat()
 }
 
-/// A member's answer with an error of this SQLSTATE.
+/// A member's answer that is an error with this SQLSTATE.
 pub fn error_response(code: &str) -> Vec<u8> {
     [frame(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()), frame(b'Z', b"I")].concat()
 }
@@ -182,7 +182,7 @@
     [frame(b'R', &[0; 4]), frame(b'S', b"a\0b\0"), frame(b'K', &[0; 8]), frame(b'Z', b"I")].concat()
 }
 
-/// The complete frames at the front, and how many bytes they take.
+/// The complete frames at the start of the bytes, and how many bytes they take.
 pub fn frames(bytes: &[u8]) -> (Vec<(u8, Vec<u8>)>, usize) {
     let (mut found, mut at) = (Vec::new(), 0);
     while let Some(head) = bytes.get(at..at + 5) {
@@ -200,7 +200,7 @@
     field.map(|field| String::from_utf8_lossy(&field[1..]).into_owned()).unwrap_or_default()
 }
 
-/// The id in a statement's comment, and the statement without the value of `d`.
+/// The id in a statement's comment, and the statement without the deadline `d`, which the router rewrites.
 pub fn id_and_rest(statement: &str) -> (String, String) {
     let (before, after) = statement.split_once(",d=").unwrap_or((statement, ","));
     let id = before.rsplit_once("id=").map_or("", |(_, id)| id).split(',').next().unwrap_or("");
@@ -212,17 +212,18 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
 }
 
-/// Closes a connection so that the other side sees it at once. A drop may be seen later: a child process that another test
-/// is starting has a copy of the socket until its exec, and the kernel closes a connection with the last copy.
+/// Closes a connection so that the other side sees the close at once. After a drop it may see the close later: a child
+/// process that another test is starting holds a copy of the socket until its exec, and the kernel closes a connection only
+/// with the last copy of its socket.
 pub fn close(stream: TcpStream) {
-    // It may fail where the other side has closed already: then there is nothing to be seen.
+    // The shutdown may fail if the other side has already closed the connection, and then there is nothing left to do.
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Resets a connection: disconnecting the socket does that at once for all its copies.
+/// Resets a connection by disconnecting its socket, which takes effect at once for all copies of the socket.
 pub fn reset(stream: TcpStream) {
     use std::os::fd::AsRawFd;
-    // SAFETY: an address of zeroes is of no family, which is how a socket is told to disconnect.
+    // SAFETY: an address of zeroes has the family AF_UNSPEC, with which `connect` disconnects a socket.
     let done = unsafe {
         let none: libc::sockaddr = std::mem::zeroed();
         libc::connect(stream.as_raw_fd(), &none, std::mem::size_of::<libc::sockaddr>() as libc::socklen_t)
@@ -230,7 +231,7 @@
     assert_eq!(done, 0, "{}", std::io::Error::last_os_error());
 }
 
-/// The next frame of a connection; None at its end, or after the read time-out.
+/// Reads the next frame of a connection. Returns None at its end or after the read timeout.
 pub fn next_frame(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -1,6 +1,7 @@
-//! Real processes that start at once with 940 members in the cached list, a third of which hang, discovery down or silent:
-//! how long until each accepts a client and serves it, and what the start costs. `LADDERPASS_READY=300,64,FILE` runs it
-//! with 300 processes of that program and 64 descriptors each; otherwise it is a dozen of this one.
+//! Real router processes that start at once with 940 members in the cached list, a third of which hang, while discovery is
+//! down or silent. The test measures how long each process takes until it accepts and serves a client, and what the start
+//! costs. With `LADDERPASS_READY=300,64,FILE` it starts 300 processes of the program FILE with 64 descriptors each. By
+//! default it starts 12 processes of this package's router with 96 descriptors each.
 
 mod common;
 
@@ -21,7 +22,7 @@
 
 const MEMBERS: usize = 940;
 const MAX_TIME_TO_SERVE: Duration = Duration::from_secs(10);
-/// Threads of fake members; each has one address of leaders, one of followers, and two of members that hang.
+/// Threads that serve fake members. Each has one address for leaders, one for followers, and two for members that hang.
 const THREADS: usize = 6;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -30,13 +31,15 @@
     Follower,
     /// Accepts connections and sends nothing.
     Silent,
-    /// Accepts none: they wait in the kernel, and hang once its queue is full.
+    /// Accepts no connections: they wait in the kernel, and connects hang once its queue is full.
     NotAccepting,
 }
 
-/// Fake members, many at one address: the address of each member, and how many health checks they got.
+/// Fake members, many of which share one address.
 struct Members {
+    /// The address of each member.
     addresses: Vec<String>,
+    /// How many health checks the members have received in all.
     health_checks: Arc<AtomicUsize>,
 }
 
@@ -51,10 +54,10 @@
             addresses_by_kind[*kind as usize].push(listener.local_addr().expect("an address"));
         }
         let health_checks = health_checks.clone();
-        // The thread ends with the test's process.
+        // The thread runs until the test's process ends.
         thread::spawn(move || serve_members(&listeners, &health_checks).expect("it can"));
     }
-    // In each group the leader and one follower serve; all second followers hang.
+    // In each group the leader and the first follower serve, and the second follower hangs.
     let kind = |n: usize| match n % 6 {
         0 | 3 => MemberKind::Leader,
         1 | 4 => MemberKind::Follower,
@@ -102,7 +105,7 @@
     }
 }
 
-/// Answers what has arrived; false once the connection has closed.
+/// Reads what has arrived and answers it. Returns false once the connection has closed.
 fn answer_input(
     kind: MemberKind,
     stream: &mut TcpStream,
@@ -116,7 +119,7 @@
         Err(fault) => return fault.kind() == std::io::ErrorKind::WouldBlock,
     }
     let mut out = Vec::new();
-    // The startup message has no type byte, and is shorter than 16 MB.
+    // The startup message has no type byte. It is shorter than 16 MB, so its length begins with a zero byte.
     if received.first() == Some(&0) {
         let length =
             received.get(..4).map_or(4, |head| u32::from_be_bytes([head[0], head[1], head[2], head[3]]));
@@ -145,14 +148,17 @@
     kind == MemberKind::Silent || stream.write_all(&out).is_ok()
 }
 
-/// One process, from its start to its first client served.
+/// A router process, and what was measured from its start until it served its first client.
 struct StartMeasurement {
     process: Child,
     config_file: PathBuf,
+    /// The time until a client had the answer to its startup message.
     welcomed: Duration,
+    /// The time until a client had a row.
     served: Duration,
-    /// Its CPU time by then, and its peak memory in MB.
+    /// The CPU time of the process until then.
     cpu: Duration,
+    /// The peak memory of the process in MB.
     resident_mb: f64,
 }
 
@@ -223,7 +229,7 @@
     measurement
 }
 
-/// The median, the ninth decile and the maximum.
+/// Formats the median, the ninth decile and the maximum.
 fn summarize(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let quantile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -1,4 +1,5 @@
-//! A machine with a limit of descriptors: the reducer, its network, members, discovery and clients on a simulated clock.
+//! A simulated machine with a limited number of descriptors: the reducer with its network, members, discovery and clients,
+//! on a simulated clock.
 
 use crate::common::{
     SIMULATION_START, WATCH_HEAD, chunk, empty_query_response, frames, grouped_router_config,
@@ -13,57 +14,64 @@
 const DISCOVERY_PORT: u16 = 8500;
 /// The port of the first member.
 const FIRST_MEMBER_PORT: u16 = 10_000;
-/// One way between router and any peer.
+/// The one-way delay between the router and any peer.
 const NETWORK_DELAY: Span = Span::from_millis(1);
 
+/// The state of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Nobody listens there.
+    /// Connections to it are refused.
     Down,
-    /// It accepts connections, and sends nothing.
+    /// It accepts connections and sends nothing.
     Silent,
+    /// It answers watches.
     Up,
 }
 
-/// What the other side does on a connection.
+/// What the peer does on a connection.
 enum NetworkEvent {
     Connected,
     Refused,
     Bytes(Vec<u8>),
 }
 
-/// What the nth of the clients sends that use descriptors and have no statement.
+/// Returns what the nth idle client sends. Idle clients use descriptors and send no complete statement.
 pub type ClientBytes = fn(usize) -> Vec<u8>;
 
-/// The reducer on a machine that has a limit of descriptors.
+/// The reducer on a machine with a limited number of descriptors.
 pub struct Machine {
     reducer: Reducer,
     started_at: Time,
     pub now: Time,
     group_count: usize,
-    /// Descriptors that are free, and connections that have one.
     pub free_descriptors: usize,
+    /// The connections that hold a descriptor.
     pub open_connections: BTreeSet<ConnectionId>,
     events: BTreeMap<(Time, u64), (ConnectionId, NetworkEvent)>,
     last_event_number: u64,
     pub discovery: Discovery,
+    /// The line that discovery sends as its answer to a watch.
     pub list_line: String,
-    /// Members that accept connections and send nothing, and those that can't be reached.
+    /// Whether a member accepts connections and sends nothing.
     pub is_silent: fn(usize) -> bool,
+    /// Whether connects to a member are never answered.
     pub is_unreachable: fn(usize) -> bool,
     pub member_connections: HashMap<ConnectionId, usize>,
     pub watches: BTreeSet<ConnectionId>,
     written: HashMap<ConnectionId, Vec<u8>>,
-    /// The listener is enabled; what idle clients that wait at it send, if there are any; and clients with a statement,
-    /// which are accepted before those.
+    /// Whether the router accepts clients.
     listening: bool,
+    /// What idle clients send, if idle clients wait at the listener.
     pub idle_clients: Option<ClientBytes>,
+    /// Clients with a statement that wait at the listener. They are accepted before idle clients.
     pub waiting_clients: VecDeque<usize>,
     accepted_clients: usize,
     pub clients_by_connection: HashMap<ConnectionId, usize>,
-    /// When members got health checks, and what clients with a statement got: when, and the types of the frames.
+    /// The health checks that members have received: the time and the member.
     pub health_checks: Vec<(Time, usize)>,
+    /// By client with a statement: when it received its answer, and the types of the answer's frames.
     pub answers: BTreeMap<usize, (Time, Vec<u8>)>,
+    /// When discovery's first answer reaches the router.
     pub list_received_at: Option<Time>,
     pub max_open: usize,
 }
@@ -73,12 +81,12 @@
     format!("127.0.0.1:{}", usize::from(FIRST_MEMBER_PORT) + n)
 }
 
-/// A router that is configured for so many descriptors, on a machine that has `free`.
+/// A router that is configured for `configured` descriptors, on a machine that has `free` descriptors.
 pub fn machine(members: usize, configured: usize, free: usize) -> Machine {
     let addresses: Vec<String> = (0..members).map(address).collect();
     let now = SIMULATION_START;
     let mut launch = launch_with_config(&grouped_router_config(&addresses, configured.max(64)));
-    // As where the process may open fewer than the configuration says.
+    // The configuration allows no fewer than 64 descriptors. A process that may open fewer computes its limits like this.
     launch.limits = limits::Limits::of(192, configured, &launch.settings);
     Machine {
         reducer: Reducer::start(now, launch),
@@ -109,12 +117,12 @@
 }
 
 impl Machine {
-    /// Milliseconds since the start.
+    /// Milliseconds from the start of the simulation to this time.
     pub fn ms(&self, at: Time) -> f64 {
         (at - self.started_at).secs() * 1e3
     }
 
-    /// Whether there is a descriptor for this connection, which then has it.
+    /// Gives the connection a descriptor, and returns whether one was free.
     fn take_descriptor(&mut self, id: ConnectionId) -> bool {
         if self.free_descriptors == 0 {
             return false;
@@ -124,13 +132,13 @@
         self.open_connections.insert(id)
     }
 
-    /// Schedules what the other side does on a connection.
+    /// Schedules what the peer does on a connection.
     fn schedule(&mut self, span: Span, id: ConnectionId, event: NetworkEvent) {
         self.last_event_number += 1;
         self.events.insert((self.now + span, self.last_event_number), (id, event));
     }
 
-    /// The reducer handles this event; what it asks for is done.
+    /// Lets the reducer handle an event, and carries out the effects that it returns.
     pub fn apply(&mut self, event: Event) {
         let mut effects: VecDeque<Effect> = self.reducer.handle(self.now, event).into();
         while let Some(effect) = effects.pop_front() {
@@ -152,7 +160,8 @@
                     self.listening = wanted;
                     Vec::new()
                 }
-                // A socket holds nothing beyond what was handed over; it is closed before all else that was asked for.
+                // A simulated socket holds no bytes that the reducer has not received, so the answer is immediate. The
+                // connection is closed before the other effects are carried out.
                 Effect::CloseIfQuiet(id) => {
                     let asked = self.reducer.handle(self.now, Event::ReadToEnd(id));
                     asked.into_iter().rev().for_each(|effect| effects.push_front(effect));
@@ -164,7 +173,7 @@
         }
     }
 
-    /// The router connects to discovery or to a member.
+    /// Simulates a connect of the router to discovery or to a member.
     fn connect(&mut self, id: ConnectionId, port: u16) {
         if port == DISCOVERY_PORT {
             self.watches.insert(id);
@@ -181,7 +190,7 @@
         }
     }
 
-    /// Sends all that the router has for a connection; the other side answers.
+    /// Writes all that the router has for a connection, and schedules what the peer answers.
     fn write(&mut self, id: ConnectionId) -> Vec<Effect> {
         if !self.open_connections.contains(&id) {
             return Vec::new();
@@ -202,7 +211,7 @@
         } else if let Some(&nth) = self.clients_by_connection.get(&id) {
             let (answer_frames, _) = frames(written);
             let kinds: Vec<u8> = answer_frames.iter().map(|(kind, _)| *kind).collect();
-            // After the answer to the startup.
+            // The frames up to the first ReadyForQuery answer the startup message; the statement's answer follows.
             if let Some(at) = kinds.iter().position(|kind| *kind == b'Z').filter(|at| kinds.len() > at + 1) {
                 self.answers.entry(nth).or_insert((self.now, kinds[at + 1..].to_vec()));
             }
@@ -210,7 +219,7 @@
         effects
     }
 
-    /// Bytes arrive, as far as there is space.
+    /// Hands bytes to the router, as far as its read buffer has space.
     pub fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.open_connections.contains(&id) {
             let buffer = self.reducer.read_buffer(id);
@@ -224,7 +233,7 @@
         }
     }
 
-    /// Accepts waiting clients, as far as the router wants them and there are descriptors.
+    /// Accepts waiting clients while the router accepts clients and descriptors are free.
     fn accept_clients(&mut self) {
         for _ in 0..64 {
             if !self.listening || !self.reducer.accepts_clients() || self.free_descriptors == 0 {
@@ -249,7 +258,7 @@
         }
     }
 
-    /// Runs for this time.
+    /// Runs the simulation for this time.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         let (mut at, mut iterations_at_this_time) = (self.now, 0);
@@ -283,7 +292,7 @@
         }
     }
 
-    /// Runs while a client with a statement connects at this interval.
+    /// Runs the simulation while the clients `from..to`, each with a statement, connect at this interval.
     pub fn run_with_clients(&mut self, from: usize, to: usize, interval: Span) {
         for nth in from..to {
             self.waiting_clients.push_back(nth);
@@ -291,7 +300,7 @@
         }
     }
 
-    /// Which of so many clients got no row, and the frames that they got instead.
+    /// Which of the first `count` clients with a statement received no row, and the types of the frames that they received.
     pub fn unserved(&self, count: usize) -> Vec<(usize, String)> {
         let frame_kinds =
             |nth| self.answers.get(&nth).map_or("", |(_, kinds)| std::str::from_utf8(kinds).unwrap_or("?"));
@@ -301,7 +310,7 @@
             .collect()
     }
 
-    /// A member answers what it has received, unless it is silent.
+    /// Schedules a member's answers to what it has received, unless it is silent.
     fn answer_as_member(&mut self, id: ConnectionId, n: usize) {
         if (self.is_silent)(n) {
             return;
--- a/crates/ladderpass/tests/descriptor_limit/main.rs
+++ b/crates/ladderpass/tests/descriptor_limit/main.rs
@@ -1,5 +1,5 @@
-//! Too few descriptors, and starts with hundreds of members: the reducer on a simulated machine that counts descriptors and
-//! has a clock of its own. Idle clients connect without end.
+//! A router with too few descriptors, and a router that starts with hundreds of members. The reducer runs on a simulated
+//! machine that counts descriptors and has a simulated clock, while idle clients keep connecting.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -10,6 +10,7 @@
 use ladderpass_routing::Span;
 use machine::{ClientBytes, Discovery, address, machine};
 
+/// Kinds of idle clients, each with its description.
 const IDLE_CLIENTS: [(&str, ClientBytes); 4] = [
     ("say nothing", |_| Vec::new()),
     ("are idle after their startup", |_| startup()),
@@ -19,10 +20,10 @@
     }),
 ];
 
-/// Idle clients may use up the descriptors while discovery is down: the list is read within 6 s after its return, the new
-/// member in it gets a health check, health checks go on, and statements are served. The same where the process has fewer
-/// descriptors than configured, and knows it. Where it has fewer than it knows (its limit was lowered, or the system has no
-/// more) clients that are not accepted yet may have to wait, or are rejected.
+/// Idle clients use up the descriptors while discovery is down. Nevertheless the list is read within 6 s of discovery's
+/// return, the new member in it gets a health check, health checks continue, and statements are served. The same holds if
+/// the process has fewer descriptors than configured and knows it. If it has fewer than it knows of, since its limit was
+/// lowered or the system has no more, clients that are not accepted yet may have to wait or be rejected.
 #[test]
 fn idle_clients_do_not_starve_discovery_health_checks_and_attempts_of_descriptors() {
     let known_limits = [(64, 44), (96, 76), (256, 230), (1024, 1000)];
@@ -61,8 +62,8 @@
     }
 }
 
-/// Idle clients have all descriptors, which are fewer than the router knows of. One of them sends a statement: its attempt
-/// gets a descriptor.
+/// Idle clients hold all descriptors, which are fewer than the router knows of. When one of these clients sends a
+/// statement, its attempt gets a descriptor.
 #[test]
 fn an_attempt_takes_the_descriptor_of_an_idle_client_when_none_is_free() {
     for method in ["read", "write"] {
@@ -71,7 +72,7 @@
             machine.idle_clients = Some(|_| startup());
             machine.run_for(Span::from_millis(400));
             assert!(machine.free_descriptors == 0, "clients have all");
-            // Closes member connections that health checks have opened.
+            // Close the member connections that health checks have opened, so that idle clients take their descriptors.
             let member_connections: Vec<ConnectionId> = machine
                 .member_connections
                 .keys()
@@ -97,8 +98,8 @@
     }
 }
 
-/// A start with 940 members in the cached list, discovery down or silent, a third of the members silent or unreachable:
-/// clients are accepted and served, at once and later, with few descriptors and with many.
+/// A router starts with 940 members in the cached list, a third of which are silent or unreachable, while discovery is down
+/// or silent. Clients are accepted and served, both at once and later, with 1024 and with 4096 descriptors.
 #[test]
 fn a_router_started_with_940_members_accepts_and_serves_clients() {
     for sockets in [1024, 4096] {
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Reads the answer to the startup, with the key for cancel requests.
+/// Reads the answer to the startup message, and returns the key for cancel requests in it.
 pub fn read_cancel_key(client: &mut TcpStream) -> (u32, u32) {
     let mut frames = Vec::new();
     while frames.last().is_none_or(|(kind, _)| *kind != b'Z') {
@@ -14,7 +14,7 @@
     cancel_key(&frames)
 }
 
-/// Sends a cancel request; once its connection is closed, without an answer, the router has handled it.
+/// Sends a cancel request, and waits until its connection is closed without an answer: by then the router has handled it.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
     let mut connection = TcpStream::connect(&harness.address).expect("it listens");
     connection.set_read_timeout(Some(PATIENCE)).expect("it can");
@@ -24,8 +24,8 @@
     assert_eq!(answer, b"");
 }
 
-/// The client cancels before the connection is established: one answer at once, and the RPC is never sent. The next one is
-/// served.
+/// A client cancels its RPC before the connection to the member is established. The client gets one answer at once, and
+/// the RPC is never sent. The client's next RPC is served. A cancel request with a wrong key comes first.
 #[test]
 fn an_rpc_cancelled_before_its_member_connection_is_established_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -1,4 +1,4 @@
-//! Thousands of clients that leave at the same moment.
+//! Thousands of clients that disconnect at the same moment.
 
 use crate::cancel_requests::{read_cancel_key, send_cancel_request};
 use crate::common::{close, error_response, query, reset, startup, statement, welcome};
@@ -13,30 +13,31 @@
 
 const CLIENTS: usize = 2000;
 
-/// An attempt in flight: the id of its RPC, and its connection.
+/// An attempt in flight: the id of its RPC, and the connection to the member.
 type Attempt = (String, TcpStream);
 
-/// Attempts that began after the clients had left.
+/// Counts of the attempts that began after the clients had disconnected.
 #[derive(Debug, Default, PartialEq)]
 struct LateAttempts {
-    /// Of RPCs sent right before the leave.
+    /// Attempts of RPCs that were sent right before the disconnects.
     first_attempts: usize,
-    /// Of RPCs that had an attempt before.
+    /// Attempts of RPCs that had an attempt before.
     retries: usize,
-    /// Of RPCs that were pending.
+    /// Attempts of RPCs that were pending.
     pending: usize,
-    /// On connections that were established late.
+    /// First attempts on connections that were established only after the disconnects.
     on_late_connections: usize,
 }
 
-/// Clients, by number, each with an RPC of that id; some have the key of their connection, for a cancel request.
+/// Clients with numbers. Each has sent an RPC whose id is the client's number.
 struct Clients {
     streams: Vec<(usize, TcpStream)>,
+    /// The keys of those clients that send a cancel request.
     cancel_keys: Vec<(usize, (u32, u32))>,
 }
 
 impl Clients {
-    /// Connects them all, and sends a statement on each connection.
+    /// Connects all clients, and sends a statement on each connection.
     fn connect(harness: &RouterHarness) -> Clients {
         let mut clients = Clients { streams: Vec::new(), cancel_keys: Vec::new() };
         for nth in 0..CLIENTS {
@@ -52,7 +53,7 @@
         clients
     }
 
-    /// Those that have a key send a cancel request; what is `in_flight` is not answered by that.
+    /// The clients that have a key send a cancel request, which answers their RPC unless it is `in_flight`.
     fn cancel(&mut self, harness: &RouterHarness, in_flight: &[String]) {
         for (nth, key) in &self.cancel_keys {
             send_cancel_request(harness, *key);
@@ -63,7 +64,8 @@
         }
     }
 
-    /// The others leave, by a close, a reset or a half close. Returns the connections that stay open on this side.
+    /// The clients without a key disconnect by a close, a reset or a half close. Returns the connections that stay open on
+    /// the test's side.
     fn disconnect(self) -> Vec<TcpStream> {
         let mut kept = Vec::new();
         for (nth, stream) in self.streams {
@@ -81,15 +83,17 @@
     }
 }
 
-/// What the members have when the clients leave.
+/// The connections and attempts that members have when the clients disconnect.
 struct Members {
-    /// By member: connections whose startup is not answered yet.
+    /// By member: connections whose startup message is not answered yet.
     unanswered: Vec<Vec<TcpStream>>,
+    /// By member: attempts that are not answered yet.
     in_flight: Vec<Vec<Attempt>>,
 }
 
 impl Members {
-    /// Members 1 and 2 don't answer startups yet; 0 and 3 get what is sent at first, as do 4 and 5, which send no more.
+    /// Accepts connections and attempts for 1.5 s. Members 1 and 2 do not answer startup messages yet. Members 0, 3, 4
+    /// and 5 receive the first attempts, and members 4 and 5 never answer them.
     fn accept(harness: &mut RouterHarness) -> Members {
         let mut unanswered: Vec<Vec<TcpStream>> = (0..6).map(|_| Vec::new()).collect();
         let mut in_flight: Vec<Vec<Attempt>> = (0..6).map(|_| Vec::new()).collect();
@@ -114,7 +118,8 @@
         Members { unanswered, in_flight }
     }
 
-    /// Member 0 answers, member 3 rejects, and 1 and 2 answer the startups. Returns the ports of the connections to these.
+    /// Member 0 answers its attempts, member 3 rejects its attempts, and members 1 and 2 answer the startup messages.
+    /// Returns the connections to members 1 and 2, each as the member and the port of its peer.
     fn answer(&mut self, harness: &mut RouterHarness) -> Vec<(usize, u16)> {
         for (_, link) in std::mem::take(&mut self.in_flight[0]) {
             harness.answer_rpc(0, link);
@@ -141,9 +146,10 @@
     link.peer_addr().expect("its own").port()
 }
 
-/// 2,000 clients leave in one burst, by a cancel, a close, a reset or a half close, while of six members two hang, two have
-/// connections that are not established yet, and one rejects what it has. The router stalls meanwhile for 0.15 s, and then
-/// finds all closes at once, with what members have sent before them: no pending RPC is started, and none is retried.
+/// 2,000 clients disconnect in one burst, by a cancel request, a close, a reset or a half close. Of the six members two
+/// hang, two have connections that are not established yet, one answers its attempts and one rejects them. The router is
+/// stopped for 0.15 s meanwhile, and then finds all closes at once, together with what members have sent. It starts no
+/// pending RPC, and retries none.
 #[test]
 fn rpcs_of_clients_that_disconnect_in_one_burst_are_not_forwarded() {
     let members: Vec<TcpListener> = (0..6).map(|_| bind_listener()).collect();
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their RPCs wait: none of these is forwarded.
+//! Clients that disconnect while their RPCs wait. None of these RPCs is forwarded.
 
 use crate::common::{close, next_frame, query, startup, welcome};
 use crate::router_harness::{execute, start_harness, write_statement};
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Statement and close arrive together: on a new connection, and on one that was served before.
+/// A statement and the close of its connection arrive together, both on a new connection and on one whose startup is done.
 #[test]
 fn a_statement_that_arrives_together_with_its_clients_close_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
@@ -26,7 +26,7 @@
     harness.assert_write_succeeds("3");
 }
 
-/// A half close counts as a close: nobody can tell them apart before bytes are written.
+/// The router cannot tell a half close from a close before it writes bytes to the connection, so it treats both alike.
 #[test]
 fn a_half_close_by_a_client_is_treated_as_a_close() {
     let mut harness = start_harness(|config| config);
@@ -40,7 +40,8 @@
     assert!(next_frame(&mut client).is_none());
 }
 
-/// After an error of the client nothing is read for a while, and its close once went unseen too.
+/// After a client's error the router reads nothing from the client for a while. An earlier version also missed a close in
+/// that time.
 #[test]
 fn a_statement_of_a_client_that_disconnects_during_the_backoff_after_its_error_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
@@ -57,13 +58,14 @@
     }
 }
 
-/// The connection is established once the client has left.
+/// The connection to the member is established only after the client has disconnected.
 #[test]
 fn an_rpc_whose_client_disconnects_before_the_member_connection_is_established_is_not_forwarded() {
     check_disconnect_before_member_connection(|_| None);
 }
 
-/// `copied`: a copy of the client's socket that stays open.
+/// A client disconnects before the connection to the member is established; its write must not be sent. `copy_socket` may
+/// make a copy of the client's socket, which then stays open.
 fn check_disconnect_before_member_connection(copy_socket: fn(&TcpStream) -> Option<TcpStream>) {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
@@ -78,20 +80,21 @@
     drop(copy);
 }
 
-/// The same where a copy of the client's socket stays open, as in a child process before its exec.
+/// Like the test above, while a copy of the client's socket stays open, as in a child process before its exec.
 ///
-/// What happened: beside 16 busy processes a write was sent whose client had been dropped (one of 11 whole runs). The cause:
-/// the kernel closes a connection with the last copy of its socket, and other tests start routers meanwhile, whose processes
-/// have a copy of each socket here until their exec. The evidence: in the run that failed the drop took 0.5 us, where one
-/// that closes a connection takes 25 us, and the write was sent 9.6 ms after it; with a child that took 60 ms to start it was
-/// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
+/// Beside 16 busy processes a write was sent although its client had been dropped, in one of 11 runs of all tests. The
+/// kernel closes a connection only with the last copy of its socket, and other tests start routers meanwhile, whose
+/// processes hold a copy of each socket of this process until their exec. In the run that failed the drop took 0.5 us,
+/// where a drop that closes a connection takes 25 us, and the write was sent 9.6 ms after the drop. With a child process
+/// that took 60 ms to start the write was sent in 15 of 15 runs after a drop, and in none of 15 runs after `close`. The
+/// router was not at fault, since no close had arrived.
 #[test]
 fn an_rpc_is_not_forwarded_after_its_clients_close_although_a_copy_of_the_socket_is_open() {
     check_disconnect_before_member_connection(|client| Some(client.try_clone().expect("it can")));
 }
 
-/// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
-/// figure of `docs/results.md`.
+/// RPCs are pending because the primary is at its concurrency limit. Those whose clients disconnect are not sent once there
+/// is capacity. `docs/results.md` has the figure.
 #[test]
 fn pending_rpcs_of_clients_that_disconnect_are_not_forwarded() {
     let mut harness = start_harness(|config| {
@@ -107,7 +110,7 @@
     }
     let attempted: Vec<usize> = in_flight.iter().map(|(id, _)| id.parse().expect("a number")).collect();
     assert!((1..29).contains(&attempted.len()), "some are held, not {:?}", attempted);
-    // All but the last of the clients with pending RPCs leave.
+    // All clients with pending RPCs disconnect but for the last one.
     let pending: Vec<usize> = (0..30).filter(|nth| !attempted.contains(nth)).collect();
     let last = *pending.last().expect("some are held");
     let mut clients: Vec<Option<TcpStream>> = streams.into_iter().map(Some).collect();
--- a/crates/ladderpass/tests/disconnects/crossing_closes.rs
+++ b/crates/ladderpass/tests/disconnects/crossing_closes.rs
@@ -1,4 +1,4 @@
-//! Closes that cross a statement, an answer or an accept.
+//! Closes that cross a statement, an answer or an accept on the way.
 
 use crate::common::{close, next_frame, now_ms, query, row};
 use crate::router_harness::{read_answer, start_harness, write_statement};
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Connections that were reset while they waited at the listener block no other.
+/// Connections that were reset while they waited at the listener do not block other clients.
 #[test]
 fn connections_reset_before_accept_do_not_block_other_clients() {
     let mut harness = start_harness(|config| config);
@@ -20,7 +20,8 @@
     harness.assert_write_succeeds("1");
 }
 
-/// The idle time-out of a connection ends when its next statement has already arrived: that is accepted.
+/// The idle timeout of a client ends after its next statement has arrived and before the router reads it. The statement is
+/// accepted.
 #[test]
 fn a_query_that_has_arrived_when_the_idle_timeout_ends_is_accepted() {
     let mut harness = start_harness(|config| config);
@@ -36,7 +37,7 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// A complete answer counts, although the member closes right after it.
+/// A complete answer is forwarded even if the member closes the connection right after it.
 #[test]
 fn a_complete_answer_is_forwarded_although_the_member_closes_right_after_it() {
     let mut harness = start_harness(|config| config);
@@ -50,7 +51,8 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// An answer and its client's close cross: nobody gets the answer, and the connection to the member stays in step.
+/// An answer and the close of its client cross. The answer goes to no client, and the next RPC on the connection to the
+/// member gets its own answer.
 #[test]
 fn an_answer_that_crosses_its_clients_close_is_sent_to_no_other_client() {
     let mut harness = start_harness(|config| config);
@@ -76,7 +78,8 @@
     assert!(value.ends_with(b"v") && !value.ends_with(b"another"));
 }
 
-/// A member closes its idle connection just when the next RPC comes: the close is seen first, and the RPC is sent once.
+/// A member closes its idle connection just when the next RPC arrives. The router handles the close first, and sends the
+/// RPC once.
 #[test]
 fn a_member_close_that_crosses_a_statement_is_handled_before_the_statement() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -1,4 +1,4 @@
-//! Processes with too few descriptors.
+//! Router processes with too few descriptors.
 
 use crate::common::{close, query, startup, statement, temp_file};
 use crate::router_harness::{accept_connection_within, bind_listener, execute, start_harness_with};
@@ -11,11 +11,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The router may have no more than 24 descriptors.
+/// Limits the router to 24 descriptors.
 fn limit_descriptors(command: &mut Command) {
     run_in_shell("ulimit -n 24; exec \"$0\"", command);
 }
 
+/// Changes a command so that a shell script starts its program, which is `$0` in the script.
 fn run_in_shell(shell: &str, command: &mut Command) {
     let program = command.get_program().to_owned();
     let envs: Vec<_> =
@@ -24,7 +25,7 @@
     command.args(["-c", shell]).arg(program).envs(envs);
 }
 
-/// No descriptors left: clients at the listener wait, and are served once some are free again.
+/// While no descriptor is left clients wait at the listener. They are served once descriptors are free again.
 #[test]
 fn clients_waiting_to_be_accepted_are_served_once_descriptors_are_free_again() {
     let mut harness =
@@ -38,7 +39,7 @@
     harness.assert_write_succeeds("2");
 }
 
-/// Silent clients have all descriptors that clients may have: attempts get theirs.
+/// Silent clients use all descriptors that clients may use. Attempts get their descriptors nevertheless.
 #[test]
 fn attempts_get_descriptors_although_clients_use_all_that_they_may() {
     let mut harness =
@@ -56,8 +57,8 @@
     drop(waiting_clients);
 }
 
-/// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
-/// The RPC is answered at once, and the next one is served.
+/// There is no descriptor for a connection to a member, and nothing that could be closed to free one. That does not count
+/// as a failure of the member: the RPCs are rejected at once, and the first RPC after the shortage is served.
 #[test]
 fn a_shortage_of_descriptors_is_not_counted_as_a_member_failure() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
@@ -70,7 +71,7 @@
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
         assert!(status.expect("util-linux is there").success());
     };
-    // The client of `settle` is closed by now, or idle, and could be closed for it.
+    // Idle clients are closed meanwhile, so that no client is left that the router could close to free a descriptor.
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
@@ -87,8 +88,8 @@
     harness.assert_write_succeeds("after");
 }
 
-/// Clients that had left before they were accepted have no descriptor: each releases its own before the next one is
-/// accepted.
+/// The router accepts clients that have already disconnected. It releases the descriptor of each before it accepts the next
+/// one.
 #[test]
 fn clients_that_disconnect_before_accept_hold_no_descriptors() {
     let log = temp_file("");
@@ -107,7 +108,7 @@
     assert!(!log_text.contains("Too many open files"), "{log_text}");
 }
 
-/// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
+/// Idle clients keep connecting to a process with fewer descriptors than configured, while discovery is down. The router
 /// connects to discovery within 6 s of its return.
 #[test]
 fn discovery_is_watched_again_in_time_although_idle_clients_fill_the_descriptors() {
@@ -131,12 +132,13 @@
     }
 }
 
-/// Opens as many connections as it can and sends no statement; half of them complete the startup.
+/// Keeps 120 connections open and sends no statement. Every second connection sends a startup message.
 fn connect_idle_clients(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            // A closed one reads as such; any other has its startup's answer to read, or nothing.
+            // A closed connection reads as its end or as an error. An open one holds the answer to its startup message, or
+            // nothing.
             idle.retain_mut(|stream| match stream.read(&mut [0; 512]) {
                 Ok(count) => count > 0,
                 Err(fault) => fault.kind() == ErrorKind::WouldBlock,
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Watches of the endpoint list that end, fall silent or move, and what a new list changes.
+//! Watches of the endpoint list that end, fall silent or move to another address, and the effects of a new list.
 
 use crate::common::{WATCH_HEAD, close, instance, query, statement, welcome};
 use crate::router_harness::{
@@ -10,7 +10,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// With pushed lists no watch was ever opened once, and drains were never known.
+/// An earlier version opened no watch when lists were pushed, and never learned of drains.
 #[test]
 fn a_pushed_list_is_watched_and_its_watch_is_reopened_after_it_ends() {
     let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
@@ -25,6 +25,7 @@
     harness.open_watch();
 }
 
+/// The list arrives as JSON over several lines, in two parts.
 #[test]
 fn an_indented_list_is_accepted() {
     let mut harness = start_harness(|config| config);
@@ -42,7 +43,7 @@
     assert_eq!(harness.next_rpc(1).0, "1");
 }
 
-/// What a silent watch would have sent must be known 6 s later. Both this watch and the next fall silent.
+/// The router must learn within 6 s what a silent watch would have sent. Both this watch and the next one fall silent.
 #[test]
 fn a_silent_watch_is_reopened_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
@@ -63,7 +64,7 @@
     );
 }
 
-/// Lines inside an object that never ends count as silence.
+/// Empty lines inside a JSON object that never ends do not count as progress.
 #[test]
 fn a_watch_whose_list_never_ends_is_treated_as_silent() {
     let mut harness = start_harness(|config| config);
@@ -76,8 +77,9 @@
     }
 }
 
-/// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
-/// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
+/// Discovery moves to two new addresses in a row, each of which closes the watch without an answer. Changes from the old
+/// watch are accepted meanwhile, but do not count as the answer of the new address, which is polled again. An earlier
+/// version never polled it again.
 #[test]
 fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
@@ -107,8 +109,8 @@
     harness.assert_write_succeeds("2");
 }
 
-/// The new address answers with a head and empty lines, and no list: that is no answer, and it is polled again in time.
-/// Once it never was.
+/// The new address of discovery sends a response head and empty lines but no list. That does not count as an answer, and
+/// the address is polled again within 6 s. An earlier version never polled it again.
 #[test]
 fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
@@ -129,8 +131,8 @@
     }
 }
 
-/// Discovery starts again with lower generations: older lists are rejected, but not for longer than a change may be late,
-/// from when the current list was received.
+/// Discovery restarts and counts generations from a lower number. Lists with an older generation are rejected, but no
+/// longer than a change may be late, counted from when the current list was received.
 #[test]
 fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
@@ -158,8 +160,8 @@
     }
 }
 
-/// Three RPCs wait for their connection when their member's address changes: they go to the new address, and none counts
-/// as a failure of the member, which would eject it.
+/// Four RPCs wait for their connections when the address of their member changes. They go to the new address, and none
+/// counts as a failure of the member, which would eject it.
 #[test]
 fn rpcs_that_wait_for_a_connection_go_to_the_new_address_of_their_member() {
     let mut harness = start_harness(|config| config);
@@ -181,7 +183,8 @@
     clients.iter_mut().for_each(|client| assert_eq!(read_answer(client).0, b"TDCZ"));
 }
 
-/// The connection is not established yet when its member drains: the RPC goes elsewhere at once, and that member gets none.
+/// A member begins to drain while the connection for an RPC is not established yet. The RPC goes to another member at once,
+/// and the draining member gets none.
 #[test]
 fn an_rpc_that_waits_for_a_connection_to_a_draining_member_goes_elsewhere() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send many statements ahead, and leave or stay.
+//! Clients that pipeline many statements, and then disconnect or stay.
 
 use crate::common::{error_response, query, statement};
 use crate::router_harness::{RouterHarness, read_answer, start_harness, write_statement};
@@ -7,8 +7,8 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Eight times: a client sends an RPC, then `behind` as far as the kernel takes it, and leaves, by a close and a half
-/// close in turn, 0.12 s before its RPC is answered. How many of the later statements the member gets.
+/// Eight times, a client sends an RPC and then `bytes_after` as far as the kernel takes them, and disconnects 0.12 s before
+/// its RPC is answered, by a close and a half close in turn. Returns how many of the later statements the member gets.
 fn count_forwarded_after(bytes_after: impl Fn(usize) -> Vec<u8>) -> usize {
     let mut harness = start_harness(|config| config);
     let mut forwarded = 0;
@@ -28,7 +28,8 @@
     forwarded
 }
 
-/// Sends as far as the kernel takes it, and leaves; a half close keeps the connection. Returns 0.12 s after that.
+/// Sends bytes as far as the kernel takes them, and disconnects 0.12 s before it returns. After a half close it returns the
+/// connection.
 fn send_and_disconnect(
     harness: &RouterHarness,
     mut client: TcpStream,
@@ -47,25 +48,27 @@
     kept
 }
 
+/// `count` writes of some 8 KB each.
 fn later_statements(round: usize, count: usize) -> Vec<u8> {
     let statement = |nth| write_statement(&format!("gone-{round}-{nth}")).replace("9f03", &"9f".repeat(4000));
     (0..count).flat_map(|nth| query(&statement(nth))).collect()
 }
 
-/// The client's buffer is full with what follows its first RPC, and the close comes after that.
+/// The statements after a client's first RPC fill the client's buffer in the router, and then the client disconnects.
 #[test]
 fn statements_of_a_client_that_disconnects_with_a_full_buffer_are_not_forwarded() {
     assert_eq!(count_forwarded_after(|round| later_statements(round, 72)), 0);
 }
 
-/// The client has sent more than buffer and socket hold, so that the kernel holds its close back: its bytes are read up to
-/// the close, and no RPC among them is started. After a half close no reset shows that it has left.
+/// The client has sent more than the router's buffer and the socket hold, so that the kernel holds its close back. The
+/// router reads the client's bytes up to the close, and starts no RPC among them. After a half close no reset shows that
+/// the client has disconnected.
 #[test]
 fn statements_of_a_client_whose_close_the_kernel_delays_are_not_forwarded() {
     assert_eq!(count_forwarded_after(|round| later_statements(round, 1000)), 0);
 }
 
-/// The same, and the member that has its first RPC rejects it: no other member gets it.
+/// Like the test above, but the member that has the first RPC rejects it. No other member gets it.
 #[test]
 fn a_failed_attempt_is_not_retried_when_the_kernel_delays_the_clients_close() {
     let mut harness = start_harness(|config| config);
@@ -78,8 +81,8 @@
     assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
 }
 
-/// A client that stays is served: all that it has sent ahead as far as there is space; beyond that some statements are
-/// rejected, each is answered, and once all is read the rest is served.
+/// A client that stays gets an answer to each statement. All statements for which there is space are served. If there are
+/// more, some of them are rejected, and the rest is served once all input is read.
 #[test]
 fn a_client_that_pipelines_many_statements_and_stays_gets_every_answer() {
     for (count, all_served) in [(60, true), (160, false)] {
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: what was accepted is answered before the process ends.
+//! Shutdown by SIGTERM. Accepted RPCs are answered before the process ends.
 
 use crate::common::{next_frame, query, startup};
 use crate::router_harness::{PATIENCE, read_answer, start_harness, write_statement};
@@ -8,7 +8,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The process once exited 10 s after SIGTERM, whatever was unanswered.
+/// An earlier version exited 10 s after SIGTERM even if RPCs were unanswered.
 #[test]
 fn shutdown_waits_for_rpcs_that_take_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
@@ -24,7 +24,7 @@
     harness.assert_clean_exit();
 }
 
-/// A reload while the router stops changes nothing for clients that wait for an answer.
+/// A reload during shutdown changes nothing for clients that wait for an answer.
 #[test]
 fn sighup_during_shutdown_loses_no_rpc() {
     let mut harness = start_harness(|config| config);
@@ -42,7 +42,7 @@
     harness.assert_clean_exit();
 }
 
-/// A client that sends without end can't keep the router from exiting, and clients that wait at the listener are served.
+/// A client that connects after SIGTERM, before the router accepts again, is served, and then the process exits.
 #[test]
 fn clients_that_wait_to_be_accepted_at_sigterm_are_served() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -1,5 +1,6 @@
-//! A change of the list must be known 6 s after discovery had it and could be reached: the reducer against a simulated
-//! discovery that goes down and comes back, on a clock of its own, for each way in which a watch can end.
+//! A router must know a change of the endpoint list within 6 s of when discovery has it and can be reached. The reducer
+//! runs against a simulated discovery that goes down and returns, on a simulated clock, for each way in which a watch can
+//! end.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -12,15 +13,18 @@
 use scenario::{ENDINGS, Ending, MODES, Mode, NEW_PORT, OLD_PORT, OUTAGE_STARTS, OutageStart};
 use simulation::{Simulation, ms};
 
-/// 6 s are allowed; the rest is for a process that has to wait for its CPU.
+/// Longest time from the return of discovery until the change is read. 6 s are allowed, of which 0.5 s are left to a
+/// process that has to wait for its CPU.
 const MAX_DELAY_MS: i64 = 5500;
-/// A watch from before the return may be answered 1.4 s after it with an older list that is accepted, and fall silent then.
+/// The same where an older list may come: a watch from before the return may be answered 1.4 s after the return with an
+/// older list that is accepted, and then fall silent.
 const MAX_DELAY_WITH_OLDER_LIST_MS: i64 = 5900;
 const SEEDS: u64 = 60;
-/// Each prints the table; the second is the name of before.
+/// Environment variables, each of which makes the test print the table. The second is the former name.
 const TABLE_VARIABLES: [&str; 2] = ["LADDERPASS_OUTAGE_TABLE", "TOLD_TABLE"];
 
-/// The table of docs/endings.md: the state before, by how watches end, by how the list is delivered.
+/// Each case of the table in `docs/endings.md`: how the outage begins, how watches end during it, and how the list is
+/// delivered.
 #[test]
 fn a_change_is_read_in_time_after_an_outage_however_watches_ended() {
     let mut late = Vec::new();
@@ -48,8 +52,8 @@
     assert!(late.is_empty(), "{} of {} cases:\n{}", late.len(), 15 * 5 * 5, late.join("\n"));
 }
 
-/// Discovery is away for longer than lists may be late, and has a lower generation when it is back: its list is accepted
-/// once it has been sent twice, the second time as a whole.
+/// Discovery is unreachable for longer than lists may be late, and returns with a lower generation. Its list is accepted
+/// once discovery has sent it twice, the second time as a complete list.
 #[test]
 fn lower_generations_after_an_outage_are_accepted_in_time() {
     for (whole, seed) in
@@ -71,7 +75,8 @@
     }
 }
 
-/// All routers lose discovery at once: watches opened by the fleet in each 100 ms from then on, and per router and second.
+/// All routers of a fleet lose discovery at once. Returns the watches that the fleet opens in each 100 ms from then on, and
+/// the watches per router and second.
 fn count_fleet_watches(mode: Mode, ending: Ending) -> (Vec<usize>, f64) {
     const FLEET: u64 = 460;
     const OUTAGE: i64 = 30_000;
@@ -91,8 +96,8 @@
     (counts, per_second)
 }
 
-/// The fleet's watches stay spread out and few: in each 100 ms of an outage at most a fifth of the routers, or half where
-/// a watch is due within part of 1 s; and per router and second at most the given rate.
+/// In each 100 ms of an outage at most a fifth of the routers open a watch, or half of them if a watch is due within part
+/// of 1 s. Each router opens on average no more watches per second than the given rate.
 #[test]
 fn watches_of_a_fleet_stay_spread_out_and_rate_limited_during_an_outage() {
     for (mode, ending, max_at_once, max_per_second) in [
@@ -116,11 +121,11 @@
     }
 }
 
-/// How long after the return the change was read; None: not within 30 s.
+/// The time in milliseconds from the return of discovery until the change was read. None if it was not read within 30 s.
 fn delay_after_return(mode: Mode, outage_start: OutageStart, ending: Ending, seed: u64) -> Option<i64> {
     let mut random = WyRand::new_seed(seed.wrapping_mul(77));
     let time_before_outage = ms(3000 + random.generate_range(0..3000));
-    // Long enough for each backoff to grow, or short.
+    // Half of the outages are drawn from a range that lets each backoff grow, the others from a shorter one.
     let outage = ms(if random.generate::<bool>() {
         random.generate_range(100..40_000)
     } else {
@@ -145,7 +150,7 @@
         OutageStart::WatchFallsSilent => simulation.take_discovery_down(true),
         OutageStart::Reload => {
             simulation.reload_with_new_address(mode, seed);
-            // The old address closes its watches after 1.5 s, as the platform says; or it serves on.
+            // The old address closes its watches after 1.5 s, as the platform specifies, or keeps serving them.
             if random.generate() {
                 simulation.run_until((simulation.now + ms(1500)).min(outage_ended));
                 simulation.close_watches(OLD_PORT);
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -1,4 +1,4 @@
-//! The cases of an outage: how watches end meanwhile, the state before it, and how the list is delivered.
+//! The cases of an outage: how it begins, how watches end during it, and how the list is delivered.
 
 use crate::common::{launch_with_discovery, router_config, simulated_members};
 use Ending::{
@@ -7,33 +7,38 @@
 };
 use ladderpass::launch;
 
-/// How a watch ends while discovery is away.
+/// How a watch ends while discovery is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    /// The connect is never answered.
+    /// The connect gets no answer.
     ConnectHangs,
-    /// It connects, and never answers.
+    /// The connection is established, and the request gets no answer.
     NoAnswer,
+    /// The connection is refused.
     Refused,
-    /// No descriptor for it.
+    /// The router has no descriptor for the connection.
     NoDescriptor,
-    /// Reset once it was written.
+    /// The connection is closed after the request, without an answer.
     Reset,
+    /// The response has the status 503.
     ErrorStatus,
+    /// The response has a content length in place of chunks.
     NotChunked,
+    /// The response has a line that is no valid JSON.
     InvalidLine,
-    /// A response head, and then a close.
+    /// The response head arrives, and then the connection is closed.
     HeadThenClose,
-    /// A response head, and then nothing.
+    /// The response head arrives, and then nothing.
     HeadThenSilence,
-    /// A response head, and empty lines for ever.
+    /// The response head arrives, and then empty lines for ever.
     EndlessEmptyLines,
-    /// A list that begins, and then nothing, or bytes for ever.
+    /// The beginning of a list arrives, and then nothing.
     UnfinishedList,
+    /// The beginning of a list arrives, and then bytes for ever.
     EndlessList,
-    /// A list from before.
+    /// A list with an older generation arrives.
     OlderList,
-    /// Another one of these each time.
+    /// Each watch ends in one of the other ways, drawn at random.
     Random,
 }
 
@@ -55,17 +60,19 @@
     Random,
 ];
 
-/// The state when discovery goes down.
+/// How the outage begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageStart {
-    /// The process starts while it is away.
+    /// The router starts while discovery is unreachable.
     ProcessStart,
-    /// The watch is reset, or falls silent.
+    /// The open watch is closed.
     WatchCloses,
+    /// The open watch falls silent.
     WatchFallsSilent,
-    /// It has moved: SIGHUP, while the old address serves on with nothing new.
+    /// SIGHUP moves discovery to a new address, which is unreachable, while the old address serves on without a change.
     Reload,
-    /// SIGHUP in the middle of an outage of the old address, mostly while a watch is being opened.
+    /// SIGHUP moves discovery to a new address in the middle of an outage of the old one, mostly while a watch is being
+    /// opened.
     ReloadDuringOutage,
 }
 
@@ -77,10 +84,12 @@
     OutageStart::ReloadDuringOutage,
 ];
 
-/// How the list is delivered, by the settings: polled within `MustAskIn`, or pushed with this `DrainGrace`.
+/// How the settings have the list delivered.
 #[derive(Clone, Copy, Debug)]
 pub enum Mode {
+    /// Polled, with this `MustAskIn` in milliseconds.
     Polled(i64),
+    /// Pushed, with this `DrainGrace` in milliseconds.
     Pushed(i64),
 }
 
@@ -91,12 +100,12 @@
     Mode::Pushed(1000),
     Mode::Pushed(60_000),
 ];
-/// Where discovery is at the start.
+/// The port of discovery at the start.
 pub const OLD_PORT: u16 = 8500;
-/// Where it is after a reload.
+/// The port of discovery after a reload.
 pub const NEW_PORT: u16 = 8600;
 
-/// A router of three members, whose random numbers are of this seed, with discovery at this port.
+/// The launch parameters of a router in front of three members, with this seed and discovery at this port.
 pub fn outage_launch(mode: Mode, seed: u64, port: u16) -> launch::Launch {
     let members = simulated_members(3);
     let text = router_config(&members)
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -1,4 +1,4 @@
-//! The reducer and a discovery service that can be away, on a simulated clock.
+//! The reducer and a discovery service that can be unreachable, on a simulated clock.
 
 use crate::common::{SIMULATION_START, WATCH_HEAD, chunk, instance, simulated_members};
 use crate::scenario::Ending::{
@@ -11,21 +11,25 @@
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// The slowest answer of a discovery that can be reached: it rejects a watch after 2 s.
+/// Longest time until a reachable discovery answers a watch. It answers or rejects each watch within 2 s.
 const MAX_ANSWER_MS: u64 = 1950;
-/// The same where an older list is accepted and silence follows: with 1.95 s each the worst of 60 seeds is 6.1 s.
+/// The same where watches end with an older list, which is accepted and followed by silence. With 1950 ms the worst of 60
+/// seeds takes 6.1 s, which is more than the 6 s allowed.
 const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
 
-/// What discovery does on a watch.
+/// What discovery does on the connection of a watch.
 #[derive(Clone, Debug)]
 enum DiscoveryEvent {
+    /// It accepts the connection.
     Connected,
     Bytes(Vec<u8>),
-    /// It sends the list that it has.
+    /// It sends the endpoint list that it has.
     AnswerWithList,
-    /// It sends the same bytes at this interval.
+    /// It sends the same bytes again and again at this interval.
     Repeat(Vec<u8>, Span),
+    /// It refuses or closes the connection.
     Closed,
+    /// The router has no descriptor for the connection.
     NoDescriptor,
 }
 
@@ -36,29 +40,30 @@
     random: WyRand,
     pub ending: Ending,
     pub max_answer_ms: u64,
-    /// The generation that discovery has after its return, and whether it sends the whole list to all.
+    /// The generation of the list that discovery has after its return.
     pub generation_after_return: u64,
+    /// Discovery sends its complete list to every watch, also to one that asks for changes.
     pub sends_whole_list: bool,
     /// The generation that the last watch asked for.
     requested_from: u64,
-    /// The port that is away, from when to when.
+    /// The port that is unreachable, from when, and until when.
     pub unreachable: (u16, Time, Time),
-    /// Open watches, with the port that they connected to.
+    /// The open watches, each with its port.
     watches: BTreeMap<ConnectionId, u16>,
     events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
     last_event_number: u64,
-    /// When watches were opened.
+    /// When each watch was opened, and its port.
     pub opened: Vec<(Time, u16)>,
-    /// When the change of the return was read.
+    /// When the router had read the change that discovery has after its return.
     pub read_at: Option<Time>,
 }
 
-/// A span of so many milliseconds.
+/// A span in milliseconds.
 pub fn ms(ms: i64) -> Span {
     Span::from_millis(ms)
 }
 
-/// A list of so many members; the change of the return is a fourth.
+/// A chunk with a list of `count` members. The change that discovery has after its return is a fourth member.
 fn list(generation: u64, count: usize, whole: bool) -> Vec<u8> {
     let members = simulated_members(count);
     let entries: Vec<String> = (0..count).map(|n| instance(n, &members[n], "SERVING")).collect();
@@ -66,13 +71,14 @@
     chunk(format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n").as_bytes())
 }
 
-/// The head of an answer, and this behind it.
+/// Discovery sends the response head and this chunk.
 fn answer_with(chunk: &[u8]) -> DiscoveryEvent {
     DiscoveryEvent::Bytes([WATCH_HEAD, chunk].concat())
 }
 
 impl Simulation {
-    /// A router whose discovery is at the old port; `away`: which port can't be reached, from when to when.
+    /// A router whose discovery is at the old port. `unreachable` is the port that cannot be reached, from when, and until
+    /// when.
     pub fn new(mode: Mode, seed: u64, ending: Ending, unreachable: (u16, Time, Time)) -> Simulation {
         Simulation {
             reducer: Reducer::start(SIMULATION_START, outage_launch(mode, seed, OLD_PORT)),
@@ -96,12 +102,12 @@
         }
     }
 
-    /// Whether discovery can't be reached at this port now.
+    /// Whether discovery cannot be reached at this port now.
     fn is_unreachable(&self, port: u16) -> bool {
         self.unreachable.0 == port && (self.unreachable.1..self.unreachable.2).contains(&self.now)
     }
 
-    /// Schedules what discovery does on a watch.
+    /// Schedules an event on a watch.
     fn schedule(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
         self.last_event_number += 1;
         self.events.insert((self.now + span, self.last_event_number), (id, event));
@@ -127,7 +133,7 @@
         }
     }
 
-    /// A watch is opened; draws how it ends.
+    /// The router opens a watch. Schedules how it is answered, or how it ends.
     fn on_connect(&mut self, id: ConnectionId, port: u16) {
         self.opened.push((self.now, port));
         self.watches.insert(id, port);
@@ -177,9 +183,9 @@
         }
     }
 
-    /// Discovery does this on a watch, if it is still open.
+    /// Carries out an event on a watch if the watch is still open.
     fn perform(&mut self, id: ConnectionId, event: DiscoveryEvent) {
-        // What a silent discovery would have sent is lost with the watch, whenever it comes back.
+        // What discovery would have sent on a closed watch is lost, also after its return.
         let Some(&port) = self.watches.get(&id) else { return };
         match event {
             DiscoveryEvent::Connected => self.apply(Event::Connected(id)),
@@ -211,7 +217,7 @@
         }
     }
 
-    /// Runs until then.
+    /// Runs the simulation until this time.
     pub fn run_until(&mut self, until: Time) {
         loop {
             self.apply(Event::Tick);
@@ -236,23 +242,23 @@
         }
     }
 
-    /// Open watches send nothing more.
+    /// Drops all scheduled events, so that discovery sends nothing more on open watches.
     fn silence_watches(&mut self) {
         self.events.clear();
     }
 
-    /// Closes the watches of this port.
+    /// Closes the open watches of this port.
     pub fn close_watches(&mut self, port: u16) {
         let open = self.watches.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
         open.collect::<Vec<_>>().into_iter().for_each(|id| self.perform(id, DiscoveryEvent::Closed));
     }
 
-    /// Open watches end, or only fall silent.
+    /// Closes the open watches of the old port, or only silences all watches.
     pub fn take_discovery_down(&mut self, silently: bool) {
         if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
     }
 
-    /// SIGHUP: discovery is at the new port from now on.
+    /// SIGHUP: the configuration has discovery at the new port from now on.
     pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
         self.apply(Event::ConfigurationReloaded(Box::new(outage_launch(mode, seed, NEW_PORT))));
     }
--- a/crates/ladderpass/tests/drill_interrupt.rs
+++ b/crates/ladderpass/tests/drill_interrupt.rs
@@ -1,4 +1,5 @@
-//! A drill that is cut off by ctrl-C leaves no process. It stands alone: the signal is the whole process's.
+//! A drill that is interrupted by ctrl-C leaves no process behind. This test has a binary of its own because the signal
+//! goes to the whole process.
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{Programs, interrupted, play};
@@ -6,7 +7,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Processes that this one has started and that have not ended.
+/// The `/proc/PID/stat` lines of the children of this process, without zombies.
 fn children() -> Vec<String> {
     let own_pid = std::process::id().to_string();
     let processes = std::fs::read_dir("/proc").expect("it can be read").filter_map(Result::ok);
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -1,5 +1,5 @@
-//! Several router processes with faults between them: what the others believe of one that dies, is paused, is cut off or
-//! starts again, and what a drill does when it can't go on. The assertions hold on any machine, however slow.
+//! Drills of several router processes with fault events: what the other routers believe of one that dies, is paused, is cut
+//! off or starts again, and how a drill reports that it cannot go on. The assertions hold on any machine, however slow.
 
 mod one_at_a_time;
 
@@ -13,7 +13,7 @@
     Programs { router: Path::new(env!("CARGO_BIN_EXE_ladderpass")), faulty: None, earlier: None }
 }
 
-/// Plays a drill and checks that no invariant is broken. Answers may be late, as the machine may be slow.
+/// Plays a drill and checks that no invariant is broken. Answers may be 2 s late, since the machine may be slow.
 fn play_drill(text: &str) -> (Drill, DrillRecord) {
     let mut drill = Drill::read(text).unwrap_or_else(|error| panic!("{error}"));
     (drill.grace_ms, drill.deadline_ms, drill.max_settle_s) = (2000, 2000, 20.0);
@@ -24,7 +24,7 @@
     (drill, played)
 }
 
-/// What a router logged of another, in order.
+/// The changes in the state of the router `subject` that the router `viewer` logged, in order.
 fn logged_changes(played: &DrillRecord, viewer: usize, subject: usize) -> Vec<&str> {
     let changes = played.views[viewer].iter().flat_map(|view| &view.changes);
     changes
@@ -33,6 +33,7 @@
         .collect()
 }
 
+/// Checks that the last views of all running routers are equal and have `count` routers.
 fn assert_agreed(played: &DrillRecord, count: usize) {
     let last_views: Vec<_> = (0..played.views.len())
         .filter(|&nth| played.alive[nth])
@@ -51,7 +52,7 @@
     assert!(played.settled.is_some());
     for viewer in [0, 3, 4] {
         for subject in [1, 2] {
-            // A router that refutes a later suspicion is logged as back once more.
+            // A router that refutes a later suspicion is logged as back again, so there may be several such changes.
             let views = logged_changes(&played, viewer, subject);
             assert!(views.contains(&"died") && views.last() == Some(&"is back"), "{views:?}");
         }
@@ -59,7 +60,7 @@
     assert_agreed(&played, 5);
 }
 
-/// A router announces its SIGTERM, so that nobody has to detect it.
+/// A router that gets SIGTERM announces that it leaves, so that the others do not have to detect its end.
 #[test]
 fn a_terminating_router_announces_that_it_leaves_and_its_clients_go_elsewhere() {
     let _turn = wait_for_turn();
@@ -72,7 +73,7 @@
     assert_agreed(&played, 3);
 }
 
-/// Both sides reach all members: each goes on by itself, and no invariant is broken in either.
+/// The fleet is split while both sides still reach all members. Each side keeps serving, and no invariant is broken.
 #[test]
 fn a_split_forms_two_fleets_that_merge_again() {
     let _turn = wait_for_turn();
@@ -85,7 +86,7 @@
     assert_agreed(&played, 5);
 }
 
-/// One router by itself, cut off from members: it answers its clients all the same.
+/// One router is cut off from all other routers, from all members and from discovery. It still answers its clients.
 #[test]
 fn a_router_cut_off_from_all_others_and_all_members_still_answers_its_clients() {
     let _turn = wait_for_turn();
@@ -111,7 +112,7 @@
     assert_agreed(&played, 4);
 }
 
-/// Forty processes in the same second, on as many cores as there are.
+/// Forty processes start in the same second, on as many cores as the machine has.
 #[test]
 fn forty_routers_started_at_once_find_each_other() {
     let _turn = wait_for_turn();
@@ -124,9 +125,9 @@
     assert_agreed(&played, 40);
 }
 
-/// Shared admission control under overload while parts fail: two in five routers killed at the peak, one paused with an
-/// old admission threshold, one whose updates get lost, one without gossip, members that warm up, and one router with eight
-/// times the load of the others.
+/// Shared admission control under overload while parts of the fleet fail. Two of the six routers are killed, one is paused
+/// and returns with an old admission threshold, the datagrams of one are lost, and one has no gossip. A member starts cold,
+/// and the first router has eight times the client connections of the last.
 #[test]
 fn shared_admission_control_breaks_no_invariant_while_parts_of_the_fleet_fail() {
     let _turn = wait_for_turn();
@@ -154,7 +155,8 @@
     assert!(all.rejected > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
 
-/// A group without a primary is overloaded; the admission threshold is its own, and the other group's RPCs are served.
+/// A group that has lost its primary is overloaded. Its admission threshold is its own, and the RPCs of the other group are
+/// served.
 #[test]
 fn a_group_without_a_primary_sets_no_admission_threshold_for_another() {
     let _turn = wait_for_turn();
@@ -162,7 +164,7 @@
         "{routers: 3, phases: [[6, 60]], clients: 40, operator: \"fleet: {sheds: true}\\nlog: {figures: 250ms}\", \
          scenario: {groups: 2}, deeds: [{at: 1, ends: 0}]}",
     );
-    // RPCs alternate between the groups: those of the second group have odd numbers.
+    // RPCs alternate between the groups, so that those of the second group have odd numbers.
     let of_second_group = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
     let served = of_second_group.clone().filter(|entry| {
         entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The program over loopback, with the fake members and the fake discovery of `common/fake_servers.rs`.
+//! The router process on loopback, with the fake members and the fake discovery of `common/fake_servers.rs`.
 
 mod common;
 
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_write_that_may_have_run_is_not_retried() {
-    // Replicas reject reads, which never ran; the primary closes the connection on a write, which may have run.
+    // Replicas reject reads, so that these have not run. The primary closes the connection on a write, which may have run.
     let router = router(|n, text| match (n, text.contains("INSERT")) {
         (0, true) => None,
         (0, false) => Some(row(b"spilled", "leader", now_ms())),
@@ -103,8 +103,8 @@
     assert!(router.process.wait().expect("it ends").success());
 }
 
-/// SIGHUP once ended the process. Now a broken file changes nothing, and a good one moves the watch: the list of the new
-/// address is accepted, although its generations are lower.
+/// On SIGHUP an invalid configuration changes nothing, and a valid one moves the watch to another address, whose list is
+/// accepted although its generation is lower. An earlier version ended on SIGHUP.
 #[test]
 fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
@@ -140,8 +140,8 @@
     assert!(router.process.try_wait().expect("a process").is_none(), "it goes on");
 }
 
-/// More clients than the router can accept, most of them silent, wait at the listener at SIGTERM: statements among them
-/// are answered all the same.
+/// At SIGTERM more clients than the router can accept wait at the listener, and most of them are silent. Every statement
+/// among them is answered nevertheless.
 #[test]
 fn shutdown_answers_every_statement_that_waits_at_a_crowded_listener() {
     let mut router = router_with(
@@ -195,14 +195,14 @@
     }
 }
 
-/// What `ladderpass check` prints.
+/// What `ladderpass check` prints, and how it exits.
 struct CheckOutput {
     summary: String,
     errors: String,
     exit_code: Option<i32>,
 }
 
-/// Runs `ladderpass check` with this operator's file and a changed configuration.
+/// Runs `ladderpass check` with this text as the operator's file and a changed configuration.
 fn check(operator_file: Option<&str>, change: fn(String) -> String) -> CheckOutput {
     let members = simulated_members(3);
     let config_file = temp_file(&change(router_config(&members)));
@@ -246,13 +246,13 @@
     assert_eq!(unknown.expect("it starts").status.code(), Some(2));
 }
 
-/// The operator's file is read again at SIGHUP; a wrong one changes nothing but the log.
+/// The operator's file is read again at SIGHUP. An invalid file changes nothing and is logged.
 ///
-/// What happened: once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of the run was not
-/// saved. The cause: the router's port was one that the system gives, given back at once, so that a fake server of
-/// another test may get it before the router; the router then tries for 5 s and ends. With a listener put there on
-/// purpose the test fails with that message; of 200,000 ports given back so 343 came again within the next 12 that were
-/// asked for. The port is one that the system does not give now (`router_address`).
+/// Once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of that run was not saved. At
+/// that time the router's port was an ephemeral port that the test had released at once, so that a fake server of another
+/// test could get it before the router, which then retries for 5 s and ends. With a listener put on the port on purpose
+/// the test fails with that message. Of 200,000 ports released like that, 343 were given out again among the next 12
+/// requested. The port is not an ephemeral one any more (see `router_address`).
 #[test]
 fn an_invalid_operator_file_at_sighup_leaves_the_settings_unchanged() {
     let (sender, _statements) = channel();
@@ -291,10 +291,10 @@
     );
 }
 
-/// A log that nobody reads: standard error on a full disk, or a pipe whose reader has gone.
+/// The log goes to a full device, or to a pipe whose reader has closed its end.
 ///
-/// It passes. It is here because the router that `failing_calls` makes of its own binary panicked there once its log was
-/// at `info`: it reported a failed log write on standard error, which panics where that fails too. The program does not.
+/// The router that `failing_calls` runs in its own binary once panicked in this case, with its log at `info`: it reported
+/// a failed log write on standard error, which panics if that write fails too. The program itself does not panic.
 #[test]
 fn a_log_that_can_not_be_written_does_not_end_the_process() {
     let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
@@ -303,10 +303,10 @@
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
         let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
         let mut router = router_logging_to(log, &members, statements, |config| config);
-        // Of the pipe, the reader has gone.
+        // Closes the reading end of the pipe, if the log goes to one.
         drop(router.process.stderr.take());
         let mut client = router.client();
-        // It logs the reload.
+        // The reload makes the router write to its log.
         router.signal("HUP");
         thread::sleep(Duration::from_millis(100));
         assert_eq!(execute(&mut client, &statement("1", "write", 30_000, "1")).0, b"TDCZ");
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment, over real connections: each RPC is answered, no rule is broken, and the process
-//! goes on (`docs/terms-audit.md`). The router is this test binary itself, started again.
+//! System calls that fail transiently, over real connections. Each RPC is answered, no invariant is broken, and the process
+//! keeps running (`docs/terms-audit.md`). The router process is this test binary, started again.
 
 mod common;
 mod failing_syscalls;
@@ -18,6 +18,7 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
+/// Serves as the router if this binary was started as one, and otherwise does nothing.
 #[test]
 fn router_process() {
     failing_syscalls::serve_if_planned();
@@ -25,7 +26,7 @@
 
 const DEADLINE: Span = Span::from_millis(1500);
 
-/// Runs a load of two seconds against a router whose calls fail.
+/// Runs a load of two seconds against a router whose system calls fail. The process must still run at the end.
 fn run_load(start: &Start) -> RunRecord {
     let _turn = wait_for_turn();
     let plan = Plan {
@@ -39,7 +40,7 @@
     record
 }
 
-/// The same; each RPC is served before its deadline.
+/// Like [`run_load`]. Each RPC must be served before its deadline.
 fn assert_all_served(start: &Start) -> RunRecord {
     let record = run_load(start);
     let (total, log) = (record.outcome.total(), record.log.join("\n"));
@@ -49,14 +50,15 @@
     record
 }
 
-/// The same with these failures, which must all have happened: otherwise the run shows nothing.
+/// Like [`assert_all_served`] with these failures, which must all have happened, since otherwise the run proves nothing.
 fn assert_all_served_despite(failures: &[FailingSyscall]) {
     let record = assert_all_served(&failing_syscalls::start(failures, &[]));
     let completed = record.log.iter().filter(|line| line.contains("all failures of call")).count();
     assert_eq!(completed, failures.len(), "{}", record.log.join("\n"));
 }
 
-/// The same with these errors of one call, so many each, while clients and members connect.
+/// Like [`assert_all_served_despite`] with these errors of one system call, `count` times each, from the start on, while
+/// clients and members connect.
 fn assert_all_served_despite_errors(call: i64, errors: &[i32], count: u64) {
     let failure = |&errno: &i32| FailingSyscall {
         after: Duration::ZERO,
@@ -73,7 +75,7 @@
     assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
-/// The event loop arms its sources again for each wait.
+/// The event loop arms its event sources again for each wait.
 #[test]
 fn the_event_loop_continues_after_failing_to_arm_its_sources() {
     assert_all_served_despite(&[FailingSyscall::with_errno(libc::SYS_epoll_ctl, libc::ENOMEM)]);
@@ -112,7 +114,7 @@
         ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
     };
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
-    // A client that has sent its statement is answered on that connection; the load above would open another one.
+    // A client that has sent its statement must be answered on that connection. The load above would open another one.
     let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
@@ -151,7 +153,7 @@
     assert_all_served_despite_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
 }
 
-/// The event loop and the sockets wait by one of these calls.
+/// The event loop and the sockets wait with one of these system calls.
 #[test]
 fn an_interrupted_epoll_wait_is_retried() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
@@ -172,7 +174,8 @@
     assert_all_served(&failing_syscalls::start(&errors.map(at_once), &[]));
 }
 
-/// A lost connection shows by any of these errors; only the RPC in flight on it is lost, and nothing runs twice.
+/// Each of these errors shows that a connection is lost. Only the RPC in flight on the connection fails, and none runs
+/// twice.
 #[test]
 fn a_broken_connection_fails_only_the_rpc_in_flight_on_it() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
@@ -190,7 +193,7 @@
     }
 }
 
-/// A router without members, whose discovery is the test.
+/// A router without members, for which the test plays discovery.
 struct RouterWithoutMembers {
     process: Child,
     config: std::path::PathBuf,
@@ -227,7 +230,7 @@
     }
 }
 
-/// Whether the router connects to discovery in this time.
+/// Whether the router connects to discovery within this time.
 fn is_watched_within(discovery: &TcpListener, timeout: Duration) -> bool {
     discovery.set_nonblocking(true).expect("it can");
     let until = Instant::now() + timeout;
@@ -240,7 +243,8 @@
     false
 }
 
-/// The list of the new discovery applies 4 s after SIGHUP, although the file could not be read at once.
+/// A change of the configuration must apply 4 s after SIGHUP. The router connects to the new discovery address within 2 s,
+/// although the file cannot be read at first.
 #[test]
 fn a_configuration_read_that_fails_transiently_is_retried() {
     let _turn = wait_for_turn();
@@ -262,7 +266,7 @@
     }
 }
 
-/// A start survives a failure of any call that it makes.
+/// The start survives transient failures of the system calls that it makes.
 #[test]
 fn calls_that_fail_transiently_at_start_do_not_prevent_serving() {
     let _turn = wait_for_turn();
--- a/crates/ladderpass/tests/failing_syscalls/mod.rs
+++ b/crates/ladderpass/tests/failing_syscalls/mod.rs
@@ -1,6 +1,7 @@
-//! A router process whose system calls fail or are delayed as the test plans, and whose wall clock can be stepped. It needs
-//! no privileges and no tracer: the router's thread has a seccomp filter that asks another thread of the same process about
-//! each watched call, and a function of this binary takes the place of the C library's `clock_gettime`.
+//! A router process whose system calls fail or are delayed as the test plans, and whose wall clock can be stepped. This
+//! needs no privileges and no tracer. The router's thread has a seccomp filter through which the kernel asks another
+//! thread of the same process about each intercepted call, and a function of this binary replaces the C library's
+//! `clock_gettime`.
 
 #![allow(dead_code)]
 
@@ -12,20 +13,21 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// The environment variable that makes the test `router_process` a router: its failures and clock steps, separated by
-/// semicolons.
+/// The environment variable that makes the test `router_process` serve as a router. It holds the failures and clock steps,
+/// separated by semicolons.
 const PLAN_VARIABLE: &str = "LADDERPASS_TEST_PLAN";
 
 /// What happens to a system call.
 #[derive(Clone, Copy, Debug)]
 pub enum SyscallFault {
-    /// It fails with this errno.
+    /// The call fails with this errno.
     Error(i32),
-    /// It takes so much longer, which stalls the router's only thread.
+    /// The call takes this much longer, which stalls the router's only thread.
     Delay(Duration),
 }
 
-/// `count` calls meet with a fault: every `every`th of those that match, beginning `after` the start.
+/// System calls that meet with a fault: `count` calls in all, every `every`th of those that match, beginning `after` the
+/// start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct FailingSyscall {
     /// The number of the system call.
@@ -38,23 +40,23 @@
     pub count: u64,
 }
 
-/// The wall clock jumps by so much, `after` the start.
+/// A jump of the wall clock by `by`, `after` the start of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockStep {
     pub after: Duration,
     pub by: Duration,
-    /// The jump is back, not forward.
+    /// The clock jumps back, not forward.
     pub back: bool,
 }
 
 impl FailingSyscall {
-    /// Twenty calls, every third from one second on, that fail with this errno.
+    /// Twenty calls that fail with this errno: every third one from one second after the start.
     pub fn with_errno(call: i64, errno: i32) -> FailingSyscall {
         let (fault, after) = (SyscallFault::Error(errno), Duration::from_millis(1000));
         FailingSyscall { call, fault, operation: None, after, every: 3, count: 20 }
     }
 
-    /// Calls that are delayed.
+    /// Twenty calls that are delayed: every third one from one second after the start.
     pub fn delay(call: i64, duration: Duration) -> FailingSyscall {
         FailingSyscall { fault: SyscallFault::Delay(duration), ..FailingSyscall::with_errno(call, 0) }
     }
@@ -83,12 +85,12 @@
 }
 
 impl ClockStep {
-    /// A jump forward.
+    /// A jump forward by `by`.
     pub fn forward(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: false }
     }
 
-    /// A jump back.
+    /// A jump back by `by`.
     pub fn back(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: true }
     }
@@ -99,7 +101,7 @@
     }
 }
 
-/// How to start this test binary as a router with that plan.
+/// How to start this test binary as a router with these failures and clock steps.
 pub fn start(failures: &[FailingSyscall], steps: &[ClockStep]) -> Start {
     let plan: Vec<String> =
         failures.iter().map(FailingSyscall::encode).chain(steps.iter().map(ClockStep::encode)).collect();
@@ -113,19 +115,21 @@
     }
 }
 
-/// The same as a command, which still needs the variables of a router's configuration.
+/// The command that starts such a router. It still needs the environment variables of the router's configuration.
 pub fn command(start: &Start) -> Command {
     let mut command = Command::new(&start.binary);
     command.args(&start.arguments).envs(start.variables.iter().cloned()).stdout(Stdio::null());
     command
 }
 
-/// The body of the test `router_process`: serves until it gets a signal if this process has a plan, else does nothing.
+/// The body of the test `router_process`. If this process has a plan it serves as a router until it gets a signal,
+/// otherwise it does nothing.
 pub fn serve_if_planned() {
     let Ok(plan) = std::env::var(PLAN_VARIABLE) else { return };
     let started_at = Instant::now();
     let (failures, mut steps) = read_plan(&plan);
-    // Steps due at once come before any reading of the clock: a process that starts with a wrong one.
+    // Steps that are due at once are made before the clock is read for the first time, so that the process starts with a
+    // wrong clock.
     step_clock(&mut steps, Duration::ZERO);
     std::thread::spawn(move || {
         while !steps.is_empty() {
@@ -135,14 +139,14 @@
     });
     let calls: Vec<i64> = failures.iter().map(|failure| failure.call).collect();
     let (sender, receiver) = std::sync::mpsc::channel();
-    // Started before there is a filter, so that its own calls are not watched.
+    // This thread is started before the filter is installed, so that its own calls are not intercepted.
     std::thread::spawn(move || supervise(receiver, failures, started_at));
     let done = std::thread::spawn(move || {
         if !calls.is_empty() {
             sender.send(install_filter(&calls)).expect("the supervisor waits");
         }
         let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-        // As in the program: a failure to log is not reported on standard error, which would panic.
+        // As in the program, a failed log write is not reported on standard error, since that would panic.
         log.with_max_level(tracing::Level::INFO).log_internal_errors(false).init();
         let launch = Launch::read_at_start(|key| std::env::var(key).ok(), None);
         let launch = launch.map_err(|errors| errors.to_string());
@@ -155,7 +159,8 @@
     std::process::exit(i32::from(done.is_err()));
 }
 
-/// The failures and clock steps of a plan; a step is when it is due, and by how many milliseconds the clock jumps.
+/// Parses the failures and clock steps of a plan. A step consists of when it is due, and by how many milliseconds the clock
+/// jumps.
 fn read_plan(plan: &str) -> (Vec<FailingSyscall>, Vec<(Duration, i64)>) {
     let (mut failures, mut steps) = (Vec::new(), Vec::new());
     for line in plan.split(';').filter(|line| !line.is_empty()) {
@@ -178,7 +183,7 @@
     (failures, steps)
 }
 
-/// Makes the steps that are due, and drops them.
+/// Makes the clock steps that are due, and removes them from the list.
 fn step_clock(steps: &mut Vec<(Duration, i64)>, elapsed: Duration) {
     steps.retain(|&(after, by)| {
         let due = after <= elapsed;
@@ -191,13 +196,13 @@
 
 // ---- the wall clock
 
-/// By how much this process's wall clock is ahead of the system's.
+/// The milliseconds by which this process's wall clock is ahead of the system's.
 static WALL_CLOCK_OFFSET_MS: AtomicI64 = AtomicI64::new(0);
 
-/// In place of the C library's, for all of this binary.
+/// Replaces the C library's function in all of this binary.
 #[unsafe(no_mangle)]
 extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> libc::c_int {
-    // SAFETY: the arguments are passed on as they came; what is written is read back where the call succeeded.
+    // SAFETY: the caller's arguments are passed on unchanged, and `time` is read only after the call has written to it.
     unsafe {
         let done = libc::syscall(libc::SYS_clock_gettime, clock, time) as libc::c_int;
         let ahead = WALL_CLOCK_OFFSET_MS.load(Ordering::Relaxed);
@@ -210,7 +215,7 @@
     }
 }
 
-/// Signals are for the router's thread: no other thread of this process may receive them.
+/// Blocks signals in this process if it is a router, so that only the router's thread receives them.
 extern "C" fn block_signals() {
     if std::env::var_os(PLAN_VARIABLE).is_none() {
         return;
@@ -226,14 +231,14 @@
     }
 }
 
-/// Runs before any thread is started.
+/// The loader runs this function before any thread is started.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static BLOCK_SIGNALS: extern "C" fn() = block_signals;
 
-// ---- calls
+// ---- system calls
 
-/// The kernel's question about a call: `struct seccomp_notif`.
+/// The kernel's question about a system call: `struct seccomp_notif`.
 #[repr(C)]
 struct Notification {
     id: u64,
@@ -245,7 +250,7 @@
     arguments: [u64; 6],
 }
 
-/// The answer to it: `struct seccomp_notif_resp`.
+/// The answer to such a question: `struct seccomp_notif_resp`.
 #[repr(C)]
 struct Response {
     id: u64,
@@ -256,13 +261,13 @@
 
 /// The ioctl that receives a question, `SECCOMP_IOCTL_NOTIF_RECV`.
 const RECEIVE_NOTIFICATION: libc::Ioctl = 0xc050_2100_u32 as libc::Ioctl;
-/// The ioctl that answers it, `SECCOMP_IOCTL_NOTIF_SEND`.
+/// The ioctl that answers a question, `SECCOMP_IOCTL_NOTIF_SEND`.
 const SEND_RESPONSE: libc::Ioctl = 0xc018_2101_u32 as libc::Ioctl;
-/// The flag of an answer that lets the call go on, `SECCOMP_USER_NOTIF_FLAG_CONTINUE`.
+/// The flag of an answer that lets the kernel carry out the call, `SECCOMP_USER_NOTIF_FLAG_CONTINUE`.
 const CONTINUE_CALL: u32 = 1;
 
-/// Has the kernel ask about these calls of the current thread and of those that it starts; the descriptor from which the
-/// questions are read.
+/// Has the kernel ask about these system calls of the current thread and of threads that it starts. Returns the descriptor
+/// from which the questions are read.
 fn install_filter(calls: &[i64]) -> i32 {
     let step = |code: u32, jt: u8, jf: u8, k: u32| libc::sock_filter { code: code as u16, jt, jf, k };
     let load = libc::BPF_LD | libc::BPF_W | libc::BPF_ABS;
@@ -275,7 +280,7 @@
     program.push(step(answer, 0, 0, libc::SECCOMP_RET_ALLOW));
     program.push(step(answer, 0, 0, libc::SECCOMP_RET_USER_NOTIF));
     let program = libc::sock_fprog { len: program.len() as u16, filter: program.as_mut_ptr() };
-    // SAFETY: the program lives until the kernel has copied it.
+    // SAFETY: the filter program lives until the kernel has copied it.
     unsafe {
         assert_eq!(libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0), 0);
         let (mode, flags) = (libc::SECCOMP_SET_MODE_FILTER, libc::SECCOMP_FILTER_FLAG_NEW_LISTENER);
@@ -285,13 +290,14 @@
     }
 }
 
-/// Answers the kernel's questions: a call goes on, fails or is delayed, as the failures have it.
+/// Answers the kernel's questions. Each call is carried out, fails or is delayed, as `failures` say.
 fn supervise(listener: Receiver<i32>, failures: Vec<FailingSyscall>, started_at: Instant) {
     let Ok(listener) = listener.recv() else { return };
     let mut remaining: Vec<(FailingSyscall, u64, u64)> =
         failures.into_iter().map(|f| (f, 0, f.count)).collect();
     loop {
-        // SAFETY: both structs are the kernel's, of the size that the requests name, and zeroed as it asks.
+        // SAFETY: both structs have the kernel's layout and the size that the ioctl numbers encode. The notification is
+        // zeroed, as the kernel requires.
         unsafe {
             let mut notification: Notification = std::mem::zeroed();
             if libc::ioctl(listener, RECEIVE_NOTIFICATION, &mut notification) != 0 {
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -1,5 +1,5 @@
-//! The migration: routers without gossip and routers with it, in front of the same members. `ladderpass-invariants` checks
-//! what ran, and neither kind may starve the other.
+//! The migration to gossip: routers without gossip and routers with it, in front of the same members.
+//! `ladderpass-invariants` checks what ran, and neither kind of router may starve the other.
 
 mod one_at_a_time;
 
@@ -14,7 +14,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 
-/// A kind is starved if it has less than this part of the other's good answers.
+/// A kind of router is starved if it has less than this share of the other kind's good answers.
 const MIN_SHARE_OF_OTHER: f64 = 0.5;
 
 /// Addresses that were free a moment ago.
@@ -24,15 +24,15 @@
     sockets.iter().map(|socket| socket.local_addr().expect("bound")).collect()
 }
 
-/// Four routers, those in `quiet` without gossip, with `rate` RPCs per second each; `greedy` more per second come from
-/// clients that go straight to the members.
+/// A drill of four routers with `rate` RPCs per second each. The routers in `quiet` have no gossip. `greedy` RPCs per
+/// second more come from clients that connect directly to the members.
 fn drill(quiet: &[&str], rate: f64, greedy: f64) -> Drill {
     let mut scenario = Scenario { cores: 2, ..Scenario::default() };
     scenario.methods.iter_mut().for_each(|method| method.work_ms = 20.0);
     Drill {
         phases: vec![Phase { seconds: 3.0, rate_per_second: rate * 4.0 }],
-        // No more connections than are in use all the time: the router closes one that is idle for two seconds, and the
-        // load might choose it for an RPC at that moment.
+        // No more connections than are in use all the time. The router closes a connection that is idle for two seconds,
+        // and the load might choose that connection for an RPC at that moment.
         clients: if rate < 100.0 { (rate * 4.0 / 3.0) as usize } else { 1200 },
         connection_skew: 1.0,
         roaming: 0.0,
@@ -62,6 +62,7 @@
 
 const WITHOUT_GOSSIP: [&str; 2] = ["r0", "r1"];
 
+/// The counts of the routers without gossip, and those of the routers with gossip.
 fn counts_by_kind(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
     [played.counts_of(drill, &[0, 1]), played.counts_of(drill, &[2, 3])]
 }
@@ -71,7 +72,8 @@
     more == 0.0 || fewer / more < MIN_SHARE_OF_OTHER
 }
 
-/// A kind is harmed if less than this part of its RPCs is answered well, though the members had the capacity.
+/// A kind of router is harmed if less than this share of its RPCs is answered well although the members have the capacity
+/// for all of them.
 const MIN_GOOD_SHARE: f64 = 0.9;
 
 fn is_harmed(counts: &Counts) -> bool {
@@ -89,7 +91,7 @@
     }
 }
 
-/// At twice the capacity of the members.
+/// The load is twice the capacity of the members.
 #[test]
 fn under_overload_neither_kind_of_router_starves_the_other() {
     let _turn = wait_for_turn();
@@ -100,8 +102,8 @@
     assert!(!is_starved(&without_gossip, &with_gossip), "old {without_gossip:?}, new {with_gossip:?}");
 }
 
-/// The same clients in front of routers of both kinds, and beside clients without any limit: the check tells these cases
-/// apart, so it would notice a kind of router that is greedy.
+/// The same load in front of routers of both kinds, first alone, and then beside clients that send to the members without
+/// any limit. The check tells the two cases apart, so it would notice a kind of router that is greedy.
 #[test]
 fn the_check_tells_greedy_clients_from_routers_of_the_other_kind() {
     let _turn = wait_for_turn();
@@ -115,7 +117,8 @@
     }
 }
 
-/// The test is the other router: it receives what members reported to the router, and the router ignores strangers.
+/// The test plays the other router. It receives what the router has observed of members, and then sends the router invalid
+/// messages, from its own address and from an unknown one. The router still serves all RPCs.
 #[test]
 fn a_router_with_gossip_publishes_what_it_observed_of_members_and_ignores_noise() {
     let _turn = wait_for_turn();
@@ -137,7 +140,7 @@
     load::run(&scenario, router.address, &plan, |_| {}).expect("load");
     let mut buffer = [0; 512];
     let (count, from) = loop {
-        // It also sends messages of the membership protocol.
+        // The router also sends messages of the membership protocol.
         let (count, from) = test_socket.recv_from(&mut buffer).expect("it publishes within seconds");
         if buffer[0] != ladderpass_membership::FIRST_BYTE {
             break (count, from);
@@ -151,7 +154,7 @@
         !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
         "{updates:?}"
     );
-    // Noise, from the other router and from a stranger, changes nothing.
+    // Invalid messages, from the other router and from an unknown sender, change nothing.
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
     for socket in [&test_socket, &stranger] {
         for noise in [&b""[..], b"\xff\xfe", b"AAAAAAAAAAAAAAAAAAAAAAA", &[b'B'; 512]] {
