--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -7,7 +7,7 @@
 /// Writes a file that no other test uses.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
-    std::fs::write(&path, text).expect("writes");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
 
@@ -18,7 +18,8 @@
     for key in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG", "RUST_LOG"] {
         command.env_remove(key);
     }
-    let output = command.envs(variables.iter().copied()).args(arguments).output().expect("it starts");
+    let output =
+        command.envs(variables.iter().copied()).args(arguments).output().expect("the process starts");
     let lines = String::from_utf8_lossy(&output.stderr).lines().map(str::to_owned).collect();
     (lines, output)
 }
@@ -40,7 +41,7 @@
 #[test]
 fn missing_variables_do_not_hide_errors_in_the_operator_file() {
     let path = write_file("operator", OPERATOR_FILE);
-    let path_text = path.to_str().expect("plain");
+    let path_text = path.to_str().expect("the path is UTF-8");
     let (errors, output) = run(&[], &["check", "--operator", path_text]);
     assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0));
     let variables = ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"];
@@ -58,7 +59,7 @@
         assert_eq!(errors.iter().filter(matches_expected).count(), 1, "{expected:?}: {errors:#?}");
     }
     assert_eq!(errors.len(), variables.len() + EXPECTED_ERRORS.len(), "{errors:#?}");
-    std::fs::remove_file(path).expect("its own file");
+    std::fs::remove_file(path).expect("the temporary file is removed");
 }
 
 #[test]
@@ -70,7 +71,7 @@
             "known": {"generation": 1, "instances": []}, "settings": {}}"#,
     );
     let (operator_text, platform_text) =
-        (operator.to_str().expect("plain"), platform.to_str().expect("plain"));
+        (operator.to_str().expect("the path is UTF-8"), platform.to_str().expect("the path is UTF-8"));
     let variables = [("RELAY_NAME", "r"), ("RELAY_LISTEN", "nowhere"), ("RELAY_DISCOVERY", "127.0.0.1:1")];
     let variables = [&variables[..], &[("RELAY_CONFIG", platform_text)]].concat();
     let (errors, output) = run(&variables, &["--operator", operator_text, "check"]);
@@ -93,7 +94,7 @@
     let (log, output) = run(&variables, &["--operator", operator_text]);
     assert_eq!((output.status.code(), log.len()), (Some(1), errors.len()), "{log:#?}");
     for path in [operator, platform] {
-        std::fs::remove_file(path).expect("its own file");
+        std::fs::remove_file(path).expect("the temporary file is removed");
     }
 }
 
--- a/crates/ladderpass/tests/common/fake_servers.rs
+++ b/crates/ladderpass/tests/common/fake_servers.rs
@@ -28,8 +28,8 @@
     answer: Answer,
     statements: Sender<(usize, String)>,
 ) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let statements = statements.clone();
@@ -81,8 +81,8 @@
 
 /// Starts a fake discovery and returns its address. Each watch gets this line, and then an empty line every second.
 pub fn fake_discovery(line: String) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let line = format!("{line}\n");
@@ -159,7 +159,8 @@
     let config_file = temp_file(&change(router_config(members)));
     let address = router_address();
     let discovery = fake_discovery(NO_CHANGE.to_owned());
-    let process = router_command(&address, &discovery, &config_file).stderr(log).spawn().expect("it starts");
+    let process =
+        router_command(&address, &discovery, &config_file).stderr(log).spawn().expect("the process starts");
     let router = Router { process, address, config_file, statements };
     let mut client = router.client();
     assert_eq!(execute(&mut client, ""), (vec![b'I', b'Z'], Vec::new()));
@@ -170,7 +171,7 @@
     /// Sends the process the signal with this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("sh").success());
+        assert!(Command::new("sh").args(["-c", &kill]).status().expect("the shell starts").success());
     }
 
     /// Connects a client, and completes its startup.
@@ -181,9 +182,9 @@
                 Err(_) => thread::sleep(Duration::from_millis(5)),
             }
         };
-        stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a time-out");
+        stream.set_read_timeout(Some(Duration::from_secs(60))).expect("the read timeout is set");
         stream.write_all(&startup()).expect("the router reads");
-        while next_frame(&mut stream).expect("the startup is answered").0 != b'Z' {}
+        while next_frame(&mut stream).expect("the startup message is answered").0 != b'Z' {}
         stream
     }
 }
@@ -193,7 +194,7 @@
     client.write_all(&query(statement)).expect("the router reads");
     let (mut kinds, mut last_body) = (Vec::new(), Vec::new());
     while kinds.last() != Some(&b'Z') {
-        let (kind, body) = next_frame(client).expect("a whole answer");
+        let (kind, body) = next_frame(client).expect("a complete answer");
         kinds.push(kind);
         if matches!(kind, b'D' | b'E') {
             last_body = body;
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -94,7 +94,7 @@
         })
     };
     let launch = Launch::read(variable, None);
-    std::fs::remove_file(&path).expect("its own file");
+    std::fs::remove_file(&path).expect("the temporary file is removed");
     launch.unwrap_or_else(|error| panic!("{error}"))
 }
 
@@ -108,7 +108,7 @@
 
 /// A free address for a router that is about to start. The system does not give its port away before the router binds it.
 pub fn router_address() -> String {
-    ladderpass_testbed::router::own_address().expect("a port").to_string()
+    ladderpass_testbed::router::own_address().expect("a free port").to_string()
 }
 
 /// A read or a write with this id, for a group of members. Its deadline is `wait_ms` milliseconds after it is sent.
@@ -148,7 +148,8 @@
 
 /// The process id and the secret key in the answer to a startup message.
 pub fn cancel_key(frames: &[(u8, Vec<u8>)]) -> (u32, u32) {
-    let (_, body) = frames.iter().find(|(kind, _)| *kind == b'K').expect("the welcome has a key");
+    let (_, body) =
+        frames.iter().find(|(kind, _)| *kind == b'K').expect("the answer to the startup message has a key");
     let number = |from: usize| u32::from_be_bytes(body[from..from + 4].try_into().expect("four bytes"));
     (number(0), number(4))
 }
@@ -209,7 +210,7 @@
 
 /// Unix time in milliseconds.
 pub fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64
 }
 
 /// Closes a connection so that the other side sees the close at once. After a drop it may see the close later: a child
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -49,13 +49,14 @@
     for _ in 0..THREADS {
         let kinds = [MemberKind::Leader, MemberKind::Follower, MemberKind::Silent, MemberKind::NotAccepting];
         let listeners =
-            kinds.map(|kind| (kind, TcpListener::bind(unique_loopback_address()).expect("a port")));
+            kinds.map(|kind| (kind, TcpListener::bind(unique_loopback_address()).expect("a free port")));
         for (kind, listener) in &listeners {
-            addresses_by_kind[*kind as usize].push(listener.local_addr().expect("an address"));
+            addresses_by_kind[*kind as usize]
+                .push(listener.local_addr().expect("the listener has an address"));
         }
         let health_checks = health_checks.clone();
         // The thread runs until the test's process ends.
-        thread::spawn(move || serve_members(&listeners, &health_checks).expect("it can"));
+        thread::spawn(move || serve_members(&listeners, &health_checks).expect("serving succeeds"));
     }
     // In each group the leader and the first follower serve, and the second follower hangs.
     let kind = |n: usize| match n % 6 {
@@ -180,7 +181,7 @@
     command.env("RELAY_NAME", format!("n{nth}")).env("RELAY_LISTEN", &address).env("RUST_LOG", "error");
     command.env("RELAY_DISCOVERY", discovery).env("RELAY_CONFIG", &config_file).stdin(Stdio::null());
     let started_at = Instant::now();
-    let process = command.spawn().expect("it starts");
+    let process = command.spawn().expect("the process starts");
     let never = Duration::MAX;
     let mut measurement = StartMeasurement {
         process,
@@ -197,7 +198,7 @@
         let group = 1 + (nth * 7 + nth_try) % (MEMBERS / 3);
         let read = statement(&format!("{nth}x{nth_try}"), "read", 4000, &group.to_string());
         if let Ok(mut stream) = TcpStream::connect(&address) {
-            stream.set_read_timeout(Some(Duration::from_secs(5))).expect("it can");
+            stream.set_read_timeout(Some(Duration::from_secs(5))).expect("the read timeout is set");
             let _ = stream.write_all(&[startup(), query(&read)].concat());
             let mut ready = 0;
             while let Some((kind, _)) = next_frame(&mut stream) {
@@ -233,7 +234,12 @@
 fn summarize(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let quantile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
-    format!("{:.1} (median), {:.1} (nine in ten), {:.1} (most)", quantile(0.5), quantile(0.9), quantile(1.0))
+    format!(
+        "{:.1} (median), {:.1} (90th percentile), {:.1} (maximum)",
+        quantile(0.5),
+        quantile(0.9),
+        quantile(1.0)
+    )
 }
 
 #[test]
@@ -245,9 +251,11 @@
     let binary: PathBuf = arguments.next().unwrap_or(env!("CARGO_BIN_EXE_ladderpass")).into();
     let members = start_members();
     let config = Arc::new(grouped_router_config(&members.addresses, sockets));
-    let silent_discovery = TcpListener::bind(unique_loopback_address()).expect("a port");
-    let silent_discovery =
-        (silent_discovery.local_addr().expect("an address").to_string(), Some(silent_discovery));
+    let silent_discovery = TcpListener::bind(unique_loopback_address()).expect("a free port");
+    let silent_discovery = (
+        silent_discovery.local_addr().expect("the listener has an address").to_string(),
+        Some(silent_discovery),
+    );
     let down_address = router_address();
     let addresses: Vec<String> = (0..count).map(|_| router_address()).collect();
     for (discovery_state, (discovery, _)) in [("down", &(down_address, None)), ("silent", &silent_discovery)]
@@ -262,20 +270,22 @@
             .collect();
         thread::sleep(Duration::from_secs(1));
         let health_checks = members.health_checks.load(Ordering::Relaxed) - before;
-        let measurements: Vec<StartMeasurement> =
-            measurements.into_iter().map(|measurement| measurement.join().expect("it is measured")).collect();
+        let measurements: Vec<StartMeasurement> = measurements
+            .into_iter()
+            .map(|measurement| measurement.join().expect("the measuring thread ends"))
+            .collect();
         let summary = |of: fn(&StartMeasurement) -> f64| summarize(measurements.iter().map(of).collect());
         println!("{count} processes of {sockets} descriptors, discovery {discovery_state}");
-        println!("  welcomed, ms: {}", summary(|measurement| measurement.welcomed.as_secs_f64() * 1e3));
+        println!("  startup, ms:  {}", summary(|measurement| measurement.welcomed.as_secs_f64() * 1e3));
         println!("  served, ms:   {}", summary(|measurement| measurement.served.as_secs_f64() * 1e3));
         println!("  CPU, ms:      {}", summary(|measurement| measurement.cpu.as_secs_f64() * 1e3));
         println!("  memory, MB:   {}", summary(|measurement| measurement.resident_mb));
-        println!("  probes in the first second: {health_checks}");
+        println!("  health checks in the first second: {health_checks}");
         let ready_count =
             measurements.iter().filter(|measurement| measurement.served <= MAX_TIME_TO_SERVE).count();
         assert!(
             ready_count * 10 >= count * 9,
-            "{ready_count} of {count} are ready within {MAX_TIME_TO_SERVE:?}, discovery {discovery_state}"
+            "{ready_count} of {count} routers serve a client within {MAX_TIME_TO_SERVE:?}, discovery {discovery_state}"
         );
     }
 }
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -273,7 +273,11 @@
             self.now = self.now.max(next);
             iterations_at_this_time = if self.now == at { iterations_at_this_time + 1 } else { 0 };
             at = self.now;
-            assert!(iterations_at_this_time < 10_000, "it spins at {} ms", self.ms(at));
+            assert!(
+                iterations_at_this_time < 10_000,
+                "the simulation makes no progress at {} ms",
+                self.ms(at)
+            );
             while let Some((&key, _)) = self.events.first_key_value()
                 && key.0 <= self.now
             {
--- a/crates/ladderpass/tests/descriptor_limit/main.rs
+++ b/crates/ladderpass/tests/descriptor_limit/main.rs
@@ -12,10 +12,10 @@
 
 /// Kinds of idle clients, each with its description.
 const IDLE_CLIENTS: [(&str, ClientBytes); 4] = [
-    ("say nothing", |_| Vec::new()),
+    ("send nothing", |_| Vec::new()),
     ("are idle after their startup", |_| startup()),
     ("stop within a statement", |_| [startup().as_slice(), b"Q\0\0"].concat()),
-    ("do each of these", |nth| {
+    ("do each of these in turn", |nth| {
         [Vec::new(), startup(), [startup().as_slice(), b"Q\0\0"].concat()][nth % 3].clone()
     }),
 ];
@@ -44,19 +44,23 @@
                 machine.discovery = Discovery::Up;
                 let returned_at = machine.now;
                 machine.run_with_clients(86, 116, Span::from_millis(200));
-                let listed_at =
-                    machine.list_received_at.unwrap_or_else(|| panic!("no list within 6 s: {case}"));
+                let listed_at = machine
+                    .list_received_at
+                    .unwrap_or_else(|| panic!("discovery sent no list within 6 s of its return: {case}"));
                 machine.run_with_clients(116, 150, Span::from_millis(200));
                 let health_check_deadline = listed_at + Span::from_millis(1000);
                 let probed =
                     machine.health_checks.iter().any(|&(at, n)| n == 5 && at <= health_check_deadline);
-                assert!(probed, "the new member is not probed: {case}");
+                assert!(probed, "the new member got no health check: {case}");
                 let probed =
                     |n: usize| machine.health_checks.iter().any(|&(at, of)| of == n && at >= returned_at);
-                assert!((0..3).all(probed), "probes of the others have stopped: {case}");
+                assert!((0..3).all(probed), "health checks of the other members have stopped: {case}");
                 machine.run_for(Span::from_millis(2000));
                 let unserved = machine.unserved(150);
-                assert!(!limit_is_known || unserved.is_empty(), "not served: {unserved:?}: {case}");
+                assert!(
+                    !limit_is_known || unserved.is_empty(),
+                    "clients without a row: {unserved:?}: {case}"
+                );
             }
         }
     }
@@ -71,7 +75,7 @@
             let mut machine = machine(3, 1024, free);
             machine.idle_clients = Some(|_| startup());
             machine.run_for(Span::from_millis(400));
-            assert!(machine.free_descriptors == 0, "clients have all");
+            assert!(machine.free_descriptors == 0, "idle clients hold all descriptors");
             // Close the member connections that health checks have opened, so that idle clients take their descriptors.
             let member_connections: Vec<ConnectionId> = machine
                 .member_connections
@@ -84,12 +88,16 @@
                 machine.apply(Event::Closed(id));
             });
             machine.run_for(Span::from_millis(20));
-            assert!(machine.free_descriptors == 0, "clients have all");
+            assert!(machine.free_descriptors == 0, "idle clients hold all descriptors");
             let is_idle_client = |id: &ConnectionId| {
                 !machine.member_connections.contains_key(id) && !machine.watches.contains(id)
             };
-            let &client =
-                machine.open_connections.iter().rev().find(|id| is_idle_client(id)).expect("some client");
+            let &client = machine
+                .open_connections
+                .iter()
+                .rev()
+                .find(|id| is_idle_client(id))
+                .expect("an idle client is connected");
             machine.clients_by_connection.insert(client, 0);
             machine.receive(client, &query(&statement("7", method, 2000, "1")));
             machine.run_for(Span::from_millis(1000));
@@ -114,12 +122,15 @@
             machine.run_with_clients(10, 110, Span::from_millis(50));
             machine.run_for(Span::from_millis(2000));
             let unserved = machine.unserved(110);
-            assert!(unserved.is_empty(), "not served: {unserved:?}: {case}");
+            assert!(unserved.is_empty(), "clients without a row: {unserved:?}: {case}");
             let last_answer =
                 machine.answers.iter().filter(|(nth, _)| **nth < 10).map(|(_, (at, _))| *at).max();
-            let last_ms = machine.ms(last_answer.expect("all are served"));
-            assert!(last_ms < 1000.0, "the first are served after {last_ms} ms: {case}");
-            println!("{case}: first 10 served by {last_ms} ms, most descriptors {}", machine.max_open);
+            let last_ms = machine.ms(last_answer.expect("all first clients are served"));
+            assert!(last_ms < 1000.0, "the first ten clients are served only by {last_ms} ms: {case}");
+            println!(
+                "{case}: first 10 clients served by {last_ms} ms, at most {} descriptors open",
+                machine.max_open
+            );
         }
     }
 }
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -9,18 +9,18 @@
 pub fn read_cancel_key(client: &mut TcpStream) -> (u32, u32) {
     let mut frames = Vec::new();
     while frames.last().is_none_or(|(kind, _)| *kind != b'Z') {
-        frames.push(next_frame(client).expect("a welcome"));
+        frames.push(next_frame(client).expect("an answer to the startup message"));
     }
     cancel_key(&frames)
 }
 
 /// Sends a cancel request, and waits until its connection is closed without an answer: by then the router has handled it.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
-    let mut connection = TcpStream::connect(&harness.address).expect("it listens");
-    connection.set_read_timeout(Some(PATIENCE)).expect("it can");
+    let mut connection = TcpStream::connect(&harness.address).expect("the router listens");
+    connection.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
     connection.write_all(&cancel(key)).expect("the router reads");
     let mut answer = Vec::new();
-    connection.read_to_end(&mut answer).expect("it is closed");
+    connection.read_to_end(&mut answer).expect("the router closes the connection");
     assert_eq!(answer, b"");
 }
 
@@ -29,8 +29,8 @@
 #[test]
 fn an_rpc_cancelled_before_its_member_connection_is_established_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
-    let mut client = TcpStream::connect(&harness.address).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("it can");
+    let mut client = TcpStream::connect(&harness.address).expect("the router listens");
+    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
     client.write_all(&startup()).expect("the router reads");
     let key = read_cancel_key(&mut client);
     client.write_all(&query(&write_statement("gone"))).expect("the router reads");
@@ -38,7 +38,7 @@
     send_cancel_request(&harness, (key.0, key.1 ^ 1));
     send_cancel_request(&harness, key);
     assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "57014".to_owned()));
-    link.write_all(&welcome()).expect("it reads");
+    link.write_all(&welcome()).expect("the router reads");
     harness.idle_connections[0].push(link);
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
     let (id, link) = harness.next_rpc(0);
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -41,8 +41,8 @@
     fn connect(harness: &RouterHarness) -> Clients {
         let mut clients = Clients { streams: Vec::new(), cancel_keys: Vec::new() };
         for nth in 0..CLIENTS {
-            let mut stream = TcpStream::connect(&harness.address).expect("it listens");
-            stream.set_read_timeout(Some(PATIENCE)).expect("it can");
+            let mut stream = TcpStream::connect(&harness.address).expect("the router listens");
+            stream.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
             let text = statement(&nth.to_string(), if nth % 2 == 0 { "write" } else { "read" }, 60_000, "1");
             stream.write_all(&[startup(), query(&text)].concat()).expect("the router reads");
             if nth % 4 == 3 || nth % 16 == 0 {
@@ -58,7 +58,11 @@
         for (nth, key) in &self.cancel_keys {
             send_cancel_request(harness, *key);
             if !in_flight.contains(&nth.to_string()) {
-                let at = self.streams.iter().position(|(other, _)| other == nth).expect("it is there");
+                let at = self
+                    .streams
+                    .iter()
+                    .position(|(other, _)| other == nth)
+                    .expect("the client is in the list");
                 assert_eq!(read_answer(&mut self.streams[at].1), (b"EZ".to_vec(), "57014".to_owned()));
             }
         }
@@ -74,7 +78,7 @@
                 0 => close(stream),
                 1 => reset(stream),
                 _ => {
-                    stream.shutdown(std::net::Shutdown::Write).expect("it can");
+                    stream.shutdown(std::net::Shutdown::Write).expect("the write side is closed");
                     kept.push(stream);
                 }
             }
@@ -114,7 +118,7 @@
         }
         let counts: Vec<usize> = in_flight.iter().map(Vec::len).collect();
         assert!(counts.iter().sum::<usize>() < CLIENTS / 2 && counts[0] > 2 && counts[3] > 2, "{counts:?}");
-        assert!(unanswered[1].len() + unanswered[2].len() > 4, "some wait for their connection");
+        assert!(unanswered[1].len() + unanswered[2].len() > 4, "some RPCs wait for their connection");
         Members { unanswered, in_flight }
     }
 
@@ -125,7 +129,7 @@
             harness.answer_rpc(0, link);
         }
         for (_, mut link) in std::mem::take(&mut self.in_flight[3]) {
-            link.write_all(&error_response("53300")).expect("it reads");
+            link.write_all(&error_response("53300")).expect("the router reads");
             harness.idle_connections[3].push(link);
         }
         let late_connections: Vec<(usize, u16)> = [1, 2]
@@ -134,7 +138,7 @@
             .collect();
         for n in [1, 2] {
             for mut link in std::mem::take(&mut self.unanswered[n]) {
-                link.write_all(&welcome()).expect("it reads");
+                link.write_all(&welcome()).expect("the router reads");
                 harness.idle_connections[n].push(link);
             }
         }
@@ -143,7 +147,7 @@
 }
 
 fn peer_port(link: &TcpStream) -> u16 {
-    link.peer_addr().expect("its own").port()
+    link.peer_addr().expect("the peer has an address").port()
 }
 
 /// 2,000 clients disconnect in one burst, by a cancel request, a close, a reset or a half close. Of the six members two
@@ -165,7 +169,7 @@
     harness.pause();
     for (nth, mut stream) in last_moment_clients.into_iter().enumerate() {
         let text = statement(&format!("unsent-{nth}"), "read", 60_000, "1");
-        stream.write_all(&query(&text)).expect("the kernel takes it");
+        stream.write_all(&query(&text)).expect("the kernel buffers the bytes");
     }
     let _kept = clients.disconnect();
     let late_connections = members.answer(&mut harness);
@@ -187,6 +191,10 @@
             in_flight.push((id, link));
         }
     }
-    assert_eq!(late_attempts, LateAttempts::default(), "attempts begun more than 0.1 s after the leave");
+    assert_eq!(
+        late_attempts,
+        LateAttempts::default(),
+        "attempts that began after the clients had disconnected"
+    );
     harness.settle();
 }
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -14,12 +14,12 @@
     harness.assert_write_succeeds("1");
     let mut served_client = harness.client();
     harness.pause();
-    served_client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    served_client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
     close(served_client);
-    let mut new_client = TcpStream::connect(&harness.address).expect("it listens");
+    let mut new_client = TcpStream::connect(&harness.address).expect("the router listens");
     new_client
         .write_all(&[startup(), query(&write_statement("gone-too"))].concat())
-        .expect("the kernel takes it");
+        .expect("the kernel buffers the bytes");
     close(new_client);
     harness.resume();
     harness.assert_write_succeeds("2");
@@ -33,8 +33,8 @@
     harness.assert_write_succeeds("1");
     let mut client = harness.client();
     harness.pause();
-    client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
-    client.shutdown(std::net::Shutdown::Write).expect("it can");
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
+    client.shutdown(std::net::Shutdown::Write).expect("the write side is closed");
     harness.resume();
     harness.assert_write_succeeds("2");
     assert!(next_frame(&mut client).is_none());
@@ -49,7 +49,7 @@
     let mut client = harness.client();
     assert_eq!(execute(&mut client, "SELECT 1").1, "42601");
     harness.pause();
-    client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
     close(client);
     harness.resume();
     for id in ["2", "3", "4"] {
@@ -74,7 +74,7 @@
     let copy = copy_socket(&client);
     close(client);
     harness.settle();
-    link.write_all(&welcome()).expect("it reads");
+    link.write_all(&welcome()).expect("the router reads");
     harness.idle_connections[0].push(link);
     harness.assert_write_succeeds("1");
     drop(copy);
@@ -90,7 +90,9 @@
 /// router was not at fault, since no close had arrived.
 #[test]
 fn an_rpc_is_not_forwarded_after_its_clients_close_although_a_copy_of_the_socket_is_open() {
-    check_disconnect_before_member_connection(|client| Some(client.try_clone().expect("it can")));
+    check_disconnect_before_member_connection(|client| {
+        Some(client.try_clone().expect("the socket is cloned"))
+    });
 }
 
 /// RPCs are pending because the primary is at its concurrency limit. Those whose clients disconnect are not sent once there
@@ -109,10 +111,14 @@
         in_flight.push(attempt);
     }
     let attempted: Vec<usize> = in_flight.iter().map(|(id, _)| id.parse().expect("a number")).collect();
-    assert!((1..29).contains(&attempted.len()), "some are held, not {:?}", attempted);
+    assert!(
+        (1..29).contains(&attempted.len()),
+        "some but not all RPCs are pending, sent are {:?}",
+        attempted
+    );
     // All clients with pending RPCs disconnect but for the last one.
     let pending: Vec<usize> = (0..30).filter(|nth| !attempted.contains(nth)).collect();
-    let last = *pending.last().expect("some are held");
+    let last = *pending.last().expect("some RPCs are pending");
     let mut clients: Vec<Option<TcpStream>> = streams.into_iter().map(Some).collect();
     pending.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
     harness.settle();
@@ -121,7 +127,12 @@
         harness.answer_rpc(0, link);
     }
     let (id, link) = harness.next_rpc(0);
-    assert_eq!(id, last.to_string(), "of {} that left none is sent on", pending.len() - 1);
+    assert_eq!(
+        id,
+        last.to_string(),
+        "no RPC of the {} clients that disconnected is forwarded",
+        pending.len() - 1
+    );
     harness.answer_rpc(0, link);
     harness.assert_write_succeeds("after");
 }
--- a/crates/ladderpass/tests/disconnects/crossing_closes.rs
+++ b/crates/ladderpass/tests/disconnects/crossing_closes.rs
@@ -13,8 +13,8 @@
     let mut harness = start_harness(|config| config);
     harness.pause();
     for _ in 0..8 {
-        let stream = TcpStream::connect(&harness.address).expect("it listens");
-        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can");
+        let stream = TcpStream::connect(&harness.address).expect("the router listens");
+        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("the linger option is set");
     }
     harness.resume();
     harness.assert_write_succeeds("1");
@@ -28,7 +28,7 @@
     let mut client = harness.client();
     sleep(Duration::from_millis(1500));
     harness.pause();
-    client.write_all(&query(&write_statement("1"))).expect("the kernel takes it");
+    client.write_all(&query(&write_statement("1"))).expect("the kernel buffers the bytes");
     sleep(Duration::from_millis(1500));
     harness.resume();
     let (id, link) = harness.next_rpc(0);
@@ -45,7 +45,7 @@
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
     let (_, mut link) = harness.next_rpc(0);
     harness.pause();
-    link.write_all(&row(b"v", "leader", now_ms())).expect("the kernel takes it");
+    link.write_all(&row(b"v", "leader", now_ms())).expect("the kernel buffers the bytes");
     close(link);
     harness.resume();
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
@@ -61,7 +61,7 @@
     let (_, mut link) = harness.next_rpc(0);
     harness.pause();
     close(client);
-    link.write_all(&row(b"for another", "leader", now_ms())).expect("the kernel takes it");
+    link.write_all(&row(b"for another", "leader", now_ms())).expect("the kernel buffers the bytes");
     harness.resume();
     harness.idle_connections[0].push(link);
     let mut next = harness.client();
@@ -87,7 +87,7 @@
     let mut client = harness.client();
     harness.pause();
     harness.idle_connections[0].clear();
-    client.write_all(&query(&write_statement("2"))).expect("the kernel takes it");
+    client.write_all(&query(&write_statement("2"))).expect("the kernel buffers the bytes");
     harness.resume();
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "2");
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -32,7 +32,7 @@
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     harness.assert_write_succeeds("1");
     let mut waiting_clients: Vec<TcpStream> =
-        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("the router listens")).collect();
     waiting_clients.truncate(25);
     sleep(Duration::from_millis(200));
     waiting_clients.clear();
@@ -46,7 +46,7 @@
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
     let waiting_clients: Vec<TcpStream> =
-        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("the router listens")).collect();
     sleep(Duration::from_millis(100));
     for (nth, client) in clients.iter_mut().enumerate() {
         client.write_all(&query(&statement(&nth.to_string(), "write", 5000, "1"))).expect("the router reads");
@@ -69,19 +69,20 @@
         let pid = harness.process.id().to_string();
         let status =
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
-        assert!(status.expect("util-linux is there").success());
+        assert!(status.expect("prlimit of util-linux is installed").success());
     };
     // Idle clients are closed meanwhile, so that no client is left that the router could close to free a descriptor.
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
-    let lowest_unused =
-        (0..).find(|n| !PathBuf::from(format!("{descriptor_folder}/{n}")).exists()).expect("few are open");
+    let lowest_unused = (0..)
+        .find(|n| !PathBuf::from(format!("{descriptor_folder}/{n}")).exists())
+        .expect("some descriptor is unused");
     set_descriptor_limit(lowest_unused);
     for nth in 0..4 {
         let started_at = Instant::now();
         assert_eq!(execute(&mut client, &statement(&nth.to_string(), "write", 60_000, "1")).1, "53300");
-        assert!(started_at.elapsed() < Duration::from_secs(5), "its time was waited for");
+        assert!(started_at.elapsed() < Duration::from_secs(5), "the RPC was rejected only after 5 s");
     }
     set_descriptor_limit(1024);
     close(client);
@@ -100,11 +101,12 @@
         |command| run_in_shell(&shell, command),
     );
     harness.pause();
-    (0..100).for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel takes it")));
+    (0..100)
+        .for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel completes the connect")));
     harness.resume();
     harness.settle();
-    let log_text = std::fs::read_to_string(&log).expect("its log");
-    std::fs::remove_file(log).expect("its own file");
+    let log_text = std::fs::read_to_string(&log).expect("the log is readable");
+    std::fs::remove_file(log).expect("the temporary file is removed");
     assert!(!log_text.contains("Too many open files"), "{log_text}");
 }
 
@@ -119,16 +121,19 @@
             |config| config,
             |command| run_in_shell(&shell, command),
         );
-        let discovery_address = harness.discovery.local_addr().expect("an address");
+        let discovery_address = harness.discovery.local_addr().expect("the listener has an address");
         (harness.discovery, harness.watch) = (bind_listener(), None);
         let stop = Arc::new(AtomicBool::new(false));
         let idle_clients = connect_idle_clients(harness.address.clone(), stop.clone());
         sleep(Duration::from_millis(4500));
-        harness.discovery = TcpListener::bind(discovery_address).expect("nobody else took it");
+        harness.discovery = TcpListener::bind(discovery_address).expect("the address is still free");
         let watch_connection = accept_connection_within(&harness.discovery, Duration::from_secs(6));
-        assert!(watch_connection.is_some(), "discovery is not called within 6 s, {count} descriptors");
+        assert!(
+            watch_connection.is_some(),
+            "the router did not connect to discovery within 6 s, {count} descriptors"
+        );
         stop.store(true, Ordering::Relaxed);
-        idle_clients.join().expect("it ends");
+        idle_clients.join().expect("the thread does not panic");
     }
 }
 
@@ -144,10 +149,10 @@
                 Err(fault) => fault.kind() == ErrorKind::WouldBlock,
             });
             while idle.len() < 120 {
-                let mut stream = TcpStream::connect(&address).expect("it listens");
-                stream.set_nonblocking(true).expect("it can");
+                let mut stream = TcpStream::connect(&address).expect("the router listens");
+                stream.set_nonblocking(true).expect("non-blocking mode is set");
                 if idle.len().is_multiple_of(2) {
-                    stream.write_all(&startup()).expect("the kernel takes it");
+                    stream.write_all(&startup()).expect("the kernel buffers the bytes");
                 }
                 idle.push(stream);
             }
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -20,7 +20,7 @@
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("2"))).expect("the router reads");
-    assert_eq!(harness.next_rpc(1).0, "2", "it stands elsewhere now");
+    assert_eq!(harness.next_rpc(1).0, "2", "the RPC goes to the new address of the primary");
     harness.watch = None;
     harness.open_watch();
 }
@@ -51,7 +51,7 @@
     let second = accept_connection(&harness.discovery);
     assert!(
         started_at.elapsed() < Duration::from_millis(4000),
-        "asked again after {:?}",
+        "the second watch was opened after {:?}",
         started_at.elapsed()
     );
     read_watch_request(&second);
@@ -59,7 +59,7 @@
     read_watch_request(&third);
     assert!(
         started_at.elapsed() < Duration::from_millis(5500),
-        "a third time after {:?}",
+        "the third watch was opened after {:?}",
         started_at.elapsed()
     );
 }
@@ -71,8 +71,8 @@
     let started_at = Instant::now();
     harness.send_watch_bytes(b"{\"generation\":2,\n\"reset\":false,\n");
     while accept_connection_within(&harness.discovery, Duration::from_millis(300)).is_none() {
-        assert!(started_at.elapsed() < Duration::from_secs(6), "asked again");
-        let watch = harness.watch.as_mut().expect("open");
+        assert!(started_at.elapsed() < Duration::from_secs(6), "no further watch was opened within 6 s");
+        let watch = harness.watch.as_mut().expect("the watch is open");
         let _ = watch.write_all(b"1\r\n\n\r\n");
     }
 }
@@ -83,13 +83,14 @@
 #[test]
 fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
-    let config_text = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let config_text =
+        std::fs::read_to_string(&harness.config_file).expect("the configuration file is readable");
     let (silent, last) = (bind_listener(), bind_listener());
-    let address_of = |l: &TcpListener| l.local_addr().expect("an address").to_string();
+    let address_of = |l: &TcpListener| l.local_addr().expect("the listener has an address").to_string();
     for new_address in [address_of(&silent), address_of(&last)] {
         let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
         std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
-            .expect("written");
+            .expect("the configuration is written");
         harness.signal(Signal::SIGHUP);
         close(accept_connection(if new_address == address_of(&silent) { &silent } else { &last }));
         harness.settle();
@@ -99,7 +100,7 @@
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
-    assert_eq!(harness.next_rpc(1).0, "1", "the watch of before serves until the new one answers");
+    assert_eq!(harness.next_rpc(1).0, "1", "the previous watch is used until the new address answers");
     harness.discovery = last;
     harness.open_watch();
     let back = instance(0, &harness.member_address(0), "SERVING");
@@ -115,18 +116,19 @@
 fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
     let new_discovery = bind_listener();
-    let new_address = new_discovery.local_addr().expect("an address").to_string();
-    let config_text = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let new_address = new_discovery.local_addr().expect("the listener has an address").to_string();
+    let config_text =
+        std::fs::read_to_string(&harness.config_file).expect("the configuration file is readable");
     let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
     std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
-        .expect("written");
+        .expect("the configuration is written");
     harness.signal(Signal::SIGHUP);
     let mut first = accept_connection(&new_discovery);
     read_watch_request(&first);
-    first.write_all(WATCH_HEAD).expect("it reads");
+    first.write_all(WATCH_HEAD).expect("the router reads");
     let started_at = Instant::now();
     while accept_connection_within(&new_discovery, Duration::from_millis(300)).is_none() {
-        assert!(started_at.elapsed() < Duration::from_secs(6), "asked again");
+        assert!(started_at.elapsed() < Duration::from_secs(6), "no further watch was opened within 6 s");
         let _ = first.write_all(b"1\r\n\n\r\n");
     }
 }
@@ -154,7 +156,10 @@
         match harness.next_rpc_within(usize::from(accepted), Duration::from_millis(500)) {
             Some((_, link)) if !accepted => harness.answer_rpc(0, link),
             Some(_) => return,
-            None => assert!(started_at.elapsed() < Duration::from_secs(14), "refused for ever"),
+            None => assert!(
+                started_at.elapsed() < Duration::from_secs(14),
+                "the lower generation is still rejected after 14 s"
+            ),
         }
         harness.open_watch();
     }
@@ -194,11 +199,11 @@
     let draining = instance(1, &harness.member_address(1), "DRAINING");
     harness.send_listing(&draining, false);
     let (id, link) = harness.next_rpc(0);
-    assert_eq!(id, "1", "the primary has it");
+    assert_eq!(id, "1", "the RPC goes to the primary");
     let _ = unanswered.write_all(&welcome());
     let mut rest = Vec::new();
     let _ = unanswered.read_to_end(&mut rest);
-    assert!(!rest.contains(&b'Q'), "nothing goes to the one that drains");
+    assert!(!rest.contains(&b'Q'), "the draining member gets no RPC");
     harness.answer_rpc(0, link);
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -36,12 +36,12 @@
     mut bytes: &[u8],
     is_half_close: bool,
 ) -> Option<TcpStream> {
-    client.set_nonblocking(true).expect("it can");
+    client.set_nonblocking(true).expect("non-blocking mode is set");
     while let Ok(count @ 1..) = client.write(bytes) {
         bytes = &bytes[count..];
         harness.settle();
     }
-    client.shutdown(std::net::Shutdown::Write).expect("it can");
+    client.shutdown(std::net::Shutdown::Write).expect("the write side is closed");
     let kept = Some(client).filter(|_| is_half_close);
     sleep(Duration::from_millis(120));
     harness.settle();
@@ -77,7 +77,7 @@
     let (id, mut link) = harness.next_rpc(1);
     assert_eq!(id, "first");
     let _kept = send_and_disconnect(&harness, client, &later_statements(0, 1000), true);
-    link.write_all(&error_response("53300")).expect("it reads");
+    link.write_all(&error_response("53300")).expect("the router reads");
     assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
 }
 
@@ -88,7 +88,7 @@
     for (count, all_served) in [(60, true), (160, false)] {
         let mut harness = start_harness(|config| config);
         let mut client = harness.client();
-        let mut writer = client.try_clone().expect("it can");
+        let mut writer = client.try_clone().expect("the socket is cloned");
         let bytes = later_statements(0, count);
         let writing = std::thread::spawn(move || writer.write_all(&bytes));
         let reading = std::thread::spawn(move || {
@@ -100,8 +100,8 @@
                 harness.answer_rpc(0, link);
             }
         }
-        writing.join().expect("it ends").expect("the router reads");
-        let answers = reading.join().expect("it ends");
+        writing.join().expect("the thread does not panic").expect("the router reads");
+        let answers = reading.join().expect("the thread does not panic");
         let served = answers.iter().filter(|(kinds, _)| kinds == b"TDCZ").count();
         let rejected = answers.iter().filter(|(kinds, code)| kinds == b"EZ" && code == "53300").count();
         assert_eq!(served + rejected, count, "{answers:?}");
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -49,14 +49,16 @@
     harness.assert_write_succeeds("1");
     harness.pause();
     harness.signal(Signal::SIGTERM);
-    let mut client = TcpStream::connect(&harness.address).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("it can");
-    client.write_all(&[startup(), query(&write_statement("2"))].concat()).expect("the kernel takes it");
+    let mut client = TcpStream::connect(&harness.address).expect("the router listens");
+    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    client
+        .write_all(&[startup(), query(&write_statement("2"))].concat())
+        .expect("the kernel buffers the bytes");
     harness.resume();
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "2");
     harness.answer_rpc(0, link);
-    while next_frame(&mut client).expect("a welcome").0 != b'Z' {}
+    while next_frame(&mut client).expect("an answer to the startup message").0 != b'Z' {}
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
     harness.assert_clean_exit();
 }
--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -34,7 +34,7 @@
                 let after = (1..=SEEDS).map(|seed| {
                     (delay_after_return(mode, outage_start, ending, seed).unwrap_or(99_999), seed)
                 });
-                let (worst, seed) = after.max().expect("there are seeds");
+                let (worst, seed) = after.max().expect("there is at least one seed");
                 if TABLE_VARIABLES.iter().any(|name| std::env::var(name).is_ok()) {
                     println!("{outage_start:?} {ending:?} {mode:?}: {worst} ms, seed {seed}");
                 }
@@ -111,13 +111,16 @@
         let (counts, per_second) = count_fleet_watches(mode, ending);
         let most_at_once = counts.iter().max().copied().unwrap_or(0);
         println!(
-            "{mode:?} {ending:?}: at most {most_at_once} of 460 in 100 ms, {per_second:.3} calls a second by router"
+            "{mode:?} {ending:?}: at most {most_at_once} of 460 watches in 100 ms, {per_second:.3} watches per router and second"
         );
         assert!(
             most_at_once <= max_at_once,
-            "{mode:?} {ending:?}: {most_at_once} routers call in one tenth of a second"
+            "{mode:?} {ending:?}: {most_at_once} watches opened within 100 ms"
+        );
+        assert!(
+            per_second <= max_per_second,
+            "{mode:?} {ending:?}: {per_second:.2} watches per router and second"
         );
-        assert!(per_second <= max_per_second, "{mode:?} {ending:?}: {per_second:.2} calls a second");
     }
 }
 
@@ -168,7 +171,7 @@
     }
     simulation.run_until(outage_ended + ms(30_000));
     simulation.read_at.map(|at| {
-        assert!(at >= outage_ended, "the change was there before the return");
+        assert!(at >= outage_ended, "the change was read before the return of discovery");
         (at - outage_ended).nanos() / 1_000_000
     })
 }
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -236,7 +236,8 @@
                 self.events.first_key_value().map(|(key, _)| (*key, ()))
                 && at <= self.now
             {
-                let (id, event) = self.events.remove(&(at, last_event_number)).expect("it is the first");
+                let (id, event) =
+                    self.events.remove(&(at, last_event_number)).expect("the event is scheduled");
                 self.perform(id, event);
             }
         }
--- a/crates/ladderpass/tests/drill_interrupt.rs
+++ b/crates/ladderpass/tests/drill_interrupt.rs
@@ -10,7 +10,7 @@
 /// The `/proc/PID/stat` lines of the children of this process, without zombies.
 fn children() -> Vec<String> {
     let own_pid = std::process::id().to_string();
-    let processes = std::fs::read_dir("/proc").expect("it can be read").filter_map(Result::ok);
+    let processes = std::fs::read_dir("/proc").expect("/proc is readable").filter_map(Result::ok);
     let stats = processes.filter_map(|entry| std::fs::read_to_string(entry.path().join("stat")).ok());
     stats
         .filter(|stat| {
@@ -25,7 +25,7 @@
 #[test]
 fn ctrl_c_ends_a_drill_and_all_its_processes() {
     interrupted();
-    let drill = Drill::read("{routers: 4, phases: [[60, 40]], clients: 20}").expect("allowed");
+    let drill = Drill::read("{routers: 4, phases: [[60, 40]], clients: 20}").expect("the drill is valid");
     let program = Path::new(env!("CARGO_BIN_EXE_ladderpass"));
     let started_at = Instant::now();
     let drill_run = std::thread::spawn(move || {
@@ -37,8 +37,8 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     std::thread::sleep(Duration::from_secs(1));
-    kill(nix::unistd::Pid::this(), Signal::SIGINT).expect("it is this process");
-    let ended = drill_run.join().expect("it does not panic");
+    kill(nix::unistd::Pid::this(), Signal::SIGINT).expect("the signal is sent");
+    let ended = drill_run.join().expect("the drill does not panic");
     assert_eq!(ended, Some(std::io::ErrorKind::Interrupted));
     assert_eq!(children(), Vec::<String>::new());
     assert!(started_at.elapsed() < Duration::from_secs(40));
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -95,7 +95,7 @@
     );
     let cut_off = played.counts_of(&drill, &[2]);
     assert_eq!((cut_off.unanswered, cut_off.late), (0, 0), "{cut_off:?}");
-    assert!(cut_off.rejected + cut_off.aborted > 0, "the cut did nothing: {cut_off:?}");
+    assert!(cut_off.rejected + cut_off.aborted > 0, "the split had no effect: {cut_off:?}");
 }
 
 #[test]
@@ -144,13 +144,13 @@
     };
     assert!(
         count_thresholds(0) > 3 && count_thresholds(2) > 3,
-        "no admission threshold at all: there is no overload"
+        "no admission threshold was raised, so there was no overload"
     );
     let names_retries =
         |line: &&String| line.contains("retry budget group=") && !line.contains("retries_wanted=0.0 ");
-    assert!(played.logs[0].iter().any(|line| names_retries(&line)), "no retry was wanted");
+    assert!(played.logs[0].iter().any(|line| names_retries(&line)), "router 0 wanted no retry");
     let AttemptCounts { first, retries } = played.attempts(3.0, 9.0);
-    assert!(retries <= first / 2 + 12, "{retries} of {first}");
+    assert!(retries <= first / 2 + 12, "{retries} retries for {first} first attempts");
     let all = played.counts_of(&drill, &[0, 1, 2, 3, 4, 5]);
     assert!(all.rejected > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
@@ -170,16 +170,17 @@
         entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
     });
     let (served, total) = (served.count(), of_second_group.count());
-    assert!(total > 50 && served * 100 >= total * 97, "{served} of {total}");
+    assert!(total > 50 && served * 100 >= total * 97, "{served} of {total} RPCs of the second group served");
 }
 
 #[test]
 fn a_router_that_does_not_start_is_reported_with_its_last_log_lines() {
     let _turn = wait_for_turn();
-    let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("allowed");
-    let error = play(&drill, programs(), 1).err().expect("it can't start").to_string();
+    let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("the drill is valid");
+    let error = play(&drill, programs(), 1).err().expect("the drill fails to start").to_string();
     assert!(error.contains("colour"), "{error}");
     let drill = Drill::read("{routers: 2, deeds: [{at: 0.2, start: [r1]}], faulty: {r1: resends}}");
-    let error = play(&drill.expect("allowed"), programs(), 1).err().expect("there is no such program");
+    let error =
+        play(&drill.expect("the drill is valid"), programs(), 1).err().expect("the program is not given");
     assert!(error.to_string().contains("r1 needs --faulty"), "{error}");
 }
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -24,12 +24,12 @@
         let text = statement(&id.to_string(), method, 30_000, "1");
         let (kinds, row) = execute(&mut client, &text);
         assert_eq!(kinds, b"TDCZ");
-        let (n, forwarded) = router.statements.recv().expect("a member was asked");
+        let (n, forwarded) = router.statements.recv().expect("a member has received the statement");
         assert_eq!(n == 0, method == "write");
         assert_eq!(&row[6..], format!("from {n}").as_bytes());
         assert_eq!(id_and_rest(&forwarded), id_and_rest(&text));
     }
-    assert!(router.statements.try_recv().is_err(), "each was sent once");
+    assert!(router.statements.try_recv().is_err(), "each statement is forwarded once");
 }
 
 #[test]
@@ -42,10 +42,10 @@
     let large = statement("1", "write", 30_000, "1").replace("9f03", &"9f".repeat(64 << 10));
     client
         .write_all(&[query(&large), query(&statement("2", "read", 30_000, "1"))].concat())
-        .expect("written");
+        .expect("the router reads");
     let mut rows = Vec::new();
     while rows.len() < 2 {
-        let (kind, body) = next_frame(&mut client).expect("an answer");
+        let (kind, body) = next_frame(&mut client).expect("the answer continues");
         assert!(matches!(kind, b'T' | b'D' | b'C' | b'Z'), "{}", sqlstate(&body));
         rows.extend((kind == b'D').then(|| body.len() - 6));
     }
@@ -74,15 +74,15 @@
     let router = router(|n, _| Some(row(b"v", role(n), now_ms())));
     let mut other = router.client();
     for malformed in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
-        let mut client = TcpStream::connect(&router.address).expect("it listens");
-        client.write_all(malformed).expect("written");
+        let mut client = TcpStream::connect(&router.address).expect("the router listens");
+        client.write_all(malformed).expect("the router reads");
         let mut rest = Vec::new();
         assert!(client.read_to_end(&mut rest).is_err() || rest.first() == Some(&b'E'));
     }
-    let mut client = TcpStream::connect(&router.address).expect("it listens");
-    client.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).expect("written");
+    let mut client = TcpStream::connect(&router.address).expect("the router listens");
+    client.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).expect("the router reads");
     let mut answer = [0];
-    client.read_exact(&mut answer).expect("one byte");
+    client.read_exact(&mut answer).expect("an answer of one byte");
     assert_eq!(&answer, b"N");
     assert_eq!(execute(&mut other, &statement("1", "read", 30_000, "1")).0, b"TDCZ");
 }
@@ -94,13 +94,13 @@
         Some(row(b"v", role(n), now_ms()))
     });
     let (mut client, mut idle) = (router.client(), router.client());
-    client.write_all(&query(&statement("1", "read", 30_000, "1"))).expect("written");
-    router.statements.recv().expect("it is out");
+    client.write_all(&query(&statement("1", "read", 30_000, "1"))).expect("the router reads");
+    router.statements.recv().expect("the member has received the statement");
     router.signal("TERM");
     let kinds: Vec<u8> = std::iter::from_fn(|| next_frame(&mut client)).map(|(kind, _)| kind).collect();
     assert_eq!(kinds, b"TDCZ");
-    assert!(next_frame(&mut idle).is_none(), "the idle one is closed");
-    assert!(router.process.wait().expect("it ends").success());
+    assert!(next_frame(&mut idle).is_none(), "the idle client is closed");
+    assert!(router.process.wait().expect("the process can be waited for").success());
 }
 
 /// On SIGHUP an invalid configuration changes nothing, and a valid one moves the watch to another address, whose list is
@@ -109,7 +109,8 @@
 fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
     let mut client = router.client();
-    let valid_config = std::fs::read_to_string(&router.config_file).expect("its file");
+    let valid_config =
+        std::fs::read_to_string(&router.config_file).expect("the configuration file is readable");
     let mut execute_write = |nth: usize| {
         let (kinds, row) = execute(&mut client, &statement(&nth.to_string(), "write", 30_000, "1"));
         assert_eq!(kinds, b"TDCZ");
@@ -120,7 +121,7 @@
         &valid_config[..valid_config.len() / 2],
         &valid_config.replace("\"seed\":\"8c", "\"discovery\":\"nowhere\",\"seed\":\"8c"),
     ] {
-        std::fs::write(&router.config_file, broken).expect("written");
+        std::fs::write(&router.config_file, broken).expect("the configuration is written");
         router.signal("HUP");
         thread::sleep(Duration::from_millis(50));
         assert_eq!(execute_write(broken.len()), b"old");
@@ -130,14 +131,20 @@
     let list = format!(r#"{{"generation":0,"reset":true,"instances":[{}]}}"#, instance(0, &moved, "SERVING"));
     let discovery_key = format!("\"discovery\":\"{}\",\"seed\":\"8c", fake_discovery(list));
     std::fs::write(&router.config_file, valid_config.replace("\"seed\":\"8c", &discovery_key))
-        .expect("written");
+        .expect("the configuration is written");
     (0..3).for_each(|_| router.signal("HUP"));
     let signalled_at = std::time::Instant::now();
     while execute_write(signalled_at.elapsed().as_millis() as usize + 1_000_000) != b"new" {
-        assert!(signalled_at.elapsed() < Duration::from_secs(4), "it follows within 4 s");
+        assert!(
+            signalled_at.elapsed() < Duration::from_secs(4),
+            "the router uses the list of the new address within 4 s"
+        );
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(router.process.try_wait().expect("a process").is_none(), "it goes on");
+    assert!(
+        router.process.try_wait().expect("the process can be queried").is_none(),
+        "the process keeps running"
+    );
 }
 
 /// At SIGTERM more clients than the router can accept wait at the listener, and most of them are silent. Every statement
@@ -149,12 +156,12 @@
         |n, _| Some(row(b"v", role(n), now_ms())),
     );
     let _silent: Vec<TcpStream> =
-        (0..40).map(|_| TcpStream::connect(&router.address).expect("it listens")).collect();
+        (0..40).map(|_| TcpStream::connect(&router.address).expect("the router listens")).collect();
     let mut clients_with_statement: Vec<TcpStream> = (0..8)
         .map(|nth| {
-            let mut stream = TcpStream::connect(&router.address).expect("it listens");
+            let mut stream = TcpStream::connect(&router.address).expect("the router listens");
             let text = statement(&nth.to_string(), "read", 30_000, "1");
-            stream.write_all(&[startup(), query(&text)].concat()).expect("written");
+            stream.write_all(&[startup(), query(&text)].concat()).expect("the router reads");
             stream
         })
         .collect();
@@ -163,7 +170,7 @@
         let kinds: Vec<u8> = std::iter::from_fn(|| next_frame(stream)).map(|(kind, _)| kind).collect();
         assert!(kinds.ends_with(b"TDCZ") || kinds.contains(&b'E'), "{kinds:?}");
     }
-    assert!(router.process.wait().expect("it ends").success());
+    assert!(router.process.wait().expect("the process can be waited for").success());
 }
 
 #[test]
@@ -188,14 +195,15 @@
         (valid.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
     ] {
         let config_file = temp_file(&text);
-        let output = router_command(listen, "127.0.0.1:1", &config_file).output().expect("it starts");
-        std::fs::remove_file(config_file).expect("its own file");
+        let output =
+            router_command(listen, "127.0.0.1:1", &config_file).output().expect("the process starts");
+        std::fs::remove_file(config_file).expect("the temporary file is removed");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && log.lines().count() == 1 && log.contains(key), "{key}: {log}");
     }
 }
 
-/// What `ladderpass check` prints, and how it exits.
+/// The output and the exit code of `ladderpass check`.
 struct CheckOutput {
     summary: String,
     errors: String,
@@ -212,11 +220,11 @@
     if let Some(path) = &operator_file {
         command.arg("--operator").arg(path);
     }
-    let output = command.output().expect("it starts");
+    let output = command.output().expect("the process starts");
     for path in [Some(config_file), operator_file].into_iter().flatten() {
         let _ = std::fs::remove_file(path);
     }
-    let text = |bytes| String::from_utf8(bytes).expect("text");
+    let text = |bytes| String::from_utf8(bytes).expect("the output is UTF-8");
     CheckOutput { summary: text(output.stdout), errors: text(output.stderr), exit_code: output.status.code() }
 }
 
@@ -243,7 +251,7 @@
         check(None, |config| config.replace(r#""memory_mb":192"#, r#""memory_mb":0"#));
     assert!(exit_code == Some(1) && errors.contains("limits.memory_mb"), "{errors}");
     let unknown = router_command("127.0.0.1:6432", "127.0.0.1:8500", &PathBuf::new()).arg("serv").output();
-    assert_eq!(unknown.expect("it starts").status.code(), Some(2));
+    assert_eq!(unknown.expect("the process starts").status.code(), Some(2));
 }
 
 /// The operator's file is read again at SIGHUP. An invalid file changes nothing and is logged.
@@ -259,28 +267,34 @@
     let members: Vec<String> = (0..3).map(|n| fake_member(n, |_, _| None, sender.clone())).collect();
     let (config_file, operator_file) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
     let mut command = router_command(&router_address(), &fake_discovery(NO_CHANGE.to_owned()), &config_file);
-    let mut process =
-        command.arg("--operator").arg(&operator_file).env("RUST_LOG", "info").spawn().expect("it starts");
-    let mut lines = BufReader::new(process.stderr.take().expect("its log")).lines().map_while(Result::ok);
+    let mut process = command
+        .arg("--operator")
+        .arg(&operator_file)
+        .env("RUST_LOG", "info")
+        .spawn()
+        .expect("the process starts");
+    let mut lines =
+        BufReader::new(process.stderr.take().expect("the log is readable")).lines().map_while(Result::ok);
     let mut lines_seen: Vec<String> = Vec::new();
     let mut wait_for_line = |part: &str| loop {
         let line =
-            lines.next().unwrap_or_else(|| panic!("{part:?} is logged; the log has ended: {lines_seen:#?}"));
+            lines.next().unwrap_or_else(|| panic!("the log has ended without {part:?}: {lines_seen:#?}"));
         lines_seen.push(line.clone());
         if line.contains(part) {
             break line;
         }
     };
     wait_for_line(" listening ");
-    std::fs::write(&operator_file, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
+    std::fs::write(&operator_file, "overload: {delay: {from: 1s, full: 1ms}}\n")
+        .expect("the temporary file is written");
     let send_sighup = |process: &Child| {
         let pid = nix::unistd::Pid::from_raw(process.id() as i32);
-        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
+        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("the process runs");
     };
     send_sighup(&process);
     let line = wait_for_line("configuration not reloaded");
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
-    std::fs::write(&operator_file, "overload: {fair: 9}\n").expect("its own file");
+    std::fs::write(&operator_file, "overload: {fair: 9}\n").expect("the temporary file is written");
     send_sighup(&process);
     wait_for_line("configuration reloaded discovery=");
     let _ = (
@@ -297,7 +311,8 @@
 /// a failed log write on standard error, which panics if that write fails too. The program itself does not panic.
 #[test]
 fn a_log_that_can_not_be_written_does_not_end_the_process() {
-    let full_device = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
+    let full_device =
+        std::fs::OpenOptions::new().write(true).open("/dev/full").expect("/dev/full can be opened");
     for log in [Stdio::from(full_device), Stdio::piped()] {
         let (sender, statements) = channel();
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -36,7 +36,7 @@
     };
     let record = run::run(&Scenario::default(), start, &plan, Vec::new());
     let record = record.unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(record.ended, None, "the process goes on: {}", record.log.join("\n"));
+    assert_eq!(record.ended, None, "the process has ended: {}", record.log.join("\n"));
     record
 }
 
@@ -116,7 +116,7 @@
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
     // A client that has sent its statement must be answered on that connection. The load above would open another one.
     let _turn = wait_for_turn();
-    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
+    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
         let failure = FailingSyscall {
             operation: add_operation,
@@ -127,12 +127,17 @@
         let router = RouterWithoutMembers::start(&[failure], &discovery);
         assert!(router.accepts_within(Duration::from_secs(5)));
         std::thread::sleep(Duration::from_millis(1100));
-        let mut client = std::net::TcpStream::connect(&router.address).expect("it listens");
-        client.set_read_timeout(Some(Duration::from_secs(5))).expect("it can");
-        client.write_all(&[common::startup(), common::query("")].concat()).expect("the kernel takes it");
+        let mut client = std::net::TcpStream::connect(&router.address).expect("the router listens");
+        client.set_read_timeout(Some(Duration::from_secs(5))).expect("the read timeout is set");
+        client
+            .write_all(&[common::startup(), common::query("")].concat())
+            .expect("the kernel buffers the bytes");
         let kinds = std::iter::from_fn(|| common::next_frame(&mut client)).map(|(kind, _)| kind);
         let answered = kinds.take_while(|kind| *kind != b'I').count();
-        assert!(common::next_frame(&mut client).is_some_and(|(kind, _)| kind == b'Z'), "{answered} frames");
+        assert!(
+            common::next_frame(&mut client).is_some_and(|(kind, _)| kind == b'Z'),
+            "the empty query is not answered, {answered} frames before"
+        );
     }
 }
 
@@ -213,8 +218,9 @@
         let address = common::router_address();
         let mut command = failing_syscalls::command(&start);
         command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", &address).env("RELAY_CONFIG", &config);
-        command.env("RELAY_DISCOVERY", discovery.local_addr().expect("an address").to_string());
-        let process = command.spawn().expect("it starts");
+        command
+            .env("RELAY_DISCOVERY", discovery.local_addr().expect("the listener has an address").to_string());
+        let process = command.spawn().expect("the process starts");
         RouterWithoutMembers { process, config, address }
     }
 
@@ -232,7 +238,7 @@
 
 /// Whether the router connects to discovery within this time.
 fn is_watched_within(discovery: &TcpListener, timeout: Duration) -> bool {
-    discovery.set_nonblocking(true).expect("it can");
+    discovery.set_nonblocking(true).expect("non-blocking mode is set");
     let until = Instant::now() + timeout;
     while Instant::now() < until {
         if discovery.accept().is_ok() {
@@ -249,20 +255,30 @@
 fn a_configuration_read_that_fails_transiently_is_retried() {
     let _turn = wait_for_turn();
     let [old_discovery, new_discovery] =
-        [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a port"));
+        [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a free port"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::EIO, libc::EINTR, libc::ENOMEM] {
         let failure =
             FailingSyscall { every: 1, count: 5, ..FailingSyscall::with_errno(libc::SYS_openat, errno) };
         let router = RouterWithoutMembers::start(&[failure], &old_discovery);
-        assert!(is_watched_within(&old_discovery, Duration::from_secs(5)), "it starts");
+        assert!(
+            is_watched_within(&old_discovery, Duration::from_secs(5)),
+            "the router watches the old address"
+        );
         std::thread::sleep(Duration::from_millis(1200));
-        let valid_config = std::fs::read_to_string(&router.config).expect("its file");
-        let new_discovery_key =
-            format!("{{\"discovery\":\"{}\",", new_discovery.local_addr().expect("an address"));
-        std::fs::write(&router.config, valid_config.replacen('{', &new_discovery_key, 1)).expect("written");
+        let valid_config =
+            std::fs::read_to_string(&router.config).expect("the configuration file is readable");
+        let new_discovery_key = format!(
+            "{{\"discovery\":\"{}\",",
+            new_discovery.local_addr().expect("the listener has an address")
+        );
+        std::fs::write(&router.config, valid_config.replacen('{', &new_discovery_key, 1))
+            .expect("the configuration is written");
         let pid = nix::unistd::Pid::from_raw(router.process.id() as i32);
-        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
-        assert!(is_watched_within(&new_discovery, Duration::from_secs(2)), "error {errno}");
+        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("the process runs");
+        assert!(
+            is_watched_within(&new_discovery, Duration::from_secs(2)),
+            "the new configuration is not used after errno {errno}"
+        );
     }
 }
 
@@ -270,7 +286,7 @@
 #[test]
 fn calls_that_fail_transiently_at_start_do_not_prevent_serving() {
     let _turn = wait_for_turn();
-    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
+    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     let at_start = |call, errno| FailingSyscall {
         after: Duration::ZERO,
         every: 1,
--- a/crates/ladderpass/tests/failing_syscalls/mod.rs
+++ b/crates/ladderpass/tests/failing_syscalls/mod.rs
@@ -105,7 +105,7 @@
 pub fn start(failures: &[FailingSyscall], steps: &[ClockStep]) -> Start {
     let plan: Vec<String> =
         failures.iter().map(FailingSyscall::encode).chain(steps.iter().map(ClockStep::encode)).collect();
-    let program = std::env::current_exe().expect("this test has a path");
+    let program = std::env::current_exe().expect("the test binary has a path");
     Start {
         arguments: ["--exact", "router_process", "--nocapture", "--test-threads=1"]
             .map(String::from)
@@ -143,7 +143,7 @@
     std::thread::spawn(move || supervise(receiver, failures, started_at));
     let done = std::thread::spawn(move || {
         if !calls.is_empty() {
-            sender.send(install_filter(&calls)).expect("the supervisor waits");
+            sender.send(install_filter(&calls)).expect("the supervisor thread waits for the descriptor");
         }
         let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
         // As in the program, a failed log write is not reported on standard error, since that would panic.
@@ -164,7 +164,7 @@
 fn read_plan(plan: &str) -> (Vec<FailingSyscall>, Vec<(Duration, i64)>) {
     let (mut failures, mut steps) = (Vec::new(), Vec::new());
     for line in plan.split(';').filter(|line| !line.is_empty()) {
-        let (kind, numbers) = line.split_once(' ').expect("a kind");
+        let (kind, numbers) = line.split_once(' ').expect("an entry begins with its kind");
         let numbers: Vec<i64> = numbers.split(' ').map(|text| text.parse().expect("a number")).collect();
         match (kind, numbers.as_slice()) {
             ("error", &[errno, ref numbers @ ..]) => {
@@ -285,7 +285,7 @@
         assert_eq!(libc::prctl(libc::PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0), 0);
         let (mode, flags) = (libc::SECCOMP_SET_MODE_FILTER, libc::SECCOMP_FILTER_FLAG_NEW_LISTENER);
         let listener = libc::syscall(libc::SYS_seccomp, mode, flags, &program);
-        assert!(listener >= 0, "no filter: {}", std::io::Error::last_os_error());
+        assert!(listener >= 0, "the seccomp filter is not installed: {}", std::io::Error::last_os_error());
         listener as i32
     }
 }
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -30,9 +30,9 @@
     let scenario = Scenario::default();
     let done = run::run_through(&scenario, &start, &plan, Some(rules), events, |_| {});
     let (run_record, fault_summary) = done.unwrap_or_else(|error| panic!("{error}"));
-    let fault_summary = fault_summary.expect("it ran");
+    let fault_summary = fault_summary.expect("the fault proxy ran");
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
-    assert_eq!(fault_summary.never_fired, Vec::<String>::new(), "a plan that does nothing shows nothing");
+    assert_eq!(fault_summary.never_fired, Vec::<String>::new(), "rules that never acted");
     let total = run_record.outcome.total();
     assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}");
     assert!(total.ok > 100, "{total:?}");
@@ -87,7 +87,7 @@
     let (run_record, fault_summary) = run_load(4, &rules, vec![]);
     assert!(fault_summary.record.len() >= 20, "{}", fault_summary.record.len());
     let reads = run_record.outcome.of(0);
-    assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
+    assert!(reads.ok * 100 > reads.due * 95, "reads are retried on other members: {reads:?}");
 }
 
 #[test]
@@ -120,7 +120,7 @@
 fn faults_during_sighup_lose_no_rpc() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> =
-        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGHUP).expect("it runs"))];
+        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGHUP).expect("the process runs"))];
     let rules = ["{name: r, when: {message: RowDescription, nth: 100}, do: reset, times: 10}"];
     run_load(7, &rules, events);
 }
@@ -137,7 +137,7 @@
     let (run_record, fault_summary) = run_load(8, &rules, vec![]);
     assert_eq!(fault_summary.record.len(), 12);
     let reads = run_record.outcome.of(0);
-    assert!(reads.ok * 100 > reads.due * 95, "reads go elsewhere: {reads:?}");
+    assert!(reads.ok * 100 > reads.due * 95, "reads are retried on other members: {reads:?}");
 }
 
 #[test]
@@ -156,7 +156,7 @@
     let drained_by = run_record.outcome.began + Span::from_millis(1000);
     assert!(
         !run_record.execution_log.executions.iter().any(|ran| ran.member == 1 && ran.at > drained_by),
-        "its drain was undone"
+        "an RPC ran on the draining member"
     );
     assert!(run_record.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", run_record.log);
 }
@@ -180,7 +180,7 @@
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
-    assert_eq!(fault_summary.expect("it ran").never_fired, Vec::<String>::new());
+    assert_eq!(fault_summary.expect("the fault proxy ran").never_fired, Vec::<String>::new());
     // Discovery sends a line every second, and 4.5 s of silence end the watch.
     assert!(run_record.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", run_record.log);
     let last_counts = run_record.counts(6.0, 6.9);
@@ -203,7 +203,7 @@
         ..open_plan(11, &[Phase { seconds: 2.0, rate_per_second: 200.0 }])
     };
     let events: Vec<FaultEvent<'_>> =
-        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
+        vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGTERM).expect("the process runs"))];
     let (run_record, _) =
         run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
@@ -215,8 +215,10 @@
 fn randomly_drawn_fault_plans_break_no_invariant() {
     let _turn = wait_for_turn();
     for seed in [21, 22] {
-        let links =
-            run::links(&["127.0.0.1:1".parse().expect("an address"); 3], "127.0.0.1:2".parse().expect("one"));
+        let links = run::links(
+            &["127.0.0.1:1".parse().expect("a valid address"); 3],
+            "127.0.0.1:2".parse().expect("a valid address"),
+        );
         let drawn = ladderpass_fault_injection::Plan::drawn(seed, 6, links);
         let start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
         let plan = Plan {
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -19,9 +19,10 @@
 
 /// Addresses that were free a moment ago.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    let sockets: Vec<UdpSocket> =
-        (0..count).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback")).collect();
-    sockets.iter().map(|socket| socket.local_addr().expect("bound")).collect()
+    let sockets: Vec<UdpSocket> = (0..count)
+        .map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port"))
+        .collect();
+    sockets.iter().map(|socket| socket.local_addr().expect("the socket is bound")).collect()
 }
 
 /// A drill of four routers with `rate` RPCs per second each. The routers in `quiet` have no gossip. `greedy` RPCs per
@@ -99,7 +100,10 @@
     let played = play_drill(&drill);
     assert_no_violations(&played);
     let [without_gossip, with_gossip] = counts_by_kind(&drill, &played);
-    assert!(!is_starved(&without_gossip, &with_gossip), "old {without_gossip:?}, new {with_gossip:?}");
+    assert!(
+        !is_starved(&without_gossip, &with_gossip),
+        "without gossip {without_gossip:?}, with gossip {with_gossip:?}"
+    );
 }
 
 /// The same load in front of routers of both kinds, first alone, and then beside clients that send to the members without
@@ -112,8 +116,14 @@
     let greedy_drill = drill(&WITHOUT_GOSSIP, 60.0, 2400.0);
     let greedy_counts = counts_by_kind(&greedy_drill, &play_drill(&greedy_drill));
     for kind in [0, 1] {
-        assert!(!is_harmed(&normal_counts[kind]), "beside the other kind {normal_counts:?}");
-        assert!(is_harmed(&greedy_counts[kind]), "beside a greedy kind {greedy_counts:?}");
+        assert!(
+            !is_harmed(&normal_counts[kind]),
+            "a kind is harmed beside the other kind: {normal_counts:?}"
+        );
+        assert!(
+            is_harmed(&greedy_counts[kind]),
+            "a kind is not harmed beside greedy clients: {greedy_counts:?}"
+        );
     }
 }
 
@@ -123,46 +133,49 @@
 fn a_router_with_gossip_publishes_what_it_observed_of_members_and_ignores_noise() {
     let _turn = wait_for_turn();
     let scenario = Scenario::default();
-    let emulator = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
-    let test_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
-    test_socket.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
-    let (router_peer, test_peer) = (free_addresses(1)[0], test_socket.local_addr().expect("bound"));
+    let emulator =
+        RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("the members start");
+    let test_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
+    test_socket.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("the read timeout is set");
+    let (router_peer, test_peer) =
+        (free_addresses(1)[0], test_socket.local_addr().expect("the socket is bound"));
     let mut start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     start.operator =
         Some(format!("peers: {{me: 0, all: ['{router_peer}', '{test_peer}']}}\nmembers: {{zone: a}}"));
-    let router =
-        Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3).expect("router");
+    let router = Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3)
+        .expect("the router starts");
     let plan = Plan {
         connections: 20,
         pipeline: 1,
         ..open_plan(3, &[Phase { seconds: 1.0, rate_per_second: 50.0 }])
     };
-    load::run(&scenario, router.address, &plan, |_| {}).expect("load");
+    load::run(&scenario, router.address, &plan, |_| {}).expect("the load runs");
     let mut buffer = [0; 512];
     let (count, from) = loop {
         // The router also sends messages of the membership protocol.
-        let (count, from) = test_socket.recv_from(&mut buffer).expect("it publishes within seconds");
+        let (count, from) = test_socket.recv_from(&mut buffer).expect("the router publishes within 10 s");
         if buffer[0] != ladderpass_membership::FIRST_BYTE {
             break (count, from);
         }
     };
     assert_eq!(from, router_peer);
-    let text = std::str::from_utf8(&buffer[..count]).expect("letters");
+    let text = std::str::from_utf8(&buffer[..count]).expect("the message is text");
     let now = ladderpass_emulator::loopback::now() - Time::default();
-    let updates = ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a message").updates;
+    let updates =
+        ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a valid gossip message").updates;
     assert!(
         !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
         "{updates:?}"
     );
     // Invalid messages, from the other router and from an unknown sender, change nothing.
-    let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
+    let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
     for socket in [&test_socket, &stranger] {
         for noise in [&b""[..], b"\xff\xfe", b"AAAAAAAAAAAAAAAAAAAAAAA", &[b'B'; 512]] {
-            socket.send_to(noise, router_peer).expect("sent");
+            socket.send_to(noise, router_peer).expect("the datagram is sent");
         }
     }
     let plan = Plan { seed: 4, ..plan };
-    let after = load::run(&scenario, router.address, &plan, |_| {}).expect("load");
+    let after = load::run(&scenario, router.address, &plan, |_| {}).expect("the load runs");
     assert_eq!(after.total().ok, after.total().due, "{:?}", after.total());
     router.stop();
     emulator.stop();
