--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -111,9 +111,9 @@
     ladderpass_testbed::router::own_address().expect("a free port").to_string()
 }
 
-/// A read or a write with this id, for a group of members. Its deadline is `wait_ms` milliseconds after it is sent.
-pub fn statement(id: &str, method: &str, wait_ms: u64, group: &str) -> String {
-    let comment = format!("/* id={id},c={method},d={wait_ms},cluster={group} */");
+/// A read or a write with this id, for a group of members. Its deadline is `deadline_ms` milliseconds after it is sent.
+pub fn statement(id: &str, method: &str, deadline_ms: u64, group: &str) -> String {
+    let comment = format!("/* id={id},c={method},d={deadline_ms},cluster={group} */");
     match method {
         "write" => {
             format!(
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -154,7 +154,7 @@
     process: Child,
     config_file: PathBuf,
     /// The time until a client had the answer to its startup message.
-    welcomed: Duration,
+    startup_answered: Duration,
     /// The time until a client had a row.
     served: Duration,
     /// The CPU time of the process until then.
@@ -186,7 +186,7 @@
     let mut measurement = StartMeasurement {
         process,
         config_file,
-        welcomed: never,
+        startup_answered: never,
         served: never,
         cpu: Duration::ZERO,
         resident_mb: 0.0,
@@ -204,7 +204,9 @@
             while let Some((kind, _)) = next_frame(&mut stream) {
                 ready += u32::from(kind == b'Z');
                 match (kind, ready) {
-                    (b'Z', 1) => measurement.welcomed = measurement.welcomed.min(started_at.elapsed()),
+                    (b'Z', 1) => {
+                        measurement.startup_answered = measurement.startup_answered.min(started_at.elapsed())
+                    }
                     (b'D', _) => measurement.served = measurement.served.min(started_at.elapsed()),
                     _ => {}
                 }
@@ -276,7 +278,10 @@
             .collect();
         let summary = |of: fn(&StartMeasurement) -> f64| summarize(measurements.iter().map(of).collect());
         println!("{count} processes of {sockets} descriptors, discovery {discovery_state}");
-        println!("  startup, ms:  {}", summary(|measurement| measurement.welcomed.as_secs_f64() * 1e3));
+        println!(
+            "  startup, ms:  {}",
+            summary(|measurement| measurement.startup_answered.as_secs_f64() * 1e3)
+        );
         println!("  served, ms:   {}", summary(|measurement| measurement.served.as_secs_f64() * 1e3));
         println!("  CPU, ms:      {}", summary(|measurement| measurement.cpu.as_secs_f64() * 1e3));
         println!("  memory, MB:   {}", summary(|measurement| measurement.resident_mb));
