--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -1,31 +1,34 @@
-//! `ladderpass check`, and a start with a wrong configuration: all errors at once, each in one line with its place.
+//! `ladderpass check`, and a router started with an invalid configuration. Both report all errors at once, each in one
+//! line with its file and key.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A file of this test's own.
+/// Writes a file that no other test uses.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
-    std::fs::write(&path, text).expect("writes");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
 
-/// Runs the program with these variables and no others of the router's.
+/// Runs the program with these environment variables; the router's other variables are removed. Returns the lines of
+/// standard error, and the output.
 fn run(variables: &[(&str, &str)], arguments: &[&str]) -> (Vec<String>, Output) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     for key in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG", "RUST_LOG"] {
         command.env_remove(key);
     }
-    let output = command.envs(variables.iter().copied()).args(arguments).output().expect("it starts");
+    let output =
+        command.envs(variables.iter().copied()).args(arguments).output().expect("the process starts");
     let lines = String::from_utf8_lossy(&output.stderr).lines().map(str::to_owned).collect();
     (lines, output)
 }
 
-const OPERATOR: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
+const OPERATOR_FILE: &str = "log:\n  format: xml\noverlaod: {}\noverload:\n  delay:\n    from: 5\n  \
                         dealy: {from: 1ms}\n  fair: 0\npeers:\n  listen: here\n  listed: [127.0.0.1:1, there]\n";
 
-/// Line, key and allowed values that each error names.
-const EXPECTED: [[&str; 3]; 7] = [
+/// The line, the key and the allowed values that each error of `OPERATOR_FILE` must name.
+const EXPECTED_ERRORS: [[&str; 3]; 7] = [
     ["line 2: ", "log.format", "text and json"],
     ["line 3: ", "overlaod", "allowed are log, overload, peers"],
     ["line 6: ", "overload.delay.from", "written with their unit"],
@@ -36,31 +39,31 @@
 ];
 
 #[test]
-fn what_is_not_set_hides_no_error_of_the_operators_file() {
-    let path = write_file("operator", OPERATOR);
-    let path_text = path.to_str().expect("plain");
-    let (faults, output) = run(&[], &["check", "--operator", path_text]);
+fn missing_variables_do_not_hide_errors_in_the_operator_file() {
+    let path = write_file("operator", OPERATOR_FILE);
+    let path_text = path.to_str().expect("the path is UTF-8");
+    let (errors, output) = run(&[], &["check", "--operator", path_text]);
     assert_eq!((output.status.code(), output.stdout.len()), (Some(1), 0));
     let variables = ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG"];
     for key in variables {
         assert!(
-            faults.iter().any(|fault| fault.starts_with(&format!("{key}: not set"))),
-            "{key}: {faults:#?}"
+            errors.iter().any(|error| error.starts_with(&format!("{key}: not set"))),
+            "{key}: {errors:#?}"
         );
     }
-    for wanted in EXPECTED {
-        let named = |fault: &&String| {
-            fault.starts_with(&format!("{path_text}: {}", wanted[0]))
-                && wanted.iter().all(|part| fault.contains(part))
+    for expected in EXPECTED_ERRORS {
+        let matches_expected = |error: &&String| {
+            error.starts_with(&format!("{path_text}: {}", expected[0]))
+                && expected.iter().all(|part| error.contains(part))
         };
-        assert_eq!(faults.iter().filter(named).count(), 1, "{wanted:?}: {faults:#?}");
+        assert_eq!(errors.iter().filter(matches_expected).count(), 1, "{expected:?}: {errors:#?}");
     }
-    assert_eq!(faults.len(), variables.len() + EXPECTED.len(), "{faults:#?}");
-    std::fs::remove_file(path).expect("its own file");
+    assert_eq!(errors.len(), variables.len() + EXPECTED_ERRORS.len(), "{errors:#?}");
+    std::fs::remove_file(path).expect("the temporary file is removed");
 }
 
 #[test]
-fn errors_of_the_platforms_file_stand_beside_the_others() {
+fn errors_in_the_platform_configuration_are_reported_with_all_others() {
     let operator = write_file("beside", "overload: {fair: 0}\n");
     let platform = write_file(
         "platform",
@@ -68,38 +71,38 @@
             "known": {"generation": 1, "instances": []}, "settings": {}}"#,
     );
     let (operator_text, platform_text) =
-        (operator.to_str().expect("plain"), platform.to_str().expect("plain"));
+        (operator.to_str().expect("the path is UTF-8"), platform.to_str().expect("the path is UTF-8"));
     let variables = [("RELAY_NAME", "r"), ("RELAY_LISTEN", "nowhere"), ("RELAY_DISCOVERY", "127.0.0.1:1")];
     let variables = [&variables[..], &[("RELAY_CONFIG", platform_text)]].concat();
-    let (faults, output) = run(&variables, &["--operator", operator_text, "check"]);
+    let (errors, output) = run(&variables, &["--operator", operator_text, "check"]);
     assert_eq!(output.status.code(), Some(1));
-    let of_platform = |key: &str| format!("RELAY_CONFIG: {platform_text}: {key}: ");
-    let wanted = [
+    let platform_error = |key: &str| format!("RELAY_CONFIG: {platform_text}: {key}: ");
+    let expected = [
         "RELAY_LISTEN: \"nowhere\"".to_owned(),
-        of_platform("seed"),
-        of_platform("limits.memory_mb"),
-        of_platform("limits.sockets"),
-        of_platform("limits.cores"),
+        platform_error("seed"),
+        platform_error("limits.memory_mb"),
+        platform_error("limits.sockets"),
+        platform_error("limits.cores"),
         format!("RELAY_CONFIG: {platform_text}: settings."),
         format!("{operator_text}: line 1: overload.fair: "),
     ];
-    assert_eq!(faults.len(), wanted.len(), "{faults:#?}");
-    for (fault, wanted) in faults.iter().zip(wanted) {
-        assert!(fault.starts_with(&wanted), "{wanted}: {faults:#?}");
+    assert_eq!(errors.len(), expected.len(), "{errors:#?}");
+    for (error, expected) in errors.iter().zip(expected) {
+        assert!(error.starts_with(&expected), "{expected}: {errors:#?}");
     }
-    // The same at a start, in the log.
+    // Without `check` the process logs the same number of errors and exits.
     let (log, output) = run(&variables, &["--operator", operator_text]);
-    assert_eq!((output.status.code(), log.len()), (Some(1), faults.len()), "{log:#?}");
+    assert_eq!((output.status.code(), log.len()), (Some(1), errors.len()), "{log:#?}");
     for path in [operator, platform] {
-        std::fs::remove_file(path).expect("its own file");
+        std::fs::remove_file(path).expect("the temporary file is removed");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let (faults, output) = run(&[("RELAY_CONFIG", "/dev/null/a")], &["check", "--operator", "/dev/null/b"]);
+fn a_missing_file_is_named_in_the_error() {
+    let (errors, output) = run(&[("RELAY_CONFIG", "/dev/null/a")], &["check", "--operator", "/dev/null/b"]);
     assert_eq!(output.status.code(), Some(1));
-    for wanted in ["RELAY_CONFIG: /dev/null/a: ", "/dev/null/b: "] {
-        assert!(faults.iter().any(|fault| fault.starts_with(wanted)), "{wanted}: {faults:#?}");
+    for expected in ["RELAY_CONFIG: /dev/null/a: ", "/dev/null/b: "] {
+        assert!(errors.iter().any(|error| error.starts_with(expected)), "{expected}: {errors:#?}");
     }
 }
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -5,32 +5,32 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Reads the answer to the startup, with the key for cancel requests.
+/// Reads the answer to the startup message, and returns the key for cancel requests in it.
 pub fn read_cancel_key(client: &mut TcpStream) -> (u32, u32) {
     let mut frames = Vec::new();
     while frames.last().is_none_or(|(kind, _)| *kind != b'Z') {
-        frames.push(next_frame(client).expect("a welcome"));
+        frames.push(next_frame(client).expect("an answer to the startup message"));
     }
     cancel_key(&frames)
 }
 
-/// Sends a cancel request; once its connection is closed, without an answer, the router has handled it.
+/// Sends a cancel request, and waits until its connection is closed without an answer: by then the router has handled it.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
-    let mut other = TcpStream::connect(&harness.address).expect("it listens");
-    other.set_read_timeout(Some(PATIENCE)).expect("it can");
-    other.write_all(&cancel(key)).expect("the router reads");
+    let mut connection = TcpStream::connect(&harness.address).expect("the router listens");
+    connection.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    connection.write_all(&cancel(key)).expect("the router reads");
     let mut answer = Vec::new();
-    other.read_to_end(&mut answer).expect("it is closed");
+    connection.read_to_end(&mut answer).expect("the router closes the connection");
     assert_eq!(answer, b"");
 }
 
-/// The client cancels before the connection is established: one answer at once, and the RPC is never sent. The next one is
-/// served.
+/// A client cancels its RPC before the connection to the member is established. The client gets one answer at once, and
+/// the RPC is never sent. The client's next RPC is served. A cancel request with a wrong key comes first.
 #[test]
-fn what_is_cancelled_before_the_connection_is_up_is_not_forwarded() {
+fn an_rpc_cancelled_before_its_member_connection_is_established_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
-    let mut client = TcpStream::connect(&harness.address).expect("it listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("it can");
+    let mut client = TcpStream::connect(&harness.address).expect("the router listens");
+    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
     client.write_all(&startup()).expect("the router reads");
     let key = read_cancel_key(&mut client);
     client.write_all(&query(&write_statement("gone"))).expect("the router reads");
@@ -38,7 +38,7 @@
     send_cancel_request(&harness, (key.0, key.1 ^ 1));
     send_cancel_request(&harness, key);
     assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "57014".to_owned()));
-    link.write_all(&welcome()).expect("it reads");
+    link.write_all(&welcome()).expect("the router reads");
     harness.idle_connections[0].push(link);
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
     let (id, link) = harness.next_rpc(0);
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their RPCs wait: none of these is forwarded.
+//! Clients that disconnect while their RPCs wait. None of these RPCs is forwarded.
 
 use crate::common::{close, next_frame, query, startup, welcome};
 use crate::router_harness::{execute, start_harness, write_statement};
@@ -7,46 +7,49 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Statement and close arrive together: on a new connection, and on one that was served before.
+/// A statement and the close of its connection arrive together, both on a new connection and on one whose startup is done.
 #[test]
-fn a_client_that_asks_and_leaves_in_one_instant_is_not_forwarded() {
+fn a_statement_that_arrives_together_with_its_clients_close_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
-    let mut known = harness.client();
+    let mut served_client = harness.client();
     harness.pause();
-    known.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
-    close(known);
-    let mut new = TcpStream::connect(&harness.address).expect("it listens");
-    new.write_all(&[startup(), query(&write_statement("gone-too"))].concat()).expect("the kernel takes it");
-    close(new);
+    served_client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
+    close(served_client);
+    let mut new_client = TcpStream::connect(&harness.address).expect("the router listens");
+    new_client
+        .write_all(&[startup(), query(&write_statement("gone-too"))].concat())
+        .expect("the kernel buffers the bytes");
+    close(new_client);
     harness.resume();
     harness.assert_write_succeeds("2");
     harness.assert_write_succeeds("3");
 }
 
-/// A half close counts as a close: nobody can tell them apart before bytes are written.
+/// The router cannot tell a half close from a close before it writes bytes to the connection, so it treats both alike.
 #[test]
-fn a_half_close_of_a_client_counts_as_its_close() {
+fn a_half_close_by_a_client_is_treated_as_a_close() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
-    let mut half = harness.client();
+    let mut client = harness.client();
     harness.pause();
-    half.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
-    half.shutdown(std::net::Shutdown::Write).expect("it can");
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
+    client.shutdown(std::net::Shutdown::Write).expect("the write side is closed");
     harness.resume();
     harness.assert_write_succeeds("2");
-    assert!(next_frame(&mut half).is_none());
+    assert!(next_frame(&mut client).is_none());
 }
 
-/// After an error of the client nothing is read for a while, and its close once went unseen too.
+/// After a client's error the router reads nothing from the client for a while. An earlier version also missed a close in
+/// that time.
 #[test]
-fn a_client_that_leaves_in_the_backoff_after_its_error_is_not_forwarded() {
+fn a_statement_of_a_client_that_disconnects_during_the_backoff_after_its_error_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let mut client = harness.client();
     assert_eq!(execute(&mut client, "SELECT 1").1, "42601");
     harness.pause();
-    client.write_all(&query(&write_statement("gone"))).expect("the kernel takes it");
+    client.write_all(&query(&write_statement("gone"))).expect("the kernel buffers the bytes");
     close(client);
     harness.resume();
     for id in ["2", "3", "4"] {
@@ -55,68 +58,81 @@
     }
 }
 
-/// The connection is established once the client has left.
+/// The connection to the member is established only after the client has disconnected.
 #[test]
-fn a_client_that_leaves_before_the_connection_is_up_is_not_forwarded() {
-    leave_before_the_connection_is_up(|_| None);
+fn an_rpc_whose_client_disconnects_before_the_member_connection_is_established_is_not_forwarded() {
+    check_disconnect_before_member_connection(|_| None);
 }
 
-/// `copied`: a copy of the client's socket that stays open.
-fn leave_before_the_connection_is_up(copied: fn(&TcpStream) -> Option<TcpStream>) {
+/// A client disconnects before the connection to the member is established; its write must not be sent. `copy_socket` may
+/// make a copy of the client's socket, which then stays open.
+fn check_disconnect_before_member_connection(copy_socket: fn(&TcpStream) -> Option<TcpStream>) {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("gone"))).expect("the router reads");
     let mut link = harness.accept_member_connection(0);
-    let copy = copied(&client);
+    let copy = copy_socket(&client);
     close(client);
     harness.settle();
-    link.write_all(&welcome()).expect("it reads");
+    link.write_all(&welcome()).expect("the router reads");
     harness.idle_connections[0].push(link);
     harness.assert_write_succeeds("1");
     drop(copy);
 }
 
-/// The same where a copy of the client's socket stays open, as in a child process before its exec.
+/// Like the test above, while a copy of the client's socket stays open, as in a child process before its exec.
 ///
-/// What happened: beside 16 busy processes a write was sent whose client had been dropped (one of 11 whole runs). The cause:
-/// the kernel closes a connection with the last copy of its socket, and other tests start routers meanwhile, whose processes
-/// have a copy of each socket here until their exec. The evidence: in the run that failed the drop took 0.5 us, where one
-/// that closes a connection takes 25 us, and the write was sent 9.6 ms after it; with a child that took 60 ms to start it was
-/// sent in 15 of 15 runs, and with `close` in none of 15. The router can't know: no close had arrived.
+/// Beside 16 busy processes a write was sent although its client had been dropped, in one of 11 runs of all tests. The
+/// kernel closes a connection only with the last copy of its socket, and other tests start routers meanwhile, whose
+/// processes hold a copy of each socket of this process until their exec. In the run that failed the drop took 0.5 us,
+/// where a drop that closes a connection takes 25 us, and the write was sent 9.6 ms after the drop. With a child process
+/// that took 60 ms to start the write was sent in 15 of 15 runs after a drop, and in none of 15 runs after `close`. The
+/// router was not at fault, since no close had arrived.
 #[test]
-fn a_client_that_closes_is_gone_though_a_copy_of_its_socket_is_open() {
-    leave_before_the_connection_is_up(|client| Some(client.try_clone().expect("it can")));
+fn an_rpc_is_not_forwarded_after_its_clients_close_although_a_copy_of_the_socket_is_open() {
+    check_disconnect_before_member_connection(|client| {
+        Some(client.try_clone().expect("the socket is cloned"))
+    });
 }
 
-/// Pending RPCs, as the primary has its limit in flight: those whose clients leave are not sent once there is capacity. The
-/// figure of `docs/results.md`.
+/// RPCs are pending because the primary is at its concurrency limit. Those whose clients disconnect are not sent once there
+/// is capacity. `docs/results.md` has the figure.
 #[test]
-fn clients_that_leave_while_their_rpcs_are_pending_are_not_forwarded() {
+fn pending_rpcs_of_clients_that_disconnect_are_not_forwarded() {
     let mut harness = start_harness(|config| {
         config.replace("750000000,\"Effect\":\"side", "60000000000,\"Effect\":\"side")
     });
-    let mut stay: Vec<TcpStream> = (0..30).map(|_| harness.client()).collect();
-    for (nth, client) in stay.iter_mut().enumerate() {
+    let mut streams: Vec<TcpStream> = (0..30).map(|_| harness.client()).collect();
+    for (nth, client) in streams.iter_mut().enumerate() {
         client.write_all(&query(&write_statement(&format!("{nth}")))).expect("the router reads");
     }
-    let mut out = Vec::new();
-    while let Some(asked) = harness.next_rpc_within(0, Duration::from_millis(500)) {
-        out.push(asked);
+    let mut in_flight = Vec::new();
+    while let Some(attempt) = harness.next_rpc_within(0, Duration::from_millis(500)) {
+        in_flight.push(attempt);
     }
-    let asked: Vec<usize> = out.iter().map(|(id, _)| id.parse().expect("a number")).collect();
-    assert!((1..29).contains(&asked.len()), "some are held, not {:?}", asked);
-    // All but the last of the clients with pending RPCs leave.
-    let pending: Vec<usize> = (0..30).filter(|nth| !asked.contains(nth)).collect();
-    let last = *pending.last().expect("some are held");
-    let mut clients: Vec<Option<TcpStream>> = stay.into_iter().map(Some).collect();
+    let attempted: Vec<usize> = in_flight.iter().map(|(id, _)| id.parse().expect("a number")).collect();
+    assert!(
+        (1..29).contains(&attempted.len()),
+        "some but not all RPCs are pending, sent are {:?}",
+        attempted
+    );
+    // All clients with pending RPCs disconnect but for the last one.
+    let pending: Vec<usize> = (0..30).filter(|nth| !attempted.contains(nth)).collect();
+    let last = *pending.last().expect("some RPCs are pending");
+    let mut clients: Vec<Option<TcpStream>> = streams.into_iter().map(Some).collect();
     pending.iter().filter(|&&nth| nth != last).for_each(|&nth| clients[nth] = None);
     harness.settle();
     sleep(Duration::from_millis(300));
-    for (_, link) in out {
+    for (_, link) in in_flight {
         harness.answer_rpc(0, link);
     }
     let (id, link) = harness.next_rpc(0);
-    assert_eq!(id, last.to_string(), "of {} that left none is sent on", pending.len() - 1);
+    assert_eq!(
+        id,
+        last.to_string(),
+        "no RPC of the {} clients that disconnected is forwarded",
+        pending.len() - 1
+    );
     harness.answer_rpc(0, link);
     harness.assert_write_succeeds("after");
 }
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -1,4 +1,4 @@
-//! Processes with too few descriptors.
+//! Router processes with too few descriptors.
 
 use crate::common::{close, query, startup, statement, temp_file};
 use crate::router_harness::{accept_connection_within, bind_listener, execute, start_harness_with};
@@ -11,11 +11,12 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// The router may have no more than 24 descriptors.
+/// Limits the router to 24 descriptors.
 fn limit_descriptors(command: &mut Command) {
     run_in_shell("ulimit -n 24; exec \"$0\"", command);
 }
 
+/// Changes a command so that a shell script starts its program, which is `$0` in the script.
 fn run_in_shell(shell: &str, command: &mut Command) {
     let program = command.get_program().to_owned();
     let envs: Vec<_> =
@@ -24,28 +25,28 @@
     command.args(["-c", shell]).arg(program).envs(envs);
 }
 
-/// No descriptors left: clients at the listener wait, and are served once some are free again.
+/// While no descriptor is left clients wait at the listener. They are served once descriptors are free again.
 #[test]
-fn clients_at_the_listener_are_served_once_there_are_descriptors_again() {
+fn clients_waiting_to_be_accepted_are_served_once_descriptors_are_free_again() {
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     harness.assert_write_succeeds("1");
-    let mut many: Vec<TcpStream> =
-        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
-    many.truncate(25);
+    let mut waiting_clients: Vec<TcpStream> =
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("the router listens")).collect();
+    waiting_clients.truncate(25);
     sleep(Duration::from_millis(200));
-    many.clear();
+    waiting_clients.clear();
     harness.assert_write_succeeds("2");
 }
 
-/// Silent clients have all descriptors that clients may have: attempts get theirs.
+/// Silent clients use all descriptors that clients may use. Attempts get their descriptors nevertheless.
 #[test]
-fn attempts_have_descriptors_beside_clients_that_use_all() {
+fn attempts_get_descriptors_although_clients_use_all_that_they_may() {
     let mut harness =
         start_harness_with(vec![bind_listener(), bind_listener()], |config| config, limit_descriptors);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
-    let many: Vec<TcpStream> =
-        (0..30).map(|_| TcpStream::connect(&harness.address).expect("it listens")).collect();
+    let waiting_clients: Vec<TcpStream> =
+        (0..30).map(|_| TcpStream::connect(&harness.address).expect("the router listens")).collect();
     sleep(Duration::from_millis(100));
     for (nth, client) in clients.iter_mut().enumerate() {
         client.write_all(&query(&statement(&nth.to_string(), "write", 5000, "1"))).expect("the router reads");
@@ -53,43 +54,45 @@
         assert_eq!(id, nth.to_string());
         close(link);
     }
-    drop(many);
+    drop(waiting_clients);
 }
 
-/// No descriptor for a connection to a member, and nothing that could be closed for it: that is no failure of the member.
-/// The RPC is answered at once, and the next one is served.
+/// There is no descriptor for a connection to a member, and nothing that could be closed to free one. That does not count
+/// as a failure of the member: the RPCs are rejected at once, and the first RPC after the shortage is served.
 #[test]
-fn a_member_is_not_blamed_for_descriptors_that_are_short() {
+fn a_shortage_of_descriptors_is_not_counted_as_a_member_failure() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
     let mut client = harness.client();
     harness.settle();
-    let at = format!("/proc/{}/fd", harness.process.id());
-    let allow = |count: usize| {
+    let descriptor_folder = format!("/proc/{}/fd", harness.process.id());
+    let set_descriptor_limit = |count: usize| {
         let pid = harness.process.id().to_string();
         let status =
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
-        assert!(status.expect("util-linux is there").success());
+        assert!(status.expect("prlimit of util-linux is installed").success());
     };
-    // The client of `settle` is closed by now, or idle, and could be closed for it.
+    // Idle clients are closed meanwhile, so that no client is left that the router could close to free a descriptor.
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
-    let used = (0..).find(|n| !PathBuf::from(format!("{at}/{n}")).exists()).expect("few are open");
-    allow(used);
+    let lowest_unused = (0..)
+        .find(|n| !PathBuf::from(format!("{descriptor_folder}/{n}")).exists())
+        .expect("some descriptor is unused");
+    set_descriptor_limit(lowest_unused);
     for nth in 0..4 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(execute(&mut client, &statement(&nth.to_string(), "write", 60_000, "1")).1, "53300");
-        assert!(begun.elapsed() < Duration::from_secs(5), "its time was waited for");
+        assert!(started_at.elapsed() < Duration::from_secs(5), "the RPC was rejected only after 5 s");
     }
-    allow(1024);
+    set_descriptor_limit(1024);
     close(client);
     harness.assert_write_succeeds("after");
 }
 
-/// Clients that had left before they were accepted have no descriptor: each releases its own before the next one is
-/// accepted.
+/// The router accepts clients that have already disconnected. It releases the descriptor of each before it accepts the next
+/// one.
 #[test]
-fn clients_that_have_left_the_listener_use_no_descriptors() {
+fn clients_that_disconnect_before_accept_hold_no_descriptors() {
     let log = temp_file("");
     let shell = format!("ulimit -n 24; exec \"$0\" 2>{}", log.display());
     let harness = start_harness_with(
@@ -98,18 +101,19 @@
         |command| run_in_shell(&shell, command),
     );
     harness.pause();
-    (0..100).for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel takes it")));
+    (0..100)
+        .for_each(|_| close(TcpStream::connect(&harness.address).expect("the kernel completes the connect")));
     harness.resume();
     harness.settle();
-    let said = std::fs::read_to_string(&log).expect("its log");
-    std::fs::remove_file(log).expect("its own file");
-    assert!(!said.contains("Too many open files"), "{said}");
+    let log_text = std::fs::read_to_string(&log).expect("the log is readable");
+    std::fs::remove_file(log).expect("the temporary file is removed");
+    assert!(!log_text.contains("Too many open files"), "{log_text}");
 }
 
-/// Idle clients connect without end while discovery is down, to a process with fewer descriptors than configured: it
+/// Idle clients keep connecting to a process with fewer descriptors than configured, while discovery is down. The router
 /// connects to discovery within 6 s of its return.
 #[test]
-fn discovery_is_watched_in_time_though_idle_clients_fill_the_descriptors() {
+fn discovery_is_watched_again_in_time_although_idle_clients_fill_the_descriptors() {
     for count in [24, 100] {
         let shell = format!("ulimit -n {count}; exec \"$0\"");
         let mut harness = start_harness_with(
@@ -117,34 +121,38 @@
             |config| config,
             |command| run_in_shell(&shell, command),
         );
-        let back = harness.discovery.local_addr().expect("an address");
+        let discovery_address = harness.discovery.local_addr().expect("the listener has an address");
         (harness.discovery, harness.watch) = (bind_listener(), None);
         let stop = Arc::new(AtomicBool::new(false));
-        let crowd = connect_idle_clients(harness.address.clone(), stop.clone());
+        let idle_clients = connect_idle_clients(harness.address.clone(), stop.clone());
         sleep(Duration::from_millis(4500));
-        harness.discovery = TcpListener::bind(back).expect("nobody else took it");
-        let call = accept_connection_within(&harness.discovery, Duration::from_secs(6));
-        assert!(call.is_some(), "discovery is not called within 6 s, {count} descriptors");
+        harness.discovery = TcpListener::bind(discovery_address).expect("the address is still free");
+        let watch_connection = accept_connection_within(&harness.discovery, Duration::from_secs(6));
+        assert!(
+            watch_connection.is_some(),
+            "the router did not connect to discovery within 6 s, {count} descriptors"
+        );
         stop.store(true, Ordering::Relaxed);
-        crowd.join().expect("it ends");
+        idle_clients.join().expect("the thread does not panic");
     }
 }
 
-/// Opens as many connections as it can and sends no statement; half of them complete the startup.
+/// Keeps 120 connections open and sends no statement. Every second connection sends a startup message.
 fn connect_idle_clients(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            // A closed one reads as such; any other has its startup's answer to read, or nothing.
+            // A closed connection reads as its end or as an error. An open one holds the answer to its startup message, or
+            // nothing.
             idle.retain_mut(|stream| match stream.read(&mut [0; 512]) {
                 Ok(count) => count > 0,
                 Err(fault) => fault.kind() == ErrorKind::WouldBlock,
             });
             while idle.len() < 120 {
-                let mut stream = TcpStream::connect(&address).expect("it listens");
-                stream.set_nonblocking(true).expect("it can");
+                let mut stream = TcpStream::connect(&address).expect("the router listens");
+                stream.set_nonblocking(true).expect("non-blocking mode is set");
                 if idle.len().is_multiple_of(2) {
-                    stream.write_all(&startup()).expect("the kernel takes it");
+                    stream.write_all(&startup()).expect("the kernel buffers the bytes");
                 }
                 idle.push(stream);
             }
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Watches of the endpoint list that end, fall silent or move, and what a new list changes.
+//! Watches of the endpoint list that end, fall silent or move to another address, and the effects of a new list.
 
 use crate::common::{WATCH_HEAD, close, instance, query, statement, welcome};
 use crate::router_harness::{
@@ -10,9 +10,9 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// With pushed lists no watch was ever opened once, and drains were never known.
+/// An earlier version opened no watch when lists were pushed, and never learned of drains.
 #[test]
-fn a_list_that_is_pushed_is_watched_and_watched_again() {
+fn a_pushed_list_is_watched_and_its_watch_is_reopened_after_it_ends() {
     let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
     harness.assert_write_succeeds("1");
     let moved = instance(0, &harness.member_address(1), "SERVING");
@@ -20,67 +20,79 @@
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("2"))).expect("the router reads");
-    assert_eq!(harness.next_rpc(1).0, "2", "it stands elsewhere now");
+    assert_eq!(harness.next_rpc(1).0, "2", "the RPC goes to the new address of the primary");
     harness.watch = None;
     harness.open_watch();
 }
 
+/// The list arrives as JSON over several lines, in two parts.
 #[test]
-fn a_list_that_comes_indented_counts() {
+fn an_indented_list_is_accepted() {
     let mut harness = start_harness(|config| config);
     let moved = instance(0, &harness.member_address(1), "SERVING")
         .replace("\"m-0\"", "\n  \"m-0\"\n")
         .replace(',', ",\n\t");
     let lines = format!("{{\n \"generation\" : 2,\n \"reset\":false,\n\"instances\":[\n{moved}\n]\n}}\n\n");
-    let (one, two) = lines.split_at(lines.len() / 2);
-    harness.send_watch_bytes(one.as_bytes());
+    let (first_half, second_half) = lines.split_at(lines.len() / 2);
+    harness.send_watch_bytes(first_half.as_bytes());
     harness.settle();
-    harness.send_watch_bytes(two.as_bytes());
+    harness.send_watch_bytes(second_half.as_bytes());
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
     assert_eq!(harness.next_rpc(1).0, "1");
 }
 
-/// What a silent watch would have sent must be known 6 s later. Both this watch and the next fall silent.
+/// The router must learn within 6 s what a silent watch would have sent. Both this watch and the next one fall silent.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time_and_so_is_the_next() {
+fn a_silent_watch_is_reopened_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
-    let since = Instant::now();
+    let started_at = Instant::now();
     let second = accept_connection(&harness.discovery);
-    assert!(since.elapsed() < Duration::from_millis(4000), "asked again after {:?}", since.elapsed());
+    assert!(
+        started_at.elapsed() < Duration::from_millis(4000),
+        "the second watch was opened after {:?}",
+        started_at.elapsed()
+    );
     read_watch_request(&second);
     let third = accept_connection(&harness.discovery);
     read_watch_request(&third);
-    assert!(since.elapsed() < Duration::from_millis(5500), "a third time after {:?}", since.elapsed());
+    assert!(
+        started_at.elapsed() < Duration::from_millis(5500),
+        "the third watch was opened after {:?}",
+        started_at.elapsed()
+    );
 }
 
-/// Lines inside an object that never ends count as silence.
+/// Empty lines inside a JSON object that never ends do not count as progress.
 #[test]
-fn a_list_that_never_ends_is_a_silent_one() {
+fn a_watch_whose_list_never_ends_is_treated_as_silent() {
     let mut harness = start_harness(|config| config);
-    let since = Instant::now();
+    let started_at = Instant::now();
     harness.send_watch_bytes(b"{\"generation\":2,\n\"reset\":false,\n");
     while accept_connection_within(&harness.discovery, Duration::from_millis(300)).is_none() {
-        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
-        let watch = harness.watch.as_mut().expect("open");
+        assert!(started_at.elapsed() < Duration::from_secs(6), "no further watch was opened within 6 s");
+        let watch = harness.watch.as_mut().expect("the watch is open");
         let _ = watch.write_all(b"1\r\n\n\r\n");
     }
 }
 
-/// Two new addresses in a row, each of which closes the watch without an answer. Changes from the old watch are accepted
-/// meanwhile, but are not taken for the answer of the new address, which is polled again. Once it never was.
+/// Discovery moves to two new addresses in a row, each of which closes the watch without an answer. Changes from the old
+/// watch are accepted meanwhile, but do not count as the answer of the new address, which is polled again. An earlier
+/// version never polled it again.
 #[test]
-fn sighup_twice_follows_the_last_address() {
+fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
-    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let config_text =
+        std::fs::read_to_string(&harness.config_file).expect("the configuration file is readable");
     let (silent, last) = (bind_listener(), bind_listener());
-    let at = |l: &TcpListener| l.local_addr().expect("an address").to_string();
-    for to in [at(&silent), at(&last)] {
-        let discovery_key = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
-        std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    let address_of = |l: &TcpListener| l.local_addr().expect("the listener has an address").to_string();
+    for new_address in [address_of(&silent), address_of(&last)] {
+        let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
+        std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
+            .expect("the configuration is written");
         harness.signal(Signal::SIGHUP);
-        close(accept_connection(if to == at(&silent) { &silent } else { &last }));
+        close(accept_connection(if new_address == address_of(&silent) { &silent } else { &last }));
         harness.settle();
     }
     let moved = instance(0, &harness.member_address(1), "SERVING");
@@ -88,7 +100,7 @@
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
-    assert_eq!(harness.next_rpc(1).0, "1", "the watch of before serves until the new one answers");
+    assert_eq!(harness.next_rpc(1).0, "1", "the previous watch is used until the new address answers");
     harness.discovery = last;
     harness.open_watch();
     let back = instance(0, &harness.member_address(0), "SERVING");
@@ -98,36 +110,38 @@
     harness.assert_write_succeeds("2");
 }
 
-/// The new address answers with a head and empty lines, and no list: that is no answer, and it is polled again in time.
-/// Once it never was.
+/// The new address of discovery sends a response head and empty lines but no list. That does not count as an answer, and
+/// the address is polled again within 6 s. An earlier version never polled it again.
 #[test]
-fn a_new_address_that_sends_no_list_is_polled_again() {
+fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
-    let empty = bind_listener();
-    let to = empty.local_addr().expect("an address").to_string();
-    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
-    let discovery_key = format!("\"discovery\":\"{to}\",\"seed\":\"8c");
-    std::fs::write(&harness.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    let new_discovery = bind_listener();
+    let new_address = new_discovery.local_addr().expect("the listener has an address").to_string();
+    let config_text =
+        std::fs::read_to_string(&harness.config_file).expect("the configuration file is readable");
+    let discovery_key = format!("\"discovery\":\"{new_address}\",\"seed\":\"8c");
+    std::fs::write(&harness.config_file, config_text.replace("\"seed\":\"8c", &discovery_key))
+        .expect("the configuration is written");
     harness.signal(Signal::SIGHUP);
-    let mut first = accept_connection(&empty);
+    let mut first = accept_connection(&new_discovery);
     read_watch_request(&first);
-    first.write_all(WATCH_HEAD).expect("it reads");
-    let since = Instant::now();
-    while accept_connection_within(&empty, Duration::from_millis(300)).is_none() {
-        assert!(since.elapsed() < Duration::from_secs(6), "asked again");
+    first.write_all(WATCH_HEAD).expect("the router reads");
+    let started_at = Instant::now();
+    while accept_connection_within(&new_discovery, Duration::from_millis(300)).is_none() {
+        assert!(started_at.elapsed() < Duration::from_secs(6), "no further watch was opened within 6 s");
         let _ = first.write_all(b"1\r\n\n\r\n");
     }
 }
 
-/// Discovery starts again with lower generations: older lists are rejected, but not for longer than a change may be late,
-/// from when the current list was received.
+/// Discovery restarts and counts generations from a lower number. Lists with an older generation are rejected, but no
+/// longer than a change may be late, counted from when the current list was received.
 #[test]
-fn a_discovery_that_counts_anew_is_believed_in_the_end() {
+fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
     harness.generation = 50;
-    let here = instance(0, &harness.member_address(0), "SERVING");
-    let since = Instant::now();
-    harness.send_listing(&here, true);
+    let current = instance(0, &harness.member_address(0), "SERVING");
+    let started_at = Instant::now();
+    harness.send_listing(&current, true);
     harness.settle();
     let moved = instance(0, &harness.member_address(1), "SERVING");
     loop {
@@ -136,22 +150,25 @@
         harness.settle();
         let mut client = harness.client();
         client
-            .write_all(&query(&write_statement(&format!("{:?}", since.elapsed()))))
+            .write_all(&query(&write_statement(&format!("{:?}", started_at.elapsed()))))
             .expect("the router reads");
-        let accepted = since.elapsed() > Duration::from_secs(6);
+        let accepted = started_at.elapsed() > Duration::from_secs(6);
         match harness.next_rpc_within(usize::from(accepted), Duration::from_millis(500)) {
             Some((_, link)) if !accepted => harness.answer_rpc(0, link),
             Some(_) => return,
-            None => assert!(since.elapsed() < Duration::from_secs(14), "refused for ever"),
+            None => assert!(
+                started_at.elapsed() < Duration::from_secs(14),
+                "the lower generation is still rejected after 14 s"
+            ),
         }
         harness.open_watch();
     }
 }
 
-/// Three RPCs wait for their connection when their member's address changes: they go to the new address, and none counts
-/// as a failure of the member, which would eject it.
+/// Four RPCs wait for their connections when the address of their member changes. They go to the new address, and none
+/// counts as a failure of the member, which would eject it.
 #[test]
-fn what_waits_for_a_connection_goes_to_the_new_address() {
+fn rpcs_that_wait_for_a_connection_go_to_the_new_address_of_their_member() {
     let mut harness = start_harness(|config| config);
     let mut clients: Vec<TcpStream> = (0..4).map(|_| harness.client()).collect();
     for (nth, client) in clients.iter_mut().enumerate() {
@@ -171,21 +188,22 @@
     clients.iter_mut().for_each(|client| assert_eq!(read_answer(client).0, b"TDCZ"));
 }
 
-/// The connection is not established yet when its member drains: the RPC goes elsewhere at once, and that member gets none.
+/// A member begins to drain while the connection for an RPC is not established yet. The RPC goes to another member at once,
+/// and the draining member gets none.
 #[test]
-fn a_drain_withdraws_what_waits_for_its_connection() {
+fn an_rpc_that_waits_for_a_connection_to_a_draining_member_goes_elsewhere() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "read", 60_000, "1"))).expect("the router reads");
-    let mut late = harness.accept_member_connection(1);
+    let mut unanswered = harness.accept_member_connection(1);
     let draining = instance(1, &harness.member_address(1), "DRAINING");
     harness.send_listing(&draining, false);
     let (id, link) = harness.next_rpc(0);
-    assert_eq!(id, "1", "the primary has it");
-    let _ = late.write_all(&welcome());
+    assert_eq!(id, "1", "the RPC goes to the primary");
+    let _ = unanswered.write_all(&welcome());
     let mut rest = Vec::new();
-    let _ = late.read_to_end(&mut rest);
-    assert!(!rest.contains(&b'Q'), "nothing goes to the one that drains");
+    let _ = unanswered.read_to_end(&mut rest);
+    assert!(!rest.contains(&b'Q'), "the draining member gets no RPC");
     harness.answer_rpc(0, link);
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM: what was accepted is answered before the process ends.
+//! Shutdown by SIGTERM. Accepted RPCs are answered before the process ends.
 
 use crate::common::{next_frame, query, startup};
 use crate::router_harness::{PATIENCE, read_answer, start_harness, write_statement};
@@ -8,9 +8,9 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The process once exited 10 s after SIGTERM, whatever was unanswered.
+/// An earlier version exited 10 s after SIGTERM even if RPCs were unanswered.
 #[test]
-fn a_stop_waits_for_clients_that_have_longer_than_ten_seconds() {
+fn shutdown_waits_for_rpcs_that_take_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -24,9 +24,9 @@
     harness.assert_clean_exit();
 }
 
-/// A reload while the router stops changes nothing for clients that wait for an answer.
+/// A reload during shutdown changes nothing for clients that wait for an answer.
 #[test]
-fn sighup_during_the_stop_loses_nothing() {
+fn sighup_during_shutdown_loses_no_rpc() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
@@ -42,21 +42,23 @@
     harness.assert_clean_exit();
 }
 
-/// A client that sends without end can't keep the router from exiting, and clients that wait at the listener are served.
+/// A client that connects after SIGTERM, before the router accepts again, is served, and then the process exits.
 #[test]
-fn what_waits_at_the_listener_at_the_stop_is_served() {
+fn clients_that_wait_to_be_accepted_at_sigterm_are_served() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     harness.pause();
     harness.signal(Signal::SIGTERM);
-    let mut new = TcpStream::connect(&harness.address).expect("it listens");
-    new.set_read_timeout(Some(PATIENCE)).expect("it can");
-    new.write_all(&[startup(), query(&write_statement("2"))].concat()).expect("the kernel takes it");
+    let mut client = TcpStream::connect(&harness.address).expect("the router listens");
+    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    client
+        .write_all(&[startup(), query(&write_statement("2"))].concat())
+        .expect("the kernel buffers the bytes");
     harness.resume();
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "2");
     harness.answer_rpc(0, link);
-    while next_frame(&mut new).expect("a welcome").0 != b'Z' {}
-    assert_eq!(read_answer(&mut new).0, b"TDCZ");
+    while next_frame(&mut client).expect("an answer to the startup message").0 != b'Z' {}
+    assert_eq!(read_answer(&mut client).0, b"TDCZ");
     harness.assert_clean_exit();
 }
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -1,32 +1,36 @@
-//! The reducer and a discovery service that can be away, on a simulated clock.
+//! The reducer and a discovery service that can be unreachable, on a simulated clock.
 
 use crate::common::{SIMULATION_START, WATCH_HEAD, chunk, instance, simulated_members};
 use crate::scenario::Ending::{
-    Any, Denied, EmptyLines, EndsEarly, HalfAList, Hangs, HeadAlone, ListForEver, NeverUp, NotChunked,
-    OlderList, Refused, Reset, SpoiltLine, Status,
+    ConnectHangs, EndlessEmptyLines, EndlessList, ErrorStatus, HeadThenClose, HeadThenSilence, InvalidLine,
+    NoAnswer, NoDescriptor, NotChunked, OlderList, Random, Refused, Reset, UnfinishedList,
 };
-use crate::scenario::{ENDINGS, Ending, Mode, NEW_PORT, OLD_PORT, launch_with};
+use crate::scenario::{ENDINGS, Ending, Mode, NEW_PORT, OLD_PORT, outage_launch};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// The slowest answer of a discovery that can be reached: it rejects a watch after 2 s.
+/// Longest time until a reachable discovery answers a watch. It answers or rejects each watch within 2 s.
 const MAX_ANSWER_MS: u64 = 1950;
-/// The same where an older list is accepted and silence follows: with 1.95 s each the worst of 60 seeds is 6.1 s.
+/// The same where watches end with an older list, which is accepted and followed by silence. With 1950 ms the worst of 60
+/// seeds takes 6.1 s, which is more than the 6 s allowed.
 const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
 
-/// What discovery does on a watch.
+/// What discovery does on the connection of a watch.
 #[derive(Clone, Debug)]
 enum DiscoveryEvent {
-    Up,
+    /// It accepts the connection.
+    Connected,
     Bytes(Vec<u8>),
-    /// It sends the list that it has.
-    Answer,
-    /// It sends the same bytes at this interval.
-    Trickle(Vec<u8>, Span),
-    Ends,
-    Denied,
+    /// It sends the endpoint list that it has.
+    AnswerWithList,
+    /// It sends the same bytes again and again at this interval.
+    Repeat(Vec<u8>, Span),
+    /// It refuses or closes the connection.
+    Closed,
+    /// The router has no descriptor for the connection.
+    NoDescriptor,
 }
 
 /// The reducer, and the discovery service that it watches.
@@ -36,29 +40,30 @@
     random: WyRand,
     pub ending: Ending,
     pub max_answer_ms: u64,
-    /// The generation that discovery has after its return, and whether it sends the whole list to all.
-    pub counts_from: u64,
-    pub whole: bool,
+    /// The generation of the list that discovery has after its return.
+    pub generation_after_return: u64,
+    /// Discovery sends its complete list to every watch, also to one that asks for changes.
+    pub sends_whole_list: bool,
     /// The generation that the last watch asked for.
     requested_from: u64,
-    /// The port that is away, from when to when.
-    pub away: (u16, Time, Time),
-    /// Open watches, with the port that they connected to.
+    /// The port that is unreachable, from when, and until when.
+    pub unreachable: (u16, Time, Time),
+    /// The open watches, each with its port.
     watches: BTreeMap<ConnectionId, u16>,
     events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
-    last: u64,
-    /// When watches were opened.
+    last_event_number: u64,
+    /// When each watch was opened, and its port.
     pub opened: Vec<(Time, u16)>,
-    /// When the change of the return was read.
+    /// When the router had read the change that discovery has after its return.
     pub read_at: Option<Time>,
 }
 
-/// A span of so many milliseconds.
+/// A span in milliseconds.
 pub fn ms(ms: i64) -> Span {
     Span::from_millis(ms)
 }
 
-/// A list of so many members; the change of the return is a fourth.
+/// A chunk with a list of `count` members. The change that discovery has after its return is a fourth member.
 fn list(generation: u64, count: usize, whole: bool) -> Vec<u8> {
     let members = simulated_members(count);
     let entries: Vec<String> = (0..count).map(|n| instance(n, &members[n], "SERVING")).collect();
@@ -66,16 +71,17 @@
     chunk(format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n").as_bytes())
 }
 
-/// The head of an answer, and this behind it.
+/// Discovery sends the response head and this chunk.
 fn answer_with(chunk: &[u8]) -> DiscoveryEvent {
     DiscoveryEvent::Bytes([WATCH_HEAD, chunk].concat())
 }
 
 impl Simulation {
-    /// A router whose discovery is at the old port; `away`: which port can't be reached, from when to when.
-    pub fn new(mode: Mode, seed: u64, ending: Ending, away: (u16, Time, Time)) -> Simulation {
+    /// A router whose discovery is at the old port. `unreachable` is the port that cannot be reached, from when, and until
+    /// when.
+    pub fn new(mode: Mode, seed: u64, ending: Ending, unreachable: (u16, Time, Time)) -> Simulation {
         Simulation {
-            reducer: Reducer::start(SIMULATION_START, launch_with(mode, seed, OLD_PORT)),
+            reducer: Reducer::start(SIMULATION_START, outage_launch(mode, seed, OLD_PORT)),
             now: SIMULATION_START,
             random: WyRand::new_seed(seed),
             ending,
@@ -84,27 +90,27 @@
             } else {
                 MAX_ANSWER_MS
             },
-            counts_from: 9,
-            whole: true,
+            generation_after_return: 9,
+            sends_whole_list: true,
             requested_from: 0,
-            away,
+            unreachable,
             watches: BTreeMap::new(),
             events: BTreeMap::new(),
-            last: 0,
+            last_event_number: 0,
             opened: Vec::new(),
             read_at: None,
         }
     }
 
-    /// Whether discovery can't be reached at this port now.
-    fn is_away(&self, port: u16) -> bool {
-        self.away.0 == port && (self.away.1..self.away.2).contains(&self.now)
+    /// Whether discovery cannot be reached at this port now.
+    fn is_unreachable(&self, port: u16) -> bool {
+        self.unreachable.0 == port && (self.unreachable.1..self.unreachable.2).contains(&self.now)
     }
 
-    /// Schedules what discovery does on a watch.
-    fn after(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
-        self.last += 1;
-        self.events.insert((self.now + span, self.last), (id, event));
+    /// Schedules an event on a watch.
+    fn schedule(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
+        self.last_event_number += 1;
+        self.events.insert((self.now + span, self.last_event_number), (id, event));
     }
 
     fn apply(&mut self, event: Event) {
@@ -127,88 +133,92 @@
         }
     }
 
-    /// A watch is opened; draws how it ends.
+    /// The router opens a watch. Schedules how it is answered, or how it ends.
     fn on_connect(&mut self, id: ConnectionId, port: u16) {
         self.opened.push((self.now, port));
         self.watches.insert(id, port);
-        let little = ms(self.random.generate_range(0..40));
-        if !self.is_away(port) {
-            self.after(little, id, DiscoveryEvent::Up);
+        let short_delay = ms(self.random.generate_range(0..40));
+        if !self.is_unreachable(port) {
+            self.schedule(short_delay, id, DiscoveryEvent::Connected);
             let within = ms(self.random.generate_range(40..self.max_answer_ms) as i64);
-            self.after(within, id, DiscoveryEvent::Answer);
-            return self.after(within, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(2000)));
+            self.schedule(within, id, DiscoveryEvent::AnswerWithList);
+            return self.schedule(within, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(2000)));
         }
         let ending = match self.ending {
-            Any => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
+            Random => ENDINGS[self.random.generate_range(0..ENDINGS.len() - 1)],
             ending => ending,
         };
-        let later = little + ms(self.random.generate_range(0..1400));
-        if !matches!(ending, NeverUp | Refused | Denied) {
-            self.after(little, id, DiscoveryEvent::Up);
+        let long_delay = short_delay + ms(self.random.generate_range(0..1400));
+        if !matches!(ending, ConnectHangs | Refused | NoDescriptor) {
+            self.schedule(short_delay, id, DiscoveryEvent::Connected);
         }
         let bytes = |bytes: &[u8]| DiscoveryEvent::Bytes(bytes.to_vec());
         match ending {
-            NeverUp | Hangs | Any => {}
-            Refused => self.after(little, id, DiscoveryEvent::Ends),
-            Denied => self.after(Span::ZERO, id, DiscoveryEvent::Denied),
-            Reset => self.after(later, id, DiscoveryEvent::Ends),
-            Status => self.after(later, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")),
-            NotChunked => self.after(later, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")),
-            SpoiltLine => self.after(later, id, answer_with(&chunk(b"{\"generation\":}\n"))),
-            EndsEarly => {
-                self.after(little, id, bytes(WATCH_HEAD));
-                self.after(later, id, DiscoveryEvent::Ends);
+            ConnectHangs | NoAnswer | Random => {}
+            Refused => self.schedule(short_delay, id, DiscoveryEvent::Closed),
+            NoDescriptor => self.schedule(Span::ZERO, id, DiscoveryEvent::NoDescriptor),
+            Reset => self.schedule(long_delay, id, DiscoveryEvent::Closed),
+            ErrorStatus => {
+                self.schedule(long_delay, id, bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"))
             }
-            HeadAlone => self.after(later, id, bytes(WATCH_HEAD)),
-            EmptyLines => {
-                self.after(little, id, bytes(WATCH_HEAD));
-                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(700)));
+            NotChunked => {
+                self.schedule(long_delay, id, bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"))
             }
-            HalfAList => self.after(later, id, answer_with(&chunk(b"{\"generation\":9,\n"))),
-            ListForEver => {
-                self.after(little, id, answer_with(&chunk(b"{\"generation\":9,\n")));
-                self.after(later, id, DiscoveryEvent::Trickle(chunk(b"\n"), ms(300)));
+            InvalidLine => self.schedule(long_delay, id, answer_with(&chunk(b"{\"generation\":}\n"))),
+            HeadThenClose => {
+                self.schedule(short_delay, id, bytes(WATCH_HEAD));
+                self.schedule(long_delay, id, DiscoveryEvent::Closed);
             }
-            OlderList => self.after(later, id, answer_with(&list(0, 3, true))),
+            HeadThenSilence => self.schedule(long_delay, id, bytes(WATCH_HEAD)),
+            EndlessEmptyLines => {
+                self.schedule(short_delay, id, bytes(WATCH_HEAD));
+                self.schedule(long_delay, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(700)));
+            }
+            UnfinishedList => self.schedule(long_delay, id, answer_with(&chunk(b"{\"generation\":9,\n"))),
+            EndlessList => {
+                self.schedule(short_delay, id, answer_with(&chunk(b"{\"generation\":9,\n")));
+                self.schedule(long_delay, id, DiscoveryEvent::Repeat(chunk(b"\n"), ms(300)));
+            }
+            OlderList => self.schedule(long_delay, id, answer_with(&list(0, 3, true))),
         }
     }
 
-    /// Discovery does this on a watch, if it is still open.
-    fn carry_out(&mut self, id: ConnectionId, event: DiscoveryEvent) {
-        // What a silent discovery would have sent is lost with the watch, whenever it comes back.
+    /// Carries out an event on a watch if the watch is still open.
+    fn perform(&mut self, id: ConnectionId, event: DiscoveryEvent) {
+        // What discovery would have sent on a closed watch is lost, also after its return.
         let Some(&port) = self.watches.get(&id) else { return };
         match event {
-            DiscoveryEvent::Up => self.apply(Event::Connected(id)),
+            DiscoveryEvent::Connected => self.apply(Event::Connected(id)),
             DiscoveryEvent::Bytes(bytes) => {
                 let buffer = self.reducer.read_buffer(id);
                 buffer[..bytes.len()].copy_from_slice(&bytes);
                 self.apply(Event::Received(id, bytes.len(), Span::ZERO));
             }
-            DiscoveryEvent::Answer => {
-                let (generation, count) = match port == self.away.0 && self.now >= self.away.2 {
-                    true => (self.counts_from, 4),
+            DiscoveryEvent::AnswerWithList => {
+                let (generation, count) = match port == self.unreachable.0 && self.now >= self.unreachable.2 {
+                    true => (self.generation_after_return, 4),
                     false => (5, 3),
                 };
-                let whole = self.whole || self.requested_from == 0;
-                self.carry_out(id, answer_with(&list(generation, count, whole)));
+                let whole = self.sends_whole_list || self.requested_from == 0;
+                self.perform(id, answer_with(&list(generation, count, whole)));
             }
-            DiscoveryEvent::Trickle(bytes, every) => {
-                self.carry_out(id, DiscoveryEvent::Bytes(bytes.clone()));
-                self.after(every, id, DiscoveryEvent::Trickle(bytes, every));
+            DiscoveryEvent::Repeat(bytes, interval) => {
+                self.perform(id, DiscoveryEvent::Bytes(bytes.clone()));
+                self.schedule(interval, id, DiscoveryEvent::Repeat(bytes, interval));
             }
-            DiscoveryEvent::Ends => {
+            DiscoveryEvent::Closed => {
                 self.watches.remove(&id);
                 self.apply(Event::Closed(id));
             }
-            DiscoveryEvent::Denied => {
+            DiscoveryEvent::NoDescriptor => {
                 self.watches.remove(&id);
                 self.apply(Event::ConnectDenied(id));
             }
         }
     }
 
-    /// Runs until then.
-    pub fn run(&mut self, until: Time) {
+    /// Runs the simulation until this time.
+    pub fn run_until(&mut self, until: Time) {
         loop {
             self.apply(Event::Tick);
             if self.read_at.is_none() && self.reducer.member_count() > 3 {
@@ -222,33 +232,35 @@
                 return;
             }
             self.now = next;
-            while let Some(((at, last), _)) = self.events.first_key_value().map(|(key, _)| (*key, ()))
+            while let Some(((at, last_event_number), _)) =
+                self.events.first_key_value().map(|(key, _)| (*key, ()))
                 && at <= self.now
             {
-                let (id, event) = self.events.remove(&(at, last)).expect("it is the first");
-                self.carry_out(id, event);
+                let (id, event) =
+                    self.events.remove(&(at, last_event_number)).expect("the event is scheduled");
+                self.perform(id, event);
             }
         }
     }
 
-    /// Open watches send nothing more.
+    /// Drops all scheduled events, so that discovery sends nothing more on open watches.
     fn silence_watches(&mut self) {
         self.events.clear();
     }
 
-    /// Closes the watches of this port.
+    /// Closes the open watches of this port.
     pub fn close_watches(&mut self, port: u16) {
         let open = self.watches.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
-        open.collect::<Vec<_>>().into_iter().for_each(|id| self.carry_out(id, DiscoveryEvent::Ends));
+        open.collect::<Vec<_>>().into_iter().for_each(|id| self.perform(id, DiscoveryEvent::Closed));
     }
 
-    /// Open watches end, or only fall silent.
+    /// Closes the open watches of the old port, or only silences all watches.
     pub fn take_discovery_down(&mut self, silently: bool) {
         if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
     }
 
-    /// SIGHUP: discovery is at the new port from now on.
+    /// SIGHUP: the configuration has discovery at the new port from now on.
     pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
-        self.apply(Event::ConfigurationReloaded(Box::new(launch_with(mode, seed, NEW_PORT))));
+        self.apply(Event::ConfigurationReloaded(Box::new(outage_launch(mode, seed, NEW_PORT))));
     }
 }
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -1,5 +1,5 @@
-//! Several router processes with faults between them: what the others believe of one that dies, is paused, is cut off or
-//! starts again, and what a drill does when it can't go on. The assertions hold on any machine, however slow.
+//! Drills of several router processes with fault events: what the other routers believe of one that dies, is paused, is cut
+//! off or starts again, and how a drill reports that it cannot go on. The assertions hold on any machine, however slow.
 
 mod one_at_a_time;
 
@@ -13,7 +13,7 @@
     Programs { router: Path::new(env!("CARGO_BIN_EXE_ladderpass")), faulty: None, earlier: None }
 }
 
-/// Plays a drill and checks that no invariant is broken. Answers may be late, as the machine may be slow.
+/// Plays a drill and checks that no invariant is broken. Answers may be 2 s late, since the machine may be slow.
 fn play_drill(text: &str) -> (Drill, DrillRecord) {
     let mut drill = Drill::read(text).unwrap_or_else(|error| panic!("{error}"));
     (drill.grace_ms, drill.deadline_ms, drill.max_settle_s) = (2000, 2000, 20.0);
@@ -24,80 +24,82 @@
     (drill, played)
 }
 
-/// What a router logged of another, in order.
-fn views_of(played: &DrillRecord, viewer: usize, of: usize) -> Vec<&str> {
+/// The changes in the state of the router `subject` that the router `viewer` logged, in order.
+fn logged_changes(played: &DrillRecord, viewer: usize, subject: usize) -> Vec<&str> {
     let changes = played.views[viewer].iter().flat_map(|view| &view.changes);
     changes
-        .filter(|change| change.address == played.addresses[of])
+        .filter(|change| change.address == played.addresses[subject])
         .map(|change| change.text.as_str())
         .collect()
 }
 
+/// Checks that the last views of all running routers are equal and have `count` routers.
 fn assert_agreed(played: &DrillRecord, count: usize) {
-    let last: Vec<_> = (0..played.views.len())
+    let last_views: Vec<_> = (0..played.views.len())
         .filter(|&nth| played.alive[nth])
         .map(|nth| played.views[nth].last().map(|view| (view.digest, view.count)))
         .collect();
-    assert!(last.iter().all(|view| *view == last[0]), "{last:?}");
-    assert_eq!(last[0].map(|(_, count)| count), Some(count));
+    assert!(last_views.iter().all(|view| *view == last_views[0]), "{last_views:?}");
+    assert_eq!(last_views[0].map(|(_, count)| count), Some(count));
 }
 
 #[test]
-fn one_is_killed_and_started_again_and_one_is_paused() {
+fn a_killed_and_a_paused_router_are_declared_dead_and_rejoin() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 5, phases: [[10, 60]], clients: 40, deeds: [{at: 0.5, kill: [r1]}, {at: 0.5, freeze: [r2], for: 4}, {at: 5, start: [r1]}]}",
     );
     assert!(played.settled.is_some());
     for viewer in [0, 3, 4] {
-        for of in [1, 2] {
-            // A router that refutes a later suspicion is logged as back once more.
-            let views = views_of(&played, viewer, of);
+        for subject in [1, 2] {
+            // A router that refutes a later suspicion is logged as back again, so there may be several such changes.
+            let views = logged_changes(&played, viewer, subject);
             assert!(views.contains(&"died") && views.last() == Some(&"is back"), "{views:?}");
         }
     }
     assert_agreed(&played, 5);
 }
 
-/// A router announces its SIGTERM, so that nobody has to detect it.
+/// A router that gets SIGTERM announces that it leaves, so that the others do not have to detect its end.
 #[test]
-fn one_that_ends_says_so_and_its_clients_go_elsewhere() {
+fn a_terminating_router_announces_that_it_leaves_and_its_clients_go_elsewhere() {
     let _turn = wait_for_turn();
     let (_, played) =
         play_drill("{routers: 4, phases: [[4, 60]], clients: 40, deeds: [{at: 1, term: [r3]}]}");
-    let last: Vec<_> = (0..3).map(|viewer| views_of(&played, viewer, 3).last().copied()).collect();
-    assert!(last.contains(&Some("left")), "{last:?}");
+    let last_views: Vec<_> =
+        (0..3).map(|viewer| logged_changes(&played, viewer, 3).last().copied()).collect();
+    assert!(last_views.contains(&Some("left")), "{last_views:?}");
     assert!(!played.alive[3]);
     assert_agreed(&played, 3);
 }
 
-/// Both sides reach all members: each goes on by itself, and no invariant is broken in either.
+/// The fleet is split while both sides still reach all members. Each side keeps serving, and no invariant is broken.
 #[test]
-fn a_split_leaves_two_fleets_that_become_one_again() {
+fn a_split_forms_two_fleets_that_merge_again() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 5, phases: [[12, 60]], clients: 40, deeds: [{at: 0.5, split: [[r0, r1], [r2, r3, r4]], for: 6}]}",
     );
-    let least =
+    let min_view =
         |router: usize| played.views[router].iter().skip_while(|view| view.count < 5).map(|v| v.count).min();
-    assert_eq!((least(0), least(4)), (Some(2), Some(3)));
+    assert_eq!((min_view(0), min_view(4)), (Some(2), Some(3)));
     assert_agreed(&played, 5);
 }
 
-/// One router by itself, cut off from members: it answers its clients all the same.
+/// One router is cut off from all other routers, from all members and from discovery. It still answers its clients.
 #[test]
-fn one_that_is_cut_off_from_all_still_answers() {
+fn a_router_cut_off_from_all_others_and_all_members_still_answers_its_clients() {
     let _turn = wait_for_turn();
     let (drill, played) = play_drill(
         "{routers: 3, phases: [[5, 60]], clients: 40, roaming: 0, deeds: [{at: 1, split: [[r2], [r0, r1, member-0, member-1, member-2, discovery]], for: 3}]}",
     );
     let cut_off = played.counts_of(&drill, &[2]);
     assert_eq!((cut_off.unanswered, cut_off.late), (0, 0), "{cut_off:?}");
-    assert!(cut_off.rejected + cut_off.aborted > 0, "the cut did nothing: {cut_off:?}");
+    assert!(cut_off.rejected + cut_off.aborted > 0, "the split had no effect: {cut_off:?}");
 }
 
 #[test]
-fn datagrams_lost_doubled_late_and_overtaken_change_no_view() {
+fn lost_duplicated_delayed_and_reordered_datagrams_change_no_view() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill(
         "{routers: 4, phases: [[6, 60]], clients: 40, deeds: [\
@@ -110,9 +112,9 @@
     assert_agreed(&played, 4);
 }
 
-/// Forty processes in the same second, on as many cores as there are.
+/// Forty processes start in the same second, on as many cores as the machine has.
 #[test]
-fn forty_started_at_once_find_each_other() {
+fn forty_routers_started_at_once_find_each_other() {
     let _turn = wait_for_turn();
     let (_, played) = play_drill("{routers: 40, phases: [[1, 40]], clients: 40, roaming: 0}");
     assert!(
@@ -123,11 +125,11 @@
     assert_agreed(&played, 40);
 }
 
-/// Shared admission control under overload while parts fail: two in five routers killed at the peak, one paused with an
-/// old admission threshold, one whose updates get lost, one without gossip, members that warm up, and one router with eight
-/// times the load of the others.
+/// Shared admission control under overload while parts of the fleet fail. Two of the six routers are killed, one is paused
+/// and returns with an old admission threshold, the datagrams of one are lost, and one has no gossip. A member starts cold,
+/// and the first router has eight times the client connections of the last.
 #[test]
-fn the_fleet_sheds_as_one_while_parts_fail_and_keeps_the_rules() {
+fn shared_admission_control_breaks_no_invariant_while_parts_of_the_fleet_fail() {
     let _turn = wait_for_turn();
     let (drill, played) = play_drill(
         "{routers: 6, uneven: 8, phases: [[9, 250]], clients: 300, quiet: [r3], \
@@ -136,21 +138,25 @@
          {name: move, writes: true, work_ms: 20, soft_deadline_ms: 800, utility: 8, share: 0.1}]}, \
          deeds: [{at: 1, mute: [r2], for: 3}, {at: 3, kill: [r4, r5]}, {at: 5, freeze: [r1], for: 3}]}",
     );
-    let thresholds = |router: usize| {
+    let count_thresholds = |router: usize| {
         let lines = played.logs[router].iter().filter(|line| line.contains("ladderpass::fleet"));
         lines.filter(|line| !line.contains("threshold=0.00 ")).count()
     };
-    assert!(thresholds(0) > 3 && thresholds(2) > 3, "no admission threshold at all: there is no overload");
+    assert!(
+        count_thresholds(0) > 3 && count_thresholds(2) > 3,
+        "no admission threshold was raised, so there was no overload"
+    );
     let names_retries =
         |line: &&String| line.contains("retry budget group=") && !line.contains("retries_wanted=0.0 ");
-    assert!(played.logs[0].iter().any(|line| names_retries(&line)), "no retry was wanted");
+    assert!(played.logs[0].iter().any(|line| names_retries(&line)), "router 0 wanted no retry");
     let AttemptCounts { first, retries } = played.attempts(3.0, 9.0);
-    assert!(retries <= first / 2 + 12, "{retries} of {first}");
+    assert!(retries <= first / 2 + 12, "{retries} retries for {first} first attempts");
     let all = played.counts_of(&drill, &[0, 1, 2, 3, 4, 5]);
     assert!(all.rejected > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
 
-/// A group without a primary is overloaded; the admission threshold is its own, and the other group's RPCs are served.
+/// A group that has lost its primary is overloaded. Its admission threshold is its own, and the RPCs of the other group are
+/// served.
 #[test]
 fn a_group_without_a_primary_sets_no_admission_threshold_for_another() {
     let _turn = wait_for_turn();
@@ -158,22 +164,23 @@
         "{routers: 3, phases: [[6, 60]], clients: 40, operator: \"fleet: {sheds: true}\\nlog: {figures: 250ms}\", \
          scenario: {groups: 2}, deeds: [{at: 1, ends: 0}]}",
     );
-    // RPCs alternate between the groups: those of the second group have odd numbers.
-    let of_second = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
-    let served = of_second.clone().filter(|entry| {
+    // RPCs alternate between the groups, so that those of the second group have odd numbers.
+    let of_second_group = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
+    let served = of_second_group.clone().filter(|entry| {
         entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
     });
-    let (served, asked) = (served.count(), of_second.count());
-    assert!(asked > 50 && served * 100 >= asked * 97, "{served} of {asked}");
+    let (served, total) = (served.count(), of_second_group.count());
+    assert!(total > 50 && served * 100 >= total * 97, "{served} of {total} RPCs of the second group served");
 }
 
 #[test]
-fn a_router_that_does_not_start_is_reported_with_its_last_lines() {
+fn a_router_that_does_not_start_is_reported_with_its_last_log_lines() {
     let _turn = wait_for_turn();
-    let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("allowed");
-    let error = play(&drill, programs(), 1).err().expect("it can't start").to_string();
+    let drill = Drill::read("{routers: 2, operator: 'colour: red'}").expect("the drill is valid");
+    let error = play(&drill, programs(), 1).err().expect("the drill fails to start").to_string();
     assert!(error.contains("colour"), "{error}");
     let drill = Drill::read("{routers: 2, deeds: [{at: 0.2, start: [r1]}], faulty: {r1: resends}}");
-    let error = play(&drill.expect("allowed"), programs(), 1).err().expect("there is no such program");
+    let error =
+        play(&drill.expect("the drill is valid"), programs(), 1).err().expect("the program is not given");
     assert!(error.to_string().contains("r1 needs --faulty"), "{error}");
 }
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The program over loopback, with the fake members and the fake discovery of `common/fake_servers.rs`.
+//! The router process on loopback, with the fake members and the fake discovery of `common/fake_servers.rs`.
 
 mod common;
 
@@ -24,16 +24,16 @@
         let text = statement(&id.to_string(), method, 30_000, "1");
         let (kinds, row) = execute(&mut client, &text);
         assert_eq!(kinds, b"TDCZ");
-        let (n, forwarded) = router.statements.recv().expect("a member was asked");
+        let (n, forwarded) = router.statements.recv().expect("a member has received the statement");
         assert_eq!(n == 0, method == "write");
         assert_eq!(&row[6..], format!("from {n}").as_bytes());
         assert_eq!(id_and_rest(&forwarded), id_and_rest(&text));
     }
-    assert!(router.statements.try_recv().is_err(), "each was sent once");
+    assert!(router.statements.try_recv().is_err(), "each statement is forwarded once");
 }
 
 #[test]
-fn large_values_pass_whole_and_pipelined_statements_in_order() {
+fn large_values_are_forwarded_whole_and_pipelined_statements_answered_in_order() {
     let router = router(|n, text| {
         let length = if text.contains("INSERT") { 128 << 10 } else { 5 };
         Some(row(&vec![b'v'; length], role(n), now_ms()))
@@ -42,10 +42,10 @@
     let large = statement("1", "write", 30_000, "1").replace("9f03", &"9f".repeat(64 << 10));
     client
         .write_all(&[query(&large), query(&statement("2", "read", 30_000, "1"))].concat())
-        .expect("written");
+        .expect("the router reads");
     let mut rows = Vec::new();
     while rows.len() < 2 {
-        let (kind, body) = next_frame(&mut client).expect("an answer");
+        let (kind, body) = next_frame(&mut client).expect("the answer continues");
         assert!(matches!(kind, b'T' | b'D' | b'C' | b'Z'), "{}", sqlstate(&body));
         rows.extend((kind == b'D').then(|| body.len() - 6));
     }
@@ -53,8 +53,8 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again() {
-    // Replicas reject reads, which never ran; the primary closes the connection on a write, which may have run.
+fn a_write_that_may_have_run_is_not_retried() {
+    // Replicas reject reads, so that these have not run. The primary closes the connection on a write, which may have run.
     let router = router(|n, text| match (n, text.contains("INSERT")) {
         (0, true) => None,
         (0, false) => Some(row(b"spilled", "leader", now_ms())),
@@ -70,157 +70,166 @@
 }
 
 #[test]
-fn bad_frames_close_one_connection_and_encryption_is_declined() {
+fn malformed_frames_close_only_their_own_connection_and_encryption_is_declined() {
     let router = router(|n, _| Some(row(b"v", role(n), now_ms())));
     let mut other = router.client();
-    for junk in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
-        let mut client = TcpStream::connect(&router.address).expect("it listens");
-        client.write_all(junk).expect("written");
+    for malformed in [&[0, 0, 0, 1, 0, 0, 0, 0][..], &[255; 12]] {
+        let mut client = TcpStream::connect(&router.address).expect("the router listens");
+        client.write_all(malformed).expect("the router reads");
         let mut rest = Vec::new();
         assert!(client.read_to_end(&mut rest).is_err() || rest.first() == Some(&b'E'));
     }
-    let mut client = TcpStream::connect(&router.address).expect("it listens");
-    client.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).expect("written");
+    let mut client = TcpStream::connect(&router.address).expect("the router listens");
+    client.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).expect("the router reads");
     let mut answer = [0];
-    client.read_exact(&mut answer).expect("one byte");
+    client.read_exact(&mut answer).expect("an answer of one byte");
     assert_eq!(&answer, b"N");
     assert_eq!(execute(&mut other, &statement("1", "read", 30_000, "1")).0, b"TDCZ");
 }
 
 #[test]
-fn a_planned_stop_answers_what_was_accepted_and_ends_well() {
+fn shutdown_answers_accepted_rpcs_and_exits_successfully() {
     let mut router = router(|n, _| {
         thread::sleep(Duration::from_millis(300));
         Some(row(b"v", role(n), now_ms()))
     });
     let (mut client, mut idle) = (router.client(), router.client());
-    client.write_all(&query(&statement("1", "read", 30_000, "1"))).expect("written");
-    router.statements.recv().expect("it is out");
+    client.write_all(&query(&statement("1", "read", 30_000, "1"))).expect("the router reads");
+    router.statements.recv().expect("the member has received the statement");
     router.signal("TERM");
     let kinds: Vec<u8> = std::iter::from_fn(|| next_frame(&mut client)).map(|(kind, _)| kind).collect();
     assert_eq!(kinds, b"TDCZ");
-    assert!(next_frame(&mut idle).is_none(), "the idle one is closed");
-    assert!(router.process.wait().expect("it ends").success());
+    assert!(next_frame(&mut idle).is_none(), "the idle client is closed");
+    assert!(router.process.wait().expect("the process can be waited for").success());
 }
 
-/// SIGHUP once ended the process. Now a broken file changes nothing, and a good one moves the watch: the list of the new
-/// address is accepted, although its generations are lower.
+/// On SIGHUP an invalid configuration changes nothing, and a valid one moves the watch to another address, whose list is
+/// accepted although its generation is lower. An earlier version ended on SIGHUP.
 #[test]
-fn after_a_reload_it_keeps_serving_and_follows_discovery_to_another_address() {
+fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
     let mut client = router.client();
-    let good = std::fs::read_to_string(&router.config_file).expect("its file");
-    let mut value = |nth: usize| {
+    let valid_config =
+        std::fs::read_to_string(&router.config_file).expect("the configuration file is readable");
+    let mut execute_write = |nth: usize| {
         let (kinds, row) = execute(&mut client, &statement(&nth.to_string(), "write", 30_000, "1"));
         assert_eq!(kinds, b"TDCZ");
         row[6..].to_vec()
     };
     for broken in [
         "",
-        &good[..good.len() / 2],
-        &good.replace("\"seed\":\"8c", "\"discovery\":\"nowhere\",\"seed\":\"8c"),
+        &valid_config[..valid_config.len() / 2],
+        &valid_config.replace("\"seed\":\"8c", "\"discovery\":\"nowhere\",\"seed\":\"8c"),
     ] {
-        std::fs::write(&router.config_file, broken).expect("written");
+        std::fs::write(&router.config_file, broken).expect("the configuration is written");
         router.signal("HUP");
         thread::sleep(Duration::from_millis(50));
-        assert_eq!(value(broken.len()), b"old");
+        assert_eq!(execute_write(broken.len()), b"old");
     }
     let (sender, _statements) = channel();
     let moved = fake_member(0, |_, _| Some(row(b"new", "leader", now_ms())), sender);
     let list = format!(r#"{{"generation":0,"reset":true,"instances":[{}]}}"#, instance(0, &moved, "SERVING"));
     let discovery_key = format!("\"discovery\":\"{}\",\"seed\":\"8c", fake_discovery(list));
-    std::fs::write(&router.config_file, good.replace("\"seed\":\"8c", &discovery_key)).expect("written");
+    std::fs::write(&router.config_file, valid_config.replace("\"seed\":\"8c", &discovery_key))
+        .expect("the configuration is written");
     (0..3).for_each(|_| router.signal("HUP"));
-    let before = std::time::Instant::now();
-    while value(before.elapsed().as_millis() as usize + 1_000_000) != b"new" {
-        assert!(before.elapsed() < Duration::from_secs(4), "it follows within 4 s");
+    let signalled_at = std::time::Instant::now();
+    while execute_write(signalled_at.elapsed().as_millis() as usize + 1_000_000) != b"new" {
+        assert!(
+            signalled_at.elapsed() < Duration::from_secs(4),
+            "the router uses the list of the new address within 4 s"
+        );
         thread::sleep(Duration::from_millis(20));
     }
-    assert!(router.process.try_wait().expect("a process").is_none(), "it goes on");
+    assert!(
+        router.process.try_wait().expect("the process can be queried").is_none(),
+        "the process keeps running"
+    );
 }
 
-/// More clients than the router can accept, most of them silent, wait at the listener at SIGTERM: statements among them
-/// are answered all the same.
+/// At SIGTERM more clients than the router can accept wait at the listener, and most of them are silent. Every statement
+/// among them is answered nevertheless.
 #[test]
-fn a_planned_stop_accepts_all_that_wait_at_a_crowded_listener() {
+fn shutdown_answers_every_statement_that_waits_at_a_crowded_listener() {
     let mut router = router_with(
         |config| config.replace("\"sockets\":1024", "\"sockets\":64"),
         |n, _| Some(row(b"v", role(n), now_ms())),
     );
     let _silent: Vec<TcpStream> =
-        (0..40).map(|_| TcpStream::connect(&router.address).expect("it listens")).collect();
-    let mut asking: Vec<TcpStream> = (0..8)
+        (0..40).map(|_| TcpStream::connect(&router.address).expect("the router listens")).collect();
+    let mut clients_with_statement: Vec<TcpStream> = (0..8)
         .map(|nth| {
-            let mut stream = TcpStream::connect(&router.address).expect("it listens");
+            let mut stream = TcpStream::connect(&router.address).expect("the router listens");
             let text = statement(&nth.to_string(), "read", 30_000, "1");
-            stream.write_all(&[startup(), query(&text)].concat()).expect("written");
+            stream.write_all(&[startup(), query(&text)].concat()).expect("the router reads");
             stream
         })
         .collect();
     router.signal("TERM");
-    for stream in &mut asking {
+    for stream in &mut clients_with_statement {
         let kinds: Vec<u8> = std::iter::from_fn(|| next_frame(stream)).map(|(kind, _)| kind).collect();
         assert!(kinds.ends_with(b"TDCZ") || kinds.contains(&b'E'), "{kinds:?}");
     }
-    assert!(router.process.wait().expect("it ends").success());
+    assert!(router.process.wait().expect("the process can be waited for").success());
 }
 
 #[test]
-fn a_bad_start_names_the_key() {
-    let good = router_config(&["127.0.0.1:1".to_owned()]);
+fn an_invalid_configuration_at_start_is_reported_with_its_key() {
+    let valid = router_config(&["127.0.0.1:1".to_owned()]);
     for (text, listen, key) in [
-        (good.clone(), "nowhere", "RELAY_LISTEN"),
-        (good.replace("\"seed\":\"8c", "\"seed\":\"xx"), "127.0.0.1:0", "seed"),
-        (good.replace("\"sockets\":1024", "\"sockets\":\"many\""), "127.0.0.1:0", "limits.sockets"),
-        (good.replace("\"Slo\":750000000,\"Effect\":\"pure\"", "\"Effect\":\"pure\""), "127.0.0.1:0", "Slo"),
-        (good.replace("\"side_effect\"", "\"odd\""), "127.0.0.1:0", "settings.Services[1].Effect"),
-        (good.replace("\"seed\"", "\"discovery\":7,\"seed\""), "127.0.0.1:0", "discovery"),
-        (good.replacen("\"Slo\":750000000", "\"Slo\":0", 1), "127.0.0.1:0", "Services[0].Slo"),
-        (good.replace("\"Slo\":750000000", "\"Slo\":null"), "127.0.0.1:0", "Slo"),
-        (good.replace("\"Worth\":6.0", "\"Worth\":-6.0"), "127.0.0.1:0", "Services[1].Worth"),
-        (good.replace("\"AttemptsCap\":6", "\"AttemptsCap\":0"), "127.0.0.1:0", "Allowed.AttemptsCap"),
-        (good.replace("\"ColdFrom\":0.2", "\"ColdFrom\":20"), "127.0.0.1:0", "Contract.ColdFrom"),
-        (good.replace("\"ColdFrom\":0.2", "\"TipMultiple\":-4"), "127.0.0.1:0", "Contract.TipMultiple"),
-        (good.replace("\"MustAskIn\":10000000000,", ""), "127.0.0.1:0", "Contract.MustAskIn"),
-        (good.replace("\"subscribe\"", "\"sometimes\""), "127.0.0.1:0", "RegistryMode"),
-        (good.replace("\"ConnIdle\":15000000000", "\"ConnIdle\":-1"), "127.0.0.1:0", "Allowed.ConnIdle"),
-        (good.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
+        (valid.clone(), "nowhere", "RELAY_LISTEN"),
+        (valid.replace("\"seed\":\"8c", "\"seed\":\"xx"), "127.0.0.1:0", "seed"),
+        (valid.replace("\"sockets\":1024", "\"sockets\":\"many\""), "127.0.0.1:0", "limits.sockets"),
+        (valid.replace("\"Slo\":750000000,\"Effect\":\"pure\"", "\"Effect\":\"pure\""), "127.0.0.1:0", "Slo"),
+        (valid.replace("\"side_effect\"", "\"odd\""), "127.0.0.1:0", "settings.Services[1].Effect"),
+        (valid.replace("\"seed\"", "\"discovery\":7,\"seed\""), "127.0.0.1:0", "discovery"),
+        (valid.replacen("\"Slo\":750000000", "\"Slo\":0", 1), "127.0.0.1:0", "Services[0].Slo"),
+        (valid.replace("\"Slo\":750000000", "\"Slo\":null"), "127.0.0.1:0", "Slo"),
+        (valid.replace("\"Worth\":6.0", "\"Worth\":-6.0"), "127.0.0.1:0", "Services[1].Worth"),
+        (valid.replace("\"AttemptsCap\":6", "\"AttemptsCap\":0"), "127.0.0.1:0", "Allowed.AttemptsCap"),
+        (valid.replace("\"ColdFrom\":0.2", "\"ColdFrom\":20"), "127.0.0.1:0", "Contract.ColdFrom"),
+        (valid.replace("\"ColdFrom\":0.2", "\"TipMultiple\":-4"), "127.0.0.1:0", "Contract.TipMultiple"),
+        (valid.replace("\"MustAskIn\":10000000000,", ""), "127.0.0.1:0", "Contract.MustAskIn"),
+        (valid.replace("\"subscribe\"", "\"sometimes\""), "127.0.0.1:0", "RegistryMode"),
+        (valid.replace("\"ConnIdle\":15000000000", "\"ConnIdle\":-1"), "127.0.0.1:0", "Allowed.ConnIdle"),
+        (valid.replace("\"generation\":1,", ""), "127.0.0.1:0", "known: missing field `generation`"),
     ] {
         let config_file = temp_file(&text);
-        let output = router_command(listen, "127.0.0.1:1", &config_file).output().expect("it starts");
-        std::fs::remove_file(config_file).expect("its own file");
+        let output =
+            router_command(listen, "127.0.0.1:1", &config_file).output().expect("the process starts");
+        std::fs::remove_file(config_file).expect("the temporary file is removed");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && log.lines().count() == 1 && log.contains(key), "{key}: {log}");
     }
 }
 
-/// What `ladderpass check` prints.
+/// The output and the exit code of `ladderpass check`.
 struct CheckOutput {
     summary: String,
     errors: String,
     exit_code: Option<i32>,
 }
 
-/// Runs `ladderpass check` with this operator's file and a changed configuration.
-fn check(operator: Option<&str>, change: fn(String) -> String) -> CheckOutput {
+/// Runs `ladderpass check` with this text as the operator's file and a changed configuration.
+fn check(operator_file: Option<&str>, change: fn(String) -> String) -> CheckOutput {
     let members = simulated_members(3);
     let config_file = temp_file(&change(router_config(&members)));
     let mut command = router_command("127.0.0.1:6432", "127.0.0.1:8500", &config_file);
     command.arg("check").stdout(Stdio::piped());
-    let operator = operator.map(temp_file);
-    if let Some(path) = &operator {
+    let operator_file = operator_file.map(temp_file);
+    if let Some(path) = &operator_file {
         command.arg("--operator").arg(path);
     }
-    let output = command.output().expect("it starts");
-    for path in [Some(config_file), operator].into_iter().flatten() {
+    let output = command.output().expect("the process starts");
+    for path in [Some(config_file), operator_file].into_iter().flatten() {
         let _ = std::fs::remove_file(path);
     }
-    let text = |bytes| String::from_utf8(bytes).expect("text");
+    let text = |bytes| String::from_utf8(bytes).expect("the output is UTF-8");
     CheckOutput { summary: text(output.stdout), errors: text(output.stderr), exit_code: output.status.code() }
 }
 
 #[test]
-fn check_says_what_holds_with_its_defaults_or_names_the_key() {
+fn check_prints_the_effective_settings_or_names_the_wrong_key() {
     let CheckOutput { summary, errors, exit_code } = check(None, |config| config);
     assert_eq!((errors.as_str(), exit_code), ("", Some(0)));
     assert!(
@@ -242,65 +251,77 @@
         check(None, |config| config.replace(r#""memory_mb":192"#, r#""memory_mb":0"#));
     assert!(exit_code == Some(1) && errors.contains("limits.memory_mb"), "{errors}");
     let unknown = router_command("127.0.0.1:6432", "127.0.0.1:8500", &PathBuf::new()).arg("serv").output();
-    assert_eq!(unknown.expect("it starts").status.code(), Some(2));
+    assert_eq!(unknown.expect("the process starts").status.code(), Some(2));
 }
 
-/// The operator's file is read again at SIGHUP; a wrong one changes nothing but the log.
+/// The operator's file is read again at SIGHUP. An invalid file changes nothing and is logged.
 ///
-/// What happened: once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of the run was not
-/// saved. The cause: the router's port was one that the system gives, given back at once, so that a fake server of
-/// another test may get it before the router; the router then tries for 5 s and ends. With a listener put there on
-/// purpose the test fails with that message; of 200,000 ports given back so 343 came again within the next 12 that were
-/// asked for. The port is one that the system does not give now (`router_address`).
+/// Once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of that run was not saved. At
+/// that time the router's port was an ephemeral port that the test had released at once, so that a fake server of another
+/// test could get it before the router, which then retries for 5 s and ends. With a listener put on the port on purpose
+/// the test fails with that message. Of 200,000 ports released like that, 343 were given out again among the next 12
+/// requested. The port is not an ephemeral one any more (see `router_address`).
 #[test]
-fn a_wrong_operators_file_at_sighup_leaves_the_old_one() {
+fn an_invalid_operator_file_at_sighup_leaves_the_settings_unchanged() {
     let (sender, _statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, |_, _| None, sender.clone())).collect();
-    let (config_file, operator) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
+    let (config_file, operator_file) = (temp_file(&router_config(&members)), temp_file("overload: {}\n"));
     let mut command = router_command(&router_address(), &fake_discovery(NO_CHANGE.to_owned()), &config_file);
-    let mut process =
-        command.arg("--operator").arg(&operator).env("RUST_LOG", "info").spawn().expect("it starts");
-    let mut lines = BufReader::new(process.stderr.take().expect("its log")).lines().map_while(Result::ok);
-    let mut seen: Vec<String> = Vec::new();
-    let mut until = |part: &str| loop {
-        let line = lines.next().unwrap_or_else(|| panic!("{part:?} is logged; the log has ended: {seen:#?}"));
-        seen.push(line.clone());
+    let mut process = command
+        .arg("--operator")
+        .arg(&operator_file)
+        .env("RUST_LOG", "info")
+        .spawn()
+        .expect("the process starts");
+    let mut lines =
+        BufReader::new(process.stderr.take().expect("the log is readable")).lines().map_while(Result::ok);
+    let mut lines_seen: Vec<String> = Vec::new();
+    let mut wait_for_line = |part: &str| loop {
+        let line =
+            lines.next().unwrap_or_else(|| panic!("the log has ended without {part:?}: {lines_seen:#?}"));
+        lines_seen.push(line.clone());
         if line.contains(part) {
             break line;
         }
     };
-    until(" listening ");
-    std::fs::write(&operator, "overload: {delay: {from: 1s, full: 1ms}}\n").expect("its own file");
+    wait_for_line(" listening ");
+    std::fs::write(&operator_file, "overload: {delay: {from: 1s, full: 1ms}}\n")
+        .expect("the temporary file is written");
     let send_sighup = |process: &Child| {
         let pid = nix::unistd::Pid::from_raw(process.id() as i32);
-        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
+        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("the process runs");
     };
     send_sighup(&process);
-    let line = until("configuration not reloaded");
+    let line = wait_for_line("configuration not reloaded");
     assert!(line.contains("overload.delay") && line.contains("line 1"), "{line}");
-    std::fs::write(&operator, "overload: {fair: 9}\n").expect("its own file");
+    std::fs::write(&operator_file, "overload: {fair: 9}\n").expect("the temporary file is written");
     send_sighup(&process);
-    until("configuration reloaded discovery=");
-    let _ =
-        (process.kill(), process.wait(), std::fs::remove_file(config_file), std::fs::remove_file(operator));
+    wait_for_line("configuration reloaded discovery=");
+    let _ = (
+        process.kill(),
+        process.wait(),
+        std::fs::remove_file(config_file),
+        std::fs::remove_file(operator_file),
+    );
 }
 
-/// A log that nobody reads: standard error on a full disk, or a pipe whose reader has gone.
+/// The log goes to a full device, or to a pipe whose reader has closed its end.
 ///
-/// It passes. It is here because the router that `failing_calls` makes of its own binary panicked there once its log was
-/// at `info`: it reported a failed log write on standard error, which panics where that fails too. The program does not.
+/// The router that `failing_calls` runs in its own binary once panicked in this case, with its log at `info`: it reported
+/// a failed log write on standard error, which panics if that write fails too. The program itself does not panic.
 #[test]
-fn a_log_that_nobody_reads_ends_no_process() {
-    let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a device");
-    for log in [Stdio::from(full), Stdio::piped()] {
+fn a_log_that_can_not_be_written_does_not_end_the_process() {
+    let full_device =
+        std::fs::OpenOptions::new().write(true).open("/dev/full").expect("/dev/full can be opened");
+    for log in [Stdio::from(full_device), Stdio::piped()] {
         let (sender, statements) = channel();
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
         let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
         let mut router = router_logging_to(log, &members, statements, |config| config);
-        // Of the pipe, the reader has gone.
+        // Closes the reading end of the pipe, if the log goes to one.
         drop(router.process.stderr.take());
         let mut client = router.client();
-        // It logs the reload.
+        // The reload makes the router write to its log.
         router.signal("HUP");
         thread::sleep(Duration::from_millis(100));
         assert_eq!(execute(&mut client, &statement("1", "write", 30_000, "1")).0, b"TDCZ");
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail for a moment, over real connections: each RPC is answered, no rule is broken, and the process
-//! goes on (`docs/terms-audit.md`). The router is this test binary itself, started again.
+//! System calls that fail transiently, over real connections. Each RPC is answered, no invariant is broken, and the process
+//! keeps running (`docs/terms-audit.md`). The router process is this test binary, started again.
 
 mod common;
 mod failing_syscalls;
@@ -18,6 +18,7 @@
 use std::process::Child;
 use std::time::{Duration, Instant};
 
+/// Serves as the router if this binary was started as one, and otherwise does nothing.
 #[test]
 fn router_process() {
     failing_syscalls::serve_if_planned();
@@ -25,7 +26,7 @@
 
 const DEADLINE: Span = Span::from_millis(1500);
 
-/// Runs a load of two seconds against a router whose calls fail.
+/// Runs a load of two seconds against a router whose system calls fail. The process must still run at the end.
 fn run_load(start: &Start) -> RunRecord {
     let _turn = wait_for_turn();
     let plan = Plan {
@@ -33,66 +34,67 @@
         deadline: DEADLINE,
         ..open_plan(5, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
     };
-    let seen = run::run(&Scenario::default(), start, &plan, Vec::new());
-    let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
-    assert_eq!(seen.ended, None, "the process goes on: {}", seen.log.join("\n"));
-    seen
+    let record = run::run(&Scenario::default(), start, &plan, Vec::new());
+    let record = record.unwrap_or_else(|fault| panic!("{fault}"));
+    assert_eq!(record.ended, None, "the process has ended: {}", record.log.join("\n"));
+    record
 }
 
-/// The same; each RPC is served before its deadline.
+/// Like [`run_load`]. Each RPC must be served before its deadline.
 fn assert_all_served(start: &Start) -> RunRecord {
-    let seen = run_load(start);
-    let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
-    assert_eq!(seen.violation_texts(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
+    let record = run_load(start);
+    let (total, log) = (record.outcome.total(), record.log.join("\n"));
+    assert_eq!(record.violation_texts(Span::from_millis(50)), Vec::<String>::new(), "{total:?}\n{log}");
     assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{total:?}\n{log}");
     assert_eq!(total.ok, total.due, "{total:?}\n{log}");
-    seen
+    record
 }
 
-/// The same with these failures, which must all have happened: otherwise the run shows nothing.
+/// Like [`assert_all_served`] with these failures, which must all have happened, since otherwise the run proves nothing.
 fn assert_all_served_despite(failures: &[FailingSyscall]) {
-    let seen = assert_all_served(&failing_syscalls::start(failures, &[]));
-    let all = seen.log.iter().filter(|line| line.contains("all failures of call")).count();
-    assert_eq!(all, failures.len(), "{}", seen.log.join("\n"));
+    let record = assert_all_served(&failing_syscalls::start(failures, &[]));
+    let completed = record.log.iter().filter(|line| line.contains("all failures of call")).count();
+    assert_eq!(completed, failures.len(), "{}", record.log.join("\n"));
 }
 
-/// The same with these errors of one call, so many each, while clients and members connect.
+/// Like [`assert_all_served_despite`] with these errors of one system call, `count` times each, from the start on, while
+/// clients and members connect.
 fn assert_all_served_despite_errors(call: i64, errors: &[i32], count: u64) {
     let failure = |&errno: &i32| FailingSyscall {
         after: Duration::ZERO,
         every: 2,
         count,
-        ..FailingSyscall::of(call, errno)
+        ..FailingSyscall::with_errno(call, errno)
     };
     assert_all_served_despite(&errors.iter().map(failure).collect::<Vec<_>>());
 }
 
 #[test]
-fn calls_that_do_not_fail_change_nothing() {
-    let failure = FailingSyscall { count: 0, ..FailingSyscall::of(libc::SYS_recvmsg, libc::ENOMEM) };
+fn intercepted_calls_that_do_not_fail_change_nothing() {
+    let failure = FailingSyscall { count: 0, ..FailingSyscall::with_errno(libc::SYS_recvmsg, libc::ENOMEM) };
     assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
-/// The event loop arms its sources again for each wait.
+/// The event loop arms its event sources again for each wait.
 #[test]
-fn the_loop_goes_on_where_its_sources_can_not_be_armed() {
-    assert_all_served_despite(&[FailingSyscall::of(libc::SYS_epoll_ctl, libc::ENOMEM)]);
+fn the_event_loop_continues_after_failing_to_arm_its_sources() {
+    assert_all_served_despite(&[FailingSyscall::with_errno(libc::SYS_epoll_ctl, libc::ENOMEM)]);
 }
 
 #[test]
-fn a_read_that_fails_for_want_of_memory_is_made_again() {
+fn a_read_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_recvmsg, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::with_errno(libc::SYS_recvmsg, errno)));
 }
 
 #[test]
-fn a_write_that_fails_for_want_of_memory_is_made_again() {
+fn a_write_that_fails_transiently_is_retried() {
     let errors = [libc::ENOMEM, libc::ENOBUFS, libc::EINTR];
-    assert_all_served_despite(&errors.map(|errno| FailingSyscall::of(libc::SYS_sendto, errno)));
+    assert_all_served_despite(&errors.map(|errno| FailingSyscall::with_errno(libc::SYS_sendto, errno)));
 }
 
 #[test]
-fn a_client_that_can_not_be_accepted_for_a_moment_is_served() {
+fn a_client_whose_accept_fails_transiently_is_served() {
     use libc::{
         ECONNABORTED, EHOSTUNREACH, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM, EPROTO, ETIMEDOUT,
     };
@@ -102,40 +104,45 @@
 }
 
 #[test]
-fn a_client_that_can_not_be_watched_for_a_moment_is_served() {
-    let adds = Some(libc::EPOLL_CTL_ADD as u64);
+fn a_client_whose_epoll_registration_fails_transiently_is_served() {
+    let add_operation = Some(libc::EPOLL_CTL_ADD as u64);
     let failure = |errno| FailingSyscall {
-        operation: adds,
+        operation: add_operation,
         after: Duration::ZERO,
         every: 4,
         count: 8,
-        ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
+        ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
     };
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
-    // A client that has sent its statement is answered on that connection; the load above would open another one.
+    // A client that has sent its statement must be answered on that connection. The load above would open another one.
     let _turn = wait_for_turn();
-    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
+    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
         let failure = FailingSyscall {
-            operation: adds,
+            operation: add_operation,
             every: 1,
             count: 5,
-            ..FailingSyscall::of(libc::SYS_epoll_ctl, errno)
+            ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
         };
         let router = RouterWithoutMembers::start(&[failure], &discovery);
         assert!(router.accepts_within(Duration::from_secs(5)));
         std::thread::sleep(Duration::from_millis(1100));
-        let mut client = std::net::TcpStream::connect(&router.address).expect("it listens");
-        client.set_read_timeout(Some(Duration::from_secs(5))).expect("it can");
-        client.write_all(&[common::startup(), common::query("")].concat()).expect("the kernel takes it");
+        let mut client = std::net::TcpStream::connect(&router.address).expect("the router listens");
+        client.set_read_timeout(Some(Duration::from_secs(5))).expect("the read timeout is set");
+        client
+            .write_all(&[common::startup(), common::query("")].concat())
+            .expect("the kernel buffers the bytes");
         let kinds = std::iter::from_fn(|| common::next_frame(&mut client)).map(|(kind, _)| kind);
         let answered = kinds.take_while(|kind| *kind != b'I').count();
-        assert!(common::next_frame(&mut client).is_some_and(|(kind, _)| kind == b'Z'), "{answered} frames");
+        assert!(
+            common::next_frame(&mut client).is_some_and(|(kind, _)| kind == b'Z'),
+            "the empty query is not answered, {answered} frames before"
+        );
     }
 }
 
 #[test]
-fn a_member_that_can_not_be_called_for_a_moment_is_called_again() {
+fn a_connect_to_a_member_that_fails_transiently_is_retried() {
     use libc::{EADDRNOTAVAIL, EAGAIN, ECONNREFUSED, EHOSTUNREACH, EINTR, EMFILE, ENETUNREACH, ENFILE};
     use libc::{ENOBUFS, ENOMEM, ETIMEDOUT};
     assert_all_served_despite_errors(libc::SYS_connect, &[EADDRNOTAVAIL, EAGAIN, ECONNREFUSED], 1);
@@ -146,47 +153,52 @@
 }
 
 #[test]
-fn options_that_can_not_be_set_or_read_for_a_moment_cost_nothing() {
+fn transient_socket_option_failures_affect_no_rpc() {
     assert_all_served_despite_errors(libc::SYS_setsockopt, &[libc::ENOBUFS, libc::ENOMEM], 3);
     assert_all_served_despite_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
 }
 
-/// The event loop and the sockets wait by one of these calls.
+/// The event loop and the sockets wait with one of these system calls.
 #[test]
-fn a_wait_that_is_interrupted_is_made_again() {
+fn an_interrupted_epoll_wait_is_retried() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
-    let failures = calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::of(call, libc::EINTR) });
-    let seen = assert_all_served(&failing_syscalls::start(&failures, &[]));
-    assert!(seen.log.iter().any(|line| line.contains("all failures of call")), "{}", seen.log.join("\n"));
+    let failures =
+        calls.map(|call| FailingSyscall { count: 200, ..FailingSyscall::with_errno(call, libc::EINTR) });
+    let record = assert_all_served(&failing_syscalls::start(&failures, &[]));
+    assert!(record.log.iter().any(|line| line.contains("all failures of call")), "{}", record.log.join("\n"));
 }
 
 #[test]
-fn a_log_that_can_not_be_written_stops_nothing() {
+fn log_write_failures_affect_no_rpc() {
     let errors = [libc::ENOSPC, libc::EIO, libc::EAGAIN, libc::EPIPE, libc::EINTR];
     let at_once = |errno| FailingSyscall {
         after: Duration::ZERO,
         every: 1,
-        ..FailingSyscall::of(libc::SYS_write, errno)
+        ..FailingSyscall::with_errno(libc::SYS_write, errno)
     };
     assert_all_served(&failing_syscalls::start(&errors.map(at_once), &[]));
 }
 
-/// A lost connection shows by any of these errors; only the RPC in flight on it is lost, and nothing runs twice.
+/// Each of these errors shows that a connection is lost. Only the RPC in flight on the connection fails, and none runs
+/// twice.
 #[test]
-fn a_broken_connection_costs_no_more_than_itself() {
+fn a_broken_connection_fails_only_the_rpc_in_flight_on_it() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
         let errors = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET, libc::EPIPE];
-        let failures =
-            errors.map(|errno| FailingSyscall { every: 40, count: 3, ..FailingSyscall::of(call, errno) });
-        let seen = run_load(&failing_syscalls::start(&failures, &[]));
-        let violations = seen.violations(Span::from_millis(50));
+        let failures = errors.map(|errno| FailingSyscall {
+            every: 40,
+            count: 3,
+            ..FailingSyscall::with_errno(call, errno)
+        });
+        let record = run_load(&failing_syscalls::start(&failures, &[]));
+        let violations = record.violations(Span::from_millis(50));
         assert!(violations.iter().all(|violation| violation.rule == 1), "{violations:?}");
-        let total = seen.outcome.total();
+        let total = record.outcome.total();
         assert!(total.due - total.ok <= 2 * 3 * failures.len() as u64, "{total:?}");
     }
 }
 
-/// A router without members, whose discovery is the test.
+/// A router without members, for which the test plays discovery.
 struct RouterWithoutMembers {
     process: Child,
     config: std::path::PathBuf,
@@ -206,13 +218,14 @@
         let address = common::router_address();
         let mut command = failing_syscalls::command(&start);
         command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", &address).env("RELAY_CONFIG", &config);
-        command.env("RELAY_DISCOVERY", discovery.local_addr().expect("an address").to_string());
-        let process = command.spawn().expect("it starts");
+        command
+            .env("RELAY_DISCOVERY", discovery.local_addr().expect("the listener has an address").to_string());
+        let process = command.spawn().expect("the process starts");
         RouterWithoutMembers { process, config, address }
     }
 
-    fn accepts_within(&self, patience: Duration) -> bool {
-        let until = Instant::now() + patience;
+    fn accepts_within(&self, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         while Instant::now() < until {
             if std::net::TcpStream::connect(&self.address).is_ok() {
                 return true;
@@ -223,10 +236,10 @@
     }
 }
 
-/// Whether the router connects to discovery in this time.
-fn is_watched_within(discovery: &TcpListener, patience: Duration) -> bool {
-    discovery.set_nonblocking(true).expect("it can");
-    let until = Instant::now() + patience;
+/// Whether the router connects to discovery within this time.
+fn is_watched_within(discovery: &TcpListener, timeout: Duration) -> bool {
+    discovery.set_nonblocking(true).expect("non-blocking mode is set");
+    let until = Instant::now() + timeout;
     while Instant::now() < until {
         if discovery.accept().is_ok() {
             return true;
@@ -236,36 +249,49 @@
     false
 }
 
-/// The list of the new discovery applies 4 s after SIGHUP, although the file could not be read at once.
+/// A change of the configuration must apply 4 s after SIGHUP. The router connects to the new discovery address within 2 s,
+/// although the file cannot be read at first.
 #[test]
-fn a_configuration_that_can_not_be_read_for_a_moment_is_read_again() {
+fn a_configuration_read_that_fails_transiently_is_retried() {
     let _turn = wait_for_turn();
-    let [first, second] =
-        [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a port"));
+    let [old_discovery, new_discovery] =
+        [(); 2].map(|()| TcpListener::bind(common::unique_loopback_address()).expect("a free port"));
     for errno in [libc::EMFILE, libc::ENFILE, libc::EIO, libc::EINTR, libc::ENOMEM] {
-        let failure = FailingSyscall { every: 1, count: 5, ..FailingSyscall::of(libc::SYS_openat, errno) };
-        let router = RouterWithoutMembers::start(&[failure], &first);
-        assert!(is_watched_within(&first, Duration::from_secs(5)), "it starts");
+        let failure =
+            FailingSyscall { every: 1, count: 5, ..FailingSyscall::with_errno(libc::SYS_openat, errno) };
+        let router = RouterWithoutMembers::start(&[failure], &old_discovery);
+        assert!(
+            is_watched_within(&old_discovery, Duration::from_secs(5)),
+            "the router watches the old address"
+        );
         std::thread::sleep(Duration::from_millis(1200));
-        let good = std::fs::read_to_string(&router.config).expect("its file");
-        let moved = format!("{{\"discovery\":\"{}\",", second.local_addr().expect("an address"));
-        std::fs::write(&router.config, good.replacen('{', &moved, 1)).expect("written");
+        let valid_config =
+            std::fs::read_to_string(&router.config).expect("the configuration file is readable");
+        let new_discovery_key = format!(
+            "{{\"discovery\":\"{}\",",
+            new_discovery.local_addr().expect("the listener has an address")
+        );
+        std::fs::write(&router.config, valid_config.replacen('{', &new_discovery_key, 1))
+            .expect("the configuration is written");
         let pid = nix::unistd::Pid::from_raw(router.process.id() as i32);
-        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("it runs");
-        assert!(is_watched_within(&second, Duration::from_secs(2)), "error {errno}");
+        nix::sys::signal::kill(pid, nix::sys::signal::Signal::SIGHUP).expect("the process runs");
+        assert!(
+            is_watched_within(&new_discovery, Duration::from_secs(2)),
+            "the new configuration is not used after errno {errno}"
+        );
     }
 }
 
-/// A start survives a failure of any call that it makes.
+/// The start survives transient failures of the system calls that it makes.
 #[test]
-fn calls_that_fail_at_the_start_refuse_nothing() {
+fn calls_that_fail_transiently_at_start_do_not_prevent_serving() {
     let _turn = wait_for_turn();
-    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a port");
+    let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     let at_start = |call, errno| FailingSyscall {
         after: Duration::ZERO,
         every: 1,
         count: 3,
-        ..FailingSyscall::of(call, errno)
+        ..FailingSyscall::with_errno(call, errno)
     };
     for failure in [
         at_start(libc::SYS_epoll_ctl, libc::ENOMEM),
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -1,5 +1,5 @@
-//! The migration: routers without gossip and routers with it, in front of the same members. `ladderpass-invariants` checks
-//! what ran, and neither kind may starve the other.
+//! The migration to gossip: routers without gossip and routers with it, in front of the same members.
+//! `ladderpass-invariants` checks what ran, and neither kind of router may starve the other.
 
 mod one_at_a_time;
 
@@ -14,25 +14,26 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::path::Path;
 
-/// A kind is starved if it has less than this part of the other's good answers.
-const MIN_PART_OF_OTHER: f64 = 0.5;
+/// A kind of router is starved if it has less than this share of the other kind's good answers.
+const MIN_SHARE_OF_OTHER: f64 = 0.5;
 
 /// Addresses that were free a moment ago.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
-    let sockets: Vec<UdpSocket> =
-        (0..count).map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback")).collect();
-    sockets.iter().map(|socket| socket.local_addr().expect("bound")).collect()
+    let sockets: Vec<UdpSocket> = (0..count)
+        .map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port"))
+        .collect();
+    sockets.iter().map(|socket| socket.local_addr().expect("the socket is bound")).collect()
 }
 
-/// Four routers, those in `quiet` without gossip, with `rate` RPCs per second each; `greedy` more per second come from
-/// clients that go straight to the members.
+/// A drill of four routers with `rate` RPCs per second each. The routers in `quiet` have no gossip. `greedy` RPCs per
+/// second more come from clients that connect directly to the members.
 fn drill(quiet: &[&str], rate: f64, greedy: f64) -> Drill {
     let mut scenario = Scenario { cores: 2, ..Scenario::default() };
     scenario.methods.iter_mut().for_each(|method| method.work_ms = 20.0);
     Drill {
         phases: vec![Phase { seconds: 3.0, rate_per_second: rate * 4.0 }],
-        // No more connections than are in use all the time: the router closes one that is idle for two seconds, and the
-        // load might choose it for an RPC at that moment.
+        // No more connections than are in use all the time. The router closes a connection that is idle for two seconds,
+        // and the load might choose that connection for an RPC at that moment.
         clients: if rate < 100.0 { (rate * 4.0 / 3.0) as usize } else { 1200 },
         connection_skew: 1.0,
         roaming: 0.0,
@@ -62,103 +63,119 @@
 
 const WITHOUT_GOSSIP: [&str; 2] = ["r0", "r1"];
 
-fn both(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
+/// The counts of the routers without gossip, and those of the routers with gossip.
+fn counts_by_kind(drill: &Drill, played: &DrillRecord) -> [Counts; 2] {
     [played.counts_of(drill, &[0, 1]), played.counts_of(drill, &[2, 3])]
 }
 
 fn is_starved(one: &Counts, other: &Counts) -> bool {
-    let (least, most) = (one.good.min(other.good) as f64, one.good.max(other.good) as f64);
-    most == 0.0 || least / most < MIN_PART_OF_OTHER
+    let (fewer, more) = (one.good.min(other.good) as f64, one.good.max(other.good) as f64);
+    more == 0.0 || fewer / more < MIN_SHARE_OF_OTHER
 }
 
-/// A kind is harmed if less than this part of its RPCs is answered well, though the members had the capacity.
-const MIN_GOOD_PART: f64 = 0.9;
+/// A kind of router is harmed if less than this share of its RPCs is answered well although the members have the capacity
+/// for all of them.
+const MIN_GOOD_SHARE: f64 = 0.9;
 
 fn is_harmed(counts: &Counts) -> bool {
-    (counts.good as f64) < MIN_GOOD_PART * counts.due as f64
+    (counts.good as f64) < MIN_GOOD_SHARE * counts.due as f64
 }
 
 #[test]
-fn both_kinds_before_the_same_members_keep_the_rules_and_serve_all() {
+fn routers_with_and_without_gossip_serve_the_same_members_and_break_no_invariant() {
     let _turn = wait_for_turn();
     let drill = drill(&WITHOUT_GOSSIP, 25.0, 0.0);
     let played = play_drill(&drill);
     assert_no_violations(&played);
-    for total in both(&drill, &played) {
+    for total in counts_by_kind(&drill, &played) {
         assert!(total.good * 10 >= total.due * 8, "{total:?}");
     }
 }
 
-/// At twice the capacity of the members.
+/// The load is twice the capacity of the members.
 #[test]
-fn in_overload_neither_kind_starves_the_other() {
+fn under_overload_neither_kind_of_router_starves_the_other() {
     let _turn = wait_for_turn();
     let drill = drill(&WITHOUT_GOSSIP, 150.0, 0.0);
     let played = play_drill(&drill);
     assert_no_violations(&played);
-    let [old, new] = both(&drill, &played);
-    assert!(!is_starved(&old, &new), "old {old:?}, new {new:?}");
+    let [without_gossip, with_gossip] = counts_by_kind(&drill, &played);
+    assert!(
+        !is_starved(&without_gossip, &with_gossip),
+        "without gossip {without_gossip:?}, with gossip {with_gossip:?}"
+    );
 }
 
-/// The same clients in front of routers of both kinds, and beside clients without any limit: the check tells these cases
-/// apart, so it would notice a kind of router that is greedy.
+/// The same load in front of routers of both kinds, first alone, and then beside clients that send to the members without
+/// any limit. The check tells the two cases apart, so it would notice a kind of router that is greedy.
 #[test]
-fn a_greedy_kind_is_found_to_starve_the_others() {
+fn the_check_tells_greedy_clients_from_routers_of_the_other_kind() {
     let _turn = wait_for_turn();
-    let calm = drill(&WITHOUT_GOSSIP, 60.0, 0.0);
-    let beside_the_other = both(&calm, &play_drill(&calm));
-    let rude = drill(&WITHOUT_GOSSIP, 60.0, 2400.0);
-    let beside_a_greedy = both(&rude, &play_drill(&rude));
+    let normal_drill = drill(&WITHOUT_GOSSIP, 60.0, 0.0);
+    let normal_counts = counts_by_kind(&normal_drill, &play_drill(&normal_drill));
+    let greedy_drill = drill(&WITHOUT_GOSSIP, 60.0, 2400.0);
+    let greedy_counts = counts_by_kind(&greedy_drill, &play_drill(&greedy_drill));
     for kind in [0, 1] {
-        assert!(!is_harmed(&beside_the_other[kind]), "beside the other kind {beside_the_other:?}");
-        assert!(is_harmed(&beside_a_greedy[kind]), "beside a greedy kind {beside_a_greedy:?}");
+        assert!(
+            !is_harmed(&normal_counts[kind]),
+            "a kind is harmed beside the other kind: {normal_counts:?}"
+        );
+        assert!(
+            is_harmed(&greedy_counts[kind]),
+            "a kind is not harmed beside greedy clients: {greedy_counts:?}"
+        );
     }
 }
 
-/// The test is the other router: it receives what members reported to the router, and the router ignores strangers.
+/// The test plays the other router. It receives what the router has observed of members, and then sends the router invalid
+/// messages, from its own address and from an unknown one. The router still serves all RPCs.
 #[test]
-fn a_router_with_gossip_publishes_what_members_reported_to_it() {
+fn a_router_with_gossip_publishes_what_it_observed_of_members_and_ignores_noise() {
     let _turn = wait_for_turn();
     let scenario = Scenario::default();
-    let emulator = RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("fleet");
-    let other = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
-    other.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("a time-out");
-    let (own, others) = (free_addresses(1)[0], other.local_addr().expect("bound"));
+    let emulator =
+        RunningEmulator::start(scenario.clone(), 3, Ipv4Addr::LOCALHOST).expect("the members start");
+    let test_socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
+    test_socket.set_read_timeout(Some(std::time::Duration::from_secs(10))).expect("the read timeout is set");
+    let (router_peer, test_peer) =
+        (free_addresses(1)[0], test_socket.local_addr().expect("the socket is bound"));
     let mut start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
-    start.operator = Some(format!("peers: {{me: 0, all: ['{own}', '{others}']}}\nmembers: {{zone: a}}"));
-    let router =
-        Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3).expect("router");
+    start.operator =
+        Some(format!("peers: {{me: 0, all: ['{router_peer}', '{test_peer}']}}\nmembers: {{zone: a}}"));
+    let router = Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3)
+        .expect("the router starts");
     let plan = Plan {
         connections: 20,
         pipeline: 1,
         ..open_plan(3, &[Phase { seconds: 1.0, rate_per_second: 50.0 }])
     };
-    load::run(&scenario, router.address, &plan, |_| {}).expect("load");
+    load::run(&scenario, router.address, &plan, |_| {}).expect("the load runs");
     let mut buffer = [0; 512];
     let (count, from) = loop {
-        // It also sends messages of the membership protocol.
-        let (count, from) = other.recv_from(&mut buffer).expect("it publishes within seconds");
+        // The router also sends messages of the membership protocol.
+        let (count, from) = test_socket.recv_from(&mut buffer).expect("the router publishes within 10 s");
         if buffer[0] != ladderpass_membership::FIRST_BYTE {
             break (count, from);
         }
     };
-    assert_eq!(from, own);
-    let text = std::str::from_utf8(&buffer[..count]).expect("letters");
+    assert_eq!(from, router_peer);
+    let text = std::str::from_utf8(&buffer[..count]).expect("the message is text");
     let now = ladderpass_emulator::loopback::now() - Time::default();
-    let updates = ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a message").updates;
+    let updates =
+        ladderpass_config::gossip::GossipMessage::decode(text, now).expect("a valid gossip message").updates;
     assert!(
         !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
         "{updates:?}"
     );
-    // Noise, from the other router and from a stranger, changes nothing.
-    let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback");
-    for socket in [&other, &stranger] {
+    // Invalid messages, from the other router and from an unknown sender, change nothing.
+    let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
+    for socket in [&test_socket, &stranger] {
         for noise in [&b""[..], b"\xff\xfe", b"AAAAAAAAAAAAAAAAAAAAAAA", &[b'B'; 512]] {
-            socket.send_to(noise, own).expect("sent");
+            socket.send_to(noise, router_peer).expect("the datagram is sent");
         }
     }
     let plan = Plan { seed: 4, ..plan };
-    let after = load::run(&scenario, router.address, &plan, |_| {}).expect("load");
+    let after = load::run(&scenario, router.address, &plan, |_| {}).expect("the load runs");
     assert_eq!(after.total().ok, after.total().due, "{:?}", after.total());
     router.stop();
     emulator.stop();
