--- a/crates/ladderpass/src/reducer/state/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -221,9 +221,9 @@
 
     /// Of so many bytes that were received, how many belong to a skipped statement.
     pub(in crate::reducer) fn skip_received(&mut self, count: usize) -> usize {
-        let Some(left) = &mut self.skipping else { return 0 };
-        let skipped = count.min(*left);
-        *left -= skipped;
+        let Some(remaining) = &mut self.skipping else { return 0 };
+        let skipped = count.min(*remaining);
+        *remaining -= skipped;
         self.arrivals.consume(skipped);
         skipped
     }
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// How many sets there are; they stand in the order of eviction.
-const AWAITED_INPUTS: usize = 3;
+const AWAITED_INPUT_COUNT: usize = 3;
 
 /// Which clients may be evicted.
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +26,7 @@
 pub(in crate::reducer) struct ClientTable {
     count: usize,
     /// By `AwaitedInput`: the clients that it is awaited from, and since when.
-    by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUTS],
+    by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUT_COUNT],
     /// Clients that are closed unless their sockets still hold something, with what was awaited from them.
     evicting: Vec<(ConnectionId, Option<Awaited>)>,
     /// Clients whose input is to be read in this iteration.
@@ -60,8 +60,8 @@
         client: &mut Client,
         awaited: Option<Awaited>,
     ) {
-        if let Some((before, since)) = client.replace_awaited(awaited) {
-            self.by_awaited_input[before as usize].remove(&(since, id));
+        if let Some((previous, since)) = client.replace_awaited(awaited) {
+            self.by_awaited_input[previous as usize].remove(&(since, id));
         }
         if let Some((input, since)) = awaited {
             self.by_awaited_input[input as usize].insert((since, id));
@@ -69,7 +69,7 @@
     }
 
     /// How many clients the router awaits each input from.
-    pub(in crate::reducer) fn awaited_counts(&self) -> [usize; AWAITED_INPUTS] {
+    pub(in crate::reducer) fn awaited_counts(&self) -> [usize; AWAITED_INPUT_COUNT] {
         self.by_awaited_input.each_ref().map(BTreeSet::len)
     }
 
@@ -91,7 +91,7 @@
     pub(in crate::reducer) fn first_evictable(
         &self,
         scope: EvictionScope,
-        ages: &[Span; AWAITED_INPUTS],
+        ages: &[Span; AWAITED_INPUT_COUNT],
     ) -> Option<ConnectionId> {
         self.by_awaited_input.iter().zip(ages).find_map(|(set, &age)| {
             let &(since, id) = set.first()?;
@@ -108,7 +108,7 @@
         &self,
         now: Time,
         limit: usize,
-        ages: &[Span; AWAITED_INPUTS],
+        ages: &[Span; AWAITED_INPUT_COUNT],
     ) -> Option<ConnectionId> {
         if self.count <= limit + self.evicting.len() {
             return None;
@@ -117,7 +117,7 @@
     }
 
     /// When the next client may be evicted.
-    pub(in crate::reducer) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUTS]) -> Option<Time> {
+    pub(in crate::reducer) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUT_COUNT]) -> Option<Time> {
         self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
 
@@ -139,8 +139,8 @@
 
     /// Takes an eviction that can be completed, with what was awaited from the client when it began.
     pub(in crate::reducer) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
-        let at = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
-        self.evicting.remove(at).1
+        let index = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
+        self.evicting.remove(index).1
     }
 
     pub(in crate::reducer) fn evicting(&self) -> impl Iterator<Item = ConnectionId> {
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -181,10 +181,10 @@
 
     pub(in crate::reducer) fn pair_mut(
         &mut self,
-        one: ConnectionId,
-        other: ConnectionId,
+        first: ConnectionId,
+        second: ConnectionId,
     ) -> [Option<&mut Connection>; 2] {
-        self.by_id.get_disjoint_mut([&one, &other])
+        self.by_id.get_disjoint_mut([&first, &second])
     }
 
     pub(in crate::reducer) fn client(&self, id: ConnectionId) -> Option<&Client> {
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -80,8 +80,8 @@
     }
 
     pub(in crate::reducer) fn remove_connection(&mut self, id: ConnectionId) {
-        for watch in [&mut self.current, &mut self.late, &mut self.previous] {
-            *watch = watch.filter(|&watch| watch != id);
+        for slot in [&mut self.current, &mut self.late, &mut self.previous] {
+            *slot = slot.filter(|&watch| watch != id);
         }
     }
 
@@ -180,7 +180,7 @@
                 return ListVerdict::ChangesOfAnotherList;
             }
         }
-        match self.is_unconfirmed_older(now, listing, limits) {
+        match self.is_first_older_list(now, listing, limits) {
             true => ListVerdict::Older,
             false => ListVerdict::Accepted,
         }
@@ -192,7 +192,7 @@
     /// Discovery may also have restarted its generations, and all its lists would be rejected as older. No list is delayed
     /// for longer than `notified_within`: that long after the list here was received, a second older list that is complete
     /// is accepted, and its generation adopted.
-    fn is_unconfirmed_older(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
+    fn is_first_older_list(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
         let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
         if !self.offers_older_list {
             self.received_at = now;
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -47,8 +47,8 @@
 
     /// When the byte arrived that is `count` bytes from the front.
     pub(super) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
-        let wanted = self.consumed + count as u64;
-        let batch = self.batches.iter().find(|batch| batch.end >= wanted)?;
+        let end = self.consumed + count as u64;
+        let batch = self.batches.iter().find(|batch| batch.end >= end)?;
         let waited = now - batch.arrived_at - (self.time_with_members - batch.time_with_members);
         Some(Arrived { at: batch.arrived_at, waited_for_router: waited.max(Span::ZERO) })
     }
--- a/crates/ladderpass/src/reducer/state/methods.rs
+++ b/crates/ladderpass/src/reducer/state/methods.rs
@@ -55,7 +55,7 @@
     }
 
     pub(in crate::reducer) fn name(&self, index: u32) -> Option<&str> {
-        self.index_by_name.iter().find(|(_, known)| **known == index).map(|(name, _)| name.as_str())
+        self.index_by_name.iter().find(|(_, candidate)| **candidate == index).map(|(name, _)| name.as_str())
     }
 
     pub(in crate::reducer) fn has_session_methods(&self) -> bool {
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -60,17 +60,18 @@
     /// The largest slow readers, as many as it takes to bring the memory of buffers down to where it affects nobody.
     fn largest_slow_readers(&self, now: Time, connections: &Connections) -> FxHashSet<ConnectionId> {
         let interval = self.governor.sample_interval();
-        let mut excess = connections.buffer_bytes().saturating_sub(self.governor.unpressured_buffer_bytes());
-        if excess == 0 {
+        let mut excess_bytes =
+            connections.buffer_bytes().saturating_sub(self.governor.unpressured_buffer_bytes());
+        if excess_bytes == 0 {
             return FxHashSet::default();
         }
-        let stuck = self.slow_readers.iter().filter(|(_, since)| now - **since >= interval);
+        let blocked = self.slow_readers.iter().filter(|(_, since)| now - **since >= interval);
         let mut by_size: Vec<(usize, ConnectionId)> =
-            stuck.filter_map(|(id, _)| Some((connections.get(*id)?.buffer_bytes(), *id))).collect();
-        by_size.sort_unstable_by(|one, other| other.cmp(one));
+            blocked.filter_map(|(id, _)| Some((connections.get(*id)?.buffer_bytes(), *id))).collect();
+        by_size.sort_unstable_by(|left, right| right.cmp(left));
         let needed = by_size.into_iter().take_while(|(bytes, _)| {
-            let is_needed = excess > 0;
-            excess = excess.saturating_sub(*bytes);
+            let is_needed = excess_bytes > 0;
+            excess_bytes = excess_bytes.saturating_sub(*bytes);
             is_needed
         });
         needed.map(|(_, id)| id).collect()
@@ -124,9 +125,9 @@
         Some(active.sampled_at + active.governor.sample_interval())
     }
 
-    /// How many connections to accept for one event, `most` without overload.
-    pub(in crate::reducer) fn accept_budget(&self, most: usize) -> usize {
-        self.active.as_ref().map_or(most, |active| active.governor.accept_budget(most))
+    /// How many connections to accept for one event, `limit` without overload.
+    pub(in crate::reducer) fn accept_budget(&self, limit: usize) -> usize {
+        self.active.as_ref().map_or(limit, |active| active.governor.accept_budget(limit))
     }
 
     /// Slow readers that are to be closed.
@@ -206,13 +207,18 @@
     }
 
     /// A client has read something of its answers, or all of it.
-    pub(in crate::reducer) fn record_client_read(&mut self, now: Time, client: ConnectionId, all: bool) {
+    pub(in crate::reducer) fn record_client_read(
+        &mut self,
+        now: Time,
+        client: ConnectionId,
+        has_read_all: bool,
+    ) {
         let Some(active) = &mut self.active else { return };
         if active.slow_readers.is_empty() {
             return;
         }
         match active.slow_readers.get_mut(&client) {
-            Some(_) if all => {
+            Some(_) if has_read_all => {
                 active.slow_readers.remove(&client);
             }
             Some(since) => *since = now,
@@ -233,8 +239,8 @@
         // What slow readers have sent is not read, however long it waits.
         let input_bytes =
             |&id: &ConnectionId| connections.get(id).map_or(0, |connection| connection.input.len());
-        let of_slow_readers: usize = active.slow_readers.keys().map(input_bytes).sum();
-        let bytes = unread_bytes.saturating_sub(of_slow_readers);
+        let slow_reader_bytes: usize = active.slow_readers.keys().map(input_bytes).sum();
+        let bytes = unread_bytes.saturating_sub(slow_reader_bytes);
         active.governor.end_iteration(now, busy, unread_sockets, bytes);
         active.log_level_changes();
     }
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -24,7 +24,7 @@
 pub(in crate::reducer) struct PeerLinks {
     membership: Membership,
     view: View,
-    wake_at: Time,
+    membership_wake_at: Time,
     settled_at: Time,
     /// Routers in the operator's file, this one included.
     listed_routers: usize,
@@ -72,7 +72,7 @@
             operator.shared_retry_budget.then(|| RetryBudget::start(now, launch.faulty.retry_budget()));
         Some(PeerLinks {
             view: membership.view(),
-            wake_at: now,
+            membership_wake_at: now,
             settled_at: now + SETTLING_TIME,
             listed_routers: others + 1,
             outgoing: Vec::new(),
@@ -87,7 +87,9 @@
     }
 
     pub(in crate::reducer) fn wake_at(&self) -> Time {
-        self.admission.as_ref().map_or(self.wake_at, |admission| admission.wake_at().min(self.wake_at))
+        self.admission
+            .as_ref()
+            .map_or(self.membership_wake_at, |admission| admission.wake_at().min(self.membership_wake_at))
     }
 
     /// The membership's view, as last applied.
@@ -129,7 +131,7 @@
 
     /// Lets the membership act if that is due; true if so.
     pub(in crate::reducer) fn tick_membership(&mut self, now: Time) -> bool {
-        let is_due = self.wake_at <= now;
+        let is_due = self.membership_wake_at <= now;
         if is_due {
             self.membership.tick(now);
         }
@@ -143,7 +145,7 @@
 
     /// Takes over when the membership is due next, and its datagrams; true where there are some.
     pub(in crate::reducer) fn collect_membership_output(&mut self) -> bool {
-        self.wake_at = self.membership.wake_at();
+        self.membership_wake_at = self.membership.wake_at();
         let outgoing = self.membership.take_outgoing();
         let has_datagrams = !outgoing.is_empty();
         self.outgoing.extend(outgoing);
@@ -263,9 +265,11 @@
         self.update_group_numbers(groups);
         let Some(admission) = &mut self.admission else { return };
         let group_numbers = &self.group_numbers;
-        let number = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
-        let loads: Vec<MemberLoad> =
-            router.member_loads(now).map(|load| MemberLoad { group: number(load.group), ..load }).collect();
+        let group_number = |group: u32| group_numbers.get(group as usize).copied().unwrap_or_default();
+        let loads: Vec<MemberLoad> = router
+            .member_loads(now)
+            .map(|load| MemberLoad { group: group_number(load.group), ..load })
+            .collect();
         if let Some(limits) = admission.tick(now, &loads) {
             for limit in &limits.members {
                 router.set_concurrency_limit(limit.member, limit.max_in_flight);
@@ -313,8 +317,8 @@
         for (peer, _) in changes.iter().filter(|(_, change)| *change == Change::Suspected) {
             tracing::debug!(target: log_target::PEER_LINKS, %peer, "router suspected");
         }
-        let key = |view: &View| (view.position, view.count, view.digest);
-        let has_view_changed = key(&view) != key(&self.view);
+        let identity = |view: &View| (view.position, view.count, view.digest);
+        let has_view_changed = identity(&view) != identity(&self.view);
         if let Some(admission) = &mut self.admission {
             admission.set_alive(self.membership.peers(now).map(|peer| router_hash(peer.address)));
         }
--- a/crates/ladderpass/src/reducer/state/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_ids.rs
@@ -36,7 +36,7 @@
 
     /// An RPC with this id begins. The id is kept until it is released, and until `expires_at` unless there are more than
     /// `max_remembered`: then those that expire first go.
-    pub(super) fn open(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
+    pub(super) fn reserve(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
         while let Some(mut step) = self.expiring.first_entry()
             && (step.key() * EXPIRY_STEP_NANOS <= now.nanos() || self.remembered.len() >= max_remembered)
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -188,7 +188,7 @@
         expires_at: Time,
         max_remembered: usize,
     ) {
-        self.ids.open(now, id_hash, expires_at, max_remembered);
+        self.ids.reserve(now, id_hash, expires_at, max_remembered);
     }
 
     pub(in crate::reducer) fn insert(&mut self, rpc: RpcId, entry: RpcInFlight) {
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -30,11 +30,11 @@
     SlowReader,
 }
 
-const COUNTS: usize = Count::SlowReader as usize + 1;
+const COUNT_KINDS: usize = Count::SlowReader as usize + 1;
 
 /// Counts since the last line of them.
 pub(in crate::reducer) struct Stats {
-    counts: [u32; COUNTS],
+    counts: [u32; COUNT_KINDS],
     attempts: OutcomeCounts,
     health_checks: OutcomeCounts,
     connects: u32,
@@ -74,7 +74,7 @@
 impl Stats {
     pub(in crate::reducer) fn new(now: Time) -> Stats {
         Stats {
-            counts: [0; COUNTS],
+            counts: [0; COUNT_KINDS],
             attempts: OutcomeCounts::default(),
             health_checks: OutcomeCounts::default(),
             connects: 0,
@@ -86,8 +86,8 @@
         }
     }
 
-    pub(in crate::reducer) fn count(&mut self, what: Count) {
-        self.counts[what as usize] += 1;
+    pub(in crate::reducer) fn count(&mut self, kind: Count) {
+        self.counts[kind as usize] += 1;
     }
 
     pub(in crate::reducer) fn count_attempt(&mut self, outcome: AttemptOutcome) {
@@ -152,8 +152,8 @@
         std::mem::replace(self, Stats::new(now))
     }
 
-    pub(in crate::reducer) fn get(&self, what: Count) -> u32 {
-        self.counts[what as usize]
+    pub(in crate::reducer) fn get(&self, kind: Count) -> u32 {
+        self.counts[kind as usize]
     }
 
     /// Is a further example to be logged? It is counted then.
