--- a/crates/ladderpass/src/reducer/state.rs
+++ b/crates/ladderpass/src/reducer/state.rs
@@ -1,6 +1,7 @@
-//! The tables that `Reducer` is composed of, each in a module of its own with fields that no other module can write.
+//! The tables that make up the state of `Reducer`. Each table has a module of its own, and its fields are private to
+//! that module. Only `Connection` opens some of its fields to the handlers.
 //!
-//! A table knows neither the reducer nor the events: the handlers change it by its methods.
+//! A table depends neither on the reducer nor on its events. The handlers change a table through its methods.
 
 pub(super) mod cancel_keys;
 pub(super) mod client;
--- a/crates/ladderpass/src/reducer/state/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -1,25 +1,26 @@
 //! State of one client's connection.
 //!
-//! - *Overrun*: the client has sent more than its input buffer holds, so reading its socket was paused.
-//! - *Refill*: after an overrun its kernel may send what it kept back; the socket counts as read to its end only after
-//!   it was empty for `Limits::refill_quiet_time`.
-//! - *Skipping*: there was no memory for a statement; its remaining bytes are dropped as they arrive.
+//! - *Overrun*: the client has sent more than its input buffer holds, so reading from its socket was paused.
+//! - *Refill*: after an overrun, the client's kernel may still send what it held back. The socket counts as read to its
+//!   end only after it was empty for `Limits::refill_quiet_time`.
+//! - *Skipping*: there was no memory for a statement, so its remaining bytes are dropped as they arrive.
 
 use super::input_arrivals::{Arrived, InputArrivals};
 use ladderpass_overload::ClientUsage;
 use ladderpass_routing::{RpcId, Span, Time};
 
-/// Where a client stands in the protocol.
+/// The state of a client in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ClientPhase {
-    /// Its startup message has not been answered.
+    /// The client's startup message has not been answered.
     Startup,
     Idle,
-    /// It waits for this RPC; the statement is at the front of its input.
+    /// The client waits for the answer to this RPC. The statement is at the front of the client's input.
     InRpc(RpcId),
 }
 
-/// What the router waits for from a client that waits for no answer itself. Clients are evicted in this order.
+/// The input that the router waits for from a client, while the client waits for no answer. Clients are evicted in this
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum AwaitedInput {
     Startup,
@@ -28,32 +29,33 @@
     NextStatement,
 }
 
-/// An awaited input, and since when it is awaited.
+/// An awaited input, and the time since which it is awaited.
 pub(in crate::reducer) type Awaited = (AwaitedInput, Time);
 
-/// A client.
+/// State of a client.
 pub(in crate::reducer) struct Client {
     phase: ClientPhase,
-    /// Errors of its own since its last good statement.
+    /// Number of the client's own errors since its last statement that was counted as accepted.
     errors: u32,
-    /// After an error nothing is read from it for a while.
+    /// Whether reading from the client is paused after an error.
     is_backing_off: bool,
-    /// An extended-protocol message was rejected; all messages up to Sync are ignored.
+    /// Whether all messages up to the next Sync are ignored, because an extended-protocol message was rejected.
     ignores_until_sync: bool,
-    /// In step with the sets of `ClientTable`, which alone changes it.
+    /// The input that is awaited from the client. Only `ClientTable` changes it, together with its sets. During an
+    /// eviction the client is in none of the sets, although this field is still set.
     awaited: Option<Awaited>,
     has_sent_statement: bool,
-    /// Its input overran the buffer.
+    /// Whether the client has sent more than its input buffer holds since its socket was last found empty.
     has_overrun: bool,
-    /// After an overrun: from then on its socket, empty since, counts as read to its end.
+    /// Set after an overrun: if the socket stays empty until this time, it counts as read to its end.
     refill_until: Option<Time>,
-    /// In this iteration: what it sent behind its RPC waits for the next one, as writing the answer may show that the
-    /// client has left.
+    /// Whether the client's RPC was answered in this iteration. Input after that RPC's statement is read in the next
+    /// iteration, because writing the answer may show that the client has left.
     is_just_answered: bool,
-    /// What it used of the router lately.
+    /// The client's recent use of the router.
     usage: ClientUsage,
     arrivals: InputArrivals,
-    /// Bytes still to come of a statement for which there is no memory: they are dropped.
+    /// Number of bytes still to come of a statement for which there is no memory. They are dropped.
     skipping: Option<usize>,
 }
 
@@ -79,7 +81,7 @@
         self.phase
     }
 
-    /// May its next message be read in this iteration?
+    /// Returns whether the client's next message may be read in this iteration.
     pub(in crate::reducer) fn is_ready(&self) -> bool {
         !self.is_backing_off && !self.is_just_answered && !matches!(self.phase, ClientPhase::InRpc(_))
     }
@@ -97,12 +99,12 @@
         self.is_just_answered = true;
     }
 
-    /// The iteration in which it was answered is over.
+    /// Records the end of the iteration in which the client's RPC was answered.
     pub(in crate::reducer) fn end_iteration(&mut self) {
         self.is_just_answered = false;
     }
 
-    /// It has sent a statement; true for the first one.
+    /// Records that the client has sent a statement. Returns whether it is the first one.
     pub(in crate::reducer) fn record_statement(&mut self) -> bool {
         !std::mem::replace(&mut self.has_sent_statement, true)
     }
@@ -111,7 +113,8 @@
         self.has_sent_statement
     }
 
-    /// Counts an error of its own; it backs off unless there are too many. Gives the errors so far.
+    /// Counts an error of the client's own, and starts a pause in reading unless there were too many errors. Returns
+    /// the number of errors so far.
     pub(in crate::reducer) fn record_error(&mut self, max_errors: u32) -> u32 {
         self.errors += 1;
         self.is_backing_off = self.errors <= max_errors;
@@ -146,29 +149,31 @@
         self.awaited
     }
 
-    /// For `ClientTable` alone, which has the sets.
+    /// Replaces the awaited input and returns the previous one. Only `ClientTable` may call this, because it keeps the
+    /// sets.
     pub(super) fn replace_awaited(&mut self, awaited: Option<Awaited>) -> Option<Awaited> {
         std::mem::replace(&mut self.awaited, awaited)
     }
 
-    /// It has sent more than its buffer holds.
+    /// Records that the client has sent more than its input buffer holds.
     pub(in crate::reducer) fn record_overrun(&mut self) {
         self.has_overrun = true;
     }
 
-    /// Its socket was read until it was empty. After an overrun its kernel may have kept something back until then.
+    /// Records that the client's socket was read until it was empty. After an overrun, the client's kernel may have
+    /// held bytes back until then, and they may arrive until `refill_until`.
     pub(in crate::reducer) fn record_socket_empty(&mut self, refill_until: Time) {
         if std::mem::take(&mut self.has_overrun) {
             self.refill_until = Some(refill_until);
         }
     }
 
-    /// Until when more is expected at its socket after an overrun, if that is still to come.
+    /// Returns until when more bytes are expected after an overrun, if that time has not come yet.
     pub(in crate::reducer) fn refill_pending(&self, now: Time) -> Option<Time> {
         self.refill_until.filter(|&until| now < until)
     }
 
-    /// Nothing more was found at its socket after an overrun.
+    /// Returns whether the time in which more bytes were expected after an overrun is over.
     pub(in crate::reducer) fn is_refill_over(&self, now: Time) -> bool {
         self.refill_until.is_some_and(|until| until <= now)
     }
@@ -177,7 +182,8 @@
         self.refill_until = None;
     }
 
-    /// So many bytes were received; more may follow until `refill_until` where it had overrun its buffer.
+    /// Records that `count` bytes were received. If more bytes are expected after an overrun, they are now expected
+    /// until `refill_until`.
     pub(in crate::reducer) fn record_received(
         &mut self,
         now: Time,
@@ -205,12 +211,12 @@
         &mut self.usage
     }
 
-    /// So many bytes that follow are dropped: they are the rest of a statement for which there is no memory.
+    /// Starts to drop the next `count` bytes, which are the rest of a statement for which there is no memory.
     pub(in crate::reducer) fn start_skipping(&mut self, count: usize) {
         self.skipping = Some(count);
     }
 
-    /// Bytes of a skipped statement that are still to come.
+    /// Number of bytes of a skipped statement that are still to come.
     pub(in crate::reducer) fn skipping(&self) -> Option<usize> {
         self.skipping
     }
@@ -219,7 +225,7 @@
         self.skipping = None;
     }
 
-    /// Of so many bytes that were received, how many belong to a skipped statement.
+    /// Returns how many of `count` received bytes belong to a skipped statement, and counts them as dropped.
     pub(in crate::reducer) fn skip_received(&mut self, count: usize) -> usize {
         let Some(remaining) = &mut self.skipping else { return 0 };
         let skipped = count.min(*remaining);
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -1,23 +1,26 @@
-//! The clients of the router: their number, what is awaited from each, evictions under way, and whose input is to be
-//! read.
+//! The clients of the router: their number, the input that is awaited from each client, evictions in progress, and the
+//! clients whose input is to be read.
 //!
-//! A client that waits for an answer is in no set, so it is never evicted. Each other client is in the set of
-//! the input that is awaited from it, the longest first.
+//! A client from which an input is awaited is in the set of that input, which is ordered by the time since which the
+//! input is awaited. No input is awaited from a client while its RPC is in flight, while its answer is not fully
+//! written, or while its statement is held until its socket was read to its end. Such a client is in no set, so it is
+//! never evicted. A client that is being evicted is in no set either. If its eviction is cancelled, it returns to a set
+//! only when its awaited input is set again.
 
 use super::client::{Awaited, AwaitedInput, Client};
 use crate::reducer::connection_id::ConnectionId;
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many sets there are; they stand in the order of eviction.
+/// Number of sets, which are in the order of eviction.
 const AWAITED_INPUT_COUNT: usize = 3;
 
-/// Which clients may be evicted.
+/// The clients that may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::reducer) enum EvictionScope {
-    /// Those whose input has been awaited, at this time, for its eviction age or longer.
+    /// Clients whose input has been awaited for at least its eviction age, at the given time.
     Overdue(Time),
-    /// All whose input is awaited.
+    /// All clients from which an input is awaited.
     All,
 }
 
@@ -25,16 +28,17 @@
 #[derive(Default)]
 pub(in crate::reducer) struct ClientTable {
     count: usize,
-    /// By `AwaitedInput`: the clients that it is awaited from, and since when.
+    /// For each `AwaitedInput`, the clients from which it is awaited, with the time since which it is awaited.
     by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUT_COUNT],
-    /// Clients that are closed unless their sockets still hold something, with what was awaited from them.
+    /// Clients that will be closed unless more input is found in their sockets, each with the input that was awaited
+    /// from it.
     evicting: Vec<(ConnectionId, Option<Awaited>)>,
     /// Clients whose input is to be read in this iteration.
     ready: VecDeque<ConnectionId>,
-    /// Clients whose input is to be read in the next iteration: they have sent more statements than one reads, or
-    /// something behind the RPC that was just answered.
+    /// Clients whose input is to be read in the next iteration. They have sent more messages than are read in one
+    /// iteration, or their RPC was just answered, or their output was just written.
     deferred: Vec<ConnectionId>,
-    /// Bytes in input buffers that were not read, or whose RPC is in flight.
+    /// Bytes in the input buffers of clients that are not consumed yet. The statements of RPCs in flight are included.
     unread_bytes: usize,
 }
 
@@ -47,7 +51,7 @@
         self.count += 1;
     }
 
-    /// Forgets a client, whose awaited input was cleared before, with so many bytes of input.
+    /// Removes a client, with `unread_bytes` in its input buffer. The caller has cleared its awaited input.
     pub(in crate::reducer) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
         self.subtract_unread_bytes(unread_bytes);
         self.cancel_eviction(id);
@@ -68,12 +72,12 @@
         }
     }
 
-    /// How many clients the router awaits each input from.
+    /// Number of clients from which each input is awaited.
     pub(in crate::reducer) fn awaited_counts(&self) -> [usize; AWAITED_INPUT_COUNT] {
         self.by_awaited_input.each_ref().map(BTreeSet::len)
     }
 
-    /// Clients from which an input is awaited, and since when, the longest first.
+    /// The clients from which an input is awaited, with the time since which it is awaited, in the order of that time.
     pub(in crate::reducer) fn awaiting(
         &self,
         input: AwaitedInput,
@@ -81,13 +85,14 @@
         self.by_awaited_input[input as usize].iter().copied()
     }
 
-    /// Clients that are starting up or in the middle of a statement, also if they have sent complete ones before.
+    /// Number of clients that are starting up or in the middle of a statement. Clients that have sent complete
+    /// statements before are included.
     pub(in crate::reducer) fn awaiting_startup_or_rest(&self) -> usize {
         self.by_awaited_input[AwaitedInput::Startup as usize].len()
             + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
 
-    /// The client to evict first.
+    /// Returns the client to evict first.
     pub(in crate::reducer) fn first_evictable(
         &self,
         scope: EvictionScope,
@@ -103,7 +108,8 @@
         })
     }
 
-    /// The next client to evict while there are more than `limit`, not counting those that are already being evicted.
+    /// Returns the next client to evict while there are more than `limit` clients. Clients that are already being
+    /// evicted do not count.
     pub(in crate::reducer) fn next_in_excess(
         &self,
         now: Time,
@@ -116,12 +122,12 @@
         self.first_evictable(EvictionScope::Overdue(now), ages)
     }
 
-    /// When the next client may be evicted.
+    /// Returns when the next client may be evicted.
     pub(in crate::reducer) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUT_COUNT]) -> Option<Time> {
         self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
 
-    /// Takes a client out of its set; what is awaited from it is remembered.
+    /// Begins an eviction. The client is removed from its set, and its awaited input is stored with the eviction.
     pub(in crate::reducer) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
         if let Some((input, since)) = awaited {
             self.by_awaited_input[input as usize].remove(&(since, id));
@@ -137,7 +143,8 @@
         self.evicting.iter().any(|&(evicting, _)| evicting == id)
     }
 
-    /// Takes an eviction that can be completed, with what was awaited from the client when it began.
+    /// Removes an eviction that can be completed. Returns the input that was awaited from the client when the eviction
+    /// began.
     pub(in crate::reducer) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
         let index = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
         self.evicting.remove(index).1
@@ -167,12 +174,12 @@
         std::mem::take(&mut self.deferred)
     }
 
-    /// Is something to be done before the next event?
+    /// Returns whether there is work to do before the next event.
     pub(in crate::reducer) fn has_pending_work(&self) -> bool {
         !self.evicting.is_empty() || !self.deferred.is_empty() || !self.ready.is_empty()
     }
 
-    /// Bytes in input buffers that were not read, or whose RPC is in flight.
+    /// Bytes in the input buffers of clients that are not consumed yet. The statements of RPCs in flight are included.
     pub(in crate::reducer) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
--- a/crates/ladderpass/src/reducer/state/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/state/connection_limits.rs
@@ -1,11 +1,11 @@
-//! Whether clients are accepted, and which connects wait for a descriptor.
+//! Whether clients are accepted, and which connects are waiting for a descriptor.
 
 use crate::reducer::connection_id::ConnectionId;
 
-/// Whether clients are accepted, and connects that were denied a descriptor.
+/// Whether clients are accepted, and the connects that were denied a descriptor.
 pub(in crate::reducer) struct ConnectionLimits {
     accepts_clients: bool,
-    /// Connects for which another connection gives its descriptor up; they are retried in the next iteration.
+    /// Connects for which another connection is being closed to free a descriptor. They are retried in the next tick.
     denied_connects: Vec<ConnectionId>,
 }
 
@@ -22,7 +22,7 @@
         self.accepts_clients
     }
 
-    /// Sets whether clients are accepted; true where that was not so before.
+    /// Sets whether clients are accepted. Returns whether the value has changed.
     pub(in crate::reducer) fn set_accepts_clients(&mut self, accepts: bool) -> bool {
         std::mem::replace(&mut self.accepts_clients, accepts) != accepts
     }
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -1,7 +1,8 @@
-//! The connections of the router, whoever is on the other side: buffers, deadlines, and memory of all buffers.
+//! The connections of the router to clients, members and discovery: their buffers, their deadlines, and the memory of
+//! all buffers.
 //!
-//! A deadline is scheduled in an ordered set. One that moves back stays scheduled at its earlier time and is checked
-//! there in vain once, which costs less than reordering the set at each step of an RPC.
+//! Deadlines are scheduled in an ordered set. A deadline that is postponed stays scheduled at its earlier time, and is
+//! checked once too early. This costs less than reordering the set at each step of an RPC.
 
 use super::client::Client;
 use super::member_connection::MemberConnection;
@@ -12,28 +13,30 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// One connection. Handlers borrow its buffers and its other side at the same time, so these are open to them.
+/// One connection. `input`, `output` and `remote` are open to the handlers, which borrow them at the same time.
 pub(in crate::reducer) struct Connection {
-    /// Bytes that were received and not yet handled.
+    /// Bytes that were received and are not handled yet.
     pub(in crate::reducer) input: Buffer,
     /// Bytes that are still to be written.
     pub(in crate::reducer) output: Buffer,
-    /// The other side, and the state that goes with it.
+    /// The other side of the connection, with the state that belongs to it.
     pub(in crate::reducer) remote: Remote,
-    /// Reading has stopped, as there was no space or no memory for more.
+    /// Whether reading has stopped because there was no space or no memory for more bytes.
     is_read_paused: bool,
-    /// Reading had stopped before the bytes that are read next.
+    /// Whether reading had stopped before the bytes that are read next.
     was_read_paused: bool,
-    /// The socket was not read until it was empty: the end of the connection may be there unseen.
+    /// Whether the socket was not read until it was empty. The end of the connection may then be in the socket, not
+    /// seen yet.
     has_unread_bytes: bool,
-    /// It is closed once its output is written.
+    /// Whether the connection is closed once its output is written.
     is_closing: bool,
-    /// How often the system denied it a descriptor.
+    /// How often the system lacked a descriptor, memory or a local port for this connect, since the count was last
+    /// cleared.
     connect_denials: u8,
     deadline: Option<Time>,
-    /// When the deadline is checked next: no later than the deadline itself.
+    /// When the deadline is checked next, which is no later than the deadline itself.
     scheduled_at: Option<Time>,
-    /// Memory of both buffers, as last counted.
+    /// Memory of both buffers, when it was last counted.
     buffer_bytes: usize,
 }
 
@@ -44,7 +47,7 @@
     Discovery(WatchReader),
 }
 
-/// All connections by id. Ids are the router's own, so that nobody can choose them to collide in the map.
+/// All connections by id. The router assigns the ids itself, so nobody can choose ids that collide in the map.
 #[derive(Default)]
 pub(in crate::reducer) struct Connections {
     by_id: FxHashMap<ConnectionId, Connection>,
@@ -52,7 +55,7 @@
     deadlines: BTreeSet<(Time, ConnectionId)>,
     /// Memory of all buffers.
     buffer_bytes: usize,
-    /// Connections that could not be read for want of memory.
+    /// Connections that were not read because memory was short.
     waiting_for_memory: BTreeSet<ConnectionId>,
 }
 
@@ -77,7 +80,7 @@
         self.deadline
     }
 
-    /// Has reading stopped, as there was no space or no memory for more?
+    /// Returns whether reading has stopped because there was no space or no memory for more bytes.
     pub(in crate::reducer) fn is_read_paused(&self) -> bool {
         self.is_read_paused
     }
@@ -86,38 +89,38 @@
         self.is_read_paused = is_paused;
     }
 
-    /// Reading goes on; true where it had stopped.
+    /// Records that reading continues. Returns whether it had stopped.
     pub(in crate::reducer) fn resume_reading(&mut self) -> bool {
         std::mem::take(&mut self.is_read_paused)
     }
 
-    /// Bytes stay in the socket, as reading has stopped.
+    /// Records that bytes stay in the socket because reading has stopped.
     pub(in crate::reducer) fn record_paused_read(&mut self) {
         (self.was_read_paused, self.has_unread_bytes) = (true, true);
     }
 
-    /// Had reading stopped before the bytes that were just read? True only once.
+    /// Returns whether reading had stopped before the bytes that were just read, and clears this flag.
     pub(in crate::reducer) fn take_was_read_paused(&mut self) -> bool {
         std::mem::take(&mut self.was_read_paused)
     }
 
-    /// Is the socket known to hold more than was read?
+    /// Returns whether the socket is known to hold more than was read.
     pub(in crate::reducer) fn has_unread_bytes(&self) -> bool {
         self.has_unread_bytes
     }
 
-    /// The socket holds more than was read.
+    /// Records that the socket holds more than was read.
     pub(in crate::reducer) fn record_unread_bytes(&mut self) {
         self.has_unread_bytes = true;
     }
 
-    /// The socket was read until it was empty; true where it was known to hold more than was read.
+    /// Records that the socket was read until it was empty. Returns whether it was known to hold more than was read.
     pub(in crate::reducer) fn record_socket_empty(&mut self) -> bool {
         self.is_read_paused = false;
         std::mem::take(&mut self.has_unread_bytes)
     }
 
-    /// Is it closed once its output is written?
+    /// Returns whether the connection is closed once its output is written.
     pub(in crate::reducer) fn is_closing(&self) -> bool {
         self.is_closing
     }
@@ -126,7 +129,8 @@
         self.is_closing = true;
     }
 
-    /// The system denied it a descriptor; gives how often so far.
+    /// Records that the system lacked a descriptor, memory or a local port for this connect. Returns how often that was
+    /// so since the count was last cleared.
     pub(in crate::reducer) fn record_connect_denial(&mut self) -> u8 {
         self.connect_denials = self.connect_denials.saturating_add(1);
         self.connect_denials
@@ -136,7 +140,7 @@
         self.connect_denials = 0;
     }
 
-    /// Memory of both buffers, as last counted.
+    /// Memory of both buffers, when it was last counted.
     pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
@@ -148,7 +152,7 @@
         ConnectionId(self.last_id)
     }
 
-    /// The id that was given out last.
+    /// The id that was assigned last.
     pub(in crate::reducer) fn last_id(&self) -> ConnectionId {
         ConnectionId(self.last_id)
     }
@@ -157,7 +161,7 @@
         self.by_id.insert(id, Connection::new(remote));
     }
 
-    /// Removes a connection with its deadline, and its buffers from the memory that is counted.
+    /// Removes a connection and its deadline, and subtracts its buffers from the memory of all buffers.
     pub(in crate::reducer) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.by_id.remove(&id)?;
         if let Some(at) = connection.scheduled_at {
@@ -222,7 +226,7 @@
         }
     }
 
-    /// All connections to members, in no order.
+    /// All connections to members, in no particular order.
     pub(in crate::reducer) fn members(&self) -> impl Iterator<Item = (ConnectionId, &MemberConnection)> {
         self.by_id.iter().filter_map(|(&id, connection)| match &connection.remote {
             Remote::Member(member) => Some((id, member)),
@@ -253,12 +257,12 @@
         self.deadlines.insert((at, id));
     }
 
-    /// When a deadline is to be checked next.
+    /// Returns when a deadline must be checked next.
     pub(in crate::reducer) fn next_check_at(&self) -> Option<Time> {
         self.deadlines.first().map(|&(at, _)| at)
     }
 
-    /// A connection whose deadline has passed; the deadline is taken from it.
+    /// Returns a connection whose deadline has passed, and clears that deadline.
     pub(in crate::reducer) fn pop_expired(&mut self, now: Time) -> Option<ConnectionId> {
         while let Some(&(at, id)) = self.deadlines.first()
             && at <= now
@@ -280,7 +284,7 @@
         self.buffer_bytes
     }
 
-    /// Counts the memory of a connection's buffers again; true where it has shrunk.
+    /// Updates the memory of a connection's buffers. Returns whether it has shrunk.
     pub(in crate::reducer) fn update_buffer_bytes(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.by_id.get_mut(&id) else { return false };
         let bytes = connection.input.capacity() + connection.output.capacity();
@@ -304,7 +308,7 @@
         self.waiting_for_memory.remove(&id);
     }
 
-    /// Takes all that wait for memory, in the order of their ids.
+    /// Takes all connections that are waiting for memory, in the order of their ids.
     pub(in crate::reducer) fn take_waiting_for_memory(&mut self) -> BTreeSet<ConnectionId> {
         std::mem::take(&mut self.waiting_for_memory)
     }
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -1,7 +1,9 @@
-//! State of the watch of discovery: its connections, the generation of the list in use, and silence.
+//! State of the watch of discovery: its connections, the generation of the endpoint list in use, and how long discovery
+//! has been silent.
 //!
-//! There is one current watch; at most one late request before it that may still be answered; and, after a move, at most
-//! one watch of the previous address, which serves until the new address has answered.
+//! There is one current watch. There may be one earlier request that is late and may still be answered. After discovery
+//! has moved to another address, there may be one watch of the previous address, which stays in use until the new
+//! address has answered.
 
 use crate::discovery::{self, Listing};
 use crate::limits::Limits;
@@ -9,38 +11,41 @@
 use ladderpass_routing::Time;
 use std::net::SocketAddr;
 
-/// State of the watch.
+/// State of the watch of discovery.
 pub(in crate::reducer) struct DiscoveryWatch {
     address: SocketAddr,
-    /// The generation of the endpoint list in use, as discovery counts them.
+    /// The generation of the endpoint list in use, numbered by discovery.
     generation: u64,
-    /// When this list, or a later one, was received last.
+    /// When a list that was not older than the list in use was last received.
     received_at: Time,
-    /// What discovery has sent since is older.
+    /// Whether the last list that discovery sent is older than the list in use.
     offers_older_list: bool,
     current: Option<ConnectionId>,
-    /// When the current watch was asked for.
+    /// When the current watch was requested.
     requested_at: Time,
-    /// An earlier request that is still unanswered, kept open beside the next one: the first to be answered becomes the
-    /// current watch.
+    /// An earlier request that is still unanswered and stays open at the same time as the next one. The request that is
+    /// answered first becomes the current watch.
     late: Option<ConnectionId>,
-    /// The watch of the address that discovery had before.
+    /// The watch of the previous address of discovery.
     previous: Option<ConnectionId>,
-    /// Discovery has another address, which has not answered yet.
+    /// Whether discovery has moved to an address that has not answered yet.
     is_moving: bool,
-    /// A watch that was denied a descriptor, while nothing could give one up.
+    /// A watch that was denied a descriptor and connects again later, because no other connection was closed for it.
     denied: Option<ConnectionId>,
-    /// Since when a watch that had answered is silent, until another one answers.
+    /// The time since which a watch that had answered is silent. It is cleared when the current watch receives a list.
     silent_since: Option<Time>,
 }
 
-/// What is decided on a list by its generation, before its entries are read.
+/// The decision on a list, made by its generation before its entries are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ListVerdict {
+    /// The list is handed on to be applied. Older lists after the first one are handed on too, and are rejected there
+    /// unless their generation was adopted.
     Accepted,
-    /// Changes from the new address, whose generations count from a lower number: they do not apply to the list here.
+    /// The list has changes from the new address, whose generations count from a lower number. They do not apply to the
+    /// list in use.
     ChangesOfAnotherList,
-    /// The first older list in a row.
+    /// The list is the first of consecutive lists that are older than the list in use.
     Older,
 }
 
@@ -73,7 +78,8 @@
         self.generation = generation;
     }
 
-    /// The request that opens a watch. Where discovery's list is older than the one here all of it is wanted.
+    /// Returns the request that opens a watch. It asks for the complete list if discovery's list is older than the list
+    /// in use.
     pub(in crate::reducer) fn request(&self) -> String {
         let from = if self.offers_older_list { 0 } else { self.generation };
         discovery::watch_request(&self.address.to_string(), from)
@@ -106,32 +112,32 @@
         self.previous
     }
 
-    /// When the current watch was asked for.
+    /// When the current watch was requested.
     pub(in crate::reducer) fn requested_at(&self) -> Time {
         self.requested_at
     }
 
-    /// Does another watch serve when this one ends?
+    /// Returns whether another watch remains in use when this one ends, which holds for the previous and the late one.
     pub(in crate::reducer) fn has_successor(&self, id: ConnectionId) -> bool {
         self.previous == Some(id) || self.late == Some(id)
     }
 
-    /// A request on this connection becomes the current watch.
+    /// Makes the request on this connection the current watch.
     pub(in crate::reducer) fn begin_request(&mut self, now: Time, id: ConnectionId) {
         (self.current, self.requested_at) = (Some(id), now);
     }
 
-    /// The current request stays open beside the next one.
+    /// Makes the current request the late one. It stays open at the same time as the next request.
     pub(in crate::reducer) fn demote_current(&mut self) {
         self.late = self.current.take();
     }
 
-    /// The late request was answered first: it becomes the current watch.
+    /// Makes the late request the current watch, because it was answered first.
     pub(in crate::reducer) fn promote_late(&mut self) {
         self.current = self.late.take();
     }
 
-    /// The current watch had answered, and is silent since then.
+    /// Records that the current watch, which had answered, is silent since the given time.
     pub(in crate::reducer) fn record_silence(&mut self, since: Time) {
         self.silent_since = Some(since);
     }
@@ -140,8 +146,8 @@
         self.current == Some(id)
     }
 
-    /// Discovery has moved. The current watch becomes the previous one if it has answered; gives the connections that are
-    /// of no use any more.
+    /// Records that discovery has moved to another address. The current watch becomes the previous one if it has
+    /// answered. Returns the connections that are no longer needed, for the caller to close.
     pub(in crate::reducer) fn move_to(
         &mut self,
         address: SocketAddr,
@@ -156,7 +162,7 @@
         unused.into_iter().chain(self.late).collect()
     }
 
-    /// A list has arrived on a watch; true for the first one of discovery's new address.
+    /// Records that a list was received on a watch. Returns whether it is the first list from discovery's new address.
     pub(in crate::reducer) fn record_answer(&mut self, id: ConnectionId) -> bool {
         if self.is_current(id) {
             self.silent_since = None;
@@ -164,7 +170,7 @@
         self.is_current(id) && std::mem::take(&mut self.is_moving)
     }
 
-    /// Judges a list by its generation, before its entries are read.
+    /// Decides on a list by its generation, before its entries are read.
     pub(in crate::reducer) fn judge_list(
         &mut self,
         now: Time,
@@ -172,8 +178,8 @@
         is_first_after_move: bool,
         limits: &Limits,
     ) -> ListVerdict {
-        // Generations of the new address may count from a lower number, and all its lists would be rejected as older: a
-        // complete list is accepted as it is; after changes the complete list is requested.
+        // Generations of the new address may count from a lower number, and all its lists would be rejected as older.
+        // So a complete list is accepted as it is. If the list has only changes, the complete list is requested.
         if is_first_after_move && listing.generation < self.generation {
             self.generation = 0;
             if !listing.reset {
@@ -186,12 +192,12 @@
         }
     }
 
-    /// Is this the first older list in a row? It may be a single delayed one, so it is rejected, and the complete list is
-    /// requested at once.
+    /// Returns whether a list is the first of consecutive lists that are older than the list in use. It may be a single
+    /// delayed list, so it is rejected, and the complete list is requested at once.
     ///
-    /// Discovery may also have restarted its generations, and all its lists would be rejected as older. No list is delayed
-    /// for longer than `notified_within`: that long after the list here was received, a second older list that is complete
-    /// is accepted, and its generation adopted.
+    /// If discovery has restarted its generations, all its lists would be rejected as older. No list is delayed for
+    /// longer than `notified_within`. So once that time has passed since the last list that was not older, a second
+    /// older list is accepted if it is complete, and its generation is adopted.
     fn is_first_older_list(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
         let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
         if !self.offers_older_list {
@@ -202,8 +208,8 @@
         self.offers_older_list && !was_older
     }
 
-    /// Has the watch been silent for no longer than `notified_within`? Changes that it missed do not yet count as notified
-    /// by the protocol.
+    /// Returns whether the watch is silent, and has been for at most `notified_within`. By the protocol, the router
+    /// does not count as notified yet of changes that it missed in this time.
     pub(in crate::reducer) fn is_silence_within_limit(&self, now: Time, limits: &Limits) -> bool {
         self.silent_since.is_some_and(|since| now - since <= limits.notified_within)
     }
--- a/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
+++ b/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
@@ -1,18 +1,18 @@
-//! Indexes of what endpoint lists name besides members: groups, machine kinds and zones.
+//! Indexes of the groups, machine kinds and zones that endpoint lists name.
 
 use ladderpass_config::names::{NameIndex, group_index};
 use ladderpass_config::operator::Operator;
 use std::collections::HashMap;
 
-/// Indexes of what endpoint lists name besides members.
+/// Indexes of the groups, machine kinds and zones that endpoint lists name.
 pub(in crate::reducer) struct EndpointIndexes {
-    /// By the bits of a group's number.
+    /// Index of each group. The key is the bit pattern of the group's number.
     groups: HashMap<u64, u32>,
     machine_kinds: NameIndex,
-    /// This router's own zone has the index zero.
+    /// Index of each zone. This router's own zone has the index 0.
     zones: NameIndex,
     uses_zones: bool,
-    /// Weights in the list are the members' concurrency.
+    /// Whether the weights in endpoint lists are the members' concurrency.
     weights_are_concurrency: bool,
 }
 
@@ -29,12 +29,12 @@
         }
     }
 
-    /// The index of a group by its number, if a list has named it.
+    /// Returns the index of the group with this number, if a list has named it.
     pub(in crate::reducer) fn group(&self, number: f64) -> Option<u32> {
         self.groups.get(&number.to_bits()).copied()
     }
 
-    /// The index of a group, which gets one if it is new.
+    /// Returns the index of a group, and assigns one if the group is new.
     pub(in crate::reducer) fn intern_group(&mut self, number: f64) -> u32 {
         group_index(&mut self.groups, number)
     }
@@ -43,17 +43,17 @@
         self.machine_kinds.intern(name)
     }
 
-    /// Without a zone of this router's own all are the same zone.
+    /// Returns the index of a zone. If this router has no zone of its own, all zones have the index 0.
     pub(in crate::reducer) fn intern_zone(&mut self, name: &str) -> u32 {
         if self.uses_zones { self.zones.intern(name) } else { 0 }
     }
 
-    /// The concurrency that a weight in the list stands for, where it stands for one.
+    /// Returns the concurrency that a weight in the list stands for, or `None` if it does not stand for one.
     pub(in crate::reducer) fn concurrency(&self, weight: Option<f64>) -> Option<f64> {
         weight.filter(|&weight| self.weights_are_concurrency && weight > 0.0)
     }
 
-    /// All groups, by the bits of their numbers.
+    /// All groups. The key is the bit pattern of a group's number, and the value is its index.
     pub(in crate::reducer) fn groups(&self) -> &HashMap<u64, u32> {
         &self.groups
     }
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -1,34 +1,35 @@
-//! When the bytes of a client's input arrived, and how long of the time since then the router itself kept them waiting.
+//! When the bytes of a client's input arrived, and for how much of the time since then the router itself kept them
+//! waiting.
 
 use ladderpass_routing::{Span, Time};
 use std::collections::VecDeque;
 
-/// Most batches that are recorded for one client. Bytes past them count as arrived with the batch before, which errs
-/// on the side of less time.
+/// Maximum number of batches that are recorded for one client. Bytes after that count as arrived with the last recorded
+/// batch. The error is on the safe side, because the client's statement is given less time, not more.
 const MAX_BATCHES: usize = 64;
 
-/// Arrival times of the bytes that a client has sent and that are not yet consumed.
+/// Arrival times of the bytes that a client has sent and that are not consumed yet.
 #[derive(Default)]
 pub(super) struct InputArrivals {
-    /// Bytes received and bytes consumed over the life of the connection.
+    /// Number of bytes received, and of bytes consumed, since the connection was opened.
     received: u64,
     consumed: u64,
     batches: VecDeque<Batch>,
-    /// Sum of `RpcInFlight::time_with_members` over this client's RPCs, time in the queue and for connecting included:
-    /// what was sent behind them has not waited for the router.
+    /// Sum of `RpcInFlight::time_with_members` over this client's RPCs, which includes time in the queue and for
+    /// connecting. Input that the client sent after those RPCs did not wait for the router during that time.
     time_with_members: Span,
 }
 
 /// Bytes that arrived together.
 struct Batch {
-    /// The count of received bytes with which it ends.
+    /// Number of received bytes up to the end of the batch.
     end: u64,
     arrived_at: Time,
-    /// `InputArrivals::time_with_members` by then.
+    /// Value of `InputArrivals::time_with_members` when the batch arrived.
     time_with_members: Span,
 }
 
-/// When a byte arrived, and for how long since then the router, not a member, kept it waiting.
+/// When a byte arrived, and how long the router, rather than a member, has kept it waiting since then.
 pub(in crate::reducer) struct Arrived {
     pub(in crate::reducer) at: Time,
     pub(in crate::reducer) waited_for_router: Span,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// When the byte arrived that is `count` bytes from the front.
+    /// Returns the arrival of the last of the next `count` bytes to be consumed, if that byte was received.
     pub(super) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
         let end = self.consumed + count as u64;
         let batch = self.batches.iter().find(|batch| batch.end >= end)?;
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -1,5 +1,6 @@
-//! State of one connection to a member. It carries one job at a time, and is used again only once the member has
-//! answered an empty query with nothing before that answer.
+//! State of one connection to a member. The connection carries one job at a time. An empty query follows each query,
+//! and the connection is used again only once the member has answered that empty query and no other result has arrived
+//! before that answer.
 
 use super::query_answer::QueryAnswer;
 use crate::pg;
@@ -10,8 +11,8 @@
 pub(in crate::reducer) enum Job {
     Attempt(RpcId),
     HealthCheck,
-    /// The empty query that was written behind the last query. Any result that arrives before its answer is surplus to the
-    /// answer of that query, and makes the connection useless.
+    /// The empty query that was written after the last query. Any result that arrives before its answer does not belong
+    /// to the answer of the last query, and the connection can't be used any more.
     SyncQuery,
 }
 
@@ -19,35 +20,36 @@
 pub(in crate::reducer) struct MemberConnection {
     /// The member's index.
     member: usize,
-    /// The member has completed its startup.
+    /// Whether the member has completed its startup.
     is_established: bool,
     connect_deadline: Time,
     job: Option<Job>,
     assigned_at: Time,
     /// When the job times out.
     job_deadline: Time,
-    /// Bytes of the query that are not yet written to the socket, without the empty query behind it.
+    /// Bytes of the output, up to the end of the query, that are not written to the socket yet. The empty query after
+    /// it is not counted.
     unwritten: usize,
-    /// No byte of the query has been written.
+    /// Whether a query was put into the output buffer and no byte was written since then.
     has_written_nothing: bool,
     /// When the query was put into the output buffer.
     write_began_at: Time,
-    /// How long this router kept the query from being written.
+    /// Time from when the query was put into the output buffer until all of it was written.
     write_delay: Span,
-    /// How long what was read last had waited to be read.
+    /// How long the bytes that were read last had waited to be read.
     read_delay: Span,
-    /// Bytes of the input that are already parsed.
+    /// Number of bytes of the input that are already parsed.
     scanned: usize,
     answer: QueryAnswer,
-    /// Bytes of the answer have arrived.
+    /// Whether bytes of the answer have arrived.
     has_answer_begun: bool,
     idle_since: Time,
     last_received_at: Time,
-    /// Not to be used again, as the member's address has changed.
+    /// Whether the member's address has changed, so that the connection must not be used again.
     has_old_address: bool,
 }
 
-/// A job that has left its connection.
+/// A job that has ended and was removed from its connection.
 pub(in crate::reducer) struct EndedJob {
     pub(in crate::reducer) job: Option<Job>,
     pub(in crate::reducer) member: MemberId,
@@ -60,10 +62,10 @@
     pub(in crate::reducer) job: Job,
     pub(in crate::reducer) member: MemberId,
     pub(in crate::reducer) answer: QueryAnswer,
-    /// Bytes of the input that the answer takes.
+    /// Number of bytes of the input that the answer occupies.
     pub(in crate::reducer) input_bytes: usize,
-    /// How long the member took: without what this router kept waiting, the query before it was written and the answer
-    /// before it was read.
+    /// How long the member took. The time that the query waited in this router before it was written, and the answer
+    /// before it was read, is not included.
     pub(in crate::reducer) latency: Span,
     pub(in crate::reducer) waited_for_router: Span,
 }
@@ -71,22 +73,22 @@
 /// How much of a query was already written when it is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum Withdrawal {
-    /// The connection is not established: nothing is in the output.
+    /// The connection is not established, so the query is not in the output.
     NotBegun,
-    /// No byte of it was written; it is to be taken out of the output.
+    /// No byte of the query was written. The caller must remove the query from the output.
     Unwritten,
     PartlyWritten,
-    /// There is nothing to withdraw: the query is fully written, or there is none.
+    /// There is nothing to withdraw, because the query is fully written or there is none.
     Written,
 }
 
-/// What follows from a message of a member.
+/// The consequence of a member's message.
 pub(in crate::reducer) enum MessageEffect {
     Continue,
     /// The connection can take a query.
     Established,
     AnswerComplete,
-    /// The connection is of no further use, and its job has ended so.
+    /// The connection can't be used any more, and its job has ended with this outcome.
     Ended(AttemptOutcome),
     Malformed,
 }
@@ -148,19 +150,19 @@
         self.unwritten
     }
 
-    /// Gives it a job; returns the deadline of the connection.
+    /// Assigns a job to the connection. Returns the new deadline of the connection.
     pub(in crate::reducer) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
         (self.job, self.assigned_at, self.job_deadline) = (Some(job), assigned_at, deadline);
         self.write_delay = Span::ZERO;
         if self.is_established { deadline } else { deadline.min(self.connect_deadline) }
     }
 
-    /// Takes the job, with nothing of its answer.
+    /// Removes and returns the job. The answer stays as it is.
     pub(in crate::reducer) fn take_job(&mut self) -> Option<Job> {
         self.job.take()
     }
 
-    /// Takes the job, with what has arrived of its answer.
+    /// Removes and returns the job, with what has arrived of its answer.
     pub(in crate::reducer) fn end_job(&mut self) -> EndedJob {
         EndedJob {
             job: self.job.take(),
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Takes the job whose answer is complete.
+    /// Removes and returns the job, whose answer is complete.
     pub(in crate::reducer) fn take_answered_job(&mut self, now: Time) -> Option<AnsweredJob> {
         let job = self.job.take()?;
         let waited_for_router = self.write_delay + self.read_delay;
@@ -193,7 +195,7 @@
         self.idle_since
     }
 
-    /// The member's address has changed.
+    /// Records that the member's address has changed.
     pub(in crate::reducer) fn set_old_address(&mut self) {
         self.has_old_address = true;
     }
@@ -218,7 +220,8 @@
         self.is_established && self.job.is_some()
     }
 
-    /// Does the input, now of this length, hold the first bytes of an answer? True only once for each answer.
+    /// Returns whether the input, which now has `input_bytes`, holds the first bytes of an answer. This is true only
+    /// once for each answer.
     pub(in crate::reducer) fn begins_answer(&mut self, input_bytes: usize) -> bool {
         input_bytes > self.scanned
             && self.has_established_job()
@@ -229,7 +232,7 @@
         self.has_answer_begun
     }
 
-    /// Bytes of the input that are already parsed.
+    /// Number of bytes of the input that are already parsed.
     pub(in crate::reducer) fn scanned(&self) -> usize {
         self.scanned
     }
@@ -238,7 +241,8 @@
         self.scanned += count;
     }
 
-    /// In faulty builds: takes all input for a complete answer, if it has begun as one.
+    /// In faulty builds, treats all input as a complete answer if a row description has arrived. Returns whether that
+    /// is so.
     pub(in crate::reducer) fn force_complete(&mut self, input_bytes: usize) -> bool {
         let has_description = self.answer.has_description();
         if has_description {
@@ -248,19 +252,20 @@
         has_description
     }
 
-    /// When the query must be fully written: `timeout` after `write_began_at` at the latest. None if it is.
+    /// Returns when the query must be fully written: at the job's deadline, and at most `timeout` after
+    /// `write_began_at`. Returns `None` if the query is fully written or the connection is not established.
     pub(in crate::reducer) fn write_deadline(&self, timeout: Span) -> Option<Time> {
         let is_writing = self.is_established && self.unwritten > 0;
         is_writing.then(|| self.job_deadline.min(self.write_began_at + timeout))
     }
 
-    /// It carries an attempt of which no byte was sent to the member.
+    /// Returns whether the connection carries an attempt of which no byte was sent to the member.
     pub(in crate::reducer) fn has_unsent_attempt(&self) -> bool {
         let is_unsent = !self.is_established || self.has_written_nothing && self.unwritten > 0;
         matches!(self.job, Some(Job::Attempt(_))) && is_unsent
     }
 
-    /// Withdraws its query as far as that is possible.
+    /// Withdraws the query as far as that is possible.
     pub(in crate::reducer) fn withdraw_query(&mut self) -> Withdrawal {
         match (self.is_established, self.has_written_nothing) {
             (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
@@ -273,14 +278,15 @@
         }
     }
 
-    /// The query of its job is to be written; so many bytes of output end with it.
+    /// Records that the query of the job was put into the output, of which the first `unwritten` bytes end with the
+    /// query.
     pub(in crate::reducer) fn begin_query(&mut self, now: Time, unwritten: usize) {
         (self.unwritten, self.scanned, self.answer) = (unwritten, 0, QueryAnswer::default());
         (self.write_began_at, self.write_delay, self.has_written_nothing) = (now, Span::ZERO, true);
         self.has_answer_begun = false;
     }
 
-    /// So many bytes of output were written; true where they complete the query.
+    /// Records that `count` bytes of output were written. Returns whether they complete the query.
     pub(in crate::reducer) fn record_written(&mut self, now: Time, count: usize) -> bool {
         if self.unwritten == 0 {
             return false;
@@ -293,13 +299,13 @@
         self.unwritten == 0
     }
 
-    /// The query is fully written: it may run.
+    /// Returns whether the query is fully written, so that the member may run it.
     pub(in crate::reducer) fn is_query_sent(&self) -> bool {
         self.is_established && self.unwritten == 0
     }
 
-    /// What the end of the connection means for its job. A complete answer counts also without the member's
-    /// ReadyForQuery.
+    /// Returns the outcome of the job if the connection ends now. A complete answer counts even if the member's
+    /// ReadyForQuery has not arrived.
     pub(in crate::reducer) fn outcome_on_close(&self) -> AttemptOutcome {
         if self.is_established && self.answer.is_complete() {
             return self.answer.outcome();
@@ -312,7 +318,7 @@
         }
     }
 
-    /// Handles a message of the member. `accepts_torn_rows` is a switch of faulty builds.
+    /// Handles a message of the member. `accepts_torn_rows` is set in a faulty build only.
     pub(in crate::reducer) fn on_message(
         &mut self,
         kind: u8,
@@ -362,8 +368,8 @@
         }
     }
 
-    /// An error ends the connection where it does not answer a query that is fully written: the rest of that query could
-    /// not be withdrawn.
+    /// Handles an error of the member. A fatal error ends the connection. So does an error that does not answer a fully
+    /// written query, because the rest of that query could not be withdrawn.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
         let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
         let is_fatal = error.fatal;
--- a/crates/ladderpass/src/reducer/state/member_pools.rs
+++ b/crates/ladderpass/src/reducer/state/member_pools.rs
@@ -1,7 +1,8 @@
-//! Members with their addresses and pools of connections.
+//! Members, with their addresses and their pools of connections.
 //!
-//! A connection to a member is idle in its pool, or has a job, or is being established. A member's index stands for it
-//! until the routing core has retired it and its last connection is closed; then the index serves another member.
+//! A connection to a member is idle in the member's pool, has a job, or is being established. An index identifies a
+//! member until the routing core has retired that member and its last connection is closed. The index is then free for
+//! another member.
 
 use crate::reducer::connection_id::ConnectionId;
 use ladderpass_config::names::NameIndex;
@@ -13,18 +14,18 @@
 pub(in crate::reducer) struct MemberPools {
     pools: Vec<MemberPool>,
     names: NameIndex,
-    /// Connections of all members.
+    /// Number of connections to all members.
     connection_count: usize,
 }
 
 struct MemberPool {
     address: SocketAddr,
-    /// Connections that can take a job, the one used last at the end.
+    /// Connections that can take a job. The connection that was used last is at the end.
     idle: Vec<ConnectionId>,
     /// Connections that are being established for an attempt.
     connecting: VecDeque<ConnectionId>,
     connection_count: usize,
-    /// The routing core has retired the member: it no longer tracks it.
+    /// Whether the routing core has retired the member, which means that the routing core no longer tracks it.
     is_retired: bool,
 }
 
@@ -41,12 +42,12 @@
 }
 
 impl MemberPools {
-    /// How many indexes are in use, or were.
+    /// Number of indexes, including those that are free for another member.
     pub(in crate::reducer) fn len(&self) -> usize {
         self.pools.len()
     }
 
-    /// Connections of all members.
+    /// Number of connections to all members.
     pub(in crate::reducer) fn connection_count(&self) -> usize {
         self.connection_count
     }
@@ -55,7 +56,7 @@
         &self.names
     }
 
-    /// Adds a member, and gives its index.
+    /// Adds a member and returns its index.
     pub(in crate::reducer) fn add(&mut self, id: &str, address: SocketAddr) -> u32 {
         let index = self.names.intern(id);
         let pool = MemberPool::new(address);
@@ -70,7 +71,7 @@
         Some(self.pools.get(index)?.address)
     }
 
-    /// True where the member had another address.
+    /// Sets a member's address. Returns whether the address has changed.
     pub(in crate::reducer) fn set_address(&mut self, index: usize, address: SocketAddr) -> bool {
         let Some(pool) = self.pools.get_mut(index) else { return false };
         std::mem::replace(&mut pool.address, address) != address
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Frees the index of a retired member, if it has no connections left. Returns whether the index was freed.
+    /// Frees the index of a retired member if it has no connections left. Returns whether the index was freed.
     pub(in crate::reducer) fn try_release(&mut self, index: usize) -> bool {
         let is_unused = |pool: &MemberPool| pool.is_retired && pool.connection_count == 0;
         let is_free = self.pools.get(index).is_some_and(is_unused);
@@ -126,7 +127,7 @@
         self.pools.get(index).map_or(&[], |pool| &pool.idle)
     }
 
-    /// Of each member the connection that has been idle longest.
+    /// For each member, the connection that has been idle longest.
     pub(in crate::reducer) fn longest_idle(&self) -> impl Iterator<Item = ConnectionId> {
         self.pools.iter().filter_map(|pool| pool.idle.first().copied())
     }
--- a/crates/ladderpass/src/reducer/state/methods.rs
+++ b/crates/ladderpass/src/reducer/state/methods.rs
@@ -1,4 +1,4 @@
-//! The deployment's methods, as far as the reducer needs them.
+//! The properties of the deployment's methods that the reducer needs.
 
 use ladderpass_config::DeploymentSettings;
 use ladderpass_routing::{Consistency, Idempotency, Method};
@@ -8,17 +8,18 @@
 pub(in crate::reducer) struct MethodTable {
     index_by_name: HashMap<String, u32, foldhash::fast::RandomState>,
     properties: Vec<MethodProperties>,
-    /// Some method reads what its session wrote.
+    /// Whether at least one method has session consistency, which means that its reads see the writes of their session.
     has_session_methods: bool,
-    /// Statements carry the age of their session's last write, so the router need not remember it.
+    /// Whether statements carry the age of their session's last write, so that the router need not remember it.
     session_write_age_carried: bool,
 }
 
 struct MethodProperties {
-    /// Its member must have reached a position: its staleness is bounded, or it sees its session's writes.
+    /// Whether the member must have reached a position, because the method's staleness is bounded or it sees its
+    /// session's writes.
     requires_position: bool,
     is_write: bool,
-    /// It may be attempted again within a window only.
+    /// Whether a further attempt has no second effect only within the window of the method's idempotency key.
     uses_idempotency_key: bool,
 }
 
@@ -62,7 +63,7 @@
         self.has_session_methods
     }
 
-    /// Must the router remember when each session wrote?
+    /// Returns whether the router must remember when each session last wrote.
     pub(in crate::reducer) fn tracks_sessions(&self) -> bool {
         self.has_session_methods && !self.session_write_age_carried
     }
@@ -71,7 +72,7 @@
         self.get(index).is_some_and(|method| method.requires_position)
     }
 
-    /// None for an unknown method.
+    /// Returns whether a method is a write, or `None` if the method is unknown.
     pub(in crate::reducer) fn is_write(&self, index: u32) -> Option<bool> {
         self.get(index).map(|method| method.is_write)
     }
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -1,7 +1,8 @@
-//! This router's own overload: what it measures goes to the governor, whose state goes to the routing core with each
-//! arrival; clients that read no answers are found; metrics are logged.
+//! Measures this router's own overload. The measurements go to the governor, and the governor's state goes to the
+//! routing core with each arrival. The monitor also finds clients that do not read their answers, and logs metrics.
 //!
-//! Off unless the operator's file has an `overload` section. It rejects no RPC itself: the routing core does.
+//! The monitor is off unless the operator's file has an `overload` section. It rejects no RPC itself, which is left to
+//! the routing core.
 
 use super::connections::Connections;
 use crate::reducer::connection_id::ConnectionId;
@@ -11,17 +12,17 @@
 use ladderpass_routing::{Arrival, Router, Span, Time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Watches the load of this process, where the operator wants that.
+/// Monitors the load of this process, if the operator has enabled it.
 pub(in crate::reducer) struct OverloadMonitor {
     active: Option<Box<ActiveMonitor>>,
-    /// RPCs accepted, and rejected for overload, since the metrics were logged last.
+    /// Number of RPCs accepted, and of those rejected at arrival, since the metrics were last logged.
     accepted: u32,
     rejected: u32,
 }
 
 struct ActiveMonitor {
     governor: Governor,
-    /// Clients whose sockets accept no more of their answers, and since when they read nothing.
+    /// Clients whose sockets accept no more of their answers, with the time since which they have read nothing.
     slow_readers: FxHashMap<ConnectionId, Time>,
     sampled_at: Time,
     metrics_interval: Span,
@@ -40,9 +41,11 @@
         })
     }
 
-    /// Slow readers that are to be closed. Prevents clients that send and don't read from filling the memory: each has a
-    /// time limit, shorter where memory is short, and a limit of bytes. Before buffers affect anyone else the largest of
-    /// them go, once they have read nothing for a sample interval. Nobody else is closed for memory.
+    /// Returns the slow readers that must be closed. This prevents clients that send statements and do not read the
+    /// answers from filling the memory. Each slow reader has a time limit, which is shorter when memory is short, and a
+    /// limit on the bytes of its output. In addition, once the memory of all buffers exceeds the size up to which it
+    /// raises no pressure, the largest slow readers that have read nothing for a sample interval are closed, before
+    /// other clients are affected. No other client is closed to free memory.
     fn overdue_slow_readers(&mut self, now: Time, connections: &Connections) -> Vec<ConnectionId> {
         let timeout = self.governor.slow_reader_timeout();
         let max_bytes = self.governor.slow_reader_max_bytes();
@@ -57,7 +60,8 @@
         overdue.map(|(&id, _)| id).collect()
     }
 
-    /// The largest slow readers, as many as it takes to bring the memory of buffers down to where it affects nobody.
+    /// Returns the largest slow readers, as many as must be closed to reduce the memory of buffers to where it raises
+    /// no pressure.
     fn largest_slow_readers(&self, now: Time, connections: &Connections) -> FxHashSet<ConnectionId> {
         let interval = self.governor.sample_interval();
         let mut excess_bytes =
@@ -98,7 +102,7 @@
         OverloadMonitor { active, accepted: 0, rejected: 0 }
     }
 
-    /// Takes over other settings of the operator.
+    /// Applies changed settings of the operator.
     pub(in crate::reducer) fn reconfigure(
         &mut self,
         now: Time,
@@ -119,18 +123,19 @@
         }
     }
 
-    /// When the process's resource usage is to be sampled next; None where the router does not watch its own load.
+    /// Returns when the process's resource usage must be sampled next, or `None` if the router does not monitor its own
+    /// load.
     pub(in crate::reducer) fn next_sample_at(&self) -> Option<Time> {
         let active = self.active.as_ref()?;
         Some(active.sampled_at + active.governor.sample_interval())
     }
 
-    /// How many connections to accept for one event, `limit` without overload.
+    /// Returns how many connections to accept for one event, which is `limit` without overload.
     pub(in crate::reducer) fn accept_budget(&self, limit: usize) -> usize {
         self.active.as_ref().map_or(limit, |active| active.governor.accept_budget(limit))
     }
 
-    /// Slow readers that are to be closed.
+    /// Returns the slow readers that must be closed.
     pub(in crate::reducer) fn overdue_slow_readers(
         &mut self,
         now: Time,
@@ -148,8 +153,8 @@
         }
     }
 
-    /// Counts a statement and gives its RPC the overload state to be assessed by. True where its rejection is certain: to
-    /// look at it further would be work for nothing.
+    /// Counts a statement, and sets the overload state by which the routing core will assess its RPC. Returns whether
+    /// the RPC is certain to be rejected, in which case parsing the rest of the statement would be wasted work.
     pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
@@ -171,8 +176,8 @@
         self.accepted += 1;
     }
 
-    /// Counts an RPC that was rejected at arrival. True if the operator's file has an `overload` section, whatever the
-    /// reason of the rejection; false without one.
+    /// Counts an RPC that was rejected at arrival, for any reason. Returns whether the operator's file has an
+    /// `overload` section. Without one, the RPC is not counted.
     pub(in crate::reducer) fn record_rejected_at_arrival(&mut self) -> bool {
         let Some(active) = &mut self.active else { return false };
         active.governor.record_rejected();
@@ -180,14 +185,14 @@
         true
     }
 
-    /// An RPC that was accepted got no good answer.
+    /// Records that an RPC that was accepted got no good answer.
     pub(in crate::reducer) fn record_unserved(&mut self) {
         if let Some(active) = &mut self.active {
             active.governor.record_rejected();
         }
     }
 
-    /// An RPC was answered; `bytes` are those of the client's buffers.
+    /// Records that an RPC was answered. `bytes` returns the size of its statement and of the client's output.
     pub(in crate::reducer) fn record_served(
         &mut self,
         now: Time,
@@ -199,14 +204,14 @@
         }
     }
 
-    /// A client's socket accepts no more for now.
+    /// Records that a client's socket accepts no more bytes for now.
     pub(in crate::reducer) fn record_write_blocked(&mut self, now: Time, client: ConnectionId) {
         if let Some(active) = &mut self.active {
             active.slow_readers.entry(client).or_insert(now);
         }
     }
 
-    /// A client has read something of its answers, or all of it.
+    /// Records that a client has read some of its answers, or everything that was to be written.
     pub(in crate::reducer) fn record_client_read(
         &mut self,
         now: Time,
@@ -226,7 +231,8 @@
         }
     }
 
-    /// An iteration of the event loop is over. `unread_bytes`: what clients have sent and is not handled.
+    /// Records the end of an iteration of the event loop. `unread_bytes` is the size of the input that clients have
+    /// sent and that is not consumed.
     pub(in crate::reducer) fn end_iteration(
         &mut self,
         now: Time,
@@ -236,7 +242,8 @@
         connections: &Connections,
     ) {
         let Some(active) = &mut self.active else { return };
-        // What slow readers have sent is not read, however long it waits.
+        // Input of slow readers does not count as waiting for the router, because it is read only after those clients
+        // have read their answers.
         let input_bytes =
             |&id: &ConnectionId| connections.get(id).map_or(0, |connection| connection.input.len());
         let slow_reader_bytes: usize = active.slow_readers.keys().map(input_bytes).sum();
@@ -273,9 +280,9 @@
     }
 }
 
-/// What a statement costs the router before it is assessed.
+/// The cost of a statement to the router before it is assessed.
 pub(in crate::reducer) struct StatementCost {
-    /// How long the router kept it waiting.
+    /// How long the router kept the statement waiting.
     pub(in crate::reducer) waited: Span,
     pub(in crate::reducer) bytes: usize,
 }
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -1,7 +1,7 @@
-//! The other routers: membership, gossip on members, shared admission control and the shared retry budget.
+//! The links to the other routers: membership, gossip on members, shared admission control and the shared retry budget.
 //!
-//! Who is alive, and who may send gossip, is decided by `ladderpass-membership`; the routing core decides how gossip is
-//! weighed.
+//! `ladderpass-membership` decides which routers are alive and which may send gossip. The routing core decides how
+//! gossip is weighted.
 
 use crate::launch::Launch;
 use crate::reducer::log_target;
@@ -13,11 +13,13 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A router that has just started has not found the others yet: until then those in its file count as alive.
+/// Time after the start in which the routers listed in the operator's file count as alive, because a router that has
+/// just started has not found the others yet.
 const SETTLING_TIME: Span = Span::from_millis(2000);
-/// Priorities for shared admission control go by utility alone: each RPC counts as costing the same.
+/// Cost of each RPC in shared admission control. It is the same for all RPCs, so that priorities follow from utility
+/// alone.
 const UNIT_COST_SECS: f64 = 1e-4;
-/// Most bytes of admission reports in a datagram of the membership.
+/// Maximum size of the admission reports in a membership datagram.
 const PIGGYBACK_BYTES: usize = 150;
 
 /// State of the links to other routers.
@@ -26,22 +28,22 @@
     view: View,
     membership_wake_at: Time,
     settled_at: Time,
-    /// Routers in the operator's file, this one included.
+    /// Number of routers in the operator's file, including this one.
     listed_routers: usize,
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
-    /// By this router's index of a group: the number by which all routers know it.
+    /// For each group index of this router, the number by which all routers identify the group.
     group_numbers: Vec<u32>,
-    /// None: each router sheds for itself.
+    /// Shared admission control. `None` means that each router sheds load on its own.
     admission: Option<AdmissionController>,
-    /// None: retries are free.
+    /// The shared retry budget. `None` means that it does not limit retries.
     retry_budget: Option<RetryBudget>,
-    /// RPCs that this router has rejected on behalf of the whole fleet.
+    /// Number of RPCs that this router has rejected for shared admission control since the start.
     rejected: u64,
     metrics_logged_at: Time,
     metrics_interval: Span,
 }
 
-/// What shared admission control says of an arrival.
+/// The decision of shared admission control on an arrival.
 #[derive(Clone, Copy, Debug, Default)]
 pub(in crate::reducer) struct AdmissionVerdict {
     pub(in crate::reducer) is_rejected: bool,
@@ -49,7 +51,7 @@
 }
 
 impl PeerLinks {
-    /// None where the operator's file names no peers.
+    /// Returns `None` if the operator's file names no peers.
     pub(in crate::reducer) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
         let operator = &launch.operator;
         let peers = operator.peers.as_ref()?;
@@ -61,7 +63,8 @@
         }
         let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
         let settings = Settings { faulty: launch.faulty.membership(), ..Settings::default() };
-        // Other random numbers than the routing core's: routers with one seed must not draw the same order.
+        // The seed differs from that of the routing core, and between routers that are started with one seed, which
+        // must not draw the same order of routers.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
         let membership = Membership::start(now, seed, local, &peers.listed, &peers.networks, settings);
         let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
@@ -92,7 +95,7 @@
             .map_or(self.membership_wake_at, |admission| admission.wake_at().min(self.membership_wake_at))
     }
 
-    /// The membership's view, as last applied.
+    /// The membership's view that was last applied.
     pub(in crate::reducer) fn view(&self) -> &View {
         &self.view
     }
@@ -107,7 +110,7 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// A datagram of the membership has arrived.
+    /// Handles a membership datagram.
     pub(in crate::reducer) fn on_membership_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         self.membership.on_datagram(now, from, bytes);
         let reports = self.membership.take_piggybacked();
@@ -116,12 +119,12 @@
         }
     }
 
-    /// Records that gossip on members came from this address; whether it may be accepted.
+    /// Records that gossip on members came from this address. Returns whether it may be accepted.
     pub(in crate::reducer) fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.membership.record_gossip(now, from)
     }
 
-    /// Puts messages on members into datagrams to all other routers.
+    /// Queues messages on members as datagrams to all routers that receive gossip.
     pub(in crate::reducer) fn publish(&mut self, now: Time, messages: &[String]) {
         for target in self.membership.gossip_targets(now) {
             let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Lets the membership act if that is due; true if so.
+    /// Runs the membership if it is due. Returns whether it was due.
     pub(in crate::reducer) fn tick_membership(&mut self, now: Time) -> bool {
         let is_due = self.membership_wake_at <= now;
         if is_due {
@@ -138,12 +141,12 @@
         is_due
     }
 
-    /// This router is about to end.
+    /// Records that this router is about to shut down.
     pub(in crate::reducer) fn leave(&mut self, now: Time) {
         self.membership.leave(now);
     }
 
-    /// Takes over when the membership is due next, and its datagrams; true where there are some.
+    /// Updates the wake time of the membership, and queues its datagrams. Returns whether there are any datagrams.
     pub(in crate::reducer) fn collect_membership_output(&mut self) -> bool {
         self.membership_wake_at = self.membership.wake_at();
         let outgoing = self.membership.take_outgoing();
@@ -152,17 +155,18 @@
         has_datagrams
     }
 
-    /// Was another incarnation of this router's address seen? True once.
+    /// Returns whether another incarnation of this router's address was seen since the last call.
     pub(in crate::reducer) fn take_address_conflict(&mut self) -> bool {
         self.membership.take_address_conflict()
     }
 
-    /// The membership's view of now.
+    /// The membership's present view.
     pub(in crate::reducer) fn newest_view(&self) -> View {
         self.membership.view()
     }
 
-    /// Gives an arrival the overload state of all routers and its session's admission draw, and counts it as offered.
+    /// Adds the overload state of all routers and the admission draw of `session` to an arrival, and counts the
+    /// arrival as offered load.
     pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
@@ -190,12 +194,12 @@
         AdmissionVerdict { is_rejected, priority }
     }
 
-    /// Admission control, and the number by which all routers know a group.
+    /// Shared admission control, and the number by which all routers identify a group.
     fn admission_for(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
         Some((self.admission.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
-    /// The retry budget, likewise.
+    /// The shared retry budget, and the number by which all routers identify a group.
     fn retry_budget_for(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
         Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
@@ -206,20 +210,20 @@
         }
     }
 
-    /// Withdraws a retry of an RPC of this priority from the budget; false if the budget does not allow it.
+    /// Withdraws a retry of an RPC of this priority from the budget. Returns false if the budget does not allow it.
     pub(in crate::reducer) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
         self.retry_budget_for(group)
             .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
     }
 
-    /// A retry that was withdrawn from the budget has succeeded.
+    /// Records that a retry that was withdrawn from the budget has succeeded.
     pub(in crate::reducer) fn record_retry_success(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_success(group);
         }
     }
 
-    /// A retry that was withdrawn from the budget is not made.
+    /// Refunds a retry that was withdrawn from the budget and is not made.
     pub(in crate::reducer) fn refund_retry(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.refund(group);
@@ -232,14 +236,14 @@
         }
     }
 
-    /// An RPC that was admitted was rejected later.
+    /// Records that an RPC that was admitted was rejected later.
     pub(in crate::reducer) fn record_unplaced(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_unplaced(group);
         }
     }
 
-    /// Adds the numbers of groups that endpoint lists have named since the last call.
+    /// Updates the group numbers if endpoint lists have named new groups since the last call.
     fn update_group_numbers(&mut self, groups: &HashMap<u64, u32>) {
         if self.group_numbers.len() == groups.len() {
             return;
@@ -252,7 +256,8 @@
         }
     }
 
-    /// Exchanges what all routers know of the load with the routing core, the retry budget and the other routers.
+    /// If it is due, exchanges load information between shared admission control, the routing core, the retry budget
+    /// and the other routers.
     pub(in crate::reducer) fn tick_admission(
         &mut self,
         now: Time,
@@ -302,13 +307,14 @@
         peer_log::log_membership(&self.view, &self.membership);
     }
 
-    /// Routers that count as alive: at least those of the file, until this one has had time to find them.
+    /// Number of routers that count as alive. Until this router has had time to find the others, it is at least the
+    /// number of routers listed in the operator's file.
     pub(in crate::reducer) fn alive_count(&self, now: Time, view: &View) -> usize {
         if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
     }
 
-    /// Takes over the changes of the membership. What is logged is the membership's own view; until `settled_at` the
-    /// routing core gets `alive_count`, which may be more than the `count` that is logged.
+    /// Applies the changes of the membership. The log has the membership's own view. Until `settled_at` the routing
+    /// core gets `alive_count`, which may be more than the `count` that is logged.
     pub(in crate::reducer) fn apply_changes(&mut self, now: Time, view: View) {
         let changes = self.membership.take_changes();
         if changes.is_empty() && view == self.view {
--- a/crates/ladderpass/src/reducer/state/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -1,11 +1,11 @@
-//! What has arrived of a member's answer to one query: one row of one column, or an error, and what its parameters say
-//! of the member.
+//! The part of a member's answer to one query that has arrived: one row of one column, or an error, and the parameters
+//! that describe the member.
 
 use crate::pg;
 use crate::reducer::unix_time::time_from_unix_ms;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
 
-/// An answer, as far as it has arrived.
+/// The part of an answer that has arrived.
 #[derive(Default)]
 pub(in crate::reducer) struct QueryAnswer {
     has_description: bool,
@@ -29,22 +29,22 @@
         self.error = Some(error);
     }
 
-    /// The command is complete, whatever has arrived.
+    /// Marks the command as complete without checking which messages have arrived.
     pub(super) fn complete(&mut self) {
         self.is_command_complete = true;
     }
 
-    /// In faulty builds: takes what has arrived for a complete answer with a row.
+    /// In faulty builds, treats the messages that have arrived as a complete answer with a row.
     pub(super) fn force_complete(&mut self) {
         (self.has_row, self.is_command_complete) = (true, true);
     }
 
-    /// Only the member's ReadyForQuery is still to come.
+    /// Returns whether the whole answer has arrived, except for the member's ReadyForQuery.
     pub(super) fn is_complete(&self) -> bool {
         self.is_command_complete || self.error.is_some()
     }
 
-    /// Adds a message of the result; false where it has no place in the answer.
+    /// Adds a message of the result. Returns false if the message does not fit into the answer at this point.
     pub(super) fn add_result_message(&mut self, kind: u8, body: &[u8], accepts_torn_rows: bool) -> bool {
         if self.is_complete() {
             return false;
@@ -79,12 +79,12 @@
         }
     }
 
-    /// In faulty builds: a member that reports a position reports this one.
+    /// In faulty builds, replaces the position if the member has reported one.
     pub(in crate::reducer) fn override_position(&mut self, position: Time) {
         self.position = self.position.map(|_| position);
     }
 
-    /// What a complete answer means for its attempt.
+    /// Returns the outcome of an attempt whose answer is complete.
     pub(in crate::reducer) fn outcome(&self) -> AttemptOutcome {
         match self.error.as_ref().map(|error| error.code.as_str()) {
             None => AttemptOutcome::Ok,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The result of an attempt, with what the answer says of the member.
+    /// Returns the result of an attempt, with the role and the position that the answer reports of the member.
     pub(in crate::reducer) fn to_result(
         &self,
         member: MemberId,
@@ -113,7 +113,7 @@
     }
 }
 
-/// The result of an attempt of which no answer has arrived.
+/// Returns the result of an attempt of which no answer has arrived.
 pub(in crate::reducer) fn unanswered_result(
     member: MemberId,
     outcome: AttemptOutcome,
--- a/crates/ladderpass/src/reducer/state/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_ids.rs
@@ -1,20 +1,20 @@
-//! Ids of RPCs that are in flight, or were until some time ago: a statement with one of them is a duplicate.
+//! Ids of RPCs that are in flight or have ended recently. A statement with one of these ids is a duplicate.
 
 use ladderpass_routing::Time;
 use rustc_hash::FxHashSet;
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
 
-/// Ids expire in steps of this width.
+/// Width of the steps in which ids expire.
 const EXPIRY_STEP_NANOS: i64 = 128_000_000;
 
-/// The ids, as hashes with a random key of this process, so that nobody can choose ids that collide.
+/// The ids, stored as hashes with a random key of this process, so that nobody can choose ids that collide.
 #[derive(Default)]
 pub(super) struct RpcIds {
     key: foldhash::fast::RandomState,
     /// Ids of RPCs, in flight or ended, that are kept until they expire.
     remembered: FxHashSet<u64>,
-    /// Ids of RPCs in flight: they stay, however many come behind them.
+    /// Ids of RPCs in flight. They are kept however many RPCs begin after them.
     in_flight: FxHashSet<u64>,
     /// The remembered ids by the step in which they expire. Their order within a step does not matter.
     expiring: BTreeMap<i64, Vec<u64>>,
@@ -29,13 +29,14 @@
         self.remembered.contains(&id) || self.in_flight.contains(&id)
     }
 
-    /// The RPC with this id is over. The id stays remembered until it expires.
+    /// Records that the RPC with this id has ended. The id stays remembered until it expires.
     pub(super) fn release_in_flight(&mut self, id: u64) {
         self.in_flight.remove(&id);
     }
 
-    /// An RPC with this id begins. The id is kept until it is released, and until `expires_at` unless there are more than
-    /// `max_remembered`: then those that expire first go.
+    /// Records that an RPC with this id begins. The id is kept until it is released, and is remembered until
+    /// `expires_at`. Ids that have expired are forgotten. If there are still `max_remembered` ids, those that expire
+    /// first are forgotten too.
     pub(super) fn reserve(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
         while let Some(mut step) = self.expiring.first_entry()
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -6,43 +6,44 @@
 use rustc_hash::FxHashMap;
 use std::ops::Range;
 
-/// What does not change of an RPC.
+/// The properties of an RPC that do not change.
 #[derive(Clone, Debug)]
 pub(in crate::reducer) struct RpcDescription {
     pub(in crate::reducer) deadline: Time,
-    /// Its member must have reached a position: the staleness bound's, or that of its session's last write. What holds
-    /// at the decision may not hold at the send.
+    /// Whether the member must have reached a position, which is given by the staleness bound or by the session's last
+    /// write. A member that meets this at the decision may not meet it any more when the query is sent.
     pub(in crate::reducer) requires_position: bool,
     pub(in crate::reducer) method: u32,
     pub(in crate::reducer) group: u32,
-    /// Its priority among all RPCs, where routers shed load together.
+    /// The RPC's priority among all RPCs, if routers shed load together.
     pub(in crate::reducer) priority: u32,
-    /// Its id, as `RpcIds` hashes it.
+    /// The RPC's id, hashed by `RpcIds`.
     pub(in crate::reducer) id_hash: u64,
-    /// Where the statement says how long its client waits.
+    /// The range of the statement that states how long the client waits.
     pub(in crate::reducer) wait_at: Range<usize>,
 }
 
-/// An RPC that was accepted and has no answer, or has an attempt in flight.
+/// An RPC that was accepted and is not answered, or that has an attempt in flight.
 pub(in crate::reducer) struct RpcInFlight {
     description: RpcDescription,
-    /// The client that waits for its answer.
+    /// The client that waits for the answer. `None` once the RPC is answered or the client has left.
     client: Option<ConnectionId>,
     accepted_at: Time,
-    /// How long the router itself kept it waiting since then.
+    /// How long the router itself kept the RPC waiting since it was accepted.
     waited_for_router: Span,
     attempts: u32,
-    /// The retry budget knows of its first attempt.
+    /// Whether an attempt has begun. The retry budget counts only one first attempt of each RPC, even if that attempt
+    /// is discounted later.
     first_attempt_recorded: bool,
-    /// A retry was withdrawn from the budget for an attempt that is not made yet.
+    /// Whether a retry was withdrawn from the budget for an attempt that is not made yet.
     retry_withdrawn: bool,
-    /// The connection that carries its attempt, or is to.
+    /// The connection that carries the RPC's attempt, or will carry it once it is established.
     connection: Option<ConnectionId>,
-    /// An attempt of it may have run without a good answer.
+    /// Whether an attempt has ended with an outcome that does not prove that the RPC never ran.
     may_have_run: bool,
-    /// Its client has asked to cancel it: no further attempt begins.
+    /// Whether the client has asked to cancel the RPC. No further attempt begins then.
     is_cancelled: bool,
-    /// Its life and its attempts, at debug level only.
+    /// Tracing span of the RPC and its attempts, at debug level only.
     span: tracing::Span,
 }
 
@@ -76,13 +77,14 @@
         self.client
     }
 
-    /// Takes the client out, for the one answer that is written to it, or as it has left. There is no second answer.
+    /// Removes and returns the client, either because its one answer is about to be written or because the client has
+    /// left. This prevents a second answer.
     pub(in crate::reducer) fn take_client(&mut self) -> Option<ConnectionId> {
         self.client.take()
     }
 
-    /// Time since it was accepted, less what this router kept its answered queries, and their answers, waiting. Time in the
-    /// routing core's queue and for connecting is included.
+    /// Time since the RPC was accepted, without the time that this router kept its answered queries and their answers
+    /// waiting. Time in the routing core's queue and for connecting is included.
     pub(in crate::reducer) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
@@ -91,7 +93,7 @@
         self.waited_for_router += span;
     }
 
-    /// An attempt begins; true for the first one.
+    /// Records that an attempt begins. Returns whether it is the first one.
     pub(in crate::reducer) fn begin_attempt(&mut self) -> bool {
         self.attempts += 1;
         self.retry_withdrawn = false;
@@ -111,7 +113,7 @@
         self.may_have_run |= !outcome.never_ran();
     }
 
-    /// The attempt that has ended does not count as one.
+    /// Subtracts the attempt that has ended from the number of attempts, because it does not count as one.
     pub(in crate::reducer) fn discount_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
     }
@@ -124,7 +126,8 @@
         self.retry_withdrawn = is_withdrawn;
     }
 
-    /// Was a retry withdrawn from the budget for an attempt that will not be made? It is to be refunded then.
+    /// Returns whether a retry was withdrawn from the budget for an attempt that is not made yet, and clears this flag.
+    /// The caller refunds the retry if the attempt will not be made.
     pub(in crate::reducer) fn take_retry_withdrawn(&mut self) -> bool {
         std::mem::take(&mut self.retry_withdrawn)
     }
@@ -166,7 +169,7 @@
         self.in_flight.get_mut(&rpc)
     }
 
-    /// How many RPCs have an attempt in flight.
+    /// Number of RPCs that have an attempt in flight.
     pub(in crate::reducer) fn attempts_in_flight(&self) -> usize {
         self.in_flight.values().filter(|entry| entry.connection.is_some()).count()
     }
@@ -175,12 +178,13 @@
         self.ids.hash(id)
     }
 
-    /// Does another RPC have this id, or did one lately?
+    /// Returns whether another RPC has this id, or had it recently.
     pub(in crate::reducer) fn is_duplicate(&self, id_hash: u64) -> bool {
         self.ids.contains(id_hash)
     }
 
-    /// Reserves an id until its RPC is removed, and until it expires.
+    /// Reserves an id until its RPC is removed. The id is also remembered until `expires_at`, unless it is forgotten
+    /// earlier to limit the number of remembered ids to `max_remembered`.
     pub(in crate::reducer) fn reserve_id(
         &mut self,
         now: Time,
@@ -195,7 +199,7 @@
         self.in_flight.insert(rpc, entry);
     }
 
-    /// Removes an RPC that has its final answer and no attempt in flight.
+    /// Removes an RPC that has no attempt in flight, and that has its final answer or whose client has left.
     pub(in crate::reducer) fn remove(&mut self, rpc: RpcId) {
         if let Some(entry) = self.in_flight.remove(&rpc) {
             self.ids.release_in_flight(entry.description.id_hash);
--- a/crates/ladderpass/src/reducer/state/shutdown.rs
+++ b/crates/ladderpass/src/reducer/state/shutdown.rs
@@ -1,8 +1,8 @@
-//! How far the graceful shutdown has come.
+//! Progress of the graceful shutdown.
 
 use ladderpass_routing::{Span, Time};
 
-/// How far the shutdown has come.
+/// Progress of the graceful shutdown.
 #[derive(Default)]
 pub(in crate::reducer) struct Shutdown {
     began_at: Option<Time>,
@@ -26,17 +26,17 @@
         self.is_listener_closed = true;
     }
 
-    /// Neither the listener nor a client keeps the process running.
+    /// Returns whether the shutdown has begun, and neither the listener nor a client keeps the process running.
     pub(in crate::reducer) fn is_complete(&self, clients: usize) -> bool {
         self.began_at.is_some() && self.is_listener_closed && clients == 0
     }
 
-    /// When the listener is to be closed.
+    /// Returns when the listener must be closed, if a shutdown has begun and the listener is still open.
     pub(in crate::reducer) fn close_listener_at(&self, accept_time: Span) -> Option<Time> {
         self.began_at.filter(|_| !self.is_listener_closed).map(|began_at| began_at + accept_time)
     }
 
-    /// Did the shutdown begin so long ago?
+    /// Returns whether the shutdown began at least `span` ago.
     pub(in crate::reducer) fn has_lasted(&self, now: Time, span: Span) -> bool {
         self.began_at.is_some_and(|began_at| now - began_at >= span)
     }
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -1,30 +1,31 @@
-//! Counts of this router's work since they were logged last.
+//! Counts of this router's work since they were last logged.
 
 use ladderpass_routing::reasons::ExceptionCounts;
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 use std::fmt::{self, Debug, Formatter};
 
-/// Most examples between two lines of counts.
+/// Maximum number of examples that are logged between two log lines with counts.
 const MAX_EXAMPLES: usize = 8;
 
-/// What is counted of clients and their RPCs.
+/// The kinds of events of clients and their RPCs that are counted.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::reducer) enum Count {
     Accepted,
     Rejected,
-    /// Answered with the error that it may have had an effect.
+    /// The RPC was answered with the error that it may have had an effect.
     Failed,
-    /// Its client left before the answer.
+    /// The client left before its RPC was answered.
     ClientLeft,
     Cancelled,
-    /// A statement with an error of its own.
+    /// A statement had an error of the client's own.
     ClientError,
-    /// Rejected with `Rejection::Crowded`: there are too many clients.
+    /// A statement was rejected with `Rejection::Crowded`, because there are too many clients.
     Crowded,
-    /// Rejected with `Rejection::Full` (too many RPCs are in flight), or with `Rejection::SentAhead` (its client has sent
-    /// too much ahead).
+    /// A statement was rejected with `Rejection::Full`, because too many RPCs are in flight, or with
+    /// `Rejection::SentAhead`, because its client has sent too much ahead.
     Full,
-    /// Rejected for the overload of this router, or of all.
+    /// An RPC was rejected at arrival. With an `overload` section in the operator's file, all such rejections are
+    /// counted here, whatever their reason. Without one, only those by shared admission control are.
     Shed,
     /// A client was closed because it does not read its answers.
     SlowReader,
@@ -32,7 +33,7 @@
 
 const COUNT_KINDS: usize = Count::SlowReader as usize + 1;
 
-/// Counts since the last line of them.
+/// Counts since they were last logged.
 pub(in crate::reducer) struct Stats {
     counts: [u32; COUNT_KINDS],
     attempts: OutcomeCounts,
@@ -43,11 +44,11 @@
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
-    /// Examples logged since.
+    /// Number of examples logged since the counts were last logged.
     examples: usize,
 }
 
-/// Attempts or health checks by outcome.
+/// Number of attempts or health checks by outcome.
 #[derive(Clone, Copy, Default)]
 pub(in crate::reducer) struct OutcomeCounts([u32; AttemptOutcome::COUNT]);
 
@@ -94,7 +95,7 @@
         self.attempts.add(outcome);
     }
 
-    /// An attempt was answered well, and took that long at its member.
+    /// Adds the time that a member took for an attempt that ended with `AttemptOutcome::Ok`.
     pub(in crate::reducer) fn add_answer_time(&mut self, span: Span) {
         self.answer_time += span;
     }
@@ -111,7 +112,7 @@
         self.connect_time += span;
     }
 
-    /// Attempts that were answered well, and the time that they took at members.
+    /// Number of attempts that ended with `AttemptOutcome::Ok`, and the time that members took for them.
     pub(in crate::reducer) fn answered_attempts(&self) -> (u32, Span) {
         (self.attempts.get(AttemptOutcome::Ok), self.answer_time)
     }
@@ -128,17 +129,17 @@
         self.health_checks
     }
 
-    /// Connections to members that were begun.
+    /// Number of connections to members that were begun.
     pub(in crate::reducer) fn connects(&self) -> u32 {
         self.connects
     }
 
-    /// The time that connections to members took to be established.
+    /// Total time that connections to members took to be established.
     pub(in crate::reducer) fn connect_time(&self) -> Span {
         self.connect_time
     }
 
-    /// RPCs that were not served by the ordinary path.
+    /// Counts of RPCs that were not served in the ordinary way.
     pub(in crate::reducer) fn exceptions(&self) -> &ExceptionCounts {
         &self.exceptions
     }
@@ -147,7 +148,7 @@
         self.exceptions.merge(counts);
     }
 
-    /// Gives the counts, and starts them again.
+    /// Returns the counts and resets them.
     pub(in crate::reducer) fn take(&mut self, now: Time) -> Stats {
         std::mem::replace(self, Stats::new(now))
     }
@@ -156,7 +157,7 @@
         self.counts[kind as usize]
     }
 
-    /// Is a further example to be logged? It is counted then.
+    /// Returns whether one more example may be logged, and counts it if so.
     pub(in crate::reducer) fn try_count_example(&mut self) -> bool {
         let allowed = self.examples < MAX_EXAMPLES;
         self.examples += usize::from(allowed);
