--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -58,7 +58,7 @@
         if peers.legacy_form {
             tracing::warn!(
                 target: log_target::PEER_LINKS,
-                "peers.me and peers.all are deprecated: write peers.listen and peers.listed"
+                "peers.me and peers.all are deprecated; use peers.listen and peers.listed"
             );
         }
         let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
