--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -22,7 +22,7 @@
     },
     /// An error that the YAML library gives no place for.
     #[error("{message}")]
-    NoPlace {
+    NoLocation {
         /// What the YAML library says.
         message: String,
     },
--- a/crates/ladderpass-config/src/operator/overload.rs
+++ b/crates/ladderpass-config/src/operator/overload.rs
@@ -56,7 +56,7 @@
     let from_read = errors.ok_or_push(set_duration(&mut from, "overload.delay.from", band.from, 1..=10_000));
     let full_read = errors.ok_or_push(set_duration(&mut full, "overload.delay.full", band.full, 1..=10_000));
     if from_read.and(full_read).is_some() {
-        let band = rising_band("overload.delay", from.secs(), full.secs(), last_line);
+        let band = checked_band("overload.delay", from.secs(), full.secs(), last_line);
         *field = errors.combinations.ok_or_push(band).unwrap_or(*field);
     }
 }
@@ -67,11 +67,11 @@
     let from_read = errors.ok_or_push(set_share(&mut from, &format!("{key}.from"), band.from, max));
     let full_read = errors.ok_or_push(set_share(&mut full, &format!("{key}.full"), band.full, max));
     if from_read.and(full_read).is_some() {
-        *field = errors.combinations.ok_or_push(rising_band(key, from, full, last_line)).unwrap_or(*field);
+        *field = errors.combinations.ok_or_push(checked_band(key, from, full, last_line)).unwrap_or(*field);
     }
 }
 
-fn rising_band(key: &str, from: f64, full: f64, line: Option<u64>) -> Result<Band, OperatorFileError> {
+fn checked_band(key: &str, from: f64, full: f64, line: Option<u64>) -> Result<Band, OperatorFileError> {
     if from < full {
         return Ok(Band::new(from, full));
     }
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -31,8 +31,8 @@
         return read_legacy_peers(index, list, errors);
     }
     check_form(&section, errors);
-    let listen = parse_given_address(section.listen.as_ref(), "peers.listen", errors);
-    let address = parse_given_address(section.address.as_ref(), "peers.address", errors);
+    let listen = parse_optional_address(section.listen.as_ref(), "peers.listen", errors);
+    let address = parse_optional_address(section.address.as_ref(), "peers.address", errors);
     let listed = section.listed.unwrap_or_default();
     let networks = section.networks.unwrap_or_default();
     if let Some(listen) = section.listen.as_ref().filter(|_| listed.is_empty() && networks.is_empty()) {
@@ -80,7 +80,7 @@
 }
 
 /// An address, if the file has it and it is allowed; else an error is added to `errors`.
-fn parse_given_address(
+fn parse_optional_address(
     text: Option<&Spanned<String>>,
     key: &str,
     errors: &mut FoundErrors,
--- a/crates/ladderpass-config/src/operator/yaml.rs
+++ b/crates/ladderpass-config/src/operator/yaml.rs
@@ -33,7 +33,7 @@
         };
         // A key may only be missing because it was blanked out before.
         if nth == 0 || !error.without_snippet().to_string().contains("missing field") {
-            errors.push(describe(&text, &error));
+            errors.push(to_file_error(&text, &error));
         }
         let rest = error.location().and_then(|location| blank_out_key(&text, location.line() as usize));
         // What is no YAML at all has no keys to go by.
@@ -49,14 +49,14 @@
 /// The text with empty lines in place of line `number`, counted from 1 on, and of the deeper lines that follow it.
 /// None where that line is empty already.
 fn blank_out_key(text: &str, number: usize) -> Option<String> {
-    let depth = |line: &str| line.len() - line.trim_start().len();
+    let indent = |line: &str| line.len() - line.trim_start().len();
     let key_line = text.lines().nth(number.checked_sub(1)?).filter(|line| !line.trim().is_empty())?;
     let is_item = |line: &str| line.trim_start().starts_with('-');
     let mut is_blanked = false;
     let lines = text.lines().enumerate().map(|(nth, line)| {
         // Items of a list may stand as deep as their key.
-        let is_item_of_key = depth(line) == depth(key_line) && is_item(line) && !is_item(key_line);
-        let is_below = depth(line) > depth(key_line) || is_item_of_key;
+        let is_item_of_key = indent(line) == indent(key_line) && is_item(line) && !is_item(key_line);
+        let is_below = indent(line) > indent(key_line) || is_item_of_key;
         is_blanked = nth + 1 == number || is_blanked && (is_below || line.trim().is_empty());
         if is_blanked { "" } else { line }
     });
@@ -64,11 +64,11 @@
 }
 
 /// The library's error in one line, after the line of the file and the key that stands there.
-fn describe(text: &str, error: &serde_saphyr::Error) -> OperatorFileError {
+fn to_file_error(text: &str, error: &serde_saphyr::Error) -> OperatorFileError {
     let message = error.without_snippet().to_string();
     let message = message.split_whitespace().collect::<Vec<_>>().join(" ");
     let message = message.replace("expected one of", "allowed are");
-    let Some(location) = error.location() else { return OperatorFileError::NoPlace { message } };
+    let Some(location) = error.location() else { return OperatorFileError::NoLocation { message } };
     let line = location.line();
     let text = text.lines().nth((line as usize).saturating_sub(1));
     let key = text.and_then(|text| text.split_once(':')).map(|(key, _)| key.trim().trim_start_matches("- "));
--- a/crates/ladderpass-config/tests/gossip.rs
+++ b/crates/ladderpass-config/tests/gossip.rs
@@ -6,7 +6,7 @@
 use ladderpass_routing::{MemberObservation, Span};
 
 #[test]
-fn an_update_is_read_as_it_was_written_or_a_little_older() {
+fn a_decoded_update_equals_the_encoded_one_with_its_time_rounded_down() {
     for (id_hash, sent_ms, received_ms) in [(0, 0, 0), (1 << 29, 5, 9), (12_345, 9_000_000, 9_000_100)] {
         let at = Span::from_nanos(sent_ms * 1_000_000 + 999_999);
         for observation in OBSERVATIONS {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_dropped() {
+fn text_that_cannot_be_decoded_is_dropped() {
     let update = EncodedUpdate {
         id_hash: 7,
         observation: MemberObservation::Replica,
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -5,7 +5,7 @@
 use ladderpass_routing::Span;
 
 #[test]
-fn a_key_that_is_not_given_has_its_default() {
+fn missing_keys_have_their_defaults_and_given_ones_are_read() {
     assert_eq!(read("# nothing\n").expect("empty"), Operator::default());
     assert_eq!(read("overload: {}").expect("on").overload, Some(Settings::default()));
     assert_eq!(read("overload: {enabled: false}").expect("off").overload, None);
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn an_error_is_one_line_with_line_key_and_what_is_allowed() {
-    for (text, wanted) in [
+fn an_error_is_one_line_that_names_the_line_the_key_and_what_is_allowed() {
+    for (text, expected) in [
         ("overlaod: {}", ["line 1", "overlaod", "overload"]),
         ("overload:\n  dealy: {from: 1ms}", ["line 2", "dealy", "delay"]),
         ("overload:\n  delay:\n    from: 5", ["line 3", "overload.delay.from", "ms"]),
@@ -65,7 +65,7 @@
         ("members:\n  sizes: big", ["line 2", "sizes", "bool"]),
     ] {
         let error = read(text).expect_err(text).to_string();
-        assert!(wanted.iter().all(|part| error.contains(part)), "{text:?}: {error}");
+        assert!(expected.iter().all(|part| error.contains(part)), "{text:?}: {error}");
         assert!(!error.contains('\n'), "{error}");
     }
 }
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn all_errors_are_named_and_none_that_only_follows_from_another() {
-    for (text, wanted) in [
+fn all_errors_are_reported_except_those_that_only_follow_from_another() {
+    for (text, expected) in [
         ("log:\n  format: xml\n  figures: 1\noverload:\n  fair: 0\n  look: 1ms", &[2, 3, 5, 6][..]),
         // Keys that can't be read, in each section, with what stands below them.
         ("overlaod:\n  fair: 0\nlog:\n  colour: red\n  format: xml", &[1, 4, 5]),
@@ -99,7 +99,7 @@
         ("peers:\n  me: 0\n  all: [here, there]", &[3, 3]),
         ("peers:\n  me: one\n  all: [127.0.0.1:1, 127.0.0.1:2]", &[2]),
     ] {
-        assert_eq!(lines_with_errors(text), wanted, "{text:?}: {:?}", read(text));
+        assert_eq!(lines_with_errors(text), expected, "{text:?}: {:?}", read(text));
     }
     // A text that is not YAML has no keys to go by.
     let printed = read("overload:\n  fair: 0\nlog: [").expect_err("cut").to_string();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn errors_of_a_file_that_is_wrong_throughout_are_bounded() {
+fn a_file_that_is_wrong_throughout_prints_at_most_a_hundred_lines() {
     let text: String = (0..1000).map(|n| format!("wrong_{n}: 1\n")).collect();
     let count = read(&text).expect_err("wrong").to_string().lines().count();
     assert!((10..=100).contains(&count), "{count}");
--- a/crates/ladderpass-config/tests/settings.rs
+++ b/crates/ladderpass-config/tests/settings.rs
@@ -16,7 +16,7 @@
 /// Duplicates are dropped by all members, or by the group of the first attempt. With any other scope some members of the
 /// group may not know of the first attempt, so no repeat is sent.
 #[test]
-fn a_scope_other_than_the_group_or_all_allows_no_repeat() {
+fn a_deduplication_scope_other_than_the_group_or_all_members_allows_no_retry() {
     let window = Span::from_millis(5000);
     assert_eq!(
         idempotency_with_scope(Some("all")),
--- a/crates/ladderpass-simulator-adapter/src/errors.rs
+++ b/crates/ladderpass-simulator-adapter/src/errors.rs
@@ -56,7 +56,7 @@
     UnknownList(u32),
     /// A field holds none of the protocol's words.
     #[error("unknown {field} {value:?}")]
-    UnknownWord {
+    UnknownValue {
         /// The field.
         field: &'static str,
         /// The word that was read.
--- a/crates/ladderpass-simulator-adapter/src/events.rs
+++ b/crates/ladderpass-simulator-adapter/src/events.rs
@@ -42,8 +42,8 @@
 
 impl EventKind {
     /// The kind by its word on the wire.
-    pub fn parse(word: &str) -> Option<EventKind> {
-        Some(match word {
+    pub fn parse(text: &str) -> Option<EventKind> {
+        Some(match text {
             "TICK" => EventKind::SetTime,
             "END" => EventKind::EndOfBatch,
             "ROSTER" => EventKind::EndpointList,
@@ -171,15 +171,15 @@
 impl ListLine<'_> {
     /// The same, for longer than the text that it was read from.
     pub fn into_owned(self) -> ListLine<'static> {
-        let own = |text: Cow<str>| Cow::Owned(text.into_owned());
+        let into_static = |text: Cow<str>| Cow::Owned(text.into_owned());
         ListLine {
-            member: own(self.member),
-            machine_kind: own(self.machine_kind),
-            zone: own(self.zone),
+            member: into_static(self.member),
+            machine_kind: into_static(self.machine_kind),
+            zone: into_static(self.zone),
             primary: self.primary,
             weight: self.weight,
             group: self.group,
-            state: own(self.state),
+            state: into_static(self.state),
             started_at: self.started_at,
         }
     }
@@ -224,8 +224,8 @@
 }
 
 /// How an attempt or a health check ended, by its word on the wire.
-pub fn parse_outcome(word: &str) -> Result<AttemptOutcome, EventProblem> {
-    Ok(match word {
+pub fn parse_outcome(text: &str) -> Result<AttemptOutcome, EventProblem> {
+    Ok(match text {
         "success" => AttemptOutcome::Ok,
         "failure" => AttemptOutcome::Failed,
         "overloaded" => AttemptOutcome::Rejected,
@@ -235,16 +235,16 @@
         "withdrawn" => AttemptOutcome::Cancelled,
         "void" => AttemptOutcome::NeverSent,
         "absent" => AttemptOutcome::NotServedHere,
-        other => return Err(EventProblem::UnknownWord { field: "StateCode", value: other.to_owned() }),
+        other => return Err(EventProblem::UnknownValue { field: "StateCode", value: other.to_owned() }),
     })
 }
 
 /// The state of a member in an endpoint list, by its word on the wire.
-pub fn parse_endpoint_state(word: &str) -> Result<EndpointState, EventProblem> {
-    match word {
+pub fn parse_endpoint_state(text: &str) -> Result<EndpointState, EventProblem> {
+    match text {
         "on" => Ok(EndpointState::Active),
         "fading" => Ok(EndpointState::Draining),
         "off" => Ok(EndpointState::Removed),
-        other => Err(EventProblem::UnknownWord { field: "StageState", value: other.to_owned() }),
+        other => Err(EventProblem::UnknownValue { field: "StageState", value: other.to_owned() }),
     }
 }
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -37,7 +37,7 @@
     /// The router's own zone has the index zero.
     zones: NameIndex,
     weights_are_concurrency: bool,
-    gossip: GossipCodec,
+    gossip_codec: GossipCodec,
     groups: HashMap<u64, u32>,
     sessions: NameIndex,
     rpcs: RpcTable,
@@ -90,7 +90,7 @@
         Ok(Instance {
             in_batch: false,
             name,
-            gossip: GossipCodec::new(settings.clock_origin, own_zone),
+            gossip_codec: GossipCodec::new(settings.clock_origin, own_zone),
             report_columns: ReportColumns::new(&settings.report_columns),
             router: Router::start(now, seed, settings.deployment),
             actions: String::new(),
@@ -140,7 +140,7 @@
             let member = self.members.name(member.0);
             Action::HealthCheck { router, member }.write(&mut self.actions);
         }
-        for payload in self.gossip.encode(&output.gossip, &self.members) {
+        for payload in self.gossip_codec.encode(&output.gossip, &self.members) {
             Action::gossip(router, &payload).write(&mut self.actions);
         }
         if output.poll_endpoints {
@@ -209,7 +209,7 @@
 
     fn on_attempt_ended(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
         let request_id = require(line.request_id, "RequestId")?;
-        let member = self.known_member(line.member.as_deref())?;
+        let member = self.find_member(line.member.as_deref())?;
         let outcome = require(line.outcome, "StateCode")?;
         require(line.attempt, "Attempt")?;
         let latency = Span::from_nanos(require(line.latency, "Elapsed")?);
@@ -259,7 +259,7 @@
     }
 
     fn on_health_check_ended(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
-        let member = self.known_member(line.member.as_deref())?;
+        let member = self.find_member(line.member.as_deref())?;
         let outcome = parse_outcome(&require(line.outcome, "StateCode")?)?;
         let latency = Span::from_nanos(require(line.latency, "Elapsed")?);
         let values = line.load_report.as_deref().unwrap_or(&[]);
@@ -270,7 +270,7 @@
 
     /// Passes on what another router has observed, of the members that this one knows.
     fn on_gossip(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
-        for update in self.gossip.decode(&require(line.payload, "Payload")?, now) {
+        for update in self.gossip_codec.decode(&require(line.payload, "Payload")?, now) {
             self.router.on_peer_update(now, update);
         }
         Ok(())
@@ -297,7 +297,7 @@
             "patch" => EndpointUpdate::Changes(&endpoints),
             "whole" => EndpointUpdate::Complete(&endpoints),
             "stale_copy" => EndpointUpdate::Cached(&endpoints),
-            other => return Err(EventProblem::UnknownWord { field: "How", value: other.to_owned() }),
+            other => return Err(EventProblem::UnknownValue { field: "How", value: other.to_owned() }),
         };
         self.router.on_endpoint_update(now, update);
         Ok(())
@@ -307,7 +307,7 @@
         let member = MemberId(self.members.intern(&entry.member));
         Ok(Endpoint {
             member,
-            id_hash: self.gossip.id_hashes.insert(&entry.member, member.0),
+            id_hash: self.gossip_codec.id_hashes.insert(&entry.member, member.0),
             zone: self.zones.intern(&entry.zone),
             concurrency: entry.weight.filter(|&weight| self.weights_are_concurrency && weight > 0.0),
             group: group_index(&mut self.groups, entry.group),
@@ -318,7 +318,7 @@
         })
     }
 
-    fn known_member(&self, name: Option<&str>) -> Result<MemberId, EventProblem> {
+    fn find_member(&self, name: Option<&str>) -> Result<MemberId, EventProblem> {
         let name = require(name, "Node")?;
         let index = self.members.get(name);
         index.map(MemberId).ok_or_else(|| EventProblem::UnknownMember(name.to_owned()))
--- a/crates/ladderpass-simulator-adapter/src/instances.rs
+++ b/crates/ladderpass-simulator-adapter/src/instances.rs
@@ -110,7 +110,7 @@
                 result
             }
             Err(panic) => {
-                self.remove_failed(&name, panic.as_ref());
+                self.remove_failed_router(&name, panic.as_ref());
                 Ok(())
             }
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    fn remove_failed(&mut self, name: &str, panic: &(dyn Any + Send)) {
+    fn remove_failed_router(&mut self, name: &str, panic: &(dyn Any + Send)) {
         let text = panic.downcast_ref::<&str>().copied();
         let text = text.or_else(|| panic.downcast_ref::<String>().map(String::as_str));
         let message = text.unwrap_or("the decision module failed").to_owned();
@@ -142,7 +142,7 @@
             instance.in_batch = false;
             match catch_unwind(AssertUnwindSafe(|| instance.tick(now))) {
                 Ok(()) => reply.push_str(&instance.take_actions()),
-                Err(panic) => self.remove_failed(&name, panic.as_ref()),
+                Err(panic) => self.remove_failed_router(&name, panic.as_ref()),
             }
         }
         for FailedRouter { name, message } in self.failed.drain(..) {
--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_passed_over() {
+fn bad_lines_are_reported_and_ignored() {
     let cases = [
         ("nonsense", "malformed line"),
         (r#"{"kind":"ASK","Who":"router_0"}"#, "ASK: the TICK before it is missing"),
