--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -86,7 +86,7 @@
         max_ms: i64,
     },
     /// A share of a resource that is out of its range.
-    #[error("{value}; allowed is a part above 0 and up to {max}")]
+    #[error("{value}; allowed is a share above 0 and up to {max}")]
     Share {
         /// The number that was read.
         value: f64,
@@ -94,7 +94,7 @@
         max: f64,
     },
     /// A band that does not rise.
-    #[error("from {from} is not below full {full}; allowed is a band that rises")]
+    #[error("from {from} must be below full {full}")]
     Band {
         /// Where overload begins.
         from: f64,
@@ -121,7 +121,7 @@
     #[error("missing; allowed is address:port")]
     MissingAddress,
     /// An address is in the list a second time.
-    #[error("{0} stands twice; allowed is once")]
+    #[error("{0} is listed twice; allowed is once")]
     DuplicateAddress(SocketAddr),
     /// A list has too many addresses.
     #[error("more than the {max} addresses allowed")]
@@ -136,7 +136,7 @@
     #[error("no address and no network; allowed is at least one")]
     NoOtherRouters,
     /// One key of the legacy form without the other.
-    #[error("me and all stand together; allowed are listen and listed")]
+    #[error("me and all are allowed only together; use listen and listed instead")]
     IncompleteLegacyForm,
     /// The legacy list has too few addresses.
     #[error("{count}; allowed are 2 to {max} addresses")]
@@ -155,12 +155,12 @@
         last: usize,
     },
     /// Admission is to be shared with other routers, and there are none.
-    #[error("true without peers; allowed is it together with peers")]
+    #[error("true without peers; allowed only together with the section peers")]
     SharedAdmissionWithoutPeers,
     /// The retry budget is to be shared, and admission is not.
-    #[error("true without fleet.sheds; allowed is it together with that")]
+    #[error("true without fleet.sheds; allowed only where fleet.sheds is true")]
     SharedBudgetWithoutAdmission,
     /// The name of the zone is empty.
-    #[error("empty; allowed is the name of a zone of the list")]
+    #[error("empty; allowed is the name of a zone of the endpoint list")]
     EmptyZone,
 }
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -6,22 +6,25 @@
 
 #[test]
 fn missing_keys_have_their_defaults_and_given_ones_are_read() {
-    assert_eq!(read("# nothing\n").expect("empty"), Operator::default());
-    assert_eq!(read("overload: {}").expect("on").overload, Some(Settings::default()));
-    assert_eq!(read("overload: {enabled: false}").expect("off").overload, None);
+    assert_eq!(read("# nothing\n").expect("an empty file is allowed"), Operator::default());
+    assert_eq!(
+        read("overload: {}").expect("an empty section is allowed").overload,
+        Some(Settings::default())
+    );
+    assert_eq!(read("overload: {enabled: false}").expect("overload control may be disabled").overload, None);
     let text = "log: {format: json, figures: 1s}\noverload:\n  delay: {from: 2ms, full: 0.5s}\n  slow_reader_bytes: 64 KiB\n  fair: 8\n";
-    let operator = read(text).expect("all of it is allowed");
-    let settings = operator.overload.expect("on");
+    let operator = read(text).expect("every value is allowed");
+    let settings = operator.overload.expect("overload control is enabled");
     assert_eq!(operator.log, Log { json: true, metrics_interval: Span::from_millis(1000) });
     assert_eq!((settings.delay, settings.fair_share_multiple), (Band::new(0.002, 0.5), 8.0));
     assert_eq!(settings.slow_reader_bytes, 65536);
     let text = "peers: {me: 1, all: ['127.0.0.1:7400', '127.0.0.1:7401']}\nmembers: {zone: a, sizes: true}";
-    let operator = read(text).expect("all of it is allowed");
-    let peers = operator.peers.expect("it is there");
+    let operator = read(text).expect("every value is allowed");
+    let peers = operator.peers.expect("the file has peers");
     assert_eq!((peers.listen.port(), peers.address.port(), peers.listed.len()), (7401, 7401, 2));
     assert!(peers.legacy_form && peers.networks.is_empty());
     let text = "peers: {listen: '10.0.0.9:7400', address: '[fd00::9]:7400', listed: [], networks: ['fd00::/8', '10.0.0.0/9']}";
-    let peers = read(text).expect("all of it is allowed").peers.expect("it is there");
+    let peers = read(text).expect("every value is allowed").peers.expect("the file has peers");
     assert_eq!(
         (peers.listen.port(), peers.address.is_ipv6(), peers.networks[1].prefix_bits),
         (7400, true, 9)
@@ -102,16 +105,16 @@
         assert_eq!(lines_with_errors(text), expected, "{text:?}: {:?}", read(text));
     }
     // A text that is not YAML has no keys to go by.
-    let printed = read("overload:\n  fair: 0\nlog: [").expect_err("cut").to_string();
+    let printed = read("overload:\n  fair: 0\nlog: [").expect_err("the text is not YAML").to_string();
     assert_eq!(printed.lines().count(), 1);
 }
 
 #[test]
 fn a_file_that_is_wrong_throughout_prints_at_most_a_hundred_lines() {
     let text: String = (0..1000).map(|n| format!("wrong_{n}: 1\n")).collect();
-    let count = read(&text).expect_err("wrong").to_string().lines().count();
+    let count = read(&text).expect_err("every line is wrong").to_string().lines().count();
     assert!((10..=100).contains(&count), "{count}");
     let listed: Vec<String> = (0..1000).map(|n| format!("'there {n}'")).collect();
     let text = format!("peers: {{listen: '127.0.0.1:1', listed: [{}]}}", listed.join(", "));
-    assert_eq!(read(&text).expect_err("wrong").to_string().lines().count(), 100);
+    assert_eq!(read(&text).expect_err("every address is wrong").to_string().lines().count(), 100);
 }
--- a/crates/ladderpass-simulator-adapter/src/errors.rs
+++ b/crates/ladderpass-simulator-adapter/src/errors.rs
@@ -22,10 +22,10 @@
     #[error("{0} is missing")]
     MissingField(&'static str),
     /// No line has set the time yet.
-    #[error("the TICK before it is missing")]
+    #[error("no TICK before this")]
     NoTime,
     /// The kind is none of the protocol's.
-    #[error("unknown kind; passed over")]
+    #[error("unknown kind; line ignored")]
     UnknownKind,
     /// No router has this name.
     #[error("{0} has no CREATE before this")]
@@ -37,19 +37,19 @@
     #[error("Info: {0}")]
     Settings(#[from] SettingsError),
     /// No endpoint list had this member.
-    #[error("unknown node {0:?}")]
+    #[error("unknown Node {0:?}")]
     UnknownMember(String),
     /// The settings name no such method.
-    #[error("unknown class {0:?} in Service")]
+    #[error("unknown Service {0:?}")]
     UnknownMethod(String),
     /// An RPC comes a second time.
-    #[error("RequestId {0:?} was given before")]
+    #[error("RequestId {0:?} is already active")]
     DuplicateRequest(String),
     /// No RPC has this id.
     #[error("unknown RequestId {0:?}")]
     UnknownRequest(String),
     /// An attempt ends that was never made.
-    #[error("RequestId {0:?} has no attempt out")]
+    #[error("RequestId {0:?} has no attempt in flight")]
     NoAttemptInFlight(String),
     /// No endpoint list has this number.
     #[error("no ROSTER {0} before this")]
--- a/crates/ladderpass-simulator-adapter/src/main.rs
+++ b/crates/ladderpass-simulator-adapter/src/main.rs
@@ -34,7 +34,7 @@
         let bytes_read = match input.read_line(&mut line) {
             Ok(bytes_read) => bytes_read,
             Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                eprintln!("ladderpass: a line is not UTF-8; passed over");
+                eprintln!("ladderpass: ignored a line that is not UTF-8");
                 continue;
             }
             Err(error) => return Err(error),
--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -11,19 +11,19 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
+    let mut input = child.stdin.take().expect("standard input is piped");
     for line in lines {
-        writeln!(input, "{line}").expect("it reads on");
+        writeln!(input, "{line}").expect("the adapter reads its input");
     }
     drop(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
 fn bad_lines_are_reported_and_ignored() {
     let cases = [
         ("nonsense", "malformed line"),
-        (r#"{"kind":"ASK","Who":"router_0"}"#, "ASK: the TICK before it is missing"),
+        (r#"{"kind":"ASK","Who":"router_0"}"#, "ASK: no TICK before this"),
         (r#"{"kind":"TICK"}"#, "TICK: AtTime is missing"),
         (r#"{"kind":"TICK","AtTime":5}"#, ""),
         (r#"{"kind":"ASK","Who":"router_0"}"#, "ASK: router_0 has no CREATE before this"),
@@ -34,7 +34,7 @@
         (r#"{"kind":"END"}"#, ""),
     ];
     let output = run_adapter(cases.map(|(line, _)| line));
-    assert!(output.status.success(), "the end of input is no error");
+    assert!(output.status.success(), "the adapter must exit successfully at the end of its input");
     assert_eq!(String::from_utf8_lossy(&output.stdout), "{\"kind\":\"END\"}\n");
     let errors = String::from_utf8_lossy(&output.stderr);
     let mut errors = errors.lines();
