--- a/crates/ladderpass-config/src/deployment.rs
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -1,44 +1,45 @@
-//! Converts the settings object into the terms of the field, and checks each value. The first error ends the reading.
+//! Converts the settings object into the types of the routing core, and checks each value. Reading stops at the first
+//! error.
 
 use crate::errors::{SettingsError, parse};
 use crate::settings::{Allowed, Extra, ReportShape, Service, Shape};
 use ladderpass_routing::{Consistency, Deployment, Idempotency, Method, PrimaryInList, Span, Time};
 use serde_json::Value;
 
-/// The most that a member's load may be multiplied by under overload.
+/// The upper limit of `Contract.TipMultiple`, the multiple of its capacity that a member in slow start can take.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1000.0;
 
-/// What a router needs to know of its deployment.
+/// The settings of a deployment that a router needs.
 #[derive(Clone, Debug)]
 pub struct DeploymentSettings {
-    /// What routing decisions go by.
+    /// The settings on which routing decisions are based.
     pub deployment: Deployment,
-    /// Names of the methods, in the order of `deployment.methods`.
+    /// The names of the methods, in the order of `deployment.methods`.
     pub method_names: Vec<String>,
-    /// Answers carry the member's replication position, or that of the write that they commit.
+    /// Whether answers carry the member's replication position, or for a write the position of its commit.
     pub answers_report_position: bool,
-    /// Where positions are counted from on the wire of the simulator.
+    /// The time from which the simulator counts replication positions and the times in gossip messages.
     pub clock_origin: Time,
-    /// Names of the values in a load report.
+    /// The names of the values in a load report, in their order.
     pub report_columns: Vec<String>,
-    /// A connection that is not up by then has failed.
+    /// The time after which a connection that is not yet established counts as failed.
     pub connect_timeout: Option<Span>,
-    /// A connection idle for this long is closed by the member.
+    /// The time after which a member closes an idle connection.
     pub idle_timeout: Option<Span>,
-    /// Weights in the endpoint list are the concurrency that members are registered with.
+    /// Whether the weights in the endpoint list are the concurrency with which the members are registered.
     pub weights_are_concurrency: bool,
     /// The zone of this router.
     pub zone: Option<String>,
-    /// Most RPCs that a router may have in flight.
+    /// The maximum number of RPCs that a router may have in flight.
     pub max_in_flight: Option<u64>,
-    /// No new RPC goes to a member later than this after the notice that it drains.
+    /// How long a member may still be sent new RPCs after the notice that it drains.
     pub drain_grace: Option<Span>,
 }
 
 /// Reads and checks the settings object.
 ///
 /// # Errors
-/// The first value that is missing, has another type or is not allowed.
+/// Returns an error for the first value that is missing, has a wrong type or is not allowed.
 pub fn read(settings: &Value) -> Result<DeploymentSettings, SettingsError> {
     let settings: Shape = parse(settings)?;
     check_limits(&settings)?;
@@ -68,7 +69,7 @@
     check_range("Contract.TipMultiple", settings.contract.overload_multiple, MAX_OVERLOAD_MULTIPLE)
 }
 
-/// Checks that a number, where it is given, is from 0 to `max`.
+/// Checks that a number is from 0 to `max` if it is given.
 fn check_range(key: &'static str, value: Option<f64>, max: f64) -> Result<(), SettingsError> {
     match value.filter(|value| !(0.0..=max).contains(value)) {
         Some(value) => Err(SettingsError::OutOfRange { key, value, min: 0.0, max }),
@@ -112,13 +113,13 @@
     }
 }
 
-/// How often the endpoint list is polled; none where discovery pushes it.
+/// Returns the longest time within which the endpoint list must be polled, or `None` where discovery pushes it.
 fn read_endpoint_poll_interval(settings: &Shape) -> Result<Option<Span>, SettingsError> {
     match settings.discovery_mode.as_deref() {
         Some("subscribe") => {
             let interval =
                 read_positive_span("Contract.MustAskIn", settings.contract.endpoint_poll_interval)?;
-            // Zero would be one call after the other without a pause.
+            // With an interval of zero the list would be polled without a pause.
             Ok(Some(interval.ok_or(SettingsError::NoPollInterval)?))
         }
         None | Some("automatic") => Ok(None),
@@ -149,7 +150,7 @@
     soft_deadline.ok_or(SettingsError::NotPositive { key })
 }
 
-/// The utility of an answer in time, 1 where it is not given.
+/// Returns the utility of an answer in time. The default is 1.
 fn read_utility(index: usize, method: &Service) -> Result<f64, SettingsError> {
     let utility = method.utility.unwrap_or(1.0);
     if utility >= 0.0 {
@@ -191,8 +192,8 @@
                 Some("all" | "cell") => {
                     read_span(&format!("Services[{index}].KeyTtl"), method.idempotency_key_ttl)?
                 }
-                // Where keys are recognised neither by the group nor by all members, another member of the group may
-                // not know of the first attempt, and would run it a second time.
+                // If idempotency keys are recognized neither by the whole group nor by all members, another member of
+                // the group may not know of the first attempt, and would run the RPC a second time.
                 _ => Span::ZERO,
             },
         }),
@@ -205,7 +206,7 @@
     SettingsError::UnknownValue { key: key.to_owned(), value: value.to_owned() }
 }
 
-/// A duration that may be absent, which is zero, but not negative.
+/// Reads a duration in nanoseconds. An absent value is read as zero, and a negative one is an error.
 fn read_span(key: &str, nanos: Option<i64>) -> Result<Span, SettingsError> {
     match nanos.unwrap_or(0) {
         nanos if nanos < 0 => Err(SettingsError::NegativeDuration { key: key.to_owned(), nanos }),
@@ -213,7 +214,7 @@
     }
 }
 
-/// A duration that may be absent or zero, which is none, but not negative.
+/// Reads a duration in nanoseconds. Returns `None` if the value is absent or zero. A negative value is an error.
 fn read_positive_span(key: &str, nanos: Option<i64>) -> Result<Option<Span>, SettingsError> {
     Ok(Some(read_span(key, nanos)?).filter(|&span| span > Span::ZERO))
 }
--- a/crates/ladderpass-config/src/error_list.rs
+++ b/crates/ladderpass-config/src/error_list.rs
@@ -1,19 +1,19 @@
-//! All errors of one reading, in the order in which they were found.
+//! A list of all errors that are found while a configuration is read, in the order in which they are found.
 //!
-//! An operator corrects a file in one go, so a reader goes on after an error where it can, and
-//! collects all of them here.
+//! A reader continues after an error where it can and collects all errors here, so that an operator can correct a file
+//! in one go.
 
 use std::fmt::Display;
 
-/// Printed lines at most: a file may be wrong in every line.
+/// The maximum number of printed lines. Without a limit, a file that is wrong in every line would print too many.
 const MAX_LINES: usize = 100;
 
-/// Distinct errors, printed one a line, at most a hundred lines.
+/// A list of distinct errors. It prints the distinct lines of the errors' texts, at most a hundred of them.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", .lines.join("\n"))]
 pub struct ErrorList<E> {
     errors: Vec<E>,
-    /// The distinct lines of their texts.
+    /// The distinct lines of the errors' texts.
     lines: Vec<String>,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl<E: Display> ErrorList<E> {
-    /// Adds an error, unless the list is full or already prints all of its lines.
+    /// Adds an error, unless the list is full or already contains all lines of the error's text.
     pub fn push(&mut self, error: E) {
         let mut is_new = false;
         for line in error.to_string().lines() {
@@ -38,25 +38,25 @@
         }
     }
 
-    /// Adds all errors of another list, each as `convert` gives it.
+    /// Adds all errors of another list, each converted by `convert`.
     pub fn extend<F>(&mut self, other: ErrorList<F>, convert: impl Fn(F) -> E) {
         other.errors.into_iter().for_each(|error| self.push(convert(error)));
     }
 
-    /// The value of a success; an error is added to the list.
+    /// Returns the value of a success. Otherwise adds the error to the list, and returns `None`.
     pub fn ok_or_push<T>(&mut self, result: Result<T, E>) -> Option<T> {
         result.map_err(|error| self.push(error)).ok()
     }
 
-    /// Whether no error was found.
+    /// Returns whether the list contains no error.
     pub fn is_empty(&self) -> bool {
         self.errors.is_empty()
     }
 
-    /// Ends a reading.
+    /// Converts the list into the result of reading.
     ///
     /// # Errors
-    /// The list itself, if there is an error in it.
+    /// Returns the list itself if it contains an error.
     pub fn into_result(self) -> Result<(), ErrorList<E>> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
--- a/crates/ladderpass-config/src/errors.rs
+++ b/crates/ladderpass-config/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of the settings object, and of any JSON that is read with them. Each names the key and what is allowed.
+//! Errors of the settings object, and of other JSON. Each error names the key and what is wrong with its value.
 
 use serde::{Deserialize, Deserializer};
 
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{}{source}", .key.as_ref().map_or(String::new(), |key| format!("{key}: ")))]
 pub struct JsonError {
-    /// Path of the value, such as `Services[0].Name`; none for the document itself.
+    /// The path of the value, such as `Services[0].Name`, or `None` for the document itself.
     pub key: Option<String>,
     /// What is wrong with the value.
     pub source: serde_json::Error,
@@ -15,28 +15,28 @@
 /// A settings object that cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A value is missing or has another type.
+    /// A value is missing or has a wrong type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// No method is named.
+    /// The settings name no method.
     #[error("Services: must name at least one")]
     NoMethods,
-    /// No attempt is allowed.
+    /// The maximum number of attempts is zero.
     #[error("Allowed.AttemptsCap: must be at least 1")]
     NoAttempts,
-    /// A number is outside of its range.
+    /// A number is outside its range.
     #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
         /// The setting.
         key: &'static str,
         /// The number that was read.
         value: f64,
-        /// The least that is allowed.
+        /// The smallest allowed value.
         min: f64,
-        /// The most that is allowed.
+        /// The largest allowed value.
         max: f64,
     },
-    /// A text is none of the values that are allowed.
+    /// A text is none of the allowed values.
     #[error("{key}: unknown value {value:?}")]
     UnknownValue {
         /// The setting.
@@ -44,7 +44,7 @@
         /// The text that was read.
         value: String,
     },
-    /// A value that a method needs is missing.
+    /// A value that a method requires is missing.
     #[error("{key} is missing")]
     Missing {
         /// The setting.
@@ -64,21 +64,21 @@
         /// The setting.
         key: String,
     },
-    /// A duration is zero.
+    /// A duration that must be positive is zero.
     #[error("{key}: must be above 0")]
     NotPositive {
         /// The setting.
         key: String,
     },
-    /// The endpoint list is to be polled, and the interval is missing or zero.
+    /// The endpoint list must be polled, but the interval is missing or zero.
     #[error("Contract.MustAskIn: must be above 0 where RegistryMode is subscribe")]
     NoPollInterval,
 }
 
-/// Reads a JSON value of any shape.
+/// Reads a value from JSON.
 ///
 /// # Errors
-/// If the JSON is malformed or has another shape; the error names the key.
+/// Returns an error that names the key if the JSON is malformed or does not have the shape of `T`.
 pub fn parse<'de, T, D>(from: D) -> Result<T, JsonError>
 where
     T: Deserialize<'de>,
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -1,18 +1,19 @@
-//! Text form of the gossip messages between routers: what each has observed of the members.
+//! The text form of the gossip messages in which routers exchange what they have observed of the members.
 //!
-//! A message is one letter for the sender's zone, then ten letters an update, of an alphabet of 64: five for the
-//! member's id hash, four for the time of the observation and its kind, one for a latency ratio or an RPC count.
-//! A reader drops what it can't read, so that routers of another version do no harm.
+//! A message consists of letters of an alphabet of 64. The first letter is a hash of the sender's zone. Ten letters for
+//! each update follow: five for the member's id hash, four for the kind of the observation and its time, and one for a
+//! latency ratio or a number of RPCs. A router drops what it can't decode, so that routers of another version do no
+//! harm.
 
 use crate::names::{IdHashes, NameIndex, id_hash};
 use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
-/// Most updates in one message of 256 bytes.
+/// The maximum number of updates in one message, which must not exceed 256 bytes.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 25;
-/// Letters of one update.
+/// The number of letters of one update.
 #[doc(hidden)]
 pub const UPDATE_LETTERS: usize = 10;
-/// Observations by their code on the wire.
+/// The observations, each at the index that is its code on the wire.
 #[doc(hidden)]
 pub const OBSERVATIONS: [MemberObservation; 3] =
     [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
@@ -24,17 +25,17 @@
 const TIME_AND_OBSERVATION_LETTERS: usize = 4;
 const OBSERVATION_BITS: u32 = 2;
 const OBSERVATION_MASK: u64 = (1 << OBSERVATION_BITS) - 1;
-/// Times are sent as so many low bits of their milliseconds, which wrap around after more than an hour.
+/// The number of low bits of a time in milliseconds that are sent. They wrap around after about 70 minutes.
 const TIME_BITS: u32 = 22;
 const NANOS_PER_MS: i64 = 1_000_000;
 
-/// The last letter of an update that has neither a latency ratio nor an RPC count.
+/// The value of the last letter of an update that has neither a latency ratio nor a number of RPCs.
 const NO_VALUE: u64 = 0;
 const LATENCY_RATIO_SCALE: LogScale = LogScale { first_code: 1, smallest: 0.5 };
-/// For the count plus one, so that zero has a logarithm.
+/// The scale of the number of RPCs in flight plus one. Without the addition, zero would have no logarithm.
 const IN_FLIGHT_SCALE: LogScale = LogScale { first_code: 32, smallest: 1.0 };
 
-/// Values on a logarithmic scale, as codes that fit in one half of the values of a letter.
+/// A logarithmic scale. Its codes fit in one half of the values of a letter.
 struct LogScale {
     first_code: u64,
     /// The value of the first code.
@@ -57,21 +58,22 @@
 
 /// Translates between a router's member updates and gossip messages.
 pub struct GossipCodec {
-    /// Where the times on the wire are counted from.
+    /// The time from which the times on the wire are counted.
     origin: Time,
-    /// Zone of this router, as the number that one letter holds.
+    /// A hash of this router's zone that fits in one letter.
     zone: u32,
-    /// The members that this router knows, by the hashes of their ids.
+    /// The indices of the members that this router knows, by the hashes of the members' ids.
     pub id_hashes: IdHashes,
 }
 
 impl GossipCodec {
-    /// A codec that knows no member yet. All routers must count their times from the same `origin`.
+    /// Creates a codec without any members. All routers must count their times from the same `origin`.
     pub fn new(origin: Time, zone: &str) -> GossipCodec {
         GossipCodec { origin, zone: id_hash(zone) & LETTER_MASK, id_hashes: IdHashes::default() }
     }
 
-    /// The messages that carry these updates. Members that share an id hash are left out.
+    /// Encodes the updates as messages. Omits updates of a member that shares its id hash with another, and of one that
+    /// is not in `id_hashes`.
     pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
         let encode_message = |updates: &[MemberUpdate]| {
             let encoded = updates.iter().filter_map(|update| self.encode_update(update, names));
@@ -80,7 +82,8 @@
         updates.chunks(MAX_UPDATES_PER_MESSAGE).map(encode_message).collect()
     }
 
-    /// The updates of a message that was received at `now`. What can't be read, or is of an unknown member, is dropped.
+    /// Decodes the updates of a message that was received at `now`. Drops updates that can't be decoded, and those
+    /// whose id hash has no index in `id_hashes`.
     pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
         let Some(message) = GossipMessage::decode(text, now - self.origin) else { return Vec::new() };
         let updates = message.updates.iter();
@@ -111,32 +114,33 @@
     }
 }
 
-/// One update as a message carries it.
+/// An update in the form in which a message carries it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EncodedUpdate {
-    /// Hash of the member's id.
+    /// The hash of the member's id.
     pub id_hash: u32,
-    /// What was observed.
+    /// What the sender has observed of the member.
     pub observation: MemberObservation,
-    /// When it was observed, from the common origin.
+    /// The time of [`MemberUpdate::at`], counted from the common origin.
     pub at: Span,
-    /// Latency of the member as a multiple of the typical one; zero where none is known.
+    /// The member's latency as a multiple of the typical latency, or zero if it is unknown.
     pub latency_ratio: f64,
-    /// RPCs in flight at the member, where they are known; such an update carries no latency ratio.
+    /// The number of RPCs in flight at the member, if it is known. An update with this number carries no latency ratio
+    /// on the wire.
     pub in_flight: Option<f64>,
 }
 
-/// One message.
+/// A gossip message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipMessage {
-    /// Zone of the sender, as the number that one letter holds.
+    /// A hash of the sender's zone that fits in one letter.
     pub zone: u32,
-    /// Its updates, at most [`MAX_UPDATES_PER_MESSAGE`].
+    /// The updates, at most [`MAX_UPDATES_PER_MESSAGE`] of them.
     pub updates: Vec<EncodedUpdate>,
 }
 
 impl GossipMessage {
-    /// The text of the message.
+    /// Encodes the message as text.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         push_number(&mut text, u64::from(self.zone), 1);
@@ -146,8 +150,9 @@
         text
     }
 
-    /// The message of a text that was received at `now`, from the common origin: no update is later. Updates that can't
-    /// be read are left out; none where there is no zone.
+    /// Decodes the text of a message that was received at `now`, counted from the common origin. The times of the
+    /// updates are taken to be no later than `now`. Omits updates that can't be decoded. Returns `None` if the zone
+    /// can't be decoded.
     pub fn decode(text: &str, now: Span) -> Option<GossipMessage> {
         let (zone, updates) = text.as_bytes().split_at_checked(1)?;
         let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(|letters| parse_update(letters, now));
@@ -158,7 +163,7 @@
 fn push_update(text: &mut String, update: &EncodedUpdate) {
     let observation = OBSERVATIONS.iter().position(|&known| known == update.observation);
     let observation = observation.unwrap_or_default() as u64;
-    // Rounded down: an observation must not become newer on the way.
+    // The time is rounded down, because an observation must not become newer in transit.
     let at_ms = update.at.nanos().div_euclid(NANOS_PER_MS).rem_euclid(1 << TIME_BITS) as u64;
     let value = match update.in_flight {
         Some(in_flight) => IN_FLIGHT_SCALE.encode(in_flight + IN_FLIGHT_SCALE.smallest),
@@ -190,7 +195,7 @@
     })
 }
 
-/// Appends the low bits of a number, the highest letter first.
+/// Appends the low bits of a number as this many letters, the most significant letter first.
 fn push_number(text: &mut String, number: u64, letters: usize) {
     for nth in (0..letters).rev() {
         let value = (number >> (BITS_PER_LETTER * nth)) & u64::from(LETTER_MASK);
--- a/crates/ladderpass-config/src/lib.rs
+++ b/crates/ladderpass-config/src/lib.rs
@@ -1,10 +1,11 @@
 //! Reads and checks the configuration of a deployment.
 //!
-//! - [`read`]: the settings object of the users' protocol, into the [`Deployment`](ladderpass_routing::Deployment) that
-//!   routing needs and the other [`DeploymentSettings`]. Unknown keys are ignored; an error names the key.
-//! - [`operator`]: the operator's YAML file.
-//! - [`gossip`]: the text form of the messages between routers.
-//! - [`names`]: ids of the protocol as small indices, and as hashes that all routers share.
+//! - [`read`] converts the settings object of the users' protocol into [`DeploymentSettings`], which contain the
+//!   [`Deployment`](ladderpass_routing::Deployment) that the routing core needs. It ignores unknown keys, and its
+//!   errors name the key.
+//! - [`operator`] reads the operator's YAML file.
+//! - [`gossip`] encodes and decodes the gossip messages between routers.
+//! - [`names`] maps names of the protocol to small indices within one router, and to hashes that all routers share.
 
 mod deployment;
 mod error_list;
--- a/crates/ladderpass-config/src/names.rs
+++ b/crates/ladderpass-config/src/names.rs
@@ -1,5 +1,5 @@
-//! Names of the protocol (members, zones, sessions, groups) as small numbers: indices within one router, and hashes
-//! that all routers share.
+//! Maps the protocol's names of members, zones, sessions and groups to small numbers: to indices within one router, and
+//! to hashes that all routers share.
 
 mod id_hash;
 mod name_index;
--- a/crates/ladderpass-config/src/names/id_hash.rs
+++ b/crates/ladderpass-config/src/names/id_hash.rs
@@ -1,13 +1,14 @@
-//! Hashes of member names, by which all routers know a member.
+//! Hashes of member names, which identify a member at all routers.
 
 use ladderpass_routing::fnv1a;
 use std::collections::HashMap;
 
-/// Bits of a hash: two of a hundred names have the same one in one of two hundred thousand deployments.
+/// The number of bits of a hash. With a hundred names, the probability that two of them have the same hash is about 1
+/// in 200,000.
 pub const ID_HASH_BITS: u32 = 30;
 
-/// Indices of members by the hashes of their names. A hash that two known names share gives none, so that an update
-/// never counts for the wrong member.
+/// The indices of members by the hashes of their names. A hash that two inserted names share has no index, so that an
+/// update is never applied to the wrong member.
 #[derive(Default)]
 pub struct IdHashes(HashMap<u32, Option<u32>>);
 
@@ -20,18 +21,19 @@
         hash
     }
 
-    /// The index of the one name with this hash.
+    /// Returns the index of the name with this hash, or `None` if there is none or several names share the hash.
     pub fn get(&self, hash: u32) -> Option<u32> {
         self.0.get(&hash).copied().flatten()
     }
 
-    /// Removes an index that is no longer used. A hash that two names shared keeps giving none.
+    /// Removes an index that is no longer used. A hash that two names have shared still has no index afterwards.
     pub fn remove(&mut self, index: u32) {
         self.0.retain(|_, known| *known != Some(index));
     }
 }
 
-/// The first bits of a name's FNV-1a hash.
+/// Returns the hash of a name: its 64-bit FNV-1a hash with the upper half XORed into the lower one, cut to the lowest
+/// [`ID_HASH_BITS`] bits.
 pub fn id_hash(name: &str) -> u32 {
     let hash = fnv1a::hash(name.as_bytes());
     ((hash ^ hash >> 32) & ((1 << ID_HASH_BITS) - 1)) as u32
--- a/crates/ladderpass-config/src/names/name_index.rs
+++ b/crates/ladderpass-config/src/names/name_index.rs
@@ -1,8 +1,9 @@
-//! Names as small indices within one router, and back again for its log.
+//! Maps names to small indices within one router, and the indices back to names, as for the log.
 
 use std::collections::HashMap;
 
-/// Indices of names, in the order in which these were first seen; a released index is given to the next new name.
+/// The indices of names. They are assigned in the order in which the names are first seen, and a released index is
+/// assigned to the next new name.
 #[derive(Default)]
 pub struct NameIndex {
     index_by_name: HashMap<String, u32>,
@@ -11,7 +12,7 @@
 }
 
 impl NameIndex {
-    /// The index of a name, which gets one if it is new.
+    /// Returns the index of a name. Assigns one to a new name.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(index) = self.get(name) {
             return index;
@@ -25,7 +26,7 @@
         index
     }
 
-    /// Takes the name from an index that is no longer used.
+    /// Releases an index that is no longer used, and removes its name.
     pub fn release(&mut self, index: u32) {
         if let Some(name) = self.names.get_mut(index as usize)
             && self.index_by_name.remove(&std::mem::take(name)).is_some()
@@ -34,17 +35,18 @@
         }
     }
 
-    /// The index of a name that has one.
+    /// Returns the index of a name, or `None` if it has none.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.index_by_name.get(name).copied()
     }
 
-    /// The name of an index that `intern` gave; empty for any other.
+    /// Returns the name of an index. It is empty if the index was released or never assigned.
     pub fn name(&self, index: u32) -> &str {
         self.names.get(index as usize).map_or("", String::as_str)
     }
 
-    /// Replaces each `#N` in a log message of the routing package by the name of index N.
+    /// Replaces each `#N` in a log message of the routing core by the name with the index N. If N was never assigned,
+    /// the number remains, without the `#`.
     pub fn expand_names(&self, message: &str) -> String {
         let mut parts = message.split('#');
         let mut text = parts.next().unwrap_or_default().to_owned();
@@ -59,7 +61,7 @@
     }
 }
 
-/// The index of a group's number, which gets one if it is new. Numbers need not be whole.
+/// Returns the index of a group's number. Assigns the next index to a new number. The numbers need not be integers.
 pub fn group_index(groups: &mut HashMap<u64, u32>, number: f64) -> u32 {
     let next = groups.len() as u32;
     *groups.entry(number.to_bits()).or_insert(next)
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -1,8 +1,11 @@
-//! The operator's file: what an installation may set beside the users' settings. YAML, with units where they apply.
+//! Reads the operator's file, a YAML file with the settings of an installation that the users' settings do not cover.
+//! Values have units where they apply.
 //!
-//! - `file`: the keys. `yaml`: reads them, past those that can't be read. `units`: values with a unit or range.
-//! - `overload`, `peers`: the sections with checks of their own. `errors`: each error with line, key and what is
-//!   allowed.
+//! - `file` defines the keys.
+//! - `yaml` reads the keys, and skips those that can't be read.
+//! - `units` reads values with a unit or a range.
+//! - `overload` and `peers` read the sections that have checks of their own.
+//! - `errors` defines the errors, which name the line, the key and what is allowed.
 
 mod errors;
 mod file;
@@ -23,31 +26,31 @@
 use units::set_duration;
 use yaml::{ParsedFile, is_blank, parse_file};
 
-/// What the file may set. The default is what holds without a file.
+/// The settings of the file. The default is what applies without a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
-    /// The log.
+    /// The settings of the log.
     pub log: Log,
-    /// The overload governor; none where it is off.
+    /// The settings of the overload control, or `None` where it is off.
     pub overload: Option<Settings>,
-    /// The routers to exchange gossip with; none where it is off.
+    /// The routers to exchange gossip with, or `None` where gossip is off.
     pub peers: Option<Peers>,
-    /// All routers shed load as one.
+    /// Whether all routers shed load together, by one admission threshold.
     pub shared_admission: bool,
-    /// Retries are granted from one budget of all routers.
+    /// Whether retries are granted from one retry budget of all routers.
     pub shared_retry_budget: bool,
-    /// The zone of this router; none where zones of the endpoint list are not used.
+    /// The zone of this router, or `None` where the zones in the endpoint list are not used.
     pub zone: Option<String>,
-    /// Weights in the endpoint list are the members' concurrency.
+    /// Whether the weights in the endpoint list are the members' concurrency.
     pub weights_are_concurrency: bool,
 }
 
-/// The form of the log, and how often it has the metrics.
+/// The format of the log, and how often the metrics are logged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Log {
-    /// One JSON object a line; else text.
+    /// Whether each line of the log is a JSON object, rather than text.
     pub json: bool,
-    /// How often the metrics are logged.
+    /// The time between two log lines with the metrics.
     pub metrics_interval: Span,
 }
 
@@ -57,10 +60,11 @@
     }
 }
 
-/// Reads and checks the text of the file. An empty one gives the defaults.
+/// Reads and checks the text of the file. An empty file results in the defaults.
 ///
 /// # Errors
-/// Everything that is wrong with the file, in the order of its sections.
+/// Returns the errors that were found: first those of its keys and types, then those of single values, then those of
+/// combinations of values. The last are omitted if a key can't be read.
 pub fn read(text: &str) -> Result<Operator, OperatorFileErrors> {
     if is_blank(text) {
         return Ok(Operator::default());
@@ -72,7 +76,7 @@
         read_sections(file, &mut operator, &mut errors);
     }
     let FoundErrors { mut values, combinations } = errors;
-    // Where a key could not be read, one that goes with it may only seem to be missing.
+    // If a key could not be read, a combination may only seem to be wrong because that key is missing.
     if is_complete {
         values.extend(combinations, |error| error);
     }
--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -1,37 +1,38 @@
-//! Errors of the operator's file. Each prints as one line with the file's line, the key and what is allowed.
+//! Errors of the operator's file. Each is printed on one line, with the line number in the file, the key and what is
+//! allowed, as far as these are known.
 
 use crate::error_list::ErrorList;
 use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 
-/// Everything that is wrong with the operator's file.
+/// All errors of the operator's file.
 pub type OperatorFileErrors = ErrorList<OperatorFileError>;
 
-/// One thing that is wrong with the operator's file.
+/// An error of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorFileError {
-    /// A key that is unknown, or a value of another type.
+    /// A key is unknown, or a value has a wrong type.
     #[error("line {line}: {}{message}", .key.as_ref().map_or(String::new(), |key| format!("{key}: ")))]
     Unreadable {
-        /// Line in the file, from 1 on.
+        /// The line number in the file, from 1.
         line: u64,
-        /// What stands before the line's colon, where there is one.
+        /// The text before the first colon of the line, if the line has a colon.
         key: Option<String>,
-        /// What the YAML library says, such as which keys are allowed.
+        /// The message of the YAML library, such as which keys are allowed.
         message: String,
     },
-    /// An error that the YAML library gives no place for.
+    /// The YAML library reports an error without a location.
     #[error("{message}")]
     NoLocation {
-        /// What the YAML library says.
+        /// The message of the YAML library.
         message: String,
     },
-    /// A value that is not allowed.
+    /// A value is not allowed.
     #[error("line {line}: {key}: {problem}")]
     Value {
-        /// Line in the file, from 1 on; 0 where none can be named.
+        /// The line number in the file, from 1, or 0 if no line is known.
         line: u64,
-        /// Path of the key, such as `overload.delay.from`.
+        /// The path of the key, such as `overload.delay.from`.
         key: String,
         /// What is wrong with the value, and what is allowed.
         problem: ValueProblem,
@@ -51,20 +52,20 @@
 /// The errors that were found in a file so far.
 #[derive(Default)]
 pub(super) struct FoundErrors {
-    /// What is wrong with single keys.
+    /// The errors of single keys and values.
     pub(super) values: OperatorFileErrors,
-    /// What is wrong between two keys: one is missing, or they exclude each other.
+    /// The errors of combinations: a required key is missing, or two values do not fit together.
     pub(super) combinations: OperatorFileErrors,
 }
 
 impl FoundErrors {
-    /// The value of a key, if it is allowed; else its error is added.
+    /// Returns the value of a key if it is allowed. Otherwise adds its error, and returns `None`.
     pub(super) fn ok_or_push<T>(&mut self, value: Result<T, OperatorFileError>) -> Option<T> {
         self.values.ok_or_push(value)
     }
 }
 
-/// The line in the file at which a value stands, from 1 on.
+/// Returns the line number of a value in the file, from 1.
 pub(super) fn line<T>(value: &Spanned<T>) -> u64 {
     value.referenced.line()
 }
@@ -72,81 +73,81 @@
 /// What is wrong with a value of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueProblem {
-    /// An unknown format of the log.
+    /// The format of the log is unknown.
     #[error("{0:?}; allowed are text and json")]
     LogFormat(String),
-    /// A duration that can't be read, or is out of its range.
+    /// A duration can't be parsed, or is outside its range.
     #[error("{value:?}; allowed are {min_ms}ms to {max_ms}ms, written with their unit: ms, s, m")]
     Duration {
         /// The text that was read.
         value: String,
-        /// The least that is allowed, in milliseconds.
+        /// The shortest allowed duration, in milliseconds.
         min_ms: i64,
-        /// The most that is allowed, in milliseconds.
+        /// The longest allowed duration, in milliseconds.
         max_ms: i64,
     },
-    /// A share of a resource that is out of its range.
+    /// A share of a resource is outside its range.
     #[error("{value}; allowed is a share above 0 and up to {max}")]
     Share {
         /// The number that was read.
         value: f64,
-        /// The most that is allowed.
+        /// The largest allowed share.
         max: f64,
     },
-    /// A band that does not rise.
+    /// The start of a band is not below its end.
     #[error("from {from} must be below full {full}")]
     Band {
-        /// Where overload begins.
+        /// The value at which the pressure begins to rise.
         from: f64,
-        /// Where overload is full.
+        /// The value at which the pressure is full.
         full: f64,
     },
-    /// A multiple of a client's fair share that is out of its range.
+    /// A multiple of a client's fair share is outside its range.
     #[error("{value}; allowed are {min} to {max}")]
     FairShareMultiple {
         /// The number that was read.
         value: f64,
-        /// The least that is allowed.
+        /// The smallest allowed multiple.
         min: f64,
-        /// The most that is allowed.
+        /// The largest allowed multiple.
         max: f64,
     },
-    /// A size that can't be read, or is out of its range.
+    /// The maximum size of a client's unread answers can't be parsed, or is outside its range.
     #[error("{0:?}; allowed are 4 KiB to 1 GiB, written with their unit")]
     SlowReaderBytes(String),
-    /// A text that is not an address with a port.
+    /// A text is not an address with a port, or the address can't be sent to.
     #[error("{0:?}; allowed is address:port")]
     Address(String),
-    /// The address that other routers send to is not given.
+    /// The address of this router is missing.
     #[error("missing; allowed is address:port")]
     MissingAddress,
-    /// An address is in the list a second time.
+    /// An address is in a list twice.
     #[error("{0} is listed twice; allowed is once")]
     DuplicateAddress(SocketAddr),
     /// A list has too many addresses.
     #[error("more than the {max} addresses allowed")]
     TooManyAddresses {
-        /// The most that are allowed.
+        /// The maximum number of addresses.
         max: usize,
     },
-    /// A text that is not a network.
+    /// A text is not a network.
     #[error("{0:?}; allowed is address/bits")]
     Network(String),
-    /// Other routers can't be found.
+    /// The file offers no way to find other routers.
     #[error("no address and no network; allowed is at least one")]
     NoOtherRouters,
-    /// One key of the legacy form without the other.
+    /// One key of the legacy form is present without the other.
     #[error("me and all are allowed only together; use listen and listed instead")]
     IncompleteLegacyForm,
     /// The legacy list has too few addresses.
     #[error("{count}; allowed are 2 to {max} addresses")]
     LegacyListLength {
-        /// Addresses in the list.
+        /// The number of addresses in the list.
         count: usize,
-        /// The most that are allowed.
+        /// The maximum number of addresses.
         max: usize,
     },
-    /// This router's index is outside of the legacy list.
+    /// This router's index is outside the legacy list.
     #[error("{index}; allowed are 0 to {last}")]
     LegacyIndex {
         /// The index that was read.
@@ -154,10 +155,10 @@
         /// The last index of the list.
         last: usize,
     },
-    /// Admission is to be shared with other routers, and there are none.
+    /// Admission is to be shared with other routers, but the section `peers` is missing.
     #[error("true without peers; allowed only together with the section peers")]
     SharedAdmissionWithoutPeers,
-    /// The retry budget is to be shared, and admission is not.
+    /// The retry budget is to be shared, but admission is not shared.
     #[error("true without fleet.sheds; allowed only where fleet.sheds is true")]
     SharedBudgetWithoutAdmission,
     /// The name of the zone is empty.
--- a/crates/ladderpass-config/src/operator/file.rs
+++ b/crates/ladderpass-config/src/operator/file.rs
@@ -1,6 +1,6 @@
-//! Shape of the operator's file: its keys, mapped here and nowhere else onto the terms of the field.
+//! The structure of the operator's file. Only this module maps the keys of the file to the names in the code.
 //!
-//! A value that is checked later keeps its place in the file, which an error names.
+//! Values that are checked later are wrapped in [`Spanned`], so that an error can name their line.
 
 use serde::Deserialize;
 use serde_saphyr::Spanned;
@@ -75,7 +75,7 @@
     pub(super) slow_reader_bytes: Option<Spanned<String>>,
 }
 
-/// A band of durations, written with their unit.
+/// A band of durations, which are written with their units.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DelayBand {
@@ -83,7 +83,7 @@
     pub(super) full: Option<Spanned<String>>,
 }
 
-/// A band of shares of what is allowed.
+/// A band of shares of a resource.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ShareBand {
--- a/crates/ladderpass-config/src/operator/overload.rs
+++ b/crates/ladderpass-config/src/operator/overload.rs
@@ -1,4 +1,4 @@
-//! The section `overload`: thresholds and periods of the overload governor, by default those of its package.
+//! The section `overload`: bands and times of the overload control. The defaults are those of `ladderpass-overload`.
 
 use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::{DelayBand, OverloadSection, ShareBand};
@@ -7,13 +7,14 @@
 use ladderpass_routing::Span;
 use serde_saphyr::Spanned;
 
-/// CPU time may pass the allowance, which is counted in cores.
+/// The largest share of CPU time. It is above 1, because a process can use more CPU time than the cores that it is
+/// allowed.
 const MAX_CPU_SHARE: f64 = 10.0;
 const MAX_SHARE: f64 = 1.0;
 const MIN_FAIR_SHARE_MULTIPLE: f64 = 1.0;
 const MAX_FAIR_SHARE_MULTIPLE: f64 = 1000.0;
 
-/// The settings of the section.
+/// Reads the settings of the section.
 pub(super) fn read_overload(section: OverloadSection, errors: &mut FoundErrors) -> Settings {
     let mut settings = Settings::default();
     if let Some(band) = section.delay {
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -1,4 +1,4 @@
-//! The section `peers`: the routers that exchange gossip, and the section's legacy form.
+//! The section `peers`: the routers that exchange gossip. The section also has a legacy form.
 
 use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::PeersSection;
@@ -7,25 +7,26 @@
 use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 
-/// The most addresses in a list.
+/// The maximum number of addresses in a list.
 const MAX_ADDRESSES: usize = 1000;
 
-/// The routers that exchange gossip by datagrams: who is alive, and what they have observed of the members.
+/// The addresses for the exchange of gossip by datagrams. The routers exchange which of them are alive, and what they
+/// have observed of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
-    /// Where this router receives datagrams.
+    /// The address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// Where the others send to; may differ from `listen`, as behind address translation.
+    /// The address to which the other routers send. It may differ from `listen`, as behind address translation.
     pub address: SocketAddr,
-    /// Where others may be found; those that are found name the rest.
+    /// Addresses at which other routers may be found. Those that are found name the rest.
     pub listed: Vec<SocketAddr>,
-    /// Networks from which routers that nobody lists may join.
+    /// Networks from which routers may join without being listed.
     pub networks: Vec<Network>,
-    /// The file has the legacy form: a fixed list, and this router's index in it.
+    /// Whether the file has the legacy form: a fixed list, and this router's index in it.
     pub legacy_form: bool,
 }
 
-/// The peers of the section; none where no address of this router could be read.
+/// Reads the section. Returns `None` if the address of this router is missing or can't be read.
 pub(super) fn read_peers(section: PeersSection, errors: &mut FoundErrors) -> Option<Peers> {
     if let (Some(index), Some(list)) = (&section.legacy_index, &section.legacy_list) {
         return read_legacy_peers(index, list, errors);
@@ -46,7 +47,7 @@
     Some(Peers { listen, address: address.unwrap_or(listen), listed, networks, legacy_form: false })
 }
 
-/// Checks that the address of this router is given, and no single key of the legacy form.
+/// Checks that the section has the address of this router, and not just one of the two keys of the legacy form.
 fn check_form(section: &PeersSection, errors: &mut FoundErrors) {
     let first_of_list = section.legacy_list.iter().flatten().next();
     let legacy_line = section.legacy_index.as_ref().map(line).or(first_of_list.map(line));
@@ -61,7 +62,7 @@
     }
 }
 
-/// The legacy form: the same list everywhere, in the same order, and this router's index in it.
+/// Reads the legacy form: a list that is the same at all routers and in the same order, and this router's index in it.
 fn read_legacy_peers(
     index: &Spanned<u32>,
     list: &[Spanned<String>],
@@ -79,7 +80,8 @@
     Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
-/// An address, if the file has it and it is allowed; else an error is added to `errors`.
+/// Parses an address. Returns `None` if the file does not have it. If it is not allowed, adds an error to `errors` and
+/// returns `None` too.
 fn parse_optional_address(
     text: Option<&Spanned<String>>,
     key: &str,
@@ -88,7 +90,7 @@
     errors.ok_or_push(parse_address(text?, key))
 }
 
-/// The distinct addresses of a list; errors of the others are added to `errors`.
+/// Parses the addresses of a list, and returns the distinct ones. Adds errors of the others to `errors`.
 fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut FoundErrors) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for text in texts {
--- a/crates/ladderpass-config/src/operator/units.rs
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -1,6 +1,6 @@
 //! Values with a unit or a range in the operator's file: durations, shares, sizes, addresses and networks.
 //!
-//! A `set_` function leaves the field as it was where the file has no such key.
+//! A `set_` function leaves the field unchanged if the file does not have the key, or if the value is not allowed.
 
 use super::errors::{OperatorFileError, ValueProblem};
 use ladderpass_membership::Network;
@@ -13,7 +13,7 @@
 const IPV6_BITS: u8 = 128;
 const ALLOWED_SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
 
-/// Sets a duration, such as `250ms`. `allowed_ms`: the range in milliseconds.
+/// Sets a duration, such as `250ms`. `allowed_ms` is the allowed range in milliseconds.
 pub(super) fn set_duration(
     field: &mut Span,
     key: &str,
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Sets a share of what is allowed, above 0 and up to `max`.
+/// Sets a share of a resource, which must be above 0 and at most `max`.
 pub(super) fn set_share(
     field: &mut f64,
     key: &str,
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Sets the most bytes of answers that a slow reader may have, such as `64 KiB`.
+/// Sets the maximum size of the unread answers of one client, such as `64 KiB`.
 pub(super) fn set_slow_reader_bytes(
     field: &mut usize,
     value: Option<Spanned<String>>,
@@ -67,14 +67,14 @@
     Ok(())
 }
 
-/// Reads an address that others can send to: it has a port, and is not the unspecified one.
+/// Parses an address that other routers can send to. It must have a port, and must not be the unspecified address.
 pub(super) fn parse_address(text: &Spanned<String>, key: &str) -> Result<SocketAddr, OperatorFileError> {
     let address = text.value.parse::<SocketAddr>().ok();
     let usable = address.filter(|address| address.port() > 0 && !address.ip().is_unspecified());
     usable.ok_or_else(|| OperatorFileError::at(text, key, ValueProblem::Address(text.value.clone())))
 }
 
-/// Reads a network, such as `10.0.0.0/8`.
+/// Parses a network, such as `10.0.0.0/8`.
 pub(super) fn parse_network(text: &Spanned<String>, key: &str) -> Result<Network, OperatorFileError> {
     let network = text.value.split_once('/').and_then(|(address, prefix_bits)| {
         let address = address.parse::<IpAddr>().ok()?;
--- a/crates/ladderpass-config/src/settings.rs
+++ b/crates/ladderpass-config/src/settings.rs
@@ -1,18 +1,18 @@
-//! Wire shape of the settings object: the users' keys, mapped here and nowhere else onto the terms of the field.
+//! The structure of the settings object on the wire. Only this module maps the users' keys to the names in the code.
 //!
-//! Durations are whole nanoseconds. Unknown keys are ignored. serde prints the names of the structs in
-//! its errors, so they keep the names that operators have seen.
+//! Times and durations are in nanoseconds, as integers. Unknown keys are ignored. serde prints the names of the structs
+//! in its errors, so the structs keep the names that operators know.
 
 use serde::Deserialize;
 
-/// Column of a load report: the replication position, in seconds from `clock_origin`.
+/// The column of a load report with the member's replication position, in seconds from `clock_origin`.
 pub const POSITION_COLUMN: &str = "x0";
-/// Column of a load report: 1 where the member is the primary, else 0.
+/// The column of a load report with 1 if the member is the primary, and otherwise 0.
 pub const PRIMARY_COLUMN: &str = "x1";
-/// Column of a load report: RPCs in flight at the member.
+/// The column of a load report with the number of RPCs in flight at the member.
 pub const IN_FLIGHT_COLUMN: &str = "rif";
 
-/// The whole object.
+/// The settings object.
 #[derive(Deserialize)]
 pub(crate) struct Shape {
     #[serde(rename = "Allowed")]
@@ -39,7 +39,7 @@
     pub(crate) tick: Option<i64>,
 }
 
-/// What a router may do.
+/// What a router is allowed to do.
 #[derive(Deserialize)]
 pub(crate) struct Allowed {
     #[serde(rename = "AttemptsCap")]
@@ -60,7 +60,7 @@
     pub(crate) retry_after: Option<bool>,
 }
 
-/// What members and discovery promise.
+/// What members and discovery guarantee.
 #[derive(Deserialize)]
 pub(crate) struct Contract {
     #[serde(rename = "ColdFrom")]
@@ -79,7 +79,7 @@
     pub(crate) slow_start_duration: Option<i64>,
 }
 
-/// Replication: consistency levels by method, positions and the primary's role.
+/// The settings of replication: consistency levels by method, replication positions, and the primary's role.
 #[derive(Deserialize)]
 pub(crate) struct Extra {
     #[serde(rename = "MaxAge")]
@@ -96,7 +96,7 @@
     pub(crate) clock_origin: Option<i64>,
 }
 
-/// What health checks report.
+/// What members report in health checks.
 #[derive(Deserialize)]
 pub(crate) struct ReportShape {
     #[serde(rename = "Columns")]
@@ -106,7 +106,7 @@
 }
 
 impl ReportShape {
-    /// Whether a report holds the member's replication position.
+    /// Returns whether a report contains the member's replication position.
     pub(crate) fn has_position(&self) -> bool {
         let in_columns = self
             .columns
@@ -116,7 +116,7 @@
     }
 }
 
-/// One method.
+/// A method.
 #[derive(Deserialize)]
 pub(crate) struct Service {
     #[serde(rename = "Name")]
--- a/crates/ladderpass-config/tests/gossip.rs
+++ b/crates/ladderpass-config/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! Text form of the gossip messages: updates survive the way, and what can't be read is dropped.
+//! The text form of the gossip messages: decoded updates equal the encoded ones, and text that can't be decoded is
+//! dropped.
 
 use ladderpass_config::gossip::{
     EncodedUpdate, GossipMessage, MAX_UPDATES_PER_MESSAGE, OBSERVATIONS, UPDATE_LETTERS,
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: its defaults, and errors that name line, key and what is allowed.
+//! The operator's file: its values, its defaults, and errors that name the line, the key and what is allowed.
 
 use ladderpass_config::operator::{Log, Operator, read};
 use ladderpass_overload::{Band, Settings};
@@ -73,7 +73,7 @@
     }
 }
 
-/// Lines of the file that its errors name, in ascending order.
+/// Returns the line numbers that the errors of a file name, in ascending order.
 fn lines_with_errors(text: &str) -> Vec<usize> {
     let printed = read(text).expect_err(text).to_string();
     let parse_line =
@@ -88,12 +88,12 @@
 fn all_errors_are_reported_except_those_that_only_follow_from_another() {
     for (text, expected) in [
         ("log:\n  format: xml\n  figures: 1\noverload:\n  fair: 0\n  look: 1ms", &[2, 3, 5, 6][..]),
-        // Keys that can't be read, in each section, with what stands below them.
+        // Keys that can't be read are reported in each section, and everything below such a key is skipped.
         ("overlaod:\n  fair: 0\nlog:\n  colour: red\n  format: xml", &[1, 4, 5]),
         ("overload:\n  memory:\n    full: lots\n    from: 7\n  fair: 0", &[3, 4, 5]),
         ("a: 1\nb:\n- 2\n- 3\nc: 4\nlog: {format: xml}", &[1, 2, 5, 6]),
         ("members:\n  sizes: big\n  zone: ''", &[2, 3]),
-        // A key with a wrong value is not reported as missing, nor is what goes with it.
+        // A key with a wrong value is not also reported as missing, and keys that depend on it are not reported either.
         ("peers:\n  listen: [1]\n  listed: [127.0.0.1:1, there]", &[2, 3]),
         ("peers:\n  listen: here\n  listed: [127.0.0.1:1]\nfleet:\n  sheds: true", &[2]),
         ("peers:\n  colour: red\nfleet:\n  sheds: 3\n  budgets: true", &[2, 4]),
@@ -104,7 +104,7 @@
     ] {
         assert_eq!(lines_with_errors(text), expected, "{text:?}: {:?}", read(text));
     }
-    // A text that is not YAML has no keys to go by.
+    // For a text that is not YAML only one error is reported.
     let printed = read("overload:\n  fair: 0\nlog: [").expect_err("the text is not YAML").to_string();
     assert_eq!(printed.lines().count(), 1);
 }
--- a/crates/ladderpass-config/tests/settings.rs
+++ b/crates/ladderpass-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Methods in the settings object.
+//! The deduplication scope of methods in the settings object.
 
 use ladderpass_routing::{Idempotency, Span};
 use serde_json::json;
@@ -13,8 +13,9 @@
     settings.deployment.methods[0].idempotency
 }
 
-/// Duplicates are dropped by all members, or by the group of the first attempt. With any other scope some members of the
-/// group may not know of the first attempt, so no repeat is sent.
+/// With the scope `all`, every member drops duplicates, and with the scope `cell`, every member of the group of the
+/// first attempt does. With any other scope, some members of the group may not know of the first attempt, so no retry
+/// is sent.
 #[test]
 fn a_deduplication_scope_other_than_the_group_or_all_members_allows_no_retry() {
     let window = Span::from_millis(5000);
--- a/crates/ladderpass-simulator-adapter/src/errors.rs
+++ b/crates/ladderpass-simulator-adapter/src/errors.rs
@@ -1,4 +1,5 @@
-//! Errors of event lines: the line's kind, and what is wrong with it. A wrong line changes nothing.
+//! Errors of event lines. Each names the kind of the line and what is wrong with it. The routing core gets no event of
+//! a line with an error.
 
 use ladderpass_config::SettingsError;
 
@@ -6,25 +7,25 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{kind}: {problem}")]
 pub struct EventError {
-    /// The line's kind, as far as it could be read.
+    /// The kind of the line, or a placeholder if it can't be read.
     pub kind: String,
     /// What is wrong with the line.
     pub problem: EventProblem,
 }
 
-/// What is wrong with an event line. Fields are named as on the wire.
+/// What is wrong with an event line. The messages use the names of the fields on the wire.
 #[derive(Debug, thiserror::Error)]
 pub enum EventProblem {
-    /// The line is not JSON, or a field has another type.
+    /// The line is not JSON, a field has a wrong type, or a field that every line or endpoint must have is missing.
     #[error("malformed line: {0}")]
     Malformed(serde_json::Error),
-    /// A field that this kind needs is missing.
+    /// A field that this kind of line requires is missing.
     #[error("{0} is missing")]
     MissingField(&'static str),
     /// No line has set the time yet.
     #[error("no TICK before this")]
     NoTime,
-    /// The kind is none of the protocol's.
+    /// The protocol has no such kind.
     #[error("unknown kind; line ignored")]
     UnknownKind,
     /// No router has this name.
@@ -33,38 +34,38 @@
     /// The seed is not an integer.
     #[error("Salt is not a whole number")]
     SeedNotInteger,
-    /// The settings of the deployment.
+    /// The settings of the deployment can't be used.
     #[error("Info: {0}")]
     Settings(#[from] SettingsError),
-    /// No endpoint list had this member.
+    /// The router has received no endpoint list with this member.
     #[error("unknown Node {0:?}")]
     UnknownMember(String),
-    /// The settings name no such method.
+    /// The settings have no such method.
     #[error("unknown Service {0:?}")]
     UnknownMethod(String),
-    /// An RPC comes a second time.
+    /// An RPC arrives with the id of an active RPC.
     #[error("RequestId {0:?} is already active")]
     DuplicateRequest(String),
-    /// No RPC has this id.
+    /// No active RPC has this id.
     #[error("unknown RequestId {0:?}")]
     UnknownRequest(String),
-    /// An attempt ends that was never made.
+    /// An attempt ends, but the RPC has no attempt in flight.
     #[error("RequestId {0:?} has no attempt in flight")]
     NoAttemptInFlight(String),
     /// No endpoint list has this number.
     #[error("no ROSTER {0} before this")]
     UnknownList(u32),
-    /// A field holds none of the protocol's words.
+    /// A field has none of the values that the protocol allows.
     #[error("unknown {field} {value:?}")]
     UnknownValue {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// The word that was read.
+        /// The value that was read.
         value: String,
     },
 }
 
-/// The value of a field that must be there.
+/// Returns the value of a required field, or an error if it is missing.
 pub fn require<T>(value: Option<T>, field: &'static str) -> Result<T, EventProblem> {
     value.ok_or(EventProblem::MissingField(field))
 }
--- a/crates/ladderpass-simulator-adapter/src/events.rs
+++ b/crates/ladderpass-simulator-adapter/src/events.rs
@@ -1,7 +1,7 @@
-//! Event lines of the simulator: its words, mapped here and nowhere else onto the terms of the field.
+//! Event lines of the simulator. Only this module maps the simulator's names to the names in the code.
 //!
-//! Times and durations are whole nanoseconds where a name has no other unit. Unknown fields are ignored. serde prints the
-//! names of the structs in its errors, so they stay.
+//! Times and durations are in nanoseconds, as integers, unless the name of a field has another unit. Unknown fields are
+//! ignored. serde prints the names of the structs in its errors, so the structs keep their names.
 
 use crate::errors::{EventError, EventProblem};
 use ladderpass_routing::{AttemptOutcome, EndpointState, Role};
@@ -12,36 +12,36 @@
 /// The kinds of event lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The time of the events that follow.
+    /// The line sets the time of the events that follow.
     SetTime,
-    /// The batch is complete.
+    /// The batch of events is complete.
     EndOfBatch,
-    /// An endpoint list, which updates refer to by its number.
+    /// The line contains an endpoint list. Updates refer to it by its number.
     EndpointList,
     /// A router starts.
     StartRouter,
-    /// A router ends.
+    /// A router stops.
     StopRouter,
     /// An RPC arrives.
     Arrival,
     /// An attempt has ended.
     AttemptEnded,
-    /// The head of a streamed answer has come; no method here streams.
+    /// The head of a streamed answer has arrived. It is ignored, because no method streams its answers.
     AnswerHead,
     /// The client has given up on its RPC.
     Abandoned,
     /// A health check has ended.
     HealthCheckEnded,
-    /// A router gets an update of its endpoint list.
+    /// A router receives an update of its endpoint list.
     EndpointUpdate,
     /// A timer has fired.
     TimerFired,
-    /// A gossip message has come.
+    /// A gossip message has arrived.
     Gossip,
 }
 
 impl EventKind {
-    /// The kind by its word on the wire.
+    /// Returns the kind with this name on the wire.
     pub fn parse(text: &str) -> Option<EventKind> {
         Some(match text {
             "TICK" => EventKind::SetTime,
@@ -62,79 +62,79 @@
     }
 }
 
-/// An event line of any kind; each kind has some of the fields.
+/// An event line of any kind. Each kind has some of the fields.
 #[derive(Deserialize)]
 pub struct Line<'a> {
-    /// The kind's word, as [`EventKind::parse`] takes it.
+    /// The name of the kind, which [`EventKind::parse`] reads.
     #[serde(borrow)]
     pub kind: Cow<'a, str>,
-    /// The time from now on.
+    /// The time of the events that follow.
     #[serde(rename = "AtTime")]
     pub time: Option<i64>,
-    /// Name of the router that the event is for.
+    /// The name of the router to which the event belongs.
     #[serde(rename = "Who", borrow)]
     pub router: Option<Cow<'a, str>>,
-    /// Seed of the router's random numbers.
+    /// The seed of the router's random numbers.
     #[serde(rename = "Salt")]
     pub seed: Option<Value>,
-    /// Settings of the deployment.
+    /// The settings of the deployment.
     #[serde(rename = "Info")]
     pub settings: Option<Value>,
-    /// Number of an endpoint list.
+    /// The number of an endpoint list.
     #[serde(rename = "Buffer")]
     pub list_number: Option<u32>,
     /// The endpoints of a list.
     #[serde(rename = "Entries", borrow)]
     pub endpoints: Option<Vec<ListLine<'a>>>,
-    /// What an endpoint update is: all of the list, changes, or a cached list; or that discovery failed.
+    /// The kind of an endpoint update: the complete list, changes, a cached list, or a failure of discovery.
     #[serde(rename = "How", borrow)]
     pub update_kind: Option<Cow<'a, str>>,
-    /// Id of the RPC.
+    /// The id of the RPC.
     #[serde(rename = "RequestId", borrow)]
     pub request_id: Option<Cow<'a, str>>,
-    /// Name of the RPC's method.
+    /// The name of the RPC's method.
     #[serde(rename = "Service", borrow)]
     pub method: Option<Cow<'a, str>>,
-    /// The client sends the RPC once more.
+    /// Whether the RPC is a retry by the client.
     #[serde(rename = "Resent", default)]
     pub is_client_retry: Option<bool>,
-    /// Age of the session's last write, in milliseconds.
+    /// The age of the session's last write, in milliseconds.
     #[serde(rename = "TokenMs")]
     pub last_write_age_ms: Option<f64>,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     #[serde(rename = "Due")]
     pub deadline: Option<i64>,
-    /// The session's key.
+    /// The key of the session.
     #[serde(rename = "Key", borrow)]
     pub session: Option<Cow<'a, str>>,
-    /// Number of the group that the RPC is for.
+    /// The number of the group to which the RPC is sent.
     #[serde(rename = "Cluster")]
     pub group: Option<f64>,
-    /// Number of the attempt.
+    /// The number of the attempt.
     #[serde(rename = "Attempt")]
     pub attempt: Option<u32>,
-    /// Name of the member.
+    /// The name of the member.
     #[serde(rename = "Node", borrow)]
     pub member: Option<Cow<'a, str>>,
-    /// How an attempt or a health check ended, as [`parse_outcome`] takes it.
+    /// The outcome of an attempt or a health check, which [`parse_outcome`] reads.
     #[serde(rename = "StateCode", borrow)]
     pub outcome: Option<Cow<'a, str>>,
-    /// How long an attempt or a health check took.
+    /// The time that an attempt or a health check took.
     #[serde(rename = "Elapsed")]
     pub latency: Option<i64>,
-    /// The client has its answer.
+    /// Whether the client has its answer.
     #[serde(rename = "Complete", default)]
     pub is_complete: Option<bool>,
-    /// What an answer says of the member, as [`MemberNote`] takes it.
+    /// What an answer reports about the member, which [`MemberNote`] reads.
     #[serde(rename = "Note")]
     pub member_note: Option<i64>,
-    /// The values of a load report, in the order of the settings' columns.
+    /// The values of a load report, in the order of the columns in the settings.
     #[serde(rename = "Pressure")]
     pub load_report: Option<Vec<Option<f64>>>,
-    /// Text of a gossip message.
+    /// The text of a gossip message.
     #[serde(rename = "Payload", borrow)]
     pub payload: Option<Cow<'a, str>>,
-    /// The timer's handle.
+    /// The handle of the timer.
     #[serde(rename = "Handle")]
     pub timer_handle: Option<i64>,
 }
@@ -142,34 +142,34 @@
 /// A member in an endpoint list.
 #[derive(Clone, Deserialize)]
 pub struct ListLine<'a> {
-    /// Name of the member.
+    /// The name of the member.
     #[serde(rename = "Node", borrow)]
     pub member: Cow<'a, str>,
-    /// Kind of its machine.
+    /// The kind of the member's machine.
     #[serde(rename = "ClassOfHost", borrow, default)]
     pub machine_kind: Cow<'a, str>,
-    /// Its zone.
+    /// The member's zone.
     #[serde(rename = "Site", borrow, default)]
     pub zone: Cow<'a, str>,
-    /// From 0.5 on the member is listed as the primary.
+    /// A value of 0.5 or more means that the list names the member as the primary.
     #[serde(rename = "IsPrimary", default)]
     pub primary: Option<f64>,
-    /// Its weight.
+    /// The member's weight.
     #[serde(rename = "Size", default)]
     pub weight: Option<f64>,
-    /// Number of its group.
+    /// The number of the member's group.
     #[serde(rename = "Shard")]
     pub group: f64,
-    /// Its state, as [`parse_endpoint_state`] takes it.
+    /// The member's state, which [`parse_endpoint_state`] reads.
     #[serde(rename = "StageState", borrow)]
     pub state: Cow<'a, str>,
-    /// When it started; zero where that is not known.
+    /// The time at which the member started, or zero if it is unknown.
     #[serde(rename = "Born", default)]
     pub started_at: Option<i64>,
 }
 
 impl ListLine<'_> {
-    /// The same, for longer than the text that it was read from.
+    /// Copies the borrowed texts, so that the entry can outlive the line from which it was read.
     pub fn into_owned(self) -> ListLine<'static> {
         let into_static = |text: Cow<str>| Cow::Owned(text.into_owned());
         ListLine {
@@ -185,18 +185,18 @@
     }
 }
 
-/// What an answer says of the member that gave it: the role in the lowest two bits, above them the replication position
-/// in milliseconds.
+/// What an answer reports about the member that sent it. The lowest two bits are the role, and the bits above them are
+/// the replication position in milliseconds.
 #[derive(Clone, Copy)]
 pub struct MemberNote(i64);
 
 impl MemberNote {
-    /// The note of a line; none where it is negative.
+    /// Reads the note of a line. Returns `None` if it is absent or negative.
     pub fn parse(note: Option<i64>) -> Option<MemberNote> {
         note.filter(|&note| note >= 0).map(MemberNote)
     }
 
-    /// The member's role, where the answer names it.
+    /// Returns the member's role, or `None` if the answer does not report it.
     pub fn role(self) -> Option<Role> {
         match self.0 % 4 {
             1 => Some(Role::Primary),
@@ -205,13 +205,13 @@
         }
     }
 
-    /// The replication position in milliseconds; zero also where the member reports none.
+    /// Returns the replication position in milliseconds. It is also zero if the member does not report one.
     pub fn position_ms(self) -> i64 {
         self.0 / 4
     }
 }
 
-/// Reads an event line.
+/// Parses an event line.
 pub fn parse_line(text: &str) -> Result<Line<'_>, EventError> {
     serde_json::from_str(text).map_err(|error| {
         let line = serde_json::from_str::<Value>(text).ok();
@@ -223,7 +223,7 @@
     })
 }
 
-/// How an attempt or a health check ended, by its word on the wire.
+/// Parses the outcome of an attempt or a health check.
 pub fn parse_outcome(text: &str) -> Result<AttemptOutcome, EventProblem> {
     Ok(match text {
         "success" => AttemptOutcome::Ok,
@@ -239,7 +239,7 @@
     })
 }
 
-/// The state of a member in an endpoint list, by its word on the wire.
+/// Parses the state of a member in an endpoint list.
 pub fn parse_endpoint_state(text: &str) -> Result<EndpointState, EventProblem> {
     match text {
         "on" => Ok(EndpointState::Active),
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One router: its events as calls on `ladderpass-routing`, and the decisions as actions. Names of the wire become small
-//! indices.
+//! One router. Its events become calls of `ladderpass-routing`, and the router's decisions become actions. Names on the
+//! wire are mapped to small indices.
 
 use crate::actions::Action;
 use crate::endpoint_lists::EndpointLists;
@@ -16,17 +16,17 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// From this value on a flag that comes as a number is set.
+/// A flag that is sent as a number is set if it has at least this value.
 const FLAG_THRESHOLD: f64 = 0.5;
 const NANOS_PER_MS: f64 = 1e6;
 
-/// A router with the indices of its names.
+/// A router, and the indices of the names that its events use.
 pub struct Instance {
-    /// It had an event in this batch.
+    /// Whether the router had an event in this batch.
     pub in_batch: bool,
     name: String,
     router: Router,
-    /// Lines of the actions of this batch.
+    /// The lines of the actions in this batch.
     actions: String,
     methods: HashMap<String, u32>,
     clock_origin: Time,
@@ -44,7 +44,7 @@
     timer: Timer,
 }
 
-/// Where the values that routing uses stand in a load report.
+/// The columns of a load report that the routing core uses.
 struct ReportColumns {
     position: Option<usize>,
     is_primary: Option<usize>,
@@ -71,12 +71,12 @@
     }
 }
 
-/// The simulator's timer of a router.
+/// The timers that a router has set in the simulator.
 #[derive(Default)]
 struct Timer {
-    /// When the earliest one that is set fires.
+    /// The time at which the timer that was set last fires, or `None` if it has fired or none was set.
     fires_at: Option<Time>,
-    /// Handle of the one that was set last.
+    /// The handle of the timer that was set last.
     last_handle: i64,
 }
 
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Handles an event for this router.
+    /// Handles an event of this router.
     pub fn handle_event(
         &mut self,
         now: Time,
@@ -124,12 +124,12 @@
             EventKind::EndpointUpdate => self.on_endpoint_update(now, line, lists),
             EventKind::TimerFired => self.on_timer_fired(&line),
             EventKind::Gossip => self.on_gossip(now, line),
-            // Answer heads: no method here streams. The other kinds are not for one router.
+            // Answer heads are ignored, because no method streams its answers. The caller handles the other kinds.
             _ => Ok(()),
         }
     }
 
-    /// Ends a batch: lets the router act on the time, and encodes what it wants done.
+    /// Ends a batch. Runs the router's tick, and encodes what the router requests as actions.
     pub fn tick(&mut self, now: Time) {
         let output = self.router.tick(now);
         for (rpc, decision) in output.decisions {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The lines of all actions since the last call.
+    /// Returns the lines of all actions since the last call.
     pub fn take_actions(&mut self) -> String {
         std::mem::take(&mut self.actions)
     }
@@ -170,7 +170,8 @@
         Action::SetTimer { router: &self.name, delay, handle }.write(&mut self.actions);
     }
 
-    /// Goes by the handle: times are rounded on the wire, so that a timer may fire a little before its time.
+    /// Clears the timer that was set last if the event carries its handle. The time is not compared, because times are
+    /// rounded on the wire and a timer may fire a little early.
     fn on_timer_fired(&mut self, line: &Line) -> Result<(), EventProblem> {
         if require(line.timer_handle, "Handle")? == self.timer.last_handle {
             self.timer.fires_at = None;
@@ -238,7 +239,7 @@
         Ok(())
     }
 
-    /// The replication position of a note; a zero is one only where answers report positions.
+    /// Returns the replication position of a note. Zero is a position only if answers report positions.
     fn position(&self, note: MemberNote) -> Option<Time> {
         let position_ms = note.position_ms();
         (position_ms > 0 || self.answers_report_position)
@@ -247,7 +248,7 @@
 
     fn abandon_rpc(&mut self, line: Line) -> Result<(), EventProblem> {
         let request_id = require(line.request_id, "RequestId")?;
-        // It may have been answered already.
+        // The RPC may be unknown or answered already.
         if let Ok(active) = self.rpcs.get_mut(&request_id)
             && !active.is_answered
         {
@@ -268,7 +269,7 @@
         Ok(())
     }
 
-    /// Passes on what another router has observed, of the members that this one knows.
+    /// Passes the observations of another router to the routing core, for members that this router knows.
     fn on_gossip(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
         for update in self.gossip_codec.decode(&require(line.payload, "Payload")?, now) {
             self.router.on_peer_update(now, update);
--- a/crates/ladderpass-simulator-adapter/src/instances.rs
+++ b/crates/ladderpass-simulator-adapter/src/instances.rs
@@ -1,6 +1,7 @@
-//! All routers of the process. They share the time and the numbered endpoint lists, and nothing else.
+//! All routers of the process. They share only the time and the numbered endpoint lists.
 //!
-//! A panic in one router ends that router alone; the simulator gets its message.
+//! A router that panics while it handles an event or ticks is removed, and its panic message is sent to the simulator.
+//! The other routers continue.
 
 use crate::actions::Action;
 use crate::endpoint_lists::EndpointLists;
@@ -15,9 +16,9 @@
 /// Whether a batch of events is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Batch {
-    /// More events are to come.
+    /// More events of the batch follow.
     Open,
-    /// The reply holds all actions.
+    /// The reply contains all actions of the batch.
     Complete,
 }
 
@@ -27,20 +28,20 @@
     message: String,
 }
 
-/// All routers, by their names.
+/// All routers by their names.
 #[derive(Default)]
 pub struct Instances {
     now: Option<Time>,
     lists: EndpointLists,
     instances: HashMap<String, Instance>,
-    /// Routers with an event in this batch, in the order of their first one.
+    /// The names of the routers with an event in this batch, in the order of their first event.
     pending: Vec<String>,
-    /// Routers that panicked in this batch.
+    /// The routers that panicked in this batch.
     failed: Vec<FailedRouter>,
 }
 
 impl Instances {
-    /// Handles an event line. The end of a batch appends its actions to `reply`.
+    /// Handles an event line. At the end of a batch, appends the actions of the batch to `reply`.
     pub fn handle_line(&mut self, text: &str, reply: &mut String) -> Result<Batch, EventError> {
         let line = parse_line(text)?;
         let kind = line.kind.clone().into_owned();
--- a/crates/ladderpass-simulator-adapter/src/main.rs
+++ b/crates/ladderpass-simulator-adapter/src/main.rs
@@ -1,12 +1,15 @@
-//! Adapter between the operators' simulator and the decisions of `ladderpass-routing`.
+//! Adapter between the operators' simulator and the routing core, `ladderpass-routing`. The adapter itself makes no
+//! routing decisions.
 //!
-//! The simulator writes events to standard input, one JSON object a line, and reads actions from standard output. It
-//! plays any number of routers in one process. Events come in batches, which the line `END` ends; the answer to a batch
-//! is all actions of its routers, and again `END`. Nothing is decided here.
+//! The simulator writes events to the adapter's standard input, one JSON object per line, and reads actions from its
+//! standard output. One process of the adapter runs any number of routers. Events arrive in batches, each ended by a
+//! line of the kind `END`. The reply to a batch consists of all actions of its routers, followed by a line of the kind
+//! `END`. A line with an error is reported on standard error and ignored.
 //!
-//! `events`: lines as they come. `endpoint_lists`: the lists that events name by number. `instances`: all routers of the
-//! process. `instance`: one router. `rpcs`: its RPCs. `actions`: lines as they go. A line that is wrong is named on
-//! standard error and ignored.
+//! - `events` reads event lines.
+//! - `endpoint_lists` holds the lists to which events refer by number.
+//! - `instances` holds all routers of the process, `instance` is one router, and `rpcs` holds the RPCs of one router.
+//! - `actions` writes action lines.
 
 mod actions;
 mod endpoint_lists;
@@ -22,7 +25,7 @@
 const STREAM_BUFFER_BYTES: usize = 1 << 20;
 
 fn main() -> io::Result<()> {
-    // A panic in a router is reported as an action, so its message isn't printed here.
+    // The default hook is disabled, because `Instances` itself reports a panic in a router.
     std::panic::set_hook(Box::new(|_| {}));
     let mut input = io::BufReader::with_capacity(STREAM_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::BufWriter::with_capacity(STREAM_BUFFER_BYTES, io::stdout().lock());
--- a/crates/ladderpass-simulator-adapter/src/rpcs.rs
+++ b/crates/ladderpass-simulator-adapter/src/rpcs.rs
@@ -1,5 +1,5 @@
-//! The RPCs of one router by their ids on the wire, from their arrival until they are answered and no attempt is in
-//! flight.
+//! The RPCs of one router by their ids on the wire. An RPC is kept from its arrival until it is answered and has no
+//! attempt in flight.
 
 use crate::errors::EventProblem;
 use ladderpass_routing::RpcId;
@@ -7,11 +7,11 @@
 
 /// An RPC that is not answered yet, or has attempts in flight.
 pub struct ActiveRpc {
-    /// The router's id of it.
+    /// The id of the RPC in the routing core.
     pub rpc: RpcId,
-    /// The client has an answer, or has given up.
+    /// Whether the client has an answer or has given up.
     pub is_answered: bool,
-    /// Attempts that have not ended.
+    /// The number of attempts that have not ended.
     pub attempts_in_flight: u32,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl RpcTable {
-    /// Whether an RPC with this id is active.
+    /// Returns whether an RPC with this id is active.
     pub fn contains(&self, request_id: &str) -> bool {
         self.by_request_id.contains_key(request_id)
     }
@@ -35,18 +35,18 @@
         self.request_ids.insert(rpc, request_id);
     }
 
-    /// The id on the wire of an active RPC.
+    /// Returns the id on the wire of an active RPC.
     pub fn request_id(&self, rpc: RpcId) -> Option<&String> {
         self.request_ids.get(&rpc)
     }
 
-    /// The active RPC with this id.
+    /// Returns the active RPC with this id, or an error if there is none.
     pub fn get_mut(&mut self, request_id: &str) -> Result<&mut ActiveRpc, EventProblem> {
         let rpc = self.by_request_id.get_mut(request_id);
         rpc.ok_or_else(|| EventProblem::UnknownRequest(request_id.to_owned()))
     }
 
-    /// Removes an RPC that is answered and has no attempt in flight.
+    /// Removes an RPC if it is answered and has no attempt in flight.
     pub fn remove_if_done(&mut self, request_id: &str) {
         if let Some(active) = self.by_request_id.get(request_id)
             && active.is_answered
--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -1,9 +1,9 @@
-//! The adapter as a process: a bad line gets a plain message and never stops it, and timers that fire early are set again.
+//! The adapter as a process: it reports a bad line and continues, and a timer that fires early is set again.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the adapter on these lines, until the end of its input.
+/// Runs the adapter on these lines until the end of its input, and returns its output.
 fn run_adapter<'a>(lines: impl IntoIterator<Item = &'a str>) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ladderpass-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -55,7 +55,8 @@
         r#"{"kind":"ROSTER","Buffer":0,"Entries":[{"Node":"n:1","Shard":1,"StageState":"on"}]}"#,
         r#"{"kind":"FLEET","Who":"router_0","Buffer":0,"How":"stale_copy"}"#,
         r#"{"kind":"END"}"#,
-        // Earlier than any timer that it can have set: times on the wire are rounded.
+        // This is earlier than the time of any timer that the router can have set, because times are rounded on the
+        // wire.
         r#"{"kind":"TICK","AtTime":1000001000}"#,
         r#"{"kind":"TICK_DUE","Who":"router_0","Handle":1}"#,
         r#"{"kind":"END"}"#,
