--- a/crates/ladderpass/tests/kernel_timestamps.rs
+++ b/crates/ladderpass/tests/kernel_timestamps.rs
@@ -47,24 +47,24 @@
             assert_eq!(
                 clock.time_in_kernel(ms(1400), wall(1100), ms(400)),
                 ms(300),
-                "before, {step} {ahead}"
+                "sent before the step of {step} ms, ahead: {ahead}"
             );
             assert_eq!(
                 clock.time_in_kernel(ms(1400), stepped(1390), ms(400)),
                 ms(10),
-                "after, {step} {ahead}"
+                "sent after the step of {step} ms, ahead: {ahead}"
             );
             // The clock is set back to the correct time while more bytes wait.
             clock.record_reading(ms(1800), wall(1800));
             assert_eq!(
                 clock.time_in_kernel(ms(1800), stepped(1500), ms(400)),
                 ms(300),
-                "between, {step} {ahead}"
+                "sent before the correction of {step} ms, ahead: {ahead}"
             );
             assert_eq!(
                 clock.time_in_kernel(ms(1800), wall(1790), ms(400)),
                 ms(10),
-                "right again, {step} {ahead}"
+                "sent after the correction of {step} ms, ahead: {ahead}"
             );
         }
     }
--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -48,7 +48,7 @@
     let mut clients: Vec<_> = (0..reads).map(|_| router.client()).collect();
     // By this statement the router learns that the replica is up to date.
     assert_eq!(execute(&mut clients[0], &statement("first", "read", 30_000, "1")).0, b"TDCZ");
-    router.statements.recv().expect("a member was asked");
+    router.statements.recv().expect("a member gets the statement");
     thread::sleep(IDLE_PAUSE);
     for (nth, client) in clients.iter_mut().enumerate() {
         let read = query(&statement(&nth.to_string(), "read", 30_000, "1"));
@@ -66,8 +66,8 @@
 fn a_read_goes_to_its_replica_once_the_connection_is_up() {
     let router = router_with_late_replica("\"AttemptsCap\":6");
     let asked = members_asked_by(&router, READS);
-    assert_eq!(asked.len(), READS, "each was sent once");
-    assert!(!asked.contains(&0), "a read went to the primary: {asked:?}");
+    assert_eq!(asked.len(), READS, "each read is sent once");
+    assert!(!asked.contains(&0), "a read went to the primary; members that got one: {asked:?}");
 }
 
 /// A read that was not sent does not count as an attempt, so the only attempt that the settings allow is still
@@ -76,5 +76,5 @@
 fn a_connection_that_comes_up_late_uses_up_no_attempt() {
     let router = router_with_late_replica("\"AttemptsCap\":1");
     let asked = members_asked_by(&router, READS);
-    assert_eq!(asked.len(), READS, "each was sent once");
+    assert_eq!(asked.len(), READS, "each read is sent once");
 }
--- a/crates/ladderpass/tests/log_lines.rs
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -43,7 +43,7 @@
         reducer.handle(SIMULATION_START + Span::from_millis(11_000), Event::Terminate);
     });
     let bytes = buffer.0.lock().expect("no writer panics").clone();
-    String::from_utf8(bytes).expect("text").lines().map(str::to_owned).collect()
+    String::from_utf8(bytes).expect("UTF-8 text").lines().map(str::to_owned).collect()
 }
 
 #[test]
@@ -55,9 +55,9 @@
     assert_eq!(router_log::number(line, "clients"), Some(0.0), "{line}");
     assert_eq!(router_log::number(line, "member_connections"), Some(0.0), "{line}");
     assert_eq!(router_log::number(line, "members"), Some(3.0), "{line}");
-    let connects = router_log::number(line, "connects").expect("it is there");
-    let health_checks = router_log::sum_by_outcome(line, "health_checks").expect("it is there");
-    assert!(connects >= 3.0 && health_checks == connects, "each connect is for a health check: {line}");
+    let connects = router_log::number(line, "connects").expect("the line has the field");
+    let health_checks = router_log::sum_by_outcome(line, "health_checks").expect("the line has the field");
+    assert!(connects >= 3.0 && health_checks == connects, "each connect is for one health check: {line}");
     assert_eq!(lines.iter().filter(|line| router_log::is_shutdown_begun(line)).count(), 1);
     assert!(!lines.iter().any(|line| router_log::is_overload_level_change(line)));
 }
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -82,15 +82,15 @@
     // A refused connection means that the request was never accepted. Only a router that is stopping may refuse
     // connections.
     if entry.refused {
-        return (entry.sent < term).then_some("refused before the stop");
+        return (entry.sent < term).then_some("connection refused before SIGTERM");
     }
     match entry.lost {
         Some(at) if at < kill => {
             let crossing = (crowded || at >= term) && at - entry.sent <= CROSSING + close_takes;
-            (!crossing).then_some("closed on without an answer")
+            (!crossing).then_some("connection closed without an answer")
         }
-        _ if entry.sent > term + KILL_AFTER => Some("unanswered at the kill"),
-        _ => (entry.deadline + SLACK <= kill).then_some("without an answer in its time"),
+        _ if entry.sent > term + KILL_AFTER => Some("unanswered at SIGKILL"),
+        _ => (entry.deadline + SLACK <= kill).then_some("unanswered at its deadline"),
     }
 }
 
@@ -105,13 +105,13 @@
             let ended = entry.lost.map(|at| format!("{:.1}", (at - kill).secs() * 1e3));
             let before = (kill - entry.sent).secs() * 1e3;
             broken.push(format!(
-                "rule 1: {:x}, sent {after:.0} ms after SIGTERM and {before:.1} ms before the kill, its connection seen \
-                 to end {ended:?} ms after that: {reason}",
+                "rule 1: RPC {:x}, sent {after:.0} ms after SIGTERM and {before:.1} ms before SIGKILL, its connection ended \
+                 {ended:?} ms after SIGKILL: {reason}",
                 entry.number
             ));
         }
         if entry.answered.is_some_and(|answered| answered.at > entry.deadline + LATE) {
-            broken.push(format!("rule 1: {:x} is answered too late", entry.number));
+            broken.push(format!("rule 1: RPC {:x} is answered too late", entry.number));
         }
     }
     // Rule 1 (each RPC has one answer in time) is checked above.
@@ -119,7 +119,7 @@
     broken.extend(others.map(|violation| violation.to_string()));
     // The router exits with success once all RPCs are answered, or runs until it is killed.
     if !matches!(seen.ended, Some(Some(0) | None)) {
-        broken.push(format!("the process ended with {:?}", seen.ended));
+        broken.push(format!("the process ended with exit code {:?}", seen.ended));
     }
     broken
 }
--- a/crates/ladderpass/tests/operator_contract/attempts.rs
+++ b/crates/ladderpass/tests/operator_contract/attempts.rs
@@ -9,8 +9,11 @@
 
 /// The value of `d` in a statement: how long its client waits, in milliseconds.
 fn wait_in(statement: &str) -> u64 {
-    let (_, rest) = statement.split_once(",d=").expect("it has a time");
-    rest.split(|c: char| !c.is_ascii_digit()).next().and_then(|text| text.parse().ok()).expect("a number")
+    let (_, rest) = statement.split_once(",d=").expect("the statement has a time");
+    rest.split(|c: char| !c.is_ascii_digit())
+        .next()
+        .and_then(|text| text.parse().ok())
+        .expect("the time is a number")
 }
 
 /// The group drops retries for 0.6 s (`KeyTtl`) after the first attempt that may have run. The second attempt waits for
@@ -27,11 +30,11 @@
     close(link);
     let mut late = harness.accept_member_connection(0);
     sleep(ms(900).saturating_sub(sent.elapsed()));
-    late.write_all(&welcome()).expect("the router waits for it");
-    late.set_read_timeout(Some(ms(500))).expect("it can");
+    late.write_all(&welcome()).expect("the router waits for the connection");
+    late.set_read_timeout(Some(ms(500))).expect("the socket option can be set");
     let mut received = Vec::new();
     let _ = late.read_to_end(&mut received);
-    assert!(!received.contains(&b'Q'), "a retry after {:?}", sent.elapsed());
+    assert!(!received.contains(&b'Q'), "the retry was sent after {:?}", sent.elapsed());
     assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "58000".to_owned()));
 }
 
@@ -45,13 +48,14 @@
     let (_, first) = harness.next_rpc(1);
     sleep(ms(600));
     close(first);
-    let second = accept_connection_within(&harness.members[0], ms(1500)).expect("the primary is called");
+    let second =
+        accept_connection_within(&harness.members[0], ms(1500)).expect("the router connects to the primary");
     let mut second = read_startup(second);
-    second.write_all(&welcome()).expect("it reads");
-    let (_, body) = next_frame(&mut second).expect("a query");
+    second.write_all(&welcome()).expect("the router reads");
+    let (_, body) = next_frame(&mut second).expect("the member gets a query");
     let left = 2000_u64.saturating_sub(sent.elapsed().as_millis() as u64);
-    let wait = wait_in(&String::from_utf8(body).expect("text"));
-    assert!(wait <= left + 150, "a wait of {wait} ms where {left} ms are left");
+    let wait = wait_in(&String::from_utf8(body).expect("UTF-8 text"));
+    assert!(wait <= left + 150, "the retry carries {wait} ms, but {left} ms are left");
 }
 
 /// The client resets its connection, rather than closing it, while its RPC waits for a connection to a member.
@@ -63,10 +67,10 @@
     let mut late = harness.accept_member_connection(0);
     reset(client);
     sleep(ms(100));
-    late.write_all(&welcome()).expect("it reads");
-    late.set_read_timeout(Some(ms(300))).expect("it can");
+    late.write_all(&welcome()).expect("the router reads");
+    late.set_read_timeout(Some(ms(300))).expect("the socket option can be set");
     let mut received = Vec::new();
     let _ = late.read_to_end(&mut received);
-    assert!(!received.contains(&b'Q'), "an attempt starts after its client has left");
+    assert!(!received.contains(&b'Q'), "an attempt was sent after its client had left");
     harness.idle_connections[0].push(late);
 }
--- a/crates/ladderpass/tests/operator_contract/endpoint_list.rs
+++ b/crates/ladderpass/tests/operator_contract/endpoint_list.rs
@@ -15,28 +15,28 @@
 fn new_configurations_in_quick_succession_are_followed_to_the_last() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
-    let good = std::fs::read_to_string(&harness.config_file).expect("its file");
+    let good = std::fs::read_to_string(&harness.config_file).expect("the configuration file can be read");
     let listeners: Vec<_> = (0..5).map(|_| bind_listener()).collect();
     for (nth, listener) in listeners.iter().enumerate() {
-        let at = listener.local_addr().expect("an address");
+        let at = listener.local_addr().expect("the listener has an address");
         let text = good.replace("\"seed\":\"8c", &format!("\"discovery\":\"{at}\",\"seed\":\"8c"));
         if nth == 3 {
-            std::fs::write(&harness.config_file, &text[..text.len() / 2]).expect("written");
+            std::fs::write(&harness.config_file, &text[..text.len() / 2]).expect("the file can be written");
             harness.signal(Signal::SIGHUP);
             sleep(ms(30));
         }
-        std::fs::write(&harness.config_file, &text).expect("written");
+        std::fs::write(&harness.config_file, &text).expect("the file can be written");
         harness.signal(Signal::SIGHUP);
         sleep(ms(30));
     }
     let since = Instant::now();
-    harness.discovery = listeners.into_iter().next_back().expect("five");
+    harness.discovery = listeners.into_iter().next_back().expect("there are five listeners");
     harness.open_watch();
     let moved = instance(0, &harness.member_address(1), "SERVING");
     harness.generation = 100;
     harness.send_listing(&moved, true);
     harness.settle();
-    assert!(since.elapsed() < ms(4000), "after {:?}", since.elapsed());
+    assert!(since.elapsed() < ms(4000), "the list took effect after {:?}", since.elapsed());
     let mut client = harness.client();
     client.write_all(&query(&write_statement("2"))).expect("the router reads");
     assert_eq!(harness.next_rpc(1).0, "2");
@@ -54,7 +54,7 @@
         harness.watch = None;
         let since = Instant::now();
         harness.open_watch();
-        assert!(since.elapsed() < ms(200), "after {:?}", since.elapsed());
+        assert!(since.elapsed() < ms(200), "the watch was opened again after {:?}", since.elapsed());
     }
     harness.send_listing("", false);
     let draining = instance(0, &harness.member_address(0), "DRAINING");
@@ -62,7 +62,7 @@
     harness.settle();
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "write", 400, "1"))).expect("the router reads");
-    assert!(harness.next_rpc_within(0, ms(600)).is_none(), "nothing goes to the one that drains");
+    assert!(harness.next_rpc_within(0, ms(600)).is_none(), "the draining member got an RPC");
 }
 
 /// Discovery answers each watch late, but before 2 s, after which it would reject it. A change takes effect within 6 s
@@ -75,7 +75,7 @@
         let moved = instance(0, &harness.member_address(1), "SERVING");
         let list = format!("{{\"generation\":9,\"reset\":true,\"instances\":[{moved}]}}\n");
         let answer = [WATCH_HEAD, &chunk(list.as_bytes())].concat();
-        let discovery = harness.discovery.try_clone().expect("it can");
+        let discovery = harness.discovery.try_clone().expect("the socket can be cloned");
         std::thread::spawn(move || {
             loop {
                 let mut watch = accept_connection(&discovery);
@@ -91,7 +91,10 @@
         let since = Instant::now();
         let mut nth = 1;
         let notified_after = loop {
-            assert!(since.elapsed() < ms(6000), "{takes} ms a watch: not notified yet");
+            assert!(
+                since.elapsed() < ms(6000),
+                "watches answered after {takes} ms: the list has not taken effect"
+            );
             nth += 1;
             let mut client = harness.client();
             client.write_all(&query(&write_statement(&nth.to_string()))).expect("the router reads");
@@ -100,6 +103,6 @@
                 _ => sleep(ms(50)),
             }
         };
-        println!("{takes} ms a watch: notified after {notified_after:?}");
+        println!("watches answered after {takes} ms: the list took effect after {notified_after:?}");
     }
 }
--- a/crates/ladderpass/tests/operator_contract/memory.rs
+++ b/crates/ladderpass/tests/operator_contract/memory.rs
@@ -18,7 +18,7 @@
             let text = statement(&format!("{nth}"), "write", 2500, "1");
             let bytes = query(&text.replace("\\x9f03", &format!("\\x{value}")));
             std::thread::spawn(move || {
-                client.write_all(&bytes).map_err(|error| format!("unsent: {error}"))?;
+                client.write_all(&bytes).map_err(|error| format!("not sent: {error}"))?;
                 let sent = Instant::now();
                 let (kinds, code) = read_answer(&mut client);
                 match (kinds.ends_with(b"Z"), sent.elapsed() < ms(3000)) {
@@ -28,11 +28,20 @@
             })
         })
         .collect();
-    let lost: Vec<String> =
-        clients.into_iter().filter_map(|client| client.join().expect("no panic").err()).collect();
-    assert_eq!(lost.len(), 0, "{} lost: {:?}", lost.len(), &lost[..lost.len().min(3)]);
-    let status = std::fs::read_to_string(format!("/proc/{}/status", harness.process.id())).expect("it runs");
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a peak");
-    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("a number");
-    assert!(peak < 32 << 10, "{peak} KiB of 32 MiB");
+    let lost: Vec<String> = clients
+        .into_iter()
+        .filter_map(|client| client.join().expect("the thread does not panic").err())
+        .collect();
+    assert_eq!(
+        lost.len(),
+        0,
+        "{} statements were not answered in time: {:?}",
+        lost.len(),
+        &lost[..lost.len().min(3)]
+    );
+    let status = std::fs::read_to_string(format!("/proc/{}/status", harness.process.id()))
+        .expect("the router is running");
+    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has a peak");
+    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().expect("the peak is a number");
+    assert!(peak < 32 << 10, "the peak of {peak} KiB exceeds 32 MiB");
 }
--- a/crates/ladderpass/tests/operator_contract/rejections.rs
+++ b/crates/ladderpass/tests/operator_contract/rejections.rs
@@ -14,8 +14,8 @@
 /// Sends these pieces, one every 0.4 s, and waits. Returns the time until the client gets an error or is closed, or
 /// None if neither happens within 2.5 s past the limit.
 fn rejected_after(harness: &RouterHarness, pieces: &[Vec<u8>]) -> Option<Duration> {
-    let mut stream = TcpStream::connect(&harness.address).expect("it listens");
-    stream.set_read_timeout(Some(ms(20))).expect("it can");
+    let mut stream = TcpStream::connect(&harness.address).expect("the router listens");
+    stream.set_read_timeout(Some(ms(20))).expect("the socket option can be set");
     let began = Instant::now();
     let mut left = pieces.iter();
     let (mut input, mut chunk) = (Vec::new(), [0; 4096]);
@@ -24,7 +24,7 @@
         if Instant::now() >= next_at {
             next_at = Instant::now() + ms(400);
             if let Some(piece) = left.next() {
-                stream.set_write_timeout(Some(ms(50))).expect("it can");
+                stream.set_write_timeout(Some(ms(50))).expect("the socket option can be set");
                 let _ = stream.write_all(piece);
             }
         }
@@ -49,14 +49,14 @@
     let opened = |bytes: Vec<u8>| vec![[startup(), bytes].concat()];
     let changed = |from: &str, to: &str| opened(query(&good.replace(from, to)));
     let cases: Vec<(&str, Vec<Vec<u8>>)> = vec![
-        ("says nothing", vec![]),
+        ("nothing is sent", vec![]),
         ("a startup with a negative length", vec![(-5i32).to_be_bytes().to_vec()]),
         ("a startup with a huge length", vec![i32::MAX.to_be_bytes().to_vec()]),
         ("half a startup", vec![startup()[..10].to_vec()]),
         ("half of a length", vec![startup()[..2].to_vec()]),
         ("a startup a byte at a time", startup().chunks(1).map(<[u8]>::to_vec).collect()),
         ("noise", vec![vec![0xff; 9000]]),
-        ("a line without end", vec![vec![b'x'; 400_000]; 12]),
+        ("a line that does not end", vec![vec![b'x'; 400_000]; 12]),
         ("a message with a negative length", opened(head(b'Q', -1))),
         ("a message with a huge length", opened(head(b'Q', i32::MAX))),
         ("a message of unknown kind", opened(head(b'!', 4))),
@@ -64,20 +64,20 @@
         ("60 MB", vec![[startup(), head(b'Q', 60 << 20), vec![b'a'; 4 << 20]].concat()]),
         ("half a head", opened(head(b'Q', 100)[..3].to_vec())),
         ("half a statement", opened(query(&good)[..40].to_vec())),
-        ("all but the last byte", opened(query(&good).split_last().expect("bytes").1.to_vec())),
+        ("all but the last byte", opened(query(&good).split_last().expect("the query has bytes").1.to_vec())),
         ("a statement a few bytes at a time", {
             let bytes = [startup(), query(&good)].concat();
             bytes.chunks(4).map(<[u8]>::to_vec).collect()
         }),
         ("an unknown method", changed("c=read", "c=none")),
-        ("a time that is no number", changed("d=500", "d=soon")),
+        ("a time that is a word", changed("d=500", "d=soon")),
         ("a negative time", changed("d=500", "d=-500")),
         ("a time that is not a number", changed("d=500", "d=NaN")),
         ("no id", changed("id=7,", "")),
         ("no comment", changed("/*", "--")),
         ("an unknown group", changed("cluster=1", "cluster=99")),
-        ("a form that is not served", opened(query(&good.replace("SELECT payload", "DELETE")))),
-        ("hundreds of bad commands at once", opened(query("DROP TABLE entries").repeat(500))),
+        ("an unsupported statement", opened(query(&good.replace("SELECT payload", "DELETE")))),
+        ("hundreds of invalid commands at once", opened(query("DROP TABLE entries").repeat(500))),
         ("a whole statement and half of one", opened([query("x"), query(&good)[..30].to_vec()].concat())),
     ];
     let late_case = |(what, pieces): (&str, Vec<Vec<u8>>)| {
@@ -86,7 +86,7 @@
     };
     let late: Vec<String> = std::thread::scope(|scope| {
         let threads: Vec<_> = cases.into_iter().map(|case| scope.spawn(|| late_case(case))).collect();
-        threads.into_iter().filter_map(|thread| thread.join().expect("no panic")).collect()
+        threads.into_iter().filter_map(|thread| thread.join().expect("the thread does not panic")).collect()
     });
     assert_eq!(late, Vec::<String>::new());
 }
@@ -101,8 +101,11 @@
             let text = statement(&format!("{nth}{method}"), method, 500, "1");
             let sent = Instant::now();
             let (kinds, code) = execute(&mut client, &text.replace("d=500", &format!("d={time}")));
-            assert!(kinds == b"EZ" && ["53300", "58000"].contains(&code.as_str()), "{time}: {code}");
-            assert!(sent.elapsed() < ms(200), "{time}: after {:?}", sent.elapsed());
+            assert!(
+                kinds == b"EZ" && ["53300", "58000"].contains(&code.as_str()),
+                "with {time} ms left: {kinds:?} {code}"
+            );
+            assert!(sent.elapsed() < ms(200), "with {time} ms left: answered after {:?}", sent.elapsed());
         }
     }
 }
@@ -116,9 +119,9 @@
     first.write_all(&query(&write_statement("1"))).expect("the router reads");
     let (_, _in_flight) = harness.next_rpc(0);
     second.write_all(&query(&write_statement("2"))).expect("the router reads");
-    let (kind, body) = next_frame(&mut second).expect("an answer");
+    let (kind, body) = next_frame(&mut second).expect("the statement is answered");
     assert_eq!((kind, sqlstate(&body).as_str()), (b'E', "53300"));
     let named = body.split(|&byte| byte == 0).find(|field| field.first() == Some(&b'D'));
     let named = named.and_then(|field| std::str::from_utf8(&field[1..]).ok()?.parse::<u64>().ok());
-    assert!(named.is_some_and(|ms| (1..=500).contains(&ms)), "{named:?}");
+    assert!(named.is_some_and(|ms| (1..=500).contains(&ms)), "the rejection has a Retry-After: {named:?}");
 }
--- a/crates/ladderpass/tests/operator_contract/shutdown.rs
+++ b/crates/ladderpass/tests/operator_contract/shutdown.rs
@@ -21,7 +21,7 @@
 
 impl Sender {
     pub fn new(stream: TcpStream) -> Sender {
-        stream.set_nonblocking(true).expect("it can");
+        stream.set_nonblocking(true).expect("the socket option can be set");
         Sender { stream, sent: Vec::new(), answers: 0, input: Vec::new(), closed_in_order: None }
     }
 
@@ -65,7 +65,7 @@
     let harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":300000000"));
     let text = |nth: usize| query(&statement(&format!("{nth}"), "write", deadline, "1"));
     let mut busy = Sender::new(harness.client());
-    let mut unopened = Sender::new(TcpStream::connect(&harness.address).expect("it listens"));
+    let mut unopened = Sender::new(TcpStream::connect(&harness.address).expect("the router listens"));
     harness.settle();
     let began = Instant::now();
     harness.signal(Signal::SIGTERM);
@@ -104,7 +104,7 @@
     }
     harness.signal(Signal::SIGKILL);
     sleep(ms(50));
-    let late = late.expect("it came");
+    let late = late.expect("the late client connected");
     for (name, sender) in [("busy", busy), ("late", late), ("unopened", unopened)] {
         let after: Vec<Duration> = sender.unanswered().iter().map(|sent| *sent - began).collect();
         let lost = after.iter().filter(|&&after| after > ms(700)).count();
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -71,7 +71,10 @@
     assert!(reads.rejected > 50, "{reads:?}");
     assert_eq!((writes.rejected, writes.aborted), (0, 0), "{writes:?}");
     assert!(seen.outcome.come_back_ms.min() >= 10 && seen.outcome.come_back_ms.max() <= 500);
-    assert!(seen.outcome.come_back_ms.max() > seen.outcome.come_back_ms.min() + 10, "spread by chance");
+    assert!(
+        seen.outcome.come_back_ms.max() > seen.outcome.come_back_ms.min() + 10,
+        "retry-after times are spread at random"
+    );
 }
 
 /// Delay of the event loop counts as overload only from 2 s on in this test. With the default, the test failed beside
@@ -98,18 +101,18 @@
     let seen = run(&scenario, &start, &plan, vec![]);
     assert_all_answered(&seen);
     let after = seen.counts(5.0, 6.0);
-    assert!(after.due > 50 && after.ok == after.due, "once they are gone: {after:?}");
-    assert!(seen.resident_bytes < 64 << 20, "{} bytes", seen.resident_bytes);
+    assert!(after.due > 50 && after.ok == after.due, "after the slow readers are closed: {after:?}");
+    assert!(seen.resident_bytes < 64 << 20, "the router uses {} bytes", seen.resident_bytes);
     // A client that does not read never sees the close behind its unread bytes, so the router's metrics have to show
     // it.
     let slow = charts::figures(&seen.log, "slow_readers", 0.1);
     let most = slow.iter().map(|figure| figure.1).fold(0.0, f64::max);
     let shed: f64 = charts::figures(&seen.log, "shed", 0.1).iter().map(|figure| figure.1).sum();
-    assert_eq!(shed, 0.0, "they are served, and do not read");
-    assert!(most >= 20.0, "{most} of them stood in the way");
+    assert_eq!(shed, 0.0, "statements of the slow readers were shed");
+    assert!(most >= 20.0, "only {most} clients blocked their connections");
     assert_eq!(slow.last().map(|figure| figure.1), Some(0.0));
     let clients = charts::figures(&seen.log, "clients", 0.1).last().map_or(0.0, |figure| figure.1);
-    assert!(clients < 152.0 - most / 2.0, "{clients} clients are left");
+    assert!(clients < 152.0 - most / 2.0, "{clients} clients are still connected");
 }
 
 #[test]
@@ -129,14 +132,14 @@
     assert!(flood.rejected > flood.ok, "{flood:?}");
     let part = |pushed: u64, due: u64| pushed as f64 / due.max(1) as f64;
     let (theirs, ours) = (part(flood.rejected, flood.due), part(polite.rejected, polite.due));
-    assert!(ours < theirs * 0.8, "polite {ours:.2}, flood {theirs:.2}");
+    assert!(ours < theirs * 0.8, "rejected share of the polite clients {ours:.2}, of the flood {theirs:.2}");
 }
 
 #[test]
 fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        FaultEvent::at(0.5, |router, _| router.signal(Signal::SIGHUP).expect("it runs")),
+        FaultEvent::at(0.5, |router, _| router.signal(Signal::SIGHUP).expect("the router is running")),
         FaultEvent::at(1.0, |_, emulator| emulator.apply(1, Input::Crash)),
         FaultEvent::at(2.0, |_, emulator| emulator.apply(1, Input::Restart)),
     ];
@@ -149,13 +152,13 @@
     assert_all_answered(&seen);
     assert!(
         seen.log.iter().any(|line| line.contains("configuration reloaded discovery=")),
-        "SIGHUP was taken"
+        "the configuration is reloaded at SIGHUP"
     );
     assert!(seen.outcome.total().rejected > 100 && seen.outcome.total().ok > 300);
-    assert_eq!(seen.ended, None, "it runs on");
+    assert_eq!(seen.ended, None, "the router keeps running");
     // SIGTERM in the middle of the load: all accepted RPCs are answered, and then the process exits with success.
     let events: Vec<FaultEvent<'_>> =
-        vec![FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGTERM).expect("it runs"))];
+        vec![FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGTERM).expect("the router is running"))];
     let plan = Plan { connections: 50, ..gentle(6, &[Phase { seconds: 1.2, rate_per_second: 500.0 }]) };
     let seen = run(&Scenario::default(), &start(SHORT), &plan, events);
     assert_eq!(seen.ended, Some(Some(0)), "{:?}", seen.log.last());
@@ -166,8 +169,8 @@
 fn a_stall_of_800_ms_is_answered_for() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
-        FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGSTOP).expect("it runs")),
-        FaultEvent::at(1.8, |router, _| router.signal(Signal::SIGCONT).expect("it is stopped")),
+        FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGSTOP).expect("the router is running")),
+        FaultEvent::at(1.8, |router, _| router.signal(Signal::SIGCONT).expect("the router is paused")),
     ];
     let seen = run(
         &Scenario::default(),
@@ -177,7 +180,7 @@
     );
     assert_all_answered(&seen);
     let after = seen.counts(3.8, 4.0);
-    assert!(after.ok == after.due, "two seconds after: {after:?}");
+    assert!(after.ok == after.due, "two seconds after the stall: {after:?}");
 }
 
 #[test]
@@ -187,7 +190,8 @@
     let stop = Arc::new(AtomicBool::new(false));
     let stopped = stop.clone();
     let hog = std::thread::spawn(move || {
-        ladderpass_testbed::router::pin(nix::unistd::Pid::from_raw(0), core).expect("its own thread");
+        ladderpass_testbed::router::pin(nix::unistd::Pid::from_raw(0), core)
+            .expect("a thread may pin itself");
         while !stopped.load(Ordering::Relaxed) {
             std::hint::spin_loop();
         }
@@ -201,6 +205,6 @@
         vec![],
     );
     stop.store(true, Ordering::Relaxed);
-    hog.join().expect("it ends");
+    hog.join().expect("the thread does not panic");
     assert_all_answered(&seen);
 }
--- a/crates/ladderpass/tests/recorded_bytes/main.rs
+++ b/crates/ladderpass/tests/recorded_bytes/main.rs
@@ -35,9 +35,9 @@
 fn matches_recording(name: &str, text: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recorded").join(name);
     if std::env::var_os("LADDERPASS_RECORD").is_some() {
-        return std::fs::write(&path, text).expect("writes");
+        return std::fs::write(&path, text).expect("the recording can be written");
     }
-    let recorded = std::fs::read_to_string(&path).expect("the recording is there");
+    let recorded = std::fs::read_to_string(&path).expect("the recording can be read");
     let differs = text.lines().zip(recorded.lines()).position(|(now, before)| now != before);
     let line = differs.unwrap_or_else(|| text.lines().count().min(recorded.lines().count()));
     let (now, before) = (text.lines().nth(line), recorded.lines().nth(line));
@@ -78,6 +78,6 @@
         "exits",
         "to 127.0.0.1:7401: !",
     ] {
-        assert!(first.contains(wanted), "{wanted}");
+        assert!(first.contains(wanted), "the transcript lacks {wanted}");
     }
 }
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -40,7 +40,7 @@
         let in_flight = self.reducer.attempts_in_flight();
         assert_eq!(
             in_flight.rpcs, in_flight.connections,
-            "attempts in flight, and connections that carry one"
+            "RPCs with an attempt in flight, and member connections that carry one"
         );
     }
 
@@ -62,8 +62,8 @@
         let text = statement(&rpc, method, wait, "1");
         self.expect_statement(&text, method == "write");
         let due = self.now + Span::from_millis(wait as i64);
-        self.clients.get_mut(&id).expect("it is there").due.push(due);
-        self.clients.get_mut(&id).expect("it is there").ids.push(rpc);
+        self.clients.get_mut(&id).expect("the client is connected").due.push(due);
+        self.clients.get_mut(&id).expect("the client is connected").ids.push(rpc);
         self.feed(id, &query(&text));
     }
 
@@ -85,7 +85,7 @@
     }
 
     fn break_protocol(&mut self, id: ConnectionId) {
-        self.clients.get_mut(&id).expect("it is there").broke_protocol = true;
+        self.clients.get_mut(&id).expect("the client is connected").broke_protocol = true;
         let noise: Vec<u8> = (0..self.roll(30)).map(|_| self.roll(256) as u8).collect();
         self.feed(id, &noise);
     }
@@ -113,7 +113,7 @@
     fn act_as_member(&mut self) {
         let Some(id) = self.choose_from(self.member_ends.keys().copied().collect()) else { return };
         let (what, position) = (self.roll(16), self.now.nanos() as u64 / 1_000_000);
-        let member_end = self.member_ends.get_mut(&id).expect("it is there");
+        let member_end = self.member_ends.get_mut(&id).expect("the member connection is open");
         if what == 0 {
             self.member_ends.remove(&id);
             return self.apply(Event::Closed(id));
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -26,7 +26,7 @@
         let probed: Vec<ConnectionId> = simulation.member_ends.keys().copied().collect();
         for (nth, &id) in probed.iter().enumerate() {
             simulation.establish(id);
-            simulation.member_ends.get_mut(&id).expect("it came up").query = None;
+            simulation.member_ends.get_mut(&id).expect("the member connection is open").query = None;
             let seconds = position as f64 / 1e3;
             let report = format!("x0={seconds:.3},x1={}", u8::from(nth == 0));
             simulation.feed(id, &row(report.as_bytes(), "follower", position));
@@ -35,12 +35,12 @@
         simulation.advance(Span::ZERO);
         let late: Vec<ConnectionId> =
             simulation.member_ends.keys().filter(|id| !probed.contains(id)).copied().collect();
-        assert!(!late.is_empty(), "some wait for a connection: {method}, {age_ms} ms");
+        assert!(!late.is_empty(), "no {method} waits for a connection, with data {age_ms} ms old");
         simulation.now = simulation.now + Span::from_millis(waited_ms as i64);
         // Only the first connection is established: a read that is decided again may be sent on one that follows.
         simulation.establish(late[0]);
         let asked = simulation.member_ends[&late[0]].query.is_some();
-        assert_eq!(asked, sent, "{method}, of data {age_ms} ms old");
+        assert_eq!(asked, sent, "is a {method} of data {age_ms} ms old sent?");
     }
 }
 
@@ -53,7 +53,7 @@
         let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
         let text = statement("9", "read", 400, "1");
         simulation.expect_statement(&text, false);
-        let state = simulation.clients.get_mut(&client).expect("it is there");
+        let state = simulation.clients.get_mut(&client).expect("the client is connected");
         let due = simulation.now + Span::from_millis(400);
         (state.due, state.ids) = (vec![state.due[0], due], vec!["7".to_owned(), "9".to_owned()]);
         simulation.feed(client, &query(&text));
@@ -68,7 +68,7 @@
             let turn = served_after.max(400) + 10;
             assert!(
                 step * 5 < turn || state.answers == 2,
-                "{served_after} ms: still open at {} ms",
+                "first answer after {served_after} ms: no second answer at {} ms",
                 step * 5
             );
         }
@@ -81,13 +81,13 @@
 fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
         let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
-        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
+        simulation.member_ends.get_mut(&link).expect("the member connection is open").query = None;
         simulation.feed(link, &row(b"7", "follower", 1));
         simulation.write(client);
         assert_eq!(simulation.clients[&client].answers, 1);
         assert!(
             simulation.member_ends[&link].sync_query_queued,
-            "an empty query stands behind the one that was answered"
+            "an empty query follows the one that was answered"
         );
         simulation.feed(link, &surplus);
         simulation.feed(link, &empty_query_response());
@@ -112,7 +112,7 @@
     assert_eq!(count, before.0 + 1);
     assert!(
         time - before.1 < Span::from_millis(20),
-        "{time:?}: the member took a millisecond and what was before"
+        "answer times sum up to {time:?}, but the member took a millisecond"
     );
 }
 
@@ -135,13 +135,17 @@
             simulation.reducer.handle(simulation.now, event);
         }
         let out = String::from_utf8_lossy(simulation.reducer.outgoing(link)).into_owned();
-        assert!(out.contains("id=8,"), "{out}");
+        assert!(out.contains("id=8,"), "not in the output: {out}");
         if written > 0 {
             simulation.reducer.handle(simulation.now, Event::Written(link, written));
         }
         let effects = simulation.reducer.handle(simulation.now, Event::Closed(client));
-        assert_eq!(effects.contains(&Effect::Close(link)), written > 0, "a part makes it useless");
-        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(
+            effects.contains(&Effect::Close(link)),
+            written > 0,
+            "a connection is closed if part of a query is written"
+        );
+        assert!(simulation.reducer.outgoing(link).is_empty(), "no more of the query is sent");
         let in_flight = simulation.reducer.attempts_in_flight();
         assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
     }
@@ -158,7 +162,7 @@
             let position = simulation.now.nanos() as u64 / 1_000_000;
             simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
             simulation.write(client);
-            simulation.clients.get_mut(&client).expect("it is there").broke_protocol = true;
+            simulation.clients.get_mut(&client).expect("the client is connected").broke_protocol = true;
             let bytes = query(&statement("8", method, 2000, "1"));
             simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
             // The effects are not carried out, as the socket accepts nothing.
@@ -169,7 +173,7 @@
                 String::from_utf8_lossy(simulation.reducer.outgoing(id)).contains("id=8,")
             };
             let Some(&link) = simulation.member_ends.keys().find(has_it) else {
-                panic!("{method}: it is not sent")
+                panic!("{method}: the attempt is not sent")
             };
             if written > 0 {
                 simulation.reducer.handle(simulation.now, Event::Written(link, written));
@@ -177,7 +181,10 @@
             simulation.reducer.handle(simulation.now, Event::WriteBlocked(link));
             let late = simulation.now + Span::from_millis(within + 1);
             let effects = simulation.reducer.handle(late, Event::Tick);
-            assert!(effects.contains(&Effect::Close(link)), "{method}, {written} written: {effects:?}");
+            assert!(
+                effects.contains(&Effect::Close(link)),
+                "{method}, {written} bytes written: the connection is not closed, but {effects:?}"
+            );
         }
     }
 }
@@ -223,7 +230,7 @@
         };
         let went: Vec<u16> =
             simulation.member_ends.iter().filter_map(asked).map(|port| port.min(7001)).collect();
-        assert_eq!(went, [port], "short by {short_by} ms");
+        assert_eq!(went, [port], "positions {short_by} ms behind the write");
     }
 }
 
@@ -233,10 +240,10 @@
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     simulation.feed(link, &row(b"7", "follower", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
-    assert!(!simulation.member_ends.contains_key(&link), "abandoned");
-    assert_eq!(simulation.clients[&client].answers, 0, "a read that may go elsewhere");
+    assert!(!simulation.member_ends.contains_key(&link), "the attempt is given up");
+    assert_eq!(simulation.clients[&client].answers, 0, "the read may be retried");
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("write");
     simulation.feed(link, &row(b"7", "leader", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
-    assert_eq!(simulation.clients[&client].answers, 1, "a write that may have run");
+    assert_eq!(simulation.clients[&client].answers, 1, "the write may have run, so its client gets an error");
 }
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -26,7 +26,7 @@
     simulation.send_cancel_request(idle);
     simulation.send_cancel_request((process, idle.1));
     assert_eq!(answers_of(&simulation, client), []);
-    simulation.member_ends.get_mut(&link).expect("it is there").query = None;
+    simulation.member_ends.get_mut(&link).expect("the member connection is open").query = None;
     simulation.receive(link, &row(b"7", "follower", 1));
     simulation.send_cancel_request((process, secret));
     simulation.advance(Span::ZERO);
@@ -60,7 +60,7 @@
             if !member_end.up {
                 simulation.establish(id);
             } else if let Some(asked) = member_end.query.take() {
-                assert_ne!(id_and_rest(&asked).0, "7", "it was cancelled");
+                assert_ne!(id_and_rest(&asked).0, "7", "the cancelled RPC is sent");
                 let report = format!("x0={}.9,x1=1", position / 1000);
                 let value = if asked == "SHOW server_load" { report } else { id_and_rest(&asked).0 };
                 simulation.feed(id, &row(value.as_bytes(), "leader", position));
@@ -96,8 +96,12 @@
             simulation.reducer.handle(simulation.now, Event::Written(link, written));
         }
         simulation.send_cancel_request(simulation.cancel_key_of(client));
-        assert_eq!(!simulation.member_ends.contains_key(&link), written > 0, "a part makes it useless");
-        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(
+            !simulation.member_ends.contains_key(&link),
+            written > 0,
+            "a connection is closed if part of a query is written"
+        );
+        assert!(simulation.reducer.outgoing(link).is_empty(), "no more of the query is sent");
         let in_flight = simulation.reducer.attempts_in_flight();
         assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
         simulation.write(client);
@@ -110,36 +114,39 @@
 #[test]
 fn no_attempt_follows_the_one_in_flight_when_it_is_cancelled() {
     for (method, ends, wanted) in [
-        ("read", "well", served()),
-        ("write", "well", served()),
-        ("read", "refused", unserved("57014")),
-        ("write", "refused", unserved("57014")),
-        ("read", "broken", unserved("57014")),
-        ("write", "broken", unserved("58000")),
+        ("read", "answered", served()),
+        ("write", "answered", served()),
+        ("read", "rejected", unserved("57014")),
+        ("write", "rejected", unserved("57014")),
+        ("read", "closed", unserved("57014")),
+        ("write", "closed", unserved("58000")),
     ] {
         let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         simulation.send_cancel_request(simulation.cancel_key_of(client));
-        assert_eq!(answers_of(&simulation, client), [], "it is out");
-        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
+        assert_eq!(answers_of(&simulation, client), [], "answered while the attempt is in flight");
+        simulation.member_ends.get_mut(&link).expect("the member connection is open").query = None;
         match ends {
-            "well" => simulation
+            "answered" => simulation
                 .receive(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position)),
-            "refused" => simulation.receive(link, &error_response("53300")),
+            "rejected" => simulation.receive(link, &error_response("53300")),
             _ => {
                 simulation.member_ends.remove(&link);
                 simulation.apply(Event::Closed(link));
             }
         }
         simulation.advance(Span::ZERO);
-        assert_eq!(answers_of(&simulation, client), [wanted], "{method} {ends}");
+        assert_eq!(answers_of(&simulation, client), [wanted], "{method}, attempt {ends}");
         for _ in 0..100 {
             simulation.advance(Span::from_millis(5));
             let asked = |member_end: &MemberEnd| {
                 member_end.query.as_ref().is_some_and(|asked| asked.contains("id=7,"))
             };
-            assert!(!simulation.member_ends.values().any(asked), "{method} {ends}: a further attempt");
+            assert!(
+                !simulation.member_ends.values().any(asked),
+                "{method}, attempt {ends}: a further attempt is made"
+            );
         }
     }
 }
--- a/crates/ladderpass/tests/reducer/checks.rs
+++ b/crates/ladderpass/tests/reducer/checks.rs
@@ -17,12 +17,15 @@
                 // The answer to the startup ends with ReadyForQuery too, and a fatal error ends without one.
                 let ends = |(kind, body): &&(u8, Vec<u8>)| *kind == b'Z' || body.starts_with(b"SFATAL");
                 let ready = found.iter().filter(ends).count().saturating_sub(1);
-                assert!(client.broke_protocol || ready <= client.due.len(), "rule 1: two answers");
+                assert!(
+                    client.broke_protocol || ready <= client.due.len(),
+                    "rule 1: more answers than statements"
+                );
                 for (nth, answer) in found.split_inclusive(|(kind, _)| *kind == b'Z').skip(1).enumerate() {
                     let value = answer.iter().find(|(kind, _)| *kind == b'D').map(|(_, body)| &body[6..]);
                     let wanted = client.ids.get(nth).map(String::as_bytes);
                     let own = client.broke_protocol || value.is_none() || wanted.is_none() || value == wanted;
-                    assert!(own, "rule 1: served what was made for another");
+                    assert!(own, "rule 1: the answer is for another RPC");
                 }
                 // The deadline of a pipelined statement runs from when it was sent, but it is answered after the
                 // statement before it, so it may be answered up to 10 ms after that one.
@@ -30,7 +33,10 @@
                 for (nth, due) in client.due.iter().enumerate().take(ready).skip(client.answers) {
                     let behind = nth > client.answers || self.now <= turn && client.answered_at.is_some();
                     let in_time = self.now <= *due || behind;
-                    assert!(client.broke_protocol || in_time, "rule 1: an answer past the client's time");
+                    assert!(
+                        client.broke_protocol || in_time,
+                        "rule 1: an answer after the client's deadline"
+                    );
                 }
                 if ready > client.answers {
                     client.answered_at = Some(self.now);
@@ -50,31 +56,37 @@
 
     /// Checks a complete query that has reached a member, and records it as in flight.
     fn check_query(&mut self, id: ConnectionId, kind: u8, body: &[u8]) {
-        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
+        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("UTF-8 text");
         let (rpc, rest) = id_and_rest(&text);
         assert_eq!(kind, b'Q');
         if text != "SHOW server_load" && !text.is_empty() {
             let statement = self.statements.get_mut(&rpc).expect("a client sent it");
-            assert_eq!(statement.text, rest, "byte for byte but d");
-            assert!(!(statement.runs_once && statement.may_have_run), "rule 2: it may have run before");
+            assert_eq!(statement.text, rest, "the statement is forwarded unchanged but for the value of d");
+            assert!(
+                !(statement.runs_once && statement.may_have_run),
+                "rule 2: sent again, though it may have run"
+            );
             statement.may_have_run = true;
             let out = self
                 .member_ends
                 .values()
                 .filter(|member_end| member_end.query.as_ref() == Some(&text))
                 .count();
-            assert_eq!(out, 0, "rule 2: a second copy");
+            assert_eq!(out, 0, "rule 2: sent while another attempt is in flight");
         }
-        let member_end = self.member_ends.get_mut(&id).expect("it is there");
+        let member_end = self.member_ends.get_mut(&id).expect("the member connection is open");
         if text.is_empty() {
             assert!(
                 member_end.query.is_some() && !member_end.sync_query_queued,
-                "an empty query stands behind a query"
+                "an empty query follows a query"
             );
             member_end.sync_query_queued = true;
             return;
         }
-        assert!(member_end.query.is_none() && !member_end.sync_query_queued, "two at once on a connection");
+        assert!(
+            member_end.query.is_none() && !member_end.sync_query_queued,
+            "two queries in flight on one connection"
+        );
         member_end.query = Some(text);
     }
 }
--- a/crates/ladderpass/tests/reducer/client_errors.rs
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -57,7 +57,7 @@
     simulation.apply(Event::Accepted(id));
     simulation.receive(id, &[startup(), query("SELECT 1").repeat(100)].concat());
     simulation.write(id);
-    assert_eq!(simulation.clients[&id].answers, 1, "the first at once");
+    assert_eq!(simulation.clients[&id].answers, 1, "the first statement is answered at once");
     (0..200).for_each(|_| simulation.advance(Span::from_millis(5)));
     assert!(!simulation.clients.contains_key(&id));
 }
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -15,7 +15,7 @@
         let FirstAttempt { mut simulation, client, link } =
             send_first_attempt_in(Simulation::overloaded(vec![255; 600]), "read");
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
+        simulation.member_ends.get_mut(&link).expect("the member connection is open").query = None;
         let value = row(&[b'v'; 60_000], "follower", position);
         let mut rest = &value[..];
         while !rest.is_empty() {
@@ -25,7 +25,10 @@
             rest = &rest[count..];
             simulation.reducer.handle(simulation.now, Event::Received(link, count, Span::ZERO));
         }
-        assert!(simulation.reducer.outgoing(client).len() > 50_000, "the answer is there");
+        assert!(
+            simulation.reducer.outgoing(client).len() > 50_000,
+            "the answer is in the client's output buffer"
+        );
         let mut closed = false;
         for nth in 0..20 {
             simulation.now = simulation.now + Span::from_millis(50);
@@ -58,14 +61,19 @@
     let id = simulation.reducer.next_id();
     simulation.clients.insert(id, Client::default());
     simulation.apply(Event::Accepted(id));
-    simulation.clients.get_mut(&ids[0]).expect("idle").due.push(simulation.now + Span::from_millis(480));
+    simulation
+        .clients
+        .get_mut(&ids[0])
+        .expect("the client is connected")
+        .due
+        .push(simulation.now + Span::from_millis(480));
     simulation.feed(ids[0], &read(bound));
     simulation.advance(Span::ZERO);
     let eased = default_launch().limits.clients_before_eviction;
     assert!(simulation.clients.contains_key(&ids[0]) && simulation.clients.contains_key(&id));
     assert!(
         (eased..eased + 3).contains(&simulation.clients.len()),
-        "{} of {eased}",
+        "{} clients where {eased} are allowed",
         simulation.clients.len()
     );
 }
@@ -94,7 +102,10 @@
         }
     }
     let bound = limits.pause_clients_at_buffer_bytes;
-    assert!(held > bound / 2 && held < bound + limits.client_buffer_bytes, "{held} of {bound}");
+    assert!(
+        held > bound / 2 && held < bound + limits.client_buffer_bytes,
+        "{held} bytes in buffers where {bound} are allowed"
+    );
     // Clients that wait for memory are read again once others have left.
     let mut woken = Vec::new();
     for &id in &ids[..ids.len() / 2] {
@@ -129,7 +140,7 @@
         received.iter().find(|(kind, _)| *kind == b'E').map(|(_, body)| sqlstate(body)),
         Some("23505".into())
     );
-    assert_eq!(simulation.clients[&client].answers, 0, "it is still open");
+    assert_eq!(simulation.clients[&client].answers, 0, "the RPC is still open");
 }
 
 /// Many clients that send nothing, or half a statement: those in excess of the limit are evicted soon, after 50 or 250
@@ -154,7 +165,10 @@
             simulation.reducer.wake_at().is_some_and(|at| at <= simulation.now + Span::from_millis(after))
         );
         simulation.advance(Span::from_millis(after));
-        assert!(simulation.clients.len() <= limits.clients_before_eviction, "{after}");
+        assert!(
+            simulation.clients.len() <= limits.clients_before_eviction,
+            "too many clients after {after} ms"
+        );
         (0..500).for_each(|_| simulation.advance(Span::from_millis(5)));
         assert_eq!(simulation.clients.len(), 0, "all get an error or are closed within 2.5 s");
     }
--- a/crates/ladderpass/tests/reducer/random_runs.rs
+++ b/crates/ladderpass/tests/reducer/random_runs.rs
@@ -38,7 +38,7 @@
         .values()
         .filter(|client| !client.broke_protocol && client.answers < client.due.len())
         .count();
-    assert_eq!(unanswered, 0, "rule 1: left without an answer");
-    assert!(!stops || simulation.exited, "it stops");
+    assert_eq!(unanswered, 0, "rule 1: statements without an answer");
+    assert!(!stops || simulation.exited, "the router exits after SIGTERM");
     true
 }
--- a/crates/ladderpass/tests/reducer/scenarios.rs
+++ b/crates/ladderpass/tests/reducer/scenarios.rs
@@ -97,7 +97,7 @@
             }
         }
     }
-    panic!("it is not sent");
+    panic!("the attempt is not sent");
 }
 
 /// The answers to a client's statements: the types of the frames of each, and the SQLSTATE of an error.
--- a/crates/ladderpass/tests/reducer/simulation.rs
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -82,7 +82,7 @@
     /// A router that monitors its own load, and is overloaded at times, by random choice.
     pub fn overloaded(choices: Vec<u8>) -> Simulation {
         let mut launch = default_launch();
-        launch.operator = operator::read("overload: {slow_reader: 100ms}").expect("allowed");
+        launch.operator = operator::read("overload: {slow_reader: 100ms}").expect("valid operator settings");
         Simulation { is_overloaded: true, ..Simulation::with_launch(choices, launch) }
     }
 
@@ -154,7 +154,7 @@
                         let unanswered = client.due.len() > client.answers;
                         assert!(
                             client.broke_protocol || !unanswered,
-                            "rule 1: closed on a client that waits"
+                            "rule 1: closed before the client had its answers"
                         );
                     }
                 }
@@ -174,8 +174,8 @@
         self.member_ends.insert(id, MemberEnd { up: true, startup_done: true, ..MemberEnd::default() });
         self.apply(Event::Connected(id));
         self.write(id);
-        self.member_ends.get_mut(&id).expect("it came up").inbox.clear();
-        let member_end = self.member_ends.get_mut(&id).expect("it came up");
+        self.member_ends.get_mut(&id).expect("the member connection is open").inbox.clear();
+        let member_end = self.member_ends.get_mut(&id).expect("the member connection is open");
         (member_end.query, member_end.sync_query_queued) = (None, false);
         self.feed(id, &welcome());
         self.write(id);
@@ -223,8 +223,8 @@
         self.reducer.read_buffer(id)[..bytes.len()].copy_from_slice(&bytes);
         let mut effects = self.reducer.handle(self.now, Event::Received(id, bytes.len(), Span::ZERO));
         effects.extend(self.reducer.handle(self.now, Event::Tick));
-        assert!(self.reducer.outgoing(id).is_empty(), "nothing is answered");
-        assert!(effects.contains(&Effect::Close(id)), "it is closed");
+        assert!(self.reducer.outgoing(id).is_empty(), "a cancel request gets no answer");
+        assert!(effects.contains(&Effect::Close(id)), "the connection of a cancel request is closed");
         self.carry_out(effects);
     }
 
--- a/crates/ladderpass/tests/router_harness/mod.rs
+++ b/crates/ladderpass/tests/router_harness/mod.rs
@@ -47,23 +47,23 @@
 
 /// A listener on an address that no other test uses.
 pub fn bind_listener() -> TcpListener {
-    TcpListener::bind(unique_loopback_address()).expect("a port")
+    TcpListener::bind(unique_loopback_address()).expect("a port is free")
 }
 
 /// Accepts the next connection; the test fails if there is none in time.
 pub fn accept_connection(listener: &TcpListener) -> TcpStream {
-    accept_connection_within(listener, PATIENCE).expect("a connection comes")
+    accept_connection_within(listener, PATIENCE).expect("a connection arrives in time")
 }
 
 /// Accepts the next connection, or returns None if there is none within this time.
 pub fn accept_connection_within(listener: &TcpListener, patience: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("it can");
+    listener.set_nonblocking(true).expect("the socket option can be set");
     let until = Instant::now() + patience;
     while Instant::now() < until {
         match listener.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("it can");
-                stream.set_read_timeout(Some(PATIENCE)).expect("it can");
+                stream.set_nonblocking(false).expect("the socket option can be set");
+                stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
                 return Some(stream);
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(Duration::from_millis(2)),
@@ -84,8 +84,10 @@
     change: impl Fn(String) -> String,
     adjust_command: impl Fn(&mut Command),
 ) -> RouterHarness {
-    let addresses: Vec<String> =
-        members.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
+    let addresses: Vec<String> = members
+        .iter()
+        .map(|listener| listener.local_addr().expect("the listener has an address").to_string())
+        .collect();
     let config = router_config(&addresses)
         .replace("\"Probes\":true", "\"Probes\":false")
         .replace("\"ConnectTimeout\":250000000", "\"ConnectTimeout\":30000000000")
@@ -95,10 +97,10 @@
     let address = router_address();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", &address).env("RUST_LOG", "warn");
-    let discovery_address = discovery.local_addr().expect("an address").to_string();
+    let discovery_address = discovery.local_addr().expect("the listener has an address").to_string();
     command.env("RELAY_DISCOVERY", discovery_address).env("RELAY_CONFIG", &config_file);
     adjust_command(&mut command);
-    let process = command.spawn().expect("it starts");
+    let process = command.spawn().expect("the router can be started");
     let idle_connections = members.iter().map(|_| Vec::new()).collect();
     let mut harness = RouterHarness {
         process,
@@ -146,13 +148,14 @@
 impl RouterHarness {
     /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.process.id() as i32), signal).expect("it runs");
+        kill(Pid::from_raw(self.process.id() as i32), signal).expect("the router is running");
     }
 
     /// Stops the process with SIGSTOP, and waits until it has stopped.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED)).expect("a child");
+        waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED))
+            .expect("the router is a child process");
     }
 
     /// Resumes a paused process.
@@ -170,7 +173,7 @@
             }
             sleep(Duration::from_millis(5));
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("it can");
+        stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
         stream.write_all(&startup()).expect("the router reads");
         while next_frame(&mut stream).expect("the startup is answered").0 != b'Z' {}
         stream
@@ -188,7 +191,7 @@
     pub fn open_watch(&mut self) {
         let mut stream = accept_connection(&self.discovery);
         read_watch_request(&stream);
-        stream.write_all(WATCH_HEAD).expect("it reads");
+        stream.write_all(WATCH_HEAD).expect("the router reads");
         self.watch = Some(stream);
     }
 
@@ -203,12 +206,12 @@
     /// Sends these bytes as a chunk on the open watch.
     pub fn send_watch_bytes(&mut self, bytes: &[u8]) {
         let watch = self.watch.as_mut().expect("a watch is open");
-        watch.write_all(&chunk(bytes)).expect("it reads");
+        watch.write_all(&chunk(bytes)).expect("the router reads");
     }
 
     /// The address at which the router connects to a member.
     pub fn member_address(&self, n: usize) -> String {
-        self.members[n].local_addr().expect("an address").to_string()
+        self.members[n].local_addr().expect("the listener has an address").to_string()
     }
 
     /// Accepts a new connection to a member and reads its startup message, but does not answer it.
@@ -218,7 +221,7 @@
 
     /// Waits for the next RPC that a member gets on any connection, and returns its id and that connection.
     pub fn next_rpc(&mut self, n: usize) -> (String, TcpStream) {
-        self.next_rpc_within(n, PATIENCE).expect("the member is asked")
+        self.next_rpc_within(n, PATIENCE).expect("the member gets an RPC in time")
     }
 
     /// As [`Self::next_rpc`]; returns None if the member gets no RPC within this time.
@@ -227,27 +230,27 @@
         while Instant::now() < until {
             if let Some(stream) = accept_connection_within(&self.members[n], Duration::from_millis(5)) {
                 let mut stream = read_startup(stream);
-                stream.write_all(&welcome()).expect("it reads");
+                stream.write_all(&welcome()).expect("the router reads");
                 self.idle_connections[n].push(stream);
             }
             for nth in 0..self.idle_connections[n].len() {
                 let link = &mut self.idle_connections[n][nth];
-                link.set_nonblocking(true).expect("it can");
+                link.set_nonblocking(true).expect("the socket option can be set");
                 let peeked = link.peek(&mut [0]);
-                link.set_nonblocking(false).expect("it can");
+                link.set_nonblocking(false).expect("the socket option can be set");
                 match peeked {
                     Ok(0) => {
                         self.idle_connections[n].remove(nth);
                         break;
                     }
                     Ok(_) => {
-                        let (kind, body) = next_frame(link).expect("a query");
+                        let (kind, body) = next_frame(link).expect("the member gets a query");
                         assert_eq!(kind, b'Q');
-                        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
+                        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("UTF-8 text");
                         if !text.is_empty() {
                             return Some((id_and_rest(&text).0, self.idle_connections[n].remove(nth)));
                         }
-                        link.write_all(&empty_query_response()).expect("it reads");
+                        link.write_all(&empty_query_response()).expect("the router reads");
                     }
                     Err(_) => {}
                 }
@@ -270,10 +273,11 @@
 
     /// Answers the RPC in flight on this connection, which is idle after that.
     pub fn answer_rpc(&mut self, n: usize, mut link: TcpStream) {
-        link.write_all(&row(b"v", if n == 0 { "leader" } else { "follower" }, now_ms())).expect("it reads");
-        let fence = next_frame(&mut link).expect("an empty query behind it");
+        link.write_all(&row(b"v", if n == 0 { "leader" } else { "follower" }, now_ms()))
+            .expect("the router reads");
+        let fence = next_frame(&mut link).expect("an empty query follows the statement");
         assert_eq!(fence, (b'Q', b"\0".to_vec()));
-        link.write_all(&empty_query_response()).expect("it reads");
+        link.write_all(&empty_query_response()).expect("the router reads");
         self.idle_connections[n].push(link);
     }
 
@@ -282,30 +286,30 @@
         let mut client = self.client();
         client.write_all(&query(&write_statement(id))).expect("the router reads");
         let (rpc, link) = self.next_rpc(0);
-        assert_eq!(rpc, id, "the member gets no other RPC");
+        assert_eq!(rpc, id, "another RPC reached the member first");
         self.answer_rpc(0, link);
         assert_eq!(read_answer(&mut client).0, b"TDCZ");
     }
 
     /// Waits until the process ends, and checks that it exits with success.
     pub fn assert_clean_exit(&mut self) {
-        assert!(self.process.wait().expect("it ends").success());
+        assert!(self.process.wait().expect("the process can be waited for").success());
     }
 }
 
 /// Reads the startup message on a connection to a member.
 pub fn read_startup(mut stream: TcpStream) -> TcpStream {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).expect("a startup message");
+    stream.read_exact(&mut length).expect("a complete startup message");
     let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
-    stream.read_exact(&mut rest).expect("a startup message");
+    stream.read_exact(&mut rest).expect("a complete startup message");
     stream
 }
 
 /// Reads the request of a watch, and returns its first line.
 pub fn read_watch_request(stream: &TcpStream) -> String {
-    let mut lines = BufReader::new(stream.try_clone().expect("it can")).lines();
-    let request = lines.next().and_then(Result::ok).expect("a request");
+    let mut lines = BufReader::new(stream.try_clone().expect("the socket can be cloned")).lines();
+    let request = lines.next().and_then(Result::ok).expect("a watch request");
     while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
     request
 }
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -103,7 +103,10 @@
 
     /// Faults of the network between the router, its members and discovery, and the members that stop answering.
     fn network_rules(&self, seed: u64) -> Vec<Rule> {
-        let links = links(&["127.0.0.1:1".parse().expect("one"); 3], "127.0.0.1:2".parse().expect("one"));
+        let links = links(
+            &["127.0.0.1:1".parse().expect("an address"); 3],
+            "127.0.0.1:2".parse().expect("an address"),
+        );
         let drawn = ladderpass_fault_injection::Plan::drawn(seed, self.rules, links).rules.into_iter();
         // No router can detect that bytes within a value are garbled.
         let mut rules: Vec<Rule> = drawn.filter(|rule| rule.action.name() != "garble").collect();
@@ -170,12 +173,12 @@
     let done = run::run_through(&scenario, &start, &plan, Some(rules), fault_events, |_| {});
     let (seen, _) = done.unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
     let bounds = stop_times.bounds(soak_run.crowd > 0, Span::ZERO);
-    let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: too short"));
+    let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: the run ended before SIGKILL"));
     let (kill, journal) = (bounds.kill, &seen.outcome.journal);
     let at_kill =
         |entry: &&RpcRecord| entry.refused && entry.sent < kill && entry.lost.is_some_and(|at| at >= kill);
     println!(
-        "seed {seed}: {} of {} refused, seen after the kill",
+        "seed {seed}: {} of {} RPCs refused, as seen after SIGKILL",
         journal.iter().filter(at_kill).count(),
         journal.len()
     );
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -84,7 +84,7 @@
         let effects = reducer.handle(now, Event::Tick);
         for effect in &effects {
             if let Effect::Close(id) = effect {
-                panic!("{id:?} is closed, and other closes may stand before it");
+                panic!("{id:?} is closed without a final read right before");
             }
         }
         // The effects of an iteration are carried out after it.
@@ -92,7 +92,10 @@
             match effect {
                 Effect::Read(id) => was_read.push(id),
                 Effect::CloseIfQuiet(id) => {
-                    assert!(was_read.contains(&id), "{id:?} goes and was not read since the stall");
+                    assert!(
+                        was_read.contains(&id),
+                        "{id:?} is to be closed, but was not read since the stall"
+                    );
                     closed +=
                         usize::from(reducer.handle(now, Event::ReadToEnd(id)).contains(&Effect::Close(id)));
                 }
@@ -100,7 +103,7 @@
             }
         }
     }
-    assert!(closed > 0, "some were evicted");
+    assert!(closed > 0, "no client was evicted");
 }
 
 /// After SIGTERM a client's socket does not accept its answer at once. A statement that the client sends before the
@@ -127,7 +130,7 @@
     receive(&mut reducer, now, id, &query(""));
     reducer.handle(now, Event::Tick);
     let answer = reducer.outgoing(id).len();
-    assert!(answer > 0, "it is answered");
+    assert!(answer > 0, "the statement is answered");
     receive(&mut reducer, now, id, &query(""));
     let mut answered = 0;
     for _ in 0..6 {
@@ -137,11 +140,11 @@
         effects.extend(reducer.handle(now, Event::Tick));
         let quiet = effects.contains(&Effect::CloseIfQuiet(id));
         if quiet && reducer.handle(now, Event::ReadToEnd(id)).contains(&Effect::Close(id)) {
-            return assert_eq!(answered, answer * 2, "both are answered");
+            return assert_eq!(answered, answer * 2, "both statements are answered");
         }
         assert!(!effects.contains(&Effect::Close(id)), "closed after {answered} bytes of answers");
     }
-    panic!("it is closed in the end");
+    panic!("the connection was not closed");
 }
 
 // ---- a process that stalls within its system calls
@@ -187,7 +190,9 @@
             crowd.borrow_mut().extend(arrivals);
         }));
     }
-    fault_events.push(FaultEvent::at(TERM_AT, |router, _| stop_times.terminate(router).expect("it runs")));
+    fault_events.push(FaultEvent::at(TERM_AT, |router, _| {
+        stop_times.terminate(router).expect("the router is running")
+    }));
     fault_events.push(FaultEvent::at(kill_at, |router, _| stop_times.kill(router)));
     let seen = run(&Scenario::default(), &start, &plan, fault_events);
     let seen = seen.unwrap_or_else(|fault| panic!("{case:?}: {fault}"));
@@ -196,11 +201,12 @@
     // it closes.
     let closing = case.call == libc::SYS_close;
     let close_takes = if closing { Span::from_nanos(case.lasts.as_nanos() as i64) } else { Span::ZERO };
-    let bounds =
-        stop_times.bounds(case.crowd > 0, close_takes).unwrap_or_else(|| panic!("{case:?}: too short"));
+    let bounds = stop_times
+        .bounds(case.crowd > 0, close_takes)
+        .unwrap_or_else(|| panic!("{case:?}: the run ended before SIGKILL"));
     let mut violations = check_run(&seen, &bounds);
     if !seen.log.iter().any(|line| line.contains("all delays of call")) {
-        violations.push("it was not delayed".into());
+        violations.push("the delays did not all happen".into());
     }
     violations
 }
@@ -311,8 +317,8 @@
     until(1080);
     other.write_all(&query("")).expect("the router reads");
     until(1120);
-    link.write_all(&welcome()).expect("it reads");
-    let asked = next_frame(&mut link).expect("the connection is used");
+    link.write_all(&welcome()).expect("the router reads");
+    let asked = next_frame(&mut link).expect("the member gets a query on the connection");
     assert_eq!(asked.0, b'Q');
     harness.answer_rpc(0, link);
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -31,7 +31,7 @@
     let seen = run::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
     let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
     let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
-    assert_eq!(seen.ended, None, "the process goes on: {log}");
+    assert_eq!(seen.ended, None, "the process keeps running: {log}");
     assert_eq!(
         seen.violation_texts(Span::from_millis(50)),
         Vec::<String>::new(),
@@ -92,10 +92,10 @@
         let seen = run_load(&scenario, &[step], 2500.0);
         let cold_starts = ColdStart::all(&scenario, seen.outcome.began, MEMBER_CAPACITY_PER_SECOND);
         let violations = check_slow_start_at_members(&cold_starts, &seen.execution_log).violations;
-        assert!(violations.is_empty(), "{ahead} ms ahead: {}", violations[0]);
+        assert!(violations.is_empty(), "clock {ahead} ms ahead: {}", violations[0]);
         assert!(
             seen.execution_log.arrivals.iter().any(|came| came.member > 0),
-            "{ahead} ms ahead: none is used"
+            "clock {ahead} ms ahead: no replica is used"
         );
     }
 }
