--- a/crates/ladderpass/tests/kernel_timestamps.rs
+++ b/crates/ladderpass/tests/kernel_timestamps.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn without_a_step_the_timestamp_counts() {
+fn the_time_in_the_kernel_follows_the_timestamp_while_the_clock_is_not_stepped() {
     let mut clock = WallClock::default();
     clock.record_reading(ms(1000), wall(1000));
     assert_eq!(clock.time_in_kernel(ms(1000), wall(970), ms(50)), ms(30));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn nothing_waits_for_longer_than_it_can_have_or_for_less_than_no_time() {
+fn the_time_in_the_kernel_is_between_zero_and_its_maximum() {
     let mut clock = WallClock::default();
     clock.record_reading(ms(1000), wall(1000));
     assert_eq!(clock.time_in_kernel(ms(1000), wall(1001), ms(50)), ms(0));
@@ -37,7 +37,7 @@
 /// Covers steps forward and back, from half a second to an hour, and timestamps from before and after the step that are
 /// read after it.
 #[test]
-fn a_step_makes_nothing_older_or_younger() {
+fn a_clock_step_does_not_change_the_time_in_the_kernel() {
     for step in [500, 5000, 40_000, HOUR] {
         for ahead in [true, false] {
             let stepped = |after: u64| if ahead { wall(after) + ms(step) } else { wall(after) - ms(step) };
@@ -72,7 +72,7 @@
 
 /// The offset from before a step is used only while bytes from before that step may still be unread.
 #[test]
-fn an_old_step_counts_for_nothing() {
+fn the_offset_from_before_an_old_clock_step_is_not_used() {
     let mut clock = WallClock::default();
     clock.record_reading(ms(0), wall(0));
     clock.record_reading(ms(10), wall(1010));
--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_read_goes_to_its_replica_once_the_connection_is_up() {
+fn reads_go_to_the_replica_although_its_connections_are_established_late() {
     let router = router_with_late_replica("\"AttemptsCap\":6");
     let asked = members_asked_by(&router, READS);
     assert_eq!(asked.len(), READS, "each read is sent once");
@@ -73,7 +73,7 @@
 /// A read that was not sent does not count as an attempt, so the only attempt that the settings allow is still
 /// available.
 #[test]
-fn a_connection_that_comes_up_late_uses_up_no_attempt() {
+fn a_connection_that_is_established_late_uses_up_no_attempt() {
     let router = router_with_late_replica("\"AttemptsCap\":1");
     let asked = members_asked_by(&router, READS);
     assert_eq!(asked.len(), READS, "each read is sent once");
--- a/crates/ladderpass/tests/log_lines.rs
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_testbed_reads_the_lines_that_the_router_writes() {
+fn the_testbed_parses_the_log_lines_of_the_router() {
     let lines = logged();
     let stats: Vec<&String> = lines.iter().filter(|line| router_log::is_stats(line)).collect();
     assert_eq!(stats.len(), 1, "{}", lines.join("\n"));
@@ -64,7 +64,7 @@
 
 /// Proofs also measure earlier versions of the router, whose log lines were worded differently.
 #[test]
-fn lines_of_earlier_programs_are_read_too() {
+fn the_testbed_parses_log_lines_of_earlier_versions() {
     assert!(router_log::is_shutdown_begun("INFO ladderpass: stopping: 3 clients, 1 rpcs"));
     assert!(router_log::is_overload_level_change(r#"own load before="calm" now="shedding""#));
     let metrics = router_log::metrics(r#"INFO ladderpass::figures: figures {"pressure":0.5}"#);
--- a/crates/ladderpass/tests/operator_contract/attempts.rs
+++ b/crates/ladderpass/tests/operator_contract/attempts.rs
@@ -19,7 +19,7 @@
 /// The group drops retries for 0.6 s (`KeyTtl`) after the first attempt that may have run. The second attempt waits for
 /// its connection until that window is over, and so is not sent.
 #[test]
-fn a_retry_that_waited_for_its_connection_past_the_window_is_not_sent() {
+fn a_retry_is_not_sent_once_the_deduplication_window_is_over() {
     let window = "\"Effect\":\"token\",\"DedupScope\":\"cell\",\"KeyTtl\":600000000";
     let mut harness = start_harness(|config| config.replace("\"Effect\":\"side_effect\"", window));
     let mut client = harness.client();
@@ -40,7 +40,7 @@
 
 /// A retry carries the time that is left until the client's deadline, not the time that the first attempt carried.
 #[test]
-fn a_retry_carries_the_time_that_is_left() {
+fn a_retry_carries_the_time_left_until_the_clients_deadline() {
     let mut harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":1900000000"));
     let mut client = harness.client();
     let sent = Instant::now();
@@ -60,7 +60,7 @@
 
 /// The client resets its connection, rather than closing it, while its RPC waits for a connection to a member.
 #[test]
-fn a_client_that_resets_its_connection_is_not_forwarded() {
+fn an_rpc_of_a_client_that_resets_its_connection_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     let mut client = harness.client();
     client.write_all(&query(&statement("1", "write", 5000, "1"))).expect("the router reads");
--- a/crates/ladderpass/tests/operator_contract/endpoint_list.rs
+++ b/crates/ladderpass/tests/operator_contract/endpoint_list.rs
@@ -12,7 +12,7 @@
 /// takes effect, and so does the list of its discovery service, within 4 s. The earlier ones name discovery services
 /// that never answer.
 #[test]
-fn new_configurations_in_quick_succession_are_followed_to_the_last() {
+fn the_last_of_several_configurations_in_quick_succession_takes_effect() {
     let mut harness = start_harness(|config| config);
     harness.assert_write_succeeds("1");
     let good = std::fs::read_to_string(&harness.config_file).expect("the configuration file can be read");
@@ -45,7 +45,7 @@
 /// With pushed lists the router has to follow a change 0.25 s (`DrainGrace`) after discovery has it. A watch that is
 /// lost five times in a row is opened again within 0.2 s each time, and a draining member gets no RPC after that.
 #[test]
-fn a_watch_of_a_pushed_list_is_back_within_a_short_grace() {
+fn a_lost_watch_of_a_pushed_list_is_reopened_within_a_short_drain_grace() {
     let grace = "\"DrainGrace\":250000000,\"OverloadFor\"";
     let mut harness = start_harness(|config| {
         config.replace("\"subscribe\"", "\"automatic\"").replace("\"OverloadFor\"", grace)
@@ -68,7 +68,7 @@
 /// Discovery answers each watch late, but before 2 s, after which it would reject it. A change takes effect within 6 s
 /// after discovery has it and can be reached, whatever happened to earlier watches.
 #[test]
-fn a_discovery_that_answers_each_watch_late_is_followed() {
+fn a_new_list_takes_effect_in_time_although_discovery_answers_each_watch_late() {
     for takes in [1300, 1600, 1900] {
         let mut harness = start_harness(|config| config);
         harness.assert_write_succeeds("1");
--- a/crates/ladderpass/tests/operator_contract/memory.rs
+++ b/crates/ladderpass/tests/operator_contract/memory.rs
@@ -9,7 +9,7 @@
 /// Clients send more complete statements at once than the router has memory for, while members never answer. Each is
 /// answered at the latest half a second after its deadline, although the router can't read all of them in time.
 #[test]
-fn statements_that_memory_is_short_for_are_answered() {
+fn statements_are_answered_in_time_although_memory_is_short() {
     let harness = start_harness(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":32"));
     let value = "ab".repeat(64 << 10);
     let clients: Vec<_> = (0..150)
--- a/crates/ladderpass/tests/operator_contract/rejections.rs
+++ b/crates/ladderpass/tests/operator_contract/rejections.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn each_bad_client_is_rejected_in_time() {
+fn clients_that_break_the_protocol_are_rejected_in_time() {
     let harness = start_harness(|config| config);
     let good = statement("7", "read", 500, "1");
     let head = |kind: u8, length: i32| [&[kind][..], &length.to_be_bytes()].concat();
@@ -93,7 +93,7 @@
 
 /// A request whose client waits for no more than 8 ms is rejected or fails, and its connection stays usable.
 #[test]
-fn a_request_with_hardly_any_time_left_is_answered() {
+fn a_request_with_a_deadline_of_a_few_milliseconds_is_answered() {
     let harness = start_harness(|config| config);
     let mut client = harness.client();
     for (nth, time) in ["0", "0.4", "1", "2", "3", "5", "8"].iter().enumerate() {
@@ -112,7 +112,7 @@
 
 /// A rejection has a Retry-After where the settings allow it, also for a statement that was never accepted as an RPC.
 #[test]
-fn a_rejection_names_a_time_to_retry_after() {
+fn a_rejection_has_a_retry_after() {
     let mut harness =
         start_harness(|config| config.replace("\"AttemptsCap\":6", "\"AttemptsCap\":6,\"MostHeld\":1"));
     let (mut first, mut second) = (harness.client(), harness.client());
--- a/crates/ladderpass/tests/operator_contract/shutdown.rs
+++ b/crates/ladderpass/tests/operator_contract/shutdown.rs
@@ -60,7 +60,7 @@
 /// request that is sent more than 0.7 s after SIGTERM has its answer by then. One client sends all the time, one
 /// connects 0.35 s after SIGTERM and first sends at 0.85 s, and one sends its startup message only at 0.85 s.
 #[test]
-fn a_kill_at_the_earliest_moment_finds_nothing_unanswered() {
+fn all_requests_are_answered_before_the_earliest_sigkill() {
     let deadline = 400;
     let harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":300000000"));
     let text = |nth: usize| query(&statement(&format!("{nth}"), "write", deadline, "1"));
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn without_the_operators_file_nothing_is_shed() {
+fn nothing_is_shed_without_operator_settings() {
     let _turn = wait_for_turn();
     let mut start = start(SHORT);
     start.operator = None;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn one_flood_among_polite_clients_is_what_is_shed() {
+fn a_flooding_client_is_shed_more_than_the_others() {
     let _turn = wait_for_turn();
     let plan = Plan {
         floods: 1,
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_new_file_a_dying_member_and_a_stop_while_shedding_lose_nothing() {
+fn a_reload_a_member_crash_and_a_shutdown_lose_no_rpc_while_shedding() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
         FaultEvent::at(0.5, |router, _| router.signal(Signal::SIGHUP).expect("the router is running")),
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_stall_of_800_ms_is_answered_for() {
+fn all_rpcs_are_answered_after_a_pause_of_800_ms() {
     let _turn = wait_for_turn();
     let events: Vec<FaultEvent<'_>> = vec![
         FaultEvent::at(1.0, |router, _| router.signal(Signal::SIGSTOP).expect("the router is running")),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_hog_on_the_same_core_costs_no_answer() {
+fn all_rpcs_are_answered_while_a_busy_thread_uses_the_same_core() {
     let _turn = wait_for_turn();
     let core = ladderpass_testbed::router::cores() - 1;
     let stop = Arc::new(AtomicBool::new(false));
--- a/crates/ladderpass/tests/recorded_bytes/main.rs
+++ b/crates/ladderpass/tests/recorded_bytes/main.rs
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn a_short_run_writes_what_was_recorded() {
+fn a_short_run_equals_its_recorded_transcript() {
     matches_recording("first_run.txt", &transcript(1, FIRST_RUN));
 }
 
 #[test]
-fn many_runs_write_what_was_recorded() {
+fn long_runs_equal_their_recorded_digests() {
     let digests: Vec<String> = (2..2 + SEEDS)
         .map(|seed| {
             let text = transcript(seed, LONG_RUN);
@@ -62,7 +62,7 @@
 
 /// Two runs with the same seed are equal, and the short run covers what the recordings are meant to cover.
 #[test]
-fn a_run_is_repeatable_and_meets_each_kind_of_message() {
+fn a_run_is_repeatable_and_has_each_kind_of_message() {
     let first = transcript(1, FIRST_RUN);
     assert_eq!(first, transcript(1, FIRST_RUN));
     for wanted in [
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -9,7 +9,7 @@
 /// A bounded read is sent within a tick of its decision, or later if the member is still known to be fresh enough;
 /// otherwise it is decided again. A write may wait for its connection in any case.
 #[test]
-fn a_bounded_read_that_waited_for_its_connection_is_sent_where_its_decision_still_holds() {
+fn a_bounded_read_that_waited_for_its_connection_is_sent_only_if_the_member_is_still_fresh_enough() {
     let bound_ms = 800;
     let waited_ms = 100;
     for (method, age_ms, sent) in [
@@ -48,7 +48,7 @@
 /// deadline of the second is 400 ms after it was sent, and not 400 ms after the first was answered, when its client
 /// would have left.
 #[test]
-fn a_statement_behind_another_is_answered_in_the_time_that_runs_from_when_it_was_sent() {
+fn the_deadline_of_a_pipelined_statement_runs_from_when_it_was_sent() {
     for served_after in [100, 300, 390, 700] {
         let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
         let text = statement("9", "read", 400, "1");
@@ -78,7 +78,7 @@
 /// A member connection is reused only once nothing more can follow the last answer, so that surplus bytes after an
 /// answer are never taken for the answer to another RPC.
 #[test]
-fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
+fn surplus_bytes_after_an_answer_close_the_connection_before_it_is_reused() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
         let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
         simulation.member_ends.get_mut(&link).expect("the member connection is open").query = None;
@@ -98,7 +98,7 @@
 /// The time for which a query waits in the router to be written, or an answer to be read, is not counted as answer time
 /// of the member. Otherwise a busy router would take idle members for overloaded.
 #[test]
-fn a_members_answer_time_is_without_what_the_router_kept_waiting() {
+fn the_answer_time_of_a_member_excludes_delays_of_the_router() {
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     let before = simulation.reducer.answered_attempts();
     simulation.now = simulation.now + Span::from_millis(300);
@@ -120,7 +120,7 @@
 /// gets all of it. Over loopback the kernel accepts every statement at once, so a socket that accepts nothing is
 /// simulated.
 #[test]
-fn what_is_not_written_whole_when_its_client_goes_never_is() {
+fn a_query_that_is_not_fully_written_when_its_client_leaves_is_withdrawn() {
     for written in [0, 10] {
         let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
@@ -155,7 +155,7 @@
 /// freshness of a read's data, must still be right when its last byte is written. So the attempt is withdrawn, a write
 /// after 100 ms and a read after a tick of 5 ms.
 #[test]
-fn what_a_socket_does_not_accept_in_time_is_withdrawn() {
+fn a_query_that_the_socket_does_not_accept_in_time_is_withdrawn() {
     for (method, within) in [("write", 100), ("read", 5)] {
         for written in [0, 10] {
             let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
@@ -193,7 +193,7 @@
 /// behind both. All members report positions 0.8 s ahead of that clock. If the write is 100 ms after them, the read
 /// goes to the primary; if it is 100 ms before them, the read goes to a replica.
 #[test]
-fn a_session_sees_its_write_though_the_clock_is_behind() {
+fn a_session_read_sees_the_last_write_although_the_clock_is_behind() {
     for (short_by, port) in [(100_i64, 7000), (-100, 7001)] {
         let session = |text: String| text.replace("[\"bounded\",\"write\"]", "[\"session\",\"write\"]");
         let mut simulation = Simulation::with_launch(vec![255; 600], launch_changed_by(session));
@@ -236,7 +236,7 @@
 
 /// An answer that begins and does not end is given up after 250 ms, which leaves time for another attempt.
 #[test]
-fn half_an_answer_ends_its_attempt_soon() {
+fn an_answer_that_does_not_end_is_given_up_before_the_deadline() {
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     simulation.feed(link, &row(b"7", "follower", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -9,7 +9,7 @@
 /// Each connection has a key of its own. A cancel request has no effect if one bit of its key is wrong, if no
 /// connection has its key, or if the connection has no RPC in flight.
 #[test]
-fn a_cancel_counts_with_the_key_of_its_connection_alone() {
+fn a_cancel_request_has_an_effect_only_with_the_key_of_the_connection() {
     let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
     let (process, secret) = simulation.cancel_key_of(client);
     for bit in 0..32 {
@@ -36,7 +36,7 @@
 /// No member has answered anything yet, so the first statement is pending. Once cancelled it is answered at once and
 /// never sent, and the statement after it is served.
 #[test]
-fn what_is_pending_and_cancelled_is_answered_at_once_and_what_stands_behind_it_goes_on() {
+fn a_cancelled_pending_statement_is_answered_at_once_and_the_next_one_is_served() {
     let mut simulation = Simulation::new(vec![255; 600]);
     let client = simulation.reducer.next_id();
     let due = vec![simulation.now + Span::from_millis(2000); 2];
@@ -75,7 +75,7 @@
 /// The query of the cancelled RPC is not written, or only in part. The client is answered at once, and no more of the
 /// query is sent.
 #[test]
-fn what_is_not_written_whole_when_it_is_cancelled_never_is() {
+fn a_query_that_is_not_fully_written_when_it_is_cancelled_is_withdrawn() {
     for written in [0, 10] {
         let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
@@ -112,7 +112,7 @@
 /// A cancelled RPC whose attempt is in flight is settled by the outcome of that attempt. It is served if the outcome is
 /// good. Otherwise no further attempt is made, and the answer says whether the RPC may have had an effect.
 #[test]
-fn no_attempt_follows_the_one_in_flight_when_it_is_cancelled() {
+fn no_further_attempt_is_made_for_an_rpc_cancelled_in_flight() {
     for (method, ends, wanted) in [
         ("read", "answered", served()),
         ("write", "answered", served()),
--- a/crates/ladderpass/tests/reducer/client_errors.rs
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::Span;
 
 #[test]
-fn bad_input_gets_a_fitting_code_and_keeps_the_stream_in_step() {
+fn an_invalid_statement_gets_its_sqlstate_and_the_connection_stays_usable() {
     for (bytes, wanted) in [
         (query("SELECT 1"), "42601"),
         (query("SELECT 1 /* c=read,d=5,cluster=1 */"), "42601"),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_not_accepted_twice() {
+fn the_id_of_an_open_rpc_is_not_accepted_twice() {
     let mut simulation = clients_that_sent(2, |_| query(&statement("7", "read", 480, "1")));
     let errors: Vec<String> = (simulation.clients.values())
         .flat_map(|client| frames(&client.inbox).0)
@@ -50,7 +50,7 @@
 
 /// A client that keeps making errors is answered, but read after longer and longer pauses, and closed in the end.
 #[test]
-fn a_client_full_of_errors_is_slowed_and_closed() {
+fn a_client_that_keeps_making_errors_is_slowed_down_and_closed() {
     let mut simulation = clients_that_sent(0, |_| Vec::new());
     let id = simulation.reducer.next_id();
     simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn past_the_limit_idle_clients_are_evicted_and_busy_ones_are_not() {
+fn idle_clients_past_the_limit_are_evicted_and_busy_ones_are_not() {
     let bound = default_launch().limits.clients;
     let read = |id: usize| query(&statement(&id.to_string(), "read", 480, "1"));
     // All clients are busy. Each further client gets an error at once and is closed, and none of those that wait is.
@@ -117,7 +117,7 @@
 
 /// The id of an open RPC is remembered, however many ids of RPCs with later deadlines follow it.
 #[test]
-fn an_id_that_is_open_is_not_forgotten_for_others() {
+fn the_id_of_an_open_rpc_is_not_forgotten_when_many_others_follow() {
     let mut launch = default_launch();
     launch.limits.remembered_ids = 2;
     let FirstAttempt { mut simulation, client, .. } =
@@ -177,7 +177,7 @@
 /// Members are replaced by new ones with new ids 198 times, every 4 s of simulated time. The table of members does not
 /// grow with them.
 #[test]
-fn members_replaced_for_hours_do_not_pile_up() {
+fn the_member_table_does_not_grow_when_members_are_replaced() {
     let mut simulation = clients_that_sent(0, |_| Vec::new());
     for generation in 2..200 {
         // By the protocol discovery sends an empty line every 2 s.
@@ -202,7 +202,7 @@
 
 /// Clients that keep their connections open after one statement do not prevent others from connecting.
 #[test]
-fn connections_that_asked_once_and_stay_do_not_bar_newcomers() {
+fn clients_that_stay_connected_after_one_statement_do_not_keep_others_out() {
     let bound = default_launch().limits.clients_before_eviction + 30;
     let mut simulation = clients_that_sent(0, |_| Vec::new());
     let mut next = 0;
--- a/crates/ladderpass/tests/reducer/parsers.rs
+++ b/crates/ladderpass/tests/reducer/parsers.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 #[test]
-fn a_buffer_keeps_bytes_in_order_and_to_its_limit() {
+fn a_buffer_keeps_bytes_in_order_and_within_its_limit() {
     fn property(choices: Vec<u8>) -> bool {
         let (mut buffer, mut model, mut next) = (Buffer::default(), VecDeque::new(), 0u8);
         for byte in choices {
@@ -47,7 +47,7 @@
 
 /// The parsers report damaged input without a panic, and find no frame before its last byte.
 #[test]
-fn frames_and_comments_take_anything() {
+fn parsers_do_not_panic_on_damaged_frames_and_comments() {
     fn property(choices: Vec<u8>) -> bool {
         let mut bytes =
             [query(&statement("7", "read", 480, "1")), error_response("53300"), row(b"v", "x", 1)].concat();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_watch_reads_the_same_however_it_is_split() {
+fn a_watch_yields_the_same_listings_however_its_bytes_are_split() {
     fn property(choices: Vec<u8>) -> bool {
         let line = |n: usize| {
             format!("{{\"generation\":{n},\"instances\":[{}]}}\n", instance(n, "1.2.3.4:5", "SERVING"))
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -66,7 +66,7 @@
 /// of the soak test was traced. Only this test shows it: on processes, the failure that could be reproduced and looks
 /// like that run is the series of slow closes in the cases below (`docs/incidents/2026-12-03-stalls.md`).
 #[test]
-fn a_client_evicted_for_a_newcomer_is_read_before_it_is_closed() {
+fn a_client_evicted_for_a_new_client_is_read_before_it_is_closed() {
     let launch = launch(64);
     let crowd = launch.limits.clients_before_eviction + 4;
     let mut now = SIMULATION_START;
@@ -114,7 +114,7 @@
 /// A modified router logged the state of each client that was closed with unread bytes: all 143 were idle, on a
 /// connection that was marked to be closed, in a router that was stopping.
 #[test]
-fn what_comes_while_the_answer_of_a_stopping_router_is_written_is_answered() {
+fn a_statement_that_arrives_while_a_stopping_router_writes_an_answer_is_answered() {
     let now = SIMULATION_START;
     let mut reducer = Reducer::start(now, launch(64));
     let id = client(&mut reducer, now);
@@ -258,14 +258,14 @@
 }
 
 #[test]
-fn a_router_that_stalls_in_a_call_loses_nothing() {
+fn a_router_that_stalls_in_a_system_call_loses_no_rpc() {
     play_rounds(0);
 }
 
 /// No member fails in these runs, and the router stalls five times, for longer than the pages allow. Each RPC is
 /// served.
 #[test]
-fn a_router_that_stalls_blames_no_member() {
+fn a_stall_of_the_router_is_not_counted_as_a_member_failure() {
     let mut found = Vec::new();
     for (nth, &(call, every)) in
         (0..).zip(&[(libc::SYS_recvmsg, 211), (libc::SYS_sendto, 173), (libc::SYS_epoll_wait, 97)])
@@ -298,7 +298,7 @@
 /// in a read for another client. It handles what has arrived before it counts the connect as failed, so the member gets
 /// the write.
 #[test]
-fn a_connection_that_came_up_while_the_router_stalled_is_used() {
+fn a_member_connection_established_during_a_stall_is_used() {
     let began = Instant::now();
     let until = |at_ms: u64| sleep(Duration::from_millis(at_ms).saturating_sub(began.elapsed()));
     let (after, lasts) = (Duration::from_millis(1000), Duration::from_millis(400));
@@ -333,6 +333,6 @@
 }
 
 #[test]
-fn a_router_that_stalls_before_a_crowd_loses_nothing() {
+fn a_router_that_stalls_with_many_idle_clients_loses_no_rpc() {
     play_rounds(60);
 }
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_steps_back_ends_no_rpc() {
+fn all_rpcs_are_served_when_the_wall_clock_steps_back() {
     for by in [Duration::from_secs(5), Duration::from_secs(3600)] {
         assert_all_served(&[ClockStep::back(STEPPED_AT, by)]);
     }
@@ -56,7 +56,7 @@
 
 /// Bytes in the kernel's buffers have timestamps from before the step.
 #[test]
-fn a_wall_clock_that_steps_forward_ends_no_rpc() {
+fn all_rpcs_are_served_when_the_wall_clock_steps_forward() {
     for by in [Duration::from_secs(5), Duration::from_secs(40), Duration::from_secs(3600)] {
         assert_all_served(&[ClockStep::forward(STEPPED_AT, by)]);
     }
@@ -64,7 +64,7 @@
 
 /// Replicas lag by more than a read allows. By a clock that is behind by about as much they seem to be up to date.
 #[test]
-fn a_start_with_a_clock_that_is_behind_serves_nothing_stale() {
+fn no_stale_read_is_served_when_the_clock_is_behind_at_the_start() {
     for lag in [2500.0, 6000.0] {
         let scenario = Scenario { log_ms: lag, ..Scenario::default() };
         for behind in [500, 2500, 5500, 3_600_000] {
@@ -83,7 +83,7 @@
 
 /// By a clock that is ahead, a member that has just started seems to be past its slow start.
 #[test]
-fn a_start_with_a_clock_that_is_ahead_pushes_no_cold_member_over() {
+fn no_member_in_slow_start_is_overloaded_when_the_clock_is_ahead_at_the_start() {
     let mut scenario = Scenario { cold: vec![1, 2], ..Scenario::default() };
     // By such a clock replicas are too stale for any maximum staleness, so reads have none in this test.
     scenario.methods[0].max_age_ms = None;
