--- a/crates/ladderpass/tests/log_lines.rs
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log that the testbed reads, as the reducer writes them.
+//! The testbed parses these lines of the router's log, as the reducer writes them.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 
-/// What was logged so far.
+/// A log writer that keeps all bytes in memory.
 #[derive(Clone, Default)]
 struct LogBuffer(Arc<Mutex<Vec<u8>>>);
 
@@ -23,8 +23,9 @@
     }
 }
 
-/// The lines that a reducer logs in eleven seconds and at SIGTERM, before members to which no connection comes up.
-fn logged() -> Vec<String> {
+/// Returns the lines that a reducer logs in eleven seconds and at SIGTERM, while no connection to a member is
+/// established.
+fn capture_log_lines() -> Vec<String> {
     let buffer = LogBuffer::default();
     let writer = buffer.clone();
     let subscriber = tracing_subscriber::fmt().with_ansi(false).with_writer(move || writer.clone()).finish();
@@ -42,28 +43,28 @@
         reducer.handle(SIMULATION_START + Span::from_millis(11_000), Event::Terminate);
     });
     let bytes = buffer.0.lock().expect("no writer panics").clone();
-    String::from_utf8(bytes).expect("text").lines().map(str::to_owned).collect()
+    String::from_utf8(bytes).expect("UTF-8 text").lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn the_testbed_reads_the_lines_that_the_router_writes() {
-    let lines = logged();
+fn the_testbed_parses_the_log_lines_of_the_router() {
+    let lines = capture_log_lines();
     let stats: Vec<&String> = lines.iter().filter(|line| router_log::is_stats(line)).collect();
     assert_eq!(stats.len(), 1, "{}", lines.join("\n"));
     let line = stats[0];
     assert_eq!(router_log::number(line, "clients"), Some(0.0), "{line}");
     assert_eq!(router_log::number(line, "member_connections"), Some(0.0), "{line}");
     assert_eq!(router_log::number(line, "members"), Some(3.0), "{line}");
-    let connects = router_log::number(line, "connects").expect("it is there");
-    let health_checks = router_log::sum_by_outcome(line, "health_checks").expect("it is there");
-    assert!(connects >= 3.0 && health_checks == connects, "each connect is for a health check: {line}");
+    let connects = router_log::number(line, "connects").expect("the line has the field");
+    let health_checks = router_log::sum_by_outcome(line, "health_checks").expect("the line has the field");
+    assert!(connects >= 3.0 && health_checks == connects, "each connect is for one health check: {line}");
     assert_eq!(lines.iter().filter(|line| router_log::is_shutdown_begun(line)).count(), 1);
     assert!(!lines.iter().any(|line| router_log::is_overload_level_change(line)));
 }
 
-/// Proofs measure earlier programs beside this one, whose lines were worded otherwise.
+/// Proofs also measure earlier versions of the router, whose log lines were worded differently.
 #[test]
-fn lines_of_earlier_programs_are_read_too() {
+fn the_testbed_parses_log_lines_of_earlier_versions() {
     assert!(router_log::is_shutdown_begun("INFO ladderpass: stopping: 3 clients, 1 rpcs"));
     assert!(router_log::is_overload_level_change(r#"own load before="calm" now="shedding""#));
     let metrics = router_log::metrics(r#"INFO ladderpass::figures: figures {"pressure":0.5}"#);
--- a/crates/ladderpass/tests/operator_contract/shutdown.rs
+++ b/crates/ladderpass/tests/operator_contract/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM, and SIGKILL as early as it may come.
+//! SIGTERM, followed by SIGKILL at the earliest moment that the operators' pages allow.
 
 use crate::common::{frames, query, startup, statement};
 use crate::ms;
@@ -9,20 +9,20 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What a client of a router that stops has sent, and what was answered.
-struct Sender {
+/// A client of a router that is stopping, with what it has sent and how many answers it has.
+struct LoadClient {
     stream: TcpStream,
     sent: Vec<Instant>,
     answers: usize,
     input: Vec<u8>,
-    /// Whether its connection was closed in order (true) or lost.
+    /// Whether the router closed the connection in order (true) or reset it (false); None while it is open.
     closed_in_order: Option<bool>,
 }
 
-impl Sender {
-    pub fn new(stream: TcpStream) -> Sender {
-        stream.set_nonblocking(true).expect("it can");
-        Sender { stream, sent: Vec::new(), answers: 0, input: Vec::new(), closed_in_order: None }
+impl LoadClient {
+    pub fn new(stream: TcpStream) -> LoadClient {
+        stream.set_nonblocking(true).expect("the socket option can be set");
+        LoadClient { stream, sent: Vec::new(), answers: 0, input: Vec::new(), closed_in_order: None }
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -46,8 +46,8 @@
         self.input.drain(..used);
     }
 
-    /// When the requests were sent that must have been answered by the kill: those unanswered on a connection that is open
-    /// or was closed in order. A reset may have crossed a request, which its client sends again.
+    /// The times at which requests were sent that have no answer. Requests on a connection that was reset are left out:
+    /// the reset may have crossed them, and their client sends them again.
     fn unanswered(&self) -> &[Instant] {
         match self.closed_in_order {
             Some(false) => &[],
@@ -56,58 +56,67 @@
     }
 }
 
-/// SIGKILL may come as early as the longest deadline and 0.7 s after SIGTERM, and members hang all the time: what was sent
-/// more than 0.7 s after SIGTERM is answered by then. One client sends without a pause, one connected late and is idle
-/// until then, one has not sent its startup message yet.
+/// SIGKILL may come as early as the longest deadline and 0.7 s after SIGTERM. Members never answer, and still each
+/// request that is sent more than 0.7 s after SIGTERM has its answer by then. One client sends all the time, one
+/// connects 0.35 s after SIGTERM and first sends at 0.85 s, and one sends its startup message only at 0.85 s.
 #[test]
-fn a_kill_at_the_earliest_moment_finds_nothing_unanswered() {
+fn all_requests_are_answered_before_the_earliest_sigkill() {
     let deadline = 400;
     let harness = start_harness(|config| config.replace("\"Slo\":750000000", "\"Slo\":300000000"));
-    let text = |nth: usize| query(&statement(&format!("{nth}"), "write", deadline, "1"));
-    let mut busy = Sender::new(harness.client());
-    let mut unopened = Sender::new(TcpStream::connect(&harness.address).expect("it listens"));
+    let statement_text = |nth: usize| query(&statement(&format!("{nth}"), "write", deadline, "1"));
+    let mut busy_client = LoadClient::new(harness.client());
+    let mut unopened_client =
+        LoadClient::new(TcpStream::connect(&harness.address).expect("the router listens"));
     harness.settle();
-    let began = Instant::now();
+    let sigterm_at = Instant::now();
     harness.signal(Signal::SIGTERM);
     harness.signal(Signal::SIGHUP);
     harness.signal(Signal::SIGTERM);
-    let mut late = None;
+    let mut late_client = None;
     let mut nth = 0;
-    let mut send_next = |sender: &mut Sender| {
+    let mut send_next = |client: &mut LoadClient| {
         nth += 1;
-        sender.send(&text(nth));
+        client.send(&statement_text(nth));
     };
-    let (mut late_sent, mut unopened_sent) = (false, false);
-    let mut links = Vec::new();
-    while began.elapsed() < ms(deadline + 700) {
-        links.extend(accept_connection_within(&harness.members[0], ms(1)));
-        send_next(&mut busy);
-        if late.is_none() && began.elapsed() > ms(350) {
-            late = Some(Sender::new(harness.client()));
+    let (mut late_has_sent, mut unopened_has_sent) = (false, false);
+    let mut member_connections = Vec::new();
+    while sigterm_at.elapsed() < ms(deadline + 700) {
+        member_connections.extend(accept_connection_within(&harness.members[0], ms(1)));
+        send_next(&mut busy_client);
+        if late_client.is_none() && sigterm_at.elapsed() > ms(350) {
+            late_client = Some(LoadClient::new(harness.client()));
         }
-        if let Some(late) = late.as_mut().filter(|_| !late_sent && began.elapsed() > ms(850)) {
-            late.read();
-            send_next(late);
-            late_sent = true;
+        if let Some(late_client) =
+            late_client.as_mut().filter(|_| !late_has_sent && sigterm_at.elapsed() > ms(850))
+        {
+            late_client.read();
+            send_next(late_client);
+            late_has_sent = true;
         }
-        if !unopened_sent && began.elapsed() > ms(850) {
-            unopened.read();
-            unopened.send(&[startup(), text(100_000)].concat());
-            // The end of the startup counts as an answer.
-            unopened.sent.extend(unopened.sent.last().copied());
-            unopened_sent = true;
+        if !unopened_has_sent && sigterm_at.elapsed() > ms(850) {
+            unopened_client.read();
+            unopened_client.send(&[startup(), statement_text(100_000)].concat());
+            // The ReadyForQuery that ends the startup is counted as an answer, so the startup counts as a request.
+            unopened_client.sent.extend(unopened_client.sent.last().copied());
+            unopened_has_sent = true;
         }
-        for sender in [&mut busy, &mut unopened].into_iter().chain(late.as_mut()) {
-            sender.read();
+        for client in [&mut busy_client, &mut unopened_client].into_iter().chain(late_client.as_mut()) {
+            client.read();
         }
         sleep(ms(5));
     }
     harness.signal(Signal::SIGKILL);
     sleep(ms(50));
-    let late = late.expect("it came");
-    for (name, sender) in [("busy", busy), ("late", late), ("unopened", unopened)] {
-        let after: Vec<Duration> = sender.unanswered().iter().map(|sent| *sent - began).collect();
-        let lost = after.iter().filter(|&&after| after > ms(700)).count();
-        assert_eq!(lost, 0, "{name}: sent {}, answered {}: {after:?}", sender.sent.len(), sender.answers);
+    let late_client = late_client.expect("the late client connected");
+    for (name, client) in [("busy", busy_client), ("late", late_client), ("unopened", unopened_client)] {
+        let sent_after: Vec<Duration> = client.unanswered().iter().map(|sent| *sent - sigterm_at).collect();
+        let lost_count = sent_after.iter().filter(|&&sent_after| sent_after > ms(700)).count();
+        assert_eq!(
+            lost_count,
+            0,
+            "{name}: sent {}, answered {}: {sent_after:?}",
+            client.sent.len(),
+            client.answers
+        );
     }
 }
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -1,237 +1,262 @@
-//! Attempts: when one may still be sent, when it is withdrawn, and what its answer counts for.
+//! Attempts: until when one may be sent, when it is withdrawn, and how its answer is used.
 
 use crate::common::{empty_query_response, frame, query, row, startup, statement};
 use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt};
-use crate::simulation::{Client, MemberEnd, Simulation, launch_changed_by};
+use crate::simulation::{Client, MemberConnection, Simulation, launch_changed_by};
 use ladderpass::reducer::{ConnectionId, Effect, Event};
 use ladderpass_routing::Span;
 
-/// A read is sent within a tick of its decision, or where the member is still known to be fresh enough; otherwise it is
-/// decided again. A write may wait for its connection.
+/// A bounded read is sent within a tick of its decision, or later if the member is still known to be fresh enough;
+/// otherwise it is decided again. A write may wait for its connection in any case.
 #[test]
-fn a_bounded_read_that_waited_for_its_connection_is_sent_where_its_decision_still_holds() {
-    let bound_ms = 800;
+fn a_bounded_read_that_waited_for_its_connection_is_sent_only_if_the_member_is_still_fresh_enough() {
+    let max_staleness_ms = 800;
     let waited_ms = 100;
-    for (method, age_ms, sent) in [
+    for (method, age_ms, expected) in [
         ("read", 0, true),
-        ("read", bound_ms - waited_ms - 10, true),
-        ("read", bound_ms - waited_ms, false),
-        ("read", bound_ms - 10, false),
+        ("read", max_staleness_ms - waited_ms - 10, true),
+        ("read", max_staleness_ms - waited_ms, false),
+        ("read", max_staleness_ms - 10, false),
         ("write", 0, true),
     ] {
         let text = |nth: usize| statement(&nth.to_string(), method, 2000, "1");
         let mut simulation = clients_that_sent(8, |nth| query(&text(nth)));
         (0..8).for_each(|nth| simulation.expect_statement(&text(nth), true));
         let position = (simulation.now.nanos() / 1_000_000) as u64 - age_ms;
-        let probed: Vec<ConnectionId> = simulation.member_ends.keys().copied().collect();
-        for (nth, &id) in probed.iter().enumerate() {
+        let health_checked: Vec<ConnectionId> = simulation.member_connections.keys().copied().collect();
+        for (nth, &id) in health_checked.iter().enumerate() {
             simulation.establish(id);
-            simulation.member_ends.get_mut(&id).expect("it came up").query = None;
+            simulation.member_connections.get_mut(&id).expect("the member connection is open").query = None;
             let seconds = position as f64 / 1e3;
             let report = format!("x0={seconds:.3},x1={}", u8::from(nth == 0));
             simulation.feed(id, &row(report.as_bytes(), "follower", position));
             simulation.write(id);
         }
         simulation.advance(Span::ZERO);
-        let late: Vec<ConnectionId> =
-            simulation.member_ends.keys().filter(|id| !probed.contains(id)).copied().collect();
-        assert!(!late.is_empty(), "some wait for a connection: {method}, {age_ms} ms");
+        let late_connections: Vec<ConnectionId> =
+            simulation.member_connections.keys().filter(|id| !health_checked.contains(id)).copied().collect();
+        assert!(
+            !late_connections.is_empty(),
+            "no {method} waits for a connection, with data {age_ms} ms old"
+        );
         simulation.now = simulation.now + Span::from_millis(waited_ms as i64);
-        // Waited for the first connection; decided again, it may be sent on one that is established later.
-        simulation.establish(late[0]);
-        let asked = simulation.member_ends[&late[0]].query.is_some();
-        assert_eq!(asked, sent, "{method}, of data {age_ms} ms old");
+        // Only the first connection is established: a read that is decided again may be sent on one that follows.
+        simulation.establish(late_connections[0]);
+        let is_sent = simulation.member_connections[&late_connections[0]].query.is_some();
+        assert_eq!(is_sent, expected, "is a {method} of data {age_ms} ms old sent?");
     }
 }
 
-/// Two statements arrive in one piece. The first is answered late and the second never by a member: its deadline, which
-/// runs from when it was sent, is 400 ms later, and not 400 ms after its turn came; its client has left by then.
+/// A second statement arrives while the first is in flight. A member answers the first late, and the second never. The
+/// deadline of the second is 400 ms after it was sent, and not 400 ms after the first was answered, when its client
+/// would have left.
 #[test]
-fn a_statement_behind_another_is_answered_in_the_time_that_runs_from_when_it_was_sent() {
-    for served_after in [100, 300, 390, 700] {
-        let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
+fn the_deadline_of_a_pipelined_statement_runs_from_when_it_was_sent() {
+    for first_answer_ms in [100, 300, 390, 700] {
+        let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
         let text = statement("9", "read", 400, "1");
         simulation.expect_statement(&text, false);
-        let state = simulation.clients.get_mut(&client).expect("it is there");
-        let due = simulation.now + Span::from_millis(400);
-        (state.due, state.ids) = (vec![state.due[0], due], vec!["7".to_owned(), "9".to_owned()]);
+        let client_state = simulation.clients.get_mut(&client).expect("the client is connected");
+        let deadline = simulation.now + Span::from_millis(400);
+        (client_state.deadlines, client_state.rpc_ids) =
+            (vec![client_state.deadlines[0], deadline], vec!["7".to_owned(), "9".to_owned()]);
         simulation.feed(client, &query(&text));
         let position = simulation.now.nanos() as u64 / 1_000_000;
         for step in 0..=180 {
             simulation.advance(Span::from_millis(5));
-            if step * 5 == served_after {
-                simulation.feed(link, &row(b"7", "follower", position));
+            if step * 5 == first_answer_ms {
+                simulation.feed(connection, &row(b"7", "follower", position));
                 simulation.write(client);
             }
-            let state = &simulation.clients[&client];
-            let turn = served_after.max(400) + 10;
+            let client_state = &simulation.clients[&client];
+            let answered_by_ms = first_answer_ms.max(400) + 10;
             assert!(
-                step * 5 < turn || state.answers == 2,
-                "{served_after} ms: still open at {} ms",
+                step * 5 < answered_by_ms || client_state.answers == 2,
+                "first answer after {first_answer_ms} ms: no second answer at {} ms",
                 step * 5
             );
         }
     }
 }
 
-/// A connection is not used again before nothing more can follow: bytes behind an answer are no other RPC's answer.
+/// A member connection is reused only once nothing more can follow the last answer, so that surplus bytes after an
+/// answer are never taken for the answer to another RPC.
 #[test]
-fn a_second_copy_behind_an_answer_closes_the_connection_before_it_is_used_again() {
+fn surplus_bytes_after_an_answer_close_the_connection_before_it_is_reused() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
-        let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
-        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
-        simulation.feed(link, &row(b"7", "follower", 1));
+        let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
+        simulation.member_connections.get_mut(&connection).expect("the member connection is open").query =
+            None;
+        simulation.feed(connection, &row(b"7", "follower", 1));
         simulation.write(client);
         assert_eq!(simulation.clients[&client].answers, 1);
         assert!(
-            simulation.member_ends[&link].sync_query_queued,
-            "an empty query stands behind the one that was answered"
+            simulation.member_connections[&connection].sync_query_queued,
+            "an empty query follows the one that was answered"
         );
-        simulation.feed(link, &surplus);
-        simulation.feed(link, &empty_query_response());
-        assert!(!simulation.member_ends.contains_key(&link));
+        simulation.feed(connection, &surplus);
+        simulation.feed(connection, &empty_query_response());
+        assert!(!simulation.member_connections.contains_key(&connection));
     }
 }
 
-/// The time that a query waits here to be written, and an answer to be read, does not count as the member's: otherwise a
-/// busy router would take idle members for overloaded.
+/// The time for which a query waits in the router to be written, or an answer to be read, is not counted as answer time
+/// of the member. Otherwise a busy router would take idle members for overloaded.
 #[test]
-fn a_members_answer_time_is_without_what_the_router_kept_waiting() {
-    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
+fn the_answer_time_of_a_member_excludes_delays_of_the_router() {
+    let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
     let before = simulation.reducer.answered_attempts();
     simulation.now = simulation.now + Span::from_millis(300);
     let answer = row(b"7", "follower", simulation.now.nanos() as u64 / 1_000_000);
-    let space = simulation.reducer.read_buffer(link);
+    let space = simulation.reducer.read_buffer(connection);
     space[..answer.len()].copy_from_slice(&answer);
-    simulation.apply(Event::Received(link, answer.len(), Span::from_millis(299)));
+    simulation.apply(Event::Received(connection, answer.len(), Span::from_millis(299)));
     simulation.write(client);
     assert_eq!(simulation.clients[&client].answers, 1);
     let (count, time) = simulation.reducer.answered_attempts();
     assert_eq!(count, before.0 + 1);
     assert!(
         time - before.1 < Span::from_millis(20),
-        "{time:?}: the member took a millisecond and what was before"
+        "answer times sum up to {time:?}, but the member took a millisecond"
     );
 }
 
-/// The client leaves before a byte of its query is written, or with part of it written: the member never gets all of it.
-/// Over loopback the kernel takes every statement at once, so the socket that takes none is simulated.
+/// The client leaves before any byte of its query is written to the member, or after part of it is. The member never
+/// gets all of it. Over loopback the kernel accepts every statement at once, so a socket that accepts nothing is
+/// simulated.
 #[test]
-fn what_is_not_written_whole_when_its_client_goes_never_is() {
+fn a_query_that_is_not_fully_written_when_its_client_leaves_is_withdrawn() {
     for written in [0, 10] {
-        let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
+        let FirstAttempt { mut simulation, connection, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+        simulation.receive(connection, &[row(b"7", "leader", position), empty_query_response()].concat());
         let client = simulation.reducer.next_id();
         simulation.clients.insert(client, Client { broke_protocol: true, ..Client::default() });
         simulation.apply(Event::Accepted(client));
         let bytes = [startup(), query(&statement("8", "write", 2000, "1"))].concat();
         simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
-        // Nobody carries out what the reducer asks for: the socket takes nothing.
+        // The effects are not carried out, as the socket accepts nothing.
         for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
             simulation.reducer.handle(simulation.now, event);
         }
-        let out = String::from_utf8_lossy(simulation.reducer.outgoing(link)).into_owned();
-        assert!(out.contains("id=8,"), "{out}");
+        let output = String::from_utf8_lossy(simulation.reducer.outgoing(connection)).into_owned();
+        assert!(output.contains("id=8,"), "not in the output: {output}");
         if written > 0 {
-            simulation.reducer.handle(simulation.now, Event::Written(link, written));
+            simulation.reducer.handle(simulation.now, Event::Written(connection, written));
         }
         let effects = simulation.reducer.handle(simulation.now, Event::Closed(client));
-        assert_eq!(effects.contains(&Effect::Close(link)), written > 0, "a part makes it useless");
-        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(
+            effects.contains(&Effect::Close(connection)),
+            written > 0,
+            "a connection is closed if part of a query is written"
+        );
+        assert!(simulation.reducer.outgoing(connection).is_empty(), "no more of the query is sent");
         let in_flight = simulation.reducer.attempts_in_flight();
         assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
     }
 }
 
-/// The socket to a member takes part of a statement, or none: the time left that the statement names, and the freshness of a
-/// read's data, must hold when its last byte is written. So the attempt is withdrawn in time.
+/// The socket to a member accepts part of a statement or none of it. The time left that the statement carries, and the
+/// freshness of a read's data, must still be right when its last byte is written. So the attempt is withdrawn, a write
+/// after 100 ms and a read after a tick of 5 ms.
 #[test]
-fn what_a_socket_does_not_accept_in_time_is_withdrawn() {
-    for (method, within) in [("write", 100), ("read", 5)] {
+fn a_query_that_the_socket_does_not_accept_in_time_is_withdrawn() {
+    for (method, timeout_ms) in [("write", 100), ("read", 5)] {
         for written in [0, 10] {
-            let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
+            let FirstAttempt { mut simulation, client, connection } = send_first_attempt(method);
             let position = simulation.now.nanos() as u64 / 1_000_000;
-            simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+            simulation.receive(connection, &[row(b"7", "leader", position), empty_query_response()].concat());
             simulation.write(client);
-            simulation.clients.get_mut(&client).expect("it is there").broke_protocol = true;
+            simulation.clients.get_mut(&client).expect("the client is connected").broke_protocol = true;
             let bytes = query(&statement("8", method, 2000, "1"));
             simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
-            // Nobody carries out what the reducer asks for.
+            // The effects are not carried out, as the socket accepts nothing.
             for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
                 simulation.reducer.handle(simulation.now, event);
             }
-            let has_it = |&&id: &&ConnectionId| {
+            let carries_statement = |&&id: &&ConnectionId| {
                 String::from_utf8_lossy(simulation.reducer.outgoing(id)).contains("id=8,")
             };
-            let Some(&link) = simulation.member_ends.keys().find(has_it) else {
-                panic!("{method}: it is not sent")
+            let Some(&connection) = simulation.member_connections.keys().find(carries_statement) else {
+                panic!("{method}: the attempt is not sent")
             };
             if written > 0 {
-                simulation.reducer.handle(simulation.now, Event::Written(link, written));
+                simulation.reducer.handle(simulation.now, Event::Written(connection, written));
             }
-            simulation.reducer.handle(simulation.now, Event::WriteBlocked(link));
-            let late = simulation.now + Span::from_millis(within + 1);
-            let effects = simulation.reducer.handle(late, Event::Tick);
-            assert!(effects.contains(&Effect::Close(link)), "{method}, {written} written: {effects:?}");
+            simulation.reducer.handle(simulation.now, Event::WriteBlocked(connection));
+            let after_timeout = simulation.now + Span::from_millis(timeout_ms + 1);
+            let effects = simulation.reducer.handle(after_timeout, Event::Tick);
+            assert!(
+                effects.contains(&Effect::Close(connection)),
+                "{method}, {written} bytes written: the connection is not closed, but {effects:?}"
+            );
         }
     }
 }
 
-/// A session's last write is compared with the positions of members, not with this router's clock, which may be behind both:
-/// all members report positions 0.8 s ahead, which is still before the write.
+/// A session's last write is compared with the positions of members, and not with the router's clock, which may be
+/// behind both. All members report positions 0.8 s ahead of that clock. If the write is 100 ms after them, the read
+/// goes to the primary; if it is 100 ms before them, the read goes to a replica.
 #[test]
-fn a_session_sees_its_write_though_the_clock_is_behind() {
-    for (short_by, port) in [(100_i64, 7000), (-100, 7001)] {
+fn a_session_read_sees_the_last_write_although_the_clock_is_behind() {
+    for (short_by_ms, port) in [(100_i64, 7000), (-100, 7001)] {
         let session = |text: String| text.replace("[\"bounded\",\"write\"]", "[\"session\",\"write\"]");
         let mut simulation = Simulation::with_launch(vec![255; 600], launch_changed_by(session));
         let client = simulation.reducer.next_id();
         simulation.clients.insert(client, Client { broke_protocol: true, ..Client::default() });
         simulation.apply(Event::Accepted(client));
-        let reached = simulation.now.nanos() / 1_000_000 + 800;
-        let last_write = format!(",cluster=1,after={} */", reached + short_by);
+        let position_ms = simulation.now.nanos() / 1_000_000 + 800;
+        let last_write = format!(",cluster=1,after={} */", position_ms + short_by_ms);
         let text = statement("7", "read", 2000, "1").replace(",cluster=1 */", &last_write);
         simulation.expect_statement(&text, false);
         simulation.receive(client, &startup());
         for _ in 0..6 {
             simulation.advance(Span::from_millis(5));
-            for id in simulation.member_ends.keys().copied().collect::<Vec<_>>() {
-                if !simulation.member_ends[&id].up {
+            for id in simulation.member_connections.keys().copied().collect::<Vec<_>>() {
+                if !simulation.member_connections[&id].is_established {
                     simulation.establish(id);
                 }
-                let Some(member_end) = simulation.member_ends.get_mut(&id) else { continue };
-                if member_end.query.take().is_some() {
-                    let leads = simulation.ports[&id] == 7000;
-                    let report =
-                        format!("x0={}.{:03},x1={}", reached / 1000, reached % 1000, u8::from(leads));
+                let Some(member) = simulation.member_connections.get_mut(&id) else { continue };
+                if member.query.take().is_some() {
+                    let is_primary = simulation.ports[&id] == 7000;
+                    let report = format!(
+                        "x0={}.{:03},x1={}",
+                        position_ms / 1000,
+                        position_ms % 1000,
+                        u8::from(is_primary)
+                    );
                     simulation.feed(id, &row(report.as_bytes(), "follower", 0));
-                } else if std::mem::take(&mut member_end.sync_query_queued) {
+                } else if std::mem::take(&mut member.sync_query_queued) {
                     simulation.feed(id, &empty_query_response());
                 }
             }
         }
         simulation.receive(client, &query(&text));
         simulation.advance(Span::ZERO);
-        let asked = |(id, member_end): (&ConnectionId, &MemberEnd)| {
-            let it = member_end.query.as_deref().is_some_and(|text| text.contains("id=7,"));
-            it.then(|| simulation.ports[id])
+        let port_with_read = |(id, member): (&ConnectionId, &MemberConnection)| {
+            let has_read = member.query.as_deref().is_some_and(|text| text.contains("id=7,"));
+            has_read.then(|| simulation.ports[id])
         };
-        let went: Vec<u16> =
-            simulation.member_ends.iter().filter_map(asked).map(|port| port.min(7001)).collect();
-        assert_eq!(went, [port], "short by {short_by} ms");
+        let ports_with_read: Vec<u16> = simulation
+            .member_connections
+            .iter()
+            .filter_map(port_with_read)
+            .map(|port| port.min(7001))
+            .collect();
+        assert_eq!(ports_with_read, [port], "positions {short_by_ms} ms behind the write");
     }
 }
 
-/// An answer that begins and does not end leaves time for another attempt.
+/// An answer that begins and does not end is given up after 250 ms, which leaves time for another attempt.
 #[test]
-fn half_an_answer_ends_its_attempt_soon() {
-    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
-    simulation.feed(link, &row(b"7", "follower", 1)[..40]);
+fn an_answer_that_does_not_end_is_given_up_before_the_deadline() {
+    let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
+    simulation.feed(connection, &row(b"7", "follower", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
-    assert!(!simulation.member_ends.contains_key(&link), "abandoned");
-    assert_eq!(simulation.clients[&client].answers, 0, "a read that may go elsewhere");
-    let FirstAttempt { mut simulation, client, link } = send_first_attempt("write");
-    simulation.feed(link, &row(b"7", "leader", 1)[..40]);
+    assert!(!simulation.member_connections.contains_key(&connection), "the attempt is given up");
+    assert_eq!(simulation.clients[&client].answers, 0, "the read may be retried");
+    let FirstAttempt { mut simulation, client, connection } = send_first_attempt("write");
+    simulation.feed(connection, &row(b"7", "leader", 1)[..40]);
     (0..60).for_each(|_| simulation.advance(Span::from_millis(5)));
-    assert_eq!(simulation.clients[&client].answers, 1, "a write that may have run");
+    assert_eq!(simulation.clients[&client].answers, 1, "the write may have run, so its client gets an error");
 }
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -1,15 +1,16 @@
-//! Cancel requests, in each state of the RPC that they name.
+//! Cancel requests, in each state of the RPC that they are for.
 
 use crate::common::{empty_query_response, error_response, id_and_rest, query, row, startup, statement};
-use crate::scenarios::{FirstAttempt, answers_of, send_first_attempt, served, unserved};
-use crate::simulation::{Client, MemberEnd, Simulation};
+use crate::scenarios::{FirstAttempt, answers_of, error_answer, send_first_attempt, served_answer};
+use crate::simulation::{Client, MemberConnection, Simulation};
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
 
-/// Keys differ; one that differs by a bit, or is of no connection, or comes without an RPC in flight, has no effect.
+/// Each connection has a key of its own. A cancel request has no effect if one bit of its key is wrong, if no
+/// connection has its key, or if the connection has no RPC in flight.
 #[test]
-fn a_cancel_counts_with_the_key_of_its_connection_alone() {
-    let FirstAttempt { mut simulation, client, link } = send_first_attempt("read");
+fn a_cancel_request_has_an_effect_only_with_the_key_of_the_connection() {
+    let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
     let (process, secret) = simulation.cancel_key_of(client);
     for bit in 0..32 {
         simulation.send_cancel_request((process, secret ^ 1 << bit));
@@ -25,21 +26,25 @@
     simulation.send_cancel_request(idle);
     simulation.send_cancel_request((process, idle.1));
     assert_eq!(answers_of(&simulation, client), []);
-    simulation.member_ends.get_mut(&link).expect("it is there").query = None;
-    simulation.receive(link, &row(b"7", "follower", 1));
+    simulation.member_connections.get_mut(&connection).expect("the member connection is open").query = None;
+    simulation.receive(connection, &row(b"7", "follower", 1));
     simulation.send_cancel_request((process, secret));
     simulation.advance(Span::ZERO);
-    assert_eq!((answers_of(&simulation, client), answers_of(&simulation, other)), (vec![served()], vec![]));
+    assert_eq!(
+        (answers_of(&simulation, client), answers_of(&simulation, other)),
+        (vec![served_answer()], vec![])
+    );
 }
 
-/// Pending, as no member has answered anything yet: answered at once, and never sent. What follows it goes on.
+/// No member has answered anything yet, so the first statement is pending. Once cancelled it is answered at once and
+/// never sent, and the statement after it is served.
 #[test]
-fn what_is_pending_and_cancelled_is_answered_at_once_and_what_stands_behind_it_goes_on() {
+fn a_cancelled_pending_statement_is_answered_at_once_and_the_next_one_is_served() {
     let mut simulation = Simulation::new(vec![255; 600]);
     let client = simulation.reducer.next_id();
-    let due = vec![simulation.now + Span::from_millis(2000); 2];
-    let ids = vec!["7".to_owned(), "8".to_owned()];
-    simulation.clients.insert(client, Client { due, ids, ..Client::default() });
+    let deadlines = vec![simulation.now + Span::from_millis(2000); 2];
+    let rpc_ids = vec!["7".to_owned(), "8".to_owned()];
+    simulation.clients.insert(client, Client { deadlines, rpc_ids, ..Client::default() });
     simulation.apply(Event::Accepted(client));
     let texts = [statement("7", "write", 2000, "1"), statement("8", "write", 2000, "1")];
     for text in &texts {
@@ -49,37 +54,39 @@
     simulation.write(client);
     assert_eq!(answers_of(&simulation, client), []);
     simulation.send_cancel_request(simulation.cancel_key_of(client));
-    assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
+    assert_eq!(answers_of(&simulation, client), [error_answer("57014")]);
     for _ in 0..200 {
         simulation.advance(Span::from_millis(5));
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        for id in simulation.member_ends.keys().copied().collect::<Vec<_>>() {
-            let Some(member_end) = simulation.member_ends.get_mut(&id) else { continue };
-            if !member_end.up {
+        for id in simulation.member_connections.keys().copied().collect::<Vec<_>>() {
+            let Some(member) = simulation.member_connections.get_mut(&id) else { continue };
+            if !member.is_established {
                 simulation.establish(id);
-            } else if let Some(asked) = member_end.query.take() {
-                assert_ne!(id_and_rest(&asked).0, "7", "it was cancelled");
+            } else if let Some(query_text) = member.query.take() {
+                assert_ne!(id_and_rest(&query_text).0, "7", "the cancelled RPC is sent");
                 let report = format!("x0={}.9,x1=1", position / 1000);
-                let value = if asked == "SHOW server_load" { report } else { id_and_rest(&asked).0 };
+                let value =
+                    if query_text == "SHOW server_load" { report } else { id_and_rest(&query_text).0 };
                 simulation.feed(id, &row(value.as_bytes(), "leader", position));
-            } else if std::mem::take(&mut member_end.sync_query_queued) {
+            } else if std::mem::take(&mut member.sync_query_queued) {
                 simulation.feed(id, &empty_query_response());
             }
         }
     }
-    assert_eq!(answers_of(&simulation, client), [unserved("57014"), served()]);
+    assert_eq!(answers_of(&simulation, client), [error_answer("57014"), served_answer()]);
 }
 
-/// Its query is not written, or only in part: answered at once, and no more of it is sent.
+/// The query of the cancelled RPC is not written, or only in part. The client is answered at once, and no more of the
+/// query is sent.
 #[test]
-fn what_is_not_written_whole_when_it_is_cancelled_never_is() {
+fn a_query_that_is_not_fully_written_when_it_is_cancelled_is_withdrawn() {
     for written in [0, 10] {
-        let FirstAttempt { mut simulation, link, .. } = send_first_attempt("write");
+        let FirstAttempt { mut simulation, connection, .. } = send_first_attempt("write");
         let position = simulation.now.nanos() as u64 / 1_000_000;
-        simulation.receive(link, &[row(b"7", "leader", position), empty_query_response()].concat());
+        simulation.receive(connection, &[row(b"7", "leader", position), empty_query_response()].concat());
         let client = simulation.reducer.next_id();
-        let due = vec![simulation.now + Span::from_millis(2000)];
-        simulation.clients.insert(client, Client { due, ..Client::default() });
+        let deadlines = vec![simulation.now + Span::from_millis(2000)];
+        simulation.clients.insert(client, Client { deadlines, ..Client::default() });
         simulation.apply(Event::Accepted(client));
         simulation.receive(client, &startup());
         simulation.write(client);
@@ -88,55 +95,64 @@
         for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
             simulation.reducer.handle(simulation.now, event);
         }
-        assert!(String::from_utf8_lossy(simulation.reducer.outgoing(link)).contains("id=8,"));
+        assert!(String::from_utf8_lossy(simulation.reducer.outgoing(connection)).contains("id=8,"));
         if written > 0 {
-            simulation.reducer.handle(simulation.now, Event::Written(link, written));
+            simulation.reducer.handle(simulation.now, Event::Written(connection, written));
         }
         simulation.send_cancel_request(simulation.cancel_key_of(client));
-        assert_eq!(!simulation.member_ends.contains_key(&link), written > 0, "a part makes it useless");
-        assert!(simulation.reducer.outgoing(link).is_empty(), "nothing of it goes out any more");
+        assert_eq!(
+            !simulation.member_connections.contains_key(&connection),
+            written > 0,
+            "a connection is closed if part of a query is written"
+        );
+        assert!(simulation.reducer.outgoing(connection).is_empty(), "no more of the query is sent");
         let in_flight = simulation.reducer.attempts_in_flight();
         assert_eq!((in_flight.rpcs, in_flight.connections), (0, 0));
         simulation.write(client);
-        assert_eq!(answers_of(&simulation, client), [unserved("57014")]);
+        assert_eq!(answers_of(&simulation, client), [error_answer("57014")]);
     }
 }
 
-/// An attempt in flight is settled by its outcome: served if it is good; otherwise nothing follows it, and the answer says
-/// whether it may have had an effect.
+/// A cancelled RPC whose attempt is in flight is settled by the outcome of that attempt. It is served if the outcome is
+/// good. Otherwise no further attempt is made, and the answer says whether the RPC may have had an effect.
 #[test]
-fn no_attempt_follows_the_one_in_flight_when_it_is_cancelled() {
-    for (method, ends, wanted) in [
-        ("read", "well", served()),
-        ("write", "well", served()),
-        ("read", "refused", unserved("57014")),
-        ("write", "refused", unserved("57014")),
-        ("read", "broken", unserved("57014")),
-        ("write", "broken", unserved("58000")),
+fn no_further_attempt_is_made_for_an_rpc_cancelled_in_flight() {
+    for (method, outcome, expected) in [
+        ("read", "answered", served_answer()),
+        ("write", "answered", served_answer()),
+        ("read", "rejected", error_answer("57014")),
+        ("write", "rejected", error_answer("57014")),
+        ("read", "closed", error_answer("57014")),
+        ("write", "closed", error_answer("58000")),
     ] {
-        let FirstAttempt { mut simulation, client, link } = send_first_attempt(method);
+        let FirstAttempt { mut simulation, client, connection } = send_first_attempt(method);
         let position = simulation.now.nanos() as u64 / 1_000_000;
         simulation.send_cancel_request(simulation.cancel_key_of(client));
         simulation.send_cancel_request(simulation.cancel_key_of(client));
-        assert_eq!(answers_of(&simulation, client), [], "it is out");
-        simulation.member_ends.get_mut(&link).expect("it is there").query = None;
-        match ends {
-            "well" => simulation
-                .receive(link, &row(b"7", if method == "read" { "follower" } else { "leader" }, position)),
-            "refused" => simulation.receive(link, &error_response("53300")),
+        assert_eq!(answers_of(&simulation, client), [], "answered while the attempt is in flight");
+        simulation.member_connections.get_mut(&connection).expect("the member connection is open").query =
+            None;
+        match outcome {
+            "answered" => simulation.receive(
+                connection,
+                &row(b"7", if method == "read" { "follower" } else { "leader" }, position),
+            ),
+            "rejected" => simulation.receive(connection, &error_response("53300")),
             _ => {
-                simulation.member_ends.remove(&link);
-                simulation.apply(Event::Closed(link));
+                simulation.member_connections.remove(&connection);
+                simulation.apply(Event::Closed(connection));
             }
         }
         simulation.advance(Span::ZERO);
-        assert_eq!(answers_of(&simulation, client), [wanted], "{method} {ends}");
+        assert_eq!(answers_of(&simulation, client), [expected], "{method}, attempt {outcome}");
         for _ in 0..100 {
             simulation.advance(Span::from_millis(5));
-            let asked = |member_end: &MemberEnd| {
-                member_end.query.as_ref().is_some_and(|asked| asked.contains("id=7,"))
-            };
-            assert!(!simulation.member_ends.values().any(asked), "{method} {ends}: a further attempt");
+            let carries_rpc =
+                |member: &MemberConnection| member.query.as_ref().is_some_and(|text| text.contains("id=7,"));
+            assert!(
+                !simulation.member_connections.values().any(carries_rpc),
+                "{method}, attempt {outcome}: a further attempt is made"
+            );
         }
     }
 }
--- a/crates/ladderpass/tests/reducer/client_errors.rs
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -7,8 +7,8 @@
 use ladderpass_routing::Span;
 
 #[test]
-fn bad_input_gets_a_fitting_code_and_keeps_the_stream_in_step() {
-    for (bytes, wanted) in [
+fn an_invalid_statement_gets_its_sqlstate_and_the_connection_stays_usable() {
+    for (bytes, code) in [
         (query("SELECT 1"), "42601"),
         (query("SELECT 1 /* c=read,d=5,cluster=1 */"), "42601"),
         (query(&statement("7", "nothing", 480, "1")), "22023"),
@@ -25,10 +25,10 @@
     ] {
         let Exchange { frames, is_closed } = exchange(&bytes);
         let kinds: Vec<u8> = frames.iter().map(|(kind, _)| *kind).collect();
-        assert_eq!((kinds.as_slice(), is_closed), (&b"EZIZ"[..], false), "{wanted}");
-        assert_eq!(sqlstate(&frames[0].1), wanted);
+        assert_eq!((kinds.as_slice(), is_closed), (&b"EZIZ"[..], false), "{code}");
+        assert_eq!(sqlstate(&frames[0].1), code);
     }
-    // Out of step, or too long by its header: only that client is closed.
+    // The client is closed where frames can't be told apart any more, or where a header announces too long a message.
     assert!(exchange(b"Q\x03\x93\x87\x04SELECT").is_closed);
     assert!(exchange(&[b'Q', 0, 0, 0, 1]).is_closed);
     assert!(exchange(&frame(b'!', b"")).is_closed);
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_not_accepted_twice() {
+fn the_id_of_an_open_rpc_is_not_accepted_twice() {
     let mut simulation = clients_that_sent(2, |_| query(&statement("7", "read", 480, "1")));
     let errors: Vec<String> = (simulation.clients.values())
-        .flat_map(|client| frames(&client.inbox).0)
+        .flat_map(|client| frames(&client.received).0)
         .filter(|(kind, _)| *kind == b'E')
         .map(|(_, body)| sqlstate(&body))
         .collect();
@@ -48,16 +48,16 @@
     assert_eq!(simulation.clients.len(), 2);
 }
 
-/// A client that goes on with errors gets each at once, is read ever later and closed in the end.
+/// A client that keeps making errors is answered, but read after longer and longer pauses, and closed in the end.
 #[test]
-fn a_client_full_of_errors_is_slowed_and_closed() {
+fn a_client_that_keeps_making_errors_is_slowed_down_and_closed() {
     let mut simulation = clients_that_sent(0, |_| Vec::new());
     let id = simulation.reducer.next_id();
     simulation.clients.insert(id, Client { broke_protocol: true, ..Client::default() });
     simulation.apply(Event::Accepted(id));
     simulation.receive(id, &[startup(), query("SELECT 1").repeat(100)].concat());
     simulation.write(id);
-    assert_eq!(simulation.clients[&id].answers, 1, "the first at once");
+    assert_eq!(simulation.clients[&id].answers, 1, "the first statement is answered at once");
     (0..200).for_each(|_| simulation.advance(Span::from_millis(5)));
     assert!(!simulation.clients.contains_key(&id));
 }
--- a/crates/ladderpass/tests/reducer/random_runs.rs
+++ b/crates/ladderpass/tests/reducer/random_runs.rs
@@ -5,7 +5,8 @@
 use ladderpass_routing::Span;
 use quickcheck::{Gen, QuickCheck};
 
-/// Random runs with this many bytes of choices; the same ones each time.
+/// Checks a property for `count` sequences of up to `size` random choices. The seed is fixed, so they are the same each
+/// time.
 pub fn check_random_runs(count: u64, size: usize, property: fn(Vec<u8>) -> bool) {
     QuickCheck::new().rng(Gen::from_size_and_seed(size, 7)).tests(count).quickcheck(property);
 }
@@ -21,23 +22,23 @@
 }
 
 fn rules_hold(mut simulation: Simulation) -> bool {
-    let stops = simulation.choices.front().is_some_and(|&first| first % 3 == 0);
+    let shuts_down = simulation.choices.front().is_some_and(|&first| first % 3 == 0);
     while !simulation.choices.is_empty() && !simulation.exited {
         simulation.step();
     }
-    if stops {
+    if shuts_down {
         simulation.apply(Event::Terminate);
     }
-    // What was accepted is answered before its deadline, whatever the members do; a router that stops then exits.
+    // Each accepted statement is answered by its deadline, whatever the members do, and a stopping router then exits.
     for _ in 0..2500 {
         simulation.advance(Span::from_millis(5));
     }
     let unanswered = simulation
         .clients
         .values()
-        .filter(|client| !client.broke_protocol && client.answers < client.due.len())
+        .filter(|client| !client.broke_protocol && client.answers < client.deadlines.len())
         .count();
-    assert_eq!(unanswered, 0, "rule 1: left without an answer");
-    assert!(!stops || simulation.exited, "it stops");
+    assert_eq!(unanswered, 0, "rule 1: statements without an answer");
+    assert!(!shuts_down || simulation.exited, "the router exits after SIGTERM");
     true
 }
--- a/crates/ladderpass/tests/router_harness/mod.rs
+++ b/crates/ladderpass/tests/router_harness/mod.rs
@@ -1,5 +1,6 @@
-//! A router process whose client, members and discovery are the test itself, over real connections, so that the test
-//! decides when each byte is sent. To make several things happen at once for the router, the test pauses its process.
+//! A router process whose clients, members and discovery service are the test itself, over real connections, so that
+//! the test decides when each byte is sent. A test that needs several events to reach the router at once pauses the
+//! process.
 #![allow(dead_code)]
 
 use crate::common::{
@@ -16,25 +17,25 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what is sure to come.
+/// How long a test waits for an event that must happen.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A router with health checks off, so that members get RPCs only; reads have no maximum staleness; member 0 is the
-/// primary.
+/// A router without health checks, so that members get nothing but RPCs. Reads have no maximum staleness, and member 0
+/// is the primary.
 pub struct RouterHarness {
     pub process: Child,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: String,
     /// The platform's configuration, which the router reads again at SIGHUP.
     pub config_file: PathBuf,
-    /// Where the router connects to members.
+    /// The listeners that the router connects to as members.
     pub members: Vec<TcpListener>,
-    /// By member: its connections on which no RPC is in flight.
+    /// By member, its connections on which no RPC is in flight.
     pub idle_connections: Vec<Vec<TcpStream>>,
     pub discovery: TcpListener,
-    /// The open watch.
+    /// The open watch, if there is one.
     pub watch: Option<TcpStream>,
-    /// The generation of the next line of the watch.
+    /// The generation that the next line of the watch has.
     pub generation: u64,
 }
 
@@ -46,23 +47,23 @@
 
 /// A listener on an address that no other test uses.
 pub fn bind_listener() -> TcpListener {
-    TcpListener::bind(unique_loopback_address()).expect("a port")
+    TcpListener::bind(unique_loopback_address()).expect("a port is free")
 }
 
-/// The next connection; the test fails if there is none in time.
+/// Accepts the next connection; the test fails if there is none in time.
 pub fn accept_connection(listener: &TcpListener) -> TcpStream {
-    accept_connection_within(listener, PATIENCE).expect("a connection comes")
+    accept_connection_within(listener, PATIENCE).expect("a connection arrives in time")
 }
 
-/// The next connection within this time.
-pub fn accept_connection_within(listener: &TcpListener, patience: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("it can");
-    let until = Instant::now() + patience;
-    while Instant::now() < until {
+/// Accepts the next connection, or returns None if there is none within this time.
+pub fn accept_connection_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
+    listener.set_nonblocking(true).expect("the socket option can be set");
+    let deadline = Instant::now() + timeout;
+    while Instant::now() < deadline {
         match listener.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("it can");
-                stream.set_read_timeout(Some(PATIENCE)).expect("it can");
+                stream.set_nonblocking(false).expect("the socket option can be set");
+                stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
                 return Some(stream);
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(Duration::from_millis(2)),
@@ -72,19 +73,21 @@
     None
 }
 
-/// A router in front of two members, with a changed configuration; its watch is open.
+/// Starts a router in front of two members, with a changed configuration, and opens its watch.
 pub fn start_harness(change: impl Fn(String) -> String) -> RouterHarness {
     start_harness_with(vec![bind_listener(), bind_listener()], change, |_| {})
 }
 
-/// The same in front of these members, with a command that is adjusted before it is started.
+/// As [`start_harness`], in front of these members, and with a command that is adjusted before it is started.
 pub fn start_harness_with(
     members: Vec<TcpListener>,
     change: impl Fn(String) -> String,
     adjust_command: impl Fn(&mut Command),
 ) -> RouterHarness {
-    let addresses: Vec<String> =
-        members.iter().map(|listener| listener.local_addr().expect("an address").to_string()).collect();
+    let addresses: Vec<String> = members
+        .iter()
+        .map(|listener| listener.local_addr().expect("the listener has an address").to_string())
+        .collect();
     let config = router_config(&addresses)
         .replace("\"Probes\":true", "\"Probes\":false")
         .replace("\"ConnectTimeout\":250000000", "\"ConnectTimeout\":30000000000")
@@ -94,10 +97,10 @@
     let address = router_address();
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", &address).env("RUST_LOG", "warn");
-    let discovery_address = discovery.local_addr().expect("an address").to_string();
+    let discovery_address = discovery.local_addr().expect("the listener has an address").to_string();
     command.env("RELAY_DISCOVERY", discovery_address).env("RELAY_CONFIG", &config_file);
     adjust_command(&mut command);
-    let process = command.spawn().expect("it starts");
+    let process = command.spawn().expect("the router can be started");
     let idle_connections = members.iter().map(|_| Vec::new()).collect();
     let mut harness = RouterHarness {
         process,
@@ -116,13 +119,13 @@
     harness
 }
 
-/// Sends a statement; the types of the frames that answer it, and the SQLSTATE of an error.
+/// Sends a statement, and returns the types of the frames that answer it and the SQLSTATE of an error.
 pub fn execute(client: &mut TcpStream, statement: &str) -> (Vec<u8>, String) {
     client.write_all(&query(statement)).expect("the router reads");
     read_answer(client)
 }
 
-/// The types of the frames of the next answer, and the SQLSTATE of an error.
+/// Reads the next answer, and returns the types of its frames and the SQLSTATE of an error.
 pub fn read_answer(client: &mut TcpStream) -> (Vec<u8>, String) {
     let (mut kinds, mut error) = (Vec::new(), String::new());
     while kinds.last() != Some(&b'Z') {
@@ -145,37 +148,38 @@
 impl RouterHarness {
     /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.process.id() as i32), signal).expect("it runs");
+        kill(Pid::from_raw(self.process.id() as i32), signal).expect("the router is running");
     }
 
     /// Stops the process with SIGSTOP, and waits until it has stopped.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
-        waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED)).expect("a child");
+        waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED))
+            .expect("the router is a child process");
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// A client's connection on which the startup is done.
+    /// Opens a client connection, and returns it once its startup message is answered.
     pub fn client(&self) -> TcpStream {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + PATIENCE;
         let mut stream = loop {
             match TcpStream::connect(&self.address) {
                 Ok(stream) => break stream,
-                Err(error) => assert!(Instant::now() < until, "{error}"),
+                Err(error) => assert!(Instant::now() < deadline, "{error}"),
             }
             sleep(Duration::from_millis(5));
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("it can");
+        stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
         stream.write_all(&startup()).expect("the router reads");
         while next_frame(&mut stream).expect("the startup is answered").0 != b'Z' {}
         stream
     }
 
-    /// Returns once the router has handled all that was sent before this.
+    /// Returns once the router has handled everything that was sent to it before.
     pub fn settle(&self) {
         let mut client = self.client();
         for _ in 0..3 {
@@ -183,18 +187,20 @@
         }
     }
 
-    /// Accepts the next watch: reads its request, and writes the response's head.
+    /// Accepts the next watch: reads its request, and writes the head of the response.
     pub fn open_watch(&mut self) {
         let mut stream = accept_connection(&self.discovery);
         read_watch_request(&stream);
-        stream.write_all(WATCH_HEAD).expect("it reads");
+        stream.write_all(WATCH_HEAD).expect("the router reads");
         self.watch = Some(stream);
     }
 
-    /// Sends a line of the watch with these entries; `whole` means that it is the whole list.
-    pub fn send_listing(&mut self, entries: &str, whole: bool) {
-        let line =
-            format!("{{\"generation\":{},\"reset\":{whole},\"instances\":[{entries}]}}\n", self.generation);
+    /// Sends a line of the watch with these entries; `is_complete` means that they are the complete list.
+    pub fn send_listing(&mut self, entries: &str, is_complete: bool) {
+        let line = format!(
+            "{{\"generation\":{},\"reset\":{is_complete},\"instances\":[{entries}]}}\n",
+            self.generation
+        );
         self.generation += 1;
         self.send_watch_bytes(line.as_bytes());
     }
@@ -202,51 +208,51 @@
     /// Sends these bytes as a chunk on the open watch.
     pub fn send_watch_bytes(&mut self, bytes: &[u8]) {
         let watch = self.watch.as_mut().expect("a watch is open");
-        watch.write_all(&chunk(bytes)).expect("it reads");
+        watch.write_all(&chunk(bytes)).expect("the router reads");
     }
 
-    /// Where the router connects to a member.
+    /// The address at which the router connects to a member.
     pub fn member_address(&self, n: usize) -> String {
-        self.members[n].local_addr().expect("an address").to_string()
+        self.members[n].local_addr().expect("the listener has an address").to_string()
     }
 
-    /// Accepts a new connection to a member and reads its startup message, which is still to be answered.
+    /// Accepts a new connection to a member and reads its startup message, but does not answer it.
     pub fn accept_member_connection(&self, n: usize) -> TcpStream {
         read_startup(accept_connection(&self.members[n]))
     }
 
-    /// The id of the RPC that a member gets next, on any connection, and that connection.
+    /// Waits for the next RPC that a member gets on any connection, and returns its id and that connection.
     pub fn next_rpc(&mut self, n: usize) -> (String, TcpStream) {
-        self.next_rpc_within(n, PATIENCE).expect("the member is asked")
+        self.next_rpc_within(n, PATIENCE).expect("the member gets an RPC in time")
     }
 
-    /// The same; None if the member gets none in this time.
-    pub fn next_rpc_within(&mut self, n: usize, patience: Duration) -> Option<(String, TcpStream)> {
-        let until = Instant::now() + patience;
-        while Instant::now() < until {
+    /// As [`Self::next_rpc`]; returns None if the member gets no RPC within this time.
+    pub fn next_rpc_within(&mut self, n: usize, timeout: Duration) -> Option<(String, TcpStream)> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Some(stream) = accept_connection_within(&self.members[n], Duration::from_millis(5)) {
                 let mut stream = read_startup(stream);
-                stream.write_all(&welcome()).expect("it reads");
+                stream.write_all(&welcome()).expect("the router reads");
                 self.idle_connections[n].push(stream);
             }
             for nth in 0..self.idle_connections[n].len() {
-                let link = &mut self.idle_connections[n][nth];
-                link.set_nonblocking(true).expect("it can");
-                let peeked = link.peek(&mut [0]);
-                link.set_nonblocking(false).expect("it can");
+                let connection = &mut self.idle_connections[n][nth];
+                connection.set_nonblocking(true).expect("the socket option can be set");
+                let peeked = connection.peek(&mut [0]);
+                connection.set_nonblocking(false).expect("the socket option can be set");
                 match peeked {
                     Ok(0) => {
                         self.idle_connections[n].remove(nth);
                         break;
                     }
                     Ok(_) => {
-                        let (kind, body) = next_frame(link).expect("a query");
+                        let (kind, body) = next_frame(connection).expect("the member gets a query");
                         assert_eq!(kind, b'Q');
-                        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("text");
+                        let text = String::from_utf8(body[..body.len() - 1].to_vec()).expect("UTF-8 text");
                         if !text.is_empty() {
                             return Some((id_and_rest(&text).0, self.idle_connections[n].remove(nth)));
                         }
-                        link.write_all(&empty_query_response()).expect("it reads");
+                        connection.write_all(&empty_query_response()).expect("the router reads");
                     }
                     Err(_) => {}
                 }
@@ -255,56 +261,58 @@
         None
     }
 
-    /// The connection on which a member gets this RPC; those before it are counted and answered.
+    /// Returns the connection on which a member gets this RPC. RPCs before it are answered and counted in `before`.
     pub fn wait_for_rpc(&mut self, n: usize, id: &str, before: &mut usize) -> TcpStream {
         loop {
-            let (rpc, link) = self.next_rpc(n);
+            let (rpc, connection) = self.next_rpc(n);
             if rpc == id {
-                return link;
+                return connection;
             }
             *before += 1;
-            self.answer_rpc(n, link);
+            self.answer_rpc(n, connection);
         }
     }
 
-    /// Answers the RPC in flight on this connection, which is idle then.
-    pub fn answer_rpc(&mut self, n: usize, mut link: TcpStream) {
-        link.write_all(&row(b"v", if n == 0 { "leader" } else { "follower" }, now_ms())).expect("it reads");
-        let fence = next_frame(&mut link).expect("an empty query behind it");
-        assert_eq!(fence, (b'Q', b"\0".to_vec()));
-        link.write_all(&empty_query_response()).expect("it reads");
-        self.idle_connections[n].push(link);
+    /// Answers the RPC in flight on this connection, which is idle after that.
+    pub fn answer_rpc(&mut self, n: usize, mut connection: TcpStream) {
+        connection
+            .write_all(&row(b"v", if n == 0 { "leader" } else { "follower" }, now_ms()))
+            .expect("the router reads");
+        let sync_query = next_frame(&mut connection).expect("an empty query follows the statement");
+        assert_eq!(sync_query, (b'Q', b"\0".to_vec()));
+        connection.write_all(&empty_query_response()).expect("the router reads");
+        self.idle_connections[n].push(connection);
     }
 
-    /// Runs a write, which must be the next RPC that the primary gets, and succeed.
+    /// Runs a write, and checks that it is the next RPC that the primary gets and that it succeeds.
     pub fn assert_write_succeeds(&mut self, id: &str) {
         let mut client = self.client();
         client.write_all(&query(&write_statement(id))).expect("the router reads");
-        let (rpc, link) = self.next_rpc(0);
-        assert_eq!(rpc, id, "the member gets no other RPC");
-        self.answer_rpc(0, link);
+        let (rpc, connection) = self.next_rpc(0);
+        assert_eq!(rpc, id, "another RPC reached the member first");
+        self.answer_rpc(0, connection);
         assert_eq!(read_answer(&mut client).0, b"TDCZ");
     }
 
-    /// Waits for the process to end, which must be with success.
+    /// Waits until the process ends, and checks that it exits with success.
     pub fn assert_clean_exit(&mut self) {
-        assert!(self.process.wait().expect("it ends").success());
+        assert!(self.process.wait().expect("the process can be waited for").success());
     }
 }
 
-/// Reads the startup message of a connection to a member.
+/// Reads the startup message on a connection to a member.
 pub fn read_startup(mut stream: TcpStream) -> TcpStream {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).expect("a startup message");
+    stream.read_exact(&mut length).expect("a complete startup message");
     let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
-    stream.read_exact(&mut rest).expect("a startup message");
+    stream.read_exact(&mut rest).expect("a complete startup message");
     stream
 }
 
-/// Reads the request of a watch; its first line.
+/// Reads the request of a watch, and returns its first line.
 pub fn read_watch_request(stream: &TcpStream) -> String {
-    let mut lines = BufReader::new(stream.try_clone().expect("it can")).lines();
-    let request = lines.next().and_then(Result::ok).expect("a request");
+    let mut lines = BufReader::new(stream.try_clone().expect("the socket can be cloned")).lines();
+    let request = lines.next().and_then(Result::ok).expect("a watch request");
     while lines.next().and_then(Result::ok).is_some_and(|line| !line.is_empty()) {}
     request
 }
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -1,5 +1,5 @@
-//! A wall clock that is stepped while the router runs, or is wrong when it starts, over real connections: each RPC is
-//! answered and no rule is broken (`docs/terms-audit.md`). The router is this test binary itself, started again.
+//! A wall clock that is stepped while the router runs, or is wrong when it starts, over real connections. Each RPC is
+//! answered and no rule is broken (`docs/terms-audit.md`). The router process is this test binary, started again.
 
 mod failing_syscalls;
 mod one_at_a_time;
@@ -18,83 +18,80 @@
     failing_syscalls::serve_if_planned();
 }
 
-/// In the middle of a load.
-const STEPPED_AT: Duration = Duration::from_millis(1200);
+/// When the clock is stepped, in the middle of the load.
+const STEP_AT: Duration = Duration::from_millis(1200);
 
-/// Runs a load of two seconds; no rule is broken, and the process goes on.
+/// Runs a load of two seconds, and checks that no rule is broken, each RPC is answered in time, and the process runs
+/// on.
 fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> RunRecord {
     let _turn = wait_for_turn();
     let deadline = Span::from_millis(1500);
     let plan =
         Plan { connections: 60, deadline, ..open_plan(5, &[Phase { seconds: 2.0, rate_per_second: rate }]) };
-    let seen = run::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
-    let seen = seen.unwrap_or_else(|fault| panic!("{fault}"));
-    let (total, log) = (seen.outcome.total(), seen.log.join("\n"));
-    assert_eq!(seen.ended, None, "the process goes on: {log}");
+    let record = run::run(scenario, &failing_syscalls::start(&[], steps), &plan, Vec::new());
+    let record = record.unwrap_or_else(|fault| panic!("{fault}"));
+    let (total, log) = (record.outcome.total(), record.log.join("\n"));
+    assert_eq!(record.ended, None, "the process keeps running: {log}");
     assert_eq!(
-        seen.violation_texts(Span::from_millis(50)),
+        record.violation_texts(Span::from_millis(50)),
         Vec::<String>::new(),
         "{steps:?} {total:?}\n{log}"
     );
     assert_eq!((total.unanswered, total.unsent, total.late), (0, 0, 0), "{steps:?} {total:?}\n{log}");
-    seen
+    record
 }
 
-/// The same, and each RPC is served.
+/// Runs a load, and checks also that each RPC is served.
 fn assert_all_served(steps: &[ClockStep]) {
     let total = run_load(&Scenario::default(), steps, 300.0).outcome.total();
     assert_eq!(total.ok, total.due, "{steps:?} {total:?}");
 }
 
 #[test]
-fn a_wall_clock_that_steps_back_ends_no_rpc() {
+fn all_rpcs_are_served_when_the_wall_clock_steps_back() {
     for by in [Duration::from_secs(5), Duration::from_secs(3600)] {
-        assert_all_served(&[ClockStep::back(STEPPED_AT, by)]);
+        assert_all_served(&[ClockStep::back(STEP_AT, by)]);
     }
 }
 
-/// Bytes in the kernel's buffers have timestamps of the clock before the step.
+/// Bytes in the kernel's buffers have timestamps from before the step.
 #[test]
-fn a_wall_clock_that_steps_forward_ends_no_rpc() {
+fn all_rpcs_are_served_when_the_wall_clock_steps_forward() {
     for by in [Duration::from_secs(5), Duration::from_secs(40), Duration::from_secs(3600)] {
-        assert_all_served(&[ClockStep::forward(STEPPED_AT, by)]);
+        assert_all_served(&[ClockStep::forward(STEP_AT, by)]);
     }
 }
 
-/// Replicas lag by more than a read allows, and look up to date by a clock that is behind by about as much.
+/// Replicas lag by more than a read allows. By a clock that is behind by about as much they seem to be up to date.
 #[test]
-fn a_start_with_a_clock_that_is_behind_serves_nothing_stale() {
+fn no_stale_read_is_served_when_the_clock_is_behind_at_the_start() {
     for lag in [2500.0, 6000.0] {
         let scenario = Scenario { log_ms: lag, ..Scenario::default() };
         for behind in [500, 2500, 5500, 3_600_000] {
             let step = ClockStep::back(Duration::ZERO, Duration::from_millis(behind));
-            run_load(
-                &scenario,
-                &[step, ClockStep::forward(STEPPED_AT, Duration::from_millis(behind))],
-                300.0,
-            );
+            run_load(&scenario, &[step, ClockStep::forward(STEP_AT, Duration::from_millis(behind))], 300.0);
         }
     }
 }
 
-/// RPCs per second that a member can serve once it is warm.
+/// RPCs per second that a member can serve once its slow start is over.
 const MEMBER_CAPACITY_PER_SECOND: f64 = 1000.0;
 
-/// A clock that is ahead makes a member that has just started look warm.
+/// By a clock that is ahead, a member that has just started seems to be past its slow start.
 #[test]
-fn a_start_with_a_clock_that_is_ahead_pushes_no_cold_member_over() {
+fn no_member_in_slow_start_is_overloaded_when_the_clock_is_ahead_at_the_start() {
     let mut scenario = Scenario { cold: vec![1, 2], ..Scenario::default() };
-    // By such a clock replicas are too stale for any maximum staleness.
+    // By such a clock replicas are too stale for any maximum staleness, so reads have none in this test.
     scenario.methods[0].max_age_ms = None;
     for ahead in [0, 4000, 20_000, 3_600_000] {
         let step = ClockStep::forward(Duration::ZERO, Duration::from_millis(ahead));
-        let seen = run_load(&scenario, &[step], 2500.0);
-        let cold_starts = ColdStart::all(&scenario, seen.outcome.began, MEMBER_CAPACITY_PER_SECOND);
-        let violations = check_slow_start_at_members(&cold_starts, &seen.execution_log).violations;
-        assert!(violations.is_empty(), "{ahead} ms ahead: {}", violations[0]);
+        let record = run_load(&scenario, &[step], 2500.0);
+        let cold_starts = ColdStart::all(&scenario, record.outcome.began, MEMBER_CAPACITY_PER_SECOND);
+        let violations = check_slow_start_at_members(&cold_starts, &record.execution_log).violations;
+        assert!(violations.is_empty(), "clock {ahead} ms ahead: {}", violations[0]);
         assert!(
-            seen.execution_log.arrivals.iter().any(|came| came.member > 0),
-            "{ahead} ms ahead: none is used"
+            record.execution_log.arrivals.iter().any(|arrival| arrival.member > 0),
+            "clock {ahead} ms ahead: no replica is used"
         );
     }
 }
