--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -1,61 +1,62 @@
-//! Commands while the tool runs, one line each way over a unix socket: `add RULE` (YAML on one line), `lift NAME`,
-//! `list`, `wait NAME HITS MS`, `stats`, `cut LINK`, `heal LINK`, `watch`. An answer begins with `ok` or `error`.
+//! Commands that the tool accepts on its Unix control socket while it runs. A command and its answer are one line each.
+//! The commands are `add RULE` (YAML on one line), `lift NAME`, `list`, `wait NAME HITS MS`, `stats`, `cut LINK`,
+//! `heal LINK` and `watch`. An answer begins with `ok` or `error`.
 
 use crate::engine::{Engine, EngineStats, RuleState, ScheduledOperation};
 use crate::errors::{ControlError, EngineError};
 use crate::plan::Rule;
 use ladderpass_routing::{Span, Time};
 
-/// A command.
+/// A command of the control socket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Adds a rule.
     Add(Box<Rule>),
-    /// Ends the rule of this name.
+    /// Ends the rule with this name.
     Lift(String),
-    /// Lists the rules.
+    /// Lists the rules with their hits and states.
     List,
-    /// Answers once a rule has acted so often, or the time is over.
+    /// Waits until a rule has acted a number of times, or until the timeout.
     Wait {
         /// Name of the rule.
         rule: String,
-        /// How often it must have acted.
+        /// The number of times that the rule must have acted.
         hits: u64,
-        /// How long to wait at most.
+        /// The longest time to wait.
         timeout: Span,
     },
-    /// Counts connections, bytes and decisions.
+    /// Reports the numbers of open connections, received bytes and decisions.
     Stats,
-    /// Nothing passes that link, either way, until it is healed.
+    /// Stops all traffic of the link with this name, in both directions, until it is healed.
     Cut(String),
-    /// Ends a cut.
+    /// Ends the cut of the link with this name.
     Heal(String),
-    /// Records attempts of RPCs, for a history checker.
+    /// Starts recording the attempts of RPCs, for a history checker.
     Watch,
 }
 
 /// The answer to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// This line.
+    /// The answer is this line, and is sent at once.
     Immediate(String),
-    /// Once a rule has acted so often.
+    /// The answer is sent once a rule has acted a number of times.
     Deferred {
-        /// Not later than this.
+        /// The time at which the wait ends with an error.
         until: Time,
         /// Name of the rule.
         rule: String,
-        /// How often it must have acted.
+        /// The number of times that the rule must have acted.
         hits: u64,
     },
 }
 
-/// What a command has led to.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandResult {
-    /// The answer to whoever gave the command.
+    /// The answer to the sender of the command.
     pub reply: Reply,
-    /// What is to be done to connections.
+    /// Operations on connections that the command causes.
     pub operations: Vec<ScheduledOperation>,
 }
 
@@ -73,7 +74,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the line.
+/// If the line is not a valid command.
 pub fn read(line: &str) -> Result<Command, ControlError> {
     let (word, rest) = line.trim().split_once(' ').unwrap_or((line.trim(), ""));
     let rest = rest.trim();
@@ -98,7 +99,7 @@
     Ok(Command::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
 }
 
-/// Parses and executes a command.
+/// Parses and executes a command. An invalid or rejected command gives a reply that begins with `error`.
 pub fn execute_line(engine: &mut Engine, now: Time, line: &str) -> CommandResult {
     let result = read(line).and_then(|command| execute(engine, now, command));
     result.unwrap_or_else(|error| CommandResult::of_reply(Reply::Immediate(format!("error {error}"))))
@@ -148,7 +149,7 @@
     ))
 }
 
-/// Whether a rule has acted so often.
+/// Returns whether the rule with this name has acted at least `hits` times.
 pub fn has_acted(engine: &Engine, name: &str, hits: u64) -> bool {
     engine.rule_states().iter().any(|state| state.name == name && state.hits >= hits)
 }
--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -1,6 +1,6 @@
-//! The sockets of datagrams: one for each end. It receives what others send to that end, and sends what that end sends
-//! to others, so that each end sees the others at the addresses it knows. What happens to a datagram is decided by
-//! `datagrams`.
+//! The sockets for datagrams, one for each end. An end's socket receives the datagrams that others send to that end,
+//! and sends the datagrams of that end to the others, so that each end sees the others at the addresses it has for them.
+//! The `datagrams` module decides what happens to a datagram.
 
 use crate::datagrams::{DatagramEngine, TrafficCounts};
 use crate::errors::PlanError;
@@ -16,19 +16,20 @@
 use std::time::{Duration, Instant};
 
 const WAKE: Token = Token(usize::MAX);
-/// Datagrams that may be delayed at once; beyond it they are lost, as on any path that is full.
+/// The highest number of datagrams that are delayed at the same time. Further ones are lost, as on a congested path.
 const MAX_DELAYED: usize = 100_000;
 const MAX_DATAGRAM_BYTES: usize = 2048;
 const EVENTS_PER_POLL: usize = 256;
 
-/// The datagram part of a tool, on a thread of its own, until it is dropped.
+/// The datagram part of a tool, which runs on its own thread until it is dropped.
 pub struct RunningDatagrams {
     engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
     stop: Arc<AtomicBool>,
     waker: Waker,
     thread: Option<std::thread::JoinHandle<()>>,
-    /// Where the tool listens for each end; port 0 of the plan stands for any free one.
+    /// Address that the tool listens on for each end, in the order of the plan. Where the plan has port 0, this has the
+    /// port that the system assigned.
     pub addresses: Vec<SocketAddr>,
 }
 
@@ -37,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// If the plan is not valid, or a socket or the thread can't be made.
+    /// If the plan is invalid, or a socket or the thread can't be created.
     pub fn start(plan: DatagramPlan) -> io::Result<RunningDatagrams> {
         plan.check().map_err(io::Error::other)?;
         let poll = Poll::new()?;
@@ -74,27 +75,27 @@
         Ok(RunningDatagrams { engine, started, stop, waker, thread: Some(thread), addresses })
     }
 
-    /// Adds a rule, whose time counts from now on.
+    /// Adds a rule, whose time counts from its addition.
     ///
     /// # Errors
     ///
-    /// If the rule is not valid, or an active one has its name.
+    /// If the rule is invalid, or a rule with its name has not been lifted.
     pub fn add_rule(&self, rule: DatagramRule) -> Result<(), PlanError> {
         let now = since(self.started);
         lock(&self.engine).add_rule(now, rule)
     }
 
-    /// Ends a rule; whether one of this name was active.
+    /// Lifts the rules with this name, so that they no longer act. Returns whether there was one to lift.
     pub fn lift_rule(&self, name: &str) -> bool {
         lock(&self.engine).lift_rule(name)
     }
 
-    /// What each end has sent by now, in the order of the plan.
+    /// Returns the counters of each end's sent datagrams, in the order of the plan.
     pub fn traffic(&self) -> Vec<TrafficCounts> {
         lock(&self.engine).traffic().to_vec()
     }
 
-    /// How often each rule has acted, by its name.
+    /// Returns the name of each rule, with the number of datagrams that it has acted on.
     pub fn hits(&self) -> Vec<(String, u64)> {
         lock(&self.engine).hits().map(|(name, hits)| (name.to_owned(), hits)).collect()
     }
@@ -103,7 +104,7 @@
 impl Drop for RunningDatagrams {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
-        // A thread that has ended needs no waking.
+        // A failure to wake the thread is ignored, since the thread may have ended already.
         let _ = self.waker.wake();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -127,14 +128,14 @@
 
 struct EventLoop {
     poll: Poll,
-    /// By end.
+    /// The socket of each end.
     sockets: Vec<UdpSocket>,
     end_by_address: HashMap<SocketAddr, usize>,
-    /// Where each end is.
+    /// Address of each end's process.
     targets: Vec<SocketAddr>,
     engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
-    /// Delayed datagrams by their time, and by the order in which they arrived.
+    /// Delayed datagrams by the time at which they are due and a sequence number, which keeps the order of arrival.
     delayed: BTreeMap<(Span, u64), Datagram>,
     delayed_count: u64,
 }
@@ -165,7 +166,7 @@
         Ok(())
     }
 
-    /// Receives what others have sent to an end.
+    /// Receives the datagrams that others have sent to an end.
     fn read(&mut self, to: usize) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
@@ -176,8 +177,8 @@
                 Err(_) => return,
             };
             let bytes = &buffer[..count];
-            // From an unknown sender: it passes as it is, from the receiver's own address, which no end uses as its
-            // own.
+            // A datagram from an unknown sender passes unchanged. It is sent from the receiver's own listening address,
+            // because no other end is known by that address.
             let Some(&from) = self.end_by_address.get(&sender) else {
                 self.forward(to, to, bytes);
                 continue;
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Sends a datagram to an end from the address by which its sender is known. One that can't be sent is lost.
+    /// Sends a datagram to an end from the address by which its sender is known. A datagram that can't be sent is lost.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         if let (Some(socket), Some(&target)) = (self.sockets.get(from), self.targets.get(to)) {
             let _ = socket.send_to(bytes, target);
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -1,9 +1,13 @@
-//! Datagrams between named ends, and what rules do to them: dropped, delayed, duplicated, reordered, cut one way or
-//! both, by the name of either end or by the sides of a split. Pure: who sends how much to whom and when in, the delays
-//! of the copies out.
+//! The engine for datagrams between named ends. Rules drop, delay, duplicate or reorder them, in one direction or both,
+//! and select them by the names of the ends or by the sides of a split. The engine does no input or output. It takes
+//! the sender, the receiver, the size and the time of a datagram, and returns the delays of its copies.
 //!
-//! Invariants: without a rule a datagram passes once and at once; random draws depend on the seed, the rule, the two
-//! ends and the datagram's number between them, and not on what else happens. The content of datagrams is never read.
+//! Invariants:
+//!
+//! - Without a rule a datagram passes once and without delay.
+//! - Random draws depend only on the seed, the rule, the two ends and the datagram's number between them, and not on
+//!   other events.
+//! - The content of datagrams is never read.
 
 use crate::errors::{PlanError, PlanProblem};
 use crate::plan::datagrams::MAX_DELAY_MS;
@@ -14,16 +18,16 @@
 use rand::rngs::SmallRng;
 use std::collections::HashMap;
 
-/// What an end has sent in all.
+/// Counters of the datagrams that an end has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Datagrams, whether they arrived or not.
+    /// Number of datagrams, including lost ones.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total bytes of these datagrams.
     pub bytes: u64,
 }
 
-/// From one end to another, by their indexes.
+/// The path from one end to another, by their indexes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct DatagramPath {
     from: usize,
@@ -33,24 +37,24 @@
 struct ActiveRule {
     rule: DatagramRule,
     added_at: Span,
-    /// Datagrams that it has acted on.
+    /// Number of datagrams that the rule has acted on.
     hits: u64,
     lifted: bool,
 }
 
-/// The ends and rules of a plan; times are since its start.
+/// The ends and rules of a plan. Times are counted from the start of the plan.
 pub struct DatagramEngine {
     seed: u64,
     ends: Vec<End>,
     rules: Vec<ActiveRule>,
-    /// By end.
+    /// Counters of sent datagrams, by end.
     traffic: Vec<TrafficCounts>,
-    /// How many datagrams each end has sent to each other one.
+    /// Number of datagrams that each end has sent to each other one.
     sent_by_path: HashMap<DatagramPath, u64>,
 }
 
 impl DatagramEngine {
-    /// The plan's rules count their time from the start.
+    /// Returns an engine for a plan. The time of the plan's rules counts from the start.
     pub fn new(plan: DatagramPlan) -> DatagramEngine {
         let activate = |rule| ActiveRule { rule, added_at: Span::ZERO, hits: 0, lifted: false };
         DatagramEngine {
@@ -62,16 +66,16 @@
         }
     }
 
-    /// The plan's ends, in its order.
+    /// Returns the ends in the order of the plan.
     pub fn ends(&self) -> &[End] {
         &self.ends
     }
 
-    /// Adds a rule, whose time counts from now on.
+    /// Adds a rule, whose time counts from `now`.
     ///
     /// # Errors
     ///
-    /// If the rule is not valid, or an active one has its name.
+    /// If the rule is invalid, or a rule with its name has not been lifted.
     pub fn add_rule(&mut self, now: Span, rule: DatagramRule) -> Result<(), PlanError> {
         rule.check(&self.ends)?;
         if self.rules.iter().any(|active| active.rule.name == rule.name && !active.lifted) {
@@ -81,7 +85,7 @@
         Ok(())
     }
 
-    /// Ends a rule; whether one of this name was active.
+    /// Lifts the rules with this name, so that they no longer act. Returns whether there was one to lift.
     pub fn lift_rule(&mut self, name: &str) -> bool {
         let mut was_active = false;
         for active in self.rules.iter_mut().filter(|active| active.rule.name == name && !active.lifted) {
@@ -91,12 +95,12 @@
         was_active
     }
 
-    /// How often each rule has acted.
+    /// Returns the name of each rule, with the number of datagrams that it has acted on.
     pub fn hits(&self) -> impl Iterator<Item = (&str, u64)> {
         self.rules.iter().map(|active| (active.rule.name.as_str(), active.hits))
     }
 
-    /// What each end has sent, in the order of the plan.
+    /// Returns the counters of each end's sent datagrams, in the order of the plan.
     pub fn traffic(&self) -> &[TrafficCounts] {
         &self.traffic
     }
@@ -117,14 +121,14 @@
         (forward || backward) && crosses_split
     }
 
-    /// The side of a split on which an end is.
+    /// Returns the index of the split's side that an end is on, or an index of its own if the end is on no side.
     fn side(&self, rule: &DatagramRule, end: usize) -> usize {
         let name = self.ends.get(end).map_or("", |end| end.name.as_str());
         let side = rule.split.iter().position(|side| side.iter().any(|other| other == name));
         side.unwrap_or(rule.split.len() + end)
     }
 
-    /// A datagram of `bytes` bytes: the delay of each copy of it, none where it is lost.
+    /// Handles a datagram of `bytes` bytes. Returns the delay of each copy, or nothing if the datagram is lost.
     pub fn on_datagram(&mut self, now: Span, from: usize, to: usize, bytes: usize) -> Vec<Span> {
         if let Some(traffic) = self.traffic.get_mut(from) {
             traffic.datagrams += 1;
@@ -154,7 +158,7 @@
     }
 }
 
-/// Changes the delays of a datagram's copies.
+/// Applies a rule's action to the delays of a datagram's copies.
 fn apply_action(action: &DatagramAction, random: &mut SmallRng, copies: &mut Vec<Span>) {
     let from_ms = |ms: f64| Span::from_secs_f64(ms / 1e3);
     match *action {
--- a/crates/ladderpass-fault-injection/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -1,5 +1,5 @@
-//! The sockets of a running tool: a thread with the links, both ends of each connection, the control socket and the
-//! clock. What happens to bytes is the engine's decision.
+//! A running tool: a thread that owns the links, both sockets of each connection, the control socket and the clock. The
+//! engine decides what happens to bytes.
 
 mod control_socket;
 mod endpoint;
@@ -23,27 +23,27 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long a command of this process waits for its answer.
+/// The longest time that `RunningTool::send_command` waits for an answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A tool that runs on a thread of its own, until it is stopped or dropped.
+/// A tool that runs on its own thread until it is stopped or dropped.
 pub struct RunningTool {
-    /// Where each link listens, in the order of the plan.
+    /// Address that each link listens on, in the order of the plan.
     pub addresses: Vec<SocketAddr>,
     stop: Arc<AtomicBool>,
     waker: Arc<Waker>,
     commands: Sender<LocalCommand>,
     thread: Option<std::thread::JoinHandle<RunSummary>>,
-    /// The datagram part, where the plan has one.
+    /// The datagram part, if the plan has datagram ends.
     pub datagrams: Option<RunningDatagrams>,
 }
 
 impl RunningTool {
-    /// Starts a plan; `control` is the path of the control socket.
+    /// Starts a plan. `control` is the path of the control socket, if there is to be one.
     ///
     /// # Errors
     ///
-    /// If a socket or the thread can't be made.
+    /// If the datagram part is invalid, or a socket or a thread can't be created.
     pub fn start(plan: Plan, control: Option<&Path>) -> io::Result<RunningTool> {
         let datagrams =
             (!plan.ends.is_empty()).then(|| RunningDatagrams::start(plan.datagram_plan())).transpose()?;
@@ -68,11 +68,11 @@
         Ok(RunningTool { addresses, stop, waker, commands, thread: Some(thread), datagrams })
     }
 
-    /// Carries out a line of the control socket's commands, but for `wait`; returns its answer.
+    /// Executes one line in the form of the control socket's commands, and returns the answer. `wait` is not available.
     ///
     /// # Errors
     ///
-    /// If the tool has ended, or rejects the command.
+    /// If the tool has ended, does not answer in time, or rejects the command.
     pub fn send_command(&self, line: &str) -> Result<String, CommandError> {
         let (answer, answered) = channel();
         let command = LocalCommand { line: line.to_owned(), answer };
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Stops it; connections are closed.
+    /// Stops the tool, which closes all connections, and returns the summary of the run.
     pub fn stop(mut self) -> RunSummary {
         self.join().unwrap_or_default()
     }
 
     fn join(&mut self) -> Option<RunSummary> {
         self.stop.store(true, Ordering::Relaxed);
-        // A thread that has ended needs no waking.
+        // A failure to wake the thread is ignored, since the thread may have ended already.
         let _ = self.waker.wake();
         self.thread.take()?.join().ok()
     }
--- a/crates/ladderpass-fault-injection/src/driver/control_socket.rs
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket: lines of those that connect to it, and answers that wait for a rule.
+//! The control socket: its listener, the lines that clients send, and clients that wait for a rule.
 
 use crate::control;
 use crate::engine::Engine;
@@ -11,12 +11,12 @@
 
 /// The token of the listener.
 pub const CONTROL: Token = Token(1);
-/// How often rules are checked while a client waits for one.
+/// The interval at which rules are checked while a client waits for one.
 const WAIT_POLL_INTERVAL: Span = Span::from_millis(2);
 const MAX_LINE_BYTES: usize = 64 << 10;
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The listener; its socket file is removed with it.
+/// The listener of the control socket. The socket file is removed when this is dropped.
 pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
@@ -28,30 +28,30 @@
     wait: Option<Wait>,
 }
 
-/// A client waits for a rule.
+/// A client's wait for a rule.
 pub struct Wait {
-    /// Not longer than until then.
+    /// The time at which the wait ends with an error.
     pub until: Time,
     pub rule: String,
-    /// How often the rule must have acted.
+    /// The number of times that the rule must have acted.
     pub hits: u64,
 }
 
-/// A wait that is over.
+/// A wait that has ended, with its answer.
 pub struct EndedWait {
-    /// The client that has waited, by its token.
+    /// Token of the client that has waited.
     pub client: usize,
     pub answer: &'static str,
 }
 
-/// The clients of the control socket, by their token.
+/// The clients of the control socket, by token.
 #[derive(Default)]
 pub struct ControlClients {
     clients: HashMap<usize, ControlClient>,
 }
 
 impl ControlSocket {
-    /// Binds the socket; one that an earlier run left, and that nobody serves, is replaced.
+    /// Binds the control socket. A socket file that an earlier run left behind and that no process serves is replaced.
     pub fn bind(path: &Path, registry: &Registry) -> io::Result<ControlSocket> {
         if path.exists() && std::os::unix::net::UnixStream::connect(path).is_err() {
             std::fs::remove_file(path)?;
@@ -62,7 +62,7 @@
         Ok(ControlSocket { listener, path: path.to_owned() })
     }
 
-    /// The next client that has connected.
+    /// Accepts the next client, if one has connected.
     pub fn accept(&self) -> Option<UnixStream> {
         self.listener.accept().ok().map(|(stream, _)| stream)
     }
@@ -70,7 +70,7 @@
 
 impl Drop for ControlSocket {
     fn drop(&mut self) {
-        // A file that is gone already is no error.
+        // A failure is ignored, since the file may have been removed already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
@@ -84,12 +84,13 @@
         self.clients.contains_key(&index)
     }
 
-    /// When the rules that clients wait for must be checked.
+    /// Returns the time at which rules must be checked next, or None if no client waits for one.
     pub fn next_check(&self, now: Time) -> Option<Time> {
         self.clients.values().any(|client| client.wait.is_some()).then(|| now + WAIT_POLL_INTERVAL)
     }
 
-    /// Reads all that a client has sent; whether it is still there.
+    /// Reads all bytes that a client has sent. Returns false if the client has closed its connection or is removed
+    /// because of an error, and true otherwise.
     pub fn read(&mut self, index: usize) -> bool {
         let mut chunk = [0; READ_BUFFER_BYTES];
         loop {
@@ -112,7 +113,7 @@
         false
     }
 
-    /// The next complete line of a client that waits for nothing.
+    /// Takes the next complete line of a client, unless the client waits for a rule.
     pub fn next_line(&mut self, index: usize) -> Option<String> {
         let client = self.clients.get_mut(&index).filter(|client| client.wait.is_none())?;
         let end = client.input.iter().position(|&byte| byte == b'\n')?;
@@ -122,7 +123,7 @@
 
     pub fn reply(&mut self, index: usize, text: &str) {
         if let Some(client) = self.clients.get_mut(&index) {
-            // A client that has gone needs no answer.
+            // A failure is ignored, since the client may have closed its connection.
             let _ = client.stream.write_all(format!("{text}\n").as_bytes());
         }
     }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The waits that are over: their rule has acted, or their time is over.
+    /// Returns the waits that have ended because their rule has acted or their time is over.
     pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<EndedWait> {
         let mut ended = Vec::new();
         for (&index, client) in &self.clients {
@@ -147,7 +148,7 @@
         ended
     }
 
-    /// Answers a client that has waited.
+    /// Sends the answer to a client whose wait has ended.
     pub fn end_wait(&mut self, ended: &EndedWait) {
         self.reply(ended.client, ended.answer);
         if let Some(client) = self.clients.get_mut(&ended.client) {
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -1,4 +1,4 @@
-//! The two sockets of a connection.
+//! The state of the two sockets of a connection.
 
 use crate::engine::ConnectionId;
 use crate::plan::Side;
@@ -10,31 +10,31 @@
     pub stream: TcpStream,
     pub connection: ConnectionId,
     pub side: Side,
-    /// Bytes to be written.
+    /// Bytes that are yet to be written.
     pub output: VecDeque<u8>,
-    /// Its write direction ends once the output is written.
+    /// The write direction of the socket is to be shut down once the output is written.
     pub is_ending: bool,
-    /// It has ended its read direction.
+    /// The peer has ended the read direction of the socket.
     pub has_ended: bool,
-    /// It is not read because too much is held or delayed.
+    /// The socket is not read because too many of its bytes are held or delayed.
     pub is_paused: bool,
 }
 
-/// How both sockets of a connection are closed.
+/// The way in which both sockets of a connection are closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Closing {
-    /// What is still to be sent is written, as far as it can be.
+    /// Remaining output is written first, as far as the sockets accept it at once.
     Normal,
-    /// By a reset.
+    /// The sockets are reset, and remaining output is dropped.
     Reset,
 }
 
 /// Both sockets of a connection.
 #[derive(Default)]
 pub struct EndpointPair {
-    /// Tokens, by side.
+    /// Token of each socket, by side.
     pub endpoints: [Option<usize>; 2],
-    /// Delayed bytes, by the side that receives them.
+    /// Number of delayed bytes, by the side that receives them.
     pub delayed_bytes: [usize; 2],
 }
 
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop: listeners, both sockets of each connection, and operations that wait for their time.
+//! The event loop of a running tool. It serves the listeners, the sockets of all connections and the control socket,
+//! and executes delayed operations when they are due.
 
 use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
 use super::endpoint::{Closing, Endpoint, EndpointPair};
@@ -23,7 +24,7 @@
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
 
-/// A line of the process that runs the tool.
+/// A command line from the process that runs the tool.
 pub struct LocalCommand {
     pub line: String,
     pub answer: Sender<String>,
@@ -32,7 +33,7 @@
 pub struct EventLoop {
     poll: Poll,
     engine: Engine,
-    /// Where each link forwards to.
+    /// Address that each link forwards to.
     targets: Vec<SocketAddr>,
     listeners: Vec<TcpListener>,
     control: Option<ControlSocket>,
@@ -40,7 +41,7 @@
     last_token: usize,
     endpoints: HashMap<usize, Endpoint>,
     pairs: HashMap<ConnectionId, EndpointPair>,
-    /// Operations that wait for their time, in the order of the engine.
+    /// Operations that are not due yet, by due time and a sequence number, which keeps the engine's order.
     delayed: BTreeMap<(Time, u64), ScheduledOperation>,
     delayed_count: u64,
     control_clients: ControlClients,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Closes the control socket, and gives what the run leaves behind.
+    /// Closes the control socket, and returns the summary of the run.
     pub fn finish(&mut self, started_at: Time) -> RunSummary {
         self.control = None;
         RunSummary {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     fn now(&self) -> Time {
         Time::from_nanos(self.started.elapsed().as_nanos() as i64)
     }
@@ -154,7 +155,8 @@
             let stream = match self.listeners[link].accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
-                // Out of descriptors, or closed already: as if it had been refused.
+                // The accept failed, for example without a free descriptor or because the client has closed the
+                // connection already. The failure is ignored, and the connection is not served now.
                 Err(_) => return Ok(()),
             };
             let opened = self.engine.on_accepted(self.now(), link);
@@ -177,7 +179,7 @@
         side: Side,
         mut stream: TcpStream,
     ) -> io::Result<()> {
-        // Fails harmlessly on one that is still connecting.
+        // A failure is ignored: the socket may still be connecting, and forwards without this option too.
         let _ = stream.set_nodelay(true);
         let index = self.next_token();
         self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
@@ -188,7 +190,7 @@
         Ok(())
     }
 
-    /// Executes delayed operations whose time has come, in their order.
+    /// Executes the delayed operations that are due, in order.
     fn execute_due(&mut self, now: Time) {
         while let Some(entry) = self.delayed.first_entry()
             && entry.key().0 <= now
@@ -203,13 +205,13 @@
         }
     }
 
-    /// Executes the operations whose time has come, and delays the others.
+    /// Executes the operations that are due, and delays the others.
     fn schedule(&mut self, operations: Vec<ScheduledOperation>) {
         let now = self.now();
-        // Keeps the order of a direction: an earlier operation may have become due meanwhile.
+        // Delayed operations that have become due by now come first, to keep the order of each direction.
         self.execute_due(now);
         for scheduled in operations {
-            // An operation behind a delayed one has a later time, so it is delayed too.
+            // An operation that follows a delayed one in its direction is not due earlier, so it is delayed too.
             if scheduled.at <= now {
                 self.execute(scheduled);
                 continue;
@@ -224,7 +226,7 @@
         }
     }
 
-    /// The token of one side of a connection.
+    /// Returns the token of the socket on one side of a connection.
     fn endpoint(&self, connection: ConnectionId, side: Side) -> Option<usize> {
         self.pairs.get(&connection).and_then(|pair| pair.endpoints[side as usize])
     }
@@ -238,7 +240,7 @@
                     endpoint.output.extend(bytes);
                 }
                 self.write(index);
-                // The sender may have been paused for these bytes.
+                // The sender may have been paused because these bytes were not sent yet.
                 if let Some(sender) = self.endpoint(connection, side.other())
                     && self.endpoints.get(&sender).is_some_and(|endpoint| endpoint.is_paused)
                 {
@@ -304,7 +306,7 @@
         }
     }
 
-    /// Bytes from a side that are delayed or not yet written.
+    /// Returns the number of bytes from a side that are delayed or not written yet.
     fn unsent_bytes(&self, connection: ConnectionId, sender: Side) -> usize {
         let receiver = sender.other();
         let delayed = self.pairs.get(&connection).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
@@ -329,7 +331,7 @@
             }
         }
         if endpoint.is_ending {
-            // Fails harmlessly on a socket that is closed already.
+            // A failure is ignored, since the socket may be closed already.
             let _ = endpoint.stream.shutdown(std::net::Shutdown::Write);
             endpoint.is_ending = false;
         }
@@ -338,7 +340,7 @@
         }
     }
 
-    /// Both sides have ended, and nothing is left to be sent, now or later.
+    /// Returns whether both sides have ended their directions and no byte is left to be sent, now or later.
     fn is_over(&self, connection: ConnectionId) -> bool {
         let Some(pair) = self.pairs.get(&connection).filter(|pair| pair.delayed_bytes == [0, 0]) else {
             return false;
@@ -360,7 +362,7 @@
                 Reply::Immediate(text) => text,
                 Reply::Deferred { .. } => "error wait is for the control's socket".into(),
             };
-            // A caller that did not wait needs no answer.
+            // A failure is ignored, since the caller may have stopped waiting for the answer.
             let _ = command.answer.send(text);
         }
     }
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -1,9 +1,14 @@
-//! The pure part: what arrives on connections and the time in, operations on connections out. Each decision is
-//! recorded. It touches no socket and reads no clock.
+//! The engine, which decides what happens to connections without input or output. It takes received bytes and the time,
+//! returns operations on connections, and records each decision. It uses no socket and reads no clock.
 //!
-//! Invariants: a direction keeps its order; without a rule everything passes unchanged; what is held for a rule is
-//! bounded, and at the limit its sender is no longer read; random draws depend on the seed, rule, link, connection and
-//! byte, and not on what else happens.
+//! Invariants:
+//!
+//! - Bytes of one direction stay in order, except where an action reorders them.
+//! - Without a rule all bytes pass unchanged.
+//! - Bytes that are held, postponed, delayed or stalled are bounded: once a direction has `MAX_HELD_BYTES` of them, its
+//!   sender is no longer read. The copy that `Action::Repeat` makes of a response is not counted.
+//! - Random draws depend only on the seed, the rule, the link, the connection and the byte offset, and not on other
+//!   events.
 
 mod active_rule;
 mod connection;
@@ -28,36 +33,36 @@
 use rpc_watch::RpcWatch;
 use std::collections::HashMap;
 
-/// Bytes of one direction that may be held or delayed before its sender is no longer read.
+/// The number of held or delayed bytes of one direction at which its sender is no longer read.
 pub const MAX_HELD_BYTES: usize = 512 << 10;
 const NANOS_PER_MS: i64 = 1_000_000;
 
-/// Counts of an engine.
+/// Counters of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineStats {
-    /// Connections that are open now.
+    /// Number of open connections.
     pub open_connections: usize,
-    /// Bytes received in all.
+    /// Number of bytes received since the start.
     pub received_bytes: u64,
 }
 
-/// The links and rules of a plan.
+/// The state of all links, connections and rules of a plan.
 pub struct Engine {
     plan: Plan,
     started_at: Time,
     rules: Vec<ActiveRule>,
     connections: HashMap<ConnectionId, Connection>,
-    /// Connections opened by now, by link.
+    /// Number of connections opened since the start, by link.
     opened: Vec<u64>,
     record: Vec<Decision>,
     received_bytes: u64,
-    /// By link: nothing passes, either way.
+    /// Whether a link is cut, by link. Nothing passes a cut link in either direction.
     cut: Vec<bool>,
     rpc_watch: RpcWatch,
 }
 
 impl Engine {
-    /// An engine of a checked plan, without connections.
+    /// Returns an engine without connections for a plan that has been checked.
     pub fn new(now: Time, plan: Plan) -> Engine {
         let mut engine = Engine {
             started_at: now,
@@ -83,11 +88,11 @@
         self.rules.push(ActiveRule::new(rule, link));
     }
 
-    /// Adds a rule; the name of a lifted one may be used again.
+    /// Adds a rule. It may have the name of a rule that has been lifted.
     ///
     /// # Errors
     ///
-    /// If the rule is not valid, or an active one has its name.
+    /// If the rule is invalid, or a rule with its name has not been lifted.
     pub fn add_rule(&mut self, rule: Rule) -> Result<(), EngineError> {
         rule.check(&self.plan)?;
         if self.rules.iter().any(|active| active.rule.name == rule.name && !active.lifted) {
@@ -97,11 +102,12 @@
         Ok(())
     }
 
-    /// Ends a rule; what it held passes.
+    /// Lifts a rule, so that it no longer acts, and sends the bytes that it held back. Other lasting effects, such as a
+    /// limited rate or a silenced direction, are not undone.
     ///
     /// # Errors
     ///
-    /// If no rule of this name is active.
+    /// If no rule has this name, or it has been lifted already.
     pub fn lift_rule(&mut self, now: Time, name: &str) -> Result<Vec<ScheduledOperation>, EngineError> {
         let found = self.rules.iter().position(|active| active.rule.name == name && !active.lifted);
         let index = found.ok_or_else(|| EngineError::UnknownRule(name.to_owned()))?;
@@ -126,32 +132,32 @@
         Ok(operations)
     }
 
-    /// Records the attempts of RPCs from now on.
+    /// Starts recording the attempts of RPCs.
     pub fn start_watch(&mut self) {
         self.rpc_watch.start();
     }
 
-    /// Takes the attempts recorded since `start_watch`, and stops recording them.
+    /// Returns the attempts recorded since `start_watch`, and stops the recording.
     pub fn take_attempts(&mut self) -> Vec<AttemptEvent> {
         self.rpc_watch.take()
     }
 
-    /// Nothing passes a link until it is healed, and neither side notices.
+    /// Cuts a link: nothing passes it until it is healed, and its connections stay open on both sides.
     ///
     /// # Errors
     ///
-    /// If there is no such link.
+    /// If no link has this name.
     pub fn cut(&mut self, link: &str) -> Result<(), EngineError> {
         let index = self.link_index(link)?;
         self.cut[index] = true;
         Ok(())
     }
 
-    /// Ends a cut; what arrived meanwhile passes now, as the kernel's retransmissions would bring it.
+    /// Ends the cut of a link. The bytes that arrived during the cut pass now, as the kernel would retransmit them.
     ///
     /// # Errors
     ///
-    /// If there is no such link.
+    /// If no link has this name.
     pub fn heal(&mut self, now: Time, link: &str) -> Result<Vec<ScheduledOperation>, EngineError> {
         let index = self.link_index(link)?;
         let mut operations = Vec::new();
@@ -179,32 +185,33 @@
         found.ok_or_else(|| EngineError::UnknownLink(name.to_owned()))
     }
 
-    /// The state of each rule, in the order in which they were added.
+    /// Returns the state of each rule, in the order in which the rules were added.
     pub fn rule_states(&self) -> Vec<RuleState<'_>> {
         self.rules.iter().map(ActiveRule::state).collect()
     }
 
-    /// Rules that have never acted.
+    /// Returns the names of the rules that have never acted.
     pub fn never_fired(&self) -> Vec<&str> {
         let idle = self.rules.iter().filter(|active| active.hits == 0);
         idle.map(|active| active.rule.name.as_str()).collect()
     }
 
-    /// All decisions by now.
+    /// Returns all decisions since the start.
     pub fn record(&self) -> &[Decision] {
         &self.record
     }
 
-    /// Counts by now.
+    /// Returns the current counters.
     pub fn stats(&self) -> EngineStats {
         EngineStats { open_connections: self.connections.len(), received_bytes: self.received_bytes }
     }
 
-    /// Whether a side may be read on. `unsent_bytes`: how many of its bytes the driver has yet to send.
+    /// Returns whether more bytes may be read from a side. `unsent_bytes` is the number of that side's bytes that the
+    /// driver has yet to send.
     pub fn may_read(&self, id: ConnectionId, side: Side, unsent_bytes: usize) -> bool {
         let Some(connection) = self.connections.get(&id) else { return false };
         let direction = &connection.directions[side as usize];
-        // A silent direction is read and dropped: its sender must not notice.
+        // A silenced direction is read and its bytes are dropped, since a full socket would show the sender the fault.
         if direction.is_silenced {
             return true;
         }
@@ -212,7 +219,7 @@
         unsent_bytes + stalled_bytes + direction.buffered_bytes() < MAX_HELD_BYTES
     }
 
-    /// A connection has been accepted on a link.
+    /// Handles a connection that the driver has accepted on a link.
     pub fn on_accepted(&mut self, now: Time, link: usize) -> Opened {
         self.opened[link] += 1;
         let id = ConnectionId { link, number: self.opened[link] };
@@ -236,7 +243,7 @@
         Opened { connection: id, forwarded, operations }
     }
 
-    /// Bytes have arrived from a side.
+    /// Handles bytes that have arrived from a side.
     pub fn on_bytes(
         &mut self,
         now: Time,
@@ -264,7 +271,7 @@
         operations
     }
 
-    /// A side has ended its direction.
+    /// Handles the end of the direction that a side sends.
     pub fn on_end(&mut self, now: Time, id: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
         if side == Side::Client {
             self.rpc_watch.on_ended(now, id);
@@ -297,20 +304,21 @@
         operations
     }
 
-    /// Both sockets of a connection are closed.
+    /// Handles the closing of both sockets of a connection.
     pub fn on_closed(&mut self, now: Time, id: ConnectionId) {
         self.rpc_watch.on_ended(now, id);
         self.connections.remove(&id);
     }
 
-    /// Milliseconds since the engine's start.
+    /// Returns the milliseconds since the engine's start.
     fn elapsed_ms(&self, now: Time) -> i64 {
         (now - self.started_at).nanos() / NANOS_PER_MS
     }
 
-    /// The rules that act on a unit, in the order of the plan; matches are counted.
+    /// Returns the indexes of the rules that act on a unit, in the order in which the rules were added, and counts the
+    /// matches.
     fn triggered_rules(&mut self, occurrence: &Occurrence<'_>) -> Vec<usize> {
-        // Only where some rule waits for another one.
+        // The names are collected only if some rule waits for another one.
         let any_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
         let acted = self.rules.iter().filter(|active| any_waits && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
@@ -337,14 +345,14 @@
         });
     }
 
-    /// The generator of a rule's draws for a unit.
+    /// Returns the generator of a rule's random draws for a unit.
     fn random(&self, index: usize, id: ConnectionId, unit: &Unit) -> SmallRng {
         let name = self.rules[index].rule.name.bytes();
         let name_hash = name.fold(0, |hash, byte| random::mix(hash, u64::from(byte)));
         random::generator(self.plan.seed, [name_hash, id.link as u64, id.number, unit.offset])
     }
 
-    /// Passes a unit to the other side, after the rules that it triggers.
+    /// Applies the rules that a unit triggers, and passes the result to the other side.
     fn pass_unit(
         &mut self,
         now: Time,
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -1,4 +1,4 @@
-//! A rule of the engine, with its counts: whether a unit triggers it.
+//! A rule of the engine with its counters, and the check whether a unit triggers it.
 
 use super::operation::ConnectionId;
 use crate::plan::{Rule, Side};
@@ -7,32 +7,32 @@
 
 pub struct ActiveRule {
     pub rule: Rule,
-    /// Index of the rule's link, if it names one.
+    /// Index of the link that the rule names, if any.
     link: Option<usize>,
-    /// How many units have matched, by link.
+    /// Number of units that have matched, by link.
     match_counts: HashMap<usize, u64>,
-    /// How often it has acted.
+    /// Number of times that the rule has acted.
     pub hits: u64,
     pub lifted: bool,
 }
 
-/// What has become of a rule.
+/// The current state of a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RuleState<'a> {
     /// Name of the rule.
     pub name: &'a str,
-    /// How often it has acted.
+    /// Number of times that the rule has acted.
     pub hits: u64,
-    /// Whether it may still act.
+    /// Whether the rule may still act.
     pub live: bool,
 }
 
-/// A unit, and where and when it passes.
+/// A unit or the opening of a connection, with the connection, the sender and the time. Rules are matched against it.
 pub struct Occurrence<'a> {
     pub connection: ConnectionId,
     pub sender: Side,
     pub unit: &'a Unit,
-    /// The opening of a connection, in place of a unit.
+    /// Whether this is the opening of a connection. `unit` is then an empty placeholder.
     pub opens: bool,
     /// Milliseconds since the engine's start.
     pub elapsed_ms: i64,
@@ -48,12 +48,13 @@
         RuleState { name: &self.rule.name, hits: self.hits, live }
     }
 
-    /// Has it acted as often as it may?
+    /// Returns whether the rule has acted as many times as `times` allows.
     fn has_reached_limit(&self) -> bool {
         self.rule.times > 0 && self.hits >= self.rule.times
     }
 
-    /// Counts a unit that matches; whether the rule acts on it. `acted` names the rules that have acted.
+    /// Counts a unit that matches, and returns whether the rule acts on it. `acted` has the names of all rules that
+    /// have acted.
     pub fn record_match(&mut self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
         if !self.matches(occurrence, acted) {
             return false;
--- a/crates/ladderpass-fault-injection/src/engine/connection.rs
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! State of one connection: its two directions, and what is stalled while its link is cut.
+//! The state of one connection: its two directions, and the units and ends that are stalled while its link is cut.
 
 use super::direction::{Direction, Replacement};
 use super::operation::{ConnectionId, Operation, ScheduledOperation};
@@ -7,26 +7,26 @@
 use ladderpass_routing::Time;
 
 pub struct Connection {
-    /// By sender.
+    /// The two directions, by sender.
     pub directions: [Direction; 2],
-    /// Closed or reset by a rule: nothing passes any more.
+    /// A rule has closed or reset the connection, so nothing passes any more.
     pub is_over: bool,
     pub stalled: Stalled,
 }
 
-/// What arrived while the link was cut.
+/// The units and ends of directions that arrived while the link was cut.
 #[derive(Default)]
 pub struct Stalled {
-    /// Units with their sender, in their order.
+    /// Units with their senders, in the order of arrival.
     pub units: Vec<(Side, Unit)>,
-    /// Bytes of them, by sender.
+    /// Number of bytes in `units`, by sender.
     pub bytes: [usize; 2],
-    /// Senders that ended their direction.
+    /// Senders that ended their direction, in the order of arrival.
     pub ends: Vec<Side>,
 }
 
 impl Connection {
-    /// Schedules what is sent in place of a unit.
+    /// Schedules the operations that send a unit's replacement.
     pub fn send(
         &mut self,
         now: Time,
@@ -38,7 +38,7 @@
         let direction = &mut self.directions[sender as usize];
         let mut at = direction.free_at.max(now) + replacement.delay;
         if let Some(operation) = replacement.end_before {
-            // After a half-close the other direction goes on.
+            // A half-close ends only one direction, and the connection stays in use.
             let ends_both = matches!(operation, Operation::Close | Operation::Reset);
             operations.push(ScheduledOperation::new(id, at, operation));
             if ends_both {
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -1,4 +1,4 @@
-//! State of one direction of a connection, and what is sent in place of one unit of it.
+//! The state of one direction of a connection, and the replacement that is sent for one of its units.
 
 use super::operation::Operation;
 use crate::plan::{Action, Protocol, Side};
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Type byte and length at the start of a PostgreSQL message.
+/// Size of a PostgreSQL message's header, which consists of a type byte and a length.
 const FRAME_HEAD_BYTES: usize = 5;
 const LENGTH_BITS: usize = 32;
 
@@ -16,37 +16,38 @@
     pub scanner: MessageScanner,
     /// No unit is sent before this time.
     pub free_at: Time,
-    /// The rule that holds everything back, by its index.
+    /// Index of the rule that holds back everything in this direction.
     pub held_by: Option<usize>,
-    /// What that rule holds back.
+    /// Bytes that this rule holds back.
     pub held: Vec<u8>,
-    /// Everything is dropped.
+    /// All further bytes are dropped.
     pub is_silenced: bool,
-    /// Everything up to the next ReadyForQuery is dropped.
+    /// All bytes up to and including the next ReadyForQuery are dropped.
     is_swallowing: bool,
     max_bytes_per_s: Option<u64>,
-    /// A response that is sent after the next one.
+    /// A response that is sent after the next response.
     postponed: Option<Vec<u8>>,
-    /// The response that passes now is being postponed.
+    /// The current response is being added to `postponed`.
     is_postponing: bool,
-    /// The response that passes now, to be sent once more.
+    /// A copy of the current response, which is sent once more at its end.
     response_copy: Option<Vec<u8>>,
-    /// Its sender has ended it.
+    /// The sender has ended this direction.
     pub has_ended: bool,
 }
 
-/// What is sent in place of a unit: piece by piece, with what ends the connection before or behind it.
+/// The pieces that are sent in place of a unit, their timing, and the operations that end the connection or a direction
+/// before or after them.
 pub struct Replacement {
     pub pieces: Vec<Vec<u8>>,
     pub delay: Span,
-    /// Pause behind each piece.
+    /// Pause after each piece.
     pub gap: Span,
     pub end_before: Option<Operation>,
     pub end_after: Option<Operation>,
 }
 
 impl Replacement {
-    /// The unit as it is.
+    /// Returns a replacement that sends the unit unchanged.
     pub fn unchanged(unit: &Unit) -> Replacement {
         Replacement {
             pieces: vec![unit.bytes.clone()],
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Changes the unit's bytes, as one piece.
+    /// Joins the pieces into one, and changes its bytes.
     fn edit(&mut self, change: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = self.pieces.concat();
         change(&mut bytes);
@@ -82,17 +83,17 @@
         }
     }
 
-    /// How many bytes are held back or postponed.
+    /// Returns the number of bytes that are held back or postponed.
     pub fn buffered_bytes(&self) -> usize {
         self.held.len() + self.postponed.as_ref().map_or(0, Vec::len)
     }
 
-    /// Takes a postponed response that no other follows.
+    /// Takes the postponed response at the end of the direction, when no other response follows.
     pub fn take_postponed(&mut self) -> Option<Vec<u8>> {
         self.postponed.take()
     }
 
-    /// Applies a rule's action to what is sent in place of a unit. Returns the random numbers that were drawn for it.
+    /// Applies a rule's action to the replacement of a unit. Returns the random numbers that were drawn for it.
     pub fn apply_action(
         &mut self,
         action: &Action,
@@ -148,7 +149,8 @@
         drawn
     }
 
-    /// Applies what earlier actions on this direction have begun. `ends_response`: the unit ends a response.
+    /// Applies the lasting effects of actions on this direction to the replacement of a unit. `ends_response` tells
+    /// whether the unit ends a response.
     pub fn continue_actions(&mut self, ends_response: bool, replacement: &mut Replacement) {
         let pieces = &mut replacement.pieces;
         if self.is_swallowing {
@@ -173,7 +175,7 @@
         }
     }
 
-    /// When a piece whose sending begins at `at` is sent completely, at the direction's rate.
+    /// Returns the time at which a piece is sent at the direction's rate if its transmission begins at `at`.
     pub fn sent_at(&self, at: Time, piece: &[u8]) -> Time {
         match self.max_bytes_per_s {
             Some(bytes_per_s) => at + Span::from_secs_f64(piece.len() as f64 / bytes_per_s as f64),
@@ -182,7 +184,8 @@
     }
 }
 
-/// Changes `count` bytes at random places behind the message's head; returns the places.
+/// Changes bytes at `count` random offsets behind the header, or at any offset in a message that is no longer than a
+/// header. Returns the offsets.
 fn garble(message: &mut [u8], count: u32, random: &mut SmallRng) -> Vec<u64> {
     let head_bytes = if message.len() > FRAME_HEAD_BYTES { FRAME_HEAD_BYTES } else { 0 };
     let mut places = Vec::new();
@@ -196,10 +199,10 @@
     places
 }
 
-/// Flips a random bit of the message's length; returns the bit.
+/// Flips a random bit of the message's length field. Returns the bit's number.
 fn flip_length(message: &mut [u8], unit: &Unit, random: &mut SmallRng) -> Vec<u64> {
     let bit = random.random_range(0..LENGTH_BITS);
-    // The length stands behind the type byte, which a startup message does not have.
+    // The length follows the type byte, which a startup message does not have.
     let length_starts_at = if unit.kind == "Startup" { 0 } else { 1 };
     if let Some(byte) = message.get_mut(length_starts_at + bit / 8) {
         *byte ^= 1 << (bit % 8);
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -8,16 +8,16 @@
 pub struct ConnectionId {
     /// Index of the link in the plan.
     pub link: usize,
-    /// Number of the connection on that link, from 1 on.
+    /// Number of the connection on that link, counted from 1.
     pub number: u64,
 }
 
-/// An operation on a connection, at a time.
+/// An operation on a connection, with the time at which it is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledOperation {
     /// The connection.
     pub connection: ConnectionId,
-    /// Not before.
+    /// The earliest time at which the operation may be executed.
     pub at: Time,
     /// The operation.
     pub operation: Operation,
@@ -34,21 +34,21 @@
 pub struct Opened {
     /// The connection.
     pub connection: ConnectionId,
-    /// Whether it is forwarded.
+    /// Whether the connection is forwarded.
     pub forwarded: bool,
-    /// What is done to it.
+    /// Operations on the new connection.
     pub operations: Vec<ScheduledOperation>,
 }
 
-/// What is done to a connection.
+/// An operation on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Bytes are sent to this side.
+    /// Sends bytes to this side.
     Send(Side, Vec<u8>),
-    /// The direction towards this side ends.
+    /// Ends the direction towards this side.
     EndDirection(Side),
-    /// Both ends are closed.
+    /// Closes both sockets of the connection.
     Close,
-    /// Both ends are reset.
+    /// Resets both sockets of the connection.
     Reset,
 }
--- a/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
+++ b/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
@@ -1,6 +1,6 @@
-//! The attempts of RPCs that a watch records: when a statement arrived from whoever connected, and when its answer left
-//! or its connection ended. Checked here, between both sides, that there is one attempt at a time does not depend on
-//! what either side believes.
+//! Records the attempts of RPCs: when a statement arrived from the client side of a link, and when its answer left the
+//! tool or its connection ended. The record is made between the two sides, so that a checker of the rule of one attempt
+//! at a time does not have to rely on the records of either side.
 
 use super::operation::ConnectionId;
 use crate::plan::Side;
@@ -8,16 +8,16 @@
 use ladderpass_routing::Time;
 use std::collections::HashMap;
 
-/// The start or the end of an attempt, as the tool saw it.
+/// The start or the end of an attempt, as seen by the tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptEvent {
-    /// When, since the tool's start.
+    /// Time of the event, counted from the tool's start.
     pub at: Time,
     /// Index of the link in the plan.
     pub link: usize,
     /// Id of the RPC, from the statement's comment.
     pub id: String,
-    /// Its statement arrived; else its answer left, or its connection ended.
+    /// True if the attempt's statement arrived, and false if its answer left or its connection ended.
     pub begins: bool,
 }
 
@@ -27,12 +27,12 @@
     Ends,
 }
 
-/// Records attempts once it is started.
+/// Records attempts after it has been started.
 #[derive(Default)]
 pub struct RpcWatch {
-    /// None while it is not started.
+    /// The recorded events, or None while the recording is not started.
     recorded: Option<Vec<AttemptEvent>>,
-    /// The RPC on each connection whose statement passed and whose answer has not.
+    /// Id of the RPC in flight on each connection: its statement has arrived, and its answer has not left.
     in_flight: HashMap<ConnectionId, String>,
 }
 
@@ -41,12 +41,12 @@
         self.recorded = Some(Vec::new());
     }
 
-    /// Takes what was recorded, and stops.
+    /// Returns the recorded events, and stops the recording.
     pub fn take(&mut self) -> Vec<AttemptEvent> {
         self.recorded.take().unwrap_or_default()
     }
 
-    /// Records what a unit shows of an RPC.
+    /// Records the start or the end of an attempt if a unit is a statement or the end of its answer.
     pub fn on_unit(&mut self, at: Time, connection: ConnectionId, sender: Side, unit: &Unit) {
         if self.recorded.is_none() {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The connection's attempt has ended: answered, or given up by whoever connected.
+    /// Records the end of the connection's attempt, which has been answered or given up.
     pub fn on_ended(&mut self, at: Time, connection: ConnectionId) {
         if let Some(id) = self.in_flight.remove(&connection) {
             self.record(at, connection, id, AttemptPhase::Ends);
@@ -77,7 +77,7 @@
     }
 }
 
-/// The id in the comment of a statement.
+/// Returns the RPC's id from the last comment of a statement.
 fn rpc_id(bytes: &[u8]) -> Option<&str> {
     const PREFIX: &[u8] = b"/* id=";
     let from = bytes.windows(PREFIX.len()).rposition(|part| part == PREFIX)? + PREFIX.len();
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -1,18 +1,19 @@
-//! Why a plan, a rule or a command of the control socket is rejected. Each error prints as one line.
+//! Errors of plans, rules, records and commands of the control socket. Each error prints as one line.
 
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A plan or a rule that is not valid, by the key.
+/// The reason why a plan or a rule is invalid, with the key at fault.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanError {
-    /// It can't be read: the deserializer's message on one line, which begins with the key.
+    /// The text can't be deserialized. The deserializer's message is on one line, which begins with the key if the YAML
+    /// itself is well-formed.
     #[error("{0}")]
     Syntax(String),
-    /// A value that is not allowed.
+    /// A value is not allowed.
     #[error("{key}: {problem}")]
     Invalid {
-        /// Path of the key, from the start of what was checked.
+        /// Path of the key within the checked plan, rule or action.
         key: String,
         /// What is wrong with its value.
         problem: PlanProblem,
@@ -24,7 +25,7 @@
         PlanError::Invalid { key: key.into(), problem }
     }
 
-    /// The same error, seen from the key that holds what was checked.
+    /// Returns the same error with `parent` before its key.
     pub(crate) fn within(self, parent: &str) -> PlanError {
         match self {
             PlanError::Syntax(text) => PlanError::Syntax(format!("{parent}.{text}")),
@@ -35,127 +36,127 @@
     }
 }
 
-/// What is wrong with a value of a plan.
+/// The reason why a value of a plan is not allowed.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanProblem {
-    /// An address that the tool must not listen on or connect to.
+    /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
     #[error("{0} is off loopback; allowed is 127.0.0.0/8 or [::1]")]
     OffLoopback(SocketAddr),
-    /// A name that is used already.
+    /// The name is already in use.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
-    /// An end of datagrams whose name or address is used already.
+    /// An earlier datagram end has the same name or the same `to` address.
     #[error("its name or address stands twice")]
     DuplicateEnd,
-    /// A link that the plan does not have.
+    /// The plan has no link with this name.
     #[error("there is no link {0:?}")]
     UnknownLink(String),
-    /// A rule that waits for itself, or for one that the plan does not have.
+    /// A rule waits for itself, or for a rule that the plan does not have.
     #[error("there is no other rule {0:?}")]
     UnknownRule(String),
-    /// A name that is not among the allowed ones.
+    /// The name is not among the allowed ones.
     #[error("{name:?}; allowed are {allowed}")]
     UnknownName {
-        /// The name that was given.
+        /// The rejected name.
         name: String,
-        /// All allowed names.
+        /// All allowed names, separated by commas.
         allowed: String,
     },
-    /// A number outside its range.
+    /// The number is outside its range.
     #[error("{value}; allowed are {allowed}")]
     OutOfRange {
-        /// The number that was given.
+        /// The rejected number.
         value: f64,
-        /// The range, as `0 to 1`.
+        /// The allowed range, such as `0 to 1`.
         allowed: &'static str,
     },
-    /// Connections or messages counted from 0.
+    /// The number of a connection or of a match is 0, but both are counted from 1.
     #[error("connections and messages are counted from 1 on")]
     CountedFromZero,
-    /// An action that a connection's opening can't trigger.
+    /// The opening of a connection can't trigger this action.
     #[error("{0} does nothing when a connection opens")]
     NotAtOpening(&'static str),
-    /// An action that only a connection's opening can trigger.
+    /// Only the opening of a connection can trigger this action.
     #[error("{0} acts only with when.opens")]
     OnlyAtOpening(&'static str),
-    /// A trigger by messages or bytes at a connection's opening.
+    /// A rule that is triggered by the opening of a connection also has a condition on messages or bytes.
     #[error("a connection that opens has no messages or bytes yet")]
     NoBytesAtOpening,
-    /// A rate of 0.
+    /// The rate is 0.
     #[error("must be above 0; hold stops a direction")]
     ZeroRate,
 }
 
-/// Why a running engine rejects a change.
+/// The reason why a running engine rejects a change.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum EngineError {
     /// The new rule is not valid.
     #[error(transparent)]
     InvalidRule(#[from] PlanError),
-    /// The new rule's name is in use.
+    /// An active rule has the new rule's name.
     #[error("name: {0:?} is there already")]
     DuplicateRule(String),
-    /// No rule of this name is active.
+    /// No active rule has this name.
     #[error("there is no rule {0:?}")]
     UnknownRule(String),
-    /// The plan has no link of this name.
+    /// The plan has no link with this name.
     #[error("there is no link {0:?}")]
     UnknownLink(String),
 }
 
-/// Why a line of the control socket is rejected.
+/// The reason why a line of the control socket is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ControlError {
-    /// Not one of the commands.
+    /// The line does not begin with one of the commands, or the command has the wrong arguments.
     #[error(
         "{0:?}; allowed are add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK, watch"
     )]
     UnknownCommand(String),
-    /// The rule of `add` can't be read.
+    /// The rule of an `add` command can't be read.
     #[error("add: {0}")]
     Rule(PlanError),
-    /// The engine rejects the change.
+    /// The engine rejects the command's change.
     #[error("{command}: {source}")]
     Rejected {
-        /// The command's word.
+        /// Name of the command.
         command: &'static str,
-        /// Why.
+        /// The reason.
         source: EngineError,
     },
-    /// `wait` without its three words.
+    /// A `wait` command does not have exactly three arguments.
     #[error("wait: allowed is wait NAME HITS MS")]
     WaitForm,
-    /// The second word of `wait`.
+    /// The second argument of `wait` is not a number.
     #[error("wait: HITS {0:?} is no number")]
     WaitHits(String),
-    /// The third word of `wait`.
+    /// The third argument of `wait` is not a number of milliseconds.
     #[error("wait: MS {0:?} is no number of milliseconds")]
     WaitMs(String),
-    /// A rule to wait for that is not there.
+    /// No rule has the name that `wait` gives.
     #[error("wait: there is no rule {0:?}")]
     WaitRule(String),
 }
 
-/// Why a command to a running tool failed.
+/// The reason why a command to a running tool failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The tool's thread has ended.
+    /// The tool's thread has ended, or has not answered within the timeout.
     #[error("the tool has ended")]
     Ended,
     /// The tool's thread can't be woken.
     #[error("{0}")]
     Wake(std::io::Error),
-    /// The tool's answer to a command that it rejects.
+    /// The tool rejected the command with this answer.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// A record that can't be read.
+/// The reason why a record can't be read.
 #[derive(Debug, Error)]
 #[error("line {line}: {source}")]
 pub struct RecordError {
-    /// Number of the line, from 1 on.
+    /// Number of the first invalid line, counted from 1.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error of the JSON parser.
     pub source: serde_json::Error,
 }
--- a/crates/ladderpass-fault-injection/src/lib.rs
+++ b/crates/ladderpass-fault-injection/src/lib.rs
@@ -1,14 +1,14 @@
-//! A tool between sockets: its links listen on loopback and forward to an address, and a plan of rules says what is
-//! done to what passes.
+//! A fault-injecting proxy for loopback sockets. Each link listens on a loopback address and forwards to another one,
+//! and the rules of a plan define which faults are injected into the traffic.
 //!
-//! - `plan` is the input: rules, each a trigger and an action, checked.
-//! - `stream` finds messages in bytes, however they are split into reads.
-//! - `engine` is the pure part: what arrives and the time in, operations on connections out, with a record of each
-//!   decision.
-//! - `driver` owns the sockets, `control` the commands while it runs.
-//! - `datagrams` and `datagram_driver` are engine and driver for datagrams.
+//! - `plan` reads and checks the input: links, and rules with a trigger and an action each.
+//! - `stream` finds messages in a stream of bytes, independently of how the bytes are split into reads.
+//! - `engine` decides without input or output: it takes received bytes and the time, returns operations on connections,
+//!   and records each decision.
+//! - `driver` owns the sockets, and `control` executes commands while the tool runs.
+//! - `datagrams` and `datagram_driver` are the engine and the driver for datagrams.
 //!
-//! It does nothing that the plan doesn't say, and never connects off loopback.
+//! The tool injects no fault that neither the plan nor a command asks for, and connects to loopback addresses only.
 
 pub mod control;
 pub mod datagram_driver;
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,5 +1,5 @@
-//! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command
-//! line.
+//! The command line of `ladderpass-fault-injection`, which forwards connections and injects faults into them, by a plan
+//! or on command.
 
 use clap::{Parser, Subcommand};
 use ladderpass_fault_injection::driver::RunningTool;
@@ -47,7 +47,7 @@
     Replay { plan: PathBuf, record: PathBuf },
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 enum CliError {
     #[error("{}: {source}", path.display())]
@@ -58,7 +58,7 @@
     Record { path: PathBuf, source: RecordError },
     #[error("{0}")]
     Start(io::Error),
-    /// The answer of a running tool.
+    /// The running tool answered with this error.
     #[error("{0}")]
     Rejected(String),
     #[error("it has ended without an answer")]
@@ -85,7 +85,7 @@
     Plan::read(&read_file(path)?).map_err(|source| CliError::Plan { path: path.to_owned(), source })
 }
 
-/// Plays a plan until standard input ends; returns its decisions.
+/// Plays a plan until standard input ends, and returns the recorded decisions.
 fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
     let names: Vec<String> = plan.links.iter().map(|link| link.name.clone()).collect();
     let running = RunningTool::start(plan, control).map_err(CliError::Start)?;
@@ -123,7 +123,7 @@
     }
 }
 
-/// Sends a line to a running tool, and prints its answer.
+/// Sends one command line to a running tool, and prints the answer.
 fn send_command(socket: &Path, words: &[String]) -> Result<(), CliError> {
     let failed = |source: io::Error| CliError::File { path: socket.to_owned(), source };
     let mut stream = UnixStream::connect(socket).map_err(failed)?;
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -1,5 +1,6 @@
-//! The plan: links, and rules with a trigger and an action each, as YAML or drawn from a seed. Its checks give one line
-//! that names the key. Field names are the keys of the file unless an attribute gives another.
+//! The plan of a run: links, and rules with a trigger and an action each. It is read from YAML or drawn from a seed.
+//! The error of an invalid plan is one line that names the key. Field names are the keys of the file unless an
+//! attribute gives another.
 
 mod checks;
 pub(crate) mod datagrams;
@@ -20,41 +21,41 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkShape {
-    /// Its name in rules and commands.
+    /// Name of the link in rules and commands.
     pub name: String,
-    /// Where it listens, on loopback; port 0 is one of the system's choice.
+    /// Loopback address that the link listens on. With port 0 the system assigns a free port.
     pub listen: SocketAddr,
-    /// Where it forwards to, on loopback.
+    /// Loopback address that the link forwards to.
     pub to: SocketAddr,
-    /// The protocol spoken on it.
+    /// Protocol of the link's connections.
     #[serde(default, rename = "talk")]
     pub protocol: Protocol,
 }
 
-/// When a rule acts: all conditions that are given must hold.
+/// The conditions under which a rule acts. All conditions that are given must hold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-// `expecting` keeps the text of an error for a wrong plan.
+// `expecting` preserves the error text for an invalid plan, which names this type `When`.
 #[serde(deny_unknown_fields, default, expecting = "struct When")]
 pub struct Trigger {
-    /// Who sent the bytes.
+    /// The side that sent the bytes. It is ignored if `opens` is set.
     pub from: Side,
-    /// The n-th connection of a link, from 1 on.
+    /// Number of the connection on its link, counted from 1.
     pub connection: Option<u64>,
-    /// A kind of message, such as `DataRow` or `Chunk`.
+    /// Kind of the message, such as `DataRow` or `Chunk`.
     pub message: Option<String>,
-    /// A text in the message: an id, a method, a tag.
+    /// Text that the message contains, such as an id, a method or a tag.
     #[serde(rename = "holds")]
     pub contains: Option<String>,
-    /// The message that holds this byte of the direction, from 0 on.
+    /// Offset of a byte that the message contains, counted from 0 at the start of the direction.
     pub byte: Option<u64>,
-    /// From the n-th match on, counted over all connections of a link.
+    /// The rule acts from the n-th match on. Matches are counted from 1, over all connections of a link.
     pub nth: Option<u64>,
-    /// Not before this many milliseconds after the start.
+    /// The rule acts no earlier than this many milliseconds after the start.
     pub after_ms: Option<u64>,
-    /// Not before this other rule has acted.
+    /// The rule acts only after the rule with this name has acted.
     #[serde(rename = "seen")]
     pub after_rule: Option<String>,
-    /// The opening of a connection, instead of bytes on it.
+    /// The rule is triggered by the opening of a connection instead of by bytes on it.
     pub opens: bool,
 }
 
@@ -62,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
-    /// It and everything behind it is delayed.
+    /// The message and everything behind it are delayed.
     Delay {
         /// Mean of the delay, in milliseconds.
         ms: f64,
@@ -70,62 +71,63 @@
         #[serde(default = "Distribution::constant", rename = "spread")]
         distribution: Distribution,
     },
-    /// From it on the direction's rate is limited.
+    /// The rate of the direction is limited from the message on.
     Rate {
-        /// Bytes a second.
+        /// Rate in bytes per second.
         bytes_per_s: u64,
     },
-    /// It is sent in pieces of one byte.
+    /// The message is sent in pieces of one byte.
     Slice {
-        /// Pause between pieces, in milliseconds.
+        /// Pause after each piece, in milliseconds.
         gap_ms: f64,
     },
-    /// From it on nothing passes in that direction until the rule is lifted.
+    /// The message and everything behind it are held back until the rule is lifted.
     Hold,
-    /// It is dropped.
+    /// The message is dropped.
     Drop,
-    /// It and everything up to the next ReadyForQuery is dropped: a lost acknowledgement.
+    /// The message and everything up to and including the next ReadyForQuery are dropped, like a lost acknowledgement.
     Swallow,
-    /// From it on everything is dropped in that direction; the sender does not notice.
+    /// The message and everything behind it are dropped, while the sender's bytes are still read.
     Silence,
-    /// One direction ends before it.
+    /// One direction of the connection is ended before the message is sent.
     HalfClose {
-        /// The sender of the direction that ends.
+        /// The sender of the direction that is ended.
         side: Side,
     },
-    /// Both ends are closed before it.
+    /// Both sockets of the connection are closed before the message is sent.
     Close,
-    /// Both ends are reset before it.
+    /// Both sockets of the connection are reset before the message is sent.
     Reset,
-    /// Bytes at random places are changed; heads of messages stay.
+    /// Bytes at random offsets are changed. The first five bytes, which are the header of a PostgreSQL message, stay
+    /// unchanged unless the message has no more than these.
     Garble {
-        /// How many.
+        /// Number of changes. An offset may be drawn more than once.
         bytes: u32,
     },
-    /// One byte is replaced.
+    /// One byte of the message is replaced.
     Set {
-        /// Its place in the message, from 0 on.
+        /// Offset of the byte in the message, counted from 0.
         at: u32,
-        /// The new byte.
+        /// The new value of the byte.
         to: u8,
     },
-    /// A random bit of its length is flipped.
+    /// A random bit of the message's length field is flipped.
     FlipLength,
-    /// It is sent twice.
+    /// The message is sent twice.
     Duplicate,
-    /// Random bytes are sent behind it.
+    /// Random bytes are sent behind the message.
     Noise {
-        /// How many.
+        /// Number of random bytes.
         bytes: u32,
     },
-    /// It is cut short, and the connection closed.
+    /// The message is cut short, and then the connection is closed.
     Truncate {
-        /// How many of its bytes are sent.
+        /// Number of the message's bytes that are sent.
         keep: u32,
     },
-    /// The response that it begins, up to its ReadyForQuery, is sent once more.
+    /// The response from the message up to its ReadyForQuery is sent once more.
     Repeat,
-    /// The response that it begins is sent after the next one, each up to its ReadyForQuery.
+    /// The response from the message up to its ReadyForQuery is sent after the next response.
     Reorder,
     /// The connection is reset as soon as it opens.
     Refuse,
@@ -134,7 +136,7 @@
 }
 
 impl Action {
-    /// Its name in plans and records.
+    /// Returns the action's name in plans and records.
     pub fn name(&self) -> &'static str {
         match self {
             Action::Delay { .. } => "delay",
@@ -160,28 +162,28 @@
         }
     }
 
-    /// Whether the opening of a connection triggers it, and no message does.
+    /// Returns whether the action is triggered by the opening of a connection, and never by a message.
     fn is_at_opening(&self) -> bool {
         matches!(self, Action::Refuse | Action::Ignore)
     }
 }
 
-/// A trigger and an action.
+/// A trigger, and the action that it causes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Its name, unique among the active rules.
+    /// Name of the rule, which is unique among the active rules.
     pub name: String,
-    /// Only on this link.
+    /// Name of the only link that the rule applies to. Without one the rule applies to all links.
     #[serde(default)]
     pub link: Option<String>,
-    /// When it acts.
+    /// The conditions under which the rule acts.
     #[serde(default)]
     pub when: Trigger,
-    /// What it does.
+    /// What the rule does.
     #[serde(rename = "do")]
     pub action: Action,
-    /// How often it acts at most; 0: without limit.
+    /// The number of times that the rule acts at most, or 0 for no limit.
     #[serde(default = "once")]
     pub times: u64,
 }
@@ -190,47 +192,47 @@
     1
 }
 
-/// All that the tool is to do.
+/// The configuration of a run: links, datagram ends, and the rules for both.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Where connections are forwarded.
+    /// Links that forward connections.
     pub links: Vec<LinkShape>,
-    /// What is done to connections.
+    /// Rules for connections.
     pub rules: Vec<Rule>,
-    /// Who sends and receives datagrams.
+    /// Processes that exchange datagrams through the tool.
     pub ends: Vec<End>,
-    /// What is done to datagrams.
+    /// Rules for datagrams.
     #[serde(rename = "datagrams")]
     pub datagram_rules: Vec<DatagramRule>,
 }
 
 impl Plan {
-    /// Reads YAML and checks it.
+    /// Reads a plan from YAML and checks it.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the plan is invalid; the error names the first invalid key.
     pub fn read(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = parse_yaml(text)?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// The part that concerns datagrams.
+    /// Returns the part of the plan that concerns datagrams.
     pub fn datagram_plan(&self) -> DatagramPlan {
         DatagramPlan { seed: self.seed, ends: self.ends.clone(), rules: self.datagram_rules.clone() }
     }
 }
 
 impl Rule {
-    /// Reads YAML; `check` needs the plan too.
+    /// Reads a rule from YAML. The rule is not checked yet, since `check` needs the plan as well.
     ///
     /// # Errors
     ///
-    /// The key that is wrong.
+    /// If the text is not a rule; the error names the invalid key.
     pub fn read(text: &str) -> Result<Rule, PlanError> {
         parse_yaml(text)
     }
--- a/crates/ladderpass-fault-injection/src/plan/checks.rs
+++ b/crates/ladderpass-fault-injection/src/plan/checks.rs
@@ -1,20 +1,20 @@
-//! Checks of plans and rules: what can never act is an error, so that nobody waits for it.
+//! Checks of plans and rules. A rule that can never act is an error, so that nobody waits for its effect.
 
 use super::{Action, Plan, Rule};
 use crate::errors::{PlanError, PlanProblem};
 use crate::protocol::MESSAGE_KINDS;
 
-/// The longest delay of an action, in milliseconds.
+/// The longest delay or pause of an action, in milliseconds.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
-/// How many bytes an action may change or add.
+/// The highest number of bytes that an action may change or add.
 const MAX_RANDOM_BYTES: u32 = 65_536;
 
 impl Plan {
-    /// Checks links, ends and rules.
+    /// Checks the plan's links, datagram ends and rules.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the plan is invalid; the error names the first invalid key.
     pub fn check(&self) -> Result<(), PlanError> {
         for (index, link) in self.links.iter().enumerate() {
             for (key, address) in [("listen", link.listen), ("to", link.to)] {
@@ -41,11 +41,11 @@
 }
 
 impl Rule {
-    /// Checks that the rule can act in this plan.
+    /// Checks that the rule is valid in this plan and can act.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the rule is invalid; the error names the first invalid key.
     pub fn check(&self, plan: &Plan) -> Result<(), PlanError> {
         self.check_names(plan)?;
         if self.when.connection == Some(0) || self.when.nth == Some(0) {
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -1,5 +1,5 @@
-//! The part of a plan that concerns datagrams: the ends that exchange them, and rules. Field names are the keys of the
-//! file unless an attribute gives another.
+//! The part of a plan that concerns datagrams: the ends that exchange them, and the rules. Field names are the keys of
+//! the file unless an attribute gives another.
 
 use super::distribution::Distribution;
 use super::yaml::parse_yaml;
@@ -7,18 +7,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The longest delay of a datagram, in milliseconds.
+/// The longest delay that one rule adds to a datagram, in milliseconds.
 pub(crate) const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// A process that sends and receives datagrams.
+/// A process that sends and receives datagrams through the tool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct End {
-    /// Its name in rules.
+    /// Name of the end in rules.
     pub name: String,
-    /// Where the tool listens for it: the address by which the others know it.
+    /// Address that the tool listens on for the end, and by which the other ends know it.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Address of the process itself.
     pub to: SocketAddr,
 }
 
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum DatagramAction {
-    /// It is lost.
+    /// The datagram is lost.
     Drop,
-    /// It arrives later.
+    /// The datagram arrives later.
     Delay {
         /// Mean of the delay, in milliseconds.
         ms: f64,
@@ -36,14 +36,14 @@
         #[serde(default = "Distribution::constant", rename = "spread")]
         distribution: Distribution,
     },
-    /// It arrives twice.
+    /// The datagram arrives twice.
     Duplicate {
-        /// How much later the second copy arrives, in milliseconds.
+        /// Delay of the second copy after the first one, in milliseconds.
         ms: f64,
     },
-    /// It is delayed by a random time, so that others overtake it.
+    /// The datagram is delayed by a random time, so that later ones can overtake it.
     Reorder {
-        /// Longest delay, in milliseconds.
+        /// The longest delay, in milliseconds.
         ms: f64,
     },
 }
@@ -56,30 +56,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DatagramRule {
-    /// Its name, unique among the active rules.
+    /// Name of the rule, which is unique among the active rules.
     pub name: String,
-    /// Names of senders; none: all.
+    /// Names of the senders that the rule applies to. If empty, it applies to all.
     #[serde(default)]
     pub from: Vec<String>,
-    /// Names of receivers; none: all.
+    /// Names of the receivers that the rule applies to. If empty, it applies to all.
     #[serde(default)]
     pub to: Vec<String>,
-    /// The other direction as well.
+    /// The rule applies to the opposite direction as well.
     #[serde(default)]
     pub both: bool,
-    /// Only what crosses from one of these sides to another; an end on none of them is on a side of its own.
+    /// The rule applies only to datagrams from one of these sides to another one. An end that is in none of them is a
+    /// side by itself. If empty, the rule applies to datagrams between all ends.
     #[serde(default)]
     pub split: Vec<Vec<String>>,
-    /// From this long after the rule was added, in milliseconds.
+    /// Time from the rule's addition until it takes effect, in milliseconds.
     #[serde(default)]
     pub after_ms: u64,
-    /// For this long, in milliseconds; 0: to the end.
+    /// Time for which the rule is in effect, in milliseconds, or 0 for no limit.
     #[serde(default)]
     pub for_ms: u64,
-    /// Probability of acting on a datagram that matches.
+    /// Probability with which the rule acts on a datagram that matches.
     #[serde(default = "always", rename = "part")]
     pub probability: f64,
-    /// What it does.
+    /// What the rule does.
     #[serde(rename = "do")]
     pub action: DatagramAction,
 }
@@ -90,18 +91,18 @@
 pub struct DatagramPlan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Who sends and receives datagrams.
+    /// Processes that exchange datagrams through the tool.
     pub ends: Vec<End>,
-    /// What is done to them.
+    /// Rules for datagrams.
     pub rules: Vec<DatagramRule>,
 }
 
 impl DatagramRule {
-    /// Checks the rule for these ends.
+    /// Checks that the rule is valid for these ends.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the rule is invalid; the error names the first invalid key.
     pub fn check(&self, ends: &[End]) -> Result<(), PlanError> {
         let names = self.from.iter().chain(&self.to).chain(self.split.iter().flatten());
         let unknown = |name: &&String| !ends.iter().any(|end| end.name == **name);
@@ -129,27 +130,28 @@
 }
 
 impl DatagramPlan {
-    /// Reads YAML and checks it.
+    /// Reads a datagram plan from YAML and checks it.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the plan is invalid; the error names the first invalid key.
     pub fn read(text: &str) -> Result<DatagramPlan, PlanError> {
         let plan: DatagramPlan = parse_yaml(text)?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// Checks ends and rules.
+    /// Checks the plan's ends and rules.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// If the plan is invalid; the error names the first invalid key.
     pub fn check(&self) -> Result<(), PlanError> {
         self.check_under("rules")
     }
 
-    /// Checks ends and rules, the latter under the key that the plan has them at.
+    /// Checks the plan's ends and rules. Errors name `rules_key` as the key of the rules, which differs between a whole
+    /// plan and a datagram plan.
     pub(crate) fn check_under(&self, rules_key: &str) -> Result<(), PlanError> {
         for (index, end) in self.ends.iter().enumerate() {
             for (key, address) in [("address", end.address), ("to", end.to)] {
--- a/crates/ladderpass-fault-injection/src/plan/distribution.rs
+++ b/crates/ladderpass-fault-injection/src/plan/distribution.rs
@@ -2,20 +2,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Distribution of a random delay, by its mean.
+/// Distribution of a random delay with a given mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Distribution {
-    /// Always the mean.
+    /// Every delay is the mean.
     Constant,
-    /// From 0 to twice the mean.
+    /// Delays are uniformly distributed from 0 to twice the mean.
     Uniform,
-    /// Exponential.
+    /// Delays are exponentially distributed.
     Exponential,
 }
 
 impl Distribution {
-    /// What holds where a plan does not say.
+    /// Returns the default where a plan names no distribution.
     pub(super) fn constant() -> Distribution {
         Distribution::Constant
     }
--- a/crates/ladderpass-fault-injection/src/plan/drawn.rs
+++ b/crates/ladderpass-fault-injection/src/plan/drawn.rs
@@ -1,16 +1,16 @@
-//! Plans with random rules, for combinations that nobody would write down.
+//! Plans with random rules, for combinations of faults that nobody would write by hand.
 
 use super::{Action, Distribution, LinkShape, Plan, Protocol, Rule, Side, Trigger};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// How often a random rule may act: one of these.
+/// The limits on the number of times that a random rule acts. One of them is drawn for each rule.
 const TIMES: [u64; 4] = [1, 1, 3, 20];
-/// A random rule begins to act before this many matches.
+/// The upper bound, itself excluded, of the match from which a random rule acts.
 const MAX_NTH: u64 = 200;
 
 impl Plan {
-    /// A plan of these links with `count` random rules: the same seed gives the same plan.
+    /// Returns a plan with these links and `count` random rules. The same seed gives the same plan.
     pub fn drawn(seed: u64, count: usize, links: Vec<LinkShape>) -> Plan {
         let mut random = SmallRng::seed_from_u64(seed);
         let rules = (0..count).map(|index| random_rule(&mut random, index, &links)).collect();
--- a/crates/ladderpass-fault-injection/src/protocol.rs
+++ b/crates/ladderpass-fault-injection/src/protocol.rs
@@ -1,20 +1,20 @@
-//! The protocol of a link, its two sides, and the kinds of messages that rules can name.
+//! The protocol of a link, the two sides of a link, and the kinds of messages that rules can name.
 
 use serde::{Deserialize, Serialize};
 
-/// The sender of bytes: who connected to the link, or whom the link forwards to.
+/// One of the two sides of a link, as the sender or the receiver of bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Side {
-    /// Who connected to the link.
+    /// The side that connects to the link.
     Client,
-    /// Whom the link forwards to.
+    /// The side that the link forwards to.
     #[default]
     Server,
 }
 
 impl Side {
-    /// The side that receives what this one sends.
+    /// Returns the opposite side, which receives the bytes that this one sends.
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
@@ -30,13 +30,13 @@
     /// PostgreSQL's wire protocol, version 3.
     #[default]
     Postgres,
-    /// HTTP/1.1, as heads and chunks.
+    /// HTTP/1.1, split into heads and chunks.
     Http,
-    /// Bytes without messages.
+    /// Bytes that are not parsed into messages.
     Raw,
 }
 
-/// Every kind of message that a rule may name.
+/// All kinds of messages that a rule may name.
 pub const MESSAGE_KINDS: [&str; 22] = [
     "Startup",
     "Query",
--- a/crates/ladderpass-fault-injection/src/random.rs
+++ b/crates/ladderpass-fault-injection/src/random.rs
@@ -1,4 +1,4 @@
-//! Random draws that depend on a seed and on what they are for, not on what else has happened.
+//! Random draws that depend only on a seed and on the parts that identify the draw, and not on other events.
 
 use crate::plan::Distribution;
 use rand::rngs::SmallRng;
@@ -14,12 +14,12 @@
     (seed ^ part).wrapping_mul(MULTIPLIER).rotate_left(ROTATION)
 }
 
-/// A generator for the draws that these parts name.
+/// Returns a generator for the draws that a seed and these parts identify.
 pub fn generator(seed: u64, parts: [u64; 4]) -> SmallRng {
     SmallRng::seed_from_u64(parts.into_iter().fold(seed, mix))
 }
 
-/// A random factor on a delay, with the mean 1.
+/// Draws a factor that a mean delay is multiplied by. The factor's mean is 1.
 pub fn delay_factor(random: &mut SmallRng, distribution: Distribution) -> f64 {
     match distribution {
         Distribution::Constant => 1.0,
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -1,5 +1,6 @@
-//! A record of each decision, without times: the same plan against the same traffic gives the same record. Connections
-//! are identified by their number on their link, so that the order in which the kernel serves several does not matter.
+//! A record of each decision. It contains no times, so the same plan with the same traffic gives the same record.
+//! Connections are identified by their number on their link and the lines are sorted, so the order in which the kernel
+//! reports events of different connections does not matter.
 
 use crate::errors::RecordError;
 use crate::plan::Side;
@@ -10,11 +11,11 @@
 pub struct Decision {
     /// Name of the link.
     pub link: String,
-    /// Number of the connection on that link, from 1 on.
+    /// Number of the connection on that link, counted from 1.
     pub conn: u64,
-    /// Who sent the unit.
+    /// The side that sent the unit.
     pub side: Side,
-    /// Where in its direction the unit begins, in bytes.
+    /// Offset of the unit's first byte in its direction.
     pub byte: u64,
     /// Kind of the unit.
     pub kind: String,
@@ -22,11 +23,11 @@
     pub rule: String,
     /// Name of the action.
     pub action: String,
-    /// What was drawn for it: places, bits, microseconds.
+    /// Random numbers that were drawn for the action: offsets of bytes, numbers of bits, or microseconds.
     pub drawn: Vec<u64>,
 }
 
-/// One JSON object a line, sorted.
+/// Formats a record as one JSON object per line, sorted.
 pub fn lines(record: &[Decision]) -> String {
     let mut sorted: Vec<&Decision> = record.iter().collect();
     sorted.sort();
@@ -34,11 +35,11 @@
     sorted.iter().map(line).collect()
 }
 
-/// Reads what `lines` has written.
+/// Reads a record that `lines` has formatted.
 ///
 /// # Errors
 ///
-/// The first line that is no decision.
+/// If a line is not a decision; the error names the first such line.
 pub fn read(text: &str) -> Result<Vec<Decision>, RecordError> {
     let parse = |(index, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|source| RecordError { line: index + 1, source })
@@ -46,7 +47,8 @@
     text.lines().enumerate().map(parse).collect()
 }
 
-/// The first line in which two records differ, with both forms of it; None where they are the same.
+/// Returns the number of the first line in which two records differ, with that line of each, or None if they are the
+/// same.
 pub fn first_difference(one: &[Decision], two: &[Decision]) -> Option<String> {
     let (one, two) = (lines(one), lines(two));
     let (mut ones, mut twos) = (one.lines(), two.lines());
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -1,29 +1,30 @@
-//! Finds messages in a stream of bytes: PostgreSQL v3 frames, HTTP/1.1 heads and chunks; or bytes as they arrive.
-//! However the bytes are split into reads, the messages are the same, which makes runs repeatable. From the first bytes
-//! on that can't be a message, a stream passes as plain bytes.
+//! Finds messages in a stream of bytes: PostgreSQL v3 frames, or HTTP/1.1 heads and chunks. A raw stream passes as
+//! plain bytes, and so does the rest of a stream from the first bytes on that can't be a message. The messages do not
+//! depend on how the bytes are split into reads, which makes runs repeatable.
 
 use crate::protocol::{Protocol, Side};
 
 /// A part of a stream that rules can act on: a complete message, or bytes that belong to none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unit {
-    /// Where in its direction it begins, in bytes.
+    /// Offset of the unit's first byte in its direction.
     pub offset: u64,
-    /// A message's name, or `bytes`, `rest` or `cut` where it is none.
+    /// Kind of the message, or `bytes`, `rest` or `cut` if the unit is not a complete message.
     pub kind: &'static str,
-    /// Its bytes.
+    /// Content of the unit.
     pub bytes: Vec<u8>,
 }
 
-/// The longest message that is buffered until it is complete; a longer one passes in pieces.
+/// Size of the longest message that is buffered until it is complete. A longer one passes in pieces.
 pub const MAX_BUFFERED_MESSAGE_BYTES: usize = 256 << 10;
 
-/// The longest line with the size of a chunk in HTTP.
+/// Length of the longest line with the size of an HTTP chunk.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
-/// The end of a line, and of a head, in HTTP.
+/// The end of a line in HTTP.
 const LINE_END: &[u8] = b"\r\n";
+/// The end of an HTTP head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The length at the start of a PostgreSQL message.
+/// Size of the length field of a PostgreSQL message.
 const LENGTH_BYTES: usize = 4;
 
 /// Finds the messages of one direction of a connection.
@@ -38,19 +39,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Expected {
-    /// The first message, which has no type byte, or an HTTP head.
+    /// The first message of the direction: a startup message, which has no type byte, or an HTTP head.
     First,
     Message,
-    /// The rest of a message too long to be buffered, in bytes.
+    /// The remaining bytes of a message that is too long to be buffered, with their number.
     Rest(u64),
-    /// Anything: it passes as it arrives.
+    /// Plain bytes, which pass as they arrive.
     Bytes,
 }
 
 impl MessageScanner {
-    /// A scanner of what `side` sends on a connection, from its first byte on.
+    /// Returns a scanner for the bytes that `side` sends on a connection, from the first byte on.
     pub fn new(protocol: Protocol, side: Side) -> MessageScanner {
-        // PostgreSQL servers begin with frames; the one byte that answers an SSLRequest is none, and passes as bytes.
+        // A PostgreSQL server begins with a frame. The single byte that answers an SSLRequest is not one: it stays
+        // buffered until four more bytes have arrived.
         let expected = match (protocol, side) {
             (Protocol::Raw, _) => Expected::Bytes,
             (Protocol::Postgres, Side::Server) => Expected::Message,
@@ -59,12 +61,12 @@
         MessageScanner { protocol, side, offset: 0, buffer: Vec::new(), expected }
     }
 
-    /// Bytes that are buffered until their message is complete.
+    /// Returns the number of bytes that are buffered until their message is complete.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Takes the next bytes; gives the units that they complete.
+    /// Adds the next bytes, and returns the units that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Unit> {
         self.buffer.extend_from_slice(bytes);
         let mut units = Vec::new();
@@ -83,7 +85,7 @@
                         (kind, length)
                     }
                     Next::Incomplete => break,
-                    // Only its head gets its kind, so that the unit does not depend on how much has arrived.
+                    // The unit of this kind has only the header, so that it does not depend on how much has arrived.
                     Next::TooLong { kind, head_bytes, length } => {
                         self.expected = Expected::Rest(length - head_bytes as u64);
                         (kind, head_bytes)
@@ -102,7 +104,7 @@
         units
     }
 
-    /// What is buffered when the sender has ended its direction: a message cut short.
+    /// Returns the bytes that are buffered when the sender ends its direction, which are an incomplete message.
     pub fn end(&mut self) -> Option<Unit> {
         let bytes = std::mem::take(&mut self.buffer);
         let offset = self.offset;
@@ -110,27 +112,28 @@
         (!bytes.is_empty()).then_some(Unit { offset, kind: "cut", bytes })
     }
 
-    /// What stands at the start of the buffer.
+    /// Examines the start of the buffer for a message.
     fn next(&self) -> Next {
         match (self.protocol, self.expected) {
             (Protocol::Postgres, Expected::First) => self.next_startup(),
             (Protocol::Postgres, _) => self.next_frame(),
             (Protocol::Http, Expected::First) => self.next_http_head(),
-            // A request has a head alone; behind that of a response come chunks.
+            // A request consists of a head only. A response's head is followed by chunks.
             (Protocol::Http, _) if self.side == Side::Client => Next::NoMessage,
             (Protocol::Http, _) => self.next_chunk(),
             (Protocol::Raw, _) => Next::NoMessage,
         }
     }
 
-    /// A startup message of PostgreSQL: its length, which counts itself, and its body.
+    /// Examines the buffer for a PostgreSQL startup message, which has a length and a body. The length counts itself.
     fn next_startup(&self) -> Next {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
         let length = u64::from(u32::from_be_bytes(*length));
         Next::from_length("Startup", length, LENGTH_BYTES, self.buffer.len())
     }
 
-    /// A frame of PostgreSQL: its type, its length, which counts all but the type, and its body.
+    /// Examines the buffer for a PostgreSQL frame, which has a type, a length and a body. The length counts itself and
+    /// the body.
     fn next_frame(&self) -> Next {
         let Some((&frame_type, rest)) = self.buffer.split_first() else { return Next::Incomplete };
         let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
@@ -149,8 +152,8 @@
         }
     }
 
-    /// A chunk of HTTP: a line with its size in hexadecimal digits and, behind a semicolon, extensions; then its bytes
-    /// and the end of a line.
+    /// Examines the buffer for an HTTP chunk. A chunk is a line with the size in hexadecimal digits and, after a
+    /// semicolon, any extensions, followed by the bytes and a line end.
     fn next_chunk(&self) -> Next {
         let Some(size_end) = position_of(LINE_END, &self.buffer) else {
             let is_too_long = self.buffer.len() > MAX_CHUNK_HEAD_BYTES;
@@ -169,28 +172,29 @@
     bytes.windows(end.len()).position(|window| window == end)
 }
 
-/// What stands at the start of the buffer.
+/// The result of examining the start of the buffer.
 enum Next {
     Complete {
         kind: &'static str,
-        /// Its whole length, in bytes.
+        /// Length of the whole message, in bytes.
         length: usize,
     },
-    /// The start of a message.
+    /// The buffer has only the start of a message.
     Incomplete,
-    /// A message too long to be buffered.
+    /// The message is too long to be buffered.
     TooLong {
         kind: &'static str,
-        /// Length of its head, in bytes.
+        /// Length of the message's header, in bytes.
         head_bytes: usize,
-        /// Its whole length, in bytes.
+        /// Length of the whole message, in bytes.
         length: u64,
     },
     NoMessage,
 }
 
 impl Next {
-    /// A message of this length, whose head of `head_bytes` counts in it, with `buffered` bytes of it at hand.
+    /// Returns the result for a message of `length` bytes, including a header of `head_bytes`, if `buffered` bytes have
+    /// arrived.
     fn from_length(kind: &'static str, length: u64, head_bytes: usize, buffered: usize) -> Next {
         match length {
             length if length < head_bytes as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
@@ -203,7 +207,7 @@
     }
 }
 
-/// Names of message types, as PostgreSQL's documentation has them.
+/// Returns the name that PostgreSQL's documentation has for a message type, or `Other` for a type that is not here.
 fn frame_kind(side: Side, kind: u8) -> &'static str {
     match (side, kind) {
         (Side::Client, b'Q') => "Query",
