--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -360,7 +360,7 @@
             self.schedule(operations);
             let text = match reply {
                 Reply::Immediate(text) => text,
-                Reply::Deferred { .. } => "error wait is for the control's socket".into(),
+                Reply::Deferred { .. } => "error wait is available on the control socket only".into(),
             };
             // A failure is ignored, since the caller may have stopped waiting for the answer.
             let _ = command.answer.send(text);
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -40,13 +40,13 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum PlanProblem {
     /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
-    #[error("{0} is off loopback; allowed is 127.0.0.0/8 or [::1]")]
+    #[error("{0} is not a loopback address; allowed are 127.0.0.0/8 and [::1]")]
     OffLoopback(SocketAddr),
     /// The name is already in use.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
     /// An earlier datagram end has the same name or the same `to` address.
-    #[error("its name or address stands twice")]
+    #[error("an earlier end has the same name, or the same address in to")]
     DuplicateEnd,
     /// The plan has no link with this name.
     #[error("there is no link {0:?}")]
@@ -71,7 +71,7 @@
         allowed: &'static str,
     },
     /// The number of a connection or of a match is 0, but both are counted from 1.
-    #[error("connections and messages are counted from 1 on")]
+    #[error("connections and matches are counted from 1")]
     CountedFromZero,
     /// The opening of a connection can't trigger this action.
     #[error("{0} does nothing when a connection opens")]
@@ -83,7 +83,7 @@
     #[error("a connection that opens has no messages or bytes yet")]
     NoBytesAtOpening,
     /// The rate is 0.
-    #[error("must be above 0; hold stops a direction")]
+    #[error("must be above 0; the action hold stops a direction")]
     ZeroRate,
 }
 
@@ -94,7 +94,7 @@
     #[error(transparent)]
     InvalidRule(#[from] PlanError),
     /// An active rule has the new rule's name.
-    #[error("name: {0:?} is there already")]
+    #[error("name: {0:?} is already in use")]
     DuplicateRule(String),
     /// No active rule has this name.
     #[error("there is no rule {0:?}")]
@@ -127,10 +127,10 @@
     #[error("wait: allowed is wait NAME HITS MS")]
     WaitForm,
     /// The second argument of `wait` is not a number.
-    #[error("wait: HITS {0:?} is no number")]
+    #[error("wait: HITS {0:?} is not a number")]
     WaitHits(String),
     /// The third argument of `wait` is not a number of milliseconds.
-    #[error("wait: MS {0:?} is no number of milliseconds")]
+    #[error("wait: MS {0:?} is not a number of milliseconds")]
     WaitMs(String),
     /// No rule has the name that `wait` gives.
     #[error("wait: there is no rule {0:?}")]
@@ -141,7 +141,7 @@
 #[derive(Debug, Error)]
 pub enum CommandError {
     /// The tool's thread has ended, or has not answered within the timeout.
-    #[error("the tool has ended")]
+    #[error("the tool has ended or does not answer")]
     Ended,
     /// The tool's thread can't be woken.
     #[error("{0}")]
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -11,12 +11,12 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Faults between sockets on loopback, at an exact byte or message, the same each time from a seed
+/// Inject faults into loopback connections at an exact byte or message, repeatably from a seed
 #[derive(Parser)]
 #[command(
     name = "ladderpass-fault-injection",
     version,
-    after_help = "Exit codes: 0 done; 1 what it is told is wrong, or records differ; 2 the command line is wrong."
+    after_help = "Exit codes: 0 on success; 1 on an error, or if the records differ; 2 if the command line is invalid."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -25,25 +25,25 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a plan in the foreground, until standard input ends or it is interrupted
+    /// Play a plan in the foreground until standard input ends or the process is interrupted
     Run {
         plan: PathBuf,
-        /// Where `ctl` finds it
+        /// Path of the control socket, for `ctl`
         #[arg(long, value_name = "SOCKET")]
         control: Option<PathBuf>,
-        /// Where its decisions go, at the end
+        /// File that the decisions are written to at the end
         #[arg(long, value_name = "FILE")]
         record: Option<PathBuf>,
     },
-    /// Read a plan and say what holds
+    /// Check a plan, and print its seed and the numbers of its links and rules
     Check { plan: PathBuf },
-    /// Ask one that runs: add RULE, lift NAME, list, wait NAME HITS MS, stats
+    /// Send a command to a running tool: add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK, watch
     Ctl {
         socket: PathBuf,
         #[arg(required = true, trailing_var_arg = true)]
         words: Vec<String>,
     },
-    /// Play a plan again, and compare its decisions with a record
+    /// Play a plan, and compare its decisions with a record
     Replay { plan: PathBuf, record: PathBuf },
 }
 
@@ -61,7 +61,7 @@
     /// The running tool answered with this error.
     #[error("{0}")]
     Rejected(String),
-    #[error("it has ended without an answer")]
+    #[error("the tool ended without an answer")]
     NoAnswer,
     #[error("the records differ at {0}")]
     RecordsDiffer(String),
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -57,7 +57,7 @@
             (None, None) => return None,
             (one, two) if one == two => {}
             (one, two) => {
-                let (one, two) = (one.unwrap_or("(ends)"), two.unwrap_or("(ends)"));
+                let (one, two) = (one.unwrap_or("(end of record)"), two.unwrap_or("(end of record)"));
                 return Some(format!("line {number}: {one} against {two}"));
             }
         }
