--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -65,7 +65,7 @@
         CommandResult { reply: Reply::Immediate("ok".into()), operations }
     }
 
-    fn of_reply(reply: Reply) -> CommandResult {
+    fn reply_only(reply: Reply) -> CommandResult {
         CommandResult { reply, operations: Vec::new() }
     }
 }
@@ -93,7 +93,7 @@
 
 fn read_wait(words: &str) -> Result<Command, ControlError> {
     let words: Vec<&str> = words.split_whitespace().collect();
-    let [name, hits, ms] = words[..] else { return Err(ControlError::WaitForm) };
+    let [name, hits, ms] = words[..] else { return Err(ControlError::WaitArguments) };
     let hits = hits.parse().map_err(|_| ControlError::WaitHits(hits.to_owned()))?;
     let ms: u32 = ms.parse().map_err(|_| ControlError::WaitMs(ms.to_owned()))?;
     Ok(Command::Wait { rule: name.to_owned(), hits, timeout: Span::from_millis(i64::from(ms)) })
@@ -102,7 +102,7 @@
 /// Parses and executes a command. An invalid or rejected command gives a reply that begins with `error`.
 pub fn execute_line(engine: &mut Engine, now: Time, line: &str) -> CommandResult {
     let result = read(line).and_then(|command| execute(engine, now, command));
-    result.unwrap_or_else(|error| CommandResult::of_reply(Reply::Immediate(format!("error {error}"))))
+    result.unwrap_or_else(|error| CommandResult::reply_only(Reply::Immediate(format!("error {error}"))))
 }
 
 fn execute(engine: &mut Engine, now: Time, command: Command) -> Result<CommandResult, ControlError> {
@@ -122,13 +122,13 @@
             engine.start_watch();
             Ok(CommandResult::ok(Vec::new()))
         }
-        Command::List => Ok(CommandResult::of_reply(list(engine))),
-        Command::Stats => Ok(CommandResult::of_reply(stats(engine))),
+        Command::List => Ok(CommandResult::reply_only(list(engine))),
+        Command::Stats => Ok(CommandResult::reply_only(stats(engine))),
         Command::Wait { rule, hits, timeout } => {
             if !engine.rule_states().iter().any(|state| state.name == rule) {
                 return Err(ControlError::WaitRule(rule));
             }
-            Ok(CommandResult::of_reply(Reply::Deferred { until: now + timeout, rule, hits }))
+            Ok(CommandResult::reply_only(Reply::Deferred { until: now + timeout, rule, hits }))
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -1,6 +1,6 @@
 //! The sockets for datagrams, one for each end. An end's socket receives the datagrams that others send to that end,
-//! and sends the datagrams of that end to the others, so that each end sees the others at the addresses it has for them.
-//! The `datagrams` module decides what happens to a datagram.
+//! and sends the datagrams of that end to the others, so that each end sees the others at the addresses that it has for
+//! them. The `datagrams` module decides what happens to a datagram.
 
 use crate::datagrams::{DatagramEngine, TrafficCounts};
 use crate::errors::PlanError;
@@ -64,7 +64,7 @@
             engine: engine.clone(),
             started,
             delayed: BTreeMap::new(),
-            delayed_count: 0,
+            last_sequence: 0,
         };
         let stopped = stop.clone();
         let thread = std::thread::Builder::new().name("mesh".into()).spawn(move || {
@@ -137,7 +137,8 @@
     started: Instant,
     /// Delayed datagrams by the time at which they are due and a sequence number, which keeps the order of arrival.
     delayed: BTreeMap<(Span, u64), Datagram>,
-    delayed_count: u64,
+    /// Sequence number of the datagram that was delayed last.
+    last_sequence: u64,
 }
 
 impl EventLoop {
@@ -189,9 +190,9 @@
                 if delay <= Span::ZERO {
                     self.forward(from, to, bytes);
                 } else if self.delayed.len() < MAX_DELAYED {
-                    self.delayed_count += 1;
+                    self.last_sequence += 1;
                     let datagram = Datagram { from, to, bytes: bytes.to_vec() };
-                    self.delayed.insert((now + delay, self.delayed_count), datagram);
+                    self.delayed.insert((now + delay, self.last_sequence), datagram);
                 }
             }
         }
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -137,7 +137,7 @@
         let number = self.sent_by_path.entry(DatagramPath { from, to }).or_default();
         *number += 1;
         let number = *number;
-        let mut copies = vec![Span::ZERO];
+        let mut copy_delays = vec![Span::ZERO];
         for index in 0..self.rules.len() {
             if !self.matches(&self.rules[index], now, from, to) {
                 continue;
@@ -149,31 +149,31 @@
                 continue;
             }
             active.hits += 1;
-            apply_action(&active.rule.action, &mut random, &mut copies);
-            if copies.is_empty() {
-                return copies;
+            apply_action(&active.rule.action, &mut random, &mut copy_delays);
+            if copy_delays.is_empty() {
+                return copy_delays;
             }
         }
-        copies
+        copy_delays
     }
 }
 
 /// Applies a rule's action to the delays of a datagram's copies.
-fn apply_action(action: &DatagramAction, random: &mut SmallRng, copies: &mut Vec<Span>) {
+fn apply_action(action: &DatagramAction, random: &mut SmallRng, copy_delays: &mut Vec<Span>) {
     let from_ms = |ms: f64| Span::from_secs_f64(ms / 1e3);
     match *action {
-        DatagramAction::Drop => copies.clear(),
+        DatagramAction::Drop => copy_delays.clear(),
         DatagramAction::Delay { ms: mean_ms, distribution } => {
             let delay = from_ms((mean_ms * random::delay_factor(random, distribution)).min(MAX_DELAY_MS));
-            copies.iter_mut().for_each(|copy| *copy += delay);
+            copy_delays.iter_mut().for_each(|copy| *copy += delay);
         }
         DatagramAction::Duplicate { ms: gap_ms } => {
-            let second = copies.first().copied().unwrap_or(Span::ZERO) + from_ms(gap_ms);
-            copies.push(second);
+            let second = copy_delays.first().copied().unwrap_or(Span::ZERO) + from_ms(gap_ms);
+            copy_delays.push(second);
         }
         DatagramAction::Reorder { ms: max_ms } => {
             let delay = from_ms(max_ms * random.random::<f64>());
-            copies.iter_mut().for_each(|copy| *copy += delay);
+            copy_delays.iter_mut().for_each(|copy| *copy += delay);
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -13,16 +13,16 @@
     /// Bytes that are yet to be written.
     pub output: VecDeque<u8>,
     /// The write direction of the socket is to be shut down once the output is written.
-    pub is_ending: bool,
+    pub shutdown_pending: bool,
     /// The peer has ended the read direction of the socket.
-    pub has_ended: bool,
+    pub read_ended: bool,
     /// The socket is not read because too many of its bytes are held or delayed.
     pub is_paused: bool,
 }
 
 /// The way in which both sockets of a connection are closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Closing {
+pub enum CloseMode {
     /// Remaining output is written first, as far as the sockets accept it at once.
     Normal,
     /// The sockets are reset, and remaining output is dropped.
@@ -41,6 +41,14 @@
 impl Endpoint {
     pub fn new(stream: TcpStream, connection: ConnectionId, side: Side) -> Endpoint {
         let output = VecDeque::new();
-        Endpoint { stream, connection, side, output, is_ending: false, has_ended: false, is_paused: false }
+        Endpoint {
+            stream,
+            connection,
+            side,
+            output,
+            shutdown_pending: false,
+            read_ended: false,
+            is_paused: false,
+        }
     }
 }
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -2,7 +2,7 @@
 //! and executes delayed operations when they are due.
 
 use super::control_socket::{CONTROL, ControlClients, ControlSocket, Wait};
-use super::endpoint::{Closing, Endpoint, EndpointPair};
+use super::endpoint::{CloseMode, Endpoint, EndpointPair};
 use super::run_summary::RunSummary;
 use crate::control::{self, CommandResult, Reply};
 use crate::engine::{ConnectionId, Engine, Operation, ScheduledOperation};
@@ -43,7 +43,8 @@
     pairs: HashMap<ConnectionId, EndpointPair>,
     /// Operations that are not due yet, by due time and a sequence number, which keeps the engine's order.
     delayed: BTreeMap<(Time, u64), ScheduledOperation>,
-    delayed_count: u64,
+    /// Sequence number of the operation that was delayed last.
+    last_sequence: u64,
     control_clients: ControlClients,
     commands: Receiver<LocalCommand>,
 }
@@ -79,7 +80,7 @@
             endpoints: HashMap::new(),
             pairs: HashMap::new(),
             delayed: BTreeMap::new(),
-            delayed_count: 0,
+            last_sequence: 0,
             control_clients: ControlClients::default(),
             commands,
         }
@@ -166,7 +167,7 @@
             if opened.forwarded {
                 match TcpStream::connect(self.targets[link]) {
                     Ok(stream) => self.add_endpoint(connection, Side::Server, stream)?,
-                    Err(_) => self.close(connection, Closing::Normal),
+                    Err(_) => self.close(connection, CloseMode::Normal),
                 }
             }
             self.schedule(opened.operations);
@@ -221,8 +222,8 @@
             {
                 pair.delayed_bytes[*side as usize] += bytes.len();
             }
-            self.delayed_count += 1;
-            self.delayed.insert((scheduled.at, self.delayed_count), scheduled);
+            self.last_sequence += 1;
+            self.delayed.insert((scheduled.at, self.last_sequence), scheduled);
         }
     }
 
@@ -250,20 +251,20 @@
             Operation::EndDirection(side) => {
                 let Some(index) = self.endpoint(connection, side) else { return };
                 if let Some(endpoint) = self.endpoints.get_mut(&index) {
-                    endpoint.is_ending = true;
+                    endpoint.shutdown_pending = true;
                 }
                 self.write(index);
             }
-            Operation::Close => self.close(connection, Closing::Normal),
-            Operation::Reset => self.close(connection, Closing::Reset),
+            Operation::Close => self.close(connection, CloseMode::Normal),
+            Operation::Reset => self.close(connection, CloseMode::Reset),
         }
     }
 
-    fn close(&mut self, connection: ConnectionId, closing: Closing) {
+    fn close(&mut self, connection: ConnectionId, close_mode: CloseMode) {
         let Some(pair) = self.pairs.remove(&connection) else { return };
         for index in pair.endpoints.into_iter().flatten() {
             let Some(mut endpoint) = self.endpoints.remove(&index) else { continue };
-            if closing == Closing::Reset {
+            if close_mode == CloseMode::Reset {
                 // With a linger time of zero the kernel closes by a reset.
                 let _ = socket2::SockRef::from(&endpoint.stream).set_linger(Some(Duration::ZERO));
             } else {
@@ -281,7 +282,7 @@
             let now = self.now();
             let Some(endpoint) = self.endpoints.get(&index) else { return };
             let (connection, side) = (endpoint.connection, endpoint.side);
-            if endpoint.has_ended {
+            if endpoint.read_ended {
                 return;
             }
             let may_read = self.engine.may_read(connection, side, self.unsent_bytes(connection, side));
@@ -292,7 +293,7 @@
             }
             let operations = match endpoint.stream.read(&mut chunk) {
                 Ok(0) => {
-                    endpoint.has_ended = true;
+                    endpoint.read_ended = true;
                     self.engine.on_end(now, connection, side)
                 }
                 Ok(count) => self.engine.on_bytes(now, connection, side, &chunk[..count]),
@@ -300,7 +301,7 @@
                     return;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return self.close(connection, Closing::Reset),
+                Err(_) => return self.close(connection, CloseMode::Reset),
             };
             self.schedule(operations);
         }
@@ -327,29 +328,29 @@
                     return;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.close(connection, Closing::Reset),
+                Err(_) => return self.close(connection, CloseMode::Reset),
             }
         }
-        if endpoint.is_ending {
+        if endpoint.shutdown_pending {
             // A failure is ignored, since the socket may be closed already.
             let _ = endpoint.stream.shutdown(std::net::Shutdown::Write);
-            endpoint.is_ending = false;
+            endpoint.shutdown_pending = false;
         }
-        if self.is_over(connection) {
-            self.close(connection, Closing::Normal);
+        if self.is_finished(connection) {
+            self.close(connection, CloseMode::Normal);
         }
     }
 
     /// Returns whether both sides have ended their directions and no byte is left to be sent, now or later.
-    fn is_over(&self, connection: ConnectionId) -> bool {
+    fn is_finished(&self, connection: ConnectionId) -> bool {
         let Some(pair) = self.pairs.get(&connection).filter(|pair| pair.delayed_bytes == [0, 0]) else {
             return false;
         };
-        let is_over = |index: Option<usize>| {
+        let is_drained = |index: Option<usize>| {
             let endpoint = index.and_then(|index| self.endpoints.get(&index));
-            endpoint.is_none_or(|endpoint| endpoint.has_ended && endpoint.output.is_empty())
+            endpoint.is_none_or(|endpoint| endpoint.read_ended && endpoint.output.is_empty())
         };
-        pair.endpoints.into_iter().all(is_over)
+        pair.endpoints.into_iter().all(is_drained)
     }
 
     fn run_local_commands(&mut self) {
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -17,7 +17,7 @@
 mod rpc_watch;
 
 pub use active_rule::RuleState;
-pub use operation::{ConnectionId, Opened, Operation, ScheduledOperation};
+pub use operation::{AcceptedConnection, ConnectionId, Operation, ScheduledOperation};
 pub use rpc_watch::AttemptEvent;
 
 use crate::errors::EngineError;
@@ -26,7 +26,7 @@
 use crate::record::Decision;
 use crate::stream::Unit;
 use active_rule::{ActiveRule, Occurrence};
-use connection::{Connection, Stalled};
+use connection::{Connection, StalledInput};
 use direction::{Direction, Replacement};
 use ladderpass_routing::Time;
 use rand::rngs::SmallRng;
@@ -115,11 +115,11 @@
         let mut operations = Vec::new();
         for (&id, connection) in &mut self.connections {
             for (direction, to) in connection.directions.iter_mut().zip([Side::Server, Side::Client]) {
-                if direction.held_by != Some(index) {
+                if direction.held_by_rule != Some(index) {
                     continue;
                 }
-                direction.held_by = None;
-                let bytes = std::mem::take(&mut direction.held);
+                direction.held_by_rule = None;
+                let bytes = std::mem::take(&mut direction.held_bytes);
                 if !bytes.is_empty() {
                     operations.push(ScheduledOperation::new(id, now, Operation::Send(to, bytes)));
                 }
@@ -220,12 +220,12 @@
     }
 
     /// Handles a connection that the driver has accepted on a link.
-    pub fn on_accepted(&mut self, now: Time, link: usize) -> Opened {
+    pub fn on_accepted(&mut self, now: Time, link: usize) -> AcceptedConnection {
         self.opened[link] += 1;
         let id = ConnectionId { link, number: self.opened[link] };
         let protocol = self.plan.links[link].protocol;
         let directions = [Direction::new(protocol, Side::Client), Direction::new(protocol, Side::Server)];
-        let connection = Connection { directions, is_over: false, stalled: Stalled::default() };
+        let connection = Connection { directions, is_closed: false, stalled: StalledInput::default() };
         self.connections.insert(id, connection);
         let unit = Unit { offset: 0, kind: "open", bytes: Vec::new() };
         let elapsed_ms = self.elapsed_ms(now);
@@ -240,7 +240,7 @@
                 operations.push(ScheduledOperation::new(id, now, Operation::Reset));
             }
         }
-        Opened { connection: id, forwarded, operations }
+        AcceptedConnection { connection: id, forwarded, operations }
     }
 
     /// Handles bytes that have arrived from a side.
@@ -294,11 +294,11 @@
         let Some(connection) = self.connections.get_mut(&id) else { return operations };
         let direction = &mut connection.directions[side as usize];
         direction.has_ended = true;
-        let at = direction.free_at.max(now);
+        let at = direction.earliest_send_at.max(now);
         if let Some(bytes) = direction.take_postponed() {
             operations.push(ScheduledOperation::new(id, at, Operation::Send(side.other(), bytes)));
         }
-        if direction.held_by.is_none() && !direction.is_silenced {
+        if direction.held_by_rule.is_none() && !direction.is_silenced {
             operations.push(ScheduledOperation::new(id, at, Operation::EndDirection(side.other())));
         }
         operations
@@ -319,8 +319,8 @@
     /// matches.
     fn triggered_rules(&mut self, occurrence: &Occurrence<'_>) -> Vec<usize> {
         // The names are collected only if some rule waits for another one.
-        let any_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
-        let acted = self.rules.iter().filter(|active| any_waits && active.hits > 0);
+        let any_rule_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
+        let acted = self.rules.iter().filter(|active| any_rule_waits && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
         let mut triggered = Vec::new();
         for (index, active) in self.rules.iter_mut().enumerate() {
@@ -346,7 +346,7 @@
     }
 
     /// Returns the generator of a rule's random draws for a unit.
-    fn random(&self, index: usize, id: ConnectionId, unit: &Unit) -> SmallRng {
+    fn draw_generator(&self, index: usize, id: ConnectionId, unit: &Unit) -> SmallRng {
         let name = self.rules[index].rule.name.bytes();
         let name_hash = name.fold(0, |hash, byte| random::mix(hash, u64::from(byte)));
         random::generator(self.plan.seed, [name_hash, id.link as u64, id.number, unit.offset])
@@ -361,7 +361,7 @@
         unit: Unit,
         operations: &mut Vec<ScheduledOperation>,
     ) {
-        if self.connections.get(&id).is_none_or(|connection| connection.is_over) {
+        if self.connections.get(&id).is_none_or(|connection| connection.is_closed) {
             return;
         }
         if sender == Side::Server {
@@ -372,7 +372,7 @@
         let occurrence = Occurrence { connection: id, sender, unit: &unit, opens: false, elapsed_ms };
         for index in self.triggered_rules(&occurrence) {
             let action = self.rules[index].rule.action.clone();
-            let mut random = self.random(index, id, &unit);
+            let mut random = self.draw_generator(index, id, &unit);
             let Some(connection) = self.connections.get_mut(&id) else { return };
             let direction = &mut connection.directions[sender as usize];
             let drawn = direction.apply_action(&action, index, &unit, &mut random, &mut replacement);
@@ -382,8 +382,8 @@
         let direction = &mut connection.directions[sender as usize];
         let ends_response = unit.kind == "ReadyForQuery";
         direction.continue_actions(ends_response, &mut replacement);
-        if direction.held_by.is_some() {
-            direction.held.extend(replacement.pieces.concat());
+        if direction.held_by_rule.is_some() {
+            direction.held_bytes.extend(replacement.pieces.concat());
             return;
         }
         connection.send(now, id, sender, replacement, operations);
--- a/crates/ladderpass-fault-injection/src/engine/connection.rs
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -10,13 +10,13 @@
     /// The two directions, by sender.
     pub directions: [Direction; 2],
     /// A rule has closed or reset the connection, so nothing passes any more.
-    pub is_over: bool,
-    pub stalled: Stalled,
+    pub is_closed: bool,
+    pub stalled: StalledInput,
 }
 
 /// The units and ends of directions that arrived while the link was cut.
 #[derive(Default)]
-pub struct Stalled {
+pub struct StalledInput {
     /// Units with their senders, in the order of arrival.
     pub units: Vec<(Side, Unit)>,
     /// Number of bytes in `units`, by sender.
@@ -36,13 +36,13 @@
         operations: &mut Vec<ScheduledOperation>,
     ) {
         let direction = &mut self.directions[sender as usize];
-        let mut at = direction.free_at.max(now) + replacement.delay;
+        let mut at = direction.earliest_send_at.max(now) + replacement.delay;
         if let Some(operation) = replacement.end_before {
             // A half-close ends only one direction, and the connection stays in use.
             let ends_both = matches!(operation, Operation::Close | Operation::Reset);
             operations.push(ScheduledOperation::new(id, at, operation));
             if ends_both {
-                self.is_over = true;
+                self.is_closed = true;
                 return;
             }
         }
@@ -51,10 +51,10 @@
             operations.push(ScheduledOperation::new(id, at, Operation::Send(sender.other(), piece)));
             at = at + replacement.gap;
         }
-        direction.free_at = at;
+        direction.earliest_send_at = at;
         if let Some(operation) = replacement.end_after {
             operations.push(ScheduledOperation::new(id, at, operation));
-            self.is_over = true;
+            self.is_closed = true;
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -9,17 +9,17 @@
 use rand::rngs::SmallRng;
 
 /// Size of a PostgreSQL message's header, which consists of a type byte and a length.
-const FRAME_HEAD_BYTES: usize = 5;
+const FRAME_HEADER_BYTES: usize = 5;
 const LENGTH_BITS: usize = 32;
 
 pub struct Direction {
     pub scanner: MessageScanner,
     /// No unit is sent before this time.
-    pub free_at: Time,
+    pub earliest_send_at: Time,
     /// Index of the rule that holds back everything in this direction.
-    pub held_by: Option<usize>,
+    pub held_by_rule: Option<usize>,
     /// Bytes that this rule holds back.
-    pub held: Vec<u8>,
+    pub held_bytes: Vec<u8>,
     /// All further bytes are dropped.
     pub is_silenced: bool,
     /// All bytes up to and including the next ReadyForQuery are dropped.
@@ -70,9 +70,9 @@
     pub fn new(protocol: Protocol, sender: Side) -> Direction {
         Direction {
             scanner: MessageScanner::new(protocol, sender),
-            free_at: Time::NEVER,
-            held_by: None,
-            held: Vec::new(),
+            earliest_send_at: Time::NEVER,
+            held_by_rule: None,
+            held_bytes: Vec::new(),
             is_silenced: false,
             is_swallowing: false,
             max_bytes_per_s: None,
@@ -85,7 +85,7 @@
 
     /// Returns the number of bytes that are held back or postponed.
     pub fn buffered_bytes(&self) -> usize {
-        self.held.len() + self.postponed.as_ref().map_or(0, Vec::len)
+        self.held_bytes.len() + self.postponed.as_ref().map_or(0, Vec::len)
     }
 
     /// Takes the postponed response at the end of the direction, when no other response follows.
@@ -114,7 +114,7 @@
                 replacement.gap = Span::from_secs_f64(gap_ms / 1e3);
                 replacement.pieces = replacement.pieces.concat().into_iter().map(|byte| vec![byte]).collect();
             }
-            Action::Hold => self.held_by = Some(rule),
+            Action::Hold => self.held_by_rule = Some(rule),
             Action::Drop => replacement.pieces.clear(),
             Action::Swallow => self.is_swallowing = true,
             Action::Silence => self.is_silenced = true,
@@ -187,16 +187,16 @@
 /// Changes bytes at `count` random offsets behind the header, or at any offset in a message that is no longer than a
 /// header. Returns the offsets.
 fn garble(message: &mut [u8], count: u32, random: &mut SmallRng) -> Vec<u64> {
-    let head_bytes = if message.len() > FRAME_HEAD_BYTES { FRAME_HEAD_BYTES } else { 0 };
-    let mut places = Vec::new();
+    let header_bytes = if message.len() > FRAME_HEADER_BYTES { FRAME_HEADER_BYTES } else { 0 };
+    let mut offsets = Vec::new();
     for _ in 0..count {
-        if head_bytes < message.len() {
-            let place = random.random_range(head_bytes..message.len());
-            message[place] ^= random.random_range(1..=255u8);
-            places.push(place as u64);
+        if header_bytes < message.len() {
+            let offset = random.random_range(header_bytes..message.len());
+            message[offset] ^= random.random_range(1..=255u8);
+            offsets.push(offset as u64);
         }
     }
-    places
+    offsets
 }
 
 /// Flips a random bit of the message's length field. Returns the bit's number.
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -31,7 +31,7 @@
 
 /// A connection that was accepted on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opened {
+pub struct AcceptedConnection {
     /// The connection.
     pub connection: ConnectionId,
     /// Whether the connection is forwarded.
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -41,7 +41,7 @@
 pub enum PlanProblem {
     /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
     #[error("{0} is not a loopback address; allowed are 127.0.0.0/8 and [::1]")]
-    OffLoopback(SocketAddr),
+    NotLoopback(SocketAddr),
     /// The name is already in use.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
@@ -125,7 +125,7 @@
     },
     /// A `wait` command does not have exactly three arguments.
     #[error("wait: allowed is wait NAME HITS MS")]
-    WaitForm,
+    WaitArguments,
     /// The second argument of `wait` is not a number.
     #[error("wait: HITS {0:?} is not a number")]
     WaitHits(String),
--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -68,7 +68,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ladderpass-fault-injection: {error}");
@@ -86,7 +86,7 @@
 }
 
 /// Plays a plan until standard input ends, and returns the recorded decisions.
-fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
+fn run_plan(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
     let names: Vec<String> = plan.links.iter().map(|link| link.name.clone()).collect();
     let running = RunningTool::start(plan, control).map_err(CliError::Start)?;
     for (name, address) in names.iter().zip(&running.addresses) {
@@ -101,12 +101,13 @@
     Ok(summary.record)
 }
 
-fn run(command: Command) -> Result<(), CliError> {
+fn execute(command: Command) -> Result<(), CliError> {
     match command {
         Command::Run { plan, control, record } => {
-            let decisions = play(read_plan(&plan)?, control.as_deref())?;
+            let decisions = run_plan(read_plan(&plan)?, control.as_deref())?;
             let Some(path) = record else { return Ok(()) };
-            std::fs::write(&path, record::lines(&decisions)).map_err(|source| CliError::File { path, source })
+            std::fs::write(&path, record::to_json_lines(&decisions))
+                .map_err(|source| CliError::File { path, source })
         }
         Command::Check { plan } => {
             let plan = read_plan(&plan)?;
@@ -115,10 +116,10 @@
         }
         Command::Ctl { socket, words } => send_command(&socket, &words),
         Command::Replay { plan, record } => {
-            let before = record::read(&read_file(&record)?)
+            let recorded = record::from_json_lines(&read_file(&record)?)
                 .map_err(|source| CliError::Record { path: record, source })?;
-            let now = play(read_plan(&plan)?, None)?;
-            first_difference(&before, &now).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
+            let replayed = run_plan(read_plan(&plan)?, None)?;
+            first_difference(&recorded, &replayed).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
         }
     }
 }
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -163,7 +163,7 @@
     }
 
     /// Returns whether the action is triggered by the opening of a connection, and never by a message.
-    fn is_at_opening(&self) -> bool {
+    fn acts_at_opening(&self) -> bool {
         matches!(self, Action::Refuse | Action::Ignore)
     }
 }
--- a/crates/ladderpass-fault-injection/src/plan/checks.rs
+++ b/crates/ladderpass-fault-injection/src/plan/checks.rs
@@ -20,7 +20,7 @@
             for (key, address) in [("listen", link.listen), ("to", link.to)] {
                 if !address.ip().is_loopback() {
                     let key = format!("links[{index}].{key}");
-                    return Err(PlanError::invalid(key, PlanProblem::OffLoopback(address)));
+                    return Err(PlanError::invalid(key, PlanProblem::NotLoopback(address)));
                 }
             }
             if self.links[..index].iter().any(|other| other.name == link.name) {
@@ -77,7 +77,7 @@
 
     fn check_opening(&self) -> Result<(), PlanError> {
         let action = self.action.name();
-        match (self.when.opens, self.action.is_at_opening()) {
+        match (self.when.opens, self.action.acts_at_opening()) {
             (true, false) => return Err(PlanError::invalid("do", PlanProblem::NotAtOpening(action))),
             (false, true) => return Err(PlanError::invalid("do", PlanProblem::OnlyAtOpening(action))),
             _ => {}
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -157,7 +157,7 @@
             for (key, address) in [("address", end.address), ("to", end.to)] {
                 if !address.ip().is_loopback() {
                     let key = format!("ends[{index}].{key}");
-                    return Err(PlanError::invalid(key, PlanProblem::OffLoopback(address)));
+                    return Err(PlanError::invalid(key, PlanProblem::NotLoopback(address)));
                 }
             }
             let is_same = |other: &End| other.name == end.name || other.to == end.to;
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -28,19 +28,19 @@
 }
 
 /// Formats a record as one JSON object per line, sorted.
-pub fn lines(record: &[Decision]) -> String {
+pub fn to_json_lines(record: &[Decision]) -> String {
     let mut sorted: Vec<&Decision> = record.iter().collect();
     sorted.sort();
     let line = |decision: &&Decision| serde_json::to_string(decision).unwrap_or_default() + "\n";
     sorted.iter().map(line).collect()
 }
 
-/// Reads a record that `lines` has formatted.
+/// Reads a record that `to_json_lines` has formatted.
 ///
 /// # Errors
 ///
 /// If a line is not a decision; the error names the first such line.
-pub fn read(text: &str) -> Result<Vec<Decision>, RecordError> {
+pub fn from_json_lines(text: &str) -> Result<Vec<Decision>, RecordError> {
     let parse = |(index, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|source| RecordError { line: index + 1, source })
     };
@@ -50,7 +50,7 @@
 /// Returns the number of the first line in which two records differ, with that line of each, or None if they are the
 /// same.
 pub fn first_difference(one: &[Decision], two: &[Decision]) -> Option<String> {
-    let (one, two) = (lines(one), lines(two));
+    let (one, two) = (to_json_lines(one), to_json_lines(two));
     let (mut ones, mut twos) = (one.lines(), two.lines());
     for number in 1.. {
         match (ones.next(), twos.next()) {
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -19,7 +19,7 @@
 pub const MAX_BUFFERED_MESSAGE_BYTES: usize = 256 << 10;
 
 /// Length of the longest line with the size of an HTTP chunk.
-const MAX_CHUNK_HEAD_BYTES: usize = 64;
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
 /// The end of a line in HTTP.
 const LINE_END: &[u8] = b"\r\n";
 /// The end of an HTTP head.
@@ -73,24 +73,25 @@
         while !self.buffer.is_empty() {
             let (kind, length) = match self.expected {
                 Expected::Bytes => ("bytes", self.buffer.len()),
-                Expected::Rest(left) => {
-                    let available = self.buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-                    let left = left - available as u64;
-                    self.expected = if left == 0 { Expected::Message } else { Expected::Rest(left) };
+                Expected::Rest(remaining) => {
+                    let available = self.buffer.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
+                    let remaining = remaining - available as u64;
+                    self.expected =
+                        if remaining == 0 { Expected::Message } else { Expected::Rest(remaining) };
                     ("rest", available)
                 }
-                Expected::First | Expected::Message => match self.next() {
-                    Next::Complete { kind, length } => {
+                Expected::First | Expected::Message => match self.scan() {
+                    ScanResult::Complete { kind, length } => {
                         self.expected = Expected::Message;
                         (kind, length)
                     }
-                    Next::Incomplete => break,
+                    ScanResult::Incomplete => break,
                     // The unit of this kind has only the header, so that it does not depend on how much has arrived.
-                    Next::TooLong { kind, head_bytes, length } => {
-                        self.expected = Expected::Rest(length - head_bytes as u64);
-                        (kind, head_bytes)
+                    ScanResult::TooLong { kind, header_bytes, length } => {
+                        self.expected = Expected::Rest(length - header_bytes as u64);
+                        (kind, header_bytes)
                     }
-                    Next::NoMessage => {
+                    ScanResult::NoMessage => {
                         self.expected = Expected::Bytes;
                         continue;
                     }
@@ -113,58 +114,65 @@
     }
 
     /// Examines the start of the buffer for a message.
-    fn next(&self) -> Next {
+    fn scan(&self) -> ScanResult {
         match (self.protocol, self.expected) {
-            (Protocol::Postgres, Expected::First) => self.next_startup(),
-            (Protocol::Postgres, _) => self.next_frame(),
-            (Protocol::Http, Expected::First) => self.next_http_head(),
+            (Protocol::Postgres, Expected::First) => self.scan_startup(),
+            (Protocol::Postgres, _) => self.scan_frame(),
+            (Protocol::Http, Expected::First) => self.scan_http_head(),
             // A request consists of a head only. A response's head is followed by chunks.
-            (Protocol::Http, _) if self.side == Side::Client => Next::NoMessage,
-            (Protocol::Http, _) => self.next_chunk(),
-            (Protocol::Raw, _) => Next::NoMessage,
+            (Protocol::Http, _) if self.side == Side::Client => ScanResult::NoMessage,
+            (Protocol::Http, _) => self.scan_chunk(),
+            (Protocol::Raw, _) => ScanResult::NoMessage,
         }
     }
 
     /// Examines the buffer for a PostgreSQL startup message, which has a length and a body. The length counts itself.
-    fn next_startup(&self) -> Next {
-        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
+    fn scan_startup(&self) -> ScanResult {
+        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
+            return ScanResult::Incomplete;
+        };
         let length = u64::from(u32::from_be_bytes(*length));
-        Next::from_length("Startup", length, LENGTH_BYTES, self.buffer.len())
+        ScanResult::from_length("Startup", length, LENGTH_BYTES, self.buffer.len())
     }
 
     /// Examines the buffer for a PostgreSQL frame, which has a type, a length and a body. The length counts itself and
     /// the body.
-    fn next_frame(&self) -> Next {
-        let Some((&frame_type, rest)) = self.buffer.split_first() else { return Next::Incomplete };
-        let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return Next::Incomplete };
+    fn scan_frame(&self) -> ScanResult {
+        let Some((&frame_type, rest)) = self.buffer.split_first() else { return ScanResult::Incomplete };
+        let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return ScanResult::Incomplete };
         if !frame_type.is_ascii_alphabetic() {
-            return Next::NoMessage;
+            return ScanResult::NoMessage;
         }
         let length = u64::from(u32::from_be_bytes(*length)) + 1;
-        Next::from_length(frame_kind(self.side, frame_type), length, 1 + LENGTH_BYTES, self.buffer.len())
+        ScanResult::from_length(
+            frame_kind(self.side, frame_type),
+            length,
+            1 + LENGTH_BYTES,
+            self.buffer.len(),
+        )
     }
 
-    fn next_http_head(&self) -> Next {
+    fn scan_http_head(&self) -> ScanResult {
         match position_of(HEAD_END, &self.buffer) {
-            Some(end) => Next::Complete { kind: "Head", length: end + HEAD_END.len() },
-            None if self.buffer.len() > MAX_BUFFERED_MESSAGE_BYTES => Next::NoMessage,
-            None => Next::Incomplete,
+            Some(end) => ScanResult::Complete { kind: "Head", length: end + HEAD_END.len() },
+            None if self.buffer.len() > MAX_BUFFERED_MESSAGE_BYTES => ScanResult::NoMessage,
+            None => ScanResult::Incomplete,
         }
     }
 
     /// Examines the buffer for an HTTP chunk. A chunk is a line with the size in hexadecimal digits and, after a
     /// semicolon, any extensions, followed by the bytes and a line end.
-    fn next_chunk(&self) -> Next {
+    fn scan_chunk(&self) -> ScanResult {
         let Some(size_end) = position_of(LINE_END, &self.buffer) else {
-            let is_too_long = self.buffer.len() > MAX_CHUNK_HEAD_BYTES;
-            return if is_too_long { Next::NoMessage } else { Next::Incomplete };
+            let is_too_long = self.buffer.len() > MAX_CHUNK_SIZE_LINE_BYTES;
+            return if is_too_long { ScanResult::NoMessage } else { ScanResult::Incomplete };
         };
         let size_line = std::str::from_utf8(&self.buffer[..size_end]).unwrap_or_default();
         let size = size_line.split(';').next().unwrap_or_default().trim();
-        let Ok(size) = u64::from_str_radix(size, 16) else { return Next::NoMessage };
-        let head_bytes = size_end + LINE_END.len();
-        let length = size.saturating_add((head_bytes + LINE_END.len()) as u64);
-        Next::from_length("Chunk", length, head_bytes, self.buffer.len())
+        let Ok(size) = u64::from_str_radix(size, 16) else { return ScanResult::NoMessage };
+        let header_bytes = size_end + LINE_END.len();
+        let length = size.saturating_add((header_bytes + LINE_END.len()) as u64);
+        ScanResult::from_length("Chunk", length, header_bytes, self.buffer.len())
     }
 }
 
@@ -173,7 +181,7 @@
 }
 
 /// The result of examining the start of the buffer.
-enum Next {
+enum ScanResult {
     Complete {
         kind: &'static str,
         /// Length of the whole message, in bytes.
@@ -185,24 +193,24 @@
     TooLong {
         kind: &'static str,
         /// Length of the message's header, in bytes.
-        head_bytes: usize,
+        header_bytes: usize,
         /// Length of the whole message, in bytes.
         length: u64,
     },
     NoMessage,
 }
 
-impl Next {
-    /// Returns the result for a message of `length` bytes, including a header of `head_bytes`, if `buffered` bytes have
-    /// arrived.
-    fn from_length(kind: &'static str, length: u64, head_bytes: usize, buffered: usize) -> Next {
+impl ScanResult {
+    /// Returns the result for a message of `length` bytes, including a header of `header_bytes`, if `buffered` bytes
+    /// have arrived.
+    fn from_length(kind: &'static str, length: u64, header_bytes: usize, buffered: usize) -> ScanResult {
         match length {
-            length if length < head_bytes as u64 || length > u64::from(u32::MAX) => Next::NoMessage,
+            length if length < header_bytes as u64 || length > u64::from(u32::MAX) => ScanResult::NoMessage,
             length if length > MAX_BUFFERED_MESSAGE_BYTES as u64 => {
-                Next::TooLong { kind, head_bytes, length }
+                ScanResult::TooLong { kind, header_bytes, length }
             }
-            length if length <= buffered as u64 => Next::Complete { kind, length: length as usize },
-            _ => Next::Incomplete,
+            length if length <= buffered as u64 => ScanResult::Complete { kind, length: length as usize },
+            _ => ScanResult::Incomplete,
         }
     }
 }
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -1,7 +1,7 @@
 //! The pure part: each action on a stream of messages, and that runs repeat.
 
-use ladderpass_fault_injection::engine::{Opened, RuleState};
-use ladderpass_fault_injection::record::lines;
+use ladderpass_fault_injection::engine::{AcceptedConnection, RuleState};
+use ladderpass_fault_injection::record::to_json_lines;
 use ladderpass_fault_injection::{Engine, Operation, Plan, ScheduledOperation, Side, first_difference};
 use ladderpass_routing::{Span, Time};
 use quickcheck::quickcheck;
@@ -41,7 +41,7 @@
             what => other.push(what),
         }
     }
-    (out, other, lines(engine.record()))
+    (out, other, to_json_lines(engine.record()))
 }
 
 #[test]
@@ -130,7 +130,7 @@
     let mut engine = engine(rules);
     let startup = [&8u32.to_be_bytes()[..], &[0, 3, 0, 0]].concat();
     let query = [startup, frame(b'Q', b"x\0")].concat();
-    let Opened { connection: one, forwarded, .. } = engine.on_accepted(at(0), 0);
+    let AcceptedConnection { connection: one, forwarded, .. } = engine.on_accepted(at(0), 0);
     assert!(forwarded);
     assert_eq!(engine.on_bytes(at(0), one, Side::Client, &query).len(), 2);
     assert_eq!(
@@ -141,7 +141,7 @@
     let two = engine.on_accepted(at(0), 0).connection;
     assert_eq!(engine.on_bytes(at(0), two, Side::Client, &query).len(), 1);
     assert_eq!(engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
-    let Opened { forwarded, operations: todo, .. } = engine.on_accepted(at(0), 0);
+    let AcceptedConnection { forwarded, operations: todo, .. } = engine.on_accepted(at(0), 0);
     assert!(!forwarded && todo[0].operation == Operation::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
     assert_eq!(engine.rule_states()[0], RuleState { name: "first", hits: 1, live: false });
