--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -37,7 +37,8 @@
     },
     /// Check a plan, and print its seed and the numbers of its links and rules
     Check { plan: PathBuf },
-    /// Send a command to a running tool: add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK, watch
+    /// Send a command to a running tool: add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK,
+    /// watch
     Ctl {
         socket: PathBuf,
         #[arg(required = true, trailing_var_arg = true)]
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The pure part: each action on a stream of messages, and that runs repeat.
+//! The engine: the effect of each action on a stream of messages, the triggers of rules, and runs that can be repeated.
 
 use ladderpass_fault_injection::engine::{AcceptedConnection, RuleState};
 use ladderpass_fault_injection::record::to_json_lines;
@@ -14,7 +14,7 @@
     [&[kind][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// A response: description, row, tag, ready.
+/// Returns a response that consists of RowDescription, DataRow, CommandComplete and ReadyForQuery.
 fn response(value: &[u8]) -> Vec<u8> {
     [frame(b'T', b"cols"), frame(b'D', value), frame(b'C', b"INSERT 0 1\0"), frame(b'Z', b"I")].concat()
 }
@@ -27,18 +27,18 @@
     )
 }
 
-/// What reaches the client of a first connection when the server sends `bytes` in slices, the other operations, and the
-/// record.
-fn passed(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<Operation>, String) {
+/// Sends `bytes` from the server in slices on the first connection. Returns the bytes that reach the client, the other
+/// operations, and the record.
+fn play_response(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<Operation>, String) {
     let mut engine = engine(rules);
     let conn = engine.on_accepted(at(0), 0).connection;
-    let todo: Vec<ScheduledOperation> =
+    let operations: Vec<ScheduledOperation> =
         bytes.chunks(slice).flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
     let (mut out, mut other) = (Vec::new(), Vec::new());
-    for one in todo {
-        match one.operation {
+    for scheduled in operations {
+        match scheduled.operation {
             Operation::Send(Side::Client, bytes) => out.extend(bytes),
-            what => other.push(what),
+            operation => other.push(operation),
         }
     }
     (out, other, to_json_lines(engine.record()))
@@ -47,68 +47,75 @@
 #[test]
 fn each_action_changes_the_stream_as_documented() {
     let two = [response(b"one"), response(b"two")].concat();
-    let all = |rule: &str| passed(&format!("  - {rule}\n"), &two, 7);
+    let play = |rule: &str| play_response(&format!("  - {rule}\n"), &two, 7);
     let row = |value: &[u8]| frame(b'D', value);
-    assert_eq!(all("{name: r, when: {message: DataRow, nth: 9}, do: drop}").0, two, "nothing matches");
-    let (out, ..) = all("{name: r, when: {message: DataRow, holds: two}, do: drop}");
+    assert_eq!(
+        play("{name: r, when: {message: DataRow, nth: 9}, do: drop}").0,
+        two,
+        "the rule matches nothing"
+    );
+    let (out, ..) = play("{name: r, when: {message: DataRow, holds: two}, do: drop}");
     assert_eq!(out.len(), two.len() - row(b"two").len());
-    let (out, ..) = all("{name: r, when: {message: CommandComplete}, do: swallow}");
+    let (out, ..) = play("{name: r, when: {message: CommandComplete}, do: swallow}");
     assert_eq!(out, [frame(b'T', b"cols"), row(b"one"), response(b"two")].concat());
-    let (out, ..) = all("{name: r, when: {message: ReadyForQuery}, do: silence}");
+    let (out, ..) = play("{name: r, when: {message: ReadyForQuery}, do: silence}");
     assert_eq!(out, two[..response(b"one").len() - 6]);
-    let (out, ..) = all("{name: r, when: {message: DataRow}, do: duplicate}");
+    let (out, ..) = play("{name: r, when: {message: DataRow}, do: duplicate}");
     assert_eq!(out.len(), two.len() + row(b"one").len());
-    let (out, ..) = all("{name: r, when: {message: RowDescription}, do: repeat}");
+    let (out, ..) = play("{name: r, when: {message: RowDescription}, do: repeat}");
     assert_eq!(out, [response(b"one"), two.clone()].concat());
-    let (out, ..) = all("{name: r, when: {message: RowDescription}, do: reorder}");
+    let (out, ..) = play("{name: r, when: {message: RowDescription}, do: reorder}");
     assert_eq!(out, [response(b"two"), response(b"one")].concat());
-    let (out, ..) = all("{name: r, when: {message: ReadyForQuery}, do: {noise: {bytes: 5}}}");
+    let (out, ..) = play("{name: r, when: {message: ReadyForQuery}, do: {noise: {bytes: 5}}}");
     assert_eq!(out.len(), two.len() + 5);
-    let (out, ..) = all("{name: r, when: {message: DataRow}, do: {garble: {bytes: 1}}}");
-    let differ = out.iter().zip(&two).filter(|(one, two)| one != two).count();
-    assert_eq!((out.len(), differ), (two.len(), 1));
-    assert_eq!(out[..14], two[..14], "its head stays");
-    let (out, ..) = all("{name: r, when: {message: DataRow}, do: {set: {at: 6, to: 33}}}");
-    assert_eq!((out[15], out.len()), (33, two.len()), "its seventh byte");
-    let (out, ..) = all("{name: r, when: {message: DataRow}, do: flip_length}");
-    let differ: Vec<usize> = (0..out.len()).filter(|&nth| out[nth] != two[nth]).collect();
-    assert!(differ.len() == 1 && (10..14).contains(&differ[0]), "{differ:?}");
-    let (out, other, _) = all("{name: r, when: {message: DataRow}, do: {truncate: {keep: 2}}}");
+    let (out, ..) = play("{name: r, when: {message: DataRow}, do: {garble: {bytes: 1}}}");
+    let changed_bytes = out.iter().zip(&two).filter(|(one, two)| one != two).count();
+    assert_eq!((out.len(), changed_bytes), (two.len(), 1));
+    assert_eq!(out[..14], two[..14], "the header is unchanged");
+    let (out, ..) = play("{name: r, when: {message: DataRow}, do: {set: {at: 6, to: 33}}}");
+    assert_eq!((out[15], out.len()), (33, two.len()), "only the seventh byte of the message is set");
+    let (out, ..) = play("{name: r, when: {message: DataRow}, do: flip_length}");
+    let changed: Vec<usize> = (0..out.len()).filter(|&nth| out[nth] != two[nth]).collect();
+    assert!(changed.len() == 1 && (10..14).contains(&changed[0]), "{changed:?}");
+    let (out, other, _) = play("{name: r, when: {message: DataRow}, do: {truncate: {keep: 2}}}");
     assert_eq!((out.len(), &other[..]), (11, &[Operation::Close][..]));
     let (out, other, _) =
-        all("{name: r, when: {message: CommandComplete}, do: {half_close: {side: server}}}");
+        play("{name: r, when: {message: CommandComplete}, do: {half_close: {side: server}}}");
     assert_eq!((out.len(), &other[..]), (two.len(), &[Operation::EndDirection(Side::Client)][..]));
-    for (action, what) in [("close", Operation::Close), ("reset", Operation::Reset)] {
-        let (out, other, _) = all(&format!("{{name: r, when: {{message: CommandComplete}}, do: {action}}}"));
-        assert_eq!((out, other), ([frame(b'T', b"cols"), row(b"one")].concat(), vec![what]));
+    for (action, operation) in [("close", Operation::Close), ("reset", Operation::Reset)] {
+        let (out, other, _) = play(&format!("{{name: r, when: {{message: CommandComplete}}, do: {action}}}"));
+        assert_eq!((out, other), ([frame(b'T', b"cols"), row(b"one")].concat(), vec![operation]));
     }
-    // At an exact byte: the message that holds it.
-    let (out, ..) = all("{name: r, when: {byte: 12}, do: drop}");
+    // A trigger by an exact byte selects the message that contains the byte.
+    let (out, ..) = play("{name: r, when: {byte: 12}, do: drop}");
     assert_eq!(out, [&two[..9], &two[17..]].concat());
 }
 
 #[test]
-fn delays_rates_and_slices_keep_the_order_and_hold_is_lifted() {
+fn delays_rates_and_slices_keep_the_order_and_held_bytes_pass_when_the_rule_is_lifted() {
     let mut engine = engine(
         "  - {name: r, when: {message: DataRow}, do: {delay: {ms: 20}}}\n  - {name: s, when: {message: CommandComplete}, do: {slice: {gap_ms: 1}}}\n",
     );
     let conn = engine.on_accepted(at(0), 0).connection;
-    let todo = engine.on_bytes(at(0), conn, Side::Server, &response(b"one"));
-    let times: Vec<i64> = todo.iter().map(|one| (one.at - at(0)).nanos() / 1_000_000).collect();
+    let operations = engine.on_bytes(at(0), conn, Side::Server, &response(b"one"));
+    let times: Vec<i64> =
+        operations.iter().map(|scheduled| (scheduled.at - at(0)).nanos() / 1_000_000).collect();
     assert_eq!((times[0], times[1], times[2], times.last()), (0, 20, 20, Some(&36)), "{times:?}");
-    assert!(times.is_sorted() && todo.len() == 3 + 16);
+    assert!(times.is_sorted() && operations.len() == 3 + 16);
     let mut engine = self::engine("  - {name: r, when: {message: DataRow}, do: hold}\n");
     let conn = engine.on_accepted(at(0), 0).connection;
     assert_eq!(
         engine.on_bytes(at(0), conn, Side::Server, &response(b"one")).len(),
         1,
-        "what is before it passes"
+        "the message before the held one passes"
     );
     assert!(engine.lift_rule(at(5), "q").is_err());
-    let todo = engine.lift_rule(at(5), "r").expect("it is there");
-    assert!(matches!(&todo[..], [ScheduledOperation { operation: Operation::Send(Side::Client, bytes), .. }]
-            if bytes.len() == response(b"one").len() - 9));
-    // Held without end: at the limit the sender is no longer read.
+    let operations = engine.lift_rule(at(5), "r").expect("the rule is active");
+    assert!(
+        matches!(&operations[..], [ScheduledOperation { operation: Operation::Send(Side::Client, bytes), .. }]
+            if bytes.len() == response(b"one").len() - 9)
+    );
+    // The rule holds bytes without end. The loop ends only because the sender is no longer read at the limit.
     let mut engine = self::engine("  - {name: r, do: hold}\n");
     let conn = engine.on_accepted(at(0), 0).connection;
     while engine.may_read(conn, Side::Server, 0) {
@@ -117,12 +124,12 @@
     let rate = "  - {name: r, do: {rate: {bytes_per_s: 1000}}}\n";
     let mut engine = self::engine(rate);
     let conn = engine.on_accepted(at(0), 0).connection;
-    let todo = engine.on_bytes(at(0), conn, Side::Server, &frame(b'D', &[0; 495]));
-    assert_eq!(todo[0].at, at(500));
+    let operations = engine.on_bytes(at(0), conn, Side::Server, &frame(b'D', &[0; 495]));
+    assert_eq!(operations[0].at, at(500));
 }
 
 #[test]
-fn triggers_by_connection_by_another_rule_and_at_the_opening() {
+fn rules_are_triggered_by_connection_by_another_rule_and_at_the_opening() {
     let rules = "  - {name: first, when: {connection: 2, message: Query, from: client}, do: drop}\n  \
                  - {name: then, when: {seen: first, message: DataRow}, do: drop}\n  \
                  - {name: refused, when: {opens: true, connection: 3}, do: refuse}\n  \
@@ -136,51 +143,58 @@
     assert_eq!(
         engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(),
         4,
-        "the other rule has not acted yet"
+        "the rule named by `seen` has not acted yet"
     );
     let two = engine.on_accepted(at(0), 0).connection;
     assert_eq!(engine.on_bytes(at(0), two, Side::Client, &query).len(), 1);
-    assert_eq!(engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(), 3, "on any link");
-    let AcceptedConnection { forwarded, operations: todo, .. } = engine.on_accepted(at(0), 0);
-    assert!(!forwarded && todo[0].operation == Operation::Reset);
+    assert_eq!(
+        engine.on_bytes(at(0), one, Side::Server, &response(b"v")).len(),
+        3,
+        "the rule named by `seen` has acted on another connection"
+    );
+    let AcceptedConnection { forwarded, operations, .. } = engine.on_accepted(at(0), 0);
+    assert!(!forwarded && operations[0].operation == Operation::Reset);
     assert_eq!(engine.never_fired(), ["never"]);
     assert_eq!(engine.rule_states()[0], RuleState { name: "first", hits: 1, live: false });
     assert!(
         engine
-            .add_rule(ladderpass_fault_injection::Rule::read("{name: never, do: drop}").expect("a rule"))
+            .add_rule(
+                ladderpass_fault_injection::Rule::read("{name: never, do: drop}")
+                    .expect("the rule can be read")
+            )
             .is_err()
     );
 }
 
 quickcheck! {
-    /// The same plan against the same traffic gives the same record and the same bytes, however the bytes are sliced.
-    fn a_run_is_repeatable(seed: u64, values: Vec<Vec<u8>>, slice: usize) -> bool {
-        let links = Plan::read("links: [{name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}]").expect("a plan").links;
+    /// The same plan with the same traffic gives the same record and the same operations for any slicing of the bytes.
+    fn the_same_plan_and_traffic_give_the_same_record_and_operations(seed: u64, values: Vec<Vec<u8>>, slice: usize) -> bool {
+        let links = Plan::read("links: [{name: a, listen: '127.0.0.1:0', to: '127.0.0.1:5432'}]").expect("the plan is valid").links;
         let bytes: Vec<u8> = values.iter().flat_map(|value| response(value)).collect();
         let run = |slice: usize| {
             let mut engine = Engine::new(at(0), Plan::drawn(seed, 12, links.clone()));
             let conn = engine.on_accepted(at(0), 0).connection;
             let parts = bytes.chunks(slice);
-            let todo: Vec<ScheduledOperation> =
+            let operations: Vec<ScheduledOperation> =
                 parts.flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
-            (todo, engine.record().to_vec())
+            (operations, engine.record().to_vec())
         };
-        let (one, two) = (run(bytes.len().max(1)), run(slice % 50 + 1));
-        assert_eq!(first_difference(&one.1, &two.1), None);
-        one.0 == two.0
+        let (whole, sliced) = (run(bytes.len().max(1)), run(slice % 50 + 1));
+        assert_eq!(first_difference(&whole.1, &sliced.1), None);
+        whole.0 == sliced.0
     }
 
-    /// Without rules the bytes are unchanged.
-    fn without_rules_bytes_pass(bytes: Vec<u8>, slice: usize) -> bool {
+    /// Without rules all bytes reach the other side unchanged.
+    fn without_rules_all_bytes_pass_unchanged(bytes: Vec<u8>, slice: usize) -> bool {
         let mut engine = engine(" []\n");
         let conn = engine.on_accepted(at(0), 0).connection;
         let parts = bytes.chunks(slice % 20 + 1);
-        let mut todo: Vec<ScheduledOperation> =
+        let mut operations: Vec<ScheduledOperation> =
             parts.flat_map(|part| engine.on_bytes(at(1), conn, Side::Server, part)).collect();
-        todo.extend(engine.on_end(at(2), conn, Side::Server));
+        operations.extend(engine.on_end(at(2), conn, Side::Server));
         let mut out = Vec::new();
-        for one in todo {
-            if let Operation::Send(Side::Client, bytes) = one.operation {
+        for scheduled in operations {
+            if let Operation::Send(Side::Client, bytes) = scheduled.operation {
                 out.extend(bytes);
             }
         }
--- a/crates/ladderpass-fault-injection/tests/stream.rs
+++ b/crates/ladderpass-fault-injection/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Messages in a stream of bytes, however it is sliced.
+//! The scanner for messages in a stream of bytes, with bytes that arrive in slices of any length.
 
 use ladderpass_fault_injection::stream::{MAX_BUFFERED_MESSAGE_BYTES, MessageScanner, Unit};
 use ladderpass_fault_injection::{Protocol, Side};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn messages_get_their_kinds_and_other_bytes_pass() {
+fn messages_are_found_with_their_kinds_and_other_bytes_pass() {
     let startup = [&12u32.to_be_bytes()[..], &[0, 3, 0, 0], &[0; 4]].concat();
     let bytes = [startup, frame(b'Q', b"x\0"), frame(b'X', b"")].concat();
     let kinds: Vec<_> =
@@ -36,22 +36,22 @@
     let kinds: Vec<_> =
         units(Protocol::Http, Side::Server, bytes, &[]).iter().map(|unit| unit.kind).collect();
     assert_eq!(kinds, ["Head", "Chunk", "Chunk", "bytes"]);
-    // A message too long to be buffered passes, and the next one is found again.
+    // A message that is too long to be buffered passes in pieces, and the next message is found again.
     let bytes = [frame(b'D', &vec![0; MAX_BUFFERED_MESSAGE_BYTES * 2]), frame(b'Z', b"I")].concat();
     let found = units(Protocol::Postgres, Side::Server, &bytes, &[255; 10]);
     assert_eq!(found.last().map(|unit| unit.kind), Some("ReadyForQuery"));
 }
 
 quickcheck! {
-    /// However the bytes are sliced, the messages are the same, and nothing is lost or added.
-    fn slices_change_nothing(bodies: Vec<Vec<u8>>, junk: Vec<u8>, slices: Vec<u8>) -> bool {
+    /// The scanner finds the same messages for any slicing of the bytes, and no byte is lost or added.
+    fn the_messages_do_not_depend_on_how_the_bytes_are_sliced(bodies: Vec<Vec<u8>>, junk: Vec<u8>, slices: Vec<u8>) -> bool {
         let kinds = b"TDCZESI";
         let frames = bodies.iter().enumerate().flat_map(|(nth, body)| frame(kinds[nth % kinds.len()], body));
         let bytes: Vec<u8> = frames.chain(junk).collect();
         let whole = units(Protocol::Postgres, Side::Server, &bytes, &[]);
         let sliced = units(Protocol::Postgres, Side::Server, &bytes, &slices);
-        let same = |units: &[Unit]| units.iter().filter(|u| !matches!(u.kind, "bytes" | "rest")).cloned().collect::<Vec<_>>();
-        let text = |units: &[Unit]| units.iter().flat_map(|unit| unit.bytes.clone()).collect::<Vec<u8>>();
-        same(&whole) == same(&sliced) && text(&whole) == bytes && text(&sliced) == bytes
+        let messages = |units: &[Unit]| units.iter().filter(|u| !matches!(u.kind, "bytes" | "rest")).cloned().collect::<Vec<_>>();
+        let content = |units: &[Unit]| units.iter().flat_map(|unit| unit.bytes.clone()).collect::<Vec<u8>>();
+        messages(&whole) == messages(&sliced) && content(&whole) == bytes && content(&sliced) == bytes
     }
 }
