--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -87,7 +87,7 @@
     Drop,
     /// The message and everything up to and including the next ReadyForQuery are dropped, like a lost acknowledgement.
     Swallow,
-    /// The message and everything behind it are dropped, while the sender's bytes are still read.
+    /// The message and everything behind it are dropped. The sender's bytes are still read, so that it does not notice.
     Silence,
     /// One direction of the connection is ended before the message is sent.
     HalfClose {
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -4,12 +4,14 @@
 
 use crate::protocol::{Protocol, Side};
 
-/// A part of a stream that rules can act on: a complete message, or bytes that belong to none.
+/// A part of a stream that rules can act on: a message, a part of a message that is too long to be buffered, or bytes
+/// that belong to no message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Unit {
     /// Offset of the unit's first byte in its direction.
     pub offset: u64,
-    /// Kind of the message, or `bytes`, `rest` or `cut` if the unit is not a complete message.
+    /// Kind of the message. It is `bytes` for plain bytes, `rest` for bytes behind the header of a message that is too
+    /// long to be buffered, and `cut` for an incomplete message at the end of the direction.
     pub kind: &'static str,
     /// Content of the unit.
     pub bytes: Vec<u8>,
--- a/crates/ladderpass-fault-injection/tests/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/tests/datagram_driver.rs
@@ -53,8 +53,8 @@
     assert_eq!(datagrams.traffic()[0].datagrams, 3);
     assert_eq!(datagrams.hits(), [("cut".to_owned(), 1), ("twice".to_owned(), 1)]);
     // A datagram from an unknown sender arrives from the receiver's own address in the plan.
-    let stranger = udp_socket();
-    stranger.send_to(b"boo", public_two).expect("the datagram is sent");
+    let unknown_sender = udp_socket();
+    unknown_sender.send_to(b"boo", public_two).expect("the datagram is sent");
     assert_eq!(receive(&two), Some((b"boo".to_vec(), public_two)));
 }
 
