--- a/crates/ladderpass-fault-injection/src/main.rs
+++ b/crates/ladderpass-fault-injection/src/main.rs
@@ -1,5 +1,5 @@
-//! `ladderpass-fault-injection`: links between sockets, and faults on them by a plan or on command. This is the command
-//! line.
+//! The command line of `ladderpass-fault-injection`, which forwards connections and injects faults into them, by a plan
+//! or on command.
 
 use clap::{Parser, Subcommand};
 use ladderpass_fault_injection::driver::RunningTool;
@@ -11,12 +11,12 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Faults between sockets on loopback, at an exact byte or message, the same each time from a seed
+/// Inject faults into loopback connections at an exact byte or message, repeatably from a seed
 #[derive(Parser)]
 #[command(
     name = "ladderpass-fault-injection",
     version,
-    after_help = "Exit codes: 0 done; 1 what it is told is wrong, or records differ; 2 the command line is wrong."
+    after_help = "Exit codes: 0 on success; 1 on an error, or if the records differ; 2 if the command line is invalid."
 )]
 struct Cli {
     #[command(subcommand)]
@@ -25,29 +25,30 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a plan in the foreground, until standard input ends or it is interrupted
+    /// Play a plan in the foreground until standard input ends or the process is interrupted
     Run {
         plan: PathBuf,
-        /// Where `ctl` finds it
+        /// Path of the control socket, for `ctl`
         #[arg(long, value_name = "SOCKET")]
         control: Option<PathBuf>,
-        /// Where its decisions go, at the end
+        /// File that the decisions are written to at the end
         #[arg(long, value_name = "FILE")]
         record: Option<PathBuf>,
     },
-    /// Read a plan and say what holds
+    /// Check a plan, and print its seed and the numbers of its links and rules
     Check { plan: PathBuf },
-    /// Ask one that runs: add RULE, lift NAME, list, wait NAME HITS MS, stats
+    /// Send a command to a running tool: add RULE, lift NAME, list, wait NAME HITS MS, stats, cut LINK, heal LINK,
+    /// watch
     Ctl {
         socket: PathBuf,
         #[arg(required = true, trailing_var_arg = true)]
         words: Vec<String>,
     },
-    /// Play a plan again, and compare its decisions with a record
+    /// Play a plan, and compare its decisions with a record
     Replay { plan: PathBuf, record: PathBuf },
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 enum CliError {
     #[error("{}: {source}", path.display())]
@@ -58,17 +59,17 @@
     Record { path: PathBuf, source: RecordError },
     #[error("{0}")]
     Start(io::Error),
-    /// The answer of a running tool.
+    /// The running tool answered with this error.
     #[error("{0}")]
     Rejected(String),
-    #[error("it has ended without an answer")]
+    #[error("the tool ended without an answer")]
     NoAnswer,
     #[error("the records differ at {0}")]
     RecordsDiffer(String),
 }
 
 fn main() -> ExitCode {
-    match run(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ladderpass-fault-injection: {error}");
@@ -85,8 +86,8 @@
     Plan::read(&read_file(path)?).map_err(|source| CliError::Plan { path: path.to_owned(), source })
 }
 
-/// Plays a plan until standard input ends; returns its decisions.
-fn play(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
+/// Plays a plan until standard input ends, and returns the recorded decisions.
+fn run_plan(plan: Plan, control: Option<&Path>) -> Result<Vec<record::Decision>, CliError> {
     let names: Vec<String> = plan.links.iter().map(|link| link.name.clone()).collect();
     let running = RunningTool::start(plan, control).map_err(CliError::Start)?;
     for (name, address) in names.iter().zip(&running.addresses) {
@@ -101,12 +102,13 @@
     Ok(summary.record)
 }
 
-fn run(command: Command) -> Result<(), CliError> {
+fn execute(command: Command) -> Result<(), CliError> {
     match command {
         Command::Run { plan, control, record } => {
-            let decisions = play(read_plan(&plan)?, control.as_deref())?;
+            let decisions = run_plan(read_plan(&plan)?, control.as_deref())?;
             let Some(path) = record else { return Ok(()) };
-            std::fs::write(&path, record::lines(&decisions)).map_err(|source| CliError::File { path, source })
+            std::fs::write(&path, record::to_json_lines(&decisions))
+                .map_err(|source| CliError::File { path, source })
         }
         Command::Check { plan } => {
             let plan = read_plan(&plan)?;
@@ -115,15 +117,15 @@
         }
         Command::Ctl { socket, words } => send_command(&socket, &words),
         Command::Replay { plan, record } => {
-            let before = record::read(&read_file(&record)?)
+            let recorded = record::from_json_lines(&read_file(&record)?)
                 .map_err(|source| CliError::Record { path: record, source })?;
-            let now = play(read_plan(&plan)?, None)?;
-            first_difference(&before, &now).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
+            let replayed = run_plan(read_plan(&plan)?, None)?;
+            first_difference(&recorded, &replayed).map_or(Ok(()), |line| Err(CliError::RecordsDiffer(line)))
         }
     }
 }
 
-/// Sends a line to a running tool, and prints its answer.
+/// Sends one command line to a running tool, and prints the answer.
 fn send_command(socket: &Path, words: &[String]) -> Result<(), CliError> {
     let failed = |source: io::Error| CliError::File { path: socket.to_owned(), source };
     let mut stream = UnixStream::connect(socket).map_err(failed)?;
