--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -10,7 +10,7 @@
 use crate::execution_log::ExecutionLog;
 use crate::model::Input;
 use crate::scenario::Scenario;
-use driver::{Driver, WAKE};
+use driver::{Driver, WAKE_TOKEN};
 use ladderpass_routing::{Span, Time};
 use mio::net::TcpListener;
 use mio::{Poll, Waker};
@@ -65,8 +65,10 @@
     ) -> io::Result<RunningEmulator> {
         let thread_count = MAX_THREADS.min(scenario.member_count());
         let polls = (0..thread_count).map(|_| Poll::new()).collect::<io::Result<Vec<_>>>()?;
-        let wakers =
-            polls.iter().map(|poll| Waker::new(poll.registry(), WAKE)).collect::<io::Result<Vec<_>>>()?;
+        let wakers = polls
+            .iter()
+            .map(|poll| Waker::new(poll.registry(), WAKE_TOKEN))
+            .collect::<io::Result<Vec<_>>>()?;
         let bind = || TcpListener::bind(SocketAddr::V4(SocketAddrV4::new(address, 0)));
         let listeners =
             (0..scenario.member_count() + lists.max(1)).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
@@ -75,7 +77,7 @@
         let discovery = *discoveries.first().ok_or_else(|| io::Error::other("no listener"))?;
         let list = EndpointList { addresses: addresses.clone(), draining: BTreeSet::new(), generation: 1 };
         let watch_interval = Span::from_secs_f64(scenario.watch_every_ms.max(MIN_WATCH_INTERVAL_MS) / 1e3);
-        let listeners = assign_to_threads(listeners, scenario.member_count(), thread_count);
+        let listeners = assign_listeners_to_threads(listeners, scenario.member_count(), thread_count);
         let shared = Arc::new(Shared::new(scenario, seed, vec![list; discoveries.len()], wakers));
         let (mut commands, mut threads) = (Vec::new(), Vec::new());
         for (thread, (poll, listeners)) in polls.into_iter().zip(listeners).enumerate() {
@@ -160,7 +162,7 @@
 }
 
 /// The members' listeners in turn to all threads, those of discovery to the first.
-fn assign_to_threads(
+fn assign_listeners_to_threads(
     listeners: Vec<TcpListener>,
     members: usize,
     thread_count: usize,
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// The token of the thread's waker.
-pub const WAKE: Token = Token(usize::MAX);
+pub const WAKE_TOKEN: Token = Token(usize::MAX);
 /// Limit of what a connection may buffer, in each direction.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
 /// The end of the head of an HTTP request.
-const HEAD_END: &[u8] = b"\r\n\r\n";
+const HTTP_HEAD_END: &[u8] = b"\r\n\r\n";
 
 struct Connection {
     stream: TcpStream,
@@ -41,7 +41,7 @@
     shared: Arc<Shared>,
     listeners: Vec<(Owner, TcpListener)>,
     connections: HashMap<usize, Connection>,
-    last_token: usize,
+    last_index: usize,
     commands: Receiver<Command>,
     watch_interval: Span,
     /// Connections with output to be written.
@@ -66,7 +66,7 @@
             thread,
             poll,
             shared,
-            last_token: listeners.len(),
+            last_index: listeners.len(),
             listeners,
             connections: HashMap::new(),
             commands,
@@ -107,7 +107,7 @@
     fn handle_events(&mut self, events: &Events) -> io::Result<()> {
         for event in events {
             match event.token() {
-                WAKE => {}
+                WAKE_TOKEN => {}
                 Token(index) if index < self.listeners.len() => self.accept(index)?,
                 Token(index) => {
                     if event.is_writable() {
@@ -151,8 +151,8 @@
                 Err(_) => return Ok(()),
             };
             stream.set_nodelay(true)?;
-            self.last_token += 1;
-            let token = Token(self.last_token);
+            self.last_index += 1;
+            let token = Token(self.last_index);
             self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             let owner = self.listeners[listener].0;
             // The listener of a crashed member stays open: it accepts and closes at once.
@@ -168,7 +168,7 @@
                 output: Vec::new(),
                 closes_after_output: false,
             };
-            self.connections.insert(self.last_token, connection);
+            self.connections.insert(self.last_index, connection);
         }
     }
 
@@ -214,14 +214,14 @@
     fn handle_input(&mut self, index: usize) {
         let Some(connection) = self.connections.get_mut(&index) else { return };
         let input = std::mem::take(&mut connection.input);
-        let used = match connection.owner {
+        let consumed = match connection.owner {
             Owner::Member(member) => self.handle_requests(index, member, &input),
             Owner::Discovery(list) => self.start_watch(index, list, &input),
         };
         self.encode_replies();
         if let Some(connection) = self.connections.get_mut(&index) {
             connection.input = input;
-            connection.input.drain(..used);
+            connection.input.drain(..consumed);
         }
         self.write(index);
     }
@@ -230,22 +230,22 @@
     fn handle_requests(&mut self, index: usize, member: u32, input: &[u8]) -> usize {
         let id = self.connection_id(index);
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
-        let mut used = 0;
+        let mut consumed = 0;
         if !connection.is_open {
             let Some(length) = proto::parse_startup(input) else { return 0 };
             connection.is_open = true;
-            used = length;
+            consumed = length;
             self.shared.apply(self.thread, member, Input::ConnectionOpened(id));
         }
-        while let Some((kind, body, length)) = proto::parse_frame(input.get(used..).unwrap_or_default()) {
-            used += length;
+        while let Some((kind, body, length)) = proto::parse_frame(input.get(consumed..).unwrap_or_default()) {
+            consumed += length;
             let Some(request) = self.decode_request(kind, body) else {
                 self.close(index);
-                return used;
+                return consumed;
             };
             self.shared.apply(self.thread, member, Input::RequestReceived(id, request));
         }
-        used
+        consumed
     }
 
     /// The request of a frame, if it is one.
@@ -271,22 +271,24 @@
 
     /// Answers a watch's HTTP request with the complete list; returns how many bytes the request was.
     fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
-        let Some(end) = input.windows(HEAD_END.len()).position(|window| window == HEAD_END) else { return 0 };
+        let Some(end) = input.windows(HTTP_HEAD_END.len()).position(|window| window == HTTP_HEAD_END) else {
+            return 0;
+        };
         if let Some(connection) = self.connections.get_mut(&index) {
             connection.output.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             connection.is_watch = true;
         }
         let line = self.shared.list_line(list, None);
         self.send_chunk(index, &line);
-        end + HEAD_END.len()
+        end + HTTP_HEAD_END.len()
     }
 
     /// Sends a line to all watches of a list, or of all lists.
     fn send_to_watches(&mut self, list: Option<usize>, line: &str) {
-        let is_of_list =
+        let matches_list =
             |connection: &Connection| list.is_none_or(|list| connection.owner == Owner::Discovery(list));
         let watches =
-            self.connections.iter().filter(|(_, connection)| connection.is_watch && is_of_list(connection));
+            self.connections.iter().filter(|(_, connection)| connection.is_watch && matches_list(connection));
         for index in watches.map(|(&index, _)| index).collect::<Vec<_>>() {
             self.send_chunk(index, line);
         }
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -40,7 +40,7 @@
 struct ScheduledTimer {
     at: Time,
     /// Counts the timers of the model; no two are equal.
-    number: u64,
+    sequence: u64,
     member: u32,
     timer: Timer,
 }
@@ -112,11 +112,11 @@
         self.advance(now);
         let Some(state) = self.members.get_mut(member as usize) else { return };
         match input {
-            Input::ConnectionOpened(connection) => self.open(now, member, connection),
+            Input::ConnectionOpened(connection) => self.open_connection(now, member, connection),
             Input::RequestReceived(connection, request) => {
-                let Some(open) = state.connections.get_mut(&connection) else { return };
-                if open.busy {
-                    open.pipelined.push_back(request);
+                let Some(connection_state) = state.connections.get_mut(&connection) else { return };
+                if connection_state.busy {
+                    connection_state.pipelined.push_back(request);
                 } else {
                     self.answer(now, member, connection, request);
                 }
@@ -157,15 +157,15 @@
                     if let Some(state) = self.members.get_mut(member as usize) {
                         state.running = state.running.saturating_sub(1);
                     }
-                    self.complete(at, member, connection, id, method);
-                    self.run_queued(at, member);
+                    self.complete_statement(at, member, connection, id, method);
+                    self.start_queued(at, member);
                 }
             }
         }
     }
 
     /// Opens a connection, if the member is up and has one left.
-    fn open(&mut self, now: Time, member: u32, connection: ConnectionId) {
+    fn open_connection(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
             self.outputs.push(Output { connection, reply: Reply::FatalError(TOO_MANY_CONNECTIONS) });
@@ -180,7 +180,7 @@
 
     fn set_timer(&mut self, at: Time, member: u32, timer: Timer) {
         self.timers_set += 1;
-        self.timers.push(Reverse(ScheduledTimer { at, number: self.timers_set, member, timer }));
+        self.timers.push(Reverse(ScheduledTimer { at, sequence: self.timers_set, member, timer }));
     }
 
     fn is_open(&self, member: u32, connection: ConnectionId) -> bool {
@@ -214,7 +214,7 @@
                     None => {
                         let expires_at = now + wait;
                         self.enqueue(member, QueuedStatement { connection, id, method, expires_at });
-                        return self.run_queued(now, member);
+                        return self.start_queued(now, member);
                     }
                 }
             }
@@ -247,14 +247,14 @@
     /// Queues a statement, which makes its connection busy.
     fn enqueue(&mut self, member: u32, statement: QueuedStatement) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
-        if let Some(open) = state.connections.get_mut(&statement.connection) {
-            open.busy = true;
+        if let Some(connection_state) = state.connections.get_mut(&statement.connection) {
+            connection_state.busy = true;
         }
         state.queue.push_back(statement);
     }
 
     /// Runs queued statements while a core is free.
-    fn run_queued(&mut self, now: Time, member: u32) {
+    fn start_queued(&mut self, now: Time, member: u32) {
         loop {
             let position = self.position(now, member);
             let Some(state) = self.members.get_mut(member as usize) else { return };
@@ -263,15 +263,15 @@
             }
             let Some(statement) = state.queue.pop_front() else { return };
             if statement.expires_at < now {
-                self.expire(now, member, statement, position);
+                self.expire_statement(now, member, statement, position);
             } else {
-                self.start(now, member, statement, position);
+                self.start_statement(now, member, statement, position);
             }
         }
     }
 
     /// A statement has waited for too long: it is rejected.
-    fn expire(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
+    fn expire_statement(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
         let QueuedStatement { connection, id, .. } = statement;
         self.execution_log.expired += 1;
         if self.scenario.history {
@@ -283,14 +283,14 @@
     }
 
     /// A statement begins to run; without work it is complete at once.
-    fn start(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
+    fn start_statement(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
         let QueuedStatement { connection, id, method, .. } = statement;
         let writes = self.writes(method);
         let execution = Execution { at: now, member, id: id.clone(), method, writes, position };
         self.execution_log.executions.push(execution);
         let mean_work = self.scenario.mean_work(method as usize);
         if mean_work == Span::ZERO {
-            self.complete(now, member, connection, id, method);
+            self.complete_statement(now, member, connection, id, method);
             return;
         }
         if let Some(state) = self.members.get_mut(member as usize) {
@@ -302,7 +302,14 @@
     }
 
     /// A statement has run: it is committed, where it writes, and answered.
-    fn complete(&mut self, now: Time, member: u32, connection: ConnectionId, id: Box<str>, method: u32) {
+    fn complete_statement(
+        &mut self,
+        now: Time,
+        member: u32,
+        connection: ConnectionId,
+        id: Box<str>,
+        method: u32,
+    ) {
         if self.writes(method) {
             self.commit(now, member);
         }
@@ -318,9 +325,9 @@
     fn answer_pipelined(&mut self, now: Time, member: u32, connection: ConnectionId) {
         loop {
             let Some(state) = self.members.get_mut(member as usize) else { return };
-            let Some(open) = state.connections.get_mut(&connection) else { return };
-            open.busy = false;
-            let Some(request) = open.pipelined.pop_front() else { return };
+            let Some(connection_state) = state.connections.get_mut(&connection) else { return };
+            connection_state.busy = false;
+            let Some(request) = connection_state.pipelined.pop_front() else { return };
             // A statement makes the connection busy and comes back here by itself; others are answered at once.
             let is_statement = matches!(request, Request::Statement { .. });
             self.answer(now, member, connection, request);
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -6,9 +6,9 @@
 /// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where
 /// the bytes can't be a frame.
 pub fn parse_frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
-    let (&kind, rest) = bytes.split_first()?;
+    let (&message_type, rest) = bytes.split_first()?;
     let length = u32::from_be_bytes(*rest.first_chunk::<4>()?) as usize + 1;
-    Some((kind, bytes.get(5..length)?, length))
+    Some((message_type, bytes.get(5..length)?, length))
 }
 
 /// The length of the startup message at the start of the bytes, once it is complete.
@@ -25,9 +25,9 @@
 }
 
 /// Appends a frame of this type, whose body is these parts.
-pub fn put_message(out: &mut Vec<u8>, kind: u8, parts: &[&[u8]]) {
+pub fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
-    out.push(kind);
+    out.push(message_type);
     out.extend_from_slice(&(length as u32).to_be_bytes());
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
@@ -78,10 +78,10 @@
 }
 
 /// One field of an ErrorResponse's body, by its type byte.
-pub fn error_field(body: &[u8], name: u8) -> Option<&str> {
+pub fn error_field(body: &[u8], field_type: u8) -> Option<&str> {
     let mut fields = body.split(|&byte| byte == 0);
-    let found = fields.find(|field| field.first() == Some(&name))?;
-    std::str::from_utf8(found.get(1..)?).ok()
+    let field = fields.find(|field| field.first() == Some(&field_type))?;
+    std::str::from_utf8(field.get(1..)?).ok()
 }
 
 /// The comment at a statement's end, as far as a member reads it.
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -82,7 +82,7 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(ScenarioError::NotANumberFromZero { key: key.to_owned(), value })
+    Err(ScenarioError::NegativeOrNotFinite { key: key.to_owned(), value })
 }
 
 impl Default for Scenario {
@@ -196,12 +196,12 @@
     pub fn endpoint_entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
         let now_ms = now.nanos() / 1_000_000;
         let entry = |(index, address): (u32, &SocketAddr)| {
-            let (group, place) = (index / self.group_size(), index % self.group_size());
+            let (group, index_in_group) = (index / self.group_size(), index % self.group_size());
             serde_json::json!({
-                "instanceId": format!("m-{group}-{place}"), "hostPort": address.to_string(), "zone": "a",
+                "instanceId": format!("m-{group}-{index_in_group}"), "hostPort": address.to_string(), "zone": "a",
                 "machineType": "k", "cell": group, "lifecycle": "SERVING", "weight": 1.0,
                 "startedAtMs": if self.cold.contains(&index) { now_ms } else { 0 },
-                "role": if place == 0 { "leader" } else { "follower" },
+                "role": if index_in_group == 0 { "leader" } else { "follower" },
             })
         };
         (0..).zip(addresses).map(entry).collect()
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -8,7 +8,7 @@
     Syntax(String),
     /// A number is not finite, or below zero.
     #[error("{key}: {value} is not a number from 0 on")]
-    NotANumberFromZero {
+    NegativeOrNotFinite {
         /// Path of the key, such as `methods.board.work_ms`.
         key: String,
         /// The number that was read.
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn a_connection_answers_in_order_and_replicas_lag_and_reject_writes() {
+fn connection_answers_in_order_and_replica_lags_and_rejects_writes() {
     let scenario = Scenario { log_ms: 20.0, ..Scenario::default() };
     let mut model = Model::new(at(0), scenario, 1);
-    for (member, conn) in [(0, ConnectionId(1)), (1, ConnectionId(2))] {
-        model.apply(at(0), member, Input::ConnectionOpened(conn));
-        model.apply(at(1), member, Input::RequestReceived(conn, statement(&format!("w{member}"), 1)));
-        model.apply(at(1), member, Input::RequestReceived(conn, Request::EmptyQuery));
-        model.apply(at(2), member, Input::RequestReceived(conn, Request::LoadReport));
+    for (member, connection) in [(0, ConnectionId(1)), (1, ConnectionId(2))] {
+        model.apply(at(0), member, Input::ConnectionOpened(connection));
+        model.apply(at(1), member, Input::RequestReceived(connection, statement(&format!("w{member}"), 1)));
+        model.apply(at(1), member, Input::RequestReceived(connection, Request::EmptyQuery));
+        model.apply(at(2), member, Input::RequestReceived(connection, Request::LoadReport));
     }
     let replies: Vec<Reply> = model.take_outputs().into_iter().map(|output| output.reply).collect();
     assert!(matches!(
@@ -47,34 +47,34 @@
 quickcheck! {
     /// Under random inputs no more RPCs run at once than there are cores, positions don't go back, no statement is
     /// answered twice, and a rejected one did not run.
-    fn members_keep_their_invariants(steps: Vec<(u8, u8, u8)>) -> bool {
+    fn random_inputs_preserve_the_member_invariants(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut scenario = Scenario { cores: 2, queue: 3, ..Scenario::default() };
         scenario.methods.iter_mut().for_each(|method| method.work_ms = 5.0);
         let mut model = Model::new(at(0), scenario, 7);
         let (mut now, mut requested, mut answered, mut rejected) = (at(0), 0, 0, 0);
-        let mut latest = [Time::NEVER; 3];
+        let mut latest_positions = [Time::NEVER; 3];
         for (number, (input, address, gap)) in (0u64..).zip(steps) {
             now = now + Span::from_millis(i64::from(gap % 8));
             let member = u32::from(address % 3);
-            let conn = ConnectionId(u64::from(address % 3) * 8 + u64::from(address / 3 % 8));
+            let connection = ConnectionId(u64::from(address % 3) * 8 + u64::from(address / 3 % 8));
             match input % 5 {
-                0 => model.apply(now, member, Input::ConnectionOpened(conn)),
+                0 => model.apply(now, member, Input::ConnectionOpened(connection)),
                 1 | 2 => {
                     requested += 1;
                     let request = statement(&number.to_string(), u32::from(input / 5 % 2));
-                    model.apply(now, member, Input::RequestReceived(conn, request));
+                    model.apply(now, member, Input::RequestReceived(connection, request));
                 }
-                3 => model.apply(now, member, Input::RequestReceived(conn, Request::LoadReport)),
-                _ => model.apply(now, member, Input::ConnectionClosed(conn)),
+                3 => model.apply(now, member, Input::RequestReceived(connection, Request::LoadReport)),
+                _ => model.apply(now, member, Input::ConnectionClosed(connection)),
             }
             for output in model.take_outputs() {
                 match output.reply {
                     Reply::Row { .. } => answered += 1,
                     Reply::Error(_) => rejected += 1,
                     Reply::LoadReport { position, .. } => {
-                        let latest = &mut latest[(output.connection.0 / 8) as usize];
-                        assert!(position >= *latest);
-                        *latest = position;
+                        let latest_position = &mut latest_positions[(output.connection.0 / 8) as usize];
+                        assert!(position >= *latest_position);
+                        *latest_position = position;
                     }
                     _ => {}
                 }
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -3,8 +3,8 @@
 use ladderpass_emulator::Scenario;
 
 #[test]
-fn errors_name_the_key() {
-    for (text, wanted) in [
+fn each_error_names_the_invalid_key_on_one_line() {
+    for (text, expected_key) in [
         ("cores: 0", "cores"),
         ("groups: x", "groups"),
         ("colour: red", "colour"),
@@ -16,7 +16,7 @@
         ),
     ] {
         let error = Scenario::read(text).expect_err(text).to_string();
-        assert!(error.contains(wanted) && !error.contains('\n'), "{text}: {error}");
+        assert!(error.contains(expected_key) && !error.contains('\n'), "{text}: {error}");
     }
     assert_eq!(Scenario::read("replicas: 4").expect("allowed").member_count(), 5);
 }
--- a/crates/ladderpass-invariants/src/checker.rs
+++ b/crates/ladderpass-invariants/src/checker.rs
@@ -32,10 +32,10 @@
 /// Checks one rule over a history.
 pub trait Checker {
     /// Reads the next event, and appends what it proves broken.
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>);
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>);
 
     /// The history ends at this time.
-    fn end(&mut self, _at: Time, _broken: &mut Vec<Violation>) {}
+    fn end(&mut self, _at: Time, _violations: &mut Vec<Violation>) {}
 
     /// How many RPCs, members and attempts it tracks now; bounded however long the history is.
     fn tracked(&self) -> usize;
--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -19,7 +19,7 @@
 }
 
 impl Checker for Drains {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
         match event.kind {
             EventKind::Draining { member } => {
                 self.draining.entry(member).or_insert(*event);
@@ -28,11 +28,17 @@
                 self.draining.remove(&member);
             }
             EventKind::AttemptSent { rpc, member } => {
-                let Some(published) = self.draining.get(&member) else { return };
-                if event.at > published.at + self.tolerance.endpoint_update {
+                let Some(drain_event) = self.draining.get(&member) else { return };
+                if event.at > drain_event.at + self.tolerance.endpoint_update {
                     let text = format!("RPC {rpc:x} goes to member {member}, which is draining");
                     let (rpc, member) = (Some(rpc), Some(member));
-                    broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
+                    violations.push(Violation {
+                        rule: 3,
+                        rpc,
+                        member,
+                        text,
+                        proof: vec![*drain_event, *event],
+                    });
                 }
             }
             _ => {}
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -38,10 +38,10 @@
 }
 
 impl Checker for Effects {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
         self.forget_expired(event.at);
         let mut report = |rpc, member, text: String, proof| {
-            broken.push(Violation { rule: 2, rpc: Some(rpc), member: Some(member), text, proof });
+            violations.push(Violation { rule: 2, rpc: Some(rpc), member: Some(member), text, proof });
         };
         match event.kind {
             EventKind::Accepted { rpc, deadline, run_once, .. } => {
--- a/crates/ladderpass-invariants/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -24,14 +24,14 @@
 
 /// Checks all five rules over one history.
 pub fn check_history(history: &[Event], tolerance: Tolerance) -> Vec<Violation> {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut checkers = all_checkers(tolerance);
     for event in history {
-        checkers.iter_mut().for_each(|checker| checker.observe(event, &mut broken));
+        checkers.iter_mut().for_each(|checker| checker.observe(event, &mut violations));
     }
     let end = history.last().map_or(Time::default(), |event| event.at);
-    checkers.iter_mut().for_each(|checker| checker.end(end, &mut broken));
-    broken
+    checkers.iter_mut().for_each(|checker| checker.end(end, &mut violations));
+    violations
 }
 
 /// A checker of each rule, by the rule's number.
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -13,7 +13,7 @@
     tolerance: Tolerance,
     rpcs: HashMap<RpcId, RpcState>,
     /// When each RPC is checked next: at its deadline for an answer, later to be forgotten.
-    checks: BTreeSet<(Time, RpcId)>,
+    check_at: BTreeSet<(Time, RpcId)>,
 }
 
 struct RpcState {
@@ -27,7 +27,7 @@
 impl OneAnswer {
     /// A checker of a history that is yet to begin.
     pub fn new(tolerance: Tolerance) -> OneAnswer {
-        OneAnswer { tolerance, rpcs: HashMap::new(), checks: BTreeSet::new() }
+        OneAnswer { tolerance, rpcs: HashMap::new(), check_at: BTreeSet::new() }
     }
 
     fn violation(rpc: RpcId, text: String, proof: Vec<Event>) -> Violation {
@@ -35,15 +35,15 @@
     }
 
     /// Reports RPCs that passed their deadline without an answer, and forgets old ones.
-    fn expire(&mut self, now: Time, broken: &mut Vec<Violation>) {
-        while let Some(&(at, rpc)) = self.checks.first()
+    fn expire(&mut self, now: Time, violations: &mut Vec<Violation>) {
+        while let Some(&(at, rpc)) = self.check_at.first()
             && at < now
         {
-            self.checks.pop_first();
+            self.check_at.pop_first();
             let Some(state) = self.rpcs.get(&rpc) else { continue };
             if state.answered.is_none() && !state.no_answer_due {
                 let text = format!("RPC {rpc:x} has no answer in its time");
-                broken.push(Self::violation(rpc, text, vec![state.accepted]));
+                violations.push(Self::violation(rpc, text, vec![state.accepted]));
             }
             let forget_at = state.deadline + self.tolerance.answer + TRACK_AFTER_DEADLINE;
             if at < forget_at {
@@ -51,7 +51,7 @@
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.no_answer_due = true;
                 }
-                self.checks.insert((forget_at, rpc));
+                self.check_at.insert((forget_at, rpc));
             } else {
                 self.rpcs.remove(&rpc);
             }
@@ -61,7 +61,7 @@
     fn on_accepted(&mut self, rpc: RpcId, deadline: Time, event: &Event) {
         let state = RpcState { accepted: *event, deadline, answered: None, no_answer_due: false };
         if self.rpcs.insert(rpc, state).is_none() {
-            self.checks.insert((deadline + self.tolerance.answer, rpc));
+            self.check_at.insert((deadline + self.tolerance.answer, rpc));
         }
     }
 
@@ -96,12 +96,12 @@
 }
 
 impl Checker for OneAnswer {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        self.expire(event.at, broken);
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
+        self.expire(event.at, violations);
         match event.kind {
             EventKind::Accepted { rpc, deadline, .. } => self.on_accepted(rpc, deadline, event),
             EventKind::Answered { rpc, answer, made_for } => {
-                broken.extend(self.on_answered(rpc, answer, made_for, event));
+                violations.extend(self.on_answered(rpc, answer, made_for, event));
             }
             EventKind::ClientLeft { rpc } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
@@ -112,8 +112,8 @@
         }
     }
 
-    fn end(&mut self, at: Time, broken: &mut Vec<Violation>) {
-        self.expire(at, broken);
+    fn end(&mut self, at: Time, violations: &mut Vec<Violation>) {
+        self.expire(at, violations);
     }
 
     fn tracked(&self) -> usize {
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Windows are checked that end up to this long after a member is warm.
-const CHECK_AFTER_WARM: Span = Span::from_millis(500);
+const CHECK_AFTER_WARM_UP: Span = Span::from_millis(500);
 /// Margin for chance, in square roots of the expected number of RPCs.
 const MARGIN_ROOTS: f64 = 2.0;
 /// Margin for chance, in RPCs.
@@ -32,7 +32,7 @@
     /// The violation that an attempt proves, if any.
     fn on_attempt(&mut self, rpc: RpcId, member: MemberIndex, event: &Event) -> Option<Violation> {
         let state = self.members.get_mut(&member)?;
-        if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM {
+        if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM_UP {
             self.members.remove(&member);
             return None;
         }
@@ -44,7 +44,7 @@
         let expected = state.window_capacity(event.at);
         let limit = expected + MARGIN_ROOTS * expected.sqrt() + MARGIN_RPCS;
         let excess = (state.window.len() as f64 - expected - MARGIN_RPCS) / expected.sqrt().max(1e-9);
-        self.max_excess = Some(self.max_excess.map_or(excess, |before| before.max(excess)));
+        self.max_excess = Some(self.max_excess.map_or(excess, |previous| previous.max(excess)));
         let may_report = state.last_reported_at.is_none_or(|at| event.at - at > state.overload_window);
         let is_overloaded = state.window.len() as f64 > limit;
         if !is_overloaded || !may_report {
@@ -77,11 +77,11 @@
     /// The integral of the capacity up to an age in seconds, in seconds of full capacity. Before its start the member
     /// counts as at its start, so that a burst right after the start may use the budget of a whole window.
     fn cumulative_capacity(&self, age: f64) -> f64 {
-        let warm = self.warm_up_time.secs().max(1e-9);
-        let warm_up_age = age.clamp(0.0, warm);
-        self.initial_fraction * age.min(warm)
-            + (1.0 - self.initial_fraction) * warm_up_age * warm_up_age / (2.0 * warm)
-            + (age - warm).max(0.0)
+        let warm_up_secs = self.warm_up_time.secs().max(1e-9);
+        let warm_up_age = age.clamp(0.0, warm_up_secs);
+        self.initial_fraction * age.min(warm_up_secs)
+            + (1.0 - self.initial_fraction) * warm_up_age * warm_up_age / (2.0 * warm_up_secs)
+            + (age - warm_up_secs).max(0.0)
     }
 
     /// How many RPCs it can serve in the window that ends at a time.
@@ -93,7 +93,7 @@
 }
 
 impl Checker for SlowStart {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
         match event.kind {
             EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window } => {
                 let state = MemberState {
@@ -107,7 +107,7 @@
                 };
                 self.members.insert(member, state);
             }
-            EventKind::AttemptSent { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            EventKind::AttemptSent { rpc, member } => violations.extend(self.on_attempt(rpc, member, event)),
             _ => {}
         }
     }
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -65,7 +65,7 @@
 }
 
 impl Checker for Staleness {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
         self.forget_expired(event.at);
         match event.kind {
             EventKind::Accepted { rpc, deadline, max_staleness: Some(max_staleness), .. } => {
@@ -82,7 +82,7 @@
                     state.positions.pop_front();
                 }
             }
-            EventKind::AttemptSent { rpc, member } => broken.extend(self.on_attempt(rpc, member, event)),
+            EventKind::AttemptSent { rpc, member } => violations.extend(self.on_attempt(rpc, member, event)),
             _ => {}
         }
     }
