--- a/crates/ladderpass-emulator/src/clock.rs
+++ b/crates/ladderpass-emulator/src/clock.rs
@@ -1,9 +1,10 @@
-//! The one clock of the emulator and of all that observe it. The model never reads it: the time is an input there.
+//! The clock that the emulator and its observers share, so that their timestamps can be compared. The model never reads
+//! it: each call to the model passes the time as an argument.
 
 use ladderpass_routing::Time;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The time now, as Unix time.
+/// Returns the current Unix time.
 pub fn now() -> Time {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Time::from_nanos(wall.as_nanos() as i64)
--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -1,5 +1,5 @@
-//! The execution log: what ran where, as the members observed it. Checkers compare it with what clients received;
-//! neither the model nor a router decides anything by it.
+//! The execution log: which statements ran at which member, as the members observed it. Checkers compare it with what
+//! clients received. Neither the model nor a router bases a decision on it.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
@@ -7,7 +7,7 @@
 /// One attempt that a member began to run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
-    /// When it began.
+    /// When the attempt began to run.
     pub at: Time,
     /// Index of the member.
     pub member: u32,
@@ -17,46 +17,48 @@
     pub method: u32,
     /// Whether the method writes.
     pub writes: bool,
-    /// The position of the member's data when it began.
+    /// Position of the member's data when the attempt began to run.
     pub position: Time,
 }
 
 /// One attempt that arrived at a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it arrived, or when it expired in the member's queue.
+    /// When the attempt arrived, or when it expired in the member's queue.
     pub at: Time,
     /// Index of the member.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
-    /// The position of the member's data then.
+    /// Position of the member's data at that time.
     pub position: Time,
-    /// It was rejected and never ran.
+    /// Whether the member rejected the attempt, which then never runs.
     pub rejected: bool,
 }
 
-/// What all members of a run observed.
+/// The observations of all members in one run.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
-    /// Each attempt that began to run.
+    /// Every attempt that began to run.
     pub executions: Vec<Execution>,
-    /// Each attempt that arrived, where the scenario's `history` is on.
+    /// Every attempt that arrived, recorded only if the scenario's `history` is on. An attempt that expires in the
+    /// queue has a second, rejected entry.
     pub arrivals: Vec<Arrival>,
-    /// Each health check that arrived, as its time and the member's index, where the scenario's `history` is on.
+    /// Every health check that arrived, as its time and the member's index, recorded only if the scenario's `history`
+    /// is on.
     pub health_checks: Vec<(Time, u32)>,
-    /// Attempts rejected because the queue was full.
+    /// Number of attempts rejected because the queue was full.
     pub rejected: u64,
-    /// Attempts that expired in the queue.
+    /// Number of attempts that expired in the queue.
     pub expired: u64,
 }
 
 impl ExecutionLog {
-    /// Writes the executions, one JSON object a line.
+    /// Writes the executions as JSON, one object per line.
     ///
     /// # Errors
     ///
-    /// What the writer returns.
+    /// Returns the error of the writer.
     pub fn write_lines(&self, out: &mut impl Write) -> io::Result<()> {
         for execution in &self.executions {
             let line = serde_json::json!({
--- a/crates/ladderpass-emulator/src/lib.rs
+++ b/crates/ladderpass-emulator/src/lib.rs
@@ -1,12 +1,14 @@
-//! Emulated members and an emulated discovery service, for tests, loads and experiments: members with cores, queues and
-//! replication logs, behind the protocols that the router speaks.
+//! Emulated members and an emulated discovery service for tests, load generation and experiments. The members have
+//! cores, queues and replication logs, and are reached through the protocols that the router uses.
 //!
-//! - `model` is pure: requests and the time in, replies out, random draws from a seed.
-//! - `loopback` drives it on sockets.
-//! - `scenario` is the YAML file that describes the members, `scenario_error` why one can't be used.
-//! - `execution_log` records what ran where, for the history checkers.
+//! - `model` is a deterministic model without I/O: it takes requests and the time, returns replies, and draws random
+//!   numbers from a seed.
+//! - `loopback` runs the model on loopback sockets.
+//! - `scenario` is the YAML file that describes the members, and `scenario_error` the reasons to reject one.
+//! - `execution_log` records which statements ran at which member, for the history checkers.
+//! - `proto` encodes and decodes PostgreSQL's wire protocol, and `clock` is the clock that all of these share.
 //!
-//! The emulator knows nothing of a router's state, and no router uses it.
+//! The emulator has no access to a router's state, and a router uses this crate only in its tests.
 
 pub mod clock;
 pub mod execution_log;
--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -1,5 +1,5 @@
-//! The model's driver on loopback sockets: some threads, each with the sockets of its members; the first one serves
-//! discovery as well. It owns the sockets, the clock and the bytes; what a member does is the model's decision.
+//! Runs the model on loopback sockets. Several threads each serve the sockets of some members, and the first thread
+//! also serves discovery. This module handles sockets, time and encoding; the model decides what a member does.
 
 mod driver;
 mod shared;
@@ -22,20 +22,21 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread::JoinHandle;
 
-/// How many threads serve the members, at most one a member: a test must not wait for the emulator itself.
+/// Maximum number of threads that serve the members; there are never more threads than members. Several threads keep
+/// the emulator itself from slowing a test down.
 const MAX_THREADS: usize = 3;
-/// The shortest pause between the empty lines of a watch.
+/// Lower bound of the interval between the empty lines of a watch.
 const MIN_WATCH_INTERVAL_MS: f64 = 10.0;
-/// In place of a thread's number where the caller owns no connections.
+/// Stands for the thread's index in calls from a thread that owns no connections.
 const NO_THREAD: usize = usize::MAX;
 
-/// An emulator that runs on threads of its own, until it is stopped or dropped.
+/// An emulator that runs on its own threads until it is stopped or dropped.
 pub struct RunningEmulator {
-    /// Addresses of the members, by their index.
+    /// Addresses of the members, by member index.
     pub addresses: Vec<SocketAddr>,
     /// Address of the first discovery service.
     pub discovery: SocketAddr,
-    /// Addresses of all discovery services, each with an endpoint list of its own.
+    /// Addresses of all discovery services, each of which publishes a separate endpoint list.
     pub discoveries: Vec<SocketAddr>,
     commands: Vec<Sender<Command>>,
     shared: Arc<Shared>,
@@ -43,20 +44,21 @@
 }
 
 impl RunningEmulator {
-    /// Starts the members and one discovery service on this address, at ports of the system's choice.
+    /// Starts the members and one discovery service on this address, at ports that the operating system chooses.
     ///
     /// # Errors
     ///
-    /// If a socket, a poll or a thread can't be made.
+    /// Returns an error if a socket, a poll instance or a thread can't be created.
     pub fn start(scenario: Scenario, seed: u64, address: Ipv4Addr) -> io::Result<RunningEmulator> {
         RunningEmulator::start_with_lists(scenario, seed, address, 1)
     }
 
-    /// Starts with several discovery services, so that routers can reach the members at different addresses.
+    /// Starts the members and `lists` discovery services, so that routers can reach the members at different addresses.
+    /// At least one discovery service is started.
     ///
     /// # Errors
     ///
-    /// If a socket, a poll or a thread can't be made.
+    /// Returns an error if a socket, a poll instance or a thread can't be created.
     pub fn start_with_lists(
         scenario: Scenario,
         seed: u64,
@@ -89,20 +91,20 @@
         Ok(RunningEmulator { addresses, discovery, discoveries, commands, shared, threads })
     }
 
-    /// Sets the members' addresses in all endpoint lists, for example those of proxies in front of the members. Only
-    /// watches that begin later see them.
+    /// Sets the members' addresses in all endpoint lists, for example to those of proxies in front of the members. Only
+    /// watches that begin later receive the new addresses.
     pub fn set_addresses(&self, addresses: &[SocketAddr]) {
         for list in 0..self.discoveries.len() {
             self.set_list_addresses(list, addresses);
         }
     }
 
-    /// Sets the members' addresses in one endpoint list.
+    /// Sets the members' addresses in one endpoint list. Only watches that begin later receive the new addresses.
     pub fn set_list_addresses(&self, list: usize, addresses: &[SocketAddr]) {
         self.shared.set_addresses(list, addresses);
     }
 
-    /// Publishes in all endpoint lists that a member is draining.
+    /// Marks a member as draining in all endpoint lists, and publishes the change to their watches.
     pub fn drain(&self, member: u32) {
         for list in 0..self.discoveries.len() {
             self.shared.mark_draining(list, member);
@@ -111,22 +113,22 @@
         }
     }
 
-    /// When it started.
+    /// Returns when the emulator started.
     pub fn started_at(&self) -> Time {
         self.shared.started_at
     }
 
-    /// The drains published by now.
+    /// Returns the drains published so far.
     pub fn drains(&self) -> Vec<PublishedDrain> {
         self.shared.drains()
     }
 
-    /// Sends a line, as it is, to the watches of a list.
+    /// Sends a line unchanged to the watches of one endpoint list.
     pub fn send_line(&self, list: usize, line: &str) {
         self.send(|| Command::SendLine(list, line.to_owned()));
     }
 
-    /// Something happens to a member.
+    /// Applies an input to a member. A crash also closes the sockets of the member's connections.
     pub fn apply(&self, member: u32, input: Input) {
         if input == Input::Crash {
             self.send(|| Command::Crash(member));
@@ -134,7 +136,7 @@
         self.shared.apply(NO_THREAD, member, input);
     }
 
-    /// Stops it, and gives what ran where.
+    /// Stops the emulator and returns its execution log.
     pub fn stop(mut self) -> ExecutionLog {
         self.join();
         std::mem::take(&mut self.shared.model().execution_log)
@@ -142,7 +144,7 @@
 
     fn send(&self, command: impl Fn() -> Command) {
         for (sender, waker) in self.commands.iter().zip(self.shared.wakers()) {
-            // A thread that has ended needs no command.
+            // Sending fails only for a thread that has ended, which needs no command.
             let _ = (sender.send(command()), waker.wake());
         }
     }
@@ -161,7 +163,7 @@
     }
 }
 
-/// The members' listeners in turn to all threads, those of discovery to the first.
+/// Assigns the members' listeners to the threads in round-robin order, and the discovery listeners to the first thread.
 fn assign_listeners_to_threads(
     listeners: Vec<TcpListener>,
     members: usize,
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -1,4 +1,5 @@
-//! The event loop of one thread: its listeners and connections, requests decoded for the model and replies encoded.
+//! The event loop of one thread. It serves the thread's listeners and connections, decodes requests for the model and
+//! encodes the model's replies.
 
 use super::shared::{Command, Owner, Shared};
 use crate::clock::now;
@@ -13,25 +14,25 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// The token of the thread's waker.
+/// Token of the thread's waker.
 pub const WAKE_TOKEN: Token = Token(usize::MAX);
-/// Limit of what a connection may buffer, in each direction.
+/// Maximum number of bytes that a connection buffers in each direction; a connection that exceeds it is closed.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
-/// The end of the head of an HTTP request.
+/// Bytes that end the head of an HTTP request.
 const HTTP_HEAD_END: &[u8] = b"\r\n\r\n";
 
 struct Connection {
     stream: TcpStream,
     owner: Owner,
-    /// The startup message has arrived.
+    /// Whether the startup message has arrived.
     is_open: bool,
-    /// A watch of an endpoint list.
+    /// Whether the connection is a watch of an endpoint list.
     is_watch: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// To be closed once the output is written.
+    /// Whether the connection is closed once its output is written.
     closes_after_output: bool,
 }
 
@@ -44,13 +45,14 @@
     last_index: usize,
     commands: Receiver<Command>,
     watch_interval: Span,
-    /// Connections with output to be written.
+    /// Indexes of the connections with output to be written.
     to_write: Vec<usize>,
     read_buffer: Vec<u8>,
 }
 
 impl Driver {
-    /// Registers the listeners; `watch_interval` is the pause between the empty lines of a watch.
+    /// Creates a driver and registers its listeners. `watch_interval` is the interval between the empty lines of a
+    /// watch.
     pub fn new(
         thread: usize,
         poll: Poll,
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Runs until `Command::Stop`.
+    /// Runs the event loop until `Command::Stop` arrives.
     pub fn run(&mut self) -> io::Result<()> {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         let mut next_watch_line = now() + self.watch_interval;
@@ -122,7 +124,7 @@
         Ok(())
     }
 
-    /// Whether the thread is to stop.
+    /// Executes the pending commands, and returns whether the thread must stop.
     fn handle_commands(&mut self) -> bool {
         while let Ok(command) = self.commands.try_recv() {
             match command {
@@ -136,7 +138,7 @@
         false
     }
 
-    /// The model's number of a connection: unique over all threads.
+    /// Returns the id of a connection in the model, which is unique across all threads.
     fn connection_id(&self, index: usize) -> ConnectionId {
         ConnectionId((index * self.shared.thread_count() + self.thread) as u64)
     }
@@ -147,7 +149,8 @@
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                // Out of descriptors: the peer's connect fails or waits, as with any member.
+                // Another error, such as too many open files, is not fatal: the peer's connect fails or waits, as it
+                // would with any member.
                 Err(_) => return Ok(()),
             };
             stream.set_nodelay(true)?;
@@ -155,7 +158,7 @@
             let token = Token(self.last_index);
             self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             let owner = self.listeners[listener].0;
-            // The listener of a crashed member stays open: it accepts and closes at once.
+            // The listener of a crashed member stays open, and each connection that it accepts is closed at once.
             if matches!(owner, Owner::Member(member) if !self.shared.model().is_alive(member)) {
                 continue;
             }
@@ -172,7 +175,8 @@
         }
     }
 
-    /// `read_closed`: the end of the stream is there too, behind what a short read gives.
+    /// Reads a connection's input and handles it. With `read_closed` the end of the stream has arrived too, so reading
+    /// goes on after a short read until that end.
     fn read(&mut self, index: usize, read_closed: bool) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         let is_open = self.read_input(index, read_closed, &mut buffer);
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Reads all that is there; whether the connection is still open.
+    /// Reads all available input, and returns whether the connection is still open.
     fn read_input(&mut self, index: usize, read_closed: bool, buffer: &mut [u8]) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(&index) else { return false };
@@ -226,7 +230,7 @@
         self.write(index);
     }
 
-    /// Gives the complete requests of a router to the model; returns how many bytes they were.
+    /// Passes a connection's complete requests to the model, and returns how many bytes of `input` they took.
     fn handle_requests(&mut self, index: usize, member: u32, input: &[u8]) -> usize {
         let id = self.connection_id(index);
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
@@ -248,7 +252,7 @@
         consumed
     }
 
-    /// The request of a frame, if it is one.
+    /// Decodes the request in a frame, or returns `None` if the frame holds no known request.
     fn decode_request(&self, kind: u8, body: &[u8]) -> Option<Request> {
         let statement = std::str::from_utf8(body).unwrap_or_default().trim_end_matches('\0');
         match (kind, statement) {
@@ -269,7 +273,8 @@
         }
     }
 
-    /// Answers a watch's HTTP request with the complete list; returns how many bytes the request was.
+    /// Answers the HTTP request of a watch with the complete list, and returns how many bytes of `input` the request
+    /// took.
     fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
         let Some(end) = input.windows(HTTP_HEAD_END.len()).position(|window| window == HTTP_HEAD_END) else {
             return 0;
@@ -283,7 +288,7 @@
         end + HTTP_HEAD_END.len()
     }
 
-    /// Sends a line to all watches of a list, or of all lists.
+    /// Sends a line to all watches of one endpoint list, or of all lists without `list`.
     fn send_to_watches(&mut self, list: Option<usize>, line: &str) {
         let matches_list =
             |connection: &Connection| list.is_none_or(|list| connection.owner == Owner::Discovery(list));
@@ -301,7 +306,7 @@
         }
     }
 
-    /// Encodes the model's replies into the output of their connections.
+    /// Encodes the model's replies for this thread into the output buffers of their connections.
     fn encode_replies(&mut self) {
         for output in self.shared.take_outbox(self.thread) {
             self.encode_reply(output);
@@ -326,7 +331,7 @@
             Reply::Row { id, method, primary, position } => {
                 let method = self.shared.scenario.methods.get(method as usize);
                 let (size, writes) = method.map_or((0, false), |method| (method.value_bytes, method.writes));
-                // The value begins with the RPC's id, so that a client can tell for whom it was made.
+                // The value begins with the RPC's id, so that a client can check for which RPC it was made.
                 let mut value = id.into_string().into_bytes();
                 value.resize(size.max(value.len()), b'.');
                 proto::put_row(out, &value, writes, primary, Some(position));
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -1,4 +1,5 @@
-//! What the threads of an emulator share: the model, the endpoint lists, and replies for connections of other threads.
+//! State shared by the threads of an emulator: the model, the endpoint lists, and the replies that each thread has yet
+//! to send on its connections.
 
 use crate::clock::now;
 use crate::model::{Input, Model, Output};
@@ -9,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 
-/// The owner of a listener or of a connection.
+/// The member or discovery service to which a listener or a connection belongs.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Owner {
     /// The member with this index.
@@ -18,29 +19,29 @@
     Discovery(usize),
 }
 
-/// A command of the controlling thread to the drivers.
+/// A command from the controlling thread to the drivers.
 pub enum Command {
-    /// The member with this index crashes: its connections are closed.
+    /// Closes the connections of the member with this index, which has crashed.
     Crash(u32),
     /// Sends a line to the watches of the endpoint list with this index.
     SendLine(usize, String),
-    /// Ends the thread.
+    /// Stops the thread.
     Stop,
 }
 
-/// One endpoint list.
+/// The state of one endpoint list.
 #[derive(Clone)]
 pub struct EndpointList {
-    /// The members' addresses, by their index.
+    /// Addresses of the members, by member index.
     pub addresses: Vec<SocketAddr>,
     pub draining: BTreeSet<u32>,
     pub generation: u64,
 }
 
-/// An endpoint list has published that a member is draining.
+/// A record that an endpoint list published a member as draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishedDrain {
-    /// When it was published.
+    /// When the change was published.
     pub at: Time,
     /// Index of the endpoint list.
     pub list: usize,
@@ -48,16 +49,16 @@
     pub member: u32,
 }
 
-/// What all threads of an emulator use.
+/// State that all threads of an emulator use.
 pub struct Shared {
     model: Mutex<Model>,
-    /// By thread: replies for its connections.
+    /// Replies that each thread has yet to send on its connections, by thread index.
     outboxes: Vec<Mutex<Vec<Output>>>,
-    /// By thread.
+    /// Waker of each thread, by thread index.
     wakers: Vec<Waker>,
     pub scenario: Scenario,
     lists: Mutex<Vec<EndpointList>>,
-    /// When the emulator started, and with it the members in slow start.
+    /// When the emulator started, which is also the start time of the members in slow start.
     pub started_at: Time,
     drains: Mutex<Vec<PublishedDrain>>,
 }
@@ -67,7 +68,7 @@
 }
 
 impl Shared {
-    /// `wakers` holds one of each thread.
+    /// Creates the state for as many threads as there are `wakers`.
     pub fn new(scenario: Scenario, seed: u64, lists: Vec<EndpointList>, wakers: Vec<Waker>) -> Shared {
         Shared {
             model: Mutex::new(Model::new(now(), scenario.clone(), seed)),
@@ -92,14 +93,15 @@
         self.outboxes.len()
     }
 
-    /// Something happens to a member; the replies go to the threads that own the connections.
+    /// Applies an input to a member, and hands the replies to the threads that own the connections. `thread` is the
+    /// calling thread, which needs no waking.
     pub fn apply(&self, thread: usize, member: u32, input: Input) {
         let mut model = self.model();
         model.apply(now(), member, input);
         self.distribute(thread, &mut model);
     }
 
-    /// Lets the model run up to now; gives the time of its next timer.
+    /// Advances the model to the current time, and returns when its next timer is due.
     pub fn advance(&self, thread: usize) -> Option<Time> {
         let mut model = self.model();
         model.advance(now());
@@ -107,7 +109,7 @@
         model.next_wake()
     }
 
-    /// Takes the replies for a thread's connections.
+    /// Removes and returns the replies for a thread's connections.
     pub fn take_outbox(&self, thread: usize) -> Vec<Output> {
         std::mem::take(&mut *lock(&self.outboxes[thread]))
     }
@@ -117,13 +119,13 @@
             let owner = output.connection.0 as usize % self.outboxes.len();
             lock(&self.outboxes[owner]).push(output);
             if owner != thread {
-                // A thread that has ended has no connections left.
+                // Waking fails only for a thread that has ended, which has no connections left.
                 let _ = self.wakers[owner].wake();
             }
         }
     }
 
-    /// A complete endpoint list, or the entry of one member, as a line of a watch.
+    /// Returns a line of a watch: the complete endpoint list, or only the entry of `changed`.
     pub fn list_line(&self, list: usize, changed: Option<u32>) -> String {
         let lists = lock(&self.lists);
         let Some(list) = lists.get(list) else { return String::new() };
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Marks a member as draining in a list; watches are not notified here.
+    /// Marks a member as draining in an endpoint list, without notifying its watches.
     pub fn mark_draining(&self, list: usize, member: u32) {
         if let Some(list) = lock(&self.lists).get_mut(list) {
             list.draining.insert(member);
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -1,8 +1,12 @@
-//! The members as a pure model: cores, queues, replication logs, roles and connections. Inputs and the time in, replies
-//! out; it touches no socket and reads no clock.
+//! A deterministic model of the members: cores, queues, replication logs, roles and connections. The model takes inputs
+//! and the time and returns replies; it uses no sockets and reads no clock.
 //!
-//! Invariants: a connection works on one statement at a time, in order; a rejected statement never runs; each execution
-//! is recorded once; a replica's position never goes back.
+//! Invariants:
+//!
+//! - A connection executes one statement at a time, in the order of arrival.
+//! - A rejected statement never runs.
+//! - Each execution is recorded exactly once.
+//! - A member's position never decreases.
 
 mod member;
 mod messages;
@@ -19,27 +23,27 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// SQLSTATE of a write at a replica: read_only_sql_transaction.
+/// SQLSTATE for a write at a replica: read_only_sql_transaction.
 const READ_ONLY: &str = "25006";
-/// SQLSTATE of a read whose position the replica has not reached.
+/// SQLSTATE for a statement whose minimum position the member has not reached.
 const POSITION_NOT_REACHED: &str = "72000";
-/// SQLSTATE of a member without capacity: too_many_connections.
+/// SQLSTATE for a member without capacity: too_many_connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// What a member does later.
+/// What a member does when a timer fires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// A connection is established.
+    /// Reports that a connection is established.
     ConnectionReady(ConnectionId),
-    /// A statement has run.
+    /// Completes a statement.
     Completed { connection: ConnectionId, id: Box<str>, method: u32 },
 }
 
-/// A timer of a member. They are ordered by time, then in the order in which they were set.
+/// A timer of a member. Timers are ordered by time, then by the order in which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     at: Time,
-    /// Counts the timers of the model; no two are equal.
+    /// Sequence number of the timer, unique within the model.
     sequence: u64,
     member: u32,
     timer: Timer,
@@ -49,17 +53,17 @@
 pub struct Model {
     scenario: Scenario,
     members: Vec<Member>,
-    /// The earliest first.
+    /// Pending timers; the earliest is at the top of the heap.
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
     timers_set: u64,
     random: SmallRng,
     outputs: Vec<Output>,
-    /// What ran where by now.
+    /// The executions and arrivals recorded so far.
     pub execution_log: ExecutionLog,
 }
 
 impl Model {
-    /// All members of the scenario, up and without connections; the first of each group is its primary.
+    /// Creates all members of the scenario, up and without connections. The first member of each group is its primary.
     pub fn new(now: Time, scenario: Scenario, seed: u64) -> Model {
         let group_size = scenario.group_size();
         let member = |index: usize| {
@@ -76,38 +80,38 @@
         }
     }
 
-    /// The scenario whose members these are.
+    /// Returns the scenario that describes the members.
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
-    /// When `advance` must be called next.
+    /// Returns when `advance` must be called next, or `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
     }
 
-    /// Takes the replies since the last call.
+    /// Removes and returns the replies produced since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Whether a member is up.
+    /// Returns whether a member is up.
     pub fn is_alive(&self, member: u32) -> bool {
         self.members.get(member as usize).is_some_and(|member| member.alive)
     }
 
-    /// Statements in a member's queue.
+    /// Returns the number of statements in a member's queue.
     pub fn queued(&self, member: u32) -> usize {
         self.members.get(member as usize).map_or(0, |state| state.queue.len())
     }
 
-    /// Statements that run at a member.
+    /// Returns the number of statements that run at a member.
     #[doc(hidden)]
     pub fn running(&self, member: u32) -> usize {
         self.members.get(member as usize).map_or(0, |state| state.running)
     }
 
-    /// Something happens to a member.
+    /// Applies an input to a member, after all timers that are due at `now`.
     pub fn apply(&mut self, now: Time, member: u32, input: Input) {
         self.advance(now);
         let Some(state) = self.members.get_mut(member as usize) else { return };
@@ -122,7 +126,7 @@
                 }
             }
             Input::ConnectionClosed(connection) => {
-                // What is queued for it never runs; what runs goes on.
+                // The connection's queued statements never run; a running statement continues.
                 state.connections.remove(&connection);
                 state.queue.retain(|statement| statement.connection != connection);
             }
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Lets everything happen that is due by now.
+    /// Fires all timers that are due at `now`, in order.
     pub fn advance(&mut self, now: Time) {
         while self.next_wake().is_some_and(|at| at <= now)
             && let Some(Reverse(ScheduledTimer { at, member, timer, .. })) = self.timers.pop()
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Opens a connection, if the member is up and has one left.
+    /// Opens a connection if the member is up and below its connection limit, and rejects it otherwise.
     fn open_connection(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
@@ -222,7 +226,7 @@
         self.outputs.push(Output { connection, reply });
     }
 
-    /// The SQLSTATE with which a member rejects a statement, if it does.
+    /// Returns the SQLSTATE with which a member rejects a statement, or `None` if it accepts the statement.
     fn rejection(
         &mut self,
         member: u32,
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Queues a statement, which makes its connection busy.
+    /// Queues a statement and marks its connection as busy.
     fn enqueue(&mut self, member: u32, statement: QueuedStatement) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if let Some(connection_state) = state.connections.get_mut(&statement.connection) {
@@ -253,7 +257,7 @@
         state.queue.push_back(statement);
     }
 
-    /// Runs queued statements while a core is free.
+    /// Starts queued statements while a core is free.
     fn start_queued(&mut self, now: Time, member: u32) {
         loop {
             let position = self.position(now, member);
@@ -270,7 +274,7 @@
         }
     }
 
-    /// A statement has waited for too long: it is rejected.
+    /// Rejects a statement that has waited in the queue for too long.
     fn expire_statement(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
         let QueuedStatement { connection, id, .. } = statement;
         self.execution_log.expired += 1;
@@ -282,7 +286,7 @@
         self.answer_pipelined(now, member, connection);
     }
 
-    /// A statement begins to run; without work it is complete at once.
+    /// Starts a statement. A statement of a method without work completes at once.
     fn start_statement(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
         let QueuedStatement { connection, id, method, .. } = statement;
         let writes = self.writes(method);
@@ -301,7 +305,7 @@
         self.set_timer(completed_at, member, Timer::Completed { connection, id, method });
     }
 
-    /// A statement has run: it is committed, where it writes, and answered.
+    /// Completes a statement: commits it if it writes, and answers it if its connection is still open.
     fn complete_statement(
         &mut self,
         now: Time,
@@ -321,14 +325,15 @@
         }
     }
 
-    /// A connection's statement has ended: the requests behind it are next.
+    /// Answers the requests that a connection received while its statement ran or was queued, up to the next statement.
     fn answer_pipelined(&mut self, now: Time, member: u32, connection: ConnectionId) {
         loop {
             let Some(state) = self.members.get_mut(member as usize) else { return };
             let Some(connection_state) = state.connections.get_mut(&connection) else { return };
             connection_state.busy = false;
             let Some(request) = connection_state.pipelined.pop_front() else { return };
-            // A statement makes the connection busy and comes back here by itself; others are answered at once.
+            // Other requests are answered at once. A statement may make the connection busy; this function is called
+            // again when that statement ends.
             let is_statement = matches!(request, Request::Statement { .. });
             self.answer(now, member, connection, request);
             if is_statement {
@@ -337,7 +342,7 @@
         }
     }
 
-    /// A write at the primary: its group's replicas apply it.
+    /// Commits a write at the primary, and schedules its application at the replicas of the group.
     fn commit(&mut self, now: Time, primary: u32) {
         let Some(group) = self.members.get(primary as usize).map(|state| state.group) else { return };
         let apply_time = Span::from_secs_f64(self.scenario.apply_ms / 1e3);
@@ -347,7 +352,7 @@
         }
     }
 
-    /// Up to where a member's data reaches.
+    /// Returns the position of a member's data.
     fn position(&mut self, now: Time, member: u32) -> Time {
         let transfer_time = Span::from_secs_f64(self.scenario.log_ms / 1e3);
         let Some(state) = self.members.get_mut(member as usize) else { return Time::NEVER };
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -1,4 +1,4 @@
-//! State of one emulated member: its connections, its queue and its replication log.
+//! The state of one emulated member: its connections, its queue and its replication log.
 
 use super::messages::{ConnectionId, Request};
 use ladderpass_routing::{Span, Time};
@@ -8,43 +8,44 @@
     pub group: u32,
     pub primary: bool,
     pub alive: bool,
-    /// Statements that run now, each on a core.
+    /// Number of statements that run now, each on one core.
     pub running: usize,
     pub queue: VecDeque<QueuedStatement>,
     pub connections: HashMap<ConnectionId, Connection>,
     log: ReplicationLog,
 }
 
-/// One connection: it works on one statement at a time, in order.
+/// A connection, which executes one statement at a time, in the order of arrival.
 #[derive(Default)]
 pub struct Connection {
-    /// One of its statements runs or is queued; `pipelined` waits for it.
+    /// Whether a statement of the connection runs or is queued. The requests in `pipelined` wait for its end.
     pub busy: bool,
     pub pipelined: VecDeque<Request>,
 }
 
-/// A statement that waits for a core.
+/// A statement that waits in the queue for a core.
 pub struct QueuedStatement {
     pub connection: ConnectionId,
     pub id: Box<str>,
     pub method: u32,
-    /// When it expires.
+    /// When the statement expires and is rejected.
     pub expires_at: Time,
 }
 
-/// What a replica has applied, and what it has yet to apply on its one thread.
+/// The replication log of a member: the position that it has applied, and the commits that its single apply thread has
+/// yet to apply.
 struct ReplicationLog {
     applied: Time,
-    /// Commits to be applied, the earliest first.
+    /// Commits yet to be applied, the earliest first.
     pending: VecDeque<PendingCommit>,
-    /// When the thread has applied all of them.
+    /// When the apply thread will have applied all pending commits.
     thread_free_at: Time,
 }
 
 /// A commit that a replica has yet to apply.
 struct PendingCommit {
     committed_at: Time,
-    /// When the replica has applied it.
+    /// When the replica will have applied the commit.
     applied_at: Time,
 }
 
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The member loses its connections and all statements on them.
+    /// Takes the member down: drops its connections and their queued and running statements.
     pub fn crash(&mut self) {
         self.alive = false;
         self.running = 0;
@@ -69,20 +70,21 @@
         self.queue.clear();
     }
 
-    /// The primary has committed a write at `now`: it arrives here after `transfer_time`, and takes `apply_time`.
+    /// Schedules the application of a write that the primary committed at `now`. The commit reaches this replica after
+    /// `transfer_time`, and the replica needs `apply_time` to apply it.
     pub fn replicate(&mut self, now: Time, transfer_time: Span, apply_time: Span) {
         self.log.thread_free_at = self.log.thread_free_at.max(now + transfer_time) + apply_time;
         self.log.pending.push_back(PendingCommit { committed_at: now, applied_at: self.log.thread_free_at });
-        // Bounds the log of a replica whose position nobody asks for.
+        // Bounds the pending commits of a replica whose position is never requested.
         self.log.apply_until(now);
     }
 
-    /// Up to where its data reaches; never goes back.
+    /// Returns the position of the member's data, which never decreases.
     pub fn position(&mut self, now: Time, transfer_time: Span) -> Time {
         self.log.apply_until(now);
         let reached = match self.log.pending.front() {
             _ if self.primary => now,
-            // Everything but that commit: up to just before it.
+            // The data includes everything before the first pending commit, so the position is just before it.
             Some(commit) => (commit.committed_at - Span::from_nanos(1)).min(now - transfer_time),
             None => now - transfer_time,
         };
--- a/crates/ladderpass-emulator/src/model/messages.rs
+++ b/crates/ladderpass-emulator/src/model/messages.rs
@@ -1,8 +1,8 @@
-//! What crosses the model's boundary: inputs of connections and members, and the replies to them.
+//! The interface of the model: inputs from connections and to members, and the replies to requests.
 
 use ladderpass_routing::{Span, Time};
 
-/// A connection to a member, by a number that the driver assigns.
+/// Id of a connection to a member, assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
@@ -11,7 +11,7 @@
 pub enum Request {
     /// An empty query.
     EmptyQuery,
-    /// A health check: asks for the load report.
+    /// A health check, which asks for the load report.
     LoadReport,
     /// A statement of an RPC.
     Statement {
@@ -19,14 +19,14 @@
         id: Box<str>,
         /// Index of the method in the scenario.
         method: u32,
-        /// How long it may wait in the member's queue.
+        /// How long the statement may wait in the member's queue.
         wait: Span,
-        /// The position that the member's data must have reached.
+        /// The position that the member's data must have reached, if there is one.
         min_position: Option<Time>,
     },
 }
 
-/// What happens to a member.
+/// An event that happens to a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A connection's startup message has arrived.
@@ -35,28 +35,28 @@
     RequestReceived(ConnectionId, Request),
     /// A connection was closed by its client.
     ConnectionClosed(ConnectionId),
-    /// The member crashes, and its connections with it, until `Restart`.
+    /// The member crashes, loses its connections, and stays down until `Restart`.
     Crash,
     /// The member accepts connections again.
     Restart,
-    /// The member becomes the primary of its group; the primary before becomes a replica.
+    /// The member becomes the primary of its group, and the previous primary becomes a replica.
     BecomePrimary,
 }
 
-/// What a member answers to one request.
+/// The answer of a member to one request, or to the opening of a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The connection is open.
     ConnectionReady,
     /// The answer to an empty query.
     EmptyQueryResponse,
-    /// The load report.
+    /// The answer to a health check.
     LoadReport {
         /// Position of the member's data.
         position: Time,
-        /// Whether it is the primary of its group.
+        /// Whether the member is the primary of its group.
         primary: bool,
-        /// Statements in its queue.
+        /// Number of statements in the member's queue.
         queued: usize,
     },
     /// The result of a statement.
@@ -76,10 +76,10 @@
     FatalError(&'static str),
 }
 
-/// A reply on its connection.
+/// A reply together with its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// Where the reply goes.
+    /// The connection on which the reply is sent.
     pub connection: ConnectionId,
     /// The reply.
     pub reply: Reply,
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -1,17 +1,17 @@
-//! PostgreSQL's wire protocol, version 3, as the emulated members and their clients speak it: bytes in, values out, and
-//! back. It keeps no state between calls.
+//! Stateless encoding and decoding of the part of PostgreSQL's wire protocol, version 3, that the emulated members and
+//! their clients use.
 
 use ladderpass_routing::{Span, Time};
 
-/// The frame at the start of the bytes: its type, its body and its whole length. None until it is complete, or where
-/// the bytes can't be a frame.
+/// Returns the type, the body and the total length of the frame at the start of `bytes`. Returns `None` if the frame is
+/// incomplete or its length field is invalid.
 pub fn parse_frame(bytes: &[u8]) -> Option<(u8, &[u8], usize)> {
     let (&message_type, rest) = bytes.split_first()?;
     let length = u32::from_be_bytes(*rest.first_chunk::<4>()?) as usize + 1;
     Some((message_type, bytes.get(5..length)?, length))
 }
 
-/// The length of the startup message at the start of the bytes, once it is complete.
+/// Returns the length of the startup message at the start of `bytes`, or `None` if the message is incomplete.
 pub fn parse_startup(bytes: &[u8]) -> Option<usize> {
     let length = u32::from_be_bytes(*bytes.first_chunk::<4>()?) as usize;
     bytes.get(..length).map(<[u8]>::len)
@@ -24,7 +24,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a frame of this type, whose body is these parts.
+/// Appends a frame with the given type, whose body is the concatenation of `parts`.
 pub fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(message_type);
@@ -50,8 +50,8 @@
     put_ready(out);
 }
 
-/// Appends a row of one column with its command tag, and the member's role and position (in milliseconds) as parameter
-/// statuses.
+/// Appends a result of one row with one column, followed by ParameterStatus messages with the member's role and, if
+/// given, its position in milliseconds, and by ReadyForQuery.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8], writes: bool, primary: bool, position: Option<Time>) {
     put_message(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
     put_message(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
@@ -77,27 +77,27 @@
     }
 }
 
-/// One field of an ErrorResponse's body, by its type byte.
+/// Returns the field with the given type byte in the body of an ErrorResponse.
 pub fn error_field(body: &[u8], field_type: u8) -> Option<&str> {
     let mut fields = body.split(|&byte| byte == 0);
     let field = fields.find(|field| field.first() == Some(&field_type))?;
     std::str::from_utf8(field.get(1..)?).ok()
 }
 
-/// The comment at a statement's end, as far as a member reads it.
+/// The keys of the comment at a statement's end that a member reads.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comment<'a> {
-    /// Key `id`: id of the RPC.
+    /// Key `id`: the id of the RPC.
     pub id: &'a str,
-    /// Key `c`: name of the method.
+    /// Key `c`: the name of the method.
     pub method: &'a str,
-    /// Key `d`, in milliseconds: how long the statement may wait.
+    /// Key `d`, in milliseconds: how long the statement may wait in the member's queue.
     pub wait: Span,
-    /// Key `after`, in milliseconds: the position that the member must have reached.
+    /// Key `after`, in milliseconds: the position that the member must have reached. This key is optional.
     pub min_position: Option<Time>,
 }
 
-/// The comment of a statement, if it has one with the needed keys.
+/// Parses the comment of a statement. Returns `None` if there is no comment or a required key is missing.
 pub fn parse_comment(statement: &str) -> Option<Comment<'_>> {
     let (_, comment) = statement.rsplit_once("/*")?;
     let (comment, _) = comment.rsplit_once("*/")?;
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -1,5 +1,6 @@
-//! The YAML file that describes the emulated members: groups, replication, methods. It is checked once, and an error
-//! names the key. From it come the endpoint list and the configuration of a router in front of the members.
+//! The YAML file that describes the emulated members: groups, replication and methods. A scenario is checked when it
+//! is read, and an error names the invalid key. The endpoint list and the configuration of a router in front of the
+//! members are derived from the scenario.
 
 use crate::scenario_error::ScenarioError;
 use ladderpass_routing::{Span, Time};
@@ -11,62 +12,64 @@
 const MAX_VALUE_BYTES: usize = 64 << 10;
 const DEFAULT_VALUE_BYTES: usize = 16;
 
-/// The members, their replication and the methods of one run. Field names are the keys of the YAML file.
+/// The members, their replication and the methods of one run. The field names are the keys of the YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
-    /// Groups, each of a primary and its replicas.
+    /// Number of groups, each with a primary and its replicas.
     pub groups: u32,
-    /// Replicas of each group, beside its primary.
+    /// Number of replicas in each group, not counting the primary.
     pub replicas: u32,
-    /// Statements that a member runs at once.
+    /// Maximum number of statements that a member runs concurrently.
     pub cores: usize,
-    /// Statements that may wait at a member.
+    /// Maximum number of statements that wait in a member's queue.
     pub queue: usize,
-    /// Connections that a member accepts at most.
+    /// Maximum number of connections that a member accepts.
     pub connections: usize,
-    /// From a connection's startup message until it is open.
+    /// Time from a connection's startup message until the connection is ready, in milliseconds.
     pub connect_ms: f64,
-    /// From a commit until a replica has received it.
+    /// Time from a commit until a replica has received it, in milliseconds.
     pub log_ms: f64,
-    /// How long a replica's one thread takes to apply a commit.
+    /// Time that a replica's single apply thread needs for one commit, in milliseconds.
     pub apply_ms: f64,
-    /// Pause between the empty lines of a watch.
+    /// Interval between the empty lines of a watch, in milliseconds.
     pub watch_every_ms: f64,
-    /// Record each attempt and health check that arrives, for a history checker.
+    /// Whether each attempt and health check that arrives is recorded for a history checker.
     pub history: bool,
-    /// Members that start with the emulator and need a slow start, by index.
+    /// Indexes of the members that start together with the emulator and need a slow start.
     pub cold: Vec<u32>,
-    /// The window in which a member in slow start is overloaded, as the routers' settings give it.
+    /// Length of the window in which too many RPCs overload a member in slow start, in milliseconds; part of the
+    /// routers' settings.
     pub overload_ms: f64,
-    /// How many routers there are, as the routers' settings give it.
+    /// Number of routers; part of the routers' settings.
     pub routers: u32,
-    /// Kinds of RPC.
+    /// The methods of the RPCs.
     pub methods: Vec<MethodSettings>,
 }
 
-/// A kind of RPC. Field names are the keys of the YAML file.
+/// A method of RPCs. The field names are the keys of the YAML file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MethodSettings {
-    /// Its name, unique in the scenario.
+    /// Name of the method. It must be unique in the scenario, which `Scenario::check` does not verify.
     pub name: String,
-    /// It writes: only a primary runs it.
+    /// Whether the method writes; only a primary runs a method that writes.
     #[serde(default)]
     pub writes: bool,
-    /// Maximum staleness of a read's data; without it any data will do.
+    /// Maximum staleness of a read's data, in milliseconds; if it is absent, the staleness is unlimited.
     pub max_age_ms: Option<f64>,
-    /// Work at a member: the mean of an exponential distribution; with 0 it is answered at once.
+    /// Mean of the exponentially distributed work at a member, in milliseconds; 0 means that the member answers at
+    /// once.
     #[serde(default)]
     pub work_ms: f64,
-    /// Size of the value in an answer.
+    /// Size of the value in an answer, in bytes. The value contains at least the RPC's id, even if that is longer.
     #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
-    /// After this an answer has less utility, or none.
+    /// Soft deadline in milliseconds, after which an answer has less utility or none.
     pub soft_deadline_ms: f64,
-    /// The utility of an answer in time.
+    /// Utility of an answer before the soft deadline.
     pub utility: f64,
-    /// Its share of all RPCs, relative to the sum of all shares.
+    /// Share of the method in all RPCs, relative to the sum of all shares.
     pub share: f64,
 }
 
@@ -117,11 +120,11 @@
 }
 
 impl Scenario {
-    /// Reads a YAML text and checks it.
+    /// Parses a scenario from YAML text and checks it.
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// Returns an error if the YAML is malformed, or for the first invalid key.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let value: serde_json::Value =
             serde_saphyr::from_str(text).map_err(|error| syntax_error(&error.to_string()))?;
@@ -135,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// The first key that is wrong.
+    /// Returns an error for the first invalid key.
     pub fn check(&self) -> Result<(), ScenarioError> {
         if self.groups == 0 || self.groups > MAX_GROUPS || self.replicas > MAX_REPLICAS {
             return Err(ScenarioError::GroupCount { max_groups: MAX_GROUPS, max_replicas: MAX_REPLICAS });
@@ -172,27 +175,28 @@
         Ok(())
     }
 
-    /// Members of each group.
+    /// Returns the number of members in each group.
     pub fn group_size(&self) -> u32 {
         self.replicas + 1
     }
 
-    /// Members of all groups.
+    /// Returns the number of members in all groups.
     pub fn member_count(&self) -> usize {
         (self.groups * self.group_size()) as usize
     }
 
-    /// The index of a method.
+    /// Returns the index of the method with this name.
     pub fn method_index(&self, name: &str) -> Option<usize> {
         self.methods.iter().position(|method| method.name == name)
     }
 
-    /// The mean work of a method at a member.
+    /// Returns the mean work of a method at a member, or zero for an unknown method.
     pub fn mean_work(&self, method: usize) -> Span {
         Span::from_secs_f64(self.methods.get(method).map_or(0.0, |method| method.work_ms) / 1e3)
     }
 
-    /// The entries of the endpoint list, as discovery publishes them. `now` is when members in slow start started.
+    /// Returns the entries of the endpoint list as discovery publishes them. `now` is the start time of the members in
+    /// slow start.
     pub fn endpoint_entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
         let now_ms = now.nanos() / 1_000_000;
         let entry = |(index, address): (u32, &SocketAddr)| {
@@ -207,7 +211,7 @@
         (0..).zip(addresses).map(entry).collect()
     }
 
-    /// The configuration of a router in front of these members, as JSON.
+    /// Returns the configuration of a router in front of these members, as JSON.
     pub fn router_config(
         &self,
         now: Time,
@@ -224,7 +228,7 @@
         .to_string()
     }
 
-    /// The deployment's settings of these members and methods; durations in nanoseconds.
+    /// Returns the deployment settings for these members and methods; durations are in nanoseconds.
     fn router_settings(&self) -> serde_json::Value {
         let services: Vec<_> = self
             .methods
@@ -258,13 +262,13 @@
     }
 }
 
-/// The machine that a router is given.
+/// The machine resources that a router may use.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterLimits {
-    /// CPU cores.
+    /// Number of CPU cores.
     pub cores: f64,
-    /// Memory in megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub sockets: usize,
 }
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -1,12 +1,12 @@
-//! Why a scenario can't be used. Each error prints as one line that begins with the key.
+//! Reasons to reject a scenario. The message of each error is one line, and all but `Syntax` begin with the invalid key.
 
-/// A scenario that can't be used.
+/// The reason why a scenario is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// It can't be read: the deserializer's message on one line.
+    /// The YAML can't be parsed; holds the deserializer's message on one line.
     #[error("{0}")]
     Syntax(String),
-    /// A number is not finite, or below zero.
+    /// A number is negative or not finite.
     #[error("{key}: {value} is not a number from 0 on")]
     NegativeOrNotFinite {
         /// Path of the key, such as `methods.board.work_ms`.
@@ -14,28 +14,28 @@
         /// The number that was read.
         value: f64,
     },
-    /// There are no groups, or too many of them, or too many replicas.
+    /// The scenario has no groups, too many groups, or too many replicas per group.
     #[error("groups, replicas: 1 to {max_groups} groups of at most {max_replicas} replicas are allowed")]
     GroupCount {
-        /// The most groups that are allowed.
+        /// Maximum number of groups.
         max_groups: u32,
-        /// The most replicas of a group that are allowed.
+        /// Maximum number of replicas in a group.
         max_replicas: u32,
     },
-    /// A member can run nothing.
+    /// The members have no cores, so they could run no statement.
     #[error("cores: must be above 0")]
     NoCores,
-    /// There is no kind of RPC.
+    /// The scenario has no methods.
     #[error("methods: at least one is needed")]
     NoMethods,
-    /// The value in an answer is too long.
+    /// The value in an answer is larger than allowed.
     #[error("{key}: {bytes} is more than {max_bytes}")]
     ValueTooLong {
         /// Path of the key.
         key: String,
-        /// The length that was read, in bytes.
+        /// The size that was read, in bytes.
         bytes: usize,
-        /// The longest that is allowed, in bytes.
+        /// The maximum size, in bytes.
         max_bytes: usize,
     },
 }
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model of members: what it answers, and its invariants under random inputs.
+//! Tests of the replies of the member model, and of its invariants under random inputs.
 
 use ladderpass_emulator::{ConnectionId, Input, Model, Output, Reply, Request, Scenario};
 use ladderpass_routing::{Span, Time};
@@ -45,8 +45,9 @@
 }
 
 quickcheck! {
-    /// Under random inputs no more RPCs run at once than there are cores, positions don't go back, no statement is
-    /// answered twice, and a rejected one did not run.
+    /// Under random inputs, at most as many statements run concurrently as a member has cores, positions never
+    /// decrease, and the totals of requests, executions, answers and rejections show no statement that was answered
+    /// twice, or rejected and executed.
     fn random_inputs_preserve_the_member_invariants(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut scenario = Scenario { cores: 2, queue: 3, ..Scenario::default() };
         scenario.methods.iter_mut().for_each(|method| method.work_ms = 5.0);
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: an error names the key that is wrong.
+//! Tests that the error for an invalid scenario names the invalid key.
 
 use ladderpass_emulator::Scenario;
 
--- a/crates/ladderpass-invariants/src/checker.rs
+++ b/crates/ladderpass-invariants/src/checker.rs
@@ -1,21 +1,21 @@
-//! What the checkers have in common: the trait, the tolerance, and violations.
+//! The types that all checkers share: the `Checker` trait, the tolerance and violations.
 
 use crate::history::{Event, MemberIndex, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::fmt;
 
-/// A broken rule, with the few events that prove it.
+/// A violation of a rule, with the few events that prove it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Number of the rule, from 1 to 5.
     pub rule: u8,
-    /// The RPC concerned, if one is.
+    /// The RPC that the violation concerns, if there is one.
     pub rpc: Option<RpcId>,
-    /// The member concerned, if one is.
+    /// The member that the violation concerns, if there is one.
     pub member: Option<MemberIndex>,
-    /// What happened, in one line.
+    /// Description of the violation in one line.
     pub text: String,
-    /// The events that prove it, in order of time.
+    /// The events that prove the violation, in order of time.
     pub proof: Vec<Event>,
 }
 
@@ -29,26 +29,28 @@
     }
 }
 
-/// Checks one rule over a history.
+/// A checker of one rule over a history.
 pub trait Checker {
-    /// Reads the next event, and appends what it proves broken.
+    /// Processes the next event, and appends the violations that it proves.
     fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>);
 
-    /// The history ends at this time.
+    /// Ends the history at the given time, and appends the violations that this proves.
     fn end(&mut self, _at: Time, _violations: &mut Vec<Violation>) {}
 
-    /// How many RPCs, members and attempts it tracks now; bounded however long the history is.
+    /// Returns how many RPCs, members and attempts the checker tracks now. This number does not grow with the length of
+    /// the history.
     fn tracked(&self) -> usize;
 }
 
-/// How far the clocks and sockets of the observers may differ.
+/// Allowance for differences between the clocks and sockets of the observers.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
-    /// An answer may come this long after its client's deadline.
+    /// How long after the client's deadline an answer may arrive.
     pub answer: Span,
-    /// An endpoint update counts as received this long after it was published.
+    /// How long after its publication an endpoint update counts as received.
     pub endpoint_update: Span,
-    /// A position counts as known this long after it was reported.
+    /// By how much a replica's data may exceed a read's maximum staleness, since a position is known only some time
+    /// after the replica has reached it.
     pub position: Span,
 }
 
--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,18 +1,18 @@
-//! Rule 3: a draining member gets no new attempt once its drain has been published.
+//! Rule 3: a draining member gets no new attempt once discovery has published that it is draining.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Event, EventKind, MemberIndex};
 use std::collections::HashMap;
 
-/// Checks rule 3.
+/// The checker of rule 3.
 pub struct Drains {
     tolerance: Tolerance,
-    /// Draining members, with the event that published it.
+    /// Draining members, with the event that published each drain.
     draining: HashMap<MemberIndex, Event>,
 }
 
 impl Drains {
-    /// A checker of a history that is yet to begin.
+    /// Creates a checker that has read no events.
     pub fn new(tolerance: Tolerance) -> Drains {
         Drains { tolerance, draining: HashMap::new() }
     }
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -1,28 +1,29 @@
-//! Rule 2: no effect happens twice, and an RPC has at most one attempt in flight.
+//! Rule 2: no RPC whose effect must happen at most once is executed or possibly executed twice, and every RPC has at
+//! most one attempt in flight.
 
 use crate::checker::{Checker, Violation};
 use crate::history::{Event, EventKind, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// What runs this long after the client's deadline is still attributed to its RPC.
+/// How long after the client's deadline an execution is still attributed to its RPC.
 const TRACK_AFTER_DEADLINE: Span = Span::from_millis(10_000);
 
-/// Checks rule 2.
+/// The checker of rule 2.
 #[derive(Default)]
 pub struct Effects {
     rpcs: HashMap<RpcId, RpcState>,
-    /// When each RPC is forgotten.
+    /// When each RPC is no longer tracked, in order of time.
     forget_at: BTreeSet<(Time, RpcId)>,
 }
 
 struct RpcState {
     run_once: bool,
-    /// The attempt in flight.
+    /// The event that sent the attempt in flight.
     in_flight: Option<Event>,
-    /// The last execution that began.
+    /// The event of the last execution that began.
     executed: Option<Event>,
-    /// The last attempt that was sent, unless it was rejected: it may have run.
+    /// The event that sent the last attempt, unless that attempt was rejected; the attempt may have run.
     may_have_run: Option<Event>,
 }
 
@@ -56,7 +57,8 @@
                     let text = format!("RPC {rpc:x} is attempted while an attempt of it is in flight");
                     report(rpc, member, text, vec![first, *event]);
                 } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
-                    // Also where the first did not run after all: the router could not know.
+                    // This is a violation even if the first attempt did not run, because the router could not know
+                    // that.
                     let text = format!("RPC {rpc:x} is sent again though it may have run");
                     report(rpc, member, text, vec![first, *event]);
                 }
@@ -68,7 +70,7 @@
                     state.in_flight = None;
                 }
             }
-            // It never ran there, and may be sent again.
+            // A rejected attempt never ran, so the RPC may be sent again.
             EventKind::Rejected { rpc, .. } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.in_flight = None;
--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -1,25 +1,25 @@
-//! A history: what clients, members and discovery observed, as events in order of time.
+//! A history: the observations of clients, members and discovery, as events in order of time.
 
 use ladderpass_routing::{Span, Time};
 
-/// An RPC of the history.
+/// Number that identifies an RPC in the history.
 pub type RpcId = u64;
-/// A member, by its place in the endpoint list.
+/// Index of a member in the endpoint list.
 pub type MemberIndex = u32;
 
-/// The final answer of an RPC, as its client saw it.
+/// The final answer to an RPC, as its client received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The result of the statement.
+    /// The client received the result of the statement.
     Ok,
-    /// It did not run.
+    /// The client received an error that says that the RPC did not run.
     Rejected,
-    /// It may have run: its effect is unknown.
+    /// The client received an error after which the RPC may have run, so its effect is unknown.
     Failed,
 }
 
 impl Answer {
-    /// Its name in reports, which does not change with the names here.
+    /// Returns the name of the answer in reports, which stays the same when a variant is renamed.
     pub fn report_word(self) -> &'static str {
         match self {
             Answer::Ok => "Ok",
@@ -29,97 +29,98 @@
     }
 }
 
-/// What was observed.
+/// The kinds of observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
-    /// A client's statement was received completely.
+    /// A client's statement was completely received.
     Accepted {
         /// The RPC that begins.
         rpc: RpcId,
-        /// When its client gives up.
+        /// When the client stops waiting for an answer.
         deadline: Time,
-        /// Its effect must not happen twice.
+        /// Whether the effect of the RPC must not happen twice.
         run_once: bool,
-        /// A replica's data must not be older than this when an attempt is sent there.
+        /// Maximum age of a replica's data when an attempt is sent to that replica.
         max_staleness: Option<Span>,
     },
-    /// A client was answered.
+    /// A client received an answer.
     Answered {
         /// The RPC that ends.
         rpc: RpcId,
-        /// What the client received.
+        /// The answer that the client received.
         answer: Answer,
-        /// The RPC for which the value was made, where the value shows it.
+        /// The RPC for which the value was made, if the value shows that.
         made_for: Option<RpcId>,
     },
-    /// The client disconnected: no answer is due any more.
+    /// The client disconnected, so it needs no answer any more.
     ClientLeft {
-        /// Its RPC.
+        /// The RPC of that client.
         rpc: RpcId,
     },
-    /// The last byte of an attempt has reached the member's machine, or the fault injection in front of it.
+    /// The last byte of an attempt reached the member's machine, or the fault injection in front of the member.
     AttemptSent {
         /// The RPC that is attempted.
         rpc: RpcId,
-        /// Where it was sent.
+        /// The member to which the attempt was sent.
         member: MemberIndex,
     },
-    /// That attempt has ended, as its connection shows: answered, rejected, or connection lost.
+    /// The attempt in flight of an RPC ended, as its connection shows: it was answered or rejected, or the connection
+    /// was lost.
     AttemptEnded {
         /// The RPC that was attempted.
         rpc: RpcId,
-        /// Where it was sent.
+        /// The member to which the attempt was sent.
         member: MemberIndex,
     },
     /// A member rejected an attempt before running it.
     Rejected {
         /// The RPC that was attempted.
         rpc: RpcId,
-        /// Who rejected it.
+        /// The member that rejected the attempt.
         member: MemberIndex,
     },
-    /// A member began to run an attempt: it has its effect.
+    /// A member began to run an attempt, which counts as the effect of the RPC.
     Executed {
         /// The RPC that runs.
         rpc: RpcId,
-        /// Where it runs.
+        /// The member that runs the attempt.
         member: MemberIndex,
     },
     /// Discovery published that a member is draining.
     Draining {
-        /// The member that accepts nothing new.
+        /// The draining member, which accepts no new attempts.
         member: MemberIndex,
     },
     /// Discovery published that a member serves again.
     Serving {
-        /// The member that accepts RPCs.
+        /// The member that accepts attempts again.
         member: MemberIndex,
     },
     /// A member started and needs a slow start.
     Started {
-        /// The member that warms up.
+        /// The member in slow start.
         member: MemberIndex,
-        /// RPCs a second once it is warm.
+        /// Capacity of the member after its slow start, in RPCs per second.
         capacity: f64,
-        /// Fraction of `capacity` that it has at its start.
+        /// Fraction of `capacity` that the member has at its start.
         initial_fraction: f64,
-        /// How long it takes to warm up.
+        /// Duration of the slow start.
         warm_up_time: Span,
-        /// The window in which too many RPCs overload it.
+        /// Length of the window in which too many RPCs overload the member.
         overload_window: Span,
     },
-    /// A member has applied its log up to a position.
+    /// A member reported the position up to which it has applied its replication log.
     PositionReached {
         /// The member whose position it is.
         member: MemberIndex,
-        /// All that was committed up to then is applied.
+        /// Time of commit up to which the member has applied all commits.
         position: Time,
     },
-    /// A member became or ceased to be the primary of its group, whose data is always current.
+    /// A member became or ceased to be the primary of its group. The data of a primary is always current.
     Primary {
-        /// The member whose role it is.
+        /// The member whose role changed.
         member: MemberIndex,
-        /// Whether it is the primary from now on.
+        /// Whether the member is the primary from this time on.
         primary: bool,
     },
 }
@@ -127,7 +128,7 @@
 /// One observation of a history.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
-    /// When it was observed, as Unix time.
+    /// When the observation was made, as Unix time.
     pub at: Time,
     /// What was observed.
     pub kind: EventKind,
--- a/crates/ladderpass-invariants/src/lib.rs
+++ b/crates/ladderpass-invariants/src/lib.rs
@@ -1,8 +1,9 @@
-//! The five invariants of ladderpass as checkers over a history: what clients sent and received, what reached members
-//! and ran there, and what discovery published. Events come in order of time; each checker reads each event once, and
-//! tracks an RPC no longer than it can still matter.
+//! Checkers of the five invariants (rules) of ladderpass over a history. A history records what clients sent and
+//! received, what reached members and ran there, and what discovery published. Events must be in order of time; a
+//! checker reads each event once, and tracks an RPC only as long as it can still affect a result.
 //!
-//! The checkers observe from outside: they never see a router's state, and allow nothing that a rule forbids.
+//! The checkers observe the system from outside: they have no access to a router's state. Apart from [`Tolerance`]
+//! and the margin of rule 4 for random variation, they allow no exception to a rule.
 
 mod checker;
 mod draining;
@@ -22,7 +23,7 @@
 
 use ladderpass_routing::Time;
 
-/// Checks all five rules over one history.
+/// Checks all five rules over one history, which ends at its last event, and returns the violations.
 pub fn check_history(history: &[Event], tolerance: Tolerance) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut checkers = all_checkers(tolerance);
@@ -34,7 +35,7 @@
     violations
 }
 
-/// A checker of each rule, by the rule's number.
+/// Returns one checker for each rule, ordered by rule number.
 pub fn all_checkers(tolerance: Tolerance) -> Vec<Box<dyn Checker>> {
     vec![
         Box::new(OneAnswer::new(tolerance)),
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,18 +1,20 @@
-//! Rule 1: each accepted RPC gets exactly one final answer before its client's deadline, and nothing after it.
+//! Rule 1: each accepted RPC gets exactly one final answer, which arrives before its client's deadline and carries no
+//! value that was made for another RPC.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Answer, Event, EventKind, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// A second answer this long after the client's deadline is still attributed to its RPC.
+/// How long after the client's deadline, beyond the tolerance, a late or second answer is still attributed to its RPC.
 const TRACK_AFTER_DEADLINE: Span = Span::from_millis(5000);
 
-/// Checks rule 1.
+/// The checker of rule 1.
 pub struct OneAnswer {
     tolerance: Tolerance,
     rpcs: HashMap<RpcId, RpcState>,
-    /// When each RPC is checked next: at its deadline for an answer, later to be forgotten.
+    /// When each RPC is checked next, in order of time: once its deadline has passed, for a missing answer, and later
+    /// to stop tracking it.
     check_at: BTreeSet<(Time, RpcId)>,
 }
 
@@ -20,12 +22,12 @@
     accepted: Event,
     deadline: Time,
     answered: Option<Event>,
-    /// The client left, or its missing answer has been reported.
+    /// Whether a missing answer is not reported, because the client has disconnected or the deadline has been checked.
     no_answer_due: bool,
 }
 
 impl OneAnswer {
-    /// A checker of a history that is yet to begin.
+    /// Creates a checker that has read no events.
     pub fn new(tolerance: Tolerance) -> OneAnswer {
         OneAnswer { tolerance, rpcs: HashMap::new(), check_at: BTreeSet::new() }
     }
@@ -34,7 +36,7 @@
         Violation { rule: 1, rpc: Some(rpc), member: None, text, proof }
     }
 
-    /// Reports RPCs that passed their deadline without an answer, and forgets old ones.
+    /// Reports RPCs that have passed their deadline without an answer, and stops tracking old RPCs.
     fn expire(&mut self, now: Time, violations: &mut Vec<Violation>) {
         while let Some(&(at, rpc)) = self.check_at.first()
             && at < now
@@ -47,7 +49,7 @@
             }
             let forget_at = state.deadline + self.tolerance.answer + TRACK_AFTER_DEADLINE;
             if at < forget_at {
-                // Still tracked, for an answer that comes too late or twice.
+                // The RPC is still tracked, to detect a late or second answer.
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.no_answer_due = true;
                 }
@@ -65,7 +67,7 @@
         }
     }
 
-    /// The violation that an answer proves, if any.
+    /// Returns the violation that an answer proves, if there is one.
     fn on_answered(
         &mut self,
         rpc: RpcId,
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -1,42 +1,45 @@
-//! Rule 4: no member in slow start is overloaded. In any window of the settings' overload time a member gets no more
-//! RPCs, summed over all routers, than it can serve by its age, plus a margin for chance: two square roots of that
-//! number (two standard deviations of a Poisson process), and two.
+//! Rule 4: no member in slow start is overloaded. In any window of the configured length, a member gets at most as many
+//! RPCs from all routers together as it can serve at its age, plus a margin for random variation: two square roots of
+//! that number (two standard deviations of a Poisson process) and two RPCs.
 
 use crate::checker::{Checker, Violation};
 use crate::history::{Event, EventKind, MemberIndex, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// Windows are checked that end up to this long after a member is warm.
+/// How long after the end of a member's slow start the last checked window ends.
 const CHECK_AFTER_WARM_UP: Span = Span::from_millis(500);
-/// Margin for chance, in square roots of the expected number of RPCs.
+/// Margin for random variation, in square roots of the number of RPCs that a member can serve.
 const MARGIN_ROOTS: f64 = 2.0;
-/// Margin for chance, in RPCs.
+/// Additional margin for random variation, in RPCs.
 const MARGIN_RPCS: f64 = 2.0;
 
-/// Checks rule 4.
+/// The checker of rule 4.
 #[derive(Default)]
 pub struct SlowStart {
     members: HashMap<MemberIndex, MemberState>,
-    /// The largest excess of a window over what the member can serve and `MARGIN_RPCS`, in square roots of the former.
+    /// The largest excess of a window's RPCs over the number that the member can serve plus `MARGIN_RPCS`, in square
+    /// roots of the number that it can serve. `None` if no attempt went to a member in slow start.
     max_excess: Option<f64>,
 }
 
 impl SlowStart {
-    /// The largest excess of a window, in square roots of what the member can serve; up to `MARGIN_ROOTS` is allowed.
-    /// Negative infinity where no attempt went to a member in slow start.
+    /// Returns the largest excess of a window's RPCs over the number that the member can serve plus two RPCs, in
+    /// square roots of the number that it can serve. An excess of up to two is allowed. Returns negative infinity if
+    /// no attempt went to a member in slow start.
     pub fn max_excess(&self) -> f64 {
         self.max_excess.unwrap_or(f64::NEG_INFINITY)
     }
 
-    /// The violation that an attempt proves, if any.
+    /// Returns the violation that an attempt proves, if there is one.
     fn on_attempt(&mut self, rpc: RpcId, member: MemberIndex, event: &Event) -> Option<Violation> {
         let state = self.members.get_mut(&member)?;
         if event.at - state.started.at > state.warm_up_time + CHECK_AFTER_WARM_UP {
             self.members.remove(&member);
             return None;
         }
-        // Of all windows with this attempt and none later, the one that ends with it holds the most.
+        // Of all windows that contain this attempt and no later one, the window that ends with it contains the most
+        // attempts.
         state.window.push_back(event.at);
         while state.window.front().is_some_and(|&at| event.at - at >= state.overload_window) {
             state.window.pop_front();
@@ -62,20 +65,21 @@
 
 struct MemberState {
     started: Event,
-    /// RPCs a second once it is warm.
+    /// Capacity of the member after its slow start, in RPCs per second.
     capacity: f64,
     initial_fraction: f64,
     warm_up_time: Span,
     overload_window: Span,
-    /// Times of the attempts in the current window.
+    /// Times of the attempts in the window that ends with the last attempt.
     window: VecDeque<Time>,
-    /// When a violation was last reported: once a window.
+    /// When a violation was last reported; a member has at most one reported violation per overload window.
     last_reported_at: Option<Time>,
 }
 
 impl MemberState {
-    /// The integral of the capacity up to an age in seconds, in seconds of full capacity. Before its start the member
-    /// counts as at its start, so that a burst right after the start may use the budget of a whole window.
+    /// Returns the integral of the capacity up to an age in seconds, in seconds of full capacity. The capacity before
+    /// the start counts as the initial one, so that a burst right after the start may use the budget of a whole
+    /// window.
     fn cumulative_capacity(&self, age: f64) -> f64 {
         let warm_up_secs = self.warm_up_time.secs().max(1e-9);
         let warm_up_age = age.clamp(0.0, warm_up_secs);
@@ -84,7 +88,7 @@
             + (age - warm_up_secs).max(0.0)
     }
 
-    /// How many RPCs it can serve in the window that ends at a time.
+    /// Returns how many RPCs the member can serve in the window that ends at the given time.
     fn window_capacity(&self, at: Time) -> f64 {
         let age = (at - self.started.at).secs();
         let window = self.overload_window.secs();
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -1,20 +1,21 @@
-//! Rule 5: no stale read. A read with a maximum staleness goes to no replica whose data was older when it was sent.
+//! Rule 5: no stale read. A read with a maximum staleness is not sent to a replica whose data is older than that when
+//! the read is sent.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Event, EventKind, MemberIndex, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// An attempt this long after the client's deadline is still attributed to its RPC.
+/// How long after the client's deadline an attempt is still attributed to its RPC.
 const TRACK_AFTER_DEADLINE: Span = Span::from_millis(1000);
-/// How many of a member's latest positions are tracked.
+/// Number of latest positions that are tracked for each member.
 const MAX_POSITIONS_PER_MEMBER: usize = 64;
 
-/// Checks rule 5.
+/// The checker of rule 5.
 pub struct Staleness {
     tolerance: Tolerance,
     max_staleness: HashMap<RpcId, Span>,
-    /// When each RPC is forgotten.
+    /// When each RPC is no longer tracked, in order of time.
     forget_at: BTreeSet<(Time, RpcId)>,
     members: HashMap<MemberIndex, MemberState>,
 }
@@ -22,12 +23,12 @@
 #[derive(Default)]
 struct MemberState {
     primary: bool,
-    /// The latest positions that it has reported.
+    /// The latest positions that the member has reported, in order of their reports.
     positions: VecDeque<Time>,
 }
 
 impl Staleness {
-    /// A checker of a history that is yet to begin.
+    /// Creates a checker that has read no events.
     pub fn new(tolerance: Tolerance) -> Staleness {
         Staleness {
             tolerance,
@@ -46,11 +47,11 @@
         }
     }
 
-    /// The violation that an attempt proves, if any.
+    /// Returns the violation that an attempt proves, if there is one.
     fn on_attempt(&self, rpc: RpcId, member: MemberIndex, event: &Event) -> Option<Violation> {
         let max_staleness = *self.max_staleness.get(&rpc)?;
         let state = self.members.get(&member)?;
-        // A member without any reported position can't be proven stale.
+        // The data of a member without a reported position can't be proven stale.
         let position = state.positions.iter().copied().max()?;
         if state.primary || position + max_staleness + self.tolerance.position >= event.at {
             return None;
--- a/crates/ladderpass-invariants/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Each rule: a short history that breaks it beside one that just keeps it; and long random histories that keep all.
+//! Tests of each rule with short histories that violate it, next to histories that barely comply with it, and a test of
+//! all rules with long random histories that comply with them.
 
 use ladderpass_invariants::{Answer, Event, EventKind, Tolerance, Violation, all_checkers, check_history};
 use ladderpass_routing::{Span, Time};
@@ -136,7 +137,8 @@
     assert_eq!(attempts(10, 10_600), [], "warm");
 }
 
-/// The limit at its edge: two square roots and two RPCs beyond what the member can serve, in any overload window.
+/// Checks the exact limit: two square roots and two RPCs above the number that the member can serve in any overload
+/// window.
 #[test]
 fn slow_start_limit_is_two_square_roots_and_two_rpcs_above_the_capacity_of_a_window() {
     let (warm_up_time, overload_window) = (Span::from_millis(10_000), Span::from_millis(3000));
@@ -147,15 +149,17 @@
         warm_up_time,
         overload_window,
     };
-    // At 4 s it serves 0.2 + 0.8 x 0.4 of its capacity, over the 3 s before 0.4 on average: 120 RPCs, with the margin 143.9.
+    // At 4 s the member has 0.2 + 0.8 x 0.4 of its capacity, and on average 0.4 over the preceding 3 s: it can serve
+    // 120 RPCs, and the limit with the margin is 143.9.
     let burst = |count: usize, ms: i64| {
         let attempts = std::iter::repeat_n((ms, EventKind::AttemptSent { rpc: 1, member: 1 }), count);
         violated_rules(&[(0, started)].into_iter().chain(attempts).collect::<Vec<_>>())
     };
     assert_eq!((burst(143, 4000), burst(144, 4000)), (vec![], vec![4]));
-    // Right after its start it has the budget of a whole window at its initial capacity: 60, with the margin 77.5.
+    // Right after its start the member has the budget of a whole window at its initial capacity: it can serve 60 RPCs,
+    // and the limit with the margin is 77.5.
     assert_eq!((burst(77, 0), burst(78, 0)), (vec![], vec![4]));
-    // An attempt of a whole window ago no longer counts; a millisecond less and it does.
+    // An attempt exactly one window earlier no longer counts, but one that is a millisecond later does.
     let bursts = |second_ms: i64| {
         let attempt = |ms| (ms, EventKind::AttemptSent { rpc: 1, member: 1 });
         let attempts = [vec![attempt(500); 61], vec![attempt(second_ms); 70]].concat();
@@ -194,7 +198,8 @@
 }
 
 quickcheck! {
-    /// A history that keeps the rules passes however long it is, and memory does not grow with it.
+    /// A history that complies with the rules has no violations, and the number of tracked items does not grow with its
+    /// length.
     fn long_valid_history_has_no_violation_and_bounded_memory(seeds: Vec<(u8, bool, u8)>) -> bool {
         let mut checkers = all_checkers(Tolerance::default());
         let mut violations = Vec::new();
@@ -214,7 +219,8 @@
                     let event = Event { at: at(now + offset_ms), kind };
                     checkers.iter_mut().for_each(|checker| checker.observe(&event, &mut violations));
                 }
-                // An RPC every 100 ms, each tracked for about twelve seconds, and some margin.
+                // An RPC begins at most every 100 ms and is tracked for 10.2 s, which is its deadline of 200 ms and
+                // 10 s after it. This makes about 102 tracked RPCs; the limit leaves a margin.
                 assert!(checkers.iter().all(|checker| checker.tracked() < 150));
             }
         }
