--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -76,7 +76,7 @@
             (0..scenario.member_count() + lists.max(1)).map(|_| bind()).collect::<io::Result<Vec<_>>>()?;
         let mut addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<Vec<_>>>()?;
         let discoveries = addresses.split_off(scenario.member_count());
-        let discovery = *discoveries.first().ok_or_else(|| io::Error::other("no listener"))?;
+        let discovery = *discoveries.first().ok_or_else(|| io::Error::other("no discovery listener"))?;
         let list = EndpointList { addresses: addresses.clone(), draining: BTreeSet::new(), generation: 1 };
         let watch_interval = Span::from_secs_f64(scenario.watch_every_ms.max(MIN_WATCH_INTERVAL_MS) / 1e3);
         let listeners = assign_listeners_to_threads(listeners, scenario.member_count(), thread_count);
@@ -181,9 +181,9 @@
 }
 
 fn spawn(thread: usize, mut driver: Driver) -> io::Result<JoinHandle<()>> {
-    std::thread::Builder::new().name(format!("fleet-{thread}")).spawn(move || {
+    std::thread::Builder::new().name(format!("emulator-{thread}")).spawn(move || {
         if let Err(error) = driver.run() {
-            eprintln!("fleet: {error}");
+            eprintln!("emulator thread {thread}: {error}");
         }
     })
 }
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -64,7 +64,7 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no holder panics")
+    mutex.lock().expect("no thread panics while it holds a lock")
 }
 
 impl Shared {
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -7,7 +7,7 @@
     #[error("{0}")]
     Syntax(String),
     /// A number is negative or not finite.
-    #[error("{key}: {value} is not a number from 0 on")]
+    #[error("{key}: {value} is not a finite number of at least 0")]
     NegativeOrNotFinite {
         /// Path of the key, such as `methods.board.work_ms`.
         key: String,
@@ -26,7 +26,7 @@
     #[error("cores: must be above 0")]
     NoCores,
     /// The scenario has no methods.
-    #[error("methods: at least one is needed")]
+    #[error("methods: at least one method is required")]
     NoMethods,
     /// The value in an answer is larger than allowed.
     #[error("{key}: {bytes} is more than {max_bytes}")]
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -40,7 +40,7 @@
     let [Output { reply: Reply::LoadReport { position, .. }, .. }] = &model.take_outputs()[..] else {
         panic!()
     };
-    assert!(*position >= at(1), "the log has been applied");
+    assert!(*position >= at(1), "the replica has applied the write");
     assert_eq!(model.execution_log.executions.len(), 1);
 }
 
--- a/crates/ladderpass-emulator/tests/scenario.rs
+++ b/crates/ladderpass-emulator/tests/scenario.rs
@@ -18,5 +18,5 @@
         let error = Scenario::read(text).expect_err(text).to_string();
         assert!(error.contains(expected_key) && !error.contains('\n'), "{text}: {error}");
     }
-    assert_eq!(Scenario::read("replicas: 4").expect("allowed").member_count(), 5);
+    assert_eq!(Scenario::read("replicas: 4").expect("valid scenario").member_count(), 5);
 }
--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -30,7 +30,7 @@
             EventKind::AttemptSent { rpc, member } => {
                 let Some(drain_event) = self.draining.get(&member) else { return };
                 if event.at > drain_event.at + self.tolerance.endpoint_update {
-                    let text = format!("RPC {rpc:x} goes to member {member}, which is draining");
+                    let text = format!("RPC {rpc:x} is sent to member {member}, which is draining");
                     let (rpc, member) = (Some(rpc), Some(member));
                     violations.push(Violation {
                         rule: 3,
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -54,7 +54,7 @@
             EventKind::AttemptSent { rpc, member } => {
                 let Some(state) = self.rpcs.get_mut(&rpc) else { return };
                 if let Some(first) = state.in_flight {
-                    let text = format!("RPC {rpc:x} is attempted while an attempt of it is in flight");
+                    let text = format!("RPC {rpc:x} is sent while another attempt of it is in flight");
                     report(rpc, member, text, vec![first, *event]);
                 } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
                     // This is a violation even if the first attempt did not run, because the router could not know
@@ -80,7 +80,7 @@
             EventKind::Executed { rpc, member } => {
                 let Some(state) = self.rpcs.get_mut(&rpc) else { return };
                 if let (true, Some(first)) = (state.run_once, state.executed) {
-                    report(rpc, member, format!("RPC {rpc:x} has its effect twice"), vec![first, *event]);
+                    report(rpc, member, format!("RPC {rpc:x} is executed twice"), vec![first, *event]);
                 }
                 state.executed = Some(*event);
             }
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -76,7 +76,7 @@
         event: &Event,
     ) -> Option<Violation> {
         let Some(state) = self.rpcs.get_mut(&rpc) else {
-            let text = format!("an answer to RPC {rpc:x}, which nobody waits for");
+            let text = format!("RPC {rpc:x} is answered, but was not accepted or is no longer tracked");
             return Some(Self::violation(rpc, text, vec![*event]));
         };
         if let Some(first) = state.answered {
@@ -87,10 +87,14 @@
         let proof = vec![state.accepted, *event];
         if event.at > state.deadline + self.tolerance.answer {
             let late_ms = (event.at - state.deadline).secs() * 1e3;
-            let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms past its time");
+            let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms after its deadline");
             Some(Self::violation(rpc, text, proof))
         } else if answer == Answer::Ok && made_for.is_some_and(|other| other != rpc) {
-            Some(Self::violation(rpc, format!("RPC {rpc:x} is served the value of another"), proof))
+            Some(Self::violation(
+                rpc,
+                format!("RPC {rpc:x} is answered with the value of another RPC"),
+                proof,
+            ))
         } else {
             None
         }
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -56,7 +56,7 @@
         state.last_reported_at = Some(event.at);
         let (count, secs) = (state.window.len(), state.overload_window.secs());
         let text = format!(
-            "member {member} in slow start gets {count} RPCs within {secs} s; allowed are {limit:.1}: it can serve {expected:.1}, and the rest is a margin for chance"
+            "member {member} in slow start gets {count} RPCs within {secs} s; the limit is {limit:.1}: it can serve {expected:.1}, and the rest is a margin for random variation"
         );
         let proof = vec![state.started, *event];
         Some(Violation { rule: 4, rpc: Some(rpc), member: Some(member), text, proof })
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -58,7 +58,7 @@
         }
         let age_ms = (event.at - position).secs() * 1e3;
         let text = format!(
-            "RPC {rpc:x} goes to replica {member}, whose data is {age_ms:.0} ms old, past its {:.0} ms",
+            "RPC {rpc:x} is sent to replica {member}, whose data is {age_ms:.0} ms old; the read's maximum staleness is {:.0} ms",
             max_staleness.secs() * 1e3
         );
         Some(Violation { rule: 5, rpc: Some(rpc), member: Some(member), text, proof: vec![*event] })
--- a/crates/ladderpass-invariants/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -34,7 +34,7 @@
     assert_eq!(
         violated_rules(&[(0, accepted(1)), (151, answered_ok(1)), (9000, END_OF_HISTORY)]),
         [1, 1],
-        "no answer in time, then one past it"
+        "the deadline passes without an answer, and a late answer follows"
     );
     assert_eq!(violated_rules(&[(0, accepted(1)), (9000, END_OF_HISTORY)]), [1]);
     assert_eq!(
@@ -45,7 +45,7 @@
     assert_eq!(
         violated_rules(&[(0, accepted(1)), (10, answered_ok(1)), (2000, answered_ok(1))]),
         [1],
-        "also long after"
+        "a second answer long after the deadline is detected too"
     );
     assert_eq!(violated_rules(&[(10, answered_ok(7))]), [1]);
     let other = EventKind::Answered { rpc: 1, answer: Answer::Ok, made_for: Some(2) };
@@ -68,7 +68,7 @@
     assert_eq!(
         violated_rules(&[(0, accepted(1)), (1, sent(0)), (2, ended(0)), (3, sent(1)), (4, answered_ok(1))]),
         [2],
-        "it may have run"
+        "the first attempt may have run"
     );
     assert_eq!(
         violated_rules(&[(0, accepted(1)), (1, sent(0)), (2, ran(0)), (3, ran(1)), (4, answered_ok(1))]),
@@ -78,7 +78,7 @@
     assert_eq!(
         violated_rules(&[(0, accepted(1)), (1, sent(0)), (2, rejected), (3, sent(1)), (4, answered_ok(1))]),
         [],
-        "it never ran"
+        "a rejected attempt never ran"
     );
     let read = EventKind::Accepted { rpc: 1, deadline: at(100), run_once: false, max_staleness: None };
     assert_eq!(
@@ -88,7 +88,7 @@
     assert_eq!(
         violated_rules(&[(0, read), (1, sent(0)), (3, sent(1)), (4, answered_ok(1))]),
         [2],
-        "two at a time"
+        "two attempts are in flight"
     );
 }
 
@@ -99,7 +99,7 @@
     assert_eq!(
         violated_rules(&[(0, drain), (1, accepted(1)), (40, sent(2)), (60, answered_ok(1))]),
         [],
-        "the update may still be on its way"
+        "the endpoint update may not have arrived yet"
     );
     assert_eq!(violated_rules(&[(0, drain), (1, accepted(1)), (51, sent(2)), (60, answered_ok(1))]), [3]);
     assert_eq!(violated_rules(&[(0, drain), (1, accepted(1)), (51, sent(1)), (60, answered_ok(1))]), []);
@@ -132,9 +132,9 @@
         );
         violated_rules(&events)
     };
-    assert_eq!(attempts(50, 0), [], "20 a second at first");
-    assert_eq!(attempts(10, 0).first(), Some(&4), "100 a second at first");
-    assert_eq!(attempts(10, 10_600), [], "warm");
+    assert_eq!(attempts(50, 0), [], "20 RPCs per second right after the start");
+    assert_eq!(attempts(10, 0).first(), Some(&4), "100 RPCs per second right after the start");
+    assert_eq!(attempts(10, 10_600), [], "the slow start has ended");
 }
 
 /// Checks the exact limit: two square roots and two RPCs above the number that the member can serve in any overload
