--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,25 +1,25 @@
-//! Rule 3: a draining member gets no new attempt once its drain has been published.
+//! Rule 3: a draining member gets no new attempt once discovery has published that it is draining.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Event, EventKind, MemberIndex};
 use std::collections::HashMap;
 
-/// Checks rule 3.
+/// The checker of rule 3.
 pub struct Drains {
     tolerance: Tolerance,
-    /// Draining members, with the event that published it.
+    /// Draining members, with the event that published each drain.
     draining: HashMap<MemberIndex, Event>,
 }
 
 impl Drains {
-    /// A checker of a history that is yet to begin.
+    /// Creates a checker that has read no events.
     pub fn new(tolerance: Tolerance) -> Drains {
         Drains { tolerance, draining: HashMap::new() }
     }
 }
 
 impl Checker for Drains {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
         match event.kind {
             EventKind::Draining { member } => {
                 self.draining.entry(member).or_insert(*event);
@@ -28,11 +28,17 @@
                 self.draining.remove(&member);
             }
             EventKind::AttemptSent { rpc, member } => {
-                let Some(published) = self.draining.get(&member) else { return };
-                if event.at > published.at + self.tolerance.endpoint_update {
-                    let text = format!("RPC {rpc:x} goes to member {member}, which is draining");
+                let Some(drain_event) = self.draining.get(&member) else { return };
+                if event.at > drain_event.at + self.tolerance.endpoint_update {
+                    let text = format!("RPC {rpc:x} is sent to member {member}, which is draining");
                     let (rpc, member) = (Some(rpc), Some(member));
-                    broken.push(Violation { rule: 3, rpc, member, text, proof: vec![*published, *event] });
+                    violations.push(Violation {
+                        rule: 3,
+                        rpc,
+                        member,
+                        text,
+                        proof: vec![*drain_event, *event],
+                    });
                 }
             }
             _ => {}
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -1,57 +1,59 @@
-//! Rule 1: each accepted RPC gets exactly one final answer before its client's deadline, and nothing after it.
+//! Rule 1: each accepted RPC gets exactly one final answer, which arrives before its client's deadline and carries no
+//! value that was made for another RPC.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Answer, Event, EventKind, RpcId};
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, HashMap};
 
-/// A second answer this long after the client's deadline is still attributed to its RPC.
+/// How long after the client's deadline, beyond the tolerance, a late or second answer is still attributed to its RPC.
 const TRACK_AFTER_DEADLINE: Span = Span::from_millis(5000);
 
-/// Checks rule 1.
+/// The checker of rule 1.
 pub struct OneAnswer {
     tolerance: Tolerance,
     rpcs: HashMap<RpcId, RpcState>,
-    /// When each RPC is checked next: at its deadline for an answer, later to be forgotten.
-    checks: BTreeSet<(Time, RpcId)>,
+    /// When each RPC is checked next, in order of time: once its deadline has passed, for a missing answer, and later
+    /// to stop tracking it.
+    check_at: BTreeSet<(Time, RpcId)>,
 }
 
 struct RpcState {
     accepted: Event,
     deadline: Time,
     answered: Option<Event>,
-    /// The client left, or its missing answer has been reported.
+    /// Whether a missing answer is not reported, because the client has disconnected or the deadline has been checked.
     no_answer_due: bool,
 }
 
 impl OneAnswer {
-    /// A checker of a history that is yet to begin.
+    /// Creates a checker that has read no events.
     pub fn new(tolerance: Tolerance) -> OneAnswer {
-        OneAnswer { tolerance, rpcs: HashMap::new(), checks: BTreeSet::new() }
+        OneAnswer { tolerance, rpcs: HashMap::new(), check_at: BTreeSet::new() }
     }
 
     fn violation(rpc: RpcId, text: String, proof: Vec<Event>) -> Violation {
         Violation { rule: 1, rpc: Some(rpc), member: None, text, proof }
     }
 
-    /// Reports RPCs that passed their deadline without an answer, and forgets old ones.
-    fn expire(&mut self, now: Time, broken: &mut Vec<Violation>) {
-        while let Some(&(at, rpc)) = self.checks.first()
+    /// Reports RPCs that have passed their deadline without an answer, and stops tracking old RPCs.
+    fn expire(&mut self, now: Time, violations: &mut Vec<Violation>) {
+        while let Some(&(at, rpc)) = self.check_at.first()
             && at < now
         {
-            self.checks.pop_first();
+            self.check_at.pop_first();
             let Some(state) = self.rpcs.get(&rpc) else { continue };
             if state.answered.is_none() && !state.no_answer_due {
                 let text = format!("RPC {rpc:x} has no answer in its time");
-                broken.push(Self::violation(rpc, text, vec![state.accepted]));
+                violations.push(Self::violation(rpc, text, vec![state.accepted]));
             }
             let forget_at = state.deadline + self.tolerance.answer + TRACK_AFTER_DEADLINE;
             if at < forget_at {
-                // Still tracked, for an answer that comes too late or twice.
+                // The RPC is still tracked, to detect a late or second answer.
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
                     state.no_answer_due = true;
                 }
-                self.checks.insert((forget_at, rpc));
+                self.check_at.insert((forget_at, rpc));
             } else {
                 self.rpcs.remove(&rpc);
             }
@@ -61,11 +63,11 @@
     fn on_accepted(&mut self, rpc: RpcId, deadline: Time, event: &Event) {
         let state = RpcState { accepted: *event, deadline, answered: None, no_answer_due: false };
         if self.rpcs.insert(rpc, state).is_none() {
-            self.checks.insert((deadline + self.tolerance.answer, rpc));
+            self.check_at.insert((deadline + self.tolerance.answer, rpc));
         }
     }
 
-    /// The violation that an answer proves, if any.
+    /// Returns the violation that an answer proves, if there is one.
     fn on_answered(
         &mut self,
         rpc: RpcId,
@@ -74,7 +76,7 @@
         event: &Event,
     ) -> Option<Violation> {
         let Some(state) = self.rpcs.get_mut(&rpc) else {
-            let text = format!("an answer to RPC {rpc:x}, which nobody waits for");
+            let text = format!("RPC {rpc:x} is answered, but was not accepted or is no longer tracked");
             return Some(Self::violation(rpc, text, vec![*event]));
         };
         if let Some(first) = state.answered {
@@ -85,10 +87,14 @@
         let proof = vec![state.accepted, *event];
         if event.at > state.deadline + self.tolerance.answer {
             let late_ms = (event.at - state.deadline).secs() * 1e3;
-            let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms past its time");
+            let text = format!("RPC {rpc:x} is answered {late_ms:.0} ms after its deadline");
             Some(Self::violation(rpc, text, proof))
         } else if answer == Answer::Ok && made_for.is_some_and(|other| other != rpc) {
-            Some(Self::violation(rpc, format!("RPC {rpc:x} is served the value of another"), proof))
+            Some(Self::violation(
+                rpc,
+                format!("RPC {rpc:x} is answered with the value of another RPC"),
+                proof,
+            ))
         } else {
             None
         }
@@ -96,12 +102,12 @@
 }
 
 impl Checker for OneAnswer {
-    fn observe(&mut self, event: &Event, broken: &mut Vec<Violation>) {
-        self.expire(event.at, broken);
+    fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>) {
+        self.expire(event.at, violations);
         match event.kind {
             EventKind::Accepted { rpc, deadline, .. } => self.on_accepted(rpc, deadline, event),
             EventKind::Answered { rpc, answer, made_for } => {
-                broken.extend(self.on_answered(rpc, answer, made_for, event));
+                violations.extend(self.on_answered(rpc, answer, made_for, event));
             }
             EventKind::ClientLeft { rpc } => {
                 if let Some(state) = self.rpcs.get_mut(&rpc) {
@@ -112,8 +118,8 @@
         }
     }
 
-    fn end(&mut self, at: Time, broken: &mut Vec<Violation>) {
-        self.expire(at, broken);
+    fn end(&mut self, at: Time, violations: &mut Vec<Violation>) {
+        self.expire(at, violations);
     }
 
     fn tracked(&self) -> usize {
