--- a/crates/ladderpass-testbed/src/capacity/control/costs.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/costs.rs
@@ -1,9 +1,9 @@
 //! Costs of control traffic apart from its rates: endpoint lists, memory, datagrams, reports for admission control, and how
 //! long the death of a router is unknown.
 
-use super::rates::{SETTLES, rates_of};
+use super::rates::{SETTLE_TIME, rates_of};
 use super::reference_size::{ROUTERS, reference_shape};
-use crate::capacity::simulated_routers::{Shape, Simulation, Subject, thread_time};
+use crate::capacity::simulated_routers::{Shape, Simulation, Subject, thread_cpu_time};
 use ladderpass_routing::Span;
 use std::io;
 use std::net::UdpSocket;
@@ -96,9 +96,9 @@
     for count in DATAGRAM_COUNTS {
         let mut least_us = f64::INFINITY;
         for _ in 0..DATAGRAM_RUNS {
-            let began = thread_time();
+            let began = thread_cpu_time();
             send_and_receive(&sender, &receiver, count)?;
-            least_us = least_us.min((thread_time() - began).secs() * 1e6);
+            least_us = least_us.min((thread_cpu_time() - began).secs() * 1e6);
         }
         points.push((f64::from(count), least_us));
     }
@@ -139,7 +139,7 @@
     seconds: f64,
 ) -> io::Result<AdmissionReports> {
     let mut simulation = Simulation::start(Shape { fleet: true, ..reference_shape(routers, groups, seed) })?;
-    simulation.run(SETTLES)?;
+    simulation.run(SETTLE_TIME)?;
     simulation.reset_counts();
     simulation.run(Span::from_secs_f64(seconds))?;
     let reports: usize = (0..routers)
@@ -158,7 +158,7 @@
 /// If the simulation can't be started, or the routers don't find each other within a minute.
 pub fn death_detection_s(routers: usize, seed: u64) -> io::Result<f64> {
     let mut simulation = Simulation::start(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) })?;
-    simulation.run(SETTLES)?;
+    simulation.run(SETTLE_TIME)?;
     settle(&mut simulation, routers)?;
     let mut total_s = 0.0;
     for index in 0..DEATHS {
--- a/crates/ladderpass-testbed/src/capacity/control/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/mod.rs
@@ -10,6 +10,6 @@
 
 pub use costs::{AdmissionReports, death_detection_s, measure_admission_reports, memory};
 pub use figures::figures;
-pub use rates::{Rates, SETTLES, rates, rates_of};
-pub use reference_size::{GROUPS, MEMBERS, RATE, ROUTERS, reference_shape};
+pub use rates::{Rates, SETTLE_TIME, rates, rates_of};
+pub use reference_size::{GROUPS, MEMBERS, ROUTERS, STATEMENT_RATE, reference_shape};
 pub use slopes::{Settings, measure};
--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -70,14 +70,14 @@
 }
 
 /// Routers find each other and check the health of all members within this.
-pub const SETTLES: Span = Span::from_millis(6000);
+pub const SETTLE_TIME: Span = Span::from_millis(6000);
 
 /// Rates of a simulation over a number of seconds, once it has settled.
 ///
 /// # Errors
 /// If the simulation can't be started.
 pub fn rates(shape: &Shape, seconds: f64) -> io::Result<Rates> {
-    rates_after(shape, SETTLES, seconds)
+    rates_after(shape, SETTLE_TIME, seconds)
 }
 
 /// Rates over a number of seconds, after `settles`.
@@ -94,7 +94,7 @@
     let per_second = |count: f64| count / seconds;
     let observed = (simulation.shape.observed.min(simulation.shape.routers).max(1)) as f64;
     let cost = |subject: Subject| simulation.cost.nanos[subject as usize] as f64 / 1e9 / observed / seconds;
-    let probes = simulation.mean(|counts| counts.health_checks) * simulation.shape.routers as f64;
+    let health_checks = simulation.mean(|counts| counts.health_checks) * simulation.shape.routers as f64;
     Rates {
         gossip_datagrams: per_second(simulation.mean(|counts| counts.gossip.datagrams)),
         gossip_bytes: per_second(simulation.mean(|counts| counts.gossip.bytes)),
@@ -102,7 +102,7 @@
         membership_bytes: per_second(simulation.mean(|counts| counts.membership.bytes)),
         received_datagrams: per_second(simulation.mean(|counts| counts.received)),
         lost_datagrams: per_second(simulation.mean(|counts| counts.lost)),
-        health_checks: per_second(probes / simulation.shape.members.max(1) as f64),
+        health_checks: per_second(health_checks / simulation.shape.members.max(1) as f64),
         connections_opened: per_second(simulation.mean(|counts| counts.connections_opened)),
         ticks: per_second(simulation.mean(|counts| counts.ticks)),
         idle_ticks: per_second(simulation.cost.events[Subject::IdleTick as usize] as f64 / observed),
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -4,7 +4,7 @@
     AdmissionReports, ListCost, datagram_cpu, death_detection_s, list_cost, measure_admission_reports,
 };
 use super::parallel::measure_all;
-use super::rates::{Rates, SETTLES, rates, rates_after};
+use super::rates::{Rates, SETTLE_TIME, rates, rates_after};
 use super::reference_size::{GROUPS, MEMBERS, ROUTERS, reference_shape};
 use crate::capacity::simulated_routers::Shape;
 use crate::capacity::slope::Slope;
@@ -20,16 +20,16 @@
 
 /// Routers of the slopes by groups, and how long they take to settle.
 const FEW_ROUTERS: usize = 16;
-const FEW_SETTLE: Span = Span::from_millis(4000);
+const FEW_ROUTERS_SETTLE_TIME: Span = Span::from_millis(4000);
 /// Groups of the slopes by routers.
 const FEW_GROUPS: usize = 16;
 /// Many routers that start at once take so many times longer to find each other.
-const MANY_SETTLE_FACTOR: f64 = 2.5;
+const MANY_ROUTERS_SETTLE_FACTOR: f64 = 2.5;
 /// Routers whose CPU time is measured.
 const OBSERVED_ROUTERS: usize = 4;
 /// How long rates are counted: multiples of 0.8 s, the interval of gossip about a member whose reads may be 2 s old.
-const LONG_S: f64 = 8.0;
-const SHORT_S: f64 = 3.2;
+const LONG_RUN_S: f64 = 8.0;
+const SHORT_RUN_S: f64 = 3.2;
 
 /// Points of a slope.
 type Points = Vec<(f64, f64)>;
@@ -49,7 +49,7 @@
 /// Reports for admission control in one simulation.
 struct AdmissionPoint {
     /// Reports that all other routers have for all groups.
-    reports_of_all: f64,
+    max_reports: f64,
     measured: AdmissionReports,
 }
 
@@ -74,11 +74,11 @@
 
 /// Runs all simulations. Those by groups take the longest, and run beside all others.
 fn run_simulations(seed: u64, long: bool) -> io::Result<Measurements> {
-    let seconds = if long { LONG_S } else { SHORT_S };
+    let seconds = if long { LONG_RUN_S } else { SHORT_RUN_S };
     let groups: &[usize] = if long { &[16, 48, 96, 192, GROUPS] } else { &[16, 64, 160, GROUPS] };
     let measure_groups = |groups| {
         let shape = observed(reference_shape(FEW_ROUTERS, groups, seed));
-        rates_after(&shape, FEW_SETTLE, seconds)
+        rates_after(&shape, FEW_ROUTERS_SETTLE_TIME, seconds)
     };
     std::thread::scope(|scope| {
         let by_groups = scope.spawn(|| measure_all(groups, measure_groups));
@@ -101,7 +101,7 @@
 fn measure_idle(seed: u64, seconds: f64) -> io::Result<Vec<(usize, Rates)>> {
     measure_all(&[128, 256, ROUTERS], |routers| {
         let shape = observed(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) });
-        rates_after(&shape, SETTLES * MANY_SETTLE_FACTOR, seconds / 2.0)
+        rates_after(&shape, SETTLE_TIME * MANY_ROUTERS_SETTLE_FACTOR, seconds / 2.0)
     })
 }
 
@@ -118,7 +118,7 @@
     })?;
     let point = |(index, measured): (usize, AdmissionReports)| {
         let (routers, groups) = routers_and_groups[index];
-        AdmissionPoint { reports_of_all: ((routers - 1) * groups) as f64, measured }
+        AdmissionPoint { max_reports: ((routers - 1) * groups) as f64, measured }
     };
     Ok(measured.into_iter().map(point).collect())
 }
@@ -186,7 +186,7 @@
 
 fn admission_slopes(measured: &[AdmissionPoint]) -> Vec<Slope> {
     let points = |value: fn(&AdmissionReports) -> f64| -> Points {
-        measured.iter().map(|point| (1.0 / point.reports_of_all, value(&point.measured))).collect()
+        measured.iter().map(|point| (1.0 / point.max_reports, value(&point.measured))).collect()
     };
     let slope = |name, y, points| Slope { name, x: "1/words of all", y, points };
     vec![
--- a/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -29,9 +29,9 @@
         eprintln!("data path, pure: {error}");
         Vec::new()
     });
-    for part in [idle_client_slopes, statement_slopes, member_slopes] {
-        match part(seed, settings) {
-            Ok(further) => slopes.extend(further),
+    for measure_slopes in [idle_client_slopes, statement_slopes, member_slopes] {
+        match measure_slopes(seed, settings) {
+            Ok(measured) => slopes.extend(measured),
             Err(error) => eprintln!("data path, processes: {error}"),
         }
     }
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -124,12 +124,12 @@
     /// If one can't be opened.
     pub fn open_idle_clients(&self, clients: usize) -> io::Result<Vec<TcpStream>> {
         let address = self.address()?;
-        let open_part = |thread: usize| -> io::Result<Vec<TcpStream>> {
-            (thread..clients).step_by(CLIENT_THREADS as usize).map(|_| open(address)).collect()
+        let open_share = |thread: usize| -> io::Result<Vec<TcpStream>> {
+            (thread..clients).step_by(CLIENT_THREADS as usize).map(|_| open_client(address)).collect()
         };
         std::thread::scope(|scope| {
             let threads: Vec<_> =
-                (0..CLIENT_THREADS as usize).map(|thread| scope.spawn(move || open_part(thread))).collect();
+                (0..CLIENT_THREADS as usize).map(|thread| scope.spawn(move || open_share(thread))).collect();
             let mut all = Vec::new();
             for thread in threads {
                 all.extend(thread.join().map_err(|_| io::Error::other("a client's thread fell"))??);
@@ -147,11 +147,11 @@
         &self,
         connection_use: ConnectionUse,
         rate: f64,
-        warm: Duration,
+        warm_up: Duration,
         span: Duration,
     ) -> io::Result<LoadResult> {
         let began = Instant::now();
-        let measured_from = began + warm;
+        let measured_from = began + warm_up;
         let load = PacedLoad {
             address: self.address()?,
             groups: u64::from(self.groups),
@@ -159,7 +159,7 @@
             rate,
             began,
             measured_from,
-            ends: began + warm + span,
+            ends: began + warm_up + span,
         };
         let load = &load;
         std::thread::scope(|scope| {
@@ -233,11 +233,12 @@
             }
             let open_stream = streams.pop_front().flatten().filter(is_open);
             let opened = open_stream.is_none();
-            let answered = open_stream.map_or_else(|| open(self.address), Ok).and_then(|mut stream| {
-                stream.write_all(&query)?;
-                until_ready(&mut stream)?;
-                Ok(stream)
-            });
+            let answered =
+                open_stream.map_or_else(|| open_client(self.address), Ok).and_then(|mut stream| {
+                    stream.write_all(&query)?;
+                    until_ready(&mut stream)?;
+                    Ok(stream)
+                });
             let failed = answered.is_err();
             streams.push_back(answered.ok().filter(|_| self.connection_use != ConnectionUse::PerStatement));
             if sent_at >= self.measured_from {
@@ -251,7 +252,7 @@
     }
 }
 
-fn open(address: SocketAddr) -> io::Result<TcpStream> {
+fn open_client(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -53,7 +53,7 @@
 /// machine affects both alike; a point is the median of its runs.
 pub(super) fn statement_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
-    let (repeats, warm, span) = match settings.long {
+    let (repeats, warm_up, span) = match settings.long {
         true => (5, Duration::from_millis(500), Duration::from_millis(3000)),
         false => (3, Duration::from_millis(50), Duration::from_millis(350)),
     };
@@ -67,7 +67,7 @@
         let mut runs = [Vec::new(), Vec::new()];
         for _ in 0..repeats {
             for ((_, connection_use), runs) in uses.iter().zip(&mut runs) {
-                let result = testbed.run_load(*connection_use, rate, warm, span)?;
+                let result = testbed.run_load(*connection_use, rate, warm_up, span)?;
                 runs.push((result.statements / result.seconds, result.cpu_s / result.seconds * 1e3));
             }
         }
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -5,9 +5,9 @@
 use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 
 const IDLE_TICKS: usize = 2000;
-const PROBE_PASSES: usize = 20;
+const HEALTH_CHECK_TICKS: usize = 20;
 /// Long enough that health checks are due after it.
-const PROBE_PASS_INTERVAL: Span = Span::from_millis(1000);
+const HEALTH_CHECK_TICK_INTERVAL: Span = Span::from_millis(1000);
 
 pub(super) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
@@ -41,10 +41,10 @@
     measure_loads(&[26, 52, 104, 208], Span::from_millis(14_000), Span::from_millis(36_000), seed)
 }
 
-fn measure_loads(groups: &[u32], warm: Span, span: Span, seed: u64) -> Result<Vec<SteadyLoad>, String> {
+fn measure_loads(groups: &[u32], warm_up: Span, span: Span, seed: u64) -> Result<Vec<SteadyLoad>, String> {
     let measure = |&groups: &u32| {
         let shape = Shape::of(groups);
-        let counts = steady_counts(&shape, warm, span, seed)?;
+        let counts = steady_counts(&shape, warm_up, span, seed)?;
         let statements_per_second = counts.statements / counts.seconds;
         Ok(SteadyLoad { members: shape.members() as f64, statements_per_second, counts })
     };
@@ -74,13 +74,14 @@
 
 /// Counts by members, and by statements a second.
 fn count_slopes(loads: &[SteadyLoad]) -> Vec<Slope> {
-    let links = loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
+    let member_connections =
+        loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
     let by_statements = |name, y, value: fn(&Counts) -> f64| {
         let points = loads.iter().map(|load| (load.statements_per_second, value(&load.counts))).collect();
         Slope { name, x: "statements/s", y, points }
     };
     vec![
-        Slope { name: "links", x: "members", y: "connections to members", points: links },
+        Slope { name: "links", x: "members", y: "connections to members", points: member_connections },
         by_statements("probes", "probes a second", |c| c.health_checks / c.seconds),
         by_statements("opened", "client connections opened a second", |c| c.clients_reopened / c.seconds),
         by_statements("clients_open", "client connections that are open", |c| c.client_connections),
@@ -94,9 +95,9 @@
 ///
 /// # Errors
 /// If the simulation can't be started.
-pub fn steady_counts(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
+pub fn steady_counts(shape: &Shape, warm_up: Span, span: Span, seed: u64) -> Result<Counts, String> {
     let mut simulation = Simulation::new(shape, seed)?;
-    simulation.run(warm);
+    simulation.run(warm_up);
     Ok(simulation.run(span))
 }
 
@@ -117,10 +118,10 @@
 /// If the router's settings can't be read.
 pub fn health_check_tick_cpu_us(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
     let (mut router, mut now) = Simulation::routing_core(shape, seed)?;
-    let mut passes = |count: usize| {
+    let mut mean_tick_cpu_us = |count: usize| {
         let mut cpu = 0.0;
         for _ in 0..count {
-            now = now + PROBE_PASS_INTERVAL;
+            now = now + HEALTH_CHECK_TICK_INTERVAL;
             let before = thread_cpu_s();
             let output = router.tick(now);
             cpu += thread_cpu_s() - before;
@@ -135,6 +136,6 @@
         }
         cpu / count as f64 * 1e6
     };
-    passes(PROBE_PASSES);
-    Ok(median((0..repeats).map(|_| passes(PROBE_PASSES)).collect()))
+    mean_tick_cpu_us(HEALTH_CHECK_TICKS);
+    Ok(median((0..repeats).map(|_| mean_tick_cpu_us(HEALTH_CHECK_TICKS)).collect()))
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::counts::thread_cpu_s;
 use super::shape::MEMBERS_PER_GROUP;
-use super::state::{Client, LATENCY, MemberConnection, ROUND_TRIP, Simulation, SimulationEvent};
+use super::state::{Client, LATENCY, OutboundConnection, ROUND_TRIP, Simulation, SimulationEvent};
 use crate::capacity::data_path::statement::query;
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
@@ -23,7 +23,7 @@
             self.counts.member_connections_opened += 1.0;
             self.connections_of_member[member] += 1;
         }
-        self.connections.insert(id, MemberConnection { member, ..MemberConnection::default() });
+        self.connections.insert(id, OutboundConnection { member, ..OutboundConnection::default() });
         self.schedule(ROUND_TRIP, SimulationEvent::Connected(id));
     }
 
@@ -64,14 +64,14 @@
         {
             parsed += length;
             served |= kind == b'D';
-            match (kind, client.welcomed) {
+            match (kind, client.startup_done) {
                 (b'Z', false) => {
-                    client.welcomed = true;
+                    client.startup_done = true;
                     if let (Some(query), Some(connection)) = (client.pending_query.take(), client.connection)
                     {
-                        self.last_number += 1;
+                        self.last_sequence_number += 1;
                         self.queue.insert(
-                            (self.now + ROUND_TRIP, self.last_number),
+                            (self.now + ROUND_TRIP, self.last_sequence_number),
                             SimulationEvent::Bytes(connection, query),
                         );
                     }
@@ -100,13 +100,13 @@
         if !connection.startup_read {
             let Some(length) = proto::parse_startup(&connection.input) else { return };
             (connection.startup_read, parsed) = (true, length);
-            if self.rejects.get(member).copied().unwrap_or(false) {
+            if self.member_is_full.get(member).copied().unwrap_or(false) {
                 connection.input.clear();
                 return self.reject_connection(id);
             }
-            let mut welcome = Vec::new();
-            proto::put_startup_response(&mut welcome);
-            answers.push((ROUND_TRIP, welcome));
+            let mut startup_response = Vec::new();
+            proto::put_startup_response(&mut startup_response);
+            answers.push((ROUND_TRIP, startup_response));
         }
         let mut input = std::mem::take(&mut connection.input);
         // Queries are answered one after the other.
@@ -208,11 +208,11 @@
         let is_write = self.rng.random::<f64>() < WRITE_FRACTION;
         self.counts.statements += 1.0;
         self.counts.reads += f64::from(u8::from(!is_write));
-        self.last_number += 1;
-        let id = self.last_number;
+        self.last_sequence_number += 1;
+        let id = self.last_sequence_number;
         let query = query(id, u64::from(group), is_write);
-        let open = self.clients[index].connection.filter(|_| self.clients[index].welcomed);
-        match open {
+        let connection = self.clients[index].connection.filter(|_| self.clients[index].startup_done);
+        match connection {
             Some(connection) => self.deliver(connection, &query),
             None => {
                 self.counts.clients_reopened += 1.0;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub(super) struct Client {
     pub connection: Option<ConnectionId>,
-    pub welcomed: bool,
+    pub startup_done: bool,
     pub input: Vec<u8>,
     /// Sent once it is welcomed.
     pub pending_query: Option<Vec<u8>>,
@@ -34,7 +34,7 @@
 
 /// A connection of the router.
 #[derive(Default)]
-pub(super) struct MemberConnection {
+pub(super) struct OutboundConnection {
     /// None for discovery.
     pub member: Option<usize>,
     pub startup_read: bool,
@@ -61,14 +61,14 @@
     /// Events by time, and by a number that keeps those of one time in the order in which they were scheduled.
     pub(super) queue: BTreeMap<(Time, u64), SimulationEvent>,
     /// The number given last, to an event or a statement.
-    pub(super) last_number: u64,
+    pub(super) last_sequence_number: u64,
     pub(super) clients: Vec<Client>,
     pub(super) client_of_connection: HashMap<ConnectionId, usize>,
-    pub(super) connections: HashMap<ConnectionId, MemberConnection>,
+    pub(super) connections: HashMap<ConnectionId, OutboundConnection>,
     /// By member: how many connections the router has to it.
     pub(super) connections_of_member: Vec<u32>,
     /// By member: it has no connection left.
-    pub(super) rejects: Vec<bool>,
+    pub(super) member_is_full: Vec<bool>,
     effects: Vec<Effect>,
     pub(super) rng: SmallRng,
     pub(super) counts: Counts,
@@ -90,18 +90,18 @@
         }
         let discovery = launch.discovery;
         let mut rng = SmallRng::seed_from_u64(seed);
-        let full = (0..members.len())
+        let member_is_full = (0..members.len())
             .map(|_| shape.full_probability > 0.0 && rng.random::<f64>() < shape.full_probability);
         let mut simulation = Simulation {
             connections_of_member: vec![0; members.len()],
-            rejects: full.collect(),
+            member_is_full: member_is_full.collect(),
             reducer: Reducer::start(now, launch),
             now,
             shape: shape.clone(),
             discovery,
             members,
             queue: BTreeMap::new(),
-            last_number: 0,
+            last_sequence_number: 0,
             clients: (0..shape.clients).map(|_| Client::default()).collect(),
             client_of_connection: HashMap::new(),
             connections: HashMap::new(),
@@ -111,7 +111,7 @@
             clock_overhead_s: clock_overhead_s(),
         };
         if shape.rate > 0.0 {
-            let gap = simulation.draw_gap();
+            let gap = simulation.draw_statement_gap();
             simulation.schedule(gap, SimulationEvent::ClientStatement);
         }
         Ok(simulation)
@@ -127,7 +127,7 @@
             let wake = self.reducer.wake_at().unwrap_or(ends);
             let latest_tick = self.now + MAX_TICK_INTERVAL;
             let at = next.min(wake.max(self.now)).min(latest_tick).min(ends);
-            self.count_connections((at - self.now).secs());
+            self.add_open_connections((at - self.now).secs());
             self.now = at;
             if at >= ends {
                 break;
@@ -148,7 +148,7 @@
     }
 
     /// Adds what is open now, for a time in seconds.
-    fn count_connections(&mut self, secs: f64) {
+    fn add_open_connections(&mut self, secs: f64) {
         let to_members = &self.connections_of_member;
         self.counts.member_connections += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
         self.counts.client_connections += secs * self.client_of_connection.len() as f64;
@@ -190,30 +190,30 @@
     }
 
     /// Mean CPU seconds of a tick with nothing to do, over a number of ticks.
-    pub fn idle_tick_cpu_s(&mut self, turns: usize) -> f64 {
+    pub fn idle_tick_cpu_s(&mut self, ticks: usize) -> f64 {
         let before = thread_cpu_s();
-        for _ in 0..turns {
+        for _ in 0..ticks {
             self.reducer.handle(self.now, Event::Tick);
         }
-        (thread_cpu_s() - before) / turns as f64
+        (thread_cpu_s() - before) / ticks as f64
     }
 
-    pub(super) fn draw_gap(&mut self) -> Span {
+    pub(super) fn draw_statement_gap(&mut self) -> Span {
         let gap: f64 = self.rng.sample(Exp1);
         Span::from_secs_f64(gap / self.shape.rate)
     }
 
     pub(super) fn schedule(&mut self, after: Span, event: SimulationEvent) {
-        self.last_number += 1;
-        self.queue.insert((self.now + after, self.last_number), event);
+        self.last_sequence_number += 1;
+        self.queue.insert((self.now + after, self.last_sequence_number), event);
     }
 
     /// Carries out effects and ticks in turn, as the program's event loop does, until nothing is written any more.
     pub(super) fn run_event_loop(&mut self) {
         loop {
-            self.carry_out();
+            self.execute_effects();
             self.apply(Event::Tick);
-            if !self.carry_out() {
+            if !self.execute_effects() {
                 return;
             }
         }
@@ -234,7 +234,7 @@
     }
 
     /// Carries out all effects. Was anything written?
-    fn carry_out(&mut self) -> bool {
+    fn execute_effects(&mut self) -> bool {
         let mut has_written = false;
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
@@ -261,7 +261,7 @@
         match event {
             SimulationEvent::ClientStatement => {
                 self.send_statement();
-                let gap = self.draw_gap();
+                let gap = self.draw_statement_gap();
                 self.schedule(gap, SimulationEvent::ClientStatement);
             }
             SimulationEvent::Connected(id) => {
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -28,9 +28,12 @@
 pub fn size(seed: u64, router: Option<&Path>) -> Result<String, String> {
     let shape = Shape { answer_time: Span::from_nanos(1), routers: 1, ..Shape::of(GROUPS) };
     let simulated = steady_counts(&shape, WARM_UP, SPAN, seed)?;
-    let with_clients_kept = counts_with_clients_kept(&shape, seed)?;
-    let real = router.map(|router| at_size(seed, router)).transpose().map_err(|error| error.to_string())?;
-    let mut text = comparison_table(&simulated, &with_clients_kept, real.as_ref());
+    let with_long_idle_timeout = counts_with_long_idle_timeout(&shape, seed)?;
+    let real = router
+        .map(|router| measure_at_reference_size(seed, router))
+        .transpose()
+        .map_err(|error| error.to_string())?;
+    let mut text = comparison_table(&simulated, &with_long_idle_timeout, real.as_ref());
     if let Some(real) = real {
         text += &format!(
             "\nReal: {:.0} KiB resident; {:.0} descriptors once the clients had gone.\n",
@@ -39,7 +42,7 @@
     }
     if let Some(router) = router {
         let IdleClients { open, resident_kib, descriptors } =
-            idle_clients(seed, router).map_err(|error| error.to_string())?;
+            measure_idle_clients(seed, router).map_err(|error| error.to_string())?;
         text += &format!(
             "\n5,900 at rest with 192 MB and 24,000 sockets told: {open} open, {resident_kib:.0} KiB resident, \
              {descriptors:.0} descriptors.\n"
@@ -49,7 +52,7 @@
 }
 
 /// All clients are connected from the start, and the router closes none.
-fn counts_with_clients_kept(shape: &Shape, seed: u64) -> Result<Counts, String> {
+fn counts_with_long_idle_timeout(shape: &Shape, seed: u64) -> Result<Counts, String> {
     let shape = Shape { client_idle_timeout: Some(LONG_IDLE_TIMEOUT), ..shape.clone() };
     let mut simulation = Simulation::new(&shape, seed)?;
     simulation.open_all_clients();
@@ -57,14 +60,23 @@
     Ok(simulation.run(SPAN))
 }
 
-fn comparison_table(simulated: &Counts, with_clients_kept: &Counts, real: Option<&AtSize>) -> String {
+fn comparison_table(
+    simulated: &Counts,
+    with_long_idle_timeout: &Counts,
+    real: Option<&ReferenceSizeResult>,
+) -> String {
     let mut text = String::from("| at the size, one router | pure | pure, clients kept | real |\n");
     text += "|---|---|---|---|\n";
-    let mut row = |name: &str, value: fn(&Counts) -> f64, real_value: Option<fn(&AtSize) -> f64>| {
-        let real = real.zip(real_value).map(|(real, value)| format!("{:.1}", value(real)));
-        let real = real.unwrap_or("not seen".to_owned());
-        text += &format!("| {name} | {:.1} | {:.1} | {real} |\n", value(simulated), value(with_clients_kept));
-    };
+    let mut row =
+        |name: &str, value: fn(&Counts) -> f64, real_value: Option<fn(&ReferenceSizeResult) -> f64>| {
+            let real = real.zip(real_value).map(|(real, value)| format!("{:.1}", value(real)));
+            let real = real.unwrap_or("not seen".to_owned());
+            text += &format!(
+                "| {name} | {:.1} | {:.1} | {real} |\n",
+                value(simulated),
+                value(with_long_idle_timeout)
+            );
+        };
     row("statements/s", |c| c.statements / c.seconds, Some(|r| r.load.statements / r.load.seconds));
     row(
         "opened anew a second",
@@ -103,7 +115,7 @@
 }
 
 /// With the usual memory, and enough sockets that no connection is evicted.
-fn idle_clients(seed: u64, router: &Path) -> io::Result<IdleClients> {
+fn measure_idle_clients(seed: u64, router: &Path) -> io::Result<IdleClients> {
     let testbed = RouterTestbed::start(router, 1, 192, 24_000, seed)?;
     let streams = testbed.open_idle_clients(CLIENTS as usize)?;
     let open = streams.iter().filter(|stream| is_open(stream)).count();
@@ -111,7 +123,7 @@
 }
 
 /// A real router at the reference size.
-struct AtSize {
+struct ReferenceSizeResult {
     load: LoadResult,
     /// Open connections of clients.
     clients: f64,
@@ -124,10 +136,10 @@
 }
 
 /// Runs a real router before 939 emulated members, with 5,900 clients that send statements at random.
-fn at_size(seed: u64, router: &Path) -> io::Result<AtSize> {
+fn measure_at_reference_size(seed: u64, router: &Path) -> io::Result<ReferenceSizeResult> {
     let testbed = RouterTestbed::start(router, GROUPS, 192, 20_000, seed)?;
-    let (warm, span) = (Duration::from_millis(24_000), Duration::from_millis(22_000));
-    let load = testbed.run_load(ConnectionUse::Random(CLIENTS as usize), STATEMENTS, warm, span)?;
+    let (warm_up, span) = (Duration::from_millis(24_000), Duration::from_millis(22_000));
+    let load = testbed.run_load(ConnectionUse::Random(CLIENTS as usize), STATEMENTS, warm_up, span)?;
     // The router's own stats, each of ten seconds; the last two lie within the time.
     let log = testbed.log();
     let stats: Vec<&String> = log.iter().filter(|line| router_log::is_stats(line)).rev().take(2).collect();
@@ -136,7 +148,7 @@
     };
     let number = |name: &str| mean(&|line| router_log::number(line, name));
     let health_checks = mean(&|line| router_log::sum_by_outcome(line, "health_checks"));
-    Ok(AtSize {
+    Ok(ReferenceSizeResult {
         load,
         clients: number("clients"),
         member_connections: number("member_connections"),
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -19,7 +19,7 @@
     text += &staleness_table(&base, seed)?;
     text += &full_members_table(&base, seed)?;
     text += &startup_table(seed)?;
-    text += &probe_pass_table(seed)?;
+    text += &health_check_tick_table(seed)?;
     Ok(text)
 }
 
@@ -131,7 +131,7 @@
 }
 
 /// Ticks with health checks, with and without sharing them among routers.
-fn probe_pass_table(seed: u64) -> Result<String, String> {
+fn health_check_tick_table(seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text += "\n| members | us of CPU of a pass, each alone | where probes are shared |\n|---|---|---|\n";
     for groups in [39, 78, 156, 313] {
--- a/crates/ladderpass-testbed/src/capacity/events/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/mod.rs
@@ -5,14 +5,14 @@
 
 pub use outcome::{EventOutcome, Moment};
 
-use super::control::{GROUPS, RATE, SETTLES};
+use super::control::{GROUPS, SETTLE_TIME, STATEMENT_RATE};
 use super::simulated_routers::{REGION_OF_ZONE, Shape, Simulation, ZONES, member_id};
 use ladderpass_routing::Span;
 use observation::{Observation, STEP};
 use std::io;
 
 /// How often a simulation that has not settled yet is run on, and for how long.
-const SETTLE_STEPS: usize = 60;
+const MAX_SETTLE_STEPS: usize = 60;
 const SETTLE_STEP: Span = Span::from_millis(500);
 /// Routers that restart in a wave, of `REFERENCE_ROUTERS`.
 const RESTARTED_ROUTERS: usize = 180;
@@ -29,7 +29,7 @@
 const DOWN_BEFORE_CHANGE_S: f64 = 4.0;
 const DOWN_AFTER_CHANGE_S: f64 = 5.0;
 /// A killed router starts again after this time.
-const RESTART_AFTER: Span = Span::from_millis(1000);
+const RESTART_DELAY: Span = Span::from_millis(1000);
 /// How long conditions may take to hold.
 const MAX_LIST_CHANGE_S: f64 = 20.0;
 const MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S: f64 = 30.0;
@@ -45,7 +45,7 @@
 }
 
 /// Do all running routers know this member as its group's primary?
-fn know_primary(simulation: &Simulation, member: usize) -> bool {
+fn all_know_primary(simulation: &Simulation, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
         simulation
@@ -56,17 +56,17 @@
 }
 
 /// Do all running routers have this generation of the endpoint list, or a later one?
-fn have_generation(simulation: &Simulation, generation: u64) -> bool {
+fn all_have_generation(simulation: &Simulation, generation: u64) -> bool {
     let mut reducers = (0..simulation.shape.routers).filter_map(|router| simulation.reducer(router));
     reducers.all(|reducer| reducer.generation() >= generation)
 }
 
 /// A simulation whose routers have found each other.
-fn settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
-    let rate = RATE * groups as f64 / GROUPS as f64;
+fn start_settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
+    let rate = STATEMENT_RATE * groups as f64 / GROUPS as f64;
     let mut simulation = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
-    simulation.run(SETTLES)?;
-    for _ in 0..SETTLE_STEPS {
+    simulation.run(SETTLE_TIME)?;
+    for _ in 0..MAX_SETTLE_STEPS {
         if all_believe_alive(&simulation, |_| routers) {
             break;
         }
@@ -88,7 +88,7 @@
     groups: usize,
     seed: u64,
 ) -> io::Result<EventOutcome> {
-    let mut simulation = settled(routers, groups, seed)?;
+    let mut simulation = start_settled(routers, groups, seed)?;
     let mut observation = Observation::begin(&mut simulation)?;
     let moments = match name {
         "primary" => failover(&mut observation, groups)?,
@@ -96,7 +96,7 @@
         "change-late" => list_change_without_discovery(&mut observation)?,
         "restarts" => restart_wave(&mut observation)?,
         "rack" => {
-            silent_failure(&mut observation, |index, of_zone| index < (of_zone / RACKS_PER_ZONE).max(1))?
+            silent_failure(&mut observation, |index, zone_size| index < (zone_size / RACKS_PER_ZONE).max(1))?
         }
         "zone" => silent_failure(&mut observation, |_, _| true)?,
         _ => region_cut(&mut observation)?,
@@ -115,32 +115,33 @@
     observation.simulation.end_member(0, false);
     observation.run_for(PROMOTION_S)?;
     observation.simulation.members[replica].primary = true;
-    let known = observation.run_until(MAX_FAILOVER_S, |simulation| know_primary(simulation, replica))?;
+    let known_at_s =
+        observation.run_until(MAX_FAILOVER_S, |simulation| all_know_primary(simulation, replica))?;
     observation.run_for(2.0)?;
-    Ok(vec![moment("the new one can be written to", PROMOTION_S), moment("all routers know it", known)])
+    Ok(vec![moment("the new one can be written to", PROMOTION_S), moment("all routers know it", known_at_s)])
 }
 
 /// The endpoint list changes.
 fn list_change(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     let generation = observation.simulation.change_endpoint(1, "DRAINING");
-    let known =
-        observation.run_until(MAX_LIST_CHANGE_S, |simulation| have_generation(simulation, generation))?;
+    let known_at_s =
+        observation.run_until(MAX_LIST_CHANGE_S, |simulation| all_have_generation(simulation, generation))?;
     observation.run_for(1.0)?;
-    Ok(vec![moment("in force at all", known)])
+    Ok(vec![moment("in force at all", known_at_s)])
 }
 
 /// Discovery can't be reached from four seconds before the change until five seconds after it.
 fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     observation.simulation.discovery_up = false;
     observation.run_for(DOWN_BEFORE_CHANGE_S)?;
-    observation.from = observation.simulation.now;
+    observation.started_at = observation.simulation.now;
     let generation = observation.simulation.change_endpoint(1, "DRAINING");
     observation.run_for(DOWN_AFTER_CHANGE_S)?;
     observation.simulation.discovery_up = true;
-    let known = observation.run_until(MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S, |simulation| {
-        have_generation(simulation, generation)
+    let known_at_s = observation.run_until(MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S, |simulation| {
+        all_have_generation(simulation, generation)
     })?;
-    Ok(vec![moment("discovery is back", DOWN_AFTER_CHANGE_S), moment("in force at all", known)])
+    Ok(vec![moment("discovery is back", DOWN_AFTER_CHANGE_S), moment("in force at all", known_at_s)])
 }
 
 /// Routers are killed one after the other, and each starts again a second later.
@@ -150,16 +151,16 @@
     for index in 0..count {
         let router = index * routers / count;
         observation.simulation.kill(router);
-        observation.simulation.schedule_start(router, RESTART_AFTER);
+        observation.simulation.schedule_start(router, RESTART_DELAY);
         let next_at_s = RESTART_WAVE_S * (index + 1) as f64 / count as f64;
         while observation.elapsed_s() + STEP.secs() <= next_at_s {
             observation.step()?;
         }
     }
-    let last = observation.elapsed_s();
-    let known =
+    let last_kill_s = observation.elapsed_s();
+    let known_at_s =
         observation.run_until(MAX_MEMBERSHIP_S, |simulation| all_believe_alive(simulation, |_| routers))?;
-    Ok(vec![moment("the last is killed", last), moment("all know of all", known)])
+    Ok(vec![moment("the last is killed", last_kill_s), moment("all know of all", known_at_s)])
 }
 
 /// Machines of one zone fail without closing connections: those that `fails` names by their index among the zone's
@@ -183,14 +184,14 @@
             failed_members += 1;
         }
     }
-    let known = observation.run_until(MAX_MEMBERSHIP_S, |simulation| {
+    let known_at_s = observation.run_until(MAX_MEMBERSHIP_S, |simulation| {
         all_believe_alive(simulation, |_| routers - failed_routers)
     })?;
     observation.run_for(5.0)?;
     Ok(vec![
         moment("routers gone", failed_routers as f64),
         moment("members gone", failed_members as f64),
-        moment("all know which routers", known),
+        moment("all know which routers", known_at_s),
     ])
 }
 
@@ -200,17 +201,17 @@
     let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
     let cut_off = (0..routers).filter(|&router| is_cut_off(router)).count();
     observation.simulation.cut_regions = vec![(0, CUT_REGION), (1, CUT_REGION)];
-    let on_own_side = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
-    let known =
-        observation.run_until(MAX_MEMBERSHIP_S, |simulation| all_believe_alive(simulation, on_own_side))?;
-    observation.run_for(CUT_S - known.min(CUT_S - 1.0))?;
+    let expected_alive = |router: usize| if is_cut_off(router) { cut_off } else { routers - cut_off };
+    let known_at_s = observation
+        .run_until(MAX_MEMBERSHIP_S, |simulation| all_believe_alive(simulation, expected_alive))?;
+    observation.run_for(CUT_S - known_at_s.min(CUT_S - 1.0))?;
     observation.simulation.cut_regions.clear();
-    let healed = observation.elapsed_s();
-    let back =
+    let healed_at_s = observation.elapsed_s();
+    let rejoined_at_s =
         observation.run_until(MAX_HEALING_S, |simulation| all_believe_alive(simulation, |_| routers))?;
     Ok(vec![
-        moment("each side knows its own", known),
-        moment("healed", healed),
-        moment("all know of all", back),
+        moment("each side knows its own", known_at_s),
+        moment("healed", healed_at_s),
+        moment("all know of all", rejoined_at_s),
     ])
 }
--- a/crates/ladderpass-testbed/src/capacity/events/observation.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/observation.rs
@@ -7,7 +7,7 @@
 use std::io;
 
 /// Over which the peak is measured.
-const SLICE: Span = Span::from_millis(500);
+const PEAK_WINDOW: Span = Span::from_millis(500);
 /// How often conditions are checked.
 pub(super) const STEP: Span = Span::from_millis(50);
 /// Over which the state before an event is measured: several rounds of gossip.
@@ -15,32 +15,31 @@
 
 /// Datagrams and bytes that all routers sent.
 #[derive(Clone, Copy)]
-struct Sent {
+struct SentTotals {
     datagrams: u64,
     bytes: u64,
 }
 
 /// Statements of all clients.
 #[derive(Clone, Copy)]
-struct Statements {
+struct StatementTotals {
     sent: u64,
     failed: u64,
 }
 
-fn sent(simulation: &Simulation) -> Sent {
-    let of = |counts: &Counts| Sent {
+fn sent_totals(simulation: &Simulation) -> SentTotals {
+    let totals_of = |counts: &Counts| SentTotals {
         datagrams: counts.gossip.datagrams + counts.membership.datagrams,
         bytes: counts.gossip.bytes + counts.membership.bytes,
     };
-    simulation.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
-        datagrams: sum.datagrams + one.datagrams,
-        bytes: sum.bytes + one.bytes,
+    simulation.counts.iter().map(totals_of).fold(SentTotals { datagrams: 0, bytes: 0 }, |sum, one| {
+        SentTotals { datagrams: sum.datagrams + one.datagrams, bytes: sum.bytes + one.bytes }
     })
 }
 
-impl Sent {
+impl SentTotals {
     /// Datagrams and bytes since an earlier time, each times `factor`.
-    fn rate_since(&self, earlier: Sent, factor: f64) -> Traffic {
+    fn rate_since(&self, earlier: SentTotals, factor: f64) -> Traffic {
         Traffic {
             datagrams_per_second: (self.datagrams - earlier.datagrams) as f64 * factor,
             bytes_per_second: (self.bytes - earlier.bytes) as f64 * factor,
@@ -48,9 +47,9 @@
     }
 }
 
-fn statements(simulation: &Simulation) -> Statements {
+fn statement_totals(simulation: &Simulation) -> StatementTotals {
     let failed = simulation.counts.iter().map(|counts| counts.errors + counts.unsent).sum();
-    Statements { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), failed }
+    StatementTotals { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), failed }
 }
 
 /// Runs a simulation during an event, and measures it.
@@ -58,30 +57,30 @@
     /// The simulation.
     pub simulation: &'a mut Simulation,
     /// The event's begin.
-    pub from: Time,
+    pub started_at: Time,
     traffic_before: Traffic,
     peak_traffic: Traffic,
-    slice_began: Time,
-    sent_before_slice: Sent,
-    statements_before: Statements,
+    window_started_at: Time,
+    sent_before_window: SentTotals,
+    statements_before: StatementTotals,
 }
 
 impl Observation<'_> {
     /// Measures the traffic before the event, which begins then.
     pub fn begin(simulation: &mut Simulation) -> io::Result<Observation<'_>> {
-        let sent_before = sent(simulation);
+        let sent_before = sent_totals(simulation);
         simulation.run(BASELINE)?;
-        let sent_now = sent(simulation);
+        let sent_now = sent_totals(simulation);
         let factor = 1.0 / BASELINE.secs() / simulation.shape.routers as f64;
         let traffic_before = sent_now.rate_since(sent_before, factor);
         simulation.discovery = Default::default();
-        let (from, statements_before) = (simulation.now, statements(simulation));
+        let (started_at, statements_before) = (simulation.now, statement_totals(simulation));
         Ok(Observation {
             traffic_before,
             peak_traffic: traffic_before,
-            sent_before_slice: sent_now,
-            slice_began: from,
-            from,
+            sent_before_window: sent_now,
+            window_started_at: started_at,
+            started_at,
             statements_before,
             simulation,
         })
@@ -90,28 +89,29 @@
     /// Runs for [`STEP`].
     pub fn step(&mut self) -> io::Result<()> {
         self.simulation.run(STEP)?;
-        if self.simulation.now - self.slice_began >= SLICE {
-            let sent_now = sent(self.simulation);
-            let factor =
-                1.0 / (self.simulation.now - self.slice_began).secs() / self.simulation.shape.routers as f64;
-            let rate = sent_now.rate_since(self.sent_before_slice, factor);
+        if self.simulation.now - self.window_started_at >= PEAK_WINDOW {
+            let sent_now = sent_totals(self.simulation);
+            let factor = 1.0
+                / (self.simulation.now - self.window_started_at).secs()
+                / self.simulation.shape.routers as f64;
+            let rate = sent_now.rate_since(self.sent_before_window, factor);
             let peak = &mut self.peak_traffic;
             peak.datagrams_per_second = peak.datagrams_per_second.max(rate.datagrams_per_second);
             peak.bytes_per_second = peak.bytes_per_second.max(rate.bytes_per_second);
-            (self.sent_before_slice, self.slice_began) = (sent_now, self.simulation.now);
+            (self.sent_before_window, self.window_started_at) = (sent_now, self.simulation.now);
         }
         Ok(())
     }
 
     /// Seconds since the event's begin.
     pub fn elapsed_s(&self) -> f64 {
-        (self.simulation.now - self.from).secs()
+        (self.simulation.now - self.started_at).secs()
     }
 
     /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
-    pub fn run_until(&mut self, max_s: f64, holds: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
+    pub fn run_until(&mut self, max_s: f64, condition: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
         let end = self.simulation.now + Span::from_secs_f64(max_s);
-        while !holds(self.simulation) {
+        while !condition(self.simulation) {
             if self.simulation.now >= end {
                 return Ok(f64::INFINITY);
             }
@@ -131,7 +131,7 @@
 
     /// What was measured since the event's begin.
     pub fn finish(self, name: &'static str, moments: Vec<Moment>) -> EventOutcome {
-        let now = statements(self.simulation);
+        let now = statement_totals(self.simulation);
         let sent = (now.sent - self.statements_before.sent).max(1);
         let failed = now.failed - self.statements_before.failed;
         EventOutcome {
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -13,7 +13,7 @@
 
 impl Simulation {
     /// Sends a router a statement of a group and method that are drawn.
-    pub(super) fn send_drawn_statement(&mut self, router: usize) {
+    pub(super) fn send_random_statement(&mut self, router: usize) {
         let group = self.rng.random_range(0..self.shape.groups);
         let is_write = self.rng.random_range(0.0..1.0) < self.shape.writes;
         self.send_statement(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
@@ -51,7 +51,7 @@
             return None;
         }
         let id = self.routers[router].reducer.as_mut()?.next_id();
-        let peer = Peer::Client { welcomed: false, input: Vec::new() };
+        let peer = Peer::Client { startup_done: false, input: Vec::new() };
         let connection = Connection { peer, unread: Vec::new() };
         self.routers[router].connections.insert(id, connection);
         self.apply(router, Event::Accepted(id), Subject::Connections);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
@@ -2,7 +2,7 @@
 
 use super::counts::Subject;
 use super::member::HEALTH_CHECK;
-use super::settings::{Endpoint, endpoint_at};
+use super::settings::{AddressOwner, address_owner};
 use super::simulation::{Connection, ConnectionKey, Peer, Simulation, SimulationEvent};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_emulator::proto;
@@ -22,8 +22,8 @@
     pub(super) fn connect(&mut self, key: ConnectionKey, address: SocketAddr) {
         self.counts[key.router].connections_opened += 1;
         let at = self.round_trip_at();
-        let peer = match endpoint_at(address) {
-            Some(Endpoint::Member(member)) => {
+        let peer = match address_owner(address) {
+            Some(AddressOwner::Member(member)) => {
                 let result = match self.members.get(member) {
                     Some(member) if member.up => SimulationEvent::Connected(key),
                     _ => SimulationEvent::Closed(key),
@@ -68,7 +68,7 @@
     }
 
     fn receive_as_client(&mut self, key: ConnectionKey, bytes: &[u8]) {
-        let Some(Connection { peer: Peer::Client { welcomed, input }, .. }) =
+        let Some(Connection { peer: Peer::Client { startup_done, input }, .. }) =
             self.routers[key.router].connections.get_mut(&key.id)
         else {
             return;
@@ -83,7 +83,7 @@
         }
         input.drain(..parsed);
         // The first ReadyForQuery ends the welcome.
-        if answers > 0 && !std::mem::replace(welcomed, true) {
+        if answers > 0 && !std::mem::replace(startup_done, true) {
             answers -= 1;
         }
         self.counts[key.router].answered += answers.saturating_sub(errors);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -92,16 +92,16 @@
 }
 
 /// CPU time of this thread.
-pub fn thread_time() -> Span {
+pub fn thread_cpu_time() -> Span {
     let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("every thread has that clock");
     Span::from_nanos(time.tv_sec() * 1_000_000_000 + time.tv_nsec())
 }
 
 /// CPU time that reading that clock takes, in nanoseconds, so that it can be subtracted.
 pub(super) fn clock_overhead_ns() -> i64 {
-    let began = thread_time();
+    let began = thread_cpu_time();
     for _ in 0..CLOCK_SAMPLES {
-        std::hint::black_box(thread_time());
+        std::hint::black_box(thread_cpu_time());
     }
-    (thread_time() - began).nanos() / CLOCK_SAMPLES
+    (thread_cpu_time() - began).nanos() / CLOCK_SAMPLES
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -1,7 +1,7 @@
 //! Events of a simulation: they are passed to a router's reducer, and the effects that it returns are carried out.
 
-use super::counts::{Subject, thread_time};
-use super::settings::{Endpoint, endpoint_at, launch, router_address};
+use super::counts::{Subject, thread_cpu_time};
+use super::settings::{AddressOwner, address_owner, read_launch, router_address};
 use super::simulation::{Connection, ConnectionKey, Simulation, SimulationEvent};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
 use ladderpass_routing::{Span, Time};
@@ -14,9 +14,9 @@
 /// and at most this often.
 const MIN_TICK_INTERVAL: Span = Span::from_nanos(20_000);
 /// A router gets its first statement this long after its start.
-const FIRST_STATEMENT_AFTER: Span = Span::from_millis(300);
+const FIRST_STATEMENT_DELAY: Span = Span::from_millis(300);
 /// The latency of a datagram, as a factor of the simulation's.
-const LATENCY_SPREAD: std::ops::Range<f64> = 0.8..1.2;
+const LATENCY_FACTOR: std::ops::Range<f64> = 0.8..1.2;
 
 impl Simulation {
     pub(super) fn handle_event(&mut self, event: SimulationEvent) -> io::Result<()> {
@@ -33,7 +33,7 @@
             SimulationEvent::ClientStatement { router, incarnation }
                 if self.is_current(router, incarnation) =>
             {
-                self.send_drawn_statement(router);
+                self.send_random_statement(router);
                 let gap = self.rng.random_range(0.5..1.5) / self.shape.rate;
                 let at = self.now + Span::from_secs_f64(gap);
                 self.schedule(at, SimulationEvent::ClientStatement { router, incarnation });
@@ -68,14 +68,15 @@
         if self.routers[router].reducer.is_some() {
             return Ok(());
         }
-        let launch = launch(&self.config, router, self.shape.routers, self.shape.fleet, self.shape.peers)?;
+        let launch =
+            read_launch(&self.config, router, self.shape.routers, self.shape.fleet, self.shape.peers)?;
         let started = &mut self.routers[router];
         started.incarnation += 1;
         started.reducer = Some(Reducer::start(self.now, launch));
         let incarnation = started.incarnation;
         if self.shape.rate > 0.0 {
             let gap = self.rng.random_range(0.0..1.0) / self.shape.rate;
-            let at = self.now + FIRST_STATEMENT_AFTER + Span::from_secs_f64(gap);
+            let at = self.now + FIRST_STATEMENT_DELAY + Span::from_secs_f64(gap);
             self.schedule(at, SimulationEvent::ClientStatement { router, incarnation });
         }
         self.tick(router);
@@ -86,12 +87,12 @@
     pub(super) fn apply(&mut self, router: usize, event: Event, subject: Subject) {
         let is_observed = router < self.shape.observed;
         let Some(reducer) = &mut self.routers[router].reducer else { return };
-        let began = is_observed.then(thread_time);
+        let began = is_observed.then(thread_cpu_time);
         let effects = reducer.handle(self.now, event);
         if let Some(began) = began {
-            self.cost.add_event(subject, (thread_time() - began).nanos() - self.clock_overhead_ns);
+            self.cost.add_event(subject, (thread_cpu_time() - began).nanos() - self.clock_overhead_ns);
         }
-        self.carry_out(router, effects);
+        self.execute_effects(router, effects);
         if matches!(subject, Subject::IdleTick | Subject::DataTick) {
             return;
         }
@@ -115,7 +116,7 @@
         }
     }
 
-    fn carry_out(&mut self, router: usize, effects: Vec<Effect>) {
+    fn execute_effects(&mut self, router: usize, effects: Vec<Effect>) {
         let mut effects: VecDeque<Effect> = effects.into();
         while let Some(effect) = effects.pop_front() {
             let incarnation = self.routers[router].incarnation;
@@ -173,7 +174,7 @@
             let counts = &mut self.counts[router];
             let flow = if is_membership(&bytes) { &mut counts.membership } else { &mut counts.gossip };
             flow.add(bytes.len());
-            let Some(Endpoint::Router(to)) = endpoint_at(to) else { continue };
+            let Some(AddressOwner::Router(to)) = address_owner(to) else { continue };
             if to >= self.shape.routers {
                 continue;
             }
@@ -183,7 +184,7 @@
                 continue;
             }
             self.datagrams_in_flight += 1;
-            let latency = self.shape.latency * self.rng.random_range(LATENCY_SPREAD);
+            let latency = self.shape.latency * self.rng.random_range(LATENCY_FACTOR);
             self.schedule(self.now + latency, SimulationEvent::Datagram { to, from, bytes });
         }
     }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
@@ -13,8 +13,8 @@
 mod shape;
 mod simulation;
 
-pub use counts::{Cost, Counts, Flow, Subject, thread_time};
+pub use counts::{Cost, Counts, Flow, Subject, thread_cpu_time};
 pub use member::Member;
-pub use settings::{config, launch, member_id, router_address};
+pub use settings::{member_id, read_launch, router_address, write_config};
 pub use shape::{REGION_OF_ZONE, Shape, ZONES};
 pub use simulation::Simulation;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
@@ -22,7 +22,7 @@
 const ADDRESSES_PER_BLOCK: usize = 250;
 
 /// Who has an address.
-pub(super) enum Endpoint {
+pub(super) enum AddressOwner {
     Router(usize),
     Member(usize),
 }
@@ -37,18 +37,18 @@
 }
 
 fn ip_of(network: u8, index: usize) -> Ipv4Addr {
-    let (block, place) = (index / ADDRESSES_PER_BLOCK, index % ADDRESSES_PER_BLOCK);
-    Ipv4Addr::new(127, network, block as u8, (1 + place) as u8)
+    let (block, offset) = (index / ADDRESSES_PER_BLOCK, index % ADDRESSES_PER_BLOCK);
+    Ipv4Addr::new(127, network, block as u8, (1 + offset) as u8)
 }
 
 /// The router or member that has an address; none for discovery.
-pub(super) fn endpoint_at(address: SocketAddr) -> Option<Endpoint> {
+pub(super) fn address_owner(address: SocketAddr) -> Option<AddressOwner> {
     let SocketAddr::V4(address) = address else { return None };
-    let [_, network, block, place] = address.ip().octets();
-    let index = usize::from(block) * ADDRESSES_PER_BLOCK + usize::from(place).checked_sub(1)?;
+    let [_, network, block, offset] = address.ip().octets();
+    let index = usize::from(block) * ADDRESSES_PER_BLOCK + usize::from(offset).checked_sub(1)?;
     match network {
-        ROUTER_NETWORK => Some(Endpoint::Router(index)),
-        MEMBER_NETWORK => Some(Endpoint::Member(index)),
+        ROUTER_NETWORK => Some(AddressOwner::Router(index)),
+        MEMBER_NETWORK => Some(AddressOwner::Member(index)),
         _ => None,
     }
 }
@@ -83,12 +83,18 @@
 ///
 /// # Errors
 /// If the operator's file can't be written, or the settings can't be read.
-pub fn launch(config: &Path, router: usize, listed: usize, fleet: bool, peers: bool) -> io::Result<Launch> {
+pub fn read_launch(
+    config: &Path,
+    router: usize,
+    routers: usize,
+    fleet: bool,
+    peers: bool,
+) -> io::Result<Launch> {
     let address = router_address(router);
     let mut text = String::new();
     if peers {
         let listed: Vec<String> =
-            (0..listed.min(LISTED_PEERS)).map(|peer| format!("'{}'", router_address(peer))).collect();
+            (0..routers.min(LISTED_PEERS)).map(|peer| format!("'{}'", router_address(peer))).collect();
         let listed = listed.join(", ");
         // Writing to a string can't fail.
         let _ =
@@ -116,7 +122,7 @@
 ///
 /// # Errors
 /// If the file can't be written.
-pub fn config(shape: &Shape, cached_entries: &str) -> io::Result<PathBuf> {
+pub fn write_config(shape: &Shape, cached_entries: &str) -> io::Result<PathBuf> {
     let scenario = Scenario { groups: shape.groups as u32, ..Scenario::default() };
     let allowed = RouterLimits { cores: 1.0, memory_mb: 1024, sockets: 65_536 };
     let text = scenario.router_config(EPOCH, shape.seed, &allowed, &[]);
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::counts::{Cost, Counts, Flow, clock_overhead_ns};
 use super::member::Member;
-use super::settings::{EPOCH, config, list_entry};
+use super::settings::{EPOCH, list_entry, write_config};
 use super::shape::{REGION_OF_ZONE, Shape, ZONES};
 use ladderpass::reducer::{ConnectionId, Reducer};
 use ladderpass_routing::{Span, Time};
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 
 /// All routers start within this, in nanoseconds.
-const START_WITHIN_NS: i64 = 200_000_000;
+const MAX_START_DELAY_NS: i64 = 200_000_000;
 const REPLICA_LAG_MS: std::ops::Range<i64> = 2..20;
 const FIRST_GENERATION: u64 = 2;
 const NEVER: Time = Time::from_nanos(i64::MAX);
@@ -23,7 +23,7 @@
 /// The far end of a router's connection.
 pub(super) enum Peer {
     /// A client; it is welcomed once its startup message is answered.
-    Client { welcomed: bool, input: Vec<u8> },
+    Client { startup_done: bool, input: Vec<u8> },
     /// A member, which first reads the startup message.
     Member { member: usize, startup_read: bool, input: Vec<u8> },
     /// Discovery, which sends the endpoint list once it is watched.
@@ -70,9 +70,9 @@
     }
 
     /// Ids of some connections, in order: the map's own order differs from run to run.
-    fn sorted_connections(&self, is_wanted: impl Fn(&Peer) -> bool) -> Vec<ConnectionId> {
-        let wanted = self.connections.iter().filter(|(_, connection)| is_wanted(&connection.peer));
-        let mut ids: Vec<ConnectionId> = wanted.map(|(&id, _)| id).collect();
+    fn sorted_connections(&self, matches: impl Fn(&Peer) -> bool) -> Vec<ConnectionId> {
+        let matching = self.connections.iter().filter(|(_, connection)| matches(&connection.peer));
+        let mut ids: Vec<ConnectionId> = matching.map(|(&id, _)| id).collect();
         ids.sort();
         ids
     }
@@ -131,7 +131,7 @@
     pub now: Time,
     began: Time,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
-    scheduled: u64,
+    last_event_number: u64,
     pub(super) routers: Vec<SimulatedRouter>,
     /// Its members.
     pub members: Vec<Member>,
@@ -184,12 +184,12 @@
             .map(|index| list_entry(&shape, index, members[index].primary, "SERVING"))
             .collect();
         let cached_entries = if shape.cached_endpoints { entries.join(",") } else { String::new() };
-        let config = config(&shape, &cached_entries)?;
+        let config = write_config(&shape, &cached_entries)?;
         let mut simulation = Simulation {
             now: EPOCH,
             began: EPOCH,
             queue: BinaryHeap::new(),
-            scheduled: 0,
+            last_event_number: 0,
             routers: (0..shape.routers).map(|_| SimulatedRouter::stopped()).collect(),
             members,
             counts: vec![Counts::default(); shape.routers],
@@ -208,15 +208,15 @@
             shape,
         };
         for router in 0..simulation.shape.routers {
-            let after = Span::from_nanos(simulation.rng.random_range(0..START_WITHIN_NS));
+            let after = Span::from_nanos(simulation.rng.random_range(0..MAX_START_DELAY_NS));
             simulation.schedule_start(router, after);
         }
         Ok(simulation)
     }
 
     pub(super) fn schedule(&mut self, at: Time, event: SimulationEvent) {
-        self.scheduled += 1;
-        self.queue.push(Reverse(ScheduledEvent { at, number: self.scheduled, event }));
+        self.last_event_number += 1;
+        self.queue.push(Reverse(ScheduledEvent { at, number: self.last_event_number, event }));
     }
 
     /// Time since its start.
@@ -251,8 +251,8 @@
     }
 
     /// Mean of a count over all routers.
-    pub fn mean(&self, of: impl Fn(&Counts) -> u64) -> f64 {
-        self.counts.iter().map(of).sum::<u64>() as f64 / self.counts.len().max(1) as f64
+    pub fn mean(&self, count: impl Fn(&Counts) -> u64) -> f64 {
+        self.counts.iter().map(count).sum::<u64>() as f64 / self.counts.len().max(1) as f64
     }
 
     /// The reducer of a router that runs.
@@ -294,7 +294,8 @@
         if silently {
             return;
         }
-        let is_of_member = |peer: &Peer| matches!(peer, Peer::Member { member: of, .. } if *of == member);
+        let is_of_member =
+            |peer: &Peer| matches!(peer, Peer::Member { member: other, .. } if *other == member);
         for router in 0..self.routers.len() {
             let closed = self.routers[router].sorted_connections(is_of_member);
             let incarnation = self.routers[router].incarnation;
--- a/crates/ladderpass-testbed/src/capacity/slope.rs
+++ b/crates/ladderpass-testbed/src/capacity/slope.rs
@@ -40,19 +40,21 @@
     /// The line of least squares.
     pub fn fit(&self) -> Fit {
         let count = self.points.len() as f64;
-        let mean = |of: fn(&(f64, f64)) -> f64| self.points.iter().map(of).sum::<f64>() / count.max(1.0);
+        let mean = |coordinate: fn(&(f64, f64)) -> f64| {
+            self.points.iter().map(coordinate).sum::<f64>() / count.max(1.0)
+        };
         let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-        let across: f64 = self.points.iter().map(|point| (point.0 - x) * (point.0 - x)).sum();
-        let along: f64 = self.points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
-        let slope = if across > 0.0 { along / across } else { 0.0 };
+        let sum_xx: f64 = self.points.iter().map(|point| (point.0 - x) * (point.0 - x)).sum();
+        let sum_xy: f64 = self.points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let line = Fit { slope, base: y - slope * x, error: 0.0 };
         let scale = self.points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
-        let off = |&(x, y): &(f64, f64)| match (line.at(x) - y).abs() {
+        let relative_residual = |&(x, y): &(f64, f64)| match (line.at(x) - y).abs() {
             // Rounding errors of the sums.
             residual if residual <= 1e-12 * scale => 0.0,
             residual => residual / y.abs(),
         };
-        let worst = self.points.iter().map(off).reduce(f64::max);
+        let worst = self.points.iter().map(relative_residual).reduce(f64::max);
         Fit { error: worst.unwrap_or(f64::INFINITY), ..line }
     }
 
