--- a/crates/ladderpass-testbed/src/capacity/control/costs.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/costs.rs
@@ -1,5 +1,5 @@
-//! Costs of control traffic apart from its rates: endpoint lists, memory, datagrams, reports for admission control, and how
-//! long the death of a router is unknown.
+//! Costs of control traffic other than its rates: endpoint lists, memory, datagrams, reports for admission control, and the
+//! time until the death of a router is detected.
 
 use super::rates::{SETTLE_TIME, rates_of};
 use super::reference_size::{ROUTERS, reference_shape};
@@ -8,44 +8,44 @@
 use std::io;
 use std::net::UdpSocket;
 
-/// Routers of the simulation in which complete endpoint lists are read.
+/// Routers in the simulation that measures complete endpoint lists.
 const LIST_ROUTERS: usize = 8;
 const LIST_SPAN: Span = Span::from_millis(1000);
-/// Members of a group of that simulation.
+/// Members of each group in that simulation.
 const LIST_GROUP_MEMBERS: usize = 3;
 
-/// Numbers of routers whose memory is measured. The first is left out of the result: it includes what the process itself
-/// needs.
+/// Numbers of routers whose memory is measured. The first one is left out of the result, because its growth includes the
+/// memory that the process itself needs.
 const MEMORY_ROUTERS: [usize; 4] = [64, 128, 256, ROUTERS];
 const MEMORY_SPAN: Span = Span::from_millis(4000);
 const PAGE_KIB: f64 = 4.0;
 
-/// Size of a datagram of gossip.
+/// Size of a gossip datagram.
 const GOSSIP_BYTES: usize = 11;
 const DATAGRAM_COUNTS: [i32; 4] = [2000, 4000, 8000, 16_000];
 const DATAGRAM_RUNS: usize = 5;
-/// Datagrams that are sent before they are received.
+/// Datagrams that are sent in a row before they are received.
 const DATAGRAM_BATCH: i32 = 50;
 
-/// Deaths of routers that are measured.
+/// Number of router deaths that are measured.
 const DEATHS: usize = 4;
-/// Steps within which routers must find each other: a minute.
+/// Steps of [`SETTLE_STEP`] within which routers must find each other; together they are a minute.
 const MAX_SETTLE_STEPS: usize = 600;
 const SETTLE_STEP: Span = Span::from_millis(100);
 const DETECTION_STEP: Span = Span::from_millis(20);
 const MAX_DETECTION: Span = Span::from_millis(60_000);
 
-/// The cost of a complete endpoint list.
+/// Cost of one complete endpoint list.
 pub(super) struct ListCost {
     /// Members in the list.
     pub members: f64,
     /// Bytes of discovery's response.
     pub bytes: f64,
-    /// CPU milliseconds of a router to read it.
+    /// CPU milliseconds that a router needs to read the response.
     pub cpu_ms: f64,
 }
 
-/// Measures the complete list that each router reads at its start.
+/// Measures the complete endpoint list that each router reads when it starts.
 pub(super) fn list_cost(members: usize, seed: u64) -> io::Result<ListCost> {
     let mut simulation = Simulation::start(Shape {
         rate: 0.0,
@@ -62,8 +62,9 @@
     Ok(ListCost { members: members as f64, bytes: bytes / lists, cpu_ms: cpu_ms / lists })
 }
 
-/// KiB that a router takes, by the number of routers, from the growth of this process. All simulations are kept until the
-/// last is measured, and nothing else in the process may grow meanwhile.
+/// Measures the memory of a router in KiB, by the number of routers, as the growth of this process. All simulations are
+/// kept until the last one is measured, so that none reuses freed memory. Other threads must not allocate during the
+/// measurement.
 ///
 /// # Errors
 /// If a simulation can't be started, or this process's memory can't be read.
@@ -81,15 +82,16 @@
     Ok(points)
 }
 
-/// Resident memory of this process.
+/// Returns the resident memory of this process in KiB.
 fn resident_kib() -> io::Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
     pages.map(|pages| pages * PAGE_KIB).ok_or_else(|| io::Error::other("statm can't be read"))
 }
 
-/// CPU microseconds to send and receive datagrams of gossip over loopback, each with a call of its own, as the program
-/// does; by their number. Of several runs the least counts: other load of the machine can only add to it.
+/// Measures the CPU microseconds to send and receive gossip datagrams over loopback, by the number of datagrams. Each
+/// datagram takes one call to send and one to receive, as in the router. The least of several runs is taken, because
+/// other load on the machine can only add CPU time.
 pub(super) fn datagram_cpu() -> io::Result<Vec<(f64, f64)>> {
     let (sender, receiver) = (UdpSocket::bind("127.0.0.1:0")?, UdpSocket::bind("127.0.0.1:0")?);
     let mut points = Vec::new();
@@ -119,16 +121,17 @@
     Ok(())
 }
 
-/// Reports for admission control, which go with datagrams of the membership protocol.
+/// Reports for admission control, which are sent in datagrams of the membership protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionReports {
-    /// Bytes a second that a router sends, with the membership protocol's own.
+    /// Bytes a second that a router sends in these datagrams, including those of the membership protocol itself.
     pub bytes_per_second: f64,
-    /// Reports of other routers that a router has; the common admission threshold needs one of each router for each group.
+    /// Reports of other routers that a router has. The common admission threshold needs one report from each router for
+    /// each group.
     pub reports: f64,
 }
 
-/// Measures the reports for admission control.
+/// Measures the reports for admission control over a number of seconds.
 ///
 /// # Errors
 /// If the simulation can't be started.
@@ -152,7 +155,8 @@
     })
 }
 
-/// Mean seconds from a router's death until no other believes it to be alive, of a few deaths one after the other.
+/// Measures the mean time in seconds from a router's death until no other router believes it to be alive, over a few
+/// successive deaths. A death that is not detected within a minute counts as a minute.
 ///
 /// # Errors
 /// If the simulation can't be started, or the routers don't find each other within a minute.
@@ -187,7 +191,7 @@
     Ok(())
 }
 
-/// Does each running router believe this many routers to be alive?
+/// Returns whether each running router believes this many routers to be alive.
 fn all_believe_alive(simulation: &Simulation, count: usize) -> bool {
     let views = (0..simulation.shape.routers)
         .filter_map(|router| simulation.reducer(router)?.fleet_view())
--- a/crates/ladderpass-testbed/src/capacity/control/figures.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/figures.rs
@@ -1,14 +1,14 @@
-//! Figures of control traffic at the reference size, worked out from the slopes.
+//! Figures of control traffic at the reference size, computed from the slopes.
 
 use super::reference_size::{GROUPS, MEMBERS, ROUTERS};
 use crate::capacity::slope::Slope;
 
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const HEADER_BYTES: f64 = 28.0;
-/// CPU microseconds a second that are one percent of a core.
+/// CPU microseconds a second that make up one percent of a core.
 const MICROS_PER_PERCENT: f64 = 1e4;
 
-/// The figures by the names that docs/CAPACITY.md has them under; not a number if a slope is missing.
+/// Returns the figures under their names in docs/CAPACITY.md. A figure is NaN if a slope that it needs is missing.
 pub fn figures(slopes: &[Slope]) -> Vec<(&'static str, f64)> {
     let fit = |name: &str| slopes.iter().find(|slope| slope.name == name).map(Slope::fit);
     let at = |name: &str, x: f64| fit(name).map_or(f64::NAN, |fit| fit.at(x));
@@ -18,12 +18,12 @@
     let (gossip_with_16_routers, gossip_bytes_with_16_routers) =
         (at("words_datagrams", groups), at("words_bytes", groups));
     let gossip = at("words_by_routers", 1.0 / routers) * groups;
-    // The size of a datagram of gossip is that measured with few routers.
+    // The size of a gossip datagram is taken from the measurement with 16 routers.
     let bytes = gossip * (gossip_bytes_with_16_routers / gossip_with_16_routers + HEADER_BYTES)
         + at("membership_bytes", routers)
         + HEADER_BYTES * membership;
     let datagram_us = fit("datagram_cpu").map_or(f64::NAN, |fit| fit.slope);
-    // Each datagram of gossip that arrives has a tick of its own.
+    // Each gossip datagram that arrives causes one tick.
     let ticks = at("quiet_turns", groups) + gossip - gossip_with_16_routers;
     let cpu_us = gossip * (at("word_cpu", groups) + datagram_us)
         + membership * (at("membership_cpu", routers) + datagram_us)
--- a/crates/ladderpass-testbed/src/capacity/control/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/mod.rs
@@ -1,5 +1,5 @@
-//! Slopes of a router's control traffic: gossip, membership, health checks and endpoint lists, with their CPU time and
-//! memory, measured with simulated routers.
+//! Slopes of a router's control traffic, measured with simulated routers: the rates, CPU time and memory of gossip,
+//! membership, health checks and endpoint lists.
 
 mod costs;
 mod figures;
--- a/crates/ladderpass-testbed/src/capacity/control/parallel.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/parallel.rs
@@ -1,15 +1,15 @@
-//! Measures several values of x at the same time.
+//! Runs the measurements for several values of x in parallel.
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 const THREADS: usize = 2;
 
-/// Measures all values of x in a few threads; figures are of simulated time, or of the thread's own CPU time. Returns them
-/// by x, in ascending order.
+/// Runs `measure` for all values of x in a few threads. Parallel runs don't distort the figures, as these are counted in
+/// simulated time or measured as the thread's own CPU time. Returns each x with its result, in ascending order of x.
 ///
 /// # Errors
-/// The first error of a measurement, or that a thread panicked.
+/// If a measurement fails or a thread panics.
 pub(super) fn measure_all<T: Send>(
     xs: &[usize],
     measure: impl Fn(usize) -> io::Result<T> + Sync,
@@ -17,7 +17,7 @@
     let next = AtomicUsize::new(0);
     let measure_next = || -> io::Result<Vec<(usize, T)>> {
         let mut measured = Vec::new();
-        // The largest first: it takes the longest.
+        // The largest x is measured first, because it takes the longest.
         while let Some(&x) = xs.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed)) {
             measured.push((x, measure(x)?));
         }
--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -1,36 +1,36 @@
-//! Rates of a router in a simulation: messages, statements, and CPU time by subject.
+//! Rates of a simulated router: its messages, its statements, and its CPU time by subject.
 
 use crate::capacity::simulated_routers::{Shape, Simulation, Subject};
 use ladderpass_routing::Span;
 use std::fmt;
 use std::io;
 
-/// Rates of a simulation: of one router, a second.
+/// Mean rates of one router in a simulation, per second.
 #[derive(Clone, Copy, Default)]
 pub struct Rates {
-    /// Datagrams of gossip that it sent.
+    /// Gossip datagrams that the router sent.
     pub gossip_datagrams: f64,
-    /// Bytes of these datagrams.
+    /// Bytes of these gossip datagrams.
     pub gossip_bytes: f64,
-    /// Datagrams of the membership protocol that it sent.
+    /// Datagrams of the membership protocol that the router sent.
     pub membership_datagrams: f64,
-    /// Bytes of these datagrams.
+    /// Bytes of these membership datagrams.
     pub membership_bytes: f64,
-    /// Datagrams that it received.
+    /// Datagrams that the router received.
     pub received_datagrams: f64,
-    /// Datagrams to it that were lost.
+    /// Datagrams to the router that were lost.
     pub lost_datagrams: f64,
-    /// Health checks of one member, by all routers.
+    /// Health checks that all routers together send to one member.
     pub health_checks: f64,
-    /// Connections that it opened.
+    /// Connections that the router opened to members and to discovery.
     pub connections_opened: f64,
-    /// Ticks of its event loop.
+    /// Ticks of the router's event loop.
     pub ticks: f64,
-    /// Ticks without data.
+    /// Ticks without data from clients or members.
     pub idle_ticks: f64,
-    /// Statements that it answered without an error.
+    /// Statements that the router answered without an error.
     pub answered: f64,
-    /// Statements that it answered with an error.
+    /// Statements that the router answered with an error.
     pub errors: f64,
     /// Fraction of a core for gossip.
     pub gossip_cores: f64,
@@ -44,7 +44,7 @@
     pub data_tick_cores: f64,
 }
 
-/// Has the names that the command `hollow` prints.
+/// Prints the rates under the names that the output of the command `hollow` has.
 impl fmt::Debug for Rates {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.debug_struct("Rates")
@@ -69,10 +69,10 @@
     }
 }
 
-/// Routers find each other and check the health of all members within this.
+/// Time within which the routers find each other and check the health of all members.
 pub const SETTLE_TIME: Span = Span::from_millis(6000);
 
-/// Rates of a simulation over a number of seconds, once it has settled.
+/// Measures the rates of a simulation over a number of seconds, after [`SETTLE_TIME`].
 ///
 /// # Errors
 /// If the simulation can't be started.
@@ -80,7 +80,7 @@
     rates_after(shape, SETTLE_TIME, seconds)
 }
 
-/// Rates over a number of seconds, after `settles`.
+/// Measures the rates of a simulation over a number of seconds, after a settling time.
 pub(super) fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
     let mut simulation = Simulation::start(shape.clone())?;
     simulation.run(settles)?;
@@ -89,7 +89,7 @@
     Ok(rates_of(&simulation, seconds))
 }
 
-/// Rates of a simulation that has been counted over a number of seconds.
+/// Computes the rates of a simulation from its counts over a number of seconds.
 pub fn rates_of(simulation: &Simulation, seconds: f64) -> Rates {
     let per_second = |count: f64| count / seconds;
     let observed = (simulation.shape.observed.min(simulation.shape.routers).max(1)) as f64;
--- a/crates/ladderpass-testbed/src/capacity/control/reference_size.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/reference_size.rs
@@ -1,4 +1,4 @@
-//! The reference deployment whose figures docs/CAPACITY.md gives.
+//! The size of the reference deployment, for which docs/CAPACITY.md gives the figures.
 
 use crate::capacity::simulated_routers::Shape;
 
@@ -8,10 +8,10 @@
 pub const GROUPS: usize = 313;
 /// Members of the reference size.
 pub const MEMBERS: usize = 940;
-/// Statements a second at one router of the reference size.
+/// Statements a second that one router of the reference size receives.
 pub const STATEMENT_RATE: f64 = 522.0;
 
-/// A shape with the rate of statements for each pair of router and group that the reference size has.
+/// Returns a shape in which each pair of a router and a group has the same statement rate as at the reference size.
 pub fn reference_shape(routers: usize, groups: usize, seed: u64) -> Shape {
     let members = groups * MEMBERS / GROUPS;
     Shape {
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes of control traffic: the simulations, and the points that each slope takes from them.
+//! Slopes of control traffic: runs the simulations, and takes the points of each slope from their results.
 
 use super::costs::{
     AdmissionReports, ListCost, datagram_cpu, death_detection_s, list_cost, measure_admission_reports,
@@ -11,52 +11,54 @@
 use ladderpass_routing::Span;
 use std::io;
 
-/// How much is measured.
+/// Settings of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// The long form, for docs/CAPACITY.md; else the short one, for the proof.
+    /// Whether the long measurement for docs/CAPACITY.md is made, or the short one for the proof.
     pub long: bool,
 }
 
-/// Routers of the slopes by groups, and how long they take to settle.
+/// Routers of the slopes by groups.
 const FEW_ROUTERS: usize = 16;
+/// Time within which [`FEW_ROUTERS`] settle.
 const FEW_ROUTERS_SETTLE_TIME: Span = Span::from_millis(4000);
 /// Groups of the slopes by routers.
 const FEW_GROUPS: usize = 16;
-/// Many routers that start at once take so many times longer to find each other.
+/// Factor on [`SETTLE_TIME`] for many routers that start at once, which take longer to find each other.
 const MANY_ROUTERS_SETTLE_FACTOR: f64 = 2.5;
 /// Routers whose CPU time is measured.
 const OBSERVED_ROUTERS: usize = 4;
-/// How long rates are counted: multiples of 0.8 s, the interval of gossip about a member whose reads may be 2 s old.
+/// Seconds over which rates are counted. Both are multiples of 0.8 s, the interval of gossip about a member whose reads may
+/// be 2 s old.
 const LONG_RUN_S: f64 = 8.0;
 const SHORT_RUN_S: f64 = 3.2;
 
 /// Points of a slope.
 type Points = Vec<(f64, f64)>;
 
-/// What is measured, each by the value of x.
+/// Results of the simulations.
 struct Measurements {
     by_groups: Vec<(usize, Rates)>,
     by_routers: Vec<(usize, Rates)>,
-    /// Without statements, by routers.
+    /// Rates without statements, by routers.
     idle: Vec<(usize, Rates)>,
     admission: Vec<AdmissionPoint>,
-    /// Seconds, by routers.
+    /// Seconds until a death is detected, by routers.
     deaths: Vec<(usize, f64)>,
     lists: Vec<ListCost>,
 }
 
-/// Reports for admission control in one simulation.
+/// Reports for admission control in one simulation of a given size.
 struct AdmissionPoint {
-    /// Reports that all other routers have for all groups.
+    /// Reports that a router has if it has one from each other router for each group.
     max_reports: f64,
     measured: AdmissionReports,
 }
 
-/// Measures all slopes of control traffic; `memory` are the points of [`memory`](super::memory).
+/// Measures all slopes of control traffic. `memory` has the points that [`memory`](super::memory) returns.
 ///
 /// # Errors
-/// If a simulation can't be started.
+/// If a simulation can't be started, or the routers of one don't find each other, or sockets can't be used.
 pub fn measure(seed: u64, settings: &Settings, memory: Points) -> io::Result<Vec<Slope>> {
     let measured = run_simulations(seed, settings.long)?;
     let mut slopes = gossip_slopes(&measured);
@@ -72,7 +74,7 @@
     Ok(slopes)
 }
 
-/// Runs all simulations. Those by groups take the longest, and run beside all others.
+/// Runs all simulations. Those by groups take the longest and run in parallel with all others.
 fn run_simulations(seed: u64, long: bool) -> io::Result<Measurements> {
     let seconds = if long { LONG_RUN_S } else { SHORT_RUN_S };
     let groups: &[usize] = if long { &[16, 48, 96, 192, GROUPS] } else { &[16, 64, 160, GROUPS] };
@@ -132,7 +134,7 @@
     [94, 235, 470, MEMBERS].into_iter().map(|members| list_cost(members, seed)).collect()
 }
 
-/// By groups, and by routers; with the ticks that gossip causes.
+/// Slopes of gossip by groups and by routers, of health checks, and of the ticks that gossip causes.
 fn gossip_slopes(measured: &Measurements) -> Vec<Slope> {
     let by_groups = |value: fn(&Rates) -> f64| points_of(&measured.by_groups, value);
     let by_routers = |value: fn(&Rates) -> f64| -> Points {
@@ -199,7 +201,7 @@
     ]
 }
 
-/// Deaths of routers and complete endpoint lists.
+/// Slopes of the detection of router deaths and of complete endpoint lists.
 fn event_slopes(measured: &Measurements) -> Vec<Slope> {
     let deaths = measured.deaths.iter().map(|(routers, detected_s)| ((*routers as f64).log2(), *detected_s));
     let lists = |value: fn(&ListCost) -> f64| -> Points {
@@ -222,7 +224,7 @@
     measured.iter().map(|(x, rates)| (*x as f64, value(rates))).collect()
 }
 
-/// CPU microseconds of one event, from a fraction of a core and events a second.
+/// Returns the CPU microseconds of one event, from the fraction of a core and the events a second.
 fn micros_each(cores: f64, events_per_second: f64) -> f64 {
     cores / events_per_second.max(1e-9) * 1e6
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/figures.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/figures.rs
@@ -1,10 +1,10 @@
-//! Figures at the reference size, by the names that docs/CAPACITY.md has them under.
+//! Figures of the data path at the reference size, under their names in docs/CAPACITY.md.
 
 use super::reference_size::{GROUPS, MEMBERS, ROUTERS, STATEMENTS};
 use crate::capacity::slope::Slope;
 
-/// The load of a router, of a member and of all together, from the slopes. Figures of a slope that was not measured are
-/// left out.
+/// Computes the load of a router, of a member and of all routers together from the slopes. Figures of a slope that was not
+/// measured are left out.
 pub fn figures(slopes: &[Slope]) -> Vec<(&'static str, f64)> {
     let fit = |name: &str| slopes.iter().find(|slope| slope.name == name).map(Slope::fit);
     let at = |name: &str, x: f64| fit(name).map(|fit| fit.at(x));
--- a/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -1,7 +1,8 @@
 //! Slopes of a router's data path: idle clients, statements, connections to members, and ticks of its event loop.
 //!
-//! Counts come from the router's own code in simulated time (`simulation`), CPU of a statement and memory from a real process
-//! (`process`). `figures` works out the reference size from the slopes.
+//! Counts and the CPU time of ticks come from the router's own code in simulated time (`simulation`). Memory and the CPU
+//! time of a statement come from a real router process (`process`). `figures` computes the figures at the reference size
+//! from the slopes.
 
 mod figures;
 pub mod process;
@@ -23,7 +24,7 @@
 use super::slope::Slope;
 use process_slopes::{idle_client_slopes, member_slopes, statement_slopes};
 
-/// Measures all slopes. Those that can't be measured are left out, and the reason goes to standard error.
+/// Measures all slopes. Slopes that can't be measured are left out, and the reason is printed to standard error.
 pub fn measure(seed: u64, settings: &Settings) -> Vec<Slope> {
     let mut slopes = reducer_slopes(seed, settings.long).unwrap_or_else(|error| {
         eprintln!("data path, pure: {error}");
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -1,5 +1,5 @@
-//! A real router process before emulated members, with idle clients or a paced load: its memory, descriptors and CPU time,
-//! as the kernel counts them. Limits of the machine are used as they are.
+//! Measures a real router process in front of emulated members, with idle clients or a paced load: its memory, descriptors
+//! and CPU time, as the kernel counts them. The limits of the machine stay as they are.
 
 use super::statement::query;
 use crate::load::until_ready;
@@ -15,28 +15,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// An emulator and a router process before its members; both end when it is dropped.
+/// An emulator, and a router process in front of the emulated members. Both are stopped on drop.
 pub struct RouterTestbed {
     emulator: Option<RunningEmulator>,
     router: Option<Router>,
     groups: u32,
 }
 
-/// How statements are spread over connections.
+/// How statements are distributed over client connections. The clients reopen connections that the router has closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionUse {
-    /// In turn over this many, which stay open.
+    /// Statements use this many connections in turn, which stay open.
     RoundRobin(usize),
-    /// Each over a new one, which its client closes once it is answered.
+    /// Each statement uses a new connection, which its client closes after the answer.
     PerStatement,
-    /// At random over this many; one that the router has closed is opened again.
+    /// Each statement uses one of this many connections at random.
     Random(usize),
 }
 
-/// What became of the statements of a paced load.
+/// Outcomes of the statements of a paced load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadResult {
-    /// Length of the measured time.
+    /// Length of the measured time in seconds.
     pub seconds: f64,
     /// Statements that were sent.
     pub statements: f64,
@@ -44,24 +44,24 @@
     pub connections_opened: f64,
     /// Statements that failed.
     pub failed: f64,
-    /// CPU seconds of the router.
+    /// CPU seconds that the router used.
     pub cpu_s: f64,
-    /// Sum of the latencies, with the time to open a connection, in seconds.
+    /// Sum of the latencies in seconds, which include the time to open a connection.
     pub total_latency_s: f64,
 }
 
-/// Threads of clients. More would only take CPU time from the router.
+/// Threads that run the clients. More threads would only take CPU time from the router.
 const CLIENT_THREADS: u64 = 4;
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 const PAGE_KIB: f64 = 4.0;
-/// One in this many statements is a write.
+/// On average, one in this many statements is a write.
 const WRITE_ONE_IN: i32 = 5;
 
 impl RouterTestbed {
-    /// Starts both. `memory_mb` and `sockets` are limits in the router's settings.
+    /// Starts the emulator and the router. `memory_mb` and `sockets` are limits in the router's settings.
     ///
     /// # Errors
-    /// If one of them can't be started.
+    /// If the emulator or the router can't be started.
     pub fn start(
         binary: &Path,
         groups: u32,
@@ -81,16 +81,16 @@
         self.router.as_ref().map(|router| router.address).ok_or_else(|| io::Error::other("it has ended"))
     }
 
-    /// A path of the router's process under `/proc`.
+    /// Returns the path of a file of the router's process under `/proc`.
     fn proc_path(&self, name: &str) -> PathBuf {
         let pid = self.router.as_ref().map_or(0, |router| router.pid().as_raw());
         PathBuf::from(format!("/proc/{pid}/{name}"))
     }
 
-    /// CPU seconds that the router has used, all its threads together.
+    /// Returns the CPU seconds that all threads of the router have used.
     ///
     /// # Errors
-    /// If it has ended.
+    /// If the router has ended.
     pub fn cpu_s(&self) -> io::Result<f64> {
         let mut nanos = 0.0;
         for task in std::fs::read_dir(self.proc_path("task"))? {
@@ -100,7 +100,7 @@
         Ok(nanos / 1e9)
     }
 
-    /// Resident memory in KiB, without the kernel's socket buffers.
+    /// Returns the router's resident memory in KiB. The kernel's socket buffers are not part of it.
     ///
     /// # Errors
     /// If the router has ended.
@@ -110,18 +110,18 @@
         Ok(pages.unwrap_or(0.0) * PAGE_KIB)
     }
 
-    /// File descriptors that the router has open.
+    /// Returns the number of file descriptors that the router has open.
     ///
     /// # Errors
-    /// If it has ended.
+    /// If the router has ended.
     pub fn descriptors(&self) -> io::Result<f64> {
         Ok(std::fs::read_dir(self.proc_path("fd"))?.count() as f64)
     }
 
-    /// Opens connections of clients, which stay idle.
+    /// Opens client connections, which stay idle.
     ///
     /// # Errors
-    /// If one can't be opened.
+    /// If a connection can't be opened.
     pub fn open_idle_clients(&self, clients: usize) -> io::Result<Vec<TcpStream>> {
         let address = self.address()?;
         let open_share = |thread: usize| -> io::Result<Vec<TcpStream>> {
@@ -138,8 +138,8 @@
         })
     }
 
-    /// Sends statements to random groups, at `rate` a second, for `warm` and then `span`. Returns what became of those of
-    /// `span`.
+    /// Sends statements to random groups at `rate` a second, first for `warm_up` and then for `span`. Returns the outcomes
+    /// of the statements that were sent during `span`.
     ///
     /// # Errors
     /// If the router has ended.
@@ -180,7 +180,7 @@
         })
     }
 
-    /// Lines that the router has logged.
+    /// Returns the lines that the router has logged.
     pub fn log(&self) -> Vec<String> {
         self.router.as_ref().map(Router::log).unwrap_or_default()
     }
@@ -193,12 +193,12 @@
     }
 }
 
-/// Statements at a pace, shared by the threads of clients.
+/// A load of evenly paced statements, which the client threads share.
 struct PacedLoad {
     address: SocketAddr,
     groups: u64,
     connection_use: ConnectionUse,
-    /// Statements a second, of all threads.
+    /// Statements a second that all threads together send.
     rate: f64,
     began: Instant,
     measured_from: Instant,
@@ -206,7 +206,7 @@
 }
 
 impl PacedLoad {
-    /// Sends the statements of one thread, each once the one before is answered.
+    /// Sends the statements of one thread. Each is sent when it is due and the one before it has been answered.
     fn run_thread(&self, thread: u64) -> LoadResult {
         static NEXT_ID: AtomicU64 = AtomicU64::new(1);
         let mut result = LoadResult::default();
@@ -252,6 +252,7 @@
     }
 }
 
+/// Opens a client connection, and waits until the router is ready for a query.
 fn open_client(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -263,7 +264,7 @@
     Ok(stream)
 }
 
-/// Is a connection open, with nothing to read?
+/// Returns whether a connection is open and has nothing to read.
 pub fn is_open(stream: &TcpStream) -> bool {
     let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0]));
     let is_idle = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes that are measured on a real router process: memory, descriptors and CPU.
+//! Slopes of the memory, descriptors and CPU time of a real router process.
 
 use super::process::{ConnectionUse, RouterTestbed};
 use super::reducer_slopes::median;
@@ -8,30 +8,30 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Over which the CPU of idle clients is measured.
+/// Time over which the CPU time for idle clients is measured. It is shorter than the idle timeout, so that the router closes
+/// none of them.
 const IDLE_CPU_SPAN: Duration = Duration::from_millis(800);
 
-/// How much is measured.
+/// Settings of the measurement.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The long form, for docs/CAPACITY.md; else the short one, for the proof.
+    /// Whether the long measurement for docs/CAPACITY.md is made, or the short one for the proof.
     pub long: bool,
-    /// The router's binary. Without one the slopes of real processes are left out.
+    /// The router's binary. Without one, the slopes of a real process are left out.
     pub router: Option<PathBuf>,
 }
 
-/// Memory, descriptors and CPU of idle clients.
+/// Measures memory, descriptors and, in the long form, CPU time by the number of idle clients.
 pub(super) fn idle_client_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let (mut memory, mut descriptors, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
     for clients in [500, 1000, 2000, 4000] {
-        // So much memory that the router frees no buffer for lack of it.
+        // With this much memory, the router does not free buffers under memory pressure.
         let testbed = RouterTestbed::start(router, 1, 2048, 20_000, seed)?;
         let streams = testbed.open_idle_clients(clients)?;
         memory.push((clients as f64, testbed.resident_kib()?));
         descriptors.push((clients as f64, testbed.descriptors()?));
         if settings.long {
-            // Shorter than the idle timeout: none is closed yet.
             let before = testbed.cpu_s()?;
             std::thread::sleep(IDLE_CPU_SPAN);
             cpu.push((clients as f64, (testbed.cpu_s()? - before) / IDLE_CPU_SPAN.as_secs_f64() * 1e3));
@@ -49,8 +49,8 @@
     Ok(slopes)
 }
 
-/// CPU of statements on connections that stay, and on new ones. Runs of the two alternate, so that other load of the
-/// machine affects both alike; a point is the median of its runs.
+/// Measures the CPU time of statements on connections that stay open, and on new ones. Runs of the two alternate, so that
+/// other load on the machine affects both alike. A point is the median of its runs.
 pub(super) fn statement_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let (repeats, warm_up, span) = match settings.long {
@@ -80,7 +80,7 @@
     Ok(uses.into_iter().zip(points).map(slope).collect())
 }
 
-/// Memory by members, each of which the router has been connected to.
+/// Measures memory by the number of members. The router has connected to each of them before.
 pub(super) fn member_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let mut points = Vec::new();
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes that are measured on the router's own code in simulated time: no sockets, no system calls.
+//! Slopes of the router's own code in simulated time, without sockets and system calls.
 
 use super::simulation::{Counts, MEMBERS_PER_GROUP, Shape, Simulation, thread_cpu_s};
 use crate::capacity::slope::Slope;
@@ -6,15 +6,16 @@
 
 const IDLE_TICKS: usize = 2000;
 const HEALTH_CHECK_TICKS: usize = 20;
-/// Long enough that health checks are due after it.
+/// Simulated time between ticks. It is long enough that health checks are due at each of them.
 const HEALTH_CHECK_TICK_INTERVAL: Span = Span::from_millis(1000);
 
+/// Returns the median (the upper one of an even number of values), or NaN if there are no values.
 pub(super) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Slopes of the router's code alone, in simulated time.
+/// Measures the slopes of the router's own code in simulated time.
 ///
 /// # Errors
 /// If a simulation can't be started.
@@ -25,10 +26,10 @@
     Ok(slopes)
 }
 
-/// Steady counts of one simulation.
+/// Counts of one simulation after its warm-up.
 struct SteadyLoad {
     members: f64,
-    /// Those that clients sent, which scatter about the rate.
+    /// Statements that the clients sent. As they are sent at random, this differs somewhat from the rate of the shape.
     statements_per_second: f64,
     counts: Counts,
 }
@@ -51,7 +52,7 @@
     groups.iter().map(measure).collect()
 }
 
-/// CPU time of ticks without load, by groups, members and idle clients.
+/// Measures the CPU time of ticks without load by groups, members and idle clients.
 fn tick_slopes(repeats: usize, seed: u64) -> Result<Vec<Slope>, String> {
     let (mut by_groups, mut by_members, mut by_clients) = (Vec::new(), Vec::new(), Vec::new());
     for groups in [39, 78, 156, 313] {
@@ -72,7 +73,7 @@
     ])
 }
 
-/// Counts by members, and by statements a second.
+/// Slopes of the counts by members and by statements a second.
 fn count_slopes(loads: &[SteadyLoad]) -> Vec<Slope> {
     let member_connections =
         loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
@@ -91,7 +92,7 @@
     ]
 }
 
-/// Counts over `span`, after a warm-up.
+/// Returns the counts of a simulation over `span`, after a warm-up.
 ///
 /// # Errors
 /// If the simulation can't be started.
@@ -101,7 +102,8 @@
     Ok(simulation.run(span))
 }
 
-/// CPU microseconds of a tick with nothing to do, with all clients of the shape connected and idle.
+/// Measures the CPU microseconds of a tick that has nothing to do, while all clients of the shape are connected and idle.
+/// Returns the median of the repeats.
 ///
 /// # Errors
 /// If the simulation can't be started.
@@ -112,7 +114,8 @@
     Ok(median((0..repeats).map(|_| simulation.idle_tick_cpu_s(IDLE_TICKS) * 1e6).collect()))
 }
 
-/// CPU microseconds of a tick in which health checks are due.
+/// Measures the CPU microseconds of a tick of the routing core in which health checks are due. Returns the median of the
+/// repeats.
 ///
 /// # Errors
 /// If the router's settings can't be read.
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! The far ends of the router's connections: members, discovery and clients.
+//! The simulated peers of the router's connections: members, discovery and clients.
 
 use super::counts::thread_cpu_s;
 use super::shape::MEMBERS_PER_GROUP;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 const HEALTH_CHECK: &str = "SHOW server_load";
-/// SQLSTATE too_many_connections.
+/// The SQLSTATE too_many_connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 const WRITE_FRACTION: f64 = 0.2;
 
@@ -35,13 +35,14 @@
         } else if let Some(index) = self.client_of_connection.remove(&id) {
             let client = std::mem::take(&mut self.clients[index]);
             match client.sent_at {
-                // The close crossed a statement, which its client has to send again.
+                // The close crossed a statement in flight, which its client would have to send again.
                 Some(_) => self.counts.failed += 1.0,
                 None => self.counts.clients_closed += 1.0,
             }
         }
     }
 
+    /// Passes the router's pending output to the peer. Returns whether there was any.
     pub(super) fn write(&mut self, id: ConnectionId) -> bool {
         let bytes = self.reducer.outgoing(id).to_vec();
         if bytes.is_empty() {
@@ -109,7 +110,7 @@
             answers.push((ROUND_TRIP, startup_response));
         }
         let mut input = std::mem::take(&mut connection.input);
-        // Queries are answered one after the other.
+        // A member answers the queries of a connection one after the other.
         let mut answered_after = ROUND_TRIP;
         while let Some((_, body, length)) = proto::parse_frame(input.get(parsed..).unwrap_or_default()) {
             parsed += length;
@@ -128,7 +129,7 @@
             .for_each(|(after, answer)| self.schedule(after, SimulationEvent::Bytes(id, answer)));
     }
 
-    /// The answer of a member to a statement; a read or a write adds its service time to `answered_after`.
+    /// Returns the answer of a member to a statement. A read or a write adds its service time to `answered_after`.
     fn answer(&mut self, member: usize, statement: &str, answered_after: &mut Span) -> Vec<u8> {
         let is_primary = (member as u32).is_multiple_of(MEMBERS_PER_GROUP);
         let mut answer = Vec::new();
@@ -156,14 +157,14 @@
         answer
     }
 
-    /// Discovery begins its response; it has no change to send, only heartbeats.
+    /// Discovery begins its response. The endpoint list does not change, so only heartbeats follow.
     fn begin_watch(&mut self, id: ConnectionId) {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         self.schedule(ROUND_TRIP, SimulationEvent::Bytes(id, head));
         self.schedule(LATENCY * 3.0, SimulationEvent::WatchHeartbeat(id));
     }
 
-    /// A member has no connection left.
+    /// Rejects a connection to a member that has none left: sends an error, and closes the connection.
     fn reject_connection(&mut self, id: ConnectionId) {
         let mut error = Vec::new();
         proto::put_error(&mut error, "FATAL", TOO_MANY_CONNECTIONS);
@@ -171,6 +172,7 @@
         self.schedule(ROUND_TRIP, SimulationEvent::Closed(id));
     }
 
+    /// Delivers bytes from a peer to the router.
     pub(super) fn deliver(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let before = thread_cpu_s();
@@ -178,7 +180,7 @@
             let took = thread_cpu_s() - before - self.clock_overhead_s;
             let (now, later) = bytes.split_at(buffer.len().min(bytes.len()));
             if now.is_empty() {
-                // The buffer is full: the rest is delivered later.
+                // The buffer is full, and the rest is delivered later.
                 return self.schedule(LATENCY, SimulationEvent::Bytes(id, later.to_vec()));
             }
             buffer[..now.len()].copy_from_slice(now);
@@ -188,6 +190,7 @@
         }
     }
 
+    /// Opens a client's connection and sends its startup message.
     pub(super) fn open_client(&mut self, index: usize) -> ConnectionId {
         let id = self.reducer.next_id();
         self.client_of_connection.insert(id, index);
@@ -199,7 +202,8 @@
         id
     }
 
-    /// A client that is drawn sends a statement; if it still waits for an answer, the next one that does not.
+    /// Sends a statement from a random client. If that client still waits for an answer, the next one by index that does
+    /// not wait sends it. No statement is sent if all clients wait.
     pub(super) fn send_statement(&mut self) {
         let from = self.rng.random_range(0..self.clients.len().max(1));
         let mut free = (0..self.clients.len()).map(|step| (from + step) % self.clients.len());
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
@@ -1,10 +1,10 @@
-//! What a simulation counts, and the CPU clock.
+//! The counts of a simulation, and the CPU clock.
 
 use nix::time::{ClockId, clock_gettime};
 
 const CLOCK_SAMPLES: usize = 2000;
 
-/// What was counted over a time.
+/// Counts of a simulation over a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Length of the time, in seconds.
@@ -17,7 +17,7 @@
     pub failed: f64,
     /// Reads among the statements.
     pub reads: f64,
-    /// Reads that came to a primary.
+    /// Reads that reached a primary.
     pub reads_at_primary: f64,
     /// Statements whose client had to open a connection first.
     pub clients_reopened: f64,
@@ -25,9 +25,9 @@
     pub clients_closed: f64,
     /// Connections to members that were opened.
     pub member_connections_opened: f64,
-    /// Health checks that came to members.
+    /// Health checks that reached members.
     pub health_checks: f64,
-    /// Queries to members, with health checks and sync queries.
+    /// Queries to members, including health checks and sync queries.
     pub queries: f64,
     /// Bytes of these queries.
     pub query_bytes: f64,
@@ -35,27 +35,27 @@
     pub ticks: f64,
     /// CPU seconds in ticks.
     pub tick_cpu_s: f64,
-    /// CPU seconds in all other events.
+    /// CPU seconds in all other calls of the reducer.
     pub other_cpu_s: f64,
     /// Mean number of connections to members.
     pub member_connections: f64,
-    /// The most connections to any one member.
+    /// The largest number of connections to one member at the same time.
     pub max_connections_of_member: f64,
     /// Mean number of open connections of clients.
     pub client_connections: f64,
     /// Sum of the latencies of statements, in seconds.
     pub total_latency_s: f64,
-    /// The longest of these, in seconds.
+    /// The longest latency of a statement, in seconds.
     pub max_latency_s: f64,
 }
 
-/// The CPU time of this thread, in seconds.
+/// Returns the CPU time of this thread in seconds, or 0 if the clock can't be read.
 pub fn thread_cpu_s() -> f64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .map_or(0.0, |time| time.tv_sec() as f64 + time.tv_nsec() as f64 / 1e9)
 }
 
-/// What reading that clock adds to a measured time, in seconds: the least of several samples.
+/// Returns the time in seconds that reading the CPU clock adds to a measured time: the least of several samples.
 pub(super) fn clock_overhead_s() -> f64 {
     let mut least = f64::INFINITY;
     for _ in 0..CLOCK_SAMPLES {
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! A simulation of one router's own code, without sockets, before members that answer after a given time and clients that
-//! send statements at random: exact counts, and the CPU time of the router's code alone.
+//! A simulation that runs the code of one router without sockets. Its members answer after a given time, and its clients
+//! send statements at random. It gives exact counts, and the CPU time of the router's code alone.
 //!
-//! Only CPU time is read from a real clock. System calls are not part of it, so no figure of a machine can be taken from
-//! here.
+//! Only CPU time is read from a real clock. It does not include system calls, so that it does not show the load of a whole
+//! machine.
 
 mod connections;
 mod counts;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
@@ -1,4 +1,4 @@
-//! What a simulation is made of, and the settings of its router.
+//! The parameters of a simulation, and the settings of its router.
 
 use ladderpass::launch::Launch;
 use ladderpass_emulator::Scenario;
@@ -7,39 +7,41 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// What a simulation is made of: members, clients, their load, and the router's limits.
+/// The parameters of a simulation: members, clients, their load, and the router's limits.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Groups of members, of [`MEMBERS_PER_GROUP`] each.
+    /// Number of groups, each of [`MEMBERS_PER_GROUP`] members.
     pub groups: u32,
     /// Statements a second, a fifth of them writes.
     pub rate: f64,
-    /// Clients, of which one is drawn for each statement.
+    /// Number of clients. Each statement is sent by a random one.
     pub clients: usize,
-    /// Mean time from sending a statement to a member until its answer, nine tenths of it drawn from an exponential
-    /// distribution.
+    /// Nominal time from sending a statement to a member until its answer. Nine tenths of it are the mean of the service
+    /// time, which has an exponential distribution. The remaining tenth stands for the round trip, which
+    /// is 0.4 ms for every value of this field.
     pub answer_time: Span,
-    /// Number of routers in the settings; only one is simulated.
+    /// Number of routers in the settings. Only one router is simulated.
     pub routers: u32,
-    /// Maximum staleness of reads.
+    /// Maximum staleness of reads in milliseconds.
     pub max_read_age_ms: f64,
     /// Sockets that the router may have.
     pub sockets: usize,
-    /// Memory that the router may have.
+    /// Memory in MB that the router may have.
     pub memory_mb: u64,
-    /// In place of the idle timeout after which the router closes a client.
+    /// Overrides the idle timeout after which the router closes a client connection.
     pub client_idle_timeout: Option<Span>,
-    /// The router gossips and shares health checks, though no other router is there.
+    /// Whether the router gossips and shares health checks, although no other router exists.
     pub shares_health_checks: bool,
     /// Probability that a member has no connection left for this router and rejects it.
     pub full_probability: f64,
 }
 
-/// Members of a group; the reference size has 940 in 313 groups.
+/// Members of each group. The reference size has 940 members in 313 groups.
 pub const MEMBERS_PER_GROUP: u32 = 3;
 
 impl Shape {
-    /// A number of groups, with the rate for each member and the time between a client's statements of the reference size.
+    /// Returns the shape of a number of groups. The statement rate per member and the time between the statements of a client
+    /// are those of the reference size.
     pub fn of(groups: u32) -> Shape {
         let rate = f64::from(groups * MEMBERS_PER_GROUP) * 520.0 / 940.0;
         Shape {
@@ -57,12 +59,12 @@
         }
     }
 
-    /// Members of all groups.
+    /// Returns the number of members of all groups.
     pub fn members(&self) -> usize {
         (self.groups * MEMBERS_PER_GROUP) as usize
     }
 
-    /// The router's settings, read from a file as a process does.
+    /// Returns the router's settings. They are read from a file, as by a router process.
     pub(super) fn launch(&self, now: Time, seed: u64) -> Result<Launch, String> {
         let mut scenario =
             Scenario { groups: self.groups, replicas: MEMBERS_PER_GROUP - 1, ..Scenario::default() };
@@ -88,7 +90,7 @@
             _ => None,
         };
         let launch = Launch::read(variable, None);
-        // A temporary file that stays behind does no harm.
+        // A temporary file that is left behind does no harm.
         let _ = std::fs::remove_file(&path);
         let mut launch = launch.map_err(|errors| errors.to_string())?;
         launch.limits.client_idle_timeout =
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -1,4 +1,4 @@
-//! State and time of a simulation: its queue of events, and the router's event loop.
+//! The state and clock of a simulation: its queue of events, and the router's event loop.
 
 use super::counts::{Counts, clock_overhead_s, thread_cpu_s};
 use super::shape::{MEMBERS_PER_GROUP, Shape};
@@ -10,32 +10,35 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// When each simulation starts.
+/// Simulated time at the start of each simulation.
 const EPOCH: Time = Time::from_nanos(1_796_000_000_000_000_000);
-/// The program's event loop ticks at least this often.
+/// The maximum time between two ticks, which is that of the router's event loop.
 const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
-/// From one end of a connection to the other.
+/// One-way latency of a connection.
 pub(super) const LATENCY: Span = Span::from_nanos(200_000);
+/// Twice the one-way latency.
 pub(super) const ROUND_TRIP: Span = Span::from_nanos(400_000);
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
-/// An HTTP chunk with an empty line.
+/// A heartbeat of discovery: an HTTP chunk with an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 
+/// A client of the router.
 #[derive(Default)]
 pub(super) struct Client {
     pub connection: Option<ConnectionId>,
+    /// The router has answered the startup message.
     pub startup_done: bool,
     pub input: Vec<u8>,
-    /// Sent once it is welcomed.
+    /// The query that the client sends when the router is ready.
     pub pending_query: Option<Vec<u8>>,
-    /// When it sent the statement that waits for an answer.
+    /// When the client sent the statement for whose answer it waits.
     pub sent_at: Option<Time>,
 }
 
-/// A connection of the router.
+/// A connection that the router opened to a member or to discovery.
 #[derive(Default)]
 pub(super) struct OutboundConnection {
-    /// None for discovery.
+    /// The member, or `None` for discovery.
     pub member: Option<usize>,
     pub startup_read: bool,
     pub input: Vec<u8>,
@@ -51,23 +54,24 @@
 
 /// A simulation of one router.
 pub struct Simulation {
-    /// The router's own code.
+    /// The simulated router.
     pub reducer: Reducer,
-    /// Simulated time.
+    /// The current simulated time.
     pub now: Time,
     pub(super) shape: Shape,
     pub(super) discovery: SocketAddr,
     pub(super) members: HashMap<SocketAddr, usize>,
-    /// Events by time, and by a number that keeps those of one time in the order in which they were scheduled.
+    /// Events by time and sequence number. The number keeps events of the same time in the order in which they were
+    /// scheduled.
     pub(super) queue: BTreeMap<(Time, u64), SimulationEvent>,
-    /// The number given last, to an event or a statement.
+    /// The last number that was given to an event or a statement.
     pub(super) last_sequence_number: u64,
     pub(super) clients: Vec<Client>,
     pub(super) client_of_connection: HashMap<ConnectionId, usize>,
     pub(super) connections: HashMap<ConnectionId, OutboundConnection>,
-    /// By member: how many connections the router has to it.
+    /// By member, the number of connections that the router has to it.
     pub(super) connections_of_member: Vec<u32>,
-    /// By member: it has no connection left.
+    /// By member, whether it has no connection left for the router.
     pub(super) member_is_full: Vec<bool>,
     effects: Vec<Effect>,
     pub(super) rng: SmallRng,
@@ -117,7 +121,7 @@
         Ok(simulation)
     }
 
-    /// Runs for a time, and returns what was counted meanwhile.
+    /// Runs the simulation for a time, and returns the counts over that time.
     pub fn run(&mut self, span: Span) -> Counts {
         self.counts = Counts::default();
         let (began, ends) = (self.now, self.now + span);
@@ -147,7 +151,7 @@
         counts
     }
 
-    /// Adds what is open now, for a time in seconds.
+    /// Adds the connections that are open now, weighted by a time in seconds, to the sums from which the means are computed.
     fn add_open_connections(&mut self, secs: f64) {
         let to_members = &self.connections_of_member;
         self.counts.member_connections += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
@@ -156,7 +160,7 @@
         self.counts.max_connections_of_member = self.counts.max_connections_of_member.max(f64::from(most));
     }
 
-    /// Opens the connections of all clients, which stay idle.
+    /// Opens the connections of all clients, and sends no statement on them.
     pub fn open_all_clients(&mut self) {
         for index in 0..self.clients.len() {
             self.open_client(index);
@@ -164,10 +168,10 @@
         }
     }
 
-    /// A routing core alone, with the endpoint list of a shape, and its time.
+    /// Starts a routing core without a router around it, with the endpoint list of a shape. Returns it with its time.
     ///
     /// # Errors
-    /// As [`Simulation::new`].
+    /// The same as for [`Simulation::new`].
     pub fn routing_core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
         let now = EPOCH;
         let launch = shape.launch(now, seed)?;
@@ -189,7 +193,7 @@
         Ok((router, now))
     }
 
-    /// Mean CPU seconds of a tick with nothing to do, over a number of ticks.
+    /// Measures the mean CPU seconds of a tick that has nothing to do, over a number of ticks.
     pub fn idle_tick_cpu_s(&mut self, ticks: usize) -> f64 {
         let before = thread_cpu_s();
         for _ in 0..ticks {
@@ -198,6 +202,7 @@
         (thread_cpu_s() - before) / ticks as f64
     }
 
+    /// Draws the time until the next statement from an exponential distribution.
     pub(super) fn draw_statement_gap(&mut self) -> Span {
         let gap: f64 = self.rng.sample(Exp1);
         Span::from_secs_f64(gap / self.shape.rate)
@@ -208,7 +213,7 @@
         self.queue.insert((self.now + after, self.last_sequence_number), event);
     }
 
-    /// Carries out effects and ticks in turn, as the program's event loop does, until nothing is written any more.
+    /// Executes effects and ticks in turn, as the router's event loop does, until a tick causes no more writes.
     pub(super) fn run_event_loop(&mut self) {
         loop {
             self.execute_effects();
@@ -219,6 +224,7 @@
         }
     }
 
+    /// Passes an event to the reducer, measures its CPU time, and queues the effects that it returns.
     pub(super) fn apply(&mut self, event: Event) {
         let is_tick = matches!(event, Event::Tick);
         let before = thread_cpu_s();
@@ -233,7 +239,7 @@
         self.effects.extend(effects);
     }
 
-    /// Carries out all effects. Was anything written?
+    /// Executes all queued effects. Returns whether anything was written.
     fn execute_effects(&mut self) -> bool {
         let mut has_written = false;
         while !self.effects.is_empty() {
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -1,4 +1,4 @@
-//! One router at the reference size, simulated and as a real process, as a table.
+//! A table that compares one router at the reference size in a simulation and as a real process.
 
 use super::process::{ConnectionUse, LoadResult, RouterTestbed, is_open};
 use super::reducer_slopes::steady_counts;
@@ -14,14 +14,16 @@
 const STATS_INTERVAL_S: f64 = 10.0;
 /// Groups of the reference size.
 const GROUPS: u32 = 313;
-/// How long simulations run before they are measured, and while they are.
+/// Simulated time before the measurement.
 const WARM_UP: Span = Span::from_millis(15_000);
+/// Simulated time of the measurement.
 const SPAN: Span = Span::from_millis(40_000);
-/// Longer than any simulation.
+/// An idle timeout that is longer than any simulation here.
 const LONG_IDLE_TIMEOUT: Span = Span::from_millis(600_000);
 
-/// Measures one router at the reference size: its code in simulated time, with the idle timeout of today and with one that
-/// keeps all clients; and a real process, if there is a binary.
+/// Measures one router at the reference size, and returns the results as text. The router's own code is measured in
+/// simulated time, with its default idle timeout and with one so long that no client is closed. A real process is measured
+/// too if there is a binary.
 ///
 /// # Errors
 /// If a simulation or the process can't be started.
@@ -51,7 +53,7 @@
     Ok(text)
 }
 
-/// All clients are connected from the start, and the router closes none.
+/// Counts of a simulation in which all clients are connected from the start, and the router closes none.
 fn counts_with_long_idle_timeout(shape: &Shape, seed: u64) -> Result<Counts, String> {
     let shape = Shape { client_idle_timeout: Some(LONG_IDLE_TIMEOUT), ..shape.clone() };
     let mut simulation = Simulation::new(&shape, seed)?;
@@ -107,14 +109,15 @@
     text
 }
 
-/// A real router with all clients of the reference size idle.
+/// Measurements of a real router with all clients of the reference size connected and idle.
 struct IdleClients {
+    /// Clients whose connections are still open.
     open: usize,
     resident_kib: f64,
     descriptors: f64,
 }
 
-/// With the usual memory, and enough sockets that no connection is evicted.
+/// Measures idle clients. The router has the usual memory, and enough sockets that it evicts no connection.
 fn measure_idle_clients(seed: u64, router: &Path) -> io::Result<IdleClients> {
     let testbed = RouterTestbed::start(router, 1, 192, 24_000, seed)?;
     let streams = testbed.open_idle_clients(CLIENTS as usize)?;
@@ -122,12 +125,12 @@
     Ok(IdleClients { open, resident_kib: testbed.resident_kib()?, descriptors: testbed.descriptors()? })
 }
 
-/// A real router at the reference size.
+/// Measurements of a real router at the reference size.
 struct ReferenceSizeResult {
     load: LoadResult,
-    /// Open connections of clients.
+    /// Mean number of open connections of clients.
     clients: f64,
-    /// Open connections to members.
+    /// Mean number of open connections to members.
     member_connections: f64,
     member_connections_opened_per_second: f64,
     health_checks_per_second: f64,
@@ -135,12 +138,12 @@
     descriptors: f64,
 }
 
-/// Runs a real router before 939 emulated members, with 5,900 clients that send statements at random.
+/// Runs a real router in front of 939 emulated members, with 5,900 clients that send statements at random.
 fn measure_at_reference_size(seed: u64, router: &Path) -> io::Result<ReferenceSizeResult> {
     let testbed = RouterTestbed::start(router, GROUPS, 192, 20_000, seed)?;
     let (warm_up, span) = (Duration::from_millis(24_000), Duration::from_millis(22_000));
     let load = testbed.run_load(ConnectionUse::Random(CLIENTS as usize), STATEMENTS, warm_up, span)?;
-    // The router's own stats, each of ten seconds; the last two lie within the time.
+    // The router logs its stats every ten seconds. The last two of these intervals lie within the measured time.
     let log = testbed.log();
     let stats: Vec<&String> = log.iter().filter(|line| router_log::is_stats(line)).rev().take(2).collect();
     let mean = |value: &dyn Fn(&str) -> Option<f64>| {
--- a/crates/ladderpass-testbed/src/capacity/data_path/statement.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/statement.rs
@@ -2,7 +2,7 @@
 
 use ladderpass_emulator::proto;
 
-/// The query message of a write, or of a read by key.
+/// Returns the query message of a write, or of a read by key.
 pub(super) fn query(id: u64, group: u64, is_write: bool) -> Vec<u8> {
     let comment = |method: &str| format!("/* id={id:x},c={method},d=1000,cluster={group} */");
     let statement = match is_write {
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -1,4 +1,5 @@
-//! Tables of what the slopes don't show, where the router's behaviour is not linear; of its code in simulated time.
+//! Tables of the effects that are not linear, which the slopes don't show. They are measured on the router's own code in
+//! simulated time.
 
 use super::reducer_slopes::{health_check_tick_cpu_us, steady_counts};
 use super::reference_size::{CLIENTS, MEMBERS};
@@ -8,7 +9,7 @@
 const WARM_UP: Span = Span::from_millis(15_000);
 const SPAN: Span = Span::from_millis(40_000);
 
-/// All tables.
+/// Returns all tables as text.
 ///
 /// # Errors
 /// If a simulation can't be started.
@@ -23,7 +24,7 @@
     Ok(text)
 }
 
-/// By idle timeout of clients.
+/// Reopened and open client connections by the idle timeout of clients.
 fn client_idle_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text =
         String::from("| rest until closed, s | opened anew, of statements | open of 5,900 | refused |\n");
@@ -40,7 +41,7 @@
     Ok(text)
 }
 
-/// By answer time of members.
+/// Connections to members by the answer time of members.
 fn answer_time_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text += "\n| answer time, ms | connections a pair | most of a pair | made a second at 940 | refused |\n";
@@ -64,7 +65,7 @@
     Ok(text)
 }
 
-/// By rate of statements and maximum staleness of reads.
+/// Reads at primaries and health checks by the statement rate and the maximum staleness of reads.
 fn staleness_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text +=
@@ -89,7 +90,7 @@
     Ok(text)
 }
 
-/// By members that have no connection left for the router.
+/// Failed statements by the fraction of members that have no connection left for the router.
 fn full_members_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text +=
@@ -130,7 +131,7 @@
     Ok(text)
 }
 
-/// Ticks with health checks, with and without sharing them among routers.
+/// CPU time of ticks with health checks by members, with and without the sharing of health checks among routers.
 fn health_check_tick_table(seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text += "\n| members | us of CPU of a pass, each alone | where probes are shared |\n|---|---|---|\n";
--- a/crates/ladderpass-testbed/src/capacity/events/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/mod.rs
@@ -1,4 +1,5 @@
-//! Events at the scale of a deployment, in a simulation: how long until all routers know, and the peak of what they send.
+//! Simulated events at the scale of a deployment: how long it takes until all routers know of an event, and the peak of
+//! their traffic.
 
 mod observation;
 mod outcome;
@@ -11,40 +12,40 @@
 use observation::{Observation, STEP};
 use std::io;
 
-/// How often a simulation that has not settled yet is run on, and for how long.
+/// Maximum number of steps of [`SETTLE_STEP`] for which a simulation runs until its routers have found each other.
 const MAX_SETTLE_STEPS: usize = 60;
 const SETTLE_STEP: Span = Span::from_millis(500);
-/// Routers that restart in a wave, of `REFERENCE_ROUTERS`.
+/// Of [`REFERENCE_ROUTERS`] this many restart in a wave. The number is scaled to the routers of a simulation.
 const RESTARTED_ROUTERS: usize = 180;
 const REFERENCE_ROUTERS: usize = 460;
 const RESTART_WAVE_S: f64 = 10.0;
 const FAILING_ZONE: usize = 1;
 const RACKS_PER_ZONE: usize = 10;
 const CUT_REGION: usize = 2;
-/// How long the region is cut off; it stands for an hour.
+/// How long the region is cut off. The simulation uses a minute in place of an hour.
 const CUT_S: f64 = 60.0;
-/// A replica takes over from a primary after this time.
+/// Time from the end of a primary until a replica is promoted.
 const PROMOTION_S: f64 = 1.0;
-/// Discovery is down for these times before a change of the endpoint list and after it.
+/// How long discovery is down before a change of the endpoint list, and after it.
 const DOWN_BEFORE_CHANGE_S: f64 = 4.0;
 const DOWN_AFTER_CHANGE_S: f64 = 5.0;
-/// A killed router starts again after this time.
+/// Time from the kill of a router until it starts again.
 const RESTART_DELAY: Span = Span::from_millis(1000);
-/// How long conditions may take to hold.
+/// Maximum times until the condition of an event holds.
 const MAX_LIST_CHANGE_S: f64 = 20.0;
 const MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S: f64 = 30.0;
 const MAX_FAILOVER_S: f64 = 20.0;
 const MAX_MEMBERSHIP_S: f64 = 60.0;
 const MAX_HEALING_S: f64 = 120.0;
 
-/// Does each running router believe as many routers to be alive as `count` says?
+/// Returns whether each running router believes `count(router)` routers to be alive.
 fn all_believe_alive(simulation: &Simulation, count: impl Fn(usize) -> usize) -> bool {
     (0..simulation.shape.routers)
         .filter_map(|router| Some((router, simulation.reducer(router)?.fleet_view()?.0)))
         .all(|(router, view)| view == count(router))
 }
 
-/// Do all running routers know this member as its group's primary?
+/// Returns whether all running routers know this member as the primary of its group.
 fn all_know_primary(simulation: &Simulation, member: usize) -> bool {
     let id = member_id(member);
     let knows = |router| {
@@ -55,13 +56,13 @@
     (0..simulation.shape.routers).filter_map(knows).all(|knows| knows)
 }
 
-/// Do all running routers have this generation of the endpoint list, or a later one?
+/// Returns whether all running routers have this generation of the endpoint list, or a later one.
 fn all_have_generation(simulation: &Simulation, generation: u64) -> bool {
     let mut reducers = (0..simulation.shape.routers).filter_map(|router| simulation.reducer(router));
     reducers.all(|reducer| reducer.generation() >= generation)
 }
 
-/// A simulation whose routers have found each other.
+/// Starts a simulation and runs it until its routers have found each other, for 36 s at most.
 fn start_settled(routers: usize, groups: usize, seed: u64) -> io::Result<Simulation> {
     let rate = STATEMENT_RATE * groups as f64 / GROUPS as f64;
     let mut simulation = Simulation::start(Shape { rate, seed, ..Shape::of(routers, groups) })?;
@@ -75,13 +76,13 @@
     Ok(simulation)
 }
 
-/// Names of the events.
+/// Names of the events that [`simulate_event`] simulates.
 pub const NAMES: [&str; 7] = ["primary", "change", "change-late", "restarts", "rack", "zone", "region"];
 
-/// Simulates an event of [`NAMES`].
+/// Simulates an event by its name in [`NAMES`].
 ///
 /// # Errors
-/// If the simulation can't be started.
+/// If the simulation, or a router that restarts in it, can't be started.
 pub fn simulate_event(
     name: &'static str,
     routers: usize,
@@ -108,7 +109,7 @@
     Moment { label, value }
 }
 
-/// The primary of the first group ends; its first replica takes over a second later.
+/// The primary of the first group ends, and its first replica is promoted after [`PROMOTION_S`].
 fn failover(observation: &mut Observation<'_>, groups: usize) -> io::Result<Vec<Moment>> {
     let replica = groups;
     observation.simulation.members[0].primary = false;
@@ -121,7 +122,7 @@
     Ok(vec![moment("the new one can be written to", PROMOTION_S), moment("all routers know it", known_at_s)])
 }
 
-/// The endpoint list changes.
+/// The endpoint list changes while discovery is up.
 fn list_change(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     let generation = observation.simulation.change_endpoint(1, "DRAINING");
     let known_at_s =
@@ -130,7 +131,8 @@
     Ok(vec![moment("in force at all", known_at_s)])
 }
 
-/// Discovery can't be reached from four seconds before the change until five seconds after it.
+/// The endpoint list changes while discovery is down. It is down from four seconds before the change until five seconds
+/// after it.
 fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     observation.simulation.discovery_up = false;
     observation.run_for(DOWN_BEFORE_CHANGE_S)?;
@@ -144,7 +146,7 @@
     Ok(vec![moment("discovery is back", DOWN_AFTER_CHANGE_S), moment("in force at all", known_at_s)])
 }
 
-/// Routers are killed one after the other, and each starts again a second later.
+/// Routers are killed one after the other, evenly over [`RESTART_WAVE_S`], and each starts again after [`RESTART_DELAY`].
 fn restart_wave(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     let routers = observation.simulation.shape.routers;
     let count = (routers * RESTARTED_ROUTERS / REFERENCE_ROUTERS).max(1);
@@ -163,8 +165,8 @@
     Ok(vec![moment("the last is killed", last_kill_s), moment("all know of all", known_at_s)])
 }
 
-/// Machines of one zone fail without closing connections: those that `fails` names by their index among the zone's
-/// routers or members, and the number of these.
+/// Machines of one zone fail without closing connections. `fails` selects them by their index among the zone's routers or
+/// members, and by the number of these.
 fn silent_failure(
     observation: &mut Observation<'_>,
     fails: impl Fn(usize, usize) -> bool,
@@ -195,7 +197,7 @@
     ])
 }
 
-/// One region is cut off from the others, and reachable again after [`CUT_S`].
+/// One region is cut off from the others, and is reachable again after about [`CUT_S`].
 fn region_cut(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     let routers = observation.simulation.shape.routers;
     let is_cut_off = |router: usize| REGION_OF_ZONE[router % ZONES] == CUT_REGION;
--- a/crates/ladderpass-testbed/src/capacity/events/observation.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/observation.rs
@@ -1,4 +1,4 @@
-//! Runs a simulation during an event, and measures the traffic and the statements meanwhile.
+//! Runs a simulation during an event, and measures the traffic and the statements.
 
 use super::outcome::{EventOutcome, Moment};
 use crate::capacity::simulated_routers::{Counts, Simulation};
@@ -6,21 +6,21 @@
 use ladderpass_routing::{Span, Time};
 use std::io;
 
-/// Over which the peak is measured.
+/// Time over which each candidate for the peak traffic is measured.
 const PEAK_WINDOW: Span = Span::from_millis(500);
-/// How often conditions are checked.
+/// Interval at which conditions are checked.
 pub(super) const STEP: Span = Span::from_millis(50);
-/// Over which the state before an event is measured: several rounds of gossip.
+/// Time over which the traffic before an event is measured. It covers several rounds of gossip.
 const BASELINE: Span = Span::from_millis(2400);
 
-/// Datagrams and bytes that all routers sent.
+/// Datagrams and bytes that all routers have sent since the start of the simulation.
 #[derive(Clone, Copy)]
 struct SentTotals {
     datagrams: u64,
     bytes: u64,
 }
 
-/// Statements of all clients.
+/// Statements of all clients since the start of the simulation.
 #[derive(Clone, Copy)]
 struct StatementTotals {
     sent: u64,
@@ -38,7 +38,7 @@
 }
 
 impl SentTotals {
-    /// Datagrams and bytes since an earlier time, each times `factor`.
+    /// Returns the datagrams and bytes since an earlier time, multiplied by `factor`.
     fn rate_since(&self, earlier: SentTotals, factor: f64) -> Traffic {
         Traffic {
             datagrams_per_second: (self.datagrams - earlier.datagrams) as f64 * factor,
@@ -52,11 +52,11 @@
     StatementTotals { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), failed }
 }
 
-/// Runs a simulation during an event, and measures it.
+/// The observation of a simulation during an event.
 pub(super) struct Observation<'a> {
-    /// The simulation.
+    /// The observed simulation.
     pub simulation: &'a mut Simulation,
-    /// The event's begin.
+    /// When the event began.
     pub started_at: Time,
     traffic_before: Traffic,
     peak_traffic: Traffic,
@@ -66,7 +66,7 @@
 }
 
 impl Observation<'_> {
-    /// Measures the traffic before the event, which begins then.
+    /// Measures the traffic before the event, and then begins the event.
     pub fn begin(simulation: &mut Simulation) -> io::Result<Observation<'_>> {
         let sent_before = sent_totals(simulation);
         simulation.run(BASELINE)?;
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Runs for [`STEP`].
+    /// Runs the simulation for [`STEP`], and updates the peak traffic at the end of each [`PEAK_WINDOW`].
     pub fn step(&mut self) -> io::Result<()> {
         self.simulation.run(STEP)?;
         if self.simulation.now - self.window_started_at >= PEAK_WINDOW {
@@ -103,12 +103,13 @@
         Ok(())
     }
 
-    /// Seconds since the event's begin.
+    /// Returns the seconds since the event began.
     pub fn elapsed_s(&self) -> f64 {
         (self.simulation.now - self.started_at).secs()
     }
 
-    /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
+    /// Runs until a condition holds. Returns the seconds since the event began, or infinity if the condition does not hold
+    /// within `max_s` from now.
     pub fn run_until(&mut self, max_s: f64, condition: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
         let end = self.simulation.now + Span::from_secs_f64(max_s);
         while !condition(self.simulation) {
@@ -120,7 +121,7 @@
         Ok(self.elapsed_s())
     }
 
-    /// Runs for a time.
+    /// Runs for a number of seconds, rounded up to whole steps.
     pub fn run_for(&mut self, secs: f64) -> io::Result<()> {
         let end = self.simulation.now + Span::from_secs_f64(secs);
         while self.simulation.now < end {
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// What was measured since the event's begin.
+    /// Ends the observation, and returns its measurements.
     pub fn finish(self, name: &'static str, moments: Vec<Moment>) -> EventOutcome {
         let now = statement_totals(self.simulation);
         let sent = (now.sent - self.statements_before.sent).max(1);
--- a/crates/ladderpass-testbed/src/capacity/events/outcome.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/outcome.rs
@@ -1,29 +1,31 @@
-//! What an event caused.
+//! The measured effects of an event.
 
 use crate::capacity::traffic::Traffic;
 
-/// What an event caused.
+/// The measured effects of an event.
 #[derive(Clone, Debug)]
 pub struct EventOutcome {
     /// Name of the event.
     pub name: &'static str,
-    /// When conditions came to hold, and how many routers and members an event concerned.
+    /// Times at which conditions began to hold, and the numbers of routers and members that failed.
     pub moments: Vec<Moment>,
-    /// Traffic of a router before the event.
+    /// Mean traffic of a router before the event.
     pub traffic_before: Traffic,
-    /// The same in the half second in which it was highest.
+    /// Highest mean traffic of a router over half a second. Datagrams and bytes have their maxima independently, and are at
+    /// least those before the event.
     pub peak_traffic: Traffic,
-    /// Fraction of the statements since its begin that failed.
+    /// Statements that failed or found no free client connection, divided by the statements that were sent, both during the
+    /// observation.
     pub failed_fraction: f64,
-    /// Bytes that discovery sent since its begin.
+    /// Bytes that discovery sent during the observation.
     pub discovery_bytes: u64,
 }
 
-/// A value that an event is described by.
+/// A time or a count that describes an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
-    /// What it is.
+    /// Meaning of the value.
     pub label: &'static str,
-    /// Seconds since the event's begin, or a count.
+    /// Seconds since the event began, or a count.
     pub value: f64,
 }
--- a/crates/ladderpass-testbed/src/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! Capacity: slopes of the load on a router and a member, from which docs/CAPACITY.md works out the size of a deployment.
+//! Capacity measurements: how the load on a router and on a member grows. docs/CAPACITY.md computes the size of a
+//! deployment from these slopes.
 
 pub mod control;
 pub mod data_path;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of simulated routers: each statement goes over an idle connection, or a new one.
+//! Clients of simulated routers. Each statement is sent on an idle connection, or on a new one if none is idle.
 
 use super::counts::Subject;
 use super::simulation::{Connection, Peer, Simulation};
@@ -6,20 +6,20 @@
 use ladderpass_emulator::proto;
 use rand::Rng;
 
-/// Connections of clients to one router at most.
+/// Maximum number of client connections to one router.
 const MAX_CLIENTS: usize = 256;
 const READ_METHOD: &str = "board";
 const WRITE_METHOD: &str = "move";
 
 impl Simulation {
-    /// Sends a router a statement of a group and method that are drawn.
+    /// Sends a statement of a random method for a random group to a router.
     pub(super) fn send_random_statement(&mut self, router: usize) {
         let group = self.rng.random_range(0..self.shape.groups);
         let is_write = self.rng.random_range(0.0..1.0) < self.shape.writes;
         self.send_statement(router, if is_write { WRITE_METHOD } else { READ_METHOD }, group);
     }
 
-    /// Sends a router a statement.
+    /// Sends a statement to a router, unless the router is down or has no client connection free.
     pub fn send_statement(&mut self, router: usize, method: &str, group: usize) {
         if self.routers[router].reducer.is_none() {
             return;
@@ -43,7 +43,7 @@
         self.deliver(router, client, &query);
     }
 
-    /// Opens a connection, unless there are too many.
+    /// Opens a client connection, unless the router already has [`MAX_CLIENTS`].
     fn open_client(&mut self, router: usize) -> Option<ConnectionId> {
         let connections = &mut self.routers[router].connections;
         let is_client = |connection: &&Connection| matches!(connection.peer, Peer::Client { .. });
@@ -59,7 +59,7 @@
         proto::put_startup(&mut startup);
         self.deliver(router, id, &startup);
         self.tick(router);
-        // It is not idle: it takes the statement for which it was opened.
+        // The connection is not idle, as the caller sends a statement on it.
         self.routers[router].idle_clients.retain(|&idle| idle != id);
         Some(id)
     }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of simulated routers: to members, to discovery, and from clients.
+//! Connections of simulated routers to members and to discovery, and those of their clients.
 
 use super::counts::Subject;
 use super::member::HEALTH_CHECK;
@@ -9,16 +9,16 @@
 use ladderpass_routing::{Span, Time};
 use std::net::SocketAddr;
 
-/// How long a member works on what it is sent.
+/// Time that a member needs to answer the messages that arrive together.
 const SERVICE_TIME: Span = Span::from_millis(1);
 
 impl Simulation {
-    /// When an answer to what is sent now arrives, without service time.
+    /// Returns the time at which the answer to a message sent now arrives, if the service time is zero.
     pub(super) fn round_trip_at(&self) -> Time {
         self.now + self.shape.latency * 2.0
     }
 
-    /// A router opens a connection to a member or to discovery.
+    /// Opens a connection of a router to a member or to discovery.
     pub(super) fn connect(&mut self, key: ConnectionKey, address: SocketAddr) {
         self.counts[key.router].connections_opened += 1;
         let at = self.round_trip_at();
@@ -28,7 +28,7 @@
                     Some(member) if member.up => SimulationEvent::Connected(key),
                     _ => SimulationEvent::Closed(key),
                 };
-                // A member whose machine is gone, or in a region that is cut off, does not answer.
+                // A member does not answer if its machine has failed or its region is cut off.
                 let hangs = self.members.get(member).is_some_and(|member| member.hangs);
                 if self.reaches_member(key.router, member) && !hangs {
                     self.schedule(at, result);
@@ -52,7 +52,7 @@
         self.is_reachable(self.zone(router), self.zone_of_member(member))
     }
 
-    /// Bytes that a router has written come to the far end of a connection.
+    /// Passes bytes that a router has written to the peer of the connection.
     pub(super) fn receive_from_router(&mut self, key: ConnectionKey, bytes: &[u8]) {
         let Some(connection) = self.connection_mut(key) else { return };
         match &mut connection.peer {
@@ -82,7 +82,7 @@
             errors += u64::from(kind == b'E');
         }
         input.drain(..parsed);
-        // The first ReadyForQuery ends the welcome.
+        // The first ReadyForQuery ends the startup, and answers no statement.
         if answers > 0 && !std::mem::replace(startup_done, true) {
             answers -= 1;
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Bytes come to a router, as far as its read buffer has room; the rest stays unread.
+    /// Delivers bytes to a router, as many as its read buffer has space for. The rest stays unread.
     pub(super) fn deliver(&mut self, router: usize, id: ConnectionId, bytes: &[u8]) {
         let subject = match self.routers[router].connections.get_mut(&id) {
             None => return,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -1,14 +1,14 @@
-//! What a simulation measures: messages and statements by router, and CPU time by the subject of events.
+//! Measurements of a simulation: messages and statements by router, and CPU time by the subject of events.
 
 use ladderpass_routing::Span;
 use nix::time::{ClockId, clock_gettime};
 
-/// Datagrams or messages that were sent, with their bytes.
+/// Number and bytes of datagrams or messages that were sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Flow {
-    /// How many there were.
+    /// Number of datagrams or messages.
     pub datagrams: u64,
-    /// Bytes of all of them.
+    /// Sum of their bytes.
     pub bytes: u64,
 }
 
@@ -19,51 +19,52 @@
     }
 }
 
-/// What one router sent, received and answered.
+/// Counts of one router: messages, connections, statements and ticks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Gossip about members that it sent.
+    /// Gossip about members that the router sent.
     pub gossip: Flow,
-    /// Messages of the membership protocol that it sent.
+    /// Messages of the membership protocol that the router sent.
     pub membership: Flow,
-    /// Datagrams that it received.
+    /// Datagrams that the router received.
     pub received: u64,
-    /// Datagrams to it that were lost, or came while it was not running.
+    /// Datagrams to the router that were lost, or arrived while it was not running.
     pub lost: u64,
-    /// Health checks that it sent to members.
+    /// Health checks that the router sent to members.
     pub health_checks: u64,
-    /// Statements of its clients.
+    /// Statements that the router's clients sent.
     pub statements: u64,
-    /// Statements that it answered without an error.
+    /// Statements that the router answered without an error.
     pub answered: u64,
-    /// Statements that it answered with an error.
+    /// Statements that the router answered with an error.
     pub errors: u64,
-    /// Statements for which no client connection was free.
+    /// Statements that were not sent, because no client connection was free.
     pub unsent: u64,
-    /// Connections that it opened.
+    /// Connections that the router began to open to members and to discovery.
     pub connections_opened: u64,
-    /// Watches of the endpoint list that it opened, which are connections too.
+    /// Connections that the router began to open to discovery, to watch the endpoint list. `connections_opened` includes
+    /// them.
     pub watches_opened: u64,
-    /// Bytes of complete endpoint lists that it received.
+    /// Bytes of the responses with a complete endpoint list that discovery sent to the router.
     pub list_bytes: u64,
-    /// Ticks of its event loop.
+    /// Ticks of the router's event loop.
     pub ticks: u64,
 }
 
-/// The subject of an event, by which CPU time is measured.
+/// The subject of an event. CPU time is measured by subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// Gossip about members.
     Gossip,
     /// The membership protocol.
     Membership,
-    /// Connections of clients and members.
+    /// Connections of clients and members, and the opening and closing of connections to discovery.
     Connections,
     /// The endpoint list.
     EndpointList,
-    /// A tick after datagrams alone, or by a timer.
+    /// A tick due to a timer, or after events that are not of [`Subject::Connections`].
     IdleTick,
-    /// A tick after data.
+    /// A tick after events of [`Subject::Connections`].
     DataTick,
 }
 
@@ -73,14 +74,14 @@
 /// Events of the observed routers and their CPU time, by subject.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// How many events there were.
+    /// Number of events.
     pub events: [u64; SUBJECTS],
-    /// Their CPU time in nanoseconds.
+    /// CPU time of the events in nanoseconds.
     pub nanos: [u64; SUBJECTS],
 }
 
 impl Cost {
-    /// Mean CPU time of an event, in seconds.
+    /// Returns the mean CPU time of an event in seconds.
     pub fn mean_seconds(&self, subject: Subject) -> f64 {
         self.nanos[subject as usize] as f64 / 1e9 / self.events[subject as usize].max(1) as f64
     }
@@ -91,13 +92,13 @@
     }
 }
 
-/// CPU time of this thread.
+/// Returns the CPU time that this thread has used.
 pub fn thread_cpu_time() -> Span {
     let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("every thread has that clock");
     Span::from_nanos(time.tv_sec() * 1_000_000_000 + time.tv_nsec())
 }
 
-/// CPU time that reading that clock takes, in nanoseconds, so that it can be subtracted.
+/// Returns the CPU time in nanoseconds of one reading of the CPU clock, to be subtracted from measured times.
 pub(super) fn clock_overhead_ns() -> i64 {
     let began = thread_cpu_time();
     for _ in 0..CLOCK_SAMPLES {
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
@@ -1,16 +1,16 @@
-//! Simulated discovery: it sends the endpoint list to each watch, then its changes and heartbeats.
+//! Simulated discovery, which sends the endpoint list on each watch, and then its changes and heartbeats.
 
 use super::settings::list_entry;
 use super::simulation::{ConnectionKey, Simulation, SimulationEvent};
 use ladderpass_routing::Span;
 
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
-/// An HTTP chunk with an empty line.
+/// A heartbeat: an HTTP chunk with an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 
 impl Simulation {
-    /// Changes a member's entry in the endpoint list, and sends the change to all watches, at discovery's rate. Returns
-    /// the list's new generation.
+    /// Changes the lifecycle of a member's entry in the endpoint list, and sends the change on all watches at
+    /// `watch_events_per_second`, if discovery is up. Returns the new generation of the list.
     pub fn change_endpoint(&mut self, member: usize, lifecycle: &str) -> u64 {
         self.generation += 1;
         let entry = list_entry(&self.shape, member, self.members[member].primary, lifecycle);
@@ -37,7 +37,7 @@
         self.generation
     }
 
-    /// Sends the complete list on a new watch.
+    /// Sends the complete list on a new watch, if discovery is up.
     pub(super) fn begin_watch(&mut self, watch: ConnectionKey) {
         if !self.discovery_up {
             return;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -1,4 +1,4 @@
-//! Events of a simulation: they are passed to a router's reducer, and the effects that it returns are carried out.
+//! Event loop of a simulation: passes events to the reducers of routers, and executes the effects that these return.
 
 use super::counts::{Subject, thread_cpu_time};
 use super::settings::{AddressOwner, address_owner, read_launch, router_address};
@@ -9,13 +9,13 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// The program's event loop ticks at least this often,
+/// Maximum time from a tick to the next one, which is that of the router's event loop.
 const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
-/// and at most this often.
+/// Minimum time from a tick to the next one that a timer causes.
 const MIN_TICK_INTERVAL: Span = Span::from_nanos(20_000);
-/// A router gets its first statement this long after its start.
+/// Minimum time from the start of a router to the first statement of its clients.
 const FIRST_STATEMENT_DELAY: Span = Span::from_millis(300);
-/// The latency of a datagram, as a factor of the simulation's.
+/// Factor on the simulation's latency, drawn at random for each datagram.
 const LATENCY_FACTOR: std::ops::Range<f64> = 0.8..1.2;
 
 impl Simulation {
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Passes an event to a router, carries out its effects, and schedules the tick that follows the batch.
+    /// Passes an event to a router, executes its effects, and schedules the tick that follows all events of this moment.
     pub(super) fn apply(&mut self, router: usize, event: Event, subject: Subject) {
         let is_observed = router < self.shape.observed;
         let Some(reducer) = &mut self.routers[router].reducer else { return };
@@ -190,7 +190,7 @@
     }
 }
 
-/// Is a datagram one of the membership protocol, and not gossip about members?
+/// Returns whether a datagram is one of the membership protocol, and not gossip about members.
 fn is_membership(datagram: &[u8]) -> bool {
     datagram.first() == Some(&ladderpass_membership::FIRST_BYTE)
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/member.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/member.rs
@@ -1,23 +1,23 @@
-//! A simulated member: it answers statements, health checks and sync queries at once.
+//! A simulated member, which answers statements, health checks and sync queries.
 
 use ladderpass_emulator::proto;
 use ladderpass_routing::{Span, Time};
 
 /// The statement of a health check.
 pub(super) const HEALTH_CHECK: &str = "SHOW server_load";
-/// read_only_sql_transaction: a write at a replica.
+/// The SQLSTATE read_only_sql_transaction, with which a replica rejects a write.
 const READ_ONLY: &str = "25006";
 
 /// A simulated member.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// It accepts connections.
+    /// Whether the member's process runs. Otherwise connections to it are refused.
     pub up: bool,
-    /// It accepts connections and statements and answers nothing.
+    /// Whether the member's machine has failed silently. Then neither connections nor statements get an answer.
     pub hangs: bool,
-    /// It is the primary of its group.
+    /// Whether the member is the primary of its group.
     pub primary: bool,
-    /// How far its data are behind.
+    /// How far the member's data lag behind the primary's.
     pub lag: Span,
 }
 
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/mod.rs
@@ -1,7 +1,8 @@
 //! Simulated routers: many real reducers in one process, with a simulated clock, network, members, discovery and clients.
 //!
-//! All that routers decide and send to each other is the program's own code. The simulation decides who reaches whom and
-//! when bytes arrive, and counts what is sent. The same shape and seed give the same simulation.
+//! All decisions and messages of the routers come from the router's own code. The simulation determines which peers can
+//! reach each other and when bytes arrive, and counts the messages. The same shape and seed give the same simulation,
+//! except for CPU times.
 
 mod clients;
 mod connections;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
@@ -1,4 +1,4 @@
-//! Addresses of a simulation, and the settings that its routers start with: the same files as a process reads.
+//! Addresses of a simulation, and the settings of its routers, which are written to the files that a router process reads.
 
 use super::shape::Shape;
 use ladderpass::launch::Launch;
@@ -11,23 +11,23 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// When each simulation starts.
+/// Simulated time at the start of each simulation.
 pub(super) const EPOCH: Time = Time::from_nanos(1_796_000_000_000_000_000);
-/// Routers that each router has in its list of peers.
+/// Maximum number of routers in the list of peers that each router is configured with.
 const LISTED_PEERS: usize = 3;
 const DISCOVERY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::new(127, 3, 0, 1)), 8500);
 const ROUTER_NETWORK: u8 = 1;
 const MEMBER_NETWORK: u8 = 2;
-/// Routers or members in each /24 of their network.
+/// Number of routers or members in each /24 block of their network.
 const ADDRESSES_PER_BLOCK: usize = 250;
 
-/// Who has an address.
+/// The owner of an address, by index.
 pub(super) enum AddressOwner {
     Router(usize),
     Member(usize),
 }
 
-/// The address of a router.
+/// Returns the address of a router.
 pub fn router_address(router: usize) -> SocketAddr {
     SocketAddr::from((ip_of(ROUTER_NETWORK, router), 7000))
 }
@@ -41,7 +41,7 @@
     Ipv4Addr::new(127, network, block as u8, (1 + offset) as u8)
 }
 
-/// The router or member that has an address; none for discovery.
+/// Returns the router or member that an address belongs to, or `None` for the address of discovery.
 pub(super) fn address_owner(address: SocketAddr) -> Option<AddressOwner> {
     let SocketAddr::V4(address) = address else { return None };
     let [_, network, block, offset] = address.ip().octets();
@@ -53,12 +53,12 @@
     }
 }
 
-/// The id of a member in the endpoint list.
+/// Returns the id of a member in the endpoint list.
 pub fn member_id(member: usize) -> String {
     format!("db-{member:04}")
 }
 
-/// A member's entry in the endpoint list, as JSON.
+/// Returns a member's entry in the endpoint list as JSON.
 pub(super) fn list_entry(shape: &Shape, member: usize, primary: bool, lifecycle: &str) -> String {
     let zone = shape.zone_of_member(member);
     serde_json::json!({
@@ -78,8 +78,9 @@
     Ok(path)
 }
 
-/// The settings of one router, read from files and variables as a process does. `config` is a file of [`config`],
-/// `listed` the number of routers, and `fleet` as in [`Shape`].
+/// Reads the settings of one router from files and variables, as a router process does. `config` is a file that
+/// [`write_config`] wrote, `routers` is the number of routers, and `fleet` and `peers` have the meaning that they have in
+/// [`Shape`].
 ///
 /// # Errors
 /// If the operator's file can't be written, or the settings can't be read.
@@ -118,7 +119,8 @@
     launch.map_err(io::Error::other)
 }
 
-/// Writes the settings of all routers of a simulation to a file; `cached_entries` are those of a cached endpoint list.
+/// Writes the settings that all routers of a simulation share to a temporary file, and returns its path. `cached_entries`
+/// are the entries of the cached endpoint list.
 ///
 /// # Errors
 /// If the file can't be written.
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
@@ -1,31 +1,31 @@
-//! What a simulation is made of: routers, groups and members, their load and their network.
+//! The parameters of a simulation: routers, groups and members, their load and their network.
 
 use ladderpass_routing::Span;
 
-/// A simulation's size, load and network.
+/// The size, load and network of a simulation.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// How many routers there are.
+    /// Number of routers.
     pub routers: usize,
-    /// How many groups of members there are.
+    /// Number of groups of members.
     pub groups: usize,
-    /// Members of all groups together; the first of each group is its primary.
+    /// Number of members of all groups together. The first member of each group is its primary.
     pub members: usize,
-    /// Statements a second that come to a router, over all groups.
+    /// Statements a second that a router receives for all groups together.
     pub rate: f64,
     /// Fraction of the statements that write.
     pub writes: f64,
-    /// Routers are peers: they gossip.
+    /// Whether the routers know each other as peers and gossip.
     pub peers: bool,
-    /// Routers shed load and use retry budgets together.
+    /// Whether the routers shed load and use retry budgets as a fleet.
     pub fleet: bool,
-    /// One-way latency between any two.
+    /// Mean one-way latency between any two peers.
     pub latency: Span,
     /// Probability that a datagram is lost.
     pub loss: f64,
-    /// Routers whose CPU time is measured, from the first on.
+    /// Number of routers whose CPU time is measured, beginning with the first.
     pub observed: usize,
-    /// Routers start with a cached endpoint list.
+    /// Whether the routers start with a cached endpoint list.
     pub cached_endpoints: bool,
     /// Seed of all random draws.
     pub seed: u64,
@@ -51,23 +51,23 @@
 }
 
 impl Shape {
-    /// Groups of three members.
+    /// Returns a shape whose groups have three members each.
     pub fn of(routers: usize, groups: usize) -> Shape {
         Shape { routers, groups, members: 3 * groups, ..Shape::default() }
     }
 
-    /// The group of a member.
+    /// Returns the group of a member.
     pub fn group_of(&self, member: usize) -> usize {
         member % self.groups
     }
 
-    /// The zone of a member: those of a group are in different ones.
+    /// Returns the zone of a member. The members of a group are in different zones, if there are at most [`ZONES`] of them.
     pub(super) fn zone_of_member(&self, member: usize) -> usize {
         (self.group_of(member) + 3 * (member / self.groups)) % ZONES
     }
 }
 
-/// Zones, among which routers and members are spread evenly.
+/// Number of zones, over which routers and members are spread evenly.
 pub const ZONES: usize = 8;
 /// The region that each zone is in.
 pub const REGION_OF_ZONE: [usize; ZONES] = [0, 0, 0, 1, 1, 1, 2, 2];
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -1,4 +1,4 @@
-//! State of a simulation, its queue of events by time, and what a caller does to it.
+//! The state of a simulation, its queue of events, and the operations of its callers.
 
 use super::counts::{Cost, Counts, Flow, clock_overhead_ns};
 use super::member::Member;
@@ -14,45 +14,46 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All routers start within this, in nanoseconds.
+/// Time in nanoseconds within which all routers start.
 const MAX_START_DELAY_NS: i64 = 200_000_000;
 const REPLICA_LAG_MS: std::ops::Range<i64> = 2..20;
 const FIRST_GENERATION: u64 = 2;
 const NEVER: Time = Time::from_nanos(i64::MAX);
 
-/// The far end of a router's connection.
+/// The peer of a router's connection.
 pub(super) enum Peer {
-    /// A client; it is welcomed once its startup message is answered.
+    /// A client. Its startup is done when the router has answered its startup message.
     Client { startup_done: bool, input: Vec<u8> },
-    /// A member, which first reads the startup message.
+    /// A member, which reads the startup message first.
     Member { member: usize, startup_read: bool, input: Vec<u8> },
-    /// Discovery, which sends the endpoint list once it is watched.
+    /// Discovery, which sends the endpoint list when the watch begins.
     Discovery { watching: bool },
 }
 
 /// A connection of a router.
 pub(super) struct Connection {
-    /// Its far end.
+    /// The peer of the connection.
     pub peer: Peer,
-    /// Bytes for which the router's read buffer had no room yet.
+    /// Bytes for which the router's read buffer has had no space yet.
     pub unread: Vec<u8>,
 }
 
-/// A router and the connections that it has.
+/// A router and its connections.
 pub(super) struct SimulatedRouter {
-    /// None while it is not running.
+    /// The reducer, or `None` while the router is not running.
     pub reducer: Option<Reducer>,
-    /// Number of the process: what was in flight to an earlier one is lost.
+    /// Number of the current process of the router. Connections of an earlier process are lost with the data in flight on
+    /// them, but datagrams in flight reach a later process.
     pub incarnation: u32,
-    /// Its open connections.
+    /// Connections that are open or being opened.
     pub connections: HashMap<ConnectionId, Connection>,
-    /// Connections of clients with nothing in flight, the last used last.
+    /// Client connections without a statement in flight, the most recently used one last.
     pub idle_clients: Vec<ConnectionId>,
-    /// A tick follows the events of this moment.
+    /// Whether a tick is scheduled after the events of this moment.
     pub tick_scheduled: bool,
-    /// Data came since the last tick.
+    /// Whether events of [`Subject::Connections`](super::Subject::Connections) were applied since the last tick.
     pub has_data: bool,
-    /// When it ticks without an event.
+    /// When the router ticks even if there is no event.
     pub wake_at: Time,
 }
 
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Ids of some connections, in order: the map's own order differs from run to run.
+    /// Returns the sorted ids of the connections whose peer matches. They are sorted because the order of the map differs
+    /// from run to run.
     fn sorted_connections(&self, matches: impl Fn(&Peer) -> bool) -> Vec<ConnectionId> {
         let matching = self.connections.iter().filter(|(_, connection)| matches(&connection.peer));
         let mut ids: Vec<ConnectionId> = matching.map(|(&id, _)| id).collect();
@@ -86,7 +88,7 @@
     pub id: ConnectionId,
 }
 
-/// What happens at a time.
+/// An event of a simulation.
 pub(super) enum SimulationEvent {
     StartRouter { router: usize },
     Tick { router: usize },
@@ -99,7 +101,7 @@
     WatchHeartbeat(ConnectionKey),
 }
 
-/// An event in the queue; those of one time are in the order in which they were scheduled.
+/// An event in the queue. Events of the same time are handled in the order in which they were scheduled.
 struct ScheduledEvent {
     at: Time,
     number: u64,
@@ -123,33 +125,33 @@
     }
 }
 
-/// A simulation with a clock of its own.
+/// A simulation of routers, with its own clock.
 pub struct Simulation {
-    /// What it is made of.
+    /// The parameters of the simulation.
     pub shape: Shape,
-    /// Its time.
+    /// The current simulated time.
     pub now: Time,
     began: Time,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
     last_event_number: u64,
     pub(super) routers: Vec<SimulatedRouter>,
-    /// Its members.
+    /// The simulated members, by index.
     pub members: Vec<Member>,
-    /// By router, since the start or the last [`Simulation::reset_counts`].
+    /// Counts by router since the start or the last [`Simulation::reset_counts`].
     pub counts: Vec<Counts>,
-    /// Of the observed routers.
+    /// CPU time of the observed routers over the same time.
     pub cost: Cost,
     pub(super) clock_overhead_ns: i64,
     pub(super) rng: SmallRng,
-    /// Generation of the endpoint list.
+    /// The current generation of the endpoint list.
     pub(super) generation: u64,
-    /// The endpoint list.
+    /// The entries of the endpoint list as JSON, by member.
     pub(super) entries: Vec<String>,
-    /// Discovery answers.
+    /// Whether discovery is up.
     pub discovery_up: bool,
-    /// Watches a second to which a change of the endpoint list is sent.
+    /// Number of watches a second on which discovery can send a change of the endpoint list.
     pub watch_events_per_second: f64,
-    /// Messages and bytes that discovery sent.
+    /// Messages and bytes that discovery has sent since the last reset.
     pub discovery: Flow,
     /// Pairs of regions that can't reach each other.
     pub cut_regions: Vec<(usize, usize)>,
@@ -160,13 +162,13 @@
 
 impl Drop for Simulation {
     fn drop(&mut self) {
-        // It may have been removed already.
+        // The file may have been removed already.
         let _ = std::fs::remove_file(&self.config);
     }
 }
 
 impl Simulation {
-    /// Prepares a simulation. Its routers start at random times within its first 200 ms.
+    /// Prepares a simulation. Its routers start at random times within the first 200 ms.
     ///
     /// # Errors
     /// If the routers' settings can't be written to the temporary folder.
@@ -219,12 +221,12 @@
         self.queue.push(Reverse(ScheduledEvent { at, number: self.last_event_number, event }));
     }
 
-    /// Time since its start.
+    /// Returns the simulated time since the start.
     pub fn elapsed(&self) -> Span {
         self.now - self.began
     }
 
-    /// Runs for a time.
+    /// Runs the simulation for a time.
     ///
     /// # Errors
     /// If the settings of a router that starts can't be written or read.
@@ -239,56 +241,57 @@
         Ok(())
     }
 
-    /// Sets counts and costs to zero.
+    /// Resets the counts, the CPU times and the traffic of discovery to zero.
     pub fn reset_counts(&mut self) {
         self.counts.iter_mut().for_each(|counts| *counts = Counts::default());
         (self.cost, self.discovery) = (Cost::default(), Flow::default());
     }
 
-    /// Datagrams in flight.
+    /// Returns the number of datagrams in flight.
     pub fn datagrams_in_flight(&self) -> u64 {
         self.datagrams_in_flight
     }
 
-    /// Mean of a count over all routers.
+    /// Returns the mean of a count over all routers.
     pub fn mean(&self, count: impl Fn(&Counts) -> u64) -> f64 {
         self.counts.iter().map(count).sum::<u64>() as f64 / self.counts.len().max(1) as f64
     }
 
-    /// The reducer of a router that runs.
+    /// Returns the reducer of a router, or `None` if the router is not running.
     pub fn reducer(&self, router: usize) -> Option<&Reducer> {
         self.routers.get(router)?.reducer.as_ref()
     }
 
-    /// The zone of a router.
+    /// Returns the zone of a router.
     pub fn zone(&self, router: usize) -> usize {
         router % ZONES
     }
 
-    /// The zone of a member.
+    /// Returns the zone of a member.
     pub fn zone_of_member(&self, member: usize) -> usize {
         self.shape.zone_of_member(member)
     }
 
-    /// Can two zones reach each other?
+    /// Returns whether two zones can reach each other.
     pub(super) fn is_reachable(&self, zone: usize, other: usize) -> bool {
         let (one, other) = (REGION_OF_ZONE[zone], REGION_OF_ZONE[other]);
         !self.cut_regions.iter().any(|&(a, b)| (a, b) == (one, other) || (b, a) == (one, other))
     }
 
-    /// Kills a router's process. Its state is lost, and nobody is notified.
+    /// Kills a router's process. Its state is lost, and its peers are not notified.
     pub fn kill(&mut self, router: usize) {
         let killed = &mut self.routers[router];
         let incarnation = killed.incarnation + 1;
         *killed = SimulatedRouter { incarnation, has_data: killed.has_data, ..SimulatedRouter::stopped() };
     }
 
-    /// Starts a router after a time, if it does not run then.
+    /// Schedules the start of a router after a time. The start has no effect if the router is running then.
     pub fn schedule_start(&mut self, router: usize, after: Span) {
         self.schedule(self.now + after, SimulationEvent::StartRouter { router });
     }
 
-    /// Ends a member's process, which closes its connections, or `silently` its machine, which does not.
+    /// Ends a member. Its process ends, which closes its connections, or its machine fails `silently`, which leaves them
+    /// open.
     pub fn end_member(&mut self, member: usize, silently: bool) {
         (self.members[member].up, self.members[member].hangs) = (silently, silently);
         if silently {
@@ -306,7 +309,7 @@
         }
     }
 
-    /// By router: its open watches of the endpoint list.
+    /// Returns the watches of the endpoint list that a router has open.
     pub(super) fn open_watches(&self, router: usize) -> Vec<ConnectionKey> {
         let incarnation = self.routers[router].incarnation;
         let is_watch = |peer: &Peer| matches!(peer, Peer::Discovery { watching: true });
@@ -314,18 +317,18 @@
         ids.map(|id| ConnectionKey { router, incarnation, id }).collect()
     }
 
-    /// Does this process of the router still run?
+    /// Returns whether this process is still the current one of the router.
     pub(super) fn is_current(&self, router: usize, incarnation: u32) -> bool {
         self.routers[router].incarnation == incarnation
     }
 
-    /// Is this connection still open?
+    /// Returns whether a connection is still open.
     pub(super) fn is_open(&self, key: ConnectionKey) -> bool {
         self.is_current(key.router, key.incarnation)
             && self.routers[key.router].connections.contains_key(&key.id)
     }
 
-    /// A connection, whichever process of its router has it now.
+    /// Returns the connection with the id of the key. The router's current process may be a later one than that of the key.
     pub(super) fn connection_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
         self.routers[key.router].connections.get_mut(&key.id)
     }
--- a/crates/ladderpass-testbed/src/capacity/slope.rs
+++ b/crates/ladderpass-testbed/src/capacity/slope.rs
@@ -1,43 +1,44 @@
-//! Slopes: measured points, the straight line through them with its error, and the claims of docs/CAPACITY.md that they
-//! are compared with.
+//! Measured points, the straight line fitted to them with its error, and the claims of docs/CAPACITY.md to which the
+//! measurements are compared.
 
-/// Measured points of `y` by `x`.
+/// Measured points (x, y), to which a line can be fitted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slope {
     /// Name of the slope.
     pub name: &'static str,
-    /// What x is, with its unit.
+    /// The quantity on the x axis, with its unit.
     pub x: &'static str,
-    /// What y is, with its unit.
+    /// The quantity on the y axis, with its unit.
     pub y: &'static str,
     /// The points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// A straight line through points. The slope is 0 if there are fewer than two values of x.
+/// A straight line fitted to points. Its slope is 0 if the points have fewer than two distinct values of x.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Growth of y for each x.
+    /// Growth of y per unit of x.
     pub slope: f64,
     /// The value at x = 0.
     pub base: f64,
-    /// The greatest residual relative to its point; infinite if there is no point, or if the line misses a y of 0.
+    /// The largest residual, relative to the y of its point. It is infinite if there is no point, or if the line misses a
+    /// point whose y is 0.
     pub error: f64,
 }
 
-/// A figure that the page claims.
+/// A figure that docs/CAPACITY.md claims.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// Name of the figure.
     pub name: &'static str,
     /// Its value.
     pub value: f64,
-    /// The relative error that the page states.
+    /// The relative error that the page allows.
     pub within: f64,
 }
 
 impl Slope {
-    /// The line of least squares.
+    /// Fits a line by least squares.
     pub fn fit(&self) -> Fit {
         let count = self.points.len() as f64;
         let mean = |coordinate: fn(&(f64, f64)) -> f64| {
@@ -50,7 +51,7 @@
         let line = Fit { slope, base: y - slope * x, error: 0.0 };
         let scale = self.points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
         let relative_residual = |&(x, y): &(f64, f64)| match (line.at(x) - y).abs() {
-            // Rounding errors of the sums.
+            // A residual this small is a rounding error of the sums.
             residual if residual <= 1e-12 * scale => 0.0,
             residual => residual / y.abs(),
         };
@@ -58,7 +59,7 @@
         Fit { error: worst.unwrap_or(f64::INFINITY), ..line }
     }
 
-    /// The least and the greatest x.
+    /// Returns the least and the greatest x.
     pub fn range(&self) -> (f64, f64) {
         let xs = || self.points.iter().map(|point| point.0);
         (xs().fold(f64::INFINITY, f64::min), xs().fold(f64::NEG_INFINITY, f64::max))
@@ -66,21 +67,21 @@
 }
 
 impl Fit {
-    /// The value at x.
+    /// Returns the value of the line at x.
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
 }
 
 impl Claim {
-    /// Is a measured value within the error that the page states?
+    /// Returns whether a measured value is within the error that the page allows.
     pub fn holds(&self, measured: f64) -> bool {
         (measured - self.value).abs() <= self.within * self.value.abs()
     }
 
-    /// Reads a claim from a page: a table's row with the name in code marks, the value, and the error in percent. Thousands
-    /// may be separated by commas or narrow spaces; a unit may follow a number. None if there is no such row, more than
-    /// one, or one that can't be read.
+    /// Reads a claim from a page. The claim is a table row with the name in backticks, the value, and the error in percent.
+    /// Thousands may be separated by commas or narrow spaces, and a unit may follow a number. Returns `None` if the page
+    /// has no such row or more than one, or if the row can't be parsed.
     pub fn read(page: &str, name: &'static str) -> Option<Claim> {
         let mut rows = page.lines().filter_map(|line| {
             let mut cells = line.trim().strip_prefix('|')?.split('|').map(str::trim);
@@ -93,7 +94,7 @@
     }
 }
 
-/// The number that a cell begins with.
+/// Parses the number that a cell begins with.
 fn number(cell: &str) -> Option<f64> {
     let cell: String = cell.chars().filter(|c| !matches!(c, ',' | '\u{202f}' | '\u{2009}' | '±')).collect();
     let cell = cell.trim();
--- a/crates/ladderpass-testbed/src/capacity/traffic.rs
+++ b/crates/ladderpass-testbed/src/capacity/traffic.rs
@@ -1,6 +1,6 @@
-//! Traffic of a router to other routers.
+//! Traffic between routers.
 
-/// What a router sends to other routers, on average.
+/// Mean traffic that a router sends to other routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Traffic {
     /// Datagrams a second.
