--- a/crates/ladderpass-testbed/src/capacity/control/costs.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/costs.rs
@@ -86,7 +86,9 @@
 fn resident_kib() -> io::Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
-    pages.map(|pages| pages * PAGE_KIB).ok_or_else(|| io::Error::other("statm can't be read"))
+    pages
+        .map(|pages| pages * PAGE_KIB)
+        .ok_or_else(|| io::Error::other("/proc/self/statm has no resident size"))
 }
 
 /// Measures the CPU microseconds to send and receive gossip datagrams over loopback, by the number of datagrams. Each
--- a/crates/ladderpass-testbed/src/capacity/control/parallel.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/parallel.rs
@@ -27,7 +27,9 @@
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(measure_next)).collect();
         for thread in threads {
-            all.extend(thread.join().unwrap_or_else(|_| Err(io::Error::other("a lane failed")))?);
+            all.extend(
+                thread.join().unwrap_or_else(|_| Err(io::Error::other("a measurement thread panicked")))?,
+            );
         }
         io::Result::Ok(())
     })?;
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -91,7 +91,8 @@
         let admission = measure_admission(seed, long, seconds)?;
         let deaths = measure_deaths(seed, long)?;
         let lists = measure_lists(seed)?;
-        let by_groups = by_groups.join().unwrap_or_else(|_| Err(io::Error::other("a lane failed")))?;
+        let by_groups =
+            by_groups.join().unwrap_or_else(|_| Err(io::Error::other("a measurement thread panicked")))?;
         Ok(Measurements { by_groups, by_routers, idle, admission, deaths, lists })
     })
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/mod.rs
@@ -27,13 +27,13 @@
 /// Measures all slopes. Slopes that can't be measured are left out, and the reason is printed to standard error.
 pub fn measure(seed: u64, settings: &Settings) -> Vec<Slope> {
     let mut slopes = reducer_slopes(seed, settings.long).unwrap_or_else(|error| {
-        eprintln!("data path, pure: {error}");
+        eprintln!("data path: slopes of the simulation are left out: {error}");
         Vec::new()
     });
     for measure_slopes in [idle_client_slopes, statement_slopes, member_slopes] {
         match measure_slopes(seed, settings) {
             Ok(measured) => slopes.extend(measured),
-            Err(error) => eprintln!("data path, processes: {error}"),
+            Err(error) => eprintln!("data path: slopes of a router process are left out: {error}"),
         }
     }
     slopes
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -78,7 +78,10 @@
     }
 
     fn address(&self) -> io::Result<SocketAddr> {
-        self.router.as_ref().map(|router| router.address).ok_or_else(|| io::Error::other("it has ended"))
+        self.router
+            .as_ref()
+            .map(|router| router.address)
+            .ok_or_else(|| io::Error::other("the router process has ended"))
     }
 
     /// Returns the path of a file of the router's process under `/proc`.
@@ -132,7 +135,7 @@
                 (0..CLIENT_THREADS as usize).map(|thread| scope.spawn(move || open_share(thread))).collect();
             let mut all = Vec::new();
             for thread in threads {
-                all.extend(thread.join().map_err(|_| io::Error::other("a client's thread fell"))??);
+                all.extend(thread.join().map_err(|_| io::Error::other("a client thread panicked"))??);
             }
             Ok(all)
         })
@@ -169,7 +172,7 @@
             let (cpu_before, from) = (self.cpu_s()?, Instant::now());
             let mut total = LoadResult::default();
             for thread in threads {
-                let result = thread.join().map_err(|_| io::Error::other("an asker's thread fell"))?;
+                let result = thread.join().map_err(|_| io::Error::other("a load thread panicked"))?;
                 total.statements += result.statements;
                 total.connections_opened += result.connections_opened;
                 total.failed += result.failed;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
@@ -17,8 +17,8 @@
     /// Number of clients. Each statement is sent by a random one.
     pub clients: usize,
     /// Nominal time from sending a statement to a member until its answer. Nine tenths of it are the mean of the service
-    /// time, which has an exponential distribution. The remaining tenth stands for the round trip, which
-    /// is 0.4 ms for every value of this field.
+    /// time, which has an exponential distribution. The remaining tenth stands for the round trip, which is 0.4 ms for
+    /// every value of this field.
     pub answer_time: Span,
     /// Number of routers in the settings. Only one router is simulated.
     pub routers: u32,
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -89,7 +89,10 @@
         let launch = shape.launch(now, seed)?;
         let mut members = HashMap::new();
         for (member, instance) in launch.cached_endpoints.instances.iter().enumerate() {
-            let address = instance.host_port.parse().map_err(|_| "an address of its own".to_owned())?;
+            let address = instance
+                .host_port
+                .parse()
+                .map_err(|_| "the endpoint list has an invalid address".to_owned())?;
             members.insert(address, member);
         }
         let discovery = launch.discovery;
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -94,7 +94,7 @@
 
 /// Returns the CPU time that this thread has used.
 pub fn thread_cpu_time() -> Span {
-    let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("every thread has that clock");
+    let time = clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).expect("every thread has a CPU clock");
     Span::from_nanos(time.tv_sec() * 1_000_000_000 + time.tv_nsec())
 }
 
