--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -81,9 +81,9 @@
 }
 
 /// Measures the rates of a simulation over a number of seconds, after a settling time.
-pub(super) fn rates_after(shape: &Shape, settles: Span, seconds: f64) -> io::Result<Rates> {
+pub(super) fn rates_after(shape: &Shape, settle_time: Span, seconds: f64) -> io::Result<Rates> {
     let mut simulation = Simulation::start(shape.clone())?;
-    simulation.run(settles)?;
+    simulation.run(settle_time)?;
     simulation.reset_counts();
     simulation.run(Span::from_secs_f64(seconds))?;
     Ok(rates_of(&simulation, seconds))
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -79,7 +79,7 @@
     let seconds = if long { LONG_RUN_S } else { SHORT_RUN_S };
     let groups: &[usize] = if long { &[16, 48, 96, 192, GROUPS] } else { &[16, 64, 160, GROUPS] };
     let measure_groups = |groups| {
-        let shape = observed(reference_shape(FEW_ROUTERS, groups, seed));
+        let shape = with_observed_routers(reference_shape(FEW_ROUTERS, groups, seed));
         rates_after(&shape, FEW_ROUTERS_SETTLE_TIME, seconds)
     };
     std::thread::scope(|scope| {
@@ -97,13 +97,13 @@
     })
 }
 
-fn observed(shape: Shape) -> Shape {
+fn with_observed_routers(shape: Shape) -> Shape {
     Shape { observed: OBSERVED_ROUTERS, ..shape }
 }
 
 fn measure_idle(seed: u64, seconds: f64) -> io::Result<Vec<(usize, Rates)>> {
     measure_all(&[128, 256, ROUTERS], |routers| {
-        let shape = observed(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) });
+        let shape = with_observed_routers(Shape { rate: 0.0, seed, ..Shape::of(routers, 1) });
         rates_after(&shape, SETTLE_TIME * MANY_ROUTERS_SETTLE_FACTOR, seconds / 2.0)
     })
 }
