--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -110,7 +110,7 @@
             answers.push((ROUND_TRIP, startup_response));
         }
         let mut input = std::mem::take(&mut connection.input);
-        // A member answers the queries of a connection one after the other.
+        // The queries that arrive together are answered one after the other.
         let mut answered_after = ROUND_TRIP;
         while let Some((_, body, length)) = proto::parse_frame(input.get(parsed..).unwrap_or_default()) {
             parsed += length;
