--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -1,20 +1,21 @@
-//! Slopes that are measured on the router's own code in simulated time: no sockets, no system calls.
+//! Slopes of the router's own code in simulated time, without sockets and system calls.
 
 use super::simulation::{Counts, MEMBERS_PER_GROUP, Shape, Simulation, thread_cpu_s};
 use crate::capacity::slope::Slope;
 use ladderpass_routing::{AttemptOutcome, LoadReport, Span};
 
 const IDLE_TICKS: usize = 2000;
-const PROBE_PASSES: usize = 20;
-/// Long enough that health checks are due after it.
-const PROBE_PASS_INTERVAL: Span = Span::from_millis(1000);
+const HEALTH_CHECK_TICKS: usize = 20;
+/// Simulated time between ticks. It is long enough that health checks are due at each of them.
+const HEALTH_CHECK_TICK_INTERVAL: Span = Span::from_millis(1000);
 
+/// Returns the median (the upper one of an even number of values), or NaN if there are no values.
 pub(super) fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// Slopes of the router's code alone, in simulated time.
+/// Measures the slopes of the router's own code in simulated time.
 ///
 /// # Errors
 /// If a simulation can't be started.
@@ -25,10 +26,10 @@
     Ok(slopes)
 }
 
-/// Steady counts of one simulation.
+/// Counts of one simulation after its warm-up.
 struct SteadyLoad {
     members: f64,
-    /// Those that clients sent, which scatter about the rate.
+    /// Statements that the clients sent. As they are sent at random, this differs somewhat from the rate of the shape.
     statements_per_second: f64,
     counts: Counts,
 }
@@ -41,17 +42,17 @@
     measure_loads(&[26, 52, 104, 208], Span::from_millis(14_000), Span::from_millis(36_000), seed)
 }
 
-fn measure_loads(groups: &[u32], warm: Span, span: Span, seed: u64) -> Result<Vec<SteadyLoad>, String> {
+fn measure_loads(groups: &[u32], warm_up: Span, span: Span, seed: u64) -> Result<Vec<SteadyLoad>, String> {
     let measure = |&groups: &u32| {
         let shape = Shape::of(groups);
-        let counts = steady_counts(&shape, warm, span, seed)?;
+        let counts = steady_counts(&shape, warm_up, span, seed)?;
         let statements_per_second = counts.statements / counts.seconds;
         Ok(SteadyLoad { members: shape.members() as f64, statements_per_second, counts })
     };
     groups.iter().map(measure).collect()
 }
 
-/// CPU time of ticks without load, by groups, members and idle clients.
+/// Measures the CPU time of ticks without load by groups, members and idle clients.
 fn tick_slopes(repeats: usize, seed: u64) -> Result<Vec<Slope>, String> {
     let (mut by_groups, mut by_members, mut by_clients) = (Vec::new(), Vec::new(), Vec::new());
     for groups in [39, 78, 156, 313] {
@@ -72,15 +73,16 @@
     ])
 }
 
-/// Counts by members, and by statements a second.
+/// Slopes of the counts by members and by statements a second.
 fn count_slopes(loads: &[SteadyLoad]) -> Vec<Slope> {
-    let links = loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
+    let member_connections =
+        loads.iter().map(|load| (load.members, load.counts.member_connections)).collect();
     let by_statements = |name, y, value: fn(&Counts) -> f64| {
         let points = loads.iter().map(|load| (load.statements_per_second, value(&load.counts))).collect();
         Slope { name, x: "statements/s", y, points }
     };
     vec![
-        Slope { name: "links", x: "members", y: "connections to members", points: links },
+        Slope { name: "links", x: "members", y: "connections to members", points: member_connections },
         by_statements("probes", "probes a second", |c| c.health_checks / c.seconds),
         by_statements("opened", "client connections opened a second", |c| c.clients_reopened / c.seconds),
         by_statements("clients_open", "client connections that are open", |c| c.client_connections),
@@ -90,17 +92,18 @@
     ]
 }
 
-/// Counts over `span`, after a warm-up.
+/// Returns the counts of a simulation over `span`, after a warm-up.
 ///
 /// # Errors
 /// If the simulation can't be started.
-pub fn steady_counts(shape: &Shape, warm: Span, span: Span, seed: u64) -> Result<Counts, String> {
+pub fn steady_counts(shape: &Shape, warm_up: Span, span: Span, seed: u64) -> Result<Counts, String> {
     let mut simulation = Simulation::new(shape, seed)?;
-    simulation.run(warm);
+    simulation.run(warm_up);
     Ok(simulation.run(span))
 }
 
-/// CPU microseconds of a tick with nothing to do, with all clients of the shape connected and idle.
+/// Measures the CPU microseconds of a tick that has nothing to do, while all clients of the shape are connected and idle.
+/// Returns the median of the repeats.
 ///
 /// # Errors
 /// If the simulation can't be started.
@@ -111,16 +114,17 @@
     Ok(median((0..repeats).map(|_| simulation.idle_tick_cpu_s(IDLE_TICKS) * 1e6).collect()))
 }
 
-/// CPU microseconds of a tick in which health checks are due.
+/// Measures the CPU microseconds of a tick of the routing core in which health checks are due. Returns the median of the
+/// repeats.
 ///
 /// # Errors
 /// If the router's settings can't be read.
 pub fn health_check_tick_cpu_us(shape: &Shape, repeats: usize, seed: u64) -> Result<f64, String> {
     let (mut router, mut now) = Simulation::routing_core(shape, seed)?;
-    let mut passes = |count: usize| {
+    let mut mean_tick_cpu_us = |count: usize| {
         let mut cpu = 0.0;
         for _ in 0..count {
-            now = now + PROBE_PASS_INTERVAL;
+            now = now + HEALTH_CHECK_TICK_INTERVAL;
             let before = thread_cpu_s();
             let output = router.tick(now);
             cpu += thread_cpu_s() - before;
@@ -135,6 +139,6 @@
         }
         cpu / count as f64 * 1e6
     };
-    passes(PROBE_PASSES);
-    Ok(median((0..repeats).map(|_| passes(PROBE_PASSES)).collect()))
+    mean_tick_cpu_us(HEALTH_CHECK_TICKS);
+    Ok(median((0..repeats).map(|_| mean_tick_cpu_us(HEALTH_CHECK_TICKS)).collect()))
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -1,4 +1,4 @@
-//! State and time of a simulation: its queue of events, and the router's event loop.
+//! The state and clock of a simulation: its queue of events, and the router's event loop.
 
 use super::counts::{Counts, clock_overhead_s, thread_cpu_s};
 use super::shape::{MEMBERS_PER_GROUP, Shape};
@@ -10,32 +10,35 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// When each simulation starts.
+/// Simulated time at the start of each simulation.
 const EPOCH: Time = Time::from_nanos(1_796_000_000_000_000_000);
-/// The program's event loop ticks at least this often.
+/// The maximum time between two ticks, which is that of the router's event loop.
 const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
-/// From one end of a connection to the other.
+/// One-way latency of a connection.
 pub(super) const LATENCY: Span = Span::from_nanos(200_000);
+/// Twice the one-way latency.
 pub(super) const ROUND_TRIP: Span = Span::from_nanos(400_000);
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
-/// An HTTP chunk with an empty line.
+/// A heartbeat of discovery: an HTTP chunk with an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 
+/// A client of the router.
 #[derive(Default)]
 pub(super) struct Client {
     pub connection: Option<ConnectionId>,
-    pub welcomed: bool,
+    /// The router has answered the startup message.
+    pub startup_done: bool,
     pub input: Vec<u8>,
-    /// Sent once it is welcomed.
+    /// The query that the client sends when the router is ready.
     pub pending_query: Option<Vec<u8>>,
-    /// When it sent the statement that waits for an answer.
+    /// When the client sent the statement for whose answer it waits.
     pub sent_at: Option<Time>,
 }
 
-/// A connection of the router.
+/// A connection that the router opened to a member or to discovery.
 #[derive(Default)]
-pub(super) struct MemberConnection {
-    /// None for discovery.
+pub(super) struct OutboundConnection {
+    /// The member, or `None` for discovery.
     pub member: Option<usize>,
     pub startup_read: bool,
     pub input: Vec<u8>,
@@ -51,24 +54,25 @@
 
 /// A simulation of one router.
 pub struct Simulation {
-    /// The router's own code.
+    /// The simulated router.
     pub reducer: Reducer,
-    /// Simulated time.
+    /// The current simulated time.
     pub now: Time,
     pub(super) shape: Shape,
     pub(super) discovery: SocketAddr,
     pub(super) members: HashMap<SocketAddr, usize>,
-    /// Events by time, and by a number that keeps those of one time in the order in which they were scheduled.
+    /// Events by time and sequence number. The number keeps events of the same time in the order in which they were
+    /// scheduled.
     pub(super) queue: BTreeMap<(Time, u64), SimulationEvent>,
-    /// The number given last, to an event or a statement.
-    pub(super) last_number: u64,
+    /// The last number that was given to an event or a statement.
+    pub(super) last_sequence_number: u64,
     pub(super) clients: Vec<Client>,
     pub(super) client_of_connection: HashMap<ConnectionId, usize>,
-    pub(super) connections: HashMap<ConnectionId, MemberConnection>,
-    /// By member: how many connections the router has to it.
+    pub(super) connections: HashMap<ConnectionId, OutboundConnection>,
+    /// By member, the number of connections that the router has to it.
     pub(super) connections_of_member: Vec<u32>,
-    /// By member: it has no connection left.
-    pub(super) rejects: Vec<bool>,
+    /// By member, whether it has no connection left for the router.
+    pub(super) member_is_full: Vec<bool>,
     effects: Vec<Effect>,
     pub(super) rng: SmallRng,
     pub(super) counts: Counts,
@@ -85,23 +89,26 @@
         let launch = shape.launch(now, seed)?;
         let mut members = HashMap::new();
         for (member, instance) in launch.cached_endpoints.instances.iter().enumerate() {
-            let address = instance.host_port.parse().map_err(|_| "an address of its own".to_owned())?;
+            let address = instance
+                .host_port
+                .parse()
+                .map_err(|_| "the endpoint list has an invalid address".to_owned())?;
             members.insert(address, member);
         }
         let discovery = launch.discovery;
         let mut rng = SmallRng::seed_from_u64(seed);
-        let full = (0..members.len())
+        let member_is_full = (0..members.len())
             .map(|_| shape.full_probability > 0.0 && rng.random::<f64>() < shape.full_probability);
         let mut simulation = Simulation {
             connections_of_member: vec![0; members.len()],
-            rejects: full.collect(),
+            member_is_full: member_is_full.collect(),
             reducer: Reducer::start(now, launch),
             now,
             shape: shape.clone(),
             discovery,
             members,
             queue: BTreeMap::new(),
-            last_number: 0,
+            last_sequence_number: 0,
             clients: (0..shape.clients).map(|_| Client::default()).collect(),
             client_of_connection: HashMap::new(),
             connections: HashMap::new(),
@@ -111,13 +118,13 @@
             clock_overhead_s: clock_overhead_s(),
         };
         if shape.rate > 0.0 {
-            let gap = simulation.draw_gap();
+            let gap = simulation.draw_statement_gap();
             simulation.schedule(gap, SimulationEvent::ClientStatement);
         }
         Ok(simulation)
     }
 
-    /// Runs for a time, and returns what was counted meanwhile.
+    /// Runs the simulation for a time, and returns the counts over that time.
     pub fn run(&mut self, span: Span) -> Counts {
         self.counts = Counts::default();
         let (began, ends) = (self.now, self.now + span);
@@ -127,7 +134,7 @@
             let wake = self.reducer.wake_at().unwrap_or(ends);
             let latest_tick = self.now + MAX_TICK_INTERVAL;
             let at = next.min(wake.max(self.now)).min(latest_tick).min(ends);
-            self.count_connections((at - self.now).secs());
+            self.add_open_connections((at - self.now).secs());
             self.now = at;
             if at >= ends {
                 break;
@@ -147,8 +154,8 @@
         counts
     }
 
-    /// Adds what is open now, for a time in seconds.
-    fn count_connections(&mut self, secs: f64) {
+    /// Adds the connections that are open now, weighted by a time in seconds, to the sums from which the means are computed.
+    fn add_open_connections(&mut self, secs: f64) {
         let to_members = &self.connections_of_member;
         self.counts.member_connections += secs * to_members.iter().map(|&open| f64::from(open)).sum::<f64>();
         self.counts.client_connections += secs * self.client_of_connection.len() as f64;
@@ -156,7 +163,7 @@
         self.counts.max_connections_of_member = self.counts.max_connections_of_member.max(f64::from(most));
     }
 
-    /// Opens the connections of all clients, which stay idle.
+    /// Opens the connections of all clients, and sends no statement on them.
     pub fn open_all_clients(&mut self) {
         for index in 0..self.clients.len() {
             self.open_client(index);
@@ -164,10 +171,10 @@
         }
     }
 
-    /// A routing core alone, with the endpoint list of a shape, and its time.
+    /// Starts a routing core without a router around it, with the endpoint list of a shape. Returns it with its time.
     ///
     /// # Errors
-    /// As [`Simulation::new`].
+    /// The same as for [`Simulation::new`].
     pub fn routing_core(shape: &Shape, seed: u64) -> Result<(Router, Time), String> {
         let now = EPOCH;
         let launch = shape.launch(now, seed)?;
@@ -189,36 +196,38 @@
         Ok((router, now))
     }
 
-    /// Mean CPU seconds of a tick with nothing to do, over a number of ticks.
-    pub fn idle_tick_cpu_s(&mut self, turns: usize) -> f64 {
+    /// Measures the mean CPU seconds of a tick that has nothing to do, over a number of ticks.
+    pub fn idle_tick_cpu_s(&mut self, ticks: usize) -> f64 {
         let before = thread_cpu_s();
-        for _ in 0..turns {
+        for _ in 0..ticks {
             self.reducer.handle(self.now, Event::Tick);
         }
-        (thread_cpu_s() - before) / turns as f64
+        (thread_cpu_s() - before) / ticks as f64
     }
 
-    pub(super) fn draw_gap(&mut self) -> Span {
+    /// Draws the time until the next statement from an exponential distribution.
+    pub(super) fn draw_statement_gap(&mut self) -> Span {
         let gap: f64 = self.rng.sample(Exp1);
         Span::from_secs_f64(gap / self.shape.rate)
     }
 
     pub(super) fn schedule(&mut self, after: Span, event: SimulationEvent) {
-        self.last_number += 1;
-        self.queue.insert((self.now + after, self.last_number), event);
+        self.last_sequence_number += 1;
+        self.queue.insert((self.now + after, self.last_sequence_number), event);
     }
 
-    /// Carries out effects and ticks in turn, as the program's event loop does, until nothing is written any more.
+    /// Executes effects and ticks in turn, as the router's event loop does, until a tick causes no more writes.
     pub(super) fn run_event_loop(&mut self) {
         loop {
-            self.carry_out();
+            self.execute_effects();
             self.apply(Event::Tick);
-            if !self.carry_out() {
+            if !self.execute_effects() {
                 return;
             }
         }
     }
 
+    /// Passes an event to the reducer, measures its CPU time, and queues the effects that it returns.
     pub(super) fn apply(&mut self, event: Event) {
         let is_tick = matches!(event, Event::Tick);
         let before = thread_cpu_s();
@@ -233,8 +242,8 @@
         self.effects.extend(effects);
     }
 
-    /// Carries out all effects. Was anything written?
-    fn carry_out(&mut self) -> bool {
+    /// Executes all queued effects. Returns whether anything was written.
+    fn execute_effects(&mut self) -> bool {
         let mut has_written = false;
         while !self.effects.is_empty() {
             for effect in std::mem::take(&mut self.effects) {
@@ -261,7 +270,7 @@
         match event {
             SimulationEvent::ClientStatement => {
                 self.send_statement();
-                let gap = self.draw_gap();
+                let gap = self.draw_statement_gap();
                 self.schedule(gap, SimulationEvent::ClientStatement);
             }
             SimulationEvent::Connected(id) => {
--- a/crates/ladderpass-testbed/src/capacity/events/observation.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/observation.rs
@@ -1,4 +1,4 @@
-//! Runs a simulation during an event, and measures the traffic and the statements meanwhile.
+//! Runs a simulation during an event, and measures the traffic and the statements.
 
 use super::outcome::{EventOutcome, Moment};
 use crate::capacity::simulated_routers::{Counts, Simulation};
@@ -6,41 +6,40 @@
 use ladderpass_routing::{Span, Time};
 use std::io;
 
-/// Over which the peak is measured.
-const SLICE: Span = Span::from_millis(500);
-/// How often conditions are checked.
+/// Time over which each candidate for the peak traffic is measured.
+const PEAK_WINDOW: Span = Span::from_millis(500);
+/// Interval at which conditions are checked.
 pub(super) const STEP: Span = Span::from_millis(50);
-/// Over which the state before an event is measured: several rounds of gossip.
+/// Time over which the traffic before an event is measured. It covers several rounds of gossip.
 const BASELINE: Span = Span::from_millis(2400);
 
-/// Datagrams and bytes that all routers sent.
+/// Datagrams and bytes that all routers have sent since the start of the simulation.
 #[derive(Clone, Copy)]
-struct Sent {
+struct SentTotals {
     datagrams: u64,
     bytes: u64,
 }
 
-/// Statements of all clients.
+/// Statements of all clients since the start of the simulation.
 #[derive(Clone, Copy)]
-struct Statements {
+struct StatementTotals {
     sent: u64,
     failed: u64,
 }
 
-fn sent(simulation: &Simulation) -> Sent {
-    let of = |counts: &Counts| Sent {
+fn sent_totals(simulation: &Simulation) -> SentTotals {
+    let totals_of = |counts: &Counts| SentTotals {
         datagrams: counts.gossip.datagrams + counts.membership.datagrams,
         bytes: counts.gossip.bytes + counts.membership.bytes,
     };
-    simulation.counts.iter().map(of).fold(Sent { datagrams: 0, bytes: 0 }, |sum, one| Sent {
-        datagrams: sum.datagrams + one.datagrams,
-        bytes: sum.bytes + one.bytes,
+    simulation.counts.iter().map(totals_of).fold(SentTotals { datagrams: 0, bytes: 0 }, |sum, one| {
+        SentTotals { datagrams: sum.datagrams + one.datagrams, bytes: sum.bytes + one.bytes }
     })
 }
 
-impl Sent {
-    /// Datagrams and bytes since an earlier time, each times `factor`.
-    fn rate_since(&self, earlier: Sent, factor: f64) -> Traffic {
+impl SentTotals {
+    /// Returns the datagrams and bytes since an earlier time, multiplied by `factor`.
+    fn rate_since(&self, earlier: SentTotals, factor: f64) -> Traffic {
         Traffic {
             datagrams_per_second: (self.datagrams - earlier.datagrams) as f64 * factor,
             bytes_per_second: (self.bytes - earlier.bytes) as f64 * factor,
@@ -48,70 +47,72 @@
     }
 }
 
-fn statements(simulation: &Simulation) -> Statements {
+fn statement_totals(simulation: &Simulation) -> StatementTotals {
     let failed = simulation.counts.iter().map(|counts| counts.errors + counts.unsent).sum();
-    Statements { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), failed }
+    StatementTotals { sent: simulation.counts.iter().map(|counts| counts.statements).sum(), failed }
 }
 
-/// Runs a simulation during an event, and measures it.
+/// The observation of a simulation during an event.
 pub(super) struct Observation<'a> {
-    /// The simulation.
+    /// The observed simulation.
     pub simulation: &'a mut Simulation,
-    /// The event's begin.
-    pub from: Time,
+    /// When the event began.
+    pub started_at: Time,
     traffic_before: Traffic,
     peak_traffic: Traffic,
-    slice_began: Time,
-    sent_before_slice: Sent,
-    statements_before: Statements,
+    window_started_at: Time,
+    sent_before_window: SentTotals,
+    statements_before: StatementTotals,
 }
 
 impl Observation<'_> {
-    /// Measures the traffic before the event, which begins then.
+    /// Measures the traffic before the event, and then begins the event.
     pub fn begin(simulation: &mut Simulation) -> io::Result<Observation<'_>> {
-        let sent_before = sent(simulation);
+        let sent_before = sent_totals(simulation);
         simulation.run(BASELINE)?;
-        let sent_now = sent(simulation);
+        let sent_now = sent_totals(simulation);
         let factor = 1.0 / BASELINE.secs() / simulation.shape.routers as f64;
         let traffic_before = sent_now.rate_since(sent_before, factor);
         simulation.discovery = Default::default();
-        let (from, statements_before) = (simulation.now, statements(simulation));
+        let (started_at, statements_before) = (simulation.now, statement_totals(simulation));
         Ok(Observation {
             traffic_before,
             peak_traffic: traffic_before,
-            sent_before_slice: sent_now,
-            slice_began: from,
-            from,
+            sent_before_window: sent_now,
+            window_started_at: started_at,
+            started_at,
             statements_before,
             simulation,
         })
     }
 
-    /// Runs for [`STEP`].
+    /// Runs the simulation for [`STEP`], and updates the peak traffic at the end of each [`PEAK_WINDOW`].
     pub fn step(&mut self) -> io::Result<()> {
         self.simulation.run(STEP)?;
-        if self.simulation.now - self.slice_began >= SLICE {
-            let sent_now = sent(self.simulation);
-            let factor =
-                1.0 / (self.simulation.now - self.slice_began).secs() / self.simulation.shape.routers as f64;
-            let rate = sent_now.rate_since(self.sent_before_slice, factor);
+        if self.simulation.now - self.window_started_at >= PEAK_WINDOW {
+            let sent_now = sent_totals(self.simulation);
+            let factor = 1.0
+                / (self.simulation.now - self.window_started_at).secs()
+                / self.simulation.shape.routers as f64;
+            let rate = sent_now.rate_since(self.sent_before_window, factor);
             let peak = &mut self.peak_traffic;
             peak.datagrams_per_second = peak.datagrams_per_second.max(rate.datagrams_per_second);
             peak.bytes_per_second = peak.bytes_per_second.max(rate.bytes_per_second);
-            (self.sent_before_slice, self.slice_began) = (sent_now, self.simulation.now);
+            (self.sent_before_window, self.window_started_at) = (sent_now, self.simulation.now);
         }
         Ok(())
     }
 
-    /// Seconds since the event's begin.
+    /// Returns the seconds since the event began.
     pub fn elapsed_s(&self) -> f64 {
-        (self.simulation.now - self.from).secs()
+        (self.simulation.now - self.started_at).secs()
     }
 
-    /// Runs until a condition holds. Returns the seconds since the event's begin, or infinity after `max_s`.
-    pub fn run_until(&mut self, max_s: f64, holds: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
+    /// Runs until a condition holds. Returns the seconds since the event began, or infinity if the condition does not hold
+    /// within `max_s` from now.
+    pub fn run_until(&mut self, max_s: f64, condition: impl Fn(&Simulation) -> bool) -> io::Result<f64> {
         let end = self.simulation.now + Span::from_secs_f64(max_s);
-        while !holds(self.simulation) {
+        while !condition(self.simulation) {
             if self.simulation.now >= end {
                 return Ok(f64::INFINITY);
             }
@@ -120,7 +121,7 @@
         Ok(self.elapsed_s())
     }
 
-    /// Runs for a time.
+    /// Runs for a number of seconds, rounded up to whole steps.
     pub fn run_for(&mut self, secs: f64) -> io::Result<()> {
         let end = self.simulation.now + Span::from_secs_f64(secs);
         while self.simulation.now < end {
@@ -129,9 +130,9 @@
         Ok(())
     }
 
-    /// What was measured since the event's begin.
+    /// Ends the observation, and returns its measurements.
     pub fn finish(self, name: &'static str, moments: Vec<Moment>) -> EventOutcome {
-        let now = statements(self.simulation);
+        let now = statement_totals(self.simulation);
         let sent = (now.sent - self.statements_before.sent).max(1);
         let failed = now.failed - self.statements_before.failed;
         EventOutcome {
