--- a/crates/ladderpass-testbed/src/cli/prove.rs
+++ b/crates/ladderpass-testbed/src/cli/prove.rs
@@ -27,5 +27,5 @@
 
 pub fn measure_capacity(args: &CapacityArgs) -> Result<(), CliError> {
     let programs = Programs { router: &args.router, faulty: None, earlier: None };
-    prove::capacity::long(programs, args.seed, &args.out).map_err(CliError::failed)
+    prove::capacity::make_long_runs(programs, args.seed, &args.out).map_err(CliError::failed)
 }
--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -23,7 +23,7 @@
 const COMPARED_GROUPS: [u32; 3] = [2, 8, 32];
 const COMPARISON_S: f64 = 8.0;
 const CLIENTS_PER_ROUTER: usize = 10;
-const RPCS_PER_SECOND_AND_ROUTER: f64 = 25.0;
+const RPCS_PER_SECOND_PER_ROUTER: f64 = 25.0;
 /// Groups of the simulations of events.
 const EVENT_GROUPS: usize = 8;
 /// Events that are simulated at the same time.
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// If a simulation or a drill can't be started, or a file can't be written.
-pub fn long(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<()> {
+pub fn make_long_runs(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     let mut report = Report { out, text: format!("# Runs of `make capacity SEED={seed}`\n") };
     let control = control::measure(seed, &control::Settings { long: true }, control::memory(seed)?)?;
@@ -133,7 +133,7 @@
         clients: CLIENTS_PER_ROUTER * routers,
         phases: vec![Phase {
             seconds: COMPARISON_S,
-            rate_per_second: RPCS_PER_SECOND_AND_ROUTER * routers as f64,
+            rate_per_second: RPCS_PER_SECOND_PER_ROUTER * routers as f64,
         }],
         ..Drill::default()
     };
--- a/crates/ladderpass-testbed/src/prove/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/mod.rs
@@ -3,7 +3,7 @@
 
 mod long_runs;
 
-pub use long_runs::long;
+pub use long_runs::make_long_runs;
 
 use super::Table;
 use crate::capacity::slope::{Claim, Slope};
--- a/crates/ladderpass-testbed/src/prove/faults/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/mod.rs
@@ -6,7 +6,7 @@
 mod overhead;
 mod recording;
 
-pub use recording::recorded;
+pub use recording::record_decisions;
 
 use super::Table;
 use std::io;
--- a/crates/ladderpass-testbed/src/prove/faults/overhead.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/overhead.rs
@@ -34,19 +34,19 @@
     links.truncate(1);
     let tool = RunningTool::start(Plan { seed, links, ..Plan::default() }, None)?;
     let direct = measure_speed(emulator.addresses[0])?;
-    let through = measure_speed(tool.addresses[0])?;
+    let through_tool = measure_speed(tool.addresses[0])?;
     table.report(
         "round trip, median and 99th",
         format!(
             "{:.0} and {:.0} us direct, {:.0} and {:.0} us through",
-            direct.median_us, direct.p99_us, through.median_us, through.p99_us
+            direct.median_us, direct.p99_us, through_tool.median_us, through_tool.p99_us
         ),
     );
     table.report(
         "answers of 64 KiB",
         format!(
             "{:.0} MB/s direct, {:.0} MB/s through",
-            direct.megabytes_per_second, through.megabytes_per_second
+            direct.megabytes_per_second, through_tool.megabytes_per_second
         ),
     );
     Ok(())
--- a/crates/ladderpass-testbed/src/prove/faults/recording.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/recording.rs
@@ -28,7 +28,7 @@
 /// If a recording can't be made.
 pub fn require_repeatable_recordings(table: &mut Table, seed: u64) -> io::Result<()> {
     let [first, second, other] = std::thread::scope(|scope| {
-        let record = |seed| scope.spawn(move || recorded(seed, random_rules(seed)));
+        let record = |seed| scope.spawn(move || record_decisions(seed, random_rules(seed)));
         [seed, seed, seed + 1].map(record).map(join)
     });
     let (first, second, other) = (first?, second?, other?);
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 /// If the fault tool can't be started, or a connection fails.
-pub fn recorded(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
+pub fn record_decisions(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let links = member_link(listener.local_addr()?);
     let tool = RunningTool::start(Plan { seed, links, rules, ..Plan::default() }, None)?;
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -6,7 +6,7 @@
 use crate::prove::Table;
 use crate::prove::checks::{highest, is_flat, lowest};
 use crate::prove::parallel::join;
-use crate::prove::scenarios::SHED_AND_BUDGET_TOGETHER;
+use crate::prove::scenarios::SHARED_ADMISSION_AND_BUDGETS;
 use crate::prove::traffic::FLEET_SIZES;
 use ladderpass_emulator::Scenario;
 use ladderpass_routing::Span;
@@ -57,7 +57,7 @@
         connection_skew: 1.0,
         clients: CLIENTS,
         phases: vec![Phase { seconds: LOAD_S, rate_per_second: RPCS_PER_SECOND }],
-        operator: SHED_AND_BUDGET_TOGETHER.into(),
+        operator: SHARED_ADMISSION_AND_BUDGETS.into(),
         scenario,
         idle_s: IDLE_S,
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -8,7 +8,7 @@
 use super::Table;
 use super::checks::require_no_violations;
 use super::parallel::play_in_parallel;
-use super::scenarios::{METRICS_INTERVAL_S, SHED_AND_BUDGET_TOGETHER, SHED_TOGETHER};
+use super::scenarios::{METRICS_INTERVAL_S, SHARED_ADMISSION, SHARED_ADMISSION_AND_BUDGETS};
 use crate::charts::{self, Line};
 use crate::drill::play::{DrillRecord, Programs};
 use crate::load::Slice;
@@ -44,19 +44,19 @@
 const MIN_UTILITY_AFTER_FAILURE: f64 = 0.95;
 
 /// A drill with retry budgets and without.
-struct Compared {
-    budgets: DrillRecord,
-    without: DrillRecord,
+struct ComparedRecords {
+    with_budgets: DrillRecord,
+    without_budgets: DrillRecord,
 }
 
 /// The records of all drills.
 struct Measurements {
-    answers_lost: Compared,
+    answers_lost: ComparedRecords,
     spends_without_asking: DrillRecord,
     never_gives_back: DrillRecord,
-    answers_of_one_lost: Compared,
-    members_reject: Compared,
-    member_down: Compared,
+    answers_of_one_lost: ComparedRecords,
+    members_reject: ComparedRecords,
+    member_down: ComparedRecords,
 }
 
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
@@ -74,10 +74,10 @@
     require_few_retries_of_rejections(&mut table, &measured.members_reject);
     require_recovery(&mut table, &measured.member_down);
     for (label, record) in [
-        ("all answers lost", &measured.answers_lost.budgets),
-        ("one loses answers", &measured.answers_of_one_lost.budgets),
-        ("members refuse", &measured.members_reject.budgets),
-        ("a member gone, a kill, a split", &measured.member_down.budgets),
+        ("all answers lost", &measured.answers_lost.with_budgets),
+        ("one loses answers", &measured.answers_of_one_lost.with_budgets),
+        ("members refuse", &measured.members_reject.with_budgets),
+        ("a member gone, a kill, a split", &measured.member_down.with_budgets),
     ] {
         require_no_violations(&mut table, label, record);
     }
@@ -89,35 +89,36 @@
 
 /// Plays all drills, those that are compared in parallel.
 fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
-    let (on, off) = (SHED_AND_BUDGET_TOGETHER, SHED_TOGETHER);
-    let (lost, lost_without) = (answers_lost(on), answers_lost(off));
-    let spends = answers_lost_with_fault(on, SPENDS_WITHOUT_ASKING);
-    let keeps = answers_lost_with_fault(on, NEVER_GIVES_BACK);
+    let (with_budgets, without_budgets) = (SHARED_ADMISSION_AND_BUDGETS, SHARED_ADMISSION);
+    let (lost, lost_without) = (answers_lost(with_budgets), answers_lost(without_budgets));
+    let spends_drill = answers_lost_with_fault(with_budgets, SPENDS_WITHOUT_ASKING);
+    let never_gives_back_drill = answers_lost_with_fault(with_budgets, NEVER_GIVES_BACK);
     let [lost, lost_without, spends_without_asking, never_gives_back] =
-        play_in_parallel([&lost, &lost_without, &spends, &keeps], programs, seed)?;
-    let (one, one_without) = (answers_of_one_lost(on), answers_of_one_lost(off));
-    let (rejected, rejected_without) = (members_reject(on), members_reject(off));
+        play_in_parallel([&lost, &lost_without, &spends_drill, &never_gives_back_drill], programs, seed)?;
+    let (one, one_without) = (answers_of_one_lost(with_budgets), answers_of_one_lost(without_budgets));
+    let (rejected, rejected_without) = (members_reject(with_budgets), members_reject(without_budgets));
     let [one, one_without, rejected, rejected_without] =
         play_in_parallel([&one, &one_without, &rejected, &rejected_without], programs, seed)?;
-    let [down, down_without] = play_in_parallel([&member_down(on), &member_down(off)], programs, seed)?;
+    let [down, down_without] =
+        play_in_parallel([&member_down(with_budgets), &member_down(without_budgets)], programs, seed)?;
     Ok(Measurements {
-        answers_lost: Compared { budgets: lost, without: lost_without },
+        answers_lost: ComparedRecords { with_budgets: lost, without_budgets: lost_without },
         spends_without_asking,
         never_gives_back,
-        answers_of_one_lost: Compared { budgets: one, without: one_without },
-        members_reject: Compared { budgets: rejected, without: rejected_without },
-        member_down: Compared { budgets: down, without: down_without },
+        answers_of_one_lost: ComparedRecords { with_budgets: one, without_budgets: one_without },
+        members_reject: ComparedRecords { with_budgets: rejected, without_budgets: rejected_without },
+        member_down: ComparedRecords { with_budgets: down, without_budgets: down_without },
     })
 }
 
 /// Requires few retries while all answers are lost, more with faulty routers, and utility once answers come again.
 fn require_few_retries_of_lost_answers(table: &mut Table, measured: &Measurements) {
-    let Compared { budgets, without } = &measured.answers_lost;
-    let ratio = retry_ratio(budgets, BUDGET_SPENT_S);
+    let ComparedRecords { with_budgets, without_budgets } = &measured.answers_lost;
+    let ratio = retry_ratio(with_budgets, BUDGET_SPENT_S);
     table.require(
         "all answers lost: further call-outs, of first ones",
         "at most 0.05",
-        format!("{ratio:.3}; without budgets {:.3}", retry_ratio(without, BUDGET_SPENT_S)),
+        format!("{ratio:.3}; without budgets {:.3}", retry_ratio(without_budgets, BUDGET_SPENT_S)),
         ratio <= MAX_RETRY_RATIO,
     );
     for (switch, record) in [
@@ -127,18 +128,19 @@
         let ratio = retry_ratio(record, BUDGET_SPENT_S);
         table.require(format!("  {switch}"), "told apart", format!("{ratio:.3}"), ratio > MAX_RETRY_RATIO);
     }
-    let utility = served_utility(budgets, AFTER_LOSS_S) / served_utility(budgets, BEFORE_LOSS_S);
+    let utility = served_utility(with_budgets, AFTER_LOSS_S) / served_utility(with_budgets, BEFORE_LOSS_S);
     let holds = utility >= MIN_UTILITY_AFTER_LOSS;
     table.require("  utility once that is over", "at least 0.9", format!("{utility:.3}"), holds);
 }
 
 /// Requires that budgets don't prevent the retries that help if one member of three loses its answers.
-fn require_utility_if_one_loses(table: &mut Table, records: &Compared) {
-    let Compared { budgets, without } = records;
+fn require_utility_if_one_loses(table: &mut Table, records: &ComparedRecords) {
+    let ComparedRecords { with_budgets, without_budgets } = records;
     let window = DURING_AND_AFTER_LOSS_S;
-    let utility = served_utility(budgets, window.clone()) / served_utility(without, window.clone());
-    let ratio = retry_ratio(budgets, window.clone());
-    let ratio_without = retry_ratio(without, window);
+    let utility =
+        served_utility(with_budgets, window.clone()) / served_utility(without_budgets, window.clone());
+    let ratio = retry_ratio(with_budgets, window.clone());
+    let ratio_without = retry_ratio(without_budgets, window);
     table.require(
         "one of three loses answers: utility, of without",
         "at least 0.97",
@@ -148,12 +150,12 @@
 }
 
 /// Requires few retries, and almost the same utility, while members reject attempts.
-fn require_few_retries_of_rejections(table: &mut Table, records: &Compared) {
-    let Compared { budgets, without } = records;
+fn require_few_retries_of_rejections(table: &mut Table, records: &ComparedRecords) {
+    let ComparedRecords { with_budgets, without_budgets } = records;
     let window = DURING_REJECTIONS_S;
-    let ratio = retry_ratio(budgets, window.clone());
-    let ratio_without = retry_ratio(without, window.clone());
-    let utility = served_utility(budgets, window.clone()) / served_utility(without, window);
+    let ratio = retry_ratio(with_budgets, window.clone());
+    let ratio_without = retry_ratio(without_budgets, window.clone());
+    let utility = served_utility(with_budgets, window.clone()) / served_utility(without_budgets, window);
     table.require(
         "members refuse, 2.5 times what fits: further ones",
         "at most 0.25",
@@ -163,11 +165,11 @@
 }
 
 /// Requires that retries don't keep the members overloaded once a member is back.
-fn require_recovery(table: &mut Table, records: &Compared) {
+fn require_recovery(table: &mut Table, records: &ComparedRecords) {
     let recovered = |record: &DrillRecord| {
         served_utility(record, AFTER_FAILURE_S) / served_utility(record, BEFORE_FAILURE_S)
     };
-    let (budgets, without) = (recovered(&records.budgets), recovered(&records.without));
+    let (budgets, without) = (recovered(&records.with_budgets), recovered(&records.without_budgets));
     table.require(
         "a member gone 3 s, clients repeat: utility 2 s after",
         "at least 0.95",
@@ -197,15 +199,15 @@
 fn write_charts(measured: &Measurements, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     let retries: Vec<Line<'_>> = vec![
-        Line::new("from the budget", retry_ratios(&measured.answers_lost.budgets)),
-        Line::new("without", retry_ratios(&measured.answers_lost.without)),
+        Line::new("from the budget", retry_ratios(&measured.answers_lost.with_budgets)),
+        Line::new("without", retry_ratios(&measured.answers_lost.without_budgets)),
         Line::new("spends without asking", retry_ratios(&measured.spends_without_asking)),
     ];
     let title = "Further call-outs, of first ones";
     charts::lines(&out.join("further.svg"), title, ("seconds", "part"), &retries, false)?;
     let utility: Vec<Line<'_>> = vec![
-        Line::new("with budgets", measured.member_down.budgets.utility()),
-        Line::new("without", measured.member_down.without.utility()),
+        Line::new("with budgets", measured.member_down.with_budgets.utility()),
+        Line::new("without", measured.member_down.without_budgets.utility()),
     ];
     let title = "Utility: a member gone from 3 to 6 s";
     charts::lines(&out.join("trigger.svg"), title, ("seconds", "a second"), &utility, false)
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
@@ -5,7 +5,7 @@
 use crate::load::Phase;
 use crate::prove::Table;
 use crate::prove::parallel::join;
-use crate::prove::scenarios::{SHED_ALONE, SHED_TOGETHER};
+use crate::prove::scenarios::{SEPARATE_ADMISSION, SHARED_ADMISSION};
 use std::io;
 
 const ROUTERS: usize = 2;
@@ -50,8 +50,8 @@
 
 fn compare_cost(programs: Programs<'_>, seed: u64) -> io::Result<ComparedCost> {
     std::thread::scope(|scope| {
-        let shared = scope.spawn(|| cpu_us_per_rpc(programs, SHED_TOGETHER, seed));
-        let separate = scope.spawn(|| cpu_us_per_rpc(programs, SHED_ALONE, seed));
+        let shared = scope.spawn(|| cpu_us_per_rpc(programs, SHARED_ADMISSION, seed));
+        let separate = scope.spawn(|| cpu_us_per_rpc(programs, SEPARATE_ADMISSION, seed));
         Ok(ComparedCost { shared_us: join(shared)?, separate_us: join(separate)? })
     })
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
@@ -4,8 +4,8 @@
 use crate::drill::{Drill, FaultEvent};
 use crate::load::Phase;
 use crate::prove::scenarios::{
-    FLEET_ROUTERS, FaultWindow, SHED_ALONE, SHED_TOGETHER, faulty_routers, overloaded_scenario, owned_names,
-    router_names,
+    FLEET_ROUTERS, FaultWindow, SEPARATE_ADMISSION, SHARED_ADMISSION, faulty_routers, overloaded_scenario,
+    owned_names, router_names,
 };
 use ladderpass_emulator::Scenario;
 use std::collections::BTreeMap;
@@ -52,17 +52,21 @@
 
 /// The routers share admission control.
 pub fn shared_admission() -> Drill {
-    drill(FLEET_ROUTERS, SHED_TOGETHER, DRILL_END_S)
+    drill(FLEET_ROUTERS, SHARED_ADMISSION, DRILL_END_S)
 }
 
 /// Each router sheds load by itself.
 pub fn separate_admission() -> Drill {
-    drill(FLEET_ROUTERS, SHED_ALONE, DRILL_END_S)
+    drill(FLEET_ROUTERS, SEPARATE_ADMISSION, DRILL_END_S)
 }
 
 /// One router gets almost all RPCs, and so decides with full knowledge; the other one gets a thousandth.
 pub fn single_router() -> Drill {
-    Drill { connection_skew: SINGLE_ROUTER_UNEVENNESS, peers: false, ..drill(2, SHED_ALONE, DRILL_END_S) }
+    Drill {
+        connection_skew: SINGLE_ROUTER_UNEVENNESS,
+        peers: false,
+        ..drill(2, SEPARATE_ADMISSION, DRILL_END_S)
+    }
 }
 
 /// A third of the routers is killed, and the network between the others is split for a time.
@@ -73,7 +77,7 @@
         FaultEvent { at: KILL_AT_S, kill: killed, ..FaultEvent::default() },
         FaultEvent { at: SPLIT.at_s, lasts: SPLIT.lasts_s, split: sides, ..FaultEvent::default() },
     ];
-    Drill { events, ..drill(FAILURE_ROUTERS, SHED_TOGETHER, FAILURE_DRILL_END_S) }
+    Drill { events, ..drill(FAILURE_ROUTERS, SHARED_ADMISSION, FAILURE_DRILL_END_S) }
 }
 
 /// As [`kills_and_split`], with a fault switched on in all routers.
@@ -84,13 +88,13 @@
 /// A fault is switched on in the first router.
 pub fn one_faulty_router(switch: &str) -> Drill {
     let faulty = BTreeMap::from([("r0".to_owned(), switch.to_owned())]);
-    Drill { faulty, ..drill(FLEET_ROUTERS, SHED_TOGETHER, SHORT_DRILL_END_S) }
+    Drill { faulty, ..drill(FLEET_ROUTERS, SHARED_ADMISSION, SHORT_DRILL_END_S) }
 }
 
 /// Wall clocks are 200 ms apart, and the last router takes no part: it runs the earlier program, or has no operator's file
 /// if there is no earlier program.
 pub fn clocks_apart(programs: Programs<'_>) -> Drill {
-    let mut drill = drill(FLEET_ROUTERS, SHED_TOGETHER, SHORT_DRILL_END_S);
+    let mut drill = drill(FLEET_ROUTERS, SHARED_ADMISSION, SHORT_DRILL_END_S);
     let offset_ms = |router: usize| if router.is_multiple_of(2) { CLOCK_OFFSET_MS } else { -CLOCK_OFFSET_MS };
     let clocks = router_names(0..FLEET_ROUTERS - 2).into_iter().enumerate();
     drill.clocks = clocks.map(|(router, name)| (name, offset_ms(router))).collect();
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
@@ -34,7 +34,11 @@
 
 /// Utility a second as a fraction of what a single router would have served of the same RPCs: all writes, and reads up to
 /// the members' capacity. Writes are random, and have four times a read's utility.
-pub fn utility_of_single_router(record: &DrillRecord, single: &DrillRecord, window: Range<f64>) -> f64 {
+pub fn utility_relative_to_single_router(
+    record: &DrillRecord,
+    single: &DrillRecord,
+    window: Range<f64>,
+) -> f64 {
     let served = methods_per_second(single, SINGLE_ROUTER_FROM_S..DRILL_END_S, |counts| counts.good);
     let capacity: f64 = served.iter().sum();
     let writes = methods_per_second(record, window.clone(), |counts| counts.due)[WRITE];
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -11,14 +11,14 @@
 use super::Table;
 use super::checks::require_no_violations;
 use super::parallel::join;
-use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHED_TOGETHER, router_names};
+use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHARED_ADMISSION, router_names};
 use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
 use crate::charts::{self, Line};
 use crate::drill::play::{DrillRecord, Programs};
 use drills::{DRILL_END_S, FAILURE_DRILL_END_S, SHORT_DRILL_END_S, SPLIT};
 use drills::{clocks_apart, separate_admission, shared_admission};
 use faulty_builds::require_faults_shown;
-use measures::{ServedWrites, logged_values, served_writes, utility, utility_of_single_router};
+use measures::{ServedWrites, logged_values, served_writes, utility, utility_relative_to_single_router};
 use records::{OverloadRecords, play_drills};
 use std::io;
 use std::ops::Range;
@@ -67,7 +67,7 @@
 fn measure_traffic_of_sizes(programs: Programs<'_>, seed: u64) -> io::Result<Vec<TrafficOfSize>> {
     std::thread::scope(|scope| {
         let threads = FLEET_SIZES
-            .map(|routers| scope.spawn(move || measure_traffic(programs, routers, SHED_TOGETHER, seed)));
+            .map(|routers| scope.spawn(move || measure_traffic(programs, routers, SHARED_ADMISSION, seed)));
         threads.into_iter().map(join).collect()
     })
 }
@@ -100,10 +100,10 @@
 fn require_utility_through_failures(table: &mut Table, records: &OverloadRecords) {
     let OverloadRecords { single, failures, .. } = records;
     require_no_violations(table, "a third killed, a split", failures);
-    let after = utility_of_single_router(failures, single, AFTER_SPLIT_S);
+    let after = utility_relative_to_single_router(failures, single, AFTER_SPLIT_S);
     let holds = after >= MIN_UTILITY;
     table.require("utility 2 s after the last fault", "at least 0.95", format!("{after:.3}"), holds);
-    let during = utility_of_single_router(failures, single, DURING_SPLIT_S);
+    let during = utility_relative_to_single_router(failures, single, DURING_SPLIT_S);
     let holds = during >= MIN_UTILITY_DURING_SPLIT;
     table.require("  in the split, from its 2nd second on", "at least 0.9", format!("{during:.3}"), holds);
 }
@@ -112,7 +112,7 @@
     let record = &records.clocks_apart;
     require_no_violations(table, "clocks 200 ms apart, one without words", record);
     let ServedWrites { of_all: writes, .. } = served_writes(&clocks_apart(programs), record);
-    let utility = utility_of_single_router(record, &records.single, CLOCKS_APART_S);
+    let utility = utility_relative_to_single_router(record, &records.single, CLOCKS_APART_S);
     let holds = utility >= MIN_UTILITY_WITH_CLOCKS_APART && writes >= MIN_SERVED_WRITES_WITH_CLOCKS_APART;
     let served = format!("utility {utility:.3}, writes {writes:.3}");
     table.require("  served", "at least 0.85 and 0.95", served, holds);
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
@@ -8,7 +8,7 @@
 
 const MEMBERS_PER_GROUP: u32 = 3;
 /// Clients send as much in a burst as a group can serve once it is warm.
-const BURST: f64 = 1.5;
+const BURST_FACTOR: f64 = 1.5;
 /// Routers of the drill with a burst at the start.
 const BURST_ROUTERS: usize = 8;
 const RESTART_AT_S: f64 = 3.0;
@@ -38,12 +38,12 @@
 /// The warm-up takes 10 s from before the routers' start: a burst in its middle.
 const BURST_IN_THE_MIDDLE: [Phase; 3] = [
     Phase { seconds: 2.5, factor: 1.0 },
-    Phase { seconds: 2.5, factor: BURST },
+    Phase { seconds: 2.5, factor: BURST_FACTOR },
     Phase { seconds: 2.5, factor: 1.0 },
 ];
 /// A burst at the start, when cold members have the least capacity.
 const BURST_AT_THE_START: [Phase; 3] = [
-    Phase { seconds: 4.0, factor: BURST },
+    Phase { seconds: 4.0, factor: BURST_FACTOR },
     Phase { seconds: 2.0, factor: 1.0 },
     Phase { seconds: 0.5, factor: 1.0 },
 ];
@@ -81,7 +81,7 @@
 }
 
 /// The hardest drill with routers of the earlier program.
-pub fn early_burst_of_earlier() -> Drill {
+pub fn early_burst_of_earlier_program() -> Drill {
     Drill { earlier: router_names(0..BURST_ROUTERS), ..early_burst_drill().drill }
 }
 
@@ -99,7 +99,7 @@
         max_settle_s: SETTLE_S,
         deadline_ms: DEADLINE_MS,
         grace_ms: ANSWER_TOLERANCE_MS,
-        warm_member_rpcs_per_second: rate * BURST / f64::from(MEMBERS_PER_GROUP),
+        warm_member_rpcs_per_second: rate * BURST_FACTOR / f64::from(MEMBERS_PER_GROUP),
         log: "warn".into(),
         scenario,
         ..Drill::default()
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -12,7 +12,7 @@
 use crate::drill::play::{DrillRecord, Programs};
 use crate::history_checker::check_slow_start_at_members;
 use drills::{LabelledDrill, WindowCapacity};
-use drills::{burst_drills, early_burst_drill, early_burst_of_earlier, early_burst_without_warm_up};
+use drills::{burst_drills, early_burst_drill, early_burst_of_earlier_program, early_burst_without_warm_up};
 use std::fmt;
 use std::io;
 use std::path::Path;
@@ -52,7 +52,7 @@
 }
 
 impl ColdMemberLoad {
-    fn of(record: &DrillRecord) -> ColdMemberLoad {
+    fn from_record(record: &DrillRecord) -> ColdMemberLoad {
         let check = check_slow_start_at_members(&record.cold_starts, &record.execution_log);
         ColdMemberLoad {
             violations: check.violations.into_iter().map(|violation| violation.text).collect(),
@@ -95,8 +95,9 @@
     }
     let earlier = measured.earlier.as_ref();
     if let Some(hardest) = measured.current.last() {
-        let beside = earlier.map_or(String::new(), |record| format!(", before {}", served_fraction(record)));
-        let served = format!("{}{beside}", served_fraction(&hardest.record));
+        let earlier_fraction =
+            earlier.map_or(String::new(), |record| format!(", before {}", served_fraction(record)));
+        let served = format!("{}{earlier_fraction}", served_fraction(&hardest.record));
         table.report("served of what was asked, two of three cold", served);
         write_window_chart(out, &hardest.record, earlier, &measured.without_warm_up)?;
     }
@@ -109,7 +110,7 @@
     let hardest = early_burst_drill();
     let without_warm_up = early_burst_without_warm_up();
     let (hardest_record, without_warm_up, earlier) = if programs.earlier.is_some() {
-        let earlier = early_burst_of_earlier();
+        let earlier = early_burst_of_earlier_program();
         let [hardest, without_warm_up, earlier] =
             play_in_parallel([&hardest.drill, &without_warm_up, &earlier], programs, seed)?;
         (hardest, without_warm_up, Some(earlier))
@@ -128,16 +129,16 @@
 fn require_cold_members_served(table: &mut Table, measured: &Measurements) {
     for PlayedDrill { label, drill, record } in &measured.current {
         let WindowCapacity { cold, warm } = WindowCapacity::of(drill);
-        let load = ColdMemberLoad::of(record);
+        let load = ColdMemberLoad::from_record(record);
         let label = format!("{label}: N {cold:.0} to {warm:.0}");
         table.require(label, "2 roots beyond N + 2", load.to_string(), load.is_allowed());
     }
-    let load = ColdMemberLoad::of(&measured.without_warm_up);
+    let load = ColdMemberLoad::from_record(&measured.without_warm_up);
     table.require("  the last with ignores-warm-up", "told apart", load.to_string(), !load.is_allowed());
     let label = "  the last with the program before";
     match &measured.earlier {
         Some(earlier) => {
-            let load = ColdMemberLoad::of(earlier);
+            let load = ColdMemberLoad::from_record(earlier);
             table.require(label, "told apart", load.to_string(), !load.is_allowed());
         }
         None => table.report(label, "not built: make earlier NAME=fleet-ramp"),
--- a/crates/ladderpass-testbed/src/prove/membership/datagram_rules.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/datagram_rules.rs
@@ -5,12 +5,12 @@
 use ladderpass_fault_injection::{DatagramAction, DatagramRule};
 
 /// Loses a fraction of all datagrams.
-pub fn loss(name: &str, probability: f64) -> DatagramRule {
+pub fn loss_rule(name: &str, probability: f64) -> DatagramRule {
     rule(name, &[], probability, DatagramAction::Drop)
 }
 
 /// Delays a fraction of the datagrams of one router by a constant time, in milliseconds.
-pub fn delay_from(name: &str, router: &str, probability: f64, ms: f64) -> DatagramRule {
+pub fn delay_rule(name: &str, router: &str, probability: f64, ms: f64) -> DatagramRule {
     let action = DatagramAction::Delay { ms, distribution: Distribution::Constant };
     rule(name, &[router], probability, action)
 }
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -1,7 +1,7 @@
 //! Detection of failures by ten routers, in one drill: kills, a freeze, a router whose datagrams are lost, random loss and a
 //! split.
 
-use super::datagram_rules::loss;
+use super::datagram_rules::loss_rule;
 use super::views::{agreement_delay_s, detection_delays_s, false_alarms, live_counts};
 use crate::drill::play::DrillRecord;
 use crate::drill::{Drill, FaultEvent};
@@ -53,7 +53,7 @@
 /// The drill with all these faults, one after the other.
 pub fn detection_drill() -> Drill {
     let sides = vec![router_names(0..SPLIT_AT_ROUTER), router_names(SPLIT_AT_ROUTER..ROUTERS)];
-    let lost = Some(loss("a-fifth", LOST_FRACTION));
+    let lost = Some(loss_rule("a-fifth", LOST_FRACTION));
     let events = vec![
         FaultEvent { at: KILL_AT_S, kill: owned_names(&["r3", "r8"]), ..FaultEvent::default() },
         FaultEvent { at: RESTART_AT_S, start: owned_names(&["r3", "r8"]), ..FaultEvent::default() },
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
@@ -1,7 +1,7 @@
 //! Builds with a faulty membership protocol, told apart from the real one by one drill: a router is killed, some of its last
 //! datagrams arrive late, and others are lost.
 
-use super::datagram_rules::{delay_from, loss};
+use super::datagram_rules::{delay_rule, loss_rule};
 use super::views::{detection_delays_s, false_alarms, live_counts, returns_after};
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
@@ -17,7 +17,7 @@
 const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
 
 /// The builds of each thread, None for the real one.
-pub const THREADS: [&[Option<&str>]; 2] = [
+pub const BUILDS_BY_THREAD: [&[Option<&str>]; 2] = [
     &[None, Some(NEVER_SUSPECTS), Some(BELIEVES_FIRST_RUMOUR)],
     &[Some(FORGETS_INCARNATIONS), Some(KEEPS_SCHEDULE_OF_DEAD)],
 ];
@@ -65,7 +65,7 @@
 }
 
 impl Beliefs {
-    fn of(switch: Option<&'static str>, record: &DrillRecord) -> Beliefs {
+    fn from_record(switch: Option<&'static str>, record: &DrillRecord) -> Beliefs {
         let detected = detection_delays_s(record, KILLED_ROUTER, KILL_AT_S, DETECTION_TIMEOUT_S);
         let mut live_counts = live_counts(record, DRILL_END_S);
         live_counts.remove(KILLED_ROUTER);
@@ -107,14 +107,14 @@
 ) -> io::Result<Vec<Beliefs>> {
     let play_build = |&switch: &Option<&'static str>| {
         let record = play(&drill(switch), programs, seed)?;
-        Ok(Beliefs::of(switch, &record))
+        Ok(Beliefs::from_record(switch, &record))
     };
     switches.iter().map(play_build).collect()
 }
 
 fn drill(switch: Option<&str>) -> Drill {
-    let late = delay_from("late", "r3", LATE_FRACTION, LATE_BY_MS);
-    let lost = loss("a-third", LOST_FRACTION);
+    let late = delay_rule("late", "r3", LATE_FRACTION, LATE_BY_MS);
+    let lost = loss_rule("a-third", LOST_FRACTION);
     let lost =
         FaultEvent { at: LOSS_AT_S, lasts: LOSS_LASTS_S, datagrams: Some(lost), ..FaultEvent::default() };
     Drill {
--- a/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks of members after a third of the routers was killed: the schedule that routers share must pass to the
 //! others.
 
-use super::views::{detection_delays_s, seconds};
+use super::views::{detection_delays_s, load_seconds};
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
 use crate::load::Phase;
@@ -28,7 +28,7 @@
 const MAX_DETECTION_S: f64 = 4.0;
 /// A round of health checks takes a second, and 50 ms more for each of the nine routers; a round may be late.
 const MAX_PAUSE_S: f64 = 3.0;
-const MAX_RATE_OF_EARLIER: f64 = 1.5;
+const MAX_RATE_RATIO_TO_EARLIER: f64 = 1.5;
 /// The faulty build whose routers don't take over the health checks of dead ones.
 const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
 
@@ -114,7 +114,7 @@
     match &records.earlier {
         Some(earlier) => {
             let earlier = health_check_rate(earlier, members);
-            let holds = current.per_second <= MAX_RATE_OF_EARLIER * earlier.per_second;
+            let holds = current.per_second <= MAX_RATE_RATIO_TO_EARLIER * earlier.per_second;
             table.require("  the earlier program", "ours at most 1.5 of it", earlier.to_string(), holds);
         }
         None => table.report("  the earlier program", "not measured: make earlier NAME=membership"),
@@ -135,7 +135,7 @@
     for member in 0..members as u32 {
         let checks = record.execution_log.health_checks.iter().filter(|(_, checked)| *checked == member);
         let mut times_s: Vec<f64> =
-            checks.map(|(at, _)| seconds(record, *at)).filter(|at_s| COUNTED_S.contains(at_s)).collect();
+            checks.map(|(at, _)| load_seconds(record, *at)).filter(|at_s| COUNTED_S.contains(at_s)).collect();
         times_s.sort_by(f64::total_cmp);
         count += times_s.len();
         pauses_s.extend(times_s.windows(2).map(|pair| pair[1] - pair[0]));
--- a/crates/ladderpass-testbed/src/prove/membership/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/mod.rs
@@ -64,8 +64,8 @@
     let mut measured = std::thread::scope(|scope| {
         let detection = scope.spawn(|| play(drill, programs, seed));
         let health_checks = scope.spawn(|| play_health_checks(programs, seed));
-        let builds =
-            faulty_builds::THREADS.map(|builds| scope.spawn(move || play_builds(builds, programs, seed)));
+        let builds = faulty_builds::BUILDS_BY_THREAD
+            .map(|builds| scope.spawn(move || play_builds(builds, programs, seed)));
         let faulty_routers = scope.spawn(|| play_cases(light, programs, seed));
         let traffic = scope.spawn(|| {
             let measure = |routers| measure_traffic(programs, routers, NO_OPERATOR, seed);
--- a/crates/ladderpass-testbed/src/prove/membership/views.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/views.rs
@@ -21,7 +21,7 @@
 }
 
 /// The time of the load.
-pub fn seconds(record: &DrillRecord, at: Time) -> f64 {
+pub fn load_seconds(record: &DrillRecord, at: Time) -> f64 {
     (at - record.outcome.began).secs()
 }
 
@@ -63,7 +63,7 @@
 /// By router: how many it believed to be alive at a time.
 pub fn live_counts(record: &DrillRecord, at_s: f64) -> Vec<usize> {
     let count = |views: &Vec<RouterView>| {
-        let last = views.iter().rev().find(|view| seconds(record, view.at) <= at_s);
+        let last = views.iter().rev().find(|view| load_seconds(record, view.at) <= at_s);
         last.map_or(0, |view| view.count)
     };
     record.views.iter().map(count).collect()
@@ -74,7 +74,7 @@
     let last: Vec<&RouterView> = record.views.iter().map(|views| views.last()).collect::<Option<_>>()?;
     let digest = last.first()?.digest;
     let agree = last.iter().all(|view| view.digest == digest && view.count == record.views.len());
-    agree.then(|| last.iter().map(|view| seconds(record, view.at) - from_s).fold(0.0, f64::max))
+    agree.then(|| last.iter().map(|view| load_seconds(record, view.at) - from_s).fold(0.0, f64::max))
 }
 
 /// When a router logged a change of another one.
@@ -89,14 +89,14 @@
         view.changes.iter().any(|named| Some(named.address) == address && named.text == change)
     };
     let views = record.views.get(viewer).into_iter().flatten();
-    views.filter(has_change).map(|view| seconds(record, view.at))
+    views.filter(has_change).map(|view| load_seconds(record, view.at))
 }
 
 /// Was a router neither killed nor frozen at a time?
 fn is_running(record: &DrillRecord, router: usize, at_s: f64) -> bool {
     let mut absences = record.absences.iter().filter(|absence| absence.router == router);
     absences.all(|absence| {
-        at_s < seconds(record, absence.from) - ABSENCE_MARGIN_S
-            || at_s > seconds(record, absence.to) + ABSENCE_MARGIN_S
+        at_s < load_seconds(record, absence.from) - ABSENCE_MARGIN_S
+            || at_s > load_seconds(record, absence.to) + ABSENCE_MARGIN_S
     })
 }
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -13,7 +13,7 @@
 const FRACTIONS: [f64; 3] = [0.35, 0.39, 0.43];
 const LOAD_S: f64 = 0.5;
 /// Of three runs so many must be calm, as another process of the machine may disturb one.
-const CALM_RUNS: u64 = 2;
+const REQUIRED_CALM_RUNS: u64 = 2;
 const DISTURBED_RUNS: u64 = 2;
 const MIN_GOOD_FRACTION: f64 = 0.999;
 const MAX_LOOP_DELAY_P99_MS: f64 = 5.0;
@@ -55,7 +55,7 @@
         Phase { seconds: LOAD_S, rate_per_second: rate },
     ];
     let (mut calm, mut disturbed) = (0, 0);
-    while calm < CALM_RUNS {
+    while calm < REQUIRED_CALM_RUNS {
         let plan = open_plan(seed + calm + disturbed, &phases);
         let record = run::run(scenario, &routers.controlled, &plan, vec![])?;
         if is_calm(&record) {
--- a/crates/ladderpass-testbed/src/prove/overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/cost.rs
@@ -11,13 +11,13 @@
 
 /// Comparisons with the earlier program, taken in turns in the same run.
 const COMPARISONS: u64 = 2;
-const MAX_COST_OF_EARLIER: f64 = 0.65;
-const MAX_REJECTED_OF_IDLE: f64 = 0.001;
-const MAX_COST_OF_REJECTION: f64 = 0.4;
+const MAX_COST_RATIO_TO_EARLIER: f64 = 0.65;
+const MAX_REJECTED_WHILE_IDLE: f64 = 0.001;
+const MAX_REJECTION_COST_RATIO: f64 = 0.4;
 const MIN_REJECTED: f64 = 0.99;
 
-const ONE_EACH: ClosedLoad = ClosedLoad { clients: 64, pipeline: 1, seconds: 0.6 };
-const ONE_EACH_SHORT: ClosedLoad = ClosedLoad { seconds: 0.3, ..ONE_EACH };
+const ONE_IN_FLIGHT: ClosedLoad = ClosedLoad { clients: 64, pipeline: 1, seconds: 0.6 };
+const ONE_IN_FLIGHT_SHORT: ClosedLoad = ClosedLoad { seconds: 0.3, ..ONE_IN_FLIGHT };
 const MANY_CLIENTS: ClosedLoad = ClosedLoad { clients: 1000, pipeline: 1, seconds: 0.6 };
 const PIPELINED: ClosedLoad = ClosedLoad { clients: 200, pipeline: 16, seconds: 0.4 };
 
@@ -72,12 +72,12 @@
         Some(earlier) => compare_with_earlier(table, scenario, routers, earlier, seed)?,
         None => table.report("CPU an RPC, of the earlier program's", "not measured: no --earlier"),
     }
-    let crowd = MANY_CLIENTS.measure(scenario, &routers.uncontrolled, seed)?;
+    let many_clients = MANY_CLIENTS.measure(scenario, &routers.uncontrolled, seed)?;
     table.require(
         "pushed back, 1,000 clients, idle members",
         "under 0.1%",
-        format!("{:.2}%", crowd.rejected * 100.0),
-        crowd.rejected < MAX_REJECTED_OF_IDLE,
+        format!("{:.2}%", many_clients.rejected * 100.0),
+        many_clients.rejected < MAX_REJECTED_WHILE_IDLE,
     );
     Ok(())
 }
@@ -91,17 +91,17 @@
 ) -> io::Result<()> {
     let (mut current_us, mut earlier_us) = (0.0, 0.0);
     for index in 0..COMPARISONS {
-        earlier_us += ONE_EACH.measure(scenario, earlier, seed + index)?.cpu_us_per_rpc;
-        current_us += ONE_EACH.measure(scenario, &routers.uncontrolled, seed + index)?.cpu_us_per_rpc;
+        earlier_us += ONE_IN_FLIGHT.measure(scenario, earlier, seed + index)?.cpu_us_per_rpc;
+        current_us += ONE_IN_FLIGHT.measure(scenario, &routers.uncontrolled, seed + index)?.cpu_us_per_rpc;
     }
     let comparisons = COMPARISONS as f64;
     let (current_mean, earlier_mean) = (current_us / comparisons, earlier_us / comparisons);
     let ratio = current_us / earlier_us;
     let measured = format!("{current_mean:.1} us for {earlier_mean:.1} us: {ratio:.2}");
-    let holds = current_us < MAX_COST_OF_EARLIER * earlier_us;
+    let holds = current_us < MAX_COST_RATIO_TO_EARLIER * earlier_us;
     table.require("CPU an RPC, of the earlier program's", "under 0.65", measured, holds);
-    let crowd = MANY_CLIENTS.measure(scenario, earlier, seed)?;
-    table.report("pushed back, earlier, 1,000 clients", format!("{:.2}%", crowd.rejected * 100.0));
+    let many_clients = MANY_CLIENTS.measure(scenario, earlier, seed)?;
+    table.report("pushed back, earlier, 1,000 clients", format!("{:.2}%", many_clients.rejected * 100.0));
     Ok(())
 }
 
@@ -118,12 +118,12 @@
 ) -> io::Result<f64> {
     let served = PIPELINED.measure(scenario, &routers.uncontrolled, seed)?;
     let rejected = PIPELINED.measure(scenario, &routers.rejecting, seed)?;
-    let holds = rejected.cpu_us_per_rpc <= MAX_COST_OF_REJECTION * served.cpu_us_per_rpc
+    let holds = rejected.cpu_us_per_rpc <= MAX_REJECTION_COST_RATIO * served.cpu_us_per_rpc
         && rejected.rejected > MIN_REJECTED;
     let label = "refusing, of serving, clients with 16 out";
     table.require(label, "at most 0.40", compared_cost(&rejected, &served), holds);
-    let served_single = ONE_EACH_SHORT.measure(scenario, &routers.uncontrolled, seed)?;
-    let rejected_single = ONE_EACH_SHORT.measure(scenario, &routers.rejecting, seed)?;
+    let served_single = ONE_IN_FLIGHT_SHORT.measure(scenario, &routers.uncontrolled, seed)?;
+    let rejected_single = ONE_IN_FLIGHT_SHORT.measure(scenario, &routers.rejecting, seed)?;
     table.report("  and clients with a single one out", compared_cost(&rejected_single, &served_single));
     Ok(served.rpcs_per_second)
 }
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -16,7 +16,7 @@
 /// How long a load lasts before it is measured, and while it is.
 const SETTLE_S: f64 = 0.2;
 const MEASURED_S: f64 = 0.5;
-const MIN_GOODPUT_OF_BEST: f64 = 0.9;
+const MIN_GOODPUT_RATIO_TO_BEST: f64 = 0.9;
 
 /// Utility a second, by multiples of the calm load.
 pub(super) struct GoodputCurves {
@@ -60,13 +60,13 @@
 impl GoodputCurves {
     /// Requires that goodput under the highest load is close to the best.
     pub(super) fn require_flat(&self, table: &mut Table) {
-        let controlled = last_of_best(&self.controlled);
-        let uncontrolled = uncontrolled_text(format!("{:.2}", last_of_best(&self.uncontrolled)));
+        let controlled = last_relative_to_best(&self.controlled);
+        let uncontrolled = uncontrolled_text(format!("{:.2}", last_relative_to_best(&self.uncontrolled)));
         table.require(
             "5x: goodput, of its best at any load",
             "at least 0.90",
             format!("{controlled:.2}; {uncontrolled}"),
-            controlled >= MIN_GOODPUT_OF_BEST,
+            controlled >= MIN_GOODPUT_RATIO_TO_BEST,
         );
     }
 
@@ -84,7 +84,7 @@
 }
 
 /// The last value of a curve as a fraction of its greatest one.
-fn last_of_best(curve: &[(f64, f64)]) -> f64 {
+fn last_relative_to_best(curve: &[(f64, f64)]) -> f64 {
     let best = curve.iter().map(|(_, goodput)| *goodput).fold(0.0, f64::max);
     curve.last().map_or(0.0, |(_, last)| last / best.max(1e-9))
 }
--- a/crates/ladderpass-testbed/src/prove/scenarios.rs
+++ b/crates/ladderpass-testbed/src/prove/scenarios.rs
@@ -8,11 +8,11 @@
 pub const FLEET_ROUTERS: usize = 8;
 
 /// Operator's file: each router sheds load by itself.
-pub const SHED_ALONE: &str = "log: {figures: 250ms}";
+pub const SEPARATE_ADMISSION: &str = "log: {figures: 250ms}";
 /// Operator's file: routers share admission control.
-pub const SHED_TOGETHER: &str = "fleet: {sheds: true}\nlog: {figures: 250ms}";
+pub const SHARED_ADMISSION: &str = "fleet: {sheds: true}\nlog: {figures: 250ms}";
 /// Operator's file: routers share admission control and retry budgets.
-pub const SHED_AND_BUDGET_TOGETHER: &str = "fleet: {sheds: true, budgets: true}\nlog: {figures: 250ms}";
+pub const SHARED_ADMISSION_AND_BUDGETS: &str = "fleet: {sheds: true, budgets: true}\nlog: {figures: 250ms}";
 /// How often these routers log their metrics, in seconds.
 pub const METRICS_INTERVAL_S: f64 = 0.25;
 
--- a/crates/ladderpass-testbed/tests/recordings.rs
+++ b/crates/ladderpass-testbed/tests/recordings.rs
@@ -1,19 +1,19 @@
 //! What the fault tool records: the same again for the same seed, whatever its rules make of what is asked.
 
 use ladderpass_fault_injection::{Decision, Rule, first_difference};
-use ladderpass_testbed::prove::faults::recorded;
+use ladderpass_testbed::prove::faults::record_decisions;
 
 const SEED: u64 = 129_771;
 const TRIES: usize = 20;
 
 fn record(rule: &str) -> Vec<Decision> {
-    recorded(SEED, vec![Rule::read(rule).expect("allowed")]).expect("it plays")
+    record_decisions(SEED, vec![Rule::read(rule).expect("allowed")]).expect("it plays")
 }
 
 fn repeats_itself(rules: &[&str], wanted: usize) {
     let all = || {
         let rules = rules.iter().map(|rule| Rule::read(rule).expect("allowed")).collect();
-        recorded(SEED, rules).expect("it plays")
+        record_decisions(SEED, rules).expect("it plays")
     };
     let first = all();
     for nth in 0..TRIES {
