--- a/crates/ladderpass-testbed/src/prove/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/mod.rs
@@ -49,7 +49,7 @@
         let settings = data_path::Settings { long: false, router: Some(router.to_owned()) };
         let data_path = scope.spawn(move || data_path::measure(seed, &settings));
         let control = control::measure(seed, &control::Settings { long: false }, memory)?;
-        let data_path = data_path.join().map_err(|_| io::Error::other("a lane of the proof failed"))?;
+        let data_path = data_path.join().map_err(|_| io::Error::other("a thread of the proof panicked"))?;
         io::Result::Ok((control, data_path))
     })?;
     let figures = control::figures(&control).into_iter().chain(data_path::figures(&data_path));
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -122,7 +122,7 @@
     let mut events: Vec<FaultEvent<'static>> = Vec::new();
     if case.terminate {
         events.push(FaultEvent::at(TERMINATE_AT_S, |router, _| {
-            router.signal(Signal::SIGTERM).expect("the router runs")
+            router.signal(Signal::SIGTERM).expect("a running router can be signalled")
         }));
     }
     if let Some(member) = case.drained_member {
--- a/crates/ladderpass-testbed/src/prove/faults/recording.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/recording.rs
@@ -77,7 +77,7 @@
     let member = std::thread::spawn(move || answer_all(&listener));
     // Reads to the end, whatever the rules have made of the answers.
     io::copy(&mut stream, &mut io::sink())?;
-    member.join().map_err(|_| io::Error::other("the member failed"))??;
+    member.join().map_err(|_| io::Error::other("the thread of the emulated member panicked"))??;
     Ok(tool.stop().record)
 }
 
--- a/crates/ladderpass-testbed/src/prove/parallel.rs
+++ b/crates/ladderpass-testbed/src/prove/parallel.rs
@@ -18,7 +18,7 @@
         let threads = drills.map(|drill| scope.spawn(move || play(drill, programs, seed)));
         threads.into_iter().map(join).collect::<io::Result<_>>()
     })?;
-    records.try_into().map_err(|_| io::Error::other("as many were played"))
+    records.try_into().map_err(|_| io::Error::other("a drill of the proof has no record"))
 }
 
 /// Waits for a thread of a proof and returns its result.
@@ -26,5 +26,5 @@
 /// # Errors
 /// If the thread returned an error, or panicked.
 pub fn join<T>(thread: ScopedJoinHandle<'_, io::Result<T>>) -> io::Result<T> {
-    thread.join().unwrap_or_else(|_| Err(io::Error::other("a lane of the proof failed")))
+    thread.join().unwrap_or_else(|_| Err(io::Error::other("a thread of the proof panicked")))
 }
