--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -1,5 +1,5 @@
-//! Longer runs behind docs/CAPACITY.md: slopes of control traffic, simulated routers beside real processes, and events at
-//! the scale of a deployment, as tables and charts.
+//! The longer runs behind docs/CAPACITY.md, as tables and charts: slopes of control traffic, a comparison of simulated
+//! routers with real processes, and events at the scale of a deployment.
 
 use crate::capacity::events::{self, EventOutcome};
 use crate::capacity::slope::Slope;
@@ -16,27 +16,28 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Slopes that get a chart.
+/// The names of the slopes that get a chart.
 const CHARTED_SLOPES: [&str; 4] = ["words_datagrams", "words_by_routers", "control_cpu", "death_known"];
-/// Routers and groups for which simulated routers are compared with processes.
+/// The numbers of routers and groups for which simulated routers are compared with processes.
 const COMPARED_ROUTERS: usize = 16;
 const COMPARED_GROUPS: [u32; 3] = [2, 8, 32];
 const COMPARISON_S: f64 = 8.0;
 const CLIENTS_PER_ROUTER: usize = 10;
 const RPCS_PER_SECOND_PER_ROUTER: f64 = 25.0;
-/// Groups of the simulations of events.
+/// The number of groups in the simulations of events.
 const EVENT_GROUPS: usize = 8;
-/// Events that are simulated at the same time.
+/// How many events are simulated at the same time.
 const EVENT_THREADS: usize = 3;
 
-/// The file of all tables, which grows with each part, so that an interrupted run leaves what it has.
+/// The file of all tables. It is written again after each part, so that an interrupted run leaves the parts that it
+/// finished.
 struct Report<'a> {
     out: &'a Path,
     text: String,
 }
 
 impl Report<'_> {
-    /// Prints a part and adds it to the file.
+    /// Prints a part of the report and adds it to the file.
     fn add(&mut self, part: &str) -> io::Result<()> {
         println!("{part}");
         self.text.push_str(part);
@@ -44,16 +45,16 @@
     }
 }
 
-/// Traffic of a router, as a simulation has it and as real processes have it.
+/// The mean traffic of a router in a simulation and among real processes.
 struct ComparedTraffic {
     simulated: Traffic,
     real: Traffic,
 }
 
-/// Makes the longer runs, and writes their tables and charts to a folder.
+/// Makes the longer runs, and writes their tables and charts to the folder `out`.
 ///
 /// # Errors
-/// If a simulation or a drill can't be started, or a file can't be written.
+/// Returns an error if a simulation or a drill fails, if a router of a drill fails, or if a file can't be written.
 pub fn make_long_runs(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<()> {
     std::fs::create_dir_all(out)?;
     let mut report = Report { out, text: format!("# Runs of `make capacity SEED={seed}`\n") };
@@ -119,7 +120,7 @@
     Ok(table)
 }
 
-/// Measures the traffic of a router among others, as a simulation and as processes.
+/// Measures the traffic of a router among others, once in a simulation and once with processes.
 fn compare_traffic(
     programs: Programs<'_>,
     routers: usize,
@@ -151,7 +152,7 @@
     Ok(ComparedTraffic { simulated, real: traffic_of_drill(&drill, &record) })
 }
 
-/// Simulates all events, a few at a time.
+/// Simulates all events, [`EVENT_THREADS`] at a time.
 fn simulate_events(seed: u64) -> io::Result<Vec<EventOutcome>> {
     let next = AtomicUsize::new(0);
     let simulate_next = || -> io::Result<Vec<EventOutcome>> {
--- a/crates/ladderpass-testbed/src/prove/capacity/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! Proof of docs/CAPACITY.md: each figure of the page is measured again, and must be within the error that the page states.
-//! The figures are read from the page; none stands here.
+//! Proof of docs/CAPACITY.md. Each figure of the page is measured again, and must be within the error that the page states.
+//! The claimed figures are read from the page and are not repeated in the code.
 
 mod long_runs;
 
@@ -11,10 +11,10 @@
 use std::io;
 use std::path::Path;
 
-/// The page that is proved.
+/// The page whose figures are proved, relative to the repository's root.
 pub const PAGE: &str = "docs/CAPACITY.md";
 
-/// A figure at the reference size.
+/// A figure of the page, as measured for the page's size of deployment.
 struct Figure {
     name: &'static str,
     value: f64,
@@ -28,7 +28,7 @@
 /// Runs the proof and prints its table. Returns whether it passes.
 ///
 /// # Errors
-/// If the page can't be read, or a simulation, a router or the emulator can't be started.
+/// Returns an error if the page can't be read, or if a simulation, a router or the emulator can't be started.
 pub fn prove(router: &Path, seed: u64) -> io::Result<bool> {
     let mut table = Table::new("capacity");
     let page = std::fs::read_to_string(PAGE)?;
@@ -41,9 +41,9 @@
     Ok(table.print())
 }
 
-/// Measures all figures of the page, in the short form.
+/// Measures all figures of the page with the short runs.
 fn measure(router: &Path, seed: u64) -> io::Result<Measurements> {
-    // Memory is measured before other threads allocate.
+    // Memory is measured first, before other threads allocate memory.
     let memory = control::memory(seed)?;
     let (control, data_path) = std::thread::scope(|scope| {
         let settings = data_path::Settings { long: false, router: Some(router.to_owned()) };
@@ -72,7 +72,8 @@
     );
 }
 
-/// Requires that the page has each figure, within the error that it states.
+/// Requires that the page states each measured figure once, and that the measurement is within the error that the page
+/// states.
 fn require_claims(table: &mut Table, page: &str, figures: &[Figure]) {
     for Figure { name, value } in figures {
         let (label, measured) = (format!("`{name}`"), format!("{value:.4}"));
@@ -86,7 +87,7 @@
     }
 }
 
-/// Requires that the page claims nothing that is not measured.
+/// Requires that the page claims no figure that is not measured.
 fn require_no_other_claims(table: &mut Table, page: &str, figures: &[Figure]) {
     let claimed = page.lines().filter_map(|line| line.strip_prefix("| `")?.split_once("` |"));
     let is_measured = |name: &str| figures.iter().any(|figure| figure.name == name);
--- a/crates/ladderpass-testbed/src/prove/checks.rs
+++ b/crates/ladderpass-testbed/src/prove/checks.rs
@@ -3,12 +3,12 @@
 use super::Table;
 use crate::drill::play::DrillRecord;
 
-/// Rates count as flat if the highest is at most this many times the lowest.
+/// Rates count as flat if the highest rate is at most this many times the lowest one.
 const MAX_FLAT_RATIO: f64 = 1.2;
-/// Of the first violation, this much is shown.
+/// How many characters of the first violation the table shows.
 const MAX_VIOLATION_CHARS: usize = 120;
 
-/// Requires that the history of a drill has no violation and that no router failed by itself.
+/// Requires that the history of a drill has no violation and that no router ended by itself or panicked.
 pub fn require_no_violations(table: &mut Table, label: &str, record: &DrillRecord) {
     let violations = record.violations.iter().map(ToString::to_string);
     let findings: Vec<String> = violations.chain(record.router_failures.iter().cloned()).collect();
@@ -25,17 +25,17 @@
     table.require(format!("{label}: rules broken"), "none", measured, findings.is_empty());
 }
 
-/// Do rates differ by no more than a fifth?
+/// Returns whether the highest rate is at most a fifth above the lowest one.
 pub fn is_flat(rates: &[f64]) -> bool {
     highest(rates) <= MAX_FLAT_RATIO * lowest(rates)
 }
 
-/// The lowest of some rates; the greatest number if there is none.
+/// Returns the lowest of some rates, or `f64::MAX` if there is none.
 pub fn lowest(rates: &[f64]) -> f64 {
     rates.iter().copied().fold(f64::MAX, f64::min)
 }
 
-/// The highest of some rates; 0 if there is none.
+/// Returns the highest of some rates, or 0 if there is none.
 pub fn highest(rates: &[f64]) -> f64 {
     rates.iter().copied().fold(0.0, f64::max)
 }
--- a/crates/ladderpass-testbed/src/prove/faults/cases.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/cases.rs
@@ -1,20 +1,21 @@
-//! Faulty routers, each with the rule that it breaks and the faults of its surroundings that show it.
+//! Cases of faulty routers. Each case has the rule that the faulty router breaks and the faults of members and links that
+//! reveal it.
 
-/// A faulty router and what shows its fault. The real router passes the same surroundings.
+/// A faulty router and the conditions that reveal its fault. The real router breaks no rule under the same conditions.
 pub struct FaultCase {
-    /// The fault, as `LADDERPASS_FAULTY` has it.
+    /// The value of `LADDERPASS_FAULTY` that switches the fault on.
     pub switch: &'static str,
-    /// The rule that it breaks.
+    /// The number of the rule that the faulty router breaks.
     pub broken_rule: u8,
-    /// Rules of the fault tool, as YAML.
+    /// The rules of the fault tool, as YAML.
     pub rules: &'static [&'static str],
-    /// How far replicas lag behind, in milliseconds.
+    /// The time from a commit until a replica has received it, in milliseconds.
     pub log_ms: f64,
-    /// The router gets SIGTERM in the middle of the load.
+    /// Whether the router gets SIGTERM during the load.
     pub terminate: bool,
-    /// The member that is drained in the middle of the load.
+    /// The member that is drained during the load, if any.
     pub drained_member: Option<u32>,
-    /// Members that start cold.
+    /// The members that start cold.
     pub cold_members: &'static [u32],
 }
 
@@ -29,12 +30,13 @@
         cold_members: &[],
     };
 
-    /// Do replicas lag further behind than reads allow?
+    /// Returns whether the replicas lag further behind than reads allow.
     pub fn has_lagging_replicas(&self) -> bool {
         self.log_ms > MIN_LAGGING_LOG_MS
     }
 }
 
+/// Above this [`FaultCase::log_ms`], the replicas' data counts as too old for reads.
 const MIN_LAGGING_LOG_MS: f64 = 100.0;
 
 /// All cases, in the order of the table.
@@ -68,7 +70,8 @@
         ..FaultCase::DEFAULT
     },
     FaultCase { switch: "ignores-drains", broken_rule: 3, drained_member: Some(1), ..FaultCase::DEFAULT },
-    // Both replicas are cold: whatever a busy machine does to latencies, one of them gets half of the reads.
+    // Both replicas are cold, so that one of them gets half of the reads, however much a busy machine distorts the
+    // latencies.
     FaultCase { switch: "ignores-warm-up", broken_rule: 4, cold_members: &[1, 2], ..FaultCase::DEFAULT },
     FaultCase {
         switch: "reuses-unquiet",
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -1,4 +1,4 @@
-//! Runs a case with the real router or a faulty one, and finds the rules that it breaks.
+//! Runs a case with the real router or a faulty one, and finds the rules that the router breaks.
 
 use super::cases::{CASES, FaultCase};
 use crate::load::{self, Phase, Plan};
@@ -17,27 +17,28 @@
 const LOAD_S: f64 = 1.0;
 const RPCS_PER_SECOND: f64 = 400.0;
 const DEADLINE: Span = Span::from_millis(1000);
-/// How long after its deadline an answer may come.
+/// How long after the deadline of its RPC an answer may come.
 const ANSWER_TOLERANCE: Span = Span::from_millis(50);
 const TERMINATE_AT_S: f64 = 0.7;
 const DRAIN_AT_S: f64 = 0.4;
-/// RPCs a second that a cold member can serve once it is warm.
+/// How many RPCs a second a cold member can serve once it is warm.
 const WARM_RPCS_PER_SECOND: f64 = 200.0;
-/// Window in which attempts overload a cold member; several fit into the load.
+/// The window over which too many attempts overload a cold member. Two such windows fit into the load.
 const OVERLOAD_MS: f64 = 500.0;
-/// Maximum age of reads if replicas lag behind.
+/// The maximum age of the data of reads in cases where replicas lag behind.
 const MAX_READ_AGE_MS: f64 = 200.0;
-/// The rule that a malformed answer, or one without an RPC, breaks.
+/// The rule that is broken by protocol errors of the router: malformed answers, answers that belong to no RPC, and values of
+/// another RPC.
 const ANSWER_RULE: u8 = 1;
 
-/// What a run of a case found.
+/// The result of one run of a case.
 struct CaseResult {
-    /// Rules that the router broke, in order.
+    /// The numbers of the rules that the router broke, in ascending order.
     broken_rules: Vec<u8>,
     exposure: Exposure,
 }
 
-/// How often the router met what the case makes difficult. A case without any proves nothing.
+/// How often the router met the difficulty of the case. A run with a count of zero proves nothing.
 struct Exposure {
     count: usize,
     what: &'static str,
@@ -53,7 +54,7 @@
 /// Requires that the real router breaks no rule in any case, and that each faulty router breaks its own.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub fn require_detection(
     table: &mut Table,
     binary: &Path,
@@ -131,7 +132,7 @@
     events
 }
 
-/// The rules that a run broke, by its history and by answers that no client waited for or could read.
+/// Returns the rules that a run broke according to its history, and the rule on answers if clients saw protocol errors.
 fn broken_rules(record: &RunRecord) -> Vec<u8> {
     let violations = record.violations(ANSWER_TOLERANCE);
     let mut rules: Vec<u8> = violations.iter().map(|violation| violation.rule).collect();
@@ -141,7 +142,8 @@
     rules
 }
 
-/// What the case made difficult, and how often: the fault tool's decisions, or what the case does to the members.
+/// Returns how often the router met the difficulty of the case. It is counted in decisions of the fault tool, in RPCs at the
+/// members that the case affects, or in answers.
 fn exposure(case: &FaultCase, record: &RunRecord, decisions: usize) -> Exposure {
     let executions = &record.execution_log.executions;
     let started_at = |member| executions.iter().filter(|execution| execution.member == member).count();
--- a/crates/ladderpass-testbed/src/prove/faults/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/mod.rs
@@ -1,5 +1,6 @@
-//! Proof of the fault tool and the history checker: each faulty router is found to break its rule in surroundings that the
-//! real router passes, recordings can be repeated, and the overhead of the tool is reported.
+//! Proof of the fault tool and the history checker. The checker finds that each faulty router breaks its rule under
+//! conditions under which the real router breaks none. Recordings can be repeated, and the overhead of the fault tool is
+//! reported.
 
 mod cases;
 mod detection;
@@ -15,7 +16,7 @@
 /// Runs the proof and prints its table. Returns whether it passes.
 ///
 /// # Errors
-/// If a router, the emulator or the fault tool can't be started, or a connection fails.
+/// Returns an error if a router, the emulator or the fault tool can't be started, or if a connection fails.
 pub fn prove(binary: &Path, faulty: Option<&Path>, seed: u64) -> io::Result<bool> {
     let mut table = Table::new("faults");
     detection::require_detection(&mut table, binary, faulty, seed)?;
--- a/crates/ladderpass-testbed/src/prove/faults/overhead.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/overhead.rs
@@ -1,4 +1,4 @@
-//! What the fault tool adds to round trips and takes from throughput.
+//! The overhead of the fault tool: how much it lengthens round trips and reduces throughput.
 
 use crate::load::until_ready;
 use crate::prove::Table;
@@ -14,17 +14,17 @@
 const LARGE_READS: u32 = 400;
 const LARGE_VALUE_BYTES: usize = 65_536;
 
-/// Speed of one connection to a member.
+/// The speed of one connection to a member.
 struct LinkSpeed {
     median_us: f64,
     p99_us: f64,
     megabytes_per_second: f64,
 }
 
-/// Reports the speed of a connection to a member, directly and through the fault tool without rules.
+/// Reports the speed of a connection to a member, once directly and once through the fault tool without rules.
 ///
 /// # Errors
-/// If the emulator or the fault tool can't be started, or a connection fails.
+/// Returns an error if the emulator or the fault tool can't be started, or if a connection fails.
 pub fn report_overhead(table: &mut Table, seed: u64) -> io::Result<()> {
     let mut scenario = Scenario::default();
     scenario.methods[0].name = "large".into();
@@ -68,7 +68,7 @@
     })
 }
 
-/// Round trips of empty queries, the shortest first.
+/// Measures the round trips of empty queries, in microseconds and in ascending order.
 fn round_trips_us(stream: &mut TcpStream) -> io::Result<Vec<f64>> {
     let mut query = Vec::new();
     proto::put_query(&mut query, "");
@@ -83,7 +83,7 @@
     Ok(round_trips_us)
 }
 
-/// Megabytes a second of large reads, one after the other.
+/// Measures the throughput of large reads that follow one another, in megabytes a second.
 fn read_throughput(stream: &mut TcpStream) -> io::Result<f64> {
     let started = Instant::now();
     for number in 0..LARGE_READS {
--- a/crates/ladderpass-testbed/src/prove/faults/recording.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/recording.rs
@@ -1,4 +1,4 @@
-//! Recordings of the fault tool: the same seed gives the same decisions, another seed others.
+//! Recordings of the fault tool. The same seed gives the same decisions, and another seed gives others.
 
 use crate::prove::Table;
 use crate::prove::parallel::join;
@@ -13,19 +13,20 @@
 use std::time::Duration;
 
 const RANDOM_RULES: usize = 12;
-/// Rules act within the first so many messages.
+/// Random rules begin to act within this many matches.
 const MAX_NTH: u64 = 40;
-/// Actions that neither close nor stop a connection, which would end the comparison.
+/// The actions that neither close nor stop a connection. Other actions would end the recording early.
 const CONTINUING_ACTIONS: [&str; 6] = ["delay", "slice", "garble", "duplicate", "drop", "noise"];
 const STATEMENTS: usize = 60;
 const VALUE_BYTES: usize = 256;
-/// Limits a member or a fault tool that hangs. Delays of a plan must add up to less.
+/// How long the client waits for data before it takes the member or the fault tool to hang. The delays of a plan must add up
+/// to less.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Requires that a recording can be repeated with its seed, and differs with another one.
+/// Requires that two recordings with the same seed are equal, and that a recording with another seed differs.
 ///
 /// # Errors
-/// If a recording can't be made.
+/// Returns an error if a recording can't be made.
 pub fn require_repeatable_recordings(table: &mut Table, seed: u64) -> io::Result<()> {
     let [first, second, other] = std::thread::scope(|scope| {
         let record = |seed| scope.spawn(move || record_decisions(seed, random_rules(seed)));
@@ -42,7 +43,7 @@
     Ok(())
 }
 
-/// Rules drawn at random that let the connection continue.
+/// Draws random rules and keeps those that let the connection continue.
 fn random_rules(seed: u64) -> Vec<Rule> {
     let member = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let mut plan = Plan::drawn(seed, RANDOM_RULES, member_link(member));
@@ -53,7 +54,7 @@
     plan.rules
 }
 
-/// The link to one member.
+/// Returns the link to one member.
 fn member_link(member: SocketAddr) -> Vec<LinkShape> {
     let no_discovery = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let mut links = run::links(&[member], no_discovery);
@@ -61,11 +62,12 @@
     links
 }
 
-/// What the fault tool decides while one client sends statements to a member through a link with these rules. It ends when
-/// both have sent everything, not after a time, so that neither a busy machine nor a slow rule changes the recording.
+/// Records the decisions of the fault tool while one client sends statements to a member through a link with these rules.
+/// The recording ends when the client and the member have sent everything, not after a time, so that neither a busy machine
+/// nor a slow rule changes it.
 ///
 /// # Errors
-/// If the fault tool can't be started, or a connection fails.
+/// Returns an error if the fault tool can't be started, or if a connection fails.
 pub fn record_decisions(seed: u64, rules: Vec<Rule>) -> io::Result<Vec<Decision>> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let links = member_link(listener.local_addr()?);
@@ -75,13 +77,13 @@
     stream.write_all(&client_messages())?;
     stream.shutdown(Shutdown::Write)?;
     let member = std::thread::spawn(move || answer_all(&listener));
-    // Reads to the end, whatever the rules have made of the answers.
+    // Reads to the end of the stream without parsing, as the rules may have changed the answers.
     io::copy(&mut stream, &mut io::sink())?;
     member.join().map_err(|_| io::Error::other("the thread of the emulated member panicked"))??;
     Ok(tool.stop().record)
 }
 
-/// The client's startup message and its statements.
+/// Returns the client's startup message and its statements.
 fn client_messages() -> Vec<u8> {
     let mut messages = Vec::new();
     proto::put_startup(&mut messages);
@@ -94,9 +96,10 @@
     messages
 }
 
-/// A member that answers each complete message on one connection, even if it is malformed, and closes only after its client
-/// did. What it sends depends only on what it received: if it closed at a statement that it can't read, answers that the
-/// fault tool has not read yet would be lost, more or fewer each time.
+/// Acts as a member that answers each complete message on one connection, even a malformed one, and closes the connection
+/// only after its client did. The answers depend only on the messages received. If the member closed the connection at a
+/// statement that it can't read, the answers that the fault tool has not read yet would be lost, and their number would
+/// differ between runs.
 fn answer_all(listener: &TcpListener) -> io::Result<()> {
     let (mut stream, _) = listener.accept()?;
     stream.set_nodelay(true)?;
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of a member by all routers together, which must not grow with their number.
+//! The rate of health checks that a member gets from all routers together, which must not grow with the number of routers.
 
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
@@ -18,22 +18,24 @@
 const IDLE_S: f64 = 2.0;
 const LOAD_S: f64 = 5.0;
 const RPCS_PER_SECOND: f64 = 100.0;
-/// Health checks are counted after this time of the load: just before it, all routers check all members.
+/// Health checks count from this time of the load on, because all routers check all members shortly before.
 const SETTLE: Span = Span::from_millis(1000);
-/// With writes alone, no replica answers anything: all that is known of replicas comes from health checks.
+/// The fraction of reads of a load of writes alone. No replica answers an RPC of this load, so that routers learn of
+/// replicas only from health checks.
 const NO_READS: f64 = 0.0;
+/// The fraction of reads of a load in which answers of replicas inform routers too.
 const MOSTLY_READS: f64 = 0.8;
 
-/// Health checks of a member a second, by the numbers of routers in [`FLEET_SIZES`].
+/// Rates of health checks of a member, per second. Each list has one rate for each number of routers in [`FLEET_SIZES`].
 pub struct HealthCheckRates {
     without_reads: Vec<f64>,
     with_reads: Vec<f64>,
 }
 
-/// Plays all drills in parallel.
+/// Measures all rates, with the drills of all loads and numbers of routers in parallel.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn measure_health_checks(programs: Programs<'_>, seed: u64) -> io::Result<HealthCheckRates> {
     scope(|scope| {
         let start = |reads: f64| {
@@ -70,7 +72,8 @@
 }
 
 impl HealthCheckRates {
-    /// Requires that the rate is flat, and that answers to reads replace health checks.
+    /// Requires that the rate does not grow with the number of routers, and that it is not higher where answers to reads
+    /// inform routers too.
     pub fn require_flat(&self, table: &mut Table) {
         let (without_reads, with_reads) = (&self.without_reads, &self.with_reads);
         table.require(
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -1,6 +1,7 @@
-//! Proof of shared retry budgets: retries stay a small fraction of first attempts while answers are lost, while members reject
-//! attempts, and while a member, a router and a part of the network fail; and clients lose no utility by it. Health checks
-//! of a member don't grow with the number of routers. Attempts are counted by the members, over all routers.
+//! Proof of shared retry budgets. Retries stay a small fraction of first attempts while answers are lost and while members
+//! reject attempts. Clients lose little utility by the budgets, and regain it after a member, a router and a part of the
+//! network fail. The health checks of a member don't grow with the number of routers. The members count attempts, over all
+//! routers.
 
 mod drills;
 mod health_checks;
@@ -20,20 +21,23 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Faulty routers that retry without a budget, and that never return unused budget.
+/// The fault of routers that retry without a budget.
 const SPENDS_WITHOUT_ASKING: &str = "spends-without-asking";
+/// The fault of routers that never return unused budget.
 const NEVER_GIVES_BACK: &str = "never-gives-back";
 
-/// Times in seconds of the load. The budget is spent by then, while answers are still lost.
+// Periods of the loads, in seconds.
+
+/// In this period the budget is already spent, and answers are still lost.
 const BUDGET_SPENT_S: Range<f64> = 4.0..6.0;
-/// The start of a load is not measured.
+/// Measurements begin here, as the start of a load is left out.
 const MEASURED_FROM_S: f64 = 1.0;
 const BEFORE_LOSS_S: Range<f64> = MEASURED_FROM_S..LOSS_AT_S;
 const DURING_AND_AFTER_LOSS_S: Range<f64> = LOSS_AT_S..LOSS_DRILL_END_S;
 const AFTER_LOSS_S: Range<f64> = LOSS_DRILL_END_S - 2.0..LOSS_DRILL_END_S;
 const DURING_REJECTIONS_S: Range<f64> = MEASURED_FROM_S..REJECTION_DRILL_END_S;
 const BEFORE_FAILURE_S: Range<f64> = MEASURED_FROM_S..MEMBER_DOWN.at_s;
-/// From two seconds after the member is back.
+/// The period that starts two seconds after the failed member is back.
 const AFTER_FAILURE_S: Range<f64> = MEMBER_DOWN.at_s + MEMBER_DOWN.lasts_s + 2.0..FAILURE_DRILL_END_S;
 
 const MAX_RETRY_RATIO: f64 = 0.05;
@@ -43,7 +47,7 @@
 const MIN_UTILITY_UNDER_REJECTIONS: f64 = 0.95;
 const MIN_UTILITY_AFTER_FAILURE: f64 = 0.95;
 
-/// A drill with retry budgets and without.
+/// The records of a drill with retry budgets and without them.
 struct ComparedRecords {
     with_budgets: DrillRecord,
     without_budgets: DrillRecord,
@@ -62,7 +66,7 @@
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If a drill can't be played, or a chart can't be written.
+/// Returns an error if a drill can't be played, or a chart can't be written.
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-budgets");
     if !table.require_faulty_build(programs) {
@@ -87,7 +91,7 @@
     Ok(table.print())
 }
 
-/// Plays all drills, those that are compared in parallel.
+/// Plays all drills. Drills that are compared with each other are played in parallel.
 fn measure(programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
     let (with_budgets, without_budgets) = (SHARED_ADMISSION_AND_BUDGETS, SHARED_ADMISSION);
     let (lost, lost_without) = (answers_lost(with_budgets), answers_lost(without_budgets));
@@ -111,7 +115,8 @@
     })
 }
 
-/// Requires few retries while all answers are lost, more with faulty routers, and utility once answers come again.
+/// Requires few retries while all answers are lost, more retries with faulty routers, and that the utility recovers once
+/// answers arrive again.
 fn require_few_retries_of_lost_answers(table: &mut Table, measured: &Measurements) {
     let ComparedRecords { with_budgets, without_budgets } = &measured.answers_lost;
     let ratio = retry_ratio(with_budgets, BUDGET_SPENT_S);
@@ -133,7 +138,7 @@
     table.require("  utility once that is over", "at least 0.9", format!("{utility:.3}"), holds);
 }
 
-/// Requires that budgets don't prevent the retries that help if one member of three loses its answers.
+/// Requires that budgets don't prevent the retries that help if one of three members loses its answers.
 fn require_utility_if_one_loses(table: &mut Table, records: &ComparedRecords) {
     let ComparedRecords { with_budgets, without_budgets } = records;
     let window = DURING_AND_AFTER_LOSS_S;
@@ -164,7 +169,7 @@
     );
 }
 
-/// Requires that retries don't keep the members overloaded once a member is back.
+/// Requires that retries don't keep the members overloaded once the failed member is back.
 fn require_recovery(table: &mut Table, records: &ComparedRecords) {
     let recovered = |record: &DrillRecord| {
         served_utility(record, AFTER_FAILURE_S) / served_utility(record, BEFORE_FAILURE_S)
@@ -178,13 +183,14 @@
     );
 }
 
-/// Retries that came to members, as a fraction of first attempts.
+/// Returns the retries that arrived at members as a fraction of the first attempts that arrived.
 fn retry_ratio(record: &DrillRecord, window: Range<f64>) -> f64 {
     let attempts = record.attempts(window.start, window.end);
     attempts.retries as f64 / attempts.first.max(1) as f64
 }
 
-/// Utility of the answers as a fraction of that of the RPCs that were due, so that chance in what clients send is left out.
+/// Returns the utility of the answers as a fraction of the utility of the RPCs that were due. The fraction does not depend
+/// on how many RPCs of each method the random arrivals make due.
 fn served_utility(record: &DrillRecord, window: Range<f64>) -> f64 {
     let methods = Scenario::default().methods;
     let due_utility = |slice: &Slice| -> f64 {
@@ -213,7 +219,8 @@
     charts::lines(&out.join("trigger.svg"), title, ("seconds", "a second"), &utility, false)
 }
 
-/// Retry ratios over seconds of the load.
+/// Returns the retry ratio of each metrics interval of the drills in which answers are lost, by the interval's start in
+/// seconds of the load.
 fn retry_ratios(record: &DrillRecord) -> Vec<(f64, f64)> {
     let intervals = (LOSS_DRILL_END_S / METRICS_INTERVAL_S) as usize;
     let point = |index: usize| {
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/cost.rs
@@ -1,4 +1,4 @@
-//! CPU time that shared admission control adds to an RPC under a calm load.
+//! The CPU time that shared admission control adds to an RPC under a calm load.
 
 use crate::drill::Drill;
 use crate::drill::play::{Programs, play};
@@ -15,7 +15,8 @@
 const COMPARISONS: u64 = 4;
 const MAX_COST_RATIO: f64 = 1.05;
 
-/// CPU microseconds of all routers an RPC, measured at the same time, so that other load on the machine affects both.
+/// The CPU time of all routers per RPC, in microseconds, with shared and with separate admission control. Both are measured
+/// at the same time, so that other load on the machine affects both.
 struct ComparedCost {
     shared_us: f64,
     separate_us: f64,
@@ -27,10 +28,10 @@
     }
 }
 
-/// Requires that the cost of an RPC hardly changes.
+/// Requires that shared admission control adds little to the CPU time of an RPC.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn require_low_cost(table: &mut Table, programs: Programs<'_>, seed: u64) -> io::Result<()> {
     let compare = |index| compare_cost(programs, seed + index);
     let costs = (0..COMPARISONS).map(compare).collect::<io::Result<Vec<_>>>()?;
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -1,4 +1,4 @@
-//! Faulty routers under shared admission control, told apart from healthy ones.
+//! Requirements that distinguish routers with faulty shared admission control from healthy ones.
 
 use super::drills::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD};
 use super::measures::{mean, mean_logged, median_rejection_ms};
@@ -7,26 +7,31 @@
 use crate::prove::Table;
 use crate::prove::scenarios::FLEET_ROUTERS;
 
-/// A router that rejects only when it is overloaded itself is this many times slower than healthy ones, which take at least
-/// so many milliseconds for this comparison.
+/// A router that rejects only when it is overloaded itself takes more than this many times as long to reject as healthy
+/// routers.
 const MIN_REJECTION_LATENCY_RATIO: f64 = 10.0;
+/// For this comparison, healthy routers count as taking at least this many milliseconds.
 const MIN_HEALTHY_REJECTION_MS: f64 = 5.0;
-/// Log lines over which metrics are averaged.
+/// How many of the last log lines the number of clamped reports is averaged over.
 const CLAMPED_REPORT_LINES: usize = 8;
+/// How many of the last log lines the number of reports is averaged over.
 const REPORT_LINES: usize = 6;
+/// With a router that reports too much, the others clamp at least this many reports on average, and more than
+/// [`MIN_CLAMPED_REPORTS_RATIO`] times as many as among healthy routers.
 const MIN_CLAMPED_REPORTS: f64 = 0.8;
 const MIN_CLAMPED_REPORTS_RATIO: f64 = 1.5;
-/// With five other routers alive of eight.
+/// Bounds on the reports that a router has when five of the eight other routers are alive.
 const MIN_REPORTS_WITH_DEAD: f64 = 7.5;
 const MAX_REPORTS_WITHOUT_DEAD: f64 = 5.5;
 
-/// Requires that each faulty build shows its fault.
+/// Requires that each fault shows in the measurements.
 pub(super) fn require_faults_shown(table: &mut Table, records: &OverloadRecords) {
     require_late_rejections(table, records);
     require_clamped_reports(table, records);
     require_reports_of_dead(table, records);
 }
 
+/// Requires that a router that ignores the common threshold rejects much later than healthy ones.
 fn require_late_rejections(table: &mut Table, records: &OverloadRecords) {
     let healthy_routers = 1..FLEET_ROUTERS;
     let healthy_ms =
@@ -40,7 +45,7 @@
     );
 }
 
-/// Requires that healthy routers clamp the reports of a router that reports too much.
+/// Requires that healthy routers clamp the reports of a router that reports more than its load.
 fn require_clamped_reports(table: &mut Table, records: &OverloadRecords) {
     let clamped = |record: &DrillRecord| {
         let of_router = |router| mean_logged(record, router, "clamped_reports", CLAMPED_REPORT_LINES);
@@ -55,6 +60,7 @@
     );
 }
 
+/// Requires that routers with the fault keep more reports than there are other routers alive, and that healthy ones don't.
 fn require_reports_of_dead(table: &mut Table, records: &OverloadRecords) {
     let reports = |record: &DrillRecord| mean_logged(record, 0, "reports", REPORT_LINES);
     let (faulty, healthy) = (reports(&records.keeps_reports_of_dead), reports(&records.failures));
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
@@ -1,5 +1,5 @@
-//! Measures of a drill: utility, writes, latency of rejections, metrics in the routers' logs. Times are in seconds of the
-//! load.
+//! Measures of a drill: utility, served writes, latency of rejections, and metrics in the routers' logs. Times are in
+//! seconds of the load.
 
 use super::drills::{DRILL_END_S, READ, WRITE, scenario};
 use crate::drill::Drill;
@@ -8,32 +8,35 @@
 use ladderpass_invariants::Answer;
 use std::ops::Range;
 
-/// Text of a log line with metrics of shared admission control.
+/// The log target of lines with metrics of shared admission control.
 const ADMISSION_LOG_TARGET: &str = "ladderpass::fleet";
-/// Rejections before this time are not measured.
+/// Only rejections of RPCs that were sent after this time are measured.
 const REJECTIONS_FROM_S: f64 = 2.0;
-/// The load of the single router is measured from here on.
+/// The rate that the single router serves is measured from this time on.
 const SINGLE_ROUTER_FROM_S: f64 = 1.0;
-/// A router with fewer writes does not count for the worst router.
+/// A router with fewer writes than this is not considered for the worst router.
 const MIN_WRITES: f64 = 10.0;
-/// With fewer writes than this, one failure is more than 5%, and tells nothing: the first one is not counted.
+/// With fewer writes than this, a single failure is more than 5% of them and not significant, so that one failure is
+/// tolerated.
 const WRITES_WITHOUT_TOLERANCE: f64 = 20.0;
 
-/// Fraction of the writes that were served within their soft deadline.
+/// Fractions of writes that were served.
 pub struct ServedWrites {
-    /// Of all writes.
+    /// The fraction of all writes that were answered ok within their soft deadline.
     pub of_all: f64,
-    /// Of the writes at the worst router, of those that were answered ok at all.
+    /// The lowest fraction, over the routers, of a router's writes that were answered ok, whether or not within their soft
+    /// deadline.
     pub of_worst_router: f64,
 }
 
-/// Utility a second.
+/// Returns the utility a second.
 pub fn utility(record: &DrillRecord, window: Range<f64>) -> f64 {
     record.outcome.utility_rate(window.start, window.end)
 }
 
-/// Utility a second as a fraction of what a single router would have served of the same RPCs: all writes, and reads up to
-/// the members' capacity. Writes are random, and have four times a read's utility.
+/// Returns the utility a second as a fraction of the utility that a single router would have served of the same RPCs, which
+/// is all writes, and reads up to the members' capacity. The number of writes is taken from the record, as it is random and
+/// a write has four times the utility of a read.
 pub fn utility_relative_to_single_router(
     record: &DrillRecord,
     single: &DrillRecord,
@@ -47,7 +50,7 @@
     utility(record, window) / best
 }
 
-/// By method: a count a second.
+/// Returns a count a second for each method.
 fn methods_per_second(record: &DrillRecord, window: Range<f64>, count: fn(&Counts) -> u64) -> [f64; 2] {
     let mut sums = [0, 0];
     for slice in record.outcome.within(window.start, window.end) {
@@ -58,7 +61,7 @@
     sums.map(|sum| sum as f64 / (window.end - window.start))
 }
 
-/// How many writes were served.
+/// Returns which fractions of the writes were served.
 pub fn served_writes(drill: &Drill, record: &DrillRecord) -> ServedWrites {
     let total = record.outcome.of(WRITE);
     let by_router = (0..drill.routers).filter_map(|router| served_writes_of_router(record, router));
@@ -68,7 +71,8 @@
     }
 }
 
-/// Fraction of a router's writes that were answered ok; None if it had too few.
+/// Returns the fraction of a router's writes that were answered ok, or None if the router had fewer than [`MIN_WRITES`]. If
+/// it had fewer than [`WRITES_WITHOUT_TOLERANCE`], one failure counts as ok.
 fn served_writes_of_router(record: &DrillRecord, router: usize) -> Option<f64> {
     let of_router = |entry: &&RpcRecord| entry.router == router && entry.method == WRITE;
     let writes: Vec<&RpcRecord> = record.outcome.journal.iter().filter(of_router).collect();
@@ -78,7 +82,7 @@
     (due >= MIN_WRITES).then(|| (ok + tolerated) / due)
 }
 
-/// The median latency of a router's rejections, in milliseconds; 0 if there is none.
+/// Returns the median latency of a router's rejections in milliseconds, or 0 if there is none.
 pub fn median_rejection_ms(record: &DrillRecord, router: usize) -> f64 {
     let is_measured = |entry: &&RpcRecord| {
         entry.router == router && (entry.sent - record.outcome.began).secs() > REJECTIONS_FROM_S
@@ -93,12 +97,12 @@
     latencies.get(latencies.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// All values of a metric that a router logged on shared admission control, in order.
+/// Returns all values of a metric of shared admission control that a router logged, in order.
 pub fn logged_values(record: &DrillRecord, router: usize, metric: &str) -> Vec<f64> {
     last_logged_values(record, router, metric, usize::MAX)
 }
 
-/// Mean of a metric over a router's last `lines` log lines on shared admission control; 0 if there is none.
+/// Returns the mean of a metric over a router's last `lines` log lines on shared admission control, or 0 if there is none.
 pub fn mean_logged(record: &DrillRecord, router: usize, metric: &str, lines: usize) -> f64 {
     mean(&last_logged_values(record, router, metric, lines))
 }
@@ -114,7 +118,7 @@
     log[log.len().saturating_sub(lines)..].iter().filter_map(value).collect()
 }
 
-/// The mean; 0 if there is no value.
+/// Returns the mean of the values, or 0 if there is none.
 pub fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -1,6 +1,7 @@
-//! Proof of shared admission control: routers with uneven loads of 2.5 times the members' capacity serve almost the utility
-//! that a single router with full knowledge would, also through kills, a split and clock offsets. Faulty builds must be told
-//! apart, and RPCs and traffic must hardly cost more.
+//! Proof of shared admission control. Routers with uneven loads of 2.5 times the members' capacity serve almost the utility
+//! that a single router with full knowledge would serve, also through kills, a split and clock offsets. Faulty builds must
+//! be distinguished from healthy ones. RPCs must cost little more CPU time, and a router's traffic must not grow with the
+//! number of routers.
 
 mod cost;
 mod drills;
@@ -24,13 +25,15 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Times in seconds of the load. The end of a load is left out: members that no other client uses get its last RPCs, which
-/// is no longer overload.
+// Periods of the loads, in seconds.
+
+/// The period of overload. The end of the load is left out, because the members serve its last RPCs without competing ones,
+/// which is no longer overload.
 const OVERLOAD_S: Range<f64> = 0.0..DRILL_END_S - 0.6;
 const SPLIT_END_S: f64 = SPLIT.at_s + SPLIT.lasts_s;
-/// From two seconds after the start of the split.
+/// The part of the split that begins two seconds after its start.
 const DURING_SPLIT_S: Range<f64> = SPLIT.at_s + 2.0..SPLIT_END_S;
-/// From two seconds after its end.
+/// The period that begins two seconds after the end of the split.
 const AFTER_SPLIT_S: Range<f64> = SPLIT_END_S + 2.0..FAILURE_DRILL_END_S - 0.5;
 const CLOCKS_APART_S: Range<f64> = 2.0..SHORT_DRILL_END_S;
 
@@ -44,7 +47,7 @@
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If a drill can't be played, or a chart can't be written.
+/// Returns an error if a drill can't be played, or a chart can't be written.
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-overload");
     if !table.require_faulty_build(programs) {
@@ -63,7 +66,7 @@
     Ok(table.print())
 }
 
-/// Measures all numbers of routers in parallel.
+/// Measures the traffic among all numbers of routers in parallel.
 fn measure_traffic_of_sizes(programs: Programs<'_>, seed: u64) -> io::Result<Vec<TrafficOfSize>> {
     std::thread::scope(|scope| {
         let threads = FLEET_SIZES
@@ -140,7 +143,7 @@
     charts::lines(&out.join("floors.svg"), "Floor of each router", axes, &thresholds, false)
 }
 
-/// A router's admission threshold over seconds of its log.
+/// Returns a router's admission threshold over the seconds of its log.
 fn admission_thresholds(record: &DrillRecord, router: usize) -> Vec<(f64, f64)> {
     let values = logged_values(record, router, "threshold").into_iter().enumerate();
     values.map(|(index, threshold)| (index as f64 * METRICS_INTERVAL_S, threshold)).collect()
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
@@ -1,4 +1,4 @@
-//! Plays the drills under overload.
+//! Plays the drills under overload, and holds their records.
 
 use super::drills::{IGNORES_THRESHOLD, KEEPS_REPORTS_OF_DEAD, REPORTS_TENFOLD};
 use super::drills::{clocks_apart, kills_and_split, kills_and_split_with_fault, one_faulty_router};
@@ -9,28 +9,28 @@
 
 /// The records of all drills under overload.
 pub struct OverloadRecords {
-    /// One router with full knowledge.
+    /// One router gets almost all RPCs, and so has full knowledge.
     pub single: DrillRecord,
-    /// Shared admission control.
+    /// The routers share admission control.
     pub shared: DrillRecord,
-    /// Each router by itself.
+    /// Each router sheds load by itself.
     pub separate: DrillRecord,
-    /// Kills and a split.
+    /// Routers are killed and the network is split.
     pub failures: DrillRecord,
-    /// The same with routers that keep the reports of dead ones.
+    /// The drill of `failures` with routers that keep the reports of dead ones.
     pub keeps_reports_of_dead: DrillRecord,
-    /// One router does not use the common threshold.
+    /// One router does not use the common admission threshold.
     pub ignores_threshold: DrillRecord,
     /// One router reports ten times its load.
     pub reports_tenfold: DrillRecord,
-    /// Clock offsets, and a router that takes no part.
+    /// Wall clocks are apart, and one router does not share admission control.
     pub clocks_apart: DrillRecord,
 }
 
-/// Plays all drills, those that are compared in parallel.
+/// Plays all drills. Drills that are compared with each other are played in parallel.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn play_drills(programs: Programs<'_>, seed: u64) -> io::Result<OverloadRecords> {
     let compared = [&single_router(), &shared_admission(), &separate_admission()];
     let [single, shared, separate] = play_in_parallel(compared, programs, seed)?;
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -1,6 +1,7 @@
-//! Proof of slow start across routers that do not communicate: the attempts of 8, 24 and 30 routers together never overload
-//! a cold member, under bursts and while a third of the routers restarts. Attempts are counted by the members, over each
-//! window of the settings' overload time. The earlier program and one without a warm-up must be told apart.
+//! Proof of slow start across routers that do not communicate. The attempts of 8, 24 and 30 routers together never overload
+//! a cold member, under bursts and while a third of the routers restarts. The members count attempts, over each window of
+//! the settings' overload time. The earlier program and a build without a warm-up must overload cold members, so that the
+//! proof distinguishes them from the current program.
 
 mod drills;
 mod windows;
@@ -36,7 +37,7 @@
 
 /// The records of all drills.
 struct Measurements {
-    /// With the current program; the last one is the hardest.
+    /// The drills with the current program. The last one is the hardest.
     current: Vec<PlayedDrill>,
     /// The hardest drill without a warm-up.
     without_warm_up: DrillRecord,
@@ -47,7 +48,8 @@
 /// How attempts at cold members compare with their capacity.
 struct ColdMemberLoad {
     violations: Vec<String>,
-    /// How far above its capacity the worst window of a member was, in square roots of that capacity.
+    /// How far the attempts in a member's worst window exceeded the capacity of the window, in square roots of that
+    /// capacity.
     excess_roots: f64,
 }
 
@@ -78,7 +80,7 @@
 /// Runs the proof, prints its table, and writes a chart to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If a drill can't be played, or the chart can't be written.
+/// Returns an error if a drill can't be played, or the chart can't be written.
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-ramp");
     if !table.require_faulty_build(programs) {
@@ -125,7 +127,8 @@
     Ok(Measurements { current, without_warm_up, earlier })
 }
 
-/// Requires that cold members are never overloaded, and that they are in the hardest drill without a warm-up across routers.
+/// Requires that cold members are never overloaded, and that the hardest drill overloads them with routers that ignore the
+/// warm-up and with the earlier program, if that is given.
 fn require_cold_members_served(table: &mut Table, measured: &Measurements) {
     for PlayedDrill { label, drill, record } in &measured.current {
         let WindowCapacity { cold, warm } = WindowCapacity::of(drill);
@@ -145,8 +148,8 @@
     }
 }
 
-/// Requires that no other rule than that on answers is broken, where routers are killed: their RPCs in flight are lost, and
-/// idle clients may send while the connection is being closed.
+/// Requires that only the rule on answers is broken in a drill that kills routers. The RPCs in flight of a killed router are
+/// lost, and idle clients may send RPCs while their connection is being closed.
 fn require_no_violations_but_lost_answers(table: &mut Table, played: &PlayedDrill) {
     let record = &played.record;
     let unanswered = record.violations.iter().filter(|violation| violation.rule == ANSWER_RULE).count();
@@ -156,7 +159,7 @@
     table.require(format!("{}: rules 2 to 5 broken", played.label), "none", measured, first.is_none());
 }
 
-/// Fraction of the RPCs that were answered ok.
+/// Returns the fraction of the RPCs that were answered ok, as text.
 fn served_fraction(record: &DrillRecord) -> String {
     let total = record.outcome.total();
     format!("{:.4}", total.ok as f64 / total.due.max(1) as f64)
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -1,4 +1,4 @@
-//! RPCs at a cold member within its overload window, by the member's age, as a chart.
+//! A chart of the RPCs that arrive at a cold member within its overload window, by the member's age.
 
 use crate::charts::{self, Line};
 use crate::drill::play::DrillRecord;
@@ -6,24 +6,25 @@
 use std::io;
 use std::path::Path;
 
-/// The chart has a point for each of these, in seconds.
+/// The time between two points of the chart, in seconds.
 const STEP_S: f64 = 0.1;
-/// The limit is this many square roots above the capacity, and this many RPCs, for chance.
+/// As arrivals are random, the limit is the capacity of a window plus this many square roots of it, plus [`TOLERATED_RPCS`].
 const TOLERATED_ROOTS: f64 = 2.0;
+/// See [`TOLERATED_ROOTS`].
 const TOLERATED_RPCS: f64 = 2.0;
 
-/// By age of the member in seconds.
+/// Points of the chart by the age of the member, in seconds.
 struct ColdMemberWindows {
-    /// RPCs within the window before.
+    /// RPCs that arrived within the overload window that ends at this age.
     rpcs: Vec<(f64, f64)>,
-    /// RPCs that are allowed.
+    /// RPCs that may arrive within this window.
     limit: Vec<(f64, f64)>,
 }
 
-/// Writes the chart of the hardest drill, with its limit, beside the same drill with other programs.
+/// Writes the chart of the hardest drill with the current program, its limit, and the same drill with other programs.
 ///
 /// # Errors
-/// If the chart can't be written.
+/// Returns an error if the chart can't be written.
 pub fn write_window_chart(
     out: &Path,
     current: &DrillRecord,
@@ -41,7 +42,7 @@
     charts::lines(&out.join("window.svg"), title, ("seconds", "RPCs"), &lines, false)
 }
 
-/// The windows of the first member that started cold.
+/// Returns the windows of the first member that started cold, or None if no member did.
 fn windows(record: &DrillRecord) -> Option<ColdMemberWindows> {
     let started = record.cold_starts.first()?;
     let arrivals = record.execution_log.arrivals.iter().filter(|arrival| arrival.member == started.member);
@@ -52,7 +53,8 @@
         let age_s = step as f64 * STEP_S;
         let is_in_window = |&&at: &&Time| (0.0..window_s).contains(&(age_s - (at - started.at).secs()));
         windows.rpcs.push((age_s, times.iter().filter(is_in_window).count() as f64));
-        // The middle of the window has its mean, except around the start.
+        // Capacity grows linearly, so that the mean over a window is the capacity at its middle. This does not hold for
+        // windows that reach back beyond the member's start.
         let warmth = ((age_s - window_s / 2.0) / warm_s).max(0.0);
         let fraction = started.initial_fraction + (1.0 - started.initial_fraction) * warmth;
         let capacity = started.capacity * window_s * fraction;
--- a/crates/ladderpass-testbed/src/prove/membership/datagram_rules.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/datagram_rules.rs
@@ -1,15 +1,15 @@
-//! Faults on datagrams among routers.
+//! Rules that drop or delay datagrams among routers.
 
 use crate::prove::scenarios::owned_names;
 use ladderpass_fault_injection::plan::Distribution;
 use ladderpass_fault_injection::{DatagramAction, DatagramRule};
 
-/// Loses a fraction of all datagrams.
+/// Returns a rule that drops a fraction of all datagrams.
 pub fn loss_rule(name: &str, probability: f64) -> DatagramRule {
     rule(name, &[], probability, DatagramAction::Drop)
 }
 
-/// Delays a fraction of the datagrams of one router by a constant time, in milliseconds.
+/// Returns a rule that delays a fraction of the datagrams of one router by a constant time, in milliseconds.
 pub fn delay_rule(name: &str, router: &str, probability: f64, ms: f64) -> DatagramRule {
     let action = DatagramAction::Delay { ms, distribution: Distribution::Constant };
     rule(name, &[router], probability, action)
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -1,5 +1,5 @@
-//! Detection of failures by ten routers, in one drill: kills, a freeze, a router whose datagrams are lost, random loss and a
-//! split.
+//! Detection of failures by ten routers in one drill. Its faults are kills, a freeze, a router whose datagrams are lost,
+//! random loss and a split.
 
 use super::datagram_rules::loss_rule;
 use super::views::{agreement_delay_s, detection_delays_s, false_alarms, live_counts};
@@ -17,23 +17,23 @@
 const KILL_AT_S: f64 = 1.0;
 const RESTART_AT_S: f64 = 4.0;
 const FREEZE: FaultWindow = FaultWindow { at_s: 5.0, lasts_s: 3.0 };
-/// All datagrams that one router sends are lost.
+/// The period in which all datagrams that one router sends are lost.
 const MUTE: FaultWindow = FaultWindow { at_s: 9.5, lasts_s: 4.0 };
 const LOSS: FaultWindow = FaultWindow { at_s: 14.5, lasts_s: 5.0 };
 const SPLIT: FaultWindow = FaultWindow { at_s: 20.5, lasts_s: 4.0 };
 const LOST_FRACTION: f64 = 0.2;
-/// Routers below this number are on the first side of the split.
+/// Routers with numbers below this are on the first side of the split.
 const SPLIT_AT_ROUTER: usize = 4;
 
-/// A failure counts as not detected after this time.
+/// A failure that is not detected within this time counts as not detected.
 const DETECTION_TIMEOUT_S: f64 = 5.0;
 const MAX_DETECTION_S: f64 = 4.0;
 const MAX_MEDIAN_DETECTION_S: f64 = 2.0;
 const MAX_FALSE_ALARM_S: f64 = 2.0;
-/// Alarms count for this time after the loss too.
+/// False alarms count during the loss and for this time after it.
 const AFTER_LOSS_S: f64 = 1.0;
 const MAX_AGREEMENT_S: f64 = 3.0;
-/// Views of a split are read this long before it ends.
+/// How long before the end of the split the views are read.
 const BEFORE_SPLIT_END_S: f64 = 0.05;
 
 /// A router that the others should detect as failed.
@@ -50,7 +50,7 @@
     Failure { router: 6, label: "heard by none", at_s: MUTE.at_s },
 ];
 
-/// The drill with all these faults, one after the other.
+/// Returns the drill with all these faults, one after the other.
 pub fn detection_drill() -> Drill {
     let sides = vec![router_names(0..SPLIT_AT_ROUTER), router_names(SPLIT_AT_ROUTER..ROUTERS)];
     let lost = Some(loss_rule("a-fifth", LOST_FRACTION));
@@ -75,7 +75,8 @@
     FaultEvent { at: window.at_s, lasts: window.lasts_s, ..FaultEvent::default() }
 }
 
-/// Requires that the drill's failures are detected, and nothing else.
+/// Requires that routers detect the drill's failures, that false alarms are short, that each side of the split believes only
+/// its own routers to be alive, and that all views agree in the end.
 pub fn require_detection(table: &mut Table, record: &DrillRecord) {
     require_failures_detected(table, record);
     require_short_false_alarms(table, record);
@@ -120,7 +121,7 @@
     table.require("split of 4 and 6: each counts on", "its own side", measured, counts == expected);
 }
 
-/// The upper median; infinite if there is no time.
+/// Returns the upper median, or infinity if there is no time.
 fn median(times_s: &mut [f64]) -> f64 {
     times_s.sort_by(f64::total_cmp);
     times_s.get(times_s.len() / 2).copied().unwrap_or(f64::INFINITY)
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
@@ -1,5 +1,5 @@
-//! Builds with a faulty membership protocol, told apart from the real one by one drill: a router is killed, some of its last
-//! datagrams arrive late, and others are lost.
+//! Requirements that distinguish builds with a faulty membership protocol from the real one by a drill. In the drill a
+//! router is killed, some of its datagrams arrive after its end, and a part of all datagrams is lost.
 
 use super::datagram_rules::{delay_rule, loss_rule};
 use super::views::{detection_delays_s, false_alarms, live_counts, returns_after};
@@ -16,7 +16,7 @@
 const FORGETS_INCARNATIONS: &str = "forgets-incarnations";
 const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
 
-/// The builds of each thread, None for the real one.
+/// The builds that each thread plays, by their faults. None is the real build.
 pub const BUILDS_BY_THREAD: [&[Option<&str>]; 2] = [
     &[None, Some(NEVER_SUSPECTS), Some(BELIEVES_FIRST_RUMOUR)],
     &[Some(FORGETS_INCARNATIONS), Some(KEEPS_SCHEDULE_OF_DEAD)],
@@ -29,28 +29,30 @@
 const KILLED_ROUTER: usize = 3;
 const SURVIVORS: usize = ROUTERS - 1;
 const KILL_AT_S: f64 = 1.5;
-/// A kill counts as not detected after this time.
+/// A kill that is not detected within this time counts as not detected.
 const DETECTION_TIMEOUT_S: f64 = 4.5;
-/// Datagrams of the killed router that still arrive after its end.
+/// The fraction of the killed router's datagrams that are delayed, so that the last ones arrive after its end.
 const LATE_FRACTION: f64 = 0.6;
 const LATE_BY_MS: f64 = 4000.0;
 const LOSS_AT_S: f64 = 1.6;
 const LOSS_LASTS_S: f64 = 3.0;
 const LOST_FRACTION: f64 = 0.3;
-/// A build that believes rumours has so many times the false alarms of the real one, with a few added.
+/// A build that believes the first rumour has at least this many times the false alarms of the real build plus
+/// [`ADDED_ALARMS`].
 const MIN_ALARM_RATIO: usize = 5;
+/// See [`MIN_ALARM_RATIO`].
 const ADDED_ALARMS: usize = 2;
 
-/// What routers of a build believed in the drill.
+/// What the routers of a build believed about each other in the drill.
 pub struct Beliefs {
-    /// The fault that is switched on; None for the real build.
+    /// The fault that is switched on, or None for the real build.
     switch: Option<&'static str>,
-    /// Routers that detected the kill.
+    /// How many routers detected the kill.
     detected_by: usize,
     false_alarms: usize,
     /// How often the killed router was believed to be alive again.
     returns: usize,
-    /// By surviving router: how many it believed to be alive at the end.
+    /// How many routers each surviving router believed to be alive at the end.
     live_counts: Vec<usize>,
 }
 
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Does every surviving router believe that so many are alive?
+    /// Returns whether every surviving router believed this many routers to be alive.
     fn all_count(&self, routers: usize) -> bool {
         self.live_counts.iter().all(|&count| count == routers)
     }
 
-    /// Does a faulty build behave as its fault makes it?
+    /// Returns whether these beliefs of a faulty build show its fault.
     fn shows_fault(&self, switch: &str, real: &Beliefs) -> bool {
         match switch {
             NEVER_SUSPECTS => self.detected_by == 0,
@@ -96,10 +98,10 @@
     }
 }
 
-/// Plays the drill with some builds, one after the other.
+/// Plays the drill with each of these builds, one after the other.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn play_builds(
     switches: &[Option<&'static str>],
     programs: Programs<'_>,
@@ -131,7 +133,7 @@
     }
 }
 
-/// Requires that the real build detects the kill for good, and that each faulty build shows its fault.
+/// Requires that the real build detects the kill and does not revoke it, and that each faulty build shows its fault.
 pub fn require_faults_shown(table: &mut Table, builds: &[Beliefs]) {
     let Some(real) = builds.iter().find(|build| build.switch.is_none()) else { return };
     let holds = real.detected_by == SURVIVORS && real.returns == 0 && real.all_count(SURVIVORS);
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
@@ -1,5 +1,5 @@
-//! One faulty router among healthy ones: the history checker must find the rule that it breaks in the joint history of all
-//! routers.
+//! Drills with one faulty router among healthy ones. The history checker must find the rule that the faulty router breaks in
+//! the joint history of all routers.
 
 use crate::drill::play::{DrillRecord, Programs, play};
 use crate::drill::{Drill, FaultEvent};
@@ -15,9 +15,9 @@
 const CLIENTS: usize = 100;
 const LOAD_S: f64 = 2.0;
 const RPCS_PER_SECOND: f64 = 250.0;
-/// A drill with a higher rate needs the machine's cores for itself.
+/// A drill with a higher rate than this needs all cores of the machine for itself.
 const MAX_PARALLEL_RPCS_PER_SECOND: f64 = 1000.0;
-/// When rules of the fault tool begin to act.
+/// When rules of the fault tool begin to act, in seconds of the load.
 const RULE_AT_S: f64 = 0.2;
 
 const DRAINED_MEMBER: u32 = 1;
@@ -30,8 +30,8 @@
 const COLD_CAPACITY_RPCS_PER_SECOND: f64 = 640.0;
 const COLD_PHASE: Phase = Phase { seconds: 1.5, rate_per_second: 2600.0 };
 const COLD_CLIENTS: usize = 400;
-/// Idle time before the load, which then falls late in the warm-up: there the attempts of the healthy routers weigh as much
-/// as those of the faulty one.
+/// The idle time before the load. It moves the load to a late part of the warm-up, where the attempts of the healthy routers
+/// weigh as much as those of the faulty one.
 const COLD_IDLE_S: f64 = 5.0;
 /// The rule that cold members are not overloaded.
 const COLD_MEMBER_RULE: u8 = 4;
@@ -39,14 +39,14 @@
 const LAGGING_LOG_MS: f64 = 3000.0;
 const LAGGING_MAX_READ_AGE_MS: f64 = 200.0;
 
-/// A faulty router, the drill that shows its fault, and the rule that it breaks.
+/// A faulty router, the drill that shows its fault, and the rule that the router breaks.
 pub struct FaultyRouterCase {
     rule: u8,
     switch: &'static str,
     drill: Drill,
 }
 
-/// The drill with healthy routers alone, and with one that is faulty.
+/// The records of a case's drill with healthy routers alone, and with one faulty router.
 pub struct FaultyRouterRecords {
     rule: u8,
     switch: &'static str,
@@ -58,7 +58,7 @@
     /// Plays both drills, one after the other.
     ///
     /// # Errors
-    /// If a drill can't be played.
+    /// Returns an error if a drill can't be played.
     pub fn play(self, programs: Programs<'_>, seed: u64) -> io::Result<FaultyRouterRecords> {
         let healthy = play(&self.drill, programs, seed)?;
         let faulty = BTreeMap::from([(FAULTY_ROUTER.to_owned(), self.switch.to_owned())]);
@@ -66,13 +66,13 @@
         Ok(FaultyRouterRecords { rule: self.rule, switch: self.switch, healthy, faulty })
     }
 
-    /// Does the drill need the machine's cores for itself?
+    /// Returns whether the drill needs all cores of the machine for itself.
     pub fn needs_all_cores(&self) -> bool {
         self.drill.phases.iter().any(|phase| phase.rate_per_second > MAX_PARALLEL_RPCS_PER_SECOND)
     }
 }
 
-/// One fault for each rule.
+/// Returns a case with a faulty router for each rule.
 pub fn faulty_router_cases() -> Vec<FaultyRouterCase> {
     vec![
         FaultyRouterCase { rule: 1, switch: "answers-late", drill: late_answers_drill() },
@@ -98,7 +98,7 @@
     FaultEvent { at: RULE_AT_S, rule: Some(rule), ..FaultEvent::default() }
 }
 
-/// Members answer the faulty router after the deadline.
+/// Returns a drill in which members answer the faulty router after the deadline.
 fn late_answers_drill() -> Drill {
     let late = |member: u32| {
         rule_event(&format!(
@@ -108,7 +108,7 @@
     Drill { events: (0..3).map(late).collect(), ..base_drill() }
 }
 
-/// The faulty router's connection ends after a write was executed and before its answer comes.
+/// Returns a drill in which connections of the faulty router end after a write was executed and before its answer arrives.
 fn lost_answers_drill() -> Drill {
     let lost = rule_event(
         "{name: lost, link: r1>member-0, when: {message: CommandComplete, holds: INSERT, nth: 3}, do: {half_close: {side: server}}, times: 3}",
@@ -116,7 +116,7 @@
     Drill { events: vec![lost], ..base_drill() }
 }
 
-/// A replica drains while reads go to all members, as they accept data of any age.
+/// Returns a drill in which a replica drains while reads go to all members, because the reads accept data of any age.
 fn drain_drill() -> Drill {
     let mut scenario = Scenario::default();
     scenario.methods[0].max_age_ms = None;
@@ -124,8 +124,8 @@
     Drill { events: vec![drain], phases: vec![DRAIN_PHASE], clients: DRAIN_CLIENTS, scenario, ..base_drill() }
 }
 
-/// The faulty router sends a cold member two thirds of its capacity, and the healthy ones send their quotas. There are many
-/// RPCs, so that chance in their number can't decide the result.
+/// Returns a drill in which the faulty router sends a cold member two thirds of its capacity, and the healthy routers send
+/// their quotas. The load has so many RPCs that chance in their number can't decide the result.
 fn cold_member_drill() -> Drill {
     let scenario = Scenario { cold: vec![COLD_MEMBER], overload_ms: COLD_OVERLOAD_MS, ..Scenario::default() };
     Drill {
@@ -138,16 +138,16 @@
     }
 }
 
-/// Replicas lag behind what reads allow. Routers are not peers: gossip of the healthy ones about a replica's lag would make
-/// the faulty one send reads to the primary.
+/// Returns a drill in which replicas lag further behind than reads allow. The routers are not peers, because gossip of the
+/// healthy ones about a replica's lag would make the faulty one send reads to the primary.
 fn lagging_replicas_drill() -> Drill {
     let mut scenario = Scenario { log_ms: LAGGING_LOG_MS, ..Scenario::default() };
     scenario.methods[0].max_age_ms = Some(LAGGING_MAX_READ_AGE_MS);
     Drill { scenario, peers: false, ..base_drill() }
 }
 
-/// Requires that the checker finds each fault, and nothing among healthy routers. What overloads a cold member must not be
-/// found in the attempts of any router alone.
+/// Requires that the checker finds the rule that each faulty router breaks, and no violation among healthy routers. For the
+/// rule on cold members, the attempts of each router alone must have no violation, so that only the joint history shows it.
 pub fn require_violations_found(table: &mut Table, records: &[FaultyRouterRecords]) {
     for FaultyRouterRecords { rule, switch, healthy, faulty } in records {
         let (healthy_rules, faulty_rules) = (broken_rules(healthy), broken_rules(faulty));
@@ -163,7 +163,7 @@
     }
 }
 
-/// The rules that a history violates, in order.
+/// Returns the numbers of the rules that a history violates, in ascending order.
 fn broken_rules(record: &DrillRecord) -> Vec<u8> {
     let mut rules: Vec<u8> = record.violations.iter().map(|violation| violation.rule).collect();
     rules.sort_unstable();
--- a/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks of members after a third of the routers was killed: the schedule that routers share must pass to the
-//! others.
+//! Health checks of members after a third of the routers was killed. The surviving routers must take over the killed
+//! routers' share of the health checks.
 
 use super::views::{detection_delays_s, load_seconds};
 use crate::drill::play::{DrillRecord, Programs, play};
@@ -17,38 +17,40 @@
 const KILLED_ROUTERS: [usize; 3] = [0, 3, 6];
 const KILL_AT_S: f64 = 1.0;
 const CLIENTS: usize = 30;
-/// Few RPCs, so that load reports in answers don't replace health checks.
+/// The rate is low, so that load reports in answers don't replace health checks.
 const RPCS_PER_SECOND: f64 = 4.0;
 const MAX_READ_AGE_MS: f64 = 400.0;
-/// Health checks are counted within this time: the routers have detected the kills by then.
+/// The period in which health checks are counted, in seconds of the load. The routers have detected the kills by its start.
 const COUNTED_S: Range<f64> = 4.0..8.0;
+/// A kill that is not detected within this time counts as not detected.
 const DETECTION_TIMEOUT_S: f64 = 5.0;
-/// Stands for the delay of a router that did not detect a kill.
+/// The detection delay that is assumed for a router that did not detect a kill.
 const UNDETECTED_S: f64 = 8.0;
 const MAX_DETECTION_S: f64 = 4.0;
-/// A round of health checks takes a second, and 50 ms more for each of the nine routers; a round may be late.
+/// A round of health checks takes one second plus 50 ms for each of the nine routers. The limit leaves time for a late
+/// round.
 const MAX_PAUSE_S: f64 = 3.0;
 const MAX_RATE_RATIO_TO_EARLIER: f64 = 1.5;
-/// The faulty build whose routers don't take over the health checks of dead ones.
+/// The fault of routers that don't take over the health checks of dead ones.
 const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
 
-/// The same drill with different programs.
+/// The records of the same drill with different programs.
 pub struct HealthCheckRecords {
     current: DrillRecord,
-    /// With a faulty build that does not pass on the schedule of dead routers.
+    /// The record with a faulty build whose routers don't take over the health checks of dead ones.
     faulty: DrillRecord,
-    /// With the earlier program, if there is one.
+    /// The record with the earlier program, if one is given.
     earlier: Option<DrillRecord>,
 }
 
-/// Which program all routers of the drill run.
+/// The program that all routers of the drill run.
 enum Build {
     Current,
     Faulty(&'static str),
     Earlier,
 }
 
-/// Health checks of one member, on average over the members.
+/// The health checks of a member. The rate is an average over the members, and the pauses are those of all members.
 struct HealthCheckRate {
     per_second: f64,
     mean_pause_s: f64,
@@ -70,7 +72,7 @@
 /// Plays the drill with each program, one after the other.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn play_health_checks(programs: Programs<'_>, seed: u64) -> io::Result<HealthCheckRecords> {
     let current = play(&drill(Build::Current), programs, seed)?;
     let faulty = play(&drill(Build::Faulty(KEEPS_SCHEDULE_OF_DEAD)), programs, seed)?;
@@ -78,7 +80,8 @@
     Ok(HealthCheckRecords { current, faulty, earlier })
 }
 
-/// Reads alone, so that routers check members for their positions; a third of the routers is killed.
+/// Returns a drill in which a third of the routers is killed. Its load has only reads, so that routers check members for
+/// their positions.
 fn drill(build: Build) -> Drill {
     let mut scenario = Scenario::default();
     scenario.methods[0].max_age_ms = Some(MAX_READ_AGE_MS);
@@ -100,7 +103,8 @@
     drill
 }
 
-/// Requires that no rule is broken, and that health checks go on after the kills.
+/// Requires that no rule is broken, that the kills are detected soon, and that health checks go on after the kills without
+/// long pauses and at most 1.5 times as often as with the earlier program.
 pub fn require_health_checks(table: &mut Table, records: &HealthCheckRecords, members: usize) {
     require_no_violations(table, "a third of nine killed", &records.current);
     let detection_s = slowest_detection_s(&records.current);
@@ -121,7 +125,7 @@
     }
 }
 
-/// When the last running router knew of the last kill, in seconds from the kill.
+/// Returns the longest time that a running router took to detect a kill, in seconds.
 fn slowest_detection_s(record: &DrillRecord) -> f64 {
     let delays = KILLED_ROUTERS
         .iter()
--- a/crates/ladderpass-testbed/src/prove/membership/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/mod.rs
@@ -1,5 +1,6 @@
-//! Proof of the membership protocol: routers detect failures of each other and nothing else, take over the health checks of
-//! dead routers, and send no more when there are more of them. Faulty builds must be told apart from the real one.
+//! Proof of the membership protocol. Routers detect each other's failures without long false alarms, take over the health
+//! checks of dead routers, and each sends hardly more datagrams and bytes when there are more routers. Faulty builds must be
+//! distinguished from the real one.
 
 mod datagram_rules;
 mod detection;
@@ -22,7 +23,7 @@
 use std::io;
 use std::path::Path;
 
-/// Routers of the traffic measurement have no operator's file beside their peers.
+/// Routers of the traffic measurement have nothing in the operator's file but `peers`.
 const NO_OPERATOR: &str = "";
 
 /// The records of all drills.
@@ -37,7 +38,7 @@
 /// Runs the proof, prints its table, and writes the drill's records and charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If a drill can't be played, or a file can't be written.
+/// Returns an error if a drill can't be played, or a file can't be written.
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("membership");
     if !table.require_faulty_build(programs) {
@@ -57,7 +58,7 @@
     Ok(table.print())
 }
 
-/// Plays all drills, in parallel where they mostly wait.
+/// Plays all drills. Drills that use little CPU are played in parallel, and those that need all cores one after the other.
 fn measure(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<Measurements> {
     let (heavy, light): (Vec<_>, Vec<_>) =
         faulty_router_cases().into_iter().partition(FaultyRouterCase::needs_all_cores);
--- a/crates/ladderpass-testbed/src/prove/membership/views.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/views.rs
@@ -1,31 +1,33 @@
-//! What routers of a drill believed about each other, by the views that they logged. Times are in seconds from the start of
-//! the load.
+//! Evaluates what the routers of a drill believed about each other, by the views that they logged. Times are in seconds from
+//! the start of the load.
 
 use crate::drill::play::{DrillRecord, RouterView};
 use ladderpass_routing::Time;
 use std::ops::Range;
 
-/// What a view says of a router that is no longer believed to be alive, and of one that is again.
+/// The text of a change in a view for a router that is no longer believed to be alive.
 const DIED: &str = "died";
+/// The text of a change in a view for a router that is believed to be alive again.
 const RETURNED: &str = "is back";
-/// A router counts as absent for this much longer at both ends of an absence.
+/// An absence of a router counts as beginning this much earlier and ending this much later than recorded.
 const ABSENCE_MARGIN_S: f64 = 0.05;
 
-/// How often running routers were believed to be dead.
+/// How often and for how long running routers were believed to be dead.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FalseAlarms {
-    /// How often a router took another one for dead.
+    /// How often a router believed a running one to be dead.
     pub count: usize,
-    /// For how long at most.
+    /// The duration of the longest false alarm.
     pub longest_s: f64,
 }
 
-/// The time of the load.
+/// Converts a time to seconds from the start of the load.
 pub fn load_seconds(record: &DrillRecord, at: Time) -> f64 {
     (at - record.outcome.began).secs()
 }
 
-/// How long after `from_s` each other running router took `router` for dead; None if it did not within `max_s`.
+/// Returns how long after `from_s` each other running router believed `router` to be dead, or None for a router that did not
+/// within `max_s`.
 pub fn detection_delays_s(record: &DrillRecord, router: usize, from_s: f64, max_s: f64) -> Vec<Option<f64>> {
     let is_viewer = |&other: &usize| other != router && is_running(record, other, from_s);
     let delay = |viewer: usize| {
@@ -35,14 +37,14 @@
     (0..record.views.len()).filter(is_viewer).map(delay).collect()
 }
 
-/// How often any router said, after a time, that this one is alive again.
+/// Returns how often any router logged after `after_s` that `router` is alive again.
 pub fn returns_after(record: &DrillRecord, router: usize, after_s: f64) -> usize {
     let returns = |viewer| change_times_s(record, viewer, router, RETURNED);
     (0..record.views.len()).flat_map(returns).filter(|&at_s| at_s > after_s).count()
 }
 
-/// Finds running routers that another running router took for dead within a time. An alarm that was not withdrawn lasts
-/// until `drill_end_s`.
+/// Finds the times in `window` at which a router began to believe a running one to be dead. A false alarm that is not
+/// withdrawn lasts until `drill_end_s`.
 pub fn false_alarms(record: &DrillRecord, window: Range<f64>, drill_end_s: f64) -> FalseAlarms {
     let routers = record.views.len();
     let mut alarms = FalseAlarms::default();
@@ -60,7 +62,7 @@
     alarms
 }
 
-/// By router: how many it believed to be alive at a time.
+/// Returns how many routers each router believed to be alive at a time.
 pub fn live_counts(record: &DrillRecord, at_s: f64) -> Vec<usize> {
     let count = |views: &Vec<RouterView>| {
         let last = views.iter().rev().find(|view| load_seconds(record, view.at) <= at_s);
@@ -69,7 +71,8 @@
     record.views.iter().map(count).collect()
 }
 
-/// How long after `from_s` the last router came to believe that all are alive; None if the last views differ.
+/// Returns how long after `from_s` the last router logged its last view, or None unless all last views are the same and have
+/// all routers alive.
 pub fn agreement_delay_s(record: &DrillRecord, from_s: f64) -> Option<f64> {
     let last: Vec<&RouterView> = record.views.iter().map(|views| views.last()).collect::<Option<_>>()?;
     let digest = last.first()?.digest;
@@ -77,7 +80,7 @@
     agree.then(|| last.iter().map(|view| load_seconds(record, view.at) - from_s).fold(0.0, f64::max))
 }
 
-/// When a router logged a change of another one.
+/// Returns when `viewer` logged a change of `router`.
 fn change_times_s(
     record: &DrillRecord,
     viewer: usize,
@@ -92,7 +95,7 @@
     views.filter(has_change).map(|view| load_seconds(record, view.at))
 }
 
-/// Was a router neither killed nor frozen at a time?
+/// Returns whether a router was neither killed nor frozen at a time.
 fn is_running(record: &DrillRecord, router: usize, at_s: f64) -> bool {
     let mut absences = record.absences.iter().filter(|absence| absence.router == router);
     absences.all(|absence| {
--- a/crates/ladderpass-testbed/src/prove/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/mod.rs
@@ -1,7 +1,7 @@
-//! Proofs: each runs the testbed, compares what it measured with fixed requirements, and prints one table. A proof passes
-//! if every requirement of its table holds.
+//! Proofs. Each proof runs the testbed, compares its measurements with fixed requirements, and prints one table. A proof
+//! passes if every requirement of its table holds.
 //!
-//! Requirements are constants or ratios between runs of the same proof; none depends on the seed.
+//! A requirement is a constant or a ratio between runs of the same proof. No requirement depends on the seed.
 
 pub mod capacity;
 mod checks;
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -1,5 +1,5 @@
-//! The calm load: the highest rate, of a few fractions of what the router serves at most, that it serves without rejections
-//! and with short delays.
+//! The calm load of a router. A few fractions of the highest rate that the router serves are tried, and the calm load is the
+//! highest of them that it serves without rejections and with short delays.
 
 use super::routers::{Routers, WARM_UP_S};
 use crate::load::Phase;
@@ -8,12 +8,14 @@
 use ladderpass_emulator::Scenario;
 use std::io;
 
-/// Fractions of the highest rate that are tried. Three times the first is a little above the highest rate, three times the
-/// last a third above it.
+/// The fractions of the highest rate that are tried. Three times the first one is a little above the highest rate, and three
+/// times the last one is almost a third above it.
 const FRACTIONS: [f64; 3] = [0.35, 0.39, 0.43];
 const LOAD_S: f64 = 0.5;
-/// Of three runs so many must be calm, as another process of the machine may disturb one.
+/// This many of up to three runs at a rate must be calm. One run may fail to be calm, as another process of the machine may
+/// disturb it.
 const REQUIRED_CALM_RUNS: u64 = 2;
+/// The router counts as not calm at a rate once it is not calm in this many runs.
 const DISTURBED_RUNS: u64 = 2;
 const MIN_GOOD_FRACTION: f64 = 0.999;
 const MAX_LOOP_DELAY_P99_MS: f64 = 5.0;
@@ -21,7 +23,7 @@
 /// Requires that there is a calm load. Returns it, in RPCs a second.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub(super) fn require_calm_load(
     table: &mut Table,
     scenario: &Scenario,
@@ -42,7 +44,7 @@
     Ok(calm_rate)
 }
 
-/// Is the router calm at a rate, in two of up to three runs? Reports runs in which it is not.
+/// Returns whether the router is calm at a rate in two of up to three runs. Runs in which it is not calm are reported.
 fn is_calm_at(
     table: &mut Table,
     scenario: &Scenario,
@@ -71,9 +73,9 @@
     Ok(true)
 }
 
-/// Does the router reject nothing, answer in time, and have short delays? The idle part of its core does not tell: with
-/// little load it handles RPCs one by one, which takes twice the CPU time of batches, so that a core can be almost busy at
-/// half of the highest rate.
+/// Returns whether the router answers almost all RPCs ok within their soft deadline and has short loop delays. The idle
+/// fraction of its core is no criterion. Under little load, the router handles RPCs one by one, which takes twice the CPU
+/// time of batches, so that its core can be almost fully busy at half of the highest rate.
 fn is_calm(record: &RunRecord) -> bool {
     let counts = record.counts(WARM_UP_S, WARM_UP_S + LOAD_S);
     counts.good as f64 >= MIN_GOOD_FRACTION * counts.due as f64
@@ -82,7 +84,7 @@
 
 fn describe(record: &RunRecord) -> String {
     let counts = record.counts(WARM_UP_S, WARM_UP_S + LOAD_S);
-    // As if the router had the full rate all the time.
+    // The warm-up has half of the rate, and so counts as half of its time.
     let core_used = record.cpu_seconds / (WARM_UP_S * 0.5 + LOAD_S);
     format!(
         "{} of {} good, loop delay p99 {:.1} ms, CPU {:.0}%",
--- a/crates/ladderpass-testbed/src/prove/overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/cost.rs
@@ -1,4 +1,4 @@
-//! CPU time of an RPC, served or rejected, under clients that send the next RPC once they have an answer.
+//! The CPU time of an RPC, served or rejected, under clients that send the next RPC once they have an answer.
 
 use super::routers::Routers;
 use crate::load::{Arrivals, Plan};
@@ -9,7 +9,7 @@
 use ladderpass_routing::Span;
 use std::io;
 
-/// Comparisons with the earlier program, taken in turns in the same run.
+/// The number of comparisons with the earlier program. In each, the earlier and the current program run one after the other.
 const COMPARISONS: u64 = 2;
 const MAX_COST_RATIO_TO_EARLIER: f64 = 0.65;
 const MAX_REJECTED_WHILE_IDLE: f64 = 0.001;
@@ -21,19 +21,19 @@
 const MANY_CLIENTS: ClosedLoad = ClosedLoad { clients: 1000, pipeline: 1, seconds: 0.6 };
 const PIPELINED: ClosedLoad = ClosedLoad { clients: 200, pipeline: 16, seconds: 0.4 };
 
-/// Clients that each keep a number of RPCs in flight.
+/// A load of clients that each keep a number of RPCs in flight.
 #[derive(Clone, Copy)]
 struct ClosedLoad {
     clients: usize,
-    /// RPCs that each client has in flight.
+    /// The number of RPCs that each client has in flight.
     pipeline: usize,
     seconds: f64,
 }
 
-/// What a closed load measured.
+/// The result of a run with a closed load.
 struct Cost {
     cpu_us_per_rpc: f64,
-    /// Fraction of the RPCs that were rejected.
+    /// The fraction of the RPCs that were rejected.
     rejected: f64,
     rpcs_per_second: f64,
 }
@@ -58,10 +58,11 @@
     }
 }
 
-/// Requires that RPCs cost less than with the earlier program, and that hardly any is rejected while members are idle.
+/// Requires that RPCs cost less CPU time than with the earlier program, and that hardly any RPC is rejected while members
+/// are idle.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub(super) fn require_cost_of_rpcs(
     table: &mut Table,
     scenario: &Scenario,
@@ -105,11 +106,11 @@
     Ok(())
 }
 
-/// Requires that a rejection costs much less than an answer. Returns the highest rate that the router serves, in RPCs a
-/// second.
+/// Requires that a rejected RPC costs much less CPU time than a served one. Returns the highest rate that the router serves,
+/// in RPCs a second.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub(super) fn require_cost_of_rejections(
     table: &mut Table,
     scenario: &Scenario,
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -1,4 +1,4 @@
-//! Goodput by offered load, with overload control and without.
+//! The goodput of a router by offered load, with overload control and without.
 
 use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
 use crate::charts::{self, Line};
@@ -10,15 +10,17 @@
 use std::io;
 use std::path::Path;
 
-/// Multiples of the calm load at which goodput is measured.
+/// The multiples of the calm load at which goodput is measured with overload control.
 const LOAD_FACTORS: [f64; 5] = [0.5, 1.0, 2.0, 3.0, 5.0];
+/// The multiples of the calm load at which goodput is measured without overload control.
 const UNCONTROLLED_LOAD_FACTORS: [f64; 3] = [0.5, 1.0, 5.0];
-/// How long a load lasts before it is measured, and while it is.
+/// How long a load lasts before goodput is measured, in seconds.
 const SETTLE_S: f64 = 0.2;
+/// How long goodput is measured, in seconds.
 const MEASURED_S: f64 = 0.5;
 const MIN_GOODPUT_RATIO_TO_BEST: f64 = 0.9;
 
-/// Utility a second, by multiples of the calm load.
+/// The utility a second by multiples of the calm load, with overload control and without.
 pub(super) struct GoodputCurves {
     controlled: Vec<(f64, f64)>,
     uncontrolled: Vec<(f64, f64)>,
@@ -27,7 +29,7 @@
 /// Measures both curves.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub(super) fn measure_goodput(
     scenario: &Scenario,
     routers: &Routers,
@@ -44,7 +46,7 @@
     })
 }
 
-/// Utility a second at a multiple of the calm load.
+/// Measures the utility a second at a multiple of the calm load.
 fn goodput(scenario: &Scenario, start: &Start, calm_rate: f64, factor: f64, seed: u64) -> io::Result<f64> {
     let rate = calm_rate * factor;
     let phases = [
@@ -58,7 +60,7 @@
 }
 
 impl GoodputCurves {
-    /// Requires that goodput under the highest load is close to the best.
+    /// Requires that the goodput under the highest load is close to the best goodput of any load.
     pub(super) fn require_flat(&self, table: &mut Table) {
         let controlled = last_relative_to_best(&self.controlled);
         let uncontrolled = uncontrolled_text(format!("{:.2}", last_relative_to_best(&self.uncontrolled)));
@@ -73,7 +75,7 @@
     /// Writes the chart of both curves.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// Returns an error if it can't be written.
     pub(super) fn write_chart(&self, out: &Path) -> io::Result<()> {
         let curves = [
             Line::new("watching itself", self.controlled.clone()),
@@ -83,7 +85,7 @@
     }
 }
 
-/// The last value of a curve as a fraction of its greatest one.
+/// Returns the last value of a curve as a fraction of its greatest one.
 fn last_relative_to_best(curve: &[(f64, f64)]) -> f64 {
     let best = curve.iter().map(|(_, goodput)| *goodput).fold(0.0, f64::max);
     curve.last().map_or(0.0, |(_, last)| last / best.max(1e-9))
--- a/crates/ladderpass-testbed/src/prove/overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/mod.rs
@@ -1,5 +1,6 @@
-//! Proof of a router's own overload control: CPU time of RPCs and rejections, and what holds at three and five times the
-//! load that the router serves without rejections.
+//! Proof of a router's own overload control. RPCs and rejections must cost little CPU time. The calm load is a load that the
+//! router serves without rejections. At three times the calm load, delays must be short and clients must get answers in
+//! time. At five times the calm load, goodput must be close to its best.
 
 mod calm_load;
 mod cost;
@@ -16,7 +17,7 @@
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If the emulator, a router or a load can't be started, or a chart can't be written.
+/// Returns an error if the emulator, a router or a load can't be started, or a chart can't be written.
 pub fn prove(binary: &Path, earlier: Option<&Path>, seed: u64, out: &Path) -> io::Result<bool> {
     let scenario = Scenario::default();
     let routers = Routers::new(binary, earlier);
--- a/crates/ladderpass-testbed/src/prove/overload/routers.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/routers.rs
@@ -1,30 +1,32 @@
-//! The routers that the proof compares, by their programs and operator's files.
+//! The routers that the proof compares, which differ in their programs and operator's files.
 
 use crate::router::{self, Start};
 use std::fmt::Display;
 use std::path::Path;
 
-/// Operator's file: overload control with its defaults. Without it a router has none.
+/// Operator's file that switches overload control on with its defaults. Without the file a router has no overload control.
 const OVERLOAD_CONTROL: &str = "log: {figures: 200ms}\noverload: {}\n";
-/// Operator's file: the router rejects all RPCs that it may, so that the cost of rejections can be measured alone.
+/// Operator's file with which the router rejects all RPCs that it may reject, so that the cost of rejections can be measured
+/// alone.
 const REJECT_ALL: &str = "overload:\n  memory: {from: 0.0001, full: 0.0002}\n";
-/// Before each load, the router gets half of the calm load for this time, with all connections open.
+/// How long the warm-up before each open load lasts, in seconds. In it the router gets half of the calm load, or of the rate
+/// that is tried, with all connections open.
 pub const WARM_UP_S: f64 = 0.3;
 
 /// The routers that the proof compares.
 pub struct Routers {
-    /// With overload control.
+    /// The router with overload control.
     pub controlled: Start,
-    /// Without an operator's file.
+    /// The router without an operator's file.
     pub uncontrolled: Start,
-    /// With overload control that rejects all RPCs.
+    /// The router with overload control that rejects all RPCs that it may reject.
     pub rejecting: Start,
-    /// The earlier program, without an operator's file.
+    /// The earlier program without an operator's file, if it is given.
     pub earlier: Option<Start>,
 }
 
 impl Routers {
-    /// The routers by their programs.
+    /// Creates the routers from their programs.
     pub fn new(binary: &Path, earlier: Option<&Path>) -> Routers {
         Routers {
             controlled: start(binary, Some(OVERLOAD_CONTROL)),
@@ -35,13 +37,13 @@
     }
 }
 
-/// A router on the machine's last core: the first one handles most interrupts.
+/// Returns a router that is pinned to the machine's last core, as the first core handles most interrupts.
 fn start(binary: &Path, operator: Option<&str>) -> Start {
     let last_core = router::cores() - 1;
     Start { operator: operator.map(str::to_owned), cpu: Some(last_core), ..Start::new(binary) }
 }
 
-/// Text of a value that was measured without an operator's file, for comparison.
+/// Returns the text of a value that was measured without an operator's file, for comparison.
 pub fn uncontrolled_text(value: impl Display) -> String {
     format!("{value} without the file")
 }
--- a/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -1,4 +1,4 @@
-//! Three times the calm load, and back to it, with overload control and without.
+//! A load that rises to three times the calm load and falls back to it, with overload control and without.
 
 use super::routers::{Routers, WARM_UP_S, uncontrolled_text};
 use crate::charts;
@@ -10,15 +10,20 @@
 use std::io;
 use std::path::Path;
 
-/// Times in seconds of the load: it rises at 1, falls at 3.5, and ends at 6.
+// Times are in seconds of the load.
+
+/// When the load rises to three times the calm load.
 const RISE_S: f64 = 1.0;
+/// When the load falls back to the calm load.
 const FALL_S: f64 = 3.5;
+/// When the load ends.
 const END_S: f64 = 6.0;
 const LOAD_FACTOR: f64 = 3.0;
-/// Delays count from here.
+/// Loop delays are measured from this time on.
 const DELAYS_FROM_S: f64 = 0.5;
-/// The router must have recovered two seconds after the load fell.
+/// The router must have recovered by this time, two seconds after the load fell.
 const RECOVERED_FROM_S: f64 = 5.5;
+/// The recovery is measured until this time.
 const RECOVERED_TO_S: f64 = 5.9;
 
 const MAX_LOOP_DELAY_P999_MS: f64 = 50.0;
@@ -26,19 +31,19 @@
 const MIN_RECOVERED_GOOD: f64 = 0.999;
 const MAX_LEVEL_CHANGES_PER_SECOND: f64 = 3.0;
 const MAX_LOAD_DELAY: Span = Span::from_millis(20);
-/// How long after its deadline an answer may come.
+/// How long after the deadline of its RPC an answer may come.
 const ANSWER_TOLERANCE: Span = Span::from_millis(50);
 
-/// The same load on both routers; that on the uncontrolled one ends before the load falls.
+/// The records of the same load on both routers. On the uncontrolled router, the load ends before it falls.
 pub(super) struct TripleLoad {
     controlled: RunRecord,
     uncontrolled: RunRecord,
 }
 
-/// Runs both loads.
+/// Runs the load on both routers.
 ///
 /// # Errors
-/// If a run can't be started.
+/// Returns an error if a run can't be started.
 pub(super) fn run_triple_load(
     scenario: &Scenario,
     routers: &Routers,
@@ -150,10 +155,10 @@
         table.report("3x: CPU of the router", format!("{cores:.2} of a core; {uncontrolled}"));
     }
 
-    /// Writes charts of the delays, and of the controlled run over time.
+    /// Writes a chart of the loop delays of both runs, and one of the controlled run over time.
     ///
     /// # Errors
-    /// If a chart can't be written.
+    /// Returns an error if a chart can't be written.
     pub(super) fn write_charts(&self, out: &Path, scenario: &Scenario) -> io::Result<()> {
         let controlled = self.controlled.delays(RISE_S, FALL_S);
         let uncontrolled = self.uncontrolled.delays(RISE_S, FALL_S);
@@ -163,13 +168,13 @@
     }
 }
 
-/// Fraction of a method's RPCs that were answered ok.
+/// Returns the fraction of a method's RPCs that were answered ok.
 fn ok_fraction(record: &RunRecord, method: usize) -> f64 {
     let counts = record.outcome.of(method);
     counts.ok as f64 / counts.due.max(1) as f64
 }
 
-/// RPCs that were not answered before their deadline.
+/// Returns the number of RPCs that were not answered before their deadline, or were never sent.
 fn not_answered_in_time(record: &RunRecord) -> u64 {
     let total = record.outcome.total();
     total.late + total.unanswered + total.unsent
--- a/crates/ladderpass-testbed/src/prove/parallel.rs
+++ b/crates/ladderpass-testbed/src/prove/parallel.rs
@@ -1,14 +1,14 @@
-//! Runs drills of a proof in parallel.
+//! Plays drills of a proof in parallel.
 
 use crate::drill::Drill;
 use crate::drill::play::{DrillRecord, Programs, play};
 use std::io;
 use std::thread::{ScopedJoinHandle, scope};
 
-/// Plays drills that are compared with each other at the same time, so that other load on the machine affects all of them.
+/// Plays drills at the same time, so that other load on the machine affects all of them. Their records can then be compared.
 ///
 /// # Errors
-/// If a drill can't be played.
+/// Returns an error if a drill can't be played.
 pub fn play_in_parallel<const N: usize>(
     drills: [&Drill; N],
     programs: Programs<'_>,
@@ -24,7 +24,7 @@
 /// Waits for a thread of a proof and returns its result.
 ///
 /// # Errors
-/// If the thread returned an error, or panicked.
+/// Returns the error of the thread, or an error if the thread panicked.
 pub fn join<T>(thread: ScopedJoinHandle<'_, io::Result<T>>) -> io::Result<T> {
     thread.join().unwrap_or_else(|_| Err(io::Error::other("a thread of the proof panicked")))
 }
--- a/crates/ladderpass-testbed/src/prove/scenarios.rs
+++ b/crates/ladderpass-testbed/src/prove/scenarios.rs
@@ -1,43 +1,43 @@
-//! Parts of drills that several proofs share: members under overload, faulty routers, times of faults.
+//! Parts of drills that several proofs share: members under overload, faulty routers and times of faults.
 
 use ladderpass_emulator::Scenario;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Routers of the drills on admission control and retry budgets.
+/// The number of routers in the drills on admission control and retry budgets.
 pub const FLEET_ROUTERS: usize = 8;
 
-/// Operator's file: each router sheds load by itself.
+/// Operator's file with which each router sheds load by itself.
 pub const SEPARATE_ADMISSION: &str = "log: {figures: 250ms}";
-/// Operator's file: routers share admission control.
+/// Operator's file with which routers share admission control.
 pub const SHARED_ADMISSION: &str = "fleet: {sheds: true}\nlog: {figures: 250ms}";
-/// Operator's file: routers share admission control and retry budgets.
+/// Operator's file with which routers share admission control and retry budgets.
 pub const SHARED_ADMISSION_AND_BUDGETS: &str = "fleet: {sheds: true, budgets: true}\nlog: {figures: 250ms}";
-/// How often these routers log their metrics, in seconds.
+/// The interval at which routers with these operator's files log their metrics, in seconds.
 pub const METRICS_INTERVAL_S: f64 = 0.25;
 
-/// Mean work of an RPC of [`overloaded_scenario`], in milliseconds.
+/// The mean work of an RPC of [`overloaded_scenario`], in milliseconds.
 const WORK_MS: f64 = 20.0;
 const VALUE_BYTES: usize = 16;
 
-/// When a fault acts, in seconds from the start of the load.
+/// The period in which a fault acts. Times are in seconds from the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// Its start.
+    /// When the fault starts.
     pub at_s: f64,
-    /// How long it lasts.
+    /// How long the fault lasts, in seconds.
     pub lasts_s: f64,
 }
 
 impl FaultWindow {
-    /// Its end.
+    /// Returns when the fault ends.
     pub fn end_s(&self) -> f64 {
         self.at_s + self.lasts_s
     }
 }
 
-/// Three members that work on two RPCs at a time, 20 ms each on average: they can serve 300 RPCs a second. `shares` are the
-/// fractions of reads and writes.
+/// Returns a scenario of three members that each work on two RPCs at a time. An RPC takes 20 ms on average, so that the
+/// members together can serve 300 RPCs a second. `shares` are the fractions of reads and writes.
 pub fn overloaded_scenario(shares: [f64; 2]) -> Scenario {
     let mut scenario = Scenario { cores: 2, ..Scenario::default() };
     for (method, share) in scenario.methods.iter_mut().zip(shares) {
@@ -46,17 +46,17 @@
     scenario
 }
 
-/// Names as a drill has them.
+/// Converts names to the owned strings that drills contain.
 pub fn owned_names(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// Names of routers by their numbers.
+/// Returns the names of the routers with these numbers.
 pub fn router_names(routers: Range<usize>) -> Vec<String> {
     routers.map(|router| format!("r{router}")).collect()
 }
 
-/// Routers that all run with the same fault switched on.
+/// Returns the value of [`Drill::faulty`](crate::drill::Drill::faulty) that switches the same fault on in all these routers.
 pub fn faulty_routers(routers: Range<usize>, switch: &str) -> BTreeMap<String, String> {
     router_names(routers).into_iter().map(|name| (name, switch.to_owned())).collect()
 }
--- a/crates/ladderpass-testbed/src/prove/table.rs
+++ b/crates/ladderpass-testbed/src/prove/table.rs
@@ -1,24 +1,24 @@
-//! The table of a proof: one row for each measurement, with what is required of it.
+//! The table of a proof, with one row for each measurement and its requirement.
 
 use crate::drill::play::Programs;
 use std::fmt;
 use std::time::Instant;
 
-/// Minimum widths of the last two columns, in characters.
+/// Minimum widths of the columns of requirements and measurements, in characters.
 const REQUIREMENT_WIDTH: usize = 24;
 const MEASURED_WIDTH: usize = 44;
 
-/// One measurement.
+/// One measurement of a proof.
 struct Row {
     label: String,
-    /// Empty if nothing is required.
+    /// The text of the requirement. It is empty if nothing is required.
     requirement: String,
     measured: String,
-    /// Does the requirement hold? None if nothing is required.
+    /// Whether the requirement holds. It is None if nothing is required.
     holds: Option<bool>,
 }
 
-/// Measurements of a proof and their requirements.
+/// The measurements of a proof and their requirements.
 pub struct Table {
     name: &'static str,
     rows: Vec<Row>,
@@ -26,7 +26,7 @@
 }
 
 impl Table {
-    /// An empty table. The proof's duration counts from here.
+    /// Creates an empty table. The duration that the table prints counts from this call.
     pub fn new(name: &'static str) -> Table {
         Table { name, rows: Vec::new(), started: Instant::now() }
     }
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Adds a measurement for information, without a requirement.
+    /// Adds a measurement without a requirement, for information.
     pub fn report(&mut self, label: impl Into<String>, measured: impl Into<String>) {
         self.rows.push(Row {
             label: label.into(),
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Adds a failed requirement if there is no router with switchable faults. Returns whether there is one.
+    /// Adds a failed requirement if no build of the router with switchable faults is given. Returns whether one is given.
     pub fn require_faulty_build(&mut self, programs: Programs<'_>) -> bool {
         if programs.faulty.is_none() {
             self.require("faulty builds", "told apart", "no --faulty router", false);
--- a/crates/ladderpass-testbed/src/prove/traffic.rs
+++ b/crates/ladderpass-testbed/src/prove/traffic.rs
@@ -1,4 +1,4 @@
-//! Traffic among routers: datagrams and bytes a second, by the number of routers.
+//! Traffic among routers in datagrams and bytes a second, by the number of routers.
 
 use super::Table;
 use super::checks::is_flat;
@@ -9,16 +9,16 @@
 use ladderpass_fault_injection::TrafficCounts;
 use std::io;
 
-/// Numbers of routers for which traffic is measured.
+/// The numbers of routers for which traffic is measured.
 pub const FLEET_SIZES: [usize; 4] = [4, 8, 16, 32];
 
-/// The load of these measurements, which is the same for all numbers of routers.
+/// The idle time and the load of these measurements, which are the same for all numbers of routers.
 const IDLE_S: f64 = 2.0;
 const LOAD_S: f64 = 3.0;
 const LOAD_RPCS_PER_SECOND: f64 = 100.0;
 const CLIENTS: usize = 40;
 
-/// The traffic of a router in a drill.
+/// Returns the mean traffic that a router of a drill sends during the load.
 pub fn traffic_of_drill(drill: &Drill, record: &DrillRecord) -> Traffic {
     let per_second = |of: fn(&TrafficCounts) -> u64| {
         let sum: u64 = record.sent.iter().map(|sent| of(&sent.after) - of(&sent.before)).sum();
@@ -30,19 +30,19 @@
     }
 }
 
-/// The traffic of a router among a number of routers.
+/// The traffic of a router that runs among a number of routers.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficOfSize {
-    /// How many routers there are.
+    /// The number of routers, including this one.
     pub routers: usize,
-    /// What one of them sent.
+    /// The mean traffic that one router sends.
     pub traffic: Traffic,
 }
 
 /// Measures the traffic among routers that run with an operator's file.
 ///
 /// # Errors
-/// If the drill can't be played.
+/// Returns an error if the drill can't be played.
 pub fn measure_traffic(
     programs: Programs<'_>,
     routers: usize,
