--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -1,6 +1,7 @@
-//! Proof of shared admission control: routers with uneven loads of 2.5 times the members' capacity serve almost the utility
-//! that a single router with full knowledge would, also through kills, a split and clock offsets. Faulty builds must be told
-//! apart, and RPCs and traffic must hardly cost more.
+//! Proof of shared admission control. Routers with uneven loads of 2.5 times the members' capacity serve almost the utility
+//! that a single router with full knowledge would serve, also through kills, a split and clock offsets. Faulty builds must
+//! be distinguished from healthy ones. RPCs must cost little more CPU time, and a router's traffic must not grow with the
+//! number of routers.
 
 mod cost;
 mod drills;
@@ -11,26 +12,28 @@
 use super::Table;
 use super::checks::require_no_violations;
 use super::parallel::join;
-use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHED_TOGETHER, router_names};
+use super::scenarios::{FLEET_ROUTERS, METRICS_INTERVAL_S, SHARED_ADMISSION, router_names};
 use super::traffic::{FLEET_SIZES, TrafficOfSize, measure_traffic, require_flat_traffic};
 use crate::charts::{self, Line};
 use crate::drill::play::{DrillRecord, Programs};
 use drills::{DRILL_END_S, FAILURE_DRILL_END_S, SHORT_DRILL_END_S, SPLIT};
 use drills::{clocks_apart, separate_admission, shared_admission};
 use faulty_builds::require_faults_shown;
-use measures::{ServedWrites, logged_values, served_writes, utility, utility_of_single_router};
+use measures::{ServedWrites, logged_values, served_writes, utility, utility_relative_to_single_router};
 use records::{OverloadRecords, play_drills};
 use std::io;
 use std::ops::Range;
 use std::path::Path;
 
-/// Times in seconds of the load. The end of a load is left out: members that no other client uses get its last RPCs, which
-/// is no longer overload.
+// Periods of the loads, in seconds.
+
+/// The period of overload. The end of the load is left out, because the members serve its last RPCs without competing ones,
+/// which is no longer overload.
 const OVERLOAD_S: Range<f64> = 0.0..DRILL_END_S - 0.6;
 const SPLIT_END_S: f64 = SPLIT.at_s + SPLIT.lasts_s;
-/// From two seconds after the start of the split.
+/// The part of the split that begins two seconds after its start.
 const DURING_SPLIT_S: Range<f64> = SPLIT.at_s + 2.0..SPLIT_END_S;
-/// From two seconds after its end.
+/// The period that begins two seconds after the end of the split.
 const AFTER_SPLIT_S: Range<f64> = SPLIT_END_S + 2.0..FAILURE_DRILL_END_S - 0.5;
 const CLOCKS_APART_S: Range<f64> = 2.0..SHORT_DRILL_END_S;
 
@@ -44,7 +47,7 @@
 /// Runs the proof, prints its table, and writes charts to `out`. Returns whether it passes.
 ///
 /// # Errors
-/// If a drill can't be played, or a chart can't be written.
+/// Returns an error if a drill can't be played, or a chart can't be written.
 pub fn prove(programs: Programs<'_>, seed: u64, out: &Path) -> io::Result<bool> {
     let mut table = Table::new("fleet-overload");
     if !table.require_faulty_build(programs) {
@@ -63,11 +66,11 @@
     Ok(table.print())
 }
 
-/// Measures all numbers of routers in parallel.
+/// Measures the traffic among all numbers of routers in parallel.
 fn measure_traffic_of_sizes(programs: Programs<'_>, seed: u64) -> io::Result<Vec<TrafficOfSize>> {
     std::thread::scope(|scope| {
         let threads = FLEET_SIZES
-            .map(|routers| scope.spawn(move || measure_traffic(programs, routers, SHED_TOGETHER, seed)));
+            .map(|routers| scope.spawn(move || measure_traffic(programs, routers, SHARED_ADMISSION, seed)));
         threads.into_iter().map(join).collect()
     })
 }
@@ -100,10 +103,10 @@
 fn require_utility_through_failures(table: &mut Table, records: &OverloadRecords) {
     let OverloadRecords { single, failures, .. } = records;
     require_no_violations(table, "a third killed, a split", failures);
-    let after = utility_of_single_router(failures, single, AFTER_SPLIT_S);
+    let after = utility_relative_to_single_router(failures, single, AFTER_SPLIT_S);
     let holds = after >= MIN_UTILITY;
     table.require("utility 2 s after the last fault", "at least 0.95", format!("{after:.3}"), holds);
-    let during = utility_of_single_router(failures, single, DURING_SPLIT_S);
+    let during = utility_relative_to_single_router(failures, single, DURING_SPLIT_S);
     let holds = during >= MIN_UTILITY_DURING_SPLIT;
     table.require("  in the split, from its 2nd second on", "at least 0.9", format!("{during:.3}"), holds);
 }
@@ -112,7 +115,7 @@
     let record = &records.clocks_apart;
     require_no_violations(table, "clocks 200 ms apart, one without words", record);
     let ServedWrites { of_all: writes, .. } = served_writes(&clocks_apart(programs), record);
-    let utility = utility_of_single_router(record, &records.single, CLOCKS_APART_S);
+    let utility = utility_relative_to_single_router(record, &records.single, CLOCKS_APART_S);
     let holds = utility >= MIN_UTILITY_WITH_CLOCKS_APART && writes >= MIN_SERVED_WRITES_WITH_CLOCKS_APART;
     let served = format!("utility {utility:.3}, writes {writes:.3}");
     table.require("  served", "at least 0.85 and 0.95", served, holds);
@@ -140,7 +143,7 @@
     charts::lines(&out.join("floors.svg"), "Floor of each router", axes, &thresholds, false)
 }
 
-/// A router's admission threshold over seconds of its log.
+/// Returns a router's admission threshold over the seconds of its log.
 fn admission_thresholds(record: &DrillRecord, router: usize) -> Vec<(f64, f64)> {
     let values = logged_values(record, router, "threshold").into_iter().enumerate();
     values.map(|(index, threshold)| (index as f64 * METRICS_INTERVAL_S, threshold)).collect()
