--- a/crates/ladderpass-testbed/src/drill/event.rs
+++ b/crates/ladderpass-testbed/src/drill/event.rs
@@ -83,7 +83,7 @@
     }
 
     /// Can it have an end?
-    pub(super) fn may_last(&self) -> bool {
+    pub(super) fn can_end(&self) -> bool {
         !self.freeze.is_empty()
             || !self.split.is_empty()
             || !self.cut.is_empty()
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -166,7 +166,7 @@
         if !(0.0..=load_s).contains(&at) || !(0.0..=load_s).contains(&lasts) {
             return Err(FaultEventError::OutsideLoad { at, lasts, load_s });
         }
-        if lasts > 0.0 && !event.may_last() {
+        if lasts > 0.0 && !event.can_end() {
             return Err(FaultEventError::NoEnd { name });
         }
         let routers = [&event.kill, &event.freeze, &event.term, &event.hup, &event.start, &event.mute];
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -51,7 +51,7 @@
     let settled = testbed.wait_until_settled()?;
     std::thread::sleep(Duration::from_secs_f64(drill.idle_s));
     let sent_before = testbed.datagrams_sent();
-    testbed.note_cpu_before_load();
+    testbed.record_cpu_before_load();
     let outcomes = run_loads_and_events(&mut testbed, on_progress)?;
     std::thread::sleep(LOG_FLUSH_WAIT);
     let sent = sent_before.into_iter().zip(testbed.datagrams_sent());
@@ -88,9 +88,10 @@
     let members = &testbed.emulator.addresses;
     let direct_balancer = &LoadBalancer { routers: members.clone(), ..LoadBalancer::single(members[0]) };
     let (outcome, direct, events) = std::thread::scope(|scope| {
-        let direct = (drill.direct_rpcs_per_second > 0.0)
-            .then(|| scope.spawn(move || load::run_before(scenario, direct_balancer, direct_plan, |_| {})));
-        let load = scope.spawn(move || load::run_before(scenario, balancer, plan, on_progress));
+        let direct = (drill.direct_rpcs_per_second > 0.0).then(|| {
+            scope.spawn(move || load::run_with_balancer(scenario, direct_balancer, direct_plan, |_| {}))
+        });
+        let load = scope.spawn(move || load::run_with_balancer(scenario, balancer, plan, on_progress));
         let events = testbed.run_events(&load, &stop);
         stop.fetch_or(events.is_err(), Ordering::Relaxed);
         let outcome = load.join().unwrap_or_else(|_| Err(io::Error::other("the load failed")));
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -65,7 +65,7 @@
 }
 
 /// How the routers' processes came through the load.
-struct RouterEnds {
+struct RouterResults {
     /// By router: CPU seconds over the load.
     cpu_seconds: Vec<f64>,
     /// By router: it still ran.
@@ -81,7 +81,7 @@
         settled: Option<Span>,
         sent: Vec<RouterTraffic>,
     ) -> DrillRecord {
-        let RouterEnds { cpu_seconds, alive, failures } = self.stop_routers();
+        let RouterResults { cpu_seconds, alive, failures } = self.stop_routers();
         self.stop_cpu_hogs();
         let mesh = self.router_links.datagrams.as_ref();
         let datagram_hits = mesh.map_or(Vec::new(), |mesh| mesh.hits());
@@ -132,7 +132,7 @@
         }
     }
 
-    fn stop_routers(&mut self) -> RouterEnds {
+    fn stop_routers(&mut self) -> RouterResults {
         let (mut cpu_seconds, mut alive, mut failures) = (Vec::new(), Vec::new(), Vec::new());
         for router in 0..self.drill.routers {
             let ended = self.routers[router].as_mut().and_then(Router::ended);
@@ -149,7 +149,7 @@
         }
         let panics = self.logs.iter().flatten().filter(|line| line.contains("panicked"));
         failures.extend(panics.take(MAX_PANIC_LINES).cloned());
-        RouterEnds { cpu_seconds, alive, failures }
+        RouterResults { cpu_seconds, alive, failures }
     }
 
     /// The links to members, by number in the fault tool. Each router has a link to each member, and then one to discovery.
--- a/crates/ladderpass-testbed/src/drill/play/start.rs
+++ b/crates/ladderpass-testbed/src/drill/play/start.rs
@@ -21,7 +21,7 @@
 }
 
 /// How one router is started. `advertised` are the addresses at which routers send datagrams to each other.
-pub(super) fn start_of(
+pub(super) fn router_start(
     drill: &Drill,
     programs: Programs<'_>,
     router: usize,
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -1,7 +1,7 @@
 //! The processes of a drill: emulator, fault tools and routers; which routers are absent, and since when.
 
 use super::interrupt::check_interrupted;
-use super::start::{Programs, start_of};
+use super::start::{Programs, router_start};
 use super::view::{RouterView, parse_view};
 use crate::drill::{Drill, LoggedEvent};
 use crate::history_checker::{Absence, DrainNotice};
@@ -22,7 +22,7 @@
 /// How often the drill checks the time, its routers' views and ctrl-C.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// The longest wait for routers that can't or needn't agree on a view, in seconds.
-const MAX_BLIND_SETTLE_S: f64 = 2.0;
+const MAX_UNVERIFIED_SETTLE_S: f64 = 2.0;
 /// Seeds of the routers' settings begin here, above the drill's own.
 const ROUTER_SEED_OFFSET: u64 = 1000;
 
@@ -77,7 +77,7 @@
             discoveries.extend_from_slice(discovery);
         }
         let starts = (0..drill.routers)
-            .map(|router| start_of(drill, programs, router, addresses[router], &advertised))
+            .map(|router| router_start(drill, programs, router, addresses[router], &advertised))
             .collect::<io::Result<Vec<_>>>()?;
         let mut testbed = DrillTestbed {
             drill,
@@ -124,16 +124,16 @@
     /// Waits until all routers have the same view of all of them. Returns how long that took, or none if it did not
     /// happen in time or is not to be expected.
     pub fn wait_until_settled(&self) -> io::Result<Option<Span>> {
-        let are_alike = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
-        if !self.drill.peers || !are_alike {
-            std::thread::sleep(Duration::from_secs_f64(self.drill.max_settle_s.min(MAX_BLIND_SETTLE_S)));
+        let views_are_comparable = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
+        if !self.drill.peers || !views_are_comparable {
+            std::thread::sleep(Duration::from_secs_f64(self.drill.max_settle_s.min(MAX_UNVERIFIED_SETTLE_S)));
             return Ok(None);
         }
         let began = Instant::now();
         let max_wait = Duration::from_secs_f64(self.drill.max_settle_s);
         while began.elapsed() < max_wait {
             check_interrupted()?;
-            if self.have_same_view() {
+            if self.views_agree() {
                 return Ok(Some(Span::from_nanos(began.elapsed().as_nanos() as i64)));
             }
             std::thread::sleep(CHECK_INTERVAL);
@@ -142,7 +142,7 @@
     }
 
     /// Is the last view of each router the same, with all routers in it?
-    fn have_same_view(&self) -> bool {
+    fn views_agree(&self) -> bool {
         let last_view = |router: &Router| router.log().iter().rev().find_map(|line| parse_view(line));
         let views: Vec<Option<RouterView>> =
             self.routers.iter().map(|router| router.as_ref().and_then(last_view)).collect();
@@ -159,7 +159,7 @@
     }
 
     /// Notes the CPU time that each router has used so far.
-    pub fn note_cpu_before_load(&mut self) {
+    pub fn record_cpu_before_load(&mut self) {
         for (before, router) in self.cpu_before.iter_mut().zip(&self.routers) {
             *before = router.as_ref().map_or(0.0, |router| router.resource_usage().cpu_seconds);
         }
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -43,12 +43,12 @@
                 counts.unanswered += 1;
                 continue;
             };
-            let good_until = entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3);
+            let soft_deadline = entry.sent + Span::from_secs_f64(soft_deadline_ms / 1e3);
             match answered.answer {
                 _ if answered.at > entry.deadline + grace => counts.late += 1,
                 Answer::Ok => {
                     counts.ok += 1;
-                    counts.good += u64::from(answered.at <= good_until);
+                    counts.good += u64::from(answered.at <= soft_deadline);
                 }
                 Answer::Rejected => counts.rejected += 1,
                 Answer::Failed => counts.aborted += 1,
@@ -73,8 +73,8 @@
     /// Attempts a second that a member ran, over seconds.
     pub fn attempt_rate(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
-        for ran in self.execution_log.executions.iter().filter(|ran| ran.member == member) {
-            let index = (secs(self, ran.at) * SLICES_PER_SECOND).floor();
+        for execution in self.execution_log.executions.iter().filter(|execution| execution.member == member) {
+            let index = (secs(self, execution.at) * SLICES_PER_SECOND).floor();
             if index >= 0.0
                 && let Some(slice) = slices.get_mut(index as usize)
             {
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// How long after an absence a router may still answer late.
-const AFTER_ABSENCE: Span = Span::from_millis(200);
+const ABSENCE_RECOVERY_TIME: Span = Span::from_millis(200);
 /// The history ends this long after the last deadline, so that every RPC has had its time.
 const END_AFTER_LAST_DEADLINE: Span = Span::from_millis(10_000);
 /// The rule of wrong answers to writes.
@@ -60,7 +60,7 @@
             let applies = !absence.planned || entry.sent >= absence.from;
             absence.router == entry.router
                 && absence.from <= waited_until
-                && entry.sent <= absence.to + AFTER_ABSENCE
+                && entry.sent <= absence.to + ABSENCE_RECOVERY_TIME
                 && applies
         })
     }
@@ -155,14 +155,14 @@
     /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
     pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
         let executions = self.execution_log.executions.iter();
-        let ran_at: BTreeMap<u64, u32> = executions
+        let executing_member: BTreeMap<u64, u32> = executions
             .filter_map(|execution| Some((self.rpc_number(&execution.id)?, execution.member)))
             .collect();
         let mut violations = Vec::new();
         for entry in self.journal {
             let is_write = self.scenario.methods.get(entry.method).is_some_and(|method| method.writes);
             let Some(answered) = entry.answered.filter(|_| is_write) else { continue };
-            let (rpc, member) = (entry.number, ran_at.get(&entry.number).copied());
+            let (rpc, member) = (entry.number, executing_member.get(&entry.number).copied());
             let problem = match (answered.answer, member) {
                 (Answer::Ok, None) => "is answered ok and never ran",
                 (Answer::Rejected, Some(_)) => "is pushed back and ran",
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -55,7 +55,7 @@
     }
 
     fn record_answer(&mut self, now: Time, rpc: InFlightRpc, answer: PartialAnswer) {
-        if !rpc.flood {
+        if !rpc.background {
             self.in_flight -= 1;
         }
         self.check_answer(&rpc, &answer);
@@ -63,7 +63,7 @@
         if let Some(entry) = self.journal_entry(rpc.number) {
             entry.answered = Some(RpcAnswer { at: now, answer: kind, made_for: answer.row.flatten() });
         }
-        if rpc.flood {
+        if rpc.background {
             let flood = &mut self.outcome.flood;
             match kind {
                 Answer::Ok => flood.ok += 1,
@@ -93,8 +93,8 @@
             self.outcome.faults.push(format!("RPC {number:x}: an answer with neither a row nor an error"));
         }
         let is_unreadable = answer.row == Some(None);
-        let is_flood_of_another = rpc.flood && answer.row != Some(Some(number));
-        if answer.kind() == Answer::Ok && (is_unreadable || is_flood_of_another) {
+        let is_background_of_another = rpc.background && answer.row != Some(Some(number));
+        if answer.kind() == Answer::Ok && (is_unreadable || is_background_of_another) {
             self.outcome.faults.push(format!("RPC {number:x}: served the value of {:x?}", answer.row));
         }
     }
@@ -116,7 +116,7 @@
     /// Retries a rejected RPC after its Retry-After, or counts it if its client has no retry or no time left.
     fn record_rejection(&mut self, now: Time, rpc: &InFlightRpc, retry_after_ms: u64) {
         self.outcome.rejected_us.saturating_record(latency_us(now, rpc));
-        self.outcome.come_back_ms.saturating_record(retry_after_ms.max(1));
+        self.outcome.retry_after_ms.saturating_record(retry_after_ms.max(1));
         let retry_at = now + Span::from_millis(retry_after_ms as i64);
         if rpc.retries < self.plan.max_retries && retry_at < rpc.deadline {
             self.last_number += 1;
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -124,7 +124,7 @@
             if let Some(entry) = self.journal_entry(rpc.number) {
                 (entry.lost, entry.refused) = (Some(now), refused);
             }
-            if !rpc.flood {
+            if !rpc.background {
                 self.in_flight -= 1;
                 if !rpc.abandoned {
                     self.count(rpc.due, rpc.method, |counts| counts.unanswered += 1);
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -144,7 +144,7 @@
             let expired = client
                 .in_flight
                 .iter_mut()
-                .filter(|rpc| !rpc.flood && !rpc.abandoned && now > rpc.deadline + ANSWER_GRACE);
+                .filter(|rpc| !rpc.background && !rpc.abandoned && now > rpc.deadline + ANSWER_GRACE);
             let abandoned: Vec<(Time, usize)> = expired
                 .map(|rpc| {
                     rpc.abandoned = true;
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -48,7 +48,7 @@
     /// How often it was sent before.
     pub retries: u32,
     /// Its client floods or reads slowly: it is not in the slices and the journal.
-    pub flood: bool,
+    pub background: bool,
     /// The client has given up, and it is counted as unanswered.
     pub abandoned: bool,
 }
@@ -138,7 +138,7 @@
             slices: Vec::new(),
             ok_us: vec![histogram(); scenario.methods.len()],
             rejected_us: histogram(),
-            come_back_ms: histogram(),
+            retry_after_ms: histogram(),
             flood: Counts::default(),
             faults: Vec::new(),
             began,
--- a/crates/ladderpass-testbed/src/load/mod.rs
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -35,14 +35,14 @@
     plan: &Plan,
     on_progress: impl FnMut(f64),
 ) -> io::Result<Outcome> {
-    run_before(scenario, &LoadBalancer::single(router), plan, on_progress)
+    run_with_balancer(scenario, &LoadBalancer::single(router), plan, on_progress)
 }
 
 /// Runs a plan against the routers behind a load balancer. `on_progress` gets the seconds since the start about every [`SLICE`].
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_before(
+pub fn run_with_balancer(
     scenario: &Scenario,
     balancer: &LoadBalancer,
     plan: &Plan,
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -96,7 +96,7 @@
     /// Latencies of rejections from due to answered, in microseconds.
     pub rejected_us: Histogram<u64>,
     /// Retry-After of rejections, in milliseconds.
-    pub come_back_ms: Histogram<u64>,
+    pub retry_after_ms: Histogram<u64>,
     /// What became of the RPCs of the flooding connections, which are not in `slices`.
     pub flood: Counts,
     /// Protocol errors of the router: answers without an RPC, values of another RPC, malformed rows.
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 /// Connections that are searched for an idle one: to search all for each RPC would cost more than the RPC.
-const IDLE_SEARCH: usize = 16;
+const MAX_IDLE_SEARCH: usize = 16;
 /// RPCs that a slow reader has in flight at most.
 const SLOW_READER_DEPTH: usize = 64;
 /// A slow reader sends its RPCs one after the other: a burst would press by its RPCs, not by the unread answers.
@@ -46,7 +46,7 @@
     /// The next connection, round robin, that is idle; else the next one that may have a further RPC in flight.
     fn next_free_client(&mut self) -> Option<usize> {
         let connections = self.plan.connections;
-        for (depth, searched) in [(1, connections.min(IDLE_SEARCH)), (self.plan.pipeline, connections)] {
+        for (depth, searched) in [(1, connections.min(MAX_IDLE_SEARCH)), (self.plan.pipeline, connections)] {
             for _ in 0..searched {
                 self.last_client = (self.last_client + 1) % connections.max(1);
                 // Before several routers, a connection that is not welcomed yet may lead to one that has ended.
@@ -101,7 +101,7 @@
         QueuedRpc { due, method, deadline: due + self.plan.deadline, retries: 0 }
     }
 
-    fn send(&mut self, now: Time, index: usize, rpc: QueuedRpc, flood: bool) {
+    fn send(&mut self, now: Time, index: usize, rpc: QueuedRpc, background: bool) {
         let statement = self.statement(now, &rpc, self.last_number + 1);
         let Some(client) = self.clients[index].as_mut() else { return };
         self.last_number += 1;
@@ -109,7 +109,7 @@
         proto::put_query(&mut client.output, &statement);
         client.has_output = true;
         let QueuedRpc { due, method, deadline, retries } = rpc;
-        if self.plan.journal && !flood {
+        if self.plan.journal && !background {
             self.outcome.journal.push(RpcRecord {
                 number,
                 router: client.router,
@@ -127,10 +127,10 @@
             due,
             deadline,
             retries,
-            flood,
+            background,
             abandoned: false,
         });
-        if !flood {
+        if !background {
             self.in_flight += 1;
         }
     }
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -82,7 +82,7 @@
         "counts": outcome.total(),
         "ok_ms": ok_ms,
         "pushed_ms": quantiles(&outcome.rejected_us, US_PER_MS),
-        "come_back_ms": quantiles(&outcome.come_back_ms, 1.0),
+        "come_back_ms": quantiles(&outcome.retry_after_ms, 1.0),
         "delay_ms": quantiles(&record.delays(0.0, f64::MAX), US_PER_MS),
         "cpu_s": record.cpu_seconds,
         "resident_bytes": record.resident_bytes,
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -70,9 +70,9 @@
     let (reads, writes) = (record.outcome.of(0), record.outcome.of(1));
     assert!(reads.rejected > 50, "{reads:?}");
     assert_eq!((writes.rejected, writes.aborted), (0, 0), "{writes:?}");
-    assert!(record.outcome.come_back_ms.min() >= 10 && record.outcome.come_back_ms.max() <= 500);
+    assert!(record.outcome.retry_after_ms.min() >= 10 && record.outcome.retry_after_ms.max() <= 500);
     assert!(
-        record.outcome.come_back_ms.max() > record.outcome.come_back_ms.min() + 10,
+        record.outcome.retry_after_ms.max() > record.outcome.retry_after_ms.min() + 10,
         "retry-after times are spread at random"
     );
 }
