--- a/crates/ladderpass-testbed/src/drill/errors.rs
+++ b/crates/ladderpass-testbed/src/drill/errors.rs
@@ -1,88 +1,88 @@
-//! Why a drill's file is refused. Each error prints as one line that names the key.
+//! Errors of a drill file. Each prints as one line that names the wrong key.
 
 use thiserror::Error;
 
-/// A drill that is not valid, by the key.
+/// What makes a drill file invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DrillError {
-    /// It can't be read: the deserializer's message on one line, which begins with the key.
+    /// The file can't be parsed. Holds the deserializer's message on one line, which begins with the key.
     #[error("{0}")]
     Syntax(String),
-    /// A number that is too small or too large.
+    /// A number is too small or too large.
     #[error("{key}: {value}; allowed are {min} to {max}")]
     OutOfRange {
-        /// The key.
+        /// Key of the number in the file.
         key: &'static str,
-        /// Its value.
+        /// Value in the file.
         value: f64,
-        /// The least that is allowed.
+        /// Smallest allowed value.
         min: f64,
-        /// The most that is allowed.
+        /// Largest allowed value.
         max: f64,
     },
-    /// No phase, or one that is too long or too fast.
+    /// The drill has no phase, or a phase that is too long or has too high a rate.
     #[error("phases: allowed are pairs of up to 3600 seconds and 20000 RPCs a second")]
     Phases,
-    /// The emulator's scenario; the text begins with the key within it.
+    /// The emulator's scenario is not valid. The text begins with the key within the scenario.
     #[error("scenario.{0}")]
     Scenario(String),
-    /// A key or an entry of `faulty`, `clocks`, `earlier` or `quiet` that is no router of the drill.
+    /// A key or an entry of `faulty`, `clocks`, `earlier` or `quiet` does not name a router of the drill.
     #[error("faulty, clocks, earlier, quiet: {0:?}; allowed are r0, r1, ...")]
     UnknownRouter(String),
-    /// A fault event that is not valid.
+    /// A fault event is not valid.
     #[error("deeds[{index}].{source}")]
     Event {
-        /// Index of the event in the file.
+        /// Index of the event in the file's list.
         index: usize,
-        /// What is wrong with it.
+        /// What is wrong with the event.
         source: FaultEventError,
     },
 }
 
-/// A fault event that is not valid.
+/// What makes a fault event invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum FaultEventError {
-    /// It does nothing, or several things.
+    /// The event has no action, or several actions.
     #[error("at {at}: {name:?}; allowed is one thing to do")]
     NotOneAction {
-        /// When it begins, in seconds of the load.
+        /// When the event begins, in seconds from the start of the load.
         at: f64,
-        /// What it does, as tables name it.
+        /// The event's actions, as printed in tables.
         name: String,
     },
-    /// It begins outside the load, or lasts longer than the load.
+    /// The event begins outside the load, or lasts longer than the load.
     #[error("at, for: {at} and {lasts}; allowed are 0 to {load_s}")]
     OutsideLoad {
-        /// When it begins, in seconds of the load.
+        /// When the event begins, in seconds from the start of the load.
         at: f64,
-        /// How long it lasts, in seconds.
+        /// Duration of the event, in seconds.
         lasts: f64,
-        /// Length of the load, in seconds.
+        /// Duration of the load, in seconds.
         load_s: f64,
     },
-    /// It has a duration, and nothing that could end.
+    /// The event has a duration, but its action takes effect once and has no end.
     #[error("for: {name} has no end")]
     NoEnd {
-        /// What it does, as tables name it.
+        /// The event's action, as printed in tables.
         name: String,
     },
-    /// A router that the drill does not have.
+    /// The event names a router that the drill does not have.
     #[error("{name:?}; allowed are r0 to r{last}")]
     UnknownRouter {
-        /// The name that was given.
+        /// The name in the file.
         name: String,
         /// Index of the drill's last router.
         last: usize,
     },
-    /// A side of a split, or an end of a cut, that the drill does not have.
+    /// A side of a split or an end of a cut names a place that the drill does not have.
     #[error("{0:?}; allowed are r0, member-0, discovery, front")]
     UnknownPlace(String),
-    /// A member that the scenario does not have.
+    /// The event names a member that the scenario does not have.
     #[error("member {member}; there are {count}")]
     UnknownMember {
-        /// The number that was given.
+        /// The member's index in the file.
         member: u32,
-        /// How many members there are.
+        /// Number of members in the scenario.
         count: usize,
     },
 }
--- a/crates/ladderpass-testbed/src/drill/event.rs
+++ b/crates/ladderpass-testbed/src/drill/event.rs
@@ -1,21 +1,22 @@
-//! A fault event of a drill: what is done to routers, members or the links between them, and when.
+//! Fault events of a drill: what is done to routers, members or the links between them, and when.
 
 use ladderpass_fault_injection::{DatagramRule, Rule};
 use ladderpass_routing::Time;
 use serde::Deserialize;
 
-/// A fault event: one thing that is done at a time.
+/// A fault event: one action at one time.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultEvent {
-    /// Seconds from the start of the load.
+    /// When the event begins, in seconds from the start of the load.
     pub at: f64,
-    /// How long it lasts, in seconds, if it ends by itself: `freeze`, `split`, `cut`, `mute`, `hog`, `datagrams`.
+    /// Duration in seconds, after which the event is undone. With 0 it stays in force. Only `freeze`, `split`, `cut`,
+    /// `mute`, `hog` and `datagrams` can have a duration.
     #[serde(rename = "for")]
     pub lasts: f64,
-    /// Routers that get SIGKILL.
+    /// Routers that are killed with SIGKILL.
     pub kill: Vec<String>,
-    /// Routers that get SIGSTOP, and SIGCONT at its end.
+    /// Routers that get SIGSTOP at the begin of the event and SIGCONT at its end.
     pub freeze: Vec<String>,
     /// Routers that get SIGTERM.
     pub term: Vec<String>,
@@ -25,30 +26,32 @@
     pub start: Vec<String>,
     /// Offset of the wall clock of routers that are restarted, in milliseconds.
     pub clock_ms: i32,
-    /// How many threads burn CPU.
+    /// Number of threads that use CPU in a busy loop.
     pub hog: usize,
-    /// Sides between which nothing passes: routers, `member-N`, `discovery`. Those on no side reach all.
+    /// Sides of a network split, between which nothing passes. A side lists routers, `member-N` and `discovery`.
+    /// Places on no side still reach all others.
     pub split: Vec<Vec<String>>,
-    /// Pairs between which nothing passes: two routers, a router and a member or discovery, `front` and a router.
+    /// Pairs of places between which nothing passes: two routers, a router and a member or discovery, or `front` (the
+    /// clients) and a router.
     pub cut: Vec<(String, String)>,
-    /// Routers whose datagrams are lost.
+    /// Routers whose outgoing datagrams are dropped.
     pub mute: Vec<String>,
-    /// A rule on datagrams among routers.
+    /// A rule of the fault tool on datagrams between routers.
     pub datagrams: Option<DatagramRule>,
-    /// A rule of the fault tool on the routers' links: `r0>member-1`, `r0>discovery`.
+    /// A rule of the fault tool on the routers' links, which are named like `r0>member-1` and `r0>discovery`.
     pub rule: Option<Rule>,
-    /// The member that all routers are notified drains.
+    /// A member that starts draining. Discovery notifies all routers.
     pub drain: Option<u32>,
-    /// The member that ends.
+    /// A member that crashes.
     pub ends: Option<u32>,
-    /// The member that starts again.
+    /// A crashed member that is restarted.
     pub begins: Option<u32>,
-    /// A router, and a line that discovery sends it as it is.
+    /// A router and a line that discovery sends it unchanged.
     pub line: Option<(String, String)>,
 }
 
 impl FaultEvent {
-    /// Its name in tables.
+    /// Returns the event's name in tables: its action, with the routers, places or members concerned.
     pub fn name(&self) -> String {
         let mut parts = Vec::new();
         for (action, routers) in [
@@ -82,7 +85,7 @@
         parts.join(", ")
     }
 
-    /// Can it have an end?
+    /// Returns whether the event's action can be undone after a duration.
     pub(super) fn can_end(&self) -> bool {
         !self.freeze.is_empty()
             || !self.split.is_empty()
@@ -93,11 +96,11 @@
     }
 }
 
-/// The begin or the end of a fault event.
+/// The begin or the end of a fault event, as it was carried out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoggedEvent {
-    /// When it was.
+    /// When the event began or ended.
     pub at: Time,
-    /// What it is called in tables.
+    /// Name in tables.
     pub name: String,
 }
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -1,4 +1,4 @@
-//! A drill's file: its keys with their defaults, and the checks that name the key of an error.
+//! The drill file: its keys and their defaults, and the checks, whose errors name the key.
 
 use super::errors::{DrillError, FaultEventError};
 use super::event::FaultEvent;
@@ -7,63 +7,67 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// A drill, as its file gives it. Keys of the file that differ from a field's name stand beside it.
+/// A drill, as described by its file. Where a key of the file differs from the field's name, the `rename` attribute
+/// gives the key.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Drill {
-    /// How many routers, named r0, r1, ...
+    /// Number of routers, which are named r0, r1, ...
     pub routers: usize,
-    /// Routers are peers: they agree on who is alive, and gossip.
+    /// Whether the routers are peers, which gossip and agree on which of them are alive.
     pub peers: bool,
-    /// Phases of the load, one after the other; in the file, pairs of seconds and RPCs a second.
+    /// Phases of the load, in order. The file gives each as a pair of seconds and RPCs per second.
     pub phases: Vec<Phase>,
-    /// Connections of clients.
+    /// Number of client connections.
     pub clients: usize,
-    /// How many times the connections of the last router the first one has; those between follow geometrically.
+    /// Ratio of the first router's weight for new connections to the last router's. The weights of the routers
+    /// between them form a geometric series.
     #[serde(rename = "uneven")]
     pub connection_skew: f64,
-    /// Fraction of the clients that move to another router again and again.
+    /// Fraction of the clients that move to another router from time to time.
     pub roaming: f64,
-    /// Mean time that a roaming client stays at a router, in seconds.
+    /// Mean time for which a roaming client stays connected to a router, in seconds.
     #[serde(rename = "stays_s")]
     pub mean_stay_s: f64,
-    /// How long new connections still go to a router that is down, in milliseconds.
+    /// Time until the load balancer detects that a router is down, in milliseconds. Until then, new connections still
+    /// go to that router.
     #[serde(rename = "notices_ms")]
     pub down_detection_ms: u64,
-    /// From when an RPC is due to when its client gives up, in milliseconds.
+    /// Time from when an RPC is due until its client gives up, in milliseconds.
     pub deadline_ms: u32,
-    /// How often a client retries after a rejection.
+    /// Maximum number of a client's retries of a rejected RPC.
     #[serde(rename = "repeats")]
     pub max_retries: u32,
-    /// How long after its deadline an answer may come, in milliseconds: the time that clients and fault tools take.
+    /// Time after an RPC's deadline at which an answer still counts as in time, in milliseconds. It covers the delay
+    /// in clients and fault tools.
     pub grace_ms: u32,
-    /// How long routers may take to agree on who is alive before the load, in seconds.
+    /// Longest time before the load in which the routers may come to agree on which of them are alive, in seconds.
     #[serde(rename = "settles_s")]
     pub max_settle_s: f64,
-    /// How long they idle after that, before the load, in seconds.
+    /// Idle time between that agreement and the start of the load, in seconds.
     #[serde(rename = "rests_s")]
     pub idle_s: f64,
-    /// RPCs a second that a cold member can serve once it is warm.
+    /// RPCs per second that a member of the scenario's `cold` list can serve after its slow start.
     #[serde(rename = "bears")]
     pub warm_member_rpcs_per_second: f64,
-    /// The emulated members, and their methods.
+    /// The emulator's scenario: the members and their methods.
     pub scenario: Scenario,
-    /// Text of the operator's file beside `peers`.
+    /// Text that is added to the routers' operator files after `peers`.
     pub operator: String,
-    /// `RUST_LOG` of the routers.
+    /// Value of `RUST_LOG` for the routers.
     pub log: String,
-    /// By router: `LADDERPASS_FAULTY` of a build with the feature `faulty`.
+    /// Value of `LADDERPASS_FAULTY`, by router. Such a router runs the build with the feature `faulty`.
     pub faulty: BTreeMap<String, String>,
-    /// By router: offset of its wall clock, in milliseconds.
+    /// Offset of the wall clock in milliseconds, by router.
     pub clocks: BTreeMap<String, i32>,
-    /// Routers that run the earlier program.
+    /// Routers that run the program of an earlier version.
     pub earlier: Vec<String>,
-    /// Routers without an operator's file, and so without peers.
+    /// Routers that get no operator file and thus have no peers.
     pub quiet: Vec<String>,
-    /// RPCs a second of clients that go straight to the members.
+    /// RPCs per second of clients that connect directly to the members.
     #[serde(rename = "greedy")]
     pub direct_rpcs_per_second: f64,
-    /// Fault events.
+    /// Fault events, in any order.
     #[serde(rename = "deeds")]
     pub events: Vec<FaultEvent>,
 }
@@ -99,10 +103,10 @@
 }
 
 impl Drill {
-    /// Parses and checks a drill's file.
+    /// Parses and checks the text of a drill file.
     ///
     /// # Errors
-    /// One line with the key that is wrong, and what is allowed.
+    /// Returns the first invalid key, and which values are allowed.
     pub fn read(text: &str) -> Result<Drill, DrillError> {
         let syntax_error =
             |message: String| DrillError::Syntax(message.split_whitespace().collect::<Vec<_>>().join(" "));
@@ -118,7 +122,7 @@
     /// Checks all values and the names of routers, members and places.
     ///
     /// # Errors
-    /// As [`Drill::read`].
+    /// Returns the first invalid key, as [`Drill::read`] does.
     pub fn check(&self) -> Result<(), DrillError> {
         self.check_numbers()?;
         self.scenario.check().map_err(|error| DrillError::Scenario(error.to_string()))?;
@@ -187,18 +191,18 @@
         }
     }
 
-    /// Length of the load in seconds.
+    /// Returns the duration of the load in seconds.
     pub fn secs(&self) -> f64 {
         self.phases.iter().map(|phase| phase.seconds).sum()
     }
 
-    /// The index of the router `rN`.
+    /// Returns the index of the router named `rN`, or `None` if the drill has no such router.
     pub fn router(&self, name: &str) -> Option<usize> {
         let number = name.strip_prefix('r')?.parse().ok()?;
         (number < self.routers && name == format!("r{number}")).then_some(number)
     }
 
-    /// By router: its weight for new connections, from 1 down to 1 / `connection_skew`.
+    /// Returns each router's weight for new connections, from 1 down to 1 / `connection_skew`.
     pub fn weights(&self) -> Vec<f64> {
         let step = self.connection_skew.powf(1.0 / (self.routers.max(2) - 1) as f64);
         (0..self.routers).map(|router| step.powi(-(router as i32))).collect()
--- a/crates/ladderpass-testbed/src/drill/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/mod.rs
@@ -1,11 +1,12 @@
-//! A drill: several routers as processes before emulated members, with fault events on them and on all links between.
+//! Drills: several router processes in front of emulated members, with fault events on the processes and on all links
+//! between them.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `file`, `event`, `places` | the form of a drill's file |
-//! | `errors` | why a file is refused |
-//! | `play` | carries a drill out, and records it |
-//! | `report` | shows what came of it |
+//! | `file`, `event`, `places` | the format of a drill file |
+//! | `errors` | errors of a drill file |
+//! | `play` | runs a drill and records it |
+//! | `report` | tables, JSON lines and charts of a record |
 
 mod errors;
 mod event;
--- a/crates/ladderpass-testbed/src/drill/places.rs
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -1,18 +1,19 @@
-//! Places that fault events name (`rN`, `member-N`, `discovery`, `front`), and the links between them.
+//! Places that fault events refer to (`rN`, `member-N`, `discovery`, `front`), and the links between them.
 
 use super::file::Drill;
 
-/// Where a link starts or ends.
+/// An end of a link.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Place {
     Router(usize),
     Member(usize),
     Discovery,
-    /// All clients, and what balances their connections.
+    /// All clients and their load balancer, which the file calls `front`.
     Clients,
 }
 
 impl Drill {
+    /// Returns the place with this name, or `None` if the drill has no such place.
     pub(super) fn place(&self, name: &str) -> Option<Place> {
         if let Some(router) = self.router(name) {
             return Some(Place::Router(router));
@@ -26,7 +27,8 @@
         (member < self.scenario.member_count()).then_some(Place::Member(member))
     }
 
-    /// The name of the fault tool's link between two places; none between two routers, which have datagrams alone.
+    /// Returns the name of the fault tool's link between two places, or `None` where there is no link. Two routers
+    /// have none, since they exchange only datagrams.
     pub fn link(&self, one: &str, other: &str) -> Option<String> {
         match (self.place(one)?, self.place(other)?) {
             (Place::Router(router), Place::Member(member))
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Names of the links that cross the sides of a split.
+    /// Returns the names of the links between different sides of a split.
     pub fn split_links(&self, sides: &[Vec<String>]) -> Vec<String> {
         let mut links = Vec::new();
         for (index, side) in sides.iter().enumerate() {
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -1,4 +1,4 @@
-//! Fault events of a drill: each is begun at its time, and ended if it lasts.
+//! Carries out the fault events of a drill: begins each at its time, and ends those that have a duration.
 
 use super::interrupt::check_interrupted;
 use super::testbed::{CHECK_INTERVAL, DrillTestbed};
@@ -13,18 +13,20 @@
 use std::thread::ScopedJoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a load takes from its start until its first RPC can be due.
+/// Time from the start of a load until its first RPC can be due, during which its connections are opened.
 const LOAD_START_DELAY: Duration = Duration::from_millis(100);
 
-/// The begin or the end of a fault event.
+/// The begin or the end of a fault event, which has not been carried out yet.
 struct ScheduledStep {
+    /// When the step is due, in seconds from the start of the load.
     at_s: f64,
     /// Index of the event in the drill.
     event: usize,
+    /// Whether the event begins; otherwise it ends.
     begins: bool,
 }
 
-/// All steps, the earliest last.
+/// Returns the steps of all fault events, with the earliest last, so that they can be popped in order.
 fn schedule(drill: &Drill) -> Vec<ScheduledStep> {
     let mut steps = Vec::new();
     for (index, event) in drill.events.iter().enumerate() {
@@ -39,7 +41,8 @@
 }
 
 impl DrillTestbed<'_> {
-    /// Carries out all fault events at their times, until the load is over. Sets `stop` if one fails.
+    /// Carries out the fault events at their times, until the load is over. Sets `stop`, which ends the load early,
+    /// if one fails or the drill is interrupted.
     pub fn run_events<T>(&mut self, load: &ScopedJoinHandle<'_, T>, stop: &AtomicBool) -> io::Result<()> {
         let mut steps = schedule(self.drill);
         let began = Instant::now() + LOAD_START_DELAY;
@@ -146,7 +149,7 @@
         Ok(())
     }
 
-    /// Changes of members and of what discovery sends.
+    /// Carries out an event's changes of members and the line that discovery sends.
     fn change_members(&mut self, event: &FaultEvent) {
         if let Some(member) = event.drain {
             self.emulator.drain(member);
@@ -171,24 +174,25 @@
         names.iter().filter_map(|name| self.drill.router(name)).collect()
     }
 
-    /// Links that an event cuts.
+    /// Returns the names of the links that an event cuts.
     fn links_cut_by(&self, event: &FaultEvent) -> Vec<String> {
         let mut links = self.drill.split_links(&event.split);
         links.extend(event.cut.iter().filter_map(|(one, other)| self.drill.link(one, other)));
         links
     }
 
+    /// Returns the fault tool that carries a link.
     fn tool_of(&self, link: &str) -> &driver::RunningTool {
         if link.starts_with("front>") { &self.client_links } else { &self.router_links }
     }
 
-    /// The router of a link between clients and routers.
+    /// Returns the router of a link between the clients and a router, or `None` for other links.
     fn router_of_client_link(&self, link: &str) -> Option<usize> {
         link.strip_prefix("front>").and_then(|name| self.drill.router(name))
     }
 }
 
-/// What an event does to datagrams among routers.
+/// Returns the rules by which an event changes datagrams between routers. The event's index makes their names unique.
 fn datagram_rules(index: usize, event: &FaultEvent) -> Vec<DatagramRule> {
     let drop_all = |name: String| DatagramRule {
         name,
@@ -206,7 +210,8 @@
     if !event.split.is_empty() {
         let routers = |side: &Vec<String>| side.iter().filter(is_router).cloned().collect();
         let split: Vec<Vec<String>> = event.split.iter().map(routers).collect();
-        // Limited to the routers on a side: those on none reach all.
+        // The rule names the routers of all sides, because the fault tool takes each router on no side as a side of
+        // its own, but routers on no side must reach all others.
         let on_a_side: Vec<String> = split.iter().flatten().cloned().collect();
         rules.push(DatagramRule {
             from: on_a_side.clone(),
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -1,7 +1,9 @@
-//! Plays a drill: starts emulator, fault tools and routers, runs the load and the fault events, and checks the history.
+//! Runs a drill: starts the emulator, the fault tools and the routers, runs the load and the fault events, and checks
+//! the history.
 //!
-//! All processes and threads end with the drill, however it ends. The routers' logs are used for their views of each
-//! other alone; all else is judged by what clients, members and fault tools saw.
+//! The emulator, the fault tools and all processes end with the drill, also if it fails. The routers' logs are used
+//! only for their views of each other and for panics. All other results come from what clients, members and fault
+//! tools observed.
 
 mod events;
 mod interrupt;
@@ -25,21 +27,21 @@
 use std::time::Duration;
 use testbed::DrillTestbed;
 
-/// How long the last views take to be logged.
+/// Wait after the load, in which the routers log their last views.
 const LOG_FLUSH_WAIT: Duration = Duration::from_millis(50);
 
-/// Plays a drill.
+/// Runs a drill and returns its record.
 ///
 /// # Errors
-/// If the drill is not valid, a program is missing, a process can't be started, or ctrl-C interrupts it.
+/// If the drill is not valid, a program is missing, a process can't be started, or ctrl-C interrupts the drill.
 pub fn play(drill: &Drill, programs: Programs<'_>, seed: u64) -> io::Result<DrillRecord> {
     play_with(drill, programs, seed, |_| {})
 }
 
-/// Plays a drill. `on_progress` gets the seconds since the start of the load.
+/// Runs a drill and returns its record. `on_progress` is called with the seconds since the start of the load.
 ///
 /// # Errors
-/// As [`play`].
+/// In the cases of [`play`].
 pub fn play_with(
     drill: &Drill,
     programs: Programs<'_>,
@@ -60,14 +62,14 @@
     Ok(DrillRecord { direct_outcome: outcomes.direct, ..record })
 }
 
-/// What became of the loads of a drill.
+/// Outcomes of the loads of a drill.
 struct LoadOutcomes {
     through_routers: Outcome,
-    /// Of clients that go straight to the members, if there are any.
+    /// Outcome of the load of clients that connect directly to the members, if the drill has any.
     direct: Option<Outcome>,
 }
 
-/// Runs the load through the routers, the direct load if there is one, and the fault events meanwhile.
+/// Runs the load through the routers, the direct load if there is one, and the fault events at the same time.
 fn run_loads_and_events(
     testbed: &mut DrillTestbed<'_>,
     on_progress: impl FnMut(f64) + Send,
@@ -102,6 +104,7 @@
     Ok(LoadOutcomes { through_routers: outcome?, direct: direct.transpose()? })
 }
 
+/// Returns the load through the routers.
 fn load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
     Plan {
         connections: drill.clients,
@@ -114,7 +117,7 @@
     }
 }
 
-/// The load of clients that go straight to the members.
+/// Returns the load of clients that connect directly to the members.
 fn direct_load_plan(drill: &Drill, seed: u64, stop: &Arc<AtomicBool>) -> Plan {
     Plan {
         connections: drill.clients * 2,
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -1,4 +1,4 @@
-//! The record of a drill: made from the testbed once the load is over, and checked.
+//! The record of a drill, which is made from the testbed after the load, and the check of its history.
 
 use super::start::advertised_address;
 use super::testbed::DrillTestbed;
@@ -14,67 +14,72 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Lines about panics that are reported at most.
+/// Maximum number of log lines about panics in a record.
 const MAX_PANIC_LINES: usize = 3;
 
-/// What came of a drill.
+/// The results of a drill.
 pub struct DrillRecord {
-    /// What the clients saw.
+    /// What the clients of the routers observed.
     pub outcome: Outcome,
-    /// What the clients saw that went straight to the members.
+    /// What the clients that connected directly to the members observed, if the drill has any.
     pub direct_outcome: Option<Outcome>,
-    /// What the members saw.
+    /// What the members observed.
     pub execution_log: ExecutionLog,
-    /// What the history checker found.
+    /// Violations found by the history checker.
     pub violations: Vec<Violation>,
-    /// By router: how many violations of rule 4 (cold members) its own attempts alone make.
+    /// Violations of rule 4 (cold members) that a router's own attempts cause without those of the others, counted by
+    /// router.
     pub slow_start_violations_alone: Vec<usize>,
     /// The members that started cold.
     pub cold_starts: Vec<ColdStart>,
-    /// By router, in order; a router that was restarted goes on in its list.
+    /// The views that each router logged, by router and in order. The list of a restarted router continues.
     pub views: Vec<Vec<RouterView>>,
-    /// By router: the lines that it has logged.
+    /// The lines that each router logged, by router.
     pub logs: Vec<Vec<String>>,
-    /// By router: where the others send datagrams to it.
+    /// Addresses at which the routers receive datagrams from each other, by router. A router whose operator file has
+    /// no such address is left out.
     pub addresses: Vec<SocketAddr>,
-    /// By router: the datagrams that it has sent.
+    /// Datagrams that each router sent, by router.
     pub sent: Vec<RouterTraffic>,
-    /// Rules on datagrams, by name, with how many datagrams each has changed.
+    /// Names of the rules on datagrams, with the number of datagrams on which each acted.
     pub datagram_hits: Vec<(String, u64)>,
-    /// By router: CPU seconds over the load.
+    /// CPU seconds that each router used over the load, by router. They count from the last restart, and are 0 for a
+    /// router that does not run at the end.
     pub cpu_seconds: Vec<f64>,
-    /// Begins and ends of fault events.
+    /// Begins and ends of fault events, in order.
     pub event_log: Vec<LoggedEvent>,
-    /// How long the routers took to agree on their view before the load.
+    /// Time that the routers took to agree on their view before the load. It is `None` if they did not agree in time
+    /// or were not checked for it.
     pub settled: Option<Span>,
-    /// When routers could not answer.
+    /// Times at which routers could not answer.
     pub absences: Vec<Absence>,
-    /// By router: it runs at the end.
+    /// Whether each router still ran at the end, by router.
     pub alive: Vec<bool>,
-    /// Routers that ended by themselves, and panics.
+    /// Routers that ended by themselves, and log lines about panics.
     pub router_failures: Vec<String>,
 }
 
-/// Datagrams that a router has sent since its start.
+/// Datagrams that a router sent, counted from the start of the fault tool.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterTraffic {
-    /// Up to the begin of the load.
+    /// Datagrams sent until the load began.
     pub before: TrafficCounts,
-    /// Up to its end.
+    /// Datagrams sent until the load ended.
     pub after: TrafficCounts,
 }
 
-/// How the routers' processes came through the load.
+/// State of the routers' processes after the load.
 struct RouterResults {
-    /// By router: CPU seconds over the load.
+    /// CPU seconds over the load, by router.
     cpu_seconds: Vec<f64>,
-    /// By router: it still ran.
+    /// Whether each router still ran, by router.
     alive: Vec<bool>,
+    /// Routers that ended by themselves, and log lines about panics.
     failures: Vec<String>,
 }
 
 impl DrillTestbed<'_> {
-    /// Stops everything, and checks the history.
+    /// Stops all processes and threads of the drill, and checks the history.
     pub fn finish(
         mut self,
         outcome: Outcome,
@@ -152,7 +157,8 @@
         RouterResults { cpu_seconds, alive, failures }
     }
 
-    /// The links to members, by number in the fault tool. Each router has a link to each member, and then one to discovery.
+    /// Returns the links to members, by index in the fault tool. Each router has a link to each member, followed by
+    /// one to discovery.
     fn member_links(&self) -> HashMap<usize, MemberLink> {
         let members = self.drill.scenario.member_count();
         let links_per_router = members + 1;
--- a/crates/ladderpass-testbed/src/drill/play/start.rs
+++ b/crates/ladderpass-testbed/src/drill/play/start.rs
@@ -1,4 +1,4 @@
-//! How each router of a drill is started: its program, its operator's file, its clock.
+//! Start parameters of each router of a drill: its program, operator file and clock.
 
 use crate::drill::Drill;
 use crate::router::Start;
@@ -6,21 +6,21 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Routers that each router has in its list of peers; it finds the others through them.
+/// Number of routers, from r0 on, that each router lists as peers. It discovers the others through them.
 const LISTED_PEERS: usize = 3;
 
 /// The programs that a drill starts.
 #[derive(Clone, Copy)]
 pub struct Programs<'a> {
-    /// The router.
+    /// The router under test.
     pub router: &'a Path,
-    /// One built with the feature `faulty`, for routers with a switch or a clock offset.
+    /// The router built with the feature `faulty`, for routers with a fault switch or a clock offset.
     pub faulty: Option<&'a Path>,
-    /// One of an earlier version, for the drill's `earlier` routers.
+    /// The router of an earlier version, for the drill's `earlier` routers.
     pub earlier: Option<&'a Path>,
 }
 
-/// How one router is started. `advertised` are the addresses at which routers send datagrams to each other.
+/// Returns how a router is started. `advertised` holds, by router, the address to which others send their datagrams.
 pub(super) fn router_start(
     drill: &Drill,
     programs: Programs<'_>,
@@ -44,7 +44,7 @@
         _ => peers_setting(drill, router, listen, advertised),
     };
     let is_quiet = drill.quiet.contains(&name);
-    // An earlier program would refuse keys that it doesn't know.
+    // The earlier program rejects keys that it does not know, so it does not get the drill's operator text.
     let operator = if is_earlier { peers } else { format!("{peers}\n{}", drill.operator) };
     Ok(Start {
         operator: (!is_quiet).then_some(operator),
@@ -56,10 +56,10 @@
     })
 }
 
-/// `peers` of the operator's file.
+/// Returns the key `peers` of a router's operator file.
 fn peers_setting(drill: &Drill, router: usize, listen: SocketAddr, advertised: &[SocketAddr]) -> String {
     let mut listed: Vec<SocketAddr> = advertised.iter().take(LISTED_PEERS).copied().collect();
-    // Routers of an earlier version can't be found through others.
+    // Routers of an earlier version can't be discovered through others, so all of them are listed.
     let earlier =
         (LISTED_PEERS..advertised.len()).filter(|other| drill.earlier.contains(&format!("r{other}")));
     listed.extend(earlier.map(|other| advertised[other]));
@@ -70,7 +70,8 @@
     )
 }
 
-/// `peers` in the form of the earlier version: all routers, with the own listen address at the own index.
+/// Returns the key `peers` in the format of the earlier version. It lists all routers, with the router's own listen
+/// address at its own index.
 fn earlier_peers_setting(router: usize, listen: SocketAddr, advertised: &[SocketAddr]) -> String {
     let all: Vec<SocketAddr> =
         (0..advertised.len()).map(|other| if other == router { listen } else { advertised[other] }).collect();
@@ -81,7 +82,7 @@
     addresses.iter().map(|address| format!("'{address}'")).collect::<Vec<_>>().join(", ")
 }
 
-/// The address at which other routers send datagrams to a router, by its own operator's file.
+/// Returns the address to which other routers send datagrams for a router, from the router's operator file.
 pub(super) fn advertised_address(start: &Start) -> Option<SocketAddr> {
     let text = start.operator.as_ref()?;
     let (_, rest) = text.split_once("address: '")?;
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -1,4 +1,4 @@
-//! The processes of a drill: emulator, fault tools and routers; which routers are absent, and since when.
+//! The processes of a drill (emulator, fault tools and routers), and the times at which routers are absent.
 
 use super::interrupt::check_interrupted;
 use super::start::{Programs, router_start};
@@ -19,14 +19,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How often the drill checks the time, its routers' views and ctrl-C.
+/// Interval at which the drill checks for due fault events, the routers' views and ctrl-C.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// The longest wait for routers that can't or needn't agree on a view, in seconds.
+/// Longest wait before the load where the routers are not expected to agree on a view, in seconds.
 const MAX_UNVERIFIED_SETTLE_S: f64 = 2.0;
-/// Seeds of the routers' settings begin here, above the drill's own.
+/// Offset of the routers' seeds from the drill's seed.
 const ROUTER_SEED_OFFSET: u64 = 1000;
 
-/// What runs in a drill. Everything in it ends when it is dropped.
+/// The running parts of a drill. The emulator, the fault tools and the routers end when it is dropped. The busy
+/// threads of `cpu_hogs` end only by [`DrillTestbed::stop_cpu_hogs`].
 pub(super) struct DrillTestbed<'a> {
     pub drill: &'a Drill,
     pub programs: Programs<'a>,
@@ -36,30 +37,32 @@
     pub client_links: driver::RunningTool,
     /// The fault tool between routers, members and discovery, and among routers.
     pub router_links: driver::RunningTool,
-    /// By router: the addresses of the fault tool that lead to members.
+    /// Addresses of the fault tool that lead to the members, by router.
     pub members: Vec<Vec<SocketAddr>>,
-    /// By router: the address of the fault tool that leads to discovery.
+    /// Address of the fault tool that leads to discovery, by router.
     pub discoveries: Vec<SocketAddr>,
+    /// Start parameters, by router.
     pub starts: Vec<Start>,
-    /// None while a router is not running.
+    /// The running routers, by index. An entry is `None` before the start and after a kill.
     pub routers: Vec<Option<Router>>,
-    /// By router: the logs of its processes that have ended.
+    /// Log lines of a router's processes that were killed or stopped, by router.
     pub logs: Vec<Vec<String>>,
+    /// The routers that are down, as reported to the load balancer of the clients.
     pub down: Arc<DownRouters>,
     pub absences: Vec<Absence>,
     pub drain_notices: Vec<DrainNotice>,
-    /// Fault events that have begun or ended.
+    /// Begins and ends of fault events so far.
     pub event_log: Vec<LoggedEvent>,
-    /// Stops of the threads that burn CPU.
+    /// Stop flags of the busy threads.
     pub cpu_hogs: Vec<Arc<AtomicBool>>,
-    /// By router: CPU seconds used before the load.
+    /// CPU seconds used before the load, by router.
     pub cpu_before: Vec<f64>,
-    /// By router: it has got a SIGTERM.
+    /// Whether a router was sent SIGTERM since its start, by router.
     pub terminating: Vec<bool>,
 }
 
 impl<'a> DrillTestbed<'a> {
-    /// Starts all processes, and waits until the routers serve.
+    /// Starts all processes, and waits until the routers are ready.
     pub fn start(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<DrillTestbed<'a>> {
         let scenario = Scenario { history: true, ..drill.scenario.clone() };
         let emulator = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
@@ -103,7 +106,7 @@
         Ok(testbed)
     }
 
-    /// All at once, as after a power cut.
+    /// Starts all routers at once, as after a power failure, and waits until they are ready.
     fn start_routers(&mut self) -> io::Result<()> {
         for router in 0..self.drill.routers {
             self.routers[router] = Some(self.spawn_router(router)?);
@@ -121,8 +124,9 @@
             .map_err(|error| with_router_name(router, &error))
     }
 
-    /// Waits until all routers have the same view of all of them. Returns how long that took, or none if it did not
-    /// happen in time or is not to be expected.
+    /// Waits until all routers have the same view, with all routers in it. Returns how long that took, or `None` if
+    /// it did not happen in time, or if the routers are not expected to agree because they are not peers or differ in
+    /// version or settings.
     pub fn wait_until_settled(&self) -> io::Result<Option<Span>> {
         let views_are_comparable = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
         if !self.drill.peers || !views_are_comparable {
@@ -141,7 +145,7 @@
         Ok(None)
     }
 
-    /// Is the last view of each router the same, with all routers in it?
+    /// Returns whether the last logged view of each router is the same and contains all routers.
     fn views_agree(&self) -> bool {
         let last_view = |router: &Router| router.log().iter().rev().find_map(|line| parse_view(line));
         let views: Vec<Option<RouterView>> =
@@ -153,19 +157,19 @@
         first.count == self.drill.routers && views.iter().all(is_same)
     }
 
-    /// By router: datagrams that it has sent so far.
+    /// Returns the datagrams that each router has sent so far.
     pub fn datagrams_sent(&self) -> Vec<TrafficCounts> {
         self.router_links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.traffic())
     }
 
-    /// Notes the CPU time that each router has used so far.
+    /// Records the CPU time that each router has used so far.
     pub fn record_cpu_before_load(&mut self) {
         for (before, router) in self.cpu_before.iter_mut().zip(&self.routers) {
             *before = router.as_ref().map_or(0.0, |router| router.resource_usage().cpu_seconds);
         }
     }
 
-    /// Sends a signal to a router, if it runs.
+    /// Sends a signal to a router, unless it was killed before.
     pub fn signal(&self, router: usize, signal: Signal) -> io::Result<()> {
         match &self.routers[router] {
             Some(router) => router.signal(signal),
@@ -173,20 +177,20 @@
         }
     }
 
-    /// A router can't answer from now on.
+    /// Records that a router can't answer from now on. `planned` marks a graceful shutdown.
     pub fn begin_absence(&mut self, router: usize, planned: bool) {
         let (from, to) = (now(), Time::from_nanos(i64::MAX / 2));
         self.absences.push(Absence { router, from, to, planned });
     }
 
-    /// A router can answer again.
+    /// Ends all open absences of a router, which can answer again.
     pub fn end_absences(&mut self, router: usize) {
         let now = now();
         let is_open = |absence: &&mut Absence| absence.router == router && absence.to > now;
         self.absences.iter_mut().filter(is_open).for_each(|absence| absence.to = now);
     }
 
-    /// Kills a router, if it runs. The front learns of it once it is gone.
+    /// Kills a router, if it runs. Its down time for the load balancer begins after the process has ended.
     pub fn kill_router(&mut self, router: usize) {
         if let Some(running) = self.routers[router].take() {
             self.begin_absence(router, false);
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Starts a router at its old address, with a clock offset, after killing it if it still runs.
+    /// Starts a router at its old address with a clock offset. Kills it first if it still runs.
     pub fn restart_router(&mut self, router: usize, clock_ms: i32) -> io::Result<()> {
         self.kill_router(router);
         self.starts[router].clock_ms = clock_ms;
@@ -213,7 +217,7 @@
         Ok(())
     }
 
-    /// Stops the threads that burn CPU.
+    /// Stops the busy threads that fault events started.
     pub fn stop_cpu_hogs(&mut self) {
         self.cpu_hogs.drain(..).for_each(|stop| stop.store(true, Ordering::Relaxed));
     }
@@ -227,6 +231,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
+/// Starts the fault tool between the clients and the routers, with one link for each router.
 fn start_client_links(routers: &[SocketAddr], seed: u64) -> io::Result<driver::RunningTool> {
     let link = |(router, &to): (usize, &SocketAddr)| LinkShape {
         name: format!("front>r{router}"),
@@ -238,7 +243,8 @@
     driver::RunningTool::start(Plan { seed, links, ..Default::default() }, None)
 }
 
-/// For each router in order, links to its members and to its discovery, and a datagram address.
+/// Starts the fault tool behind the routers. For each router in order, it has links to the members, a link to
+/// discovery, and an address for datagrams.
 fn start_router_links(
     emulator: &RunningEmulator,
     routers: &[SocketAddr],
@@ -253,7 +259,8 @@
         }
         let to = emulator.discoveries[router];
         links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, protocol: Protocol::Http });
-        // Datagrams go to the port of the router's listener; `own_address` has checked that it is free for UDP too.
+        // A router receives datagrams at the port of its listener. `own_address` has checked that this port is free
+        // for UDP as well.
         ends.push(End { name: format!("r{router}"), address: listen, to: *address });
     }
     driver::RunningTool::start(Plan { seed, links, ends, ..Default::default() }, None)
--- a/crates/ladderpass-testbed/src/drill/play/view.rs
+++ b/crates/ladderpass-testbed/src/drill/play/view.rs
@@ -1,35 +1,35 @@
-//! A router's view of the live routers, as it logs it.
+//! A router's view of the live routers, parsed from its log.
 
 use ladderpass_routing::Time;
 use std::net::SocketAddr;
 use std::time::UNIX_EPOCH;
 
-/// What a router's log line about its view starts with, behind the log's own fields.
+/// Start of a router's log message about its view, after the timestamp, level and target.
 const VIEW_LOG_TEXT: &str = "fleet: view ";
 
-/// A view that a router has logged: which routers it believes to be alive.
+/// A logged view of a router: the routers that it believes to be alive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterView {
-    /// When it was logged.
+    /// When the view was logged.
     pub at: Time,
-    /// Digest of the live routers: the same for the same set.
+    /// Digest of the set of live routers. Equal sets have equal digests.
     pub digest: u32,
-    /// How many routers are alive, itself included.
+    /// Number of live routers, including the router itself.
     pub count: usize,
-    /// What the line says became of other routers.
+    /// Changes of other routers, as far as the log line lists them.
     pub changes: Vec<RouterChange>,
 }
 
-/// What became of a router, as another one logged it.
+/// A change of one router, as another router logged it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterChange {
-    /// Where it gets datagrams.
+    /// Address at which the changed router receives datagrams.
     pub address: SocketAddr,
-    /// The log's words: `joined`, `died`, `is back`, ...
+    /// Text of the change in the log, such as `joined`, `died` or `is back`.
     pub text: String,
 }
 
-/// Parses the view in a line of a router's log, if it has one.
+/// Parses a view from a line of a router's log. Returns `None` if the line has no view.
 pub fn parse_view(line: &str) -> Option<RouterView> {
     let (log_fields, view) = line.split_once(VIEW_LOG_TEXT)?;
     let timestamp = log_fields.split_whitespace().next()?;
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -1,4 +1,4 @@
-//! Reports of a drill: counts, a table for people, JSON lines, and charts over time.
+//! Reports of a drill: counts, a table of text, JSON lines, and charts over time.
 
 use super::Drill;
 use super::play::DrillRecord;
@@ -11,27 +11,27 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Slices a second, to turn counts of a slice into rates.
+/// Number of time slices in a second. It converts counts of a slice into rates.
 const SLICES_PER_SECOND: f64 = 10.0;
-/// Violations that the table shows at most.
+/// Maximum number of violations in the table.
 const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// Attempts that came to members.
+/// Numbers of attempts that arrived at members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptCounts {
     /// First attempts of RPCs.
     pub first: usize,
-    /// Further attempts of the same RPCs.
+    /// Further attempts of RPCs that had a first attempt.
     pub retries: usize,
 }
 
-/// Seconds from the start of the load.
+/// Returns a time in seconds from the start of the load.
 fn secs(record: &DrillRecord, at: Time) -> f64 {
     (at - record.outcome.began).secs()
 }
 
 impl DrillRecord {
-    /// What became of the RPCs that were sent to some routers.
+    /// Counts the outcomes of the RPCs that were sent to the given routers, from the journal.
     pub fn counts_of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
         let grace = Span::from_millis(i64::from(drill.grace_ms));
@@ -57,7 +57,7 @@
         counts
     }
 
-    /// How many routers a router believed to be alive, as steps over seconds.
+    /// Returns how many routers a router believed to be alive, as a step curve over seconds.
     pub fn live_router_counts(&self, router: usize) -> Vec<(f64, f64)> {
         let mut points: Vec<(f64, f64)> = Vec::new();
         for view in self.views.get(router).into_iter().flatten() {
@@ -70,7 +70,7 @@
         points
     }
 
-    /// Attempts a second that a member ran, over seconds.
+    /// Returns the attempts per second that a member ran, over seconds.
     pub fn attempt_rate(&self, member: u32) -> Vec<(f64, f64)> {
         let mut slices = vec![0.0; self.outcome.slices.len() + 1];
         for execution in self.execution_log.executions.iter().filter(|execution| execution.member == member) {
@@ -85,12 +85,12 @@
         slices.into_iter().enumerate().map(point).collect()
     }
 
-    /// Utility a second, over seconds.
+    /// Returns the utility per second, over seconds.
     pub fn utility(&self) -> Vec<(f64, f64)> {
         self.outcome.slices.iter().map(|slice| (slice.at_s, slice.utility * SLICES_PER_SECOND)).collect()
     }
 
-    /// Rejections a second of a method, over seconds.
+    /// Returns the rejections per second of a method, over seconds.
     pub fn rejection_rate(&self, method: usize) -> Vec<(f64, f64)> {
         let rate = |slice: &Slice| {
             slice.counts.get(method).map_or(0.0, |counts| counts.rejected as f64 * SLICES_PER_SECOND)
@@ -98,7 +98,7 @@
         self.outcome.slices.iter().map(|slice| (slice.at_s, rate(slice))).collect()
     }
 
-    /// A table for people, one fact a line.
+    /// Returns the results as text, with one fact per line.
     pub fn table(&self, drill: &Drill) -> String {
         let mut lines = vec![self.rpcs_line(), self.attempts_line()];
         if let Some(settled) = self.settled {
@@ -148,13 +148,14 @@
         )
     }
 
-    /// Attempts that came to members in `from..to`, in seconds of the load.
+    /// Counts the attempts that arrived at members in `from..to`, in seconds from the start of the load.
     pub fn attempts(&self, from: f64, to: f64) -> AttemptCounts {
         let mut previous: HashMap<&str, (u32, bool)> = HashMap::new();
         let mut counts = AttemptCounts::default();
         for arrival in &self.execution_log.arrivals {
             let before = previous.insert(&arrival.id, (arrival.member, arrival.rejected));
-            // An attempt that queued there past its deadline has two records: when it came, and when it was rejected.
+            // An attempt that expired in the member's queue has two records, one of its arrival and one of its
+            // rejection.
             if before == Some((arrival.member, false)) && arrival.rejected {
                 continue;
             }
@@ -165,7 +166,7 @@
         counts
     }
 
-    /// Writes `drill.jsonl` and the charts to a folder.
+    /// Writes `drill.jsonl` and the charts to a folder, which is created if it does not exist.
     ///
     /// # Errors
     /// If a file can't be written.
@@ -203,7 +204,7 @@
         file.flush()
     }
 
-    /// An RPC of the journal as JSON.
+    /// Returns an entry of the journal as JSON.
     fn rpc_line(&self, entry: &RpcRecord) -> Value {
         let answered =
             entry.answered.map(|answered| (secs(self, answered.at), answered.answer.report_word()));
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -1,4 +1,5 @@
-//! Records of a run as events of the checkers, and writes with a wrong answer, for which there is no checker.
+//! Converts the records of a run into events for the checkers. Also finds writes with a wrong answer, for which there
+//! is no checker.
 
 use super::{ColdStart, History, MemberLink};
 use crate::load::{RpcAnswer, RpcRecord};
@@ -6,14 +7,14 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
-/// How long after an absence a router may still answer late.
+/// Time after an absence in which RPCs that are sent to the router are still excused.
 const ABSENCE_RECOVERY_TIME: Span = Span::from_millis(200);
-/// The history ends this long after the last deadline, so that every RPC has had its time.
+/// Time from the last deadline to the end of the history, by which the answer time of every RPC has passed.
 const END_AFTER_LAST_DEADLINE: Span = Span::from_millis(10_000);
-/// The rule of wrong answers to writes.
+/// The rule on effects of writes, under which wrong answers to writes are reported.
 const EFFECTS_RULE: u8 = 2;
 
-/// An attempt's begin or end, as the fault tool saw it.
+/// The begin or the end of an attempt, as the fault tool observed it.
 struct ObservedAttempt {
     at: Time,
     link: MemberLink,
@@ -22,6 +23,7 @@
 }
 
 impl ObservedAttempt {
+    /// Returns the begin or end as an event for the checkers.
     fn event(&self) -> Event {
         let (rpc, member) = (self.rpc, self.link.member);
         let kind = match self.begins {
@@ -33,14 +35,15 @@
 }
 
 impl History<'_> {
-    /// The number of an RPC of this load, by its id `SEED-NUMBER`, in hex.
+    /// Returns the number of an RPC from its id, which is `SEED-NUMBER` in hex. Returns `None` for RPCs of another
+    /// load.
     fn rpc_number(&self, id: &str) -> Option<u64> {
         let (seed, number) = id.split_once('-')?;
         (u64::from_str_radix(seed, 16) == Ok(self.seed)).then_some(())?;
         u64::from_str_radix(number, 16).ok()
     }
 
-    /// When a client sent an RPC, and what may become of it.
+    /// Returns the event of a client sending an RPC, with the RPC's deadline and the limits on its execution.
     fn accepted_event(&self, entry: &RpcRecord) -> Event {
         let method = self.scenario.methods.get(entry.method);
         let max_staleness =
@@ -51,7 +54,8 @@
         Event { at: entry.sent, kind }
     }
 
-    /// Was its router absent at some time while its client waited?
+    /// Returns whether the RPC's router was absent while the client waited. A graceful shutdown excuses only RPCs
+    /// sent after it began.
     fn is_excused(&self, entry: &RpcRecord) -> bool {
         let answered_at = entry.answered.map(|answered| answered.at);
         let ended_at = answered_at.or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
@@ -65,7 +69,7 @@
         })
     }
 
-    /// Rule 1: what each client sent, and how it was answered.
+    /// Returns the events for rule 1: what each client sent, and how it was answered.
     pub(super) fn answer_events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         for entry in self.journal {
@@ -81,12 +85,14 @@
                 _ => {}
             }
         }
+        // An event after the last deadline makes the checker report all unanswered RPCs. No RPC has its number.
         let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
         events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
         events
     }
 
+    /// Returns the begins and ends of attempts that the fault tool observed on links to members.
     fn observed_attempts(&self) -> impl Iterator<Item = ObservedAttempt> {
         self.attempts.iter().filter_map(|attempt| {
             let link = *self.links.get(&attempt.link)?;
@@ -95,12 +101,13 @@
         })
     }
 
-    /// Rule 2: attempts, and which of them members rejected or ran.
+    /// Returns the events for rule 2: attempts, and which of them members rejected or ran.
     pub(super) fn effect_events(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         let arrivals = &self.execution_log.arrivals;
         if self.attempts.is_empty() {
-            // Without the fault tool only the arrival at a member is known, and not the end of the attempt.
+            // Without the fault tool, only an attempt's arrival at a member is known. It counts as the attempt's end
+            // too.
             for arrival in arrivals.iter().filter(|arrival| !arrival.rejected) {
                 let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
                 let (at, member) = (arrival.at, arrival.member);
@@ -121,7 +128,7 @@
         events
     }
 
-    /// Rule 3: when a router was notified of drains, and its attempts.
+    /// Returns the events for rule 3: when a router was notified of drains, and its attempts.
     pub(super) fn drain_events(&self, router: usize) -> Vec<Event> {
         let notices = self.drain_notices.iter().filter(|notice| notice.router == router);
         let notified = notices
@@ -131,7 +138,8 @@
         notified.chain(begun.map(|attempt| attempt.event())).collect()
     }
 
-    /// Rule 4: starts of cold members, and the attempts of one router or of all.
+    /// Returns the events for rule 4: starts of cold members, and the attempts of one router, or of all routers if
+    /// `router` is `None`.
     pub(super) fn slow_start_events(&self, router: Option<usize>) -> Vec<Event> {
         let cold_starts = self.cold_starts.iter().map(ColdStart::event);
         let is_from_router =
@@ -140,7 +148,7 @@
         cold_starts.chain(begun.map(|attempt| attempt.event())).collect()
     }
 
-    /// Rule 5: reads, and the position of the member when each arrived there.
+    /// Returns the events for rule 5: RPCs, and the position of the member when each attempt arrived there.
     pub(super) fn read_events(&self) -> Vec<Event> {
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         for arrival in self.execution_log.arrivals.iter().filter(|arrival| !arrival.rejected) {
@@ -152,7 +160,7 @@
         events
     }
 
-    /// Writes with a wrong answer: ok though it never ran, or rejected though it ran.
+    /// Returns the writes with a wrong answer: those answered ok that never ran, and those rejected that ran.
     pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
         let executions = self.execution_log.executions.iter();
         let executing_member: BTreeMap<u64, u32> = executions
--- a/crates/ladderpass-testbed/src/history_checker/inputs.rs
+++ b/crates/ladderpass-testbed/src/history_checker/inputs.rs
@@ -1,37 +1,38 @@
-//! Records of a run beside those of the load, the fault tool and the emulator: absences, drains, the use of links.
+//! Inputs of the history checker that the load, the fault tool and the emulator do not record: absences of routers,
+//! drain notices, and which router and member each link connects.
 
 use ladderpass_routing::Time;
 
-/// A time in which a router can't answer: from a kill to its next start, while it is frozen, or while its clients are cut
-/// off from it.
+/// A time in which a router can't answer: from a kill or a SIGTERM to its next start, while it is frozen, or while
+/// its clients are cut off from it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Absence {
     /// Index of the router.
     pub router: usize,
-    /// Its first moment.
+    /// When the absence began.
     pub from: Time,
-    /// Its last moment.
+    /// When the absence ended. While it is open, this is a time in the far future.
     pub to: Time,
-    /// A graceful shutdown: RPCs sent before it must be answered all the same.
+    /// Whether the absence is a graceful shutdown. RPCs sent before it must still be answered.
     pub planned: bool,
 }
 
-/// A router was notified that a member drains.
+/// A notice to a router that a member drains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DrainNotice {
     /// Index of the router.
     pub router: usize,
-    /// Number of the member.
+    /// Index of the member.
     pub member: u32,
-    /// When the router was notified.
+    /// When discovery sent the notice.
     pub at: Time,
 }
 
-/// The use of a link of the fault tool: one router's connections to one member.
+/// The ends of a link of the fault tool that carries one router's connections to one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLink {
     /// Index of the router.
     pub router: usize,
-    /// Number of the member.
+    /// Index of the member.
     pub member: u32,
 }
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -1,15 +1,16 @@
-//! History checker: the five invariants over one history of all clients, routers and members.
+//! History checker: checks the five invariants over one history of all clients, routers and members.
 //!
-//! Its inputs are what clients were answered, what the fault tool passed on beside each router, and what members saw; it
-//! uses nothing that a router says about itself. It turns these records into events for the checkers of
-//! `ladderpass-invariants`, and excuses an unanswered RPC only if its router was killed, frozen or cut off.
+//! Its inputs are the answers to clients, the attempts that the fault tool forwarded for each router, and what
+//! members observed. It uses no data that routers report about themselves. It converts these records into events for
+//! the checkers of `ladderpass-invariants`. It excuses an unanswered or late RPC only if its router was killed,
+//! frozen or cut off, or if the RPC was sent after its router began to shut down.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `inputs` | records beside those of the load, the fault tool and the emulator |
-//! | `slow_start` | members that start cold, and the rule on them over all routers |
-//! | `events` | records as events of the checkers |
-//! | `replay` | events in order of time and cause through one checker |
+//! | `inputs` | records that the load, the fault tool and the emulator do not make |
+//! | `slow_start` | members that start cold, and rule 4 on them over the attempts of all routers |
+//! | `events` | conversion of records into events for the checkers |
+//! | `replay` | passes events to one checker, in order of time and cause |
 
 mod events;
 mod inputs;
@@ -27,25 +28,25 @@
 use replay::check_events;
 use std::collections::{BTreeSet, HashMap};
 
-/// The records of a run, as one history.
+/// The records of a run, combined into one history.
 pub struct History<'a> {
     /// The members and their methods.
     pub scenario: &'a Scenario,
-    /// By number of a link in the fault tool: the router that uses it, and the member that it leads to.
+    /// The links to members, by index of the link in the fault tool's plan.
     pub links: &'a HashMap<usize, MemberLink>,
-    /// Seed of the load, which is part of its RPCs' ids.
+    /// Seed of the load, which is part of the ids of its RPCs.
     pub seed: u64,
-    /// What clients saw.
+    /// What clients observed, with one entry per RPC in the order of sending.
     pub journal: &'a [RpcRecord],
-    /// Begins and ends of attempts that the fault tool saw; empty without the tool.
+    /// Begins and ends of attempts that the fault tool observed. It is empty in a run without the tool.
     pub attempts: &'a [AttemptEvent],
-    /// The start of the fault tool, from which the times of `attempts` count.
+    /// Start of the fault tool, from which the times of `attempts` are counted.
     pub tool_started_at: Time,
-    /// What members saw.
+    /// What members observed.
     pub execution_log: &'a ExecutionLog,
-    /// When routers could not answer.
+    /// Times in which routers could not answer.
     pub absences: &'a [Absence],
-    /// When routers were notified that members drain.
+    /// Notices to routers that members drain.
     pub drain_notices: &'a [DrainNotice],
     /// Members that started cold.
     pub cold_starts: &'a [ColdStart],
@@ -54,7 +55,7 @@
 }
 
 impl History<'_> {
-    /// All violations of the five rules.
+    /// Returns all violations of the five rules.
     pub fn violations(&self) -> Vec<Violation> {
         let mut violations = Vec::new();
         violations.extend(check_events(self.answer_events(), OneAnswer::new(self.tolerance)));
@@ -70,7 +71,7 @@
         violations
     }
 
-    /// Violations of rule 4 (cold members) by the attempts of one router alone.
+    /// Returns the violations of rule 4 (cold members) that one router's attempts cause without those of the others.
     pub fn slow_start_violations_of(&self, router: usize) -> Vec<Violation> {
         check_events(self.slow_start_events(Some(router)), SlowStart::default())
     }
--- a/crates/ladderpass-testbed/src/history_checker/replay.rs
+++ b/crates/ladderpass-testbed/src/history_checker/replay.rs
@@ -1,9 +1,9 @@
-//! Plays events through one checker, in order of time and cause.
+//! Passes events to one checker, in order of time and cause.
 
 use ladderpass_invariants::{Checker, Event, EventKind, Violation};
 use ladderpass_routing::Time;
 
-/// Order of events at the same time: causes before their effects.
+/// Returns the rank of an event among events at the same time, by which causes precede their effects.
 fn causal_order(kind: &EventKind) -> u8 {
     match kind {
         EventKind::Started { .. }
@@ -21,12 +21,12 @@
     }
 }
 
-/// What a checker finds in events of any order.
+/// Sorts events and returns the violations that a checker finds in them.
 pub(super) fn check_events(events: Vec<Event>, mut checker: impl Checker) -> Vec<Violation> {
     check_events_with(events, &mut checker)
 }
 
-/// As [`check_events`]; the checker can be asked further afterwards.
+/// Does the same as [`check_events`], but borrows the checker, so that the caller can read its state afterwards.
 pub(super) fn check_events_with(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
     events.sort_by_key(|event| (event.at, causal_order(&event.kind)));
     let mut violations = Vec::new();
--- a/crates/ladderpass-testbed/src/history_checker/slow_start.rs
+++ b/crates/ladderpass-testbed/src/history_checker/slow_start.rs
@@ -1,33 +1,35 @@
-//! Members that start cold, and the rule on them over the attempts of all routers.
+//! Members that start cold, and the check of rule 4 on them over the attempts of all routers.
 
 use super::replay::check_events_with;
 use ladderpass_emulator::{ExecutionLog, Scenario};
 use ladderpass_invariants::{Event, EventKind, SlowStart, Violation};
 use ladderpass_routing::{Span, Time};
 
-/// A member that starts cold, and what it can serve.
+/// The start of a cold member, with the rates that it can serve.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// When it starts.
+    /// When the member starts.
     pub at: Time,
-    /// Number of the member.
+    /// Index of the member.
     pub member: u32,
-    /// RPCs a second that it can serve once it is warm.
+    /// RPCs per second that the member can serve after the warm-up.
     pub capacity: f64,
-    /// Fraction of the capacity at its start.
+    /// Fraction of the capacity that the member has at its start.
     pub initial_fraction: f64,
-    /// From its start until it has its whole capacity.
+    /// Time from the start until the member has its full capacity.
     pub warm_up_time: Span,
-    /// The window over which too many RPCs overload it.
+    /// Length of the windows over which the member's RPCs are compared with its capacity.
     pub overload_window: Span,
 }
 
-/// As the routers' settings give the warm-up.
+/// The warm-up time (`WarmWithin`) in the settings that the emulator gives the routers.
 const WARM_UP_TIME: Span = Span::from_millis(10_000);
+/// The initial fraction of the capacity (`ColdFrom`) in the same settings.
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 
 impl ColdStart {
-    /// The members of a scenario that start cold at `at`, each with a `capacity` in RPCs a second.
+    /// Returns the cold members of a scenario, with their start at `at` and each with a `capacity` in RPCs per
+    /// second.
     pub fn all(scenario: &Scenario, at: Time, capacity: f64) -> Vec<ColdStart> {
         let overload_window = Span::from_secs_f64(scenario.overload_ms / 1e3);
         let cold_start = |&member: &u32| ColdStart {
@@ -41,6 +43,7 @@
         scenario.cold.iter().map(cold_start).collect()
     }
 
+    /// Returns the start as an event for the checkers.
     pub(super) fn event(&self) -> Event {
         let ColdStart { at, member, capacity, initial_fraction, warm_up_time, overload_window } = *self;
         let kind = EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window };
@@ -48,17 +51,17 @@
     }
 }
 
-/// What rule 4 (cold members) finds over the attempts of all routers.
+/// Result of the check of rule 4 (cold members) over the attempts of all routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStartCheck {
     /// Windows in which a member got too many attempts.
     pub violations: Vec<Violation>,
-    /// How far above its capacity the worst window of a member was, in square roots of that capacity
-    /// ([`SlowStart::max_excess`]).
+    /// Largest excess of a window's attempts over the member's capacity in that window, in square roots of that
+    /// capacity ([`SlowStart::max_excess`]).
     pub max_excess: f64,
 }
 
-/// Checks rule 4 (cold members) over the attempts that came to members, whichever router sent them.
+/// Checks rule 4 (cold members) over the attempts of all routers, by their arrivals at the members.
 pub fn check_slow_start_at_members(
     cold_starts: &[ColdStart],
     execution_log: &ExecutionLog,
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of a router: parsed from the PostgreSQL protocol, checked, and counted.
+//! Answers of a router: parses them from the PostgreSQL protocol, checks them, and counts them.
 
 use super::generator::{ANSWER_GRACE, InFlightRpc, LoadGenerator, PartialAnswer, QueuedRpc};
 use super::outcome::RpcAnswer;
@@ -8,9 +8,10 @@
 
 /// SQLSTATEs of a rejection: too_many_connections and cannot_connect_now.
 const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
-/// A malformed row is reported only while fewer faults than this are known.
+/// Number of recorded faults from which on malformed rows are no longer recorded.
 const MAX_MALFORMED_ROWS: usize = 20;
-/// Bytes of a DataRow before the only column: the count of columns, and this column's length.
+/// Bytes of a DataRow body before the value of its only column. They hold the number of columns and this column's
+/// length.
 const ROW_HEADER_BYTES: usize = 6;
 
 impl LoadGenerator<'_> {
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Records the complete answer to an RPC, in the journal and in the counts.
     fn record_answer(&mut self, now: Time, rpc: InFlightRpc, answer: PartialAnswer) {
         if !rpc.background {
             self.in_flight -= 1;
@@ -85,8 +87,10 @@
         }
     }
 
-    /// Notes an answer that the protocol does not allow, and a value that was made for another RPC. The history checker
-    /// judges values of another RPC that can be read; here only those that can't, and those of floods.
+    /// Records a fault for an answer that the protocol does not allow, and for a value that was made for another RPC.
+    /// For RPCs in the journal, the history checker finds the values of another RPC, so only values whose RPC can't
+    /// be read are recorded here. Background RPCs are not in the journal, so all their wrong values are recorded
+    /// here.
     fn check_answer(&mut self, rpc: &InFlightRpc, answer: &PartialAnswer) {
         let number = rpc.number;
         if answer.row.is_none() && answer.error_code.is_none() {
@@ -99,6 +103,7 @@
         }
     }
 
+    /// Counts an ok answer, its utility if it came by the soft deadline, and its latency.
     fn record_ok(&mut self, now: Time, rpc: &InFlightRpc) {
         let method = &self.scenario.methods[rpc.method];
         let is_good = now <= rpc.due + Span::from_secs_f64(method.soft_deadline_ms / 1e3);
@@ -113,7 +118,8 @@
         self.outcome.ok_us[rpc.method].saturating_record(latency_us(now, rpc));
     }
 
-    /// Retries a rejected RPC after its Retry-After, or counts it if its client has no retry or no time left.
+    /// Schedules a retry of a rejected RPC after its Retry-After, or counts the RPC as rejected if its client has no
+    /// retry or no time left.
     fn record_rejection(&mut self, now: Time, rpc: &InFlightRpc, retry_after_ms: u64) {
         self.outcome.rejected_us.saturating_record(latency_us(now, rpc));
         self.outcome.retry_after_ms.saturating_record(retry_after_ms.max(1));
@@ -134,6 +140,7 @@
 }
 
 impl PartialAnswer {
+    /// Returns the kind of a complete answer.
     fn kind(&self) -> Answer {
         match self.error_code.as_deref() {
             None if self.row.is_some() => Answer::Ok,
@@ -143,19 +150,20 @@
     }
 }
 
-/// From when an RPC was due; at least one microsecond, the least that the histograms hold.
+/// Returns the time since an RPC was due, in microseconds. It is at least 1, the smallest value of the histograms.
 fn latency_us(now: Time, rpc: &InFlightRpc) -> u64 {
     ((now - rpc.due).nanos() / 1000).max(1) as u64
 }
 
-/// Is the only column of a DataRow as long as the row says?
+/// Returns whether the length of a DataRow's only column matches the length of the row.
 fn is_row_well_formed(body: &[u8]) -> bool {
     let length =
         body.get(2..6).and_then(|four| four.first_chunk::<4>()).map(|four| u32::from_be_bytes(*four));
     length.is_some_and(|length| length as usize + ROW_HEADER_BYTES == body.len())
 }
 
-/// The number of the RPC that a row's value was made for. The emulator's values begin with `SEED-NUMBER.`, in hex.
+/// Returns the number of the RPC that a row's value was made for, or `None` if it can't be read. The emulator's
+/// values begin with `SEED-NUMBER.` in hex.
 fn row_rpc_number(body: &[u8]) -> Option<u64> {
     let value = body.get(ROW_HEADER_BYTES..).unwrap_or_default();
     let id = value.split(|&byte| byte == b'.').next()?;
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of a load: opened, written, read, and replaced when a router ends them.
+//! Connections of a load: opens, writes and reads them, and replaces those that a router ends.
 
 use super::generator::{ClientConnection, ClientKind, LoadGenerator, PartialAnswer, Reconnect};
 use ladderpass_emulator::{now, proto};
@@ -12,15 +12,17 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::SocketAddr;
 
-/// `EINPROGRESS`: a non-blocking connect has begun.
+/// `EINPROGRESS`, which a non-blocking connect returns while the connection is being established.
 const CONNECT_IN_PROGRESS: i32 = 115;
-/// Before several routers, a lost connection is opened again after this long.
+/// Delay before a lost connection is reopened, if there are several routers. With a single router it is reopened at
+/// once.
 const RECONNECT_DELAY: Span = Span::from_millis(50);
-/// Small, so that unread answers wait in the router and not in the kernel.
+/// Receive buffer of a slow reader. It is small so that unread answers wait in the router and not in the kernel.
 const SLOW_READER_RECEIVE_BYTES: usize = 4096;
 
 impl LoadGenerator<'_> {
-    /// Opens lost connections again, and moves idle roaming ones to another router.
+    /// Reopens lost connections that are due, and reconnects idle roaming connections whose stay is over. The load
+    /// balancer draws the router of each, which may be the same as before.
     pub fn reconnect_due(&mut self, now: Time) -> io::Result<()> {
         while let Some(first) = self.reconnects.first_entry()
             && first.key().0 <= now
@@ -39,7 +41,7 @@
         Ok(())
     }
 
-    /// Opens the connection of a client to a router that the load balancer draws.
+    /// Opens a client's connection to a router that the load balancer draws.
     pub fn connect(&mut self, kind: ClientKind, index: usize) -> io::Result<ClientConnection> {
         let several = self.balancer.routers.len() > 1;
         let router = self.balancer.draw_router(&mut self.rng);
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Writes what a connection has to send, as far as the socket takes it.
+    /// Writes a connection's pending output, as far as the socket accepts it.
     pub fn write(&mut self, index: usize) {
         let Some(client) = self.clients[index].as_mut() else { return };
         while client.written < client.output.len() {
@@ -85,7 +87,8 @@
         (client.written, client.has_output) = (0, false);
     }
 
-    /// Reads and handles what a connection has received; `closed` if the router has ended it.
+    /// Reads and handles a connection's input. `closed` means that the router has closed its side; otherwise slow
+    /// readers read nothing.
     pub fn read(&mut self, index: usize, closed: bool) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         self.read_with(index, closed, &mut buffer);
@@ -116,7 +119,8 @@
         }
     }
 
-    /// A connection has ended, and its RPCs in flight stay unanswered. A new connection takes its place.
+    /// Handles the end of a connection. Counts its RPCs in flight as unanswered, and reopens it unless the client is
+    /// a slow reader or the load has ended.
     fn connection_lost(&mut self, index: usize, refused: bool) {
         let Some(client) = self.clients[index].take() else { return };
         let now = now();
@@ -144,6 +148,7 @@
     }
 }
 
+/// Starts a non-blocking connect to a router.
 fn connect_stream(router: SocketAddr, kind: ClientKind) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(router), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop of a load: arrivals, retries and reconnects that are due, then writes, then what the poller reports.
+//! The event loop of a load. Each pass handles due arrivals, retries and reconnects, then writes, then the poller's
+//! events.
 
 use super::generator::{ANSWER_GRACE, ClientKind, LoadGenerator};
 use super::outcome::{Outcome, SLICE};
@@ -11,15 +12,15 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Connections are opened this long before the first RPC can be due.
+/// Time from when the connections are opened until the first RPC can be due.
 const CONNECT_BEFORE_START: Span = Span::from_millis(100);
 const MAX_POLL_WAIT: Span = Span::from_millis(5);
 const EVENT_CAPACITY: usize = 4096;
-/// Far enough behind the end that everything still in flight is counted as unanswered.
+/// Added to twice the deadline at the end of the load, so that all RPCs still in flight are counted as unanswered.
 const ABANDON_ALL_AFTER: Span = Span::from_millis(60_000);
 
 impl LoadGenerator<'_> {
-    /// Plays the plan to its end.
+    /// Runs the plan to its end, or until its `stop` flag is set.
     pub fn run(mut self, mut on_progress: impl FnMut(f64)) -> io::Result<Outcome> {
         self.open_connections()?;
         let mut events = Events::with_capacity(EVENT_CAPACITY);
@@ -73,7 +74,7 @@
         Ok(())
     }
 
-    /// Sets when the first RPC can be due, and returns it.
+    /// Sets and returns the start of the load, which is when the first RPC can be due.
     fn set_start(&mut self, start: Time) -> Time {
         (self.began, self.outcome.began) = (start, start);
         self.ends = start + self.outcome.duration;
@@ -81,7 +82,7 @@
         start
     }
 
-    /// Queues all RPCs that are due by now, with the times at which they were due.
+    /// Queues all open arrivals that are due by now, with the times at which they were due.
     fn queue_arrivals(&mut self, now: Time) {
         while self.next_arrival.next_due <= now {
             let due = self.next_arrival.next_due;
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Queues due retries, before RPCs that were not sent yet.
     fn queue_due_retries(&mut self, now: Time) {
         while let Some(first) = self.retries.first_entry()
             && first.key().0 <= now
@@ -111,6 +113,7 @@
         }
     }
 
+    /// Writes the output of all connections that have some.
     fn write_pending(&mut self) {
         for index in 0..self.clients.len() {
             if self.clients[index].as_ref().is_some_and(|client| client.has_output) {
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Is the load stopped, or past its end with nothing left to wait for?
+    /// Returns whether the load was stopped, or is past its end with nothing left to wait for.
     fn is_over(&self, now: Time) -> bool {
         if self.plan.stop.as_ref().is_some_and(|stop| stop.load(Ordering::Relaxed)) {
             return true;
@@ -131,13 +134,15 @@
         !waits || now >= self.ends + self.plan.deadline + ANSWER_GRACE * 2.0
     }
 
-    /// Rounded down to whole milliseconds, the poller's unit, so that the next arrival is not slept through.
+    /// Returns how long to poll. The time is rounded down to whole milliseconds, the poller's unit, so that the wait
+    /// ends before the next arrival.
     fn poll_wait(&self, now: Time) -> Duration {
         let wait = self.next_arrival.next_due.min(now + MAX_POLL_WAIT) - now;
         Duration::from_millis((wait.nanos() / 1_000_000).max(0) as u64)
     }
 
-    /// Counts RPCs whose deadline has passed, and after the last deadline those that were never sent.
+    /// Counts RPCs in flight whose deadline has passed as unanswered. After the last deadline, counts queued RPCs as
+    /// unsent and waiting retries as rejected.
     fn abandon_expired(&mut self, now: Time) {
         for index in 0..self.clients.len() {
             let Some(client) = self.clients[index].as_mut() else { continue };
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -12,19 +12,22 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-/// How long after an RPC's deadline its answer still counts as in time: for its way back.
+/// Time after an RPC's deadline in which its answer still counts as in time. It covers the answer's transmission.
 pub(super) const ANSWER_GRACE: Span = Span::from_millis(50);
 const READ_BUFFER_BYTES: usize = 32 << 10;
-/// A journal gets room for this many times the expected RPCs, and for no more than `JOURNAL_MAX_RESERVED`.
+/// Ratio of the reserved journal entries to the expected RPCs.
 const JOURNAL_MARGIN: f64 = 1.2;
+/// Maximum number of reserved journal entries.
 const JOURNAL_MAX_RESERVED: f64 = 5e6;
 
+/// How the client of a connection behaves.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ClientKind {
+    /// Sends the RPCs of the plan's arrivals.
     Normal,
-    /// Always has `flood_depth` RPCs in flight.
+    /// Keeps `flood_depth` RPCs in flight.
     Flood,
-    /// Sends and never reads.
+    /// Sends RPCs and never reads answers.
     SlowReader,
 }
 
@@ -34,7 +37,7 @@
     pub method: usize,
     /// When the client gives up.
     pub deadline: Time,
-    /// How often it was sent before.
+    /// How often the RPC was sent before.
     pub retries: u32,
 }
 
@@ -45,18 +48,19 @@
     pub due: Time,
     /// When the client gives up.
     pub deadline: Time,
-    /// How often it was sent before.
+    /// How often the RPC was sent before.
     pub retries: u32,
-    /// Its client floods or reads slowly: it is not in the slices and the journal.
+    /// Whether a flooding client or a slow reader sent the RPC. Such RPCs are in neither the slices nor the journal.
     pub background: bool,
-    /// The client has given up, and it is counted as unanswered.
+    /// Whether the client has given up and the RPC is counted as unanswered.
     pub abandoned: bool,
 }
 
-/// What has been read of the answer to the oldest RPC of a connection.
+/// The part read so far of the answer to a connection's oldest RPC.
 #[derive(Default)]
 pub(super) struct PartialAnswer {
-    /// A row came; within, the number of the RPC that its value was made for, if it can be read.
+    /// Set once a row was received. The inner value is the number of the RPC that the row's value was made for, if it
+    /// can be read.
     pub row: Option<Option<u64>>,
     pub error_code: Option<String>,
     pub retry_after_ms: Option<u64>,
@@ -67,30 +71,32 @@
     pub stream: TcpStream,
     pub kind: ClientKind,
     pub router: usize,
-    /// When it moves to another router, once nothing is in flight.
+    /// When the client reconnects to a drawn router, as soon as no RPC is in flight. It is `None` for clients that do
+    /// not roam.
     pub moves_at: Option<Time>,
-    /// The router has welcomed it.
+    /// Whether the router has completed the startup, so that the connection accepts RPCs.
     pub ready: bool,
-    /// Oldest first: answers come in this order.
+    /// RPCs in flight, with the oldest first. The router answers in this order.
     pub in_flight: VecDeque<InFlightRpc>,
     pub answer: PartialAnswer,
     pub input: Vec<u8>,
     pub output: Vec<u8>,
-    /// Bytes of `output` that are written.
+    /// Number of bytes of `output` that have been written.
     pub written: usize,
+    /// Whether a write should be tried.
     pub has_output: bool,
 }
 
-/// A lost connection that is opened again.
+/// A lost connection that will be reopened.
 pub(super) struct Reconnect {
     /// Index of the connection.
     pub index: usize,
     pub kind: ClientKind,
 }
 
-/// Open arrivals: when the next RPC is due.
+/// State of open arrivals: the current phase, and when the next RPC is due.
 pub(super) struct NextArrival {
-    /// Phases still to come, the next one last.
+    /// Phases that have not begun, with the next one last.
     pub phases: Vec<Phase>,
     pub phase_ends: Time,
     pub rate_per_second: f64,
@@ -103,29 +109,33 @@
     pub plan: &'a Plan,
     pub balancer: &'a LoadBalancer,
     pub poll: Poll,
+    /// Connections, by index. An entry is `None` while its connection is lost.
     pub clients: Vec<Option<ClientConnection>>,
-    /// Connections that are opened again, by when and a number that makes the key unique.
+    /// Connections to reopen, by the time of reopening and a number that makes the key unique.
     pub reconnects: BTreeMap<(Time, u64), Reconnect>,
     pub rng: SmallRng,
     pub method_shares: Vec<f64>,
     pub next_arrival: NextArrival,
-    /// The number given last, to an RPC or a key of `reconnects` or `retries`.
+    /// The last assigned number. RPCs and keys of `reconnects` and `retries` share one sequence.
     pub last_number: u64,
-    /// The connection that was offered an RPC last.
+    /// Index of the connection that was considered last for an RPC.
     pub last_client: usize,
+    /// RPCs that are due and wait for a free connection.
     pub queue: VecDeque<QueuedRpc>,
-    /// Rejected RPCs that are sent again, by when and a number that makes the key unique.
+    /// Rejected RPCs to retry, by the time of the retry and a number that makes the key unique.
     pub retries: BTreeMap<(Time, u64), QueuedRpc>,
     pub outcome: Outcome,
+    /// Start of the load, from which the slices count.
     pub began: Time,
-    /// No RPC is due from then on.
+    /// End of the load, from which on no RPC is due.
     pub ends: Time,
-    /// RPCs in flight, without those of flooding and slow connections.
+    /// Number of RPCs in flight, without background RPCs.
     pub in_flight: usize,
     pub read_buffer: Vec<u8>,
 }
 
 impl<'a> LoadGenerator<'a> {
+    /// Creates the state of a load without opening its connections.
     pub fn new(
         scenario: &'a Scenario,
         balancer: &'a LoadBalancer,
@@ -168,7 +178,7 @@
         })
     }
 
-    /// Changes the counts of the slice and method of an RPC.
+    /// Applies a change to the counts of an RPC's slice and method. `due` determines the slice.
     pub fn count(&mut self, due: Time, method: usize, change: impl Fn(&mut Counts)) {
         let slice = self.slice_index(due);
         let methods = self.scenario.methods.len();
@@ -182,19 +192,20 @@
         }
     }
 
-    /// The index of the slice in which an RPC was due.
+    /// Returns the index of the slice in which an RPC was due.
     pub fn slice_index(&self, due: Time) -> usize {
         ((due - self.began).nanos() / SLICE.nanos()).max(0) as usize
     }
 
-    /// The journal's entry of an RPC. Numbers rise in the order of sending.
+    /// Returns the journal entry of an RPC, found by binary search, since numbers increase in the order of sending.
     pub fn journal_entry(&mut self, number: u64) -> Option<&mut RpcRecord> {
         let index = self.outcome.journal.binary_search_by_key(&number, |entry| entry.number).ok()?;
         self.outcome.journal.get_mut(index)
     }
 }
 
-/// How many entries to reserve: a journal that grows by copying would hold the load up.
+/// Returns how many journal entries to reserve. Copying a growing journal would delay the load. A closed load has no
+/// expected number of RPCs and reserves none.
 fn expected_journal_entries(plan: &Plan) -> usize {
     if !plan.journal {
         return 0;
--- a/crates/ladderpass-testbed/src/load/load_balancer.rs
+++ b/crates/ladderpass-testbed/src/load/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The load balancer of the clients: to which router each new connection goes.
+//! The load balancer of the clients, which chooses the router of each new connection.
 
 use ladderpass_emulator::now;
 use ladderpass_routing::{Span, Time};
@@ -8,23 +8,24 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A load balancer before several routers. It spreads connections unevenly, and notices late that a router has ended.
+/// A load balancer in front of one or several routers. It distributes connections by weight, and detects with a delay
+/// that a router is down.
 pub struct LoadBalancer {
-    /// Addresses of the routers; elsewhere a router is its index here.
+    /// Addresses of the routers. Other types refer to a router by its index in this list.
     pub routers: Vec<SocketAddr>,
-    /// Weight of each router for new connections.
+    /// Weight of each router for new connections. Routers beyond the end of the list have weight 1.
     pub weights: Vec<f64>,
-    /// Fraction of the connections that move to another router again and again.
+    /// Fraction of the connections that move to another router from time to time.
     pub roaming: f64,
-    /// Mean time that a roaming connection stays at a router.
+    /// Mean time for which a roaming connection stays at a router.
     pub mean_stay: Span,
-    /// How long new connections still go to a router that is down.
+    /// Time until the balancer detects that a router is down. Until then, new connections still go to that router.
     pub down_detection: Span,
-    /// Which routers are down.
+    /// The routers that are down.
     pub down: Arc<DownRouters>,
 }
 
-/// Which routers are down, and since when. Whoever ends and starts routers reports it here.
+/// The routers that are down, with the times since when. The code that ends and restarts routers updates it.
 #[derive(Default)]
 pub struct DownRouters(Mutex<HashMap<usize, Time>>);
 
@@ -33,23 +34,24 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A router has gone down now.
+    /// Records that a router is down from now on, unless it was recorded as down before.
     pub fn mark_down(&self, router: usize) {
         self.lock().entry(router).or_insert_with(now);
     }
 
-    /// A router is up again.
+    /// Records that a router is up again.
     pub fn mark_up(&self, router: usize) {
         self.lock().remove(&router);
     }
 
+    /// Returns since when a router is down, or `None` if it is up.
     fn since(&self, router: usize) -> Option<Time> {
         self.lock().get(&router).copied()
     }
 }
 
 impl LoadBalancer {
-    /// All connections go to one router, whether it is up or not.
+    /// Creates a balancer that sends all connections to one router, whether or not it is up.
     pub fn single(router: SocketAddr) -> LoadBalancer {
         LoadBalancer {
             routers: vec![router],
@@ -61,12 +63,13 @@
         }
     }
 
-    /// Is there only one router?
+    /// Returns whether there is only one router.
     pub(super) fn is_single(&self) -> bool {
         self.routers.len() == 1
     }
 
-    /// Draws a router for a new connection, by weight, among those that are believed to be up.
+    /// Draws a router for a new connection, by weight, among those that are not detected as down. Returns router 0 if
+    /// all are.
     pub(super) fn draw_router(&self, rng: &mut SmallRng) -> usize {
         let now = now();
         let believed_up =
--- a/crates/ladderpass-testbed/src/load/mod.rs
+++ b/crates/ladderpass-testbed/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! Load generator: clients that send RPCs to one or several routers, and the record of what became of each RPC.
+//! Load generator: clients that send RPCs to one or several routers, and the recorded outcome of each RPC.
 //!
-//! Arrivals are open (at drawn times, whether or not earlier RPCs are answered) or closed (each connection sends again
-//! once it is answered). Latencies count from when an RPC was due, not from when it was sent, so that a stalled router
-//! can't hide the RPCs that would have come meanwhile (coordinated omission). The load uses nothing that a router says
-//! about itself.
+//! Arrivals are open (at random times, whether or not earlier RPCs are answered) or closed (each connection sends its
+//! next RPC after an answer). Latencies count from when an RPC was due, not from when it was sent. Otherwise a
+//! stalled router would hide the RPCs that were due during the stall (coordinated omission). The load uses no data
+//! that routers report about themselves.
 
 mod answers;
 mod connections;
@@ -25,10 +25,10 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Runs a plan against one router. `on_progress` gets the seconds since the start about every [`SLICE`].
+/// Runs a plan against one router. About once per [`SLICE`], calls `on_progress` with the seconds since the start.
 ///
 /// # Errors
-/// If the poller fails, or a connection can't be opened for another reason than that nobody listens.
+/// If the poller fails, or a connection can't be started. A refused connection is not an error.
 pub fn run(
     scenario: &Scenario,
     router: SocketAddr,
@@ -38,10 +38,11 @@
     run_with_balancer(scenario, &LoadBalancer::single(router), plan, on_progress)
 }
 
-/// Runs a plan against the routers behind a load balancer. `on_progress` gets the seconds since the start about every [`SLICE`].
+/// Runs a plan against the routers behind a load balancer. About once per [`SLICE`], calls `on_progress` with the
+/// seconds since the start.
 ///
 /// # Errors
-/// As [`run`].
+/// In the cases of [`run`].
 pub fn run_with_balancer(
     scenario: &Scenario,
     balancer: &LoadBalancer,
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -1,66 +1,67 @@
-//! What became of a load's RPCs: counts and utility by time slice and method, latencies, and one entry an RPC.
+//! Outcomes of a load's RPCs: counts and utility by time slice and method, latencies, and a journal with an entry per
+//! RPC.
 
 use hdrhistogram::Histogram;
 use ladderpass_invariants::Answer;
 use ladderpass_routing::{Span, Time};
 use serde::Serialize;
 
-/// What became of one RPC, as its client saw it. A client's retry has an entry of its own.
+/// Outcome of one RPC, as its client observed it. Each retry by the client has a separate record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcRecord {
-    /// Number of the RPC in this load, rising in the order of sending.
+    /// Number of the RPC in this load. Numbers increase in the order of sending.
     pub number: u64,
-    /// The router that it was sent to.
+    /// Index of the router that the RPC was sent to.
     pub router: usize,
-    /// Index of its method in the scenario.
+    /// Index of the RPC's method in the scenario.
     pub method: usize,
-    /// When it was sent.
+    /// When the RPC was sent.
     pub sent: Time,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Time,
-    /// How it was answered, if it was.
+    /// The answer, if there was one.
     pub answered: Option<RpcAnswer>,
-    /// When its connection ended without an answer.
+    /// When the connection ended without an answer, if it did.
     pub lost: Option<Time>,
-    /// That connection was refused: nobody listened.
+    /// Whether the connection was refused because nothing listened at the router's address.
     pub refused: bool,
 }
 
-/// The answer to an RPC, as its client got it.
+/// The answer to an RPC, as its client received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RpcAnswer {
-    /// When it came.
+    /// When the answer was received.
     pub at: Time,
-    /// What kind of answer it is.
+    /// Kind of the answer.
     pub answer: Answer,
-    /// Number of the RPC that the answer's value was made for, if there is a value that can be read.
+    /// Number of the RPC that the answer's value was made for, if the answer has a value from which it can be read.
     pub made_for: Option<u64>,
 }
 
-/// What became of a number of RPCs.
+/// Numbers of RPCs by outcome.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counts {
     /// RPCs that were due.
     pub due: u64,
-    /// Answered ok before their deadline.
+    /// Answered ok by their deadline, with 50 ms of grace for the answer's transmission.
     pub ok: u64,
-    /// Answered ok within the soft deadline.
+    /// Answered ok by their soft deadline.
     pub good: u64,
-    /// Rejected, and not retried.
+    /// Rejected and not retried.
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    /// Failed: their effect is unknown.
+    /// Answered with another error than a rejection. Their effect is unknown.
     pub aborted: u64,
-    /// Answered after their deadline.
+    /// Answered after their deadline and its grace, but before the load checked for expired RPCs.
     pub late: u64,
-    /// Sent and never answered.
+    /// Sent and not answered when the load checked for expired RPCs, or when their connection ended.
     pub unanswered: u64,
-    /// Never sent: no connection was free before their deadline.
+    /// Never sent, because no connection was free before their deadline or before the load ended.
     pub unsent: u64,
 }
 
 impl Counts {
-    /// Adds other counts to these.
+    /// Adds other counts to these counts.
     pub fn add(&mut self, other: &Counts) {
         self.due += other.due;
         self.ok += other.ok;
@@ -76,9 +77,9 @@
 /// The RPCs that were due within one [`SLICE`] of time.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Slice {
-    /// Its start, in seconds from the start of the load.
+    /// Start of the slice, in seconds from the start of the load.
     pub at_s: f64,
-    /// By method.
+    /// Counts by method.
     pub counts: Vec<Counts>,
     /// Utility of the answers within their soft deadline.
     pub utility: f64,
@@ -89,55 +90,58 @@
 
 /// The result of a load.
 pub struct Outcome {
-    /// One after the other, without a gap, from the start of the load.
+    /// Consecutive time slices from the start of the load, without gaps.
     pub slices: Vec<Slice>,
-    /// Latencies of ok answers from due to answered, in microseconds, by method.
+    /// Latencies of ok answers, from when the RPC was due, in microseconds and by method.
     pub ok_us: Vec<Histogram<u64>>,
-    /// Latencies of rejections from due to answered, in microseconds.
+    /// Latencies of rejections, from when the RPC was due, in microseconds.
     pub rejected_us: Histogram<u64>,
-    /// Retry-After of rejections, in milliseconds.
+    /// Retry-After values of rejections, in milliseconds.
     pub retry_after_ms: Histogram<u64>,
-    /// What became of the RPCs of the flooding connections, which are not in `slices`.
+    /// Counts of the RPCs of flooding connections, which are not in `slices`.
     pub flood: Counts,
-    /// Protocol errors of the router: answers without an RPC, values of another RPC, malformed rows.
+    /// Faults in the router's answers: answers without an RPC, values of another RPC, malformed rows.
     pub faults: Vec<String>,
     /// When the first RPC could be due.
     pub began: Time,
-    /// For how long RPCs were due.
+    /// Time over which RPCs were due.
     pub duration: Span,
-    /// The longest time from when an RPC was due to when it was sent.
+    /// Longest time from when an RPC was due until it was sent. For a client's retry, it counts from when the first
+    /// attempt was due.
     pub max_send_delay: Span,
-    /// One entry an RPC, in the order of sending, if the plan asks for it.
+    /// One record per RPC in the order of sending. It is empty unless the plan's `journal` is set.
     pub journal: Vec<RpcRecord>,
 }
 
 impl Outcome {
-    /// Counts of the whole load.
+    /// Returns the counts of the whole load.
     pub fn total(&self) -> Counts {
         let mut total = Counts::default();
         self.slices.iter().flat_map(|slice| &slice.counts).for_each(|counts| total.add(counts));
         total
     }
 
-    /// Counts of one method.
+    /// Returns the counts of one method.
     pub fn of(&self, method: usize) -> Counts {
         let mut total = Counts::default();
         self.slices.iter().filter_map(|slice| slice.counts.get(method)).for_each(|counts| total.add(counts));
         total
     }
 
-    /// Slices that start in `from..to`, in seconds from the start of the load.
+    /// Returns the slices that start in `from..to`, in seconds from the start of the load.
     pub fn within(&self, from: f64, to: f64) -> impl Iterator<Item = &Slice> {
         self.slices.iter().filter(move |slice| slice.at_s >= from - 1e-9 && slice.at_s < to - 1e-9)
     }
 
-    /// Utility a second over the slices that start in `from..to`, in seconds from the start of the load.
+    /// Returns the utility per second over the slices that start in `from..to`, in seconds from the start of the
+    /// load.
     pub fn utility_rate(&self, from: f64, to: f64) -> f64 {
         self.within(from, to).map(|slice| slice.utility).sum::<f64>() / (to - from).max(1e-9)
     }
 }
 
-/// A histogram for times in microseconds or milliseconds: 1 to 120 million, to three digits.
+/// Creates a histogram for times in microseconds or milliseconds, with values of 1 to 120 million and a precision of
+/// three digits.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("these bounds are allowed")
 }
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -1,4 +1,4 @@
-//! What a load is: its arrivals, connections, deadlines and retries.
+//! The description of a load: its arrivals, connections, deadlines and retries.
 
 use ladderpass_routing::Span;
 use serde::Deserialize;
@@ -8,9 +8,9 @@
 /// How RPCs arrive, and for how long.
 #[derive(Clone, Debug)]
 pub enum Arrivals {
-    /// Open: Poisson arrivals in phases, one after the other, whether or not earlier RPCs are answered.
+    /// Open arrivals: a Poisson process in consecutive phases, whether or not earlier RPCs are answered.
     Open(Vec<Phase>),
-    /// Closed: each connection sends again once it is answered, for so long.
+    /// Closed arrivals: for this duration, each connection sends an RPC when an earlier one is answered.
     Closed(Span),
 }
 
@@ -18,20 +18,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(from = "(f64, f64)")]
 pub struct Phase {
-    /// Its length, in seconds.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// RPCs a second that are due, on average.
+    /// Mean number of RPCs per second that are due.
     pub rate_per_second: f64,
 }
 
 impl Phase {
-    /// Its length.
+    /// Returns the duration.
     pub(super) fn duration(&self) -> Span {
         Span::from_secs_f64(self.seconds)
     }
 }
 
-/// Files of drills give a phase as a pair.
+/// Drill files give a phase as a pair of its duration and its rate.
 impl From<(f64, f64)> for Phase {
     fn from((seconds, rate_per_second): (f64, f64)) -> Phase {
         Phase { seconds, rate_per_second }
@@ -39,7 +39,7 @@
 }
 
 impl Arrivals {
-    /// For how long RPCs are due.
+    /// Returns the time over which RPCs are due.
     pub fn duration(&self) -> Span {
         match self {
             Arrivals::Open(phases) => phases.iter().fold(Span::ZERO, |sum, phase| sum + phase.duration()),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The phases of open arrivals; none if they are closed.
+    /// Returns the phases of open arrivals, or none for closed arrivals.
     pub(super) fn phases(&self) -> &[Phase] {
         match self {
             Arrivals::Open(phases) => phases,
@@ -56,30 +56,30 @@
     }
 }
 
-/// A load, as [`run`](super::run) plays it.
+/// The plan of a load, which [`run`](super::run) carries out.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// How RPCs arrive, and for how long.
     pub arrivals: Arrivals,
-    /// Connections that share the arrivals.
+    /// Number of connections that share the arrivals.
     pub connections: usize,
-    /// RPCs that a connection may have in flight.
+    /// Maximum number of RPCs in flight on a connection.
     pub pipeline: usize,
-    /// From when an RPC is due to when its client gives up.
+    /// Time from when an RPC is due until its client gives up.
     pub deadline: Span,
-    /// How often a client retries after a rejection, each time after its Retry-After.
+    /// Maximum number of a client's retries of a rejected RPC, each after the rejection's Retry-After.
     pub max_retries: u32,
-    /// Connections that ask for the largest values and never read.
+    /// Number of connections that request the largest values and never read their answers.
     pub slow_readers: usize,
-    /// Connections that send RPCs as fast as they can, with `flood_depth` in flight.
+    /// Number of connections that send RPCs as fast as they can, with `flood_depth` in flight.
     pub floods: usize,
-    /// RPCs that a flooding connection has in flight.
+    /// Number of RPCs that a flooding connection keeps in flight.
     pub flood_depth: usize,
-    /// Seed of all random draws; part of each RPC's id too.
+    /// Seed of all random draws. It is also part of each RPC's id.
     pub seed: u64,
-    /// Keep an [`RpcRecord`](super::RpcRecord) for each RPC, for the history checker.
+    /// Whether to keep an [`RpcRecord`](super::RpcRecord) of each RPC for the history checker.
     pub journal: bool,
-    /// Ends the load early once it is set.
+    /// Flag that ends the load early when it is set.
     pub stop: Option<Arc<AtomicBool>>,
 }
 
--- a/crates/ladderpass-testbed/src/load/prober.rs
+++ b/crates/ladderpass-testbed/src/load/prober.rs
@@ -1,4 +1,4 @@
-//! A client beside the load that sends empty queries, to measure how long the router's event loop takes.
+//! A client that sends empty queries during a load, to measure the delay in the router's event loop.
 
 use ladderpass_emulator::{now, proto};
 use ladderpass_routing::{Span, Time};
@@ -9,15 +9,15 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// A query unanswered for this long ends the prober.
+/// Longest wait for the answer to a query. A query that takes longer ends the prober.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the router took to answer one query of a prober.
+/// Delay of the router's answer to one query of a prober.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbeDelay {
     /// When the query was due.
     pub due: Time,
-    /// How long after that it was answered.
+    /// Time from then until the query was answered.
     pub delay: Span,
 }
 
@@ -28,10 +28,10 @@
 }
 
 impl Prober {
-    /// Connects to a router and sends it an empty query each `every`, from a thread of its own.
+    /// Connects to a router and starts a thread that sends it an empty query once per interval `every`.
     ///
     /// # Errors
-    /// If the router can't be reached, or does not welcome the connection.
+    /// If the router can't be reached, or does not complete the startup of the connection.
     pub fn start(router: SocketAddr, every: Duration) -> io::Result<Prober> {
         let mut stream = TcpStream::connect(router)?;
         stream.set_nodelay(true)?;
@@ -46,13 +46,14 @@
         Ok(Prober { thread, stop })
     }
 
-    /// Ends it, and returns the delays of all queries, in order.
+    /// Ends the prober and returns the delays of all queries, in order.
     pub fn stop(self) -> Vec<ProbeDelay> {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().unwrap_or_default()
     }
 }
 
+/// Sends queries until `stopped` is set or a query fails, and returns their delays.
 fn probe(mut stream: TcpStream, every: Duration, stopped: &AtomicBool) -> Vec<ProbeDelay> {
     let mut delays = Vec::new();
     let mut empty_query = Vec::new();
@@ -61,7 +62,7 @@
     while !stopped.load(Ordering::Relaxed) {
         let result = stream.write_all(&empty_query).and_then(|()| until_ready(&mut stream));
         let answered_at = now();
-        // A stall counts for each query that would have been sent meanwhile.
+        // During a stall, each query that was due counts with its own delay.
         loop {
             delays.push(ProbeDelay { due, delay: answered_at - due });
             due = due + Span::from_nanos(every.as_nanos() as i64);
@@ -77,10 +78,10 @@
     delays
 }
 
-/// Reads up to the next ReadyForQuery.
+/// Reads and discards messages up to the next ReadyForQuery.
 ///
 /// # Errors
-/// If the connection fails, or ends before it.
+/// If the connection fails, or ends before a ReadyForQuery.
 pub fn until_ready(stream: &mut TcpStream) -> io::Result<()> {
     let mut input = Vec::new();
     let mut chunk = [0; 4096];
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -1,4 +1,5 @@
-//! Sending: which connection takes an RPC that is due, which RPCs connections send by themselves, and the statement.
+//! Sending of RPCs: the choice of a connection for a due RPC, the RPCs of connections that don't wait for arrivals,
+//! and the SQL statement of an RPC.
 
 use super::generator::{ClientConnection, ClientKind, InFlightRpc, LoadGenerator, QueuedRpc};
 use super::outcome::RpcRecord;
@@ -7,15 +8,17 @@
 use ladderpass_routing::{Span, Time};
 use rand::Rng;
 
-/// Connections that are searched for an idle one: to search all for each RPC would cost more than the RPC.
+/// Maximum number of connections that are searched for an idle one. A search of all connections for each RPC would
+/// cost more than the RPC.
 const MAX_IDLE_SEARCH: usize = 16;
-/// RPCs that a slow reader has in flight at most.
+/// Maximum number of RPCs that a slow reader has in flight.
 const SLOW_READER_DEPTH: usize = 64;
-/// A slow reader sends its RPCs one after the other: a burst would press by its RPCs, not by the unread answers.
+/// Time between a slow reader's RPCs. A burst would put the router under pressure by the RPCs and not by the unread
+/// answers.
 const SLOW_READER_INTERVAL: Span = Span::from_millis(50);
 
 impl LoadGenerator<'_> {
-    /// Draws the method of an RPC, by share, and counts it as due.
+    /// Creates an RPC with a method drawn by share, and counts the RPC as due.
     pub fn draw_rpc(&mut self, due: Time) -> QueuedRpc {
         let total_share: f64 = self.method_shares.iter().sum();
         let mut remaining = self.rng.random::<f64>() * total_share;
@@ -28,7 +31,7 @@
         QueuedRpc { due, method, deadline: due + self.plan.deadline, retries: 0 }
     }
 
-    /// Sends queued RPCs, until no connection is free.
+    /// Sends queued RPCs until no connection is free. Counts those whose deadline has passed as unsent.
     pub fn send_queued(&mut self, now: Time) {
         while let Some(first) = self.queue.front() {
             if first.deadline <= now {
@@ -43,13 +46,14 @@
         }
     }
 
-    /// The next connection, round robin, that is idle; else the next one that may have a further RPC in flight.
+    /// Returns the next idle connection in round robin order, or else the next connection that can take another RPC
+    /// in flight.
     fn next_free_client(&mut self) -> Option<usize> {
         let connections = self.plan.connections;
         for (depth, searched) in [(1, connections.min(MAX_IDLE_SEARCH)), (self.plan.pipeline, connections)] {
             for _ in 0..searched {
                 self.last_client = (self.last_client + 1) % connections.max(1);
-                // Before several routers, a connection that is not welcomed yet may lead to one that has ended.
+                // With several routers, a connection that is not ready yet may lead to a router that is down.
                 let is_single = self.balancer.is_single();
                 let is_free =
                     |client: &ClientConnection| client.in_flight.len() < depth && (is_single || client.ready);
@@ -61,7 +65,8 @@
         None
     }
 
-    /// Sends RPCs of connections that don't wait for arrivals: all in a closed load, else floods and slow readers.
+    /// Sends RPCs on connections that don't wait for arrivals. These are all connections in a closed load, and
+    /// otherwise floods and slow readers.
     pub fn send_self_paced(&mut self, now: Time) {
         if now >= self.ends || now < self.began {
             return;
@@ -92,7 +97,7 @@
         }
     }
 
-    /// A read of the method with the largest values.
+    /// Creates an RPC of the read method with the largest values.
     fn largest_read(&self, due: Time) -> QueuedRpc {
         let method = (0..self.scenario.methods.len())
             .filter(|&method| !self.scenario.methods[method].writes)
@@ -101,6 +106,7 @@
         QueuedRpc { due, method, deadline: due + self.plan.deadline, retries: 0 }
     }
 
+    /// Adds an RPC to a connection's output and to its RPCs in flight.
     fn send(&mut self, now: Time, index: usize, rpc: QueuedRpc, background: bool) {
         let statement = self.statement(now, &rpc, self.last_number + 1);
         let Some(client) = self.clients[index].as_mut() else { return };
@@ -135,7 +141,8 @@
         }
     }
 
-    /// The SQL of an RPC. Its comment gives the router the id, method, remaining milliseconds and group.
+    /// Returns the SQL statement of an RPC. Its comment gives the router the id, the method, the remaining
+    /// milliseconds, the group, and whether the RPC is a client's retry.
     fn statement(&self, now: Time, rpc: &QueuedRpc, number: u64) -> String {
         let method = &self.scenario.methods[rpc.method];
         let group = number % u64::from(self.scenario.groups);
