--- a/crates/ladderpass-testbed/src/drill/errors.rs
+++ b/crates/ladderpass-testbed/src/drill/errors.rs
@@ -61,7 +61,7 @@
         load_s: f64,
     },
     /// The event has a duration, but its action takes effect once and has no end.
-    #[error("for: {name} has no end")]
+    #[error("for: {name} takes effect once and has no duration")]
     NoEnd {
         /// The event's action, as printed in tables.
         name: String,
--- a/crates/ladderpass-testbed/src/drill/play/mod.rs
+++ b/crates/ladderpass-testbed/src/drill/play/mod.rs
@@ -96,7 +96,8 @@
         let load = scope.spawn(move || load::run_with_balancer(scenario, balancer, plan, on_progress));
         let events = testbed.run_events(&load, &stop);
         stop.fetch_or(events.is_err(), Ordering::Relaxed);
-        let outcome = load.join().unwrap_or_else(|_| Err(io::Error::other("the load failed")));
+        let outcome =
+            load.join().unwrap_or_else(|_| Err(io::Error::other("the thread of the load panicked")));
         let direct = direct.and_then(|direct| direct.join().ok());
         (outcome, direct, events)
     });
