--- a/crates/ladderpass-testbed/tests/drill.rs
+++ b/crates/ladderpass-testbed/tests/drill.rs
@@ -1,4 +1,5 @@
-//! Drills: errors name the key, how connections are spread over routers, and how views are read from a log.
+//! Tests of drill files and log parsing: errors that name the key, links cut by a split, the distribution of connections
+//! over routers, and views parsed from a log.
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::parse_view;
--- a/crates/ladderpass-testbed/tests/history_checker.rs
+++ b/crates/ladderpass-testbed/tests/history_checker.rs
@@ -1,4 +1,4 @@
-//! The history checker, on small made-up records of clients, the fault tool and members.
+//! Tests of the history checker on small constructed records of clients, the fault tool and members.
 
 use ladderpass_emulator::execution_log::{Arrival, Execution};
 use ladderpass_emulator::{ExecutionLog, Scenario};
@@ -22,7 +22,7 @@
     RpcRecord { number, router: 0, method, sent: at(sent), deadline, answered, lost: None, refused: false }
 }
 
-/// A member that serves 100 RPCs a second once it is warm.
+/// Returns the cold start of a member that can serve 100 RPCs per second after its warm-up.
 fn cold_start() -> ColdStart {
     ColdStart {
         at: at(0),
@@ -117,7 +117,7 @@
     assert_eq!(run.violated_rules(), [1], "a router that shuts down must answer what it has accepted");
     run.absences.push(Absence { planned: false, ..shutdown });
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    // An RPC sent after the router was back must be answered.
+    // An RPC sent after the end of the absence must be answered.
     run.journal.push(entry(4, 0, 1500, None));
     assert_eq!(run.violated_rules(), [1]);
 }
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn a_cold_member_is_overloaded_by_two_routers_that_each_keep_its_ramp() {
+fn a_cold_member_is_overloaded_by_two_routers_that_each_respect_its_slow_start() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     let cold_start = ColdStart { overload_window: Span::from_millis(500), ..cold_start() };
     run.cold_starts = vec![cold_start];
-    // 19 are allowed; both send 36, each sends 18.
+    // At most 19 attempts are allowed. Each router sends 18, so both send 36.
     for n in 0..36 {
         let number = 100 + n as u64;
         run.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
@@ -188,7 +188,7 @@
     run.execution_log.arrivals.push(arrival(5, 1900));
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals.push(arrival(6, 2500));
-    // The best position that the member was known to have counts.
+    // The checker uses the best position that the member was known to have.
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals = vec![arrival(6, 2500)];
     run.execution_log.executions.clear();
@@ -196,7 +196,7 @@
     assert_eq!(run.violated_rules(), [5]);
 }
 
-/// From the members' records alone, whichever router sent the attempt.
+/// The check uses only the members' records, so it counts the attempts of all routers together.
 #[test]
 fn attempts_at_a_cold_member_are_counted_over_all_routers() {
     let cold_start = ColdStart { overload_window: Span::from_millis(3000), ..cold_start() };
@@ -206,7 +206,7 @@
             |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
         ExecutionLog { arrivals: (0..count).map(arrival).collect(), ..ExecutionLog::default() }
     };
-    // Its capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for chance.
+    // The member's capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for random variation.
     let check = |count| check_slow_start_at_members(&[cold_start], &arrivals(count));
     let SlowStartCheck { violations, max_excess } = check(77);
     assert!(violations.is_empty() && (1.9..2.0).contains(&max_excess), "{max_excess}");
