--- a/crates/ladderpass-routing/src/attempt.rs
+++ b/crates/ladderpass-routing/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: what is recorded when an attempt starts, and what its result shows about the member.
+//! Attempts: what is recorded when an attempt starts, and what the result of the attempt shows about the member.
 //!
 //! Whether a retry or the final answer of the RPC follows is decided in `retry`, `rejection` and `selection`.
 
@@ -39,8 +39,8 @@
     let attempt = OpenAttempt { sent_at, method: arrival.method };
     let method = &state.methods[arrival.method as usize];
     let member = state.topology.member(index);
-    // An answer is overdue after a multiple of the typical time. A timeout before that was set by the client, and says
-    // nothing about the member. Neither does an answer that was lost in the network.
+    // An answer is overdue only after three typical answer times. An attempt that timed out earlier was cut short by
+    // its client, and says nothing about the member. An attempt that was lost in the network says nothing either.
     let ended_early = result.latency < method.typical * SILENT_AFTER_TYPICAL_LATENCIES;
     let was_lost = load::is_lost(state, now, member, attempt);
     let is_evidence = result.outcome != AttemptOutcome::TimedOut || !(ended_early || was_lost);
@@ -61,7 +61,8 @@
     record_role(state, now, index, result);
 }
 
-/// Records what the outcome alone shows about the member. `is_evidence` is whether the outcome says anything about it.
+/// Records what the outcome of an attempt shows about the member, apart from the answer time, position and role.
+/// `is_evidence` is false if the attempt's timeout says nothing about the member.
 fn record_outcome(
     state: &mut RouterState,
     now: Time,
@@ -100,8 +101,8 @@
     result.outcome == AttemptOutcome::Ok && consistency == Consistency::Write
 }
 
-/// Records the end of a session's write. Later reads of the session must see a write that may have run. Without a
-/// reported commit, the write is assumed to have committed by now, with a margin of one tick.
+/// Records the end of a session's write. Later reads of the session must see a write that may have run. If the
+/// result reports no commit position, the write is assumed to have committed by now, with a margin of one tick.
 fn record_session_write(
     state: &mut RouterState,
     now: Time,
--- a/crates/ladderpass-routing/src/attempt_outcome.rs
+++ b/crates/ladderpass-routing/src/attempt_outcome.rs
@@ -3,7 +3,7 @@
 /// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The member answered.
+    /// The member answered without an error.
     Ok,
     /// The member answered with an error. The RPC may have had an effect.
     Failed,
@@ -21,12 +21,13 @@
     /// have run.
     Cancelled,
     /// The attempt was never sent: the front had no connection for it, no time was left, the front can no longer see
-    /// whether the client is connected, or the statement can't be read. This says nothing about the member.
+    /// whether the client is connected, or the statement can't be read. The outcome says nothing about the member.
     NeverSent,
     /// The member rejected the RPC without effect, because it is not the primary or is too far behind.
     NotServedHere,
-    /// The attempt was never sent, because its connection was established too late for the decision to hold. This says
-    /// nothing about the member, and does not count as an attempt.
+    /// The attempt was never sent, because its connection was established only after the decision to send the attempt
+    /// had expired. The outcome says nothing about the member, and the attempt does not count against the maximum
+    /// number of attempts.
     DecisionExpired,
 }
 
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! The limit on this router's attempts in flight at a member, and the share of reads that a member may get.
 //!
-//! The limit follows the latency ratio of the member. It grows while answers are as quick as without load, and
-//! shrinks as they get slower. It is reduced at most once per round trip, because attempts that were sent before the
-//! last reduction only show the same congestion again.
+//! The limit follows the latency ratio of the member, which is its answer time divided by the typical one. It grows
+//! while answers are as quick as without load, and shrinks as they get slower. It is reduced at most once per round
+//! trip, because attempts that were sent before the last reduction only show the same congestion again.
 //!
 //! At a router with too little traffic, the limit does not bind. Therefore all routers that know a member to be
 //! overloaded also reduce the share of reads that it may get, and arrive at the same share.
@@ -13,38 +13,40 @@
 use crate::time::Time;
 use crate::types::RpcId;
 
-/// The initial limit of all routers together for a member about which nothing is known. Each router takes an equal
-/// part of it, within the two bounds that follow.
+/// The initial limit of all routers together for a member about which nothing is known. The initial limit of each
+/// router is an equal part of this number, but at least `MIN_INITIAL_LIMIT` and at most `MAX_INITIAL_LIMIT`.
 const INITIAL_LIMIT_ALL_ROUTERS: f64 = 24.0;
 const MAX_INITIAL_LIMIT: f64 = 4.0;
 const MIN_INITIAL_LIMIT: f64 = 0.5;
-/// The limit is never reduced below this.
+/// A member's concurrency limit is never reduced below this number of attempts in flight.
 const MIN_LIMIT: f64 = 0.1;
-/// The limit is multiplied by this after a rejection or a timeout.
+/// A member's concurrency limit is multiplied by this factor after a rejection or a timeout.
 const REJECTION_DECREASE_FACTOR: f64 = 0.65;
-/// Weight of the current limit when it is averaged with the limit that an answer suggests.
+/// The weight of the current limit in the mean of the current limit and the one that an answer suggests. The mean
+/// becomes the new limit.
 const LIMIT_SMOOTHING: f64 = 0.75;
-/// An answer suggests the current limit divided by the latency ratio, plus the square root of the current limit. That
-/// square root counts as at most this share of the current limit.
+/// An answer suggests as the new limit the current limit divided by the latency ratio, plus the square root of the
+/// current limit. The square root is reduced to this share of the current limit if it is larger.
 const MAX_LIMIT_GROWTH_SHARE: f64 = 0.5;
-/// The limit grows only while it is below this multiple of the attempts in flight, and a reduction for slow answers
-/// starts from at most that multiple. A limit far above the attempts in flight would need many reductions before it
-/// binds.
+/// The concurrency limit grows only while it is below this multiple of the attempts in flight at the member, and a
+/// reduction for slow answers starts from at most that multiple. A limit far above the attempts in flight would
+/// need many reductions before it binds.
 const MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT: f64 = 2.0;
 
-/// A member is overloaded if its RPCs in flight exceed this multiple of what it works on at once. Where these are
-/// unknown, it is overloaded above this latency ratio.
+/// A member is overloaded if its RPCs in flight exceed this multiple of the number that it can process at once.
+/// Where these numbers are unknown, the member is overloaded if its latency ratio is above this value.
 const OVERLOAD_RATIO: f64 = 3.0;
-/// While a member is overloaded, its share of reads is multiplied by at least the first factor each second. Otherwise
-/// the share is multiplied by the second factor each second.
+/// While a member is overloaded, the share of reads that it may get is multiplied by
+/// `MIN_READ_SHARE_FACTOR_PER_SECOND` or more each second. Otherwise the share is multiplied by
+/// `READ_SHARE_GROWTH_FACTOR_PER_SECOND` each second.
 const MIN_READ_SHARE_FACTOR_PER_SECOND: f64 = 0.5;
 const READ_SHARE_GROWTH_FACTOR_PER_SECOND: f64 = 1.25;
-/// The share of reads of an overloaded member is never reduced below this.
+/// The share of reads that an overloaded member may get is never reduced below this value.
 const MIN_READ_SHARE: f64 = 0.05;
-/// An update of the share covers at most this much of the time since the update before, in seconds.
+/// An update of a member's share of reads takes into account at most this many seconds since the previous update.
 const MAX_READ_SHARE_STEP_SECS: f64 = 1.0;
 
-/// The limit for a member about which nothing is known yet.
+/// The initial limit on one router's attempts in flight at a member about which nothing is known yet.
 pub fn initial_limit(router_count: u32) -> f64 {
     let limit = INITIAL_LIMIT_ALL_ROUTERS / f64::from(router_count);
     limit.clamp(MIN_INITIAL_LIMIT, MAX_INITIAL_LIMIT)
@@ -61,8 +63,8 @@
         && (limit >= 1.0 || now - member.last_attempt_at >= min_pause)
 }
 
-/// Adjusts the limit to the latency ratio after an answer to an attempt that was sent at `sent_at`. Answers to other
-/// routers can only reduce the limit.
+/// Adjusts a member's concurrency limit to the member's latency ratio after an answer to an attempt that was sent at
+/// `sent_at`. Answers to other routers can only reduce the limit.
 pub fn follow_latency(
     state: &mut RouterState,
     now: Time,
@@ -87,13 +89,14 @@
     }
 }
 
-/// Reduces the limit after an attempt that was sent at `sent_at` was rejected or timed out.
+/// Reduces a member's concurrency limit after an attempt that was sent at `sent_at` was rejected or timed out.
 pub fn reduce_after_rejection(state: &mut RouterState, now: Time, index: usize, sent_at: Time) {
     let reduced = state.topology.member(index).concurrency_limit * REJECTION_DECREASE_FACTOR;
     reduce_limit(state, now, index, sent_at, reduced);
 }
 
-/// Reduces the limit, unless the attempt was sent before the last reduction.
+/// Reduces a member's concurrency limit to `limit`, unless the attempt that gives cause for it was sent before the
+/// last reduction.
 fn reduce_limit(state: &mut RouterState, now: Time, index: usize, sent_at: Time, limit: f64) {
     let member = state.topology.member_mut(index);
     if sent_at >= member.limit_reduced_at {
--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -1,9 +1,9 @@
 //! Eligibility: which members may get an RPC at all, before members are compared with each other.
 //!
-//! Eligibility depends on the endpoint list, the member's failures, the expected time of its next answer, the RPC's
-//! earlier attempts, slow start and the share of reads, and for a primary also on its concurrency limit. The reasons
-//! are checked in the order in which they stand in the code, and the log shows the first one that holds. `selection`
-//! checks whether a replica is fresh enough and below its concurrency limit.
+//! Eligibility depends on the endpoint list, the member's failures, the expected duration of the member's next
+//! answer, the RPC's earlier attempts, slow start and the share of reads, and for a primary also on its concurrency
+//! limit. The reasons are checked in the order in which they stand in the code, and the log shows the first reason
+//! that applies. `selection` checks whether a replica is fresh enough and below its concurrency limit.
 
 use crate::concurrency_limit;
 use crate::load::{self, LATENCY_MARGIN};
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list, and the schedule of its polls.
 //!
-//! The list is some seconds late. It decides which members exist and which are draining, but it never overrides what
-//! a member itself has shown.
+//! The endpoint list is up to some seconds late. It decides which members exist and which are draining, but it never
+//! overrides what a member itself has shown.
 
 use crate::concurrency_limit;
 use crate::health_check_schedule;
@@ -20,23 +20,24 @@
 /// The endpoint list is at most this late. For this long after a member has shown itself to be a replica, a list that
 /// names it as the primary is ignored.
 const MAX_LIST_DELAY: Span = Span::from_millis(10_000);
-/// The wait after a failed poll is this base, doubled for each consecutive failure, including the first one.
+/// After a failed poll of the endpoint list, the router waits for this time, doubled for each consecutive failure
+/// including the first, before it polls again.
 const POLL_BACKOFF_BASE: Span = Span::from_millis(500);
-/// The base is doubled at most this many times.
+/// `POLL_BACKOFF_BASE` is doubled at most this many times.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 3;
-/// The wait before jitter is at most this share of the poll interval.
+/// The wait after a failed poll, before jitter is applied, is at most this share of the poll interval.
 const MAX_POLL_BACKOFF_SHARE_OF_INTERVAL: f64 = 0.33;
-/// The wait is multiplied by a random factor from this value to this value plus 1.
+/// The wait after a failed poll is multiplied by a random factor from this value to this value plus 1.
 const MIN_POLL_BACKOFF_JITTER: f64 = 0.5;
-/// A poll that has not ended is repeated after this time, multiplied by a random factor from `MIN_POLL_TIMEOUT_SHARE`
-/// to 1.
+/// A poll of the endpoint list that has not ended is repeated after this time, multiplied by a random factor from
+/// `MIN_POLL_TIMEOUT_SHARE` to 1.
 const POLL_TIMEOUT: Span = Span::from_millis(4000);
 const MIN_POLL_TIMEOUT_SHARE: f64 = 0.75;
 /// Width of a bucket in which the work sent to a member is counted, as a share of the window in which the member must
 /// not be overloaded. The eight buckets together cover that window.
 const WORK_BUCKET_SHARE_OF_OVERLOAD_WINDOW: f64 = 0.125;
 
-/// Requests a poll of the list if one is due.
+/// Requests a poll of the endpoint list if a poll is due.
 pub fn poll_if_due(state: &mut RouterState, now: Time) {
     if state.next_endpoint_poll_at.is_some_and(|due| due <= now) {
         state.output.poll_endpoints = true;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Applies an update of the list, or handles the failure of a poll.
+/// Applies an update of the endpoint list, or handles the failure of a poll.
 pub fn on_update(state: &mut RouterState, now: Time, update: EndpointUpdate) {
     let (entries, is_complete) = match update {
         EndpointUpdate::Failed { poll_immediately } => return on_poll_failed(state, now, poll_immediately),
@@ -71,7 +72,8 @@
     state.output.retired_members.extend(retired);
 }
 
-/// Schedules the next poll: immediately if only the watch has ended, otherwise after a backoff.
+/// Schedules the next poll of the endpoint list: immediately if only the watch on changes has ended, otherwise
+/// after a backoff.
 fn on_poll_failed(state: &mut RouterState, now: Time, poll_immediately: bool) {
     state.endpoint_poll_failures += u32::from(!poll_immediately);
     let doublings = state.endpoint_poll_failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
@@ -85,7 +87,7 @@
     state.next_endpoint_poll_at = state.next_endpoint_poll_at.or(retry_at).min(retry_at);
 }
 
-/// Removes the members that a complete list does not name.
+/// Sets the members that a complete list does not name to the state `Removed`.
 fn remove_missing(state: &mut RouterState, now: Time, entries: &[Endpoint]) {
     let is_missing = |member: &&mut Member| !entries.iter().any(|entry| entry.member == member.id);
     let members = state.topology.members.iter_mut().flatten();
@@ -123,8 +125,8 @@
     let limit = concurrency_limit::initial_limit(state.router_count());
     let mut member = Member::new(entry.member, entry.group as usize, limit, RECENT_BUCKET, work_bucket);
     member.id_hash = entry.id_hash;
-    // The credit starts with a random fraction of an attempt, so that the routers don't all send their first attempt
-    // at once.
+    // The slow-start credit starts with a random fraction of an attempt, so that the routers don't all send their
+    // first attempt at once.
     member.slow_start_credit = state.random.generate();
     state.topology.insert(member);
     let check_interval = health_check_schedule::check_interval(state, now, index);
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Returns whether the primary could have got this RPC.
+/// Returns whether the primary could have got an RPC that is given up.
 fn primary_state(state: &RouterState, now: Time, rpc: RpcId) -> PrimaryState {
     let group = state.topology.groups.get(state.rpcs[rpc].arrival.group as usize);
     let Some(index) = group.and_then(|group| group.primary) else { return PrimaryState::Unknown };
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -1,9 +1,10 @@
 //! Gossip: updates about members that routers send to each other.
 //!
 //! A router publishes what a member has reported to it (the role, the position, the RPCs in flight) and the member's
-//! latency ratio, at most as often as positions need to be refreshed. Other routers use an update as if the member
-//! had reported to them. Failures and recoveries are an exception: they count only if they come from a router of the
-//! same zone, because routers of one zone share the links to the member.
+//! latency ratio, at most as often as positions need to be refreshed, or more often while the group has no primary.
+//! Other routers use an update as if the member had reported to them. Updates that show a failure or recovery of the
+//! member are an exception: the failure or recovery counts only if the sender is in the same zone, because routers
+//! of one zone share the links to the member.
 
 use crate::concurrency_limit;
 use crate::health_check_schedule::GOSSIP_INTERVAL_WITHOUT_PRIMARY;
@@ -21,8 +22,8 @@
 const UNREACHABLE_VALID_FOR: Span = Span::from_millis(1000);
 
 /// Publishes what a member has reported to this router, unless an update about the member was published or received
-/// recently. `at` is the member's position, or the time at which it showed its role. `latency_ratio` is 0 where it is
-/// unknown.
+/// recently. `at` is the member's position, or the time at which the member showed its role. `latency_ratio` is 0
+/// where it is unknown.
 pub fn publish(
     state: &mut RouterState,
     now: Time,
@@ -57,8 +58,8 @@
     }
 }
 
-/// Applies an update from another router. An update about a member that no list has named is ignored, and so is one
-/// that is ahead of the members' clock, because no correct report can be.
+/// Applies an update from another router. An update about a member that no list has named is ignored, and so is an
+/// update whose time is ahead of the members' clock, because no correct report can be.
 pub fn on_peer_update(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     if !state.topology.contains(update.member) || update.at > state.latest_time_of_members_clock(now) {
         return;
@@ -92,14 +93,15 @@
     let age = state.latest_time_of_members_clock(now) - update.at;
     let index = update.member.0 as usize;
     let member = state.topology.member_mut(index);
-    // Another router has published this already, so this router need not publish it again.
+    // Another router has already published that the member is unreachable, so this router need not publish it
+    // again soon.
     member.unreachable_published_at = now;
     if update.same_zone && age < UNREACHABLE_VALID_FOR && member.silent_since < update.at {
         outlier_ejection::record_failure(state, now, index, ObservedBy::Peer);
     }
 }
 
-/// Records the load and the position of a member that another router has reported.
+/// Records the load and the lag of a member from an update that another router has sent.
 fn record_report(member: &mut Member, now: Time, update: &MemberUpdate, role: Role) {
     member.published_position = member.published_position.max(update.at);
     member.published_at = now;
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -13,7 +13,7 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, EndpointState, LoadReport, MemberId, MemberObservation, Role};
 
-/// A check that has no result after this time counts as failed.
+/// A health check that has no result after this time counts as failed.
 const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(1500);
 
 /// Sends the health checks that are due, and counts a failure for each check that has timed out.
@@ -39,8 +39,8 @@
     let interval = health_check_schedule::check_interval(state, now, index);
     let shares_health_checks = state.deployment.shares_health_checks();
     let member = state.topology.member_mut(index);
-    // The round may have become shorter since the check was scheduled. Without shared checks, a member that was never
-    // in contact is checked at once. With shared checks, its first check keeps its time slot.
+    // The round of periodic checks may have become shorter since this check was scheduled. Without shared checks, a
+    // member that was never in contact is checked at once. With shared checks, its first check keeps its time slot.
     let last_contact_at = member.last_health_check_at.max(member.reported_at);
     if last_contact_at != Time::NEVER || !shares_health_checks {
         member.next_health_check_at = member.next_health_check_at.min(last_contact_at + interval);
@@ -82,8 +82,8 @@
         AttemptOutcome::Ok | AttemptOutcome::Rejected => {
             outlier_ejection::record_success(state, now, index);
         }
-        // The connection broke, or the answer could not be read. This is not counted as a failure, because something
-        // did answer.
+        // The connection broke, or the answer could not be read. A broken check is not counted as a failure, because
+        // something at the member's address did answer.
         AttemptOutcome::ConnectionLost => health_check_schedule::request_check(state, now, index),
         // This router had no file descriptor for the check, which shows nothing about the member.
         AttemptOutcome::NeverSent => {
@@ -112,8 +112,8 @@
     let at = report.position.unwrap_or(sent_at);
     match report.is_primary {
         Some(true) => gossip::record_role_and_publish(state, now, index, Role::Primary, at),
-        // Positions never decrease. A position from before the member was seen as primary comes from an old report,
-        // and shows no new role.
+        // Positions never decrease. A position from before the time at which the member was last seen as primary
+        // comes from an old report, and shows no new role.
         Some(false) if report.position.is_none_or(|at| at >= member.primary_seen_at) => {
             gossip::record_role_and_publish(state, now, index, Role::Replica, at);
         }
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -1,9 +1,10 @@
 //! The schedule of health checks: when each member's next check is due, and how routers share the checks.
 //!
-//! A router that shares no results checks each member periodically. The fewer RPCs it accepts, the less often it does
-//! so. Routers that exchange gossip share one round. Each of them has a time slot for each member, in an order given
-//! by a hash that all of them compute alike, and a result that arrives by gossip postpones the checks by the others.
-//! In addition to the round, a check of a member may be requested when an RPC waits for the member's report.
+//! A router that shares no results checks each member periodically, and checks less often the fewer RPCs it accepts.
+//! Routers that exchange gossip share one round of checks. In this round, each router has a time slot for each
+//! member. A hash that all routers compute alike gives the order of the slots. A result that arrives by gossip
+//! postpones the checks by the other routers. In addition to the round, a check of a member may be requested when an
+//! RPC waits for the member's report.
 
 use crate::load::{ALL_BUCKETS, RECENT_BUCKET};
 use crate::staleness::position_refresh_interval;
@@ -12,7 +13,7 @@
 use crate::time::{Span, Time};
 use nanorand::{Rng, WyRand};
 
-/// The shortest time for a round of periodic checks. A round has one check of each listed member.
+/// The shortest time for a round of periodic checks. A round contains one check of each listed member.
 pub const MIN_ROUND: Span = Span::from_millis(1000);
 /// The longest time for a round of periodic checks.
 const MAX_ROUND: Span = Span::from_millis(60_000);
@@ -25,28 +26,29 @@
 const ROUND_JITTER_RANGE: f64 = 0.5;
 /// Duration of one router's time slot in a shared round.
 const SLOT_DURATION: Span = Span::from_millis(50);
-/// A member is not checked again on request within this time.
+/// Within this time after a check of a member, the member is not checked again on request.
 const MIN_REQUEST_INTERVAL: Span = Span::from_millis(200);
 /// A member that has failed, or whose check was not sent, is checked again after this time. The time is doubled for
 /// each further consecutive failure.
 pub const RECHECK_AFTER: Span = Span::from_millis(500);
-/// The time until the next check is doubled at most this many times.
+/// The time until the next check of a failed member is doubled at most this many times.
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
-/// A read for which no replica has a recent report waits this long for the check of one of them.
+/// A read for which no replica has a recent report waits this long for the health check of one replica.
 pub const HEALTH_CHECK_WAIT: Span = Span::from_millis(60);
-/// At a router that has just started, RPCs wait up to this long for the first results.
+/// At a router that has just started, RPCs wait up to this long for the first results of health checks.
 const FIRST_RESULTS_WAIT: Span = Span::from_millis(300);
 /// An update about a member of a group without a primary may be published again after this time, or after the refresh
 /// interval of positions if that is shorter.
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
-/// Routers that want a report spread their requests over this many times `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
+/// Routers that want a member's report spread their requests for a check over this many times
+/// `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
 const REQUEST_SPREAD_INTERVALS: f64 = 4.0;
 const NANOS_PER_MS: i64 = 1_000_000;
 /// A member's id hash is shifted left by this many bits in the seed that determines which router checks the member
 /// first.
 const ID_HASH_SHIFT: u32 = 20;
 
-/// Has the router started so recently that first results may still arrive?
+/// Has the router started so recently that the first results of health checks may still be outstanding?
 pub fn awaits_first_results(state: &RouterState, now: Time) -> bool {
     now - state.started_at < FIRST_RESULTS_WAIT
 }
@@ -67,7 +69,7 @@
     }
 }
 
-/// The duration of a round of periodic checks.
+/// The duration of a round of periodic checks, in which each listed member is checked once.
 fn round_duration(state: &RouterState, now: Time) -> Span {
     let measured_secs = RECENT_BUCKET.secs() * ALL_BUCKETS as f64;
     let checks_per_sec = state.accepted.totals(now, ALL_BUCKETS).count / measured_secs * MAX_CHECKS_PER_RPC;
@@ -85,20 +87,20 @@
     (round + SLOT_DURATION * slot_of_this_router(state, index)).min(MAX_ROUND)
 }
 
-/// The number of this router's time slot for the check of a member, from 0. It changes with each report that is
-/// published.
+/// The number of this router's time slot for the check of a member, from 0. The number changes with each position
+/// of the member that a router publishes.
 fn slot_of_this_router(state: &RouterState, index: usize) -> f64 {
     let member = state.topology.member(index);
     // All routers that received the member's last report compute the same seed.
     let position_ms = (member.published_position.nanos() / NANOS_PER_MS) as u64;
     let shared_seed = position_ms ^ (u64::from(member.id_hash) << ID_HASH_SHIFT);
-    // The value is halved so that adding the router's index can't overflow.
+    // The random value is halved so that adding the router's index to it can't overflow.
     let first_router = WyRand::new_seed(shared_seed).generate::<u64>() / 2;
     ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
 }
 
 /// The earliest time at which a check of this member may be requested. A report that another router receives arrives
-/// by gossip soon, so the routers that want one make their requests one after another. After a check without a
+/// by gossip soon, so the routers that want a report make their requests one after another. After a check without a
 /// report, no check is requested for `MIN_REQUEST_INTERVAL`, because reads must not wait for such a member until they
 /// time out.
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
@@ -116,7 +118,7 @@
     (member.reported_at + by_gossip).max(no_request_before)
 }
 
-/// Makes a check of this member due, but not before the member can report anything new.
+/// Makes a check of this member due now, or as soon as the member may have anything new to report.
 pub fn request_check(state: &mut RouterState, now: Time, index: usize) {
     let member = state.topology.member(index);
     let earliest = next_request_at(state, index).max(member.last_health_check_at + MIN_REQUEST_INTERVAL);
@@ -135,8 +137,8 @@
     }
 }
 
-/// Schedules the next check of a member after this many consecutive failures. Where routers exchange gossip, an
-/// ejected member is checked at most once per round, because the other routers check it too.
+/// Schedules the next check of a member that has failed `failures` times in a row. Where routers exchange gossip,
+/// an ejected member is checked at most once per round, because the other routers check it too.
 pub fn schedule_recheck(state: &mut RouterState, now: Time, index: usize, failures: u32, is_ejected: bool) {
     let backoff = RECHECK_AFTER * f64::from(1 << (failures - 1).min(MAX_RECHECK_DOUBLINGS));
     let shared_round = if state.deployment.gossip { round_duration(state, now) } else { Span::ZERO };
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -2,8 +2,8 @@
 //!
 //! The load of a member depends on the attempts in flight, the answers and failures of the last seconds, and load
 //! reports. Answer times are compared as latency ratios. A latency ratio is the time of an answer divided by the
-//! typical answer time of its method, so 1 means as quick as without load. The least loaded eligible member is
-//! selected. Silence and failures count as load, so that a member that fails fast or has stalled does not look idle.
+//! typical answer time of its method, so 1 means as quick as without load. RPCs go to the least loaded eligible
+//! replica. Silence and failures count as load, so that a member that fails fast or has stalled does not look idle.
 
 use crate::sliding_window::{DEFAULT_BUCKETS, WindowTotals};
 use crate::state::latency::MethodLatency;
@@ -12,18 +12,20 @@
 use crate::time::{Span, Time};
 use crate::types::Method;
 
-/// Width of a bucket in which answers and failures are counted.
+/// Width of a bucket in which the answers and failures of a member are counted.
 pub const RECENT_BUCKET: Span = Span::from_millis(500);
 /// Number of buckets of `RECENT_BUCKET` that cover the last second.
 pub const LAST_SECOND: usize = 2;
 /// Number of buckets of `RECENT_BUCKET` that cover the last two seconds.
 pub const LAST_TWO_SECONDS: usize = 4;
-/// All buckets of a window: 4 s of `RECENT_BUCKET`, 20 s of a zone's answers, 40 s of a method's answers.
+/// Number of buckets in a whole window. They cover the last 4 s where a bucket is as wide as `RECENT_BUCKET`, the
+/// last 20 s for the answers of a zone, and the last 40 s for the answers to a method.
 pub const ALL_BUCKETS: usize = DEFAULT_BUCKETS;
 
 /// Width of a bucket of a method's answer times.
 const TYPICAL_LATENCY_BUCKET: Span = Span::from_millis(5000);
-/// A bucket needs this many answers before its mean may be used as the typical answer time.
+/// A bucket of a method's answer times needs this many answers before its mean may be used as the typical answer
+/// time.
 const TYPICAL_LATENCY_MIN_ANSWERS: f64 = 8.0;
 /// The typical answer time is at most this share of the soft deadline, so that congestion which has lasted since the
 /// router's start is not taken to be typical.
@@ -36,19 +38,20 @@
 pub const LATENCY_MARGIN: f64 = 1.5;
 /// A member counts as silent, and an answer as overdue, after this multiple of the typical answer time.
 pub const SILENT_AFTER_TYPICAL_LATENCIES: f64 = 3.0;
-/// A failed attempt counts as this many attempts in flight.
+/// In the load of a member, a failed attempt counts as this many attempts in flight.
 const FAILURE_LOAD: f64 = 2.0;
 /// An attempt counts as lost in transit if it takes this multiple of the typical answer time while later attempts are
 /// answered.
 const LOST_AFTER_TYPICAL_LATENCIES: f64 = 12.0;
-/// Load reports are used for this long.
+/// A member's load report is used for this long after it was received.
 const LOAD_REPORT_VALID_FOR: Span = Span::from_millis(2000);
-/// The latency ratio of a kind of machine is estimated from its answers and a few assumed ones. This is the sum of
-/// the assumed latency ratios.
+/// The latency ratio of a kind of machine is estimated from its answers and a few assumed ones. The assumed
+/// answers have this sum of latency ratios.
 const KIND_PRIOR_RATIO_SUM: f64 = 4.0;
-/// The number of the assumed answers. Their mean latency ratio is 4/3.
+/// The number of answers that are assumed of each kind of machine. The mean latency ratio of the assumed answers
+/// is 4/3.
 const KIND_PRIOR_ANSWERS: f64 = 3.0;
-/// A prior estimate has the weight of this many answers of the member itself.
+/// A prior estimate of a latency ratio has the weight of this many measured answers.
 const PRIOR_WEIGHT_ANSWERS: f64 = 3.0;
 
 /// The router's own zone.
@@ -63,7 +66,7 @@
 /// A congested member has recovered after an answer with this latency ratio or a lower one.
 const RECOVERED_LATENCY_RATIO: f64 = 1.2;
 
-/// The assumed latency of a method before any answer is measured.
+/// The latency state of a method before any answer is measured, with an assumed typical answer time.
 pub fn initial_method_latency(method: &Method) -> MethodLatency {
     let typical = method.soft_deadline * MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE;
     MethodLatency::new(method, typical, TYPICAL_LATENCY_BUCKET)
@@ -89,8 +92,8 @@
     (member.open_attempts.len() - lost) as f64
 }
 
-/// Was this attempt lost in transit? It was if it is long overdue although a later attempt was answered. This is no
-/// sign of congestion.
+/// Was this attempt lost in transit? An attempt counts as lost if its answer is long overdue although a later
+/// attempt was answered. A lost attempt is no sign of congestion.
 pub fn is_lost(state: &RouterState, now: Time, member: &Member, attempt: OpenAttempt) -> bool {
     let typical = state.methods[attempt.method as usize].typical;
     attempt.sent_at < member.latest_answered_attempt
@@ -110,8 +113,8 @@
     (sum + PRIOR_WEIGHT_ANSWERS * prior) / (count + PRIOR_WEIGHT_ANSWERS)
 }
 
-/// The latency ratio to expect of the next answer: that of the member itself, and at least that of the link to its
-/// zone.
+/// The latency ratio to expect of a member's next answer: that of the member's recent answers, but at least that
+/// of the link to the member's zone.
 pub fn expected_latency_ratio(state: &RouterState, now: Time, member: &Member) -> f64 {
     // An idle member gives no new answers that could show its recovery, so old answers count for a shorter time.
     let buckets = if member.open_attempts.is_empty() { LAST_SECOND } else { LAST_TWO_SECONDS };
@@ -137,8 +140,8 @@
     (totals.sum + PRIOR_WEIGHT_ANSWERS) / (totals.count + PRIOR_WEIGHT_ANSWERS)
 }
 
-/// The RPCs in flight at a member divided by the number that it works on at once, by a recent load report. The result
-/// is at least 1.
+/// The RPCs in flight at a member divided by the number that it can process at once, by a recent load report. The
+/// result is at least 1, and is 1 without a recent report.
 fn reported_overload(now: Time, member: &Member) -> f64 {
     if now - member.reported_at < LOAD_REPORT_VALID_FOR {
         member.reported_utilization().unwrap_or(1.0).max(1.0)
@@ -157,7 +160,7 @@
     state.topology.zone_latency_mut(zone, ZONE_LATENCY_BUCKET).record(now, ZONE_FAILURE_LATENCY_RATIO);
 }
 
-/// Records the time of an answer, and returns its latency ratio.
+/// Records the time that an attempt took until its answer, and returns the latency ratio of that answer.
 pub fn record_answer(
     state: &mut RouterState,
     now: Time,
@@ -184,8 +187,8 @@
     ratio
 }
 
-/// Records the time of an answer to a method. Returns the method's typical answer time in seconds, without the
-/// rounding to nanoseconds.
+/// Records the time of an answer to an RPC of a method. Returns the method's typical answer time in seconds,
+/// without the rounding to nanoseconds.
 fn update_typical_latency(state: &mut RouterState, now: Time, method: u32, latency: Span) -> f64 {
     let min = state.deployment.tick.secs() * MIN_TYPICAL_SHARE_OF_TICK;
     let method = &mut state.methods[method as usize];
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -3,7 +3,7 @@
 //! A failure is a failed health check, a connection that was not established or broke before a whole query was
 //! written, or the report of such a failure by another router. A connection that breaks later is not a failure,
 //! because the member may have run the query. Any answer that shows the member to be up readmits it. A member that
-//! was away for long is assumed to have restarted, and begins with a slow start.
+//! was failing for long is assumed to have restarted, and begins with a slow start.
 
 use crate::health_check_schedule;
 use crate::load;
@@ -14,9 +14,9 @@
 
 /// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// A member that is readmitted after a longer absence than this is assumed to have restarted.
+/// An ejected member whose failures began longer ago than this when it is readmitted is assumed to have restarted.
 const MIN_RESTART_ABSENCE: Span = Span::from_millis(1000);
-/// This router publishes at most this often that a member is unreachable.
+/// This router publishes that a member is unreachable at most once in this time.
 const UNREACHABLE_GOSSIP_INTERVAL: Span = Span::from_millis(1000);
 
 /// Has the member failed so many times in a row that it gets no RPCs?
@@ -69,8 +69,8 @@
     }
 }
 
-/// Resets the failures of members whose next check would be due. This is for routers without health checks, where an
-/// attempt takes the place of the check.
+/// Resets the failures of the members whose next health check would be due. Used only where health checks are not
+/// allowed, so that an attempt takes the place of the check.
 pub fn expire_failures(state: &mut RouterState, now: Time) {
     let members = state.topology.members.iter_mut().flatten();
     members
--- a/crates/ladderpass-routing/src/state/group.rs
+++ b/crates/ladderpass-routing/src/state/group.rs
@@ -17,7 +17,7 @@
     pub max_members: usize,
     /// Whether a member of the group has answered this router or another one.
     pub has_answered: bool,
-    /// RPCs that wait for a decision.
+    /// The RPCs of the group that could not be sent to any member yet, or that wait for a member's report.
     pub pending: Vec<RpcId>,
     /// The time at which the pending RPCs were last examined.
     pub pending_examined_at: Time,
@@ -28,18 +28,20 @@
 pub struct Topology {
     pub members: Vec<Option<Member>>,
     pub groups: Vec<Group>,
-    /// Answer times over the typical ones, by kind of machine.
+    /// For each kind of machine, the recent answer times of its members divided by the typical answer times.
     machine_kind_latency: Vec<SlidingWindow>,
-    /// Answer times over the typical ones, by zone. This window is longer, and includes failures of the zone's members.
+    /// For each zone, the answer times of its members divided by the typical answer times. The windows are longer than
+    /// those of the kinds of machine, and include failures of the zone's members.
     zone_latency: Vec<SlidingWindow>,
-    /// Accepted RPCs, by group. The count of the window is of all of them, the sum of those that only the primary may
-    /// serve.
+    /// For each group, its accepted RPCs. The count of the window is the number of all of them, and the sum is the
+    /// number of those that only the primary may serve.
     accepted: Vec<SlidingWindow>,
     /// The number of listed members, or `None` where the list has changed since they were counted.
     listed_count: Cell<Option<usize>>,
 }
 
-/// Returns the window of this index. It is created with all windows before it if it does not exist.
+/// Returns the window at this index. If it does not exist, the window and all missing windows before it are
+/// created.
 fn window_at(windows: &mut Vec<SlidingWindow>, index: u32, bucket: Span) -> &mut SlidingWindow {
     let index = index as usize;
     windows.resize_with(windows.len().max(index + 1), || SlidingWindow::new(bucket));
@@ -101,7 +103,8 @@
     }
 
     /// Drops the members that were removed from the list before this time and have nothing in flight, and returns their
-    /// ids. Otherwise memory and the time of passes over all members would grow where nodes are replaced all the time.
+    /// ids. Otherwise memory use and the time of loops over all members would grow without end where members are
+    /// replaced all the time.
     pub fn remove_retired(&mut self, before: Time) -> Vec<MemberId> {
         self.listed_count.take();
         let is_retired = |member: &&Member| {
@@ -117,7 +120,8 @@
         retired
     }
 
-    /// Raises `max_members` to the present number of active members, if that is more.
+    /// Raises the group's `max_members` to its present number of active members, if there are more of them than
+    /// before.
     pub fn update_max_members(&mut self, group: usize) {
         let members = self.groups[group].members.iter();
         let active =
@@ -125,9 +129,9 @@
         self.groups[group].max_members = self.groups[group].max_members.max(active);
     }
 
-    /// Returns the number of listed members. It is counted once for each change of the list, because passes over all
-    /// members need it for each of them. Every update of the list ends with `remove_retired`, which discards the count.
-    /// During an update, the count may be the previous one.
+    /// Returns the number of listed members. The members are counted once for each change of the list, because loops
+    /// over all members use the number in every step. Every update of the list ends with `remove_retired`, which
+    /// discards the count. During an update, the count from before the update may be returned.
     pub fn listed_count(&self) -> usize {
         if let Some(count) = self.listed_count.get() {
             return count;
--- a/crates/ladderpass-routing/src/state/latency.rs
+++ b/crates/ladderpass-routing/src/state/latency.rs
@@ -7,9 +7,10 @@
 /// A method of the deployment, with its answer times at all members.
 pub struct MethodLatency {
     pub definition: Method,
-    /// Answer times, in seconds.
+    /// The answer times of the method's attempts at all members, in seconds.
     pub answers: SlidingWindow,
-    /// The typical answer time. It is the lowest mean of a recent bucket, and so about the answer time without load.
+    /// The typical answer time. It is the lowest mean among the recent buckets of `answers`, and so about the answer
+    /// time without load.
     pub typical: Span,
 }
 
@@ -20,7 +21,7 @@
         MethodLatency { definition: method.clone(), answers: SlidingWindow::new(bucket), typical }
     }
 
-    /// Returns the session if the method is a write.
+    /// Returns the session if the method is a write, and otherwise `None`.
     pub fn writing_session(&self, session: Option<u32>) -> Option<u32> {
         session.filter(|_| self.definition.consistency == Consistency::Write)
     }
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -1,5 +1,5 @@
-//! What a router knows about one member, and the record of this router's attempts there. This module makes no
-//! decisions.
+//! What a router knows about one member, and the record of this router's attempts at the member. This module makes
+//! no decisions.
 
 use crate::sliding_window::SlidingWindow;
 use crate::time::{Span, Time};
@@ -35,7 +35,7 @@
     pub concurrency: Option<f64>,
     pub endpoint_state: EndpointState,
     pub endpoint_state_since: Time,
-    /// The latest time at which the member has shown that it is the primary.
+    /// The latest time at which the member has shown that it is the primary of its group.
     pub primary_seen_at: Time,
     /// The latest time at which the member has shown that it is a replica.
     pub replica_seen_at: Time,
@@ -53,11 +53,11 @@
     pub published_at: Time,
     /// The time at which a router last published that this member is unreachable.
     pub unreachable_published_at: Time,
-    /// The age of the position in the member's last health check.
+    /// The age that the member's position had when the member last reported it in a health check.
     pub reported_position_age: Option<Span>,
-    /// The replication lag, as last computed. It decides on reads of any data, while reads that require a position
-    /// compare that position with `position`. The lag also reduces the share of the concurrency limit that reads may
-    /// use.
+    /// The member's replication lag, as last computed. The lag decides whether the member may serve a read of any
+    /// data, while reads that require a position compare the required one with `position`. The lag also reduces the
+    /// share of the concurrency limit that reads may use.
     pub lag: Option<Span>,
     /// The number of RPCs in flight at the member, according to its last load report.
     pub reported_in_flight: Option<f64>,
@@ -66,11 +66,11 @@
     pub last_attempt_at: Time,
     /// The send time of the latest attempt that the member has answered successfully.
     pub latest_answered_attempt: Time,
-    /// The member's last sign of life, by an answer, a health check or gossip. If an attempt was started after that
-    /// while none was open, it is the start of that attempt.
+    /// The time of the member's last sign of life, by an answer, a health check or gossip. If an attempt was
+    /// started after that sign while no other was open, the time of its start.
     pub silent_since: Time,
     pub consecutive_failures: u32,
-    /// The time of the first of the consecutive failures.
+    /// The time of the first of the member's consecutive failures.
     pub failing_since: Time,
     /// The send time of the health check in progress, if there is one.
     pub health_check_sent_at: Option<Time>,
@@ -79,20 +79,21 @@
     /// The share of reads, from 0 to 1, that the member may get. It is reduced while the member is overloaded.
     pub read_share: f64,
     pub read_share_updated_at: Time,
-    /// The time at which the member started, and with it its slow start, or `None` if no start is known.
+    /// The time at which the member started, which is also the start of its slow start, or `None` if that time is
+    /// unknown.
     pub started_at: Option<Time>,
-    /// The number of attempts that the member may get from this router during slow start. The fraction counts towards
-    /// the next attempt.
+    /// The number of attempts that this router may still send to the member during slow start. Its fractional part
+    /// counts towards the next attempt.
     pub slow_start_credit: f64,
-    /// The time at which the credit last reached a whole attempt.
+    /// The time at which the slow-start credit last reached a whole attempt.
     pub slow_start_credit_at: Time,
     /// The number of attempts that this router may have in flight at the member.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Time,
-    /// Failed attempts of the last two seconds, which count as load. Failures that count towards ejection are in
-    /// `consecutive_failures`.
+    /// The attempts of the last two seconds that failed at the member, which count as load. Failures that count
+    /// towards ejection are in `consecutive_failures`.
     pub recent_failures: SlidingWindow<FAILURE_BUCKETS>,
-    /// Answer times over the typical ones.
+    /// The answer times of the member's recent attempts, each divided by the typical answer time of its method.
     pub latency_ratios: SlidingWindow,
     /// The work sent to the member, in seconds of typical answer time.
     pub work_sent: SlidingWindow,
--- a/crates/ladderpass-routing/src/state/router_state.rs
+++ b/crates/ladderpass-routing/src/state/router_state.rs
@@ -25,7 +25,7 @@
     pub session_writes: SessionWrites,
     /// The RPCs that have arrived for all groups, including those that were shed.
     pub accepted: SlidingWindow,
-    /// The time at which to look for health checks that are due.
+    /// The time at which the router next looks for health checks that are due or have timed out.
     pub next_health_check_at: Time,
     pub next_endpoint_poll_at: Option<Time>,
     pub endpoint_poll_failures: u32,
--- a/crates/ladderpass-routing/src/state/rpc.rs
+++ b/crates/ladderpass-routing/src/state/rpc.rs
@@ -1,5 +1,5 @@
-//! The RPCs that were accepted. Each is stored until it is answered and none of its attempts is in flight. This module
-//! makes no decisions.
+//! The RPCs that were accepted. Each RPC is stored until it has its final answer and none of its attempts is in
+//! flight. This module makes no decisions.
 
 use crate::time::Time;
 use crate::types::{Arrival, AttemptOutcome, RpcId};
@@ -12,23 +12,25 @@
     pub accepted_at: Time,
     /// Whether the RPC has no final answer yet.
     pub is_open: bool,
-    /// Whether the RPC is among the pending ones of its group.
+    /// Whether the RPC is in its group's queue of pending RPCs.
     pub is_pending: bool,
     pub attempts_in_flight: u32,
     pub attempts: u32,
-    /// A random number from 0 to 1, drawn once. Where only a share of the RPCs may be sent, those with smaller draws
-    /// are sent. It is also the admission draw, where RPCs with smaller draws are shed sooner.
+    /// A random number from 0 to 1, drawn once for the RPC. Where only a share of the RPCs may be sent, those with
+    /// smaller draws are sent. The number is also the admission draw: under overload, RPCs with smaller draws are
+    /// shed sooner.
     pub random_draw: f64,
     pub last_attempt_at: Time,
     pub last_attempt_ended_at: Time,
-    /// The send time of the first attempt that may have run.
+    /// The send time of the RPC's first attempt that may have run.
     pub may_have_run_since: Option<Time>,
-    /// The members at which an attempt has ended.
+    /// The members at which an attempt of the RPC has ended.
     pub tried_members: Vec<usize>,
     /// The members that answered the RPC with an error. The errors count against them only once another attempt has
     /// succeeded.
     pub error_members: Vec<usize>,
-    /// The commit of the session's last write, if the RPC carries the age of that write.
+    /// The time of the last write of the RPC's session, if the RPC carries the age of that write. Otherwise
+    /// `Time::NEVER`.
     pub session_write: Time,
 }
 
@@ -41,7 +43,7 @@
     }
 
     /// Records the end of an attempt. After a success, returns the members that answered earlier attempts with an
-    /// error, because the errors were then their own.
+    /// error, because the success shows that the errors were the fault of those members and not of the RPC.
     pub fn record_attempt_ended(&mut self, now: Time, index: usize, outcome: AttemptOutcome) -> Vec<usize> {
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
         if outcome == AttemptOutcome::DecisionExpired {
--- a/crates/ladderpass-routing/src/state/session.rs
+++ b/crates/ladderpass-routing/src/state/session.rs
@@ -3,7 +3,8 @@
 use crate::time::Time;
 use std::collections::VecDeque;
 
-/// A position that is earlier than any that a member can report, but later than that of a member without a report.
+/// A position that is earlier than any that a member can report, but later than `Time::NEVER`, which stands for
+/// the position of a member without a report.
 const ANY_REPORTED_POSITION: Time = Time::from_nanos(Time::NEVER.nanos() + 1);
 
 struct OpenWrite {
@@ -11,18 +12,19 @@
     sent_at: Time,
 }
 
-/// The commit of each session's last write that was answered here or may have run.
+/// For each session, the commit position of its last write through this router that succeeded or may have run.
 #[derive(Default)]
 pub struct SessionWrites {
     commits: Vec<Time>,
-    /// The writes in flight, in the order of their sends.
+    /// The writes in flight of all sessions, in the order in which they were sent.
     open: VecDeque<OpenWrite>,
 }
 
 impl SessionWrites {
-    /// Returns the position that a read of the session must see. A write that was sent by `assumed_committed` and is
-    /// still in flight may have committed by `commit_by`. Its answer may be lost or late, so the read must see that
-    /// write too. A session that has written nothing may read from any member that has reported a position.
+    /// Returns the position that a read of the session must see. A write that was sent no later than
+    /// `assumed_committed` and is still in flight may have committed no later than `commit_by`. Its answer may be
+    /// lost or late, so the read must see that write too. A session that has written nothing may read from any
+    /// member that has reported a position.
     pub fn required_position(&self, session: Option<u32>, assumed_committed: Time, commit_by: Time) -> Time {
         let Some(session) = session else { return ANY_REPORTED_POSITION };
         let commit = self.commits.get(session as usize).copied().unwrap_or(ANY_REPORTED_POSITION);
@@ -36,7 +38,8 @@
         self.open.extend(session.map(|session| OpenWrite { session, sent_at: now }));
     }
 
-    /// Records that the write has ended. `commit` is `None` if it never ran.
+    /// Records that the write that the session sent at `sent_at` has ended. `commit` is the position of its
+    /// commit, or `None` if the write never ran.
     pub fn record_ended(&mut self, session: Option<u32>, sent_at: Time, commit: Option<Time>) {
         let Some(session) = session else { return };
         let has_ended = |write: &OpenWrite| write.session == session && write.sent_at == sent_at;
--- a/crates/ladderpass-routing/src/time.rs
+++ b/crates/ladderpass-routing/src/time.rs
@@ -1,9 +1,10 @@
 //! Points in time and spans of time, in nanoseconds. They are separate types so that one can't be passed for the other.
-//! Additions and subtractions saturate.
+//! Additions and subtractions saturate instead of overflowing.
 
 use std::ops::{Add, AddAssign, Mul, Sub};
 
-/// A point on the clock that the caller passes to the router. The zero of this clock has no meaning.
+/// A point on the clock that the caller passes to the router. Only differences between points have a meaning, not
+/// the zero of the clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(i64);
 
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -21,7 +21,7 @@
 pub enum Consistency {
     /// Data of any age will do, unless the member is known to lag by 30 s or more.
     Any,
-    /// The data must be no older than this when the attempt is sent.
+    /// The data must be no older than this bound when the attempt is sent.
     BoundedStaleness(Span),
     /// The data must include all writes of the session.
     Session,
@@ -69,7 +69,7 @@
     pub consistency: Consistency,
     /// The effect of a retry.
     pub idempotency: Idempotency,
-    /// The time from the arrival of an RPC after which an answer has less utility, or none.
+    /// The time after the arrival of an RPC from which on an answer has less utility, or none.
     pub soft_deadline: Span,
     /// The utility of an answer before the soft deadline.
     pub utility: f64,
@@ -119,9 +119,9 @@
     pub slow_start_capacity: f64,
     /// The time that a member takes from its start to reach its full capacity.
     pub slow_start_duration: Span,
-    /// The window over which a member in slow start must not get more RPCs than it can take.
+    /// The window over which a member in slow start must not get more RPCs than it can process.
     pub overload_window: Span,
-    /// The multiple of its present capacity that a member in slow start can take over `overload_window`.
+    /// The multiple of its present capacity that a member in slow start can process during `overload_window`.
     pub overload_multiple: f64,
     /// Whether a member that is removed from the list may still be sent RPCs, so that only an entry in the state
     /// `Draining` forbids them.
@@ -129,8 +129,8 @@
 }
 
 impl Deployment {
-    /// Returns whether routers share the results of health checks, so that a check by one router saves the others
-    /// theirs.
+    /// Returns whether routers share the results of health checks, so that a check by one router spares the others
+    /// a check.
     pub fn shares_health_checks(&self) -> bool {
         self.gossip && self.health_checks_report_position
     }
@@ -141,9 +141,9 @@
 pub enum EndpointState {
     /// The member serves RPCs.
     Active,
-    /// The member finishes the RPCs that it has, and gets no new ones.
+    /// The member finishes the RPCs that it is running, and must be sent no new RPCs.
     Draining,
-    /// The member is no longer on the list.
+    /// The member is no longer on the endpoint list.
     Removed,
 }
 
@@ -154,7 +154,7 @@
     pub member: MemberId,
     /// The index of the member's group.
     pub group: u32,
-    /// Whether the list names the member as the primary.
+    /// Whether the list names the member as its group's primary.
     pub primary: bool,
     /// The state of the member.
     pub state: EndpointState,
@@ -173,20 +173,21 @@
 /// An update of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub enum EndpointUpdate<'a> {
-    /// A whole list from before the router's start, or from the previous discovery service while another one is polled.
-    /// It may be stale, and does not count as the answer to a poll.
+    /// A whole endpoint list from before the router's start, or from the previous discovery service while another one
+    /// is polled. It may be stale, and does not count as the answer to a poll.
     Cached(&'a [Endpoint]),
-    /// The whole list.
+    /// The whole endpoint list, as the discovery service has just sent it.
     Complete(&'a [Endpoint]),
     /// The entries of the list that have changed.
     Changes(&'a [Endpoint]),
     /// Changed entries from the previous discovery service while another one is polled. They do not count as the answer
     /// of the new service.
     ChangesDuringMove(&'a [Endpoint]),
-    /// A poll failed, or the watch broke.
+    /// A poll of the endpoint list failed, or the watch on its changes broke.
     Failed {
-        /// Whether the list is polled again at once, rather than after a backoff. It is when a watch fell silent, moved
-        /// to another address or brought an older list, because the changes that were missed count as received soon.
+        /// Whether the list is polled again at once, rather than after a backoff. It is polled at once when a watch
+        /// fell silent, moved to another address or brought an older list, because the changes that the router has
+        /// missed count as received soon after their publication.
         poll_immediately: bool,
     },
 }
@@ -199,12 +200,14 @@
 pub struct OverloadState {
     /// The pressure of the overload, from 0 (none) to 1.
     pub pressure: f64,
-    /// RPCs of a priority below this are shed. The fractional part is the share that is shed of the RPCs whose priority
-    /// equals the integer part.
+    /// RPCs of a priority below this threshold are shed. The fractional part is the share that is shed of the RPCs
+    /// whose priority equals the integer part.
     pub admission_threshold: f64,
-    /// The cost of an RPC of this method to the router, in seconds.
+    /// What an RPC of the arrived RPC's method costs the router, in seconds of processing. In the overload of all
+    /// routers together, all RPCs have the same assumed cost.
     pub cost_secs: f64,
-    /// Whether the connection of the RPC takes far more than a fair share.
+    /// Whether the RPC's connection has recently sent more than the configured multiple (`fair_share_multiple`) of
+    /// the work that the other active connections send on average.
     pub exceeds_fair_share: bool,
     /// How long arriving RPCs wait until the router processes them.
     pub queueing_delay: Span,
@@ -217,7 +220,7 @@
     pub method: u32,
     /// The index of the RPC's group.
     pub group: u32,
-    /// The time at which the client gives up.
+    /// The time at which the client stops waiting for an answer.
     pub deadline: Time,
     /// Whether the client has marked the RPC as a retry.
     pub is_client_retry: bool,
@@ -225,9 +228,9 @@
     pub session: Option<u32>,
     /// The age of the session's last write, if the client reports it.
     pub last_write_age: Option<Span>,
-    /// The overload of this router, or `None` where it is not measured.
+    /// The overload of this router, or `None` where the overload is not measured.
     pub router_overload: Option<OverloadState>,
-    /// The overload of all routers together, or `None` where the routers do not exchange it.
+    /// The overload of all routers together, or `None` where the routers do not exchange their overload.
     pub fleet_overload: Option<OverloadState>,
     /// The random draw of the session, from 0 to 1 and the same at all routers. RPCs with a smaller draw are shed
     /// sooner.
@@ -252,21 +255,22 @@
     pub outcome: AttemptOutcome,
     /// The time from the send of the attempt to its end.
     pub latency: Span,
-    /// Whether the RPC has its final answer, from this attempt or from before.
+    /// Whether the RPC has its final answer, from this attempt or from an earlier event.
     pub rpc_complete: bool,
     /// Whether no retry may follow: the retry budget does not allow one, the client has cancelled the RPC, or the front
     /// can't see whether the client is still connected.
     pub retry_denied: bool,
-    /// The role that the member showed, if it showed one.
+    /// The role (primary or replica) that the member showed in its answer, if any.
     pub role: Option<Role>,
-    /// A position that the member has proven. For a write that succeeded, it is the position of the commit.
+    /// A position in the replication log that the member has proven to have reached. For a write that succeeded,
+    /// the position of its commit.
     pub position: Option<Time>,
 }
 
 /// What a member reports about itself in a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The position that the member has reached.
+    /// The position up to which the member has applied its group's log.
     pub position: Option<Time>,
     /// Whether the member is the primary.
     pub is_primary: Option<bool>,
@@ -292,14 +296,16 @@
     pub member: MemberId,
     /// What the sender has observed of the member.
     pub observation: MemberObservation,
-    /// For a replica, its position. Otherwise the time at which the primary showed its role, or at which the member
-    /// could not be reached.
+    /// For a replica, the replica's position. For a primary, the position that it reported, or, without one, the
+    /// time at which it showed its role. For an unreachable member, the time at which it could not be reached. All
+    /// are times of the members' clock.
     pub at: Time,
     /// Whether the sender is in the same zone as the router that receives the update.
     pub same_zone: bool,
-    /// The member's answer time over the typical one, as the sender measured it, or zero if it is unknown.
+    /// The member's answer time divided by the typical answer time of the method, as the sender measured it, or
+    /// zero if it is unknown.
     pub latency_ratio: f64,
-    /// The number of RPCs in flight at the member, according to its load report.
+    /// The number of RPCs in flight at the member, according to the member's load report.
     pub in_flight: Option<f64>,
 }
 
@@ -310,25 +316,25 @@
     }
 }
 
-/// The decision on an RPC.
+/// What the front is to do with an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Send the RPC to a member.
     Attempt {
         /// The member.
         member: MemberId,
-        /// How long to wait for the answer, or `None` to wait for as long as the client does.
+        /// How long to wait for the member's answer, or `None` to wait for as long as the client does.
         timeout: Option<Span>,
     },
-    /// Keep the RPC. It is decided by a later [`Router::tick`](crate::Router::tick), or by the outcome of the attempt
-    /// in flight.
+    /// Keep the RPC until a later [`Router::tick`](crate::Router::tick) decides on it. None of its attempts is in
+    /// flight.
     Queue,
-    /// Reject the RPC. This is its final answer, and a retry by the client does no harm.
+    /// Reject the RPC. The rejection is its final answer, and a retry by the client does no harm.
     Reject {
         /// How long the client is to wait before it retries.
         retry_after: Span,
     },
-    /// Fail the RPC. This is its final answer, and the RPC may have had an effect.
+    /// Fail the RPC. The failure is its final answer, and the RPC may have had an effect.
     Fail,
     /// Do nothing. The RPC has its final answer, or its client has cancelled it and gets an answer from the front.
     AlreadyAnswered,
@@ -349,13 +355,14 @@
     pub log_messages: Vec<String>,
     /// The RPCs that were given up or spilled to the primary, and why.
     pub exceptions: Exceptions,
-    /// The members that are retired. The index of each may be assigned to another member.
+    /// The members that the router has dropped, a while after their removal from the endpoint list. The index of
+    /// each may be assigned to another member.
     pub retired_members: Vec<MemberId>,
     /// The time at which to call `tick` again if no event happens before.
     pub wake_at: Option<Time>,
 }
 
-/// The newest position that a member has proven, and its role.
+/// The newest position that a member has proven, and the member's role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownPosition {
     /// The position up to which the member has applied its group's log.
@@ -373,10 +380,12 @@
     pub id_hash: u32,
     /// The index of the member's group.
     pub group: u32,
-    /// The member's answer time over the typical one.
+    /// The member's recent answer times divided by the typical answer times of their methods. It is about 1 for a
+    /// member without load.
     pub latency_ratio: f64,
     /// The number of attempts by this router in flight at the member.
     pub in_flight: f64,
-    /// The share of the attempts that ended within the last second at the member which it rejected or failed.
+    /// Of the attempts at the member that ended within the last second, the share that failed. Rejections,
+    /// timeouts, lost connections and failures to connect count as failures.
     pub failure_share: f64,
 }
