--- a/crates/ladderpass-invariants/src/checker.rs
+++ b/crates/ladderpass-invariants/src/checker.rs
@@ -7,7 +7,7 @@
 /// A violation of a rule, with the few events that prove it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Number of the rule, from 1 to 5.
+    /// Number of the violated rule, from 1 to 5.
     pub rule: u8,
     /// The RPC that the violation concerns, if there is one.
     pub rpc: Option<RpcId>,
@@ -34,7 +34,8 @@
     /// Processes the next event, and appends the violations that it proves.
     fn observe(&mut self, event: &Event, violations: &mut Vec<Violation>);
 
-    /// Ends the history at the given time, and appends the violations that this proves.
+    /// Ends the history at the given time, and appends the violations that the end proves, such as a missing
+    /// answer.
     fn end(&mut self, _at: Time, _violations: &mut Vec<Violation>) {}
 
     /// Returns how many RPCs, members and attempts the checker tracks now. This number does not grow with the length of
@@ -49,8 +50,8 @@
     pub answer: Span,
     /// How long after its publication an endpoint update counts as received.
     pub endpoint_update: Span,
-    /// By how much a replica's data may exceed a read's maximum staleness, since a position is known only some time
-    /// after the replica has reached it.
+    /// By how much the age of a replica's data may exceed a read's maximum staleness, since a position is known
+    /// only some time after the replica has reached it.
     pub position: Span,
 }
 
--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -13,17 +13,17 @@
 #[derive(Default)]
 pub struct Effects {
     rpcs: HashMap<RpcId, RpcState>,
-    /// When each RPC is no longer tracked, in order of time.
+    /// The time after which each RPC is no longer tracked, in order of time.
     forget_at: BTreeSet<(Time, RpcId)>,
 }
 
 struct RpcState {
     run_once: bool,
-    /// The event that sent the attempt in flight.
+    /// The event of sending the attempt that is in flight, if there is one.
     in_flight: Option<Event>,
-    /// The event of the last execution that began.
+    /// The event at which the last execution of the RPC began.
     executed: Option<Event>,
-    /// The event that sent the last attempt, unless that attempt was rejected; the attempt may have run.
+    /// The event of sending the last attempt, which may have run. `None` if that attempt was rejected.
     may_have_run: Option<Event>,
 }
 
@@ -58,7 +58,7 @@
                     report(rpc, member, text, vec![first, *event]);
                 } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
                     // This is a violation even if the first attempt did not run, because the router could not know
-                    // that.
+                    // that the attempt did not run.
                     let text = format!("RPC {rpc:x} is sent again though it may have run");
                     report(rpc, member, text, vec![first, *event]);
                 }
--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -7,7 +7,7 @@
 /// Index of a member in the endpoint list.
 pub type MemberIndex = u32;
 
-/// The final answer to an RPC, as its client received it.
+/// The final answer to an RPC, as the RPC's client received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The client received the result of the statement.
@@ -38,7 +38,7 @@
         rpc: RpcId,
         /// When the client stops waiting for an answer.
         deadline: Time,
-        /// Whether the effect of the RPC must not happen twice.
+        /// Whether the RPC must not take effect twice.
         run_once: bool,
         /// Maximum age of a replica's data when an attempt is sent to that replica.
         max_staleness: Option<Span>,
@@ -49,7 +49,7 @@
         rpc: RpcId,
         /// The answer that the client received.
         answer: Answer,
-        /// The RPC for which the value was made, if the value shows that.
+        /// The RPC for which the value in the answer was made, if the value shows for which RPC it is.
         made_for: Option<RpcId>,
     },
     /// The client disconnected, so it needs no answer any more.
@@ -104,7 +104,7 @@
         capacity: f64,
         /// Fraction of `capacity` that the member has at its start.
         initial_fraction: f64,
-        /// Duration of the slow start.
+        /// Duration of the member's slow start.
         warm_up_time: Span,
         /// Length of the window in which too many RPCs overload the member.
         overload_window: Span,
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -13,8 +13,8 @@
 pub struct OneAnswer {
     tolerance: Tolerance,
     rpcs: HashMap<RpcId, RpcState>,
-    /// When each RPC is checked next, in order of time: once its deadline has passed, for a missing answer, and later
-    /// to stop tracking it.
+    /// The time at which each RPC is checked next, in order of time. An RPC is checked for a missing answer once its
+    /// deadline has passed, and checked again later to stop tracking it.
     check_at: BTreeSet<(Time, RpcId)>,
 }
 
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -11,7 +11,7 @@
 const CHECK_AFTER_WARM_UP: Span = Span::from_millis(500);
 /// Margin for random variation, in square roots of the number of RPCs that a member can serve.
 const MARGIN_ROOTS: f64 = 2.0;
-/// Additional margin for random variation, in RPCs.
+/// Additional margin for random variation, in RPCs per window.
 const MARGIN_RPCS: f64 = 2.0;
 
 /// The checker of rule 4.
@@ -77,9 +77,9 @@
 }
 
 impl MemberState {
-    /// Returns the integral of the capacity up to an age in seconds, in seconds of full capacity. The capacity before
-    /// the start counts as the initial one, so that a burst right after the start may use the budget of a whole
-    /// window.
+    /// Returns the integral of the capacity up to an age in seconds, in seconds of full capacity. Before its start,
+    /// the member counts as having its initial capacity, so that a burst right after the start may use the budget of
+    /// a whole window.
     fn cumulative_capacity(&self, age: f64) -> f64 {
         let warm_up_secs = self.warm_up_time.secs().max(1e-9);
         let warm_up_age = age.clamp(0.0, warm_up_secs);
--- a/crates/ladderpass-invariants/src/staleness.rs
+++ b/crates/ladderpass-invariants/src/staleness.rs
@@ -1,5 +1,5 @@
-//! Rule 5: no stale read. A read with a maximum staleness is not sent to a replica whose data is older than that when
-//! the read is sent.
+//! Rule 5: no stale read. A read with a maximum staleness is not sent to a replica whose data is older than this
+//! maximum when the read is sent.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Event, EventKind, MemberIndex, RpcId};
@@ -15,7 +15,7 @@
 pub struct Staleness {
     tolerance: Tolerance,
     max_staleness: HashMap<RpcId, Span>,
-    /// When each RPC is no longer tracked, in order of time.
+    /// The time after which each RPC is no longer tracked, in order of time.
     forget_at: BTreeSet<(Time, RpcId)>,
     members: HashMap<MemberIndex, MemberState>,
 }
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -1,9 +1,9 @@
 //! The queue of pending RPCs of a group: those that could not be sent to any member yet, or that wait for the report of
 //! a member.
 //!
-//! Pending RPCs are examined by utility per second of work, highest first. Among equals the newest is first, because
-//! the clients of the older ones may soon give up. An RPC that could not be sent to any member leaves the queue after a
-//! share of its client's time, so that the client has time for a retry.
+//! Pending RPCs are examined by utility per second of work, highest first. Among RPCs of equal utility per second the
+//! newest is first, because the clients of the older ones may soon give up. An RPC that could not be sent to any member
+//! leaves the queue after a share of its client's time, so that the client has time for a retry.
 
 use crate::health_check_schedule;
 use crate::state::router_state::RouterState;
@@ -14,15 +14,15 @@
 
 /// Pending RPCs are examined again at least this often.
 const EXAMINE_INTERVAL: Span = Span::from_millis(10);
-/// A queue of more RPCs than this is not examined twice within this share of a tick.
+/// A queue of more than `LONG_QUEUE_RPCS` RPCs is not examined twice within `LONG_QUEUE_MIN_INTERVAL_TICKS` ticks.
 const LONG_QUEUE_RPCS: usize = 32;
 const LONG_QUEUE_MIN_INTERVAL_TICKS: f64 = 0.1;
 /// An RPC without an attempt is given up after this share of the time that its client waits.
 const MAX_QUEUED_SHARE_OF_DEADLINE: f64 = 0.49;
-/// Prevents a division by zero.
+/// The least typical answer time, in seconds, by which a utility is divided. It prevents a division by zero.
 const MIN_TYPICAL_SECS: f64 = 1e-6;
 
-/// Adds an RPC to the pending ones of its group.
+/// Adds an RPC to its group's queue of pending RPCs.
 pub fn enqueue(state: &mut RouterState, rpc: RpcId) -> Decision {
     let queued = &mut state.rpcs[rpc];
     if !std::mem::replace(&mut queued.is_pending, true) {
@@ -31,20 +31,20 @@
     Decision::Queue
 }
 
-/// Returns whether an RPC has been queued for as long as is allowed.
+/// Returns whether an RPC without an attempt has been queued for as long as is allowed.
 pub fn queued_too_long(rpc: &RpcState, now: Time) -> bool {
     let max_queued = (rpc.arrival.deadline - rpc.accepted_at) * MAX_QUEUED_SHARE_OF_DEADLINE;
     rpc.attempts == 0 && now >= rpc.accepted_at + max_queued
 }
 
-/// Returns when the pending RPCs are to be examined again, or `None` if there are none.
+/// Returns when the pending RPCs of all groups are to be examined again, or `None` if no RPC is pending.
 pub fn next_examination_at(state: &RouterState, now: Time) -> Option<Time> {
     let any_pending = state.topology.groups.iter().any(|group| !group.pending.is_empty());
     any_pending.then(|| now + EXAMINE_INTERVAL)
 }
 
 /// Takes the pending RPCs of a group out of its queue, in the order in which they are to be examined. Returns `None`
-/// when it is too early, so that a long queue is not sorted again for each answer.
+/// when the queue is long and was examined just before, so that a long queue is not sorted again for each answer.
 pub fn take_in_order(state: &mut RouterState, now: Time, group: usize) -> Option<Vec<RpcId>> {
     let queue = &mut state.topology.groups[group];
     let min_interval = state.deployment.tick * LONG_QUEUE_MIN_INTERVAL_TICKS;
@@ -64,7 +64,7 @@
     Some(pending)
 }
 
-/// Returns the utility of an answer, per second of a member's typical answer time.
+/// Returns the utility of an answer to an RPC, divided by the typical answer time of its method in seconds.
 fn utility_per_sec(state: &RouterState, now: Time, rpc: RpcId) -> f64 {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let is_late = now + method.typical >= rpc.accepted_at + method.definition.soft_deadline;
--- a/crates/ladderpass-routing/src/position.rs
+++ b/crates/ladderpass-routing/src/position.rs
@@ -5,8 +5,8 @@
 use crate::state::router_state::RouterState;
 use crate::time::Time;
 
-/// Records a position that a member has reported. The recorded position never decreases. A position stays valid
-/// however late its report arrives.
+/// Records a position that a member has reported. The recorded position never decreases. A position that a member
+/// has reached stays proven, however late its report arrives.
 pub fn record_position(state: &mut RouterState, now: Time, index: usize, position: Time) {
     let check_interval = health_check_schedule::check_interval(state, now, index);
     let member_time = state.latest_time_of_members_clock(now);
--- a/crates/ladderpass-routing/src/primary.rs
+++ b/crates/ladderpass-routing/src/primary.rs
@@ -1,8 +1,8 @@
 //! The choice of a group's primary among the group's members.
 //!
 //! What a member shows of its own role takes precedence over the endpoint list, which may be seconds late. Of several
-//! members that have shown themselves to be primary, the one that did so last is chosen, unless it has shown itself
-//! to be a replica since. All times are those of the members' clock.
+//! members that have shown themselves to be primary, the member that did so last is chosen. A member that has shown
+//! itself to be a replica since is not chosen. All times are those of the members' clock.
 
 use crate::state::member::Member;
 use crate::state::router_state::RouterState;
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -8,7 +8,7 @@
 /// The reason why an RPC was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// An attempt may have had its effect, and the method allows no retry, or no longer allows one.
+    /// An attempt may have had its effect, and the method allows no retry, or no longer allows a retry.
     MayHaveRun,
     /// An answer would come too late to be of any use.
     TooLate,
@@ -21,7 +21,7 @@
     AttemptNotMade,
     /// The RPC was answered with an error several times.
     FaultyRequest,
-    /// The front denied a further attempt, because the retry budget does not allow one or the client may have left.
+    /// The front denied a further attempt, because the retry budget does not allow it or the client may have left.
     RetryBudgetExhausted,
     /// No capacity was idle, and a marked client retry may use only idle capacity.
     NoIdleCapacity,
@@ -38,7 +38,7 @@
     TooSlow,
     /// An attempt of this RPC at the member has just ended without success.
     TriedBefore,
-    /// The member is in slow start or overloaded, and has had its share.
+    /// The member is in slow start or overloaded, and has already been sent its present share of the RPCs.
     SlowStart,
     /// The concurrency limit of the member is reached.
     AtConcurrencyLimit,
@@ -107,7 +107,7 @@
 /// The maximum number of reasons of one kind, which bounds the length of [`Reason::ALL`].
 const MAX_REASONS: usize = 8;
 
-/// How often each reason applied.
+/// How often each reason of one kind applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts<R> {
     counts: [u32; MAX_REASONS],
@@ -121,14 +121,14 @@
 }
 
 impl<R: Reason> Counts<R> {
-    /// Adds one to the count of a reason.
+    /// Increases the count of a reason by one.
     pub fn add(&mut self, reason: R) {
         if let Some(index) = R::ALL.iter().position(|&counted| counted == reason) {
             self.counts[index] += 1;
         }
     }
 
-    /// Adds the counts of `other` to these.
+    /// Adds the counts of `other` to these counts.
     pub fn merge(&mut self, other: &Counts<R>) {
         for (count, other_count) in self.counts.iter_mut().zip(other.counts) {
             *count += other_count;
@@ -156,7 +156,7 @@
     pub group: u32,
     /// The index of the RPC's method.
     pub method: u32,
-    /// The number of attempts made so far.
+    /// The number of attempts of the RPC that were made so far.
     pub attempts: u32,
     /// The time since the RPC was accepted.
     pub waited: Span,
@@ -187,8 +187,8 @@
         /// Whether the primary could have got the RPC.
         primary: PrimaryState,
     },
-    /// A read was sent to the primary, because none of the replicas could get it. The counts hold the reasons against
-    /// them.
+    /// A read was sent to the primary, because none of the replicas could get it. The counts say for how many
+    /// replicas each reason against them applied.
     Spilled(Counts<Ineligible>),
 }
 
@@ -199,12 +199,12 @@
     pub given_up: Counts<GiveUpReason>,
     /// The number of reads that were sent to a primary because no replica could get them.
     pub spilled: u32,
-    /// The replicas that could not get these reads, by reason.
+    /// For the spilled reads, how often a replica could not get the read, by reason.
     pub passed_over: Counts<Ineligible>,
 }
 
 impl ExceptionCounts {
-    /// Adds the counts of `other` to these.
+    /// Adds the counts of `other` to these counts.
     pub fn merge(&mut self, other: &ExceptionCounts) {
         self.given_up.merge(&other.given_up);
         self.spilled += other.spilled;
@@ -215,17 +215,17 @@
 /// The RPCs that were given up or spilled to the primary since the last tick.
 #[derive(Clone, Debug, Default)]
 pub struct Exceptions {
-    /// The number of these RPCs.
+    /// The numbers of RPCs that were given up or spilled to the primary, with the reasons.
     pub counts: ExceptionCounts,
-    /// The first few of these RPCs.
+    /// Examples: the first few RPCs that were given up or spilled to the primary.
     pub examples: Vec<ExceptionExample>,
 }
 
-/// The maximum number of examples between two ticks.
+/// The maximum number of examples of given-up or spilled RPCs that are stored between two ticks.
 const MAX_EXAMPLES: usize = 4;
 
 impl Exceptions {
-    /// Returns whether a further example may be added.
+    /// Returns whether a further example may be added before the next tick.
     pub fn accepts_example(&self) -> bool {
         self.examples.len() < MAX_EXAMPLES
     }
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -1,36 +1,40 @@
 //! Determines how far the router's clock may differ from the members' clock, from the positions that members report.
 //!
 //! A router reads its wall clock once, at its start, and uses the monotonic clock from then on. A router that starts
-//! while its wall clock is stepped keeps that error for as long as it runs. A position is a point in time that has
-//! passed. A position that is ahead of the router's clock shows that the clock is behind, and the newest position of
-//! all bounds how far the clock can be ahead. Errors are on the safe side: a clock that may be behind requires newer
-//! positions, and with a clock that may be ahead, members in slow start are taken to be younger. This module reads no
-//! clock and makes no decision about RPCs.
+//! while its wall clock is wrong by a step keeps that error for as long as it runs. A position is a past point in
+//! time on the members' clock: the member has applied all commits up to it. A position that is ahead of the router's
+//! clock shows that the clock is behind, and the newest position of all limits how far the clock can be ahead.
+//! Errors are on the safe side: a clock that may be behind requires newer positions, and with a clock that may be
+//! ahead, members in slow start are taken to be younger. This module reads no clock and makes no decision about
+//! RPCs.
 
 use crate::time::{Span, Time};
 use std::collections::VecDeque;
 
 /// Clocks that differ by less than this are taken to be equal. Positions are reported in whole milliseconds.
 const CLOCK_TOLERANCE: Span = Span::from_millis(50);
-/// This many positions that agree confirm how far the clock is behind. A single position may be corrupt.
+/// This many positions that agree confirm how far the router's clock is behind the members' clock. A single
+/// position may be corrupt.
 const POSITIONS_TO_CONFIRM: usize = 3;
-/// A position supports a later one if it was at most this much less ahead of the clock, or further ahead.
+/// A position confirms a later position if it was further ahead of the router's clock than the later position, or
+/// less far ahead by at most this span.
 const AGREEMENT_TOLERANCE: Span = Span::from_millis(250);
-/// A position ahead of the clock that no others confirm is used for this long.
+/// A position ahead of the router's clock that no other positions confirm is used for this long.
 const UNCONFIRMED_VALID_FOR: Span = Span::from_millis(3000);
-/// Largest number of positions ahead of the clock that are stored.
+/// The maximum number of positions ahead of the router's clock that are stored.
 const MAX_STORED_LEADS: usize = 32;
-/// A position that is further ahead than this is corrupt.
+/// A position that is further ahead of the router's clock than this span is taken to be corrupt, and is ignored.
 const MAX_LEAD: Span = Span::from_millis(86_400_000);
-/// A position may be this old when it is reported, without the clock being ahead.
+/// A position that is at most this old by the router's clock when it is reported does not show that the clock is
+/// ahead.
 const MAX_REPORT_AGE: Span = Span::from_millis(1000);
 
-/// How far the router's clock may differ from the members'.
+/// How far the router's clock may differ from the members' clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockDifference {
-    /// The router's clock may be behind by this.
+    /// How far the router's clock may be behind the members' clock.
     pub behind: Span,
-    /// The router's clock may be ahead by this.
+    /// How far the router's clock may be ahead of the members' clock.
     pub ahead: Span,
 }
 
@@ -45,15 +49,15 @@
 #[derive(Debug)]
 pub struct ReferenceClock {
     leads: VecDeque<Lead>,
-    /// How far the clock is behind, as confirmed by several positions.
+    /// How far the router's clock is behind the members' clock, as several positions confirm.
     confirmed: Span,
-    /// Least age that a position had when it was reported, or `None` before the first one.
+    /// The least age that any position had when it was reported, or `None` before the first report.
     min_report_age: Option<Span>,
 }
 
 impl ReferenceClock {
     /// Creates a comparison without any positions. `positions_expected` means that members report positions. The
-    /// clock may then be ahead by any amount until the first one is reported.
+    /// router's clock may then be ahead by any amount until the first position is reported.
     pub fn new(positions_expected: bool) -> ReferenceClock {
         let min_report_age = (!positions_expected).then_some(Span::ZERO);
         ReferenceClock { leads: VecDeque::new(), confirmed: Span::ZERO, min_report_age }
@@ -80,7 +84,8 @@
         }
     }
 
-    /// The possible difference, by the confirmed positions and by the unconfirmed ones of the last seconds.
+    /// The possible difference between the two clocks, by the confirmed positions and by the unconfirmed positions
+    /// of the last seconds.
     pub fn difference(&self, now: Time) -> ClockDifference {
         let recent = self.leads.iter().filter(|lead| now - lead.reported_at <= UNCONFIRMED_VALID_FOR);
         let unconfirmed = recent.map(|lead| lead.lead).max().unwrap_or(Span::ZERO);
@@ -91,7 +96,7 @@
         }
     }
 
-    /// How far the clock is certainly behind.
+    /// How far the router's clock is behind the members' clock, as several positions confirm.
     pub fn confirmed(&self) -> Span {
         self.confirmed
     }
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -15,25 +15,27 @@
 /// The number of priorities in a band. The bands are, from the lowest: late answers, connections over their fair share,
 /// retries that the client has marked, and all other RPCs.
 const PRIORITIES_PER_BAND: f64 = 64.0;
-/// Within a band, the number of priorities for each doubling of the utility per second of cost, and the binary
-/// logarithm of that quotient at the band's lowest priority.
+/// Within a band, the priority follows the utility per second of cost. `PRIORITIES_PER_DOUBLING` is the number of
+/// priorities for each doubling of that quotient, and `LOWEST_LOG2_UTILITY_PER_SEC` is its binary logarithm at the
+/// band's lowest priority.
 const PRIORITIES_PER_DOUBLING: f64 = 4.0;
 const LOWEST_LOG2_UTILITY_PER_SEC: f64 = 8.0;
-/// The Retry-After of a shed RPC, as a share of the longest one: this value without pressure and 1 at full pressure,
-/// each times a random factor from `MIN_SHED_JITTER` to 1. The result is 0.1 to 1 of the longest.
+/// The Retry-After of a shed RPC, as a share of the longest Retry-After: this value without pressure and 1 at full
+/// pressure, each times a random factor from `MIN_SHED_JITTER` to 1. The result is 0.1 to 1 of the longest
+/// Retry-After.
 const SHED_RETRY_AFTER_SHARE: f64 = 0.2;
 const MIN_SHED_JITTER: f64 = 0.5;
-/// The Retry-After of an RPC that is given up while an answer could still be of use, as a share of the longest one,
-/// times a random factor from `MIN_GIVE_UP_JITTER` to `MIN_GIVE_UP_JITTER` + 1. The result is 0.175 to 0.525 of the
-/// longest.
+/// The Retry-After of an RPC that is given up while an answer could still be of use, as a share of the longest
+/// Retry-After. The share is multiplied by a random factor from `MIN_GIVE_UP_JITTER` to `MIN_GIVE_UP_JITTER` + 1,
+/// so the result is 0.175 to 0.525 of the longest Retry-After.
 const GIVE_UP_RETRY_AFTER_SHARE: f64 = 0.35;
 const MIN_GIVE_UP_JITTER: f64 = 0.5;
 /// An RPC is given up this many ticks before its deadline.
 const TICKS_BEFORE_DEADLINE: f64 = 2.0;
 
-/// Returns the priority of an RPC among those that compete for this router's capacity. It is lower for an RPC that
-/// would be answered late, for a connection over its fair share, for a client retry, and for a low utility relative to
-/// the cost.
+/// Returns the priority of an RPC among those that compete for this router's capacity. The priority is lower for an
+/// RPC that would be answered late, for a connection over its fair share, for a client retry, and for a low utility
+/// relative to the cost.
 pub fn priority(state: &RouterState, now: Time, arrival: &Arrival, overload: &OverloadState) -> u32 {
     let method = &state.methods[arrival.method as usize];
     let answered_at = now + overload.queueing_delay + method.typical;
@@ -52,8 +54,8 @@
 }
 
 impl OverloadState {
-    /// Returns whether an RPC of this priority is shed. The random draw, from 0 to 1, selects which of the RPCs at the
-    /// threshold's own priority are shed.
+    /// Returns whether an RPC of this priority is shed. The random draw, from 0 to 1, selects which of the RPCs are
+    /// shed whose priority equals the integer part of the threshold.
     pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
         f64::from(priority) + random_draw < self.admission_threshold
     }
@@ -90,8 +92,8 @@
     if accepted.attempts >= state.deployment.max_attempts {
         return Some(GiveUpReason::NoAttemptLeft);
     }
-    // The typical answer time is not counted for an RPC that has just arrived, so that it is given up as too late only
-    // once no answer could be of use.
+    // The typical answer time is not counted for an RPC that has just arrived, so that this RPC is given up as too
+    // late only once no answer could be of use.
     let has_just_arrived = accepted.attempts == 0 && !accepted.is_pending;
     let answer_duration = if has_just_arrived { Span::ZERO } else { state.method_of(rpc).typical };
     if now + answer_duration >= state.useful_until(rpc) {
@@ -101,7 +103,7 @@
     (pending::queued_too_long(accepted, now) || deadline_is_near).then_some(GiveUpReason::OutOfTime)
 }
 
-/// Gives up an RPC that will not be served here. Returns its final answer.
+/// Gives up an RPC that will not be served by this router, and returns its final answer.
 pub fn give_up(state: &mut RouterState, now: Time, rpc: RpcId, reason: GiveUpReason) -> Decision {
     exception_log::log_given_up(state, now, rpc, reason);
     let client_may_retry = retry::client_may_retry(state, rpc);
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -15,14 +15,15 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC with this many error answers is itself taken to be faulty.
+/// An RPC that members have answered with this many errors is itself taken to be faulty.
 const ERRORS_TO_FAULT_RPC: usize = 2;
 /// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
 /// The link to a zone counts as degraded above this latency ratio.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
 
-/// Returns whether an attempt can be made now without a second effect. Some time is allowed for the attempt to arrive.
+/// Returns whether an attempt of the RPC can be made now without the risk of a second effect. The time that the
+/// attempt takes to reach the member is allowed for.
 pub fn may_run(state: &RouterState, now: Time, rpc: RpcId) -> bool {
     let method = state.method_of(rpc);
     match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
@@ -49,8 +50,8 @@
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
 
-/// Returns the reason why the RPC ends with this result of an attempt. With `None`, a member is selected for the RPC
-/// again.
+/// Returns the reason why the RPC ends with this result of an attempt. Returns `None` if a member is to be selected
+/// for the RPC again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
         return Some(GiveUpReason::AttemptNotMade);
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -1,4 +1,5 @@
-//! The public calls of the router. Each call updates the state through the mechanism that it concerns.
+//! The public calls of the router. Each call updates the state through the module of the mechanism that it
+//! concerns.
 //!
 //! [`Router::start`] is followed by [`Router::on_endpoint_update`]. [`Router::accept`] returns a handle and a first
 //! decision, and later events of the RPC are calls on its handle. [`Router::tick`] follows each batch of calls. The
@@ -30,7 +31,7 @@
 };
 use nanorand::{Rng, WyRand};
 
-/// A router: the state of one instance. Instances share no state.
+/// A router. Routers share no state, and exchange updates only through their callers.
 pub struct Router {
     state: RouterState,
 }
@@ -71,7 +72,8 @@
         self.state.deployment.router_count = router_count;
     }
 
-    /// Accepts an RPC, which will have exactly one final answer. Returns the handle and the first decision.
+    /// Accepts an RPC, which will have exactly one final answer. Returns the handle of the RPC and the first
+    /// decision on it.
     pub fn accept(&mut self, now: Time, arrival: Arrival) -> (RpcId, Decision) {
         let state = &mut self.state;
         let write_age = arrival.last_write_age.filter(|_| state.deployment.session_write_age_carried);
@@ -101,8 +103,8 @@
         rejection::retry_after(&mut self.state)
     }
 
-    /// Returns whether an attempt that has waited for its connection may still be made at this member. What the router
-    /// knows of the member may have become too old in the meantime.
+    /// Returns whether an attempt that has waited for its connection may still be made at this member. The attempt may
+    /// no longer be made if, for example, the member is draining or its proven position is too old by now.
     pub fn may_still_attempt(&self, now: Time, rpc: RpcId, member: MemberId) -> bool {
         let state = &self.state;
         let Some(accepted) = state.rpcs.get(rpc) else { return false };
@@ -141,8 +143,8 @@
         gossip::on_peer_update(&mut self.state, now, &update);
     }
 
-    /// Decides on the pending RPCs. Returns the decisions and what is due: health checks, polls of the endpoint list,
-    /// gossip, and the time of the next call.
+    /// Decides on the pending RPCs of all groups. Returns the decisions and what is due: health checks, polls of the
+    /// endpoint list, gossip, and the time of the next call.
     pub fn tick(&mut self, now: Time) -> TickOutput {
         let state = &mut self.state;
         for group in 0..state.topology.groups.len() {
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -1,15 +1,16 @@
 //! Selection of the member to which an RPC is sent.
 //!
 //! 1. An RPC that may not be sent again, or could not be answered in time, is given up (`rejection`).
-//! 2. A router that has just started waits for the first answers of the group, because its list may be old.
+//! 2. A router that has just started waits for the first answers of the group, because its endpoint list may be
+//!    old.
 //! 3. Of the replicas that are eligible, fresh enough and below their concurrency limit, the least loaded is selected.
-//!    Ties go to the one that was sent the least work.
+//!    Among equally loaded replicas, the one that was sent the least work is selected.
 //! 4. A read for which no replica is known to be fresh enough waits for a health check of the replica that would be
 //!    selected next.
 //! 5. An RPC that no replica can get, or that only the primary may serve, goes to the primary if the primary is
-//!    eligible. A read that does so spills.
+//!    eligible. A read that goes to the primary although replicas may serve it is said to spill.
 //! 6. Any other RPC is queued (`pending`). A marked client retry of an idempotent method is given up instead, unless a
-//!    health check may still help it.
+//!    health check may still prove a replica to be fresh enough for it.
 
 use crate::attempt;
 use crate::concurrency_limit;
@@ -28,11 +29,12 @@
 use crate::types::{Consistency, Decision, RpcId};
 use nanorand::{Rng, WyRand};
 
-/// The weight of work sent to a member of another zone, relative to work sent to the router's own zone.
+/// The weight of work that was sent to a member of another zone, relative to work that was sent to a member of the
+/// router's own zone.
 const OTHER_ZONE_WEIGHT: f64 = 2.0;
 
 /// The order in which replicas are selected: by load, then by the work that was sent to the replica, in seconds at its
-/// present speed. The lowest rank is selected.
+/// present speed. The replica with the lowest rank is selected.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     load: f64,
@@ -47,11 +49,11 @@
     best_unproven: Option<Rank>,
     /// Whether a health check that may prove a replica to be fresh enough is in progress or due.
     expects_report: bool,
-    /// The reasons why the other replicas were passed over.
+    /// How many replicas were passed over, by reason.
     passed_over: Counts<Ineligible>,
 }
 
-/// Decides where an RPC goes now.
+/// Decides whether an RPC is now sent to a member, queued or given up.
 pub fn select(state: &mut RouterState, now: Time, rpc: RpcId) -> Decision {
     if let Some(reason) = rejection::reason_to_give_up(state, now, rpc) {
         return rejection::give_up(state, now, rpc, reason);
@@ -96,7 +98,7 @@
     state.topology.groups[group].pending = still_pending;
 }
 
-/// Returns whether RPCs wait for the first answers of their group.
+/// Returns whether the RPCs of a group wait because no member of the group has answered this new router yet.
 fn awaits_first_answers(state: &RouterState, now: Time, group: usize) -> bool {
     !state.topology.groups[group].has_answered
         && state.deployment.health_checks_report_position
@@ -115,7 +117,7 @@
     eligibility::reason_against_primary(state, now, primary, rpc).is_none().then_some(primary)
 }
 
-/// Compares the replicas of an RPC's group. A random number is drawn for each eligible one.
+/// Compares the replicas of an RPC's group. A random number is drawn for each eligible replica.
 fn search_replicas(state: &RouterState, now: Time, rpc: RpcId, random: &mut WyRand) -> ReplicaSearch {
     let mut search = ReplicaSearch {
         selected: None,
@@ -159,8 +161,8 @@
     search
 }
 
-/// Makes this replica the best of those that have not proven to be fresh enough, if a health check could prove it to be
-/// and its rank is the lowest so far.
+/// Sets `best_unproven` to the rank of a replica that has not proven to be fresh enough, if a health check could prove
+/// it to be so and the rank is the lowest so far.
 fn consider_for_check(
     state: &RouterState,
     now: Time,
@@ -182,8 +184,8 @@
         && health_check_schedule::next_request_at(state, index) <= now
 }
 
-/// Returns the rank of a replica. It includes a random amount of work, on average that of one RPC, so that routers
-/// which send little do not all begin with the same member.
+/// Returns the rank of a replica. The rank includes a random amount of work, on average that of one RPC, so that
+/// routers which send little do not all begin with the same member.
 fn rank(state: &RouterState, now: Time, rpc: RpcId, index: usize, random: &mut WyRand) -> Rank {
     let member = state.topology.member(index);
     let random_work_secs = -(1.0 - random.generate::<f64>()).ln() * state.method_of(rpc).typical.secs();
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -1,5 +1,5 @@
-//! A sliding window: the number and the sum of the values that were recorded in the most recent buckets of time. The
-//! buckets are reused in turn.
+//! A sliding window: the number and the sum of the values that were recorded in the most recent buckets of time. A
+//! fixed number of buckets is reused in turn.
 
 use crate::time::{Span, Time};
 
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// The start of the bucket, as a multiple of the width.
+    /// The start of the bucket in time, as a multiple of the bucket width.
     number: i64,
     count: f64,
     sum: f64,
@@ -17,14 +17,14 @@
 /// The number and the sum of the values that were recorded in some buckets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowTotals {
-    /// Number of the values.
+    /// The number of values that were recorded in the buckets.
     pub count: f64,
-    /// Sum of the values.
+    /// The sum of the values that were recorded in the buckets.
     pub sum: f64,
 }
 
 impl WindowTotals {
-    /// The mean of the values, or `None` if there are none.
+    /// The mean of the recorded values, or `None` if there are none.
     pub fn mean(self) -> Option<f64> {
         (self.count > 0.0).then(|| self.sum / self.count)
     }
@@ -43,7 +43,7 @@
         SlidingWindow { width, buckets: [Bucket { number: i64::MIN, ..Bucket::default() }; N] }
     }
 
-    /// The number of the bucket that contains this time.
+    /// The number of the bucket that contains the time `at`.
     fn bucket_number(&self, at: Time) -> i64 {
         at.nanos().div_euclid(self.width.nanos())
     }
@@ -59,12 +59,12 @@
         bucket.sum += value;
     }
 
-    /// Discards all recorded values.
+    /// Discards all values that were recorded in the window.
     pub fn clear(&mut self) {
         *self = SlidingWindow::new(self.width);
     }
 
-    /// The totals of the given number of buckets, which are the current one and those before it.
+    /// The totals of the most recent buckets, of which there are `buckets`, including the current bucket.
     pub fn totals(&self, now: Time, buckets: usize) -> WindowTotals {
         let newest = self.bucket_number(now);
         let included = newest - buckets.min(N) as i64 + 1..=newest;
@@ -76,7 +76,8 @@
         totals
     }
 
-    /// The smallest mean among the buckets of the window with at least `min_count` values.
+    /// The smallest mean among the buckets of the window with at least `min_count` values, or `None` without such
+    /// a bucket.
     pub fn min_bucket_mean(&self, now: Time, min_count: f64) -> Option<f64> {
         let newest = self.bucket_number(now);
         self.buckets
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,10 +1,11 @@
 //! Slow start: a member that has just started gets a share of the traffic that rises to its full share.
 //!
-//! The share of its capacity is `slow_start_capacity` at its start and grows linearly to 1 over
-//! `slow_start_duration`. It is enforced by credit. Each RPC that this router accepts adds a fraction of an attempt
-//! to the credit of each member of its group that is in slow start, and each attempt at a member subtracts one from
-//! the member's credit. RPCs add their credit when they are accepted, even if they are queued then, so the credit
-//! grows evenly. If each router stays within its share, so does the sum of all routers.
+//! The share of its capacity that such a member has is `slow_start_capacity` at its start and grows linearly to 1
+//! over `slow_start_duration`. The share of traffic is enforced by credit. Each RPC that this router accepts adds a
+//! fraction of an attempt to the credit of each member of its group that is in slow start, and each attempt at a
+//! member subtracts one from the member's credit. RPCs add their credit when they are accepted, even if they are
+//! queued then, so the credit grows evenly. If each router stays within its part of the share, so does the sum of
+//! all routers.
 //!
 //! The share of reads that an overloaded member may get (`concurrency_limit`) is also enforced here.
 
@@ -21,11 +22,11 @@
 /// Safety margin for random variation, in standard deviations. The standard deviation is taken to be the square root
 /// of the number of attempts that all routers send in an overload window.
 const VARIATION_MARGIN_STD_DEVS: f64 = 3.0;
-/// Whole attempts of credit expire after this time. Otherwise all routers that had nothing to send could use their
-/// credit at the same time.
+/// Whole attempts of slow-start credit expire after this time. Otherwise all routers that had nothing to send
+/// could use their credit at the same time.
 const CREDIT_VALID_FOR: Span = HEALTH_CHECK_WAIT;
 /// The random draw of an RPC is shifted by this for each member, so that an RPC which falls outside the share of
-/// reads of one member does not fall outside that of all.
+/// reads of one member does not fall outside the shares of all members.
 const DRAW_STEP_PER_MEMBER: f64 = 0.618;
 
 /// The share of its capacity that a member in slow start is certain to have, from 0 to 1, or `None` once it has its
@@ -83,8 +84,9 @@
     max_attempts / count / margin
 }
 
-/// Adds credit. Whole attempts of credit that were not used in time expire. The fraction is kept, and with it the
-/// phase that keeps the routers from sending their attempts at the same time.
+/// Adds slow-start credit to a member. Whole attempts of credit that were not used in time expire. The fraction is
+/// kept, because it differs from router to router and so keeps the routers from sending their attempts at the same
+/// time.
 fn add_credit(member: &mut Member, now: Time, credit: f64) {
     if now - member.slow_start_credit_at > CREDIT_VALID_FOR {
         member.slow_start_credit %= 1.0;
@@ -95,7 +97,7 @@
     member.slow_start_credit += credit;
 }
 
-/// May a member get this RPC? In slow start the member needs credit for it. A read also has to fall within the
+/// May a member get this RPC? A member in slow start needs credit for it. A read also has to fall within the
 /// member's share of reads, which is less than 1 after an overload, whether or not the member is in slow start.
 pub fn admits(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> bool {
     let member = state.topology.member(index);
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -1,18 +1,19 @@
 //! Which position a read requires, and which members are known to have reached it.
 //!
-//! A position is the point in time up to which a member has applied the group's log. The consistency of its method
-//! determines which position a read requires. A replica may serve the read once it has proven that position, and the
-//! primary may always serve it.
+//! A position is the point in time up to which a member has applied the group's log. The consistency of a read's
+//! method determines which position the read requires. A replica may serve the read once it has proven that
+//! position, and the primary may always serve it.
 
 use crate::state::member::Member;
 use crate::state::router_state::RouterState;
 use crate::time::{Span, Time};
 use crate::types::{Consistency, RpcId};
 
-/// A write that has no answer after this time may have committed, so its session's reads must see it.
+/// A write that has no answer this long after its send may have committed, so the reads of its session must see
+/// it.
 const ASSUME_COMMITTED_AFTER: Span = Span::from_millis(100);
-/// A member with this lag or more no longer serves reads without a staleness bound. This is also the smallest
-/// staleness bound where no method has one.
+/// A replica with this lag or more no longer serves reads without a staleness bound. The value is also used as the
+/// smallest staleness bound of a deployment in which no method has a bound.
 pub const UNBOUNDED_READ_MAX_LAG: Span = Span::from_millis(30_000);
 /// Positions are refreshed and published once they are older than this share of the smallest staleness bound.
 const REFRESH_SHARE_OF_BOUND: f64 = 0.4;
@@ -31,7 +32,7 @@
 /// The position that a replica must have proven to serve this RPC now.
 pub fn required_position(state: &RouterState, now: Time, rpc: RpcId) -> Time {
     match state.method_of(rpc).definition.consistency {
-        // The bound applies when the last byte is sent, which may be a tick later.
+        // The bound applies when the last byte of the query is sent, which may be a tick later.
         Consistency::BoundedStaleness(bound) => {
             state.latest_time_of_members_clock(now) + state.deployment.tick - bound
         }
@@ -62,10 +63,11 @@
 }
 
 /// The share of a replica's concurrency limit that reads may use. It decreases as the lag approaches the staleness
-/// bound, so that the replica can catch up. For reads without a bound it is 1 where replication has stopped.
+/// bound, so that the replica can catch up. For reads without a bound, the share is 1 where replication has
+/// stopped.
 pub fn limit_share_by_lag(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
-    // Reads without a bound slow replication as much as others do, so the smallest bound of any method is used for
-    // them. Where replication has stopped, less load does not help.
+    // Reads without a bound slow replication as much as reads with a bound do, so the smallest bound of any method
+    // is used for them. Where replication has stopped, less load does not help.
     let unbounded = required == Time::NEVER;
     if unbounded && now - member.position_advanced_at > REPLICATION_STOPPED_AFTER {
         return 1.0;
@@ -79,7 +81,7 @@
     (LIMIT_SHARE_WITHOUT_LAG - lag_share).clamp(MIN_LIMIT_SHARE, 1.0)
 }
 
-/// The age at which a position is refreshed, or published to other routers.
+/// The age at which the last known position of a member is refreshed, or published to other routers.
 pub fn position_refresh_interval(state: &RouterState) -> Span {
     state.min_staleness_bound * REFRESH_SHARE_OF_BOUND
 }
