--- a/crates/ladderpass-invariants/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -137,8 +137,8 @@
     assert_eq!(attempts(10, 10_600), [], "the slow start has ended");
 }
 
-/// Checks the exact limit: two square roots and two RPCs above the number that the member can serve in any overload
-/// window.
+/// Checks the exact limit of rule 4: two square roots and two RPCs above the number that the member can serve in
+/// any overload window.
 #[test]
 fn slow_start_limit_is_two_square_roots_and_two_rpcs_above_the_capacity_of_a_window() {
     let (warm_up_time, overload_window) = (Span::from_millis(10_000), Span::from_millis(3000));
@@ -149,8 +149,8 @@
         warm_up_time,
         overload_window,
     };
-    // At 4 s the member has 0.2 + 0.8 x 0.4 of its capacity, and on average 0.4 over the preceding 3 s: it can serve
-    // 120 RPCs, and the limit with the margin is 143.9.
+    // At 4 s after its start, the member has 0.2 + 0.8 x 0.4 of its capacity, and on average 0.4 over the preceding
+    // 3 s: it can serve 120 RPCs, and the limit with the margin is 143.9.
     let burst = |count: usize, ms: i64| {
         let attempts = std::iter::repeat_n((ms, EventKind::AttemptSent { rpc: 1, member: 1 }), count);
         violated_rules(&[(0, started)].into_iter().chain(attempts).collect::<Vec<_>>())
@@ -159,7 +159,8 @@
     // Right after its start the member has the budget of a whole window at its initial capacity: it can serve 60 RPCs,
     // and the limit with the margin is 77.5.
     assert_eq!((burst(77, 0), burst(78, 0)), (vec![], vec![4]));
-    // An attempt exactly one window earlier no longer counts, but one that is a millisecond later does.
+    // An attempt exactly one overload window before the last attempt no longer counts, but an attempt one
+    // millisecond later than that does.
     let bursts = |second_ms: i64| {
         let attempt = |ms| (ms, EventKind::AttemptSent { rpc: 1, member: 1 });
         let attempts = [vec![attempt(500); 61], vec![attempt(second_ms); 70]].concat();
@@ -198,8 +199,8 @@
 }
 
 quickcheck! {
-    /// A history that complies with the rules has no violations, and the number of tracked items does not grow with its
-    /// length.
+    /// A history that complies with the rules has no violations, and the number of RPCs, members and attempts that a
+    /// checker tracks does not grow with the length of the history.
     fn long_valid_history_has_no_violation_and_bounded_memory(seeds: Vec<(u8, bool, u8)>) -> bool {
         let mut checkers = all_checkers(Tolerance::default());
         let mut violations = Vec::new();
@@ -219,8 +220,9 @@
                     let event = Event { at: at(now + offset_ms), kind };
                     checkers.iter_mut().for_each(|checker| checker.observe(&event, &mut violations));
                 }
-                // An RPC begins at most every 100 ms and is tracked for 10.2 s, which is its deadline of 200 ms and
-                // 10 s after it. This makes about 102 tracked RPCs; the limit leaves a margin.
+                // RPCs begin at intervals of at least 100 ms, and each is tracked for 10.2 s: until its deadline
+                // after 200 ms, and for 10 s more. A checker therefore tracks about 102 RPCs at most, and the limit
+                // of 150 leaves a margin.
                 assert!(checkers.iter().all(|checker| checker.tracked() < 150));
             }
         }
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -98,7 +98,8 @@
     state.topology.groups[group].pending = still_pending;
 }
 
-/// Returns whether the RPCs of a group wait because no member of the group has answered this new router yet.
+/// Returns whether the RPCs of a group wait because this router has just started, and no member of the group is
+/// known to have answered any router.
 fn awaits_first_answers(state: &RouterState, now: Time, group: usize) -> bool {
     !state.topology.groups[group].has_answered
         && state.deployment.health_checks_report_position
@@ -161,8 +162,8 @@
     search
 }
 
-/// Sets `best_unproven` to the rank of a replica that has not proven to be fresh enough, if a health check could prove
-/// it to be so and the rank is the lowest so far.
+/// Stores the rank of a replica that has not proven to be fresh enough in `best_unproven`, if a health check could
+/// prove the replica to be fresh enough and the rank is the lowest so far.
 fn consider_for_check(
     state: &RouterState,
     now: Time,
--- a/crates/ladderpass-routing/tests/common/mod.rs
+++ b/crates/ladderpass-routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared fixtures: a small deployment, routers in front of it, and helpers to call the routers.
+//! Shared fixtures of the tests: a small deployment, routers for it, and functions that call the routers.
 #![allow(dead_code)]
 
 use ladderpass_routing::*;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Ends a health check of a member, whose answer reports its position and role.
+/// Ends a health check of a member. The member's answer reports its position and role.
 pub fn answer_health_check(router: &mut Router, ms: i64, member: u32, position_ms: i64, primary: bool) {
     let report = LoadReport { position: Some(at(position_ms)), is_primary: Some(primary), in_flight: None };
     router.on_health_check_ended(at(ms), MemberId(member), AttemptOutcome::Ok, Span::from_millis(1), report);
@@ -127,15 +127,15 @@
     router
 }
 
-/// Ends a health check of every member. All of them are up to date.
+/// Ends a health check of every member. All members report that they are up to date.
 pub fn answer_all_health_checks(router: &mut Router, replicas: u32, ms: i64) {
     for member in 0..=replicas {
         answer_health_check(router, ms, member, ms, member == 0);
     }
 }
 
-/// Sends `count` RPCs of a method, one after the other. Each is answered after `latency_ms`. Returns how many attempts
-/// each member got.
+/// Sends `count` RPCs of a method, one after the other. Each RPC is answered after `latency_ms`. Returns how many
+/// attempts each member got.
 pub fn serve_rpcs(router: &mut Router, method: u32, from: i64, count: i64, latency_ms: i64) -> Vec<u32> {
     let mut got = vec![0; 5];
     for n in 0..count {
--- a/crates/ladderpass-routing/tests/concurrency_limit.rs
+++ b/crates/ladderpass-routing/tests/concurrency_limit.rs
@@ -112,8 +112,8 @@
     assert!(at_once >= 38, "{at_once} of 40 RPCs were sent immediately");
 }
 
-/// A timeout shows no congestion if the client gave up before the answer was overdue, which it is after three typical
-/// answer times.
+/// A timeout shows no congestion if the client gave up before the answer was overdue. An answer is overdue after
+/// three typical answer times.
 #[test]
 fn timeouts_before_an_answer_is_overdue_do_not_reduce_the_limit() {
     let sent_after = |latency_ms: i64| {
--- a/crates/ladderpass-routing/tests/expired_decisions.rs
+++ b/crates/ladderpass-routing/tests/expired_decisions.rs
@@ -1,4 +1,5 @@
-//! Attempts that were never sent because their connection was established after the decision had expired.
+//! Attempts that were never sent because their connection was established only after the decision to send them had
+//! expired.
 
 mod common;
 
@@ -7,7 +8,7 @@
 
 const READ: u32 = 0;
 const WRITE: u32 = 1;
-/// The staleness bound of the reads. A tick is 5 ms.
+/// The staleness bound of the reads, in milliseconds. One tick of the bound (5 ms) is reserved for the send.
 const BOUND_MS: i64 = 800;
 
 fn router(change: impl Fn(&mut Deployment)) -> Router {
@@ -20,8 +21,8 @@
     router
 }
 
-/// The RPC never reached the member, so it may be sent there again immediately, and it still has the one attempt that
-/// the deployment allows.
+/// After an expired decision, the RPC has not reached the member. It may therefore be sent to the same member again
+/// immediately, and it still has the one attempt that the deployment allows.
 #[test]
 fn an_expired_decision_counts_neither_as_an_attempt_nor_as_a_failure() {
     let mut router = router(|deployment| deployment.max_attempts = 1);
@@ -57,8 +58,8 @@
     assert!(!router.may_still_attempt(at(BOUND_MS), rpc, member), "the replica is draining");
 }
 
-/// A write may be sent only to the member that is the primary at that time. It may not be sent at all once it has its
-/// final answer.
+/// A write whose connection was established late may be sent only to the member that is the primary by then. A write
+/// may not be sent at all once it has its final answer.
 #[test]
 fn a_delayed_write_may_be_sent_only_to_the_current_primary() {
     let mut router = router(|_| {});
--- a/crates/ladderpass-routing/tests/gossip.rs
+++ b/crates/ladderpass-routing/tests/gossip.rs
@@ -5,8 +5,8 @@
 use common::*;
 use ladderpass_routing::*;
 
-/// Without gossip, every router that has had no answer from a replica within the bound would send its reads to the
-/// primary, or delay them until a health check.
+/// Without gossip, every router that has had no answer from a replica within the staleness bound would send its
+/// reads to the primary, or delay them until a health check.
 #[test]
 fn a_position_received_by_gossip_is_valid_until_the_staleness_bound() {
     let mut router = router_with_gossip(|_| ());
@@ -17,7 +17,8 @@
     );
     router.on_peer_update(at(20), peer_update(1, MemberObservation::Replica, 15));
     assert_eq!(sent_to(router.accept(at(30), arrival(0, 30)).1), Some(1));
-    // A late, repeated or older update does not lower a known position. An update from the future is ignored.
+    // An update that is older than a known position does not lower the position. An update with a time in the
+    // future is ignored.
     router.on_peer_update(at(40), peer_update(1, MemberObservation::Replica, 3));
     router.on_peer_update(at(40), peer_update(2, MemberObservation::Replica, 500));
     assert_eq!(sent_to(router.accept(at(200), arrival(0, 200)).1), Some(1));
@@ -36,7 +37,8 @@
     assert_eq!(sent_to(router.accept(at(30), arrival(1, 30)).1), Some(0));
 }
 
-/// Guards against every router having to discover a new primary for itself where the list always names the first one.
+/// Guards against every router having to discover a new primary for itself where the endpoint list always names the
+/// first primary.
 #[test]
 fn writes_go_to_a_new_primary_learned_by_gossip() {
     let mut router = router_with_gossip(|deployment| deployment.primary_in_list = PrimaryInList::AtStart);
@@ -84,8 +86,8 @@
     );
 }
 
-/// Guards against every router of a zone losing RPCs to the same unreachable member. Three updates from the same zone
-/// eject it, and updates from other zones do not count.
+/// Guards against every router of a zone losing RPCs to the same unreachable member. Three updates from the router's
+/// own zone eject the member, and updates from other zones do not count.
 #[test]
 fn gossip_from_the_same_zone_ejects_and_readmits_a_member() {
     let mut router = router_with_gossip(|_| ());
@@ -113,8 +115,8 @@
     assert!(served.count() > 0, "the member was not readmitted");
 }
 
-/// Guards against a member having dozens of RPCs in flight while each router has at most one in flight there, so that
-/// no router's own concurrency limit binds.
+/// Guards against a member having dozens of RPCs in flight while each router has at most one RPC in flight at the
+/// member, so that no router's own concurrency limit binds.
 #[test]
 fn an_overloaded_member_gets_fewer_reads_until_it_recovers() {
     let mut router = router_with_gossip(|deployment| deployment.health_checks_report_position = true);
@@ -148,8 +150,8 @@
     );
 }
 
-/// Without gossip, a router gets load reports only from its own infrequent health checks. A share of reads that it
-/// reduced during congestion would take a quarter of a minute to recover.
+/// Without gossip, a router gets load reports only from its own infrequent health checks. If the router reduced a
+/// member's share of reads during congestion, the share would take a quarter of a minute to recover.
 #[test]
 fn without_gossip_load_reports_do_not_reduce_the_share_of_reads() {
     let mut router = router_with_gossip(|deployment| deployment.gossip = false);
--- a/crates/ladderpass-routing/tests/health_check.rs
+++ b/crates/ladderpass-routing/tests/health_check.rs
@@ -1,4 +1,4 @@
-//! The times at which members are checked, and the effects of the results.
+//! The times of health checks of members, and the effects of their results.
 
 mod common;
 
@@ -18,8 +18,8 @@
     assert_eq!(decisions, [(rpc, Decision::Attempt { member: checked[0], timeout: None })]);
 }
 
-/// All replicas are at their limit and reject health checks too. A read must not wait for one replica after the other
-/// until its deadline while the primary is idle.
+/// All replicas are at their limit and reject not only RPCs but also health checks. A read must not wait for one
+/// replica after the other until its deadline while the primary is idle.
 #[test]
 fn a_read_spills_when_its_replicas_reject_health_checks() {
     let mut router = router_with_replicas(3, |_| {});
@@ -68,7 +68,8 @@
     assert!(busy > 200 && idle > 0 && idle < 20, "{busy} health checks when busy, {idle} when idle");
 }
 
-/// A first answer without a report must not be taken as the answer of a replica that is far behind.
+/// A first answer to a health check without a load report must not be taken as the answer of a replica that is far
+/// behind.
 #[test]
 fn a_member_that_answers_a_health_check_without_a_report_is_checked_again_soon() {
     let mut router = Router::start(at(0), 7, deployment());
@@ -111,8 +112,8 @@
     assert_eq!(sent_to(router.accept(at(402), arrival(0, 402)).1), Some(1));
 }
 
-/// The router itself had no file descriptor for these checks. That shows nothing about the member, which is checked
-/// again soon.
+/// A health check is never sent if the router itself has no file descriptor for it. A check that was never sent
+/// shows nothing about the member, which is checked again soon.
 #[test]
 fn health_checks_that_were_never_sent_are_repeated_and_eject_no_member() {
     let mut router = router_with_replicas(1, |_| {});
--- a/crates/ladderpass-routing/tests/invariants/check.rs
+++ b/crates/ladderpass-routing/tests/invariants/check.rs
@@ -1,10 +1,11 @@
-//! Checks each decision against the invariants, which have the rule numbers of `ladderpass_invariants`.
+//! Checks each decision of a router against the invariants, which are numbered as the rules in
+//! `ladderpass_invariants`.
 
 use crate::run::{Attempt, Run};
 use ladderpass_routing::*;
 
 impl Run {
-    /// Checks a decision on an RPC and records it.
+    /// Checks a decision on an RPC and records the decision.
     pub fn check(&mut self, rpc: RpcId, decision: Decision) {
         let tracked = self.rpcs.get_mut(&rpc).expect("decisions are made only on accepted RPCs");
         let method = &self.deployment.methods[tracked.arrival.method as usize];
--- a/crates/ladderpass-routing/tests/invariants/main.rs
+++ b/crates/ladderpass-routing/tests/invariants/main.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs of one router, which check the invariants at every step.
+//! Random runs of one router with given seeds. The invariants are checked after every step of a run.
 
 mod check;
 #[path = "../common/mod.rs"]
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -1,4 +1,4 @@
-//! A random run: calls on one router in random order, and a record of what they reported to it.
+//! A random run: calls on one router in random order, and a record of what these calls reported to the router.
 
 use crate::common::*;
 use ladderpass_routing::*;
@@ -11,10 +11,11 @@
 pub struct TrackedRpc {
     pub arrival: Arrival,
     pub accepted_at: Time,
-    /// The commit position of the session's last write that this router answered before this RPC arrived.
+    /// The commit position of the last write of the RPC's session that the router answered before this RPC
+    /// arrived.
     pub session_write: Time,
     pub attempt: Option<Attempt>,
-    /// The send time of the first attempt that may have run.
+    /// The send time of the RPC's first attempt that may have run.
     pub may_have_run_since: Option<Time>,
     pub is_answered: bool,
 }
@@ -26,7 +27,8 @@
     pub sent_at: Time,
 }
 
-/// A router, and what was reported to it, which its decisions are checked against.
+/// A router, and a record of what was reported to the router. The router's decisions are checked against this
+/// record.
 pub struct Run {
     pub random: WyRand,
     pub now: Time,
@@ -34,10 +36,11 @@
     pub router: Router,
     pub rpcs: HashMap<RpcId, TrackedRpc>,
     pub states: Vec<EndpointState>,
-    /// For each member: its last entry in the endpoint list that was not `Removed` was `Draining`.
+    /// For each member, whether its last entry in the endpoint list that was not `Removed` was `Draining`.
     pub is_last_known_draining: Vec<bool>,
     pub positions: Vec<Time>,
-    /// For each member: an attempt's result showed it to be a replica, and no later report showed it to be the primary.
+    /// For each member, whether an attempt's result has shown the member to be a replica, and no later report has shown
+    /// it to be the primary.
     pub is_replica: Vec<bool>,
     pub started_at: Vec<Time>,
     /// Attempts sent within the overload window.
@@ -93,7 +96,7 @@
         run
     }
 
-    /// Starts the router again. It knows nothing but a cached endpoint list, which may be stale.
+    /// Starts the router again. The new router knows nothing but a cached endpoint list, which may be stale.
     fn restart(&mut self) {
         let seed = self.random.generate::<u64>();
         self.router = Router::start(self.now, seed, self.deployment.clone());
@@ -134,7 +137,7 @@
         (self.random_below(2) == 0).then(|| self.now - Span::from_millis(i64::from(self.random_below(1500))))
     }
 
-    /// Makes one random call on the router, or lets time pass, and then ticks.
+    /// Makes one random call on the router, or lets time pass, and then calls `tick`.
     pub fn step(&mut self) {
         if self.random_below(150) == 0 {
             self.restart();
@@ -220,7 +223,7 @@
         if let Some(role) = role {
             self.is_replica[index] = role == Role::Replica;
         }
-        // All attempts take the typical answer time, so that each stands for the same amount of work.
+        // All attempts take the typical answer time, so that each attempt counts as the same amount of work.
         let latency = Span::from_millis(100);
         let result = AttemptResult {
             member: MemberId(member),
@@ -269,8 +272,8 @@
         self.router.on_health_check_ended(self.now, MemberId(member), outcome, Span::from_millis(1), report);
     }
 
-    /// Passes on an update from another router. It may be late or out of order, name a member that no list has named,
-    /// or have a time in the future.
+    /// Passes an update from another router to this router. The update may be late or out of order, name a member
+    /// that no list has named, or have a time in the future.
     fn peer_update(&mut self) {
         let member = self.random_choice(&[0, 1, 2, 3, 299]);
         let observation = self.random_choice(&[
@@ -305,7 +308,8 @@
                 self.states.fill(EndpointState::Removed);
                 return self.router.on_endpoint_update(self.now, EndpointUpdate::Complete(&[]));
             }
-            // An entry of a member and a group that were not known before. It may come again later.
+            // An entry for a member and a group that no list has named before. The same entry may be sent again
+            // later.
             3 => {
                 return self.router.on_endpoint_update(
                     self.now,
--- a/crates/ladderpass-routing/tests/load.rs
+++ b/crates/ladderpass-routing/tests/load.rs
@@ -1,4 +1,4 @@
-//! The weight of a member's load, failures and silence in its selection.
+//! The weight of a member's load, failures and silence when a member is selected for an RPC.
 
 mod common;
 
@@ -61,7 +61,8 @@
     );
 }
 
-/// A member with nothing in flight can't show that its congestion is over, so it is tried again after a second.
+/// A member with no attempts in flight can't show that its congestion is over, so an attempt is sent to the member
+/// again after a second.
 #[test]
 fn an_idle_member_is_tried_again_about_a_second_after_congestion() {
     let mut router = router_with_replicas(1, |_| {});
--- a/crates/ladderpass-routing/tests/outlier_ejection.rs
+++ b/crates/ladderpass-routing/tests/outlier_ejection.rs
@@ -26,7 +26,8 @@
     assert!(f64::from(got[3]) <= 0.6 * f64::from(got[1]), "{got:?}");
 }
 
-/// Guards against a primary that was unreachable once and is never tried again where health checks are not allowed.
+/// Guards against a router that, where health checks are not allowed, never sends attempts again to a primary that
+/// was unreachable once.
 #[test]
 fn without_health_checks_an_unreachable_primary_is_tried_again_after_a_delay() {
     let mut router =
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -5,7 +5,8 @@
 use common::*;
 use ladderpass_routing::*;
 
-/// Guards against an RPC that no member can serve being kept until its client has no time left for a retry elsewhere.
+/// Guards against keeping an RPC that no member can serve until its client has no time left for a retry at another
+/// router.
 #[test]
 fn an_rpc_without_an_eligible_member_is_rejected_by_half_of_its_deadline() {
     let mut router = router_with_replicas(2, |_| ());
--- a/crates/ladderpass-routing/tests/primary.rs
+++ b/crates/ladderpass-routing/tests/primary.rs
@@ -19,8 +19,8 @@
         EndpointUpdate::Complete(&[endpoint(0, true), endpoint(1, false), endpoint(2, false)]),
     );
     assert_eq!(write_sent_to(&mut router, 200), Some(2));
-    // A replica report from before member 2 was seen as the primary changes nothing. A newer primary report of another
-    // member does.
+    // A report that member 2 is a replica changes nothing if the report is from before the member was seen as the
+    // primary. A newer report that another member is the primary makes that member the primary.
     answer_health_check(&mut router, 210, 2, 50, false);
     assert_eq!(write_sent_to(&mut router, 210), Some(2));
     answer_health_check(&mut router, 220, 1, 215, true);
--- a/crates/ladderpass-routing/tests/reference_clock.rs
+++ b/crates/ladderpass-routing/tests/reference_clock.rs
@@ -11,7 +11,7 @@
 }
 
 /// The primary reports the present time of a clock that is `lead` milliseconds ahead of the router's. A replica reports
-/// a position 3 s behind the primary's.
+/// a position that is 3 s behind that of the primary.
 fn report_positions(clock: &mut ReferenceClock, now: i64, lead: i64) {
     clock.record_position(at(now), at(now + lead));
     clock.record_position(at(now), at(now + lead - 3000));
@@ -48,7 +48,8 @@
     }
 }
 
-/// A single position ahead of the clock that no others confirm may be corrupt, so it counts only for a few seconds.
+/// A single position ahead of the router's clock that no other positions confirm may be corrupt, so this position
+/// counts only for a few seconds.
 #[test]
 fn a_position_ahead_of_the_clock_expires_if_no_others_confirm_it() {
     let mut clock = ReferenceClock::new(true);
--- a/crates/ladderpass-routing/tests/retry.rs
+++ b/crates/ladderpass-routing/tests/retry.rs
@@ -45,7 +45,7 @@
 }
 
 /// If the retry budget allows no retry, the RPC gets its final answer immediately: a rejection if its client may retry
-/// it, else a failure.
+/// the RPC, else a failure.
 #[test]
 fn an_rpc_whose_retry_is_denied_gets_its_final_answer_at_once() {
     let checked_router = || {
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against further attempts of an RPC that fails on every member, and against counting these errors as failures
-/// of the members.
+/// Guards against further attempts of an RPC that fails on every member, and against counting the errors of such an
+/// RPC as failures of the members.
 #[test]
 fn an_rpc_that_fails_on_two_members_is_rejected_and_counts_against_neither() {
     let mut router = router_with_gossip(|_| ());
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -1,8 +1,9 @@
 //! A model of slow start with many routers that exchange nothing.
 //!
 //! Whatever traffic each router has, all of them together must not overload a starting member. In every window as long
-//! as the overload window of the settings, they may send it at most what it can serve in that window, plus a margin of
-//! 2 square roots of that number and 2 RPCs. The checker of rule 4 examines all windows.
+//! as the overload window of the settings, the routers together may send the member at most as many RPCs as it can
+//! serve in that window, plus a margin of 2 square roots of that number and 2 RPCs. The checker of rule 4
+//! (`ladderpass_invariants::SlowStart`) examines all windows.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use std::collections::BTreeMap;
 
 const STEP_MS: i64 = 5;
-/// The time at which members start. By then each router knows its share of the traffic.
+/// The time at which the members in `Case::starting` start. By then each router knows its share of the traffic.
 const STARTS_AT_MS: i64 = 4000;
 
 #[derive(Clone)]
@@ -28,15 +29,16 @@
     write_share: f64,
     /// Members that start at `STARTS_AT_MS`.
     starting: Vec<u32>,
-    /// Traffic of the first router as a multiple of the last one's.
+    /// Traffic of the first router as a multiple of the last router's traffic.
     traffic_ratio: f64,
-    /// The primary is removed at the first time, and the first starting member becomes the primary at the second one.
+    /// Two times in milliseconds: the primary is removed at the first time, and the first member in `starting`
+    /// becomes the primary at the second time. `None` if the primary stays.
     without_primary: Option<(i64, i64)>,
-    /// The time of a restart of routers, and how many of them are restarted.
+    /// The time in milliseconds of a restart of routers, and the number of routers that are restarted.
     restart: Option<(i64, usize)>,
     /// The multiple of its present capacity that the settings allow a starting member to get.
     overload_multiple: f64,
-    /// The period in which clients send 1.5 times `rate`.
+    /// The start and the end, in milliseconds, of the burst, in which clients send 1.5 times `rate`.
     burst: (i64, i64),
     duration_ms: i64,
 }
@@ -61,8 +63,9 @@
 }
 
 impl Case {
-    /// A case in which a member can serve `rpcs_per_window` RPCs in an overload window right after its start. Clients
-    /// send two thirds of what three members can serve at full capacity.
+    /// A case in which a member that has just started, at 0.2 of its full capacity, can serve `rpcs_per_window` RPCs
+    /// in the overload window of the settings (3 s). Outside the burst, clients send two thirds of what three members
+    /// can serve at full capacity.
     fn with_initial_capacity(rpcs_per_window: f64) -> Case {
         let capacity = rpcs_per_window / (0.2 * 3.0);
         Case { capacity, rate: capacity * 2.0, ..Case::default() }
@@ -75,7 +78,7 @@
     random: WyRand,
     routers: Vec<Router>,
     weights: Vec<f64>,
-    /// Attempts in flight, by the time at which they are answered.
+    /// Attempts in flight, by the time in milliseconds at which each is answered.
     attempts: BTreeMap<i64, Vec<Attempt>>,
     events: Vec<Event>,
     served: u32,
@@ -127,7 +130,8 @@
         router
     }
 
-    /// Member 0 is the primary. After it was removed, there is none until the first starting member takes its place.
+    /// Returns the primary. Member 0 is the primary until it is removed. From then on there is no primary until the
+    /// first starting member becomes the primary.
     fn primary(&self, ms: i64) -> Option<u32> {
         match self.case.without_primary {
             Some((from, to)) if ms >= from => (ms >= to).then(|| self.case.starting[0]),
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Records the starts of members for the checker.
+    /// Records the starts of the starting members as events for the checker of rule 4.
     fn record_starts(&mut self, ms: i64) {
         for &member in &self.case.starting {
             let (capacity, initial_fraction) =
@@ -200,8 +204,8 @@
         }
     }
 
-    /// Draws a Poisson number of arrivals, assigns each to a router by the routers' weights, and returns how many each
-    /// router gets.
+    /// Draws a Poisson number of arrivals, assigns each to a router by the routers' weights, and returns how many RPCs
+    /// arrive at each router.
     fn arrivals(&mut self, ms: i64) -> Vec<u32> {
         let burst_factor = if (self.case.burst.0..self.case.burst.1).contains(&ms) { 1.5 } else { 1.0 };
         let mean = self.case.rate * burst_factor * STEP_MS as f64 / 1e3;
@@ -248,7 +252,7 @@
 
 struct Outcome {
     violations: Vec<Violation>,
-    /// Attempts at starting members since their start.
+    /// The number of attempts that were sent to starting members since their start.
     to_starting: usize,
     /// Share of all RPCs that were served.
     served_share: f64,
@@ -313,8 +317,8 @@
     );
 }
 
-/// Clients send only reads, always as many as the members can serve at full capacity. Random variation has no slack
-/// other than the margin by which routers reduce the mean.
+/// Clients send only reads, always as many as the members can serve at full capacity. Only the margin by which
+/// routers reduce the mean traffic of a starting member leaves slack for random variation.
 #[test]
 fn a_starting_member_is_not_overloaded_at_constant_full_load() {
     for n in [2.0, 5.0, 20.0, 100.0] {
@@ -378,8 +382,8 @@
     }
 }
 
-/// All writes wait while there is no primary, and a starting member becomes the next one. During the burst, clients
-/// send as many writes as the primary can serve at full capacity.
+/// All writes wait while there is no primary, and a starting member becomes the next primary. During the burst,
+/// clients send as many writes as the primary can serve at full capacity.
 #[test]
 fn a_starting_primary_is_not_overloaded_by_queued_writes() {
     for n in [10.0, 100.0] {
@@ -399,8 +403,9 @@
     }
 }
 
-/// If the settings allow a multiple of the present capacity, a starting member gets more, but never more than that
-/// multiple. No member gets more than two fair shares, so a multiple of 4 changes little over one of 2.
+/// If the settings allow a multiple of the present capacity, a starting member gets more RPCs, but never more than
+/// that multiple. No member gets more than two fair shares, so a multiple of 4 changes little compared with a
+/// multiple of 2.
 #[test]
 fn a_starting_member_gets_more_if_the_settings_allow_a_multiple_of_its_capacity() {
     let got = [1.0, 1.5, 2.0, 4.0].map(|overload_multiple| {
@@ -418,7 +423,8 @@
     assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
 }
 
-/// The bound also holds for a few routers, whatever traffic they have.
+/// A starting member is not overloaded by a small number of routers either, at any capacity and with queued
+/// writes.
 #[test]
 fn a_starting_member_is_not_overloaded_by_one_to_three_routers() {
     for routers in [1, 2, 3] {
--- a/crates/ladderpass-routing/tests/staleness.rs
+++ b/crates/ladderpass-routing/tests/staleness.rs
@@ -23,8 +23,8 @@
     );
 }
 
-/// Guards against reads of data that is within the bound when the attempt is decided, and past it when the last byte is
-/// sent.
+/// Guards against reads of data that is within the staleness bound when the attempt is decided, and older than the
+/// bound when the last byte of the query is sent.
 #[test]
 fn one_tick_of_the_staleness_bound_is_reserved_for_the_send() {
     for (ms, expected) in [(790, true), (798, false)] {
@@ -73,7 +73,7 @@
             "{outcome:?}: the write may have committed at 1030 ms, and the replicas are at 1010 ms"
         );
         assert!(read(&mut router, 1130, 6), "{outcome:?}: a read of another session need not see the write");
-        // The result of the write carries no position, as when the answer broke off before its end.
+        // The result of the write carries no commit position, as when the answer broke off before its end.
         write.on_attempt_ended(&mut router, at(1140), result(0, outcome, 140));
         write.abandon(&mut router);
         report_positions(&mut router, 1150);
--- a/crates/ladderpass-routing/tests/startup.rs
+++ b/crates/ladderpass-routing/tests/startup.rs
@@ -1,8 +1,8 @@
 //! The first RPCs of a router that has just started, while not all members have answered their first health check.
 //!
 //! The primary's first answer shows nothing about the replicas. The first reads therefore also wait for the replicas'
-//! first answers, for as long as a new router waits for any first answer (300 ms after its start). Otherwise they would
-//! all go to the primary.
+//! first answers, for as long as a new router waits for any first answer (300 ms after its start). Otherwise all first
+//! reads would go to the primary.
 
 mod common;
 
@@ -11,7 +11,8 @@
 
 const READ: u32 = 0;
 
-/// Starts a router of whose members only the primary has answered a health check, 5 ms after the start.
+/// Starts a router with three members, of which only the primary has answered a health check, 5 ms after the
+/// start.
 fn router_with_answer_of_primary_only() -> Router {
     let mut router = Router::start(at(0), 7, deployment());
     let list: Vec<Endpoint> = (0..3).map(|member| endpoint(member, member == 0)).collect();
@@ -21,7 +22,8 @@
     router
 }
 
-/// Returns the decisions on pending RPCs between two times: when each was made, and the member of the attempt.
+/// Returns the decisions on pending RPCs between two times in milliseconds: the time of each decision, and the
+/// member that the RPC is sent to, if any.
 fn decisions_between(router: &mut Router, from: i64, to: i64) -> Vec<(i64, Option<u32>)> {
     let mut decided = Vec::new();
     for ms in (from..=to).step_by(5) {
@@ -55,7 +57,8 @@
     assert_eq!(decisions_between(&mut router, 300, 310), [(300, Some(0))]);
 }
 
-/// Later on, a read waits for a health check of each of the two replicas in turn, 60 ms for each.
+/// Once the router has been running for some time, a read waits for a health check of each of the two replicas in
+/// turn, 60 ms for each replica.
 #[test]
 fn a_later_read_spills_after_waiting_for_a_health_check_of_each_replica() {
     let mut router = router_with_answer_of_primary_only();
@@ -63,7 +66,7 @@
         answer_health_check(&mut router, 6, member, 6, false);
     }
     router.tick(at(7));
-    // By then the replicas' reports are too old, and no health check is answered.
+    // 3 s after the start, the replicas' reports are too old, and no health check is answered.
     let (_, decision) = router.accept(at(3000), arrival(READ, 3000));
     assert_eq!(decision, Decision::Queue);
     let decided = decisions_between(&mut router, 3005, 3200);
