--- a/crates/ladderpass-invariants/src/checker.rs
+++ b/crates/ladderpass-invariants/src/checker.rs
@@ -46,7 +46,7 @@
 /// Allowance for differences between the clocks and sockets of the observers.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerance {
-    /// How long after the client's deadline an answer may arrive.
+    /// How long after the client's deadline an answer may arrive without counting as late.
     pub answer: Span,
     /// How long after its publication an endpoint update counts as received.
     pub endpoint_update: Span,
--- a/crates/ladderpass-invariants/src/draining.rs
+++ b/crates/ladderpass-invariants/src/draining.rs
@@ -1,4 +1,4 @@
-//! Rule 3: a draining member gets no new attempt once discovery has published that it is draining.
+//! Rule 3: a member is sent no new attempt once discovery has published that the member is draining.
 
 use crate::checker::{Checker, Tolerance, Violation};
 use crate::history::{Event, EventKind, MemberIndex};
--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -29,12 +29,12 @@
     }
 }
 
-/// The kinds of observation.
+/// What can be observed, with the details of each observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
     /// A client's statement was completely received.
     Accepted {
-        /// The RPC that begins.
+        /// The RPC that begins with this statement.
         rpc: RpcId,
         /// When the client stops waiting for an answer.
         deadline: Time,
@@ -45,7 +45,7 @@
     },
     /// A client received an answer.
     Answered {
-        /// The RPC that ends.
+        /// The RPC that ends with this answer.
         rpc: RpcId,
         /// The answer that the client received.
         answer: Answer,
@@ -111,9 +111,9 @@
     },
     /// A member reported the position up to which it has applied its replication log.
     PositionReached {
-        /// The member whose position it is.
+        /// The member that reported its position.
         member: MemberIndex,
-        /// Time of commit up to which the member has applied all commits.
+        /// The position, as a time of commit. The member has applied all commits up to this time.
         position: Time,
     },
     /// A member became or ceased to be the primary of its group. The data of a primary is always current.
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -9,7 +9,7 @@
 
 /// How long after the end of a member's slow start the last checked window ends.
 const CHECK_AFTER_WARM_UP: Span = Span::from_millis(500);
-/// Margin for random variation, in square roots of the number of RPCs that a member can serve.
+/// Margin for random variation, in square roots of the number of RPCs that a member can serve in a window.
 const MARGIN_ROOTS: f64 = 2.0;
 /// Additional margin for random variation, in RPCs per window.
 const MARGIN_RPCS: f64 = 2.0;
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -14,8 +14,8 @@
 use crate::types::{Endpoint, EndpointState, EndpointUpdate, PrimaryInList};
 use nanorand::Rng;
 
-/// A member that was removed from the list this long ago, and has nothing in flight, is retired. Its index may then
-/// be given to another member.
+/// A member that was removed from the list this long ago, and has nothing in flight, is retired. The index of a
+/// retired member may be given to another member.
 const RETIRE_REMOVED_AFTER: Span = Span::from_millis(30_000);
 /// The endpoint list is at most this late. For this long after a member has shown itself to be a replica, a list that
 /// names it as the primary is ignored.
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -24,7 +24,7 @@
     ineligible.map_or(PrimaryState::Eligible, PrimaryState::Ineligible)
 }
 
-/// Records that a read goes to the primary. `passed_over` counts why no replica could get it.
+/// Records that a read goes to the primary. `passed_over` counts the reasons why no replica could get the read.
 pub fn log_spill(state: &mut RouterState, now: Time, rpc: RpcId, passed_over: Counts<Ineligible>) {
     let exceptions = &mut state.output.exceptions;
     exceptions.counts.spilled += 1;
--- a/crates/ladderpass-routing/src/fnv1a.rs
+++ b/crates/ladderpass-routing/src/fnv1a.rs
@@ -4,13 +4,13 @@
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// The 64-bit FNV-1a hash of the bytes.
+/// Returns the 64-bit FNV-1a hash of the bytes.
 pub fn hash(bytes: &[u8]) -> u64 {
     hash_with_seed(0, bytes)
 }
 
-/// The 64-bit FNV-1a hash of the bytes with a seed. The offset basis is combined with the seed, so that the hash
-/// differs from seed to seed.
+/// Returns the 64-bit FNV-1a hash of the bytes with a seed. The offset basis is combined with the seed, so that
+/// the hash differs from seed to seed.
 pub fn hash_with_seed(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(OFFSET_BASIS ^ seed, |hash, &byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
--- a/crates/ladderpass-routing/src/gossip.rs
+++ b/crates/ladderpass-routing/src/gossip.rs
@@ -59,7 +59,7 @@
 }
 
 /// Applies an update from another router. An update about a member that no list has named is ignored, and so is an
-/// update whose time is ahead of the members' clock, because no correct report can be.
+/// update whose time is ahead of the members' clock, because the time of a correct report can't be ahead.
 pub fn on_peer_update(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     if !state.topology.contains(update.member) || update.at > state.latest_time_of_members_clock(now) {
         return;
@@ -73,8 +73,8 @@
     record_report(state.topology.member_mut(index), now, update, role);
     concurrency_limit::update_read_share(state, now, index);
     if update.latency_ratio > 0.0 {
-        // The update does not contain when the attempt was sent, so its send time is estimated. A limit that was
-        // reduced since then stays as it is.
+        // The update does not contain when the attempt was sent, so its send time is estimated. A concurrency
+        // limit that was reduced since that time stays as it is.
         let sent_at = now - load::min_typical_latency(state) * update.latency_ratio;
         concurrency_limit::follow_latency(state, now, index, sent_at, ObservedBy::Peer);
     }
@@ -87,8 +87,9 @@
     primary::record_role(state, index, role, update.at);
 }
 
-/// Records that another router could not reach the member. For routers of the same zone this counts as one failure,
-/// if the report is recent and this router has received nothing from the member since.
+/// Records that another router could not reach the member. If the other router is in the same zone, the update
+/// counts as one failure of the member, provided that the report is recent and this router has received nothing
+/// from the member since.
 fn record_unreachable(state: &mut RouterState, now: Time, update: &MemberUpdate) {
     let age = state.latest_time_of_members_clock(now) - update.at;
     let index = update.member.0 as usize;
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -40,7 +40,8 @@
     let shares_health_checks = state.deployment.shares_health_checks();
     let member = state.topology.member_mut(index);
     // The round of periodic checks may have become shorter since this check was scheduled. Without shared checks, a
-    // member that was never in contact is checked at once. With shared checks, its first check keeps its time slot.
+    // member that was never in contact is checked at once. With shared checks, the first check of such a member
+    // keeps its time slot.
     let last_contact_at = member.last_health_check_at.max(member.reported_at);
     if last_contact_at != Time::NEVER || !shares_health_checks {
         member.next_health_check_at = member.next_health_check_at.min(last_contact_at + interval);
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -13,9 +13,9 @@
 use crate::time::{Span, Time};
 use nanorand::{Rng, WyRand};
 
-/// The shortest time for a round of periodic checks. A round contains one check of each listed member.
+/// The shortest time for a round of periodic health checks. A round contains one check of each listed member.
 pub const MIN_ROUND: Span = Span::from_millis(1000);
-/// The longest time for a round of periodic checks.
+/// The longest time for a round of periodic health checks.
 const MAX_ROUND: Span = Span::from_millis(60_000);
 /// Between `MIN_ROUND` and `MAX_ROUND`, a round takes as long as is needed to send at most this many checks for each
 /// RPC accepted.
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -22,7 +22,7 @@
 /// last 20 s for the answers of a zone, and the last 40 s for the answers to a method.
 pub const ALL_BUCKETS: usize = DEFAULT_BUCKETS;
 
-/// Width of a bucket of a method's answer times.
+/// Width of a bucket in which a method's answer times are counted.
 const TYPICAL_LATENCY_BUCKET: Span = Span::from_millis(5000);
 /// A bucket of a method's answer times needs this many answers before its mean may be used as the typical answer
 /// time.
@@ -30,7 +30,8 @@
 /// The typical answer time is at most this share of the soft deadline, so that congestion which has lasted since the
 /// router's start is not taken to be typical.
 const MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE: f64 = 0.2;
-/// The typical answer time is at least this share of a tick, because shorter times are not distinguished.
+/// The typical answer time is at least this share of a tick, because the router does not distinguish shorter
+/// times.
 const MIN_TYPICAL_SHARE_OF_TICK: f64 = 0.2;
 
 /// Answer times vary. Where an answer must arrive in time, the time left must be at least this multiple of the
@@ -56,9 +57,9 @@
 
 /// The router's own zone.
 pub const OWN_ZONE: u32 = 0;
-/// Width of a bucket of a zone's answer times.
+/// Width of a bucket in which the answer times of a zone's members are counted.
 const ZONE_LATENCY_BUCKET: Span = Span::from_millis(2500);
-/// The first of a member's consecutive failures counts as an answer with this latency ratio for its zone.
+/// The first of a member's consecutive failures counts for the member's zone as an answer with this latency ratio.
 const ZONE_FAILURE_LATENCY_RATIO: f64 = 8.0;
 
 /// A member is congested above this latency ratio.
@@ -83,7 +84,8 @@
 
 /// The number of this router's attempts in flight at a member, without those that were lost in transit.
 pub fn attempts_in_flight(state: &RouterState, now: Time, member: &Member) -> f64 {
-    // Attempts younger than this are not lost by any method's typical answer time, so they are not examined.
+    // No attempt younger than this counts as lost, whatever its method's typical answer time is, so younger
+    // attempts are not examined.
     let min_age = min_typical_latency(state) * LOST_AFTER_TYPICAL_LATENCIES;
     let may_be_lost = member.open_attempts.iter().take_while(|attempt| {
         now - attempt.sent_at > min_age && attempt.sent_at < member.latest_answered_attempt
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -1,9 +1,10 @@
 //! The queue of pending RPCs of a group: those that could not be sent to any member yet, or that wait for the report of
 //! a member.
 //!
-//! Pending RPCs are examined by utility per second of work, highest first. Among RPCs of equal utility per second the
-//! newest is first, because the clients of the older ones may soon give up. An RPC that could not be sent to any member
-//! leaves the queue after a share of its client's time, so that the client has time for a retry.
+//! Pending RPCs are examined in the order of their utility per second of work, highest first. Among RPCs of equal
+//! utility per second the newest is first, because the clients of the older ones may soon give up. An RPC that could
+//! not be sent to any member leaves the queue after a share of its client's time, so that the client has time for a
+//! retry.
 
 use crate::health_check_schedule;
 use crate::state::router_state::RouterState;
@@ -12,7 +13,7 @@
 use crate::types::{Decision, RpcId};
 use std::cmp::Reverse;
 
-/// Pending RPCs are examined again at least this often.
+/// While RPCs are pending, they are examined again at least once in this time.
 const EXAMINE_INTERVAL: Span = Span::from_millis(10);
 /// A queue of more than `LONG_QUEUE_RPCS` RPCs is not examined twice within `LONG_QUEUE_MIN_INTERVAL_TICKS` ticks.
 const LONG_QUEUE_RPCS: usize = 32;
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -40,9 +40,10 @@
     TriedBefore,
     /// The member is in slow start or overloaded, and has already been sent its present share of the RPCs.
     SlowStart,
-    /// The concurrency limit of the member is reached.
+    /// This router already has as many attempts in flight at the member as the concurrency limit allows for this
+    /// RPC.
     AtConcurrencyLimit,
-    /// The position of the member is not known to be recent enough.
+    /// The position of the member is not known to be recent enough for the read.
     Stale,
 }
 
@@ -187,8 +188,8 @@
         /// Whether the primary could have got the RPC.
         primary: PrimaryState,
     },
-    /// A read was sent to the primary, because none of the replicas could get it. The counts say for how many
-    /// replicas each reason against them applied.
+    /// A read was sent to the primary, because none of the replicas could get it. For each reason, the counts say
+    /// how many replicas could not get the read.
     Spilled(Counts<Ineligible>),
 }
 
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -1,7 +1,7 @@
 //! Rejections: which RPCs the router sheds or gives up, and when their clients may retry.
 //!
 //! RPCs are shed by priority on arrival, before anything else is done for them. An accepted RPC is given up once no
-//! further attempt is allowed, or none could be answered in time.
+//! further attempt is allowed, or no further attempt could be answered in time.
 
 use crate::exception_log;
 use crate::pending;
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,11 +1,11 @@
 //! Retries: whether an RPC may be sent again, what share of a concurrency limit client retries may use, and which
-//! timeout of a first attempt leaves time for a second one.
+//! timeout of a first attempt leaves time for a second attempt.
 //!
 //! The maximum number of attempts of an RPC is set in the deployment (`max_attempts`). It is checked in
 //! `rejection::reason_to_give_up`, which also checks the deadlines.
 //!
-//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. One with an idempotency key
-//! may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
+//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. An RPC with an idempotency
+//! key may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
 //! attempts may have run.
 
 use crate::load::{self, LATENCY_MARGIN, SILENT_AFTER_TYPICAL_LATENCIES};
@@ -19,7 +19,7 @@
 const ERRORS_TO_FAULT_RPC: usize = 2;
 /// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
-/// The link to a zone counts as degraded above this latency ratio.
+/// The link to another zone counts as degraded above this latency ratio of the zone.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
 
 /// Returns whether an attempt of the RPC can be made now without the risk of a second effect. The time that the
@@ -69,7 +69,7 @@
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
-/// Returns the share of a concurrency limit that this RPC may use.
+/// Returns the share of a member's concurrency limit that this RPC may use.
 pub fn limit_share(state: &RouterState, rpc: RpcId) -> f64 {
     if is_client_retry(state, rpc) { CLIENT_RETRY_LIMIT_SHARE } else { 1.0 }
 }
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -61,7 +61,7 @@
     }
 
     /// Sets how far the clock of `now` may differ from the members' clock. If the router started while its clock was
-    /// stepped, this prevents stale reads, and too much load on members in slow start.
+    /// stepped, the setting prevents stale reads, and too much load on members in slow start.
     pub fn set_clock_difference(&mut self, difference: ClockDifference) {
         self.state.clock = difference;
     }
@@ -198,9 +198,9 @@
         }
     }
 
-    /// Sets this router's share of the RPCs that all routers may have in flight at a member. This limit replaces the
-    /// share of reads that an overloaded member may get from routers with little traffic, because both together would
-    /// leave the member idle.
+    /// Sets this router's share of the RPCs that all routers may have in flight at a member. The limit replaces the
+    /// reduced share of reads that routers with little traffic may send to an overloaded member, because both
+    /// together would leave the member idle.
     pub fn set_concurrency_limit(&mut self, member: MemberId, limit: f64) {
         if self.state.topology.contains(member) {
             let member = self.state.topology.member_mut(member.0 as usize);
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -45,7 +45,7 @@
 /// The result of a search among the replicas of a group.
 struct ReplicaSearch {
     selected: Option<Rank>,
-    /// The lowest rank among the replicas that may be fresh enough, but have not proven it.
+    /// The lowest rank among the replicas that may be fresh enough for the read, but have not proven to be.
     best_unproven: Option<Rank>,
     /// Whether a health check that may prove a replica to be fresh enough is in progress or due.
     expects_report: bool,
--- a/crates/ladderpass-routing/src/sliding_window.rs
+++ b/crates/ladderpass-routing/src/sliding_window.rs
@@ -3,7 +3,7 @@
 
 use crate::time::{Span, Time};
 
-/// Number of buckets of a window whose type gives no other number.
+/// Number of buckets of a sliding window whose type gives no other number.
 pub const DEFAULT_BUCKETS: usize = 8;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -25,12 +25,12 @@
 /// Whole attempts of slow-start credit expire after this time. Otherwise all routers that had nothing to send
 /// could use their credit at the same time.
 const CREDIT_VALID_FOR: Span = HEALTH_CHECK_WAIT;
-/// The random draw of an RPC is shifted by this for each member, so that an RPC which falls outside the share of
-/// reads of one member does not fall outside the shares of all members.
+/// The random draw of an RPC (from 0 to 1) is shifted by this value times the index of a member, so that an RPC
+/// which falls outside the share of reads of one member does not fall outside the shares of all members.
 const DRAW_STEP_PER_MEMBER: f64 = 0.618;
 
-/// The share of its capacity that a member in slow start is certain to have, from 0 to 1, or `None` once it has its
-/// full capacity.
+/// The share of its full capacity that a member in slow start is certain to have, from 0 to 1, or `None` once it
+/// has its full capacity.
 pub fn capacity_share(state: &RouterState, now: Time, member: &Member) -> Option<f64> {
     let duration = state.deployment.slow_start_duration.secs();
     let age = (now - member.started_at? - state.clock.ahead).secs().max(0.0);
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// May a replica that was too far behind, or whose last report is old, have reached the required position by now?
+/// May a replica have reached the required position by now, if it was too far behind or its last report is old?
 pub fn may_have_caught_up(now: Time, member: &Member, required: Time) -> bool {
     let excess = member.reported_at - member.position - (now - required);
     excess <= Span::ZERO || now - member.reported_at >= MIN_CATCH_UP.max(excess * CATCH_UP_SHARE_OF_EXCESS)
--- a/crates/ladderpass-routing/src/state/group.rs
+++ b/crates/ladderpass-routing/src/state/group.rs
@@ -13,13 +13,13 @@
     /// The indexes of the group's members.
     pub members: Vec<usize>,
     pub primary: Option<usize>,
-    /// The largest number of active members that the group has had at once.
+    /// The largest number of members in the state `Active` that the group has had at once.
     pub max_members: usize,
     /// Whether a member of the group has answered this router or another one.
     pub has_answered: bool,
     /// The RPCs of the group that could not be sent to any member yet, or that wait for a member's report.
     pub pending: Vec<RpcId>,
-    /// The time at which the pending RPCs were last examined.
+    /// The time at which the group's pending RPCs were last examined.
     pub pending_examined_at: Time,
 }
 
@@ -36,7 +36,7 @@
     /// For each group, its accepted RPCs. The count of the window is the number of all of them, and the sum is the
     /// number of those that only the primary may serve.
     accepted: Vec<SlidingWindow>,
-    /// The number of listed members, or `None` where the list has changed since they were counted.
+    /// The number of listed members, or `None` where the endpoint list has changed since the members were counted.
     listed_count: Cell<Option<usize>>,
 }
 
@@ -70,7 +70,7 @@
         window_at(&mut self.accepted, group, bucket)
     }
 
-    /// Returns the group of this index. It is created if the list has not named it yet.
+    /// Returns the group of this index. If the endpoint list has not named the group yet, the group is created.
     pub fn group_mut(&mut self, group: u32) -> &mut Group {
         let group = group as usize;
         self.groups.resize_with(self.groups.len().max(group + 1), Group::default);
--- a/crates/ladderpass-routing/src/state/latency.rs
+++ b/crates/ladderpass-routing/src/state/latency.rs
@@ -16,7 +16,7 @@
 
 impl MethodLatency {
     /// Creates the state of a method without answers. `typical` is assumed until answers are measured, and `bucket` is
-    /// the width of the buckets in which they are recorded.
+    /// the width of the buckets in which answer times are recorded.
     pub fn new(method: &Method, typical: Span, bucket: Span) -> MethodLatency {
         MethodLatency { definition: method.clone(), answers: SlidingWindow::new(bucket), typical }
     }
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -6,7 +6,7 @@
 use crate::types::{EndpointState, MemberId};
 use std::collections::VecDeque;
 
-/// The number of buckets in which failed attempts are counted.
+/// The number of buckets in which the recent failed attempts at a member are counted.
 const FAILURE_BUCKETS: usize = 4;
 
 /// The router that made an observation of a member.
@@ -29,7 +29,7 @@
     pub group: usize,
     pub machine_kind: u32,
     pub zone: u32,
-    /// A number that identifies the member at all routers.
+    /// A hash of the member's id, which identifies the member at all routers.
     pub id_hash: u32,
     /// The number of RPCs that the member can process at once, according to the endpoint list.
     pub concurrency: Option<f64>,
@@ -40,7 +40,7 @@
     /// The latest time at which the member has shown that it is a replica.
     pub replica_seen_at: Time,
     /// Whether the endpoint list names the member as the primary, and the member has not contradicted it. Unlike
-    /// `primary_seen_at`, this is no evidence from the member itself.
+    /// `primary_seen_at`, the list is no evidence from the member itself.
     pub listed_as_primary: bool,
     /// The newest position that the member has proven.
     pub position: Time,
@@ -76,14 +76,15 @@
     pub health_check_sent_at: Option<Time>,
     pub last_health_check_at: Time,
     pub next_health_check_at: Time,
-    /// The share of reads, from 0 to 1, that the member may get. It is reduced while the member is overloaded.
+    /// The share of this router's reads, from 0 to 1, that the member may get. The share is reduced while the
+    /// member is overloaded.
     pub read_share: f64,
     pub read_share_updated_at: Time,
     /// The time at which the member started, which is also the start of its slow start, or `None` if that time is
     /// unknown.
     pub started_at: Option<Time>,
-    /// The number of attempts that this router may still send to the member during slow start. Its fractional part
-    /// counts towards the next attempt.
+    /// The number of attempts that this router may still send to the member during slow start. The fractional part
+    /// of this number counts towards the next attempt.
     pub slow_start_credit: f64,
     /// The time at which the slow-start credit last reached a whole attempt.
     pub slow_start_credit_at: Time,
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Returns the number of RPCs in flight at the member by its last load report, plus the one to be sent, over the
-    /// number that it can process at once.
+    /// Returns the number of RPCs in flight at the member by its last load report, plus the RPC that is about to be
+    /// sent, divided by the number that the member can process at once.
     pub fn reported_utilization(&self) -> Option<f64> {
         self.reported_in_flight
             .zip(self.concurrency)
--- a/crates/ladderpass-routing/src/state/router_state.rs
+++ b/crates/ladderpass-routing/src/state/router_state.rs
@@ -14,7 +14,7 @@
 pub struct RouterState {
     pub deployment: Deployment,
     pub started_at: Time,
-    /// The smallest staleness bound of any method.
+    /// The smallest staleness bound of any method, or 30 s if no method has a bound.
     pub min_staleness_bound: Span,
     /// How far the clock of `now` may differ from the members' clock, by which positions are given.
     pub clock: ClockDifference,
--- a/crates/ladderpass-routing/src/time.rs
+++ b/crates/ladderpass-routing/src/time.rs
@@ -1,5 +1,6 @@
-//! Points in time and spans of time, in nanoseconds. They are separate types so that one can't be passed for the other.
-//! Additions and subtractions saturate instead of overflowing.
+//! Points in time and spans of time, in nanoseconds. Points and spans are separate types, so that a point can't be
+//! passed where a span is expected, or a span where a point is. Additions and subtractions saturate instead of
+//! overflowing.
 
 use std::ops::{Add, AddAssign, Mul, Sub};
 
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -23,11 +23,11 @@
     Any,
     /// The data must be no older than this bound when the attempt is sent.
     BoundedStaleness(Span),
-    /// The data must include all writes of the session.
+    /// The data must include all earlier writes of the RPC's session.
     Session,
     /// The data must include everything that was committed before the RPC arrived. Only the primary serves the RPC.
     Fresh,
-    /// The RPC is a write. Only the primary serves it.
+    /// The RPC is a write. Only the primary of its group serves the RPC.
     Write,
 }
 
@@ -51,7 +51,7 @@
 pub enum Idempotency {
     /// Running the RPC twice has the same effect as running it once.
     Idempotent,
-    /// Members recognise repeats by an idempotency key, and drop them.
+    /// Members recognise repeats of the RPC by an idempotency key, and drop the repeats.
     IdempotencyKey {
         /// Whether the members of all groups recognise repeats, rather than only those of the RPC's own group.
         across_groups: bool,
@@ -67,13 +67,13 @@
 pub struct Method {
     /// How recent the data behind an answer must be.
     pub consistency: Consistency,
-    /// The effect of a retry.
+    /// Whether running an RPC of the method twice has a second effect.
     pub idempotency: Idempotency,
     /// The time after the arrival of an RPC from which on an answer has less utility, or none.
     pub soft_deadline: Span,
     /// The utility of an answer before the soft deadline.
     pub utility: f64,
-    /// The share of the utility that an answer after the soft deadline still has.
+    /// The share of `utility` that an answer after the soft deadline still has.
     pub late_utility_share: f64,
 }
 
@@ -82,7 +82,7 @@
 pub enum PrimaryInList {
     /// The list names the primary at any time, but with a delay.
     Delayed,
-    /// The list names the primary as it was when the router started, and no later change of it.
+    /// The list names the member that was the primary when the router started, and no later primary.
     AtStart,
     /// The list never names the primary.
     Absent,
@@ -91,7 +91,7 @@
 /// The settings with which a router is started.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// The methods. An arrival refers to a method by its index in this list.
+    /// The methods of the RPCs that the router accepts. An arrival refers to a method by its index in this list.
     pub methods: Vec<Method>,
     /// How the endpoint list names primaries.
     pub primary_in_list: PrimaryInList,
@@ -99,21 +99,22 @@
     pub session_write_age_carried: bool,
     /// The longest time within which the endpoint list must be polled, or `None` where updates arrive without polls.
     pub endpoint_poll_interval: Option<Span>,
-    /// Whether members may be health-checked.
+    /// Whether the router may send health checks to members.
     pub health_checks: bool,
     /// Whether the answer to a health check reports a position and the role, and not only that the member is up.
     pub health_checks_report_position: bool,
-    /// The number of routers.
+    /// The number of routers of the deployment.
     pub router_count: u32,
     /// The index of this router among all routers, from 0.
     pub router_index: u32,
-    /// Whether routers may exchange what members reported to them.
+    /// Whether routers may send each other what members reported to them.
     pub gossip: bool,
     /// The maximum number of attempts of one RPC. A value of 1 allows no retry.
     pub max_attempts: u32,
     /// The longest Retry-After that a client may be given.
     pub max_retry_after: Span,
-    /// The shortest time between two batches of events, which decisions therefore use as a margin.
+    /// The shortest time between two batches of events. A decision may be carried out this much later, so
+    /// decisions use this time as a margin.
     pub tick: Span,
     /// The share of its capacity that a member has when it starts.
     pub slow_start_capacity: f64,
@@ -123,8 +124,8 @@
     pub overload_window: Span,
     /// The multiple of its present capacity that a member in slow start can process during `overload_window`.
     pub overload_multiple: f64,
-    /// Whether a member that is removed from the list may still be sent RPCs, so that only an entry in the state
-    /// `Draining` forbids them.
+    /// Whether a member that is removed from the endpoint list may still be sent RPCs. If so, only an entry in the
+    /// state `Draining` forbids RPCs to a member.
     pub removal_is_advisory: bool,
 }
 
@@ -150,7 +151,7 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// The member.
+    /// The member that the entry describes.
     pub member: MemberId,
     /// The index of the member's group.
     pub group: u32,
@@ -166,7 +167,8 @@
     pub concurrency: Option<f64>,
     /// The member's zone, identified by the small index that the front assigned to it. Zero is the router's own zone.
     pub zone: u32,
-    /// A number that identifies the member at all routers.
+    /// A hash of the member's id. It identifies the member at all routers, whose small indexes for the member may
+    /// differ.
     pub id_hash: u32,
 }
 
@@ -178,10 +180,10 @@
     Cached(&'a [Endpoint]),
     /// The whole endpoint list, as the discovery service has just sent it.
     Complete(&'a [Endpoint]),
-    /// The entries of the list that have changed.
+    /// The entries of the endpoint list that have changed since the last update.
     Changes(&'a [Endpoint]),
-    /// Changed entries from the previous discovery service while another one is polled. They do not count as the answer
-    /// of the new service.
+    /// Changed entries from the previous discovery service while another one is polled. The entries do not count as the
+    /// answer of the new service.
     ChangesDuringMove(&'a [Endpoint]),
     /// A poll of the endpoint list failed, or the watch on its changes broke.
     Failed {
@@ -192,7 +194,7 @@
     },
 }
 
-/// The number of priorities.
+/// The number of priorities of RPCs. A priority is below this number.
 pub const PRIORITY_COUNT: usize = 256;
 
 /// An overload for which RPCs are shed, of either this router or all routers together.
@@ -200,8 +202,8 @@
 pub struct OverloadState {
     /// The pressure of the overload, from 0 (none) to 1.
     pub pressure: f64,
-    /// RPCs of a priority below this threshold are shed. The fractional part is the share that is shed of the RPCs
-    /// whose priority equals the integer part.
+    /// RPCs of a priority below this threshold are shed. The fractional part of the threshold is the share that is
+    /// shed of the RPCs whose priority equals its integer part.
     pub admission_threshold: f64,
     /// What an RPC of the arrived RPC's method costs the router, in seconds of processing. In the overload of all
     /// routers together, all RPCs have the same assumed cost.
@@ -216,7 +218,7 @@
 /// An RPC that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The index of the RPC's method.
+    /// The index of the RPC's method in the deployment's list.
     pub method: u32,
     /// The index of the RPC's group.
     pub group: u32,
@@ -224,7 +226,7 @@
     pub deadline: Time,
     /// Whether the client has marked the RPC as a retry.
     pub is_client_retry: bool,
-    /// The session of the RPC, if it has one.
+    /// The session of the RPC, identified by a small index, or `None` for an RPC without a session.
     pub session: Option<u32>,
     /// The age of the session's last write, if the client reports it.
     pub last_write_age: Option<Span>,
@@ -253,7 +255,7 @@
     pub member: MemberId,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The time from the send of the attempt to its end.
+    /// The time from the start of the attempt to its end.
     pub latency: Span,
     /// Whether the RPC has its final answer, from this attempt or from an earlier event.
     pub rpc_complete: bool,
@@ -272,7 +274,7 @@
 pub struct LoadReport {
     /// The position up to which the member has applied its group's log.
     pub position: Option<Time>,
-    /// Whether the member is the primary.
+    /// Whether the member is the primary of its group.
     pub is_primary: Option<bool>,
     /// The number of RPCs in flight at the member.
     pub in_flight: Option<f64>,
@@ -292,7 +294,7 @@
 /// An update on a member that one router sends to the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The member that the update is about.
     pub member: MemberId,
     /// What the sender has observed of the member.
     pub observation: MemberObservation,
@@ -310,7 +312,7 @@
 }
 
 impl MemberUpdate {
-    /// Creates an update from the same zone, without the member's load.
+    /// Creates an update from a router of the same zone as the receiver, without the member's load.
     pub fn new(member: MemberId, observation: MemberObservation, at: Time) -> MemberUpdate {
         MemberUpdate { member, observation, at, same_zone: true, latency_ratio: 0.0, in_flight: None }
     }
@@ -321,7 +323,7 @@
 pub enum Decision {
     /// Send the RPC to a member.
     Attempt {
-        /// The member.
+        /// The member to which the RPC is sent.
         member: MemberId,
         /// How long to wait for the member's answer, or `None` to wait for as long as the client does.
         timeout: Option<Span>,
@@ -343,15 +345,15 @@
 /// What [`Router::tick`](crate::Router::tick) requests of the front.
 #[derive(Debug, Default)]
 pub struct TickOutput {
-    /// The decisions on queued RPCs.
+    /// The decisions on RPCs that were queued, each with the handle of its RPC.
     pub decisions: Vec<(RpcId, Decision)>,
     /// The members to which a health check is to be sent.
     pub health_checks: Vec<MemberId>,
-    /// The updates to send to all other routers.
+    /// The updates on members that are to be sent to all other routers.
     pub gossip: Vec<MemberUpdate>,
     /// Whether to poll the endpoint list and watch its changes.
     pub poll_endpoints: bool,
-    /// Lines for the log. `#N` stands for the member of index N.
+    /// Lines for the router's log. In a line, `#N` stands for the member of index N.
     pub log_messages: Vec<String>,
     /// The RPCs that were given up or spilled to the primary, and why.
     pub exceptions: Exceptions,
@@ -371,12 +373,13 @@
     pub is_primary: bool,
 }
 
-/// The load of a member as this router sees it.
+/// The load of a member, as measured by this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLoad {
-    /// The member.
+    /// The member that has this load.
     pub member: MemberId,
-    /// The number that identifies the member at all routers.
+    /// A hash of the member's id. It identifies the member at all routers, whose small indexes for the member may
+    /// differ.
     pub id_hash: u32,
     /// The index of the member's group.
     pub group: u32,
