--- a/crates/ladderpass-invariants/src/history.rs
+++ b/crates/ladderpass-invariants/src/history.rs
@@ -7,7 +7,7 @@
 /// Index of a member in the endpoint list.
 pub type MemberIndex = u32;
 
-/// The final answer to an RPC, as its client received it.
+/// The final answer to an RPC, as the RPC's client received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The client received the result of the statement.
@@ -29,27 +29,27 @@
     }
 }
 
-/// The kinds of observation.
+/// What can be observed, with the details of each observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
     /// A client's statement was completely received.
     Accepted {
-        /// The RPC that begins.
+        /// The RPC that begins with this statement.
         rpc: RpcId,
         /// When the client stops waiting for an answer.
         deadline: Time,
-        /// Whether the effect of the RPC must not happen twice.
+        /// Whether the RPC must not take effect twice.
         run_once: bool,
         /// Maximum age of a replica's data when an attempt is sent to that replica.
         max_staleness: Option<Span>,
     },
     /// A client received an answer.
     Answered {
-        /// The RPC that ends.
+        /// The RPC that ends with this answer.
         rpc: RpcId,
         /// The answer that the client received.
         answer: Answer,
-        /// The RPC for which the value was made, if the value shows that.
+        /// The RPC for which the value in the answer was made, if the value shows for which RPC it is.
         made_for: Option<RpcId>,
     },
     /// The client disconnected, so it needs no answer any more.
@@ -104,16 +104,16 @@
         capacity: f64,
         /// Fraction of `capacity` that the member has at its start.
         initial_fraction: f64,
-        /// Duration of the slow start.
+        /// Duration of the member's slow start.
         warm_up_time: Span,
         /// Length of the window in which too many RPCs overload the member.
         overload_window: Span,
     },
     /// A member reported the position up to which it has applied its replication log.
     PositionReached {
-        /// The member whose position it is.
+        /// The member that reported its position.
         member: MemberIndex,
-        /// Time of commit up to which the member has applied all commits.
+        /// The position, as a time of commit. The member has applied all commits up to this time.
         position: Time,
     },
     /// A member became or ceased to be the primary of its group. The data of a primary is always current.
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -1,11 +1,11 @@
 //! Retries: whether an RPC may be sent again, what share of a concurrency limit client retries may use, and which
-//! timeout of a first attempt leaves time for a second one.
+//! timeout of a first attempt leaves time for a second attempt.
 //!
 //! The maximum number of attempts of an RPC is set in the deployment (`max_attempts`). It is checked in
 //! `rejection::reason_to_give_up`, which also checks the deadlines.
 //!
-//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. One with an idempotency key
-//! may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
+//! An RPC must not have its effect twice. An idempotent RPC may be sent again at any time. An RPC with an idempotency
+//! key may be sent again within the window in which repeats are recognised, and any other RPC only while none of its
 //! attempts may have run.
 
 use crate::load::{self, LATENCY_MARGIN, SILENT_AFTER_TYPICAL_LATENCIES};
@@ -15,14 +15,15 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC with this many error answers is itself taken to be faulty.
+/// An RPC that members have answered with this many errors is itself taken to be faulty.
 const ERRORS_TO_FAULT_RPC: usize = 2;
 /// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
-/// The link to a zone counts as degraded above this latency ratio.
+/// The link to another zone counts as degraded above this latency ratio of the zone.
 const DEGRADED_ZONE_LATENCY_RATIO: f64 = 2.0;
 
-/// Returns whether an attempt can be made now without a second effect. Some time is allowed for the attempt to arrive.
+/// Returns whether an attempt of the RPC can be made now without the risk of a second effect. The time that the
+/// attempt takes to reach the member is allowed for.
 pub fn may_run(state: &RouterState, now: Time, rpc: RpcId) -> bool {
     let method = state.method_of(rpc);
     match (method.definition.idempotency, state.rpcs[rpc].may_have_run_since) {
@@ -49,8 +50,8 @@
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
 
-/// Returns the reason why the RPC ends with this result of an attempt. With `None`, a member is selected for the RPC
-/// again.
+/// Returns the reason why the RPC ends with this result of an attempt. Returns `None` if a member is to be selected
+/// for the RPC again.
 pub fn reason_against_retry(rpc: &RpcState, result: &AttemptResult) -> Option<GiveUpReason> {
     if result.outcome == AttemptOutcome::NeverSent {
         return Some(GiveUpReason::AttemptNotMade);
@@ -68,7 +69,7 @@
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
-/// Returns the share of a concurrency limit that this RPC may use.
+/// Returns the share of a member's concurrency limit that this RPC may use.
 pub fn limit_share(state: &RouterState, rpc: RpcId) -> f64 {
     if is_client_retry(state, rpc) { CLIENT_RETRY_LIMIT_SHARE } else { 1.0 }
 }
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -1,12 +1,12 @@
-//! What a router knows about one member, and the record of this router's attempts there. This module makes no
-//! decisions.
+//! What a router knows about one member, and the record of this router's attempts at the member. This module makes
+//! no decisions.
 
 use crate::sliding_window::SlidingWindow;
 use crate::time::{Span, Time};
 use crate::types::{EndpointState, MemberId};
 use std::collections::VecDeque;
 
-/// The number of buckets in which failed attempts are counted.
+/// The number of buckets in which the recent failed attempts at a member are counted.
 const FAILURE_BUCKETS: usize = 4;
 
 /// The router that made an observation of a member.
@@ -29,18 +29,18 @@
     pub group: usize,
     pub machine_kind: u32,
     pub zone: u32,
-    /// A number that identifies the member at all routers.
+    /// A hash of the member's id, which identifies the member at all routers.
     pub id_hash: u32,
     /// The number of RPCs that the member can process at once, according to the endpoint list.
     pub concurrency: Option<f64>,
     pub endpoint_state: EndpointState,
     pub endpoint_state_since: Time,
-    /// The latest time at which the member has shown that it is the primary.
+    /// The latest time at which the member has shown that it is the primary of its group.
     pub primary_seen_at: Time,
     /// The latest time at which the member has shown that it is a replica.
     pub replica_seen_at: Time,
     /// Whether the endpoint list names the member as the primary, and the member has not contradicted it. Unlike
-    /// `primary_seen_at`, this is no evidence from the member itself.
+    /// `primary_seen_at`, the list is no evidence from the member itself.
     pub listed_as_primary: bool,
     /// The newest position that the member has proven.
     pub position: Time,
@@ -53,11 +53,11 @@
     pub published_at: Time,
     /// The time at which a router last published that this member is unreachable.
     pub unreachable_published_at: Time,
-    /// The age of the position in the member's last health check.
+    /// The age that the member's position had when the member last reported it in a health check.
     pub reported_position_age: Option<Span>,
-    /// The replication lag, as last computed. It decides on reads of any data, while reads that require a position
-    /// compare that position with `position`. The lag also reduces the share of the concurrency limit that reads may
-    /// use.
+    /// The member's replication lag, as last computed. The lag decides whether the member may serve a read of any
+    /// data, while reads that require a position compare the required one with `position`. The lag also reduces the
+    /// share of the concurrency limit that reads may use.
     pub lag: Option<Span>,
     /// The number of RPCs in flight at the member, according to its last load report.
     pub reported_in_flight: Option<f64>,
@@ -66,33 +66,35 @@
     pub last_attempt_at: Time,
     /// The send time of the latest attempt that the member has answered successfully.
     pub latest_answered_attempt: Time,
-    /// The member's last sign of life, by an answer, a health check or gossip. If an attempt was started after that
-    /// while none was open, it is the start of that attempt.
+    /// The time of the member's last sign of life, by an answer, a health check or gossip. If an attempt was
+    /// started after that sign while no other was open, the time of its start.
     pub silent_since: Time,
     pub consecutive_failures: u32,
-    /// The time of the first of the consecutive failures.
+    /// The time of the first of the member's consecutive failures.
     pub failing_since: Time,
     /// The send time of the health check in progress, if there is one.
     pub health_check_sent_at: Option<Time>,
     pub last_health_check_at: Time,
     pub next_health_check_at: Time,
-    /// The share of reads, from 0 to 1, that the member may get. It is reduced while the member is overloaded.
+    /// The share of this router's reads, from 0 to 1, that the member may get. The share is reduced while the
+    /// member is overloaded.
     pub read_share: f64,
     pub read_share_updated_at: Time,
-    /// The time at which the member started, and with it its slow start, or `None` if no start is known.
+    /// The time at which the member started, which is also the start of its slow start, or `None` if that time is
+    /// unknown.
     pub started_at: Option<Time>,
-    /// The number of attempts that the member may get from this router during slow start. The fraction counts towards
-    /// the next attempt.
+    /// The number of attempts that this router may still send to the member during slow start. The fractional part
+    /// of this number counts towards the next attempt.
     pub slow_start_credit: f64,
-    /// The time at which the credit last reached a whole attempt.
+    /// The time at which the slow-start credit last reached a whole attempt.
     pub slow_start_credit_at: Time,
     /// The number of attempts that this router may have in flight at the member.
     pub concurrency_limit: f64,
     pub limit_reduced_at: Time,
-    /// Failed attempts of the last two seconds, which count as load. Failures that count towards ejection are in
-    /// `consecutive_failures`.
+    /// The attempts of the last two seconds that failed at the member, which count as load. Failures that count
+    /// towards ejection are in `consecutive_failures`.
     pub recent_failures: SlidingWindow<FAILURE_BUCKETS>,
-    /// Answer times over the typical ones.
+    /// The answer times of the member's recent attempts, each divided by the typical answer time of its method.
     pub latency_ratios: SlidingWindow,
     /// The work sent to the member, in seconds of typical answer time.
     pub work_sent: SlidingWindow,
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Returns the number of RPCs in flight at the member by its last load report, plus the one to be sent, over the
-    /// number that it can process at once.
+    /// Returns the number of RPCs in flight at the member by its last load report, plus the RPC that is about to be
+    /// sent, divided by the number that the member can process at once.
     pub fn reported_utilization(&self) -> Option<f64> {
         self.reported_in_flight
             .zip(self.concurrency)
