--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -12,17 +12,20 @@
 use nanorand::Rng;
 use std::net::SocketAddr;
 
-/// Maximum number of datagrams in a round that carry only updates.
+/// Maximum number of datagrams with an immediate update that this router sends in a round (`Settings::probe_interval`).
+/// Also the number of routers that are notified when this router leaves.
 const MAX_GOSSIP_PER_ROUND: usize = 6;
-/// Maximum number of datagrams in a round that carry the view.
+/// Maximum number of gossip datagrams filled with the view (the states of all known routers) that this router sends in
+/// a round.
 const MAX_VIEW_SYNCS_PER_ROUND: usize = 16;
-/// Maximum number of datagrams that carry the view after one ping or ack.
+/// Maximum number of gossip datagrams filled with the view that are sent after one ping or ack was received.
 const MAX_VIEW_SYNCS_AT_ONCE: usize = 5;
-/// Number of routers to which a change is sent immediately.
+/// Number of routers to which a change of the view is sent immediately, besides the router that the change is about.
 const CHANGE_FANOUT: usize = 2;
-/// How often an update is sent, as a multiple of the binary logarithm of the number of routers plus one.
+/// An update is sent `RETRANSMIT_MULTIPLIER * log2(live routers + 1)` times, rounded up.
 const RETRANSMIT_MULTIPLIER: f64 = 3.0;
-/// A datagram from a router with the same view counts as this many transmissions of each update that the digest covers.
+/// A received datagram whose digest shows that the sender has the same view as this router counts as this many
+/// transmissions of each update that the digest covers.
 const TRANSMISSIONS_PER_SAME_VIEW: u32 = 3;
 /// Encoded size of the shortest update, in bytes.
 const MIN_UPDATE_BYTES: usize = 15;
@@ -33,7 +36,7 @@
     pub sequence: u32,
     /// Updates that must be in the message.
     pub updates: Vec<StateUpdate>,
-    /// Whether the remaining space is filled with the states of all known routers.
+    /// Whether the remaining space of the datagram is filled with the states of known routers.
     pub fill_with_view: bool,
 }
 
@@ -60,14 +63,15 @@
         self.outgoing.push((to, bytes));
     }
 
-    /// Adds this router's state, the digest, the piggybacked payload and as many pending updates as fit. If the draft
-    /// asks for it, the remaining space is filled with the view.
+    /// Makes a message of a draft: adds this router's state, the digest, the piggybacked payload and as many pending
+    /// updates as fit. If `fill_with_view` is set, the remaining space is filled with the view.
     fn compose(&mut self, to: SocketAddr, draft: Draft) -> Message {
         let digest = self.routers.digest(self.incarnation);
         let mut updates = draft.updates;
         let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
         if is_probe || draft.fill_with_view {
-            // Lifeguard's buddy system: a receiver that is suspected, dead or left is notified, so that it can refute.
+            // Lifeguard's buddy system: a receiver that this router counts as suspected, dead or left is sent that
+            // state, so that it can refute.
             let state_of_receiver = self.routers.state_update(to);
             updates.extend(state_of_receiver.filter(|known| known.state != State::Alive));
         }
@@ -131,8 +135,8 @@
         (RETRANSMIT_MULTIPLIER * doublings).ceil() as u32
     }
 
-    /// Records that another router has the same view. It therefore knows all updates that the digest covers, which are
-    /// all updates except suspicions.
+    /// Records that another router has the same view. That router therefore knows all updates that the digest covers,
+    /// which are all updates except suspicions.
     pub(crate) fn record_same_view(&mut self) {
         let limit = self.transmission_limit();
         let routers = &self.routers;
@@ -141,8 +145,8 @@
         });
     }
 
-    /// Sends the view in several datagrams, within the limits. Their number is estimated from the size of the shortest
-    /// update.
+    /// Sends the view in several datagrams, within the limits after one ping or ack and per round. The number of
+    /// datagrams is estimated from the size of the shortest update.
     pub(crate) fn send_view(&mut self, to: SocketAddr) {
         let view_bytes = self.routers.len() * MIN_UPDATE_BYTES;
         let datagrams = view_bytes
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Sends one update immediately, within the limit per round.
+    /// Sends one update immediately, unless `MAX_GOSSIP_PER_ROUND` is reached in this round.
     pub(crate) fn gossip(&mut self, to: SocketAddr, update: StateUpdate) {
         if self.gossip_sent < MAX_GOSSIP_PER_ROUND {
             self.gossip_sent += 1;
@@ -163,14 +167,16 @@
         }
     }
 
-    /// Sends a change to some routers immediately, without waiting for the next probe.
+    /// Sends an update about a change of the view to `CHANGE_FANOUT` routers immediately, without waiting for the next
+    /// probe.
     pub(crate) fn gossip_change(&mut self, now: Time, update: StateUpdate) {
         for peer in self.select_responsive_peers(now, CHANGE_FANOUT, update.router) {
             self.gossip(peer, update);
         }
     }
 
-    /// Like `gossip_change`, but sends the change to the router that the update is about first.
+    /// Sends an update about a change of the view first to the router that the update is about, and then to
+    /// `CHANGE_FANOUT` others as `gossip_change` does.
     pub(crate) fn gossip_change_to_subject(&mut self, now: Time, update: StateUpdate) {
         let peers = self.select_responsive_peers(now, CHANGE_FANOUT, update.router);
         for to in [update.router].into_iter().chain(peers) {
--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -3,7 +3,7 @@
 //!
 //! The score grows with missing acks and nacks, with refutations of suspicions about this router, and with stalls. The
 //! timeouts of this router's probes are multiplied by the score plus one. A router is isolated if no other router has
-//! acknowledged it for a while.
+//! acknowledged a datagram of this router for `Settings::isolation_timeout`.
 
 use ladderpass_routing::{Span, Time};
 
@@ -22,7 +22,7 @@
         LocalHealth { score: 0, last_acknowledged_at: now, isolation_timeout }
     }
 
-    /// The score: 0 when healthy, up to 8.
+    /// This router's health score, from 0 (healthy) to 8 (worst).
     pub fn score(&self) -> u32 {
         self.score
     }
@@ -42,7 +42,7 @@
         self.score = (self.score + steps).min(MAX_SCORE);
     }
 
-    /// Records that another router has received a datagram of this one.
+    /// Records that another router has received a datagram of this router.
     pub fn record_acknowledgement(&mut self, now: Time) {
         self.last_acknowledged_at = now;
     }
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -22,7 +22,7 @@
 
 /// A gap between two ticks that is longer than this many rounds counts as a stall of this router.
 const STALL_ROUNDS: f64 = 1.6;
-/// Maximum number of received payloads that are stored until they are taken.
+/// Maximum number of received piggybacked payloads that are stored for `Membership::take_piggybacked`.
 const MAX_RECEIVED_PIGGYBACKS: usize = 64;
 
 /// The address and start time of this router.
@@ -34,7 +34,7 @@
     pub started_unix_ms: i64,
 }
 
-/// Counts of datagrams since the start.
+/// Counts of datagrams since this router's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     /// Datagrams sent.
@@ -55,24 +55,26 @@
     pub(crate) routers: RouterTable,
     pub(crate) senders: Senders,
     pub(crate) rng: WyRand,
-    /// Routers that are still to be probed before any router is probed again. The next router to be probed is last.
+    /// Routers that are still to be probed before any router is probed again. The last router in the vector is probed
+    /// next.
     pub(crate) probe_order: Vec<SocketAddr>,
     pub(crate) probes: ProbeTable,
     pub(crate) updates: UpdateQueue,
     pub(crate) health: LocalHealth,
     pub(crate) next_round_at: Time,
     pub(crate) round: u64,
-    /// Number of datagrams sent in this round that carry only updates.
+    /// Number of datagrams with an immediate update that this router has sent in this round.
     pub(crate) gossip_sent: usize,
-    /// Number of datagrams sent in this round that carry the view.
+    /// Number of gossip datagrams filled with the view that this router has sent in this round. Acks filled with the
+    /// view are not counted.
     pub(crate) view_syncs_sent: usize,
     pub(crate) last_tick_at: Time,
     pub(crate) is_leaving: bool,
     pub(crate) outgoing: Vec<(SocketAddr, Vec<u8>)>,
     pub(crate) changes: Vec<(SocketAddr, Change)>,
     pub(crate) counts: DatagramCounts,
-    /// Whether an update about this router was received whose start time can only be that of another process at the
-    /// same address.
+    /// Whether an update about this router was received with a later start time than this router's, which only another
+    /// process at the same address can have.
     pub(crate) address_conflict: bool,
     pub(crate) piggyback: Vec<u8>,
     received_piggybacks: Vec<Vec<u8>>,
@@ -136,33 +138,34 @@
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
     }
 
-    /// Records that gossip of other mechanisms came from this address. Returns whether it may be accepted, which is so
-    /// for listed addresses and live routers. A listed router that is not in the router table runs a legacy version.
+    /// Records that gossip of other mechanisms came from this address. Returns whether the gossip may be accepted: it
+    /// must come from a listed address or a live router. A listed router that is not in the router table runs a legacy
+    /// version.
     pub fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.senders.record_legacy_gossip(now, from) || self.routers.is_alive(from)
     }
 
-    /// Takes the changes of the view that were made since the last call.
+    /// Returns the changes of the view since the last call, and clears them.
     pub fn take_changes(&mut self) -> Vec<(SocketAddr, Change)> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Returns the datagrams that are to be sent, and clears them.
     pub fn take_outgoing(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Counts of datagrams since the start.
+    /// Counts of datagrams since this router's start.
     pub fn counts(&self) -> DatagramCounts {
         self.counts
     }
 
-    /// Sets the payload that each ping and ack carries from now on if it fits.
+    /// Sets the opaque payload that each ping and ack carries from now on, if the payload fits into the datagram.
     pub fn set_piggyback(&mut self, payload: Vec<u8>) {
         self.piggyback = payload;
     }
 
-    /// Takes the payloads that were received from live routers.
+    /// Returns the piggybacked payloads that were received from live routers, and clears them.
     pub fn take_piggybacked(&mut self) -> Vec<Vec<u8>> {
         std::mem::take(&mut self.received_piggybacks)
     }
@@ -172,7 +175,8 @@
         self.health.score()
     }
 
-    /// Whether another process uses or has used this router's address. An occurrence is reported once.
+    /// Returns whether an update since the last call showed that another process uses or has used this router's
+    /// address.
     pub fn take_address_conflict(&mut self) -> bool {
         std::mem::take(&mut self.address_conflict)
     }
@@ -211,7 +215,8 @@
         }
     }
 
-    /// Stores the piggybacked payload of a live router until it is taken. A payload beyond the limit is dropped.
+    /// Stores the piggybacked payload of a live router for `take_piggybacked`. The payload is dropped if
+    /// `MAX_RECEIVED_PIGGYBACKS` payloads are stored already.
     fn store_piggyback(&mut self, from: SocketAddr, message: &Message) {
         let has_space = self.received_piggybacks.len() < MAX_RECEIVED_PIGGYBACKS;
         if !message.piggyback.is_empty() && self.routers.is_alive(from) && has_space {
@@ -225,14 +230,14 @@
         message.sender_state.router == from && from != self.local && self.may_participate(from)
     }
 
-    /// Whether this router exchanges membership datagrams with the given one.
+    /// Whether this router exchanges membership datagrams with the given router.
     pub(crate) fn may_participate(&self, router: SocketAddr) -> bool {
         self.routers.contains(router) || self.senders.is_configured(router)
     }
 
     /// Applies the sender's own state. A sender that was confirmed dead is probed first, unless the message is the ack
-    /// of a probe: a datagram from before the death may arrive late, even one with a refutation that no router has
-    /// received.
+    /// of a probe of that sender: a datagram from before the death may arrive late, even one with a refutation that no
+    /// router has received.
     fn apply_sender_state(&mut self, now: Time, from: SocketAddr, message: &Message) {
         let acks_probe = message.kind == Kind::Ack && self.probes.is_target(message.sequence, from);
         if !acks_probe && self.is_confirmed_dead(from) {
@@ -248,7 +253,8 @@
     }
 
     fn apply_updates_about_other_routers(&mut self, now: Time, from: SocketAddr, message: &Message) {
-        // The first update in these messages belongs to the indirect probe and is handled with it.
+        // The first update in a `PingRequest`, `IndirectAck` or `Nack` belongs to the indirect probe and is handled
+        // with that probe.
         let has_probe_update = matches!(message.kind, Kind::PingRequest | Kind::IndirectAck | Kind::Nack);
         for update in message.updates.iter().skip(usize::from(has_probe_update)) {
             // The sender's own state is in `sender_state`, which has been handled already.
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -11,7 +11,7 @@
 pub const FIRST_BYTE: u8 = b'!';
 const VERSION: u8 = 1;
 
-/// Encoded size of the first byte, version, kind, sequence number and digest.
+/// Encoded size of a datagram's header: first byte, version, kind, sequence number and digest.
 const HEADER_BYTES: usize = 1 + 1 + 1 + 4 + 4;
 const INCARNATION_BYTES: usize = 8;
 const SUSPECTED_BY_BYTES: usize = 2;
@@ -27,7 +27,7 @@
 /// The byte that precedes the piggybacked payload. No update starts with it.
 const PIGGYBACK_MARKER: u8 = 1 << 7;
 
-/// The states in the order of their numbers on the wire.
+/// The router states in the order of their numbers on the wire.
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
 
 /// The kind of a datagram.
@@ -47,7 +47,7 @@
     Gossip,
 }
 
-/// The kinds in the order of their numbers on the wire.
+/// The datagram kinds in the order of their numbers on the wire.
 const KINDS: [Kind; 6] =
     [Kind::Ping, Kind::Ack, Kind::PingRequest, Kind::IndirectAck, Kind::Nack, Kind::Gossip];
 
@@ -76,7 +76,7 @@
 }
 
 impl Message {
-    /// The encoded size, in bytes.
+    /// The encoded size of the message, in bytes.
     pub fn encoded_bytes(&self) -> usize {
         let updates = self.updates.iter().map(update_bytes).sum::<usize>();
         HEADER_BYTES + update_bytes(&self.sender_state) + updates + self.piggyback_bytes()
@@ -103,7 +103,7 @@
         bytes
     }
 
-    /// Decodes a datagram. Returns `None` if any part of it is malformed or its version is another one.
+    /// Decodes a datagram. Returns `None` if any part of the datagram is malformed, or if its version is not `VERSION`.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let mut rest = bytes;
         let [first, version, kind] = take_bytes::<3>(&mut rest)?;
--- a/crates/ladderpass-membership/src/peer_selection.rs
+++ b/crates/ladderpass-membership/src/peer_selection.rs
@@ -11,7 +11,7 @@
 /// Routers whose last ack is at least this many steps ago are ranked equally.
 const MAX_ACK_AGE_STEPS: i64 = 16;
 
-/// A candidate for selection. Candidates are taken in ascending order.
+/// A router that may be selected. Routers are selected in ascending order of these fields.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedPeer {
     ack_age_steps: i64,
@@ -20,8 +20,8 @@
 }
 
 impl Membership {
-    /// Returns the next live router that is not being probed. The order is shuffled again after each pass over all
-    /// routers.
+    /// Returns the live router to probe next, which has no probe in flight. Routers are returned in random order, and
+    /// the order is shuffled again once each router has had its turn.
     pub(crate) fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             let Some(router) = self.probe_order.pop() else {
@@ -48,7 +48,7 @@
         dead.map(|(&router, _)| router).chain(never_seen).collect()
     }
 
-    /// Returns one of these routers at random, or `None` if there are none.
+    /// Returns a random one of `routers`, or `None` if there are no routers.
     pub(crate) fn pick_random(&mut self, routers: &[SocketAddr]) -> Option<SocketAddr> {
         if routers.is_empty() {
             return None;
@@ -56,7 +56,7 @@
         Some(routers[self.rng.generate_range(0..routers.len())])
     }
 
-    /// Returns up to `count` routers other than `except` that are alive and not suspected. Those with the latest acks
+    /// Returns up to `count` routers other than `except` that are alive and not suspected. Routers with the latest acks
     /// come first, in random order among equals. When many routers die at once, a router that has just acked is the
     /// most likely one to be still running.
     pub(crate) fn select_responsive_peers(
--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -19,7 +19,8 @@
 const RELAY_TIMEOUT_ROUNDS: f64 = 2.0;
 /// How long a relay waits before it sends a nack, as a share of the time that the requester waits for an answer.
 const NACK_SHARE_OF_WAIT: f64 = 0.5;
-/// Number of absent routers (dead, or listed and never seen) that are probed at a time.
+/// Number of absent routers (dead, or listed and never seen) that are probed in a round in which absent routers are
+/// probed.
 const ABSENT_PROBES: usize = 1;
 /// Absent routers are probed once in this many rounds.
 const ROUNDS_BETWEEN_ABSENT_PROBES: u64 = 2;
@@ -115,7 +116,7 @@
             return;
         }
         let sequence = self.probes.next_sequence();
-        // The requester waits until its round is over. The nack must arrive before that.
+        // The requester waits until its round is over, and the nack must arrive before the end of that round.
         let requester_wait = self.settings.probe_interval - self.settings.ack_timeout;
         let nack_at = now + requester_wait * NACK_SHARE_OF_WAIT;
         let deadline = now + self.settings.probe_interval * RELAY_TIMEOUT_ROUNDS;
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Records that another router has received a datagram of this one. After an isolation the suspected routers get
+    /// Records that another router has received a datagram of this router. After an isolation the suspected routers get
     /// the full time to refute again, since their refutations could not arrive.
     fn record_acknowledgement(&mut self, now: Time) {
         if self.health.is_isolated(now) {
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of relayed probes, which limits what other routers can make this one store.
+/// Maximum number of relayed probes, which limits the memory that other routers can make this router use.
 const MAX_RELAYED_PROBES: usize = 256;
 
 /// The reason why a router is probed.
@@ -86,7 +86,7 @@
         self.last_sequence
     }
 
-    /// Discards all probes.
+    /// Discards all probes in flight.
     pub fn clear(&mut self) {
         self.initiated.clear();
         self.relayed.clear();
@@ -123,7 +123,7 @@
         due.map(|(&sequence, _)| sequence).collect()
     }
 
-    /// When the next probe is due, initiated or relayed.
+    /// The earliest time at which an initiated or a relayed probe is due.
     pub fn wake_at(&self) -> Option<Time> {
         let initiated = self.initiated.values().map(Probe::wake_at);
         let relayed = self.relayed.values().map(|relayed| relayed.nack_at.min(relayed.deadline));
--- a/crates/ladderpass-membership/src/router_state.rs
+++ b/crates/ladderpass-membership/src/router_state.rs
@@ -23,7 +23,8 @@
         Incarnation(self.0.saturating_add(1))
     }
 
-    /// The first incarnation with a later start time. It is for a router that was restarted with its clock set back.
+    /// The first incarnation with a later start time. Used by a router that receives a higher incarnation of its own
+    /// address, for example after a restart with its clock set back.
     pub fn next_start(self) -> Incarnation {
         let next_start_ms = (self.0 >> REFUTATION_BITS).saturating_add(1).min(u64::MAX >> REFUTATION_BITS);
         Incarnation(next_start_ms << REFUTATION_BITS)
@@ -64,6 +65,6 @@
     pub state: State,
     /// The incarnation in which the router has that state.
     pub incarnation: Incarnation,
-    /// The id of the router that suspected it first if the state is a suspicion, and zero otherwise.
+    /// If the state is `Suspect`, the id of the router that was first to suspect `router`, and otherwise zero.
     pub suspected_by: u16,
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -1,4 +1,4 @@
-//! The state of every known router, and the rules by which an update overrides it.
+//! The state of every known router, and the rules by which an update overrides that state.
 //!
 //! Invariants:
 //!
@@ -27,13 +27,13 @@
     /// When this router began to count the other router's current process as alive, or to count the other router as
     /// dead or left.
     pub liveness_changed_at: Time,
-    /// When the other router last acked a probe of this router since it started or returned. `Time::NEVER` if it has
-    /// not.
+    /// When the other router last acked a probe of this router since it started or returned. `Time::NEVER` if there was
+    /// no such ack.
     pub last_ack: Time,
-    /// The suspicion, while the other router is suspected.
+    /// The suspicion about the other router while that router is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Whether this router found the other one dead while this router was isolated. This router's own link may then be
-    /// the cause.
+    /// Whether this router found the other router dead while this router was isolated. This router's own link may then
+    /// be the cause.
     pub found_dead_while_isolated: bool,
 }
 
@@ -88,7 +88,8 @@
     local: SocketAddr,
     routers: BTreeMap<SocketAddr, KnownRouter>,
     settings: Settings,
-    /// Cached so that the cost of a message does not grow with the number of routers. It is `None` after a change.
+    /// The cached summary of the live routers, so that the cost of a message does not grow with the number of routers.
+    /// `None` after a change of the table, until the summary is computed again.
     alive_summary: Option<AliveSummary>,
 }
 
@@ -149,7 +150,7 @@
         self.alive_summary().digest ^ salted_hash(self.local, local_incarnation.0)
     }
 
-    /// The current state of a router in the form in which it is disseminated.
+    /// The current state of a router, as the update that other routers are sent.
     pub fn state_update(&self, router: SocketAddr) -> Option<StateUpdate> {
         let known = self.routers.get(&router)?;
         let suspected_by = known.suspicion.as_ref().and_then(Suspicion::first_suspecting_router);
@@ -316,7 +317,7 @@
         Some(if state == State::Left { Change::Left } else { Change::Died })
     }
 
-    /// Records that the given router acked a probe.
+    /// Records that the given router acked a probe of this router.
     pub fn record_ack(&mut self, now: Time, router: SocketAddr) {
         if let Some(known) = self.routers.get_mut(&router) {
             known.last_ack = now;
@@ -329,7 +330,7 @@
         }
     }
 
-    /// The routers whose time to refute is over.
+    /// The suspected routers whose time to refute the suspicion is over.
     pub fn expired_suspicions(&self, now: Time) -> Vec<SocketAddr> {
         let has_expired = |suspicion: &Suspicion| suspicion.deadline() <= now;
         let expired =
@@ -337,7 +338,7 @@
         expired.map(|(&router, _)| router).collect()
     }
 
-    /// When the first suspicion expires.
+    /// The earliest deadline of all suspicions.
     pub fn next_suspicion_deadline(&self) -> Option<Time> {
         self.suspicions().map(Suspicion::deadline).min()
     }
@@ -356,7 +357,7 @@
         self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
     }
 
-    /// Gives every suspected router its full time to refute again.
+    /// Gives every suspected router the full time to refute again, starting at `now`.
     pub fn restart_suspicions(&mut self, now: Time) {
         self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
     }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy)]
 struct ListedRouter {
     address: SocketAddr,
-    /// When legacy gossip last came from this address. It is initially the start of this router, since any listed
+    /// When legacy gossip last came from this address. Initially the time of this router's start, since any listed
     /// router may be a legacy router.
     last_legacy_gossip_at: Time,
 }
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The listed addresses.
+    /// The router addresses that the operator has listed, except this router's own.
     pub fn listed(&self) -> impl Iterator<Item = SocketAddr> {
         self.listed.iter().map(|listed| listed.address)
     }
@@ -43,14 +43,16 @@
             || self.networks.iter().any(|network| network.contains(router.ip()))
     }
 
-    /// Records legacy gossip. Returns whether it came from a listed address.
+    /// Records that legacy gossip came from a listed address. Returns false, and records nothing, if the address is not
+    /// listed.
     pub fn record_legacy_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         let Some(listed) = self.listed.iter_mut().find(|listed| listed.address == from) else { return false };
         listed.last_legacy_gossip_at = now;
         true
     }
 
-    /// Listed addresses from which legacy gossip came recently.
+    /// Listed addresses from which legacy gossip came within `LEGACY_GOSSIP_TIMEOUT`. While this router has run for
+    /// less than that time, all listed addresses.
     pub fn recent_legacy_routers(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let is_recent =
             move |listed: &&ListedRouter| now - listed.last_legacy_gossip_at < LEGACY_GOSSIP_TIMEOUT;
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of the failure detector.
 //!
-//! The time to detect a dead router is the time until a probe of it fails plus the suspicion timeout. The timeout is
-//! shortest if enough other routers confirm the suspicion, and longest if none does. With the default settings it is
-//! 1.98 s with two routers, and between 2.2 s and 4.9 s with 300 routers.
+//! The time to detect a dead router is the time until a probe of it fails plus the suspicion timeout. The suspicion
+//! timeout is shortest if enough other routers confirm the suspicion, and longest if none does. With the default
+//! settings the suspicion timeout is 1.98 s with two routers, and between 2.2 s and 4.9 s with 300 routers.
 
 use ladderpass_routing::Span;
 
@@ -15,11 +15,11 @@
     pub ack_timeout: Span,
     /// How many routers are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The shortest suspicion timeout with up to ten routers. With more routers it grows with the logarithm of their
-    /// number.
+    /// The shortest suspicion timeout with up to ten routers. With more routers the timeout grows with the logarithm of
+    /// their number.
     pub min_suspicion_timeout: Span,
-    /// The longest suspicion timeout as a multiple of the shortest one. It applies to a suspicion without
-    /// confirmations.
+    /// The longest suspicion timeout as a multiple of the shortest one. The longest timeout applies to a suspicion that
+    /// no other router has confirmed.
     pub max_suspicion_factor: f64,
     /// Number of confirmations by other routers that reduce the suspicion timeout to the shortest one.
     pub required_confirmations: usize,
@@ -30,7 +30,7 @@
     /// How long the tombstone of a router that died or left is kept. As long as the tombstone of a dead router is kept,
     /// the router is probed to detect its return.
     pub tombstone_retention: Span,
-    /// This router counts as isolated if no other router has acknowledged it for this long.
+    /// This router counts as isolated if no other router has acknowledged a datagram of this router for this long.
     pub isolation_timeout: Span,
     /// The deliberate fault of this router, if it has one.
     pub faulty: Faulty,
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicions. A router is suspected when a probe of it fails. It may refute the suspicion, and is otherwise confirmed
-//! dead after the suspicion timeout, which the module `suspicion_timeout` computes.
+//! Suspicions. A router is suspected when a probe of it fails. That router may refute the suspicion, and is otherwise
+//! confirmed dead after the suspicion timeout, which the module `suspicion_timeout` computes.
 //!
 //! This router refutes a suspicion about itself with a higher incarnation.
 
@@ -46,7 +46,7 @@
     }
 
     /// Refutes a report that this router is not alive. If another process at this router's address had a higher
-    /// incarnation, this router takes an incarnation with a later start time than that one's.
+    /// incarnation, this router takes an incarnation with a later start time than that process.
     pub(crate) fn refute(&mut self, now: Time, update: &StateUpdate) {
         if self.is_leaving || self.settings.faulty == Faulty::IgnoresIncarnations {
             return;
--- a/crates/ladderpass-membership/src/suspicion_timeout.rs
+++ b/crates/ladderpass-membership/src/suspicion_timeout.rs
@@ -1,8 +1,8 @@
 //! A suspicion about one router: which routers have it, and until when the suspected router may refute it.
 //!
 //! The timeout (Lifeguard) grows with the logarithm of the number of routers, since a refutation needs time to spread.
-//! It shrinks with independent confirmations, since a router whose suspicion no other router confirms is more likely to
-//! be at fault itself.
+//! The timeout shrinks with independent confirmations, since a router whose suspicion no other router confirms is more
+//! likely to be at fault itself.
 
 use crate::settings::Settings;
 use ladderpass_routing::{Span, Time};
@@ -17,7 +17,8 @@
 }
 
 impl Suspicion {
-    /// Creates a suspicion without any suspecting router. The caller then records the first one and sets the timeout.
+    /// Creates a suspicion without any suspecting router. The caller then records the first suspecting router and sets
+    /// the timeout.
     pub fn start(now: Time) -> Suspicion {
         Suspicion { started_at: now, suspected_by: Vec::new(), deadline: now }
     }
@@ -39,7 +40,7 @@
         self.suspected_by.first().copied()
     }
 
-    /// Sets the time to refute, counted from the start of the suspicion.
+    /// Sets the time that the suspected router has to refute, counted from the start of the suspicion.
     pub fn set_timeout(&mut self, timeout: Span) {
         self.deadline = self.started_at + timeout;
     }
@@ -65,9 +66,9 @@
 /// How long a router may refute a suspicion that `suspecting_router_count` of `cluster_size` routers have.
 ///
 /// The shortest timeout is `min_suspicion_timeout` times the decimal logarithm of the cluster size, or
-/// `min_suspicion_timeout` itself with up to ten routers. It applies once enough routers have confirmed the suspicion.
-/// The longest timeout is `max_suspicion_factor` times the shortest. It applies as long as no router has confirmed the
-/// suspicion.
+/// `min_suspicion_timeout` itself with up to ten routers. The shortest timeout applies once enough routers have
+/// confirmed the suspicion. The longest timeout is `max_suspicion_factor` times the shortest. The longest timeout
+/// applies as long as no router has confirmed the suspicion.
 pub(crate) fn suspicion_timeout(
     settings: &Settings,
     cluster_size: usize,
--- a/crates/ladderpass-membership/src/update_queue.rs
+++ b/crates/ladderpass-membership/src/update_queue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of pending updates, which limits what other routers can make this one store.
+/// Maximum number of pending updates, which limits the memory that other routers can make this router use.
 const MAX_PENDING_UPDATES: usize = 4096;
 
 /// An update that is to be sent. The order of the fields puts updates that were sent least often first.
@@ -25,7 +25,7 @@
         self.transmissions.insert(router, 0);
     }
 
-    /// Drops updates while there are more than the limit.
+    /// Drops updates until no more than `MAX_PENDING_UPDATES` are pending.
     pub fn enforce_limit(&mut self) {
         while self.transmissions.len() > MAX_PENDING_UPDATES {
             self.transmissions.pop_first();
@@ -46,7 +46,7 @@
         pending
     }
 
-    /// Counts one transmission. An update that was sent `limit` times is removed.
+    /// Counts one transmission of an update. An update that was sent `limit` times is removed.
     pub fn record_transmission(&mut self, sent: PendingUpdate, limit: u32) {
         let transmissions = sent.transmissions + 1;
         if transmissions >= limit {
--- a/crates/ladderpass-membership/tests/model/convergence.rs
+++ b/crates/ladderpass-membership/tests/model/convergence.rs
@@ -1,4 +1,4 @@
-//! All routers converge to the same view, with bounded traffic and memory.
+//! Tests that all routers converge to the same view, with bounded traffic and memory.
 
 use crate::simulation::{Process, Simulation, address, ms};
 use ladderpass_membership::Settings;
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -1,4 +1,5 @@
-//! Dead routers are detected in time, and running routers are not counted as dead, or only for a short time.
+//! Tests that dead routers are detected in time, and that running routers are not counted as dead, or only for a short
+//! time.
 
 use crate::simulation::{Process, Simulation, address, median, ms};
 use ladderpass_membership::{Faulty, Settings};
@@ -77,7 +78,7 @@
     );
 }
 
-/// The measured values of a run, with or without a deliberate fault.
+/// The measured values of a simulated run of routers with or without a deliberate fault.
 #[derive(Debug)]
 struct FaultyRun {
     false_deaths: usize,
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -1,4 +1,4 @@
-//! Restarts, replayed datagrams and late refutations.
+//! Tests of restarted routers, replayed datagrams and late refutations.
 
 use crate::simulation::{Process, STEP, Simulation, address, ms};
 use ladderpass_membership::Settings;
@@ -51,11 +51,11 @@
 }
 
 /// A router whose datagrams are late is suspected, refutes the suspicion and is confirmed dead. Its refutations arrive
-/// only after that.
+/// only after the confirmed death.
 #[test]
 fn a_late_refutation_does_not_revive_a_dead_router() {
     let mut sim = Simulation::converged(16, 6);
-    // No datagram from router 4 arrives, and all of them are captured.
+    // All datagrams from router 4 are captured, and none of them arrives.
     sim.is_cut = Box::new(|from, _| from == 4);
     let mut captured: Vec<(SocketAddr, Vec<u8>)> = Vec::new();
     for _ in 0..200 {
--- a/crates/ladderpass-membership/tests/model/partitions.rs
+++ b/crates/ladderpass-membership/tests/model/partitions.rs
@@ -1,4 +1,4 @@
-//! Links that are cut, in one direction or both, and their repair.
+//! Tests of links between routers that are cut, in one direction or both, and repaired.
 
 use crate::simulation::{Process, Simulation, ms};
 use ladderpass_membership::Settings;
@@ -41,7 +41,8 @@
     sim.is_cut = Box::new(|_, _| false);
     sim.reset_false_deaths();
     let convergence = sim.run_until_converged(ms(6000));
-    // The isolated router corrects its own findings after the first ack. No other router may have applied any of them.
+    // The isolated router corrects its findings that other routers are dead after the first ack. No other router may
+    // have applied any of these findings.
     let others: usize = sim
         .routers
         .iter()
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -23,7 +23,7 @@
     wake_at: Time,
     /// Senders and bytes of the datagrams that arrived while the process was frozen.
     socket_buffer: Vec<Datagram>,
-    /// Running routers that this router counts as dead, and the time since which it does.
+    /// Running routers that this router counts as dead, and since when this router counts each of them as dead.
     false_deaths: BTreeMap<usize, Time>,
     pub false_death_count: usize,
     /// Receivers and bytes of the datagrams that this router sent and that were lost.
@@ -54,8 +54,8 @@
     /// How often a router counted a running one as dead.
     pub false_death_count: usize,
     pub settings: Settings,
-    /// Added to the wall clock when a router starts, in milliseconds. It increases by one with each start, so that the
-    /// start times differ.
+    /// Milliseconds that are added to the wall clock when a router starts. The number increases by one with each start,
+    /// so that the start times differ.
     pub start_clock_offset_ms: i64,
 }
 
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Returns a cluster of `count` routers that has had 8 s to converge. The first three routers are listed at each.
+    /// Returns a cluster of `count` routers that has had 8 s to converge. Each router has the first three routers as
+    /// its listed addresses.
     pub fn converged(seed: u64, count: usize) -> Simulation {
         let mut sim = Simulation::new(seed, Settings::default());
         (0..count).for_each(|_| sim.join());
@@ -242,7 +243,7 @@
         (0..self.routers.len()).filter(|&index| self.routers[index].process == Process::Running).collect()
     }
 
-    /// The routers that this one counts as alive, including itself.
+    /// The routers that the given router counts as alive, including itself.
     pub fn alive_at(&self, index: usize) -> Vec<SocketAddr> {
         let mut alive: Vec<_> =
             self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
