--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -27,18 +27,18 @@
 const MIN_VARIANCE: f64 = 1e-9;
 /// An iteration of this length or longer is treated as a stall, and nothing is learnt from it.
 const MAX_BUSY_SECS: f64 = 1.0;
-/// Limit of a prediction error, as a multiple of the initial cost of serving an RPC. Errors are limited because another
-/// process may have had the core.
+/// Limit of the error of an iteration's predicted busy time per RPC, as a multiple of the initial cost of serving an
+/// RPC. Errors are limited because another process may have used the core during the iteration.
 const MAX_ERROR_IN_INITIAL_COSTS: f64 = 2.0;
 
 /// Work done in one iteration of the event loop.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Attempts answered and passed on to their clients.
+    /// Number of RPCs that were answered.
     pub served: f64,
-    /// RPCs rejected.
+    /// Number of RPCs that were rejected, or were admitted and not answered successfully.
     pub rejected: f64,
-    /// KiB moved in either direction.
+    /// Size of the statements and responses of the served RPCs, in KiB.
     pub kib: f64,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The learnt costs.
+/// The learnt CPU costs of this router's work.
 #[derive(Clone, Debug)]
 pub struct CostModel {
     /// The cost of one unit of each feature, in seconds.
@@ -120,7 +120,7 @@
         self.serve_secs(self.mean_kib)
     }
 
-    /// Seconds that it takes to reject an RPC, at most those that serving one of mean size takes.
+    /// Seconds that it takes to reject an RPC, but no more than it takes to serve an RPC of mean size.
     pub fn reject_secs(&self) -> f64 {
         self.costs[REJECTED].min(self.mean_serve_secs())
     }
--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -1,43 +1,44 @@
-//! Fair shares of the router among connections. It detects connections that take much more than the average of the
-//! others.
+//! Fair shares of the router among connections. Finds connections that recently sent much more work than the other
+//! active connections did on average.
 
 use ladderpass_routing::{Span, Time};
 
 /// Recorded work decays by a factor e in this time. Active connections are counted in intervals of this length.
 const DECAY_TIME: Span = Span::from_millis(500);
-/// A longer time without work decays the recorded work no further.
+/// Recorded work decays for at most this many seconds at once. A longer time without work decays the work no further.
 const MAX_DECAY_SECS: f64 = 60.0;
-/// With fewer other active connections no connection exceeds its fair share.
+/// With fewer other active connections than this, no connection counts as exceeding its fair share.
 const MIN_OTHER_CLIENTS: f64 = 4.0;
 
-/// Recent work of one connection, in the unit of [`FairShares::record`]. The caller stores it with the connection.
+/// Recent work that one connection has sent, in the unit of [`FairShares::record`]. The caller stores it with the
+/// connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientUsage {
     work: f64,
     updated_at: Time,
-    /// The last interval in which it was counted as active.
+    /// The number of the last interval in which the connection was counted as active.
     last_active_interval: i64,
 }
 
-/// Recent work of all connections, and how many of them are active.
+/// Recent work that all connections have sent, and how many connections are active.
 #[derive(Clone, Debug, Default)]
 pub struct FairShares {
     total_work: f64,
     updated_at: Time,
-    /// The number of the current interval, in multiples of `DECAY_TIME`.
+    /// The number of the current interval, which begins at this multiple of `DECAY_TIME`.
     interval: i64,
-    /// Connections that have sent work in the current interval.
+    /// Number of connections that have sent work in the current interval.
     active: f64,
     active_in_previous_interval: f64,
 }
 
-/// What is left at `to` of the work recorded at `from`.
+/// Returns what is left at time `to`, after exponential decay, of the work recorded at time `from`.
 fn decayed(work: f64, from: Time, to: Time) -> f64 {
     work * (-(to - from).secs().clamp(0.0, MAX_DECAY_SECS) / DECAY_TIME.secs()).exp()
 }
 
 impl FairShares {
-    /// Records work that a connection has sent, in RPCs of mean cost, whether it is admitted or not.
+    /// Records work that a connection has sent, in RPCs of mean cost, whether the work is admitted or not.
     pub fn record(&mut self, now: Time, client: &mut ClientUsage, work: f64) {
         let work = if work.is_finite() { work.max(0.0) } else { 0.0 };
         let interval = now.nanos().div_euclid(DECAY_TIME.nanos());
@@ -62,7 +63,8 @@
         self.active.max(self.active_in_previous_interval)
     }
 
-    /// True if the connection takes more than `multiple` times what the other active connections take on average.
+    /// True if the connection has recently sent more than `multiple` times the work that the other active connections
+    /// sent on average. That average counts as at least one RPC of mean cost.
     pub fn exceeds_fair_share(&self, client: &ClientUsage, multiple: f64) -> bool {
         let others = self.active_clients() - 1.0;
         let work_of_others = (self.total_work - client.work).max(0.0);
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -12,18 +12,18 @@
 use ladderpass_routing::sliding_window::{SlidingWindow, WindowTotals};
 use ladderpass_routing::{OverloadState, PRIORITY_COUNT, Span, Time};
 
-/// CPU shares are smoothed with this time constant.
+/// Time constant with which the shares of CPU time that are used and stolen are smoothed.
 const CPU_TIME_CONSTANT: Span = Span::from_millis(250);
 /// The queueing delay alone never raises the pressure above this limit. The highest priorities stay admitted, so that
 /// a queue of RPCs that all have the same priority drains by serving as well as by rejecting.
 const MAX_DELAY_PRESSURE: f64 = 0.97;
-/// A lower pressure sheds nothing: it is only what the smoothing has left of an earlier pressure.
+/// A pressure below this value sheds nothing: it is only what the smoothing has left of an earlier pressure.
 const MIN_SHEDDING_PRESSURE: f64 = 0.005;
 /// The shares of the connections accepted in an iteration, and of the slow reader timeout, that are left under full
 /// pressure.
 const MIN_ACCEPT_SHARE: f64 = 1.0 / 16.0;
 const MIN_SLOW_READER_TIMEOUT_SHARE: f64 = 0.1;
-/// The mean size of a method's RPCs is that of a sliding window with this number and width of buckets.
+/// The mean size of a method's RPCs is computed over a sliding window with this number of buckets of this width.
 const METHOD_SIZE_BUCKETS: usize = 8;
 const METHOD_SIZE_BUCKET_WIDTH: Span = Span::from_millis(500);
 const BYTES_PER_KIB: f64 = 1024.0;
@@ -55,7 +55,7 @@
     shares: FairShares,
     costs: CostModel,
     queueing_delay: QueueingDelay,
-    /// The KiB that the RPCs of each method move, by method.
+    /// The size in KiB of the statements and responses of recently answered RPCs, by method.
     method_kib: Vec<SlidingWindow<METHOD_SIZE_BUCKETS>>,
     /// Work of the current iteration of the event loop.
     work: Work,
@@ -67,7 +67,7 @@
     stolen_share: f64,
     admission_threshold: f64,
     events: Vec<OverloadEvent>,
-    /// Changes of the level since the last call of `take_metrics`.
+    /// Number of changes of the pressure's level since the last call of `take_metrics`.
     level_changes: u32,
 }
 
@@ -100,7 +100,7 @@
         self.pressure = Pressure::new(now, settings);
     }
 
-    /// Records that a statement of this length is being handled, after it waited for this router.
+    /// Records that a statement of this length is being handled, after it waited for this router for `waited`.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         self.queueing_delay.record_statement(now, waited, length_bytes);
     }
@@ -132,8 +132,8 @@
         self.update_pressure(now);
     }
 
-    /// Ends an iteration of the event loop that was busy for `busy`. It leaves `waiting_sockets` sockets with pending
-    /// events, and `waiting_bytes` bytes of statements that were read but not handled.
+    /// Ends an iteration of the event loop that was busy for `busy`. At the end of the iteration, `waiting_sockets`
+    /// sockets have pending events, and `waiting_bytes` bytes of statements have been read but not handled.
     pub fn end_iteration(&mut self, now: Time, busy: Span, waiting_sockets: usize, waiting_bytes: usize) {
         let work = std::mem::take(&mut self.work);
         self.costs.learn(work, busy);
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Seconds that this router takes to serve an RPC of this method, by the mean size of its RPCs.
+    /// Seconds that this router takes to serve an RPC of this method, given the recent mean size of the method's RPCs.
     fn serve_secs(&self, now: Time, method: u32) -> f64 {
         let window = self.method_kib.get(method as usize);
         let kib = window.map_or(WindowTotals::default(), |window| window.totals(now, METHOD_SIZE_BUCKETS));
@@ -186,7 +186,7 @@
     }
 
     /// Records an RPC of this priority that arrived on a connection, whether it is admitted or not. `state` is what
-    /// `overload_state` returned for it.
+    /// `overload_state` returned for the RPC.
     pub fn record_arrival(
         &mut self,
         now: Time,
@@ -220,18 +220,19 @@
         self.pressure.value()
     }
 
-    /// The current level.
+    /// The current level of the pressure.
     pub fn level(&self) -> Level {
         self.pressure.level()
     }
 
-    /// How many connections to accept in an iteration: `max` without pressure, fewer with it, and at least one.
+    /// How many connections to accept in an iteration: `max` without pressure, fewer under pressure, and at least one.
     pub fn accept_budget(&self, max: usize) -> usize {
         let share = 1.0 - self.pressure.value() * (1.0 - MIN_ACCEPT_SHARE);
         ((max as f64 * share) as usize).max(1)
     }
 
-    /// How long to wait for a client that reads none of its responses. Memory pressure shortens it.
+    /// How long to wait for a client that reads none of its responses. Pressure from memory or connection buffers
+    /// shortens the wait.
     pub fn slow_reader_timeout(&self) -> Span {
         let memory_pressure = self.pressure.gauge(Gauge::Memory).max(self.pressure.gauge(Gauge::Buffers));
         self.settings.slow_reader_timeout * (1.0 - memory_pressure * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -8,13 +8,13 @@
 pub enum Gauge {
     /// How long statements wait for the router.
     Delay,
-    /// CPU time.
+    /// The CPU time that the process uses.
     Cpu,
-    /// Resident memory.
+    /// Resident memory of the process.
     Memory,
     /// Memory of the connections' buffers.
     Buffers,
-    /// File descriptors.
+    /// Open file descriptors of the process.
     Descriptors,
 }
 
@@ -88,17 +88,18 @@
     }
 }
 
-/// The greatest of the smoothed gauges. A rising gauge is smoothed with another time constant than a falling one.
+/// The router's pressure, which is the greatest of the smoothed gauges. A rising gauge is smoothed with another time
+/// constant than a falling one.
 #[derive(Clone, Debug)]
 pub struct Pressure {
     settings: Settings,
-    /// The last reading of each gauge, as a fraction of its band.
+    /// The last reading of each gauge, from 0 (start of the gauge's band) to 1 (end of the band).
     readings: [f64; GAUGE_COUNT],
     /// The smoothed reading of each gauge.
     smoothed: [f64; GAUGE_COUNT],
     updated_at: Time,
     level: Level,
-    /// When the pressure fell below the current level. `None` while it is not below it.
+    /// When the pressure fell below the current level. `None` while the pressure is not below the level.
     below_level_since: Option<Time>,
 }
 
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Sets the reading of a gauge, as a fraction of its band. It holds until the next call.
+    /// Sets the reading of a gauge, as a fraction of its band. The reading counts until the next call.
     pub fn set_gauge(&mut self, gauge: Gauge, fraction: f64) {
         self.readings[gauge as usize] = if fraction.is_finite() { fraction.clamp(0.0, 1.0) } else { 0.0 };
     }
@@ -134,7 +135,8 @@
         (before != self.level).then_some(before)
     }
 
-    /// Raises the level at once, and lowers it only after `calm_after`, so that it does not follow every burst.
+    /// Raises the level as soon as the pressure reaches a higher level, and lowers it only after the pressure was below
+    /// it for `calm_after`, so that the level does not follow every burst.
     fn update_level(&mut self, now: Time) {
         let reached = Level::of_pressure(self.value());
         if reached < self.level {
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Debug)]
 pub struct PriorityHistogram {
     buckets: [[f64; PRIORITY_COUNT]; BUCKETS],
-    /// The number of the interval that each bucket covers, in multiples of the bucket width.
+    /// The number of the interval that each bucket covers. An interval begins at its number times the bucket width.
     bucket_numbers: [i64; BUCKETS],
-    /// The sum over all buckets, by priority.
+    /// The sum of the work in all buckets, by priority.
     by_priority: [f64; PRIORITY_COUNT],
-    /// The sum over all priorities.
+    /// The sum of the work in all buckets and of all priorities.
     total: f64,
 }
 
@@ -49,7 +49,7 @@
     fn start_bucket(&mut self, index: usize, number: i64) {
         self.bucket_numbers[index] = number;
         self.buckets[index] = [0.0; PRIORITY_COUNT];
-        // Other buckets have left the window too, if no work was recorded in the intervals since.
+        // If no work was recorded for some intervals, other buckets are older than the window too, and are cleared.
         for (bucket, other) in self.buckets.iter_mut().zip(&self.bucket_numbers) {
             if *other <= number - BUCKETS as i64 {
                 *bucket = [0.0; PRIORITY_COUNT];
@@ -65,8 +65,9 @@
         self.total = self.by_priority.iter().sum();
     }
 
-    /// The priority below which this share of the work lies. The fractional part is the share of that priority's own
-    /// work that lies below the threshold. No work lies below 0, and all work lies below `PRIORITY_COUNT`.
+    /// The threshold below which this share of the work of the last second lies. The integer part is a priority, and
+    /// the fractional part the share of that priority's own work that lies below the threshold. No work lies below 0,
+    /// and all work lies below `PRIORITY_COUNT`.
     pub fn admission_threshold(&self, share: f64) -> f64 {
         if share <= 0.0 || self.total <= 0.0 {
             return 0.0;
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -5,9 +5,9 @@
 
 use ladderpass_routing::{Span, Time};
 
-/// Initial value of the mean length of a statement.
+/// Initial value of the mean length of a statement, in bytes.
 const INITIAL_STATEMENT_BYTES: f64 = 128.0;
-/// Weight of one statement in the moving average of the length.
+/// Weight of one statement in the moving average of the statements' length.
 const MEAN_LENGTH_WEIGHT: f64 = 0.01;
 /// The measured mean wait is multiplied by this factor before it is compared with the predicted wait.
 const MEASURED_WAIT_WEIGHT: f64 = 0.5;
@@ -22,16 +22,16 @@
 /// The waits measured in the current iteration, and the delay computed at the end of the previous one.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingDelay {
-    /// How many statements were handled in this iteration.
+    /// How many statements were handled in the current iteration of the event loop.
     statements: f64,
-    /// The sum of the waits of the statements handled in this iteration.
+    /// The sum of the waits of the statements handled in the current iteration of the event loop.
     total_wait: Span,
     mean_statement_bytes: f64,
-    /// When the process last resumed from a stall. Waiting time before it is not counted, since this router's work did
-    /// not cause it.
+    /// When the process last resumed from a stall. Waiting time before that moment is not counted, since this router's
+    /// work did not cause it.
     resumed_at: Time,
     current: Span,
-    /// The longest wait since the last call of `take_longest`.
+    /// The longest wait of a statement since the last call of `take_longest`.
     longest: Span,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Records that a statement of this length is being handled, after it waited for this router.
+    /// Records that a statement of this length is being handled, after it waited for this router for `waited`.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         let waited = waited.min((now - self.resumed_at).max(Span::ZERO));
         self.longest = self.longest.max(waited);
@@ -61,7 +61,8 @@
         self.resumed_at = now;
     }
 
-    /// Ends an iteration, and computes the delay from the sockets and the bytes of statements that are left waiting.
+    /// Ends an iteration of the event loop, and computes the queueing delay from the sockets and the bytes of
+    /// statements that are left waiting.
     pub fn end_iteration(&mut self, waiting_sockets: usize, waiting_bytes: usize, costs: &MeanCosts) {
         let statements = waiting_sockets as f64 + waiting_bytes as f64 / self.mean_statement_bytes.max(1.0);
         let rejected = costs.rejected_share;
@@ -73,12 +74,12 @@
         self.current = predicted.max(mean_wait * MEASURED_WAIT_WEIGHT);
     }
 
-    /// The delay as of the end of the last iteration.
+    /// The queueing delay of statements as of the end of the last iteration of the event loop.
     pub fn current(&self) -> Span {
         self.current
     }
 
-    /// Returns and clears the longest wait since the last call.
+    /// Returns and clears the longest wait of a statement since the last call.
     pub fn take_longest(&mut self) -> Span {
         std::mem::take(&mut self.longest)
     }
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -9,13 +9,13 @@
     pub wall: Span,
     /// The part of the wall clock time in which the event loop did not wait for events.
     pub busy: Span,
-    /// CPU time used since the previous sample.
+    /// CPU time that the process used since the previous sample.
     pub cpu: Span,
-    /// Resident memory of the process.
+    /// Resident memory of the process, in bytes.
     pub resident_bytes: usize,
-    /// Memory of the connections' buffers.
+    /// Memory of the connections' buffers, in bytes.
     pub buffer_bytes: usize,
-    /// Open file descriptors.
+    /// Number of open file descriptors of the process.
     pub descriptors: usize,
 }
 
@@ -27,7 +27,7 @@
         if self.wall <= Span::ZERO { 0.0 } else { (stolen / self.wall.secs()).min(1.0) }
     }
 
-    /// CPU time used, as a share of the time of `cores` cores.
+    /// CPU time that the process used, as a share of the time of `cores` cores.
     pub fn cpu_share(&self, cores: f64) -> f64 {
         if self.wall <= Span::ZERO { 0.0 } else { self.cpu.secs() / (self.wall.secs() * cores.max(1e-3)) }
     }
@@ -36,12 +36,12 @@
 /// The most resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// Number of CPU cores, which may be fractional.
+    /// Number of CPU cores that the process may use, which may be fractional.
     pub cores: f64,
-    /// Resident memory.
+    /// Maximum resident memory of the process, in bytes.
     pub memory_bytes: usize,
-    /// The part of the memory that the connections' buffers may take.
+    /// Maximum memory of the connections' buffers, in bytes, which is a part of `memory_bytes`.
     pub buffer_bytes: usize,
-    /// File descriptors.
+    /// Maximum number of open file descriptors of the process.
     pub descriptors: usize,
 }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -3,7 +3,8 @@
 
 use ladderpass_routing::Span;
 
-/// The concave curve reaches half of the full pressure at this many widths of the band beyond its start.
+/// The concave curve of [`Band::concave_fraction`] reaches half of the full pressure at this many widths of the band
+/// beyond its start.
 const CONCAVE_HALF_WIDTHS: f64 = 0.25;
 /// The pressure of the concave curve at the end of the band: 1 / (1 + [`CONCAVE_HALF_WIDTHS`]).
 const CONCAVE_FRACTION_AT_FULL: f64 = 0.8;
@@ -12,8 +13,8 @@
 /// Beyond the band, the concave curve takes this many widths of the band to cover half of the remaining pressure.
 const CONCAVE_TAIL_WIDTHS: f64 = 8.0;
 
-/// The range of a gauge over which its pressure rises, in the gauge's unit: seconds for the delay, a share of what is
-/// allowed for the resources.
+/// The range of a gauge over which the gauge's pressure rises, in the gauge's unit: seconds for the delay, a share of
+/// what is allowed for the resources.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
     /// Up to this value there is no pressure.
@@ -23,7 +24,7 @@
 }
 
 impl Band {
-    /// Creates a band.
+    /// Creates a band without pressure up to `from` and with full pressure from `full` on.
     pub const fn new(from: f64, full: f64) -> Band {
         Band { from, full }
     }
@@ -50,27 +51,30 @@
 /// Bands and times of the overload control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The band of the queueing delay, in seconds. Its pressure follows the concave curve.
+    /// The band of the queueing delay, in seconds. The pressure of the delay follows the curve of
+    /// [`Band::concave_fraction`].
     pub delay: Band,
-    /// CPU time, as a share of what is allowed. A process with a whole core can't use more than it is allowed, and a
-    /// lack of CPU shows as queueing delay instead. The band is for a process with a fraction of a core.
+    /// The band of the CPU time in use, as a share of the allowed CPU time. A process with a whole core can't use more
+    /// than it is allowed, and a lack of CPU shows as queueing delay instead. The band is for a process with a fraction
+    /// of a core.
     pub cpu: Band,
-    /// Resident memory, as a share of what is allowed.
+    /// The band of the resident memory, as a share of the allowed memory.
     pub memory: Band,
-    /// Memory of the connections' buffers, as a share of what is allowed.
+    /// The band of the memory of the connections' buffers, as a share of the memory allowed for buffers.
     pub buffers: Band,
-    /// File descriptors, as a share of what is allowed.
+    /// The band of the open file descriptors, as a share of the allowed number.
     pub descriptors: Band,
     /// Time constant with which the pressure follows a rising gauge.
     pub rise: Span,
     /// Time constant with which the pressure follows a falling gauge.
     pub fall: Span,
-    /// The level is lowered once the pressure has been below it for this long.
+    /// The level of the pressure is lowered once the pressure has been below the level for this long.
     pub calm_after: Span,
-    /// A connection that takes more than this multiple of its fair share gets a lower priority.
+    /// The RPCs of a connection get a lower priority if the connection has recently sent more than this multiple of the
+    /// work that the other active connections sent on average.
     pub fair_share_multiple: f64,
-    /// A client that reads none of its responses is disconnected after this time, and after a tenth of it under full
-    /// memory pressure.
+    /// A client that reads none of its responses is disconnected after this time, and after a tenth of this time under
+    /// full memory pressure.
     pub slow_reader_timeout: Span,
     /// The most bytes of unread responses that one client may have.
     pub slow_reader_bytes: usize,
--- a/crates/ladderpass-overload/tests/governor/shedding.rs
+++ b/crates/ladderpass-overload/tests/governor/shedding.rs
@@ -6,7 +6,8 @@
 };
 use ladderpass_overload::{Level, OverloadEvent};
 
-/// Half of the server's capacity in normal operation, and three times that rate from second 5 to second 35.
+/// The rate of RPCs that clients send: half of the server's capacity in normal operation, and three times that rate
+/// from second 5 to second 35.
 fn surge(now_secs: f64) -> f64 {
     let calm = 0.5 / SERVE_SECS;
     if (5.0..35.0).contains(&now_secs) { calm * 3.0 } else { calm }
--- a/crates/ladderpass-overload/tests/governor/simulation.rs
+++ b/crates/ladderpass-overload/tests/governor/simulation.rs
@@ -11,7 +11,7 @@
 pub const WRITE: u32 = 1;
 pub const SERVE_SECS: f64 = 100e-6;
 const REJECT_SECS: f64 = 10e-6;
-/// How long a client waits for its response.
+/// How long a client waits for a response before it times out.
 pub const CLIENT_TIMEOUT_SECS: f64 = 1.0;
 const STATEMENT_BYTES: usize = 128;
 const RPC_BYTES: usize = 1024;
@@ -74,7 +74,7 @@
     pub timeout_secs: f64,
 }
 
-/// The RPCs a second that clients send at a given time, in seconds.
+/// A function of the time in seconds: the RPCs that all clients together send per second.
 pub type Rate = fn(f64) -> f64;
 
 /// Numbers of RPCs by outcome.
@@ -111,7 +111,7 @@
     waits: Vec<Wait>,
     pub events: Vec<OverloadEvent>,
     pub retry_after_secs: Vec<f64>,
-    /// The factor by which serving and rejecting take longer at a given time, in seconds.
+    /// A function of the time in seconds: the factor by which serving and rejecting RPCs take longer.
     pub slowdown: fn(f64) -> f64,
     pub by_client: Vec<ClientCounts>,
     pub first_attempts_rejected: u32,
@@ -153,7 +153,8 @@
         self.queue.push_back(request);
     }
 
-    /// Runs the simulation for `secs` seconds. RPCs arrive at random at this rate, and `draw` makes each of them.
+    /// Runs the simulation for `secs` seconds. RPCs arrive at random times with a mean rate of `rate`, and `draw` makes
+    /// each RPC.
     pub fn run(&mut self, secs: f64, rate: Rate, draw: fn(&mut Rng, f64) -> Request) {
         let mut next_secs = self.now_secs;
         let until_secs = self.now_secs + secs;
