--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -14,10 +14,11 @@
 const INITIAL_CAPACITY: f64 = 2.0;
 const MIN_CAPACITY: f64 = 1.0;
 const MAX_CAPACITY: f64 = 4096.0;
-/// Up to this latency ratio the capacity does not shrink, since a member whose queue is empty is not full.
+/// Up to this ratio of a member's latency to the typical one, the member's capacity does not shrink, since a member
+/// whose queue is empty is not full.
 const MAX_HEALTHY_LATENCY_RATIO: f64 = 1.3;
-/// A failed RPC counts as one whose latency is longer by this multiple. Failures count because a member with a short
-/// queue rejects RPCs and never answers slowly.
+/// A member's latency ratio is multiplied by one plus this factor times the share of the RPCs that failed. Failures
+/// count because a member with a short queue rejects RPCs and never answers slowly.
 const FAILURE_LATENCY_WEIGHT: f64 = 10.0;
 /// A capacity grows only while the RPCs in flight, times this factor, fill it. If an unused capacity grew, a burst
 /// could fill it at once.
@@ -26,14 +27,15 @@
 const CAPACITY_STEP: f64 = 0.3;
 /// Weight of the latest value in the moving averages of a member's load and of the quota.
 const SMOOTHING_WEIGHT: f64 = 0.4;
-/// Weight, in RPCs in flight, that is added to the weight of each router's latency ratio. It gives a weight to routers
-/// without RPCs in flight.
+/// Weight, in RPCs in flight, that is added to the weight of each router's latency ratio. Without this constant,
+/// routers without RPCs in flight would have no weight in the average.
 const IDLE_WEIGHT: f64 = 0.05;
-/// The quota may grow by this factor in a step.
+/// The quota grows by at most this factor in a step.
 const MAX_QUOTA_GROWTH: f64 = 1.3;
-/// A step may raise the quota to this value, however small it was.
+/// A step may raise the quota to this value, however small the quota was.
 const ALWAYS_ALLOWED_QUOTA: f64 = 0.02;
-/// The quota is updated only while this share of the other routers report, or this number of them.
+/// The quota is updated only while at least `MIN_REPORTING_SHARE` of the other routers report, or at least
+/// `ENOUGH_REPORTING_PEERS` of them. A router counts by the weight of its report, from 0 to 1.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
 
@@ -47,14 +49,14 @@
 /// This router's limit at one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLimit {
-    /// The member.
+    /// The member that the limit is for.
     pub member: MemberId,
-    /// RPCs that this router may have in flight there.
+    /// The most RPCs that this router may have in flight at the member.
     pub max_in_flight: f64,
 }
 
-/// This router's quota after a step, from 0 to 1. It follows this router's share of the offered load, and stays while
-/// too few other routers report.
+/// This router's quota of the members' capacity after a step, from 0 to 1. The quota follows this router's share of the
+/// offered load, and stays unchanged while too few other routers report.
 pub(crate) fn compute_quota(quota: f64, totals: &FleetTotals) -> f64 {
     let share = if totals.offered > 0.0 {
         (totals.own_offered / totals.offered).min(1.0)
@@ -109,8 +111,8 @@
     own
 }
 
-/// Combines this router's observations of a member with those reported by others. It sums the RPCs in flight, averages
-/// the latency ratios with the RPCs in flight as weights, and moves this router's capacity towards the median.
+/// Combines this router's observations of a member with those reported by others. The result sums the RPCs in flight,
+/// averages the latency ratios with the RPCs in flight as weights, and moves this router's capacity towards the median.
 fn combine_observations(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
     let mut in_flight = own.in_flight;
     let mut weighted_latency = own.latency_ratio * (own.in_flight + IDLE_WEIGHT);
--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -29,7 +29,7 @@
     groups: BTreeMap<u32, Group>,
     reports: PeerReports,
     next_step_at: Time,
-    /// The index at which the next bundle begins, modulo the number of reports.
+    /// The index of the report with which the next bundle begins, modulo the number of reports.
     rotation: usize,
     faulty: Faulty,
 }
@@ -65,12 +65,12 @@
         *self.group_mut(group).counts.offered.entry(priority).or_default() += 1.0;
     }
 
-    /// Records an RPC that was served.
+    /// Records an RPC of a group that was served.
     pub fn record_served(&mut self, group: u32) {
         self.group_mut(group).counts.served += 1.0;
     }
 
-    /// Records an RPC that was admitted and that no member had capacity for.
+    /// Records an RPC of a group that was admitted and that no member had capacity for (unplaced).
     pub fn record_unplaced(&mut self, group: u32) {
         self.group_mut(group).counts.unplaced += 1.0;
     }
@@ -80,7 +80,7 @@
         self.group_mut(group).retry_rates = rates;
     }
 
-    /// The rates of first attempts and retries that the others report of a group.
+    /// The rates of first attempts and retries that the other routers report of a group.
     pub fn peer_retry_rates(&self, now: Time, group: u32) -> impl Iterator<Item = WeightedRates> {
         let reports = self.reports.of_group(now, group);
         reports.map(|WeightedReport { report, weight }| WeightedRates { rates: report.retry_rates, weight })
@@ -91,7 +91,8 @@
         self.reports.alive_count()
     }
 
-    /// The admission threshold of a group. An unknown group has none, and all its RPCs are admitted.
+    /// The admission threshold of a group. An unknown group has no threshold, and all RPCs of such a group are
+    /// admitted.
     pub fn threshold(&self, group: u32) -> GroupThreshold {
         if self.faulty == Faulty::IgnoresThreshold {
             return GroupThreshold::default();
@@ -133,7 +134,7 @@
         let factor = if self.faulty == Faulty::ReportsTenfold { 10.0 } else { 1.0 };
         let offered = group.rates.offered.iter().rev();
         let offered = offered.map(|(&priority, &rate)| OfferedRate { priority, per_second: rate * factor });
-        // If there are more members than fit, successive reports list different ones in turn.
+        // If the group has more members than fit into a report, successive reports list different members in turn.
         let count = group.members.len();
         let first = if count > MAX_MEMBERS { usize::from(self.sequence) * MAX_MEMBERS % count } else { 0 };
         let members = group.members.values().cycle().skip(first).take(count.min(MAX_MEMBERS));
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -24,15 +24,16 @@
     pub admitted: f64,
     /// RPCs a second that all routers served.
     pub served: f64,
-    /// RPCs a second, of all routers, that were admitted and that no member had capacity for.
+    /// RPCs a second, of all routers, that were admitted and that no member had capacity for (unplaced).
     pub unplaced: f64,
     /// Number of reports of other routers with a weight above 0.
     pub reports: usize,
-    /// Number of reports whose load was reduced to the limit.
+    /// Number of reports whose load was above the limit of a reported load (a multiple of the typical load) and was
+    /// reduced to that limit.
     pub clamped_reports: usize,
     /// RPCs that all routers together may have in flight at all members.
     pub capacity: f64,
-    /// This router's share of the capacity.
+    /// This router's share of the members' capacity, from 0 to 1.
     pub quota: f64,
 }
 
@@ -45,9 +46,10 @@
     pub admission: AdmissionThreshold,
     /// This router's observations of each member and its estimate of the capacity, by the member's id in reports.
     pub members: BTreeMap<u16, MemberReport>,
-    /// This router's share of the capacity.
+    /// This router's share of the members' capacity, from 0 to 1.
     quota: f64,
-    /// This router's rates as its retry budget counts them. The reports include them.
+    /// This router's rates of first attempts and retries, as its retry budget counts them. This router's reports
+    /// include these rates.
     pub retry_rates: RetryRates,
     pub metrics: GroupMetrics,
 }
--- a/crates/ladderpass-admission/src/peer_reports.rs
+++ b/crates/ladderpass-admission/src/peer_reports.rs
@@ -5,14 +5,14 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeMap, HashSet};
 
-/// A report has its full weight up to this age. Beyond it the weight decreases linearly.
+/// A report has its full weight up to this age. At a greater age the weight decreases linearly.
 const FRESH_FOR: Span = Span::from_millis(1500);
-/// A report of this age has no weight and is dropped.
+/// A report of this age or older has no weight and is dropped.
 const STALE_AFTER: Span = Span::from_millis(4000);
-/// Bounds the memory that other routers can make this one use.
+/// Maximum number of stored reports, which limits the memory that other routers can make this router use.
 const MAX_REPORTS: usize = 4096;
 
-/// A report and its weight, from 0 to 1.
+/// A report and its weight, from 0 to 1, which is lower for an older report.
 pub(crate) struct WeightedReport<'a> {
     pub report: &'a GroupReport,
     pub weight: f64,
@@ -120,7 +120,7 @@
     }
 }
 
-/// Compares sequence numbers modulo 2^16.
+/// Whether the sequence number of `report` is later than that of `stored`, modulo 2^16.
 fn is_newer(report: &GroupReport, stored: &GroupReport) -> bool {
     report.sequence.wrapping_sub(stored.sequence) as i16 > 0
 }
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-/// The weight of a step's counts is its length in seconds times this factor, up to a maximum. Rates then follow the
-/// counts within about a second.
+/// The weight of a step's counts is its length in seconds times this factor, up to `MAX_COUNT_WEIGHT`. Rates then
+/// follow the counts within about a second.
 const COUNT_WEIGHT_PER_SECOND: f64 = 2.4;
 const MAX_COUNT_WEIGHT: f64 = 0.8;
-/// A priority with a lower rate, in RPCs a second, is dropped.
+/// A priority whose offered rate is no higher than this, in RPCs a second, is removed from the offered rates.
 const MIN_RATE: f64 = 0.005;
-/// Prevents a division by zero.
+/// Counts are divided by at least this number of seconds to compute a rate, which prevents a division by zero.
 const MIN_STEP_SECS: f64 = 1e-3;
 
 /// Rates of this router in RPCs a second, or counts of RPCs in the current step.
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -1,5 +1,5 @@
-//! The encoding of a router's report of one group. It takes some forty bytes, and its amounts are on a logarithmic
-//! scale (within 4%).
+//! The encoding of a router's report of one group. An encoded report takes some forty bytes, and the amounts in it are
+//! on a logarithmic scale (within 4%).
 //!
 //! A report that can't be decoded is dropped, with everything that follows it in the bundle.
 
@@ -14,14 +14,14 @@
 const MIN_AMOUNT: f64 = 0.01;
 const AMOUNT_STEP: f64 = 1.065;
 const AGE_STEP: Span = Span::from_millis(50);
-/// The most priorities and members in a report. Their counts share a byte.
+/// The most priorities and members in a report. The number of priorities and the number of members share a byte.
 const MAX_PRIORITIES: usize = 6;
 pub(crate) const MAX_MEMBERS: usize = 8;
 
-/// The head consists of router, sequence, age, group and the byte with the counts.
+/// The head of an encoded report consists of router, sequence, age, group and the byte with the counts.
 const HEAD_BYTES: usize = 4 + 2 + 1 + 4 + 1;
 const PRIORITY_BYTES: usize = 1 + 1;
-/// The rates are those of served, unplaced and admitted RPCs and the four retry rates.
+/// The encoded rates are those of served, unplaced and admitted RPCs and the four retry rates.
 const RATES_BYTES: usize = 3 + 4;
 const MEMBER_BYTES: usize = 2 + 3;
 
@@ -36,26 +36,26 @@
     pub age: Span,
     /// The id of the group.
     pub group: u32,
-    /// The rates that the router was offered by priority, the highest priority first.
+    /// The rates of RPCs that the router was offered, by priority, the highest priority first.
     pub offered: Vec<OfferedRate>,
-    /// RPCs a second that were served.
+    /// RPCs of the group that were served, per second.
     pub served: f64,
-    /// RPCs a second that were admitted and that no member had capacity for.
+    /// RPCs of the group that were admitted and that no member had capacity for (unplaced), per second.
     pub unplaced: f64,
     /// The router's estimate of how many RPCs a second all routers can admit.
     pub admitted: f64,
-    /// The router's rates of first attempts and retries.
+    /// The router's rates of first attempts and retries for the group.
     pub retry_rates: RetryRates,
-    /// The router's observations of members.
+    /// The router's observations of the group's members.
     pub members: Vec<MemberReport>,
 }
 
 /// The rate of RPCs of one priority that a router was offered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OfferedRate {
-    /// The priority.
+    /// The priority of the RPCs.
     pub priority: u8,
-    /// RPCs a second.
+    /// RPCs of the priority that the router was offered, per second.
     pub per_second: f64,
 }
 
@@ -66,7 +66,7 @@
     pub id_hash: u16,
     /// Moving average of the RPCs in flight from the router to the member.
     pub in_flight: f64,
-    /// The member's latency as a multiple of the typical one.
+    /// The member's latency as a multiple of the typical latency.
     pub latency_ratio: f64,
     /// The router's estimate of how many RPCs all routers together can have in flight at the member.
     pub capacity: f64,
@@ -83,7 +83,7 @@
     if byte == 0 { 0.0 } else { MIN_AMOUNT * AMOUNT_STEP.powi(i32::from(byte) - 1) }
 }
 
-/// Appends a report to a bundle, unless the bundle would exceed `max_bytes`. Returns true if it was appended.
+/// Appends a report to a bundle, unless the bundle would exceed `max_bytes`. Returns true if the report was appended.
 pub fn append_report(report: &GroupReport, bytes: &mut Vec<u8>, max_bytes: usize) -> bool {
     let priorities = report.offered.len().min(MAX_PRIORITIES);
     let members = report.members.len().min(MAX_MEMBERS);
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -1,37 +1,42 @@
 //! How many RPCs a second all routers admit to a group, and the priority threshold that follows from it.
 //!
-//! Both are updated in each step, every 250 ms. Without a threshold every RPC is admitted. A threshold begins when too
-//! large a share of the admitted RPCs is unplaced, which means that no member had capacity for them. While that lasts,
-//! the admitted rate falls by a small factor a step, but never below the decaying peak of the served rate. Afterwards
-//! it rises after a pause, ever faster. The factors are small because unplaced RPCs are reported late, so that larger
-//! factors would make the rate oscillate.
+//! The admitted rate and the threshold are updated in each step, every 250 ms. Without a threshold every RPC is
+//! admitted. A threshold begins when too large a share of the admitted RPCs is unplaced, which means that no member had
+//! capacity for them. While that lasts, the admitted rate falls by a small factor a step, but never below the decaying
+//! peak of the served rate. Afterwards the admitted rate rises after a pause, ever faster. The factors are small
+//! because unplaced RPCs are reported late, so that larger factors would make the rate oscillate.
 
 use crate::totals::FleetTotals;
 
-/// A threshold begins, or the admitted rate falls, while more than this share of the admitted RPCs is unplaced.
+/// A threshold begins, or the admitted rate falls, while more than this share of the admitted RPCs is unplaced, which
+/// means that no member had capacity for them.
 const MAX_UNPLACED_SHARE: f64 = 0.06;
-/// The admitted rate that a threshold begins with, as a multiple of the peak of the served rate. It is above 1 because
-/// counts and reports of a load that has just begun are too low.
+/// The admitted rate that a threshold begins with, as a multiple of the peak of the served rate. The multiple is above
+/// 1 because counts and reports of a load that has just begun are too low.
 const INITIAL_MULTIPLE_OF_SERVED: f64 = 1.4;
-/// The lower bound of the admitted rate decays from that multiple to the peak itself over this many steps.
+/// Over this many steps with a threshold, the lower bound of the admitted rate falls from `INITIAL_MULTIPLE_OF_SERVED`
+/// times the peak of the served rate to that peak itself.
 const INITIAL_MULTIPLE_STEPS: f64 = 8.0;
 /// No threshold begins in a step in which this router's load grew by more than this factor, since the size of the load
 /// is not known yet.
 const MAX_GROWTH_OF_KNOWN_LOAD: f64 = 1.25;
 /// The peak of the served rate is multiplied by this factor in each step.
 const PEAK_SERVED_DECAY: f64 = 0.985;
-/// The admitted rate is multiplied by this factor in a step with too many unplaced RPCs.
+/// The admitted rate is multiplied by this factor in a step in which more than `MAX_UNPLACED_SHARE` of the admitted
+/// RPCs are unplaced.
 const DECREASE_FACTOR: f64 = 0.985;
-/// The factor in a step in which more than `FAST_DECREASE_UNPLACED_SHARE` of the admitted RPCs are unplaced.
+/// The admitted rate is multiplied by this factor in a step in which more than `FAST_DECREASE_UNPLACED_SHARE` of the
+/// admitted RPCs are unplaced.
 const FAST_DECREASE_FACTOR: f64 = 0.97;
 const FAST_DECREASE_UNPLACED_SHARE: f64 = 0.15;
 /// The admitted rate rises only after this many steps without too many unplaced RPCs.
 const STEPS_BEFORE_INCREASE: u32 = 2;
-/// Bounds of the increase in a step, as a share of the admitted rate. The increase starts at the smallest, or with a
-/// threshold at twice the smallest, and doubles with each further step without too many unplaced RPCs.
+/// Bounds of the increase in a step, as a share of the admitted rate. The increase starts at `MIN_INCREASE`, or with a
+/// threshold at twice `MIN_INCREASE`, and doubles with each further step without too many unplaced RPCs.
 const MIN_INCREASE: f64 = 0.01;
 const MAX_INCREASE: f64 = 0.05;
-/// Keeps the shift in range. The largest increase is reached with fewer doublings.
+/// Maximum number of doublings of `MIN_INCREASE`, which keeps the bit shift in range. `MAX_INCREASE` is reached with
+/// fewer doublings.
 const MAX_DOUBLINGS: u32 = 8;
 /// RPCs a second that are added to each increase, so that a rate near zero grows too.
 const INCREASE_PER_SECOND: f64 = 0.5;
@@ -58,7 +63,7 @@
     /// The priority below which all RPCs are rejected. The fractional part is the rejected share of that priority's own
     /// RPCs.
     pub threshold: f64,
-    /// Share of the offered load that is rejected.
+    /// Share of the offered load that is rejected, from 0 to 1.
     pub pressure: f64,
     steps_without_unplaced: u32,
     steps_with_threshold: u32,
@@ -74,7 +79,7 @@
         GroupThreshold { priority: self.threshold, pressure: self.pressure }
     }
 
-    /// Makes one step, from the current rates of all routers.
+    /// Updates the admitted rate and the threshold in one step, from the current rates of all routers.
     pub fn update(&mut self, totals: &FleetTotals) {
         self.update_admitted(totals);
         self.update_threshold(totals);
@@ -104,8 +109,8 @@
         self.admitted = admitted.min(max_admitted);
     }
 
-    /// The admitted rate after a step in which too many RPCs were unplaced. It is never below the peak of the served
-    /// rate.
+    /// Returns the admitted rate after a step in which more than the tolerated share of RPCs (`MAX_UNPLACED_SHARE`) was
+    /// unplaced. The returned rate is never below the decaying peak of the served rate.
     fn decreased_rate(&self, before: f64, unplaced: f64) -> f64 {
         let initial_share_left =
             (1.0 - f64::from(self.steps_with_threshold) / INITIAL_MULTIPLE_STEPS).max(0.0);
@@ -115,7 +120,8 @@
         (self.peak_served * (1.0 + initial_excess)).max(before * factor)
     }
 
-    /// The admitted rate after a step in which not too many RPCs were unplaced.
+    /// Returns the admitted rate after a step in which no more than the tolerated share of RPCs (`MAX_UNPLACED_SHARE`)
+    /// was unplaced: admitted without a member that had capacity for them.
     fn increased_rate(&self, before: f64, has_threshold: bool) -> f64 {
         if has_threshold && self.steps_without_unplaced <= STEPS_BEFORE_INCREASE {
             return before;
--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -1,8 +1,9 @@
 //! The rates at which all routers together were offered and served RPCs of a group, from this router's rates and the
 //! others' reports.
 //!
-//! A report counts by its weight, and for no more than a multiple of the typical load, so that a false report can't
-//! move the totals far. If only some live routers reported recently, the totals are scaled up to all of them.
+//! A report counts by its weight, and for no more than a multiple of the typical load of a router, so that a false
+//! report can't move the totals far. If only some live routers reported recently, the totals are scaled up to all of
+//! them.
 
 use crate::consensus::{median, move_towards_median};
 use crate::peer_reports::WeightedReport;
@@ -10,27 +11,30 @@
 use crate::report::GroupReport;
 use std::collections::BTreeMap;
 
-/// A report counts for no more than this multiple of the typical load.
+/// A report counts for no more than this multiple of the typical load of a router.
 const MAX_LOAD_MULTIPLE: f64 = 3.0;
 
 /// Rates of all routers, in RPCs a second.
 pub(crate) struct FleetTotals {
-    /// Offered rates by priority, of this router and those that reported. They are not scaled up to all routers.
+    /// Offered rates by priority, of this router and the routers that reported. These rates are not scaled up to all
+    /// routers.
     pub offered_by_priority: BTreeMap<u8, f64>,
-    /// The ratio of all live routers to those that reported, this router included in both.
+    /// The ratio of the number of all live routers to the number of routers that reported, with this router counted in
+    /// both.
     pub scale: f64,
     pub offered: f64,
     pub served: f64,
     pub unplaced: f64,
     /// The rate that this router itself was offered.
     pub own_offered: f64,
-    /// This router's estimate of the rate that all routers can admit, moved towards the median of all estimates.
+    /// This router's estimate of the rate that all routers can admit, moved towards the median of all routers'
+    /// estimates.
     pub admitted: f64,
-    /// Sum of the weights of the reports.
+    /// Sum of the weights of the other routers' reports, each from 0 to 1.
     pub reporting_peers: f64,
     /// Number of other routers that are alive, but at least `reporting_peers`.
     pub peers: f64,
-    /// Number of reports whose load was reduced to the limit.
+    /// Number of reports whose load was above `MAX_LOAD_MULTIPLE` times the typical load and was reduced to that limit.
     pub clamped_reports: usize,
 }
 
@@ -79,7 +83,8 @@
     }
 }
 
-/// The median load of a router, or this router's own load if that is higher, since its own load is certainly true.
+/// Returns the median of the routers' offered loads, or this router's own load if that is higher, since this router's
+/// own load is certainly true.
 fn typical_load(own_offered: f64, reports: &[WeightedReport<'_>]) -> f64 {
     let reported = reports.iter().map(|weighted| total_offered(weighted.report));
     let mut loads: Vec<f64> = reported.chain([own_offered]).collect();
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -12,7 +12,7 @@
 pub const START: Time = Time::from_nanos(1_800_000_000_000_000_000);
 const REPORT_BYTES: usize = 210;
 const REPORT_RECEIVERS: usize = 2;
-/// RPCs in flight up to which a member's latency is the typical one.
+/// The number of RPCs in flight up to which a member's latency is the typical one.
 const CORES_PER_MEMBER: f64 = 2.0;
 const MAX_IN_FLIGHT_PER_CORE: f64 = 4.0;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The shares of RPCs that were served over some steps.
+/// The shares of RPCs that were served over some steps of the simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServedShares {
     /// RPCs of the high priority that were served, as a share of those that were offered.
@@ -52,7 +52,7 @@
     service_rate: f64,
     members: u32,
     rng: WyRand,
-    /// The share of reports that are lost.
+    /// The share of the routers' reports that are lost on the way.
     pub report_loss: f64,
     /// If above 0, routers below this index and the other routers can't reach each other.
     pub partitioned_at: usize,
@@ -183,7 +183,8 @@
         f64::from(self.members) * CORES_PER_MEMBER
     }
 
-    /// RPCs in flight at all members. They are limited by the routers' limits while more RPCs are admitted than served.
+    /// RPCs in flight at all members. While more RPCs are admitted than served, the number is at most the sum of the
+    /// routers' limits.
     fn in_flight(&self, alive: &[usize], utilisation: f64) -> f64 {
         let limits = alive.iter().fold(0.0, |sum, &index| sum + self.limits[index].iter().sum::<f64>());
         match utilisation > 1.0 {
@@ -210,7 +211,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// Runs this many steps, and returns the mean shares over them.
+    /// Runs this many steps, and returns the mean shares of RPCs that were served in these steps.
     pub fn run_and_measure(&mut self, steps: usize) -> ServedShares {
         let mut mean = ServedShares::default();
         for _ in 0..steps {
@@ -228,8 +229,8 @@
     }
 }
 
-/// A load of 2.5 times the RPCs that the members can serve, unevenly spread over the routers. A tenth of it has the
-/// high priority.
+/// A load of 2.5 times the RPCs that the members can serve, unevenly spread over the routers. A tenth of the load has
+/// the high priority.
 pub fn uneven_overload(count: usize, service_rate: f64) -> Vec<Load> {
     let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
     let total = service_rate * 2.5;
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -68,8 +68,8 @@
     assert!(served.high > 0.98 && served.utilisation > 0.93, "{served:?}");
 }
 
-/// Drills with immediate rejections found this: a threshold computed from the counts of the first quarter of a second
-/// admitted 13 RPCs of 67.
+/// Guards against a fault that drills with immediate rejections found: a threshold computed from the counts of the
+/// first quarter of a second admitted 13 RPCs of 67.
 #[test]
 fn no_threshold_begins_while_the_load_still_grows() {
     let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -1,4 +1,5 @@
-//! Withdrawals from this router's part of the shared budget, and the step that recomputes that part.
+//! Withdrawals from this router's part of the retry budget that all routers share, and the step that recomputes that
+//! part.
 
 use crate::faulty::Faulty;
 use crate::metrics::GroupMetrics;
@@ -11,24 +12,25 @@
 const STEP: Span = Span::from_millis(250);
 /// The balance is refilled for at most this many steps at once, even after a longer stall of the router.
 const MAX_STEPS_REFILLED: f64 = 2.0;
-/// The largest balance, in seconds of the quota.
+/// The largest balance is the number of retries that the quota adds in this many seconds.
 const MAX_BALANCE_SECS: f64 = 0.5;
 /// The largest balance is never less than this number of retries, so that a router can also spend a small quota.
 const MIN_MAX_BALANCE: f64 = 1.0;
-/// The share of the largest balance, beyond its first retry, that is reserved for RPCs of at least the mean priority.
+/// The share of the largest balance (without the balance's first retry) that is reserved for RPCs of at least the mean
+/// priority.
 const RESERVED_SHARE: f64 = 0.5;
 /// The balance of a new group, in retries.
 const INITIAL_BALANCE: f64 = 1.0;
-/// Weight of one RPC in the moving average of the priorities.
+/// Weight of one RPC in the moving average of the priorities of RPCs that request a retry.
 const PRIORITY_WEIGHT: f64 = 0.1;
 
 /// This router's part of the retry budget of a group.
 #[derive(Clone, Debug)]
 struct GroupBudget {
-    /// This router's counts of the current step.
+    /// This router's counts of first attempts and retries in the current step.
     counts: RetryRates,
     rates: RetryRates,
-    /// Retries that may be withdrawn now.
+    /// Number of retries that may be withdrawn now.
     balance: f64,
     /// Retries a second that are added to the balance.
     quota: f64,
@@ -72,8 +74,8 @@
         } else if fleet.has_enough_reports() {
             own_quota
         } else {
-            // With too few reports, the quota exceeds neither the previous one nor the ratio of this router's own first
-            // attempts.
+            // With too few reports, the new quota exceeds neither the previous quota nor the ratio of this router's own
+            // first attempts.
             self.quota.min(ratio * fleet.own.first_attempts)
         };
         self.balance = (self.balance + self.quota * secs).min(self.max_balance());
@@ -142,7 +144,7 @@
         self.group_mut(group).counts.retries_succeeded += 1.0;
     }
 
-    /// The rates that this router reports of a group.
+    /// The rates of first attempts and retries that this router reports of a group.
     pub fn own_rates(&self, group: u32) -> RetryRates {
         self.groups.get(&group).map_or(RetryRates::default(), |budget| budget.rates)
     }
--- a/crates/ladderpass-retry-budget/src/metrics.rs
+++ b/crates/ladderpass-retry-budget/src/metrics.rs
@@ -7,7 +7,7 @@
 pub struct GroupMetrics {
     /// The id of the group.
     pub group: u32,
-    /// Rates of all routers that reported, this router included, in attempts a second.
+    /// Rates of first attempts and retries of all routers that reported, this router included, in attempts a second.
     pub fleet: RetryRates,
     /// Retries that all routers may spend, as a share of their first attempts.
     pub ratio: f64,
@@ -15,6 +15,6 @@
     pub quota: f64,
     /// Retries that this router may withdraw now.
     pub balance: f64,
-    /// Number of retries that this router has denied since it started.
+    /// Number of requested retries that this router's budget has not granted since the router started.
     pub denied: u64,
 }
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -4,26 +4,29 @@
 
 /// The retries that all routers may spend while all retries succeed, as a share of their first attempts.
 const MAX_RATIO: f64 = 0.5;
-/// The same share while no retry succeeds. It is large enough to detect that retries succeed again.
+/// The retries that all routers may spend while no retry succeeds, as a share of their first attempts. The share is
+/// large enough to detect that retries succeed again.
 const MIN_RATIO: f64 = 0.02;
-/// Weight of the prior estimate of the success share, in granted retries a second.
+/// Weight of the prior estimate of the share of retries that succeed, in granted retries a second.
 const PRIOR_WEIGHT_PER_SECOND: f64 = 4.0;
 /// A router's need of retries is the rate of the retries that it requests plus this share of its first attempts. The
 /// share gives some quota at once to a router that has not requested a retry yet.
 const NEED_SHARE_OF_FIRST_ATTEMPTS: f64 = 0.05;
-/// A quota is computed from the totals only while this share of the other routers report, or this number of them.
+/// A quota is computed from the totals of all routers only while at least `MIN_REPORTING_SHARE` of the other routers
+/// report, or at least `ENOUGH_REPORTING_PEERS` of them. A router counts by the weight of its report, from 0 to 1.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
-/// The least divisor of rates, in attempts a second. It prevents divisions by zero.
+/// The least divisor of rates, in attempts a second. This minimum prevents divisions by zero.
 const MIN_RATE: f64 = 1e-9;
 
 /// Rates of all routers, and how many of them reported.
 pub(crate) struct FleetRates {
-    /// This router's own rates.
+    /// This router's own rates of first attempts and retries.
     pub own: RetryRates,
-    /// The weighted sum of the rates of all routers that reported, and of this router's.
+    /// This router's own rates plus those that other routers reported, each multiplied by the weight of its report (0
+    /// to 1, lower for older reports).
     pub total: RetryRates,
-    /// Sum of the weights of the reports.
+    /// Sum of the weights of the other routers' reports, each from 0 to 1.
     reporting_peers: f64,
     /// Number of other routers that are alive.
     peers: f64,
@@ -44,7 +47,8 @@
         FleetRates { own, total, reporting_peers, peers: alive_peers as f64 }
     }
 
-    /// The ratio of all live routers to those that reported, this router included in both.
+    /// The ratio of the number of all live routers to the number of routers that reported, with this router counted in
+    /// both.
     fn scale(&self) -> f64 {
         if self.reporting_peers > 0.0 {
             (self.peers + 1.0).max(self.reporting_peers + 1.0) / (self.reporting_peers + 1.0)
@@ -53,8 +57,8 @@
         }
     }
 
-    /// Estimate of the share of retries that succeed, from 0 to 1. The fewer retries were granted recently, the more
-    /// the prior counts, which is the share of attempts that needed no retry.
+    /// Estimate of the share of retries that succeed, from 0 to 1. The fewer retries were granted recently, the more a
+    /// prior estimate counts, which is the share of attempts that needed no retry.
     fn success_share(&self) -> f64 {
         let total = &self.total;
         let attempts = total.first_attempts + total.retries_granted;
@@ -70,7 +74,7 @@
         MIN_RATIO + (MAX_RATIO - MIN_RATIO) * success * success
     }
 
-    /// This router's quota of the budget in retries a second, in proportion to its need of retries.
+    /// This router's quota of the budget in retries a second, in proportion to this router's need of retries.
     pub fn own_quota(&self, ratio: f64) -> f64 {
         let scale = self.scale();
         let budget = ratio * self.total.first_attempts * scale;
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -1,14 +1,15 @@
-//! The rates of first attempts and retries.
+//! The rates of first attempts and retries that routers report to each other.
 
-/// Weight of the latest counts in the moving averages.
+/// Weight of the latest step's counts in the moving averages of the rates.
 const COUNT_WEIGHT: f64 = 0.4;
-/// A shorter step counts as one of this length, since its counts are too low to compute a rate from.
+/// A step that is shorter than this number of seconds counts as one of this length, since the counts of a shorter step
+/// are too low to compute a rate from.
 const MIN_STEP_SECS: f64 = 0.05;
 
-/// The rates that a router reports of a group, in attempts a second, or the counts of a step.
+/// The rates that a router reports of a group, in attempts a second, or the counts of attempts in a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryRates {
-    /// First attempts.
+    /// First attempts of RPCs.
     pub first_attempts: f64,
     /// Retries that RPCs requested of the budget.
     pub retries_wanted: f64,
@@ -21,9 +22,9 @@
 /// The rates that another router reports of a group, with the weight of its report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedRates {
-    /// Attempts a second.
+    /// The reported rates, in attempts a second.
     pub rates: RetryRates,
-    /// The weight, from 0 to 1. It is lower for an older report.
+    /// The weight of the report, from 0 to 1. An older report has a lower weight.
     pub weight: f64,
 }
 
@@ -33,7 +34,7 @@
         [self.first_attempts, self.retries_wanted, self.retries_granted, self.retries_succeeded]
     }
 
-    /// The inverse of [`RetryRates::to_array`].
+    /// Creates the rates from an array in the order of [`RetryRates::to_array`].
     pub fn from_array([first_attempts, wanted, granted, succeeded]: [f64; 4]) -> RetryRates {
         RetryRates {
             first_attempts,
@@ -51,7 +52,7 @@
         self.retries_succeeded += other.retries_succeeded * weight;
     }
 
-    /// The moving averages after a step with these counts, which took `secs` seconds.
+    /// Returns the moving averages of the rates after a step with these counts, which took `secs` seconds.
     pub(crate) fn smoothed(self, counts: RetryRates, secs: f64) -> RetryRates {
         let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * COUNT_WEIGHT;
         RetryRates {
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -134,7 +134,7 @@
         (0..steps).for_each(|_| self.step());
     }
 
-    /// The shares of retries over the last steps.
+    /// The shares of retries, requested and granted, over the last `steps` steps.
     fn retry_shares(&self, steps: usize) -> RetryShares {
         let sum = Attempts::sum(&self.steps[self.steps.len() - steps..]);
         let first = sum.first.max(1.0);
@@ -165,7 +165,7 @@
         let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
-        // In the first second, routers spend what they saved, and reports do not show the failures yet.
+        // In the first second, routers spend the retries that they saved, and reports do not show the failures yet.
         sim.run(4);
         let first_second = sim.retry_shares(4).granted;
         sim.run(8);
@@ -188,7 +188,7 @@
 fn a_router_that_needs_retries_gets_the_quota_that_the_others_do_not_need() {
     let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
-    // Only router 0 requests retries, one for each of its RPCs.
+    // Only router 0 requests retries, about one for each RPC of that router.
     for _ in 0..24 {
         for _ in 0..12 {
             sim.routers[0].try_withdraw(GROUP, LOW);
@@ -213,7 +213,8 @@
         sim.partitioned_at = 5;
         sim.run(16);
         sim.partitioned_at = 0;
-        // Router 0 resumes after a stall. It may spend the balance that it had saved, and no more.
+        // Router 0 resumes after a stall. The router may spend the balance that it had saved before the stall, and no
+        // more.
         sim.alive[0] = true;
         sim.run(8);
         for steps in sim.steps.windows(8) {
@@ -256,6 +257,7 @@
             sim.run(1);
         }
     }
-    // A fifth of the requests have the high priority, and they get more than a fifth of the retries.
+    // A fifth of the requests have the high priority, and requests of the high priority are granted more than a fifth
+    // of the retries.
     assert!(granted_high * 4 > granted_low, "{granted_low} low, {granted_high} high");
 }
