--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -30,13 +30,13 @@
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
-    /// Position of the member's data at that time.
+    /// Position of the member's data when the attempt arrived or expired.
     pub position: Time,
     /// Whether the member rejected the attempt, which then never runs.
     pub rejected: bool,
 }
 
-/// The observations of all members in one run.
+/// The observations of all members in one run of the emulator.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     /// Every attempt that began to run.
@@ -47,9 +47,9 @@
     /// Every health check that arrived, as its time and the member's index, recorded only if the scenario's `history`
     /// is on.
     pub health_checks: Vec<(Time, u32)>,
-    /// Number of attempts rejected because the queue was full.
+    /// Number of attempts that members rejected because the member's queue was full.
     pub rejected: u64,
-    /// Number of attempts that expired in the queue.
+    /// Number of attempts that expired in a member's queue.
     pub expired: u64,
 }
 
--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -25,9 +25,9 @@
 /// Maximum number of threads that serve the members; there are never more threads than members. Several threads keep
 /// the emulator itself from slowing a test down.
 const MAX_THREADS: usize = 3;
-/// Lower bound of the interval between the empty lines of a watch.
+/// Lower bound of the interval between the empty lines that a watch receives, in milliseconds.
 const MIN_WATCH_INTERVAL_MS: f64 = 10.0;
-/// Stands for the thread's index in calls from a thread that owns no connections.
+/// Stands for the index of the calling thread in calls from a thread that owns no connections.
 const NO_THREAD: usize = usize::MAX;
 
 /// An emulator that runs on its own threads until it is stopped or dropped.
@@ -118,7 +118,7 @@
         self.shared.started_at
     }
 
-    /// Returns the drains published so far.
+    /// Returns a record of each member that an endpoint list has published as draining so far.
     pub fn drains(&self) -> Vec<PublishedDrain> {
         self.shared.drains()
     }
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -1,5 +1,5 @@
-//! The event loop of one thread. It serves the thread's listeners and connections, decodes requests for the model and
-//! encodes the model's replies.
+//! The event loop of one of the emulator's threads. The loop serves the thread's listeners and connections, decodes
+//! requests for the model and encodes the model's replies.
 
 use super::shared::{Command, Owner, Shared};
 use crate::clock::now;
@@ -14,9 +14,9 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// Token of the thread's waker.
+/// The poll token of the thread's waker.
 pub const WAKE_TOKEN: Token = Token(usize::MAX);
-/// Maximum number of bytes that a connection buffers in each direction; a connection that exceeds it is closed.
+/// Maximum number of bytes that a connection buffers in each direction; a connection that exceeds this limit is closed.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
@@ -26,13 +26,13 @@
 struct Connection {
     stream: TcpStream,
     owner: Owner,
-    /// Whether the startup message has arrived.
+    /// Whether the startup message of the connection has arrived.
     is_open: bool,
     /// Whether the connection is a watch of an endpoint list.
     is_watch: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Whether the connection is closed once its output is written.
+    /// Whether the connection is closed once all buffered output is written to the connection.
     closes_after_output: bool,
 }
 
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Reads a connection's input and handles it. With `read_closed` the end of the stream has arrived too, so reading
-    /// goes on after a short read until that end.
+    /// Reads a connection's input and handles the input. If `read_closed` is set, the end of the stream has arrived
+    /// too, so reading goes on after a short read until that end.
     fn read(&mut self, index: usize, read_closed: bool) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         let is_open = self.read_input(index, read_closed, &mut buffer);
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Answers the HTTP request of a watch with the complete list, and returns how many bytes of `input` the request
-    /// took.
+    /// Answers the HTTP request of a watch with the complete endpoint list, and returns how many bytes of `input` the
+    /// request took.
     fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
         let Some(end) = input.windows(HTTP_HEAD_END.len()).position(|window| window == HTTP_HEAD_END) else {
             return 0;
@@ -288,7 +288,8 @@
         end + HTTP_HEAD_END.len()
     }
 
-    /// Sends a line to all watches of one endpoint list, or of all lists without `list`.
+    /// Sends a line to all watches of the endpoint list with index `list`, or of all endpoint lists if `list` is
+    /// `None`.
     fn send_to_watches(&mut self, list: Option<usize>, line: &str) {
         let matches_list =
             |connection: &Connection| list.is_none_or(|list| connection.owner == Owner::Discovery(list));
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -25,7 +25,7 @@
     Crash(u32),
     /// Sends a line to the watches of the endpoint list with this index.
     SendLine(usize, String),
-    /// Stops the thread.
+    /// Stops the thread of the driver that receives the command.
     Stop,
 }
 
@@ -41,11 +41,11 @@
 /// A record that an endpoint list published a member as draining.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishedDrain {
-    /// When the change was published.
+    /// When the endpoint list published the member as draining.
     pub at: Time,
-    /// Index of the endpoint list.
+    /// Index of the endpoint list that published the member as draining.
     pub list: usize,
-    /// Index of the member.
+    /// Index of the member that is draining.
     pub member: u32,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Shared {
-    /// Creates the state for as many threads as there are `wakers`.
+    /// Creates the shared state for as many threads as there are `wakers`.
     pub fn new(scenario: Scenario, seed: u64, lists: Vec<EndpointList>, wakers: Vec<Waker>) -> Shared {
         Shared {
             model: Mutex::new(Model::new(now(), scenario.clone(), seed)),
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -30,7 +30,7 @@
 /// SQLSTATE for a member without capacity: too_many_connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// What a member does when a timer fires.
+/// What a member does when one of its timers fires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// Reports that a connection is established.
@@ -257,7 +257,7 @@
         state.queue.push_back(statement);
     }
 
-    /// Starts queued statements while a core is free.
+    /// Starts queued statements of a member while one of the member's cores is free.
     fn start_queued(&mut self, now: Time, member: u32) {
         loop {
             let position = self.position(now, member);
@@ -305,7 +305,8 @@
         self.set_timer(completed_at, member, Timer::Completed { connection, id, method });
     }
 
-    /// Completes a statement: commits it if it writes, and answers it if its connection is still open.
+    /// Completes a statement: commits the statement if its method writes, and answers the statement if its connection
+    /// is still open.
     fn complete_statement(
         &mut self,
         now: Time,
@@ -332,8 +333,8 @@
             let Some(connection_state) = state.connections.get_mut(&connection) else { return };
             connection_state.busy = false;
             let Some(request) = connection_state.pipelined.pop_front() else { return };
-            // Other requests are answered at once. A statement may make the connection busy; this function is called
-            // again when that statement ends.
+            // A request that is not a statement is answered at once. A statement may make the connection busy; this
+            // function is called again when that statement ends.
             let is_statement = matches!(request, Request::Statement { .. });
             self.answer(now, member, connection, request);
             if is_statement {
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -18,7 +18,8 @@
 /// A connection, which executes one statement at a time, in the order of arrival.
 #[derive(Default)]
 pub struct Connection {
-    /// Whether a statement of the connection runs or is queued. The requests in `pipelined` wait for its end.
+    /// Whether a statement of the connection runs or is queued. The requests in `pipelined` wait for the end of that
+    /// statement.
     pub busy: bool,
     pub pipelined: VecDeque<Request>,
 }
@@ -28,7 +29,7 @@
     pub connection: ConnectionId,
     pub id: Box<str>,
     pub method: u32,
-    /// When the statement expires and is rejected.
+    /// The statement is rejected if no core is free for it by this time.
     pub expires_at: Time,
 }
 
@@ -36,7 +37,7 @@
 /// yet to apply.
 struct ReplicationLog {
     applied: Time,
-    /// Commits yet to be applied, the earliest first.
+    /// Commits that the apply thread has yet to apply, the earliest first.
     pending: VecDeque<PendingCommit>,
     /// When the apply thread will have applied all pending commits.
     thread_free_at: Time,
@@ -75,7 +76,8 @@
     pub fn replicate(&mut self, now: Time, transfer_time: Span, apply_time: Span) {
         self.log.thread_free_at = self.log.thread_free_at.max(now + transfer_time) + apply_time;
         self.log.pending.push_back(PendingCommit { committed_at: now, applied_at: self.log.thread_free_at });
-        // Bounds the pending commits of a replica whose position is never requested.
+        // Removes the commits applied by now, so that the pending commits stay bounded at a replica whose position is
+        // never requested.
         self.log.apply_until(now);
     }
 
--- a/crates/ladderpass-emulator/src/model/messages.rs
+++ b/crates/ladderpass-emulator/src/model/messages.rs
@@ -1,4 +1,4 @@
-//! The interface of the model: inputs from connections and to members, and the replies to requests.
+//! The interface of the model of the members: inputs from connections and to members, and the replies to requests.
 
 use ladderpass_routing::{Span, Time};
 
@@ -21,7 +21,8 @@
         method: u32,
         /// How long the statement may wait in the member's queue.
         wait: Span,
-        /// The position that the member's data must have reached, if there is one.
+        /// The position that the member's data must have reached for the member to accept the statement. `None` if any
+        /// position will do.
         min_position: Option<Time>,
     },
 }
@@ -81,6 +82,6 @@
 pub struct Output {
     /// The connection on which the reply is sent.
     pub connection: ConnectionId,
-    /// The reply.
+    /// The reply to send on the connection.
     pub reply: Reply,
 }
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -17,7 +17,7 @@
     bytes.get(..length).map(<[u8]>::len)
 }
 
-/// Appends a client's startup message.
+/// Appends a client's startup message to `out`.
 pub fn put_startup(out: &mut Vec<u8>) {
     let body = b"\0\x03\0\0user\0web\0database\0orders\0\0";
     out.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
@@ -32,17 +32,17 @@
     parts.iter().for_each(|part| out.extend_from_slice(part));
 }
 
-/// Appends ReadyForQuery.
+/// Appends a ReadyForQuery message to `out`.
 pub fn put_ready(out: &mut Vec<u8>) {
     put_message(out, b'Z', &[b"I"]);
 }
 
-/// Appends a simple query.
+/// Appends a simple query message with this statement to `out`.
 pub fn put_query(out: &mut Vec<u8>, statement: &str) {
     put_message(out, b'Q', &[statement.as_bytes(), b"\0"]);
 }
 
-/// Appends a member's answer to a startup message.
+/// Appends a member's answer to a startup message to `out`.
 pub fn put_startup_response(out: &mut Vec<u8>) {
     put_message(out, b'R', &[&[0; 4]]);
     put_message(out, b'S', &[b"server_version\x0016.0\0"]);
@@ -65,7 +65,7 @@
     put_ready(out);
 }
 
-/// Appends an ErrorResponse with this SQLSTATE, and ReadyForQuery unless the severity is `FATAL`.
+/// Appends an ErrorResponse with `code` as its SQLSTATE, and ReadyForQuery unless the severity is `FATAL`.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str) {
     put_message(
         out,
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -32,7 +32,7 @@
     pub log_ms: f64,
     /// Time that a replica's single apply thread needs for one commit, in milliseconds.
     pub apply_ms: f64,
-    /// Interval between the empty lines of a watch, in milliseconds.
+    /// Interval between the empty lines that a watch of an endpoint list receives, in milliseconds.
     pub watch_every_ms: f64,
     /// Whether each attempt and health check that arrives is recorded for a history checker.
     pub history: bool,
@@ -67,7 +67,7 @@
     pub value_bytes: usize,
     /// Soft deadline in milliseconds, after which an answer has less utility or none.
     pub soft_deadline_ms: f64,
-    /// Utility of an answer before the soft deadline.
+    /// Utility of an answer that arrives before the soft deadline.
     pub utility: f64,
     /// Share of the method in all RPCs, relative to the sum of all shares.
     pub share: f64,
@@ -134,7 +134,7 @@
         Ok(scenario)
     }
 
-    /// Checks the values.
+    /// Checks the values of the scenario.
     ///
     /// # Errors
     ///
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -3,21 +3,21 @@
 /// The reason why a scenario is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The YAML can't be parsed; holds the deserializer's message on one line.
+    /// The YAML of the scenario can't be parsed. The error contains the deserializer's message on one line.
     #[error("{0}")]
     Syntax(String),
     /// A number is negative or not finite.
     #[error("{key}: {value} is not a finite number of at least 0")]
     NegativeOrNotFinite {
-        /// Path of the key, such as `methods.board.work_ms`.
+        /// The key of the number in the scenario, with the keys around it, such as `methods.board.work_ms`.
         key: String,
-        /// The number that was read.
+        /// The number that the scenario contains.
         value: f64,
     },
     /// The scenario has no groups, too many groups, or too many replicas per group.
     #[error("groups, replicas: 1 to {max_groups} groups of at most {max_replicas} replicas are allowed")]
     GroupCount {
-        /// Maximum number of groups.
+        /// Maximum number of groups in a scenario.
         max_groups: u32,
         /// Maximum number of replicas in a group.
         max_replicas: u32,
@@ -31,11 +31,11 @@
     /// The value in an answer is larger than allowed.
     #[error("{key}: {bytes} is more than {max_bytes}")]
     ValueTooLong {
-        /// Path of the key.
+        /// The key of the size in the scenario, with the keys around it, such as `methods.read.value_bytes`.
         key: String,
-        /// The size that was read, in bytes.
+        /// The size that the scenario sets for the value, in bytes.
         bytes: usize,
-        /// The maximum size, in bytes.
+        /// The maximum size of a value in an answer, in bytes.
         max_bytes: usize,
     },
 }
