--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -23,7 +23,7 @@
 /// A capacity grows only while the RPCs in flight, times this factor, fill it. If an unused capacity grew, a burst
 /// could fill it at once.
 const USED_MARGIN: f64 = 1.25;
-/// One step moves the capacity by this share of its distance to the target.
+/// One step moves a member's capacity by this share of the difference between the target and the capacity.
 const CAPACITY_STEP: f64 = 0.3;
 /// Weight of the latest value in the moving averages of a member's load and of the quota.
 const SMOOTHING_WEIGHT: f64 = 0.4;
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -40,7 +40,7 @@
 /// The state of a group at this router.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
-    /// This router's counts since the last step.
+    /// This router's counts of RPCs since the last step.
     pub counts: Rates,
     pub rates: Rates,
     pub admission: AdmissionThreshold,
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -25,7 +25,7 @@
         self.offered.values().sum()
     }
 
-    /// Moves the rates towards the counts of a step of this length, in seconds.
+    /// Updates the moving averages of the rates with the counts of a step that took `secs` seconds.
     pub fn update(&mut self, counts: &Rates, secs: f64) {
         let weight = (secs * COUNT_WEIGHT_PER_SECOND).clamp(0.0, MAX_COUNT_WEIGHT);
         let smooth = |rate: f64, count: f64| rate + (count / secs.max(MIN_STEP_SECS) - rate) * weight;
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -105,7 +105,8 @@
             (true, true) => self.decreased_rate(before, totals.unplaced),
             (false, _) => self.increased_rate(before, has_threshold),
         };
-        // A rate above the offered one rejects nothing, so a still higher rate would have no effect.
+        // An admitted rate above the offered rate rejects nothing, so a still higher admitted rate would have no
+        // effect.
         self.admitted = admitted.min(max_admitted);
     }
 
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -1,4 +1,4 @@
-//! Tests of the capacity of members and of a router's quota of it.
+//! Tests of the capacity of members and of a router's quota of that capacity.
 
 use crate::simulation::{GROUP, LOW, START, STEP, Simulation, uneven_overload};
 use ladderpass_admission::{AdmissionController, Faulty};
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -183,8 +183,8 @@
         f64::from(self.members) * CORES_PER_MEMBER
     }
 
-    /// RPCs in flight at all members. While more RPCs are admitted than served, the number is at most the sum of the
-    /// routers' limits.
+    /// The number of RPCs in flight at all members together. While more RPCs are admitted than served, the number is at
+    /// most the sum of the routers' limits.
     fn in_flight(&self, alive: &[usize], utilisation: f64) -> f64 {
         let limits = alive.iter().fold(0.0, |sum, &index| sum + self.limits[index].iter().sum::<f64>());
         match utilisation > 1.0 {
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Opens a connection if the member is up and below its connection limit, and rejects it otherwise.
+    /// Opens a connection if the member is up and below its connection limit, and rejects the connection otherwise.
     fn open_connection(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -265,10 +265,10 @@
 /// The machine resources that a router may use.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterLimits {
-    /// Number of CPU cores.
+    /// Number of CPU cores that a router may use.
     pub cores: f64,
-    /// Memory, in megabytes.
+    /// Memory that a router may use, in megabytes.
     pub memory_mb: u64,
-    /// Maximum number of open sockets.
+    /// Maximum number of sockets that a router may have open.
     pub sockets: usize,
 }
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -6,7 +6,7 @@
     /// The YAML of the scenario can't be parsed. The error contains the deserializer's message on one line.
     #[error("{0}")]
     Syntax(String),
-    /// A number is negative or not finite.
+    /// A number in the scenario is negative or not finite.
     #[error("{key}: {value} is not a finite number of at least 0")]
     NegativeOrNotFinite {
         /// The key of the number in the scenario, with the keys around it, such as `methods.board.work_ms`.
--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -55,7 +55,7 @@
 }
 
 impl Membership {
-    /// Completes a draft and queues it as an outgoing datagram.
+    /// Completes a draft of a message and queues the encoded message as an outgoing datagram.
     pub(crate) fn send(&mut self, to: SocketAddr, draft: Draft) {
         let bytes = self.compose(to, draft).encode();
         self.counts.sent += 1;
--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -10,7 +10,7 @@
 /// The worst health score.
 const MAX_SCORE: u32 = 8;
 
-/// The health score, and when another router last acknowledged this one.
+/// The health score, and when another router last acknowledged a datagram of this router.
 pub(crate) struct LocalHealth {
     score: u32,
     last_acknowledged_at: Time,
@@ -32,12 +32,13 @@
         f64::from(self.score + 1)
     }
 
-    /// Improves the score by one step. Called when a probe that this router sent was acked.
+    /// Improves this router's health score by one step. Called when a probe that this router sent was acked.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Worsens the score by this many steps. Called on signs that this router itself is slow or cut off.
+    /// Worsens this router's health score by this many steps. Called on signs that this router itself is slow or cut
+    /// off.
     pub fn degrade(&mut self, steps: u32) {
         self.score = (self.score + steps).min(MAX_SCORE);
     }
@@ -47,7 +48,8 @@
         self.last_acknowledged_at = now;
     }
 
-    /// Whether no router has acknowledged this one for so long that this router may be the one that is cut off.
+    /// Whether no other router has acknowledged a datagram of this router for so long that this router may be the one
+    /// that is cut off.
     pub fn is_isolated(&self, now: Time) -> bool {
         now - self.last_acknowledged_at > self.isolation_timeout
     }
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -37,13 +37,13 @@
 /// Counts of datagrams since this router's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// Bytes sent, without UDP and IP headers.
+    /// Total size in bytes of the datagrams sent, without UDP and IP headers.
     pub bytes: u64,
-    /// Datagrams received and decoded.
+    /// Number of datagrams received and decoded.
     pub received: u64,
-    /// Datagrams that could not be decoded or came from an address that is not accepted.
+    /// Number of datagrams that could not be decoded or came from an address that is not accepted.
     pub dropped: u64,
 }
 
@@ -131,16 +131,16 @@
         self.routers.alive().filter_map(move |(&router, _)| self.routers.peer(now, router))
     }
 
-    /// The routers to which gossip of other mechanisms is sent: live routers, and legacy routers that sent gossip
-    /// recently.
+    /// The routers to which gossip of other parts of the router (not about membership) is sent: live routers, and
+    /// legacy routers that sent gossip recently.
     pub fn gossip_targets(&self, now: Time) -> impl Iterator<Item = SocketAddr> {
         let legacy = self.senders.recent_legacy_routers(now).filter(|&router| !self.routers.contains(router));
         self.routers.alive().map(|(&router, _)| router).chain(legacy)
     }
 
-    /// Records that gossip of other mechanisms came from this address. Returns whether the gossip may be accepted: it
-    /// must come from a listed address or a live router. A listed router that is not in the router table runs a legacy
-    /// version.
+    /// Records that gossip of other parts of the router (not about membership) came from this address. Returns whether
+    /// the gossip may be accepted: it must come from a listed address or a live router. A listed router that is not in
+    /// the router table runs a legacy version.
     pub fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.senders.record_legacy_gossip(now, from) || self.routers.is_alive(from)
     }
--- a/crates/ladderpass-membership/src/message.rs
+++ b/crates/ladderpass-membership/src/message.rs
@@ -7,7 +7,7 @@
 use crate::router_state::{Incarnation, State, StateUpdate};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-/// The first byte of each datagram. Legacy gossip never starts with it.
+/// The first byte of each datagram. Legacy gossip never starts with this byte.
 pub const FIRST_BYTE: u8 = b'!';
 const VERSION: u8 = 1;
 
@@ -64,7 +64,7 @@
     pub sender_state: StateUpdate,
     /// The states of other routers.
     pub updates: Vec<StateUpdate>,
-    /// Opaque payload of another mechanism. It is empty if there is none.
+    /// Opaque payload of another part of the router, empty if there is no payload.
     pub piggyback: Vec<u8>,
 }
 
--- a/crates/ladderpass-membership/src/router_hash.rs
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -5,7 +5,7 @@
 const VIEW_SALT: u64 = 0;
 const ROUTER_HASH_SALT: u64 = 1;
 
-/// The id with which other mechanisms refer to a router.
+/// The id by which other parts of the router, outside of this package, refer to a router.
 pub fn router_hash(router: SocketAddr) -> u32 {
     salted_hash(router, ROUTER_HASH_SALT)
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -42,7 +42,7 @@
 pub enum Change {
     /// The router was not known before.
     Joined,
-    /// A probe of the router failed, at this router or another one.
+    /// A probe of the router by this router or another one failed.
     Suspected,
     /// The router refuted a suspicion, or has returned.
     Refuted,
@@ -83,7 +83,7 @@
     digest: u32,
 }
 
-/// All known routers except this one.
+/// All known routers except this router.
 pub(crate) struct RouterTable {
     local: SocketAddr,
     routers: BTreeMap<SocketAddr, KnownRouter>,
@@ -369,7 +369,7 @@
             .retain(|_, known| !known.state.is_dead_or_left() || now - known.liveness_changed_at < max_age);
     }
 
-    /// Returns a live router in the form that other mechanisms use.
+    /// Returns a live router in the form that other parts of the router use.
     pub fn peer(&self, now: Time, router: SocketAddr) -> Option<Peer> {
         let known = self.routers.get(&router).filter(|known| !known.state.is_dead_or_left())?;
         let confidence = match &known.suspicion {
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -37,7 +37,8 @@
         self.listed.iter().map(|listed| listed.address)
     }
 
-    /// Whether a router at this address may participate even if it is not in the router table.
+    /// Whether a router at this address may take part in the membership protocol even if that router is not in the
+    /// router table.
     pub fn is_configured(&self, router: SocketAddr) -> bool {
         self.listed().any(|address| address == router)
             || self.networks.iter().any(|network| network.contains(router.ip()))
--- a/crates/ladderpass-membership/src/settings.rs
+++ b/crates/ladderpass-membership/src/settings.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Deliberate faults that the tests must detect. No release can switch them on.
+/// Deliberate faults that the tests must detect. No release can switch these faults on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
     /// No fault.
--- a/crates/ladderpass-membership/src/updates.rs
+++ b/crates/ladderpass-membership/src/updates.rs
@@ -52,7 +52,7 @@
         }
         let Some(update) = self.routers.state_update(router) else { return };
         if matches!(change, Change::Suspected | Change::Died) {
-            // The router that the update is about must learn of it, so that it can refute.
+            // The router that the update is about must learn of the suspicion or death, so that it can refute.
             self.gossip_change_to_subject(now, update);
         } else {
             self.gossip_change(now, update);
--- a/crates/ladderpass-membership/src/view.rs
+++ b/crates/ladderpass-membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The view of which routers are alive, in the form that other mechanisms use.
+//! The view of which routers are alive, in the form in which other parts of the router use the view.
 
 use crate::router_hash::view_hash;
 use crate::router_state::State;
@@ -29,7 +29,7 @@
         senders: &Senders,
         settings: &Settings,
     ) -> View {
-        // With this deliberate fault, routers that are dead or have left are counted too.
+        // With the deliberate fault `CountsDeadRouters`, routers that are dead or have left are counted too.
         let counts_dead_routers = settings.faulty == Faulty::CountsDeadRouters;
         let counted = || {
             let routers =
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -46,12 +46,12 @@
     datagrams_sent: u64,
     /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Whether the link from the first router to the second is cut.
+    /// A function of the indexes of two routers: whether the link from the first of them to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
     /// The longest time for which a router counted a running one as dead, among the false deaths that have ended.
     longest_false_death: Span,
-    /// How often a router counted a running one as dead.
+    /// How often a router counted a running router as dead.
     pub false_death_count: usize,
     pub settings: Settings,
     /// Milliseconds that are added to the wall clock when a router starts. The number increases by one with each start,
@@ -130,7 +130,7 @@
         });
     }
 
-    /// Starts a new process at the same address.
+    /// Starts a new process of a router, at the address of the router's previous process.
     pub fn restart(&mut self, index: usize) {
         self.routers[index].membership = self.start_membership(index);
         (self.routers[index].process, self.routers[index].wake_at) = (Process::Running, self.now);
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Runs step by step, and after each step copies the datagrams from this router that are in transit. Returns their
-    /// receivers and bytes.
+    /// Runs the simulation step by step, and after each step copies the datagrams from this router that are in transit.
+    /// Returns their receivers and bytes.
     pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
         let mut captured = Vec::new();
         for _ in 0..steps {
@@ -259,7 +259,7 @@
         self.running().into_iter().all(|index| self.alive_at(index) == running)
     }
 
-    /// Runs until the cluster has converged, for at most `timeout`. Returns how long that took.
+    /// Runs the simulation until the cluster has converged, for at most `timeout`. Returns how long the simulation ran.
     pub fn run_until_converged(&mut self, timeout: Span) -> Span {
         let started = self.now;
         while !self.has_converged() && self.now - started < timeout {
@@ -303,7 +303,8 @@
         detected
     }
 
-    /// Runs for this time. Returns the datagrams and bytes that each running router has sent per second on average.
+    /// Runs the simulation for this time. Returns the datagrams and bytes that each running router has sent per second
+    /// on average.
     pub fn load(&mut self, span: Span) -> (f64, f64) {
         let sum = |sim: &Simulation| {
             let counts = sim.running().into_iter().map(|index| sim.routers[index].membership.counts());
--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -1,12 +1,13 @@
 //! The CPU time that work costs this router, learnt from its traffic by recursive least squares with forgetting.
 //!
-//! Each iteration of the event loop gives one equation: its busy time is the sum of RPCs served, RPCs rejected and KiB
-//! moved, each times its cost. The initial costs are estimates, which the first few hundred RPCs replace.
+//! Each iteration of the event loop gives one equation: the iteration's busy time is the sum of RPCs served, RPCs
+//! rejected and KiB of statements and responses, each multiplied by its cost. The initial costs are estimates, which
+//! the first few hundred RPCs replace.
 
 use ladderpass_routing::Span;
 
-/// The number of features that have a cost: RPCs served, RPCs rejected and KiB moved. The constants below are their
-/// indexes.
+/// The number of features that have a cost: RPCs served, RPCs rejected and KiB of statements and responses. The
+/// constants `SERVED`, `REJECTED` and `KIB` are the indexes of the features.
 const FEATURES: usize = 3;
 const SERVED: usize = 0;
 const REJECTED: usize = 1;
@@ -16,12 +17,13 @@
 const INITIAL_COST_SECS: [f64; FEATURES] = [20e-6, 7e-6, 0.5e-6];
 const MIN_COST_SECS: f64 = 0.05e-6;
 const MAX_COST_SECS: f64 = 0.01;
-/// Each new iteration multiplies the weight of the earlier ones by this factor.
+/// Each new iteration of the event loop multiplies the weight of the earlier iterations by this factor.
 const FORGETTING_FACTOR: f64 = 0.998;
-/// Weight of one iteration in the moving average of the size of an RPC.
+/// Weight of one iteration of the event loop in the moving average of the size of an RPC.
 const MEAN_KIB_WEIGHT: f64 = 0.05;
-/// Variances of the initial costs, by feature. Later variances never exceed them. The variance of the cost of a KiB is
-/// the smallest, so that time is attributed to RPCs where it can't be told whether RPCs or their bytes took it.
+/// Variances of the initial costs, by feature. Later variances never exceed the initial ones. The variance of the cost
+/// of a KiB is the smallest, so that time is attributed to RPCs where it can't be told whether RPCs or their bytes took
+/// it.
 const INITIAL_VARIANCE: [f64; FEATURES] = [0.05, 0.05, 0.002];
 /// The least variance of a cost. It keeps the diagonal of the covariance matrix positive.
 const MIN_VARIANCE: f64 = 1e-9;
@@ -54,7 +56,7 @@
     /// The cost of one unit of each feature, in seconds.
     costs: [f64; FEATURES],
     covariance: [[f64; FEATURES]; FEATURES],
-    /// Moving average of the KiB that a served RPC moves.
+    /// Moving average of the size of a served RPC's statement and response, in KiB.
     mean_kib: f64,
 }
 
@@ -102,7 +104,8 @@
         }
         for (i, row) in self.covariance.iter_mut().enumerate() {
             for (j, value) in row.iter_mut().enumerate() {
-                // Without a limit, forgetting would let a value grow endlessly while its kind of work does not occur.
+                // Without a limit, forgetting would let a value of the covariance matrix grow endlessly while the
+                // value's kind of work does not occur.
                 let max = (INITIAL_VARIANCE[i] * INITIAL_VARIANCE[j]).sqrt();
                 *value = ((*value - gain[i] * gain[j] / innovation) / FORGETTING_FACTOR).clamp(-max, max);
             }
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Seconds that it takes to serve an RPC that moves `kib` KiB.
+    /// Seconds that it takes to serve an RPC whose statement and response have `kib` KiB together.
     pub fn serve_secs(&self, kib: f64) -> f64 {
         self.costs[SERVED] + self.costs[KIB] * kib.max(0.0)
     }
--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -10,8 +10,8 @@
 /// With fewer other active connections than this, no connection counts as exceeding its fair share.
 const MIN_OTHER_CLIENTS: f64 = 4.0;
 
-/// Recent work that one connection has sent, in the unit of [`FairShares::record`]. The caller stores it with the
-/// connection.
+/// Recent work that one connection has sent, in the unit of [`FairShares::record`]. The caller stores the usage with
+/// the connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientUsage {
     work: f64,
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -1,6 +1,6 @@
 //! The entry points of the overload control. The caller records statements, RPCs, iterations of the event loop and
-//! resource samples, and gets the overload state for each RPC, the number of connections to accept and the slow reader
-//! timeout.
+//! resource samples, and queries the overload state for each RPC, the number of connections to accept and the slow
+//! reader timeout.
 
 use crate::cost_model::{CostModel, Work};
 use crate::fair_shares::{ClientUsage, FairShares};
@@ -34,9 +34,9 @@
 pub enum OverloadEvent {
     /// The level of the pressure has changed.
     LevelChanged {
-        /// The previous level.
+        /// The previous level of the pressure.
         before: Level,
-        /// The new level.
+        /// The new level of the pressure.
         after: Level,
         /// The current pressure, from 0 to 1.
         pressure: f64,
@@ -62,8 +62,8 @@
     last_sample: ResourceSample,
     /// Smoothed share of the allowed CPU time that this process used.
     cpu_share: f64,
-    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, because other processes had
-    /// it or a CPU quota was used up.
+    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, because other processes used
+    /// the CPU or a CPU quota was used up.
     stolen_share: f64,
     admission_threshold: f64,
     events: Vec<OverloadEvent>,
@@ -195,11 +195,13 @@
         client: &mut ClientUsage,
     ) {
         self.priorities.record(now, priority, state.cost_secs);
-        // The work is recorded in RPCs of mean cost, so that its unit does not change with the learnt costs.
+        // The work is recorded in RPCs of mean cost, so that the unit of the work does not change with the learnt
+        // costs.
         self.shares.record(now, client, state.cost_secs / self.costs.mean_serve_secs());
     }
 
-    /// Records that an RPC of this method was answered. `bytes` is the length of its statement and its response.
+    /// Records that an RPC of this method was answered. `bytes` is the total length of the RPC's statement and
+    /// response.
     pub fn record_served(&mut self, now: Time, method: u32, bytes: usize) {
         let kib = bytes as f64 / BYTES_PER_KIB;
         if let Some(window) = self.method_kib.get_mut(method as usize) {
@@ -253,7 +255,7 @@
         self.settings.sample_interval
     }
 
-    /// Returns and clears the events since the last call.
+    /// Returns and clears the overload events since the last call.
     pub fn take_events(&mut self) -> Vec<OverloadEvent> {
         std::mem::take(&mut self.events)
     }
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -50,10 +50,10 @@
     }
 }
 
-/// A summary of the pressure for operators. No decision depends on it.
+/// A summary of the pressure for operators. No decision depends on the level.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Nothing is shed.
+    /// Few RPCs are shed, or none.
     #[default]
     Calm,
     /// Some RPCs of low priority are shed.
@@ -166,7 +166,7 @@
         self.smoothed[gauge as usize]
     }
 
-    /// The current level.
+    /// The current level of the pressure.
     pub fn level(&self) -> Level {
         self.level
     }
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -9,7 +9,7 @@
 const INITIAL_STATEMENT_BYTES: f64 = 128.0;
 /// Weight of one statement in the moving average of the statements' length.
 const MEAN_LENGTH_WEIGHT: f64 = 0.01;
-/// The measured mean wait is multiplied by this factor before it is compared with the predicted wait.
+/// The measured mean wait of statements is multiplied by this factor before it is compared with the predicted wait.
 const MEASURED_WAIT_WEIGHT: f64 = 0.5;
 
 /// The current mean costs of an RPC in seconds, and the share of RPCs that are rejected.
@@ -19,7 +19,8 @@
     pub rejected_share: f64,
 }
 
-/// The waits measured in the current iteration, and the delay computed at the end of the previous one.
+/// The waits of statements measured in the current iteration of the event loop, and the queueing delay computed at the
+/// end of the previous iteration.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueingDelay {
     /// How many statements were handled in the current iteration of the event loop.
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -20,8 +20,8 @@
 }
 
 impl ResourceSample {
-    /// Share of the wall clock time in which the process was runnable and had no core, because another process had it
-    /// or a CPU quota was used up.
+    /// Share of the wall clock time in which the process was runnable and had no core, because another process used the
+    /// core or a CPU quota was used up.
     pub fn stolen_share(&self) -> f64 {
         let stolen = (self.busy - self.cpu).secs().max(0.0);
         if self.wall <= Span::ZERO { 0.0 } else { (stolen / self.wall.secs()).min(1.0) }
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -1,5 +1,5 @@
 //! The settings of the overload control that an operator can change, and their defaults. The package that reads the
-//! operator's file parses and checks them.
+//! operator's file parses and checks the settings.
 
 use ladderpass_routing::Span;
 
@@ -17,9 +17,9 @@
 /// what is allowed for the resources.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
-    /// Up to this value there is no pressure.
+    /// Up to this value of the gauge there is no pressure from the gauge.
     pub from: f64,
-    /// From this value on the pressure is full.
+    /// From this value of the gauge on, the pressure from the gauge is full (1).
     pub full: f64,
 }
 
@@ -78,7 +78,7 @@
     pub slow_reader_timeout: Span,
     /// The most bytes of unread responses that one client may have.
     pub slow_reader_bytes: usize,
-    /// How often the resource usage is sampled.
+    /// Interval between two samples of the process's resource usage.
     pub sample_interval: Span,
 }
 
--- a/crates/ladderpass-overload/tests/governor/shedding.rs
+++ b/crates/ladderpass-overload/tests/governor/shedding.rs
@@ -25,7 +25,7 @@
     assert_eq!(reads.sent, reads.served_in_time, "all reads are served again two seconds after the surge");
     let reads = sim.sum(READ, 5, 35).served_in_time;
     assert!(f64::from(reads) > 0.5 * 30.0 / SERVE_SECS, "reads served with the remaining capacity: {reads}");
-    // Without the governor the queue grows past every client's timeout.
+    // Without the governor, RPCs wait in the queue for longer than the timeout of every client.
     let mut sim = Simulation::new(false, 200, 1);
     sim.run(40.0, surge, mixed_request);
     let writes = sim.sum(WRITE, 5, 35);
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -1,4 +1,5 @@
-//! The retry budget of all routers, computed from their rates, and this router's quota of it.
+//! The retry budget of all routers, computed from the routers' rates of first attempts and retries, and this router's
+//! quota of that budget.
 
 use crate::rates::{RetryRates, WeightedRates};
 
