--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -1,8 +1,8 @@
 //! How many RPCs all routers together may have in flight at each member, and this router's quota of them.
 //!
-//! A member's capacity follows a gradient: it shrinks with the ratio of the member's latency to the typical one, grows
-//! by its square root while it is in use, and follows the median of all routers' estimates. The quota is this router's
-//! share of the offered load.
+//! A member's capacity follows a gradient: the capacity shrinks with the ratio of the member's latency to the typical
+//! latency, grows by the capacity's square root while the capacity is in use, and follows the median of all routers'
+//! estimates. The quota is this router's share of the offered load.
 
 use crate::consensus::move_towards_median;
 use crate::peer_reports::WeightedReport;
@@ -20,8 +20,8 @@
 /// A member's latency ratio is multiplied by one plus this factor times the share of the RPCs that failed. Failures
 /// count because a member with a short queue rejects RPCs and never answers slowly.
 const FAILURE_LATENCY_WEIGHT: f64 = 10.0;
-/// A capacity grows only while the RPCs in flight, times this factor, fill it. If an unused capacity grew, a burst
-/// could fill it at once.
+/// A member's capacity grows only while the RPCs in flight, times this factor, fill the capacity. If an unused capacity
+/// grew, a burst could fill the grown capacity at once.
 const USED_MARGIN: f64 = 1.25;
 /// One step moves a member's capacity by this share of the difference between the target and the capacity.
 const CAPACITY_STEP: f64 = 0.3;
@@ -83,8 +83,8 @@
     load.id_hash as u16
 }
 
-/// This router's estimates of a member after a step, from this router's load there and the others' reports. `scale` is
-/// the ratio of all live routers to those that reported.
+/// This router's estimates of a member after a step, from this router's load at the member and the other routers'
+/// reports. `scale` is the ratio of the number of all live routers to the number of routers that reported.
 pub(crate) fn estimate_member(
     previous: Option<&MemberReport>,
     load: &MemberLoad,
--- a/crates/ladderpass-admission/src/consensus.rs
+++ b/crates/ladderpass-admission/src/consensus.rs
@@ -1,8 +1,8 @@
 //! How a router's own estimate follows the estimates of the other routers.
 
 /// In each step an estimate moves by this share of its distance to the median. The share is large enough to keep the
-/// estimates of all routers close to each other. It is well below 1 because the reports of others are some steps old,
-/// so that each router mainly continues from its own estimate.
+/// estimates of all routers close to each other. The share is well below 1 because the reports of other routers are
+/// some steps old, so that each router mainly continues from its own estimate.
 const CONSENSUS_WEIGHT: f64 = 0.2;
 
 /// The upper median, or 0 if there are no values. Sorts the values.
--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -1,8 +1,9 @@
 //! The entry points of the shared admission control. The caller records this router's RPCs and passes in the reports of
-//! other routers, and gets reports to send, thresholds and limits.
+//! other routers. The controller returns reports to send, thresholds and limits.
 //!
 //! Each router computes its thresholds for itself, by the same rules from the same reports. A report counts while it is
-//! recent and its router is alive, and only up to a limit. A router that receives too few reports keeps its quota.
+//! recent and its router is alive, and only up to a multiple of the typical load. A router that receives too few
+//! reports keeps its quota.
 
 use crate::capacity::MemberLimits;
 use crate::faulty::Faulty;
@@ -16,10 +17,11 @@
 
 /// Length of a step. Thresholds and limits are computed and new reports are made once a step.
 const STEP: Span = Span::from_millis(250);
-/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of others.
+/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of other
+/// routers.
 const MAX_OWN_REPORTS: usize = 4;
-/// Each bundle begins this many reports after the beginning of the previous one, so that reports that do not fit
-/// into one bundle can go into a later one.
+/// Each bundle begins this many reports after the beginning of the previous bundle, so that reports that do not fit
+/// into one bundle can go into a later bundle.
 const BUNDLE_ROTATION: usize = 3;
 
 /// The shared admission control, as one router computes it.
@@ -35,7 +37,7 @@
 }
 
 impl AdmissionController {
-    /// Starts without groups or reports. `own` is the id by which the other routers identify this one.
+    /// Starts without groups or reports. `own` is the id by which the other routers identify this router.
     pub fn start(now: Time, own: u32, faulty: Faulty) -> AdmissionController {
         AdmissionController {
             own_router: own,
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Encodes a bundle to send: reports of this router first, then those of others, as many as fit into `max_bytes`.
+    /// Encodes a bundle to send: reports of this router first, then reports of other routers, as many as fit into
+    /// `max_bytes`.
     pub fn encode_reports(&mut self, now: Time, max_bytes: usize) -> Vec<u8> {
         let mut bytes = vec![REPORT_VERSION];
         let groups: Vec<u32> = self.groups.keys().copied().collect();
--- a/crates/ladderpass-admission/src/faulty.rs
+++ b/crates/ladderpass-admission/src/faulty.rs
@@ -1,6 +1,6 @@
 //! Deliberate faults that the tests must detect.
 
-/// A deliberate fault. No release build can enable one.
+/// A deliberate fault. No release build can enable a deliberate fault.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
     /// No fault.
--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -1,5 +1,5 @@
-//! The execution log: which statements ran at which member, as the members observed it. Checkers compare it with what
-//! clients received. Neither the model nor a router bases a decision on it.
+//! The execution log: which statements ran at which member, as the members observed the execution. Checkers compare the
+//! log with what clients received. Neither the model nor a router bases a decision on the log.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
@@ -9,7 +9,7 @@
 pub struct Execution {
     /// When the attempt began to run.
     pub at: Time,
-    /// Index of the member.
+    /// Index of the member that began to run the attempt.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
@@ -26,7 +26,7 @@
 pub struct Arrival {
     /// When the attempt arrived, or when it expired in the member's queue.
     pub at: Time,
-    /// Index of the member.
+    /// Index of the member at which the attempt arrived.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -230,7 +230,7 @@
         self.write(index);
     }
 
-    /// Passes a connection's complete requests to the model, and returns how many bytes of `input` they took.
+    /// Passes a connection's complete requests to the model, and returns how many bytes of `input` these requests took.
     fn handle_requests(&mut self, index: usize, member: u32, input: &[u8]) -> usize {
         let id = self.connection_id(index);
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
@@ -332,7 +332,7 @@
             Reply::Row { id, method, primary, position } => {
                 let method = self.shared.scenario.methods.get(method as usize);
                 let (size, writes) = method.map_or((0, false), |method| (method.value_bytes, method.writes));
-                // The value begins with the RPC's id, so that a client can check for which RPC it was made.
+                // The value begins with the RPC's id, so that a client can check for which RPC the value was made.
                 let mut value = id.into_string().into_bytes();
                 value.resize(size.max(value.len()), b'.');
                 proto::put_row(out, &value, writes, primary, Some(position));
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -86,7 +86,7 @@
         self.log.apply_until(now);
         let reached = match self.log.pending.front() {
             _ if self.primary => now,
-            // The data includes everything before the first pending commit, so the position is just before it.
+            // The data includes everything before the first pending commit, so the position is just before that commit.
             Some(commit) => (commit.committed_at - Span::from_nanos(1)).min(now - transfer_time),
             None => now - transfer_time,
         };
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -51,7 +51,7 @@
 }
 
 /// Appends a result of one row with one column, followed by ParameterStatus messages with the member's role and, if
-/// given, its position in milliseconds, and by ReadyForQuery.
+/// given, the member's position in milliseconds, and by ReadyForQuery.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8], writes: bool, primary: bool, position: Option<Time>) {
     put_message(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
     put_message(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -74,8 +74,8 @@
         } else if fleet.has_enough_reports() {
             own_quota
         } else {
-            // With too few reports, the new quota exceeds neither the previous quota nor the ratio of this router's own
-            // first attempts.
+            // With too few reports, the new quota exceeds neither the previous quota nor the ratio times the rate of
+            // this router's own first attempts.
             self.quota.min(ratio * fleet.own.first_attempts)
         };
         self.balance = (self.balance + self.quota * secs).min(self.max_balance());
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -2,8 +2,8 @@
 
 /// Weight of the latest step's counts in the moving averages of the rates.
 const COUNT_WEIGHT: f64 = 0.4;
-/// A step that is shorter than this number of seconds counts as one of this length, since the counts of a shorter step
-/// are too low to compute a rate from.
+/// A step that is shorter than this number of seconds counts as a step of this length, since the counts of a shorter
+/// step are too low to compute a rate from.
 const MIN_STEP_SECS: f64 = 0.05;
 
 /// The rates that a router reports of a group, in attempts a second, or the counts of attempts in a step.
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// A load that is unevenly spread over the routers.
+/// Returns the first attempts a second of each of `count` routers, unevenly spread, with the sum `total`.
 fn uneven_load(count: usize, total: f64) -> Vec<f64> {
     let weight_sum: f64 = (1..=count).map(|index| index as f64).sum();
     (1..=count).map(|index| total * index as f64 / weight_sum).collect()
