--- a/crates/ladderpass-membership/src/local_health.rs
+++ b/crates/ladderpass-membership/src/local_health.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that this router did not run for this long, which worsens the score by one step. Acknowledgements that
-    /// are missing from that time prove nothing, so the time does not count towards isolation.
+    /// are missing from that time prove nothing, so the time without running does not count towards isolation.
     pub fn record_stall(&mut self, stall: Span) {
         self.degrade(1);
         self.last_acknowledged_at = self.last_acknowledged_at + stall;
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -20,7 +20,7 @@
 use nanorand::{Rng, WyRand};
 use std::net::SocketAddr;
 
-/// A gap between two ticks that is longer than this many rounds counts as a stall of this router.
+/// A gap between two calls of `Membership::tick` that is longer than this many rounds counts as a stall of this router.
 const STALL_ROUNDS: f64 = 1.6;
 /// Maximum number of received piggybacked payloads that are stored for `Membership::take_piggybacked`.
 const MAX_RECEIVED_PIGGYBACKS: usize = 64;
--- a/crates/ladderpass-membership/src/peer_selection.rs
+++ b/crates/ladderpass-membership/src/peer_selection.rs
@@ -21,7 +21,7 @@
 
 impl Membership {
     /// Returns the live router to probe next, which has no probe in flight. Routers are returned in random order, and
-    /// the order is shuffled again once each router has had its turn.
+    /// the order is shuffled again once each router has had its turn. Returns `None` if no router can be probed now.
     pub(crate) fn next_probe_target(&mut self) -> Option<SocketAddr> {
         loop {
             let Some(router) = self.probe_order.pop() else {
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -26,8 +26,8 @@
 fn replayed_datagrams_and_datagrams_of_unknown_senders_do_not_change_the_view() {
     let mut sim = Simulation::new(13, Settings::default());
     (0..4).for_each(|_| sim.join());
-    // The datagrams of router 3 are captured. After its death they are replayed from its own address, from an unknown
-    // address and from the address of another router.
+    // The datagrams of router 3 are captured. After the death of router 3 they are replayed from that router's own
+    // address, from an unknown address and from the address of another router.
     let captured = sim.run_and_capture(address(3), 400);
     sim.run_until_converged(ms(3000));
     sim.kill(&[3], ms(8000));
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -49,7 +49,7 @@
     /// A function of the indexes of two routers: whether the link from the first of them to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
-    /// The longest time for which a router counted a running one as dead, among the false deaths that have ended.
+    /// The longest time for which a router counted a running router as dead, among the false deaths that have ended.
     longest_false_death: Span,
     /// How often a router counted a running router as dead.
     pub false_death_count: usize,
@@ -231,7 +231,8 @@
         }
     }
 
-    /// The longest time for which a router counted a running one as dead, including false deaths that have not ended.
+    /// The longest time for which a router counted a running router as dead, including false deaths that have not
+    /// ended.
     pub fn longest_false_death(&self) -> Span {
         let pending = self.routers.iter().filter(|router| router.process == Process::Running);
         let pending = pending.flat_map(|router| router.false_deaths.iter());
