--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -1,8 +1,9 @@
 //! The entry points of the shared admission control. The caller records this router's RPCs and passes in the reports of
-//! other routers, and gets reports to send, thresholds and limits.
+//! other routers. The controller returns reports to send, thresholds and limits.
 //!
 //! Each router computes its thresholds for itself, by the same rules from the same reports. A report counts while it is
-//! recent and its router is alive, and only up to a limit. A router that receives too few reports keeps its quota.
+//! recent and its router is alive, and only up to a multiple of the typical load. A router that receives too few
+//! reports keeps its quota.
 
 use crate::capacity::MemberLimits;
 use crate::faulty::Faulty;
@@ -16,10 +17,11 @@
 
 /// Length of a step. Thresholds and limits are computed and new reports are made once a step.
 const STEP: Span = Span::from_millis(250);
-/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of others.
+/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of other
+/// routers.
 const MAX_OWN_REPORTS: usize = 4;
-/// Each bundle begins this many reports after the beginning of the previous one, so that reports that do not fit
-/// into one bundle can go into a later one.
+/// Each bundle begins this many reports after the beginning of the previous bundle, so that reports that do not fit
+/// into one bundle can go into a later bundle.
 const BUNDLE_ROTATION: usize = 3;
 
 /// The shared admission control, as one router computes it.
@@ -29,13 +31,13 @@
     groups: BTreeMap<u32, Group>,
     reports: PeerReports,
     next_step_at: Time,
-    /// The index at which the next bundle begins, modulo the number of reports.
+    /// The index of the report with which the next bundle begins, modulo the number of reports.
     rotation: usize,
     faulty: Faulty,
 }
 
 impl AdmissionController {
-    /// Starts without groups or reports. `own` is the id by which the other routers identify this one.
+    /// Starts without groups or reports. `own` is the id by which the other routers identify this router.
     pub fn start(now: Time, own: u32, faulty: Faulty) -> AdmissionController {
         AdmissionController {
             own_router: own,
@@ -65,12 +67,12 @@
         *self.group_mut(group).counts.offered.entry(priority).or_default() += 1.0;
     }
 
-    /// Records an RPC that was served.
+    /// Records an RPC of a group that was served.
     pub fn record_served(&mut self, group: u32) {
         self.group_mut(group).counts.served += 1.0;
     }
 
-    /// Records an RPC that was admitted and that no member had capacity for.
+    /// Records an RPC of a group that was admitted and that no member had capacity for (unplaced).
     pub fn record_unplaced(&mut self, group: u32) {
         self.group_mut(group).counts.unplaced += 1.0;
     }
@@ -80,7 +82,7 @@
         self.group_mut(group).retry_rates = rates;
     }
 
-    /// The rates of first attempts and retries that the others report of a group.
+    /// The rates of first attempts and retries that the other routers report of a group.
     pub fn peer_retry_rates(&self, now: Time, group: u32) -> impl Iterator<Item = WeightedRates> {
         let reports = self.reports.of_group(now, group);
         reports.map(|WeightedReport { report, weight }| WeightedRates { rates: report.retry_rates, weight })
@@ -91,7 +93,8 @@
         self.reports.alive_count()
     }
 
-    /// The admission threshold of a group. An unknown group has none, and all its RPCs are admitted.
+    /// The admission threshold of a group. An unknown group has no threshold, and all RPCs of such a group are
+    /// admitted.
     pub fn threshold(&self, group: u32) -> GroupThreshold {
         if self.faulty == Faulty::IgnoresThreshold {
             return GroupThreshold::default();
@@ -111,7 +114,8 @@
         }
     }
 
-    /// Encodes a bundle to send: reports of this router first, then those of others, as many as fit into `max_bytes`.
+    /// Encodes a bundle to send: reports of this router first, then reports of other routers, as many as fit into
+    /// `max_bytes`.
     pub fn encode_reports(&mut self, now: Time, max_bytes: usize) -> Vec<u8> {
         let mut bytes = vec![REPORT_VERSION];
         let groups: Vec<u32> = self.groups.keys().copied().collect();
@@ -133,7 +137,7 @@
         let factor = if self.faulty == Faulty::ReportsTenfold { 10.0 } else { 1.0 };
         let offered = group.rates.offered.iter().rev();
         let offered = offered.map(|(&priority, &rate)| OfferedRate { priority, per_second: rate * factor });
-        // If there are more members than fit, successive reports list different ones in turn.
+        // If the group has more members than fit into a report, successive reports list different members in turn.
         let count = group.members.len();
         let first = if count > MAX_MEMBERS { usize::from(self.sequence) * MAX_MEMBERS % count } else { 0 };
         let members = group.members.values().cycle().skip(first).take(count.min(MAX_MEMBERS));
--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -1,5 +1,5 @@
-//! The execution log: which statements ran at which member, as the members observed it. Checkers compare it with what
-//! clients received. Neither the model nor a router bases a decision on it.
+//! The execution log: which statements ran at which member, as the members observed the execution. Checkers compare the
+//! log with what clients received. Neither the model nor a router bases a decision on the log.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
@@ -9,7 +9,7 @@
 pub struct Execution {
     /// When the attempt began to run.
     pub at: Time,
-    /// Index of the member.
+    /// Index of the member that began to run the attempt.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
@@ -26,17 +26,17 @@
 pub struct Arrival {
     /// When the attempt arrived, or when it expired in the member's queue.
     pub at: Time,
-    /// Index of the member.
+    /// Index of the member at which the attempt arrived.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
-    /// Position of the member's data at that time.
+    /// Position of the member's data when the attempt arrived or expired.
     pub position: Time,
     /// Whether the member rejected the attempt, which then never runs.
     pub rejected: bool,
 }
 
-/// The observations of all members in one run.
+/// The observations of all members in one run of the emulator.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     /// Every attempt that began to run.
@@ -47,9 +47,9 @@
     /// Every health check that arrived, as its time and the member's index, recorded only if the scenario's `history`
     /// is on.
     pub health_checks: Vec<(Time, u32)>,
-    /// Number of attempts rejected because the queue was full.
+    /// Number of attempts that members rejected because the member's queue was full.
     pub rejected: u64,
-    /// Number of attempts that expired in the queue.
+    /// Number of attempts that expired in a member's queue.
     pub expired: u64,
 }
 
--- a/crates/ladderpass-membership/src/router_hash.rs
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -5,7 +5,7 @@
 const VIEW_SALT: u64 = 0;
 const ROUTER_HASH_SALT: u64 = 1;
 
-/// The id with which other mechanisms refer to a router.
+/// The id by which other parts of the router, outside of this package, refer to a router.
 pub fn router_hash(router: SocketAddr) -> u32 {
     salted_hash(router, ROUTER_HASH_SALT)
 }
@@ -15,7 +15,7 @@
     salted_hash(router, VIEW_SALT)
 }
 
-/// The id with which a suspicion refers to a router that suspects.
+/// The id by which a suspicion names a router that has the suspicion.
 pub(crate) fn suspecting_router_id(router: SocketAddr) -> u16 {
     salted_hash(router, VIEW_SALT) as u16
 }
--- a/crates/ladderpass-membership/tests/model/incarnations.rs
+++ b/crates/ladderpass-membership/tests/model/incarnations.rs
@@ -1,4 +1,4 @@
-//! Restarts, replayed datagrams and late refutations.
+//! Tests of restarted routers, replayed datagrams and late refutations.
 
 use crate::simulation::{Process, STEP, Simulation, address, ms};
 use ladderpass_membership::Settings;
@@ -26,8 +26,8 @@
 fn replayed_datagrams_and_datagrams_of_unknown_senders_do_not_change_the_view() {
     let mut sim = Simulation::new(13, Settings::default());
     (0..4).for_each(|_| sim.join());
-    // The datagrams of router 3 are captured. After its death they are replayed from its own address, from an unknown
-    // address and from the address of another router.
+    // The datagrams of router 3 are captured. After the death of router 3 they are replayed from that router's own
+    // address, from an unknown address and from the address of another router.
     let captured = sim.run_and_capture(address(3), 400);
     sim.run_until_converged(ms(3000));
     sim.kill(&[3], ms(8000));
@@ -51,11 +51,11 @@
 }
 
 /// A router whose datagrams are late is suspected, refutes the suspicion and is confirmed dead. Its refutations arrive
-/// only after that.
+/// only after the confirmed death.
 #[test]
 fn a_late_refutation_does_not_revive_a_dead_router() {
     let mut sim = Simulation::converged(16, 6);
-    // No datagram from router 4 arrives, and all of them are captured.
+    // All datagrams from router 4 are captured, and none of them arrives.
     sim.is_cut = Box::new(|from, _| from == 4);
     let mut captured: Vec<(SocketAddr, Vec<u8>)> = Vec::new();
     for _ in 0..200 {
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -23,7 +23,7 @@
     wake_at: Time,
     /// Senders and bytes of the datagrams that arrived while the process was frozen.
     socket_buffer: Vec<Datagram>,
-    /// Running routers that this router counts as dead, and the time since which it does.
+    /// Running routers that this router counts as dead, and since when this router counts each of them as dead.
     false_deaths: BTreeMap<usize, Time>,
     pub false_death_count: usize,
     /// Receivers and bytes of the datagrams that this router sent and that were lost.
@@ -46,16 +46,16 @@
     datagrams_sent: u64,
     /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Whether the link from the first router to the second is cut.
+    /// A function of the indexes of two routers: whether the link from the first of them to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
-    /// The longest time for which a router counted a running one as dead, among the false deaths that have ended.
+    /// The longest time for which a router counted a running router as dead, among the false deaths that have ended.
     longest_false_death: Span,
-    /// How often a router counted a running one as dead.
+    /// How often a router counted a running router as dead.
     pub false_death_count: usize,
     pub settings: Settings,
-    /// Added to the wall clock when a router starts, in milliseconds. It increases by one with each start, so that the
-    /// start times differ.
+    /// Milliseconds that are added to the wall clock when a router starts. The number increases by one with each start,
+    /// so that the start times differ.
     pub start_clock_offset_ms: i64,
 }
 
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Returns a cluster of `count` routers that has had 8 s to converge. The first three routers are listed at each.
+    /// Returns a cluster of `count` routers that has had 8 s to converge. Each router has the first three routers as
+    /// its listed addresses.
     pub fn converged(seed: u64, count: usize) -> Simulation {
         let mut sim = Simulation::new(seed, Settings::default());
         (0..count).for_each(|_| sim.join());
@@ -129,7 +130,7 @@
         });
     }
 
-    /// Starts a new process at the same address.
+    /// Starts a new process of a router, at the address of the router's previous process.
     pub fn restart(&mut self, index: usize) {
         self.routers[index].membership = self.start_membership(index);
         (self.routers[index].process, self.routers[index].wake_at) = (Process::Running, self.now);
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Runs step by step, and after each step copies the datagrams from this router that are in transit. Returns their
-    /// receivers and bytes.
+    /// Runs the simulation step by step, and after each step copies the datagrams from this router that are in transit.
+    /// Returns their receivers and bytes.
     pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
         let mut captured = Vec::new();
         for _ in 0..steps {
@@ -230,7 +231,8 @@
         }
     }
 
-    /// The longest time for which a router counted a running one as dead, including false deaths that have not ended.
+    /// The longest time for which a router counted a running router as dead, including false deaths that have not
+    /// ended.
     pub fn longest_false_death(&self) -> Span {
         let pending = self.routers.iter().filter(|router| router.process == Process::Running);
         let pending = pending.flat_map(|router| router.false_deaths.iter());
@@ -242,7 +244,7 @@
         (0..self.routers.len()).filter(|&index| self.routers[index].process == Process::Running).collect()
     }
 
-    /// The routers that this one counts as alive, including itself.
+    /// The routers that the given router counts as alive, including itself.
     pub fn alive_at(&self, index: usize) -> Vec<SocketAddr> {
         let mut alive: Vec<_> =
             self.routers[index].membership.peers(self.now).map(|peer| peer.address).collect();
@@ -258,7 +260,7 @@
         self.running().into_iter().all(|index| self.alive_at(index) == running)
     }
 
-    /// Runs until the cluster has converged, for at most `timeout`. Returns how long that took.
+    /// Runs the simulation until the cluster has converged, for at most `timeout`. Returns how long the simulation ran.
     pub fn run_until_converged(&mut self, timeout: Span) -> Span {
         let started = self.now;
         while !self.has_converged() && self.now - started < timeout {
@@ -302,7 +304,8 @@
         detected
     }
 
-    /// Runs for this time. Returns the datagrams and bytes that each running router has sent per second on average.
+    /// Runs the simulation for this time. Returns the datagrams and bytes that each running router has sent per second
+    /// on average.
     pub fn load(&mut self, span: Span) -> (f64, f64) {
         let sum = |sim: &Simulation| {
             let counts = sim.running().into_iter().map(|index| sim.routers[index].membership.counts());
