--- a/crates/ladderpass/tests/common/fake_servers.rs
+++ b/crates/ladderpass/tests/common/fake_servers.rs
@@ -1,8 +1,8 @@
 //! A router process on loopback, with fake members and a fake discovery that run as threads of the test.
 
 use super::{
-    empty_query_response, next_frame, now_ms, query, router_address, router_config, row, startup, temp_file,
-    welcome,
+    empty_query_response, next_frame, now_ms, query, router_address, router_config, row, startup,
+    startup_response, temp_file,
 };
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -52,7 +52,7 @@
     let mut rest = vec![0; u32::from_be_bytes(length) as usize - 4];
     stream.read_exact(&mut rest).ok()?;
     thread::sleep(wait);
-    stream.write_all(&welcome()).ok()?;
+    stream.write_all(&startup_response()).ok()?;
     loop {
         let (kind, body) = next_frame(&mut stream)?;
         assert_eq!(kind, b'Q');
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -179,7 +179,7 @@
 }
 
 /// A member's answer to a startup message.
-pub fn welcome() -> Vec<u8> {
+pub fn startup_response() -> Vec<u8> {
     [frame(b'R', &[0; 4]), frame(b'S', b"a\0b\0"), frame(b'K', &[0; 8]), frame(b'Z', b"I")].concat()
 }
 
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -7,7 +7,7 @@
 
 use common::{
     empty_query_response, frames, grouped_router_config, next_frame, now_ms, query, router_address, row,
-    startup, statement, temp_file, unique_loopback_address, welcome,
+    startup, startup_response, statement, temp_file, unique_loopback_address,
 };
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::collections::HashMap;
@@ -128,7 +128,7 @@
             return true;
         }
         received.drain(..length as usize);
-        out.extend(welcome());
+        out.extend(startup_response());
     }
     let (found, used) = frames(received);
     received.drain(..used);
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -3,7 +3,7 @@
 
 use crate::common::{
     SIMULATION_START, WATCH_HEAD, chunk, empty_query_response, frames, grouped_router_config,
-    launch_with_config, query, row, startup, statement, welcome,
+    launch_with_config, query, row, startup, startup_response, statement,
 };
 use ladderpass::limits;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -322,7 +322,7 @@
         let written = self.written.entry(id).or_default();
         if written.starts_with(b"\0\0") {
             written.clear();
-            return self.schedule(NETWORK_DELAY, id, NetworkEvent::Bytes(welcome()));
+            return self.schedule(NETWORK_DELAY, id, NetworkEvent::Bytes(startup_response()));
         }
         let (answer_frames, used) = frames(written);
         written.drain(..used);
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -1,7 +1,7 @@
 //! Cancel requests over real connections.
 
-use crate::common::{cancel, cancel_key, next_frame, query, startup, welcome};
-use crate::router_harness::{PATIENCE, RouterHarness, read_answer, start_harness, write_statement};
+use crate::common::{cancel, cancel_key, next_frame, query, startup, startup_response};
+use crate::router_harness::{RouterHarness, WAIT_TIMEOUT, read_answer, start_harness, write_statement};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
@@ -17,7 +17,7 @@
 /// Sends a cancel request, and waits until its connection is closed without an answer: by then the router has handled it.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
     let mut connection = TcpStream::connect(&harness.address).expect("the router listens");
-    connection.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
     connection.write_all(&cancel(key)).expect("the router reads");
     let mut answer = Vec::new();
     connection.read_to_end(&mut answer).expect("the router closes the connection");
@@ -30,7 +30,7 @@
 fn an_rpc_cancelled_before_its_member_connection_is_established_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
     let mut client = TcpStream::connect(&harness.address).expect("the router listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
     client.write_all(&startup()).expect("the router reads");
     let key = read_cancel_key(&mut client);
     client.write_all(&query(&write_statement("gone"))).expect("the router reads");
@@ -38,7 +38,7 @@
     send_cancel_request(&harness, (key.0, key.1 ^ 1));
     send_cancel_request(&harness, key);
     assert_eq!(read_answer(&mut client), (b"EZ".to_vec(), "57014".to_owned()));
-    link.write_all(&welcome()).expect("the router reads");
+    link.write_all(&startup_response()).expect("the router reads");
     harness.idle_connections[0].push(link);
     client.write_all(&query(&write_statement("1"))).expect("the router reads");
     let (id, link) = harness.next_rpc(0);
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -1,9 +1,9 @@
 //! Thousands of clients that disconnect at the same moment.
 
 use crate::cancel_requests::{read_cancel_key, send_cancel_request};
-use crate::common::{close, error_response, query, reset, startup, statement, welcome};
+use crate::common::{close, error_response, query, reset, startup, startup_response, statement};
 use crate::router_harness::{
-    PATIENCE, RouterHarness, accept_connection_within, bind_listener, read_answer, read_startup,
+    RouterHarness, WAIT_TIMEOUT, accept_connection_within, bind_listener, read_answer, read_startup,
     start_harness_with,
 };
 use std::io::Write;
@@ -42,7 +42,7 @@
         let mut clients = Clients { streams: Vec::new(), cancel_keys: Vec::new() };
         for nth in 0..CLIENTS {
             let mut stream = TcpStream::connect(&harness.address).expect("the router listens");
-            stream.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+            stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
             let text = statement(&nth.to_string(), if nth % 2 == 0 { "write" } else { "read" }, 60_000, "1");
             stream.write_all(&[startup(), query(&text)].concat()).expect("the router reads");
             if nth % 4 == 3 || nth % 16 == 0 {
@@ -138,7 +138,7 @@
             .collect();
         for n in [1, 2] {
             for mut link in std::mem::take(&mut self.unanswered[n]) {
-                link.write_all(&welcome()).expect("the router reads");
+                link.write_all(&startup_response()).expect("the router reads");
                 harness.idle_connections[n].push(link);
             }
         }
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -1,6 +1,6 @@
 //! Clients that disconnect while their RPCs wait. None of these RPCs is forwarded.
 
-use crate::common::{close, next_frame, query, startup, welcome};
+use crate::common::{close, next_frame, query, startup, startup_response};
 use crate::router_harness::{execute, start_harness, write_statement};
 use std::io::Write;
 use std::net::TcpStream;
@@ -74,7 +74,7 @@
     let copy = copy_socket(&client);
     close(client);
     harness.settle();
-    link.write_all(&welcome()).expect("the router reads");
+    link.write_all(&startup_response()).expect("the router reads");
     harness.idle_connections[0].push(link);
     harness.assert_write_succeeds("1");
     drop(copy);
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Watches of the endpoint list that end, fall silent or move to another address, and the effects of a new list.
 
-use crate::common::{WATCH_HEAD, close, instance, query, statement, welcome};
+use crate::common::{WATCH_HEAD, close, instance, query, startup_response, statement};
 use crate::router_harness::{
     accept_connection, accept_connection_within, bind_listener, read_answer, read_watch_request,
     start_harness, write_statement,
@@ -200,7 +200,7 @@
     harness.send_listing(&draining, false);
     let (id, link) = harness.next_rpc(0);
     assert_eq!(id, "1", "the RPC goes to the primary");
-    let _ = unanswered.write_all(&welcome());
+    let _ = unanswered.write_all(&startup_response());
     let mut rest = Vec::new();
     let _ = unanswered.read_to_end(&mut rest);
     assert!(!rest.contains(&b'Q'), "the draining member gets no RPC");
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -1,7 +1,7 @@
 //! Shutdown by SIGTERM. Accepted RPCs are answered before the process ends.
 
 use crate::common::{next_frame, query, startup};
-use crate::router_harness::{PATIENCE, read_answer, start_harness, write_statement};
+use crate::router_harness::{WAIT_TIMEOUT, read_answer, start_harness, write_statement};
 use nix::sys::signal::Signal;
 use std::io::Write;
 use std::net::TcpStream;
@@ -50,7 +50,7 @@
     harness.pause();
     harness.signal(Signal::SIGTERM);
     let mut client = TcpStream::connect(&harness.address).expect("the router listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
     client
         .write_all(&[startup(), query(&write_statement("2"))].concat())
         .expect("the kernel buffers the bytes");
--- a/crates/ladderpass/tests/operator_contract/attempts.rs
+++ b/crates/ladderpass/tests/operator_contract/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: the time left that each one carries, and conditions under which no further attempt is sent.
 
-use crate::common::{close, next_frame, query, reset, statement, welcome};
+use crate::common::{close, next_frame, query, reset, startup_response, statement};
 use crate::ms;
 use crate::router_harness::{accept_connection_within, read_answer, read_startup, start_harness};
 use std::io::{Read, Write};
@@ -30,7 +30,7 @@
     close(connection);
     let mut late_connection = harness.accept_member_connection(0);
     sleep(ms(900).saturating_sub(sent.elapsed()));
-    late_connection.write_all(&welcome()).expect("the router waits for the connection");
+    late_connection.write_all(&startup_response()).expect("the router waits for the connection");
     late_connection.set_read_timeout(Some(ms(500))).expect("the socket option can be set");
     let mut received = Vec::new();
     let _ = late_connection.read_to_end(&mut received);
@@ -51,7 +51,7 @@
     let second =
         accept_connection_within(&harness.members[0], ms(1500)).expect("the router connects to the primary");
     let mut second = read_startup(second);
-    second.write_all(&welcome()).expect("the router reads");
+    second.write_all(&startup_response()).expect("the router reads");
     let (_, body) = next_frame(&mut second).expect("the member gets a query");
     let left_ms = 2000_u64.saturating_sub(sent.elapsed().as_millis() as u64);
     let wait_ms = wait_ms_of(&String::from_utf8(body).expect("UTF-8 text"));
@@ -67,7 +67,7 @@
     let mut late_connection = harness.accept_member_connection(0);
     reset(client);
     sleep(ms(100));
-    late_connection.write_all(&welcome()).expect("the router reads");
+    late_connection.write_all(&startup_response()).expect("the router reads");
     late_connection.set_read_timeout(Some(ms(300))).expect("the socket option can be set");
     let mut received = Vec::new();
     let _ = late_connection.read_to_end(&mut received);
--- a/crates/ladderpass/tests/recorded_bytes/remotes.rs
+++ b/crates/ladderpass/tests/recorded_bytes/remotes.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     WATCH_HEAD, cancel_key, chunk, empty_query_response, error_response, frame, frames, id_and_rest,
-    instance, query, row, simulated_members, startup, statement, welcome,
+    instance, query, row, simulated_members, startup, startup_response, statement,
 };
 use crate::simulation::{MEMBERS, Remote, Scheduled, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
@@ -22,7 +22,7 @@
             }
             received.drain(..length);
             *started = true;
-            self.schedule_within(router, 2, Scheduled::Bytes(id, welcome()));
+            self.schedule_within(router, 2, Scheduled::Bytes(id, startup_response()));
             return;
         }
         let (queries, used) = frames(received);
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     chunk, empty_query_response, error_response, frame, id_and_rest, instance, query, row, startup,
-    statement, welcome,
+    startup_response, statement,
 };
 use crate::simulation::{Client, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
@@ -125,7 +125,7 @@
         if !member.startup_done {
             member.startup_done = true;
             member.received.clear();
-            return self.feed(id, &welcome());
+            return self.feed(id, &startup_response());
         }
         let Some(query_text) = member.query.take() else {
             if std::mem::take(&mut member.sync_query_queued) {
--- a/crates/ladderpass/tests/reducer/simulation.rs
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     SIMULATION_START, WATCH_HEAD, cancel, cancel_key, frames, id_and_rest, launch_with_config, router_config,
-    simulated_members, welcome,
+    simulated_members, startup_response,
 };
 use ladderpass::launch;
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -180,7 +180,7 @@
         self.member_connections.get_mut(&id).expect("the member connection is open").received.clear();
         let member = self.member_connections.get_mut(&id).expect("the member connection is open");
         (member.query, member.sync_query_queued) = (None, false);
-        self.feed(id, &welcome());
+        self.feed(id, &startup_response());
         self.write(id);
     }
 
--- a/crates/ladderpass/tests/router_harness/mod.rs
+++ b/crates/ladderpass/tests/router_harness/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::common::{
     WATCH_HEAD, chunk, empty_query_response, id_and_rest, next_frame, now_ms, query, router_address,
-    router_config, row, sqlstate, startup, statement, temp_file, unique_loopback_address, welcome,
+    router_config, row, sqlstate, startup, startup_response, statement, temp_file, unique_loopback_address,
 };
 use nix::sys::signal::{Signal, kill};
 use nix::sys::wait::{WaitPidFlag, waitpid};
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a test waits for an event that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A router without health checks, so that members get nothing but RPCs. Reads have no maximum staleness, and member 0
 /// is the primary.
@@ -52,7 +52,7 @@
 
 /// Accepts the next connection; the test fails if there is none in time.
 pub fn accept_connection(listener: &TcpListener) -> TcpStream {
-    accept_connection_within(listener, PATIENCE).expect("a connection arrives in time")
+    accept_connection_within(listener, WAIT_TIMEOUT).expect("a connection arrives in time")
 }
 
 /// Accepts the next connection, or returns None if there is none within this time.
@@ -63,7 +63,7 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("the socket option can be set");
-                stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket option can be set");
                 return Some(stream);
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => sleep(Duration::from_millis(2)),
@@ -165,7 +165,7 @@
 
     /// Opens a client connection, and returns it once its startup message is answered.
     pub fn client(&self) -> TcpStream {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut stream = loop {
             match TcpStream::connect(&self.address) {
                 Ok(stream) => break stream,
@@ -173,7 +173,7 @@
             }
             sleep(Duration::from_millis(5));
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("the socket option can be set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the socket option can be set");
         stream.write_all(&startup()).expect("the router reads");
         while next_frame(&mut stream).expect("the startup is answered").0 != b'Z' {}
         stream
@@ -223,7 +223,7 @@
 
     /// Waits for the next RPC that a member gets on any connection, and returns its id and that connection.
     pub fn next_rpc(&mut self, n: usize) -> (String, TcpStream) {
-        self.next_rpc_within(n, PATIENCE).expect("the member gets an RPC in time")
+        self.next_rpc_within(n, WAIT_TIMEOUT).expect("the member gets an RPC in time")
     }
 
     /// As [`Self::next_rpc`]; returns None if the member gets no RPC within this time.
@@ -232,7 +232,7 @@
         while Instant::now() < deadline {
             if let Some(stream) = accept_connection_within(&self.members[n], Duration::from_millis(5)) {
                 let mut stream = read_startup(stream);
-                stream.write_all(&welcome()).expect("the router reads");
+                stream.write_all(&startup_response()).expect("the router reads");
                 self.idle_connections[n].push(stream);
             }
             for nth in 0..self.idle_connections[n].len() {
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -8,7 +8,7 @@
 
 use common::{
     SIMULATION_START, launch_with_config, next_frame, query, router_config, simulated_members, startup,
-    statement, welcome,
+    startup_response, statement,
 };
 use failing_syscalls::FailingSyscall;
 use ladderpass::launch::Launch;
@@ -324,7 +324,7 @@
     sleep_until(1080);
     other.write_all(&query("")).expect("the router reads");
     sleep_until(1120);
-    connection.write_all(&welcome()).expect("the router reads");
+    connection.write_all(&startup_response()).expect("the router reads");
     let frame = next_frame(&mut connection).expect("the member gets a query on the connection");
     assert_eq!(frame.0, b'Q');
     harness.answer_rpc(0, connection);
