--- a/crates/ladderpass-config/src/deployment.rs
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -69,7 +69,7 @@
     check_range("Contract.TipMultiple", settings.contract.overload_multiple, MAX_OVERLOAD_MULTIPLE)
 }
 
-/// Checks that a number is from 0 to `max` if it is given.
+/// Checks that the value of the setting `key` is from 0 to `max`. An absent value is allowed.
 fn check_range(key: &'static str, value: Option<f64>, max: f64) -> Result<(), SettingsError> {
     match value.filter(|value| !(0.0..=max).contains(value)) {
         Some(value) => Err(SettingsError::OutOfRange { key, value, min: 0.0, max }),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns the longest time within which the endpoint list must be polled, or `None` where discovery pushes it.
+/// Returns the maximum time between two polls of the endpoint list, or `None` where discovery pushes the list.
 fn read_endpoint_poll_interval(settings: &Shape) -> Result<Option<Span>, SettingsError> {
     match settings.discovery_mode.as_deref() {
         Some("subscribe") => {
@@ -150,7 +150,7 @@
     soft_deadline.ok_or(SettingsError::NotPositive { key })
 }
 
-/// Returns the utility of an answer in time. The default is 1.
+/// Returns the utility of an answer that a method gives within its soft deadline. Without a setting, the utility is 1.
 fn read_utility(index: usize, method: &Service) -> Result<f64, SettingsError> {
     let utility = method.utility.unwrap_or(1.0);
     if utility >= 0.0 {
--- a/crates/ladderpass-config/src/error_list.rs
+++ b/crates/ladderpass-config/src/error_list.rs
@@ -5,7 +5,8 @@
 
 use std::fmt::Display;
 
-/// The maximum number of printed lines. Without a limit, a file that is wrong in every line would print too many.
+/// The maximum number of lines that a list of errors prints. Without a limit, a file that is wrong in every line would
+/// print too many lines.
 const MAX_LINES: usize = 100;
 
 /// A list of distinct errors. It prints the distinct lines of the errors' texts, at most a hundred of them.
@@ -13,7 +14,7 @@
 #[error("{}", .lines.join("\n"))]
 pub struct ErrorList<E> {
     errors: Vec<E>,
-    /// The distinct lines of the errors' texts.
+    /// The lines that the list prints: the distinct lines of the errors' texts.
     lines: Vec<String>,
 }
 
@@ -43,7 +44,8 @@
         other.errors.into_iter().for_each(|error| self.push(convert(error)));
     }
 
-    /// Returns the value of a success. Otherwise adds the error to the list, and returns `None`.
+    /// Returns the value of a successful result. If the result is an error, adds the error to the list and returns
+    /// `None`.
     pub fn ok_or_push<T>(&mut self, result: Result<T, E>) -> Option<T> {
         result.map_err(|error| self.push(error)).ok()
     }
@@ -53,7 +55,7 @@
         self.errors.is_empty()
     }
 
-    /// Converts the list into the result of reading.
+    /// Converts the list into the result of reading a configuration: a success if the list contains no error.
     ///
     /// # Errors
     /// Returns the list itself if it contains an error.
--- a/crates/ladderpass-config/src/errors.rs
+++ b/crates/ladderpass-config/src/errors.rs
@@ -8,7 +8,7 @@
 pub struct JsonError {
     /// The path of the value, such as `Services[0].Name`, or `None` for the document itself.
     pub key: Option<String>,
-    /// What is wrong with the value.
+    /// What is wrong with the JSON value.
     pub source: serde_json::Error,
 }
 
@@ -21,56 +21,56 @@
     /// The settings name no method.
     #[error("Services: must name at least one")]
     NoMethods,
-    /// The maximum number of attempts is zero.
+    /// The maximum number of attempts for one RPC is zero.
     #[error("Allowed.AttemptsCap: must be at least 1")]
     NoAttempts,
-    /// A number is outside its range.
+    /// The number in a setting is outside its allowed range.
     #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
-        /// The setting.
+        /// The key of the setting with this error.
         key: &'static str,
-        /// The number that was read.
+        /// The number that the setting has.
         value: f64,
-        /// The smallest allowed value.
+        /// The smallest allowed value of the setting.
         min: f64,
-        /// The largest allowed value.
+        /// The largest allowed value of the setting.
         max: f64,
     },
-    /// A text is none of the allowed values.
+    /// The text in a setting is none of its allowed values.
     #[error("{key}: unknown value {value:?}")]
     UnknownValue {
-        /// The setting.
+        /// The key of the setting with this error.
         key: String,
-        /// The text that was read.
+        /// The text that the setting has.
         value: String,
     },
-    /// A value that a method requires is missing.
+    /// A setting that a method requires is missing.
     #[error("{key} is missing")]
     Missing {
-        /// The setting.
+        /// The key of the setting with this error.
         key: String,
     },
-    /// A duration is below zero.
+    /// The duration in a setting is below zero.
     #[error("{key}: {nanos} is negative")]
     NegativeDuration {
-        /// The setting.
+        /// The key of the setting with this error.
         key: String,
-        /// The duration that was read, in nanoseconds.
+        /// The duration that the setting has, in nanoseconds.
         nanos: i64,
     },
-    /// A number is below zero.
+    /// The number in a setting is below zero.
     #[error("{key}: must not be negative")]
     Negative {
-        /// The setting.
+        /// The key of the setting with this error.
         key: String,
     },
-    /// A duration that must be positive is zero.
+    /// The duration in a setting is zero, but must be positive.
     #[error("{key}: must be above 0")]
     NotPositive {
-        /// The setting.
+        /// The key of the setting with this error.
         key: String,
     },
-    /// The endpoint list must be polled, but the interval is missing or zero.
+    /// The endpoint list must be polled, but the setting of the poll interval is missing or zero.
     #[error("Contract.MustAskIn: must be above 0 where RegistryMode is subscribe")]
     NoPollInterval,
 }
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -8,12 +8,12 @@
 use crate::names::{IdHashes, NameIndex, id_hash};
 use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
-/// The maximum number of updates in one message, which must not exceed 256 bytes.
+/// The maximum number of updates in one gossip message. The text of a message must not exceed 256 bytes.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 25;
-/// The number of letters of one update.
+/// The number of letters that one update has in a gossip message.
 #[doc(hidden)]
 pub const UPDATE_LETTERS: usize = 10;
-/// The observations, each at the index that is its code on the wire.
+/// The kinds of observations. The index of a kind is its code in gossip messages.
 #[doc(hidden)]
 pub const OBSERVATIONS: [MemberObservation; 3] =
     [MemberObservation::Replica, MemberObservation::Primary, MemberObservation::Unreachable];
@@ -25,20 +25,22 @@
 const TIME_AND_OBSERVATION_LETTERS: usize = 4;
 const OBSERVATION_BITS: u32 = 2;
 const OBSERVATION_MASK: u64 = (1 << OBSERVATION_BITS) - 1;
-/// The number of low bits of a time in milliseconds that are sent. They wrap around after about 70 minutes.
+/// How many of the low bits of a time in milliseconds are sent in an update. These bits wrap around after about 70
+/// minutes.
 const TIME_BITS: u32 = 22;
 const NANOS_PER_MS: i64 = 1_000_000;
 
 /// The value of the last letter of an update that has neither a latency ratio nor a number of RPCs.
 const NO_VALUE: u64 = 0;
 const LATENCY_RATIO_SCALE: LogScale = LogScale { first_code: 1, smallest: 0.5 };
-/// The scale of the number of RPCs in flight plus one. Without the addition, zero would have no logarithm.
+/// The scale for the number of RPCs in flight at a member, plus one. One is added because zero has no logarithm.
 const IN_FLIGHT_SCALE: LogScale = LogScale { first_code: 32, smallest: 1.0 };
 
-/// A logarithmic scale. Its codes fit in one half of the values of a letter.
+/// A logarithmic scale for the last letter of an update. The codes of a scale use up to half of the 64 values that a
+/// letter has.
 struct LogScale {
     first_code: u64,
-    /// The value of the first code.
+    /// The value that the first code of the scale stands for.
     smallest: f64,
 }
 
@@ -58,11 +60,11 @@
 
 /// Translates between a router's member updates and gossip messages.
 pub struct GossipCodec {
-    /// The time from which the times on the wire are counted.
+    /// The time from which the times in gossip messages are counted.
     origin: Time,
     /// A hash of this router's zone that fits in one letter.
     zone: u32,
-    /// The indices of the members that this router knows, by the hashes of the members' ids.
+    /// The indices of the members that this router knows, by the members' id hashes.
     pub id_hashes: IdHashes,
 }
 
@@ -72,8 +74,8 @@
         GossipCodec { origin, zone: id_hash(zone) & LETTER_MASK, id_hashes: IdHashes::default() }
     }
 
-    /// Encodes the updates as messages. Omits updates of a member that shares its id hash with another, and of one that
-    /// is not in `id_hashes`.
+    /// Encodes the updates as messages. Omits updates of members that are not in `id_hashes`, and of members that share
+    /// their id hash with another member.
     pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
         let encode_message = |updates: &[MemberUpdate]| {
             let encoded = updates.iter().filter_map(|update| self.encode_update(update, names));
@@ -82,7 +84,7 @@
         updates.chunks(MAX_UPDATES_PER_MESSAGE).map(encode_message).collect()
     }
 
-    /// Decodes the updates of a message that was received at `now`. Drops updates that can't be decoded, and those
+    /// Decodes the updates of a message that was received at `now`. Drops updates that can't be decoded, and updates
     /// whose id hash has no index in `id_hashes`.
     pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
         let Some(message) = GossipMessage::decode(text, now - self.origin) else { return Vec::new() };
@@ -114,14 +116,14 @@
     }
 }
 
-/// An update in the form in which a message carries it.
+/// An update about a member, in the form in which a gossip message carries it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EncodedUpdate {
-    /// The hash of the member's id.
+    /// The hash of the id of the member that the update is about.
     pub id_hash: u32,
     /// What the sender has observed of the member.
     pub observation: MemberObservation,
-    /// The time of [`MemberUpdate::at`], counted from the common origin.
+    /// The time of the observation ([`MemberUpdate::at`]), counted from the origin that all routers share.
     pub at: Span,
     /// The member's latency as a multiple of the typical latency, or zero if it is unknown.
     pub latency_ratio: f64,
@@ -150,9 +152,9 @@
         text
     }
 
-    /// Decodes the text of a message that was received at `now`, counted from the common origin. The times of the
-    /// updates are taken to be no later than `now`. Omits updates that can't be decoded. Returns `None` if the zone
-    /// can't be decoded.
+    /// Decodes the text of a message that was received at `now`. All times are counted from the origin that all routers
+    /// share, and the times of the updates are taken to be no later than `now`. Omits updates that can't be decoded.
+    /// Returns `None` if the sender's zone can't be decoded.
     pub fn decode(text: &str, now: Span) -> Option<GossipMessage> {
         let (zone, updates) = text.as_bytes().split_at_checked(1)?;
         let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(|letters| parse_update(letters, now));
@@ -163,7 +165,8 @@
 fn push_update(text: &mut String, update: &EncodedUpdate) {
     let observation = OBSERVATIONS.iter().position(|&known| known == update.observation);
     let observation = observation.unwrap_or_default() as u64;
-    // The time is rounded down, because an observation must not become newer in transit.
+    // The time of the observation is rounded down to milliseconds, because an observation must not become newer in
+    // transit.
     let at_ms = update.at.nanos().div_euclid(NANOS_PER_MS).rem_euclid(1 << TIME_BITS) as u64;
     let value = match update.in_flight {
         Some(in_flight) => IN_FLIGHT_SCALE.encode(in_flight + IN_FLIGHT_SCALE.smallest),
@@ -195,7 +198,7 @@
     })
 }
 
-/// Appends the low bits of a number as this many letters, the most significant letter first.
+/// Appends the lowest bits of a number to `text` as `letters` letters, the most significant letter first.
 fn push_number(text: &mut String, number: u64, letters: usize) {
     for nth in (0..letters).rev() {
         let value = (number >> (BITS_PER_LETTER * nth)) & u64::from(LETTER_MASK);
--- a/crates/ladderpass-config/src/names/name_index.rs
+++ b/crates/ladderpass-config/src/names/name_index.rs
@@ -1,4 +1,4 @@
-//! Maps names to small indices within one router, and the indices back to names, as for the log.
+//! Maps names to small indices within one router, and the indices back to names, for example for log messages.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 }
 
 impl NameIndex {
-    /// Returns the index of a name. Assigns one to a new name.
+    /// Returns the index of a name. A new name is assigned an index.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(index) = self.get(name) {
             return index;
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Returns the index of a name, or `None` if it has none.
+    /// Returns the index of a name, or `None` if the name has no index.
     pub fn get(&self, name: &str) -> Option<u32> {
         self.index_by_name.get(name).copied()
     }
 
-    /// Returns the name of an index. It is empty if the index was released or never assigned.
+    /// Returns the name of an index, or an empty text if the index was released or never assigned.
     pub fn name(&self, index: u32) -> &str {
         self.names.get(index as usize).map_or("", String::as_str)
     }
@@ -61,7 +61,8 @@
     }
 }
 
-/// Returns the index of a group's number. Assigns the next index to a new number. The numbers need not be integers.
+/// Returns the index of the group with this number. A new number is assigned the next index. The numbers need not be
+/// integers.
 pub fn group_index(groups: &mut HashMap<u64, u32>, number: f64) -> u32 {
     let next = groups.len() as u32;
     *groups.entry(number.to_bits()).or_insert(next)
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -1,5 +1,5 @@
 //! Reads the operator's file, a YAML file with the settings of an installation that the users' settings do not cover.
-//! Values have units where they apply.
+//! Durations and sizes are written with their units.
 //!
 //! - `file` defines the keys.
 //! - `yaml` reads the keys, and skips those that can't be read.
@@ -26,12 +26,12 @@
 use units::set_duration;
 use yaml::{ParsedFile, is_blank, parse_file};
 
-/// The settings of the file. The default is what applies without a file.
+/// The settings in the operator's file. The default values apply without a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
     /// The settings of the log.
     pub log: Log,
-    /// The settings of the overload control, or `None` where it is off.
+    /// The settings of the overload control, or `None` where the overload control is off.
     pub overload: Option<Settings>,
     /// The routers to exchange gossip with, or `None` where gossip is off.
     pub peers: Option<Peers>,
@@ -63,8 +63,8 @@
 /// Reads and checks the text of the file. An empty file results in the defaults.
 ///
 /// # Errors
-/// Returns the errors that were found: first those of its keys and types, then those of single values, then those of
-/// combinations of values. The last are omitted if a key can't be read.
+/// Returns the errors that were found: first errors of keys and types, then errors of single values, then errors of
+/// combinations of values. Errors of combinations are omitted if a key can't be read.
 pub fn read(text: &str) -> Result<Operator, OperatorFileErrors> {
     if is_blank(text) {
         return Ok(Operator::default());
--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of the operator's file. Each is printed on one line, with the line number in the file, the key and what is
-//! allowed, as far as these are known.
+//! Errors of the operator's file. Each error is printed on one line, with the line number in the file, the key and what
+//! is allowed, as far as these are known.
 
 use crate::error_list::ErrorList;
 use serde_saphyr::Spanned;
@@ -14,9 +14,9 @@
     /// A key is unknown, or a value has a wrong type.
     #[error("line {line}: {}{message}", .key.as_ref().map_or(String::new(), |key| format!("{key}: ")))]
     Unreadable {
-        /// The line number in the file, from 1.
+        /// The number of the line with the error in the operator's file, from 1.
         line: u64,
-        /// The text before the first colon of the line, if the line has a colon.
+        /// The text before the first colon of the line with the error, if the line has a colon.
         key: Option<String>,
         /// The message of the YAML library, such as which keys are allowed.
         message: String,
@@ -30,9 +30,9 @@
     /// A value is not allowed.
     #[error("line {line}: {key}: {problem}")]
     Value {
-        /// The line number in the file, from 1, or 0 if no line is known.
+        /// The number of the line with the value in the operator's file, from 1, or 0 if no line is known.
         line: u64,
-        /// The path of the key, such as `overload.delay.from`.
+        /// The path of the key of the value, such as `overload.delay.from`.
         key: String,
         /// What is wrong with the value, and what is allowed.
         problem: ValueProblem,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The errors that were found in a file so far.
+/// The errors that were found so far in an operator's file.
 #[derive(Default)]
 pub(super) struct FoundErrors {
     /// The errors of single keys and values.
@@ -59,7 +59,8 @@
 }
 
 impl FoundErrors {
-    /// Returns the value of a key if it is allowed. Otherwise adds its error, and returns `None`.
+    /// Returns the value of a key if the value is allowed. Otherwise adds the error to the errors found, and returns
+    /// `None`.
     pub(super) fn ok_or_push<T>(&mut self, value: Result<T, OperatorFileError>) -> Option<T> {
         self.values.ok_or_push(value)
     }
@@ -79,7 +80,7 @@
     /// A duration can't be parsed, or is outside its range.
     #[error("{value:?}; allowed are {min_ms}ms to {max_ms}ms, written with their unit: ms, s, m")]
     Duration {
-        /// The text that was read.
+        /// The text in the file.
         value: String,
         /// The shortest allowed duration, in milliseconds.
         min_ms: i64,
@@ -89,23 +90,23 @@
     /// A share of a resource is outside its range.
     #[error("{value}; allowed is a share above 0 and up to {max}")]
     Share {
-        /// The number that was read.
+        /// The number in the file.
         value: f64,
-        /// The largest allowed share.
+        /// The largest allowed share of the resource.
         max: f64,
     },
     /// The start of a band is not below its end.
     #[error("from {from} must be below full {full}")]
     Band {
-        /// The value at which the pressure begins to rise.
+        /// The start of the band, at which the overload pressure begins to rise.
         from: f64,
-        /// The value at which the pressure is full.
+        /// The end of the band, at which the overload pressure reaches its maximum.
         full: f64,
     },
     /// A multiple of a client's fair share is outside its range.
     #[error("{value}; allowed are {min} to {max}")]
     FairShareMultiple {
-        /// The number that was read.
+        /// The number in the file.
         value: f64,
         /// The smallest allowed multiple.
         min: f64,
@@ -121,13 +122,13 @@
     /// The address of this router is missing.
     #[error("missing; allowed is address:port")]
     MissingAddress,
-    /// An address is in a list twice.
+    /// A list of addresses contains the same address twice.
     #[error("{0} is listed twice; allowed is once")]
     DuplicateAddress(SocketAddr),
-    /// A list has too many addresses.
+    /// A list of addresses has more entries than are allowed.
     #[error("more than the {max} addresses allowed")]
     TooManyAddresses {
-        /// The maximum number of addresses.
+        /// The maximum number of addresses in a list.
         max: usize,
     },
     /// A text is not a network.
@@ -136,23 +137,23 @@
     /// The file offers no way to find other routers.
     #[error("no address and no network; allowed is at least one")]
     NoOtherRouters,
-    /// One key of the legacy form is present without the other.
+    /// One of the two keys of the legacy form of the section `peers` is present without the other.
     #[error("me and all are allowed only together; use listen and listed instead")]
     IncompleteLegacyForm,
-    /// The legacy list has too few addresses.
+    /// The legacy list, a fixed list of all routers' addresses, has too few addresses.
     #[error("{count}; allowed are 2 to {max} addresses")]
     LegacyListLength {
-        /// The number of addresses in the list.
+        /// The number of addresses in the legacy list.
         count: usize,
-        /// The maximum number of addresses.
+        /// The maximum number of addresses in the legacy list.
         max: usize,
     },
     /// This router's index is outside the legacy list.
     #[error("{index}; allowed are 0 to {last}")]
     LegacyIndex {
-        /// The index that was read.
+        /// The index of this router in the file.
         index: u32,
-        /// The last index of the list.
+        /// The last index of the legacy list.
         last: usize,
     },
     /// Admission is to be shared with other routers, but the section `peers` is missing.
--- a/crates/ladderpass-config/src/operator/overload.rs
+++ b/crates/ladderpass-config/src/operator/overload.rs
@@ -7,14 +7,14 @@
 use ladderpass_routing::Span;
 use serde_saphyr::Spanned;
 
-/// The largest share of CPU time. It is above 1, because a process can use more CPU time than the cores that it is
-/// allowed.
+/// The largest share of CPU time that the settings allow. It is above 1, because a process can use more CPU time than
+/// the cores that it is allowed.
 const MAX_CPU_SHARE: f64 = 10.0;
 const MAX_SHARE: f64 = 1.0;
 const MIN_FAIR_SHARE_MULTIPLE: f64 = 1.0;
 const MAX_FAIR_SHARE_MULTIPLE: f64 = 1000.0;
 
-/// Reads the settings of the section.
+/// Reads the settings of the section `overload`.
 pub(super) fn read_overload(section: OverloadSection, errors: &mut FoundErrors) -> Settings {
     let mut settings = Settings::default();
     if let Some(band) = section.delay {
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -7,18 +7,19 @@
 use serde_saphyr::Spanned;
 use std::net::SocketAddr;
 
-/// The maximum number of addresses in a list.
+/// The maximum number of router addresses in a list of the section `peers`.
 const MAX_ADDRESSES: usize = 1000;
 
-/// The addresses for the exchange of gossip by datagrams. The routers exchange which of them are alive, and what they
-/// have observed of the members.
+/// The addresses between which routers exchange gossip by datagrams. The gossip tells which routers are alive, and what
+/// they have observed of the members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
     /// The address at which this router receives datagrams.
     pub listen: SocketAddr,
     /// The address to which the other routers send. It may differ from `listen`, as behind address translation.
     pub address: SocketAddr,
-    /// Addresses at which other routers may be found. Those that are found name the rest.
+    /// Addresses at which other routers may be found. The routers that are found there tell this router about the
+    /// remaining ones.
     pub listed: Vec<SocketAddr>,
     /// Networks from which routers may join without being listed.
     pub networks: Vec<Network>,
@@ -26,7 +27,7 @@
     pub legacy_form: bool,
 }
 
-/// Reads the section. Returns `None` if the address of this router is missing or can't be read.
+/// Reads the section `peers`. Returns `None` if the address of this router is missing or can't be read.
 pub(super) fn read_peers(section: PeersSection, errors: &mut FoundErrors) -> Option<Peers> {
     if let (Some(index), Some(list)) = (&section.legacy_index, &section.legacy_list) {
         return read_legacy_peers(index, list, errors);
@@ -47,7 +48,7 @@
     Some(Peers { listen, address: address.unwrap_or(listen), listed, networks, legacy_form: false })
 }
 
-/// Checks that the section has the address of this router, and not just one of the two keys of the legacy form.
+/// Checks that the section `peers` has the address of this router, and not just one of the two keys of the legacy form.
 fn check_form(section: &PeersSection, errors: &mut FoundErrors) {
     let first_of_list = section.legacy_list.iter().flatten().next();
     let legacy_line = section.legacy_index.as_ref().map(line).or(first_of_list.map(line));
@@ -62,7 +63,8 @@
     }
 }
 
-/// Reads the legacy form: a list that is the same at all routers and in the same order, and this router's index in it.
+/// Reads the legacy form of the section `peers`: a list of router addresses that is the same at all routers and in the
+/// same order, and this router's index in the list.
 fn read_legacy_peers(
     index: &Spanned<u32>,
     list: &[Spanned<String>],
@@ -80,8 +82,8 @@
     Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
-/// Parses an address. Returns `None` if the file does not have it. If it is not allowed, adds an error to `errors` and
-/// returns `None` too.
+/// Parses an address. Returns `None` if the file does not have the address. If the address is not allowed, adds an
+/// error to `errors` and returns `None` too.
 fn parse_optional_address(
     text: Option<&Spanned<String>>,
     key: &str,
@@ -90,7 +92,8 @@
     errors.ok_or_push(parse_address(text?, key))
 }
 
-/// Parses the addresses of a list, and returns the distinct ones. Adds errors of the others to `errors`.
+/// Parses the addresses of a list, and returns the distinct ones, at most [`MAX_ADDRESSES`]. Adds an error to `errors`
+/// for each address that is not allowed or repeats another one, and one if the list is too long.
 fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut FoundErrors) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for text in texts {
--- a/crates/ladderpass-config/src/operator/units.rs
+++ b/crates/ladderpass-config/src/operator/units.rs
@@ -1,6 +1,7 @@
 //! Values with a unit or a range in the operator's file: durations, shares, sizes, addresses and networks.
 //!
-//! A `set_` function leaves the field unchanged if the file does not have the key, or if the value is not allowed.
+//! A function whose name begins with `set_` leaves the field unchanged if the file does not have the key, or if the
+//! value is not allowed.
 
 use super::errors::{OperatorFileError, ValueProblem};
 use ladderpass_membership::Network;
@@ -13,7 +14,7 @@
 const IPV6_BITS: u8 = 128;
 const ALLOWED_SLOW_READER_BYTES: RangeInclusive<u64> = 4 << 10..=1 << 30;
 
-/// Sets a duration, such as `250ms`. `allowed_ms` is the allowed range in milliseconds.
+/// Sets a field to a duration, such as `250ms`. `allowed_ms` is the allowed range in milliseconds.
 pub(super) fn set_duration(
     field: &mut Span,
     key: &str,
@@ -35,7 +36,7 @@
     Ok(())
 }
 
-/// Sets a share of a resource, which must be above 0 and at most `max`.
+/// Sets a field to a share of a resource. The share must be above 0 and at most `max`.
 pub(super) fn set_share(
     field: &mut f64,
     key: &str,
--- a/crates/ladderpass-config/src/operator/yaml.rs
+++ b/crates/ladderpass-config/src/operator/yaml.rs
@@ -1,7 +1,7 @@
 //! Reads the YAML text of the operator's file, and finds all errors of its keys and types.
 //!
-//! The YAML library stops at the first key that it can't read. That key and everything below it are blanked out, and
-//! the text is read again, until the rest can be read.
+//! The YAML library stops at the first key that can't be read. That key and everything below the key are blanked out,
+//! and the text is read again, until the rest can be read.
 
 use super::errors::{OperatorFileError, OperatorFileErrors};
 use super::file::OperatorFile;
@@ -9,7 +9,7 @@
 /// The maximum number of unreadable keys that are searched for. For each of them the whole file is read once more.
 const MAX_UNREADABLE_KEYS: usize = 50;
 
-/// The part of a file that could be read.
+/// The part of an operator's file that could be read.
 pub(super) struct ParsedFile {
     /// The sections of the file, or `None` if nothing could be read.
     pub(super) file: Option<OperatorFile>,
@@ -31,12 +31,12 @@
             Ok(file) => return ParsedFile { file: Some(file), is_complete: nth == 0 },
             Err(error) => error,
         };
-        // After the first attempt, a key may be missing only because it was blanked out.
+        // When the text is read again, a key may be missing only because it was blanked out.
         if nth == 0 || !error.without_snippet().to_string().contains("missing field") {
             errors.push(to_file_error(&text, &error));
         }
         let rest = error.location().and_then(|location| blank_out_key(&text, location.line() as usize));
-        // A text that is not YAML has no keys that could be blanked out.
+        // If the text is not YAML at all, there are no keys that could be blanked out.
         let is_yaml = serde_saphyr::from_str::<serde::de::IgnoredAny>(&text).is_ok();
         match rest.filter(|rest| is_yaml && !is_blank(rest)) {
             Some(rest) => text = rest,
@@ -46,8 +46,8 @@
     unreadable
 }
 
-/// Returns the text with empty lines in place of line `number`, counted from 1, and of the lines below that belong to
-/// its key. Returns `None` if that line is already empty or does not exist.
+/// Returns the text with empty lines in place of line `number`, counted from 1, and of the lines below it that belong
+/// to the same key. Returns `None` if line `number` is already empty or does not exist.
 fn blank_out_key(text: &str, number: usize) -> Option<String> {
     let indent = |line: &str| line.len() - line.trim_start().len();
     let key_line = text.lines().nth(number.checked_sub(1)?).filter(|line| !line.trim().is_empty())?;
@@ -63,8 +63,8 @@
     Some(lines.collect::<Vec<_>>().join("\n") + "\n")
 }
 
-/// Converts an error of the YAML library. The result has its message on one line, and the line number and the key if
-/// the library reports a location.
+/// Converts an error of the YAML library. The returned error has the library's message on one line, and the line number
+/// and the key if the library reports a location.
 fn to_file_error(text: &str, error: &serde_saphyr::Error) -> OperatorFileError {
     let message = error.without_snippet().to_string();
     let message = message.split_whitespace().collect::<Vec<_>>().join(" ");
--- a/crates/ladderpass-config/src/settings.rs
+++ b/crates/ladderpass-config/src/settings.rs
@@ -39,7 +39,7 @@
     pub(crate) tick: Option<i64>,
 }
 
-/// What a router is allowed to do.
+/// What the settings allow a router to do, such as retries, gossip and health checks.
 #[derive(Deserialize)]
 pub(crate) struct Allowed {
     #[serde(rename = "AttemptsCap")]
@@ -60,7 +60,7 @@
     pub(crate) retry_after: Option<bool>,
 }
 
-/// What members and discovery guarantee.
+/// What members and discovery guarantee to a router.
 #[derive(Deserialize)]
 pub(crate) struct Contract {
     #[serde(rename = "ColdFrom")]
@@ -106,7 +106,7 @@
 }
 
 impl ReportShape {
-    /// Returns whether a report contains the member's replication position.
+    /// Returns whether a load report contains the member's replication position.
     pub(crate) fn has_position(&self) -> bool {
         let in_columns = self
             .columns
@@ -116,7 +116,7 @@
     }
 }
 
-/// A method.
+/// The settings of a method.
 #[derive(Deserialize)]
 pub(crate) struct Service {
     #[serde(rename = "Name")]
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -88,12 +88,14 @@
 fn all_errors_are_reported_except_those_that_only_follow_from_another() {
     for (text, expected) in [
         ("log:\n  format: xml\n  figures: 1\noverload:\n  fair: 0\n  look: 1ms", &[2, 3, 5, 6][..]),
-        // Keys that can't be read are reported in each section, and everything below such a key is skipped.
+        // Keys that can't be read are reported in each section of the operator's file, and everything below such a key
+        // is skipped.
         ("overlaod:\n  fair: 0\nlog:\n  colour: red\n  format: xml", &[1, 4, 5]),
         ("overload:\n  memory:\n    full: lots\n    from: 7\n  fair: 0", &[3, 4, 5]),
         ("a: 1\nb:\n- 2\n- 3\nc: 4\nlog: {format: xml}", &[1, 2, 5, 6]),
         ("members:\n  sizes: big\n  zone: ''", &[2, 3]),
-        // A key with a wrong value is not also reported as missing, and keys that depend on it are not reported either.
+        // A key whose value is wrong is not reported as missing too, and no errors are reported for keys that depend on
+        // it.
         ("peers:\n  listen: [1]\n  listed: [127.0.0.1:1, there]", &[2, 3]),
         ("peers:\n  listen: here\n  listed: [127.0.0.1:1]\nfleet:\n  sheds: true", &[2]),
         ("peers:\n  colour: red\nfleet:\n  sheds: 3\n  budgets: true", &[2, 4]),
--- a/crates/ladderpass-simulator-adapter/src/actions.rs
+++ b/crates/ladderpass-simulator-adapter/src/actions.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// The receiver of a gossip message to all other routers.
+/// The receiver's number in a gossip message to all other routers.
 const ALL_ROUTERS: i64 = -1;
 
 /// An action line.
@@ -20,10 +20,10 @@
         /// The id of the RPC.
         #[serde(rename = "RequestId")]
         request_id: &'a str,
-        /// The name of the member to send it to.
+        /// The name of the member to which the attempt is sent.
         #[serde(rename = "Node")]
         member: &'a str,
-        /// The time after which the attempt is to end, or zero if it has no timeout of its own.
+        /// The time after which the simulator ends the attempt, or zero if the attempt has no timeout of its own.
         #[serde(rename = "TryFor")]
         timeout: i64,
     },
@@ -36,7 +36,7 @@
         /// The id of the RPC.
         #[serde(rename = "RequestId")]
         request_id: &'a str,
-        /// The time after which the client may retry.
+        /// The time after which the client may send the rejected RPC again.
         #[serde(rename = "ComeBack")]
         retry_after: i64,
     },
@@ -66,10 +66,10 @@
         /// The name of the router.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The number of the receiver.
+        /// The number of the receiving router, or [`ALL_ROUTERS`].
         #[serde(rename = "Dest")]
         receiver: i64,
-        /// The text of the message.
+        /// The text of the gossip message.
         #[serde(rename = "Payload")]
         payload: &'a str,
     },
@@ -79,7 +79,7 @@
         /// The name of the router.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// This is always true, and requests one poll.
+        /// The value is always true, and requests one poll.
         #[serde(rename = "Enable")]
         enable: bool,
     },
@@ -89,7 +89,7 @@
         /// The name of the router.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The message.
+        /// The text that is logged.
         #[serde(rename = "NoteText")]
         message: &'a str,
     },
@@ -112,7 +112,7 @@
         /// The name of the router.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The message of the panic.
+        /// The message of the router's panic.
         #[serde(rename = "NoteText")]
         message: &'a str,
     },
@@ -127,7 +127,7 @@
         Action::Gossip { router, receiver: ALL_ROUTERS, payload }
     }
 
-    /// Appends the action as a line.
+    /// Appends the action to `lines` as one line of JSON.
     pub fn write(&self, lines: &mut String) {
         // Serialization can't fail, because an action has only texts, numbers and booleans.
         lines.push_str(&serde_json::to_string(self).unwrap_or_default());
--- a/crates/ladderpass-simulator-adapter/src/errors.rs
+++ b/crates/ladderpass-simulator-adapter/src/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of event lines. Each names the kind of the line and what is wrong with it. The routing core gets no event of
-//! a line with an error.
+//! Errors of event lines. Each error names the kind of the line and what is wrong with the line. The routing core gets
+//! no event from a line with an error.
 
 use ladderpass_config::SettingsError;
 
@@ -25,10 +25,10 @@
     /// No line has set the time yet.
     #[error("no TICK before this")]
     NoTime,
-    /// The protocol has no such kind.
+    /// The protocol has no event of the kind that the line names.
     #[error("unknown kind; line ignored")]
     UnknownKind,
-    /// No router has this name.
+    /// No running router has the name in the line.
     #[error("{0} has no CREATE before this")]
     UnknownRouter(String),
     /// The seed is not an integer.
@@ -40,19 +40,19 @@
     /// The router has received no endpoint list with this member.
     #[error("unknown Node {0:?}")]
     UnknownMember(String),
-    /// The settings have no such method.
+    /// The settings have no method with the name in the line.
     #[error("unknown Service {0:?}")]
     UnknownMethod(String),
     /// An RPC arrives with the id of an active RPC.
     #[error("RequestId {0:?} is already active")]
     DuplicateRequest(String),
-    /// No active RPC has this id.
+    /// No active RPC has the id in the line.
     #[error("unknown RequestId {0:?}")]
     UnknownRequest(String),
     /// An attempt ends, but the RPC has no attempt in flight.
     #[error("RequestId {0:?} has no attempt in flight")]
     NoAttemptInFlight(String),
-    /// No endpoint list has this number.
+    /// No endpoint list has the number in the line.
     #[error("no ROSTER {0} before this")]
     UnknownList(u32),
     /// A field has none of the values that the protocol allows.
--- a/crates/ladderpass-simulator-adapter/src/events.rs
+++ b/crates/ladderpass-simulator-adapter/src/events.rs
@@ -16,7 +16,7 @@
     SetTime,
     /// The batch of events is complete.
     EndOfBatch,
-    /// The line contains an endpoint list. Updates refer to it by its number.
+    /// The line contains an endpoint list with a number. Endpoint updates refer to the list by that number.
     EndpointList,
     /// A router starts.
     StartRouter,
@@ -26,9 +26,9 @@
     Arrival,
     /// An attempt has ended.
     AttemptEnded,
-    /// The head of a streamed answer has arrived. It is ignored, because no method streams its answers.
+    /// The head of a streamed answer has arrived. The event is ignored, because no method streams its answers.
     AnswerHead,
-    /// The client has given up on its RPC.
+    /// A client has given up on its RPC.
     Abandoned,
     /// A health check has ended.
     HealthCheckEnded,
@@ -122,7 +122,7 @@
     /// The time that an attempt or a health check took.
     #[serde(rename = "Elapsed")]
     pub latency: Option<i64>,
-    /// Whether the client has its answer.
+    /// Whether the RPC of the attempt is complete, so that the client has its answer.
     #[serde(rename = "Complete", default)]
     pub is_complete: Option<bool>,
     /// What an answer reports about the member, which [`MemberNote`] reads.
@@ -134,7 +134,7 @@
     /// The text of a gossip message.
     #[serde(rename = "Payload", borrow)]
     pub payload: Option<Cow<'a, str>>,
-    /// The handle of the timer.
+    /// The handle with which the router set the timer.
     #[serde(rename = "Handle")]
     pub timer_handle: Option<i64>,
 }
@@ -191,7 +191,7 @@
 pub struct MemberNote(i64);
 
 impl MemberNote {
-    /// Reads the note of a line. Returns `None` if it is absent or negative.
+    /// Reads the number in a line that says what an answer reports. Returns `None` if the number is absent or negative.
     pub fn parse(note: Option<i64>) -> Option<MemberNote> {
         note.filter(|&note| note >= 0).map(MemberNote)
     }
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Returns the replication position in milliseconds. It is also zero if the member does not report one.
+    /// Returns the replication position in milliseconds, which is zero if the member does not report one.
     pub fn position_ms(self) -> i64 {
         self.0 / 4
     }
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -16,7 +16,7 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// A flag that is sent as a number is set if it has at least this value.
+/// A flag that is sent as a number is set if the number is at least this threshold.
 const FLAG_THRESHOLD: f64 = 0.5;
 const NANOS_PER_MS: f64 = 1e6;
 
@@ -74,7 +74,7 @@
 /// The timers that a router has set in the simulator.
 #[derive(Default)]
 struct Timer {
-    /// The time at which the timer that was set last fires, or `None` if it has fired or none was set.
+    /// The time at which the timer that was set last is due, or `None` if that timer has fired or no timer was set.
     fires_at: Option<Time>,
     /// The handle of the timer that was set last.
     last_handle: i64,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Ends a batch. Runs the router's tick, and encodes what the router requests as actions.
+    /// Ends a batch of events. Runs the router's tick, and encodes the decisions and requests of the router as actions.
     pub fn tick(&mut self, now: Time) {
         let output = self.router.tick(now);
         for (rpc, decision) in output.decisions {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns the lines of all actions since the last call.
+    /// Returns the lines of all actions since the last call of this function.
     pub fn take_actions(&mut self) -> String {
         std::mem::take(&mut self.actions)
     }
@@ -239,7 +239,8 @@
         Ok(())
     }
 
-    /// Returns the replication position of a note. Zero is a position only if answers report positions.
+    /// Returns the replication position that an answer reports in `note`. Zero counts as a position only if the
+    /// settings say that answers report positions.
     fn position(&self, note: MemberNote) -> Option<Time> {
         let position_ms = note.position_ms();
         (position_ms > 0 || self.answers_report_position)
@@ -248,7 +249,7 @@
 
     fn abandon_rpc(&mut self, line: Line) -> Result<(), EventProblem> {
         let request_id = require(line.request_id, "RequestId")?;
-        // The RPC may be unknown or answered already.
+        // The RPC that the client has given up on may be unknown or answered already, which is no error.
         if let Ok(active) = self.rpcs.get_mut(&request_id)
             && !active.is_answered
         {
--- a/crates/ladderpass-simulator-adapter/src/instances.rs
+++ b/crates/ladderpass-simulator-adapter/src/instances.rs
@@ -13,12 +13,12 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Whether a batch of events is complete.
+/// Whether the batch of events that is being read is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Batch {
     /// More events of the batch follow.
     Open,
-    /// The reply contains all actions of the batch.
+    /// The batch is complete, and the reply contains all its actions.
     Complete,
 }
 
--- a/crates/ladderpass-simulator-adapter/src/rpcs.rs
+++ b/crates/ladderpass-simulator-adapter/src/rpcs.rs
@@ -23,7 +23,7 @@
 }
 
 impl RpcTable {
-    /// Returns whether an RPC with this id is active.
+    /// Returns whether an RPC with this id on the wire is active.
     pub fn contains(&self, request_id: &str) -> bool {
         self.by_request_id.contains_key(request_id)
     }
