--- a/crates/ladderpass/tests/check_command.rs
+++ b/crates/ladderpass/tests/check_command.rs
@@ -4,15 +4,15 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Writes a file that no other test uses.
+/// Writes `text` to a file that no other test uses, and returns the file's path.
 fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("check-{name}-{}", std::process::id()));
     std::fs::write(&path, text).expect("the file is written");
     path
 }
 
-/// Runs the program with these environment variables; the router's other variables are removed. Returns the lines of
-/// standard error, and the output.
+/// Runs the `ladderpass` program with these environment variables and arguments; the router's other variables are
+/// removed. Returns the lines of standard error, and the whole output.
 fn run(variables: &[(&str, &str)], arguments: &[&str]) -> (Vec<String>, Output) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     for key in ["RELAY_NAME", "RELAY_LISTEN", "RELAY_DISCOVERY", "RELAY_CONFIG", "RUST_LOG"] {
@@ -90,7 +90,7 @@
     for (error, expected) in errors.iter().zip(expected) {
         assert!(error.starts_with(&expected), "{expected}: {errors:#?}");
     }
-    // Without `check` the process logs the same number of errors and exits.
+    // Started as a router, without the argument `check`, the process logs the same number of errors and exits.
     let (log, output) = run(&variables, &["--operator", operator_text]);
     assert_eq!((output.status.code(), log.len()), (Some(1), errors.len()), "{log:#?}");
     for path in [operator, platform] {
--- a/crates/ladderpass/tests/common/fake_servers.rs
+++ b/crates/ladderpass/tests/common/fake_servers.rs
@@ -12,11 +12,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Computes the answer of a fake member to a statement. None closes the connection.
+/// Computes the answer of the nth fake member to a statement. For None, the member closes the connection without an
+/// answer.
 pub type Answer = fn(n: usize, statement: &str) -> Option<Vec<u8>>;
 
-/// Starts a fake member and returns its address. The member accepts all connections, sends each statement to `statements`,
-/// and answers it with `answer`.
+/// Starts the nth fake member and returns the member's address. The member accepts all connections, sends each
+/// statement to `statements`, and answers the statement with what `answer` returns.
 pub fn fake_member(n: usize, answer: Answer, statements: Sender<(usize, String)>) -> String {
     slow_fake_member(Duration::ZERO, n, answer, statements)
 }
@@ -71,7 +72,7 @@
     }
 }
 
-/// The role that a fake member reports.
+/// The role that the nth fake member reports: member 0 is the leader.
 pub fn role(n: usize) -> &'static str {
     if n == 0 { "leader" } else { "follower" }
 }
@@ -79,7 +80,8 @@
 /// A line of a watch that leaves the configured endpoint list unchanged.
 pub const NO_CHANGE: &str = r#"{"generation":1,"reset":false,"instances":[]}"#;
 
-/// Starts a fake discovery and returns its address. Each watch gets this line, and then an empty line every second.
+/// Starts a fake discovery service and returns the service's address. Each watch of the endpoint list gets `line`, and
+/// then an empty line every second.
 pub fn fake_discovery(line: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("the listener has an address").to_string();
@@ -120,7 +122,7 @@
     }
 }
 
-/// The command that starts a router with this configuration. Its log goes to a pipe.
+/// The command that starts a router with this configuration file. The router's log goes to a pipe.
 pub fn router_command(listen: &str, discovery: &str, config_file: &PathBuf) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_ladderpass"));
     command.env("RELAY_NAME", "n0").env("RELAY_LISTEN", listen).env("RELAY_DISCOVERY", discovery);
@@ -128,19 +130,20 @@
     command
 }
 
-/// Starts a router in front of three fake members, and returns once it has answered an empty query.
+/// Starts a router in front of three fake members that answer with `answer`. Returns once the router has answered an
+/// empty query.
 pub fn router(answer: Answer) -> Router {
     router_with(|config| config, answer)
 }
 
-/// Like [`router`], with a changed configuration.
+/// Like [`router`], with the configuration that `change` returns.
 pub fn router_with(change: fn(String) -> String, answer: Answer) -> Router {
     let (sender, statements) = channel();
     let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
     router_with_members(&members, statements, change)
 }
 
-/// Like [`router_with`], in front of these members, whose statements arrive on `statements`.
+/// Like [`router_with`], in front of the members with these addresses, whose statements arrive on `statements`.
 pub fn router_with_members(
     members: &[String],
     statements: Receiver<(usize, String)>,
@@ -168,13 +171,13 @@
 }
 
 impl Router {
-    /// Sends the process the signal with this name, such as `TERM`.
+    /// Sends the router process the signal with this name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("the shell starts").success());
     }
 
-    /// Connects a client, and completes its startup.
+    /// Connects a client to the router, and returns once the router has answered the client's startup message.
     pub fn client(&self) -> TcpStream {
         let mut stream = loop {
             match TcpStream::connect(&self.address) {
@@ -189,7 +192,8 @@
     }
 }
 
-/// Sends a statement and reads its answer: the types of its frames, and the body of its last row or error.
+/// Sends a statement on a client's connection and reads the answer. Returns the types of the answer's frames, and the
+/// body of the last row or error in the answer.
 pub fn execute(client: &mut TcpStream, statement: &str) -> (Vec<u8>, Vec<u8>) {
     client.write_all(&query(statement)).expect("the router reads");
     let (mut kinds, mut last_body) = (Vec::new(), Vec::new());
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -16,7 +16,7 @@
 /// The head of the HTTP response with which discovery answers a watch.
 pub const WATCH_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One chunk of discovery's HTTP response.
+/// One chunk of discovery's HTTP response, with these bytes as its content.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
@@ -53,14 +53,15 @@
         .replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"))
 }
 
-/// The endpoint list entry of a serving member. Every three consecutive members form a group, whose first member is the leader.
+/// The endpoint list entry of the nth member, which serves. Every three consecutive members form a group, whose first
+/// member is the leader.
 pub fn instance_in_group(n: usize, address: &str) -> String {
     instance(n, address, "SERVING")
         .replace("\"cell\":1", &format!("\"cell\":{}", n / 3 + 1))
         .replace("\"follower\"", if n.is_multiple_of(3) { "\"leader\"" } else { "\"follower\"" })
 }
 
-/// The endpoint list entry of a member with a lifecycle such as `SERVING`. Member 0 is the leader.
+/// The endpoint list entry of the nth member, with a lifecycle such as `SERVING`. Member 0 is the leader.
 pub fn instance(n: usize, address: &str, lifecycle: &str) -> String {
     let role = if n == 0 { "leader" } else { "follower" };
     format!(
@@ -82,7 +83,7 @@
     launch_with_discovery(config, "127.0.0.1:8500")
 }
 
-/// Like [`launch_with_config`], with discovery at this address.
+/// Like [`launch_with_config`], with discovery at the address `discovery`.
 pub fn launch_with_discovery(config: &str, discovery: &str) -> Launch {
     let path = temp_file(config);
     let variable = |key: &str| {
@@ -98,7 +99,8 @@
     launch.unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// A loopback address that no other caller gets, with port 0: the system chooses a free port when a fake server binds it.
+/// A loopback address that no other caller of this function gets. The address has port 0, so that the system chooses a
+/// free port when a fake server binds the address.
 pub fn unique_loopback_address() -> String {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
     let nth = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -106,12 +108,14 @@
     format!("127.{}.{}.{nth}:0", 1 + pid / 250 % 250, pid % 250)
 }
 
-/// A free address for a router that is about to start. The system does not give its port away before the router binds it.
+/// A free address for a router that is about to start. The system does not give the address's port to another socket
+/// before the router binds the address.
 pub fn router_address() -> String {
     ladderpass_testbed::router::own_address().expect("a free port").to_string()
 }
 
-/// A read or a write with this id, for a group of members. Its deadline is `deadline_ms` milliseconds after it is sent.
+/// A read or a write, as `method` says, with this id and for this group of members. The statement's deadline is
+/// `deadline_ms` milliseconds after the statement is sent.
 pub fn statement(id: &str, method: &str, deadline_ms: u64, group: &str) -> String {
     let comment = format!("/* id={id},c={method},d={deadline_ms},cluster={group} */");
     match method {
@@ -141,12 +145,12 @@
     [&(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// A cancel request with the process id and the secret key of the connection to cancel on.
+/// A cancel request for the client connection that has this process id and this secret key.
 pub fn cancel((process, secret): (u32, u32)) -> Vec<u8> {
     [16, 80_877_102, process, secret].into_iter().flat_map(u32::to_be_bytes).collect()
 }
 
-/// The process id and the secret key in the answer to a startup message.
+/// The process id and the secret key for cancel requests, from the frames that answer a client's startup message.
 pub fn cancel_key(frames: &[(u8, Vec<u8>)]) -> (u32, u32) {
     let (_, body) =
         frames.iter().find(|(kind, _)| *kind == b'K').expect("the answer to the startup message has a key");
@@ -154,7 +158,8 @@
     (number(0), number(4))
 }
 
-/// A member's answer with one row of one column. `position_ms` is the member's position in Unix milliseconds.
+/// A member's answer with one row of one column, `value`. `position_ms` is the member's replication position in Unix
+/// milliseconds.
 pub fn row(value: &[u8], role: &str, position_ms: u64) -> Vec<u8> {
     let column = [&b"\0\x01"[..], &(value.len() as u32).to_be_bytes(), value].concat();
     [
@@ -183,7 +188,7 @@
     [frame(b'R', &[0; 4]), frame(b'S', b"a\0b\0"), frame(b'K', &[0; 8]), frame(b'Z', b"I")].concat()
 }
 
-/// The complete frames at the start of the bytes, and how many bytes they take.
+/// The types and bodies of the complete frames at the start of `bytes`, and how many bytes these frames take.
 pub fn frames(bytes: &[u8]) -> (Vec<(u8, Vec<u8>)>, usize) {
     let (mut found, mut at) = (Vec::new(), 0);
     while let Some(head) = bytes.get(at..at + 5) {
@@ -195,33 +200,34 @@
     (found, at)
 }
 
-/// The SQLSTATE of an ErrorResponse.
+/// The SQLSTATE in the body of an ErrorResponse.
 pub fn sqlstate(body: &[u8]) -> String {
     let field = body.split(|&byte| byte == 0).find(|field| field.first() == Some(&b'C'));
     field.map(|field| String::from_utf8_lossy(&field[1..]).into_owned()).unwrap_or_default()
 }
 
-/// The id in a statement's comment, and the statement without the deadline `d`, which the router rewrites.
+/// The id in a statement's comment, and the statement without the value of the deadline field `d`, which the router
+/// rewrites.
 pub fn id_and_rest(statement: &str) -> (String, String) {
     let (before, after) = statement.split_once(",d=").unwrap_or((statement, ","));
     let id = before.rsplit_once("id=").map_or("", |(_, id)| id).split(',').next().unwrap_or("");
     (id.to_owned(), format!("{before}{}", after.split_once(',').map_or("", |(_, rest)| rest)))
 }
 
-/// Unix time in milliseconds.
+/// The current Unix time in milliseconds.
 pub fn now_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64
 }
 
-/// Closes a connection so that the other side sees the close at once. After a drop it may see the close later: a child
-/// process that another test is starting holds a copy of the socket until its exec, and the kernel closes a connection only
-/// with the last copy of its socket.
+/// Closes a connection so that the other side sees the close at once. If the connection were only dropped, the other
+/// side might see the close later: a child process that another test is starting holds a copy of the socket until its
+/// exec, and the kernel closes a connection only with the last copy of its socket.
 pub fn close(stream: TcpStream) {
-    // The shutdown may fail if the other side has already closed the connection, and then there is nothing left to do.
+    // The shutdown may fail if the other side has already closed the connection. Nothing is left to do in this case.
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Resets a connection by disconnecting its socket, which takes effect at once for all copies of the socket.
+/// Resets a connection by disconnecting the socket, which takes effect at once for all copies of the socket.
 pub fn reset(stream: TcpStream) {
     use std::os::fd::AsRawFd;
     // SAFETY: an address of zeroes has the family AF_UNSPEC, with which `connect` disconnects a socket.
@@ -232,7 +238,7 @@
     assert_eq!(done, 0, "{}", std::io::Error::last_os_error());
 }
 
-/// Reads the next frame of a connection. Returns None at its end or after the read timeout.
+/// Reads the next frame on a connection. Returns None at the end of the connection or after the socket's read timeout.
 pub fn next_frame(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
--- a/crates/ladderpass/tests/concurrent_startup.rs
+++ b/crates/ladderpass/tests/concurrent_startup.rs
@@ -22,16 +22,18 @@
 
 const MEMBERS: usize = 940;
 const MAX_TIME_TO_SERVE: Duration = Duration::from_secs(10);
-/// Threads that serve fake members. Each has one address for leaders, one for followers, and two for members that hang.
+/// The number of threads that serve fake members. Each thread listens on one address for leaders, one for followers,
+/// and two for members that hang.
 const THREADS: usize = 6;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MemberKind {
     Leader,
     Follower,
-    /// Accepts connections and sends nothing.
+    /// A member that accepts connections and sends nothing.
     Silent,
-    /// Accepts no connections: they wait in the kernel, and connects hang once its queue is full.
+    /// A member that accepts no connections: they wait in the kernel, and connects hang once the kernel's queue is
+    /// full.
     NotAccepting,
 }
 
@@ -39,7 +41,7 @@
 struct Members {
     /// The address of each member.
     addresses: Vec<String>,
-    /// How many health checks the members have received in all.
+    /// How many health checks all members together have received.
     health_checks: Arc<AtomicUsize>,
 }
 
@@ -58,7 +60,7 @@
         // The thread runs until the test's process ends.
         thread::spawn(move || serve_members(&listeners, &health_checks).expect("serving succeeds"));
     }
-    // In each group the leader and the first follower serve, and the second follower hangs.
+    // In each group of three members, the leader and the first follower serve, and the second follower hangs.
     let kind = |n: usize| match n % 6 {
         0 | 3 => MemberKind::Leader,
         1 | 4 => MemberKind::Follower,
@@ -106,7 +108,8 @@
     }
 }
 
-/// Reads what has arrived and answers it. Returns false once the connection has closed.
+/// Reads what has arrived on a connection to a fake member, and answers complete messages. Returns false once the
+/// connection has closed.
 fn answer_input(
     kind: MemberKind,
     stream: &mut TcpStream,
@@ -153,11 +156,11 @@
 struct StartMeasurement {
     process: Child,
     config_file: PathBuf,
-    /// The time until a client had the answer to its startup message.
+    /// The time from the start of the process until a client had the answer to its startup message.
     startup_answered: Duration,
-    /// The time until a client had a row.
+    /// The time from the start of the process until a client had a row.
     served: Duration,
-    /// The CPU time of the process until then.
+    /// The CPU time that the process used from its start until it served its first client.
     cpu: Duration,
     /// The peak memory of the process in MB.
     resident_mb: f64,
@@ -232,7 +235,7 @@
     measurement
 }
 
-/// Formats the median, the ninth decile and the maximum.
+/// Formats the median, the ninth decile and the maximum of the values.
 fn summarize(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     let quantile = |fraction: f64| values[((values.len() - 1) as f64 * fraction) as usize];
--- a/crates/ladderpass/tests/descriptor_limit/machine.rs
+++ b/crates/ladderpass/tests/descriptor_limit/machine.rs
@@ -12,33 +12,33 @@
 
 /// The port of discovery.
 const DISCOVERY_PORT: u16 = 8500;
-/// The port of the first member.
+/// The port of the first simulated member. The other members have the ports that follow.
 const FIRST_MEMBER_PORT: u16 = 10_000;
 /// The one-way delay between the router and any peer.
 const NETWORK_DELAY: Span = Span::from_millis(1);
 
-/// The state of discovery.
+/// The state of the simulated discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Connections to it are refused.
+    /// Discovery refuses connections.
     Down,
-    /// It accepts connections and sends nothing.
+    /// Discovery accepts connections and sends nothing.
     Silent,
-    /// It answers watches.
+    /// Discovery answers watches of the endpoint list.
     Up,
 }
 
-/// What the peer does on a connection.
+/// What the router's peer does on a connection.
 enum NetworkEvent {
     Connected,
     Refused,
     Bytes(Vec<u8>),
 }
 
-/// Returns what the nth idle client sends. Idle clients use descriptors and send no complete statement.
+/// A function that returns what the nth idle client sends. Idle clients use descriptors and send no complete statement.
 pub type ClientBytes = fn(usize) -> Vec<u8>;
 
-/// The reducer on a machine with a limited number of descriptors.
+/// The router's reducer on a simulated machine with a limited number of descriptors.
 pub struct Machine {
     reducer: Reducer,
     started_at: Time,
@@ -52,9 +52,9 @@
     pub discovery: Discovery,
     /// The line that discovery sends as its answer to a watch.
     pub list_line: String,
-    /// Whether a member accepts connections and sends nothing.
+    /// Whether the nth member accepts connections and sends nothing.
     pub is_silent: fn(usize) -> bool,
-    /// Whether connects to a member are never answered.
+    /// Whether connects to the nth member are never answered.
     pub is_unreachable: fn(usize) -> bool,
     pub member_connections: HashMap<ConnectionId, usize>,
     pub watches: BTreeSet<ConnectionId>,
@@ -63,30 +63,33 @@
     listening: bool,
     /// What idle clients send, if idle clients wait at the listener.
     pub idle_clients: Option<ClientBytes>,
-    /// Clients with a statement that wait at the listener. They are accepted before idle clients.
+    /// The numbers of the clients that wait at the listener with a statement. They are accepted before idle clients.
     pub waiting_clients: VecDeque<usize>,
     accepted_clients: usize,
     pub clients_by_connection: HashMap<ConnectionId, usize>,
-    /// The health checks that members have received: the time and the member.
+    /// The health checks that members have received, each as its time and the member's number.
     pub health_checks: Vec<(Time, usize)>,
-    /// By client with a statement: when it received its answer, and the types of the answer's frames.
+    /// The answers to the clients with a statement, by the client's number: when the client received the answer, and
+    /// the types of the answer's frames.
     pub answers: BTreeMap<usize, (Time, Vec<u8>)>,
-    /// When discovery's first answer reaches the router.
+    /// When discovery's first answer with an endpoint list reaches the router, or None if discovery has not answered
+    /// yet.
     pub list_received_at: Option<Time>,
     pub max_open: usize,
 }
 
-/// The address of a member.
+/// The address of the nth simulated member.
 pub fn address(n: usize) -> String {
     format!("127.0.0.1:{}", usize::from(FIRST_MEMBER_PORT) + n)
 }
 
-/// A router that is configured for `configured` descriptors, on a machine that has `free` descriptors.
+/// A router that is configured for `configured` descriptors, on a machine that has `free` free descriptors.
 pub fn machine(members: usize, configured: usize, free: usize) -> Machine {
     let addresses: Vec<String> = (0..members).map(address).collect();
     let now = SIMULATION_START;
     let mut launch = launch_with_config(&grouped_router_config(&addresses, configured.max(64)));
-    // The configuration allows no fewer than 64 descriptors. A process that may open fewer computes its limits like this.
+    // The configuration allows no fewer than 64 descriptors. A process that may open fewer computes its limits as in
+    // the next line.
     launch.limits = limits::Limits::of(192, configured, &launch.settings);
     Machine {
         reducer: Reducer::start(now, launch),
@@ -132,7 +135,7 @@
         self.open_connections.insert(id)
     }
 
-    /// Schedules what the peer does on a connection.
+    /// Schedules what the router's peer does on a connection after `span`.
     fn schedule(&mut self, span: Span, id: ConnectionId, event: NetworkEvent) {
         self.last_event_number += 1;
         self.events.insert((self.now + span, self.last_event_number), (id, event));
@@ -160,8 +163,8 @@
                     self.listening = wanted;
                     Vec::new()
                 }
-                // A simulated socket holds no bytes that the reducer has not received, so the answer is immediate. The
-                // connection is closed before the other effects are carried out.
+                // A simulated socket holds no bytes that the reducer has not received, so the final read before a close
+                // ends at once. The connection is closed before the other effects are carried out.
                 Effect::CloseIfQuiet(id) => {
                     let asked = self.reducer.handle(self.now, Event::ReadToEnd(id));
                     asked.into_iter().rev().for_each(|effect| effects.push_front(effect));
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Simulates a connect of the router to discovery or to a member.
+    /// Simulates that the router connects to discovery or to a member.
     fn connect(&mut self, id: ConnectionId, port: u16) {
         if port == DISCOVERY_PORT {
             self.watches.insert(id);
@@ -190,7 +193,7 @@
         }
     }
 
-    /// Writes all that the router has for a connection, and schedules what the peer answers.
+    /// Delivers all output that the router has for a connection, and schedules the peer's answer.
     fn write(&mut self, id: ConnectionId) -> Vec<Effect> {
         if !self.open_connections.contains(&id) {
             return Vec::new();
@@ -219,7 +222,7 @@
         effects
     }
 
-    /// Hands bytes to the router, as far as its read buffer has space.
+    /// Delivers a peer's bytes to the router, as far as the read buffer of the connection has space.
     pub fn receive(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.open_connections.contains(&id) {
             let buffer = self.reducer.read_buffer(id);
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Runs the simulation for this time.
+    /// Runs the simulation for the time `span`.
     pub fn run_for(&mut self, span: Span) {
         let until = self.now + span;
         let (mut at, mut iterations_at_this_time) = (self.now, 0);
@@ -296,7 +299,8 @@
         }
     }
 
-    /// Runs the simulation while the clients `from..to`, each with a statement, connect at this interval.
+    /// Runs the simulation while the clients numbered `from..to`, each with a statement, connect one after another, one
+    /// per `interval`.
     pub fn run_with_clients(&mut self, from: usize, to: usize, interval: Span) {
         for nth in from..to {
             self.waiting_clients.push_back(nth);
@@ -304,7 +308,8 @@
         }
     }
 
-    /// Which of the first `count` clients with a statement received no row, and the types of the frames that they received.
+    /// The numbers of those of the first `count` clients with a statement that received no row, each with the types of
+    /// the frames that the client received.
     pub fn unserved(&self, count: usize) -> Vec<(usize, String)> {
         let frame_kinds =
             |nth| self.answers.get(&nth).map_or("", |(_, kinds)| std::str::from_utf8(kinds).unwrap_or("?"));
@@ -314,7 +319,8 @@
             .collect()
     }
 
-    /// Schedules a member's answers to what it has received, unless it is silent.
+    /// Schedules the nth member's answers to the messages that it has received on a connection, unless the member is
+    /// silent.
     fn answer_as_member(&mut self, id: ConnectionId, n: usize) {
         if (self.is_silent)(n) {
             return;
--- a/crates/ladderpass/tests/disconnects/cancel_requests.rs
+++ b/crates/ladderpass/tests/disconnects/cancel_requests.rs
@@ -5,7 +5,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Reads the answer to the startup message, and returns the key for cancel requests in it.
+/// Reads the answer to a client's startup message, and returns the key for cancel requests in that answer.
 pub fn read_cancel_key(client: &mut TcpStream) -> (u32, u32) {
     let mut frames = Vec::new();
     while frames.last().is_none_or(|(kind, _)| *kind != b'Z') {
@@ -14,7 +14,8 @@
     cancel_key(&frames)
 }
 
-/// Sends a cancel request, and waits until its connection is closed without an answer: by then the router has handled it.
+/// Sends a cancel request, and waits until the router closes the request's connection without an answer: by then the
+/// router has handled the request.
 pub fn send_cancel_request(harness: &RouterHarness, key: (u32, u32)) {
     let mut connection = TcpStream::connect(&harness.address).expect("the router listens");
     connection.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
--- a/crates/ladderpass/tests/disconnects/client_burst.rs
+++ b/crates/ladderpass/tests/disconnects/client_burst.rs
@@ -19,25 +19,25 @@
 /// Counts of the attempts that began after the clients had disconnected.
 #[derive(Debug, Default, PartialEq)]
 struct LateAttempts {
-    /// Attempts of RPCs that were sent right before the disconnects.
+    /// First attempts of RPCs that clients sent right before the disconnects.
     first_attempts: usize,
-    /// Attempts of RPCs that had an attempt before.
+    /// Attempts of RPCs that already had an attempt before the disconnects.
     retries: usize,
-    /// Attempts of RPCs that were pending.
+    /// Attempts of RPCs that were pending at the disconnects.
     pending: usize,
     /// First attempts on connections that were established only after the disconnects.
     on_late_connections: usize,
 }
 
-/// Clients with numbers. Each has sent an RPC whose id is the client's number.
+/// The clients of the test, each with a number. Each client has sent an RPC whose id is the client's number.
 struct Clients {
     streams: Vec<(usize, TcpStream)>,
-    /// The keys of those clients that send a cancel request.
+    /// The numbers and the cancel keys of those clients that send a cancel request.
     cancel_keys: Vec<(usize, (u32, u32))>,
 }
 
 impl Clients {
-    /// Connects all clients, and sends a statement on each connection.
+    /// Connects all clients, and sends one statement on each connection.
     fn connect(harness: &RouterHarness) -> Clients {
         let mut clients = Clients { streams: Vec::new(), cancel_keys: Vec::new() };
         for nth in 0..CLIENTS {
@@ -53,7 +53,8 @@
         clients
     }
 
-    /// The clients that have a key send a cancel request, which answers their RPC unless it is `in_flight`.
+    /// The clients that have a cancel key send a cancel request, which answers the client's RPC unless the RPC's id is
+    /// in `in_flight`.
     fn cancel(&mut self, harness: &RouterHarness, in_flight: &[String]) {
         for (nth, key) in &self.cancel_keys {
             send_cancel_request(harness, *key);
@@ -68,8 +69,8 @@
         }
     }
 
-    /// The clients without a key disconnect by a close, a reset or a half close. Returns the connections that stay open on
-    /// the test's side.
+    /// The clients without a cancel key disconnect by a close, a reset or a half close. Returns the connections that
+    /// stay open on the test's side.
     fn disconnect(self) -> Vec<TcpStream> {
         let mut kept = Vec::new();
         for (nth, stream) in self.streams {
@@ -89,9 +90,9 @@
 
 /// The connections and attempts that members have when the clients disconnect.
 struct Members {
-    /// By member: connections whose startup message is not answered yet.
+    /// The connections to each member whose startup message is not answered yet.
     unanswered: Vec<Vec<TcpStream>>,
-    /// By member: attempts that are not answered yet.
+    /// The attempts at each member that are not answered yet.
     in_flight: Vec<Vec<Attempt>>,
 }
 
@@ -123,7 +124,7 @@
     }
 
     /// Member 0 answers its attempts, member 3 rejects its attempts, and members 1 and 2 answer the startup messages.
-    /// Returns the connections to members 1 and 2, each as the member and the port of its peer.
+    /// Returns the connections to members 1 and 2, each as the member's number and the port at the router's end.
     fn answer(&mut self, harness: &mut RouterHarness) -> Vec<(usize, u16)> {
         for (_, link) in std::mem::take(&mut self.in_flight[0]) {
             harness.answer_rpc(0, link);
@@ -151,9 +152,9 @@
 }
 
 /// 2,000 clients disconnect in one burst, by a cancel request, a close, a reset or a half close. Of the six members two
-/// hang, two have connections that are not established yet, one answers its attempts and one rejects them. The router is
-/// stopped for 0.15 s meanwhile, and then finds all closes at once, together with what members have sent. It starts no
-/// pending RPC, and retries none.
+/// hang, two have connections that are not established yet, one answers its attempts and one rejects them. The router
+/// is stopped for 0.15 s meanwhile, and then finds all closes at once, together with what members have sent. The router
+/// starts no pending RPC, and retries none.
 #[test]
 fn rpcs_of_clients_that_disconnect_in_one_burst_are_not_forwarded() {
     let members: Vec<TcpListener> = (0..6).map(|_| bind_listener()).collect();
--- a/crates/ladderpass/tests/disconnects/client_close.rs
+++ b/crates/ladderpass/tests/disconnects/client_close.rs
@@ -7,7 +7,8 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// A statement and the close of its connection arrive together, both on a new connection and on one whose startup is done.
+/// A statement and the close of its client's connection reach the router together, both on a new connection and on one
+/// whose startup is done. The statement is not forwarded.
 #[test]
 fn a_statement_that_arrives_together_with_its_clients_close_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
@@ -26,7 +27,8 @@
     harness.assert_write_succeeds("3");
 }
 
-/// The router cannot tell a half close from a close before it writes bytes to the connection, so it treats both alike.
+/// The router cannot tell a client's half close from a close before it writes bytes to the connection, so it treats
+/// both alike.
 #[test]
 fn a_half_close_by_a_client_is_treated_as_a_close() {
     let mut harness = start_harness(|config| config);
@@ -40,8 +42,8 @@
     assert!(next_frame(&mut client).is_none());
 }
 
-/// After a client's error the router reads nothing from the client for a while. An earlier version also missed a close in
-/// that time.
+/// After a client's error the router reads nothing from the client for a while. A statement that arrives in this time
+/// and is followed by the client's close is not forwarded. An earlier version missed a close in that time.
 #[test]
 fn a_statement_of_a_client_that_disconnects_during_the_backoff_after_its_error_is_not_forwarded() {
     let mut harness = start_harness(|config| config);
@@ -58,7 +60,7 @@
     }
 }
 
-/// The connection to the member is established only after the client has disconnected.
+/// The connection to the member is established only after the RPC's client has disconnected.
 #[test]
 fn an_rpc_whose_client_disconnects_before_the_member_connection_is_established_is_not_forwarded() {
     check_disconnect_before_member_connection(|_| None);
@@ -80,7 +82,8 @@
     drop(copy);
 }
 
-/// Like the test above, while a copy of the client's socket stays open, as in a child process before its exec.
+/// A client disconnects before the connection to the member is established, while a copy of the client's socket stays
+/// open, as in a child process before its exec. The client's RPC is not forwarded.
 ///
 /// Beside 16 busy processes a write was sent although its client had been dropped, in one of 11 runs of all tests. The
 /// kernel closes a connection only with the last copy of its socket, and other tests start routers meanwhile, whose
@@ -95,8 +98,8 @@
     });
 }
 
-/// RPCs are pending because the primary is at its concurrency limit. Those whose clients disconnect are not sent once there
-/// is capacity. `docs/results.md` has the figure.
+/// RPCs are pending because the primary is at its concurrency limit. Pending RPCs whose clients disconnect are not sent
+/// once the primary has capacity again. `docs/results.md` has the figure.
 #[test]
 fn pending_rpcs_of_clients_that_disconnect_are_not_forwarded() {
     let mut harness = start_harness(|config| {
@@ -116,7 +119,7 @@
         "some but not all RPCs are pending, sent are {:?}",
         attempted
     );
-    // All clients with pending RPCs disconnect but for the last one.
+    // Of the clients with pending RPCs, all but the last one disconnect.
     let pending: Vec<usize> = (0..30).filter(|nth| !attempted.contains(nth)).collect();
     let last = *pending.last().expect("some RPCs are pending");
     let mut clients: Vec<Option<TcpStream>> = streams.into_iter().map(Some).collect();
--- a/crates/ladderpass/tests/disconnects/crossing_closes.rs
+++ b/crates/ladderpass/tests/disconnects/crossing_closes.rs
@@ -1,4 +1,4 @@
-//! Closes that cross a statement, an answer or an accept on the way.
+//! Closes of connections that cross a statement, an answer or an accept on the way.
 
 use crate::common::{close, next_frame, now_ms, query, row};
 use crate::router_harness::{read_answer, start_harness, write_statement};
@@ -20,8 +20,8 @@
     harness.assert_write_succeeds("1");
 }
 
-/// The idle timeout of a client ends after its next statement has arrived and before the router reads it. The statement is
-/// accepted.
+/// The idle timeout of a client's connection ends after the client's next statement has arrived and before the router
+/// reads the statement. The statement is accepted.
 #[test]
 fn a_query_that_has_arrived_when_the_idle_timeout_ends_is_accepted() {
     let mut harness = start_harness(|config| config);
@@ -37,7 +37,8 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// A complete answer is forwarded even if the member closes the connection right after it.
+/// A member's complete answer is forwarded to the client even if the member closes the connection right after the
+/// answer.
 #[test]
 fn a_complete_answer_is_forwarded_although_the_member_closes_right_after_it() {
     let mut harness = start_harness(|config| config);
@@ -51,8 +52,8 @@
     assert_eq!(read_answer(&mut client).0, b"TDCZ");
 }
 
-/// An answer and the close of its client cross. The answer goes to no client, and the next RPC on the connection to the
-/// member gets its own answer.
+/// A member's answer and the close of the RPC's client cross. The answer goes to no client, and the next RPC on the
+/// connection to the member gets its own answer.
 #[test]
 fn an_answer_that_crosses_its_clients_close_is_sent_to_no_other_client() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/disconnects/descriptors.rs
+++ b/crates/ladderpass/tests/disconnects/descriptors.rs
@@ -11,7 +11,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Limits the router to 24 descriptors.
+/// Changes the command so that the router is limited to 24 descriptors.
 fn limit_descriptors(command: &mut Command) {
     run_in_shell("ulimit -n 24; exec \"$0\"", command);
 }
@@ -25,7 +25,8 @@
     command.args(["-c", shell]).arg(program).envs(envs);
 }
 
-/// While no descriptor is left clients wait at the listener. They are served once descriptors are free again.
+/// While the router has no descriptor left, clients wait at the listener. The clients are served once descriptors are
+/// free again.
 #[test]
 fn clients_waiting_to_be_accepted_are_served_once_descriptors_are_free_again() {
     let mut harness =
@@ -39,7 +40,7 @@
     harness.assert_write_succeeds("2");
 }
 
-/// Silent clients use all descriptors that clients may use. Attempts get their descriptors nevertheless.
+/// Silent clients use all descriptors that the router leaves to clients. Attempts of RPCs get descriptors nevertheless.
 #[test]
 fn attempts_get_descriptors_although_clients_use_all_that_they_may() {
     let mut harness =
@@ -57,8 +58,9 @@
     drop(waiting_clients);
 }
 
-/// There is no descriptor for a connection to a member, and nothing that could be closed to free one. That does not count
-/// as a failure of the member: the RPCs are rejected at once, and the first RPC after the shortage is served.
+/// The router has no descriptor for a connection to a member, and nothing that it could close to free one. The shortage
+/// does not count as a failure of the member: the RPCs are rejected at once, and the first RPC after the shortage is
+/// served.
 #[test]
 fn a_shortage_of_descriptors_is_not_counted_as_a_member_failure() {
     let mut harness = start_harness_with(vec![bind_listener(), bind_listener()], |config| config, |_| {});
@@ -71,7 +73,8 @@
             Command::new("prlimit").args(["--pid", &pid, &format!("--nofile={count}:1024")]).status();
         assert!(status.expect("prlimit of util-linux is installed").success());
     };
-    // Idle clients are closed meanwhile, so that no client is left that the router could close to free a descriptor.
+    // The router closes idle clients during this pause, so that no client is left that it could close to free a
+    // descriptor.
     sleep(Duration::from_millis(2500));
     assert_eq!(execute(&mut client, ""), (Vec::new(), "the connection has ended".into()));
     let mut client = harness.client();
@@ -89,8 +92,8 @@
     harness.assert_write_succeeds("after");
 }
 
-/// The router accepts clients that have already disconnected. It releases the descriptor of each before it accepts the next
-/// one.
+/// The router accepts clients that have already disconnected. It releases the descriptor of each such client before it
+/// accepts the next one.
 #[test]
 fn clients_that_disconnect_before_accept_hold_no_descriptors() {
     let log = temp_file("");
@@ -110,8 +113,8 @@
     assert!(!log_text.contains("Too many open files"), "{log_text}");
 }
 
-/// Idle clients keep connecting to a process with fewer descriptors than configured, while discovery is down. The router
-/// connects to discovery within 6 s of its return.
+/// Idle clients keep connecting to a router process with fewer descriptors than configured, while discovery is down.
+/// The router connects to discovery within 6 s of discovery's return.
 #[test]
 fn discovery_is_watched_again_in_time_although_idle_clients_fill_the_descriptors() {
     for count in [24, 100] {
@@ -137,13 +140,13 @@
     }
 }
 
-/// Keeps 120 connections open and sends no statement. Every second connection sends a startup message.
+/// Keeps 120 client connections open that send no statement. Every second connection sends a startup message.
 fn connect_idle_clients(address: String, stop: Arc<AtomicBool>) -> std::thread::JoinHandle<()> {
     std::thread::spawn(move || {
         let mut idle: Vec<TcpStream> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            // A closed connection reads as its end or as an error. An open one holds the answer to its startup message, or
-            // nothing.
+            // A read on a closed connection returns the end of the stream or an error. An open connection holds the
+            // answer to the startup message, or nothing.
             idle.retain_mut(|stream| match stream.read(&mut [0; 512]) {
                 Ok(count) => count > 0,
                 Err(fault) => fault.kind() == ErrorKind::WouldBlock,
--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -10,7 +10,8 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An earlier version opened no watch when lists were pushed, and never learned of drains.
+/// Where lists are pushed, the router watches the endpoint list, and opens a new watch when one ends. An earlier
+/// version opened no watch when lists were pushed, and never learned of drains.
 #[test]
 fn a_pushed_list_is_watched_and_its_watch_is_reopened_after_it_ends() {
     let mut harness = start_harness(|config| config.replace("\"subscribe\"", "\"automatic\""));
@@ -25,7 +26,7 @@
     harness.open_watch();
 }
 
-/// The list arrives as JSON over several lines, in two parts.
+/// An endpoint list is accepted that arrives as JSON over several lines, in two parts.
 #[test]
 fn an_indented_list_is_accepted() {
     let mut harness = start_harness(|config| config);
@@ -43,7 +44,8 @@
     assert_eq!(harness.next_rpc(1).0, "1");
 }
 
-/// The router must learn within 6 s what a silent watch would have sent. Both this watch and the next one fall silent.
+/// The router must learn within 6 s what a silent watch would have sent. In this test both the first watch and the next
+/// one fall silent.
 #[test]
 fn a_silent_watch_is_reopened_in_time_and_so_is_the_next() {
     let harness = start_harness(|config| config);
@@ -64,7 +66,7 @@
     );
 }
 
-/// Empty lines inside a JSON object that never ends do not count as progress.
+/// Empty lines inside a JSON object that never ends do not count as progress of a watch.
 #[test]
 fn a_watch_whose_list_never_ends_is_treated_as_silent() {
     let mut harness = start_harness(|config| config);
@@ -77,9 +79,9 @@
     }
 }
 
-/// Discovery moves to two new addresses in a row, each of which closes the watch without an answer. Changes from the old
-/// watch are accepted meanwhile, but do not count as the answer of the new address, which is polled again. An earlier
-/// version never polled it again.
+/// Discovery moves to two new addresses in a row, each of which closes the watch without an answer. Changes from the
+/// old watch are accepted meanwhile, but do not count as the answer of the new address, which is polled again. An
+/// earlier version never polled the new address again.
 #[test]
 fn after_two_reloads_the_list_of_the_last_discovery_address_is_used() {
     let mut harness = start_harness(|config| config);
@@ -110,8 +112,8 @@
     harness.assert_write_succeeds("2");
 }
 
-/// The new address of discovery sends a response head and empty lines but no list. That does not count as an answer, and
-/// the address is polled again within 6 s. An earlier version never polled it again.
+/// The new address of discovery sends a response head and empty lines but no list. Such a response does not count as an
+/// answer, and the address is polled again within 6 s. An earlier version never polled the address again.
 #[test]
 fn a_new_discovery_address_that_sends_no_list_is_asked_again() {
     let harness = start_harness(|config| config);
@@ -133,8 +135,8 @@
     }
 }
 
-/// Discovery restarts and counts generations from a lower number. Lists with an older generation are rejected, but no
-/// longer than a change may be late, counted from when the current list was received.
+/// Discovery restarts and counts the generations of the endpoint list from a lower number. The router rejects lists
+/// with an older generation, but no longer than a change may be late, counted from when it received the current list.
 #[test]
 fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
@@ -165,8 +167,8 @@
     }
 }
 
-/// Four RPCs wait for their connections when the address of their member changes. They go to the new address, and none
-/// counts as a failure of the member, which would eject it.
+/// Four RPCs wait for connections to a member when the address of the member changes. The RPCs go to the new address,
+/// and none of them counts as a failure of the member. Such failures would eject the member.
 #[test]
 fn rpcs_that_wait_for_a_connection_go_to_the_new_address_of_their_member() {
     let mut harness = start_harness(|config| config);
@@ -188,8 +190,8 @@
     clients.iter_mut().for_each(|client| assert_eq!(read_answer(client).0, b"TDCZ"));
 }
 
-/// A member begins to drain while the connection for an RPC is not established yet. The RPC goes to another member at once,
-/// and the draining member gets none.
+/// A member begins to drain while the connection to the member for an RPC is not established yet. The RPC goes to
+/// another member at once, and the draining member gets no RPC.
 #[test]
 fn an_rpc_that_waits_for_a_connection_to_a_draining_member_goes_elsewhere() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/disconnects/main.rs
+++ b/crates/ladderpass/tests/disconnects/main.rs
@@ -1,6 +1,6 @@
-//! Connections, watches and processes that end at the worst moment, reproducibly, over real connections on loopback
-//! (`docs/endings.md`). The test plays the clients, the members and discovery, and decides when each byte is sent. To make
-//! several things happen at once for the router, it pauses the router's process.
+//! Connections, watches of the endpoint list and processes that end at the worst moment, reproducibly, over real
+//! connections on loopback (`docs/endings.md`). The test plays the clients, the members and discovery, and decides when
+//! each byte is sent. To make several things happen at once for the router, the test pauses the router's process.
 
 mod cancel_requests;
 mod client_burst;
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -7,8 +7,9 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Eight times, a client sends an RPC and then `bytes_after` as far as the kernel takes them, and disconnects 0.12 s before
-/// its RPC is answered, by a close and a half close in turn. Returns how many of the later statements the member gets.
+/// Eight times, a client sends an RPC and then the bytes from `bytes_after`, as far as the kernel takes them. The
+/// client disconnects 0.12 s before the RPC is answered, by a close and a half close in turn. Returns how many of the
+/// later statements the member gets.
 fn count_forwarded_after(bytes_after: impl Fn(usize) -> Vec<u8>) -> usize {
     let mut harness = start_harness(|config| config);
     let mut forwarded = 0;
@@ -28,8 +29,8 @@
     forwarded
 }
 
-/// Sends bytes as far as the kernel takes them, and disconnects 0.12 s before it returns. After a half close it returns the
-/// connection.
+/// Sends bytes from a client as far as the kernel takes them, disconnects the client, and waits for 0.12 s. After a
+/// half close, returns the connection, so that it stays open.
 fn send_and_disconnect(
     harness: &RouterHarness,
     mut client: TcpStream,
@@ -48,27 +49,29 @@
     kept
 }
 
-/// `count` writes of some 8 KB each.
+/// The queries of `count` writes of some 8 KB each.
 fn later_statements(round: usize, count: usize) -> Vec<u8> {
     let statement = |nth| write_statement(&format!("gone-{round}-{nth}")).replace("9f03", &"9f".repeat(4000));
     (0..count).flat_map(|nth| query(&statement(nth))).collect()
 }
 
 /// The statements after a client's first RPC fill the client's buffer in the router, and then the client disconnects.
+/// None of these statements is forwarded.
 #[test]
 fn statements_of_a_client_that_disconnects_with_a_full_buffer_are_not_forwarded() {
     assert_eq!(count_forwarded_after(|round| later_statements(round, 72)), 0);
 }
 
-/// The client has sent more than the router's buffer and the socket hold, so that the kernel holds its close back. The
-/// router reads the client's bytes up to the close, and starts no RPC among them. After a half close no reset shows that
-/// the client has disconnected.
+/// The client has sent more than the router's buffer and the socket hold, so that the kernel holds the client's close
+/// back. The router reads the client's bytes up to the close, and starts no RPC among them. After a half close no reset
+/// shows that the client has disconnected.
 #[test]
 fn statements_of_a_client_whose_close_the_kernel_delays_are_not_forwarded() {
     assert_eq!(count_forwarded_after(|round| later_statements(round, 1000)), 0);
 }
 
-/// Like the test above, but the member that has the first RPC rejects it. No other member gets it.
+/// A client disconnects after it has sent more than the router's buffer and the socket hold, and the member that has
+/// the client's first RPC rejects the RPC. No other member gets the RPC.
 #[test]
 fn a_failed_attempt_is_not_retried_when_the_kernel_delays_the_clients_close() {
     let mut harness = start_harness(|config| config);
@@ -81,8 +84,9 @@
     assert_eq!(harness.next_rpc_within(0, Duration::from_millis(500)).map(|(id, _)| id), None);
 }
 
-/// A client that stays gets an answer to each statement. All statements for which there is space are served. If there are
-/// more, some of them are rejected, and the rest is served once all input is read.
+/// A client that pipelines many statements and stays connected gets an answer to each. If the router has space for all
+/// statements, all are served. If there are more, some of them are rejected, and the rest is served once all input is
+/// read.
 #[test]
 fn a_client_that_pipelines_many_statements_and_stays_gets_every_answer() {
     for (count, all_served) in [(60, true), (160, false)] {
--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -1,4 +1,4 @@
-//! Shutdown by SIGTERM. Accepted RPCs are answered before the process ends.
+//! Shutdown of the router by SIGTERM. Accepted RPCs are answered before the process ends.
 
 use crate::common::{next_frame, query, startup};
 use crate::router_harness::{WAIT_TIMEOUT, read_answer, start_harness, write_statement};
@@ -8,7 +8,8 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// An earlier version exited 10 s after SIGTERM even if RPCs were unanswered.
+/// After SIGTERM the router waits for unanswered RPCs. An earlier version exited 10 s after SIGTERM even if RPCs were
+/// unanswered.
 #[test]
 fn shutdown_waits_for_rpcs_that_take_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
@@ -24,7 +25,7 @@
     harness.assert_clean_exit();
 }
 
-/// A reload during shutdown changes nothing for clients that wait for an answer.
+/// A reload of the configuration (SIGHUP) during shutdown changes nothing for clients that wait for an answer.
 #[test]
 fn sighup_during_shutdown_loses_no_rpc() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -1,6 +1,6 @@
-//! A router must know a change of the endpoint list within 6 s of when discovery has it and can be reached. The reducer
-//! runs against a simulated discovery that goes down and returns, on a simulated clock, for each way in which a watch can
-//! end.
+//! A router must know a change of the endpoint list within 6 s of when discovery has the change and can be reached. The
+//! reducer runs against a simulated discovery that goes down and returns, on a simulated clock, for each way in which a
+//! watch can end.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -13,18 +13,20 @@
 use scenario::{ENDINGS, Ending, MODES, Mode, NEW_PORT, OLD_PORT, OUTAGE_STARTS, OutageStart};
 use simulation::{Simulation, ms};
 
-/// Longest time from the return of discovery until the change is read. 6 s are allowed, of which 0.5 s are left to a
-/// process that has to wait for its CPU.
+/// The longest allowed time from the return of discovery until the router has read the change of the list, in
+/// milliseconds. 6 s are allowed in operation, of which 0.5 s are left to a process that has to wait for its CPU.
 const MAX_DELAY_MS: i64 = 5500;
-/// The same where an older list may come: a watch from before the return may be answered 1.4 s after the return with an
-/// older list that is accepted, and then fall silent.
+/// The longest allowed time from the return of discovery until the router has read the change, in milliseconds, where
+/// an older list may arrive: a watch from before the return may be answered 1.4 s after the return with an older list
+/// that is accepted, and then fall silent.
 const MAX_DELAY_WITH_OLDER_LIST_MS: i64 = 5900;
 const SEEDS: u64 = 60;
-/// Environment variables, each of which makes the test print the table. The second is the former name.
+/// The names of two environment variables, each of which makes the test print the table of the delays. The second is
+/// the former name of the variable.
 const TABLE_VARIABLES: [&str; 2] = ["LADDERPASS_OUTAGE_TABLE", "TOLD_TABLE"];
 
-/// Each case of the table in `docs/endings.md`: how the outage begins, how watches end during it, and how the list is
-/// delivered.
+/// Runs each case of the table in `docs/endings.md`: how the outage begins, how watches end during the outage, and how
+/// the list is delivered.
 #[test]
 fn a_change_is_read_in_time_after_an_outage_however_watches_ended() {
     let mut late = Vec::new();
@@ -52,8 +54,8 @@
     assert!(late.is_empty(), "{} of {} cases:\n{}", late.len(), 15 * 5 * 5, late.join("\n"));
 }
 
-/// Discovery is unreachable for longer than lists may be late, and returns with a lower generation. Its list is accepted
-/// once discovery has sent it twice, the second time as a complete list.
+/// Discovery is unreachable for longer than lists may be late, and returns with a lower generation of the list. The
+/// router accepts this list once discovery has sent it twice, the second time as a complete list.
 #[test]
 fn lower_generations_after_an_outage_are_accepted_in_time() {
     for (whole, seed) in
@@ -75,8 +77,8 @@
     }
 }
 
-/// All routers of a fleet lose discovery at once. Returns the watches that the fleet opens in each 100 ms from then on, and
-/// the watches per router and second.
+/// All routers of a fleet lose discovery at once. Returns how many watches the fleet opens in each 100 ms of the
+/// outage, and how many watches each router opens per second on average.
 fn count_fleet_watches(mode: Mode, ending: Ending) -> (Vec<usize>, f64) {
     const FLEET: u64 = 460;
     const OUTAGE: i64 = 30_000;
@@ -96,8 +98,9 @@
     (counts, per_second)
 }
 
-/// In each 100 ms of an outage at most a fifth of the routers open a watch, or half of them if a watch is due within part
-/// of 1 s. Each router opens on average no more watches per second than the given rate.
+/// In each 100 ms of an outage of discovery, at most a fifth of the 460 routers open a watch, or half of them if the
+/// settings require a watch within part of 1 s. Each router opens on average no more watches per second than the given
+/// rate.
 #[test]
 fn watches_of_a_fleet_stay_spread_out_and_rate_limited_during_an_outage() {
     for (mode, ending, max_at_once, max_per_second) in [
@@ -124,11 +127,13 @@
     }
 }
 
-/// The time in milliseconds from the return of discovery until the change was read. None if it was not read within 30 s.
+/// The time in milliseconds from the return of discovery until the router has read the change of the list. None if the
+/// router does not read the change within 30 s.
 fn delay_after_return(mode: Mode, outage_start: OutageStart, ending: Ending, seed: u64) -> Option<i64> {
     let mut random = WyRand::new_seed(seed.wrapping_mul(77));
     let time_before_outage = ms(3000 + random.generate_range(0..3000));
-    // Half of the outages are drawn from a range that lets each backoff grow, the others from a shorter one.
+    // The lengths of half of the outages are drawn from a range that lets each backoff grow, the others from a shorter
+    // range.
     let outage = ms(if random.generate::<bool>() {
         random.generate_range(100..40_000)
     } else {
@@ -153,7 +158,8 @@
         OutageStart::WatchFallsSilent => simulation.take_discovery_down(true),
         OutageStart::Reload => {
             simulation.reload_with_new_address(mode, seed);
-            // The old address closes its watches after 1.5 s, as the platform specifies, or keeps serving them.
+            // The old discovery address closes its watches after 1.5 s, as the platform specifies, or keeps serving
+            // them.
             if random.generate() {
                 simulation.run_until((simulation.now + ms(1500)).min(outage_ended));
                 simulation.close_watches(OLD_PORT);
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -1,4 +1,5 @@
-//! The cases of an outage: how it begins, how watches end during it, and how the list is delivered.
+//! The cases of an outage of discovery: how the outage begins, how watches end during the outage, and how the endpoint
+//! list is delivered.
 
 use crate::common::{launch_with_discovery, router_config, simulated_members};
 use Ending::{
@@ -10,21 +11,21 @@
 /// How a watch ends while discovery is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    /// The connect gets no answer.
+    /// The connect to discovery gets no answer.
     ConnectHangs,
-    /// The connection is established, and the request gets no answer.
+    /// The connection is established, and the watch request gets no answer.
     NoAnswer,
-    /// The connection is refused.
+    /// The connection to discovery is refused.
     Refused,
-    /// The router has no descriptor for the connection.
+    /// The router has no descriptor for the connection to discovery.
     NoDescriptor,
-    /// The connection is closed after the request, without an answer.
+    /// The connection is closed after the watch request, without an answer.
     Reset,
-    /// The response has the status 503.
+    /// Discovery's response has the status 503.
     ErrorStatus,
-    /// The response has a content length in place of chunks.
+    /// Discovery's response has a content length in place of chunks.
     NotChunked,
-    /// The response has a line that is no valid JSON.
+    /// Discovery's response has a line that is no valid JSON.
     InvalidLine,
     /// The response head arrives, and then the connection is closed.
     HeadThenClose,
@@ -32,11 +33,11 @@
     HeadThenSilence,
     /// The response head arrives, and then empty lines for ever.
     EndlessEmptyLines,
-    /// The beginning of a list arrives, and then nothing.
+    /// The beginning of an endpoint list arrives, and then nothing.
     UnfinishedList,
-    /// The beginning of a list arrives, and then bytes for ever.
+    /// The beginning of an endpoint list arrives, and then bytes for ever.
     EndlessList,
-    /// A list with an older generation arrives.
+    /// An endpoint list with an older generation arrives.
     OlderList,
     /// Each watch ends in one of the other ways, drawn at random.
     Random,
@@ -60,14 +61,14 @@
     Random,
 ];
 
-/// How the outage begins.
+/// How the outage of discovery begins.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum OutageStart {
     /// The router starts while discovery is unreachable.
     ProcessStart,
-    /// The open watch is closed.
+    /// Discovery closes the open watch.
     WatchCloses,
-    /// The open watch falls silent.
+    /// The open watch stays open, but discovery sends nothing on it any more.
     WatchFallsSilent,
     /// SIGHUP moves discovery to a new address, which is unreachable, while the old address serves on without a change.
     Reload,
@@ -84,12 +85,12 @@
     OutageStart::ReloadDuringOutage,
 ];
 
-/// How the settings have the list delivered.
+/// How the endpoint list is delivered according to the settings.
 #[derive(Clone, Copy, Debug)]
 pub enum Mode {
-    /// Polled, with this `MustAskIn` in milliseconds.
+    /// The router polls the list, with this `MustAskIn` in milliseconds.
     Polled(i64),
-    /// Pushed, with this `DrainGrace` in milliseconds.
+    /// Discovery pushes the list, with this `DrainGrace` in milliseconds.
     Pushed(i64),
 }
 
@@ -102,10 +103,10 @@
 ];
 /// The port of discovery at the start.
 pub const OLD_PORT: u16 = 8500;
-/// The port of discovery after a reload.
+/// The port of discovery after a reload of the configuration.
 pub const NEW_PORT: u16 = 8600;
 
-/// The launch parameters of a router in front of three members, with this seed and discovery at this port.
+/// The launch parameters of a router in front of three members, with this random seed and with discovery at this port.
 pub fn outage_launch(mode: Mode, seed: u64, port: u16) -> launch::Launch {
     let members = simulated_members(3);
     let text = router_config(&members)
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -11,23 +11,25 @@
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// Longest time until a reachable discovery answers a watch. It answers or rejects each watch within 2 s.
+/// The longest time until a reachable discovery answers a watch, in milliseconds. Discovery answers or rejects each
+/// watch within 2 s.
 const MAX_ANSWER_MS: u64 = 1950;
-/// The same where watches end with an older list, which is accepted and followed by silence. With 1950 ms the worst of 60
-/// seeds takes 6.1 s, which is more than the 6 s allowed.
+/// The longest time until a reachable discovery answers a watch, in milliseconds, where watches end with an older list
+/// that is accepted and followed by silence. With 1950 ms the worst of 60 seeds takes 6.1 s, which is more than the 6 s
+/// allowed.
 const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
 
 /// What discovery does on the connection of a watch.
 #[derive(Clone, Debug)]
 enum DiscoveryEvent {
-    /// It accepts the connection.
+    /// Discovery accepts the connection.
     Connected,
     Bytes(Vec<u8>),
-    /// It sends the endpoint list that it has.
+    /// Discovery sends the endpoint list that it has.
     AnswerWithList,
-    /// It sends the same bytes again and again at this interval.
+    /// Discovery sends the same bytes again and again at this interval.
     Repeat(Vec<u8>, Span),
-    /// It refuses or closes the connection.
+    /// Discovery refuses or closes the connection.
     Closed,
     /// The router has no descriptor for the connection.
     NoDescriptor,
@@ -40,21 +42,23 @@
     random: WyRand,
     pub ending: Ending,
     pub max_answer_ms: u64,
-    /// The generation of the list that discovery has after its return.
+    /// The generation of the endpoint list that discovery has after its return from the outage.
     pub generation_after_return: u64,
-    /// Discovery sends its complete list to every watch, also to one that asks for changes.
+    /// Whether discovery sends its complete list to every watch, also to a watch that asks for changes.
     pub sends_whole_list: bool,
-    /// The generation that the last watch asked for.
+    /// The generation from which the last watch asked for changes.
     requested_from: u64,
-    /// The port that is unreachable, from when, and until when.
+    /// The port of discovery that is unreachable, and the times at which the port becomes unreachable and reachable
+    /// again.
     pub unreachable: (u16, Time, Time),
-    /// The open watches, each with its port.
+    /// The open watches, each with the port of discovery.
     watches: BTreeMap<ConnectionId, u16>,
     events: BTreeMap<(Time, u64), (ConnectionId, DiscoveryEvent)>,
     last_event_number: u64,
-    /// When each watch was opened, and its port.
+    /// When each watch was opened, and the port of discovery.
     pub opened: Vec<(Time, u16)>,
-    /// When the router had read the change that discovery has after its return.
+    /// When the router had read the change that discovery has after its return, or None if the router has not read it
+    /// yet.
     pub read_at: Option<Time>,
 }
 
@@ -63,7 +67,8 @@
     Span::from_millis(ms)
 }
 
-/// A chunk with a list of `count` members. The change that discovery has after its return is a fourth member.
+/// A chunk of discovery's response with an endpoint list of `count` members. The change that discovery has after its
+/// return is a fourth member.
 fn list(generation: u64, count: usize, whole: bool) -> Vec<u8> {
     let members = simulated_members(count);
     let entries: Vec<String> = (0..count).map(|n| instance(n, &members[n], "SERVING")).collect();
@@ -71,14 +76,14 @@
     chunk(format!("{{\"generation\":{generation},\"reset\":{whole},\"instances\":[{entries}]}}\n").as_bytes())
 }
 
-/// Discovery sends the response head and this chunk.
+/// The event in which discovery sends the response head and this chunk.
 fn answer_with(chunk: &[u8]) -> DiscoveryEvent {
     DiscoveryEvent::Bytes([WATCH_HEAD, chunk].concat())
 }
 
 impl Simulation {
-    /// A router whose discovery is at the old port. `unreachable` is the port that cannot be reached, from when, and until
-    /// when.
+    /// Creates a simulation of a router whose discovery is at the old port. `unreachable` is the port that cannot be
+    /// reached, and the times at which it becomes unreachable and reachable again.
     pub fn new(mode: Mode, seed: u64, ending: Ending, unreachable: (u16, Time, Time)) -> Simulation {
         Simulation {
             reducer: Reducer::start(SIMULATION_START, outage_launch(mode, seed, OLD_PORT)),
@@ -107,7 +112,7 @@
         self.unreachable.0 == port && (self.unreachable.1..self.unreachable.2).contains(&self.now)
     }
 
-    /// Schedules an event on a watch.
+    /// Schedules an event on a watch after the time `span`.
     fn schedule(&mut self, span: Span, id: ConnectionId, event: DiscoveryEvent) {
         self.last_event_number += 1;
         self.events.insert((self.now + span, self.last_event_number), (id, event));
@@ -133,7 +138,7 @@
         }
     }
 
-    /// The router opens a watch. Schedules how it is answered, or how it ends.
+    /// Handles that the router opens a watch: schedules how discovery answers the watch, or how the watch ends.
     fn on_connect(&mut self, id: ConnectionId, port: u16) {
         self.opened.push((self.now, port));
         self.watches.insert(id, port);
@@ -217,7 +222,7 @@
         }
     }
 
-    /// Runs the simulation until this time.
+    /// Runs the simulation until the time `until`.
     pub fn run_until(&mut self, until: Time) {
         loop {
             self.apply(Event::Tick);
@@ -248,18 +253,18 @@
         self.events.clear();
     }
 
-    /// Closes the open watches of this port.
+    /// Closes the open watches at this port of discovery.
     pub fn close_watches(&mut self, port: u16) {
         let open = self.watches.iter().filter(|(_, to)| **to == port).map(|(&id, _)| id);
         open.collect::<Vec<_>>().into_iter().for_each(|id| self.perform(id, DiscoveryEvent::Closed));
     }
 
-    /// Closes the open watches of the old port, or only silences all watches.
+    /// Closes the open watches at the old port or, if `silently` is set, only stops sending on all watches.
     pub fn take_discovery_down(&mut self, silently: bool) {
         if silently { self.silence_watches() } else { self.close_watches(OLD_PORT) }
     }
 
-    /// SIGHUP: the configuration has discovery at the new port from now on.
+    /// Simulates SIGHUP with a configuration that has discovery at the new port.
     pub fn reload_with_new_address(&mut self, mode: Mode, seed: u64) {
         self.apply(Event::ConfigurationReloaded(Box::new(outage_launch(mode, seed, NEW_PORT))));
     }
--- a/crates/ladderpass/tests/drill_interrupt.rs
+++ b/crates/ladderpass/tests/drill_interrupt.rs
@@ -1,5 +1,5 @@
-//! A drill that is interrupted by ctrl-C leaves no process behind. This test has a binary of its own because the signal
-//! goes to the whole process.
+//! A drill (a run of several router processes with fault events) that is interrupted by ctrl-C leaves no process
+//! behind. This test has a binary of its own because the signal goes to the whole process.
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::{Programs, interrupted, play};
--- a/crates/ladderpass/tests/drills.rs
+++ b/crates/ladderpass/tests/drills.rs
@@ -1,5 +1,6 @@
-//! Drills of several router processes with fault events: what the other routers believe of one that dies, is paused, is cut
-//! off or starts again, and how a drill reports that it cannot go on. The assertions hold on any machine, however slow.
+//! Drills of several router processes with fault events: what the other routers believe of a router that dies, is
+//! paused, is cut off or starts again, and how a drill reports that it cannot go on. The assertions hold on any
+//! machine, however slow.
 
 mod one_at_a_time;
 
@@ -24,7 +25,7 @@
     (drill, played)
 }
 
-/// The changes in the state of the router `subject` that the router `viewer` logged, in order.
+/// The changes in the state of the router numbered `subject` that the router numbered `viewer` logged, in order.
 fn logged_changes(played: &DrillRecord, viewer: usize, subject: usize) -> Vec<&str> {
     let changes = played.views[viewer].iter().flat_map(|view| &view.changes);
     changes
@@ -33,7 +34,7 @@
         .collect()
 }
 
-/// Checks that the last views of all running routers are equal and have `count` routers.
+/// Checks that the last views of the fleet that all running routers logged are equal and contain `count` routers.
 fn assert_agreed(played: &DrillRecord, count: usize) {
     let last_views: Vec<_> = (0..played.views.len())
         .filter(|&nth| played.alive[nth])
@@ -52,7 +53,8 @@
     assert!(played.settled.is_some());
     for viewer in [0, 3, 4] {
         for subject in [1, 2] {
-            // A router that refutes a later suspicion is logged as back again, so there may be several such changes.
+            // A router that refutes a later suspicion is logged as back once more, so the log may contain several such
+            // changes.
             let views = logged_changes(&played, viewer, subject);
             assert!(views.contains(&"died") && views.last() == Some(&"is back"), "{views:?}");
         }
@@ -60,7 +62,7 @@
     assert_agreed(&played, 5);
 }
 
-/// A router that gets SIGTERM announces that it leaves, so that the others do not have to detect its end.
+/// A router that gets SIGTERM announces that it leaves, so that the other routers do not have to detect its end.
 #[test]
 fn a_terminating_router_announces_that_it_leaves_and_its_clients_go_elsewhere() {
     let _turn = wait_for_turn();
@@ -125,9 +127,9 @@
     assert_agreed(&played, 40);
 }
 
-/// Shared admission control under overload while parts of the fleet fail. Two of the six routers are killed, one is paused
-/// and returns with an old admission threshold, the datagrams of one are lost, and one has no gossip. A member starts cold,
-/// and the first router has eight times the client connections of the last.
+/// Shared admission control under overload while parts of the fleet fail. Two of the six routers are killed, one is
+/// paused and returns with an old admission threshold, the datagrams of one router are lost, and one has no gossip. A
+/// member starts cold, and the first router has eight times the client connections of the last.
 #[test]
 fn shared_admission_control_breaks_no_invariant_while_parts_of_the_fleet_fail() {
     let _turn = wait_for_turn();
@@ -155,8 +157,8 @@
     assert!(all.rejected > all.due / 4 && all.ok > all.due / 10, "{all:?}");
 }
 
-/// A group that has lost its primary is overloaded. Its admission threshold is its own, and the RPCs of the other group are
-/// served.
+/// A group that has lost its primary is overloaded. The admission threshold of this group applies to no other group,
+/// and the RPCs of the other group are served.
 #[test]
 fn a_group_without_a_primary_sets_no_admission_threshold_for_another() {
     let _turn = wait_for_turn();
@@ -164,7 +166,7 @@
         "{routers: 3, phases: [[6, 60]], clients: 40, operator: \"fleet: {sheds: true}\\nlog: {figures: 250ms}\", \
          scenario: {groups: 2}, deeds: [{at: 1, ends: 0}]}",
     );
-    // RPCs alternate between the groups, so that those of the second group have odd numbers.
+    // RPCs alternate between the two groups, so that the RPCs of the second group have odd numbers.
     let of_second_group = played.outcome.journal.iter().filter(|entry| entry.number % 2 == 1);
     let served = of_second_group.clone().filter(|entry| {
         entry.answered.is_some_and(|answered| answered.answer == ladderpass_invariants::Answer::Ok)
--- a/crates/ladderpass/tests/end_to_end.rs
+++ b/crates/ladderpass/tests/end_to_end.rs
@@ -54,7 +54,8 @@
 
 #[test]
 fn a_write_that_may_have_run_is_not_retried() {
-    // Replicas reject reads, so that these have not run. The primary closes the connection on a write, which may have run.
+    // Replicas reject reads, and a rejected read has not run. The primary closes the connection on a write, which may
+    // have run.
     let router = router(|n, text| match (n, text.contains("INSERT")) {
         (0, true) => None,
         (0, false) => Some(row(b"spilled", "leader", now_ms())),
@@ -103,8 +104,8 @@
     assert!(router.process.wait().expect("the process can be waited for").success());
 }
 
-/// On SIGHUP an invalid configuration changes nothing, and a valid one moves the watch to another address, whose list is
-/// accepted although its generation is lower. An earlier version ended on SIGHUP.
+/// On SIGHUP an invalid configuration changes nothing. A valid one moves the watch to another discovery address, whose
+/// list is accepted although the list's generation is lower. An earlier version ended on SIGHUP.
 #[test]
 fn after_a_reload_the_router_keeps_serving_and_watches_the_new_discovery_address() {
     let mut router = router(|_, _| Some(row(b"old", "leader", now_ms())));
@@ -147,8 +148,8 @@
     );
 }
 
-/// At SIGTERM more clients than the router can accept wait at the listener, and most of them are silent. Every statement
-/// among them is answered nevertheless.
+/// At SIGTERM more clients than the router can accept wait at the listener, and most of them are silent. Every
+/// statement that one of these clients has sent is answered nevertheless.
 #[test]
 fn shutdown_answers_every_statement_that_waits_at_a_crowded_listener() {
     let mut router = router_with(
@@ -210,7 +211,8 @@
     exit_code: Option<i32>,
 }
 
-/// Runs `ladderpass check` with this text as the operator's file and a changed configuration.
+/// Runs `ladderpass check` with this text as the operator's file, and with the router configuration that `change`
+/// returns.
 fn check(operator_file: Option<&str>, change: fn(String) -> String) -> CheckOutput {
     let members = simulated_members(3);
     let config_file = temp_file(&change(router_config(&members)));
@@ -256,11 +258,11 @@
 
 /// The operator's file is read again at SIGHUP. An invalid file changes nothing and is logged.
 ///
-/// Once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of that run was not saved. At
-/// that time the router's port was an ephemeral port that the test had released at once, so that a fake server of another
-/// test could get it before the router, which then retries for 5 s and ends. With a listener put on the port on purpose
-/// the test fails with that message. Of 200,000 ports released like that, 343 were given out again among the next 12
-/// requested. The port is not an ephemeral one any more (see `router_address`).
+/// Once in 186 runs beside 16 busy processes the log ended before the awaited line; the log of that run was not saved.
+/// At that time the router's port was an ephemeral port that the test had released at once, so that a fake server of
+/// another test could get the port before the router. The router then retries for 5 s and ends. With a listener put on
+/// the port on purpose the test fails with the message that the log has ended. Of 200,000 ports released like that, 343
+/// were given out again among the next 12 requested. The port is not an ephemeral one any more (see `router_address`).
 #[test]
 fn an_invalid_operator_file_at_sighup_leaves_the_settings_unchanged() {
     let (sender, _statements) = channel();
@@ -305,10 +307,12 @@
     );
 }
 
-/// The log goes to a full device, or to a pipe whose reader has closed its end.
+/// The router's log goes to a full device, or to a pipe whose reader has closed its end. The process continues to
+/// serve.
 ///
-/// The router that `failing_calls` runs in its own binary once panicked in this case, with its log at `info`: it reported
-/// a failed log write on standard error, which panics if that write fails too. The program itself does not panic.
+/// The router that the test `failing_calls` runs in its own binary once panicked in this case, with its log at `info`:
+/// it reported a failed log write on standard error, which panics if that write fails too. The `ladderpass` program
+/// does not panic.
 #[test]
 fn a_log_that_can_not_be_written_does_not_end_the_process() {
     let full_device =
@@ -318,7 +322,7 @@
         let answer: Answer = |n, _| Some(row(b"v", role(n), now_ms()));
         let members: Vec<String> = (0..3).map(|n| fake_member(n, answer, sender.clone())).collect();
         let mut router = router_logging_to(log, &members, statements, |config| config);
-        // Closes the reading end of the pipe, if the log goes to one.
+        // Closes the reading end of the pipe, if the router's log goes to a pipe.
         drop(router.process.stderr.take());
         let mut client = router.client();
         // The reload makes the router write to its log.
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -40,7 +40,7 @@
     record
 }
 
-/// Like [`run_load`]. Each RPC must be served before its deadline.
+/// Like [`run_load`], and checks that each RPC is served before its deadline.
 fn assert_all_served(start: &Start) -> RunRecord {
     let record = run_load(start);
     let (total, log) = (record.outcome.total(), record.log.join("\n"));
@@ -50,15 +50,16 @@
     record
 }
 
-/// Like [`assert_all_served`] with these failures, which must all have happened, since otherwise the run proves nothing.
+/// Like [`assert_all_served`], with these failures of system calls. All the failures must have happened, since
+/// otherwise the run proves nothing.
 fn assert_all_served_despite(failures: &[FailingSyscall]) {
     let record = assert_all_served(&failing_syscalls::start(failures, &[]));
     let completed = record.log.iter().filter(|line| line.contains("all failures of call")).count();
     assert_eq!(completed, failures.len(), "{}", record.log.join("\n"));
 }
 
-/// Like [`assert_all_served_despite`] with these errors of one system call, `count` times each, from the start on, while
-/// clients and members connect.
+/// Like [`assert_all_served_despite`], with these errors of one system call. Each error happens `count` times, from the
+/// start of the process on, while clients and members connect.
 fn assert_all_served_despite_errors(call: i64, errors: &[i32], count: u64) {
     let failure = |&errno: &i32| FailingSyscall {
         after: Duration::ZERO,
@@ -75,7 +76,7 @@
     assert_all_served(&failing_syscalls::start(&[failure], &[]));
 }
 
-/// The event loop arms its event sources again for each wait.
+/// The event loop arms its event sources again for each wait, so a failure to arm them need not last.
 #[test]
 fn the_event_loop_continues_after_failing_to_arm_its_sources() {
     assert_all_served_despite(&[FailingSyscall::with_errno(libc::SYS_epoll_ctl, libc::ENOMEM)]);
@@ -114,7 +115,8 @@
         ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
     };
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
-    // A client that has sent its statement must be answered on that connection. The load above would open another one.
+    // A client that has sent its statement must be answered on the connection that it already has. The load above would
+    // open another connection.
     let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
@@ -158,7 +160,7 @@
     assert_all_served_despite_errors(libc::SYS_getsockopt, &[libc::ENOBUFS, libc::ENOMEM], 1);
 }
 
-/// The event loop and the sockets wait with one of these system calls.
+/// The event loop and the sockets wait for events with one of these system calls.
 #[test]
 fn an_interrupted_epoll_wait_is_retried() {
     let calls = [libc::SYS_epoll_wait, libc::SYS_epoll_pwait, libc::SYS_epoll_pwait2];
@@ -179,8 +181,8 @@
     assert_all_served(&failing_syscalls::start(&errors.map(at_once), &[]));
 }
 
-/// Each of these errors shows that a connection is lost. Only the RPC in flight on the connection fails, and none runs
-/// twice.
+/// Each of these errors of a read or a write shows that a connection is lost. Only the RPC in flight on the connection
+/// fails, and no RPC runs twice.
 #[test]
 fn a_broken_connection_fails_only_the_rpc_in_flight_on_it() {
     for call in [libc::SYS_recvmsg, libc::SYS_sendto] {
@@ -282,7 +284,7 @@
     }
 }
 
-/// The start survives transient failures of the system calls that it makes.
+/// The start of the router survives transient failures of the system calls that the start makes.
 #[test]
 fn calls_that_fail_transiently_at_start_do_not_prevent_serving() {
     let _turn = wait_for_turn();
--- a/crates/ladderpass/tests/failing_syscalls/mod.rs
+++ b/crates/ladderpass/tests/failing_syscalls/mod.rs
@@ -13,21 +13,21 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// The environment variable that makes the test `router_process` serve as a router. It holds the failures and clock steps,
-/// separated by semicolons.
+/// The environment variable that makes the test `router_process` serve as a router. The variable's value is the plan of
+/// the failures and clock steps, separated by semicolons.
 const PLAN_VARIABLE: &str = "LADDERPASS_TEST_PLAN";
 
-/// What happens to a system call.
+/// What happens to an intercepted system call.
 #[derive(Clone, Copy, Debug)]
 pub enum SyscallFault {
     /// The call fails with this errno.
     Error(i32),
-    /// The call takes this much longer, which stalls the router's only thread.
+    /// The call is delayed by this much, which stalls the router's only thread.
     Delay(Duration),
 }
 
-/// System calls that meet with a fault: `count` calls in all, every `every`th of those that match, beginning `after` the
-/// start of the process.
+/// System calls that fail or are delayed: `count` calls in all, namely every `every`th call that matches, from the time
+/// `after` the start of the process on.
 #[derive(Clone, Copy, Debug)]
 pub struct FailingSyscall {
     /// The number of the system call.
@@ -45,18 +45,20 @@
 pub struct ClockStep {
     pub after: Duration,
     pub by: Duration,
-    /// The clock jumps back, not forward.
+    /// Whether the clock jumps back rather than forward.
     pub back: bool,
 }
 
 impl FailingSyscall {
-    /// Twenty calls that fail with this errno: every third one from one second after the start.
+    /// Twenty calls of this system call that fail with this errno: every third call from one second after the start of
+    /// the process on.
     pub fn with_errno(call: i64, errno: i32) -> FailingSyscall {
         let (fault, after) = (SyscallFault::Error(errno), Duration::from_millis(1000));
         FailingSyscall { call, fault, operation: None, after, every: 3, count: 20 }
     }
 
-    /// Twenty calls that are delayed: every third one from one second after the start.
+    /// Twenty calls of this system call that are delayed: every third call from one second after the start of the
+    /// process on.
     pub fn delay(call: i64, duration: Duration) -> FailingSyscall {
         FailingSyscall { fault: SyscallFault::Delay(duration), ..FailingSyscall::with_errno(call, 0) }
     }
@@ -85,12 +87,12 @@
 }
 
 impl ClockStep {
-    /// A jump forward by `by`.
+    /// A jump of the wall clock forward by `by`, at the time `after` the start of the process.
     pub fn forward(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: false }
     }
 
-    /// A jump back by `by`.
+    /// A jump of the wall clock back by `by`, at the time `after` the start of the process.
     pub fn back(after: Duration, by: Duration) -> ClockStep {
         ClockStep { after, by, back: true }
     }
@@ -115,21 +117,22 @@
     }
 }
 
-/// The command that starts such a router. It still needs the environment variables of the router's configuration.
+/// The command that starts this test binary as a router, as `start` says. The caller must add the environment variables
+/// of the router's configuration.
 pub fn command(start: &Start) -> Command {
     let mut command = Command::new(&start.binary);
     command.args(&start.arguments).envs(start.variables.iter().cloned()).stdout(Stdio::null());
     command
 }
 
-/// The body of the test `router_process`. If this process has a plan it serves as a router until it gets a signal,
-/// otherwise it does nothing.
+/// The body of the test `router_process`. If the environment has a plan, this process serves as a router until it gets
+/// a signal. Otherwise the function does nothing.
 pub fn serve_if_planned() {
     let Ok(plan) = std::env::var(PLAN_VARIABLE) else { return };
     let started_at = Instant::now();
     let (failures, mut steps) = read_plan(&plan);
-    // Steps that are due at once are made before the clock is read for the first time, so that the process starts with a
-    // wrong clock.
+    // Clock steps that are due at once are made before the clock is read for the first time, so that the process starts
+    // with a wrong clock.
     step_clock(&mut steps, Duration::ZERO);
     std::thread::spawn(move || {
         while !steps.is_empty() {
@@ -139,14 +142,16 @@
     });
     let calls: Vec<i64> = failures.iter().map(|failure| failure.call).collect();
     let (sender, receiver) = std::sync::mpsc::channel();
-    // This thread is started before the filter is installed, so that its own calls are not intercepted.
+    // This thread is started before the seccomp filter is installed, so that the thread's own calls are not
+    // intercepted.
     std::thread::spawn(move || supervise(receiver, failures, started_at));
     let done = std::thread::spawn(move || {
         if !calls.is_empty() {
             sender.send(install_filter(&calls)).expect("the supervisor thread waits for the descriptor");
         }
         let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false);
-        // As in the program, a failed log write is not reported on standard error, since that would panic.
+        // As in the `ladderpass` program, a failed log write is not reported on standard error, since the report would
+        // panic.
         log.with_max_level(tracing::Level::INFO).log_internal_errors(false).init();
         let launch = Launch::read_at_start(|key| std::env::var(key).ok(), None);
         let launch = launch.map_err(|errors| errors.to_string());
@@ -159,8 +164,8 @@
     std::process::exit(i32::from(done.is_err()));
 }
 
-/// Parses the failures and clock steps of a plan. A step consists of when it is due, and by how many milliseconds the clock
-/// jumps.
+/// Parses the failures and clock steps of a plan. Each clock step is returned as the time when it is due, and the
+/// milliseconds by which the clock jumps.
 fn read_plan(plan: &str) -> (Vec<FailingSyscall>, Vec<(Duration, i64)>) {
     let (mut failures, mut steps) = (Vec::new(), Vec::new());
     for line in plan.split(';').filter(|line| !line.is_empty()) {
@@ -199,7 +204,7 @@
 /// The milliseconds by which this process's wall clock is ahead of the system's.
 static WALL_CLOCK_OFFSET_MS: AtomicI64 = AtomicI64::new(0);
 
-/// Replaces the C library's function in all of this binary.
+/// Replaces the C library's function `clock_gettime` in all of this binary.
 #[unsafe(no_mangle)]
 extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> libc::c_int {
     // SAFETY: the caller's arguments are passed on unchanged, and `time` is read only after the call has written to it.
@@ -220,7 +225,7 @@
     if std::env::var_os(PLAN_VARIABLE).is_none() {
         return;
     }
-    // SAFETY: the set is initialised before it is used.
+    // SAFETY: the signal set is initialised before it is used.
     unsafe {
         let mut set = std::mem::zeroed();
         libc::sigemptyset(&mut set);
@@ -231,7 +236,7 @@
     }
 }
 
-/// The loader runs this function before any thread is started.
+/// The dynamic loader calls the function in this static before any thread is started.
 #[used]
 #[unsafe(link_section = ".init_array")]
 static BLOCK_SIGNALS: extern "C" fn() = block_signals;
@@ -250,7 +255,7 @@
     arguments: [u64; 6],
 }
 
-/// The answer to such a question: `struct seccomp_notif_resp`.
+/// The answer to the kernel's question about a system call: `struct seccomp_notif_resp`.
 #[repr(C)]
 struct Response {
     id: u64,
@@ -259,9 +264,9 @@
     flags: u32,
 }
 
-/// The ioctl that receives a question, `SECCOMP_IOCTL_NOTIF_RECV`.
+/// The ioctl that receives a question of the kernel, `SECCOMP_IOCTL_NOTIF_RECV`.
 const RECEIVE_NOTIFICATION: libc::Ioctl = 0xc050_2100_u32 as libc::Ioctl;
-/// The ioctl that answers a question, `SECCOMP_IOCTL_NOTIF_SEND`.
+/// The ioctl that answers a question of the kernel, `SECCOMP_IOCTL_NOTIF_SEND`.
 const SEND_RESPONSE: libc::Ioctl = 0xc018_2101_u32 as libc::Ioctl;
 /// The flag of an answer that lets the kernel carry out the call, `SECCOMP_USER_NOTIF_FLAG_CONTINUE`.
 const CONTINUE_CALL: u32 = 1;
@@ -290,7 +295,7 @@
     }
 }
 
-/// Answers the kernel's questions. Each call is carried out, fails or is delayed, as `failures` say.
+/// Answers the kernel's questions about system calls. Each call is carried out, fails or is delayed, as `failures` say.
 fn supervise(listener: Receiver<i32>, failures: Vec<FailingSyscall>, started_at: Instant) {
     let Ok(listener) = listener.recv() else { return };
     let mut remaining: Vec<(FailingSyscall, u64, u64)> =
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -39,8 +39,8 @@
     (run_record, fault_summary)
 }
 
-/// Checks that at least one write, and no more than `max_aborted` writes, were aborted. The checks of `run_load` cover that
-/// these writes were answered before their deadlines and ran once.
+/// Checks that at least one write, and no more than `max_aborted` writes, were aborted. The checks of `run_load` cover
+/// that the aborted writes were answered before their deadlines and ran once.
 fn assert_aborted(run_record: &RunRecord, max_aborted: u64) {
     let writes = run_record.outcome.of(1);
     assert!((1..=max_aborted).contains(&writes.aborted), "{writes:?}");
@@ -75,8 +75,8 @@
 #[test]
 fn corrupt_and_duplicated_frames_are_not_forwarded_to_clients() {
     let _turn = wait_for_turn();
-    // A rule counts its matches by link. Some 430 reads are due, so at least one of the three links forwards 140 rows,
-    // however the reads are balanced.
+    // A fault rule counts its matches separately for each link between the router and a member. Some 430 reads are due,
+    // so at least one of the three links forwards 140 rows, however the reads are balanced.
     let rules = [
         "{name: length, when: {message: DataRow, nth: 50}, do: flip_length, times: 5}",
         "{name: twice, when: {message: ReadyForQuery, nth: 100}, do: duplicate, times: 5}",
@@ -93,8 +93,8 @@
 #[test]
 fn every_client_is_answered_while_all_members_are_silent_reset_and_refuse_connections() {
     let _turn = wait_for_turn();
-    // The proxy's clock starts before the router, which may take long to start. So the resets wait for the silence, not
-    // for a time.
+    // The fault proxy's clock starts before the router, which may take long to start. So the rule `reset` waits for the
+    // rule `silent` to act, not for a time.
     let rules = [
         "{name: silent, link: member-1, when: {message: ReadyForQuery, nth: 20}, do: silence, times: 4}",
         "{name: reset, when: {seen: silent, after_ms: 900, message: ReadyForQuery}, do: reset, times: 30}",
@@ -128,7 +128,8 @@
 #[test]
 fn reads_whose_answer_is_cut_inside_a_length_field_are_retried_elsewhere() {
     let _turn = wait_for_turn();
-    // Four bytes of length follow the type byte. The rules cut frames after one, two and three of these bytes.
+    // In a frame, four bytes of length follow the type byte. The rules cut frames after one, two and three of these
+    // four bytes.
     let rules = [
         "{name: one, when: {message: RowDescription, nth: 30}, do: {truncate: {keep: 2}}, times: 4}",
         "{name: two, when: {message: DataRow, nth: 60}, do: {truncate: {keep: 3}}, times: 4}",
@@ -143,7 +144,8 @@
 #[test]
 fn a_watch_that_sends_an_older_generation_is_rejected() {
     let _turn = wait_for_turn();
-    // Member 1 begins to drain, in generation 2. Then an older list arrives, in generation 1, in which member 1 serves.
+    // Member 1 begins to drain in generation 2 of the endpoint list. Then an older list arrives, of generation 1, in
+    // which member 1 serves.
     let older_list = "{\"generation\": 1, \"reset\": false, \"instances\": [{\"instanceId\": \"m-0-1\", \"hostPort\": \"127.0.0.1:1\", \
                \"zone\": \"a\", \"machineType\": \"k\", \"cell\": 0, \"lifecycle\": \"SERVING\", \"weight\": 1.0, \
                \"startedAtMs\": 0, \"role\": \"follower\"}]}\n";
@@ -151,7 +153,7 @@
         FaultEvent::at(0.5, |_, emulator| emulator.drain(1)),
         FaultEvent::at(0.9, move |_, emulator| emulator.send_line(0, older_list)),
     ];
-    // `run_load` checks invariant 3 over the whole run: the drain applies whatever the older list says.
+    // `run_load` checks invariant 3 over the whole run: member 1 counts as draining whatever the older list says.
     let (run_record, _) = run_load(9, &[], events);
     let drained_by = run_record.outcome.began + Span::from_millis(1000);
     assert!(
@@ -181,7 +183,7 @@
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(fault_summary.expect("the fault proxy ran").never_fired, Vec::<String>::new());
-    // Discovery sends a line every second, and 4.5 s of silence end the watch.
+    // Discovery sends a line every second, and the router ends a watch after 4.5 s of silence.
     assert!(run_record.log.iter().any(|line| line.contains("discovery watch: ")), "{:?}", run_record.log);
     let last_counts = run_record.counts(6.0, 6.9);
     assert!(last_counts.ok * 100 >= last_counts.due * 95, "{last_counts:?}");
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -17,7 +17,7 @@
 /// A kind of router is starved if it has less than this share of the other kind's good answers.
 const MIN_SHARE_OF_OTHER: f64 = 0.5;
 
-/// Addresses that were free a moment ago.
+/// `count` loopback addresses that were free a moment ago.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let sockets: Vec<UdpSocket> = (0..count)
         .map(|_| UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port"))
@@ -25,15 +25,15 @@
     sockets.iter().map(|socket| socket.local_addr().expect("the socket is bound")).collect()
 }
 
-/// A drill of four routers with `rate` RPCs per second each. The routers in `quiet` have no gossip. `greedy` RPCs per
-/// second more come from clients that connect directly to the members.
+/// A drill of four routers, whose clients send `rate` RPCs per second to each. The routers in `quiet` have no gossip.
+/// Further clients send `greedy` RPCs per second directly to the members.
 fn drill(quiet: &[&str], rate: f64, greedy: f64) -> Drill {
     let mut scenario = Scenario { cores: 2, ..Scenario::default() };
     scenario.methods.iter_mut().for_each(|method| method.work_ms = 20.0);
     Drill {
         phases: vec![Phase { seconds: 3.0, rate_per_second: rate * 4.0 }],
-        // No more connections than are in use all the time. The router closes a connection that is idle for two seconds,
-        // and the load might choose that connection for an RPC at that moment.
+        // The clients open no more connections than are in use all the time. The router closes a connection that is
+        // idle for two seconds, and the load might choose that connection for an RPC at that moment.
         clients: if rate < 100.0 { (rate * 4.0 / 3.0) as usize } else { 1200 },
         connection_skew: 1.0,
         roaming: 0.0,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The load is twice the capacity of the members.
+/// The load in this test is twice the capacity of the members.
 #[test]
 fn under_overload_neither_kind_of_router_starves_the_other() {
     let _turn = wait_for_turn();
@@ -106,8 +106,9 @@
     );
 }
 
-/// The same load in front of routers of both kinds, first alone, and then beside clients that send to the members without
-/// any limit. The check tells the two cases apart, so it would notice a kind of router that is greedy.
+/// The same load is sent through routers of both kinds, with and without gossip, first alone, and then beside clients
+/// that send to the members without any limit. The check tells the two cases apart, so the check would notice a kind of
+/// router that is greedy.
 #[test]
 fn the_check_tells_greedy_clients_from_routers_of_the_other_kind() {
     let _turn = wait_for_turn();
@@ -127,8 +128,9 @@
     }
 }
 
-/// The test plays the other router. It receives what the router has observed of members, and then sends the router invalid
-/// messages, from its own address and from an unknown one. The router still serves all RPCs.
+/// The test plays the second of two routers with gossip. The test receives what the router has observed of members, and
+/// then sends the router invalid messages, from the address of the second router and from an unknown one. The router
+/// still serves all RPCs.
 #[test]
 fn a_router_with_gossip_publishes_what_it_observed_of_members_and_ignores_noise() {
     let _turn = wait_for_turn();
@@ -167,7 +169,7 @@
         !updates.is_empty() && updates.iter().all(|update| (now - update.at).secs() < 20.0),
         "{updates:?}"
     );
-    // Invalid messages, from the other router and from an unknown sender, change nothing.
+    // Invalid messages, from the address of the second router and from an unknown sender, change nothing.
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
     for socket in [&test_socket, &stranger] {
         for noise in [&b""[..], b"\xff\xfe", b"AAAAAAAAAAAAAAAAAAAAAAA", &[b'B'; 512]] {
--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -1,12 +1,13 @@
 //! Reads whose connection to a member is established more than a tick after the decision to use it.
 //!
-//! A bounded read that has waited for its connection for more than a tick must be decided again, as the member's data
-//! may be too old by then. Such a read used to be counted as an attempt that the member had answered with "absent". The
-//! member was then passed over for the duration of an answer, and one of the six attempts that the settings allow was
-//! used up. So a read went to the primary although two replicas were up, and a read failed with "no attempt left" after
-//! 6 attempts in 501 ms, with 29.5 s of its 30 s left. Connections are established that late on a busy machine: beside 16
-//! busy processes about every other run of `end_to_end` failed (119 of 255). The log showed such attempts as "Absent"
-//! after 11.7 and 11.8 ms, although no member of that test answers "absent".
+//! A bounded read (a read with a maximum staleness) that has waited for its connection for more than a tick must be
+//! decided again, as the member's data may be too old by then. Such a read used to be counted as an attempt that the
+//! member had answered with "absent". The member was then passed over for the duration of an answer, and one of the six
+//! attempts that the settings allow was used up. So a read went to the primary although two replicas were up, and a
+//! read failed with "no attempt left" after 6 attempts in 501 ms, with 29.5 s of its 30 s left. Connections are
+//! established that late on a busy machine: beside 16 busy processes about every other run of the test `end_to_end`
+//! failed (119 of 255). The log showed such attempts as "Absent" after 11.7 and 11.8 ms, although no member of that
+//! test answers "absent".
 
 mod common;
 
@@ -17,13 +18,15 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the replica takes to answer a startup message; a tick of these settings is 5 ms.
+/// How long the replica takes to answer a startup message. The delay is longer than the 5 ms tick of these settings, so
+/// that connections are established more than a tick after the decision to use them.
 const STARTUP_DELAY: Duration = Duration::from_millis(30);
 const ANSWER_DELAY: Duration = Duration::from_millis(100);
-/// Idle connections are closed after 0.8 of this timeout of 50 ms, so none is left after `IDLE_PAUSE`.
+/// The setting of the time after which members close idle connections, 50 ms. The router closes idle connections after
+/// 0.8 of this time, so none is left after `IDLE_PAUSE`.
 const IDLE_TIMEOUT: &str = "\"ConnIdle\":50000000";
 const IDLE_PAUSE: Duration = Duration::from_millis(100);
-/// How many reads are sent at once; a new member may have more than that in flight.
+/// How many reads are sent at once. A new member may have more RPCs than that in flight.
 const READS: usize = 2;
 
 /// Starts a router with a primary, and a replica whose connections are established late.
@@ -42,11 +45,11 @@
     router_with_members(&members, statements, change)
 }
 
-/// Sends this many reads at once while no member has a connection, and checks that each is answered. Returns the
-/// members that received them.
+/// Sends `reads` reads at once while no member has a connection, and checks that each read is answered. Returns the
+/// numbers of the members that received the reads.
 fn members_that_get_reads(router: &Router, reads: usize) -> Vec<usize> {
     let mut clients: Vec<_> = (0..reads).map(|_| router.client()).collect();
-    // By this statement the router learns that the replica is up to date.
+    // From the answer to this statement the router learns that the replica is up to date.
     assert_eq!(execute(&mut clients[0], &statement("first", "read", 30_000, "1")).0, b"TDCZ");
     router.statements.recv().expect("a member gets the statement");
     thread::sleep(IDLE_PAUSE);
--- a/crates/ladderpass/tests/log_lines.rs
+++ b/crates/ladderpass/tests/log_lines.rs
@@ -1,4 +1,5 @@
-//! The testbed parses these lines of the router's log, as the reducer writes them.
+//! The testbed parses some lines of the router's log. These tests check that it can parse the lines as the reducer
+//! writes them.
 
 mod common;
 
@@ -62,7 +63,7 @@
     assert!(!lines.iter().any(|line| router_log::is_overload_level_change(line)));
 }
 
-/// Proofs also measure earlier versions of the router, whose log lines were worded differently.
+/// The testbed's proofs also measure earlier versions of the router, whose log lines were worded differently.
 #[test]
 fn the_testbed_parses_log_lines_of_earlier_versions() {
     assert!(router_log::is_shutdown_begun("INFO ladderpass: stopping: 3 clients, 1 rpcs"));
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -11,17 +11,18 @@
 use std::cell::Cell;
 use std::io;
 
-/// SIGKILL comes no earlier than the longest deadline and this time after SIGTERM. A request that is sent more than
-/// this time after SIGTERM has to be answered before the kill.
+/// SIGKILL comes no earlier after SIGTERM than the longest deadline plus this time. A request that is sent more than
+/// this time after SIGTERM has to be answered before SIGKILL.
 pub const KILL_AFTER: Span = Span::from_millis(700);
-/// A request sent this shortly before its connection closed may have crossed the close unread, so its client sends it
-/// again. A router closes idle connections when it stops or has too many clients. Otherwise no client of these tests is
-/// idle for long enough to be closed.
+/// A request sent at most this time before its connection closes may have crossed the close unread, so its client sends
+/// the request again. A router closes idle connections when it stops or has too many clients. Otherwise no client of
+/// these tests is idle for long enough to be closed.
 pub const CROSSING_WINDOW: Span = Span::from_millis(50);
-/// An answer up to this much after the client's deadline breaks no rule.
+/// An answer up to this time after the client's deadline breaks no rule.
 pub const ANSWER_TOLERANCE: Span = Span::from_millis(500);
-/// Tolerance for requests that were due before the kill: a router may be delayed for 0.15 s, and the load generator
-/// reads its sockets one after another.
+/// An unanswered request counts as lost at its deadline only if the deadline was at least this time before SIGKILL. A
+/// router may be delayed for 0.15 s, and the load generator reads answers late because it reads its sockets one after
+/// another.
 pub const DEADLINE_TOLERANCE: Span = Span::from_millis(200);
 
 /// Facts of a run that the rules on lost requests depend on.
@@ -34,11 +35,11 @@
     pub sigterm_at: Time,
     /// When SIGKILL was sent to the router.
     pub sigkill_at: Time,
-    /// The maximum duration of one close of a connection.
+    /// The maximum duration of the router's system call that closes a connection.
     pub max_close_duration: Span,
 }
 
-/// Records when a router was sent its first SIGTERM and SIGKILL.
+/// Records the times at which a router was sent its first SIGTERM and SIGKILL.
 #[derive(Default)]
 pub struct StopTimes {
     sigterm_at: Cell<Option<Time>>,
@@ -46,17 +47,17 @@
 }
 
 impl StopTimes {
-    /// Sends SIGTERM, and records when the first one was sent.
+    /// Sends SIGTERM to the router, and records when the first SIGTERM was sent.
     ///
     /// # Errors
     ///
-    /// If the process has ended.
+    /// Returns an error if the router process has ended.
     pub fn terminate(&self, router: &Router) -> io::Result<()> {
         self.sigterm_at.set(self.sigterm_at.get().or_else(|| Some(ladderpass_emulator::now())));
         router.signal(Signal::SIGTERM)
     }
 
-    /// Sends SIGKILL, and records when.
+    /// Sends SIGKILL to the router, and records when.
     pub fn kill(&self, router: &Router) {
         self.sigkill_at.set(Some(ladderpass_emulator::now()));
         signal(router, Signal::SIGKILL);
@@ -73,12 +74,13 @@
     }
 }
 
-/// Sends a signal, and ignores that the process may have ended already.
+/// Sends a signal to the router, and ignores that the process may have ended already.
 pub fn signal(router: &Router, signal: Signal) {
     let _ = router.signal(signal);
 }
 
-/// The reason for which a request counts as lost by the operators' pages, or None if it does not.
+/// The reason for which a request counts as lost by the operators' pages, or None if the request does not count as
+/// lost.
 fn loss_reason(entry: &RpcRecord, bounds: &RunBounds) -> Option<&'static str> {
     let &RunBounds { has_excess_clients, sigterm_at, sigkill_at, max_close_duration } = bounds;
     if entry.answered.is_some() || entry.sent >= sigkill_at {
@@ -120,7 +122,8 @@
             violations.push(format!("rule 1: RPC {:x} is answered too late", entry.number));
         }
     }
-    // Rule 1 (each RPC has one answer in time) is checked above.
+    // Violations of rule 1 (each RPC has one answer in time) are left out here, because the checks above cover that
+    // rule.
     let others = record.violations(ANSWER_TOLERANCE).into_iter().filter(|violation| violation.rule != 1);
     violations.extend(others.map(|violation| violation.to_string()));
     // The router exits with success once all RPCs are answered, or runs until it is killed.
--- a/crates/ladderpass/tests/operator_contract/attempts.rs
+++ b/crates/ladderpass/tests/operator_contract/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: the time left that each one carries, and conditions under which no further attempt is sent.
+//! Attempts of RPCs: the time left that each attempt carries, and conditions under which no further attempt is sent.
 
 use crate::common::{close, next_frame, query, reset, startup_response, statement};
 use crate::ms;
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// The value of `d` in a statement: how long its client waits, in milliseconds.
+/// The value of the field `d` in a statement: how long the statement's client waits, in milliseconds.
 fn wait_ms_of(statement: &str) -> u64 {
     let (_, rest) = statement.split_once(",d=").expect("the statement has a time");
     rest.split(|c: char| !c.is_ascii_digit())
@@ -16,8 +16,8 @@
         .expect("the time is a number")
 }
 
-/// The group drops retries for 0.6 s (`KeyTtl`) after the first attempt that may have run. The second attempt waits for
-/// its connection until that window is over, and so is not sent.
+/// The members of the group recognize and drop a duplicate of a write for 0.6 s (`KeyTtl`) after the first attempt that
+/// may have run. The second attempt waits for its connection until that window is over, and so is not sent.
 #[test]
 fn a_retry_is_not_sent_once_the_deduplication_window_is_over() {
     let window = "\"Effect\":\"token\",\"DedupScope\":\"cell\",\"KeyTtl\":600000000";
--- a/crates/ladderpass/tests/operator_contract/endpoint_list.rs
+++ b/crates/ladderpass/tests/operator_contract/endpoint_list.rs
@@ -8,9 +8,9 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// Five new configurations follow each other quickly, and at one of the signals the file is half written. The last one
-/// takes effect, and so does the list of its discovery service, within 4 s. The earlier ones name discovery services
-/// that never answer.
+/// Five new configurations follow each other quickly, and at one of the signals the file is half written. The last
+/// configuration takes effect, and so does the list of the discovery service that it names, within 4 s. The earlier
+/// configurations name discovery services that never answer.
 #[test]
 fn the_last_of_several_configurations_in_quick_succession_takes_effect() {
     let mut harness = start_harness(|config| config);
@@ -45,8 +45,9 @@
     assert_eq!(harness.next_rpc(1).0, "2");
 }
 
-/// With pushed lists the router has to follow a change 0.25 s (`DrainGrace`) after discovery has it. A watch that is
-/// lost five times in a row is opened again within 0.2 s each time, and a draining member gets no RPC after that.
+/// Where discovery pushes the list, the router has to follow a change 0.25 s (`DrainGrace`) after discovery has the
+/// change. A watch that is lost five times in a row is opened again within 0.2 s each time, and a member that begins to
+/// drain afterwards gets no RPC.
 #[test]
 fn a_lost_watch_of_a_pushed_list_is_reopened_within_a_short_drain_grace() {
     let grace = "\"DrainGrace\":250000000,\"OverloadFor\"";
@@ -72,8 +73,8 @@
     assert!(harness.next_rpc_within(0, ms(600)).is_none(), "the draining member got an RPC");
 }
 
-/// Discovery answers each watch late, but before 2 s, after which it would reject it. A change takes effect within 6 s
-/// after discovery has it and can be reached, whatever happened to earlier watches.
+/// Discovery answers each watch late, but before 2 s, after which discovery would reject the watch. A change takes
+/// effect within 6 s after discovery has the change and can be reached, whatever happened to earlier watches.
 #[test]
 fn a_new_list_takes_effect_in_time_although_discovery_answers_each_watch_late() {
     for answer_delay_ms in [1300, 1600, 1900] {
--- a/crates/ladderpass/tests/operator_contract/memory.rs
+++ b/crates/ladderpass/tests/operator_contract/memory.rs
@@ -6,8 +6,9 @@
 use std::io::Write;
 use std::time::Instant;
 
-/// Clients send more complete statements at once than the router has memory for, while members never answer. Each is
-/// answered at the latest half a second after its deadline, although the router can't read all of them in time.
+/// Clients send more complete statements at once than the router has memory for, while members never answer. Each
+/// statement is answered at the latest half a second after its deadline, although the router can't read all of the
+/// statements in time.
 #[test]
 fn statements_are_answered_in_time_although_memory_is_short() {
     let harness = start_harness(|config| config.replace("\"memory_mb\":192", "\"memory_mb\":32"));
--- a/crates/ladderpass/tests/operator_contract/rejections.rs
+++ b/crates/ladderpass/tests/operator_contract/rejections.rs
@@ -7,12 +7,12 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A client gets an error or is closed at the latest this long after it connected, or after it stopped in the middle of
-/// a request.
+/// The longest time until a client that breaks the protocol gets an error or is closed, counted from when the client
+/// connected, or from when it stopped in the middle of a request.
 const REJECTED_WITHIN: Duration = Duration::from_millis(3000);
 
-/// Sends these pieces, one every 0.4 s, and waits. Returns the time until the client gets an error or is closed, or
-/// None if neither happens within 2.5 s past the limit.
+/// Connects a client that sends these pieces, one every 0.4 s, and waits. Returns the time from the connect until the
+/// client gets an error or is closed, or None if neither happens within 2.5 s past `REJECTED_WITHIN`.
 fn time_to_rejection(harness: &RouterHarness, pieces: &[Vec<u8>]) -> Option<Duration> {
     let mut stream = TcpStream::connect(&harness.address).expect("the router listens");
     stream.set_read_timeout(Some(ms(20))).expect("the socket option can be set");
@@ -100,7 +100,7 @@
     assert_eq!(late_cases, Vec::<String>::new());
 }
 
-/// A request whose client waits for no more than 8 ms is rejected or fails, and its connection stays usable.
+/// A request whose client waits for no more than 8 ms is rejected or fails, and the client's connection stays usable.
 #[test]
 fn a_request_with_a_deadline_of_a_few_milliseconds_is_answered() {
     let harness = start_harness(|config| config);
@@ -123,7 +123,7 @@
     }
 }
 
-/// A rejection has a Retry-After where the settings allow it, also for a statement that was never accepted as an RPC.
+/// A rejection has a Retry-After where the settings allow one, also for a statement that was never accepted as an RPC.
 #[test]
 fn a_rejection_has_a_retry_after() {
     let mut harness =
--- a/crates/ladderpass/tests/operator_contract/shutdown.rs
+++ b/crates/ladderpass/tests/operator_contract/shutdown.rs
@@ -9,7 +9,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A client of a router that is stopping, with what it has sent and how many answers it has.
+/// A client of a router that is stopping, with the times at which it sent requests, and the number of answers that it
+/// has.
 struct LoadClient {
     stream: TcpStream,
     sent: Vec<Instant>,
@@ -46,8 +47,8 @@
         self.input.drain(..used);
     }
 
-    /// The times at which requests were sent that have no answer. Requests on a connection that was reset are left out:
-    /// the reset may have crossed them, and their client sends them again.
+    /// The times at which those requests were sent that have no answer. Requests on a connection that was reset are
+    /// left out: the reset may have crossed these requests, and their client sends them again.
     fn unanswered(&self) -> &[Instant] {
         match self.closed_in_order {
             Some(false) => &[],
@@ -56,8 +57,8 @@
     }
 }
 
-/// SIGKILL may come as early as the longest deadline and 0.7 s after SIGTERM. Members never answer, and still each
-/// request that is sent more than 0.7 s after SIGTERM has its answer by then. One client sends all the time, one
+/// SIGKILL may come as early as the longest deadline plus 0.7 s after SIGTERM. Members never answer, and still each
+/// request that is sent more than 0.7 s after SIGTERM is answered before SIGKILL. One client sends all the time, one
 /// connects 0.35 s after SIGTERM and first sends at 0.85 s, and one sends its startup message only at 0.85 s.
 #[test]
 fn all_requests_are_answered_before_the_earliest_sigkill() {
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -15,8 +15,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Operator settings by which memory counts as short, so that all RPCs of low priority are shed from the first sample
-/// on.
+/// Operator settings by which the router counts as short of memory, so that all RPCs of low priority are shed from the
+/// first sample of its resources on.
 const SHORT_OF_MEMORY: &str = "overload:\n  memory: {from: 0.001, full: 0.08}\n";
 
 fn start_with(operator: &str) -> Start {
@@ -58,7 +58,8 @@
 #[test]
 fn under_pressure_reads_are_shed_before_writes_and_each_gets_a_retry_after() {
     let _turn = wait_for_turn();
-    // Four fifths of the work are reads. Writes are shed only once more than all reads would have to be shed.
+    // Four fifths of the members' work are reads. The router sheds writes only once it would have to shed more work
+    // than all reads together.
     let operator = "overload:\n  memory: {from: 0.001, full: 0.2}\n";
     let record = run_load(
         &Scenario::default(),
@@ -77,11 +78,11 @@
     );
 }
 
-/// Delay of the event loop counts as overload only from 2 s on in this test. With the default, the test failed beside
+/// In this test, delay of the event loop counts as overload only from 2 s on. With the default, the test failed beside
 /// 16 busy processes: too few of the hundred clients blocked their connections (0 and 14, and 6 in an earlier version;
-/// 20 are required). Other processes used the router's core, which delayed its event loop (the metrics showed
+/// 20 are required). Other processes used the router's core, which delayed the router's event loop (the metrics showed
 /// `delay_ms` 34.5, `stolen` 0.34, 200 RPCs accepted and 200 shed). The router rightly became overloaded and shed the
-/// very statements whose answers were to fill the sockets. So none of the hundred may be shed here.
+/// very statements whose answers were to fill the sockets. So none of the hundred statements may be shed in this test.
 #[test]
 fn a_hundred_clients_that_never_read_are_closed_and_the_others_served() {
     let _turn = wait_for_turn();
@@ -103,8 +104,8 @@
     let after = record.counts(5.0, 6.0);
     assert!(after.due > 50 && after.ok == after.due, "after the slow readers are closed: {after:?}");
     assert!(record.resident_bytes < 64 << 20, "the router uses {} bytes", record.resident_bytes);
-    // A client that does not read never sees the close behind its unread bytes, so the router's metrics have to show
-    // it.
+    // A client that does not read never sees the router's close, which follows bytes that the client has not read. So
+    // the router's metrics have to show the close.
     let slow_readers = charts::figures(&record.log, "slow_readers", 0.1);
     let most_slow_readers = slow_readers.iter().map(|figure| figure.1).fold(0.0, f64::max);
     let shed: f64 = charts::figures(&record.log, "shed", 0.1).iter().map(|figure| figure.1).sum();
--- a/crates/ladderpass/tests/recorded_bytes/remotes.rs
+++ b/crates/ladderpass/tests/recorded_bytes/remotes.rs
@@ -35,7 +35,8 @@
 
     fn answer_query(&mut self, router: usize, id: ConnectionId, number: usize, query: &str) {
         if query.is_empty() {
-            // Answers come in order, and the answer to the query before this one takes at most 30 ms.
+            // Answers must arrive in order. The answer to the query before this one takes at most 30 ms, so the answer
+            // to the empty query is sent after 31 ms.
             return self.schedule(
                 router,
                 Span::from_millis(31),
@@ -65,8 +66,8 @@
         self.schedule_within(router, 30, Scheduled::Bytes(id, answer));
     }
 
-    /// Sends the next line of the watch: a change of one member, or, if it is the first line, the head of the response
-    /// and the list of all members.
+    /// Sends the next line of a watch: a change of one member, or, for the first line, the head of the response and the
+    /// list of all members.
     pub fn send_watch_line(&mut self, router: usize, id: ConnectionId, first: bool) {
         self.generation += 1;
         let lifecycle = ["SERVING", "SERVING", "DRAINING", "DELETED"][self.random_below(4) as usize];
--- a/crates/ladderpass/tests/recorded_bytes/simulation.rs
+++ b/crates/ladderpass/tests/recorded_bytes/simulation.rs
@@ -1,4 +1,4 @@
-//! Two routers without sockets on a simulated clock, with the events that are scheduled at each.
+//! Two routers without sockets on a simulated clock, with the events that are scheduled at each router.
 
 use crate::common::{SIMULATION_START, cancel, launch_with_config, router_config, simulated_members};
 use ladderpass::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -15,7 +15,7 @@
 /// How long before the end of a run the first router gets SIGTERM.
 const SHUTDOWN: Span = Span::from_millis(900);
 
-/// The other end of a connection.
+/// The other end of a connection of a router.
 #[derive(Clone, Debug)]
 pub enum Remote {
     Client { number: u32, received: Vec<u8> },
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Runs for this time. The first router gets SIGTERM near the end.
+    /// Runs the simulation for the time `length`. The first router gets SIGTERM near the end.
     pub fn run(&mut self, length: Span) {
         let end = SIMULATION_START + length;
         self.schedule(0, length - SHUTDOWN, Scheduled::Terminate);
@@ -244,7 +244,7 @@
 
     fn sample(&mut self, router: usize) {
         self.schedule(router, Span::from_millis(50), Scheduled::Sample);
-        // For 300 ms of each second the process seems to be short of memory.
+        // For 300 ms of each second the router process seems to be short of memory.
         let ms_of_second = (self.now - SIMULATION_START).nanos() / 1_000_000 % 1000;
         let resident_bytes = if (500..800).contains(&ms_of_second) { 185 << 20 } else { 40 << 20 };
         let sample =
@@ -255,7 +255,7 @@
         self.handle(router, Event::IterationEnded(busy, ready_sockets));
     }
 
-    /// Delivers bytes to a router in pieces. Bytes for which its buffer has no space are dropped.
+    /// Delivers bytes to a router in pieces. Bytes for which the connection's read buffer has no space are dropped.
     pub fn feed(&mut self, router: usize, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.routers[router].remotes.contains_key(&id) {
             let piece_count = 1 + self.random_below(4) as usize;
@@ -283,7 +283,7 @@
         match self.random_below(40) {
             0 => self.schedule_within(router, 5, Scheduled::ConnectDenied(id)),
             1 => self.schedule_within(router, 5, Scheduled::Closed(id)),
-            // It may come after the router's connect timeout of 250 ms.
+            // The connection may be established only after the router's connect timeout of 250 ms.
             2 => self.schedule_within(router, 600, Scheduled::Connected(id)),
             _ => self.schedule_within(router, 3, Scheduled::Connected(id)),
         }
@@ -295,7 +295,7 @@
         if bytes.is_empty() || !connected {
             return;
         }
-        // Some sockets accept only half of the bytes, or none for now.
+        // At random, a socket accepts only half of the bytes, or none for now.
         let count = match self.random_below(60) {
             0 => return self.handle(router, Event::WriteBlocked(id)),
             1 => bytes.len().div_ceil(2),
@@ -349,5 +349,5 @@
     }
 }
 
-/// ReadyForQuery, the end of an answer: the client may send its next statement.
+/// The message ReadyForQuery, which ends an answer. After this message the client may send its next statement.
 const READY_FOR_QUERY: &[u8] = b"Z\0\0\0\x05I";
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -10,7 +10,8 @@
 use ladderpass_routing::Span;
 
 impl Simulation {
-    /// Makes one step of a random run: one action, after which the router does what is due.
+    /// Makes one step of a random run: one random action of a client, a member or discovery, or a pause. After the
+    /// action the router does what is due.
     pub fn step(&mut self) {
         match self.next_choice(12) {
             0 | 1 if self.clients.len() < 12 && !self.exited => self.connect_client(),
@@ -67,8 +68,8 @@
         self.feed(id, &query(&text));
     }
 
-    /// Sends a cancel request for this client, at times with a wrong key, or closes its connection; false if it does
-    /// neither.
+    /// Sends a cancel request for this client, at times with a wrong key, or closes the client's connection. Returns
+    /// false if it does neither.
     fn cancel_or_disconnect(&mut self, id: ConnectionId) -> bool {
         let action = self.next_choice(4);
         if action == 0 && self.clients[&id].received.contains(&b'K') {
@@ -90,7 +91,8 @@
         self.feed(id, &noise);
     }
 
-    /// Reports random resource usage to the router, which may be short, and at times that a client's socket is full.
+    /// Reports random resource usage to the router, whose memory may then count as short. At times also reports that a
+    /// client's socket is full.
     fn report_load(&mut self) {
         let resident = self.next_choice(3) * (90 << 20);
         let wall = Span::from_millis(50);
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Establishes or ends a connection to a member, or answers its query, correctly or not.
+    /// Acts as a member: establishes or ends a connection from the router, or answers the query on the connection,
+    /// correctly or not.
     fn act_as_member(&mut self) {
         let Some(id) = self.choose_from(self.member_connections.keys().copied().collect()) else { return };
         let (action, position) = (self.next_choice(16), self.now.nanos() as u64 / 1_000_000);
@@ -167,7 +170,8 @@
         self.feed(id, &answer);
     }
 
-    /// Opens, denies or ends a watch, or sends it a line, which may be invalid.
+    /// Acts as discovery: opens, denies or ends a watch of the endpoint list, or sends a line on the watch, which may
+    /// be invalid.
     fn act_as_discovery(&mut self) {
         let Some((id, is_open)) = self.watches.first().copied() else { return };
         if !is_open {
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: until when one may be sent, when it is withdrawn, and how its answer is used.
+//! Attempts of RPCs: until when an attempt may be sent, when an attempt is withdrawn, and how its answer is used.
 
 use crate::common::{empty_query_response, frame, query, row, startup, statement};
 use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt};
@@ -6,8 +6,9 @@
 use ladderpass::reducer::{ConnectionId, Effect, Event};
 use ladderpass_routing::Span;
 
-/// A bounded read is sent within a tick of its decision, or later if the member is still known to be fresh enough;
-/// otherwise it is decided again. A write may wait for its connection in any case.
+/// A bounded read (a read with a maximum staleness) is sent within a tick of the decision for a member, or later if the
+/// member is still known to be fresh enough. Otherwise the read is decided again. A write may wait for its connection
+/// in any case.
 #[test]
 fn a_bounded_read_that_waited_for_its_connection_is_sent_only_if_the_member_is_still_fresh_enough() {
     let max_staleness_ms = 800;
@@ -40,16 +41,17 @@
             "no {method} waits for a connection, with data {age_ms} ms old"
         );
         simulation.now = simulation.now + Span::from_millis(waited_ms as i64);
-        // Only the first connection is established: a read that is decided again may be sent on one that follows.
+        // Only the first late connection is established, since a read that is decided again may be sent on one of the
+        // others.
         simulation.establish(late_connections[0]);
         let is_sent = simulation.member_connections[&late_connections[0]].query.is_some();
         assert_eq!(is_sent, expected, "is a {method} of data {age_ms} ms old sent?");
     }
 }
 
-/// A second statement arrives while the first is in flight. A member answers the first late, and the second never. The
-/// deadline of the second is 400 ms after it was sent, and not 400 ms after the first was answered, when its client
-/// would have left.
+/// A second statement of a client arrives while the first is in flight. A member answers the first statement late, and
+/// the second never. The deadline of the second statement is 400 ms after it was sent, and not 400 ms after the first
+/// was answered, when the client would have left.
 #[test]
 fn the_deadline_of_a_pipelined_statement_runs_from_when_it_was_sent() {
     for first_answer_ms in [100, 300, 390, 700] {
@@ -79,8 +81,8 @@
     }
 }
 
-/// A member connection is reused only once nothing more can follow the last answer, so that surplus bytes after an
-/// answer are never taken for the answer to another RPC.
+/// A member connection is reused only once nothing more can follow the last answer on it, so that surplus bytes after
+/// an answer are never taken for the answer to another RPC.
 #[test]
 fn surplus_bytes_after_an_answer_close_the_connection_before_it_is_reused() {
     for surplus in [row(b"7", "follower", 1), b"\x07noise".to_vec(), frame(b'S', b"server_load\0x")] {
@@ -101,7 +103,7 @@
 }
 
 /// The time for which a query waits in the router to be written, or an answer to be read, is not counted as answer time
-/// of the member. Otherwise a busy router would take idle members for overloaded.
+/// of the member. Otherwise a busy router would take idle members for overloaded ones.
 #[test]
 fn the_answer_time_of_a_member_excludes_delays_of_the_router() {
     let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
@@ -121,9 +123,9 @@
     );
 }
 
-/// The client leaves before any byte of its query is written to the member, or after part of it is. The member never
-/// gets all of it. Over loopback the kernel accepts every statement at once, so a socket that accepts nothing is
-/// simulated.
+/// A client leaves before any byte of its query is written to the member, or after part of the query is written. The
+/// member never gets the whole query. Over loopback the kernel accepts every statement at once, so this test simulates
+/// a socket that accepts nothing.
 #[test]
 fn a_query_that_is_not_fully_written_when_its_client_leaves_is_withdrawn() {
     for written in [0, 10] {
@@ -135,7 +137,7 @@
         simulation.apply(Event::Accepted(client));
         let bytes = [startup(), query(&statement("8", "write", 2000, "1"))].concat();
         simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
-        // The effects are not carried out, as the socket accepts nothing.
+        // The effects of these events are not carried out, since the simulated socket to the member accepts nothing.
         for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
             simulation.reducer.handle(simulation.now, event);
         }
@@ -157,8 +159,8 @@
 }
 
 /// The socket to a member accepts part of a statement or none of it. The time left that the statement carries, and the
-/// freshness of a read's data, must still be right when its last byte is written. So the attempt is withdrawn, a write
-/// after 100 ms and a read after a tick of 5 ms.
+/// freshness of a read's data, must still be right when the statement's last byte is written. So the attempt is
+/// withdrawn if the statement is not written in time, a write after 100 ms and a read after a tick of 5 ms.
 #[test]
 fn a_query_that_the_socket_does_not_accept_in_time_is_withdrawn() {
     for (method, timeout_ms) in [("write", 100), ("read", 5)] {
@@ -170,7 +172,8 @@
             simulation.clients.get_mut(&client).expect("the client is connected").broke_protocol = true;
             let bytes = query(&statement("8", method, 2000, "1"));
             simulation.reducer.read_buffer(client)[..bytes.len()].copy_from_slice(&bytes);
-            // The effects are not carried out, as the socket accepts nothing.
+            // The effects of these events are not carried out, since the simulated socket to the member accepts
+            // nothing.
             for event in [Event::Received(client, bytes.len(), Span::ZERO), Event::Tick] {
                 simulation.reducer.handle(simulation.now, event);
             }
@@ -194,9 +197,10 @@
     }
 }
 
-/// A session's last write is compared with the positions of members, and not with the router's clock, which may be
-/// behind both. All members report positions 0.8 s ahead of that clock. If the write is 100 ms after them, the read
-/// goes to the primary; if it is 100 ms before them, the read goes to a replica.
+/// The position of a session's last write is compared with the positions of members, and not with the router's clock,
+/// which may be behind both. In this test all members report positions 0.8 s ahead of the router's clock. If the write
+/// is 100 ms after the members' positions, the read goes to the primary; if the write is 100 ms before them, the read
+/// goes to a replica.
 #[test]
 fn a_session_read_sees_the_last_write_although_the_clock_is_behind() {
     for (short_by_ms, port) in [(100_i64, 7000), (-100, 7001)] {
@@ -247,7 +251,8 @@
     }
 }
 
-/// An answer that begins and does not end is given up after 250 ms, which leaves time for another attempt.
+/// The router gives up an answer of a member that begins and does not end after 250 ms, which leaves time for another
+/// attempt.
 #[test]
 fn an_answer_that_does_not_end_is_given_up_before_the_deadline() {
     let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
--- a/crates/ladderpass/tests/reducer/cancel_requests.rs
+++ b/crates/ladderpass/tests/reducer/cancel_requests.rs
@@ -1,4 +1,4 @@
-//! Cancel requests, in each state of the RPC that they are for.
+//! Cancel requests, in each state of the RPC that is to be cancelled.
 
 use crate::common::{empty_query_response, error_response, id_and_rest, query, row, startup, statement};
 use crate::scenarios::{FirstAttempt, answers_of, error_answer, send_first_attempt, served_answer};
@@ -6,8 +6,8 @@
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
 
-/// Each connection has a key of its own. A cancel request has no effect if one bit of its key is wrong, if no
-/// connection has its key, or if the connection has no RPC in flight.
+/// Each client connection has a cancel key of its own. A cancel request has no effect if one bit of the key in the
+/// request is wrong, if no connection has that key, or if the connection with that key has no RPC in flight.
 #[test]
 fn a_cancel_request_has_an_effect_only_with_the_key_of_the_connection() {
     let FirstAttempt { mut simulation, client, connection } = send_first_attempt("read");
@@ -36,8 +36,8 @@
     );
 }
 
-/// No member has answered anything yet, so the first statement is pending. Once cancelled it is answered at once and
-/// never sent, and the statement after it is served.
+/// No member has answered anything yet, so the client's first statement is pending. Once the first statement is
+/// cancelled, it is answered at once and never sent, and the client's next statement is served.
 #[test]
 fn a_cancelled_pending_statement_is_answered_at_once_and_the_next_one_is_served() {
     let mut simulation = Simulation::new(vec![255; 600]);
@@ -76,8 +76,8 @@
     assert_eq!(answers_of(&simulation, client), [error_answer("57014"), served_answer()]);
 }
 
-/// The query of the cancelled RPC is not written, or only in part. The client is answered at once, and no more of the
-/// query is sent.
+/// When an RPC is cancelled, the query of the RPC is not written to the member yet, or only in part. The client is
+/// answered at once, and no more of the query is sent.
 #[test]
 fn a_query_that_is_not_fully_written_when_it_is_cancelled_is_withdrawn() {
     for written in [0, 10] {
@@ -113,8 +113,8 @@
     }
 }
 
-/// A cancelled RPC whose attempt is in flight is settled by the outcome of that attempt. It is served if the outcome is
-/// good. Otherwise no further attempt is made, and the answer says whether the RPC may have had an effect.
+/// A cancelled RPC whose attempt is in flight is settled by the outcome of that attempt. The RPC is served if the
+/// outcome is good. Otherwise no further attempt is made, and the answer says whether the RPC may have had an effect.
 #[test]
 fn no_further_attempt_is_made_for_an_rpc_cancelled_in_flight() {
     for (method, outcome, expected) in [
--- a/crates/ladderpass/tests/reducer/checks.rs
+++ b/crates/ladderpass/tests/reducer/checks.rs
@@ -1,5 +1,5 @@
-//! Checks the output of a simulated router against rule 1, one answer in time for each statement, and rule 2, no
-//! statement that may have run is sent again.
+//! Checks the output of a simulated router against two rules. By rule 1 each statement has one answer in time, and by
+//! rule 2 no statement that may have run is sent again.
 
 use crate::common::{frames, id_and_rest};
 use crate::simulation::Simulation;
@@ -7,14 +7,15 @@
 use ladderpass_routing::Span;
 
 impl Simulation {
-    /// Delivers all bytes that the router has written on a connection, and checks them.
+    /// Delivers all bytes that the router has written on a connection, and checks these bytes.
     pub fn write(&mut self, id: ConnectionId) {
         while !self.reducer.outgoing(id).is_empty() {
             let bytes = self.reducer.outgoing(id).to_vec();
             if let Some(client) = self.clients.get_mut(&id) {
                 client.received.extend_from_slice(&bytes);
                 let (frames_received, _) = frames(&client.received);
-                // The answer to the startup ends with ReadyForQuery too, and a fatal error ends without one.
+                // The answer to the startup message ends with ReadyForQuery too, and a fatal error ends without
+                // ReadyForQuery.
                 let is_end_of_answer =
                     |(kind, body): &&(u8, Vec<u8>)| *kind == b'Z' || body.starts_with(b"SFATAL");
                 let answer_count = frames_received.iter().filter(is_end_of_answer).count().saturating_sub(1);
@@ -31,8 +32,9 @@
                         client.broke_protocol || value.is_none() || rpc_id.is_none() || value == rpc_id;
                     assert!(is_own_value, "rule 1: the answer is for another RPC");
                 }
-                // The deadline of a pipelined statement runs from when it was sent, but it is answered after the
-                // statement before it, so it may be answered up to 10 ms after that one.
+                // The deadline of a pipelined statement runs from when it was sent, but the statement is answered after
+                // the statement before it. So its answer may come up to 10 ms after the previous answer, even past its
+                // own deadline.
                 let pipelined_until = client.answered_at.map_or(self.now, |at| at + Span::from_millis(10));
                 for (nth, deadline) in
                     client.deadlines.iter().enumerate().take(answer_count).skip(client.answers)
--- a/crates/ladderpass/tests/reducer/client_errors.rs
+++ b/crates/ladderpass/tests/reducer/client_errors.rs
@@ -28,7 +28,8 @@
         assert_eq!((kinds.as_slice(), is_closed), (&b"EZIZ"[..], false), "{code}");
         assert_eq!(sqlstate(&frames[0].1), code);
     }
-    // The client is closed where frames can't be told apart any more, or where a header announces too long a message.
+    // The router closes the client's connection where frames can't be told apart any more, or where a header announces
+    // too long a message.
     assert!(exchange(b"Q\x03\x93\x87\x04SELECT").is_closed);
     assert!(exchange(&[b'Q', 0, 0, 0, 1]).is_closed);
     assert!(exchange(&frame(b'!', b"")).is_closed);
@@ -48,7 +49,8 @@
     assert_eq!(simulation.clients.len(), 2);
 }
 
-/// A client that keeps making errors is answered, but read after longer and longer pauses, and closed in the end.
+/// A client that keeps making errors is answered, but the router reads from the client after longer and longer pauses,
+/// and closes the connection in the end.
 #[test]
 fn a_client_that_keeps_making_errors_is_slowed_down_and_closed() {
     let mut simulation = clients_that_sent(0, |_| Vec::new());
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of clients, buffers and tables, and which clients are evicted at them.
+//! Limits on the number of clients and on the size of buffers and tables, and which clients are evicted at these
+//! limits.
 
 use crate::common::{chunk, frames, instance, query, row, sqlstate, startup, statement};
 use crate::scenarios::{FirstAttempt, clients_that_sent, send_first_attempt_in};
@@ -8,7 +9,7 @@
 use ladderpass_routing::Span;
 
 /// A client that reads nothing of a large answer is closed after the timeout of slow readers, 100 ms here, which frees
-/// its buffers. A client that reads a few bytes every 100 ms is not.
+/// the client's buffers. A client that reads a few bytes every 100 ms is not closed.
 #[test]
 fn a_client_that_reads_nothing_is_closed_and_one_that_reads_slowly_is_not() {
     for reads_some in [false, true] {
@@ -50,10 +51,11 @@
 fn idle_clients_past_the_limit_are_evicted_and_busy_ones_are_not() {
     let max_clients = default_launch().limits.clients;
     let read = |id: usize| query(&statement(&id.to_string(), "read", 480, "1"));
-    // All clients are busy. Each further client gets an error at once and is closed, and none of those that wait is.
+    // All clients are busy. Each further client gets an error at once and is closed, and no client that waits for an
+    // answer is closed.
     assert_eq!(clients_that_sent(max_clients + 40, read).clients.len(), max_clients);
-    // All clients are idle, but not for long, so none is closed. Later those in excess are closed, except the one whose
-    // query is read before its close: it stays and is served.
+    // All clients are idle, but not for long, so none is closed. Later the clients in excess of the limit are closed,
+    // except the client whose query is read before its close: this client stays and is served.
     let mut simulation = clients_that_sent(max_clients, read);
     (0..49).for_each(|_| simulation.advance(Span::from_millis(5)));
     let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
@@ -86,7 +88,7 @@
     let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
     let mut buffered_bytes = 0;
     for &id in &ids {
-        // All but the last byte of a statement of the maximum length.
+        // The bytes are a statement of the maximum length without its last byte.
         let mut statement = [&b"Q"[..], &(limits.statement_bytes as u32 - 1).to_be_bytes()].concat();
         statement.resize(limits.statement_bytes - 1, b' ');
         let mut rest = &statement[..];
@@ -107,7 +109,7 @@
         buffered_bytes > max_bytes / 2 && buffered_bytes < max_bytes + limits.client_buffer_bytes,
         "{buffered_bytes} bytes in buffers where {max_bytes} are allowed"
     );
-    // Clients that wait for memory are read again once others have left.
+    // Clients whose input waits for buffer memory are read again once other clients have left.
     let mut effects = Vec::new();
     for &id in &ids[..ids.len() / 2] {
         effects.extend(simulation.reducer.handle(simulation.now, Event::Closed(id)));
@@ -144,8 +146,8 @@
     assert_eq!(simulation.clients[&client].answers, 0, "the RPC is still open");
 }
 
-/// Many clients that send nothing, or half a statement: those in excess of the limit are evicted soon, after 50 or 250
-/// ms, and all others are closed within 2.5 s.
+/// Many clients send nothing, or half a statement. Clients in excess of the limit are evicted soon, after 50 or 250 ms,
+/// and all others are closed within 2.5 s.
 #[test]
 fn clients_without_a_complete_statement_are_evicted_and_closed() {
     let limits = default_launch().limits;
@@ -178,8 +180,8 @@
     }
 }
 
-/// Members are replaced by new ones with new ids 198 times, every 4 s of simulated time. The table of members does not
-/// grow with them.
+/// Members are replaced by new ones with new ids 198 times, every 4 s of simulated time. The router's table of members
+/// does not grow with the number of replacements.
 #[test]
 fn the_member_table_does_not_grow_when_members_are_replaced() {
     let mut simulation = clients_that_sent(0, |_| Vec::new());
@@ -204,7 +206,7 @@
     assert!(simulation.reducer.member_count() < 30, "{} members", simulation.reducer.member_count());
 }
 
-/// Clients that keep their connections open after one statement do not prevent others from connecting.
+/// Clients that keep their connections open after one statement do not prevent other clients from connecting.
 #[test]
 fn clients_that_stay_connected_after_one_statement_do_not_keep_others_out() {
     let max_clients = default_launch().limits.clients_before_eviction + 30;
--- a/crates/ladderpass/tests/reducer/main.rs
+++ b/crates/ladderpass/tests/reducer/main.rs
@@ -1,6 +1,6 @@
-//! The reducer without sockets, on a simulated clock: random runs with the invariants checked after every step, parsers
-//! and buffers with input that is split and damaged at any byte, and single cases of the behaviour of clients and
-//! members.
+//! Tests of the reducer without sockets, on a simulated clock: random runs with the invariants checked after every
+//! step, parsers and buffers with input that is split and damaged at any byte, and single cases of the behaviour of
+//! clients and members.
 
 mod actions;
 mod attempts;
--- a/crates/ladderpass/tests/reducer/parsers.rs
+++ b/crates/ladderpass/tests/reducer/parsers.rs
@@ -1,4 +1,4 @@
-//! Buffers and parsers, with input that is split and damaged at any byte.
+//! The router's buffers and parsers, with input that is split and damaged at any byte.
 
 use crate::common::{error_response, instance, query, row, statement};
 use crate::random_runs::check_random_runs;
@@ -45,7 +45,7 @@
     check_random_runs(300, 400, property);
 }
 
-/// The parsers report damaged input without a panic, and find no frame before its last byte.
+/// The parsers do not panic on damaged input, and find no complete frame before the frame's last byte has arrived.
 #[test]
 fn parsers_do_not_panic_on_damaged_frames_and_comments() {
     fn property(choices: Vec<u8>) -> bool {
--- a/crates/ladderpass/tests/reducer/random_runs.rs
+++ b/crates/ladderpass/tests/reducer/random_runs.rs
@@ -1,12 +1,12 @@
-//! Random runs, with the rules checked after every step.
+//! Random runs of a simulated router, with the rules on answers and attempts checked after every step.
 
 use crate::simulation::Simulation;
 use ladderpass::reducer::Event;
 use ladderpass_routing::Span;
 use quickcheck::{Gen, QuickCheck};
 
-/// Checks a property for `count` sequences of up to `size` random choices. The seed is fixed, so they are the same each
-/// time.
+/// Checks a property for `count` sequences of up to `size` random choices. The seed is fixed, so the sequences are the
+/// same each time.
 pub fn check_random_runs(count: u64, size: usize, property: fn(Vec<u8>) -> bool) {
     QuickCheck::new().rng(Gen::from_size_and_seed(size, 7)).tests(count).quickcheck(property);
 }
@@ -29,7 +29,8 @@
     if shuts_down {
         simulation.apply(Event::Terminate);
     }
-    // Each accepted statement is answered by its deadline, whatever the members do, and a stopping router then exits.
+    // Each accepted statement is answered by its deadline, whatever the members do, and a router that gets SIGTERM
+    // exits afterwards.
     for _ in 0..2500 {
         simulation.advance(Span::from_millis(5));
     }
--- a/crates/ladderpass/tests/reducer/scenarios.rs
+++ b/crates/ladderpass/tests/reducer/scenarios.rs
@@ -1,18 +1,19 @@
-//! Simulations that the single cases start from, and the answers that clients have received in them.
+//! Simulations from which the single test cases start, and the answers that clients have received in these simulations.
 
 use crate::common::{empty_query_response, frames, query, row, sqlstate, startup, statement};
 use crate::simulation::{Client, Simulation};
 use ladderpass::reducer::{ConnectionId, Event};
 use ladderpass_routing::Span;
 
-/// The answers that a client has received after its startup.
+/// What a client has received after its startup, and whether its connection is closed.
 pub struct Exchange {
-    /// Types and bodies of the frames.
+    /// The types and bodies of the frames that the client received.
     pub frames: Vec<(u8, Vec<u8>)>,
     pub is_closed: bool,
 }
 
-/// Accepts a client that sends these bytes, and an empty query once they are handled. Returns what the client received.
+/// Accepts a client that sends these bytes, and an empty query once the bytes are handled. Returns what the client
+/// received.
 pub fn exchange(bytes: &[u8]) -> Exchange {
     let mut simulation = Simulation::new(vec![255; 600]);
     let id = simulation.reducer.next_id();
@@ -25,7 +26,7 @@
     };
     client.received.clear();
     simulation.receive(id, bytes);
-    // After an error the router reads on only once its backoff (100 ms) is over.
+    // After a client's error the router reads from the client again only once the client's backoff (100 ms) is over.
     (0..25).for_each(|_| simulation.advance(Span::from_millis(5)));
     simulation.receive(id, &query(""));
     let mut inbox = simulation.reducer.outgoing(id).to_vec();
@@ -35,7 +36,8 @@
     Exchange { frames: frames(&inbox).0, is_closed: !simulation.clients.contains_key(&id) }
 }
 
-/// A simulation in which `count` clients have each sent this, in one batch.
+/// A simulation in which `count` clients have each sent the bytes that `bytes` returns for the client's number, in one
+/// batch.
 pub fn clients_that_sent(count: usize, bytes: impl Fn(usize) -> Vec<u8>) -> Simulation {
     let mut simulation = Simulation::new(vec![255; 600]);
     for nth in 0..count {
@@ -63,12 +65,13 @@
     pub connection: ConnectionId,
 }
 
-/// Has a client send a statement of this method, with id 7, and runs until its first attempt is in flight.
+/// Has a client send a statement of this method, with the RPC id 7, and runs the simulation until the statement's first
+/// attempt is in flight.
 pub fn send_first_attempt(method: &str) -> FirstAttempt {
     send_first_attempt_in(Simulation::new(vec![255; 600]), method)
 }
 
-/// As [`send_first_attempt`], in this simulation, which must have no client yet.
+/// As [`send_first_attempt`], in the given simulation, which must have no client yet.
 pub fn send_first_attempt_in(mut simulation: Simulation, method: &str) -> FirstAttempt {
     let text = statement("7", method, 2000, "1");
     let position = simulation.now.nanos() as u64 / 1_000_000;
@@ -104,7 +107,8 @@
     panic!("the attempt is not sent");
 }
 
-/// The answers to a client's statements: the types of the frames of each, and the SQLSTATE of an error.
+/// The answers that a client has received to its statements: the types of the frames of each answer, and the SQLSTATE
+/// if the answer has an error.
 pub fn answers_of(simulation: &Simulation, client: ConnectionId) -> Vec<(Vec<u8>, String)> {
     let found = frames(&simulation.clients[&client].received).0;
     let summary = |answer: &[(u8, Vec<u8>)]| {
@@ -115,12 +119,12 @@
     found.split_inclusive(|(kind, _)| *kind == b'Z').skip(1).map(summary).collect()
 }
 
-/// The answer to an RPC that was served, as in [`answers_of`].
+/// The answer to an RPC that was served, in the form in which [`answers_of`] returns it.
 pub fn served_answer() -> (Vec<u8>, String) {
     (b"TDCZ".to_vec(), String::new())
 }
 
-/// The answer to an RPC that failed with this SQLSTATE, as in [`answers_of`].
+/// The answer to an RPC that failed with this SQLSTATE, in the form in which [`answers_of`] returns it.
 pub fn error_answer(code: &str) -> (Vec<u8>, String) {
     (b"EZ".to_vec(), code.to_owned())
 }
--- a/crates/ladderpass/tests/reducer/simulation.rs
+++ b/crates/ladderpass/tests/reducer/simulation.rs
@@ -13,16 +13,17 @@
 /// A client, with the statements that it has sent and the bytes that it has received.
 #[derive(Default)]
 pub struct Client {
-    /// Deadlines of its statements, in order.
+    /// The deadlines of the client's statements, in the order in which they were sent.
     pub deadlines: Vec<Time>,
-    /// The ids of its RPCs, in order.
+    /// The ids of the client's RPCs, in the order in which they were sent.
     pub rpc_ids: Vec<String>,
     pub received: Vec<u8>,
-    /// How many answers it has received.
+    /// How many answers the client has received.
     pub answers: usize,
-    /// When it received its last answer.
+    /// When the client received its last answer, or None if it has received none.
     pub answered_at: Option<Time>,
-    /// Whether it broke the protocol, after which no answer is due any more.
+    /// Whether this client's answers are left out of the checks: the client broke the protocol, so that no answer is
+    /// due, or the test turns the checks off for another reason.
     pub broke_protocol: bool,
 }
 
@@ -32,66 +33,66 @@
     pub is_established: bool,
     pub startup_done: bool,
     pub received: Vec<u8>,
-    /// The query that it has not answered yet.
+    /// The query on this connection that the member has not answered yet.
     pub query: Option<String>,
-    /// Whether an empty query follows that one.
+    /// Whether an empty query has arrived after the last query.
     pub sync_query_queued: bool,
 }
 
 /// A statement that a client has sent.
 pub struct SentStatement {
-    /// The statement without the value of `d`, which differs between attempts.
+    /// The text of the statement without the value of the field `d`, which differs between attempts.
     pub text: String,
-    /// Whether it may run only once.
+    /// Whether the router must not send the statement again once the statement may have run.
     pub runs_once: bool,
     pub may_have_run: bool,
 }
 
-/// The reducer, and the other ends of its connections. Each action is drawn from `choices`.
+/// The reducer, and the other ends of its connections. Each random action is drawn from `choices`.
 pub struct Simulation {
     pub reducer: Reducer,
-    /// Whether the router monitors its own load, which is too high at times.
+    /// Whether the router monitors its own load. The reported load is then too high at times.
     pub is_overloaded: bool,
     pub now: Time,
     pub choices: VecDeque<u8>,
     pub clients: BTreeMap<ConnectionId, Client>,
     pub member_connections: BTreeMap<ConnectionId, MemberConnection>,
-    /// Ports of the members, by connection.
+    /// The port of the member at the other end of each member connection.
     pub ports: BTreeMap<ConnectionId, u16>,
-    /// The watches of discovery, and whether each is open.
+    /// The connections on which the router watches the endpoint list, and whether each is open.
     pub watches: Vec<(ConnectionId, bool)>,
-    /// The statements that clients have sent, by the id of the RPC.
+    /// The statements that clients have sent, by the id of the statement's RPC.
     pub statements: HashMap<String, SentStatement>,
     /// The generation of the last line that discovery has sent.
     pub generation: u64,
     pub exited: bool,
 }
 
-/// The launch of a router with three members, at ports 7000 to 7002.
+/// The launch parameters of a router with three members, at ports 7000 to 7002.
 pub fn default_launch() -> launch::Launch {
     launch_changed_by(|text| text)
 }
 
-/// As [`default_launch`], with a changed configuration.
+/// As [`default_launch`], with the configuration that `change` returns.
 pub fn launch_changed_by(change: impl Fn(String) -> String) -> launch::Launch {
     let members = simulated_members(3);
     launch_with_config(&change(router_config(&members)))
 }
 
 impl Simulation {
-    /// A router that monitors its own load, and is overloaded at times, by random choice.
+    /// A simulation of a router that monitors its own load, and is overloaded at times, by random choice.
     pub fn overloaded(choices: Vec<u8>) -> Simulation {
         let mut launch = default_launch();
         launch.operator = operator::read("overload: {slow_reader: 100ms}").expect("valid operator settings");
         Simulation { is_overloaded: true, ..Simulation::with_launch(choices, launch) }
     }
 
-    /// A router that does not monitor its own load.
+    /// A simulation of a router that does not monitor its own load.
     pub fn new(choices: Vec<u8>) -> Simulation {
         Simulation::with_launch(choices, default_launch())
     }
 
-    /// A router with this launch.
+    /// A simulation of a router with these launch parameters.
     pub fn with_launch(choices: Vec<u8>, launch: launch::Launch) -> Simulation {
         let now = SIMULATION_START;
         Simulation {
@@ -109,18 +110,18 @@
         }
     }
 
-    /// Records a statement that a client is about to send: members may get it from now on.
+    /// Records a statement that a client is about to send. From now on members may get the statement.
     pub fn expect_statement(&mut self, statement: &str, runs_once: bool) {
         let (id, text) = id_and_rest(statement);
         self.statements.insert(id, SentStatement { text, runs_once, may_have_run: false });
     }
 
-    /// Returns the next choice, below `limit`.
+    /// Returns the next random choice as a number below `limit`.
     pub fn next_choice(&mut self, limit: usize) -> usize {
         usize::from(self.choices.pop_front().unwrap_or(0)) % limit.max(1)
     }
 
-    /// Chooses one of these, if there are any.
+    /// Chooses one of the options at random. Returns None if there are no options.
     pub fn choose_from<T: Copy>(&mut self, options: Vec<T>) -> Option<T> {
         let nth = self.next_choice(options.len());
         options.get(nth).copied()
@@ -136,7 +137,7 @@
         for effect in effects {
             match effect {
                 Effect::Connect(id, address) if address.port() == 8500 => {
-                    // A denied connect is retried with the same id.
+                    // The router retries a denied connect to discovery with the same connection id.
                     self.watches.retain(|(watch, _)| *watch != id);
                     self.watches.push((id, false));
                 }
@@ -144,7 +145,7 @@
                     self.ports.insert(id, address.port());
                     self.member_connections.insert(id, MemberConnection::default());
                 }
-                // Some sockets accept nothing until the next `advance`.
+                // In some cases a socket accepts nothing until the next call of `advance`.
                 Effect::Write(_) if self.choices.len() % 5 == 4 => {}
                 Effect::Write(id) => self.write(id),
                 Effect::Close(id) => {
@@ -160,7 +161,7 @@
                 }
                 Effect::Exit => self.exited = true,
                 Effect::StopListening => self.apply(Event::ListenerClosed),
-                // A simulated socket holds no bytes that were not delivered yet.
+                // A simulated socket holds no bytes that were not delivered to the router yet.
                 Effect::Read(id) => self.apply(Event::SocketEmpty(id)),
                 Effect::CloseIfQuiet(id) => self.apply(Event::ReadToEnd(id)),
                 Effect::Accept(_) | Effect::SendDatagrams => {}
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Establishes a connection to a member, and answers its startup message. A query that waited for the connection is
-    /// in flight then.
+    /// Establishes a connection to a member, and answers the startup message on it. A query that waited for the
+    /// connection is in flight then.
     pub fn establish(&mut self, id: ConnectionId) {
         self.member_connections.insert(
             id,
@@ -184,7 +185,7 @@
         self.write(id);
     }
 
-    /// Delivers bytes to the router in pieces. Bytes for which its buffer has no space are dropped.
+    /// Delivers bytes to the router in pieces. Bytes for which the connection's read buffer has no space are dropped.
     pub fn feed(&mut self, id: ConnectionId, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let max_piece = 1 + self.next_choice(40) * 7;
@@ -206,19 +207,20 @@
         self.apply(Event::Tick);
     }
 
-    /// Establishes the first watch, and sends the head of its response.
+    /// Establishes the connection of the router's first watch, and sends the head of discovery's response.
     pub fn open_watch(&mut self, id: ConnectionId) {
         self.watches[0].1 = true;
         self.apply(Event::Connected(id));
         self.feed(id, WATCH_HEAD);
     }
 
-    /// The process id and the secret key in the answer to a client's startup message.
+    /// The process id and the secret key for cancel requests, from the answer to a client's startup message.
     pub fn cancel_key_of(&self, client: ConnectionId) -> (u32, u32) {
         cancel_key(&frames(&self.clients[&client].received).0)
     }
 
-    /// Sends a cancel request on a connection of its own, which is closed without an answer.
+    /// Sends a cancel request on a connection of its own, and checks that the router closes this connection without an
+    /// answer.
     pub fn send_cancel_request(&mut self, key: (u32, u32)) {
         let id = self.reducer.next_id();
         self.apply(Event::Accepted(id));
@@ -231,7 +233,7 @@
         self.carry_out(effects);
     }
 
-    /// Lets this time pass: the reducer does what is due, and the sockets accept what it has written.
+    /// Lets the time `span` pass: the reducer does what is due, and the sockets accept what the reducer has written.
     pub fn advance(&mut self, span: Span) {
         self.now = self.now + span;
         self.apply(Event::Tick);
--- a/crates/ladderpass/tests/router_harness/mod.rs
+++ b/crates/ladderpass/tests/router_harness/mod.rs
@@ -17,11 +17,11 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for an event that must happen.
+/// How long a test waits for an event that must happen before the test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A router without health checks, so that members get nothing but RPCs. Reads have no maximum staleness, and member 0
-/// is the primary.
+/// A router process without health checks, so that members get nothing but RPCs. Reads have no maximum staleness, and
+/// member 0 is the primary.
 pub struct RouterHarness {
     pub process: Child,
     /// The address that clients connect to.
@@ -30,12 +30,12 @@
     pub config_file: PathBuf,
     /// The listeners that the router connects to as members.
     pub members: Vec<TcpListener>,
-    /// By member, its connections on which no RPC is in flight.
+    /// For each member, the connections to the member on which no RPC is in flight.
     pub idle_connections: Vec<Vec<TcpStream>>,
     pub discovery: TcpListener,
-    /// The open watch, if there is one.
+    /// The connection of the open watch of the endpoint list, if there is one.
     pub watch: Option<TcpStream>,
-    /// The generation that the next line of the watch has.
+    /// The generation of the endpoint list that the next line on the watch has.
     pub generation: u64,
 }
 
@@ -50,12 +50,12 @@
     TcpListener::bind(unique_loopback_address()).expect("a port is free")
 }
 
-/// Accepts the next connection; the test fails if there is none in time.
+/// Accepts the next connection on a listener. The test fails if none arrives within `WAIT_TIMEOUT`.
 pub fn accept_connection(listener: &TcpListener) -> TcpStream {
     accept_connection_within(listener, WAIT_TIMEOUT).expect("a connection arrives in time")
 }
 
-/// Accepts the next connection, or returns None if there is none within this time.
+/// Accepts the next connection on a listener, or returns None if none arrives within `timeout`.
 pub fn accept_connection_within(listener: &TcpListener, timeout: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).expect("the socket option can be set");
     let deadline = Instant::now() + timeout;
@@ -73,12 +73,13 @@
     None
 }
 
-/// Starts a router in front of two members, with a changed configuration, and opens its watch.
+/// Starts a router in front of two members, with the configuration that `change` returns, and accepts the router's
+/// watch of the endpoint list.
 pub fn start_harness(change: impl Fn(String) -> String) -> RouterHarness {
     start_harness_with(vec![bind_listener(), bind_listener()], change, |_| {})
 }
 
-/// As [`start_harness`], in front of these members, and with a command that is adjusted before it is started.
+/// As [`start_harness`], in front of these members, and with a start command that `adjust_command` changes first.
 pub fn start_harness_with(
     members: Vec<TcpListener>,
     change: impl Fn(String) -> String,
@@ -119,13 +120,15 @@
     harness
 }
 
-/// Sends a statement, and returns the types of the frames that answer it and the SQLSTATE of an error.
+/// Sends a statement on a client's connection, and returns the types of the frames that answer the statement and the
+/// SQLSTATE of an error.
 pub fn execute(client: &mut TcpStream, statement: &str) -> (Vec<u8>, String) {
     client.write_all(&query(statement)).expect("the router reads");
     read_answer(client)
 }
 
-/// Reads the next answer, and returns the types of its frames and the SQLSTATE of an error.
+/// Reads the next answer on a client's connection, and returns the types of the answer's frames and the SQLSTATE of an
+/// error.
 pub fn read_answer(client: &mut TcpStream) -> (Vec<u8>, String) {
     let (mut kinds, mut error) = (Vec::new(), String::new());
     while kinds.last() != Some(&b'Z') {
@@ -140,30 +143,30 @@
     (kinds, error)
 }
 
-/// A write with a deadline of a minute.
+/// A write statement with this id and a deadline of a minute.
 pub fn write_statement(id: &str) -> String {
     statement(id, "write", 60_000, "1")
 }
 
 impl RouterHarness {
-    /// Sends a signal to the process.
+    /// Sends a signal to the router process.
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.process.id() as i32), signal).expect("the router is running");
     }
 
-    /// Stops the process with SIGSTOP, and waits until it has stopped.
+    /// Stops the router process with SIGSTOP, and waits until the process has stopped.
     pub fn pause(&self) {
         self.signal(Signal::SIGSTOP);
         waitpid(Pid::from_raw(self.process.id() as i32), Some(WaitPidFlag::WUNTRACED))
             .expect("the router is a child process");
     }
 
-    /// Resumes a paused process.
+    /// Resumes the paused router process.
     pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// Opens a client connection, and returns it once its startup message is answered.
+    /// Opens a client connection to the router, and returns the connection once its startup message is answered.
     pub fn client(&self) -> TcpStream {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut stream = loop {
@@ -179,7 +182,7 @@
         stream
     }
 
-    /// Returns once the router has handled everything that was sent to it before.
+    /// Returns once the router has handled everything that was sent to it before this call.
     pub fn settle(&self) {
         let mut client = self.client();
         for _ in 0..3 {
@@ -187,7 +190,8 @@
         }
     }
 
-    /// Accepts the next watch: reads its request, and writes the head of the response.
+    /// Accepts the router's next watch of the endpoint list: reads the request of the watch, and writes the head of the
+    /// response.
     pub fn open_watch(&mut self) {
         let mut stream = accept_connection(&self.discovery);
         read_watch_request(&stream);
@@ -195,7 +199,8 @@
         self.watch = Some(stream);
     }
 
-    /// Sends a line of the watch with these entries; `is_complete` means that they are the complete list.
+    /// Sends a line on the open watch with these endpoint list entries; `is_complete` means that the entries are the
+    /// complete list.
     pub fn send_listing(&mut self, entries: &str, is_complete: bool) {
         let line = format!(
             "{{\"generation\":{},\"reset\":{is_complete},\"instances\":[{entries}]}}\n",
@@ -211,22 +216,22 @@
         watch.write_all(&chunk(bytes)).expect("the router reads");
     }
 
-    /// The address at which the router connects to a member.
+    /// The address at which the router connects to member `n`.
     pub fn member_address(&self, n: usize) -> String {
         self.members[n].local_addr().expect("the listener has an address").to_string()
     }
 
-    /// Accepts a new connection to a member and reads its startup message, but does not answer it.
+    /// Accepts a new connection to member `n` and reads the startup message on it, but does not answer the message.
     pub fn accept_member_connection(&self, n: usize) -> TcpStream {
         read_startup(accept_connection(&self.members[n]))
     }
 
-    /// Waits for the next RPC that a member gets on any connection, and returns its id and that connection.
+    /// Waits for the next RPC that member `n` gets on any connection, and returns the RPC's id and the connection.
     pub fn next_rpc(&mut self, n: usize) -> (String, TcpStream) {
         self.next_rpc_within(n, WAIT_TIMEOUT).expect("the member gets an RPC in time")
     }
 
-    /// As [`Self::next_rpc`]; returns None if the member gets no RPC within this time.
+    /// As [`Self::next_rpc`], but returns None if the member gets no RPC within `timeout`.
     pub fn next_rpc_within(&mut self, n: usize, timeout: Duration) -> Option<(String, TcpStream)> {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
@@ -261,7 +266,8 @@
         None
     }
 
-    /// Returns the connection on which a member gets this RPC. RPCs before it are answered and counted in `before`.
+    /// Returns the connection on which member `n` gets the RPC with this id. RPCs that arrive earlier are answered and
+    /// counted in `before`.
     pub fn wait_for_rpc(&mut self, n: usize, id: &str, before: &mut usize) -> TcpStream {
         loop {
             let (rpc, connection) = self.next_rpc(n);
@@ -273,7 +279,7 @@
         }
     }
 
-    /// Answers the RPC in flight on this connection, which is idle after that.
+    /// Answers the RPC in flight on this connection to member `n`. The connection is idle after that.
     pub fn answer_rpc(&mut self, n: usize, mut connection: TcpStream) {
         connection
             .write_all(&row(b"v", if n == 0 { "leader" } else { "follower" }, now_ms()))
@@ -284,7 +290,7 @@
         self.idle_connections[n].push(connection);
     }
 
-    /// Runs a write, and checks that it is the next RPC that the primary gets and that it succeeds.
+    /// Runs a write with this id, and checks that it is the next RPC that the primary gets and that it succeeds.
     pub fn assert_write_succeeds(&mut self, id: &str) {
         let mut client = self.client();
         client.write_all(&query(&write_statement(id))).expect("the router reads");
@@ -294,13 +300,13 @@
         assert_eq!(read_answer(&mut client).0, b"TDCZ");
     }
 
-    /// Waits until the process ends, and checks that it exits with success.
+    /// Waits until the router process ends, and checks that it exits with success.
     pub fn assert_clean_exit(&mut self) {
         assert!(self.process.wait().expect("the process can be waited for").success());
     }
 }
 
-/// Reads the startup message on a connection to a member.
+/// Reads the startup message on a connection to a member, and returns the connection.
 pub fn read_startup(mut stream: TcpStream) -> TcpStream {
     let mut length = [0; 4];
     stream.read_exact(&mut length).expect("a complete startup message");
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A soak test: short runs of a router, each with another seed, up to the earliest SIGKILL that the operators' pages
-//! allow.
+//! A soak test: short runs of a router, each with another random seed, up to the earliest SIGKILL that the operators'
+//! pages allow.
 //!
 //! Clients keep using open connections until the SIGKILL. Signals follow each other quickly. Members, discovery and the
 //! network fail by a plan drawn from the seed, system calls fail, the wall clock is stepped, and some runs have many
@@ -29,7 +29,7 @@
     failing_syscalls::serve_if_planned();
 }
 
-/// Seeds of the runs in CI.
+/// The seeds of the runs in CI.
 const SEEDS: std::ops::Range<u64> = 0..16;
 /// How long the router is paused by SIGSTOP; the operators' pages allow such a pause at any time.
 const PAUSE_DURATION: Span = Span::from_millis(150);
@@ -51,7 +51,7 @@
     pauses_at: Vec<Span>,
     failures: Vec<FailingSyscall>,
     steps: Vec<ClockStep>,
-    /// Members that stop answering 50 ms before SIGTERM and never resume.
+    /// The number of members that stop answering 50 ms before SIGTERM and never resume.
     silent_members: usize,
     network_rule_count: usize,
 }
@@ -114,7 +114,7 @@
         );
         let drawn =
             ladderpass_fault_injection::Plan::drawn(seed, self.network_rule_count, links).rules.into_iter();
-        // No router can detect that bytes within a value are garbled.
+        // Rules that garble bytes within a value are left out, since no router can detect such bytes.
         let mut rules: Vec<Rule> = drawn.filter(|rule| rule.action.name() != "garble").collect();
         let silent_at = (secs(self.term_at) * 1e3) as i64 - 50;
         rules.extend((0..self.silent_members).map(|member| {
@@ -127,7 +127,7 @@
         rules
     }
 
-    /// Events at the router process and the members, by seconds since the start of the load.
+    /// Events at the router process and the members. Their times are in seconds since the start of the load.
     fn fault_events<'a>(&self, kill_at: Span, stop_times: &'a StopTimes) -> Vec<FaultEvent<'a>> {
         let mut fault_events: Vec<FaultEvent<'_>> = Vec::new();
         if self.idle_clients > 0 {
@@ -148,7 +148,7 @@
         }
         for nth in 0..self.sigterm_count {
             let at = secs(self.term_at) + nth as f64 * 0.15;
-            // The process may have ended already: that is no error.
+            // The router process may have ended already, which is no error.
             fault_events.push(FaultEvent::at(at, move |router, _| drop(stop_times.terminate(router))));
         }
         if let Some(at) = self.drains_at {
@@ -159,7 +159,8 @@
     }
 }
 
-/// Runs the test of one seed. Returns the rules that it breaks, followed by the run and the last log lines.
+/// Runs the test with one seed. Returns the rules that the run breaks, followed by the run's parameters and the last
+/// log lines.
 fn violations_of(seed: u64) -> Vec<String> {
     let soak_run = SoakRun::of_seed(seed);
     let scenario = Scenario::default();
--- a/crates/ladderpass/tests/stalls.rs
+++ b/crates/ladderpass/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! A router that stalls for a moment, at any time, loses nothing that it has read or that arrives during the stall
+//! A router that stalls for a moment, at any time, loses no request that it has read or that arrives during the stall
 //! (rule 1).
 
 mod common;
@@ -58,13 +58,13 @@
 }
 
 /// More clients are idle than the limit allows, the first statement of a new client has been read, and then the router
-/// stalls for 0.2 s. By its clock all of them have been idle for long enough to be evicted. Each has to be read once
-/// more before it is closed, as a statement may have arrived during the stall.
+/// stalls for 0.2 s. By the router's clock all idle clients have been idle for long enough to be evicted. Each evicted
+/// client has to be read once more before it is closed, as a statement may have arrived during the stall.
 ///
 /// Clients that were evicted because of the first statement of a new client used to be closed in the same iteration,
 /// before that final read, so that whatever they had sent during the stall was lost. The fault was found while seed 11
-/// of the soak test was traced. Only this test shows it: on processes, the failure that could be reproduced and looks
-/// like that run is the series of slow closes in the cases below (`docs/incidents/2026-12-03-stalls.md`).
+/// of the soak test was traced. Only this test shows the fault: on processes, the failure that could be reproduced and
+/// looks like that run is the series of slow closes in the cases below (`docs/incidents/2026-12-03-stalls.md`).
 #[test]
 fn a_client_evicted_for_a_new_client_is_read_before_it_is_closed() {
     let launch = launch(64);
@@ -87,7 +87,7 @@
                 panic!("{id:?} is closed without a final read right before");
             }
         }
-        // The effects of an iteration are carried out after it.
+        // The effects of an iteration of the event loop are carried out after the iteration.
         for effect in effects {
             match effect {
                 Effect::Read(id) => read_ids.push(id),
@@ -106,20 +106,21 @@
     assert!(closed > 0, "no client was evicted");
 }
 
-/// After SIGTERM a client's socket does not accept its answer at once. A statement that the client sends before the
-/// answer is written has to be read and answered too. Only then is the connection closed, after a final read.
+/// After SIGTERM a client's socket does not accept the client's answer at once. A statement that the client sends
+/// before the answer is written has to be read and answered too. Only then is the connection closed, after a final
+/// read.
 ///
-/// The router used to mark such a connection to be closed once its answer was written, and dropped whatever it read on
-/// it. Of 32 runs of the soak test with nine random stops of 0.16 s, 2 lost a request after SIGTERM (seeds 23 and 30).
-/// A modified router logged the state of each client that was closed with unread bytes: all 143 were idle, on a
-/// connection that was marked to be closed, in a router that was stopping.
+/// The router used to mark a connection with an unwritten answer to be closed once the answer was written, and dropped
+/// whatever it read on the connection. Of 32 runs of the soak test with nine random stops of 0.16 s, 2 lost a request
+/// after SIGTERM (seeds 23 and 30). A modified router logged the state of each client that was closed with unread
+/// bytes: all 143 were idle, on a connection that was marked to be closed, in a router that was stopping.
 #[test]
 fn a_statement_that_arrives_while_a_stopping_router_writes_an_answer_is_answered() {
     let now = SIMULATION_START;
     let mut reducer = Reducer::start(now, launch(64));
     let id = connect_idle_client(&mut reducer, now);
-    // A stopping router closes a client that has sent a statement before, once its next answer is written. This first
-    // statement is answered at once, with an error.
+    // A stopping router closes a client that has sent a statement before, once the client's next answer is written.
+    // This statement is the first of the client, and is answered at once, with an error.
     receive(&mut reducer, now, id, &query(&statement("1", "unknown", 5000, "1")));
     reducer.handle(now, Event::Tick);
     let first_length = reducer.outgoing(id).len();
@@ -154,18 +155,19 @@
 struct StallCase {
     /// The system call that is delayed.
     call: i64,
-    /// Time from the start of the process after which calls are delayed.
+    /// The time from the start of the process after which calls are delayed.
     after: Duration,
-    /// One of this many calls is delayed.
+    /// One of this many calls of the system call is delayed.
     every: u64,
-    /// Length of a delay.
+    /// The length of each delay.
     duration: Duration,
-    /// Connections that are opened every 0.1 s and send nothing; if there are any, the router has only 256 descriptors.
+    /// The number of connections that are opened every 0.1 s and send nothing. If the number is above zero, the router
+    /// has only 256 descriptors.
     idle_clients_per_burst: usize,
     seed: u64,
 }
 
-/// How many calls are delayed in one run.
+/// How many system calls are delayed in one run.
 const DELAYS_PER_RUN: u64 = 3;
 const TERM_AT: f64 = 1.3;
 const DEADLINE: Span = Span::from_millis(1500);
@@ -229,8 +231,8 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// One case for each system call. The length of the delay changes with the round, and is shorter or longer than the
-/// 0.15 s for which the operators' pages allow a router to be paused.
+/// Returns one case for each system call. The length of the delay changes with the round, and is shorter or longer than
+/// the 0.15 s for which the operators' pages allow a router to be paused.
 fn cases(idle_clients_per_burst: usize, round: u64) -> Vec<StallCase> {
     let (from_start, under_load) = (Duration::ZERO, Duration::from_millis(350));
     let calls = [
@@ -244,7 +246,7 @@
     let case = |(nth, &(call, after, every)): (u64, &(i64, Duration, u64))| StallCase {
         call,
         after,
-        // There are few connects to members, so each is delayed.
+        // The router makes few connects to members, so each connect is delayed.
         every: if call == libc::SYS_connect { every } else { every + round % 3 },
         duration: Duration::from_millis([40, 140, 300][((nth + round) % 3) as usize]),
         idle_clients_per_burst,
@@ -253,7 +255,7 @@
     (0..).zip(&calls).map(case).collect()
 }
 
-/// One round in CI. `LADDERPASS_STALLS=rounds` sets another number for runs by hand.
+/// The number of rounds of the cases: one in CI. `LADDERPASS_STALLS=rounds` sets another number for runs by hand.
 fn rounds() -> u64 {
     std::env::var("LADDERPASS_STALLS").ok().and_then(|text| text.parse().ok()).unwrap_or(1)
 }
@@ -269,8 +271,8 @@
     run_rounds(0);
 }
 
-/// No member fails in these runs, and the router stalls five times, for longer than the pages allow. Each RPC is
-/// served.
+/// No member fails in these runs, and the router stalls five times, for longer than the operators' pages allow. Each
+/// RPC is served.
 #[test]
 fn a_stall_of_the_router_is_not_counted_as_a_member_failure() {
     let mut failures = Vec::new();
@@ -302,8 +304,8 @@
 }
 
 /// A connection to a member has to be established within 250 ms, and is, but the router stalls until that time is over,
-/// in a read for another client. It handles what has arrived before it counts the connect as failed, so the member gets
-/// the write.
+/// in a read for another client. The router handles what has arrived before it counts the connect as failed, so the
+/// member gets the write.
 #[test]
 fn a_member_connection_established_during_a_stall_is_used() {
     let started_at = Instant::now();
@@ -332,7 +334,8 @@
     assert_eq!(read_answer(&mut other).0, b"IZ");
 }
 
-/// Replaces the command with one that starts a router with the same environment, in which these calls are delayed.
+/// Replaces the command with one that starts this test binary as a router with the same environment, in which these
+/// calls are delayed.
 fn delay_calls(command: &mut Command, delays: &[FailingSyscall]) {
     let mut delayed = failing_syscalls::command(&failing_syscalls::start(delays, &[]));
     delayed.envs(command.get_envs().filter_map(|(key, value)| Some((key, value?))));
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -18,11 +18,11 @@
     failing_syscalls::serve_if_planned();
 }
 
-/// When the clock is stepped, in the middle of the load.
+/// When the router's wall clock is stepped, counted from the start of the process. This is in the middle of the load.
 const STEP_AT: Duration = Duration::from_millis(1200);
 
-/// Runs a load of two seconds, and checks that no rule is broken, each RPC is answered in time, and the process runs
-/// on.
+/// Runs a load of two seconds while the router's wall clock is stepped. Checks that no rule is broken, each RPC is
+/// answered in time, and the process runs on.
 fn run_load(scenario: &Scenario, steps: &[ClockStep], rate: f64) -> RunRecord {
     let _turn = wait_for_turn();
     let deadline = Span::from_millis(1500);
@@ -41,7 +41,7 @@
     record
 }
 
-/// Runs a load, and checks also that each RPC is served.
+/// Like [`run_load`], with the default scenario and a fixed rate, and checks also that each RPC is served.
 fn assert_all_served(steps: &[ClockStep]) {
     let total = run_load(&Scenario::default(), steps, 300.0).outcome.total();
     assert_eq!(total.ok, total.due, "{steps:?} {total:?}");
@@ -54,7 +54,7 @@
     }
 }
 
-/// Bytes in the kernel's buffers have timestamps from before the step.
+/// When the clock steps forward, bytes that wait in the kernel's buffers have timestamps from before the step.
 #[test]
 fn all_rpcs_are_served_when_the_wall_clock_steps_forward() {
     for by in [Duration::from_secs(5), Duration::from_secs(40), Duration::from_secs(3600)] {
@@ -62,7 +62,8 @@
     }
 }
 
-/// Replicas lag by more than a read allows. By a clock that is behind by about as much they seem to be up to date.
+/// Replicas lag by more than a read allows. By a clock that is behind by about as much as the lag, the replicas seem to
+/// be up to date.
 #[test]
 fn no_stale_read_is_served_when_the_clock_is_behind_at_the_start() {
     for lag in [2500.0, 6000.0] {
@@ -74,14 +75,14 @@
     }
 }
 
-/// RPCs per second that a member can serve once its slow start is over.
+/// How many RPCs per second a member can serve once its slow start is over.
 const MEMBER_CAPACITY_PER_SECOND: f64 = 1000.0;
 
 /// By a clock that is ahead, a member that has just started seems to be past its slow start.
 #[test]
 fn no_member_in_slow_start_is_overloaded_when_the_clock_is_ahead_at_the_start() {
     let mut scenario = Scenario { cold: vec![1, 2], ..Scenario::default() };
-    // By such a clock replicas are too stale for any maximum staleness, so reads have none in this test.
+    // By a clock that is ahead, replicas are too stale for any maximum staleness, so reads have none in this test.
     scenario.methods[0].max_age_ms = None;
     for ahead in [0, 4000, 20_000, 3_600_000] {
         let step = ClockStep::forward(Duration::ZERO, Duration::from_millis(ahead));
