--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -137,7 +137,7 @@
 pub struct GossipMessage {
     /// A hash of the sender's zone that fits in one letter.
     pub zone: u32,
-    /// The updates, at most [`MAX_UPDATES_PER_MESSAGE`] of them.
+    /// The updates that the message carries, at most [`MAX_UPDATES_PER_MESSAGE`] of them.
     pub updates: Vec<EncodedUpdate>,
 }
 
--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -74,13 +74,13 @@
 /// What is wrong with a value of the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueProblem {
-    /// The format of the log is unknown.
+    /// The value for the format of the log is none of the allowed formats.
     #[error("{0:?}; allowed are text and json")]
     LogFormat(String),
     /// A duration can't be parsed, or is outside its range.
     #[error("{value:?}; allowed are {min_ms}ms to {max_ms}ms, written with their unit: ms, s, m")]
     Duration {
-        /// The text in the file.
+        /// The text that the file has as the duration.
         value: String,
         /// The shortest allowed duration, in milliseconds.
         min_ms: i64,
@@ -108,9 +108,9 @@
     FairShareMultiple {
         /// The number in the file.
         value: f64,
-        /// The smallest allowed multiple.
+        /// The smallest allowed multiple of a client's fair share.
         min: f64,
-        /// The largest allowed multiple.
+        /// The largest allowed multiple of a client's fair share.
         max: f64,
     },
     /// The maximum size of a client's unread answers can't be parsed, or is outside its range.
@@ -131,7 +131,7 @@
         /// The maximum number of addresses in a list.
         max: usize,
     },
-    /// A text is not a network.
+    /// A text in the list of networks is not a network.
     #[error("{0:?}; allowed is address/bits")]
     Network(String),
     /// The file offers no way to find other routers.
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -23,7 +23,8 @@
     pub listed: Vec<SocketAddr>,
     /// Networks from which routers may join without being listed.
     pub networks: Vec<Network>,
-    /// Whether the file has the legacy form: a fixed list, and this router's index in it.
+    /// Whether the section `peers` has the legacy form: a fixed list of router addresses, and this router's index in
+    /// the list.
     pub legacy_form: bool,
 }
 
--- a/crates/ladderpass-simulator-adapter/src/actions.rs
+++ b/crates/ladderpass-simulator-adapter/src/actions.rs
@@ -14,7 +14,7 @@
     /// Make an attempt of an RPC.
     #[serde(rename = "SUBMIT_TO")]
     Attempt {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The id of the RPC.
@@ -30,7 +30,7 @@
     /// Reject an RPC because of overload.
     #[serde(rename = "NOT_NOW")]
     Reject {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The id of the RPC.
@@ -43,7 +43,7 @@
     /// Answer an RPC with an error.
     #[serde(rename = "FINISH_ERROR")]
     Fail {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The id of the RPC.
@@ -53,7 +53,7 @@
     /// Make a health check.
     #[serde(rename = "TOUCH")]
     HealthCheck {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The name of the member to check.
@@ -63,7 +63,7 @@
     /// Send a gossip message.
     #[serde(rename = "PUBLISH")]
     Gossip {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The number of the receiving router, or [`ALL_ROUTERS`].
@@ -76,7 +76,7 @@
     /// Poll the endpoint list.
     #[serde(rename = "OBSERVE")]
     PollEndpoints {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The value is always true, and requests one poll.
@@ -86,7 +86,7 @@
     /// Log a message.
     #[serde(rename = "WRITE_LOG")]
     Log {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The text that is logged.
@@ -96,10 +96,10 @@
     /// Set a timer.
     #[serde(rename = "NOTIFY_ME")]
     SetTimer {
-        /// The name of the router.
+        /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The time until the timer fires.
+        /// The time from the action until the timer fires.
         #[serde(rename = "Delay")]
         delay: i64,
         /// The number that the timer's event will carry.
@@ -109,7 +109,7 @@
     /// Report that a router has panicked and no longer runs.
     #[serde(rename = "BROKEN")]
     RouterFailed {
-        /// The name of the router.
+        /// The name of the router that has panicked.
         #[serde(rename = "Who")]
         router: &'a str,
         /// The message of the router's panic.
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -124,7 +124,8 @@
             EventKind::EndpointUpdate => self.on_endpoint_update(now, line, lists),
             EventKind::TimerFired => self.on_timer_fired(&line),
             EventKind::Gossip => self.on_gossip(now, line),
-            // Answer heads are ignored, because no method streams its answers. The caller handles the other kinds.
+            // Heads of streamed answers are ignored, because no method streams its answers. The caller handles all
+            // other kinds of events that have no case here.
             _ => Ok(()),
         }
     }
--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -55,8 +55,9 @@
         r#"{"kind":"ROSTER","Buffer":0,"Entries":[{"Node":"n:1","Shard":1,"StageState":"on"}]}"#,
         r#"{"kind":"FLEET","Who":"router_0","Buffer":0,"How":"stale_copy"}"#,
         r#"{"kind":"END"}"#,
-        // This is 1 us after the router's creation, before the time for which the router has set the timer. The router
-        // must accept the event, because times are rounded on the wire and a timer may fire a little early.
+        // The time is 1 us after the router's creation, before the time for which the router has set the timer. The
+        // router must accept the event of the timer, because times are rounded on the wire and a timer may fire a
+        // little early.
         r#"{"kind":"TICK","AtTime":1000001000}"#,
         r#"{"kind":"TICK_DUE","Who":"router_0","Handle":1}"#,
         r#"{"kind":"END"}"#,
--- a/crates/ladderpass/tests/discovery_outage/scenario.rs
+++ b/crates/ladderpass/tests/discovery_outage/scenario.rs
@@ -39,7 +39,7 @@
     EndlessList,
     /// An endpoint list with an older generation arrives.
     OlderList,
-    /// Each watch ends in one of the other ways, drawn at random.
+    /// Each watch ends in a way that is drawn at random from the other variants.
     Random,
 }
 
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -238,7 +238,7 @@
     }
 }
 
-/// Whether the router connects to discovery within this time.
+/// Whether the router connects to discovery within `timeout`.
 fn is_watched_within(discovery: &TcpListener, timeout: Duration) -> bool {
     discovery.set_nonblocking(true).expect("non-blocking mode is set");
     let until = Instant::now() + timeout;
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -28,8 +28,8 @@
 /// Facts of a run that the rules on lost requests depend on.
 #[derive(Clone, Copy, Debug)]
 pub struct RunBounds {
-    /// Whether there were more clients than the router has descriptors for, so that it closed idle connections for
-    /// others.
+    /// Whether there were more clients than the router has descriptors for, so that the router closed idle connections
+    /// to free descriptors for other clients.
     pub has_excess_clients: bool,
     /// When the first SIGTERM was sent to the router.
     pub sigterm_at: Time,
@@ -102,7 +102,7 @@
     }
 }
 
-/// The rules that a run breaks, each with the RPC that broke it.
+/// The rules that a run breaks, each with the RPC that broke the rule.
 pub fn check_run(record: &RunRecord, bounds: &RunBounds) -> Vec<String> {
     let &RunBounds { sigterm_at, sigkill_at, .. } = bounds;
     let mut violations: Vec<String> =
--- a/crates/ladderpass/tests/wall_clock.rs
+++ b/crates/ladderpass/tests/wall_clock.rs
@@ -18,7 +18,8 @@
     failing_syscalls::serve_if_planned();
 }
 
-/// When the router's wall clock is stepped, counted from the start of the process. This is in the middle of the load.
+/// When the router's wall clock is stepped, counted from the start of the process. The step falls in the middle of the
+/// load.
 const STEP_AT: Duration = Duration::from_millis(1200);
 
 /// Runs a load of two seconds while the router's wall clock is stepped. Checks that no rule is broken, each RPC is
