--- a/crates/ladderpass/tests/disconnects/shutdown.rs
+++ b/crates/ladderpass/tests/disconnects/shutdown.rs
@@ -1,14 +1,15 @@
-//! Shutdown by SIGTERM. Accepted RPCs are answered before the process ends.
+//! Shutdown of the router by SIGTERM. Accepted RPCs are answered before the process ends.
 
 use crate::common::{next_frame, query, startup};
-use crate::router_harness::{PATIENCE, read_answer, start_harness, write_statement};
+use crate::router_harness::{WAIT_TIMEOUT, read_answer, start_harness, write_statement};
 use nix::sys::signal::Signal;
 use std::io::Write;
 use std::net::TcpStream;
 use std::thread::sleep;
 use std::time::Duration;
 
-/// An earlier version exited 10 s after SIGTERM even if RPCs were unanswered.
+/// After SIGTERM the router waits for unanswered RPCs. An earlier version exited 10 s after SIGTERM even if RPCs were
+/// unanswered.
 #[test]
 fn shutdown_waits_for_rpcs_that_take_longer_than_ten_seconds() {
     let mut harness = start_harness(|config| config);
@@ -24,7 +25,7 @@
     harness.assert_clean_exit();
 }
 
-/// A reload during shutdown changes nothing for clients that wait for an answer.
+/// A reload of the configuration (SIGHUP) during shutdown changes nothing for clients that wait for an answer.
 #[test]
 fn sighup_during_shutdown_loses_no_rpc() {
     let mut harness = start_harness(|config| config);
@@ -50,7 +51,7 @@
     harness.pause();
     harness.signal(Signal::SIGTERM);
     let mut client = TcpStream::connect(&harness.address).expect("the router listens");
-    client.set_read_timeout(Some(PATIENCE)).expect("the read timeout is set");
+    client.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
     client
         .write_all(&[startup(), query(&write_statement("2"))].concat())
         .expect("the kernel buffers the bytes");
