--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -1,12 +1,12 @@
 //! Holds the state of the router on sockets, and makes every change to it.
 //!
-//! `handle(now, Event)` changes the state and returns the effects that the event loop is to carry out. The reducer
-//! makes no system call, reads no clock and owns no socket. The routing core, `Router`, decides where and when an RPC
-//! goes, and the reducer carries out its decisions.
+//! `Reducer::handle` takes an event, changes the state and returns the effects that the event loop is to carry out. The
+//! reducer makes no system call, reads no clock and owns no socket. The routing core, `Router`, decides where and when
+//! an RPC goes, and the reducer carries out its decisions.
 //!
 //! - `state` has the tables that the reducer is composed of. Each table is in a module of its own, and its fields are
-//!   private to that module. A table does not refer to `Reducer`. Only the buffers and the remote side of a
-//!   `Connection` are open to the handlers.
+//!   private to that module. A table does not refer to `Reducer`. As an exception, the handlers may access the buffers
+//!   of a `Connection` and the state of its other side directly.
 //! - `handlers` has the methods of `Reducer` that handle events, with one module for each mechanism. They change the
 //!   tables by the tables' methods.
 //!
@@ -45,10 +45,10 @@
 use state::shutdown::Shutdown;
 use state::stats::Stats;
 
-/// A wake-up time that is earlier than any other, so that the event loop does not wait.
+/// A wake-up time for the event loop that is earlier than any other time, so that the loop does not wait.
 const AT_ONCE: Time = Time::NEVER;
 
-/// The number of attempts in flight, counted in two ways. The two counts always agree.
+/// The number of attempts in flight, counted by RPCs and by connections to members. The two counts always agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptsInFlight {
     /// The number of RPCs with an attempt in flight.
@@ -64,7 +64,7 @@
     /// Estimates how far this router's clock differs from the members' clock.
     reference_clock: ReferenceClock,
     limits: Limits,
-    /// The configuration that only a restart can change.
+    /// The part of the configuration that only a restart of the process can change.
     fixed: Fixed,
     faulty: Faulty,
     methods: MethodTable,
@@ -83,8 +83,8 @@
     peers: Option<Box<PeerLinks>>,
     overload: OverloadMonitor,
     shutdown: Shutdown,
-    /// How long the process stalled before this iteration. Bytes that are read in this iteration may have waited for as
-    /// long.
+    /// How long the process stalled before this iteration of the event loop. Bytes that are read in this iteration may
+    /// have waited as long as the stall.
     stall: Span,
     /// When the routing core needs its next tick.
     router_wake_at: Option<Time>,
@@ -148,13 +148,13 @@
         self.members.len()
     }
 
-    /// Returns the newest proven position of the member with this id, and whether the member is known as the primary of
-    /// its group.
+    /// Returns the newest replication position that the member with this id has proven to have reached, and whether the
+    /// member is known as the primary of its group.
     pub fn known_position(&self, id: &str) -> Option<KnownPosition> {
         self.router.known_position(MemberId(self.members.names().get(id)?))
     }
 
-    /// Counts the attempts in flight.
+    /// Returns the number of attempts in flight, counted by RPCs and by connections.
     pub fn attempts_in_flight(&self) -> AttemptsInFlight {
         let carries_attempt = |job: Option<Job>| matches!(job, Some(Job::Attempt(_)));
         let connections = self.connections.members().filter(|(_, member)| carries_attempt(member.job()));
@@ -239,7 +239,8 @@
         self.move_watch(now, launch.discovery);
     }
 
-    /// Handles the work that the batch of events has left, and all that is due by now.
+    /// Handles the work that the batch of events has left, such as unread input of clients, and everything whose time
+    /// has come.
     fn tick(&mut self, now: Time) {
         // The whole batch has been read by now, including the ends of connections, so no RPC begins for a client that
         // is known to have left.
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Gives the routing core its tick, and carries out what it requests.
+    /// Ticks the routing core, and carries out the decisions, health checks and other requests that it returns.
     fn tick_router(&mut self, now: Time) {
         self.router.set_clock_difference(self.reference_clock.difference(now));
         let output = self.router.tick(now);
--- a/crates/ladderpass/src/reducer/connection_id.rs
+++ b/crates/ladderpass/src/reducer/connection_id.rs
@@ -1,4 +1,4 @@
-//! Identifies connections between the event loop and the reducer.
+//! The ids by which the event loop and the reducer refer to connections.
 
 /// The id of a connection. An id is not reused during the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -14,31 +14,34 @@
     Accepted(ConnectionId),
     /// A TCP connection that `Effect::Connect` requested is established.
     Connected(ConnectionId),
-    /// This number of bytes was read into `Reducer::read_buffer`. The span is how long the last of them had waited in
-    /// the kernel, or zero if the kernel gave no timestamp.
+    /// This number of bytes was read from the connection into `Reducer::read_buffer`. The span is how long the last of
+    /// these bytes had waited in the kernel, or zero if the kernel gave no timestamp.
     Received(ConnectionId, usize, Span),
-    /// The socket may hold more bytes: either it was read as often as one event allows, or a read failed temporarily.
+    /// The connection's socket may hold more bytes. Either the socket was read as often as one event allows, or a read
+    /// failed temporarily.
     MoreToRead(ConnectionId),
-    /// The socket was read until it was empty, after an earlier `MoreToRead` or an empty `Reducer::read_buffer`.
+    /// The connection's socket was read until it was empty, after bytes had been left in the socket because of
+    /// `MoreToRead` or an empty `Reducer::read_buffer`.
     SocketEmpty(ConnectionId),
-    /// The read that `Effect::CloseIfQuiet` requested is over. The bytes that it found were reported before this event.
+    /// The read that `Effect::CloseIfQuiet` requested is over. Bytes that this read found were reported before this
+    /// event.
     ReadToEnd(ConnectionId),
-    /// This number of bytes of `Reducer::outgoing` was written.
+    /// This number of bytes of `Reducer::outgoing` was written to the connection.
     Written(ConnectionId, usize),
     /// The connection was closed by the other side, has failed, or was never established.
     Closed(ConnectionId),
     /// The system had no descriptor or no memory for a connection that `Effect::Connect` requested.
     ConnectDenied(ConnectionId),
-    /// The socket accepts no more of `Reducer::outgoing` for now.
+    /// The connection's socket accepts no more of the bytes of `Reducer::outgoing` for now.
     WriteBlocked(ConnectionId),
     /// The process's resource usage was sampled.
     ResourcesSampled(ResourceSample),
-    /// An iteration of the event loop is over. The fields are how long it was busy, and how many ready sockets it left
-    /// for the next iteration.
+    /// An iteration of the event loop is over. The fields are how long the iteration was busy, and how many ready
+    /// sockets it left for the next iteration.
     IterationEnded(Span, usize),
-    /// All connections that waited at the listener were accepted, and it is closed.
+    /// All connections that waited at the listener were accepted, and the listener is closed.
     ListenerClosed,
-    /// The process did not run for this span. Bytes that are read in this batch may have waited for as long.
+    /// The process did not run for this span. Bytes that are read in this batch of events may have waited as long.
     Stalled(Span),
     /// A datagram has arrived from this address.
     DatagramReceived(SocketAddr, Vec<u8>),
@@ -57,19 +60,20 @@
     Connect(ConnectionId, SocketAddr),
     /// Write the bytes that `Reducer::outgoing` returns.
     Write(ConnectionId),
-    /// Read the connection, because its buffer may take more bytes again or its client is about to be evicted.
+    /// Read from the connection, because its input buffer may have space again, or because its client is about to be
+    /// evicted.
     Read(ConnectionId),
     /// Close the connection.
     Close(ConnectionId),
-    /// Read the socket until it is empty, report `ReadToEnd`, and close the connection at once if the reducer still
-    /// requests that.
+    /// Read the connection's socket until it is empty, report `ReadToEnd`, and close the connection at once if the
+    /// reducer then requests its close.
     CloseIfQuiet(ConnectionId),
     /// Start or stop accepting clients.
     Accept(bool),
     /// Send the datagrams that `Reducer::take_datagrams` returns.
     SendDatagrams,
-    /// Accept the clients that wait at the listener, close it, and report `ListenerClosed`. If not all of them can be
-    /// accepted yet, the reducer requests this again.
+    /// Accept the clients that wait at the listener, close the listener, and report `ListenerClosed`. If not all of
+    /// these clients can be accepted yet, the listener stays open, and the reducer requests this effect again.
     StopListening,
     /// End the process.
     Exit,
--- a/crates/ladderpass/src/reducer/handlers.rs
+++ b/crates/ladderpass/src/reducer/handlers.rs
@@ -1,5 +1,5 @@
-//! Handles events, with one module for each mechanism. Each module has methods of `Reducer`, which change the tables in
-//! `state` and request effects.
+//! Handles the events of the reducer, with one module for each mechanism. Each module has methods of `Reducer`, which
+//! change the tables in `state` and request effects from the event loop.
 
 mod accept_rpc;
 mod attempts;
--- a/crates/ladderpass/src/reducer/peer_log.rs
+++ b/crates/ladderpass/src/reducer/peer_log.rs
@@ -6,11 +6,11 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The maximum number of routers that one line names.
+/// The maximum number of routers that one log line names.
 const MAX_NAMED_ROUTERS: usize = 6;
 
-/// Logs the membership's view, and the changes that led to it. The testbed parses this line, also in logs of earlier
-/// versions of the router.
+/// Logs this router's view of which routers are alive, and the changes that led to this view. The testbed parses this
+/// line, also in logs of earlier versions of the router.
 pub(super) fn log_view(view: &View, changes: &[(SocketAddr, Change)]) {
     let changes = changes_text(changes);
     tracing::info!("fleet: view {:08x} of {}, this is {}{changes}", view.digest, view.count, view.position);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Describes the changes other than suspicions, for at most `MAX_NAMED_ROUTERS` routers.
+/// Describes the membership changes other than suspicions, for at most `MAX_NAMED_ROUTERS` routers.
 fn changes_text(changes: &[(SocketAddr, Change)]) -> String {
     let named = changes.iter().filter(|(_, change)| *change != Change::Suspected);
     let mut text = String::new();
--- a/crates/ladderpass/src/reducer/state/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -1,15 +1,16 @@
 //! State of one client's connection.
 //!
 //! - *Overrun*: the client has sent more than its input buffer holds, so reading from its socket was paused.
-//! - *Refill*: after an overrun, the client's kernel may still send what it held back. The socket counts as read to its
-//!   end only after it was empty for `Limits::refill_quiet_time`.
-//! - *Skipping*: there was no memory for a statement, so its remaining bytes are dropped as they arrive.
+//! - *Refill*: after an overrun, the client's kernel may still send bytes that it held back while the router's socket
+//!   was full. The socket counts as read to its end only after it was empty for `Limits::refill_quiet_time`.
+//! - *Skipping*: the router had no memory for a statement, so the statement's remaining bytes are dropped as they
+//!   arrive.
 
 use super::input_arrivals::{Arrived, InputArrivals};
 use ladderpass_overload::ClientUsage;
 use ladderpass_routing::{RpcId, Span, Time};
 
-/// The state of a client in the protocol.
+/// The state of a client in PostgreSQL's wire protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ClientPhase {
     /// The client's startup message has not been answered.
@@ -41,13 +42,14 @@
     is_backing_off: bool,
     /// Whether all messages up to the next Sync are ignored, because an extended-protocol message was rejected.
     ignores_until_sync: bool,
-    /// The input that is awaited from the client. Only `ClientTable` changes it, together with its sets. During an
-    /// eviction the client is in none of the sets, although this field is still set.
+    /// The input that is awaited from the client. Only `ClientTable` changes this field, together with the table's sets
+    /// of clients by awaited input. During an eviction the client is in none of the sets, although this field is still
+    /// set.
     awaited: Option<Awaited>,
     has_sent_statement: bool,
     /// Whether the client has sent more than its input buffer holds since its socket was last found empty.
     has_overrun: bool,
-    /// Set after an overrun: if the socket stays empty until this time, it counts as read to its end.
+    /// Set after an overrun: if the client's socket stays empty until this time, the socket counts as read to its end.
     refill_until: Option<Time>,
     /// Whether the client's RPC was answered in this iteration. Input after that RPC's statement is read in the next
     /// iteration, because writing the answer may show that the client has left.
@@ -55,7 +57,8 @@
     /// The client's recent use of the router.
     usage: ClientUsage,
     arrivals: InputArrivals,
-    /// Number of bytes still to come of a statement for which there is no memory. They are dropped.
+    /// Number of bytes still to come of a statement for which there is no memory. These bytes are dropped as they
+    /// arrive.
     skipping: Option<usize>,
 }
 
@@ -104,7 +107,7 @@
         self.is_just_answered = false;
     }
 
-    /// Records that the client has sent a statement. Returns whether it is the first one.
+    /// Records that the client has sent a statement. Returns whether this is the client's first statement.
     pub(in crate::reducer) fn record_statement(&mut self) -> bool {
         !std::mem::replace(&mut self.has_sent_statement, true)
     }
@@ -149,8 +152,8 @@
         self.awaited
     }
 
-    /// Replaces the awaited input and returns the previous one. Only `ClientTable` may call this, because it keeps the
-    /// sets.
+    /// Replaces the awaited input and returns the previous one. Only `ClientTable` may call this method, because it
+    /// must update its sets of clients by awaited input at the same time.
     pub(super) fn replace_awaited(&mut self, awaited: Option<Awaited>) -> Option<Awaited> {
         std::mem::replace(&mut self.awaited, awaited)
     }
@@ -161,7 +164,7 @@
     }
 
     /// Records that the client's socket was read until it was empty. After an overrun, the client's kernel may have
-    /// held bytes back until then, and they may arrive until `refill_until`.
+    /// held bytes back until now, and these bytes may arrive until `refill_until`.
     pub(in crate::reducer) fn record_socket_empty(&mut self, refill_until: Time) {
         if std::mem::take(&mut self.has_overrun) {
             self.refill_until = Some(refill_until);
@@ -182,8 +185,8 @@
         self.refill_until = None;
     }
 
-    /// Records that `count` bytes were received. If more bytes are expected after an overrun, they are now expected
-    /// until `refill_until`.
+    /// Records that `count` bytes were received from the client at `arrived_at`. If more bytes are expected after an
+    /// overrun, the wait for them is extended to `refill_until`.
     pub(in crate::reducer) fn record_received(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -12,7 +12,7 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Number of sets, which are in the order of eviction.
+/// Number of sets of clients by awaited input. The sets are in the order in which their clients are evicted.
 const AWAITED_INPUT_COUNT: usize = 3;
 
 /// The clients that may be evicted.
@@ -24,11 +24,11 @@
     All,
 }
 
-/// All clients.
+/// The table of all connected clients.
 #[derive(Default)]
 pub(in crate::reducer) struct ClientTable {
     count: usize,
-    /// For each `AwaitedInput`, the clients from which it is awaited, with the time since which it is awaited.
+    /// For each `AwaitedInput`, the clients from which that input is awaited, with the time since which it is awaited.
     by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUT_COUNT],
     /// Clients that will be closed unless more input is found in their sockets, each with the input that was awaited
     /// from it.
@@ -51,7 +51,8 @@
         self.count += 1;
     }
 
-    /// Removes a client, with `unread_bytes` in its input buffer. The caller has cleared its awaited input.
+    /// Removes a client whose input buffer has `unread_bytes`. The caller has already cleared the client's awaited
+    /// input.
     pub(in crate::reducer) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
         self.subtract_unread_bytes(unread_bytes);
         self.cancel_eviction(id);
@@ -92,7 +93,8 @@
             + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
 
-    /// Returns the client to evict first.
+    /// Returns the client within `scope` to evict first, or `None` if there is none. `ages` are the eviction ages by
+    /// awaited input.
     pub(in crate::reducer) fn first_evictable(
         &self,
         scope: EvictionScope,
@@ -127,7 +129,8 @@
         self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
 
-    /// Begins an eviction. The client is removed from its set, and its awaited input is stored with the eviction.
+    /// Begins the eviction of a client. The client is removed from the set of its awaited input, which is stored with
+    /// the eviction.
     pub(in crate::reducer) fn begin_eviction(&mut self, id: ConnectionId, awaited: Option<Awaited>) {
         if let Some((input, since)) = awaited {
             self.by_awaited_input[input as usize].remove(&(since, id));
@@ -143,8 +146,8 @@
         self.evicting.iter().any(|&(evicting, _)| evicting == id)
     }
 
-    /// Removes an eviction that can be completed. Returns the input that was awaited from the client when the eviction
-    /// began.
+    /// Removes a client from the evictions in progress, because its eviction can be completed. Returns the input that
+    /// was awaited from the client when the eviction began.
     pub(in crate::reducer) fn take_eviction(&mut self, id: ConnectionId) -> Option<Awaited> {
         let index = self.evicting.iter().position(|&(evicting, _)| evicting == id)?;
         self.evicting.remove(index).1
@@ -174,7 +177,7 @@
         std::mem::take(&mut self.deferred)
     }
 
-    /// Returns whether there is work to do before the next event.
+    /// Returns whether some clients have work to do without waiting for the next event.
     pub(in crate::reducer) fn has_pending_work(&self) -> bool {
         !self.evicting.is_empty() || !self.deferred.is_empty() || !self.ready.is_empty()
     }
--- a/crates/ladderpass/src/reducer/state/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/state/connection_limits.rs
@@ -1,11 +1,13 @@
-//! Whether clients are accepted, and which connects are waiting for a descriptor.
+//! Whether clients are accepted, and which outgoing connects are waiting for a file descriptor.
 
 use crate::reducer::connection_id::ConnectionId;
 
-/// Whether clients are accepted, and the connects that were denied a descriptor.
+/// Whether clients are accepted, and which outgoing connects wait because the system had no descriptor, memory or local
+/// port for them.
 pub(in crate::reducer) struct ConnectionLimits {
     accepts_clients: bool,
-    /// Connects for which another connection is being closed to free a descriptor. They are retried in the next tick.
+    /// Connects that the system denied and for which another connection is being closed to free a descriptor. These
+    /// connects are retried in the next tick.
     denied_connects: Vec<ConnectionId>,
 }
 
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -13,34 +13,37 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 
-/// One connection. `input`, `output` and `remote` are open to the handlers, which borrow them at the same time.
+/// The state of a connection. `input`, `output` and `remote` are open to the handlers, which need to borrow all three
+/// at the same time.
 pub(in crate::reducer) struct Connection {
-    /// Bytes that were received and are not handled yet.
+    /// Bytes that were received on the connection and are not handled yet.
     pub(in crate::reducer) input: Buffer,
-    /// Bytes that are still to be written.
+    /// Bytes that are still to be written on the connection.
     pub(in crate::reducer) output: Buffer,
     /// The other side of the connection, with the state that belongs to it.
     pub(in crate::reducer) remote: Remote,
-    /// Whether reading has stopped because there was no space or no memory for more bytes.
+    /// Whether reading from the connection has stopped, because its input buffer has no space or no memory to grow,
+    /// because the connection is closing, or because the router pauses after an error of the client.
     is_read_paused: bool,
-    /// Whether reading had stopped before the bytes that are read next.
+    /// Whether reading from the connection had stopped at some time since the last bytes were received. The bytes that
+    /// are received next have then waited for space in the buffer.
     was_read_paused: bool,
-    /// Whether the socket was not read until it was empty. The end of the connection may then be in the socket, not
-    /// seen yet.
+    /// Whether bytes may be left in the socket, because the last read did not empty it. The close by the other side may
+    /// then be behind these bytes, and not be known yet.
     has_unread_bytes: bool,
     /// Whether the connection is closed once its output is written.
     is_closing: bool,
-    /// How often the system lacked a descriptor, memory or a local port for this connect, since the count was last
-    /// cleared.
+    /// How often the connect of this connection failed because the system lacked a descriptor, memory or a local port,
+    /// since the count was last cleared.
     connect_denials: u8,
     deadline: Option<Time>,
-    /// When the deadline is checked next, which is no later than the deadline itself.
+    /// The time at which the connection's deadline is checked next. This is no later than the deadline itself.
     scheduled_at: Option<Time>,
-    /// Memory of both buffers, when it was last counted.
+    /// Memory of the connection's input and output buffers in bytes, when it was last counted.
     buffer_bytes: usize,
 }
 
-/// The other side of a connection.
+/// The other side of a connection, with the state that belongs to it.
 pub(in crate::reducer) enum Remote {
     Client(Client),
     Member(MemberConnection),
@@ -53,9 +56,9 @@
     by_id: FxHashMap<ConnectionId, Connection>,
     last_id: u64,
     deadlines: BTreeSet<(Time, ConnectionId)>,
-    /// Memory of all buffers.
+    /// Memory of the buffers of all connections, in bytes.
     buffer_bytes: usize,
-    /// Connections that were not read because memory was short.
+    /// Connections whose input was not read because the memory of all buffers was near its limit.
     waiting_for_memory: BTreeSet<ConnectionId>,
 }
 
@@ -80,7 +83,7 @@
         self.deadline
     }
 
-    /// Returns whether reading has stopped because there was no space or no memory for more bytes.
+    /// Returns whether reading from the connection has stopped (see the field of this name).
     pub(in crate::reducer) fn is_read_paused(&self) -> bool {
         self.is_read_paused
     }
@@ -89,7 +92,7 @@
         self.is_read_paused = is_paused;
     }
 
-    /// Records that reading continues. Returns whether it had stopped.
+    /// Records that reading from the connection continues. Returns whether reading had stopped.
     pub(in crate::reducer) fn resume_reading(&mut self) -> bool {
         std::mem::take(&mut self.is_read_paused)
     }
@@ -99,22 +102,22 @@
         (self.was_read_paused, self.has_unread_bytes) = (true, true);
     }
 
-    /// Returns whether reading had stopped before the bytes that were just read, and clears this flag.
+    /// Returns whether reading had stopped before the bytes that were just received, and clears this flag.
     pub(in crate::reducer) fn take_was_read_paused(&mut self) -> bool {
         std::mem::take(&mut self.was_read_paused)
     }
 
-    /// Returns whether the socket is known to hold more than was read.
+    /// Returns whether bytes may be left in the socket, because the last read did not empty it.
     pub(in crate::reducer) fn has_unread_bytes(&self) -> bool {
         self.has_unread_bytes
     }
 
-    /// Records that the socket holds more than was read.
+    /// Records that bytes may be left in the socket, because the last read did not empty it.
     pub(in crate::reducer) fn record_unread_bytes(&mut self) {
         self.has_unread_bytes = true;
     }
 
-    /// Records that the socket was read until it was empty. Returns whether it was known to hold more than was read.
+    /// Records that the socket was read until it was empty. Returns whether bytes had been left in the socket before.
     pub(in crate::reducer) fn record_socket_empty(&mut self) -> bool {
         self.is_read_paused = false;
         std::mem::take(&mut self.has_unread_bytes)
@@ -129,8 +132,8 @@
         self.is_closing = true;
     }
 
-    /// Records that the system lacked a descriptor, memory or a local port for this connect. Returns how often that was
-    /// so since the count was last cleared.
+    /// Records that the connect of this connection failed because the system lacked a descriptor, memory or a local
+    /// port. Returns the number of such failures since the count was last cleared.
     pub(in crate::reducer) fn record_connect_denial(&mut self) -> u8 {
         self.connect_denials = self.connect_denials.saturating_add(1);
         self.connect_denials
@@ -140,7 +143,7 @@
         self.connect_denials = 0;
     }
 
-    /// Memory of both buffers, when it was last counted.
+    /// Memory of the connection's input and output buffers in bytes, when it was last counted.
     pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
@@ -152,7 +155,7 @@
         ConnectionId(self.last_id)
     }
 
-    /// The id that was assigned last.
+    /// Returns the connection id that was assigned last.
     pub(in crate::reducer) fn last_id(&self) -> ConnectionId {
         ConnectionId(self.last_id)
     }
@@ -226,7 +229,7 @@
         }
     }
 
-    /// All connections to members, in no particular order.
+    /// Returns all connections to members, in no particular order.
     pub(in crate::reducer) fn members(&self) -> impl Iterator<Item = (ConnectionId, &MemberConnection)> {
         self.by_id.iter().filter_map(|(&id, connection)| match &connection.remote {
             Remote::Member(member) => Some((id, member)),
@@ -257,7 +260,8 @@
         self.deadlines.insert((at, id));
     }
 
-    /// Returns when a deadline must be checked next.
+    /// Returns the earliest time at which the deadline of a connection must be checked, or `None` if no deadline is
+    /// set.
     pub(in crate::reducer) fn next_check_at(&self) -> Option<Time> {
         self.deadlines.first().map(|&(at, _)| at)
     }
@@ -279,12 +283,12 @@
         None
     }
 
-    /// Memory of all buffers.
+    /// Memory of the buffers of all connections, in bytes.
     pub(in crate::reducer) fn buffer_bytes(&self) -> usize {
         self.buffer_bytes
     }
 
-    /// Updates the memory of a connection's buffers. Returns whether it has shrunk.
+    /// Counts the memory of a connection's buffers again. Returns whether this memory has shrunk.
     pub(in crate::reducer) fn update_buffer_bytes(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.by_id.get_mut(&id) else { return false };
         let bytes = connection.input.capacity() + connection.output.capacity();
@@ -308,7 +312,7 @@
         self.waiting_for_memory.remove(&id);
     }
 
-    /// Takes all connections that are waiting for memory, in the order of their ids.
+    /// Removes and returns all connections that are waiting for memory, in the order of their ids.
     pub(in crate::reducer) fn take_waiting_for_memory(&mut self) -> BTreeSet<ConnectionId> {
         std::mem::take(&mut self.waiting_for_memory)
     }
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -1,9 +1,10 @@
 //! State of the watch of discovery: its connections, the generation of the endpoint list in use, and how long discovery
 //! has been silent.
 //!
-//! There is one current watch. There may be one earlier request that is late and may still be answered. After discovery
-//! has moved to another address, there may be one watch of the previous address, which stays in use until the new
-//! address has answered.
+//! A watch is a long-lived HTTP request to discovery, which answers with the endpoint list and its changes. There is
+//! one current watch. There may be one earlier request that is late and may still be answered. After discovery has
+//! moved to another address, there may be one watch of the previous address, which stays in use until the new address
+//! has answered.
 
 use crate::discovery::{self, Listing};
 use crate::limits::Limits;
@@ -23,27 +24,30 @@
     current: Option<ConnectionId>,
     /// When the current watch was requested.
     requested_at: Time,
-    /// An earlier request that is still unanswered and stays open at the same time as the next one. The request that is
-    /// answered first becomes the current watch.
+    /// An earlier request for a watch that is still unanswered and stays open at the same time as the current request.
+    /// Whichever of the two is answered first becomes the current watch.
     late: Option<ConnectionId>,
-    /// The watch of the previous address of discovery.
+    /// The watch at the previous address of discovery, which stays in use until the new address has answered.
     previous: Option<ConnectionId>,
     /// Whether discovery has moved to an address that has not answered yet.
     is_moving: bool,
-    /// A watch that was denied a descriptor and connects again later, because no other connection was closed for it.
+    /// A watch whose connect failed because the system had no descriptor, memory or local port. The watch connects
+    /// again after a pause, because no other connection could be closed to free a descriptor.
     denied: Option<ConnectionId>,
-    /// The time since which a watch that had answered is silent. It is cleared when the current watch receives a list.
+    /// The time since which discovery has been silent on a watch that had answered. The field is cleared when the
+    /// current watch receives a list.
     silent_since: Option<Time>,
 }
 
-/// The decision on a list, made by its generation before its entries are read.
+/// The decision whether to apply an endpoint list, made by the list's generation before its entries are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ListVerdict {
-    /// The list is handed on to be applied. Older lists after the first one are handed on too, and are rejected there
-    /// unless their generation was adopted.
+    /// The list is passed on to be applied. If several consecutive lists are older than the list in use, all but the
+    /// first of them are passed on too. The code that applies lists rejects these older lists unless their generation
+    /// was adopted.
     Accepted,
-    /// The list has changes from the new address, whose generations count from a lower number. They do not apply to the
-    /// list in use.
+    /// The list contains only changes, and comes from the new address of discovery, whose generations count from a
+    /// lower number. These changes do not apply to the list in use.
     ChangesOfAnotherList,
     /// The list is the first of consecutive lists that are older than the list in use.
     Older,
@@ -78,8 +82,8 @@
         self.generation = generation;
     }
 
-    /// Returns the request that opens a watch. It asks for the complete list if discovery's list is older than the list
-    /// in use.
+    /// Returns the HTTP request that opens a watch. The request asks for the complete list if the last list that
+    /// discovery sent is older than the list in use.
     pub(in crate::reducer) fn request(&self) -> String {
         let from = if self.offers_older_list { 0 } else { self.generation };
         discovery::watch_request(&self.address.to_string(), from)
@@ -95,7 +99,8 @@
         self.denied = Some(id);
     }
 
-    /// Takes the watch that was denied a descriptor.
+    /// Removes and returns the watch whose connect failed for lack of a descriptor, memory or a local port and that
+    /// waits to connect again, or returns `None` if there is no such watch.
     pub(in crate::reducer) fn take_denied(&mut self) -> Option<ConnectionId> {
         self.denied.take()
     }
@@ -117,7 +122,8 @@
         self.requested_at
     }
 
-    /// Returns whether another watch remains in use when this one ends, which holds for the previous and the late one.
+    /// Returns whether another watch remains in use when the watch on this connection ends. That is so if it is the
+    /// watch at the previous address or the late request.
     pub(in crate::reducer) fn has_successor(&self, id: ConnectionId) -> bool {
         self.previous == Some(id) || self.late == Some(id)
     }
@@ -127,7 +133,7 @@
         (self.current, self.requested_at) = (Some(id), now);
     }
 
-    /// Makes the current request the late one. It stays open at the same time as the next request.
+    /// Makes the current request the late request, which stays open at the same time as the next request.
     pub(in crate::reducer) fn demote_current(&mut self) {
         self.late = self.current.take();
     }
@@ -162,7 +168,8 @@
         unused.into_iter().chain(self.late).collect()
     }
 
-    /// Records that a list was received on a watch. Returns whether it is the first list from discovery's new address.
+    /// Records that a list was received on a watch. Returns whether this is the first list from discovery's new
+    /// address.
     pub(in crate::reducer) fn record_answer(&mut self, id: ConnectionId) -> bool {
         if self.is_current(id) {
             self.silent_since = None;
@@ -170,7 +177,7 @@
         self.is_current(id) && std::mem::take(&mut self.is_moving)
     }
 
-    /// Decides on a list by its generation, before its entries are read.
+    /// Decides by an endpoint list's generation whether to apply the list, before its entries are read.
     pub(in crate::reducer) fn judge_list(
         &mut self,
         now: Time,
@@ -178,8 +185,9 @@
         is_first_after_move: bool,
         limits: &Limits,
     ) -> ListVerdict {
-        // Generations of the new address may count from a lower number, and all its lists would be rejected as older.
-        // So a complete list is accepted as it is. If the list has only changes, the complete list is requested.
+        // Generations of discovery's new address may count from a lower number, and then all lists from this address
+        // would be rejected as older. So a first list that is complete is accepted despite its lower generation. If the
+        // first list has only changes, the complete list is requested.
         if is_first_after_move && listing.generation < self.generation {
             self.generation = 0;
             if !listing.reset {
@@ -192,12 +200,12 @@
         }
     }
 
-    /// Returns whether a list is the first of consecutive lists that are older than the list in use. It may be a single
-    /// delayed list, so it is rejected, and the complete list is requested at once.
+    /// Returns whether a list is the first of consecutive lists that are older than the list in use. The first older
+    /// list may be a single delayed list, so it is rejected, and the complete list is requested at once.
     ///
     /// If discovery has restarted its generations, all its lists would be rejected as older. No list is delayed for
-    /// longer than `notified_within`. So once that time has passed since the last list that was not older, a second
-    /// older list is accepted if it is complete, and its generation is adopted.
+    /// longer than `notified_within`. So once `notified_within` has passed since the last list that was not older, a
+    /// second consecutive older list is accepted if it is complete, and its generation is adopted.
     fn is_first_older_list(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
         let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
         if !self.offers_older_list {
@@ -208,8 +216,9 @@
         self.offers_older_list && !was_older
     }
 
-    /// Returns whether the watch is silent, and has been for at most `notified_within`. By the protocol, the router
-    /// does not count as notified yet of changes that it missed in this time.
+    /// Returns whether discovery is silent on the watch, and has been for at most `notified_within`. The protocol gives
+    /// a router this long to learn of a change, so changes that the router missed during the silence do not count as
+    /// known to the router yet.
     pub(in crate::reducer) fn is_silence_within_limit(&self, now: Time, limits: &Limits) -> bool {
         self.silent_since.is_some_and(|since| now - since <= limits.notified_within)
     }
