--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -30,7 +30,7 @@
     Written(ConnectionId, usize),
     /// The connection was closed by the other side, has failed, or was never established.
     Closed(ConnectionId),
-    /// The system had no descriptor or no memory for a connection that `Effect::Connect` requested.
+    /// The system had no descriptor, memory or local port for a connection that `Effect::Connect` requested.
     ConnectDenied(ConnectionId),
     /// The connection's socket accepts no more of the bytes of `Reducer::outgoing` for now.
     WriteBlocked(ConnectionId),
@@ -60,8 +60,8 @@
     Connect(ConnectionId, SocketAddr),
     /// Write the bytes that `Reducer::outgoing` returns.
     Write(ConnectionId),
-    /// Read from the connection, because its input buffer may have space again, or because its client is about to be
-    /// evicted.
+    /// Read from the connection, because its input buffer may have space again, because the pause after a client's
+    /// error is over, or because its client is about to be evicted.
     Read(ConnectionId),
     /// Close the connection.
     Close(ConnectionId),
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -15,28 +15,31 @@
 use ladderpass_routing::{Arrival, Decision, RpcId, Span, Time, fnv1a};
 use std::ops::Range;
 
-/// The maximum wait of a statement, to which a longer one is shortened. No client waits for longer, and a `Time` can
-/// represent it.
+/// The maximum time, in milliseconds, that a statement may say its client waits; a longer time is shortened to this
+/// one. No client waits for longer, and a `Time` can represent a deadline this far away.
 const MAX_WAIT_MS: f64 = 3.6e6;
 /// How much later than its client's deadline an RPC ends with `Faulty::AnswersLate`.
 const FAULTY_LATENESS: Span = Span::from_millis(1000);
-/// The shift that leaves the 16 highest bits of a session's hash, which are the session's index.
+/// The shift to the right that leaves the 16 highest bits of a session's 64-bit hash. These bits are the session's
+/// index.
 const SESSION_HASH_SHIFT: u32 = 64 - 16;
 
 /// A statement that can become an RPC.
 struct Statement {
     arrival: Arrival,
-    /// The range of the statement's text that says how long its client waits.
+    /// The byte range of the statement's text that says how long the client waits.
     wait_at: Range<usize>,
     id_hash: u64,
     /// The priority of the RPC, or zero without shared admission control.
     priority: u32,
-    /// Whether shared admission control rejects the RPC for its priority in its group.
+    /// Whether shared admission control rejects the RPC, because the RPC's priority is too low for the load of its
+    /// group.
     is_shed_by_fleet: bool,
 }
 
 impl Reducer {
-    /// Accepts or rejects the RPC whose statement, of this length, is at the front of a client's input.
+    /// Accepts or rejects the RPC whose statement is at the front of a client's input. `length` is the statement's
+    /// length in bytes.
     pub(super) fn accept_rpc(&mut self, now: Time, id: ConnectionId, length: usize) {
         self.set_awaited(id, None);
         let Some(client) = self.connections.client_mut(id) else { return };
@@ -48,8 +51,8 @@
         };
         if is_crowded {
             self.stats.count(Count::Crowded);
-            // Too many clients are connected. This one was accepted so that it gets an error here, rather than no
-            // answer at the listener.
+            // Too many clients are connected. The connection of this client was accepted nevertheless, so that the
+            // client gets an error here, rather than no answer at the listener.
             return self.reject_statement(now, id, length, Rejection::Crowded);
         }
         if self.rpcs.len() >= self.limits.rpcs_in_flight {
@@ -119,8 +122,8 @@
         let group = self.endpoints.group(comment.group).ok_or_else(|| {
             StatementError::new("22023", format!("unknown group {} in cluster", comment.group))
         })?;
-        // The client's wait runs from when it sent the statement, also while the statement waited behind others or the
-        // process stalled.
+        // The client's wait begins when the statement arrives, and includes the time while the statement waits behind
+        // others or the process stalls.
         let arrived = client.arrival_of(now, length);
         let waited = arrived.as_ref().map_or(Span::ZERO, |arrived| arrived.waited_for_router);
         let arrived_at = arrived.map_or(now - self.stall, |arrived| arrived.at);
@@ -138,7 +141,7 @@
         if self.methods.is_write(method) != Some(is_write) {
             return Err(StatementError::new("42601", "the statement has not the form of its method"));
         }
-        // At a member this statement would be a second copy of the RPC that already has this id.
+        // For a member, this statement would be a second copy of the RPC that already has this id.
         let id_hash = self.rpcs.hash_id(comment.id);
         if self.rpcs.is_duplicate(id_hash) {
             return Err(StatementError::new("23505", "its id is that of another RPC"));
@@ -163,8 +166,8 @@
     deadline: Time,
     comment: &pg::StatementComment<'_>,
 ) -> Arrival {
-    // A write that is ahead of this router's clock gets a negative age, because it is compared with positions and not
-    // with the clock.
+    // If the time of the session's last write is ahead of this router's clock, the write's age is negative. It must not
+    // be limited to zero, because the write is compared with members' replication positions and not with the clock.
     let last_write_ms = comment.after_ms.filter(|&ms| ms > 0.0);
     Arrival {
         method,
@@ -179,8 +182,8 @@
     }
 }
 
-/// Returns a small index for a session. Two sessions with the same index see each other's writes, which is only
-/// stricter.
+/// Returns an index of 16 bits for a session. Two sessions with the same index see each other's writes, so the
+/// consistency is stricter than required for them.
 fn session_index(key: &str) -> u32 {
     (fnv1a::hash(key.as_bytes()) >> SESSION_HASH_SHIFT) as u32
 }
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -10,9 +10,9 @@
 use crate::reducer::state::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
-/// Returns whether the client has sent more than can be read now, so that an end of its connection can't be seen yet.
-/// This prevents attempts for clients that have left. A client that has not left and sends so much ahead is rejected
-/// too.
+/// Returns whether the client has sent more than can be read now, so that a close of its connection can't be seen yet.
+/// No attempt is made for such a client, because it may have left. The RPC is also rejected if the client has not left,
+/// but has sent too much ahead.
 fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
     client.and_then(|client| connections.get(client)).is_some_and(Connection::is_read_paused)
 }
@@ -59,7 +59,8 @@
         mut report: LoadReport,
     ) {
         result.position = result.position.and_then(|position| self.plausible_position(now, position));
-        // A member that has made no report yet sends zeros, also for its role, so nothing of such a report is used.
+        // A member that has no data for its load report yet sends zeros, also for its role, so nothing of a report
+        // without a plausible position is used.
         if let Some(position) = report.position
             && self.plausible_position(now, position).is_none()
         {
@@ -76,8 +77,9 @@
         }
     }
 
-    /// Returns a member's position, or `None` if it is not positive or is further ahead than clocks may differ. Using
-    /// such a position could lead to stale reads, and to a primary that never changes again.
+    /// Returns a member's replication position, or `None` if the position is not positive or is further ahead of this
+    /// router's clock than clocks may differ. Using such a position could lead to stale reads, and to a primary that
+    /// never changes again.
     fn plausible_position(&mut self, now: Time, position: Time) -> Option<Time> {
         if position.nanos() <= 0 {
             return None;
--- a/crates/ladderpass/src/reducer/handlers/cancellation.rs
+++ b/crates/ladderpass/src/reducer/handlers/cancellation.rs
@@ -8,9 +8,9 @@
 use ladderpass_routing::{Decision, Time};
 
 impl Reducer {
-    /// Cancels the RPC that the client with this key waits for. A key that no client has is ignored. If the RPC's
-    /// attempt is not fully sent, the attempt is withdrawn and the client is answered at once. If it is fully sent, its
-    /// outcome settles the RPC, and no further attempt is made.
+    /// Cancels the RPC that the client with this cancel key waits for. A key that belongs to no client is ignored. If
+    /// the RPC's attempt is not fully sent, the attempt is withdrawn and the client is answered at once. If the attempt
+    /// is fully sent, the attempt's outcome settles the RPC, and no further attempt is made.
     pub(super) fn cancel_rpc(&mut self, now: Time, key: CancelKey) {
         let id = self.newest_with_process_id(key.process_id);
         let is_valid = self.cancel_keys.is_valid(id, key.secret);
@@ -32,16 +32,16 @@
         }
     }
 
-    /// Returns the newest connection id that ends with this process id. Older connections with the same end were closed
-    /// long ago.
+    /// Returns the newest connection id whose lower 32 bits are this process id. Older connections with the same lower
+    /// bits were closed long ago.
     fn newest_with_process_id(&self, process_id: u32) -> ConnectionId {
         let ConnectionId(last) = self.connections.last_id();
         let id = u64::from(process_id) | last & !u64::from(u32::MAX);
         ConnectionId(if id > last { id.wrapping_sub(1 << 32) } else { id })
     }
 
-    /// Handles the end of a client's connection. An attempt that is fully sent goes on, because its outcome is
-    /// information about the member. Any other attempt is withdrawn.
+    /// Handles the end of a client's connection. If the attempt of the client's RPC is fully sent, the attempt goes on,
+    /// because its outcome is information about the member. Otherwise the attempt is withdrawn.
     pub(super) fn on_client_closed(&mut self, now: Time, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         let phase = client.phase();
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -1,4 +1,5 @@
-//! Reads what clients send: startup messages and statements. Each client is read up to its next RPC.
+//! Handles what clients have sent: startup messages and statements. The messages of each client are handled up to the
+//! client's next RPC.
 
 use super::rejections::{Rejection, StatementError};
 use super::rpc_answers::front_message_length;
@@ -13,8 +14,8 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::Time;
 
-/// The buffers of a client that becomes idle are freed if all buffers together take more than
-/// `pause_clients_at_buffer_bytes` divided by this.
+/// The buffers of a client that becomes idle are freed if the buffers of all connections take more memory than
+/// `Limits::pause_clients_at_buffer_bytes` divided by this number.
 const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
 
 /// Whether to go on reading a client in this iteration.
@@ -24,12 +25,12 @@
     Stop,
 }
 
-/// A message from a client, and how it is handled.
+/// A message from a client, by the way in which the message is handled.
 enum ClientMessage {
     /// The message has not arrived completely.
     Incomplete,
-    /// The message is answered with these bytes, which may be none. Then the connection is closed if the protocol
-    /// requires that.
+    /// The message is answered with the bytes in `answer`, which may be empty. If `close` is set, the connection is
+    /// closed after the answer.
     Answered {
         length: usize,
         answer: Vec<u8>,
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Reads what a client has sent, up to its next RPC. After `statements_per_iteration` messages the rest is left for
-    /// the next iteration, so that other clients get their turn.
+    /// Handles the messages that a client has sent, up to the client's next RPC. After `statements_per_iteration`
+    /// messages the rest is left for the next iteration, so that other clients are not delayed.
     fn read_client(&mut self, now: Time, id: ConnectionId) {
         for _ in 0..self.limits.statements_per_iteration {
             if self.read_client_message(now, id) == Progress::Stop {
@@ -82,7 +83,7 @@
         if is_closing || !client.is_ready() {
             return Progress::Stop;
         }
-        // A skipped statement is answered once its last byte has arrived.
+        // A statement that is skipped for lack of memory is answered once its last byte has arrived.
         match client.skipping() {
             Some(0) => {
                 client.stop_skipping();
@@ -129,7 +130,7 @@
                 self.answer_client_error(now, id, length, &error);
                 Progress::Continue
             }
-            // By the protocol a cancel request gets no reply, whether it has an effect or not.
+            // By the protocol a cancel request gets no reply, whether the request has an effect or not.
             ClientMessage::Cancel(key) => {
                 self.close_when_written(now, id);
                 self.cancel_rpc(now, key);
@@ -139,9 +140,9 @@
         }
     }
 
-    /// Handles a statement that has arrived completely. It becomes an RPC only once the client's socket has been read
-    /// until it was empty. If the client closed the connection behind the statement, that is known by then, and no
-    /// attempt is made for a client that has left.
+    /// Handles a statement that has arrived completely. The statement becomes an RPC only once the client's socket has
+    /// been read until it was empty. If the client closed the connection behind the statement, the close is known by
+    /// then, so that no attempt is made for a client that has left.
     fn on_statement(&mut self, now: Time, id: ConnectionId, length: usize) -> Progress {
         let is_past_accept_time = self.is_past_accept_time(now);
         let Some(connection) = self.connections.get_mut(id) else { return Progress::Stop };
@@ -152,8 +153,9 @@
             self.reject_statement(now, id, length, Rejection::Stopping);
             return Progress::Continue;
         }
-        // The client has sent more than its buffer holds, so an end of its connection can't be seen yet. The statement
-        // is rejected to make space for the rest. It is counted as `Count::Full`.
+        // The client has sent more than its input buffer has space for, so a close of its connection can't be seen yet.
+        // The statement is rejected to make space for the rest of the input, and the rejection is counted as
+        // `Count::Full`.
         if is_read_paused {
             self.stats.count(Count::Full);
             self.reject_statement(now, id, length, Rejection::SentAhead);
@@ -171,7 +173,8 @@
         Progress::Continue
     }
 
-    /// Removes handled bytes from the front of a client's input, and resumes reading if that was paused.
+    /// Removes `count` handled bytes from the front of a client's input, and resumes reading from the client if reading
+    /// was paused.
     pub(super) fn consume_input(&mut self, id: ConnectionId, count: usize) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.input.consume(count);
@@ -186,9 +189,9 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Begins to skip a statement whose rest has waited too long for memory. Its bytes are dropped as they arrive, and
-    /// it is rejected after the last one. The timeout of a message still applies to it. A client that is not in the
-    /// middle of a statement is closed instead.
+    /// Begins to skip a statement whose rest has waited too long for buffer memory. The statement's bytes are dropped
+    /// as they arrive, and the statement is rejected after its last byte. The timeout of a message still applies to the
+    /// statement. If the client is not in the middle of a statement, the client's connection is closed instead.
     pub(super) fn skip_statement(&mut self, now: Time, id: ConnectionId) {
         self.connections.stop_waiting_for_memory(id);
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -208,8 +211,8 @@
         self.connections.set_deadline(id, Some(since + self.limits.message_timeout));
     }
 
-    /// Sets what is awaited from a client that has sent no complete message, and until when. The client is idle, or in
-    /// the middle of a message.
+    /// Sets which input is awaited from a client, and until when. The client is idle or in the middle of a message, so
+    /// that no complete message of the client is left to handle.
     fn await_client_input(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else { return };
         let Remote::Client(client) = &connection.remote else { return };
@@ -217,7 +220,7 @@
             return;
         }
         if !connection.input.is_empty() {
-            // The timeout of a message runs from its first byte.
+            // The timeout of a message runs from the arrival of the message's first byte.
             let since = match client.awaited() {
                 Some((AwaitedInput::StatementRest, since)) => since,
                 _ => now,
@@ -228,13 +231,15 @@
             let timeout = if waits_for_memory { limits.memory_wait_timeout } else { limits.message_timeout };
             return self.connections.set_deadline(id, Some(since + timeout));
         }
-        // The client is not closed before its answer is written. What it sends in the meantime is read.
+        // The client's connection is not closed before the client's answer is written. What the client sends in the
+        // meantime is read.
         if !connection.output.is_empty() {
             let deadline = connection.deadline().or(Some(now + self.limits.unread_answer_timeout));
             self.set_awaited(id, None);
             return self.connections.set_deadline(id, deadline);
         }
-        // A client that keeps sending messages other than statements must not delay the end of the process.
+        // The shutdown is past the time in which RPCs begin. A client that goes on sending messages other than
+        // statements must not delay the end of the process.
         if self.is_past_accept_time(now) {
             return self.close_when_written(now, id);
         }
@@ -242,7 +247,7 @@
     }
 
     /// Sets the timeout after which an idle client is closed, and frees the client's buffers if memory is short. During
-    /// a shutdown a client that has sent a statement before is closed now.
+    /// a shutdown the connection of a client that has sent a statement before is closed at once, after a final read.
     fn await_next_statement(&mut self, now: Time, id: ConnectionId) {
         let is_stopping = self.shutdown.has_begun();
         let timeout = match is_stopping {
@@ -266,8 +271,9 @@
         }
     }
 
-    /// Reads a client again at the end of its refill time. Its socket stayed empty after the overrun, so nothing
-    /// follows what was read.
+    /// Handles a client's messages at the end of its refill time, which is the time for bytes that the client's kernel
+    /// held back while the input buffer was full. The client's socket stayed empty for this time, so nothing follows
+    /// the bytes that were read.
     pub(super) fn on_refill_timeout(&mut self, now: Time, id: ConnectionId) {
         if let Some(client) = self.connections.client_mut(id) {
             client.clear_refill();
@@ -275,7 +281,7 @@
         self.read_client(now, id);
     }
 
-    /// Reads a client again at the end of the pause after its error.
+    /// Reads from a client again at the end of the pause after the client's error.
     pub(super) fn resume_after_error(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let Remote::Client(client) = &mut connection.remote else { return };
@@ -314,7 +320,7 @@
     match pg::parse_frame_header(input.make_contiguous()) {
         Ok(None) => ClientMessage::Incomplete,
         Err(_) => ClientMessage::fatal(input.len(), "08P01", "malformed message"),
-        // The message is rejected by its header alone, and its body is not received.
+        // A message that is too long is rejected by its header alone, and the message's body is not received.
         Ok(Some(pg::FrameHeader { length, .. })) if length > max_bytes => {
             ClientMessage::fatal(input.len(), "54000", "the message is too long")
         }
@@ -326,7 +332,8 @@
     }
 }
 
-/// Handles a complete message after startup. Only simple queries are served.
+/// Handles a complete message that a client has sent after its startup. Of the protocol's queries, only simple queries
+/// are served.
 fn handle_message(client: &mut Client, kind: u8, body: &[u8], length: usize) -> ClientMessage {
     let mut answer = Vec::new();
     match (kind, pg::parse_query(body)) {
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -12,8 +12,9 @@
 const STARTUP_DATABASE: &str = "orders";
 
 impl Reducer {
-    /// Returns the buffer to read a connection's next bytes into. The buffer is empty if the connection is not to be
-    /// read now, because it must wait for space or memory, is closing, or pauses after an error of its client.
+    /// Returns the buffer to read a connection's next bytes into. The buffer is empty if nothing is to be read from the
+    /// connection now, because the input buffer has no space or no memory to grow, the connection is closing, or the
+    /// router pauses after an error of the client.
     pub fn read_buffer(&mut self, id: ConnectionId) -> &mut [u8] {
         let is_memory_short = self.is_memory_short(id);
         let limits = &self.limits;
@@ -41,9 +42,9 @@
         }
     }
 
-    /// Returns whether a connection's input buffer is full and must wait for memory before it can grow. The limit for
-    /// clients is lower than for members, so that statements wait before answers do. Deadlines go on while a connection
-    /// waits.
+    /// Returns whether a connection's input buffer is full and can't grow, because the buffers of all connections take
+    /// too much memory. The limit for clients is lower than for members, so that statements wait before answers do. The
+    /// connection's deadline still applies while its buffer waits for memory.
     fn is_memory_short(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match connection.remote {
@@ -98,7 +99,7 @@
     }
 
     /// Closes a connection once its output is written, or after `unread_answer_timeout` if the other side does not read
-    /// it.
+    /// the output.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.set_closing();
@@ -109,7 +110,8 @@
         }
     }
 
-    /// Closes a connection and drops its state. The caller must end the connection's job or RPC.
+    /// Closes a connection and drops its state. The caller must end the job of a member's connection, or the RPC of a
+    /// client.
     pub(super) fn close_connection(&mut self, id: ConnectionId) {
         self.set_awaited(id, None);
         let Some(connection) = self.connections.remove(id) else { return };
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Reads the connections that wait for memory, if enough of it is free again.
+    /// Requests reads from the connections whose input buffers wait for memory, if enough memory is free again.
     fn resume_reads(&mut self) {
         if self.connections.buffer_bytes() < self.limits.pause_clients_at_buffer_bytes {
             let waiting = self.connections.take_waiting_for_memory();
@@ -160,8 +162,8 @@
                 self.clients.add_unread_bytes(count);
                 self.clients.cancel_eviction(id);
                 let refill_until = now + self.limits.refill_quiet_time;
-                // Bytes that waited for space in the client's own buffer were not delayed by this router, so their wait
-                // does not count.
+                // Bytes that waited in the socket because the client's own input buffer was full were not delayed by
+                // this router, so their wait does not count.
                 let arrived_at = if was_paused { now } else { now - waited.max(self.stall) };
                 client.record_received(now, arrived_at, count, refill_until);
                 let skipped = client.skip_received(count);
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -1,5 +1,5 @@
-//! Enforces the limit of connections: closes connections for others if no descriptors are left, and decides whether
-//! clients are accepted.
+//! Enforces the limit of connections: if no file descriptors are left, closes some connections so that others can be
+//! opened, and decides whether clients are accepted.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -14,10 +14,10 @@
         self.connection_limits.accepts_clients()
     }
 
-    /// Handles a connect for which the system had no descriptor or no memory. Another connection is closed for it, at
-    /// most `Limits::evictions_per_denial` times, so that clients can't take all descriptors from discovery, health
-    /// checks and attempts. The denial does not count against the member, because it is this router that lacks
-    /// something.
+    /// Handles a connect that failed because the system had no descriptor, memory or local port. Another connection is
+    /// closed and the connect is retried, at most `Limits::evictions_per_denial` times, so that clients can't take all
+    /// descriptors from discovery, health checks and attempts. The failure does not count against the member, because
+    /// this router lacks the resource.
     pub(in crate::reducer) fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let may_evict = connection.record_connect_denial() <= self.limits.evictions_per_denial;
@@ -34,8 +34,9 @@
         }
     }
 
-    /// Closes a connection to free its descriptor: a client past its eviction age, else the member connection that has
-    /// been idle longest, else any client that waits for no answer. Returns whether there was such a connection.
+    /// Closes one connection to free its descriptor: that of a client past its eviction age, else the member connection
+    /// that has been idle longest, else that of any client that waits for no answer. Returns false if there is no such
+    /// connection.
     fn free_descriptor_after_denial(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
         if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
@@ -50,7 +51,8 @@
         true
     }
 
-    /// Retries the connects that were denied, now that other connections are closed for them.
+    /// Retries the connects that failed for lack of a descriptor, now that other connections were closed to free
+    /// descriptors.
     pub(in crate::reducer) fn retry_denied_connects(&mut self) {
         for id in self.connection_limits.take_denied_connects() {
             let address = match self.connections.get(id).map(|connection| &connection.remote) {
@@ -62,9 +64,9 @@
         }
     }
 
-    /// Accepts clients while there are fewer than `clients_accepted` of them, and fewer connections than `connections`.
-    /// The second limit does not apply while a member connection is idle, because an idle one is closed for a new
-    /// client.
+    /// Sets that clients are accepted while fewer than `Limits::clients_accepted` are connected, and there are fewer
+    /// connections of clients and members than `Limits::connections`. The limit of connections does not apply while a
+    /// member connection is idle, because an idle member connection can be closed for a new client.
     pub(in crate::reducer) fn update_accepting(&mut self) {
         let connections = self.clients.len() + self.members.connection_count();
         let has_capacity = connections < self.limits.connections || self.members.has_idle();
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Accepts clients again after one was closed.
+    /// Accepts clients again after a client's connection was closed.
     pub(super) fn resume_accepting(&mut self) {
         if self.connection_limits.set_accepts_clients(true) {
             self.effects.push(Effect::Accept(true));
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -8,7 +8,7 @@
 use ladderpass_routing::{AttemptOutcome, Decision, Time};
 
 impl Reducer {
-    /// Handles all deadlines that have passed.
+    /// Handles all deadlines of connections that have passed.
     pub(in crate::reducer) fn handle_deadlines(&mut self, now: Time) {
         while let Some(id) = self.connections.pop_expired(now) {
             self.on_deadline(now, id);
@@ -40,7 +40,8 @@
                 self.on_refill_timeout(now, id);
             }
             _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
-            // Memory was freed while the client waited for it, so its statement has the same timeout as any other.
+            // The client's statement waited for buffer memory, and memory has been freed in the meantime. So the
+            // statement has the same timeout as any other.
             _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited()
                 && now < since + self.limits.message_timeout =>
             {
@@ -56,14 +57,17 @@
         match member.job() {
             None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
             Some(_) if !member.is_established() && now < member.connect_deadline() => {
-                // The job is abandoned unsent. The connection may still be established for another job.
+                // The job ends, and its query is not sent. The connection may still be established and used for another
+                // job.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
-            // The outcome is `Unreachable` also if the deadline was the client's and the member had little time.
+            // The query was not fully sent, so the outcome is `Unreachable`. This is so even if the deadline is that of
+            // the RPC's client and the member had little time.
             Some(_) if !member.is_query_sent() => {
                 self.end_member_connection(now, id, AttemptOutcome::Unreachable);
             }
-            // An answer that has begun and does not end would use up the time for another attempt.
+            // An answer that has begun and does not end in time would use up the time for another attempt, so the
+            // connection is closed as after a malformed message.
             Some(_) if member.has_answer_begun() => {
                 self.on_malformed_message(now, id);
             }
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -23,10 +23,11 @@
     /// The other side of the connection, with the state that belongs to it.
     pub(in crate::reducer) remote: Remote,
     /// Whether reading from the connection has stopped, because its input buffer has no space or no memory to grow,
-    /// because the connection is closing, or because the router pauses after an error of the client.
+    /// because the router is closing the connection of a client, or because the router pauses after an error of a
+    /// client.
     is_read_paused: bool,
     /// Whether reading from the connection had stopped at some time since the last bytes were received. The bytes that
-    /// are received next have then waited for space in the buffer.
+    /// are received next may have waited in the socket because of this stop.
     was_read_paused: bool,
     /// Whether bytes may be left in the socket, because the last read did not empty it. The close by the other side may
     /// then be behind these bytes, and not be known yet.
@@ -97,7 +98,7 @@
         std::mem::take(&mut self.is_read_paused)
     }
 
-    /// Records that bytes stay in the socket because reading has stopped.
+    /// Records that bytes may stay in the connection's socket because reading has stopped.
     pub(in crate::reducer) fn record_paused_read(&mut self) {
         (self.was_read_paused, self.has_unread_bytes) = (true, true);
     }
--- a/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
+++ b/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
@@ -6,13 +6,13 @@
 
 /// Indexes of the groups, machine kinds and zones that endpoint lists name.
 pub(in crate::reducer) struct EndpointIndexes {
-    /// Index of each group. The key is the bit pattern of the group's number.
+    /// Index of each group. The map's key is the bit pattern of the group's number in the endpoint list.
     groups: HashMap<u64, u32>,
     machine_kinds: NameIndex,
-    /// Index of each zone. This router's own zone has the index 0.
+    /// Index of each zone by the zone's name. This router's own zone has the index 0.
     zones: NameIndex,
     uses_zones: bool,
-    /// Whether the weights in endpoint lists are the members' concurrency.
+    /// Whether the weight of a member in the endpoint list is the number of RPCs that the member works on at once.
     weights_are_concurrency: bool,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the index of the group with this number, if a list has named it.
+    /// Returns the index of the group with this number, or `None` if no endpoint list has named the group.
     pub(in crate::reducer) fn group(&self, number: f64) -> Option<u32> {
         self.groups.get(&number.to_bits()).copied()
     }
@@ -48,12 +48,14 @@
         if self.uses_zones { self.zones.intern(name) } else { 0 }
     }
 
-    /// Returns the concurrency that a weight in the list stands for, or `None` if it does not stand for one.
+    /// Returns the number of RPCs that a member with this weight in the endpoint list works on at once, or `None` if
+    /// the weight does not state that number.
     pub(in crate::reducer) fn concurrency(&self, weight: Option<f64>) -> Option<f64> {
         weight.filter(|&weight| self.weights_are_concurrency && weight > 0.0)
     }
 
-    /// All groups. The key is the bit pattern of a group's number, and the value is its index.
+    /// Returns the indexes of all groups. The key is the bit pattern of a group's number in the endpoint list, and the
+    /// value is the group's index.
     pub(in crate::reducer) fn groups(&self) -> &HashMap<u64, u32> {
         &self.groups
     }
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -4,8 +4,9 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::VecDeque;
 
-/// Maximum number of batches that are recorded for one client. Bytes after that count as arrived with the last recorded
-/// batch. The error is on the safe side, because the client's statement is given less time, not more.
+/// Maximum number of batches of bytes whose arrival times are recorded for one client. Bytes that arrive after these
+/// batches count as arrived with the last of them. The error is on the safe side, because the client's statement is
+/// given less time, not more.
 const MAX_BATCHES: usize = 64;
 
 /// Arrival times of the bytes that a client has sent and that are not consumed yet.
@@ -15,14 +16,15 @@
     received: u64,
     consumed: u64,
     batches: VecDeque<Batch>,
-    /// Sum of `RpcInFlight::time_with_members` over this client's RPCs, which includes time in the queue and for
-    /// connecting. Input that the client sent after those RPCs did not wait for the router during that time.
+    /// Sum of `RpcInFlight::time_with_members` over this client's answered RPCs. This sum includes the time of the RPCs
+    /// in the routing core's queue and for connecting. Input that the client sent behind an RPC does not count as
+    /// waiting for the router during that RPC's time.
     time_with_members: Span,
 }
 
-/// Bytes that arrived together.
+/// Bytes of a client's input that arrived together.
 struct Batch {
-    /// Number of received bytes up to the end of the batch.
+    /// Number of bytes received on the connection up to the end of this batch.
     end: u64,
     arrived_at: Time,
     /// Value of `InputArrivals::time_with_members` when the batch arrived.
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -11,37 +11,37 @@
 pub(in crate::reducer) enum Job {
     Attempt(RpcId),
     HealthCheck,
-    /// The empty query that was written after the last query. Any result that arrives before its answer does not belong
-    /// to the answer of the last query, and the connection can't be used any more.
+    /// The empty query that is written behind each query. If another result arrives before the answer to the empty
+    /// query, that result does not belong to the answer of the query before, and the connection can't be used any more.
     SyncQuery,
 }
 
 /// A connection to a member.
 pub(in crate::reducer) struct MemberConnection {
-    /// The member's index.
+    /// The index of the connection's member.
     member: usize,
-    /// Whether the member has completed its startup.
+    /// Whether the connection is established: the member has completed the startup that the protocol requires.
     is_established: bool,
     connect_deadline: Time,
     job: Option<Job>,
     assigned_at: Time,
-    /// When the job times out.
+    /// When the connection's job times out.
     job_deadline: Time,
-    /// Bytes of the output, up to the end of the query, that are not written to the socket yet. The empty query after
-    /// it is not counted.
+    /// Number of bytes of the output, up to the end of the job's query, that are not written to the socket yet. The
+    /// empty query behind the job's query is not counted.
     unwritten: usize,
     /// Whether a query was put into the output buffer and no byte was written since then.
     has_written_nothing: bool,
-    /// When the query was put into the output buffer.
+    /// When the job's query was put into the output buffer.
     write_began_at: Time,
-    /// Time from when the query was put into the output buffer until all of it was written.
+    /// Time from when the job's query was put into the output buffer until the whole query was written to the socket.
     write_delay: Span,
-    /// How long the bytes that were read last had waited to be read.
+    /// How long the bytes that were read last from the member had waited in the kernel.
     read_delay: Span,
-    /// Number of bytes of the input that are already parsed.
+    /// Number of bytes at the front of the input that belong to the answer and are already parsed.
     scanned: usize,
     answer: QueryAnswer,
-    /// Whether bytes of the answer have arrived.
+    /// Whether bytes of the answer to the job's query have arrived.
     has_answer_begun: bool,
     idle_since: Time,
     last_received_at: Time,
@@ -62,15 +62,15 @@
     pub(in crate::reducer) job: Job,
     pub(in crate::reducer) member: MemberId,
     pub(in crate::reducer) answer: QueryAnswer,
-    /// Number of bytes of the input that the answer occupies.
+    /// Number of bytes that the answer occupies at the front of the connection's input.
     pub(in crate::reducer) input_bytes: usize,
-    /// How long the member took. The time that the query waited in this router before it was written, and the answer
-    /// before it was read, is not included.
+    /// How long the job took from its assignment to its complete answer, without the time that the query waited in this
+    /// router before it was written and the time that the answer waited before it was read.
     pub(in crate::reducer) latency: Span,
     pub(in crate::reducer) waited_for_router: Span,
 }
 
-/// How much of a query was already written when it is withdrawn.
+/// How much of a job's query was already written to the socket when the query is withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum Withdrawal {
     /// The connection is not established, so the query is not in the output.
@@ -82,10 +82,10 @@
     Written,
 }
 
-/// The consequence of a member's message.
+/// The consequence of a member's message for its connection.
 pub(in crate::reducer) enum MessageEffect {
     Continue,
-    /// The connection can take a query.
+    /// The member has completed its startup, so the connection can take a query.
     Established,
     AnswerComplete,
     /// The connection can't be used any more, and its job has ended with this outcome.
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The member's index.
+    /// The index of the connection's member.
     pub(in crate::reducer) fn member(&self) -> usize {
         self.member
     }
@@ -150,19 +150,19 @@
         self.unwritten
     }
 
-    /// Assigns a job to the connection. Returns the new deadline of the connection.
+    /// Assigns a job to the connection. `deadline` is the job's. Returns the new deadline of the connection.
     pub(in crate::reducer) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
         (self.job, self.assigned_at, self.job_deadline) = (Some(job), assigned_at, deadline);
         self.write_delay = Span::ZERO;
         if self.is_established { deadline } else { deadline.min(self.connect_deadline) }
     }
 
-    /// Removes and returns the job. The answer stays as it is.
+    /// Removes and returns the connection's job. What has arrived of the job's answer stays stored.
     pub(in crate::reducer) fn take_job(&mut self) -> Option<Job> {
         self.job.take()
     }
 
-    /// Removes and returns the job, with what has arrived of its answer.
+    /// Removes and returns the connection's job, with what has arrived of the job's answer.
     pub(in crate::reducer) fn end_job(&mut self) -> EndedJob {
         EndedJob {
             job: self.job.take(),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Removes and returns the job, whose answer is complete.
+    /// Removes and returns the connection's job, whose answer must be complete, together with that answer.
     pub(in crate::reducer) fn take_answered_job(&mut self, now: Time) -> Option<AnsweredJob> {
         let job = self.job.take()?;
         let waited_for_router = self.write_delay + self.read_delay;
@@ -220,8 +220,8 @@
         self.is_established && self.job.is_some()
     }
 
-    /// Returns whether the input, which now has `input_bytes`, holds the first bytes of an answer. This is true only
-    /// once for each answer.
+    /// Returns whether the first bytes of an answer have just arrived, given that the input now has `input_bytes`. The
+    /// result is true only once for each answer.
     pub(in crate::reducer) fn begins_answer(&mut self, input_bytes: usize) -> bool {
         input_bytes > self.scanned
             && self.has_established_job()
@@ -232,7 +232,7 @@
         self.has_answer_begun
     }
 
-    /// Number of bytes of the input that are already parsed.
+    /// Number of bytes at the front of the input that belong to the answer and are already parsed.
     pub(in crate::reducer) fn scanned(&self) -> usize {
         self.scanned
     }
@@ -241,8 +241,8 @@
         self.scanned += count;
     }
 
-    /// In faulty builds, treats all input as a complete answer if a row description has arrived. Returns whether that
-    /// is so.
+    /// Used only with the fault `TrustsLengths`. If a row description has arrived, treats all input as a complete
+    /// answer and returns true. Otherwise changes nothing and returns false.
     pub(in crate::reducer) fn force_complete(&mut self, input_bytes: usize) -> bool {
         let has_description = self.answer.has_description();
         if has_description {
@@ -252,8 +252,9 @@
         has_description
     }
 
-    /// Returns when the query must be fully written: at the job's deadline, and at most `timeout` after
-    /// `write_began_at`. Returns `None` if the query is fully written or the connection is not established.
+    /// Returns when the job's query must be fully written: by the job's deadline, and at most `timeout` after the query
+    /// was put into the output buffer. Returns `None` if the query is fully written or the connection is not
+    /// established.
     pub(in crate::reducer) fn write_deadline(&self, timeout: Span) -> Option<Time> {
         let is_writing = self.is_established && self.unwritten > 0;
         is_writing.then(|| self.job_deadline.min(self.write_began_at + timeout))
@@ -265,7 +266,7 @@
         matches!(self.job, Some(Job::Attempt(_))) && is_unsent
     }
 
-    /// Withdraws the query as far as that is possible.
+    /// Withdraws the job's query if no byte of it was written. Returns how much of the query was written.
     pub(in crate::reducer) fn withdraw_query(&mut self) -> Withdrawal {
         match (self.is_established, self.has_written_nothing) {
             (true, false) if self.unwritten > 0 => Withdrawal::PartlyWritten,
@@ -278,15 +279,16 @@
         }
     }
 
-    /// Records that the query of the job was put into the output, of which the first `unwritten` bytes end with the
-    /// query.
+    /// Records that the job's query was put into the output. The query ends at the byte number `unwritten` of the
+    /// output.
     pub(in crate::reducer) fn begin_query(&mut self, now: Time, unwritten: usize) {
         (self.unwritten, self.scanned, self.answer) = (unwritten, 0, QueryAnswer::default());
         (self.write_began_at, self.write_delay, self.has_written_nothing) = (now, Span::ZERO, true);
         self.has_answer_begun = false;
     }
 
-    /// Records that `count` bytes of output were written. Returns whether they complete the query.
+    /// Records that `count` bytes of the output were written to the socket. Returns whether the job's query is now
+    /// fully written.
     pub(in crate::reducer) fn record_written(&mut self, now: Time, count: usize) -> bool {
         if self.unwritten == 0 {
             return false;
@@ -299,12 +301,12 @@
         self.unwritten == 0
     }
 
-    /// Returns whether the query is fully written, so that the member may run it.
+    /// Returns whether the job's query is fully written, so that the member may run the query.
     pub(in crate::reducer) fn is_query_sent(&self) -> bool {
         self.is_established && self.unwritten == 0
     }
 
-    /// Returns the outcome of the job if the connection ends now. A complete answer counts even if the member's
+    /// Returns the outcome that the job has if the connection ends now. A complete answer counts even if the member's
     /// ReadyForQuery has not arrived.
     pub(in crate::reducer) fn outcome_on_close(&self) -> AttemptOutcome {
         if self.is_established && self.answer.is_complete() {
@@ -318,7 +320,8 @@
         }
     }
 
-    /// Handles a message of the member. `accepts_torn_rows` is set in a faulty build only.
+    /// Handles a message that the member has sent. `accepts_torn_rows` is set only with the fault `ForwardsTornRows`,
+    /// and then a row with a wrong length is accepted.
     pub(in crate::reducer) fn on_message(
         &mut self,
         kind: u8,
@@ -368,8 +371,8 @@
         }
     }
 
-    /// Handles an error of the member. A fatal error ends the connection. So does an error that does not answer a fully
-    /// written query, because the rest of that query could not be withdrawn.
+    /// Handles an error that the member has sent. A fatal error ends the connection. So does an error that does not
+    /// answer a fully written query, because the rest of that query could not be withdrawn.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
         let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
         let is_fatal = error.fatal;
--- a/crates/ladderpass/src/reducer/state/member_pools.rs
+++ b/crates/ladderpass/src/reducer/state/member_pools.rs
@@ -20,7 +20,7 @@
 
 struct MemberPool {
     address: SocketAddr,
-    /// Connections that can take a job. The connection that was used last is at the end.
+    /// The member's idle connections, which can take a job. The connection that was used last is at the end.
     idle: Vec<ConnectionId>,
     /// Connections that are being established for an attempt.
     connecting: VecDeque<ConnectionId>,
@@ -42,7 +42,7 @@
 }
 
 impl MemberPools {
-    /// Number of indexes, including those that are free for another member.
+    /// Number of member indexes, including those that are free for another member.
     pub(in crate::reducer) fn len(&self) -> usize {
         self.pools.len()
     }
@@ -56,7 +56,7 @@
         &self.names
     }
 
-    /// Adds a member and returns its index.
+    /// Adds a member with this id and address, and returns the member's index.
     pub(in crate::reducer) fn add(&mut self, id: &str, address: SocketAddr) -> u32 {
         let index = self.names.intern(id);
         let pool = MemberPool::new(address);
--- a/crates/ladderpass/src/reducer/state/methods.rs
+++ b/crates/ladderpass/src/reducer/state/methods.rs
@@ -4,22 +4,24 @@
 use ladderpass_routing::{Consistency, Idempotency, Method};
 use std::collections::HashMap;
 
-/// Methods by name and by index.
+/// The deployment's methods, which can be looked up by name and by index.
 pub(in crate::reducer) struct MethodTable {
     index_by_name: HashMap<String, u32, foldhash::fast::RandomState>,
     properties: Vec<MethodProperties>,
     /// Whether at least one method has session consistency, which means that its reads see the writes of their session.
     has_session_methods: bool,
-    /// Whether statements carry the age of their session's last write, so that the router need not remember it.
+    /// Whether clients state in each statement when their session last wrote, so that the router need not remember this
+    /// time.
     session_write_age_carried: bool,
 }
 
 struct MethodProperties {
-    /// Whether the member must have reached a position, because the method's staleness is bounded or it sees its
-    /// session's writes.
+    /// Whether a member must have reached a certain replication position to serve the method, because the method's
+    /// staleness is bounded or its reads see the writes of their session.
     requires_position: bool,
     is_write: bool,
-    /// Whether a further attempt has no second effect only within the window of the method's idempotency key.
+    /// Whether the method is idempotent by a key, so that a further attempt has no second effect only within the key's
+    /// time window.
     uses_idempotency_key: bool,
 }
 
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -1,5 +1,6 @@
-//! Measures this router's own overload. The measurements go to the governor, and the governor's state goes to the
-//! routing core with each arrival. The monitor also finds clients that do not read their answers, and logs metrics.
+//! Measures this router's own overload. The measurements go to the overload governor (`ladderpass-overload`), and the
+//! governor's state goes to the routing core with each arriving RPC. The monitor also finds clients that do not read
+//! their answers, and logs metrics.
 //!
 //! The monitor is off unless the operator's file has an `overload` section. It rejects no RPC itself, which is left to
 //! the routing core.
@@ -15,7 +16,8 @@
 /// Monitors the load of this process, if the operator has enabled it.
 pub(in crate::reducer) struct OverloadMonitor {
     active: Option<Box<ActiveMonitor>>,
-    /// Number of RPCs accepted, and of those rejected at arrival, since the metrics were last logged.
+    /// `accepted` is the number of RPCs that were passed to the routing core since the metrics were last logged, and
+    /// `rejected` is the number of those that were rejected at arrival.
     accepted: u32,
     rejected: u32,
 }
@@ -44,8 +46,8 @@
     /// Returns the slow readers that must be closed. This prevents clients that send statements and do not read the
     /// answers from filling the memory. Each slow reader has a time limit, which is shorter when memory is short, and a
     /// limit on the bytes of its output. In addition, once the memory of all buffers exceeds the size up to which it
-    /// raises no pressure, the largest slow readers that have read nothing for a sample interval are closed, before
-    /// other clients are affected. No other client is closed to free memory.
+    /// does not raise the overload pressure, the largest slow readers that have read nothing for a sample interval are
+    /// closed, before other clients are affected. No other client is closed to free memory.
     fn overdue_slow_readers(&mut self, now: Time, connections: &Connections) -> Vec<ConnectionId> {
         let timeout = self.governor.slow_reader_timeout();
         let max_bytes = self.governor.slow_reader_max_bytes();
@@ -60,8 +62,8 @@
         overdue.map(|(&id, _)| id).collect()
     }
 
-    /// Returns the largest slow readers, as many as must be closed to reduce the memory of buffers to where it raises
-    /// no pressure.
+    /// Returns the slow readers with the largest buffers, as many as must be closed to reduce the memory of all buffers
+    /// to the size up to which it raises no pressure.
     fn largest_slow_readers(&self, now: Time, connections: &Connections) -> FxHashSet<ConnectionId> {
         let interval = self.governor.sample_interval();
         let mut excess_bytes =
@@ -102,7 +104,7 @@
         OverloadMonitor { active, accepted: 0, rejected: 0 }
     }
 
-    /// Applies changed settings of the operator.
+    /// Applies the settings of the operator's file, which may have changed.
     pub(in crate::reducer) fn reconfigure(
         &mut self,
         now: Time,
@@ -130,12 +132,13 @@
         Some(active.sampled_at + active.governor.sample_interval())
     }
 
-    /// Returns how many connections to accept for one event, which is `limit` without overload.
+    /// Returns how many clients to accept for one event of the listener. This number is `limit` while the router is not
+    /// overloaded.
     pub(in crate::reducer) fn accept_budget(&self, limit: usize) -> usize {
         self.active.as_ref().map_or(limit, |active| active.governor.accept_budget(limit))
     }
 
-    /// Returns the slow readers that must be closed.
+    /// Returns the clients that must be closed because they do not read their answers.
     pub(in crate::reducer) fn overdue_slow_readers(
         &mut self,
         now: Time,
@@ -177,7 +180,7 @@
     }
 
     /// Counts an RPC that was rejected at arrival, for any reason. Returns whether the operator's file has an
-    /// `overload` section. Without one, the RPC is not counted.
+    /// `overload` section. Without this section the RPC is not counted.
     pub(in crate::reducer) fn record_rejected_at_arrival(&mut self) -> bool {
         let Some(active) = &mut self.active else { return false };
         active.governor.record_rejected();
@@ -185,14 +188,15 @@
         true
     }
 
-    /// Records that an RPC that was accepted got no good answer.
+    /// Records that an RPC that was not rejected at arrival ended without a member's answer.
     pub(in crate::reducer) fn record_unserved(&mut self) {
         if let Some(active) = &mut self.active {
             active.governor.record_rejected();
         }
     }
 
-    /// Records that an RPC was answered. `bytes` returns the size of its statement and of the client's output.
+    /// Records that an RPC was answered with a member's answer. `bytes` returns the size of the RPC's statement plus
+    /// the size of the client's output, in bytes.
     pub(in crate::reducer) fn record_served(
         &mut self,
         now: Time,
@@ -231,8 +235,8 @@
         }
     }
 
-    /// Records the end of an iteration of the event loop. `unread_bytes` is the size of the input that clients have
-    /// sent and that is not consumed.
+    /// Records the end of an iteration of the event loop. `unread_bytes` is the size in bytes of the input that clients
+    /// have sent and that is not consumed yet.
     pub(in crate::reducer) fn end_iteration(
         &mut self,
         now: Time,
@@ -280,7 +284,7 @@
     }
 }
 
-/// The cost of a statement to the router before it is assessed.
+/// What a statement has cost the router before the statement is assessed: waiting time and bytes.
 pub(in crate::reducer) struct StatementCost {
     /// How long the router kept the statement waiting.
     pub(in crate::reducer) waited: Span,
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -16,10 +16,10 @@
 /// Time after the start in which the routers listed in the operator's file count as alive, because a router that has
 /// just started has not found the others yet.
 const SETTLING_TIME: Span = Span::from_millis(2000);
-/// Cost of each RPC in shared admission control. It is the same for all RPCs, so that priorities follow from utility
-/// alone.
+/// Cost of each RPC in shared admission control, in seconds. The cost is the same for all RPCs, so that priorities
+/// follow from utility alone.
 const UNIT_COST_SECS: f64 = 1e-4;
-/// Maximum size of the admission reports in a membership datagram.
+/// Maximum size of the admission reports in a membership datagram, in bytes.
 const PIGGYBACK_BYTES: usize = 150;
 
 /// State of the links to other routers.
@@ -35,9 +35,9 @@
     group_numbers: Vec<u32>,
     /// Shared admission control. `None` means that each router sheds load on its own.
     admission: Option<AdmissionController>,
-    /// The shared retry budget. `None` means that it does not limit retries.
+    /// The retry budget that all routers share. `None` means that no shared budget limits retries.
     retry_budget: Option<RetryBudget>,
-    /// Number of RPCs that this router has rejected for shared admission control since the start.
+    /// Number of RPCs that shared admission control has rejected at this router since the start of the process.
     rejected: u64,
     metrics_logged_at: Time,
     metrics_interval: Span,
@@ -51,7 +51,7 @@
 }
 
 impl PeerLinks {
-    /// Returns `None` if the operator's file names no peers.
+    /// Returns the links to the other routers, or `None` if the operator's file names no peers.
     pub(in crate::reducer) fn new(now: Time, launch: &Launch) -> Option<PeerLinks> {
         let operator = &launch.operator;
         let peers = operator.peers.as_ref()?;
@@ -63,8 +63,8 @@
         }
         let local = LocalRouter { address: peers.address, started_unix_ms: now.nanos() / 1_000_000 };
         let settings = Settings { faulty: launch.faulty.membership(), ..Settings::default() };
-        // The seed differs from that of the routing core, and between routers that are started with one seed, which
-        // must not draw the same order of routers.
+        // The membership's seed differs from the seed of the routing core. It also differs between routers that are
+        // started with the same configured seed, because these must not contact the other routers in the same order.
         let seed = launch.seed ^ now.nanos() as u64 ^ u64::from(peers.address.port()) << 48;
         let membership = Membership::start(now, seed, local, &peers.listed, &peers.networks, settings);
         let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
@@ -95,22 +95,22 @@
             .map_or(self.membership_wake_at, |admission| admission.wake_at().min(self.membership_wake_at))
     }
 
-    /// The membership's view that was last applied.
+    /// Returns the view of which routers are alive that was last applied.
     pub(in crate::reducer) fn view(&self) -> &View {
         &self.view
     }
 
-    /// Metrics of shared admission control, by group.
+    /// Returns the metrics of shared admission control, by group.
     pub(in crate::reducer) fn admission_metrics(&self) -> Vec<GroupMetrics> {
         self.admission.iter().flat_map(AdmissionController::metrics).collect()
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Removes and returns the datagrams that are to be sent, each with its destination.
     pub(in crate::reducer) fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Handles a membership datagram.
+    /// Handles a datagram of the membership protocol, which may carry admission reports.
     pub(in crate::reducer) fn on_membership_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         self.membership.on_datagram(now, from, bytes);
         let reports = self.membership.take_piggybacked();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Records that gossip on members came from this address. Returns whether it may be accepted.
+    /// Records that gossip on members came from this address. Returns whether the gossip may be accepted.
     pub(in crate::reducer) fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.membership.record_gossip(now, from)
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Runs the membership if it is due. Returns whether it was due.
+    /// Ticks the membership protocol if its wake time has come. Returns whether that was so.
     pub(in crate::reducer) fn tick_membership(&mut self, now: Time) -> bool {
         let is_due = self.membership_wake_at <= now;
         if is_due {
@@ -141,7 +141,7 @@
         is_due
     }
 
-    /// Records that this router is about to shut down.
+    /// Tells the other routers that this router is about to shut down.
     pub(in crate::reducer) fn leave(&mut self, now: Time) {
         self.membership.leave(now);
     }
@@ -160,13 +160,14 @@
         self.membership.take_address_conflict()
     }
 
-    /// The membership's present view.
+    /// Returns the membership's present view of which routers are alive.
     pub(in crate::reducer) fn newest_view(&self) -> View {
         self.membership.view()
     }
 
-    /// Adds the overload state of all routers and the admission draw of `session` to an arrival, and counts the
-    /// arrival as offered load.
+    /// Adds to an arrival the overload state of all routers and the admission draw, a pseudo-random number that is
+    /// derived from `session` and the time. Counts the arrival as offered load, and returns the decision of shared
+    /// admission control.
     pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
@@ -194,12 +195,14 @@
         AdmissionVerdict { is_rejected, priority }
     }
 
-    /// Shared admission control, and the number by which all routers identify a group.
+    /// Returns shared admission control, and the number by which all routers identify this group. Returns `None` if
+    /// shared admission control is off or the group has no number.
     fn admission_for(&mut self, group: u32) -> Option<(&mut AdmissionController, u32)> {
         Some((self.admission.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
 
-    /// The shared retry budget, and the number by which all routers identify a group.
+    /// Returns the shared retry budget, and the number by which all routers identify this group. Returns `None` if the
+    /// shared retry budget is off or the group has no number.
     fn retry_budget_for(&mut self, group: u32) -> Option<(&mut RetryBudget, u32)> {
         Some((self.retry_budget.as_mut()?, *self.group_numbers.get(group as usize)?))
     }
@@ -210,20 +213,21 @@
         }
     }
 
-    /// Withdraws a retry of an RPC of this priority from the budget. Returns false if the budget does not allow it.
+    /// Withdraws a retry of an RPC of this priority from the shared retry budget. Returns false if the budget does not
+    /// allow the retry.
     pub(in crate::reducer) fn try_withdraw_retry(&mut self, group: u32, priority: u32) -> bool {
         self.retry_budget_for(group)
             .is_none_or(|(retry_budget, group)| retry_budget.try_withdraw(group, priority))
     }
 
-    /// Records that a retry that was withdrawn from the budget has succeeded.
+    /// Records that a retry of an RPC of this group, which was withdrawn from the shared retry budget, has succeeded.
     pub(in crate::reducer) fn record_retry_success(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.record_success(group);
         }
     }
 
-    /// Refunds a retry that was withdrawn from the budget and is not made.
+    /// Refunds to the shared retry budget a retry that was withdrawn and is not made.
     pub(in crate::reducer) fn refund_retry(&mut self, group: u32) {
         if let Some((retry_budget, group)) = self.retry_budget_for(group) {
             retry_budget.refund(group);
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Records that an RPC that was admitted was rejected later.
+    /// Records that an RPC that shared admission control admitted was rejected later.
     pub(in crate::reducer) fn record_unplaced(&mut self, group: u32) {
         if let Some((admission, group)) = self.admission_for(group) {
             admission.record_unplaced(group);
@@ -256,8 +260,8 @@
         }
     }
 
-    /// If it is due, exchanges load information between shared admission control, the routing core, the retry budget
-    /// and the other routers.
+    /// If the next step of shared admission control is due, exchanges load information between shared admission
+    /// control, the routing core, the shared retry budget and the other routers.
     pub(in crate::reducer) fn tick_admission(
         &mut self,
         now: Time,
@@ -307,14 +311,15 @@
         peer_log::log_membership(&self.view, &self.membership);
     }
 
-    /// Number of routers that count as alive. Until this router has had time to find the others, it is at least the
-    /// number of routers listed in the operator's file.
+    /// Returns the number of routers that count as alive. Until this router has had time to find the others, the number
+    /// is at least that of the routers listed in the operator's file.
     pub(in crate::reducer) fn alive_count(&self, now: Time, view: &View) -> usize {
         if now < self.settled_at { view.count.max(self.listed_routers) } else { view.count }
     }
 
-    /// Applies the changes of the membership. The log has the membership's own view. Until `settled_at` the routing
-    /// core gets `alive_count`, which may be more than the `count` that is logged.
+    /// Applies the changes of the membership, and logs the membership's own view of which routers are alive. Until
+    /// `settled_at` the routing core gets the number from `alive_count`, which may be higher than the number that is
+    /// logged.
     pub(in crate::reducer) fn apply_changes(&mut self, now: Time, view: View) {
         let changes = self.membership.take_changes();
         if changes.is_empty() && view == self.view {
--- a/crates/ladderpass/src/reducer/state/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -5,7 +5,7 @@
 use crate::reducer::unix_time::time_from_unix_ms;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
 
-/// The part of an answer that has arrived.
+/// The part of a member's answer to a query that has arrived.
 #[derive(Default)]
 pub(in crate::reducer) struct QueryAnswer {
     has_description: bool,
@@ -29,12 +29,12 @@
         self.error = Some(error);
     }
 
-    /// Marks the command as complete without checking which messages have arrived.
+    /// Marks the answer's command as complete without checking which messages have arrived.
     pub(super) fn complete(&mut self) {
         self.is_command_complete = true;
     }
 
-    /// In faulty builds, treats the messages that have arrived as a complete answer with a row.
+    /// Used only with the fault `TrustsLengths`: treats the messages that have arrived as a complete answer with a row.
     pub(super) fn force_complete(&mut self) {
         (self.has_row, self.is_command_complete) = (true, true);
     }
@@ -44,7 +44,8 @@
         self.is_command_complete || self.error.is_some()
     }
 
-    /// Adds a message of the result. Returns false if the message does not fit into the answer at this point.
+    /// Adds a message of the result to the answer. Returns false if the message is not valid at this point of the
+    /// answer.
     pub(super) fn add_result_message(&mut self, kind: u8, body: &[u8], accepts_torn_rows: bool) -> bool {
         if self.is_complete() {
             return false;
@@ -79,12 +80,13 @@
         }
     }
 
-    /// In faulty builds, replaces the position if the member has reported one.
+    /// Used only with the fault `IgnoresLag`: replaces the member's replication position if the member has reported
+    /// one.
     pub(in crate::reducer) fn override_position(&mut self, position: Time) {
         self.position = self.position.map(|_| position);
     }
 
-    /// Returns the outcome of an attempt whose answer is complete.
+    /// Returns the outcome of an attempt or a health check, given that this answer is complete.
     pub(in crate::reducer) fn outcome(&self) -> AttemptOutcome {
         match self.error.as_ref().map(|error| error.code.as_str()) {
             None => AttemptOutcome::Ok,
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Returns the result of an attempt, with the role and the position that the answer reports of the member.
+    /// Returns the result of an attempt with this outcome, and with the role and the replication position that the
+    /// member has reported in this answer.
     pub(in crate::reducer) fn to_result(
         &self,
         member: MemberId,
@@ -113,7 +116,7 @@
     }
 }
 
-/// Returns the result of an attempt of which no answer has arrived.
+/// Returns the result of an attempt for which nothing of an answer has arrived.
 pub(in crate::reducer) fn unanswered_result(
     member: MemberId,
     outcome: AttemptOutcome,
--- a/crates/ladderpass/src/reducer/state/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_ids.rs
@@ -5,18 +5,19 @@
 use std::collections::BTreeMap;
 use std::hash::BuildHasher;
 
-/// Width of the steps in which ids expire.
+/// The ids of RPCs expire in time steps of this width.
 const EXPIRY_STEP_NANOS: i64 = 128_000_000;
 
-/// The ids, stored as hashes with a random key of this process, so that nobody can choose ids that collide.
+/// The ids of RPCs, stored as hashes with a random key of this process, so that nobody can choose ids whose hashes
+/// collide.
 #[derive(Default)]
 pub(super) struct RpcIds {
     key: foldhash::fast::RandomState,
     /// Ids of RPCs, in flight or ended, that are kept until they expire.
     remembered: FxHashSet<u64>,
-    /// Ids of RPCs in flight. They are kept however many RPCs begin after them.
+    /// Ids of RPCs in flight. Each is kept until its RPC ends, however many RPCs begin in the meantime.
     in_flight: FxHashSet<u64>,
-    /// The remembered ids by the step in which they expire. Their order within a step does not matter.
+    /// The remembered ids by the time step in which they expire. The order of ids within a step does not matter.
     expiring: BTreeMap<i64, Vec<u64>>,
 }
 
@@ -29,14 +30,14 @@
         self.remembered.contains(&id) || self.in_flight.contains(&id)
     }
 
-    /// Records that the RPC with this id has ended. The id stays remembered until it expires.
+    /// Records that the RPC with this id has ended. The id itself stays remembered until it expires.
     pub(super) fn release_in_flight(&mut self, id: u64) {
         self.in_flight.remove(&id);
     }
 
-    /// Records that an RPC with this id begins. The id is kept until it is released, and is remembered until
-    /// `expires_at`. Ids that have expired are forgotten. If there are still `max_remembered` ids, those that expire
-    /// first are forgotten too.
+    /// Records that an RPC with this id begins. The id is kept at least until the RPC ends, and is remembered until
+    /// `expires_at`. Ids that have expired are forgotten. If `max_remembered` ids are still remembered then, the ids
+    /// that expire first are forgotten too.
     pub(super) fn reserve(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
         while let Some(mut step) = self.expiring.first_entry()
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -6,20 +6,21 @@
 use rustc_hash::FxHashMap;
 use std::ops::Range;
 
-/// The properties of an RPC that do not change.
+/// The properties of an RPC that are fixed once the RPC is accepted.
 #[derive(Clone, Debug)]
 pub(in crate::reducer) struct RpcDescription {
     pub(in crate::reducer) deadline: Time,
-    /// Whether the member must have reached a position, which is given by the staleness bound or by the session's last
-    /// write. A member that meets this at the decision may not meet it any more when the query is sent.
+    /// Whether the member must have reached a certain replication position, which follows from the staleness bound or
+    /// from the session's last write. A member that has reached the required position at the routing decision may be
+    /// behind the position that is required when the query is sent.
     pub(in crate::reducer) requires_position: bool,
     pub(in crate::reducer) method: u32,
     pub(in crate::reducer) group: u32,
-    /// The RPC's priority among all RPCs, if routers shed load together.
+    /// The RPC's priority in shared admission control, or zero if that is off.
     pub(in crate::reducer) priority: u32,
     /// The RPC's id, hashed by `RpcIds`.
     pub(in crate::reducer) id_hash: u64,
-    /// The range of the statement that states how long the client waits.
+    /// The byte range of the statement's text that states how long the client waits.
     pub(in crate::reducer) wait_at: Range<usize>,
 }
 
@@ -29,19 +30,20 @@
     /// The client that waits for the answer. `None` once the RPC is answered or the client has left.
     client: Option<ConnectionId>,
     accepted_at: Time,
-    /// How long the router itself kept the RPC waiting since it was accepted.
+    /// How long this router itself kept the RPC's queries and their answers waiting since the RPC was accepted.
     waited_for_router: Span,
     attempts: u32,
-    /// Whether an attempt has begun. The retry budget counts only one first attempt of each RPC, even if that attempt
-    /// is discounted later.
+    /// Whether an attempt of the RPC has begun. The retry budget counts only one first attempt of each RPC, even if
+    /// that attempt is discounted later.
     first_attempt_recorded: bool,
-    /// Whether a retry was withdrawn from the budget for an attempt that is not made yet.
+    /// Whether a retry was withdrawn from the shared retry budget for a further attempt of the RPC that is not made
+    /// yet.
     retry_withdrawn: bool,
     /// The connection that carries the RPC's attempt, or will carry it once it is established.
     connection: Option<ConnectionId>,
-    /// Whether an attempt has ended with an outcome that does not prove that the RPC never ran.
+    /// Whether an attempt of the RPC has ended with an outcome that does not prove that the RPC never ran at a member.
     may_have_run: bool,
-    /// Whether the client has asked to cancel the RPC. No further attempt begins then.
+    /// Whether the client has asked to cancel the RPC. If so, no further attempt of the RPC begins.
     is_cancelled: bool,
     /// Tracing span of the RPC and its attempts, at debug level only.
     span: tracing::Span,
@@ -77,14 +79,14 @@
         self.client
     }
 
-    /// Removes and returns the client, either because its one answer is about to be written or because the client has
-    /// left. This prevents a second answer.
+    /// Removes and returns the client that waits for the RPC's answer, either because the one answer is about to be
+    /// written or because the client has left. Without a client, no second answer can be written.
     pub(in crate::reducer) fn take_client(&mut self) -> Option<ConnectionId> {
         self.client.take()
     }
 
-    /// Time since the RPC was accepted, without the time that this router kept its answered queries and their answers
-    /// waiting. Time in the routing core's queue and for connecting is included.
+    /// Returns the time since the RPC was accepted, without the time that this router kept the RPC's answered queries
+    /// and their answers waiting. Time in the routing core's queue and for connecting is included.
     pub(in crate::reducer) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
@@ -93,7 +95,7 @@
         self.waited_for_router += span;
     }
 
-    /// Records that an attempt begins. Returns whether it is the first one.
+    /// Records that an attempt of the RPC begins. Returns whether this is the RPC's first attempt.
     pub(in crate::reducer) fn begin_attempt(&mut self) -> bool {
         self.attempts += 1;
         self.retry_withdrawn = false;
@@ -113,7 +115,8 @@
         self.may_have_run |= !outcome.never_ran();
     }
 
-    /// Subtracts the attempt that has ended from the number of attempts, because it does not count as one.
+    /// Subtracts the attempt that has ended from the RPC's number of attempts, because nothing was sent in this
+    /// attempt.
     pub(in crate::reducer) fn discount_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
     }
@@ -126,8 +129,8 @@
         self.retry_withdrawn = is_withdrawn;
     }
 
-    /// Returns whether a retry was withdrawn from the budget for an attempt that is not made yet, and clears this flag.
-    /// The caller refunds the retry if the attempt will not be made.
+    /// Returns whether a retry was withdrawn from the shared retry budget for an attempt that is not made yet, and
+    /// clears this flag. The caller refunds the retry if the attempt will not be made.
     pub(in crate::reducer) fn take_retry_withdrawn(&mut self) -> bool {
         std::mem::take(&mut self.retry_withdrawn)
     }
@@ -183,8 +186,8 @@
         self.ids.contains(id_hash)
     }
 
-    /// Reserves an id until its RPC is removed. The id is also remembered until `expires_at`, unless it is forgotten
-    /// earlier to limit the number of remembered ids to `max_remembered`.
+    /// Reserves the id of an RPC until the RPC is removed from the table. The id is also remembered until `expires_at`,
+    /// unless the number of remembered ids must be limited to `max_remembered` earlier.
     pub(in crate::reducer) fn reserve_id(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/state/shutdown.rs
+++ b/crates/ladderpass/src/reducer/state/shutdown.rs
@@ -31,7 +31,8 @@
         self.began_at.is_some() && self.is_listener_closed && clients == 0
     }
 
-    /// Returns when the listener must be closed, if a shutdown has begun and the listener is still open.
+    /// Returns when the listener must be closed, which is `accept_time` after the shutdown began. Returns `None` if no
+    /// shutdown has begun or the listener is already closed.
     pub(in crate::reducer) fn close_listener_at(&self, accept_time: Span) -> Option<Time> {
         self.began_at.filter(|_| !self.is_listener_closed).map(|began_at| began_at + accept_time)
     }
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -1,4 +1,4 @@
-//! Counts of this router's work since they were last logged.
+//! Counts of this router's work since the counts were last logged.
 
 use ladderpass_routing::reasons::ExceptionCounts;
 use ladderpass_routing::{AttemptOutcome, Span, Time};
@@ -24,8 +24,9 @@
     /// A statement was rejected with `Rejection::Full`, because too many RPCs are in flight, or with
     /// `Rejection::SentAhead`, because its client has sent too much ahead.
     Full,
-    /// An RPC was rejected at arrival. With an `overload` section in the operator's file, all such rejections are
-    /// counted here, whatever their reason. Without one, only those by shared admission control are.
+    /// An RPC was rejected at arrival. With an `overload` section in the operator's file, all rejections at arrival are
+    /// counted here, whatever their reason. Without that section, only rejections by shared admission control are
+    /// counted.
     Shed,
     /// A client was closed because it does not read its answers.
     SlowReader,
@@ -33,14 +34,14 @@
 
 const COUNT_KINDS: usize = Count::SlowReader as usize + 1;
 
-/// Counts since they were last logged.
+/// Counts of events and total times since the counts were last logged.
 pub(in crate::reducer) struct Stats {
     counts: [u32; COUNT_KINDS],
     attempts: OutcomeCounts,
     health_checks: OutcomeCounts,
     connects: u32,
     connect_time: Span,
-    /// Time that members took for the attempts that ended with `AttemptOutcome::Ok`.
+    /// Total time that members took for the attempts that ended with `AttemptOutcome::Ok`.
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Outcomes that did not occur are left out.
+/// Prints the number of each outcome that occurred, and leaves out the others.
 impl Debug for OutcomeCounts {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         let counted = AttemptOutcome::ALL.iter().map(|&outcome| (outcome, self.get(outcome)));
@@ -112,7 +113,8 @@
         self.connect_time += span;
     }
 
-    /// Number of attempts that ended with `AttemptOutcome::Ok`, and the time that members took for them.
+    /// Returns the number of attempts that ended with `AttemptOutcome::Ok`, and the total time that members took for
+    /// them.
     pub(in crate::reducer) fn answered_attempts(&self) -> (u32, Span) {
         (self.attempts.get(AttemptOutcome::Ok), self.answer_time)
     }
@@ -129,17 +131,18 @@
         self.health_checks
     }
 
-    /// Number of connections to members that were begun.
+    /// Returns the number of connections to members that the router began to open.
     pub(in crate::reducer) fn connects(&self) -> u32 {
         self.connects
     }
 
-    /// Total time that connections to members took to be established.
+    /// Returns the total time that connections to members took to be established.
     pub(in crate::reducer) fn connect_time(&self) -> Span {
         self.connect_time
     }
 
-    /// Counts of RPCs that were not served in the ordinary way.
+    /// Returns the counts of RPCs that were given up, and of reads that were sent to a primary because no replica could
+    /// get them.
     pub(in crate::reducer) fn exceptions(&self) -> &ExceptionCounts {
         &self.exceptions
     }
@@ -157,7 +160,7 @@
         self.counts[kind as usize]
     }
 
-    /// Returns whether one more example may be logged, and counts it if so.
+    /// Returns whether one more example may be logged, and counts this example if so.
     pub(in crate::reducer) fn try_count_example(&mut self) -> bool {
         let allowed = self.examples < MAX_EXAMPLES;
         self.examples += usize::from(allowed);
