--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -60,7 +60,7 @@
     ) {
         result.position = result.position.and_then(|position| self.plausible_position(now, position));
         // A member that has no data for its load report yet sends zeros, also for its role, so nothing of a report
-        // without a plausible position is used.
+        // whose position is not plausible is used.
         if let Some(position) = report.position
             && self.plausible_position(now, position).is_none()
         {
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -1,5 +1,6 @@
-//! Handles the watch of discovery: its answers, its silence, its end, and its move to another address. The routing core
-//! decides when to poll.
+//! Handles the watch, which is the long-lived HTTP request by which discovery sends the endpoint list: the watch's
+//! answers, its silence, its end, and its move to another address of discovery. The routing core decides when discovery
+//! is polled, which means that a new watch is opened.
 
 use crate::discovery::{Listing, WatchReader};
 use crate::reducer::Reducer;
@@ -12,13 +13,13 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Returns the generation of the endpoint list in use, by discovery's count.
+    /// Returns the generation of the endpoint list in use, as discovery numbers its lists.
     pub fn generation(&self) -> u64 {
         self.discovery.generation()
     }
 
-    /// Moves the watch to another address of discovery. That address is polled at once, even if the routing core is in
-    /// a backoff.
+    /// Moves the watch to another address of discovery. The new address is polled at once, even if the routing core is
+    /// in a backoff between polls.
     pub(in crate::reducer) fn move_watch(&mut self, now: Time, address: SocketAddr) {
         if address == self.discovery.address() {
             return;
@@ -27,8 +28,8 @@
         let has_answered = |id| connections.discovery(id).is_some_and(WatchReader::has_read_listing);
         let unused = self.discovery.move_to(address, has_answered);
         unused.into_iter().for_each(|id| self.close_connection(id));
-        // The routing core starts this poll itself. Otherwise its backoff could end, and start another poll, in the
-        // middle of this one.
+        // The routing core starts the poll of the new address itself. If the reducer started the poll, the routing
+        // core's backoff could end in the middle of the poll and start another one.
         self.router.on_endpoint_update(now, EndpointUpdate::Failed { poll_immediately: true });
     }
 
@@ -52,9 +53,10 @@
         self.effects.push(Effect::Connect(id, self.discovery.address()));
     }
 
-    /// Reads what discovery has sent.
+    /// Reads and applies the lists that discovery has sent on a watch.
     pub(super) fn read_watch(&mut self, now: Time, id: ConnectionId) {
-        // A list that begins and never ends is no progress, however much of it arrives.
+        // Bytes in the middle of a list do not count as progress, so that a list that never ends does not extend the
+        // deadline, however much of it arrives.
         let mut has_progressed = !self.is_within_list(id);
         loop {
             let Some(Connection { input, remote: Remote::Discovery(reader), .. }) =
@@ -76,13 +78,14 @@
     }
 
     fn extend_watch_deadline(&mut self, now: Time, id: ConnectionId, has_progressed: bool) {
-        // A late request keeps its deadline.
+        // A late request, which stays open in parallel with the next one, keeps its deadline.
         if self.discovery.late() == Some(id) {
             return;
         }
         if !self.has_answered(id) {
-            // Only the head of the answer or the beginning of a list has arrived. The first list may take
-            // `watch_silence_timeout` in all, and `watch_answer_timeout` from one read to the next.
+            // Of the answer to the watch's request, only the HTTP head or the beginning of the first list has arrived.
+            // The first list may take `watch_silence_timeout` in all, and `watch_answer_timeout` from one read to the
+            // next.
             let latest = self.discovery.requested_at() + self.limits.watch_silence_timeout;
             let deadline = latest.min(now + self.limits.watch_answer_timeout);
             return self.connections.set_deadline(id, Some(deadline));
@@ -93,7 +96,8 @@
         }
     }
 
-    /// Applies a list. Returns false if the watch has ended.
+    /// Applies an endpoint list that was received on a watch, or rejects the list and ends the watch. Returns false if
+    /// the watch has ended.
     fn on_listing(&mut self, now: Time, id: ConnectionId, listing: &Listing) -> bool {
         if !self.adopt_first_answer(id) {
             self.close_connection(id);
@@ -120,9 +124,10 @@
         true
     }
 
-    /// Makes the first of two open requests to be answered the current watch. An overloaded discovery takes long for
-    /// each request and puts the next one at the end of its queue, so the late request may be answered first. Returns
-    /// false for a late request if the next one was answered before it.
+    /// If two requests for a watch are open, makes the request that is answered first the current watch, and closes the
+    /// other. An overloaded discovery takes long for each request and puts the next request at the end of its queue, so
+    /// the late request may be answered first. Returns false if the answered request is the late one and the next
+    /// request was answered before it.
     fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
         let Some(late) = self.discovery.late() else { return true };
         if late != id {
@@ -140,7 +145,8 @@
         true
     }
 
-    /// Handles the deadline of a watch. A watch that was denied a descriptor connects again. Any other watch is silent.
+    /// Handles the deadline of a watch. If the watch's connect failed for lack of a descriptor, memory or a local port,
+    /// the watch connects again. Otherwise discovery has been silent on the watch for too long.
     pub(super) fn on_discovery_deadline(&mut self, now: Time, id: ConnectionId) {
         if self.discovery.take_denied() != Some(id) {
             return self.on_watch_silent(now, id);
@@ -153,9 +159,9 @@
         self.effects.push(Effect::Connect(id, self.discovery.address()));
     }
 
-    /// Handles a watch that was silent for too long, or a request that has no answer. After a watch that had answered
-    /// fell silent, discovery is polled again at once for as long as the changes missed since then do not count as
-    /// notified by the protocol.
+    /// Handles a watch on which discovery was silent for too long, or a request for a watch that has no answer. After a
+    /// watch that had answered falls silent, discovery is polled again at once for up to `notified_within`, because by
+    /// the protocol the router need not know the changes yet that it missed in this time.
     fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
         let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
         if self.discovery.is_current(id) && !is_unanswered {
--- a/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Applies endpoint lists: reads their entries, gives members indexes and addresses, and passes the update to the
-//! routing core, which judges the members.
+//! routing core, which decides how to use the members.
 
 use crate::discovery::{Instance, Listing};
 use crate::faulty::Faulty;
@@ -9,7 +9,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
 
-/// Why a list is rejected.
+/// Why an endpoint list is rejected.
 #[derive(Debug)]
 pub(in crate::reducer) enum ListingError {
     OlderGeneration { offered: u64, current: u64 },
@@ -30,8 +30,8 @@
 }
 
 impl Reducer {
-    /// Applies an endpoint list. If `is_cached` is set, the list was read from the configuration. If `is_previous` is
-    /// set, it comes from the address that discovery had before.
+    /// Applies an endpoint list. `is_cached` means that the list was read from the configuration, and `is_previous`
+    /// that the list comes from the address that discovery had before its move.
     pub(in crate::reducer) fn apply_listing(
         &mut self,
         now: Time,
@@ -57,8 +57,8 @@
             complete = listing.reset,
             "endpoint list"
         );
-        // A list from the previous address must not count as the answer of the new address, which would then never be
-        // polled.
+        // A list from the previous address of discovery must not count as an answer of the new address: the routing
+        // core would then not poll the new address any more.
         let update = match (is_cached || is_previous, listing.reset) {
             (true, false) if is_previous => EndpointUpdate::ChangesDuringMove(&entries),
             (true, _) => EndpointUpdate::Cached(&entries),
@@ -70,8 +70,8 @@
         Ok(())
     }
 
-    /// Returns the index of an entry's member, which gets the entry's address. Returns `None` for a removed entry whose
-    /// member is not known.
+    /// Sets the address of an entry's member, adding the member if it is new, and returns the member's index. Returns
+    /// `None` if the entry removes a member that is not known.
     fn update_member(&mut self, now: Time, instance: &Instance) -> Result<Option<u32>, ListingError> {
         let address = instance.host_port.parse::<SocketAddr>();
         let known = self.members.names().get(&instance.instance_id);
@@ -82,7 +82,7 @@
                 self.members.set_retired(index as usize, false);
                 Ok(Some(index))
             }
-            // A removed entry needs no valid address.
+            // An entry that removes a member needs no valid address.
             (Some(index), Err(_)) if is_removed => Ok(Some(index)),
             (None, _) if is_removed => Ok(None),
             (None, Ok(address)) => Ok(Some(self.members.add(&instance.instance_id, address))),
@@ -101,8 +101,8 @@
                 EndpointState::Draining if self.faulty.is(Faulty::IgnoresDrains) => EndpointState::Active,
                 state => state,
             },
-            // The time is converted to this router's clock, and limited to the present because no member starts in the
-            // future.
+            // The start time, given by the member's clock, is converted to this router's clock. It is limited to the
+            // present, because no member starts in the future.
             started_at: instance
                 .started_at()
                 .map(|started_at| now.min(started_at - clock_difference))
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -1,5 +1,5 @@
-//! Closes clients that wait for no answer, each after a final read of its socket. These are clients whose timeout has
-//! passed and, if there are too many clients, those whose input has been awaited longest (eviction).
+//! Closes the connections of clients that wait for no answer, each after a final read of its socket. These are clients
+//! whose timeout has passed and, if there are too many clients, those whose input has been awaited longest (eviction).
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -35,10 +35,10 @@
         }
     }
 
-    /// Evicts clients in excess of the limit that have reached their eviction age: first those that have not completed
-    /// their startup, whose age is the shortest, then those in the middle of a statement, then idle ones. Idle clients
-    /// have an age too because a client that was just answered is likely to send another statement, which would cross
-    /// the close.
+    /// While there are more clients than `Limits::clients_before_eviction`, evicts clients whose input has been awaited
+    /// for their eviction age: first clients that have not completed their startup, whose eviction age is the shortest,
+    /// then clients in the middle of a statement, then idle clients. Idle clients have an eviction age too because a
+    /// client that was just answered is likely to send another statement, which would cross the close.
     pub(in crate::reducer) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
@@ -46,16 +46,17 @@
         }
     }
 
-    /// Evicts clients in excess of the limit, and returns whether there are still more than `Limits::clients`. Clients
-    /// that are being evicted, starting up, or in the middle of a statement are not counted.
+    /// Evicts clients in excess of `Limits::clients_before_eviction`, and returns whether there are still more clients
+    /// than `Limits::clients`. Clients that are being evicted, starting up, or in the middle of a statement are not
+    /// counted.
     pub(super) fn evict_and_check_client_limit(&mut self, now: Time) -> bool {
         self.evict_excess_clients(now);
         let uncounted = self.clients.evicting_count() + self.clients.awaiting_startup_or_rest();
         self.clients.len() > self.limits.clients + uncounted
     }
 
-    /// Closes a client's connection after a final read. The socket is read now and once more right before the close,
-    /// because a query may have arrived that was not read yet.
+    /// Begins to close a client's connection. The client's socket is read now and once more right before the close,
+    /// because a statement may have arrived that was not read yet. If so, the connection stays open.
     pub(super) fn close_after_final_read(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         self.clients.begin_eviction(id, client.awaited());
@@ -67,14 +68,14 @@
         self.effects.extend(self.clients.evicting().map(Effect::CloseIfQuiet));
     }
 
-    /// Closes a client after its final read. That read has found nothing, since it would otherwise have cancelled the
-    /// eviction.
+    /// Closes a client's connection after the final read of its socket. The read has found nothing, since bytes that it
+    /// found would have cancelled the eviction.
     pub(in crate::reducer) fn on_read_to_end(&mut self, now: Time, id: ConnectionId) {
         if !self.clients.is_evicting(id) {
             return;
         }
         let Some(connection) = self.connections.get(id) else { return };
-        // A read that failed temporarily is retried, and the final read is requested again.
+        // The final read failed temporarily, so it is requested again.
         if connection.has_unread_bytes() && !connection.is_read_paused() {
             return;
         }
--- a/crates/ladderpass/src/reducer/handlers/member_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_answers.rs
@@ -1,5 +1,5 @@
 //! Reads what members send: the end of their startup, and answers to queries. A message that can't be parsed is not
-//! used as an answer or as information about the member, and its connection is closed.
+//! used as an answer or as information about the member, and the connection on which it arrived is closed.
 
 use crate::faulty::Faulty;
 use crate::pg;
@@ -12,12 +12,13 @@
 use ladderpass_routing::{AttemptOutcome, LoadReport, Time};
 
 impl Reducer {
-    /// Reads the messages that a member has sent.
+    /// Handles the messages that a member has sent on a connection.
     pub(super) fn read_member(&mut self, now: Time, id: ConnectionId) {
         while self.read_member_message(now, id) {}
     }
 
-    /// Reads one message. Returns false if there is none, or if the connection has ended.
+    /// Handles the next message that a member has sent on a connection. Returns false if no complete message is left,
+    /// or if the connection has ended.
     fn read_member_message(&mut self, now: Time, id: ConnectionId) -> bool {
         let Some(Connection { input, remote: Remote::Member(member), .. }) = self.connections.get_mut(id)
         else {
@@ -82,7 +83,7 @@
         false
     }
 
-    /// Handles the completion of a member's startup.
+    /// Handles the end of the startup on a connection to a member, which is now established.
     fn on_member_established(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let connect_began_at = member.connect_deadline() - self.limits.connect_timeout;
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Handles a complete answer to the query of a connection's job. The member is ready for the next query.
+    /// Handles a complete answer to the query of a connection's job. After this answer the member can handle the next
+    /// query on the connection.
     fn on_answer_complete(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         let Some(answered) = member.take_answered_job(now) else { return };
@@ -133,7 +135,7 @@
         self.on_job_ended(now, job, result, report);
     }
 
-    /// Returns the load report at the front of a connection's input.
+    /// Returns the load report in the answer at the front of a member connection's input.
     fn load_report(&mut self, id: ConnectionId) -> LoadReport {
         let Some(connection) = self.connections.get_mut(id) else { return LoadReport::default() };
         let max_bytes = self.limits.member_buffer_bytes;
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -23,13 +23,13 @@
     }
 
     /// Writes the query of a connection's job, and an empty query (the sync query) behind it. The connection is used
-    /// again only once the member has answered the sync query with nothing before that answer. Otherwise a second
-    /// answer, or noise, would go to the next RPC's client.
+    /// again only once the member has answered the sync query and has sent nothing else before that. Otherwise a second
+    /// answer to the job's query, or invalid bytes, would go to the next RPC's client.
     pub(super) fn send_query(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let mut query = Vec::new();
         match member.job() {
-            // The sync query was written behind the query before it.
+            // A sync query was already written together with the query of the job before.
             None | Some(Job::SyncQuery) => return,
             Some(Job::HealthCheck) => pg::put_query(&mut query, &[HEALTH_CHECK_QUERY]),
             Some(Job::Attempt(rpc)) => {
@@ -50,8 +50,9 @@
         }
     }
 
-    /// Puts the statement of an RPC into `query`, with the time that is left. The error is the outcome with which the
-    /// attempt ends unsent, or `None` if there is no such RPC.
+    /// Puts the statement of an RPC into `query`, with the client's wait replaced by the time that is left. If the
+    /// attempt can't be sent, returns an error with the attempt's outcome, or with `None` if there is no such RPC or
+    /// connection.
     fn put_attempt_query(
         &mut self,
         now: Time,
@@ -64,8 +65,8 @@
         };
         let (member_id, deadline) = (MemberId(member.member() as u32), member.job_deadline());
         let description = entry.description();
-        // What was true at the decision may have changed. The member's data may be too old now, and the window in which
-        // a further attempt has no second effect may be over.
+        // What was true at the routing decision may have changed. The member's data may be too old by now, and the
+        // window of the idempotency key, within which a further attempt has no second effect, may be over.
         let is_retry_within_window =
             entry.may_have_run() && self.methods.uses_idempotency_key(description.method);
         let expires = description.requires_position || is_retry_within_window;
@@ -75,7 +76,8 @@
         }
         let client = entry.client().and_then(|client| self.connections.get_mut(client));
         let client = client.ok_or(Some(AttemptOutcome::Cancelled))?;
-        // The client may have left unseen while the connection was being established.
+        // The client may have left while the connection to the member was being established: its close can't be seen
+        // while reading from the client is paused.
         if client.is_read_paused() {
             return Err(Some(AttemptOutcome::NeverSent));
         }
@@ -89,7 +91,7 @@
         Ok(())
     }
 
-    /// Ends the job of a connection with this outcome. The connection itself is kept.
+    /// Ends the job of a member connection with this outcome. The connection itself is kept for other jobs.
     pub(super) fn release_job(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
         if member.job().is_none() {
@@ -108,8 +110,9 @@
         self.on_job_ended(now, job, result, LoadReport::default());
     }
 
-    /// Sets the deadline of a query of which the socket accepts no more bytes. If the member read it late, the time
-    /// left that it states would be wrong, and the member's data might no longer be new enough.
+    /// Sets the deadline for writing a query of which the member connection's socket accepts no more bytes for now. If
+    /// the member read the query late, the remaining time that the query states would be wrong, and the member's data
+    /// might no longer be new enough.
     pub(super) fn on_query_write_blocked(&mut self, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let requires_position = match member.job() {
@@ -133,8 +136,9 @@
         self.connections.member(id).is_some_and(|member| member.is_established())
     }
 
-    /// Withdraws the query of a connection's job if it is not fully written, because no client waits for its answer any
-    /// more. A partly written query never runs, and its connection is closed because it can't be used any more.
+    /// Withdraws the query of a connection's job if the query is not fully written, because no client waits for its
+    /// answer any more. A partly written query never runs at the member, and its connection is closed because the
+    /// connection can't be used any more.
     pub(super) fn withdraw_job(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         match member.withdraw_query() {
@@ -150,7 +154,7 @@
         }
     }
 
-    /// Closes a connection to a member, and ends its job with this outcome.
+    /// Closes a connection to a member, and ends the connection's job with this outcome.
     pub(super) fn end_member_connection(&mut self, now: Time, id: ConnectionId, outcome: AttemptOutcome) {
         let Some(member) = self.connections.member_mut(id) else { return };
         let index = member.member();
@@ -161,7 +165,8 @@
             self.forward_answer(now, id, rpc);
         }
         self.close_connection(id);
-        // A shorter deadline is the client's, and is no reason to close the member's other connections.
+        // If the job timed out in less than `connect_timeout`, its deadline came from the RPC's client, which is no
+        // reason to close the member's other connections.
         if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
             self.close_silent_connections(index, assigned_at);
         }
--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -1,5 +1,6 @@
-//! Manages the connections to members: takes them from the pool or opens them for a job, returns them, and closes them
-//! if their member has another address, drains, has vanished or is retired.
+//! Manages the connections to members: takes connections from the pool or opens them for a job, returns them to the
+//! pool, and closes them if their member has another address, drains, has vanished or is no longer tracked by the
+//! routing core (retired).
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -13,8 +14,8 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Gives a job to a connection of a member, either an idle one or else a new one. Returns `None` if no connection
-    /// can be opened.
+    /// Gives a job to an idle connection of a member, or to a new connection if none is idle. Returns the connection,
+    /// or `None` if no connection can be opened.
     pub(super) fn assign_job(
         &mut self,
         now: Time,
@@ -45,8 +46,8 @@
     }
 
     /// Makes sure that one more connection to a member may be opened. Members may use as many of `Limits::connections`
-    /// as clients leave. If those are used up, the member connection that has been idle longest is closed, or else a
-    /// client past its eviction age. Returns whether there is capacity.
+    /// as clients leave. If these connections are used up, the member connection that has been idle longest is closed,
+    /// or else a client past its eviction age is closed. Returns whether the new connection may be opened.
     fn free_capacity_for_member_connection(&mut self, now: Time) -> bool {
         let limit = self.limits.connections;
         if self.members.connection_count() < limit.saturating_sub(self.clients.len()) {
@@ -75,8 +76,9 @@
         self.members.longest_idle().min_by_key(since)
     }
 
-    /// Gives an established connection without a job the job of one that is still being established, or else makes it
-    /// idle. If the member has another address by now, the connection is closed instead.
+    /// Gives an established connection without a job the job of a connection to the same member that is still being
+    /// established. If there is no such job, makes the connection idle. If the member has another address by now, the
+    /// connection is closed instead.
     pub(super) fn return_to_pool(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         member.set_idle(now);
@@ -98,9 +100,9 @@
         self.connections.set_deadline(id, Some(now + self.limits.member_idle_timeout));
     }
 
-    /// Closes the idle connections of a member on which nothing was received since this time, after a query on another
-    /// of its connections was not answered. A machine that vanished leaves its connections open, and a query on one of
-    /// them may never be answered.
+    /// Closes the idle connections of a member on which nothing was received since the given time. This is called after
+    /// a query on another connection of the member was not answered. A machine that vanished leaves its connections
+    /// open, and a query on such a connection may never be answered.
     pub(super) fn close_silent_connections(&mut self, index: usize, since: Time) {
         let is_silent = |&&id: &&ConnectionId| {
             self.connections.member(id).is_some_and(|member| member.last_received_at() < since)
@@ -117,9 +119,9 @@
         }
     }
 
-    /// Sets a member's address. Connections to the old address are not used again. Jobs whose connections are not
-    /// established move to the new address, where the member may already listen. They don't count as failures of the
-    /// member.
+    /// Sets a member's address. If the address has changed, connections to the old address are not used again. Jobs
+    /// whose connections are not established move to the new address, where the member may already listen. This move
+    /// does not count as a failure of the member.
     pub(super) fn change_member_address(&mut self, now: Time, index: usize, address: SocketAddr) {
         if !self.members.set_address(index, address) {
             return;
@@ -147,7 +149,7 @@
 
     /// Closes the idle connections of members that drain or have left, and ends the attempts of which no byte was sent
     /// to such members, so that they go to other members. The connections of these attempts might be established, or
-    /// accept bytes again, only after the member's grace period.
+    /// accept bytes again, only after the time in which a draining member still serves RPCs.
     pub(super) fn withdraw_from_inactive_members(&mut self, now: Time) {
         let is_inactive = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let inactive: FxHashSet<usize> = (0..self.members.len()).filter(is_inactive).collect();
@@ -170,8 +172,8 @@
         self.release_member_index(index);
     }
 
-    /// Frees the index of a retired member once its last connection is closed. If the index were used again before
-    /// that, a late answer would be taken for one of the next member.
+    /// Frees the index of a retired member if the member's last connection is closed. If the index were used again
+    /// earlier, a late answer of this member would be taken for an answer of the next member with the index.
     pub(super) fn release_member_index(&mut self, index: usize) {
         if self.members.try_release(index) {
             self.gossip_codec.id_hashes.remove(index as u32);
--- a/crates/ladderpass/src/reducer/handlers/overload.rs
+++ b/crates/ladderpass/src/reducer/handlers/overload.rs
@@ -1,4 +1,4 @@
-//! Handles samples of the process's resource usage, and closes slow readers.
+//! Handles samples of the process's resource usage, and closes clients that do not read their answers (slow readers).
 
 use crate::reducer::Reducer;
 use crate::reducer::log_target;
@@ -13,7 +13,7 @@
         self.overload.next_sample_at()
     }
 
-    /// Returns how many connections to accept for one event.
+    /// Returns how many clients to accept for one event of the listener.
     pub fn accept_budget(&self) -> usize {
         self.overload.accept_budget(self.limits.accepts_per_event)
     }
--- a/crates/ladderpass/src/reducer/handlers/peers.rs
+++ b/crates/ladderpass/src/reducer/handlers/peers.rs
@@ -1,4 +1,5 @@
-//! Handles the datagrams of the other routers, and applies what the membership decides.
+//! Handles the datagrams of the other routers, and applies what the membership protocol finds out about which routers
+//! are alive.
 //!
 //! The routing core gets this router's position among the routers from the membership's view. Gossip about members goes
 //! to routers that are alive, and is accepted from routers that may send it.
@@ -12,7 +13,8 @@
 use std::net::SocketAddr;
 
 impl Reducer {
-    /// Returns how many routers are alive, this one included, and a digest of this set. Returns `None` without peers.
+    /// Returns how many routers are alive, this router included, and a digest of the set of these routers. Returns
+    /// `None` if the operator's file has no `peers` section.
     pub fn fleet_view(&self) -> Option<(usize, u32)> {
         self.peers.as_ref().map(|peers| (peers.view().count, peers.view().digest))
     }
@@ -22,12 +24,13 @@
         self.peers.as_ref().map_or(Vec::new(), |peers| peers.admission_metrics())
     }
 
-    /// Takes the datagrams that are to be sent to other routers.
+    /// Removes and returns the datagrams that are to be sent to other routers, each with its destination.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.peers.as_mut().map_or(Vec::new(), |peers| peers.take_datagrams())
     }
 
-    /// Handles a datagram. Its first byte tells datagrams of the membership from gossip about members.
+    /// Handles a datagram from another router. The first byte distinguishes datagrams of the membership protocol from
+    /// gossip about members.
     pub(in crate::reducer) fn on_datagram(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if bytes.first() == Some(&FIRST_BYTE) {
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Sends the routing core's updates about members to all other routers.
+    /// Sends the routing core's updates about members to the other routers that receive gossip.
     pub(in crate::reducer) fn publish_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
         let messages = self.gossip_codec.encode(updates, self.members.names());
         let Some(peers) = self.peers.as_deref_mut() else { return };
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Applies what the membership has decided.
+    /// Sends the datagrams of the membership protocol, and applies its present view of which routers are alive.
     fn apply_membership(&mut self, now: Time) {
         let Some(peers) = self.peers.as_deref_mut() else { return };
         if peers.collect_membership_output() {
--- a/crates/ladderpass/src/reducer/handlers/rejections.rs
+++ b/crates/ladderpass/src/reducer/handlers/rejections.rs
@@ -1,6 +1,6 @@
-//! Answers statements that do not become RPCs. They are rejected because the router lacks time, memory or capacity for
-//! them or the client has sent too much ahead, or they are answered with an error of the client's own. None of them has
-//! an effect.
+//! Answers statements that do not become RPCs, and therefore have no effect. Such a statement is rejected because the
+//! router lacks time, memory or capacity for it or because the client has sent too much ahead, or it is answered with
+//! an error that the client itself has made.
 
 use super::rpc_answers::retry_after_ms;
 use crate::pg;
@@ -10,17 +10,17 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Span, Time};
 
-/// "Pushed back" means rejected. Clients may depend on the text.
+/// The answer to an RPC that is rejected at its arrival. "Pushed back" means rejected. Clients may depend on the text.
 const OVERLOADED: &str = "pushed back: the router has too much to do";
 /// The maximum number of times that the pause after a client's errors doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// Why a statement is rejected. Its client may try again.
+/// Why a statement is rejected. The client may try the statement again.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Rejection {
     /// The process is about to end.
     Stopping,
-    /// The client has sent more than its buffer holds.
+    /// The client has sent more than its input buffer has space for.
     SentAhead,
     /// Too many RPCs are in flight.
     Full,
@@ -29,7 +29,7 @@
     Crowded,
 }
 
-/// An error of the client's own, with its SQLSTATE code.
+/// An error that a client has made in a statement, with the SQLSTATE code and the text of the answer.
 pub(super) struct StatementError {
     code: &'static str,
     text: String,
@@ -41,7 +41,7 @@
     }
 }
 
-/// An ErrorResponse to a statement. A fatal one closes the connection.
+/// The content of an ErrorResponse to a statement. After a fatal error the client's connection is closed.
 struct ErrorAnswer<'a> {
     is_fatal: bool,
     code: &'a str,
@@ -54,7 +54,7 @@
         let (is_fatal, code, text) = match self {
             Rejection::Stopping => (false, "57P03", "the router stops"),
             Rejection::SentAhead => (false, "53300", "too much is sent ahead"),
-            // "Held" means in flight. Clients may depend on the text.
+            // The word "held" in this text means in flight. Clients may depend on the text.
             Rejection::Full => (false, "53300", "too many RPCs are held"),
             Rejection::Memory => (false, "53300", "memory is short"),
             Rejection::Crowded => (true, "53300", "too many connections"),
@@ -64,7 +64,7 @@
 }
 
 impl Reducer {
-    /// Rejects an RPC at its arrival. Nothing is kept of the RPC, so that many rejections stay cheap.
+    /// Rejects an RPC at its arrival. The router stores nothing about the RPC, so that many rejections stay cheap.
     pub(super) fn reject_at_arrival(&mut self, id: ConnectionId, length: usize, retry_after: Span) {
         let mut answer = std::mem::take(&mut self.scratch);
         answer.clear();
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Answers a statement that has an error of the client's own. What the client sends next is read after a pause, and
-    /// after `Limits::client_errors` such errors in a row the next one closes the connection. So a client that sends
-    /// errors as fast as they are answered does not take the time of other clients.
+    /// Answers a statement in which the client has made an error. What the client sends next is read after a pause.
+    /// After `Limits::client_errors` such errors in a row, the next error closes the client's connection. So a client
+    /// that sends errors as fast as they are answered does not take the router's time from other clients.
     pub(super) fn answer_client_error(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -12,13 +12,14 @@
 use crate::reducer::state::stats::Count;
 use ladderpass_routing::{Decision, RpcId, Span, Time};
 
-/// Returns a retry-after in milliseconds, or `None` if it is less than one millisecond.
+/// Returns the time after which a client may retry, in milliseconds, or `None` if the time is less than one
+/// millisecond.
 pub(super) fn retry_after_ms(retry_after: Span) -> Option<i64> {
     Some(retry_after.nanos() / 1_000_000).filter(|&ms| ms > 0)
 }
 
-/// Returns the length of the message at the front of a buffer, even if it has not arrived completely, or zero if there
-/// is none.
+/// Returns the length in bytes of the message at the front of a buffer, even if the message has not arrived completely,
+/// or zero if there is no message.
 pub(super) fn front_message_length(input: &mut Buffer) -> usize {
     pg::parse_frame_header(input.make_contiguous()).ok().flatten().map_or(0, |header| header.length)
 }
@@ -82,7 +83,8 @@
     fn unserved_answer(&mut self, group: u32, is_cancelled: bool, decision: Decision) -> Vec<u8> {
         let mut answer = Vec::new();
         match decision {
-            // An RPC that may have had an effect is answered with just that (below), whether it is cancelled or not.
+            // The RPC was cancelled and had no effect. An RPC that may have had an effect is answered below that it
+            // may, whether the RPC is cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if is_cancelled => {
                 self.stats.count(Count::Cancelled);
                 pg::put_recoverable_error(&mut answer, "57014", "cancelled at the client's request", None);
@@ -92,13 +94,13 @@
                 if let Some(peers) = &mut self.peers {
                     peers.record_unplaced(group);
                 }
-                // "Pushed back" means rejected. Clients may depend on the text.
+                // "Pushed back" in this text means rejected. Clients may depend on the text.
                 let text = "pushed back: a further try is harmless";
                 pg::put_recoverable_error(&mut answer, "53300", text, retry_after_ms(retry_after));
             }
             _ => {
                 self.stats.count(Count::Failed);
-                // "Aborted" means failed. Clients may depend on the text.
+                // "Aborted" in this text means failed. Clients may depend on the text.
                 pg::put_recoverable_error(&mut answer, "58000", "aborted: it may have had an effect", None);
             }
         }
@@ -119,8 +121,8 @@
     }
 }
 
-/// Appends the result of an answer and a ReadyForQuery to `output`. Other messages that the member has sent are left
-/// out.
+/// Appends the result in a member's answer, and a ReadyForQuery message, to a client's `output`. Other messages in the
+/// member's answer are left out.
 fn push_result(mut answer: &[u8], output: &mut Buffer, max_bytes: usize, initial_bytes: usize) {
     while let Ok(Some(pg::Frame { kind, length, .. })) = pg::parse_frame(answer, max_bytes) {
         let (message, rest) = answer.split_at(length);
--- a/crates/ladderpass/src/reducer/handlers/shutdown.rs
+++ b/crates/ladderpass/src/reducer/handlers/shutdown.rs
@@ -1,6 +1,6 @@
 //! Shuts down gracefully after SIGTERM. The router goes on serving for `Limits::shutdown_accept_time`, and closes each
-//! client's connection once it is idle. After that it closes the listener and begins no RPC, and the process ends once
-//! all clients have their answers.
+//! client's connection once the client is idle. After that time the router closes the listener and begins no RPC, and
+//! the process ends once all clients have their answers.
 
 use crate::faulty::Faulty;
 use crate::reducer::Reducer;
@@ -22,8 +22,8 @@
         if self.faulty.is(Faulty::DropsRequestsAtStop) {
             self.effects.push(Effect::Exit);
         }
-        // A client that was just answered is likely to send another statement, which would cross the close. So it is
-        // served until it has been idle for `shutdown_idle_time`.
+        // A client that was just answered is likely to send another statement, which would cross the close of the
+        // connection. So a client is served until it has been idle for `shutdown_idle_time`.
         for (since, id) in self.clients.awaiting(AwaitedInput::NextStatement) {
             self.connections.set_deadline(id, Some(since + self.limits.shutdown_idle_time));
         }
@@ -36,7 +36,8 @@
         if !self.shutdown.is_listener_closed() {
             self.effects.push(Effect::StopListening);
         }
-        // A client in the middle of a message may complete it within its timeout, and is rejected then.
+        // A client in the middle of a message may complete the message within the message's timeout. A statement that
+        // is completed then is rejected.
         let awaiting = self.clients.awaiting(AwaitedInput::Startup);
         let awaiting = awaiting.chain(self.clients.awaiting(AwaitedInput::NextStatement));
         let has_sent_nothing = |&id: &ConnectionId| {
--- a/crates/ladderpass/src/reducer/handlers/stats_log.rs
+++ b/crates/ladderpass/src/reducer/handlers/stats_log.rs
@@ -1,5 +1,5 @@
-//! Logs the counts every `Limits::stats_interval`, and examples of RPCs that were not served by the ordinary path, each
-//! with its reason.
+//! Logs the counts of the router's work every `Limits::stats_interval`. Also logs examples of RPCs that were given up
+//! or spilled to the primary, each with the reason.
 
 use crate::reducer::Reducer;
 use crate::reducer::log_target;
@@ -8,7 +8,7 @@
 use ladderpass_routing::{Span, Time};
 
 impl Reducer {
-    /// Logs the counts and resets them. Also logs the membership.
+    /// Logs the counts since the last call, and resets them. Also logs the state of the membership.
     pub(in crate::reducer) fn log_stats(&mut self, now: Time) {
         if let Some(peers) = &self.peers {
             peers.log_membership();
@@ -30,7 +30,7 @@
             attempts = ?stats.attempts(),
             health_checks = ?stats.health_checks(),
             connects = stats.connects(),
-            // The time of the connects that succeeded, divided by the number of all connects that were begun.
+            // The total time of the connects that succeeded, divided by the number of all connects that were begun.
             connect_ms = %mean_ms(stats.connect_time(), stats.connects()),
             answer_ms = %mean_ms(answer_time, answers),
             clients = self.clients.len(),
@@ -47,7 +47,7 @@
         );
     }
 
-    /// Counts the RPCs that were not served by the ordinary path, and logs the first few of them as examples.
+    /// Counts the RPCs that were given up or spilled to the primary, and logs the first few of them as examples.
     pub(in crate::reducer) fn record_exceptions(&mut self, exceptions: Exceptions) {
         self.stats.add_exceptions(&exceptions.counts);
         for example in &exceptions.examples {
