--- a/crates/ladderpass/src/buffer.rs
+++ b/crates/ladderpass/src/buffer.rs
@@ -1,5 +1,5 @@
-//! A ring buffer of bytes. Each connection has one for each direction. A buffer starts small, grows up to a limit, and
-//! releases its memory when it is empty.
+//! A ring buffer of bytes. Each connection has one such buffer for input and one for output. A buffer starts small,
+//! grows up to a limit, and releases its memory when it is empty.
 //!
 //! The buffer stores bytes in order. It doesn't parse them, makes no system call, and never grows past the limit that
 //! the caller passes.
@@ -28,8 +28,8 @@
         self.bytes.len()
     }
 
-    /// Returns contiguous free space to read into, which is empty when the buffer is full at `limit`. A full buffer
-    /// first grows: to `initial` from nothing, then to twice its size each time.
+    /// Returns contiguous free space to read into, which is empty when the buffer is full and has reached the size
+    /// `limit`. A full buffer first grows: to the size `initial` if nothing is allocated, else to twice its size.
     pub fn free_space(&mut self, initial: usize, limit: usize) -> &mut [u8] {
         if self.len == self.bytes.len() {
             self.resize(self.len.saturating_mul(2).max(initial).min(limit));
@@ -49,7 +49,8 @@
         self.len = (self.len + count).min(self.bytes.len());
     }
 
-    /// Appends all of `bytes` and returns true, or appends nothing and returns false if that would exceed `limit`.
+    /// Appends all of `bytes` and returns true, or appends nothing and returns false if the buffer would then store
+    /// more than `limit` bytes.
     pub fn append(&mut self, bytes: &[u8], initial: usize, limit: usize) -> bool {
         let wanted = self.len + bytes.len();
         if wanted > limit {
@@ -73,13 +74,14 @@
         true
     }
 
-    /// Returns the first bytes, as far as they are contiguous, for the caller to write out.
+    /// Returns the bytes at the front of the buffer, as far as they are contiguous in memory, for the caller to write
+    /// out.
     pub fn first_slice(&self) -> &[u8] {
         let end = (self.head + self.len).min(self.bytes.len());
         self.bytes.get(self.head..end).unwrap_or_default()
     }
 
-    /// Makes the bytes contiguous, and returns all of them for the caller to parse.
+    /// Makes all bytes of the buffer contiguous in memory, and returns them for the caller to parse.
     pub fn make_contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -88,7 +90,7 @@
         self.first_slice()
     }
 
-    /// Removes `count` bytes from the front.
+    /// Removes `count` bytes from the front of the buffer.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -29,27 +29,29 @@
 pub struct Connection {
     /// The connection's socket.
     pub stream: TcpStream,
-    /// Whether the connect is in progress. Its result is known when the socket first becomes writable.
+    /// Whether the connect of the socket is in progress. The connect's result is known when the socket first becomes
+    /// writable.
     pub connecting: bool,
     /// Whether this router opened the connection, to a member or to discovery.
     pub is_outbound: bool,
-    /// Whether the last read may have left bytes in the socket.
+    /// Whether the last read from the socket may have left bytes in it.
     pub unread: bool,
     /// The latest time at which the socket is known to have been empty.
     pub last_empty_at: Instant,
-    /// Readiness that the kernel has reported and the event loop has not handled. While it is set, the connection is in
-    /// the queue once.
+    /// Readiness of the connection that the kernel has reported and the event loop has not handled yet. While this
+    /// field is set, the connection is in the event loop's queue exactly once.
     pending: Option<Readiness>,
-    /// Buffer for the control message with the kernel's receive timestamp.
+    /// Buffer for the control message in which the kernel passes the receive timestamp of the bytes that are read.
     timestamp_space: Vec<u8>,
 }
 
 /// The result of a read from a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedBytes {
-    /// The number of bytes read; 0 at the end of the stream.
+    /// The number of bytes that were read. It is 0 at the end of the stream.
     pub count: usize,
-    /// When the last of the bytes arrived, by the kernel's wall clock; `None` if the kernel gave no timestamp.
+    /// When the last of the bytes that were read arrived, by the kernel's wall clock, or `None` if the kernel gave no
+    /// timestamp.
     pub timestamp: Option<Duration>,
 }
 
@@ -60,29 +62,30 @@
     Member,
     /// A connection that a client opened.
     Client,
-    /// A connection that its client has closed. It is reported immediately, even if the connection is already queued.
+    /// A connection that its client has closed. The close is reported immediately, even if the connection is already
+    /// queued.
     ClosedClient,
 }
 
 /// The operations that a connection is ready for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Readiness {
-    /// Whether there are bytes to read.
+    /// Whether the socket has bytes to read.
     pub readable: bool,
-    /// Whether the socket accepts bytes.
+    /// Whether the socket accepts bytes to write.
     pub writable: bool,
     /// Whether the other side has closed the connection, or the connection has failed. The socket then has to be read
     /// to its end.
     pub closed: bool,
 }
 
-/// The error for a stream that could not be registered.
+/// The error for a TCP stream that could not be registered in the epoll set.
 #[derive(Debug, thiserror::Error)]
 #[error("connection can't be registered: {source}")]
 pub struct RegisterError {
-    /// The stream, which is still open.
+    /// The TCP stream, which is still open.
     pub stream: TcpStream,
-    /// The system's error.
+    /// The system's error at the registration.
     pub source: io::Error,
 }
 
@@ -92,7 +95,7 @@
     // A fast hash without protection against chosen keys is safe here: the router assigns the ids itself, so no other
     // party can make them collide.
     connections: FxHashMap<ConnectionId, Connection>,
-    /// When the last poll began that took all events that the kernel had.
+    /// When the last poll of the epoll set began that took all events that the kernel had.
     polled_at: Instant,
     events: Vec<EpollEvent>,
 }
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Makes one read call.
+    /// Makes one system call to read from the connection into `buffer`.
     ///
     /// # Errors
     ///
@@ -124,7 +127,8 @@
         let mut parts = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
         let message = recvmsg::<()>(fd, &mut parts, Some(&mut self.timestamp_space), MsgFlags::empty())?;
-        // The bytes have been read even if the control messages can't be parsed, so that is not an error.
+        // The bytes have been read even if the control messages can't be parsed, so a failure to parse them is not an
+        // error.
         let timestamps = message.cmsgs().into_iter().flatten().filter_map(|control| match control {
             ControlMessageOwned::ScmTimestampns(timestamp) => Some(Duration::from(timestamp)),
             _ => None,
@@ -132,10 +136,11 @@
         Ok(ReceivedBytes { count: message.bytes, timestamp: timestamps.last() })
     }
 
-    /// Adds the readiness that the kernel reported. Returns the event's source if the connection has to be queued or,
-    /// for a closed client, handled immediately.
+    /// Adds the readiness in `flags`, which the kernel has reported for this connection. Returns the kind of the
+    /// connection if the connection has to be queued or, for a closed client, handled immediately.
     fn record_event(&mut self, flags: EpollFlags, polled_at: Instant) -> Option<EventSource> {
-        // If there had been anything to read at the last poll, the kernel would have reported it then.
+        // The socket was empty at the last poll, since the kernel would otherwise have reported the connection as
+        // readable then.
         if self.pending.is_none() && !self.unread {
             self.last_empty_at = self.last_empty_at.max(polled_at);
         }
@@ -202,22 +207,23 @@
         self.connections.get(&id)
     }
 
-    /// Returns the connection with this id, for changes.
+    /// Returns a mutable reference to the connection with this id.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
-    /// Closes a connection, which also removes it from the epoll set. Returns whether it was in the table.
+    /// Closes a connection, which also removes the connection from the epoll set. Returns whether the connection was in
+    /// the table.
     pub fn remove(&mut self, id: ConnectionId) -> bool {
         self.connections.remove(&id).is_some()
     }
 
-    /// Returns when the last poll began that took all events that the kernel had.
+    /// Returns when the last poll of the epoll set began that took all events that the kernel had.
     pub fn polled_at(&self) -> Instant {
         self.polled_at
     }
 
-    /// Records that the kernel had no events at that time.
+    /// Records that the kernel had no events of connections at the time `at`.
     pub fn record_no_events(&mut self, at: Instant) {
         self.polled_at = self.polled_at.max(at);
     }
@@ -252,7 +258,7 @@
         Ok(())
     }
 
-    /// Takes the pending readiness of a connection, and returns it with the connection.
+    /// Removes and returns the pending readiness of a connection, together with the connection.
     pub fn take_readiness(&mut self, id: ConnectionId) -> Option<(Readiness, &mut Connection)> {
         let connection = self.connections.get_mut(&id)?;
         Some((connection.pending.take()?, connection))
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -10,18 +10,18 @@
 
 /// The largest number of header fields that a response may have.
 const MAX_HEADERS: usize = 32;
-/// The longest size line of a chunk, extensions included.
+/// The maximum number of bytes in the size line of a chunk, extensions included.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
 
-/// One object of a watch, or the endpoint list that a router starts with.
+/// One JSON object that discovery sends on a watch, or the endpoint list that a router starts with.
 #[derive(Debug, Deserialize)]
 pub struct Listing {
-    /// The version of the list, which increases with each change.
+    /// The version number of the endpoint list, which increases with each change.
     pub generation: u64,
-    /// Whether `instances` is the complete list. Otherwise it contains only the entries that have changed.
+    /// Whether `instances` is the complete endpoint list. Otherwise it contains only the entries that have changed.
     #[serde(default)]
     pub reset: bool,
-    /// The entries of the list.
+    /// The entries of the endpoint list, one for each member.
     pub instances: Vec<Instance>,
 }
 
@@ -33,24 +33,24 @@
     pub instance_id: String,
     /// The member's address, as `address:port`.
     pub host_port: String,
-    /// The type of its machine. Members with the same type are similar in speed.
+    /// The type of the machine that the member runs on. Members on machines of the same type are similar in speed.
     #[serde(default)]
     pub machine_type: String,
     /// The group that the member belongs to.
     pub cell: f64,
-    /// Whether the member serves RPCs.
+    /// The lifecycle state of the member: whether it accepts RPCs, drains or was removed.
     pub lifecycle: Lifecycle,
     /// When the member's process started, in Unix milliseconds; 0 if that is not known.
     #[serde(default)]
     pub started_at_ms: f64,
-    /// `leader` for the group's primary.
+    /// The member's role in its group, which is `leader` for the primary.
     #[serde(default)]
     pub role: Option<String>,
     /// The member's zone.
     #[serde(default)]
     pub zone: String,
-    /// The member's size: how many RPCs it works on at once. It only counts if the operator's file says that weights
-    /// are sizes.
+    /// The member's size: how many RPCs the member works on at once. This value is used only if the operator's file
+    /// says that weights are sizes.
     #[serde(default)]
     pub weight: Option<f64>,
 }
@@ -63,12 +63,12 @@
     Serving,
     /// The member accepts no new RPCs.
     Draining,
-    /// The instance is no longer a member.
+    /// The instance is no longer a member of its group.
     Deleted,
 }
 
 impl Instance {
-    /// Returns the member's state, as the routing core defines it.
+    /// Returns the member's lifecycle state as the routing core names it.
     pub fn state(&self) -> EndpointState {
         match self.lifecycle {
             Lifecycle::Serving => EndpointState::Active,
@@ -88,13 +88,13 @@
     }
 }
 
-/// Returns the HTTP request that opens a watch. Discovery responds with the changes since `generation`, and then with
-/// each later change.
+/// Returns the HTTP request that opens a watch of the endpoint list. Discovery responds with the changes since
+/// `generation`, and then with each later change.
 pub fn watch_request(host: &str, generation: u64) -> String {
     format!("GET /catalog/members?watch=1&from={generation} HTTP/1.1\r\nHost: {host}\r\nAccept: */*\r\n\r\n")
 }
 
-/// The reason why a watch can't be read any further.
+/// The reason why the response of a watch can't be read any further.
 #[derive(Debug, Error)]
 pub enum WatchError {
     /// The status line and headers of the response are not valid HTTP.
@@ -121,10 +121,10 @@
     /// The bytes after a chunk are not the line break that ends it, so the chunk's size is wrong.
     #[error("a chunk does not end after its size")]
     ChunkEnd,
-    /// An object, or an empty line, is longer than the limit.
+    /// A JSON object, or an empty line, is longer than the limit.
     #[error("a JSON object is too long")]
     LineTooLong,
-    /// A complete object is not a valid [`Listing`].
+    /// A complete JSON object is not a valid [`Listing`].
     #[error("invalid JSON object: {0}")]
     Line(#[source] serde_json::Error),
 }
@@ -135,12 +135,12 @@
     #[default]
     Head,
     ChunkHead,
-    /// The rest of a chunk, with the number of its bytes that have not been read.
+    /// The rest of a chunk. The field is the number of the chunk's bytes that have not been read yet.
     Chunk(usize),
     ChunkEnd,
 }
 
-/// The result of one parsing step.
+/// The result of one step in parsing the response.
 enum Step {
     Advanced,
     Listing(Listing),
@@ -156,8 +156,8 @@
     nesting: Nesting,
 }
 
-/// The nesting depth at the end of the bytes read so far. It tells where an object ends, since an indented object takes
-/// many lines.
+/// The depth of nested JSON objects and arrays at the end of the bytes that have been read. The depth shows where an
+/// object ends, since an indented object takes many lines.
 #[derive(Debug, Default)]
 struct Nesting {
     depth: i64,
@@ -181,18 +181,18 @@
 }
 
 impl WatchReader {
-    /// Returns whether a line that is not empty has been read.
+    /// Returns whether a complete JSON object has been read from the response of the watch.
     pub fn has_read_listing(&self) -> bool {
         self.has_read
     }
 
-    /// Returns whether the bytes read so far end in the middle of an object.
+    /// Returns whether the bytes that have been read end in the middle of a JSON object.
     pub fn is_within_object(&self) -> bool {
         self.nesting.depth > 0
     }
 
-    /// Consumes bytes of the buffer up to the end of the next listing, and returns that listing. Returns `None` if more
-    /// bytes are needed.
+    /// Consumes bytes of the buffer up to the end of the next JSON object, and returns that object as a listing.
+    /// Returns `None` if more bytes are needed.
     ///
     /// # Errors
     ///
--- a/crates/ladderpass/src/faulty.rs
+++ b/crates/ladderpass/src/faulty.rs
@@ -1,6 +1,6 @@
-//! Deliberate faults of a router, of which `LADDERPASS_FAULTY` selects one. The invariant checkers are tested against
-//! routers with such a fault. Only builds with the feature `faulty` contain the faults, and no release has that
-//! feature.
+//! Deliberate faults of a router, of which the environment variable `LADDERPASS_FAULTY` selects one. The invariant
+//! checkers are tested against routers with such a fault. Only builds with the feature `faulty` contain the faults, and
+//! no release has that feature.
 
 use ladderpass_admission as admission;
 use ladderpass_membership as membership;
@@ -8,37 +8,38 @@
 use ladderpass_routing::Span;
 use thiserror::Error;
 
-/// The fault that a router has.
+/// The deliberate fault that a router has, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Faulty {
     /// The router has no fault.
     #[default]
     NotFaulty,
-    /// Treats a write whose connection was lost as one that never ran, and sends it again.
+    /// Treats a write whose connection was lost as one that never ran at the member, and sends the write again.
     Resends,
     /// Answers a client twice.
     AnswersTwice,
     /// Continues an RPC for one second past its client's deadline.
     AnswersLate,
-    /// Forwards a row whose column is not as long as its length field states.
+    /// Forwards a row of a member's answer even if the row's column is not as long as its length field states.
     ForwardsTornRows,
-    /// Treats every reported position as up to date.
+    /// Treats every replication position that a member reports as up to date.
     IgnoresLag,
     /// Continues to send RPCs to draining members.
     IgnoresDrains,
-    /// Sends as many RPCs to members that are warming up as to the others.
+    /// Sends as many RPCs to members that are warming up as to other members.
     IgnoresWarmUp,
-    /// Reuses a connection on which an answer may still arrive.
+    /// Uses a connection to a member again although an answer to an earlier query may still arrive on it.
     ReusesBusyConnections,
-    /// Forwards the received part of a message whose length is impossible.
+    /// Treats what a member has sent as a complete answer when the next message has an impossible length, and forwards
+    /// that answer.
     TrustsLengths,
     /// Exits at SIGTERM with RPCs in flight.
     DropsRequestsAtStop,
-    /// A fault of the membership protocol.
+    /// A fault of the membership protocol, which the value names.
     Membership(membership::Faulty),
-    /// A fault of the shared admission control.
+    /// A fault of the shared admission control, which the value names.
     Admission(admission::Faulty),
-    /// A fault of the shared retry budget.
+    /// A fault of the shared retry budget, which the value names.
     RetryBudget(retry_budget::Faulty),
 }
 
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Returns whether the router has this fault. Without the feature this is always false, so the compiler removes the
-    /// code of the fault.
+    /// Returns whether the router has this fault. Without the feature `faulty` the result is always false, so the
+    /// compiler removes the code of the fault.
     pub fn is(self, other: Faulty) -> bool {
         cfg!(feature = "faulty") && self == other
     }
 
-    /// Returns the fault of the shared retry budget, or its `NotFaulty`.
+    /// Returns the fault of the shared retry budget, or `NotFaulty` if the router has no such fault.
     pub fn retry_budget(self) -> retry_budget::Faulty {
         match self {
             Faulty::RetryBudget(faulty) if cfg!(feature = "faulty") => faulty,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Returns the fault of the shared admission control, or its `NotFaulty`.
+    /// Returns the fault of the shared admission control, or `NotFaulty` if the router has no such fault.
     pub fn admission(self) -> admission::Faulty {
         match self {
             Faulty::Admission(faulty) if cfg!(feature = "faulty") => faulty,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Returns the fault of the membership protocol, or its `NotFaulty`.
+    /// Returns the fault of the membership protocol, or `NotFaulty` if the router has no such fault.
     pub fn membership(self) -> membership::Faulty {
         match self {
             Faulty::Membership(faulty) if cfg!(feature = "faulty") => faulty,
@@ -121,7 +122,7 @@
 }
 
 /// Returns the offset of the wall clock that `LADDERPASS_CLOCK_MS` sets, which simulates a machine whose clock is
-/// wrong. Without the feature the offset is zero.
+/// wrong. Without the feature `faulty` the offset is zero.
 ///
 /// # Errors
 ///
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -27,39 +27,39 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a start waits for files that temporarily can't be read, for example because the system is out of
-/// descriptors.
+/// How long the start of the router waits for configuration files that temporarily can't be read, for example because
+/// the system is out of descriptors.
 const START_RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The complete configuration of a router.
 #[derive(Debug)]
 pub struct Launch {
-    /// The address of discovery.
+    /// The address of discovery, which sends the endpoint list.
     pub discovery: SocketAddr,
-    /// The part that only a restart changes.
+    /// The part of the configuration that only a restart of the process changes.
     pub fixed: Fixed,
-    /// The seed of the random number generator.
+    /// The seed of the router's random number generators.
     pub seed: u64,
     /// The endpoint list that the router uses until discovery has sent one.
     pub cached_endpoints: Listing,
     /// The settings of the deployment.
     pub settings: DeploymentSettings,
-    /// The sizes, counts and timeouts of this router.
+    /// The limits of this router on sizes, counts and times.
     pub limits: Limits,
-    /// The resources relative to which overload is measured.
+    /// The resources of the machine relative to which this router's overload is measured.
     pub resource_limits: ResourceLimits,
     /// The configured number of descriptors. The system may allow the process fewer.
     pub configured_sockets: usize,
     /// The settings of the operator's file.
     pub operator: Operator,
-    /// The fault of a build for fault injection.
+    /// The deliberate fault, which only a build for fault injection can have.
     pub faulty: Faulty,
-    /// The offset of the wall clock in a build for fault injection.
+    /// The offset that is added to the wall clock, which only a build for fault injection can have.
     pub clock_offset: Span,
 }
 
-/// The part of the configuration that a running process can't change.
+/// The part of the configuration that can't change while the process runs.
 #[derive(Debug)]
 pub struct Fixed {
     /// The router's name.
@@ -70,7 +70,8 @@
 }
 
 impl Fixed {
-    /// Returns the variables and keys whose values differ. These changes take effect only after a restart.
+    /// Returns the environment variables and the keys of files whose values differ from those in `other`. Such a change
+    /// takes effect only after a restart.
     pub fn differing(&self, other: &Fixed) -> Vec<String> {
         let mut keys = Vec::new();
         if self.name != other.name {
@@ -116,7 +117,7 @@
     /// names, and the operator's file.
     ///
     /// # Errors
-    /// Returns the errors of all parts: an error in one part hides no error in another.
+    /// Returns the errors of all parts of the configuration: an error in one part does not hide errors in another.
     pub fn read(
         variable: impl Fn(&str) -> Option<String>,
         operator_path: Option<&Path>,
@@ -182,7 +183,8 @@
         let deployment = &mut self.settings.deployment;
         deployment.gossip = operator.peers.is_some();
         if let Some(peers) = &operator.peers {
-            // Until the routers have found each other, the number of listed routers serves as their count.
+            // Until the routers have found each other, the number of routers listed in the operator's file is used as
+            // the number of routers.
             let others = peers.listed.iter().filter(|&&address| address != peers.address).count();
             (deployment.router_index, deployment.router_count) = (0, others as u32 + 1);
         }
@@ -214,8 +216,9 @@
     }
 }
 
-/// Returns how many descriptors the system lets this process open. If these are fewer than configured, clients would
-/// otherwise take the last ones from discovery, health checks and attempts, since any number of clients may connect.
+/// Returns how many descriptors the system lets this process open. This number may be lower than the configured number.
+/// If it were ignored, clients would take the last descriptors from discovery, health checks and attempts, since any
+/// number of clients may connect.
 fn open_file_limit() -> usize {
     let limit = getrlimit(Resource::RLIMIT_NOFILE).map_or(u64::MAX, |(soft, _)| soft);
     usize::try_from(limit).unwrap_or(usize::MAX)
--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -5,16 +5,16 @@
 use ladderpass_routing::Span;
 use std::net::SocketAddr;
 
-/// The name of the variable with the path of the JSON file.
+/// The name of the environment variable with the path of the JSON file.
 pub(super) const CONFIG_PATH: &str = "RELAY_CONFIG";
-/// The name of the variable with the router's name.
+/// The name of the environment variable with the router's name.
 pub(super) const ROUTER_NAME: &str = "RELAY_NAME";
-/// The name of the variable with the address that clients connect to.
+/// The name of the environment variable with the address that clients connect to.
 pub(super) const LISTEN_ADDRESS: &str = "RELAY_LISTEN";
 
 const DISCOVERY_ADDRESS: &str = "RELAY_DISCOVERY";
 
-/// The values of the variables that every router needs. A value that is missing or invalid is `None`.
+/// The values of the environment variables that every router needs. A value that is missing or invalid is `None`.
 pub(super) struct Environment {
     pub(super) name: Option<String>,
     pub(super) listen: Option<SocketAddr>,
@@ -37,7 +37,8 @@
     }
 }
 
-/// The settings of a build for fault injection. In other builds both have no effect. An invalid value is `None`.
+/// The settings of a build for fault injection, from the variables of the environment. In other builds neither setting
+/// has an effect. A setting whose value is invalid is `None`.
 pub(super) struct FaultInjection {
     pub(super) faulty: Option<Faulty>,
     pub(super) clock_offset: Option<Span>,
@@ -62,7 +63,7 @@
     text.parse().map_err(|_| AddressError { key, text: text.to_owned() })
 }
 
-/// Returns the value of a variable, or an error if it is not set or is empty.
+/// Returns the value of an environment variable, or an error if the variable is not set or is empty.
 fn require(
     variable: &impl Fn(&str) -> Option<String>,
     name: &'static str,
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of the configuration that a router starts with. Each names the variable or the file, the key and, where there
-//! is one, the allowed range. An error prints as one line, unless it quotes text that has several.
+//! Errors of the configuration that a router starts with. Each error names the variable or the file, the key and, where
+//! there is one, the allowed range. An error prints as one line, unless it quotes text that has several lines.
 
 use crate::faulty::FaultyError;
 use ladderpass_config::operator::OperatorFileError;
@@ -8,24 +8,24 @@
 use std::io;
 use std::path::PathBuf;
 
-/// All errors of the configuration.
+/// All errors that were found in the configuration.
 pub type LaunchErrors = ErrorList<LaunchError>;
 
-/// All errors of the file that `RELAY_CONFIG` names.
+/// All errors that were found in the file that `RELAY_CONFIG` names.
 pub(super) type ConfigFileErrors = ErrorList<ConfigFileError>;
 
 /// An error of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
-    /// A required variable is not set, or is empty.
+    /// A required environment variable is not set, or is empty.
     #[error("{variable}: not set; expected {expected}")]
     NotSet {
-        /// The variable's name.
+        /// The environment variable's name.
         variable: &'static str,
-        /// A description of the expected value.
+        /// A description of the value that the environment variable should have.
         expected: &'static str,
     },
-    /// The value of a variable is not an address.
+    /// The value of an environment variable is not an address.
     #[error(transparent)]
     Address(#[from] AddressError),
     /// The file that `RELAY_CONFIG` names has an error.
@@ -41,7 +41,7 @@
     OperatorFileUnreadable {
         /// The file's path.
         path: PathBuf,
-        /// The system's error.
+        /// The system's error when the file was read.
         source: io::Error,
     },
     /// The operator's file has an error.
@@ -52,7 +52,8 @@
         /// The error of the file.
         error: OperatorFileError,
     },
-    /// A variable of builds for fault injection is invalid; the error's text names it.
+    /// The value of an environment variable of builds for fault injection is invalid. The error's text names the
+    /// variable.
     #[error("{0}")]
     FaultInjection(#[from] FaultyError),
 }
@@ -75,23 +76,23 @@
     /// The memory that the router may use, in MiB, is out of range.
     #[error("limits.memory_mb: must be above 0, and at most {max}")]
     Memory {
-        /// The largest allowed value.
+        /// The largest allowed value of `limits.memory_mb`.
         max: u64,
     },
     /// The number of descriptors that the router may open is too small.
     #[error("limits.sockets: {sockets}; must be at least {min}")]
     Sockets {
-        /// The configured value.
+        /// The configured number of descriptors.
         sockets: usize,
-        /// The smallest allowed value.
+        /// The smallest allowed number of descriptors.
         min: usize,
     },
     /// The number of cores that the router may use is out of range.
     #[error("limits.cores: {cores}; must be above 0, and at most {max}")]
     Cores {
-        /// The configured value.
+        /// The configured number of cores.
         cores: f64,
-        /// The largest allowed value.
+        /// The largest allowed number of cores.
         max: f64,
     },
     /// The settings of the deployment have an error.
@@ -103,9 +104,9 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {text:?} is not an address with a port; allowed is address:port")]
 pub struct AddressError {
-    /// The name of the variable or key.
+    /// The name of the environment variable or key that has the text as its value.
     pub key: &'static str,
-    /// The invalid text.
+    /// The text that is not an address with a port.
     pub text: String,
 }
 
--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -14,9 +14,10 @@
 const DEFAULT_CORES: f64 = 1.0;
 const MAX_CORES: f64 = 1024.0;
 
-/// The checked content of the file.
+/// The checked content of the JSON file that `RELAY_CONFIG` names.
 pub(super) struct ConfigFile {
-    /// The address of discovery. It overrides `RELAY_DISCOVERY`, which can't be changed while the process runs.
+    /// The address of discovery, if the file contains one. This address overrides the variable `RELAY_DISCOVERY`, which
+    /// can't be changed while the process runs.
     pub(super) discovery: Option<SocketAddr>,
     pub(super) seed: u64,
     pub(super) cores: f64,
@@ -24,13 +25,14 @@
     pub(super) sockets: usize,
     pub(super) cached_endpoints: Listing,
     pub(super) settings: DeploymentSettings,
-    /// The unparsed settings, to find the keys that differ after a reload.
+    /// The unparsed settings of the deployment, to find the keys that differ after a reload.
     pub(super) settings_json: Value,
 }
 
-/// The structure of the JSON file.
+/// The structure of the JSON file that `RELAY_CONFIG` names.
 #[derive(Deserialize)]
-// `expecting` keeps the text of an error that operators have seen.
+// The attribute `expecting` keeps the text of the error for a value of the wrong type, because operators know this
+// text.
 #[serde(expecting = "struct Told")]
 struct ConfigFileJson {
     discovery: Option<String>,
@@ -43,7 +45,8 @@
 
 /// The resources of the machine that the router may use.
 #[derive(Deserialize)]
-// `expecting` keeps the text of an error that operators have seen.
+// The attribute `expecting` keeps the text of the error for a value of the wrong type, because operators know this
+// text.
 #[serde(expecting = "struct Allowed")]
 struct MachineLimits {
     cores: Option<f64>,
@@ -51,7 +54,7 @@
     sockets: usize,
 }
 
-/// Reads and checks the text of the file.
+/// Parses and checks the text of the JSON file that `RELAY_CONFIG` names.
 pub(super) fn parse_config_file(text: &str) -> Result<ConfigFile, ConfigFileErrors> {
     let mut errors = ConfigFileErrors::default();
     let file = ladderpass_config::parse(&mut serde_json::Deserializer::from_str(text));
--- a/crates/ladderpass/src/launch/summary.rs
+++ b/crates/ladderpass/src/launch/summary.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// Describes the idempotency of a method. These words stay for the same reason as those of `describe_consistency`.
+/// Describes the idempotency of a method. Operators may compare the output of two versions, so these words stay when
+/// names in the code change.
 fn describe_idempotency(idempotency: Idempotency) -> String {
     match idempotency {
         Idempotency::Idempotent => "Idempotent".to_owned(),
--- a/crates/ladderpass/src/lib.rs
+++ b/crates/ladderpass/src/lib.rs
@@ -1,4 +1,5 @@
-//! The router as a library. The process (`main.rs`) runs it on sockets, and simulations run it without sockets.
+//! The router as a library. The process (`main.rs`) runs the router on sockets, and simulations run the router without
+//! sockets.
 //!
 //! Data flows in one direction: `sockets` turns readiness, timers and signals into events and passes them to `reducer`,
 //! which holds all state and returns effects for `sockets` to carry out.
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -1,7 +1,7 @@
 //! Resource limits and timeouts of a router on sockets: sizes in bytes, counts, and durations.
 //!
-//! They are computed from the machine's resources and the settings whenever the configuration is read, at the start and
-//! at SIGHUP. Values that decide where or when an RPC is sent are in `ladderpass-routing`.
+//! The limits are computed from the machine's resources and the settings whenever the configuration is read, at the
+//! start and at SIGHUP. Values that decide where or when an RPC is sent are in `ladderpass-routing`.
 
 use ladderpass_config::DeploymentSettings;
 use ladderpass_routing::Span;
@@ -11,68 +11,72 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     // Memory of buffers, in bytes.
-    /// The first size of a buffer, which then grows up to its limit.
+    /// The size at which a connection's buffer is first allocated. The buffer then grows up to its limit.
     pub buffer_initial_bytes: usize,
-    /// The largest input buffer of a client, which holds statements that the client sent before it had the answers to
-    /// the earlier ones.
+    /// The maximum size of a client's input buffer, which has space for statements that the client sent before it had
+    /// the answers to earlier statements.
     pub client_buffer_bytes: usize,
-    /// The largest input buffer of a member's connection, which holds one answer.
+    /// The maximum size of the input buffer of a connection to a member, which has space for one answer.
     pub member_buffer_bytes: usize,
-    /// The largest input buffer of the watch of discovery.
+    /// The maximum size of the input buffer of the watch of discovery.
     pub discovery_buffer_bytes: usize,
-    /// The longest object that discovery may send, which is the complete endpoint list.
+    /// The maximum size of a JSON object that discovery may send. The largest object is the complete endpoint list.
     pub discovery_line_bytes: usize,
-    /// The longest first message of a client.
+    /// The maximum size of the first message of a client.
     pub startup_message_bytes: usize,
-    /// The longest statement, including its frame. A longer one is rejected as soon as its frame header has arrived.
+    /// The maximum size of a statement, including the type and the length of its message. A longer statement is
+    /// rejected as soon as the header of its message has arrived.
     pub statement_bytes: usize,
-    /// The total memory of all buffers above which buffers of clients don't grow. It is less than
+    /// The total memory of all buffers above which clients' input buffers don't grow. This limit is lower than
     /// `pause_members_at_buffer_bytes`, so that statements wait before answers do.
     pub pause_clients_at_buffer_bytes: usize,
-    /// The total memory of all buffers above which no buffer grows.
+    /// The total memory of all buffers above which no input buffer grows.
     pub pause_members_at_buffer_bytes: usize,
     /// How long the rest of a statement may wait for buffer memory before the statement is rejected.
     pub memory_wait_timeout: Span,
 
     // Connections.
-    /// The most connections of clients and members together. Members may use those that clients do not use.
+    /// The maximum number of connections of clients and members together. Connections to members may use the part that
+    /// clients do not use.
     pub connections: usize,
-    /// The most clients that are served. Above this, and up to `clients_accepted`, new clients are rejected at their
-    /// first statement.
+    /// The maximum number of clients that are served. If there are more clients, up to `clients_accepted`, a new client
+    /// is rejected at its first statement.
     pub clients: usize,
-    /// The most clients that are connected. At this number no further client is accepted.
+    /// The maximum number of connected clients. At this number no further client is accepted.
     pub clients_accepted: usize,
-    /// The number of clients above which those that have been waited for as long as `eviction_ages` are closed, because
-    /// other clients and members may need the descriptors.
+    /// The number of clients above which clients are evicted: those whose input the router has awaited for as long as
+    /// `eviction_ages` says are closed, because other clients and members may need the descriptors.
     pub clients_before_eviction: usize,
     /// How long the router waits for a client's startup message, for the rest of a statement, and for the next
-    /// statement, before the client may be evicted.
+    /// statement (in this order) before the client may be evicted.
     pub eviction_ages: [Span; 3],
-    /// How many connections beyond `connections` are allowed while evicted clients are being closed, which takes one
-    /// more iteration of the event loop.
+    /// How many connections beyond `connections` are allowed while evicted clients are being closed, because the close
+    /// takes one more iteration of the event loop.
     pub evicting_clients: usize,
-    /// How many other connections are closed at most to free a descriptor for one connect that was denied. If the
-    /// system lacks something other than descriptors, closing more of them would not help.
+    /// The maximum number of other connections that are closed to free a descriptor for one connect that failed for
+    /// lack of resources. If the system lacks something other than descriptors, closing more connections would not
+    /// help.
     pub evictions_per_denial: u8,
-    /// The pause before the connect of the watch is retried when it was denied and no other connection could be closed
-    /// for it. It is also the longest time for which the listener is suspended after an accept failed for lack of
-    /// resources.
+    /// The pause before the connect to discovery is retried, if the connect failed for lack of resources and no other
+    /// connection could be closed to free a descriptor. This is also the longest time for which the listener is
+    /// suspended after an accept failed for lack of resources.
     pub denied_connect_backoff: Span,
-    /// The idle time after which a client is closed however few clients there are.
+    /// The idle time after which a client's connection is closed, however few clients there are.
     pub client_idle_timeout: Span,
-    /// The number of errors after which a client may continue. The next one closes its connection.
+    /// The number of errors in a row that a client may make in its statements. The next error closes the client's
+    /// connection.
     pub client_errors: u32,
-    /// The pause before the router continues to read a client after its first error. It doubles with each further
-    /// error.
+    /// The pause before the router continues to read from a client after the client's first error. The pause doubles
+    /// with each further error in a row.
     pub client_error_backoff: Span,
-    /// The number of connections that the kernel queues until the router accepts them.
+    /// The maximum number of clients' connections that the kernel queues until the router accepts them.
     pub backlog: i32,
 
     // RPCs.
-    /// The most RPCs that may be in flight.
+    /// The maximum number of RPCs in flight.
     pub rpcs_in_flight: usize,
-    /// The number of ids of RPCs, in flight or ended, that are remembered to recognize a second copy of an RPC from a
-    /// client.
+    /// The maximum number of ids of RPCs, in flight or ended, that are remembered to recognize a second copy of an RPC
+    /// from a client.
     pub remembered_ids: usize,
     /// How long the id of an RPC is remembered after the RPC's deadline.
     pub remembered_id_ttl: Span,
@@ -80,64 +84,69 @@
     pub answer_margin: Span,
 
     // Calls to members.
-    /// How long a connection to a member may take to open.
+    /// How long a connection to a member may take to be established, including the member's startup.
     pub connect_timeout: Span,
-    /// How long a health check may take.
+    /// How long a health check of a member may take.
     pub health_check_timeout: Span,
-    /// The idle time after which a pooled connection is closed. It is shorter than the member's own idle timeout:
-    /// otherwise the member could close the connection just as a statement is sent on it.
+    /// The idle time after which a pooled connection to a member is closed. This time is shorter than the member's own
+    /// idle timeout: otherwise the member could close the connection just as a statement is sent on it.
     pub member_idle_timeout: Span,
-    /// How long a routing decision that depends on the time may wait before its attempt is sent. After that it is
-    /// checked again. A decision depends on the time with bounded staleness, with a session's write, and for a further
-    /// attempt within the window of its idempotency key. This is also the longest time that writing a statement may
-    /// take if the data must have reached a position.
+    /// How long a routing decision that depends on the time may wait before its attempt is sent. After this time the
+    /// decision is checked again. A decision depends on the time if the method has bounded staleness, if the read must
+    /// see a session's write, and if a further attempt is allowed only within the window of its idempotency key. This
+    /// is also the longest time that writing a statement to a member's socket may take if the member's data must have
+    /// reached a position.
     pub fresh_send_timeout: Span,
-    /// How long any other statement may take to be written, since it contains the remaining time of the RPC.
+    /// How long any other statement may take to be written to a member's socket. This time is limited because the
+    /// statement states the remaining time of the RPC.
     pub write_timeout: Span,
-    /// How long an answer may take from its beginning to its end, and how long the sync query after it may take.
+    /// How long a member's answer may take from its first byte to its end, and how long the member may take to answer
+    /// the sync query (an empty query) after that.
     pub partial_answer_timeout: Span,
-    /// How far a replication position may be ahead of this router's clock, corrected by the known clock difference. The
-    /// clocks of members are never further ahead.
+    /// How far a member's replication position may be ahead of this router's clock, after the clock is corrected by the
+    /// known clock difference. The clocks of members are never further ahead than this.
     pub max_clock_lead: Span,
 
     // Slow clients.
-    /// How long a client may take to send its first message, and the rest of a message that has begun.
+    /// How long a client may take to send its first message, and to send the rest of a message that has begun.
     pub message_timeout: Span,
     /// How long a client may take to read an answer.
     pub unread_answer_timeout: Span,
-    /// How long the socket of a client that filled its input buffer must stay empty before all that the client had sent
-    /// counts as read. This is longer than a round trip, because the client's kernel may have held back the rest until
-    /// the receive window opened.
+    /// After a client has filled its input buffer, the client's socket must stay empty for this long before everything
+    /// that the client had sent counts as read. This time is longer than a round trip, because the client's kernel may
+    /// have held back the rest until the receive window opened.
     pub refill_quiet_time: Span,
 
     // The watch of discovery.
-    /// How long a watch may go without a byte before its first list is complete. The first list may take no longer than
-    /// `watch_silence_timeout` in total.
+    /// The longest time between two bytes from discovery until the first list of a watch is complete. The first list
+    /// may take no longer than `watch_silence_timeout` in total.
     pub watch_answer_timeout: Span,
-    /// How long after its request a watch without an answer stays open in parallel with the next one. An overloaded
-    /// discovery answers or rejects a request within 2 s.
+    /// How long after its request a watch without an answer may stay open, in parallel with the next watch. An
+    /// overloaded discovery answers or rejects a request within 2 s.
     pub late_watch_timeout: Span,
-    /// How long a watch may be silent before it counts as failed. In the protocol, discovery sends an empty line every
-    /// 2 s, and the 6 s of `notified_within` leave time for two further requests.
+    /// How long discovery may be silent on a watch before the watch counts as failed. In the protocol, discovery sends
+    /// an empty line every 2 s, and the 6 s of `notified_within` leave time for two further requests.
     pub watch_silence_timeout: Span,
-    /// The time after a change of the endpoint list from which on the protocol counts a router as notified of it.
+    /// The time after a change of the endpoint list from which on the protocol expects a router to know of the change.
     pub notified_within: Span,
 
     // The event loop.
-    /// How many connections are accepted per event, so that clients that are already connected are not delayed.
+    /// How many clients are accepted per event of the listener, so that clients that are already connected are not
+    /// delayed.
     pub accepts_per_event: usize,
     /// How many reads are made from one connection per event, so that the other connections are not delayed.
     pub reads_per_event: usize,
-    /// How many ready sockets are handled before the reducer's next tick.
+    /// How many ready sockets are handled in one iteration of the event loop, before the reducer's next tick.
     pub sockets_per_iteration: usize,
-    /// How many messages of one client are handled per iteration, so that the other clients are not delayed.
+    /// How many messages of one client are handled per iteration of the event loop, so that the other clients are not
+    /// delayed.
     pub statements_per_iteration: usize,
     /// The longest time that the event loop waits, so that a stall of the process is noticed.
     pub max_poll_wait: Duration,
-    /// How late the event loop must wake from its wait for the delay to count as a stall.
+    /// How late the event loop must wake from its wait for the delay to count as a stall of the process.
     pub stall_threshold: Duration,
-    /// The longest time since the last poll of the sockets. If it is exceeded, they are polled again before any
-    /// deadline is checked.
+    /// The maximum age of the last poll of the sockets. If the last poll is older, the sockets are polled again before
+    /// any deadline is checked.
     pub max_poll_age: Duration,
     /// The pause before a system call that failed temporarily is made again.
     pub failed_call_backoff: Duration,
@@ -147,13 +156,14 @@
     pub stats_interval: Span,
 
     // Start, reload and stop.
-    /// The pause before a start that failed temporarily is retried.
+    /// The pause before a start of the router that failed temporarily is retried.
     pub start_retry_interval: Duration,
-    /// How long a start is retried.
+    /// How long a start of the router that fails temporarily is retried.
     pub start_retry_timeout: Duration,
     /// The retries of a configuration that could not be read at SIGHUP.
     pub reload_retry: ReloadRetry,
-    /// The idle time after which a client is closed if the router awaited its next statement when the shutdown began.
+    /// The idle time after which a client's connection is closed during a shutdown, if the router awaited the client's
+    /// next statement when the shutdown began.
     pub shutdown_idle_time: Span,
     /// How long connections and RPCs are accepted after a shutdown has begun. SIGKILL may come 0.7 s after the longest
     /// deadline. The process ends once nothing is in flight.
@@ -163,21 +173,23 @@
 /// The retries of a configuration that could not be read at SIGHUP.
 #[derive(Clone, Copy, Debug)]
 pub struct ReloadRetry {
-    /// The pause between two retries.
+    /// The pause between two retries to read the configuration.
     pub interval: Duration,
-    /// How long the retries continue. The protocol counts a router as notified of a new configuration after 4 s.
+    /// How long the retries continue. The protocol expects a router to know of a new configuration 4 s after the
+    /// change.
     pub timeout: Duration,
 }
 
-/// The longest value in the protocol.
+/// The maximum size in bytes of a value in the protocol.
 const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The number of bytes that a statement or an answer may have in addition to its value.
+/// The number of bytes that a statement or an answer may have in addition to the value that it contains.
 const OVERHEAD_BYTES: usize = 8 << 10;
-/// The longest statement or answer. A value in hex takes twice its size.
+/// The maximum size in bytes of a statement or an answer. A value in hex takes twice the value's size.
 const MAX_STATEMENT_BYTES: usize = 2 * MAX_VALUE_BYTES + OVERHEAD_BYTES;
-/// The space that an input buffer has in addition to complete messages, so that the beginning of the next message fits.
+/// The space in bytes that an input buffer has in addition to complete messages, so that the beginning of the next
+/// message fits.
 const BUFFER_SLACK_BYTES: usize = 16 << 10;
-/// The number of statements that a client's input buffer has space for.
+/// The number of statements of maximum size that a client's input buffer has space for.
 const STATEMENTS_AHEAD: usize = 4;
 /// The descriptors reserved for the standard streams, the event loop, signals, the listener, discovery, and those that
 /// the runtime opens.
@@ -186,7 +198,7 @@
 /// The share of the member's own idle timeout after which a pooled connection is closed.
 const MEMBER_IDLE_SHARE: f64 = 0.8;
 
-/// The limits that apply if neither the machine nor the settings determine them.
+/// The default limits, for those that neither the machine's resources nor the settings determine.
 const DEFAULTS: Limits = Limits {
     buffer_initial_bytes: 4 << 10,
     client_buffer_bytes: STATEMENTS_AHEAD * MAX_STATEMENT_BYTES + BUFFER_SLACK_BYTES,
--- a/crates/ladderpass/src/main.rs
+++ b/crates/ladderpass/src/main.rs
@@ -73,14 +73,14 @@
     }
 }
 
-/// Logs each line of the errors' text, and returns the exit code of a failure.
+/// Logs each line of the errors' text, and returns the process's exit code for a failure.
 fn exit_with_errors(errors: &impl Display) -> ExitCode {
     errors.to_string().lines().for_each(|error| tracing::error!("{error}"));
     ExitCode::FAILURE
 }
 
-/// Sets up the log, which goes to standard error. A span is logged with its duration when it closes. The router creates
-/// spans at debug level only.
+/// Sets up the log, which goes to standard error. A tracing span is logged with its duration when it closes. The router
+/// creates tracing spans at debug level only.
 fn start_log(json: bool) {
     let filter = std::env::var("RUST_LOG").unwrap_or_default();
     let filter = if filter.is_empty() { "info" } else { &filter };
--- a/crates/ladderpass/src/pg.rs
+++ b/crates/ladderpass/src/pg.rs
@@ -1,7 +1,7 @@
 //! PostgreSQL's wire protocol, version 3, as far as a router needs it: parses messages into values, and writes
 //! messages.
 //!
-//! These modules keep no state between calls, and use no connection.
+//! The modules of `pg` keep no state between calls, and use no connection.
 
 mod error_response;
 mod frame;
--- a/crates/ladderpass/src/pg/error_response.rs
+++ b/crates/ladderpass/src/pg/error_response.rs
@@ -1,20 +1,20 @@
-//! ErrorResponse messages. The router parses those of members, and writes its own.
+//! ErrorResponse messages. The router parses those that members send, and writes its own to clients.
 
 use super::frame::put_ready;
 use super::primitives::{Malformed, split_text};
 use std::io::Write;
 
-/// The length of an SQLSTATE code.
+/// The length in bytes of an SQLSTATE code.
 const CODE_BYTES: usize = 5;
 
 /// The fields of an ErrorResponse that the router uses.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// The SQLSTATE code.
+    /// The SQLSTATE code of the error.
     pub code: String,
-    /// Whether its severity is FATAL or PANIC, so that the sender closes the connection.
+    /// Whether the error's severity is FATAL or PANIC, so that the sender closes the connection.
     pub fatal: bool,
-    /// The human-readable message.
+    /// The human-readable message of the error.
     pub message: String,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Appends an ErrorResponse, with `detail` in the field D.
+/// Appends an ErrorResponse message to `out`, with `detail` in the message's field D if it is given.
 pub fn put_error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, detail: Option<i64>) {
     let start = out.len();
     out.extend_from_slice(b"E\0\0\0\0");
@@ -61,7 +61,7 @@
     out[start + 1..start + 5].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Appends an ErrorResponse after which the connection stays usable, and a ReadyForQuery message.
+/// Appends to `out` an ErrorResponse message after which the connection stays usable, and a ReadyForQuery message.
 pub fn put_recoverable_error(out: &mut Vec<u8>, code: &str, message: &str, detail: Option<i64>) {
     put_error(out, "ERROR", code, message, detail);
     put_ready(out);
--- a/crates/ladderpass/src/pg/load_report.rs
+++ b/crates/ladderpass/src/pg/load_report.rs
@@ -1,6 +1,7 @@
 //! A member's load report, which is a list of `name=number` pairs separated by commas.
 
-/// Returns the pairs of a load report, or `None` if any pair is invalid, because an incomplete report can't be trusted.
+/// Returns the `name=number` pairs of a member's load report, or `None` if any pair is invalid, because an incomplete
+/// report can't be trusted.
 pub fn parse_load_report(text: &str) -> Option<Vec<(&str, f64)>> {
     let pair = |pair| {
         let (name, value) = str::split_once(pair, '=')?;
--- a/crates/ladderpass/src/pg/query.rs
+++ b/crates/ladderpass/src/pg/query.rs
@@ -1,4 +1,4 @@
-//! Queries and the messages of their results, as far as a router parses them.
+//! Query messages and the messages of query results, as far as a router parses them.
 
 use super::frame::put_frame;
 use super::primitives::{Malformed, read_u32, split_text};
@@ -16,13 +16,13 @@
     }
 }
 
-/// Appends a Query message. Its statement is the concatenation of the strings in `statement`.
+/// Appends a Query message to `out`. The message's statement is the concatenation of the strings in `statement`.
 pub fn put_query(out: &mut Vec<u8>, statement: &[&str]) {
     let parts: Vec<&[u8]> = statement.iter().map(|part| part.as_bytes()).chain([&b"\0"[..]]).collect();
     put_frame(out, b'Q', &parts);
 }
 
-/// A setting of a member's connection.
+/// A ParameterStatus message, in which a member reports a setting of the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParameterStatus<'a> {
     /// The setting's name.
@@ -46,20 +46,20 @@
     }
 }
 
-/// Returns whether this is the body of a RowDescription with exactly one column.
+/// Returns whether `body` is the body of a RowDescription message with exactly one column.
 pub fn is_single_column_description(body: &[u8]) -> bool {
-    // The fields after a column's name: table, number, type, size, modifier and format.
+    // The number of bytes of the fields after a column's name: table, number, type, size, modifier and format.
     const FIXED_BYTES: usize = 18;
     let Some(rest) = body.strip_prefix(&[0, 1]) else { return false };
     matches!(split_text(rest), Ok((_, fixed)) if fixed.len() == FIXED_BYTES)
 }
 
-/// Returns whether this is the body of a CommandComplete for exactly one row.
+/// Returns whether `body` is the body of a CommandComplete message for exactly one row.
 pub fn is_single_row_completion(body: &[u8]) -> bool {
     matches!(body, b"SELECT 1\0" | b"INSERT 0 1\0" | b"SHOW\0")
 }
 
-/// Returns the value of a DataRow with exactly one column, or `None` if the value is NULL.
+/// Returns the value in the body of a DataRow message with exactly one column, or `None` if the value is NULL.
 ///
 /// # Errors
 ///
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -1,4 +1,4 @@
-//! The first message on a connection, which has no type byte, and the reply to it.
+//! The first message on a PostgreSQL connection, which has no type byte, and the reply to that message.
 
 use super::frame::{put_frame, put_ready};
 use super::primitives::{Malformed, read_u32};
@@ -8,36 +8,36 @@
 const SSL_REQUEST: u32 = 80_877_103;
 const GSSENC_REQUEST: u32 = 80_877_104;
 
-/// The request in the first message.
+/// The request in the first message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialMessage {
     /// The client starts a session.
     Startup,
-    /// The client asks for TLS or GSS encryption. The reply is a single byte that declines it.
+    /// The client asks for TLS or GSS encryption. The reply is a single byte that declines the encryption.
     Encryption,
     /// The client asks to cancel the statement of another connection.
     Cancel {
-        /// The process id that the other connection received.
+        /// The process id that the router sent on the other connection.
         process: u32,
-        /// The secret key that the other connection received.
+        /// The secret key that the router sent on the other connection.
         secret: u32,
     },
 }
 
-/// An initial message and its length.
+/// The request in the first message on a connection, and the message's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InitialFrame {
-    /// The request.
+    /// The request in the message.
     pub message: InitialMessage,
     /// The number of bytes of the message.
     pub length: usize,
 }
 
-/// Parses the first message on a connection. Returns `None` if it is not complete.
+/// Parses the first message on a connection. Returns `None` if the message is not complete.
 ///
 /// # Errors
 ///
-/// Fails if these bytes can't begin such a message, or begin one of more than `max_bytes`.
+/// Fails if `bytes` can't be the beginning of such a message, or if the message is longer than `max_bytes`.
 pub fn parse_initial_message(bytes: &[u8], max_bytes: usize) -> Result<Option<InitialFrame>, Malformed> {
     let Some(length) = read_u32(bytes) else { return Ok(None) };
     let length = length as usize;
@@ -51,8 +51,8 @@
             let number = |from| message_bytes.get(from..).and_then(read_u32).ok_or(Malformed);
             InitialMessage::Cancel { process: number(8)?, secret: number(12)? }
         }
-        // Any minor version of 3 is accepted. Names and values follow, each with a zero byte at its end, and then one
-        // further zero byte.
+        // Any minor version of protocol 3 is accepted. The names and values of parameters follow the version, each with
+        // a zero byte at its end, and then one further zero byte.
         Some(code) if code >> 16 == PROTOCOL_3_0 >> 16 && message_bytes.ends_with(&[0]) => {
             InitialMessage::Startup
         }
@@ -61,8 +61,8 @@
     Ok(Some(InitialFrame { message, length }))
 }
 
-/// Appends the reply to a client's startup message: AuthenticationOk (no password is required), the parameters, the key
-/// for cancel requests, and ReadyForQuery.
+/// Appends to `out` the reply to a client's startup message: AuthenticationOk (no password is required), the
+/// parameters, the key for cancel requests, and ReadyForQuery.
 pub fn put_startup_reply(out: &mut Vec<u8>, process: u32, secret: u32) {
     put_frame(out, b'R', &[&[0; 4]]);
     for (name, value) in [
@@ -79,7 +79,7 @@
     put_ready(out);
 }
 
-/// Appends the startup message that a router sends to a member.
+/// Appends to `out` the startup message that a router sends to a member.
 pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
     let body = format!("user\0{user}\0database\0{database}\0\0");
     out.extend_from_slice(&(8 + body.len() as u32).to_be_bytes());
--- a/crates/ladderpass/src/pg/statement_comment.rs
+++ b/crates/ladderpass/src/pg/statement_comment.rs
@@ -3,9 +3,9 @@
 use std::ops::Range;
 use thiserror::Error;
 
-/// The longest accepted id.
+/// The maximum length in bytes of an RPC's id.
 const MAX_ID_BYTES: usize = 64;
-/// The longest accepted number.
+/// The maximum length in bytes of a number in a comment.
 const MAX_NUMBER_BYTES: usize = 20;
 
 /// The parsed comment of a statement.
@@ -17,39 +17,40 @@
     pub method: &'a str,
     /// How long the client waits for the answer, in milliseconds (`d`).
     pub wait_ms: f64,
-    /// The byte range of the value of `d` in the statement.
+    /// The byte range of the value of `d` in the statement's text.
     pub wait_at: Range<usize>,
     /// The group of members that the RPC is for (`cluster`).
     pub group: f64,
     /// Whether the client has sent the RPC before (`r`).
     pub resent: bool,
-    /// The position that the data must have reached, in milliseconds (`after`).
+    /// The replication position that the member's data must have reached, which is the time of the session's last write
+    /// in Unix milliseconds (`after`).
     pub after_ms: Option<f64>,
-    /// The text of the statement before the comment. This module does not check it.
+    /// The text of the statement before the comment. This module does not check that text.
     pub head: &'a str,
 }
 
-/// An error in a comment. Clients receive its text.
+/// An error in the comment of a statement. The client receives the error's text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommentError {
     /// The statement does not end with a comment.
     #[error("the statement has no comment at its end")]
     NoComment,
-    /// A name occurs twice.
+    /// A name occurs twice in the comment.
     #[error("{0} stands twice in the comment")]
     Duplicate(String),
-    /// A required name is missing.
+    /// A required name is missing in the comment.
     #[error("{0} is missing in the comment")]
     Missing(&'static str),
-    /// The id is too long, or contains a space or a character that is not printable ASCII.
+    /// The RPC's id is too long, or contains a space or a character that is not printable ASCII.
     #[error("id is no short word in the comment")]
     BadId,
-    /// A value is too long, or is not a decimal number of digits and at most one point.
+    /// A value in the comment is too long, or is not a decimal number of digits and at most one point.
     #[error("{0} is no number in the comment")]
     NotANumber(&'static str),
 }
 
-/// The pairs of a comment that have been read so far.
+/// The values of a comment's `name=value` pairs that have been read so far.
 #[derive(Default)]
 struct Pairs<'a> {
     id: Option<&'a str>,
@@ -93,7 +94,8 @@
     })
 }
 
-/// Reads the pairs of the comment whose content begins at `start`. Unknown names are ignored.
+/// Reads the `name=value` pairs of the comment whose content begins at the byte `start` of `inner`. Unknown names are
+/// ignored.
 fn read_pairs(inner: &str, start: usize) -> Result<Pairs<'_>, CommentError> {
     let mut pairs = Pairs::default();
     let mut pair_start = start;
@@ -121,7 +123,8 @@
     Ok(pairs)
 }
 
-/// Returns where the value of the pair at `pair_start` begins, after the equals sign and any spaces.
+/// Returns the byte position at which the value of the `name=value` pair at `pair_start` begins, after the equals sign
+/// and any spaces.
 fn value_start(inner: &str, pair: &str, pair_start: usize) -> usize {
     let from = pair_start + pair.find('=').map_or(0, |equals| equals + 1);
     from + inner.get(from..).map_or(0, |rest| rest.len() - rest.trim_start().len())
--- a/crates/ladderpass/src/pg/statement_form.rs
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -2,9 +2,10 @@
 //!
 //! A member closes the connection when it can't parse a statement, which would look like a failure of the member.
 
-/// The tokens of a SELECT. In both forms an empty token matches any identifier, and a quote matches any quoted text.
+/// The tokens of a SELECT statement. Both here and in the tokens of an INSERT, an empty token matches any identifier,
+/// and a quote matches any quoted text.
 const SELECT: [&str; 8] = ["SELECT", "", "FROM", "", "WHERE", "", "=", "'"];
-/// The tokens of an INSERT.
+/// The tokens of an INSERT statement. An empty token matches any identifier, and a quote matches any quoted text.
 const INSERT: [&str; 16] =
     ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
 
@@ -13,11 +14,11 @@
 pub struct StatementForm<'a> {
     /// Whether the statement is an INSERT.
     pub writes: bool,
-    /// The key, without its enclosing quotes.
+    /// The key that the statement reads or writes, without the enclosing quotes.
     pub key: &'a str,
 }
 
-/// Parses a statement. Returns `None` if it has neither of the two forms.
+/// Parses a statement. Returns `None` if the statement is neither an INSERT nor a SELECT of the accepted form.
 pub fn parse_statement_form(statement: &str) -> Option<StatementForm<'_>> {
     let mut rest = statement;
     let writes = statement.trim_start().starts_with(['I', 'i']);
@@ -40,7 +41,8 @@
     (value_is_hex && rest.trim().is_empty()).then_some(StatementForm { writes, key })
 }
 
-/// Removes the first token from `rest` and returns it: a word, a quoted text with its quotes, or a single character.
+/// Removes the first token from `rest` and returns that token, which is a word, a quoted text with its quotes, or a
+/// single character.
 fn take_token<'a>(rest: &mut &'a str) -> Option<&'a str> {
     let text = rest.trim_start();
     let first = text.chars().next()?;
@@ -56,7 +58,8 @@
     Some(token)
 }
 
-/// Returns where the quoted text at the start of `text` ends. Two consecutive quotes in it represent one quote.
+/// Returns the byte position at which the quoted text at the start of `text` ends. Two consecutive quotes inside the
+/// quoted text represent one quote.
 fn end_of_quoted(text: &str) -> Option<usize> {
     let mut end = 1;
     loop {
--- a/crates/ladderpass/src/sockets.rs
+++ b/crates/ladderpass/src/sockets.rs
@@ -1,7 +1,8 @@
-//! The router on real sockets. These modules turn readiness, timers and signals into events for the reducer, and carry
-//! out the effects that it returns.
+//! The router on real sockets. The modules of `sockets` turn readiness, timers and signals into events for the reducer,
+//! and carry out the effects that the reducer returns.
 //!
-//! They own the sockets and the clock. The reducer decides which connection is used, when, and what is written on it.
+//! These modules own the sockets and the clock. The reducer decides which connection is used, when, and what is written
+//! on it.
 //!
 //! | module | what it does |
 //! | --- | --- |
--- a/crates/ladderpass/src/sockets/accept.rs
+++ b/crates/ladderpass/src/sockets/accept.rs
@@ -8,26 +8,27 @@
 use std::io::ErrorKind;
 use std::time::Instant;
 
-/// The result of accepting the clients that wait at the listener.
+/// The reason why no more clients were accepted from the listener in one batch.
 enum AcceptOutcome {
-    /// No client is waiting.
+    /// No client is waiting at the listener.
     AllAccepted,
-    /// The limit per event is used up, and more clients may be waiting.
+    /// As many clients were accepted as one event allows, and more clients may be waiting.
     MoreWaiting,
-    /// No further client can be accepted for now.
+    /// No further client can be accepted for now, because the reducer has no capacity or the system lacks descriptors
+    /// or memory.
     Blocked,
 }
 
 impl Server {
-    /// Accepts a limited number of clients, then polls connections, because clients that had waited for long may have
-    /// left.
+    /// Accepts a limited number of clients, and then polls the connections for events, because clients that had waited
+    /// for long may have left.
     pub(super) fn accept_clients(&mut self) {
         self.accept_batch();
     }
 
     /// Accepts all clients that wait at the listener, so that each of their statements gets an answer, and closes the
-    /// listener. If there is no capacity for them yet, the listener stays open, and the reducer requests this effect
-    /// again.
+    /// listener. If there is no capacity for all of these clients yet, the listener stays open, and the reducer
+    /// requests the effect `StopListening` again.
     pub(super) fn stop_listening(&mut self) {
         loop {
             match self.accept_batch() {
@@ -40,8 +41,8 @@
         self.apply(Event::ListenerClosed);
     }
 
-    /// Starts to serve a client. If its socket can't be registered now, the registration is retried, because the
-    /// client's requests must not be lost.
+    /// Starts to serve an accepted client. If the client's socket can't be registered with epoll now, the registration
+    /// is retried, because the client's requests must not be lost.
     pub(super) fn admit_client(&mut self, client: AcceptedClient) {
         let AcceptedClient { id, stream } = client;
         if let Err(error) = self.register(id, stream, false) {
@@ -51,7 +52,7 @@
         }
         self.apply(Event::Accepted(id));
         self.read(id, ReadMode::UntilBlocked);
-        // The descriptor of a client that has already left is released before the next client is accepted.
+        // If the client has already left, its descriptor is released here, before the next client is accepted.
         self.close_if_requested(id);
     }
 
@@ -86,7 +87,8 @@
                 }
                 Err(error) if !is_resource_exhausted(&error) => tracing::debug!(%error, "accept failed"),
                 Err(error) => {
-                    // The suspension also ends after `Limits::denied_connect_backoff`.
+                    // The listener's suspension ends when a connection closes, and also after
+                    // `Limits::denied_connect_backoff`.
                     tracing::warn!(%error, "accept failed, listener suspended until a connection closes");
                     self.listener.suspend();
                     return AcceptOutcome::Blocked;
--- a/crates/ladderpass/src/sockets/clock.rs
+++ b/crates/ladderpass/src/sockets/clock.rs
@@ -1,11 +1,11 @@
-//! The clock. It gives wall-clock time that can't jump, and how long bytes had waited in the kernel before they were
-//! read.
+//! The router's clock. It gives wall-clock time that can't jump, and computes how long bytes had waited in the kernel
+//! before they were read.
 
 use crate::wall_clock::WallClock;
 use ladderpass_routing::{Span, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Readings of two clocks that are less than this apart count as simultaneous.
+/// Readings of two clocks count as simultaneous if they were made less than this time apart.
 const SIMULTANEOUS_READINGS: Duration = Duration::from_millis(1);
 
 /// A clock that reads the wall clock once at the start and advances by the monotonic clock.
@@ -16,8 +16,8 @@
 }
 
 impl Clock {
-    /// Starts the clock. `offset` is added to the wall clock to simulate a wrong one; it is zero without the feature
-    /// `faulty`.
+    /// Starts the clock. `offset` is added to the wall clock to simulate a machine whose clock is wrong. The offset is
+    /// zero without the feature `faulty`.
     pub(super) fn start(offset: Span) -> Clock {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock {
@@ -37,7 +37,8 @@
         let before = self.started_at.elapsed();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let now = self.started_at.elapsed();
-        // A pause of the process between the two readings would look like a step of the wall clock.
+        // A pause of the process between the readings of the two clocks would look like a step of the wall clock, so
+        // such a pair of readings is not used.
         if now - before < SIMULTANEOUS_READINGS {
             self.wall_clock.record_reading(before, wall);
         }
--- a/crates/ladderpass/src/sockets/connection_io.rs
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -11,27 +11,31 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// When a socket counts as empty.
+/// When a socket counts as read until it was empty.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadMode {
-    /// After a read that has not filled its buffer. The kernel reports bytes that arrive later.
+    /// The socket counts as empty after a read that has not filled its buffer. The kernel reports bytes that arrive
+    /// later.
     UntilShortRead,
-    /// After a read that would block. A short read does not show a close that follows the bytes.
+    /// The socket counts as empty only after a read that would block. A read that has not filled its buffer does not
+    /// show whether the other side closed the connection behind the bytes.
     UntilBlocked,
 }
 
 /// The next step after a single read of a connection.
 enum ReadStep {
-    /// There may be more to read.
+    /// The socket may hold more bytes to read.
     Continue,
-    /// The socket is empty. The read that showed it began at this time.
+    /// The socket is empty. The read that showed this began at the given time.
     SocketEmpty(Instant),
-    /// Nothing more can be read now, since the connection is closed, the buffer is full, or the call failed.
+    /// Nothing more can be read from the connection now, since the connection is closed or not established, the reducer
+    /// has no space for more bytes, or the call failed.
     Stop,
 }
 
 impl Server {
-    /// Starts a connect. A failure is reported to the reducer as an event.
+    /// Starts to connect to `address`. If the connect fails at once, the failure is reported to the reducer as an
+    /// event.
     pub(super) fn connect(&mut self, id: ConnectionId, address: SocketAddr) {
         let registered = begin_connect(address)
             .and_then(|stream| self.register(id, stream, true).map_err(|error| error.source));
@@ -42,7 +46,7 @@
         }
     }
 
-    /// Sets up a socket, and adds its connection to the connection table.
+    /// Sets the options of a connection's socket, and adds the connection to the connection table.
     pub(super) fn register(
         &mut self,
         id: ConnectionId,
@@ -61,7 +65,7 @@
     }
 
     /// Handles a limited number of ready connections, because a large batch would delay timers, deadlines and members'
-    /// answers. The remaining ones are handled after the reducer's next tick.
+    /// answers. The remaining connections are handled after the reducer's next tick.
     pub(super) fn handle_ready_connections(&mut self) {
         for _ in 0..self.limits.sockets_per_iteration {
             let Some(id) = self.ready.pop_front() else { return };
@@ -94,9 +98,9 @@
         }
     }
 
-    /// Reads the available bytes while the reducer has space for them, with a limited number of reads, so that a client
-    /// that sends without pause does not starve the others. If bytes stay unread, the reducer gets `Event::SocketEmpty`
-    /// once the socket has been read to its end.
+    /// Reads the bytes that are available on a connection while the reducer has space for them. The number of reads is
+    /// limited, so that a client that sends without pause does not starve the others. If bytes stay unread, the reducer
+    /// gets `Event::SocketEmpty` once the socket has been read to its end.
     pub(super) fn read(&mut self, id: ConnectionId, mode: ReadMode) {
         for _ in 0..self.limits.reads_per_event {
             match self.read_once(id, mode) {
@@ -151,8 +155,8 @@
         ReadStep::Stop
     }
 
-    /// Records that a read that began at `read_began_at` emptied the socket. Reports that to the reducer if bytes had
-    /// been left unread before.
+    /// Records that a read that began at `read_began_at` emptied the socket. Reports `Event::SocketEmpty` to the
+    /// reducer if bytes had been left unread in the socket before.
     fn on_socket_empty(&mut self, id: ConnectionId, read_began_at: Instant) {
         let was_unread = self.connections.get_mut(id).is_some_and(|connection| {
             connection.last_empty_at = read_began_at;
@@ -163,7 +167,7 @@
         }
     }
 
-    /// Writes all outgoing bytes, as far as the socket accepts them.
+    /// Writes the outgoing bytes of a connection, as far as the socket accepts them.
     pub(super) fn write(&mut self, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(id).filter(|connection| !connection.connecting)
@@ -180,22 +184,22 @@
                     return self.apply(Event::WriteBlocked(id));
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // The kernel reports no event if the socket was writable all the time, so the write is made again
-                // later.
+                // The write failed temporarily. The kernel reports no event if the socket was writable all the time, so
+                // the write is made again in the next iteration.
                 Err(error) if is_transient(&error) => return self.deferred.writes.push(id),
                 Err(_) => return self.apply(Event::Closed(id)),
             }
         }
     }
 
-    /// Closes a connection. This ends a suspension of the listener, because a descriptor is free again.
+    /// Closes a connection. The close ends a suspension of the listener, because a descriptor is free again.
     pub(super) fn close(&mut self, id: ConnectionId) {
         if self.connections.remove(id) {
             self.listener.on_descriptor_released();
         }
     }
 
-    /// Closes a connection before all other effects are carried out, if the reducer has requested that.
+    /// Closes a connection before all other effects are carried out, if the reducer has requested the close.
     pub(super) fn close_if_requested(&mut self, id: ConnectionId) {
         if let Some(nth) = self.effects.iter().rposition(|effect| *effect == Effect::Close(id)) {
             self.effects.remove(nth);
@@ -203,8 +207,8 @@
         }
     }
 
-    /// Reads a connection's socket to its end, and closes the connection if the reducer then requests that. Nothing
-    /// else happens between the last read and the close, so a statement that had already arrived is not lost.
+    /// Reads a connection's socket until it is empty, and closes the connection if the reducer then requests the close.
+    /// Nothing else happens between the last read and the close, so a statement that had already arrived is not lost.
     pub(super) fn close_if_quiet(&mut self, id: ConnectionId) {
         self.read(id, ReadMode::UntilBlocked);
         self.apply(Event::ReadToEnd(id));
--- a/crates/ladderpass/src/sockets/deferred.rs
+++ b/crates/ladderpass/src/sockets/deferred.rs
@@ -1,15 +1,15 @@
-//! Calls that failed temporarily, for example because the kernel had no memory, and that the next iteration makes
-//! again.
+//! System calls that failed temporarily, for example because the kernel had no memory, and that the next iteration of
+//! the event loop makes again.
 
 use crate::reducer::ConnectionId;
 use std::net::TcpStream;
 
-/// The calls to make again.
+/// The system calls that the next iteration of the event loop makes again.
 #[derive(Default)]
 pub(super) struct DeferredCalls {
     pub(super) reads: Vec<ConnectionId>,
     pub(super) writes: Vec<ConnectionId>,
-    /// Accepted clients whose sockets could not be registered.
+    /// Accepted clients whose sockets could not be registered with epoll.
     pub(super) registrations: Vec<AcceptedClient>,
 }
 
--- a/crates/ladderpass/src/sockets/effects.rs
+++ b/crates/ladderpass/src/sockets/effects.rs
@@ -1,15 +1,15 @@
-//! Carries out the effects that the reducer has returned, in order.
+//! Carries out the effects that the reducer has returned.
 
 use super::connection_io::ReadMode;
 use super::server::Server;
 use crate::reducer::Effect;
 
 impl Server {
-    /// Carries out all effects, including those that result from them.
+    /// Carries out all effects that the reducer has returned, including effects that result from others.
     pub(super) fn carry_out_effects(&mut self) {
         while !self.effects.is_empty() {
-            // A client may have left while the batch was handled. Connections are polled once more right before new
-            // attempts are written, so that members don't work for clients that have left.
+            // A client may have left while the batch of events was handled. Connections are polled once more right
+            // before new attempts are written, so that members don't work for clients that have left.
             if self.writes_to_member() {
                 self.poll_connections();
             }
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop. It waits for events, handles them in batches, and ticks the reducer after each batch.
+//! The event loop of the router, which waits for events, handles them in batches, and ticks the reducer after each
+//! batch.
 
 use super::clock::span;
 use super::connection_io::ReadMode;
@@ -16,12 +17,12 @@
     /// A socket could not be opened.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The event loop could not wait for its sources for longer than `Limits::event_loop_failure_timeout`.
+    /// For longer than `Limits::event_loop_failure_timeout`, every attempt to wait for the event loop's sources failed.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
 }
 
-/// Runs the router until it has shut down, which SIGTERM or SIGINT starts.
+/// Runs the router until its shutdown, which SIGTERM or SIGINT starts, is complete.
 ///
 /// # Errors
 ///
@@ -91,8 +92,9 @@
         self.carry_out_effects();
     }
 
-    /// Handles everything that has arrived, if the last poll is too old, as after a stall of the process. This happens
-    /// before any deadline is checked; otherwise the stall would count against members and clients.
+    /// Handles everything that has arrived if the last poll of the connections is too old, as after a stall of the
+    /// process. This happens before any deadline is checked; otherwise the stall would count against members and
+    /// clients.
     fn catch_up(&mut self) {
         if self.connections.polled_at().elapsed() < self.limits.max_poll_age {
             return;
@@ -104,7 +106,7 @@
         self.carry_out_effects();
     }
 
-    /// Returns how long to wait for events, which is zero while work is pending.
+    /// Returns how long the event loop may wait for events, which is zero while work is pending.
     fn next_wait(&self) -> Duration {
         let wait = match self.reducer.wake_at() {
             _ if self.has_pending_events || !self.partly_read.is_empty() || !self.ready.is_empty() => {
@@ -118,7 +120,7 @@
     }
 
     /// Reports to the reducer how long this iteration was busy and, at intervals, the resource usage of the process.
-    /// Then carries out the effects.
+    /// Then carries out the effects that the reducer returns.
     fn sample_usage(&mut self) {
         let Some(due) = self.reducer.next_sample_at() else { return };
         let busy = self.usage.mark_waiting();
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Repeats the calls that failed temporarily.
+    /// Makes the system calls again that failed temporarily.
     fn retry_deferred_calls(&mut self) {
         for client in std::mem::take(&mut self.deferred.registrations) {
             self.admit_client(client);
--- a/crates/ladderpass/src/sockets/listener.rs
+++ b/crates/ladderpass/src/sockets/listener.rs
@@ -1,7 +1,8 @@
-//! The listening socket, and whether the event loop watches it.
+//! The listening socket, and whether the event loop watches that socket.
 //!
-//! The event loop does not watch it while the reducer has no capacity for another client. After an accept failed for
-//! lack of descriptors or memory, the listener is suspended until a connection closes or a backoff has passed.
+//! The event loop does not watch the socket while the reducer has no capacity for another client. After an accept
+//! failed for lack of descriptors or memory, the listener is suspended until a connection closes or a backoff has
+//! passed.
 
 use calloop::{LoopHandle, RegistrationToken};
 use socket2::{Domain, Protocol, Socket, Type};
@@ -13,17 +14,18 @@
 /// The listening socket, registered in an event loop with the shared data `D`.
 pub(super) struct Listener<D: 'static> {
     handle: LoopHandle<'static, D>,
-    /// The socket, or `None` once it is closed.
+    /// The listening socket with its registration, or `None` once the socket is closed.
     socket: Option<RegisteredListener>,
-    /// Whether the reducer wants new connections.
+    /// Whether the reducer has capacity for new clients.
     wanted: bool,
-    /// Whether the event loop watches the socket.
+    /// Whether the event loop watches the listening socket.
     enabled: bool,
-    /// When an accept last failed for lack of descriptors or memory; `None` unless the listener is suspended.
+    /// The time of the failed accept for which the listener is suspended. The accept failed for lack of descriptors or
+    /// memory. `None` if the listener is not suspended.
     exhausted_at: Option<Instant>,
-    /// The longest time for which the listener is suspended after that.
+    /// The longest time for which the listener is suspended after an accept failed for lack of descriptors or memory.
     denied_connect_backoff: Duration,
-    /// When an accept last found no client waiting.
+    /// When an accept last found no client waiting at the listener.
     empty_at: Instant,
 }
 
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Returns the socket to accept from, or `None` once it is closed.
+    /// Returns the listening socket, or `None` once the socket is closed.
     pub(super) fn socket(&self) -> Option<Rc<TcpListener>> {
         self.socket.as_ref().map(|registered| registered.socket.clone())
     }
@@ -59,20 +61,20 @@
         self.enabled
     }
 
-    /// Sets whether the reducer wants new connections.
+    /// Sets whether the reducer has capacity for new clients.
     pub(super) fn set_wanted(&mut self, wanted: bool) {
         self.wanted = wanted;
         self.update();
     }
 
-    /// Has the event loop watch the socket, or stop watching it, as the state requires. Each iteration calls this,
-    /// because an earlier call may have failed.
+    /// Makes the event loop watch the listening socket, or stop watching it, as the listener's state requires. Each
+    /// iteration of the event loop calls this method, because an earlier change may have failed.
     pub(super) fn update(&mut self) {
         self.set_enabled(self.wanted && self.exhausted_at.is_none());
     }
 
-    /// Suspends the listener. The socket stays ready meanwhile, so watching it would wake the event loop again and
-    /// again.
+    /// Suspends the listener. The listening socket stays ready during the suspension, so watching the socket would wake
+    /// the event loop again and again.
     pub(super) fn suspend(&mut self) {
         self.exhausted_at = Some(Instant::now());
         self.set_enabled(false);
@@ -93,13 +95,13 @@
         }
     }
 
-    /// Records that no client was waiting at that time.
+    /// Records that no client was waiting at the listener at the time `at`.
     pub(super) fn record_empty(&mut self, at: Instant) {
         self.empty_at = at;
     }
 
-    /// Returns when an accept last found no client waiting. A client that is accepted afterwards connected later than
-    /// that, so it had sent nothing before.
+    /// Returns when an accept last found no client waiting. A client that is accepted afterwards has connected later
+    /// than this time, so the client had sent nothing before.
     pub(super) fn empty_at(&self) -> Instant {
         self.empty_at
     }
@@ -118,7 +120,7 @@
         let done = if enabled { self.handle.enable(token) } else { self.handle.disable(token) };
         match done {
             Ok(()) => self.enabled = enabled,
-            // The next iteration retries this.
+            // The next iteration of the event loop retries the change.
             Err(error) => tracing::error!(%error, enabled, "listener not updated in the event loop"),
         }
     }
--- a/crates/ladderpass/src/sockets/reload.rs
+++ b/crates/ladderpass/src/sockets/reload.rs
@@ -1,7 +1,8 @@
 //! Reads the configuration again after SIGHUP.
 //!
-//! If a file is invalid or incomplete, the router keeps its current configuration. Reading is then retried for a while,
-//! because a file may be in the middle of being written, or the system may temporarily lack resources.
+//! If a file is invalid or incomplete, the router keeps its current configuration. The router then retries to read the
+//! files for a while, because a file may be in the middle of being written, or the system may temporarily lack
+//! resources.
 
 use crate::launch::Launch;
 use crate::limits::ReloadRetry;
@@ -15,7 +16,7 @@
     failed: Option<FailedReload>,
 }
 
-/// A failed reload that is being retried.
+/// A reload of the configuration that has failed and is being retried.
 struct FailedReload {
     tried_at: Instant,
     give_up_at: Instant,
@@ -26,7 +27,7 @@
         ConfigurationReload { operator_file, retry, failed: None }
     }
 
-    /// Reads the configuration. Logs its errors and starts to retry if that fails.
+    /// Reads the configuration again. If the read fails, logs the errors and begins to retry.
     pub(super) fn reload(&mut self) -> Option<Launch> {
         let now = Instant::now();
         self.failed = None;
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Retries a failed reload if the next attempt is due. Errors are not logged, since those of the first attempt
-    /// were.
+    /// Retries a failed reload of the configuration if the next attempt is due. Errors are not logged, since the errors
+    /// of the first attempt were logged.
     pub(super) fn retry_if_due(&mut self) -> Option<Launch> {
         let now = Instant::now();
         let failed = self.failed.as_mut()?;
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -1,6 +1,6 @@
 //! Measures the resources that the process uses: CPU time, busy time of the event loop, memory and file descriptors.
 //!
-//! Times are measured since the last sample. `ladderpass-overload` evaluates the samples.
+//! Times in a sample are measured since the sample before. `ladderpass-overload` evaluates the samples.
 
 use super::clock::span;
 use ladderpass_overload::ResourceSample;
@@ -17,12 +17,13 @@
 
 /// The resource usage of the process since the last sample.
 pub(super) struct ResourceUsage {
-    /// When the event loop woke, unless `mark_waiting` was called since.
+    /// When the event loop woke from its wait, or `None` while the event loop waits.
     awake_since: Option<Instant>,
     busy: Duration,
     sampled_at: Instant,
     cpu: Duration,
-    /// The file `/proc/self/statm`, or `None` if it can't be opened. Then only the memory of the buffers is known.
+    /// The file `/proc/self/statm`, which gives the process's memory, or `None` if the file can't be opened. Without it
+    /// only the memory of the connections' buffers is known.
     statm: Option<File>,
 }
 
@@ -37,19 +38,19 @@
         }
     }
 
-    /// Records that the event loop no longer waits.
+    /// Records that the event loop has woken from its wait.
     pub(super) fn mark_awake(&mut self) {
         self.awake_since.get_or_insert_with(Instant::now);
     }
 
-    /// Records that the event loop is about to wait, and returns how long it has been busy.
+    /// Records that the event loop is about to wait, and returns how long the event loop has been busy since it woke.
     pub(super) fn mark_waiting(&mut self) -> Duration {
         let busy = self.awake_since.take().map_or(Duration::ZERO, |since| since.elapsed());
         self.busy += busy;
         busy
     }
 
-    /// Returns the usage since the previous sample.
+    /// Returns the resource usage since the previous sample.
     pub(super) fn sample(&mut self, connections: usize) -> ResourceSample {
         let (now, cpu) = (Instant::now(), cpu_time());
         let sample = ResourceSample {
@@ -57,7 +58,7 @@
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
             resident_bytes: self.resident_bytes().unwrap_or(0),
-            // The reducer sets this.
+            // The reducer sets this field, since it counts the memory of the buffers.
             buffer_bytes: 0,
             descriptors: connections + OTHER_DESCRIPTORS,
         };
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -26,7 +26,7 @@
     pub(super) reload: ConfigurationReload,
     pub(super) usage: ResourceUsage,
     pub(super) limits: EventLoopLimits,
-    /// Calls that failed temporarily and are made again.
+    /// System calls that failed temporarily and are made again.
     pub(super) deferred: DeferredCalls,
     /// Effects that the reducer has returned and that have not been carried out.
     pub(super) effects: Vec<Effect>,
@@ -35,17 +35,18 @@
     /// Connections that are ready and have not been handled: first those that this router opened, then those of
     /// clients.
     pub(super) ready: VecDeque<ConnectionId>,
-    /// Connections that a call of `read` has left with more to read.
+    /// Connections that a call of `read` left before their sockets were empty, because it had made as many reads as one
+    /// event allows.
     pub(super) partly_read: Vec<ConnectionId>,
-    /// Whether connections were polled in this iteration.
+    /// Whether the connections were polled for events in this iteration of the event loop.
     pub(super) polled: bool,
     /// The latest time at which the event loop should have woken from its wait.
     pub(super) wake_by: Option<Instant>,
-    /// Whether the reducer has requested to exit.
+    /// Whether the reducer has requested the end of the process.
     pub(super) is_exiting: bool,
 }
 
-/// The sockets that a server starts with.
+/// The sockets that the router opens at its start.
 pub(super) struct Sockets {
     pub(super) connections: ConnectionTable,
     pub(super) listener: RegisteredListener,
@@ -54,14 +55,14 @@
 
 /// How much work one iteration does, and how long the event loop waits.
 pub(super) struct EventLoopLimits {
-    /// How many reads are made from one connection before others are read.
+    /// How many reads are made from one connection before other connections are read.
     pub(super) reads_per_event: usize,
     /// How many ready connections, or datagrams, are handled before the reducer's next tick.
     pub(super) sockets_per_iteration: usize,
     pub(super) max_wait: Duration,
     pub(super) stall_threshold: Duration,
-    /// The longest time since the last poll of connections. If it is exceeded, they are polled again before any
-    /// deadline is checked.
+    /// The maximum age of the last poll of connections. If the last poll is older, the connections are polled again
+    /// before any deadline is checked.
     pub(super) max_poll_age: Duration,
     pub(super) failed_call_backoff: Duration,
     pub(super) failure_timeout: Duration,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Passes an event to the reducer, and stores the effects that it returns.
+    /// Passes an event to the reducer, and stores the effects that the reducer returns.
     pub(super) fn apply(&mut self, event: Event) {
         let now = self.clock.now();
         self.has_pending_events = !matches!(event, Event::Tick);
@@ -123,8 +124,8 @@
     }
 
     /// Reports a stall if the event loop woke long after the end of its wait, and marks the event loop as awake. This
-    /// is called both before connections are polled and before clients are accepted. It takes `wake_by`, so only the
-    /// first call after a wait can report a stall.
+    /// method is called both before connections are polled and before clients are accepted. It clears `wake_by`, so
+    /// only the first call after a wait can report a stall.
     pub(super) fn check_stall(&mut self) {
         self.usage.mark_awake();
         let late = self.wake_by.take().map(|by| Instant::now().saturating_duration_since(by));
@@ -139,9 +140,10 @@
         self.poll_connections();
     }
 
-    /// Queues the connections that are ready. Those of members go to the front, because their answers finish RPCs while
-    /// clients' statements start new ones. Closes of clients skip the queue: the statements of such a client are not
-    /// started, so that members don't work on RPCs whose clients have left.
+    /// Queues the connections that are ready. Connections that this router opened go to the front of the queue, because
+    /// members' answers finish RPCs while clients' statements start new RPCs. A connection that its client has closed
+    /// is handled at once, before the queue: the client's statements do not become RPCs, so that members don't work on
+    /// RPCs whose clients have left.
     pub(super) fn poll_connections(&mut self) {
         self.polled = true;
         let mut closed_clients = Vec::new();
--- a/crates/ladderpass/src/sockets/start.rs
+++ b/crates/ladderpass/src/sockets/start.rs
@@ -1,4 +1,5 @@
-//! The start of the router. It opens everything that the event loop waits for, and retries if a call fails temporarily.
+//! The start of the router, which opens everything that the event loop waits for, and retries if a call fails
+//! temporarily.
 
 use super::datagrams::{self, PeerSocket};
 use super::listener::{self, RegisteredListener};
@@ -16,10 +17,11 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The step of a start that failed, and its error.
+/// The step at which a start of the router failed, with the error.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The event loop or the epoll set of connections could not be created, or that set could not be registered.
+    /// The event loop or the epoll set of connections could not be created, or the epoll set could not be registered
+    /// with the event loop.
     #[error("event loop: {0}")]
     EventLoop(#[source] io::Error),
     /// The handler of SIGTERM, SIGINT and SIGHUP could not be set up.
@@ -28,17 +30,17 @@
     /// The UDP socket for messages between routers could not be opened or registered.
     #[error("peers.listen: {address}: {source}")]
     PeerSocket {
-        /// The address to bind the socket to.
+        /// The address that the UDP socket was to be bound to.
         address: SocketAddr,
-        /// The system's error.
+        /// The system's error for the socket.
         source: io::Error,
     },
     /// The socket that clients connect to could not be opened.
     #[error("RELAY_LISTEN: {address}: {source}")]
     Listen {
-        /// The address to listen at.
+        /// The address that the socket was to listen at.
         address: SocketAddr,
-        /// The system's error.
+        /// The system's error for the socket.
         source: io::Error,
     },
     /// The socket that clients connect to could not be registered with the event loop.
@@ -47,7 +49,7 @@
 }
 
 impl StartError {
-    /// Returns whether the same start may succeed a little later.
+    /// Returns whether a start that failed with this error may succeed a little later.
     fn is_transient(&self) -> bool {
         match self {
             StartError::EventLoop(error)
@@ -59,14 +61,14 @@
     }
 }
 
-/// The event loop and the sockets that it waits for.
+/// The event loop, and the sockets for whose events the loop waits.
 pub(super) struct StartedSockets {
     pub(super) event_loop: EventLoop<'static, Server>,
     pub(super) sockets: Sockets,
 }
 
-/// Opens all sockets. Transient errors are retried for a while, for example because the address may belong to a process
-/// that is about to end.
+/// Opens all sockets of the router. If a call fails with a transient error, retries for a while, for example because
+/// the address may still belong to a process that is about to end.
 pub(super) fn open_with_retries(launch: &Launch) -> Result<StartedSockets, StartError> {
     let give_up_at = Instant::now() + launch.limits.start_retry_timeout;
     loop {
@@ -140,7 +142,8 @@
     inserted.map_err(|failure| system_error(failure.error))
 }
 
-/// Extracts the system's error from an error of the event loop, or wraps the latter if it has none.
+/// Extracts the system's error from an error of the event loop. If the error contains no system error, wraps the error
+/// itself.
 fn system_error(error: calloop::Error) -> io::Error {
     match error {
         calloop::Error::IoError(error) => error,
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -1,27 +1,29 @@
 //! Computes how long bytes had waited in the kernel before they were read.
 //!
-//! The kernel timestamps received bytes by the wall clock, which may be stepped while they wait. So the age of a
-//! timestamp is computed with each offset between wall clock and monotonic clock that may have been in force. An age
-//! counts only if it is at most the time since the connection was last empty, which the monotonic clock gives. This
-//! module reads no clock itself.
+//! The kernel timestamps received bytes by the wall clock, which may be stepped while the bytes wait. So the age of a
+//! timestamp is computed with each offset between wall clock and monotonic clock that may have applied when the bytes
+//! arrived. An age counts only if it is at most the time since the connection was last empty, which the monotonic clock
+//! gives. This module reads no clock itself.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// If two offsets differ by more than this, the wall clock was stepped between them.
+/// If two offsets between wall clock and monotonic clock differ by more than this number of nanoseconds, the wall clock
+/// was stepped between the two readings.
 const MIN_STEP_NANOS: i128 = 5_000_000;
-/// How long an earlier offset is kept. Bytes that a router waits for don't stay in the kernel's buffers any longer.
+/// How long an offset that applied before a step of the wall clock is kept. Bytes that the router waits for stay in the
+/// kernel's buffers for less than this time.
 const KEEP_EARLIER_OFFSETS: Duration = Duration::from_secs(10);
 const MAX_EARLIER_OFFSETS: usize = 4;
 
-/// How far the wall clock is ahead of the monotonic clock, now and before its last steps.
+/// How far the wall clock is ahead of the monotonic clock, now and before the last steps of the wall clock.
 #[derive(Debug, Default)]
 pub struct WallClock {
     offset_nanos: Option<i128>,
     earlier_offsets: VecDeque<EarlierOffset>,
 }
 
-/// An offset that was in force before a step of the wall clock.
+/// An offset between wall clock and monotonic clock that applied before a step of the wall clock.
 #[derive(Debug)]
 struct EarlierOffset {
     nanos: i128,
@@ -30,7 +32,7 @@
 }
 
 impl WallClock {
-    /// Records a simultaneous reading of both clocks.
+    /// Records readings of the wall clock and the monotonic clock that were made at the same time.
     pub fn record_reading(&mut self, monotonic: Duration, wall: Duration) {
         let offset = nanos(wall) - nanos(monotonic);
         let before = self.offset_nanos.replace(offset);
@@ -46,8 +48,8 @@
     }
 
     /// Returns how long bytes with this timestamp had waited at the time `monotonic`, at most `max`. If several offsets
-    /// fit the timestamp, the shortest wait counts. If no offset fits, the result is `max`, which errs towards less
-    /// remaining time for the client.
+    /// give a possible wait, the shortest wait is returned. If no offset does, the result is `max`, which errs towards
+    /// less remaining time for the client.
     pub fn time_in_kernel(&self, monotonic: Duration, timestamp: Duration, max: Duration) -> Duration {
         let age = |offset: i128| nanos(monotonic) + offset - nanos(timestamp);
         let offsets =
