--- a/crates/ladderpass/src/buffer.rs
+++ b/crates/ladderpass/src/buffer.rs
@@ -13,7 +13,7 @@
 }
 
 impl Buffer {
-    /// Returns the number of bytes stored.
+    /// Returns the number of bytes stored in the buffer.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -23,7 +23,7 @@
         self.len == 0
     }
 
-    /// Returns the memory allocated for the buffer.
+    /// Returns the number of bytes of memory allocated for the buffer.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -55,10 +55,10 @@
     pub timestamp: Option<Duration>,
 }
 
-/// Which kind of connection has become ready.
+/// The kind of a connection that has become ready to read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
-    /// A connection that this router opened.
+    /// A connection that this router opened to a member or to discovery.
     Member,
     /// A connection that a client opened.
     Client,
@@ -67,7 +67,7 @@
     ClosedClient,
 }
 
-/// The operations that a connection is ready for.
+/// The operations that a connection's socket is ready for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Readiness {
     /// Whether the socket has bytes to read.
@@ -85,11 +85,11 @@
 pub struct RegisterError {
     /// The TCP stream, which is still open.
     pub stream: TcpStream,
-    /// The system's error at the registration.
+    /// The system's error for the failed registration.
     pub source: io::Error,
 }
 
-/// All connections, by connection id.
+/// The sockets of all connections, by connection id, with the epoll set that watches them.
 pub struct ConnectionTable {
     epoll: Rc<EpollSet>,
     // A fast hash without protection against chosen keys is safe here: the router assigns the ids itself, so no other
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// The largest number of header fields that a response may have.
+/// The maximum number of header fields that discovery's HTTP response may have.
 const MAX_HEADERS: usize = 32;
 /// The maximum number of bytes in the size line of a chunk, extensions included.
 const MAX_CHUNK_HEAD_BYTES: usize = 64;
@@ -25,7 +25,7 @@
     pub instances: Vec<Instance>,
 }
 
-/// An entry of the list, which describes one member.
+/// An entry of the endpoint list, which describes one member.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
@@ -129,7 +129,7 @@
     Line(#[source] serde_json::Error),
 }
 
-/// The part of the response that the reader expects next.
+/// The part of a watch's response that the parser expects next.
 #[derive(Debug, Default)]
 enum Position {
     #[default]
@@ -140,14 +140,14 @@
     ChunkEnd,
 }
 
-/// The result of one step in parsing the response.
+/// The result of one step in parsing a watch's response.
 enum Step {
     Advanced,
     Listing(Listing),
     NeedsMoreBytes,
 }
 
-/// An incremental parser for the response to one watch.
+/// An incremental parser for discovery's response to one watch request.
 #[derive(Debug, Default)]
 pub struct WatchReader {
     position: Position,
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -43,7 +43,7 @@
     pub seed: u64,
     /// The endpoint list that the router uses until discovery has sent one.
     pub cached_endpoints: Listing,
-    /// The settings of the deployment.
+    /// The settings of the deployment, such as its methods.
     pub settings: DeploymentSettings,
     /// The limits of this router on sizes, counts and times.
     pub limits: Limits,
--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -31,15 +31,15 @@
     /// The file that `RELAY_CONFIG` names has an error.
     #[error("{}", prefix_lines(&format!("RELAY_CONFIG: {}: ", .path), .error))]
     ConfigFile {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: String,
-        /// The error of the file.
+        /// The error that was found in the file.
         error: ConfigFileError,
     },
     /// The operator's file can't be read.
     #[error("{}: {source}", .path.display())]
     OperatorFileUnreadable {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: PathBuf,
         /// The system's error when the file was read.
         source: io::Error,
@@ -47,9 +47,9 @@
     /// The operator's file has an error.
     #[error("{}: {error}", .path.display())]
     OperatorFile {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: PathBuf,
-        /// The error of the file.
+        /// The error that was found in the file.
         error: OperatorFileError,
     },
     /// The value of an environment variable of builds for fault injection is invalid. The error's text names the
@@ -61,13 +61,13 @@
 /// An error of the file that `RELAY_CONFIG` names.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// The file can't be read.
+    /// The file that `RELAY_CONFIG` names can't be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
     /// The file is not JSON, or a value is missing or has another type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The seed of the random number generator is invalid.
+    /// The seed of the router's random number generators is invalid.
     #[error("seed: {0:?} is not a hexadecimal number of at most 64 bits")]
     Seed(String),
     /// The address of discovery is invalid.
--- a/crates/ladderpass/src/launch/file.rs
+++ b/crates/ladderpass/src/launch/file.rs
@@ -43,7 +43,7 @@
     settings: Value,
 }
 
-/// The resources of the machine that the router may use.
+/// The resources of the machine that the router may use, as the JSON file states them.
 #[derive(Deserialize)]
 // The attribute `expecting` keeps the text of the error for a value of the wrong type, because operators know this
 // text.
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::Span;
 use std::time::Duration;
 
-/// All limits of one router.
+/// The resource limits and timeouts of one router.
 #[derive(Clone, Debug)]
 pub struct Limits {
     // Memory of buffers, in bytes.
@@ -110,7 +110,7 @@
     // Slow clients.
     /// How long a client may take to send its first message, and to send the rest of a message that has begun.
     pub message_timeout: Span,
-    /// How long a client may take to read an answer.
+    /// How long a client may take to read an answer before its connection is closed.
     pub unread_answer_timeout: Span,
     /// After a client has filled its input buffer, the client's socket must stay empty for this long before everything
     /// that the client had sent counts as read. This time is longer than a round trip, because the client's kernel may
@@ -152,7 +152,7 @@
     pub failed_call_backoff: Duration,
     /// How long the event loop's own system calls may fail before the process ends.
     pub event_loop_failure_timeout: Duration,
-    /// How often statistics are logged.
+    /// The time between two log lines with the router's statistics.
     pub stats_interval: Span,
 
     // Start, reload and stop.
--- a/crates/ladderpass/src/pg/frame.rs
+++ b/crates/ladderpass/src/pg/frame.rs
@@ -3,7 +3,7 @@
 
 use super::primitives::{Malformed, read_u32};
 
-/// A ReadyForQuery message outside of any transaction.
+/// The bytes of a ReadyForQuery message outside of any transaction.
 pub const READY: &[u8] = b"Z\0\0\0\x05I";
 
 /// The number of bytes of a frame's type and length.
@@ -18,7 +18,7 @@
     pub length: usize,
 }
 
-/// A complete frame.
+/// A complete frame of the wire protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     /// The frame's type byte.
--- a/crates/ladderpass/src/pg/query.rs
+++ b/crates/ladderpass/src/pg/query.rs
@@ -25,9 +25,9 @@
 /// A ParameterStatus message, in which a member reports a setting of the connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParameterStatus<'a> {
-    /// The setting's name.
+    /// The name of the connection's setting.
     pub name: Cow<'a, str>,
-    /// The setting's value.
+    /// The value of the connection's setting.
     pub value: Cow<'a, str>,
 }
 
--- a/crates/ladderpass/src/pg/startup.rs
+++ b/crates/ladderpass/src/pg/startup.rs
@@ -11,15 +11,15 @@
 /// The request in the first message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialMessage {
-    /// The client starts a session.
+    /// The client starts a session on the connection.
     Startup,
     /// The client asks for TLS or GSS encryption. The reply is a single byte that declines the encryption.
     Encryption,
     /// The client asks to cancel the statement of another connection.
     Cancel {
-        /// The process id that the router sent on the other connection.
+        /// The process id that the router sent on the connection whose statement is to be cancelled.
         process: u32,
-        /// The secret key that the router sent on the other connection.
+        /// The secret key that the router sent on the connection whose statement is to be cancelled.
         secret: u32,
     },
 }
@@ -27,9 +27,9 @@
 /// The request in the first message on a connection, and the message's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InitialFrame {
-    /// The request in the message.
+    /// The request that the first message contains.
     pub message: InitialMessage,
-    /// The number of bytes of the message.
+    /// The length of the message in bytes.
     pub length: usize,
 }
 
--- a/crates/ladderpass/src/pg/statement_form.rs
+++ b/crates/ladderpass/src/pg/statement_form.rs
@@ -9,7 +9,7 @@
 const INSERT: [&str; 16] =
     ["INSERT", "INTO", "", "(", "", ",", "", ")", "VALUES", "(", "'", ",", "'", ")", "RETURNING", ""];
 
-/// The parsed form of a statement.
+/// What the router needs from the form of a statement that it forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StatementForm<'a> {
     /// Whether the statement is an INSERT.
--- a/crates/ladderpass/src/reducer.rs
+++ b/crates/ladderpass/src/reducer.rs
@@ -51,13 +51,13 @@
 /// The number of attempts in flight, counted by RPCs and by connections to members. The two counts always agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptsInFlight {
-    /// The number of RPCs with an attempt in flight.
+    /// The number of RPCs that have an attempt in flight.
     pub rpcs: usize,
     /// The number of connections that carry an attempt or are being established for one.
     pub connections: usize,
 }
 
-/// The state of the router on sockets.
+/// The state of the router on sockets, with the methods that change the state.
 pub struct Reducer {
     /// The routing core.
     router: Router,
@@ -86,7 +86,7 @@
     /// How long the process stalled before this iteration of the event loop. Bytes that are read in this iteration may
     /// have waited as long as the stall.
     stall: Span,
-    /// When the routing core needs its next tick.
+    /// When the routing core needs its next tick, or `None` if it needs none.
     router_wake_at: Option<Time>,
     stats: Stats,
     /// A buffer that is reused for each rejection of an RPC at its arrival.
--- a/crates/ladderpass/src/reducer/event.rs
+++ b/crates/ladderpass/src/reducer/event.rs
@@ -34,7 +34,7 @@
     ConnectDenied(ConnectionId),
     /// The connection's socket accepts no more of the bytes of `Reducer::outgoing` for now.
     WriteBlocked(ConnectionId),
-    /// The process's resource usage was sampled.
+    /// The resource usage of the process was sampled.
     ResourcesSampled(ResourceSample),
     /// An iteration of the event loop is over. The fields are how long the iteration was busy, and how many ready
     /// sockets it left for the next iteration.
@@ -43,7 +43,7 @@
     ListenerClosed,
     /// The process did not run for this span. Bytes that are read in this batch of events may have waited as long.
     Stalled(Span),
-    /// A datagram has arrived from this address.
+    /// A datagram with these bytes has arrived from this address.
     DatagramReceived(SocketAddr, Vec<u8>),
     /// The configuration was reloaded.
     ConfigurationReloaded(Box<Launch>),
@@ -53,22 +53,22 @@
     Tick,
 }
 
-/// Something that the event loop is to do for the reducer.
+/// An action that the event loop is to carry out for the reducer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Connect to the address, and report `Connected`, `Closed` or `ConnectDenied`.
     Connect(ConnectionId, SocketAddr),
-    /// Write the bytes that `Reducer::outgoing` returns.
+    /// Write to the connection the bytes that `Reducer::outgoing` returns.
     Write(ConnectionId),
     /// Read from the connection, because its input buffer may have space again, because the pause after a client's
     /// error is over, or because its client is about to be evicted.
     Read(ConnectionId),
-    /// Close the connection.
+    /// Close the connection with this id.
     Close(ConnectionId),
     /// Read the connection's socket until it is empty, report `ReadToEnd`, and close the connection at once if the
     /// reducer then requests its close.
     CloseIfQuiet(ConnectionId),
-    /// Start or stop accepting clients.
+    /// Start accepting clients if the value is true, or stop if it is false.
     Accept(bool),
     /// Send the datagrams that `Reducer::take_datagrams` returns.
     SendDatagrams,
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -18,7 +18,7 @@
 /// The maximum time, in milliseconds, that a statement may say its client waits; a longer time is shortened to this
 /// one. No client waits for longer, and a `Time` can represent a deadline this far away.
 const MAX_WAIT_MS: f64 = 3.6e6;
-/// How much later than its client's deadline an RPC ends with `Faulty::AnswersLate`.
+/// How much later than its client's deadline an RPC ends if the router has the fault `Faulty::AnswersLate`.
 const FAULTY_LATENESS: Span = Span::from_millis(1000);
 /// The shift to the right that leaves the 16 highest bits of a session's 64-bit hash. These bits are the session's
 /// index.
@@ -141,7 +141,7 @@
         if self.methods.is_write(method) != Some(is_write) {
             return Err(StatementError::new("42601", "the statement has not the form of its method"));
         }
-        // For a member, this statement would be a second copy of the RPC that already has this id.
+        // A statement whose id is already in use would be a second copy, at the members, of the RPC that has the id.
         let id_hash = self.rpcs.hash_id(comment.id);
         if self.rpcs.is_duplicate(id_hash) {
             return Err(StatementError::new("23505", "its id is that of another RPC"));
@@ -166,8 +166,9 @@
     deadline: Time,
     comment: &pg::StatementComment<'_>,
 ) -> Arrival {
-    // If the time of the session's last write is ahead of this router's clock, the write's age is negative. It must not
-    // be limited to zero, because the write is compared with members' replication positions and not with the clock.
+    // If the time of the session's last write is ahead of this router's clock, the write's age is negative. The age
+    // must not be limited to zero, because the write is compared with members' replication positions and not with the
+    // clock.
     let last_write_ms = comment.after_ms.filter(|&ms| ms > 0.0);
     Arrival {
         method,
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -10,9 +10,9 @@
 use crate::reducer::state::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
-/// Returns whether the client has sent more than can be read now, so that a close of its connection can't be seen yet.
-/// No attempt is made for such a client, because it may have left. The RPC is also rejected if the client has not left,
-/// but has sent too much ahead.
+/// Returns whether reading from the client is paused because the client has sent more than can be read now, so that a
+/// close of its connection can't be seen yet. No attempt is made for such a client, because the client may have left.
+/// The RPC is also rejected if the client has not left, but has sent too much ahead.
 fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
     client.and_then(|client| connections.get(client)).is_some_and(Connection::is_read_paused)
 }
@@ -113,7 +113,8 @@
         }
         result.rpc_complete = is_ok || has_no_client;
         if result.outcome == AttemptOutcome::DecisionExpired {
-            // No attempt was made, so no retry is withdrawn from the budget for the next one.
+            // Nothing was sent in the attempt that has ended, so no retry is withdrawn from the shared retry budget for
+            // the next attempt.
             entry.discount_attempt();
         } else if let Some(peers) = &mut self.peers {
             if is_ok && entry.attempts() > 1 {
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -18,7 +18,7 @@
 /// `Limits::pause_clients_at_buffer_bytes` divided by this number.
 const IDLE_BUFFER_RELEASE_DIVISOR: usize = 4;
 
-/// Whether to go on reading a client in this iteration.
+/// Whether to go on handling a client's messages in this iteration of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     Continue,
@@ -27,7 +27,7 @@
 
 /// A message from a client, by the way in which the message is handled.
 enum ClientMessage {
-    /// The message has not arrived completely.
+    /// The client's message has not arrived completely.
     Incomplete,
     /// The message is answered with the bytes in `answer`, which may be empty. If `close` is set, the connection is
     /// closed after the answer.
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -90,7 +90,7 @@
         self.write(id, &startup);
     }
 
-    /// Appends bytes to a connection's output, and requests a write.
+    /// Appends bytes to a connection's output, and requests that the event loop writes them.
     pub(super) fn write(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.output.append(bytes, self.limits.buffer_initial_bytes, usize::MAX);
@@ -212,8 +212,8 @@
             }
             Remote::Client(_) => {
                 is_client = true;
-                // The client's next statement is read in the next iteration, because the write may show that the client
-                // has left.
+                // The client's next statement is handled in the next iteration of the event loop, because the write may
+                // show that the client has left.
                 if all_written && !is_closing {
                     self.clients.defer(id);
                 }
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -1,4 +1,5 @@
-//! Handles the deadlines of connections. A connection has at most one deadline, which depends on its current use.
+//! Handles the deadlines of connections. A connection has at most one deadline, which depends on what the connection is
+//! used for at the moment.
 
 use crate::reducer::Reducer;
 use crate::reducer::connection_id::ConnectionId;
@@ -57,8 +58,8 @@
         match member.job() {
             None => self.end_member_connection(now, id, AttemptOutcome::Unreachable),
             Some(_) if !member.is_established() && now < member.connect_deadline() => {
-                // The job ends, and its query is not sent. The connection may still be established and used for another
-                // job.
+                // The deadline of a job has passed while its connection was being established. The job ends, and its
+                // query is not sent. The connection may still be established and used for another job.
                 self.release_job(now, id, AttemptOutcome::Unreachable);
             }
             // The query was not fully sent, so the outcome is `Unreachable`. This is so even if the deadline is that of
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -38,7 +38,8 @@
     /// While there are more clients than `Limits::clients_before_eviction`, evicts clients whose input has been awaited
     /// for their eviction age: first clients that have not completed their startup, whose eviction age is the shortest,
     /// then clients in the middle of a statement, then idle clients. Idle clients have an eviction age too because a
-    /// client that was just answered is likely to send another statement, which would cross the close.
+    /// client that was just answered is likely to send another statement, which could arrive just as the connection is
+    /// closed.
     pub(in crate::reducer) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
@@ -75,7 +76,7 @@
             return;
         }
         let Some(connection) = self.connections.get(id) else { return };
-        // The final read failed temporarily, so it is requested again.
+        // The final read of the socket failed temporarily, so the read is requested again.
         if connection.has_unread_bytes() && !connection.is_read_paused() {
             return;
         }
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -7,7 +7,7 @@
 use crate::reducer::state::member_connection::{EndedJob, Job, Withdrawal};
 use ladderpass_routing::{AttemptOutcome, LoadReport, MemberId, RpcId, Span, Time};
 
-/// The query of a health check.
+/// The query that a health check sends to a member, which answers with a load report.
 const HEALTH_CHECK_QUERY: &str = "SHOW server_load";
 
 impl Reducer {
@@ -51,8 +51,8 @@
     }
 
     /// Puts the statement of an RPC into `query`, with the client's wait replaced by the time that is left. If the
-    /// attempt can't be sent, returns an error with the attempt's outcome, or with `None` if there is no such RPC or
-    /// connection.
+    /// attempt can't be sent, returns an error with the attempt's outcome, or with `None` if the RPC or the connection
+    /// does not exist any more.
     fn put_attempt_query(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -149,7 +149,7 @@
 
     /// Closes the idle connections of members that drain or have left, and ends the attempts of which no byte was sent
     /// to such members, so that they go to other members. The connections of these attempts might be established, or
-    /// accept bytes again, only after the time in which a draining member still serves RPCs.
+    /// accept bytes again, only after the grace period in which a draining member still serves RPCs.
     pub(super) fn withdraw_from_inactive_members(&mut self, now: Time) {
         let is_inactive = |&index: &usize| !self.router.is_active(MemberId(index as u32));
         let inactive: FxHashSet<usize> = (0..self.members.len()).filter(is_inactive).collect();
--- a/crates/ladderpass/src/reducer/handlers/rejections.rs
+++ b/crates/ladderpass/src/reducer/handlers/rejections.rs
@@ -18,7 +18,7 @@
 /// Why a statement is rejected. The client may try the statement again.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Rejection {
-    /// The process is about to end.
+    /// The process is about to end, so that no RPC begins any more.
     Stopping,
     /// The client has sent more than its input buffer has space for.
     SentAhead,
--- a/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
+++ b/crates/ladderpass/src/reducer/handlers/rpc_answers.rs
@@ -83,8 +83,8 @@
     fn unserved_answer(&mut self, group: u32, is_cancelled: bool, decision: Decision) -> Vec<u8> {
         let mut answer = Vec::new();
         match decision {
-            // The RPC was cancelled and had no effect. An RPC that may have had an effect is answered below that it
-            // may, whether the RPC is cancelled or not.
+            // The RPC was cancelled and had no effect. The code below answers RPCs that may have had an effect with an
+            // error that says so, whether they are cancelled or not.
             Decision::Reject { .. } | Decision::AlreadyAnswered if is_cancelled => {
                 self.stats.count(Count::Cancelled);
                 pg::put_recoverable_error(&mut answer, "57014", "cancelled at the client's request", None);
--- a/crates/ladderpass/src/reducer/handlers/shutdown.rs
+++ b/crates/ladderpass/src/reducer/handlers/shutdown.rs
@@ -22,8 +22,8 @@
         if self.faulty.is(Faulty::DropsRequestsAtStop) {
             self.effects.push(Effect::Exit);
         }
-        // A client that was just answered is likely to send another statement, which would cross the close of the
-        // connection. So a client is served until it has been idle for `shutdown_idle_time`.
+        // A client that was just answered is likely to send another statement, which could arrive just as the
+        // connection is closed. So a client is served until it has been idle for `shutdown_idle_time`.
         for (since, id) in self.clients.awaiting(AwaitedInput::NextStatement) {
             self.connections.set_deadline(id, Some(since + self.limits.shutdown_idle_time));
         }
--- a/crates/ladderpass/src/reducer/state/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -30,15 +30,15 @@
     NextStatement,
 }
 
-/// An awaited input, and the time since which it is awaited.
+/// An input that is awaited from a client, and the time since which the input is awaited.
 pub(in crate::reducer) type Awaited = (AwaitedInput, Time);
 
-/// State of a client.
+/// The state of one client, without its buffers.
 pub(in crate::reducer) struct Client {
     phase: ClientPhase,
     /// Number of the client's own errors since its last statement that was counted as accepted.
     errors: u32,
-    /// Whether reading from the client is paused after an error.
+    /// Whether reading from the client is paused after an error of the client.
     is_backing_off: bool,
     /// Whether all messages up to the next Sync are ignored, because an extended-protocol message was rejected.
     ignores_until_sync: bool,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Returns until when more bytes are expected after an overrun, if that time has not come yet.
+    /// Returns the time until which more bytes are expected after an overrun, or `None` if no more bytes are expected.
     pub(in crate::reducer) fn refill_pending(&self, now: Time) -> Option<Time> {
         self.refill_until.filter(|&until| now < until)
     }
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -15,10 +15,10 @@
 /// Number of sets of clients by awaited input. The sets are in the order in which their clients are evicted.
 const AWAITED_INPUT_COUNT: usize = 3;
 
-/// The clients that may be evicted.
+/// Which clients may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::reducer) enum EvictionScope {
-    /// Clients whose input has been awaited for at least its eviction age, at the given time.
+    /// Clients whose input has been awaited, at the given time, for at least the eviction age of this kind of input.
     Overdue(Time),
     /// All clients from which an input is awaited.
     All,
@@ -31,14 +31,15 @@
     /// For each `AwaitedInput`, the clients from which that input is awaited, with the time since which it is awaited.
     by_awaited_input: [BTreeSet<(Time, ConnectionId)>; AWAITED_INPUT_COUNT],
     /// Clients that will be closed unless more input is found in their sockets, each with the input that was awaited
-    /// from it.
+    /// when its eviction began.
     evicting: Vec<(ConnectionId, Option<Awaited>)>,
-    /// Clients whose input is to be read in this iteration.
+    /// Clients whose input is to be handled in this iteration of the event loop.
     ready: VecDeque<ConnectionId>,
-    /// Clients whose input is to be read in the next iteration. They have sent more messages than are read in one
-    /// iteration, or their RPC was just answered, or their output was just written.
+    /// Clients whose input is to be handled in the next iteration of the event loop. They have sent more messages than
+    /// are handled in one iteration, or their RPC was just answered, or their output was just written.
     deferred: Vec<ConnectionId>,
-    /// Bytes in the input buffers of clients that are not consumed yet. The statements of RPCs in flight are included.
+    /// Number of bytes in the input buffers of all clients that are not consumed yet. The statements of RPCs in flight
+    /// are included.
     unread_bytes: usize,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Number of clients from which each input is awaited.
+    /// Returns the number of clients from which each kind of input is awaited, in the order of `AwaitedInput`.
     pub(in crate::reducer) fn awaited_counts(&self) -> [usize; AWAITED_INPUT_COUNT] {
         self.by_awaited_input.each_ref().map(BTreeSet::len)
     }
@@ -124,7 +125,7 @@
         self.first_evictable(EvictionScope::Overdue(now), ages)
     }
 
-    /// Returns when the next client may be evicted.
+    /// Returns the time from which on the next client may be evicted, or `None` if no input is awaited from any client.
     pub(in crate::reducer) fn next_eviction_at(&self, ages: &[Span; AWAITED_INPUT_COUNT]) -> Option<Time> {
         self.by_awaited_input.iter().zip(ages).filter_map(|(set, &age)| Some(set.first()?.0 + age)).min()
     }
@@ -182,7 +183,8 @@
         !self.evicting.is_empty() || !self.deferred.is_empty() || !self.ready.is_empty()
     }
 
-    /// Bytes in the input buffers of clients that are not consumed yet. The statements of RPCs in flight are included.
+    /// Number of bytes in the input buffers of all clients that are not consumed yet. The statements of RPCs in flight
+    /// are included.
     pub(in crate::reducer) fn unread_bytes(&self) -> usize {
         self.unread_bytes
     }
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -12,7 +12,7 @@
 use ladderpass_routing::Time;
 use std::net::SocketAddr;
 
-/// State of the watch of discovery.
+/// The state of the watch by which this router gets the endpoint list from discovery.
 pub(in crate::reducer) struct DiscoveryWatch {
     address: SocketAddr,
     /// The generation of the endpoint list in use, numbered by discovery.
@@ -128,7 +128,7 @@
         self.previous == Some(id) || self.late == Some(id)
     }
 
-    /// Makes the request on this connection the current watch.
+    /// Records that the watch that is requested at `now` on this connection is the current watch.
     pub(in crate::reducer) fn begin_request(&mut self, now: Time, id: ConnectionId) {
         (self.current, self.requested_at) = (Some(id), now);
     }
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Returns the arrival of the last of the next `count` bytes to be consumed, if that byte was received.
+    /// Returns when the last of the next `count` bytes to be consumed arrived, and how long the router has kept this
+    /// byte waiting. Returns `None` if the byte was not received yet.
     pub(super) fn arrival_of(&self, now: Time, count: usize) -> Option<Arrived> {
         let end = self.consumed + count as u64;
         let batch = self.batches.iter().find(|batch| batch.end >= end)?;
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -16,7 +16,7 @@
     SyncQuery,
 }
 
-/// A connection to a member.
+/// The state of a connection to a member, without its buffers.
 pub(in crate::reducer) struct MemberConnection {
     /// The index of the connection's member.
     member: usize,
@@ -57,7 +57,7 @@
     pub(in crate::reducer) answer: QueryAnswer,
 }
 
-/// A job whose answer is complete.
+/// A job whose answer from the member is complete.
 pub(in crate::reducer) struct AnsweredJob {
     pub(in crate::reducer) job: Job,
     pub(in crate::reducer) member: MemberId,
@@ -313,7 +313,7 @@
             return self.answer.outcome();
         }
         match self.job {
-            // The member has rejected the connection, so it is reachable.
+            // The member has rejected the connection with an error message, so the member is reachable.
             Some(Job::HealthCheck) if self.answer.has_error() => AttemptOutcome::Rejected,
             Some(_) if self.is_query_sent() => AttemptOutcome::ConnectionLost,
             _ => AttemptOutcome::Unreachable,
--- a/crates/ladderpass/src/reducer/state/member_pools.rs
+++ b/crates/ladderpass/src/reducer/state/member_pools.rs
@@ -1,8 +1,8 @@
 //! Members, with their addresses and their pools of connections.
 //!
 //! A connection to a member is idle in the member's pool, has a job, or is being established. An index identifies a
-//! member until the routing core has retired that member and its last connection is closed. The index is then free for
-//! another member.
+//! member until the routing core has retired the member (no longer tracks it) and the member's last connection is
+//! closed. The index is then free for another member.
 
 use crate::reducer::connection_id::ConnectionId;
 use ladderpass_config::names::NameIndex;
@@ -22,7 +22,7 @@
     address: SocketAddr,
     /// The member's idle connections, which can take a job. The connection that was used last is at the end.
     idle: Vec<ConnectionId>,
-    /// Connections that are being established for an attempt.
+    /// Connections to the member that are being established for an attempt.
     connecting: VecDeque<ConnectionId>,
     connection_count: usize,
     /// Whether the routing core has retired the member, which means that the routing core no longer tracks it.
@@ -127,7 +127,7 @@
         self.pools.get(index).map_or(&[], |pool| &pool.idle)
     }
 
-    /// For each member, the connection that has been idle longest.
+    /// Returns the connection of each member that has been idle longest, for the members with idle connections.
     pub(in crate::reducer) fn longest_idle(&self) -> impl Iterator<Item = ConnectionId> {
         self.pools.iter().filter_map(|pool| pool.idle.first().copied())
     }
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -2,8 +2,8 @@
 //! governor's state goes to the routing core with each arriving RPC. The monitor also finds clients that do not read
 //! their answers, and logs metrics.
 //!
-//! The monitor is off unless the operator's file has an `overload` section. It rejects no RPC itself, which is left to
-//! the routing core.
+//! The monitor is off unless the operator's file has an `overload` section. The monitor rejects no RPC itself, because
+//! the routing core decides on rejections.
 
 use super::connections::Connections;
 use crate::reducer::connection_id::ConnectionId;
@@ -188,7 +188,8 @@
         true
     }
 
-    /// Records that an RPC that was not rejected at arrival ended without a member's answer.
+    /// Records that an RPC that was not rejected at arrival was answered with an error of this router instead of a
+    /// member's answer.
     pub(in crate::reducer) fn record_unserved(&mut self) {
         if let Some(active) = &mut self.active {
             active.governor.record_rejected();
@@ -215,7 +216,8 @@
         }
     }
 
-    /// Records that a client has read some of its answers, or everything that was to be written.
+    /// Records that a client has read some of its answers. `has_read_all` means that nothing is left to write to the
+    /// client.
     pub(in crate::reducer) fn record_client_read(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/state/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -1,11 +1,11 @@
-//! The part of a member's answer to one query that has arrived: one row of one column, or an error, and the parameters
-//! that describe the member.
+//! What has arrived of a member's answer to one query: one row of one column, or an error, and the parameters that
+//! describe the member.
 
 use crate::pg;
 use crate::reducer::unix_time::time_from_unix_ms;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, MemberId, Role, Span, Time};
 
-/// The part of a member's answer to a query that has arrived.
+/// What has arrived of a member's answer to a query.
 #[derive(Default)]
 pub(in crate::reducer) struct QueryAnswer {
     has_description: bool,
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// All RPCs in flight, and their ids.
+/// The table of all RPCs in flight, and the ids that no other RPC may use.
 #[derive(Default)]
 pub(in crate::reducer) struct RpcTable {
     in_flight: FxHashMap<RpcId, RpcInFlight>,
@@ -181,7 +181,7 @@
         self.ids.hash(id)
     }
 
-    /// Returns whether another RPC has this id, or had it recently.
+    /// Returns whether another RPC has the id with this hash, or had it recently.
     pub(in crate::reducer) fn is_duplicate(&self, id_hash: u64) -> bool {
         self.ids.contains(id_hash)
     }
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -17,7 +17,7 @@
     /// The client left before its RPC was answered.
     ClientLeft,
     Cancelled,
-    /// A statement had an error of the client's own.
+    /// The client made an error in a statement or another message.
     ClientError,
     /// A statement was rejected with `Rejection::Crowded`, because there are too many clients.
     Crowded,
@@ -45,11 +45,11 @@
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
-    /// Number of examples logged since the counts were last logged.
+    /// Number of examples of exceptional RPCs that were logged since the counts were last logged.
     examples: usize,
 }
 
-/// Number of attempts or health checks by outcome.
+/// The number of attempts or of health checks that ended with each outcome.
 #[derive(Clone, Copy, Default)]
 pub(in crate::reducer) struct OutcomeCounts([u32; AttemptOutcome::COUNT]);
 
@@ -151,7 +151,7 @@
         self.exceptions.merge(counts);
     }
 
-    /// Returns the counts and resets them.
+    /// Returns the counts since the last call, and resets them.
     pub(in crate::reducer) fn take(&mut self, now: Time) -> Stats {
         std::mem::replace(self, Stats::new(now))
     }
--- a/crates/ladderpass/src/reducer/unix_time.rs
+++ b/crates/ladderpass/src/reducer/unix_time.rs
@@ -1,4 +1,4 @@
-//! Converts Unix time as it is sent on the wire.
+//! Converts Unix time from the form in which members and clients send it.
 
 use ladderpass_routing::Time;
 
--- a/crates/ladderpass/src/sockets/connection_io.rs
+++ b/crates/ladderpass/src/sockets/connection_io.rs
@@ -216,7 +216,7 @@
     }
 }
 
-/// Opens a socket and starts a non-blocking connect.
+/// Opens a TCP socket and starts a non-blocking connect to `address`.
 fn begin_connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/ladderpass/src/sockets/datagrams.rs
+++ b/crates/ladderpass/src/sockets/datagrams.rs
@@ -8,7 +8,7 @@
 /// The maximum number of bytes that are received of a datagram. The rest of a longer datagram is lost.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// The socket for messages between routers.
+/// The UDP socket for messages between routers.
 pub(super) struct PeerSocket(Rc<UdpSocket>);
 
 /// A received datagram, and the address of its sender.
--- a/crates/ladderpass/src/sockets/event_loop.rs
+++ b/crates/ladderpass/src/sockets/event_loop.rs
@@ -14,7 +14,7 @@
 /// The reason why the router could not start or continue.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A socket could not be opened.
+    /// The router could not start, for example because a socket could not be opened.
     #[error(transparent)]
     Start(#[from] StartError),
     /// For longer than `Limits::event_loop_failure_timeout`, every attempt to wait for the event loop's sources failed.
--- a/crates/ladderpass/src/sockets/listener.rs
+++ b/crates/ladderpass/src/sockets/listener.rs
@@ -80,15 +80,15 @@
         self.set_enabled(false);
     }
 
-    /// Ends a suspension whose backoff has passed. Other processes may have used up the descriptors and released them
-    /// again, without a close of any of this process's connections.
+    /// Ends a suspension of the listener whose backoff has passed. Other processes may have used up the descriptors and
+    /// released them again, without a close of any of this process's connections.
     pub(super) fn end_expired_suspension(&mut self) {
         if self.exhausted_at.is_some_and(|since| since.elapsed() >= self.denied_connect_backoff) {
             self.exhausted_at = None;
         }
     }
 
-    /// Ends a suspension, because a connection has closed.
+    /// Ends a suspension of the listener, because the close of a connection has released a descriptor.
     pub(super) fn on_descriptor_released(&mut self) {
         if self.exhausted_at.take().is_some() {
             self.set_enabled(self.wanted);
@@ -126,7 +126,7 @@
     }
 }
 
-/// Opens a non-blocking socket that listens at `address`.
+/// Opens a non-blocking TCP socket that listens at `address`.
 pub(super) fn listen(address: SocketAddr, backlog: i32) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -15,7 +15,7 @@
 const OTHER_DESCRIPTORS: usize = 10;
 const PAGE_BYTES: usize = 4096;
 
-/// The resource usage of the process since the last sample.
+/// Measures the resource usage of the process since the last sample.
 pub(super) struct ResourceUsage {
     /// When the event loop woke from its wait, or `None` while the event loop waits.
     awake_since: Option<Instant>,
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Reads the configuration again, after SIGHUP.
+    /// Reads the configuration again after SIGHUP, and passes it to the reducer if it is valid.
     pub(super) fn reload_configuration(&mut self) {
         let launch = self.reload.reload();
         self.on_configuration_read(launch);
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct EarlierOffset {
     nanos: i128,
-    /// The monotonic time at which the step was noticed.
+    /// The monotonic time at which the step of the wall clock that ended this offset was noticed.
     ended_at: Duration,
 }
 
