--- a/crates/ladderpass/src/launch/errors.rs
+++ b/crates/ladderpass/src/launch/errors.rs
@@ -1,5 +1,5 @@
-//! Errors of the configuration that a router starts with. Each names the variable or the file, the key and, where there
-//! is one, the allowed range. An error prints as one line, unless it quotes text that has several.
+//! Errors of the configuration that a router starts with. Each error names the variable or the file, the key and, where
+//! there is one, the allowed range. An error prints as one line, unless it quotes text that has several lines.
 
 use crate::faulty::FaultyError;
 use ladderpass_config::operator::OperatorFileError;
@@ -8,51 +8,52 @@
 use std::io;
 use std::path::PathBuf;
 
-/// All errors of the configuration.
+/// All errors that were found in the configuration.
 pub type LaunchErrors = ErrorList<LaunchError>;
 
-/// All errors of the file that `RELAY_CONFIG` names.
+/// All errors that were found in the file that `RELAY_CONFIG` names.
 pub(super) type ConfigFileErrors = ErrorList<ConfigFileError>;
 
 /// An error of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum LaunchError {
-    /// A required variable is not set, or is empty.
+    /// A required environment variable is not set, or is empty.
     #[error("{variable}: not set; expected {expected}")]
     NotSet {
-        /// The variable's name.
+        /// The environment variable's name.
         variable: &'static str,
-        /// A description of the expected value.
+        /// A description of the value that the environment variable should have.
         expected: &'static str,
     },
-    /// The value of a variable is not an address.
+    /// The value of an environment variable is not an address.
     #[error(transparent)]
     Address(#[from] AddressError),
     /// The file that `RELAY_CONFIG` names has an error.
     #[error("{}", prefix_lines(&format!("RELAY_CONFIG: {}: ", .path), .error))]
     ConfigFile {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: String,
-        /// The error of the file.
+        /// The error that was found in the file.
         error: ConfigFileError,
     },
     /// The operator's file can't be read.
     #[error("{}: {source}", .path.display())]
     OperatorFileUnreadable {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: PathBuf,
-        /// The system's error.
+        /// The system's error when the file was read.
         source: io::Error,
     },
     /// The operator's file has an error.
     #[error("{}: {error}", .path.display())]
     OperatorFile {
-        /// The file's path.
+        /// The path of the file that has the error or can't be read.
         path: PathBuf,
-        /// The error of the file.
+        /// The error that was found in the file.
         error: OperatorFileError,
     },
-    /// A variable of builds for fault injection is invalid; the error's text names it.
+    /// The value of an environment variable of builds for fault injection is invalid. The error's text names the
+    /// variable.
     #[error("{0}")]
     FaultInjection(#[from] FaultyError),
 }
@@ -60,13 +61,13 @@
 /// An error of the file that `RELAY_CONFIG` names.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// The file can't be read.
+    /// The file that `RELAY_CONFIG` names can't be read.
     #[error(transparent)]
     Unreadable(#[from] io::Error),
     /// The file is not JSON, or a value is missing or has another type.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The seed of the random number generator is invalid.
+    /// The seed of the router's random number generators is invalid.
     #[error("seed: {0:?} is not a hexadecimal number of at most 64 bits")]
     Seed(String),
     /// The address of discovery is invalid.
@@ -75,23 +76,23 @@
     /// The memory that the router may use, in MiB, is out of range.
     #[error("limits.memory_mb: must be above 0, and at most {max}")]
     Memory {
-        /// The largest allowed value.
+        /// The largest allowed value of `limits.memory_mb`.
         max: u64,
     },
     /// The number of descriptors that the router may open is too small.
     #[error("limits.sockets: {sockets}; must be at least {min}")]
     Sockets {
-        /// The configured value.
+        /// The configured number of descriptors.
         sockets: usize,
-        /// The smallest allowed value.
+        /// The smallest allowed number of descriptors.
         min: usize,
     },
     /// The number of cores that the router may use is out of range.
     #[error("limits.cores: {cores}; must be above 0, and at most {max}")]
     Cores {
-        /// The configured value.
+        /// The configured number of cores.
         cores: f64,
-        /// The largest allowed value.
+        /// The largest allowed number of cores.
         max: f64,
     },
     /// The settings of the deployment have an error.
@@ -103,9 +104,9 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{key}: {text:?} is not an address with a port; allowed is address:port")]
 pub struct AddressError {
-    /// The name of the variable or key.
+    /// The name of the environment variable or key that has the text as its value.
     pub key: &'static str,
-    /// The invalid text.
+    /// The text that is not an address with a port.
     pub text: String,
 }
 
