--- a/crates/ladderpass-testbed/examples/data_path.rs
+++ b/crates/ladderpass-testbed/examples/data_path.rs
@@ -7,19 +7,20 @@
 use std::path::PathBuf;
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let seed = words.first().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    let form = words.get(1).map_or("", String::as_str);
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let seed = arguments.first().and_then(|seed| seed.parse().ok()).unwrap_or(1);
+    let selection = arguments.get(1).map_or("", String::as_str);
     let router = Some(PathBuf::from("target/release/ladderpass")).filter(|path| path.exists());
-    if matches!(form, "" | "long") {
-        let slopes = data_path::measure(seed, &Settings { long: form == "long", router: router.clone() });
+    if matches!(selection, "" | "long") {
+        let slopes =
+            data_path::measure(seed, &Settings { long: selection == "long", router: router.clone() });
         println!("| slope | y | x | range | each | base | error |\n|---|---|---|---|---|---|---|");
         for slope in &slopes {
-            let (fit, (least, most)) = (slope.fit(), slope.range());
+            let (fit, (min_x, max_x)) = (slope.fit(), slope.range());
             let (name, x, y, error) = (slope.name, slope.x, slope.y, fit.error * 100.0);
             let (each, base) = (fit.slope, fit.base);
             println!(
-                "| {name} | {y} | {x} | {least:.0} to {most:.0} | {each:.5} | {base:.2} | {error:.1}% |"
+                "| {name} | {y} | {x} | {min_x:.0} to {max_x:.0} | {each:.5} | {base:.2} | {error:.1}% |"
             );
         }
         println!();
@@ -33,14 +34,14 @@
         }
         println!();
     }
-    let tell = |table: Result<String, String>| match table {
+    let print_table = |table: Result<String, String>| match table {
         Ok(table) => println!("{table}"),
-        Err(fault) => eprintln!("{fault}"),
+        Err(error) => eprintln!("{error}"),
     };
-    if matches!(form, "long" | "tables") {
-        tell(data_path::tables(seed));
+    if matches!(selection, "long" | "tables") {
+        print_table(data_path::tables(seed));
     }
-    if matches!(form, "long" | "size") {
-        tell(data_path::size(seed, router.as_deref()));
+    if matches!(selection, "long" | "size") {
+        print_table(data_path::size(seed, router.as_deref()));
     }
 }
--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -52,7 +52,7 @@
 
 /// Can a router be held responsible for the effects of a rule? Not for a value that is garbled within its length, nor for a
 /// query that is duplicated on its way to a member.
-fn is_fair(rule: &Rule) -> bool {
+fn is_attributable_to_router(rule: &Rule) -> bool {
     let duplicates_query = rule.action == Action::Duplicate && rule.when.from == Side::Client;
     !duplicates_query && rule.action.name() != "garble"
 }
@@ -64,7 +64,8 @@
         deadline: Span::from_millis(1000),
         ..open_plan(seed, &[Phase { seconds: 1.0, rate_per_second: 400.0 }])
     };
-    let (record, summary) = run::run_through(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
+    let (record, summary) =
+        run::run_with_fault_rules(scenario, start, &plan, Some(rules.to_vec()), vec![], |_| {})?;
     let mut violations = record.violation_texts(ANSWER_GRACE);
     if let Some(code) = record.ended {
         violations.push(format!("the router ended with {code:?}"));
@@ -115,7 +116,7 @@
     let mut seed = seed;
     while Instant::now() < deadline {
         let mut plan = Plan::drawn(seed, RULES_PER_PLAN, links(&scenario));
-        plan.rules.retain(is_fair);
+        plan.rules.retain(is_attributable_to_router);
         let PlanResult { violations, rules_fired } = play(&scenario, &start, &plan.rules, seed)?;
         summary.plans_played += 1;
         summary.rules_fired += rules_fired;
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -93,29 +93,33 @@
 /// # Errors
 /// As [`lines`].
 pub fn delays(path: &Path, all: &[(&str, &Histogram<u64>)]) -> io::Result<()> {
-    let mut shown = Vec::new();
+    let mut chart_lines = Vec::new();
     for (name, delays) in all {
         let total = delays.len().max(1) as f64;
-        let mut counted = 0;
+        let mut cumulative = 0;
         let points = delays.iter_recorded().map(|step| {
-            counted += step.count_at_value();
-            (step.value_iterated_to() as f64 / 1e3, counted as f64 / total)
+            cumulative += step.count_at_value();
+            (step.value_iterated_to() as f64 / 1e3, cumulative as f64 / total)
         });
-        shown.push(Line::new(name, points.collect()));
+        chart_lines.push(Line::new(name, points.collect()));
     }
     lines(
         path,
         "Loop delay at three times the calm load",
         ("ms, logarithmic", "part of probes"),
-        &shown,
+        &chart_lines,
         true,
     )
 }
 
 /// The values of a metric that a router has logged, each `step` seconds after the one before.
-pub fn figures(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
-    let of_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
-    log.iter().filter_map(of_line).enumerate().map(|(index, value)| (index as f64 * step, value)).collect()
+pub fn metric_series(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
+    let value_in_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
+    log.iter()
+        .filter_map(value_in_line)
+        .enumerate()
+        .map(|(index, value)| (index as f64 * step, value))
+        .collect()
 }
 
 /// Draws good answers by method and rejections of a run, and beside that chart `pressure.svg` with the router's metrics.
@@ -125,26 +129,26 @@
 pub fn over_time(path: &Path, scenario: &Scenario, record: &RunRecord) -> io::Result<()> {
     let slices = &record.outcome.slices;
     let per_second = 1.0 / crate::load::SLICE.secs();
-    let mut shown: Vec<Line<'_>> = Vec::new();
+    let mut chart_lines: Vec<Line<'_>> = Vec::new();
     for (index, method) in scenario.methods.iter().enumerate() {
         let good = slices
             .iter()
             .filter_map(|slice| Some((slice.at_s, slice.counts.get(index)?.good as f64 * per_second)));
-        shown.push(Line::new(&method.name, good.collect()));
+        chart_lines.push(Line::new(&method.name, good.collect()));
     }
     let rejected =
         |slice: &crate::load::Slice| slice.counts.iter().map(|counts| counts.rejected).sum::<u64>() as f64;
-    shown.push(Line::new(
+    chart_lines.push(Line::new(
         "pushed back",
         slices.iter().map(|slice| (slice.at_s, rejected(slice) * per_second)).collect(),
     ));
-    lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &shown, false)?;
+    lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &chart_lines, false)?;
     let pressure_path = path.with_file_name("pressure.svg");
-    let shown = [
-        Line::new("pressure", figures(&record.log, "pressure", METRICS_INTERVAL_S)),
-        Line::new("delay part", figures(&record.log, "delay_part", METRICS_INTERVAL_S)),
-        Line::new("floor", figures(&record.log, "floor", METRICS_INTERVAL_S)),
-        Line::new("cpu", figures(&record.log, "cpu_used", METRICS_INTERVAL_S)),
+    let chart_lines = [
+        Line::new("pressure", metric_series(&record.log, "pressure", METRICS_INTERVAL_S)),
+        Line::new("delay part", metric_series(&record.log, "delay_part", METRICS_INTERVAL_S)),
+        Line::new("floor", metric_series(&record.log, "floor", METRICS_INTERVAL_S)),
+        Line::new("cpu", metric_series(&record.log, "cpu_used", METRICS_INTERVAL_S)),
     ];
-    lines(&pressure_path, "Pressure over time", ("s", "part"), &shown, false)
+    lines(&pressure_path, "Pressure over time", ("s", "part"), &chart_lines, false)
 }
--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -38,7 +38,7 @@
     let progress = progress_bar(total_s)?;
     let start = router_start(&args.testbed)?;
     let on_progress = |secs: f64| progress.set_position((secs * PROGRESS_STEPS_PER_SECOND) as u64);
-    let result = run::run_with(&scenario, &start, &plan, vec![], on_progress);
+    let result = run::run_with_progress(&scenario, &start, &plan, vec![], on_progress);
     progress.finish_and_clear();
     let record = result.map_err(CliError::failed)?;
     println!("{}", results::table(&scenario, &record));
--- a/crates/ladderpass-testbed/src/cli/testbed.rs
+++ b/crates/ladderpass-testbed/src/cli/testbed.rs
@@ -26,7 +26,7 @@
     let mut start = Start::new(&args.router);
     start.operator = args.operator.as_deref().map(read_file).transpose()?;
     start.cpu = args.cpu;
-    start.loud = args.loud;
+    start.print_log = args.loud;
     start.allowed.memory_mb = args.memory_mb;
     Ok(start)
 }
@@ -36,7 +36,7 @@
     let scenario = read_scenario(args)?;
     let emulator =
         RunningEmulator::start(scenario.clone(), args.seed, Ipv4Addr::LOCALHOST).map_err(CliError::failed)?;
-    let start = Start { loud: true, ..router_start(args)? };
+    let start = Start { print_log: true, ..router_start(args)? };
     let mut router = Router::start(&scenario, &emulator, &start, args.seed).map_err(CliError::failed)?;
     print_usage(&scenario, &emulator, &router);
     loop {
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -6,7 +6,7 @@
 use crate::drill::{Drill, LoggedEvent};
 use crate::history_checker::{Absence, DrainNotice};
 use crate::load::DownRouters;
-use crate::router::{Router, Start, own_address};
+use crate::router::{Router, Start, free_loopback_address};
 use ladderpass_emulator::{RunningEmulator, Scenario, now};
 use ladderpass_fault_injection::driver;
 use ladderpass_fault_injection::plan::LinkShape;
@@ -63,7 +63,8 @@
     pub fn start(drill: &'a Drill, programs: Programs<'a>, seed: u64) -> io::Result<DrillTestbed<'a>> {
         let scenario = Scenario { history: true, ..drill.scenario.clone() };
         let emulator = RunningEmulator::start_with_lists(scenario, seed, Ipv4Addr::LOCALHOST, drill.routers)?;
-        let addresses = (0..drill.routers).map(|_| own_address()).collect::<io::Result<Vec<_>>>()?;
+        let addresses =
+            (0..drill.routers).map(|_| free_loopback_address()).collect::<io::Result<Vec<_>>>()?;
         let client_links = start_client_links(&addresses, seed)?;
         let router_links = start_router_links(&emulator, &addresses, seed)?;
         let advertised = router_links.datagrams.as_ref().map_or(Vec::new(), |mesh| mesh.addresses.clone());
@@ -253,7 +254,7 @@
         }
         let to = emulator.discoveries[router];
         links.push(LinkShape { name: format!("r{router}>discovery"), listen, to, protocol: Protocol::Http });
-        // Datagrams go to the port of the router's listener; `own_address` has checked that it is free for UDP too.
+        // Datagrams go to the port of the router's listener; `free_loopback_address` has checked that it is free for UDP too.
         ends.push(End { name: format!("r{router}"), address: listen, to: *address });
     }
     driver::RunningTool::start(Plan { seed, links, ends, ..Default::default() }, None)
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -93,7 +93,7 @@
     let rules = rules.map_err(io::Error::other)?;
     let plan = load_plan(seed);
     let (mut record, summary) =
-        run::run_through(&scenario(case), &start, &plan, Some(rules), fault_events(case), |_| {})?;
+        run::run_with_fault_rules(&scenario(case), &start, &plan, Some(rules), fault_events(case), |_| {})?;
     record.warm_member_rpcs_per_second = WARM_RPCS_PER_SECOND;
     let decisions = summary.map_or(0, |summary| summary.record.len());
     Ok(CaseResult { broken_rules: broken_rules(&record), exposure: exposure(case, &record, decisions) })
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 /// Version of the form. Files of another version are not read.
-const FORM: u64 = 1;
+const FORMAT_VERSION: u64 = 1;
 const US_PER_MS: f64 = 1e3;
 
 /// Why results can't be reported.
@@ -40,16 +40,16 @@
         kind: Value,
     },
     /// Results of another version.
-    #[error("{}: form {form} is not form {FORM}, which this program reads", path.display())]
-    UnknownForm {
+    #[error("{}: form {version} is not form {FORMAT_VERSION}, which this program reads", path.display())]
+    UnknownFormat {
         /// The file.
         path: PathBuf,
         /// The version, as JSON.
-        form: Value,
+        version: Value,
     },
     /// The line of the kind `run` is missing, or names no method.
     #[error("{}: its first line does not say what was run", path.display())]
-    NoRun {
+    MissingRun {
         /// The file.
         path: PathBuf,
     },
@@ -62,7 +62,11 @@
 pub fn write(path: &Path, options: &Value, scenario: &Scenario, record: &RunRecord) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     let methods: Vec<&str> = scenario.methods.iter().map(|method| method.name.as_str()).collect();
-    writeln!(file, "{}", json!({"kind": "run", "form": FORM, "methods": methods, "told": options}))?;
+    writeln!(
+        file,
+        "{}",
+        json!({"kind": "run", "form": FORMAT_VERSION, "methods": methods, "told": options})
+    )?;
     for slice in &record.outcome.slices {
         writeln!(file, "{}", json!({"kind": "slice", "slice": slice}))?;
     }
@@ -129,9 +133,11 @@
                 source,
             })?;
             match value["kind"].as_str() {
-                Some("run") if value["form"].as_u64() == Some(FORM) => results.methods = method_names(&value),
+                Some("run") if value["form"].as_u64() == Some(FORMAT_VERSION) => {
+                    results.methods = method_names(&value)
+                }
                 Some("run") => {
-                    return Err(ResultsError::UnknownForm { path: path(), form: value["form"].clone() });
+                    return Err(ResultsError::UnknownFormat { path: path(), version: value["form"].clone() });
                 }
                 Some("slice") => results.slices.push(value["slice"].clone()),
                 Some("figures") => results.metrics.push(value["figures"].clone()),
@@ -143,7 +149,7 @@
             }
         }
         if results.methods.is_empty() {
-            return Err(ResultsError::NoRun { path: path() });
+            return Err(ResultsError::MissingRun { path: path() });
         }
         Ok(results)
     }
--- a/crates/ladderpass-testbed/src/router/address.rs
+++ b/crates/ladderpass-testbed/src/router/address.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// If none of several candidates is free.
-pub fn own_address() -> io::Result<SocketAddr> {
+pub fn free_loopback_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let pid = std::process::id();
     let mut last_error = None;
--- a/crates/ladderpass-testbed/src/router/affinity.rs
+++ b/crates/ladderpass-testbed/src/router/affinity.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 /// If the affinity can't be set.
-pub fn keep_off(cpu: usize) -> io::Result<()> {
+pub fn exclude_core(cpu: usize) -> io::Result<()> {
     // Read once: a later call would read what an earlier one has set.
     static INITIAL: OnceLock<CpuSet> = OnceLock::new();
     let initial = INITIAL.get_or_init(|| sched_getaffinity(Pid::from_raw(0)).unwrap_or_default());
@@ -29,7 +29,7 @@
     Ok(sched_setaffinity(Pid::from_raw(0), if has_others { &others } else { initial })?)
 }
 
-/// How many cores the machine has. Read once: [`keep_off`] would change it later.
+/// How many cores the machine has. Read once: [`exclude_core`] would change it later.
 pub fn cores() -> usize {
     static CORES: OnceLock<usize> = OnceLock::new();
     *CORES.get_or_init(|| std::thread::available_parallelism().map_or(1, usize::from))
--- a/crates/ladderpass-testbed/src/router/mod.rs
+++ b/crates/ladderpass-testbed/src/router/mod.rs
@@ -14,8 +14,8 @@
 mod resource_usage;
 mod start;
 
-pub use address::own_address;
-pub use affinity::{cores, keep_off, pin};
+pub use address::free_loopback_address;
+pub use affinity::{cores, exclude_core, pin};
 pub use process::Router;
 pub use resource_usage::ResourceUsage;
 pub use start::Start;
--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -1,7 +1,7 @@
 //! The process of a router: its settings are written and it is started, then observed, signalled and killed. It ends only
 //! processes that it has started.
 
-use super::address::own_address;
+use super::address::free_loopback_address;
 use super::affinity::pin;
 use super::resource_usage::ResourceUsage;
 use super::start::Start;
@@ -27,7 +27,7 @@
 const LOG_END_TIMEOUT: Duration = Duration::from_secs(2);
 const LOG_END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// Lines of the log that an error about a router's start shows.
-const LAST_LINES: usize = 5;
+const LAST_LOG_LINES: usize = 5;
 
 /// A running router. It is killed when this is dropped.
 pub struct Router {
@@ -54,14 +54,14 @@
         start: &Start,
         seed: u64,
     ) -> io::Result<Router> {
-        Router::start_before(scenario, &emulator.addresses, emulator.discovery, start, seed)
+        Router::start_with_upstreams(scenario, &emulator.addresses, emulator.discovery, start, seed)
     }
 
     /// Starts a router that reaches members and discovery at these addresses, and waits until it serves.
     ///
     /// # Errors
     /// As [`Router::start`].
-    pub fn start_before(
+    pub fn start_with_upstreams(
         scenario: &Scenario,
         members: &[SocketAddr],
         discovery: SocketAddr,
@@ -73,7 +73,7 @@
         Ok(router)
     }
 
-    /// As [`Router::start_before`] without the wait, so that several can start at once.
+    /// As [`Router::start_with_upstreams`] without the wait, so that several can start at once.
     ///
     /// # Errors
     /// If its settings can't be written, or its process can't be started or pinned.
@@ -84,7 +84,7 @@
         start: &Start,
         seed: u64,
     ) -> io::Result<Router> {
-        let address = start.listen.map_or_else(own_address, Ok)?;
+        let address = start.listen.map_or_else(free_loopback_address, Ok)?;
         let settings = scenario.router_config(ladderpass_emulator::now(), seed, &start.allowed, members);
         let settings = write_temporary_file(&settings, "json")?;
         let mut command = router_command(start, address, discovery, &settings);
@@ -99,8 +99,8 @@
             .map_err(|error| io::Error::new(error.kind(), format!("{}: {error}", start.binary.display())))?;
         let lines = Arc::new(Mutex::new(Vec::new()));
         let log_reader = process.stderr.take().map(|stderr| {
-            let (lines, loud) = (lines.clone(), start.loud);
-            std::thread::spawn(move || read_log(stderr, &lines, loud))
+            let (lines, print_log) = (lines.clone(), start.print_log);
+            std::thread::spawn(move || read_log(stderr, &lines, print_log))
         });
         let router = Router { process, address, files, lines, log_reader, terminated_at: Mutex::default() };
         if let Some(cpu) = start.cpu {
@@ -125,19 +125,22 @@
                 return check_first_answer(stream);
             }
             if let Some(status) = self.process.try_wait()? {
-                self.wait_for_log_end();
-                let text = format!("the router ended with {status}: {}", self.last_lines());
+                self.wait_until_log_is_read();
+                let text = format!("the router ended with {status}: {}", self.last_log_lines());
                 return Err(io::Error::other(text));
             }
             if Instant::now() > listening_deadline {
-                return Err(io::Error::other(format!("the router does not listen: {}", self.last_lines())));
+                return Err(io::Error::other(format!(
+                    "the router does not listen: {}",
+                    self.last_log_lines()
+                )));
             }
             std::thread::sleep(CONNECT_RETRY_INTERVAL);
         }
     }
 
     /// Waits until the log of an ended process is read to its end. A process that it has started may hold the log open.
-    fn wait_for_log_end(&self) {
+    fn wait_until_log_is_read(&self) {
         let deadline = Instant::now() + LOG_END_TIMEOUT;
         let is_reading = || self.log_reader.as_ref().is_some_and(|reader| !reader.is_finished());
         while is_reading() && Instant::now() < deadline {
@@ -146,9 +149,9 @@
     }
 
     /// The last lines of its log.
-    fn last_lines(&self) -> String {
+    fn last_log_lines(&self) -> String {
         let lines = self.lines.lock().expect("no holder panics");
-        lines[lines.len().saturating_sub(LAST_LINES)..].join("; ")
+        lines[lines.len().saturating_sub(LAST_LOG_LINES)..].join("; ")
     }
 
     /// CPU time and memory that it has used so far.
@@ -252,9 +255,9 @@
     crate::load::until_ready(&mut stream)
 }
 
-fn read_log(stderr: ChildStderr, lines: &Mutex<Vec<String>>, loud: bool) {
+fn read_log(stderr: ChildStderr, lines: &Mutex<Vec<String>>, print_log: bool) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-        if loud {
+        if print_log {
             eprintln!("{line}");
         }
         lines.lock().expect("no holder panics").push(line);
--- a/crates/ladderpass-testbed/src/router/resource_usage.rs
+++ b/crates/ladderpass-testbed/src/router/resource_usage.rs
@@ -21,9 +21,9 @@
 impl ResourceUsage {
     pub(super) fn of(process: Pid) -> ResourceUsage {
         let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-        let behind_name = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
+        let after_name = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
         let fields: Vec<f64> =
-            behind_name.split_whitespace().map(|field| field.parse().unwrap_or(0.0)).collect();
+            after_name.split_whitespace().map(|field| field.parse().unwrap_or(0.0)).collect();
         let field = |index: usize| fields.get(index).copied().unwrap_or(0.0);
         let ticks = field(USER_TICKS_FIELD) + field(SYSTEM_TICKS_FIELD);
         ResourceUsage {
--- a/crates/ladderpass-testbed/src/router/start.rs
+++ b/crates/ladderpass-testbed/src/router/start.rs
@@ -16,14 +16,14 @@
     /// The core that it is pinned to, if any.
     pub cpu: Option<usize>,
     /// Print its log to stderr too.
-    pub loud: bool,
+    pub print_log: bool,
     /// `RUST_LOG` of the process.
     pub log: String,
     /// `LADDERPASS_FAULTY` of a build with the feature `faulty`.
     pub faulty: Option<String>,
     /// Offset of its wall clock in milliseconds; needs a build with the feature `faulty`.
     pub clock_ms: i32,
-    /// Where it listens; without it, an address of [`own_address`](super::own_address).
+    /// Where it listens; without it, an address of [`free_loopback_address`](super::free_loopback_address).
     pub listen: Option<SocketAddr>,
     /// Arguments before all others, for a program that is more than the router.
     pub arguments: Vec<String>,
@@ -39,7 +39,7 @@
             allowed: RouterLimits { cores: 1.0, memory_mb: 192, sockets: 4096 },
             operator: None,
             cpu: None,
-            loud: false,
+            print_log: false,
             log: "info".into(),
             faulty: None,
             clock_ms: 0,
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::history_checker::{Absence, DrainNotice};
 use crate::load::{self, Arrivals, Phase, Plan, Prober};
-use crate::router::{Router, Start, keep_off};
+use crate::router::{Router, Start, exclude_core};
 use crate::router_log;
 use ladderpass_emulator::{RunningEmulator, Scenario};
 use ladderpass_fault_injection::Rule;
@@ -33,19 +33,19 @@
 /// How long a router that is shutting down may take to end before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Act<'a> = Box<dyn FnMut(&Router, &RunningEmulator) + 'a>;
+type FaultAction<'a> = Box<dyn FnMut(&Router, &RunningEmulator) + 'a>;
 
 /// What is done to the router or the emulator at a time of the load.
 pub struct FaultEvent<'a> {
     /// When, in seconds from the start of the load.
     at_s: f64,
-    act: Act<'a>,
+    action: FaultAction<'a>,
 }
 
 impl<'a> FaultEvent<'a> {
-    /// Does `act` once, `at_s` seconds after the start of the load.
-    pub fn at(at_s: f64, act: impl FnMut(&Router, &RunningEmulator) + 'a) -> FaultEvent<'a> {
-        FaultEvent { at_s, act: Box::new(act) }
+    /// Does `action` once, `at_s` seconds after the start of the load.
+    pub fn at(at_s: f64, action: impl FnMut(&Router, &RunningEmulator) + 'a) -> FaultEvent<'a> {
+        FaultEvent { at_s, action: Box::new(action) }
     }
 }
 
@@ -59,29 +59,29 @@
     plan: &Plan,
     events: Vec<FaultEvent<'_>>,
 ) -> io::Result<RunRecord> {
-    run_with(scenario, start, plan, events, |_| {})
+    run_with_progress(scenario, start, plan, events, |_| {})
 }
 
 /// As [`run`]; `on_progress` gets the seconds since the start of the load.
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_with(
+pub fn run_with_progress(
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
     events: Vec<FaultEvent<'_>>,
     on_progress: impl FnMut(f64),
 ) -> io::Result<RunRecord> {
-    run_through(scenario, start, plan, None, events, on_progress).map(|(record, _)| record)
+    run_with_fault_rules(scenario, start, plan, None, events, on_progress).map(|(record, _)| record)
 }
 
-/// As [`run_with`]. If there are rules, even if empty, the router's connections to members and discovery go through the
+/// As [`run_with_progress`]. If there are rules, even if empty, the router's connections to members and discovery go through the
 /// fault tool, on links named `member-N` and `discovery`; then it returns what the tool has recorded too.
 ///
 /// # Errors
 /// As [`run`], and if the fault tool can't be started.
-pub fn run_through(
+pub fn run_with_fault_rules(
     scenario: &Scenario,
     start: &Start,
     plan: &Plan,
@@ -90,7 +90,7 @@
     mut on_progress: impl FnMut(f64),
 ) -> io::Result<(RunRecord, Option<RunSummary>)> {
     if let Some(cpu) = start.cpu {
-        keep_off(cpu)?;
+        exclude_core(cpu)?;
     }
     let plan = &Plan { journal: true, ..plan.clone() };
     let with_history = Scenario { history: true, ..scenario.clone() };
@@ -101,12 +101,13 @@
         }
         Some(rules) => Upstream::through_fault_tool(&emulator, rules, plan.seed)?,
     };
-    let mut router = Router::start_before(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
+    let mut router =
+        Router::start_with_upstreams(scenario, &upstream.members, upstream.discovery, start, plan.seed)?;
     let prober = Prober::start(router.address, PROBE_INTERVAL)?;
     let cpu_before = router.resource_usage().cpu_seconds;
     let outcome = load::run(scenario, router.address, plan, |secs| {
         for event in events.iter_mut().filter(|event| event.at_s <= secs) {
-            (event.act)(&router, &emulator);
+            (event.action)(&router, &emulator);
         }
         events.retain(|event| event.at_s > secs);
         on_progress(secs);
--- a/crates/ladderpass-testbed/src/run/record.rs
+++ b/crates/ladderpass-testbed/src/run/record.rs
@@ -82,14 +82,16 @@
     /// Delays of the router's event loop in `from..to`, in seconds of the load; in microseconds.
     pub fn delays(&self, from: f64, to: f64) -> Histogram<u64> {
         let mut delays = load::histogram();
-        for probe in self.probe_delays.iter().filter(|probe| (from..to).contains(&self.load_s(probe.due))) {
+        for probe in
+            self.probe_delays.iter().filter(|probe| (from..to).contains(&self.seconds_since_start(probe.due)))
+        {
             delays.saturating_record((probe.delay.nanos() / 1000).max(1) as u64);
         }
         delays
     }
 
     /// A time as seconds from the start of the load.
-    fn load_s(&self, at: Time) -> f64 {
+    fn seconds_since_start(&self, at: Time) -> f64 {
         (at - self.outcome.began).secs()
     }
 
@@ -102,7 +104,7 @@
     pub fn slowest(&self) -> LoopDelay {
         let slowest = self.probe_delays.iter().max_by_key(|probe| probe.delay);
         slowest.map_or(LoopDelay::default(), |probe| LoopDelay {
-            at_s: self.load_s(probe.due),
+            at_s: self.seconds_since_start(probe.due),
             delay_ms: probe.delay.secs() * 1e3,
         })
     }
--- a/crates/ladderpass-testbed/tests/addresses.rs
+++ b/crates/ladderpass-testbed/tests/addresses.rs
@@ -7,7 +7,7 @@
 //! "47.971 WARN RELAY_LISTEN: 127.53.215.2:35003: Address already in use; tried again", then the client's end, then
 //! "48.017 INFO n0 listens on 127.53.215.2:35003": the router had not listened yet, and no other test uses that address.
 
-use ladderpass_testbed::router::own_address;
+use ladderpass_testbed::router::free_loopback_address;
 use std::net::TcpStream;
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -43,7 +43,7 @@
         });
         let mut connected = 0;
         while !over.load(Ordering::Relaxed) {
-            let address = own_address().expect("one is free");
+            let address = free_loopback_address().expect("one is free");
             connected += usize::from(TcpStream::connect(address).is_ok());
         }
         connected
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -108,7 +108,7 @@
 
 /// A free address for a router that is about to start. The system does not give its port away before the router binds it.
 pub fn router_address() -> String {
-    ladderpass_testbed::router::own_address().expect("a free port").to_string()
+    ladderpass_testbed::router::free_loopback_address().expect("a free port").to_string()
 }
 
 /// A read or a write with this id, for a group of members. Its deadline is `deadline_ms` milliseconds after it is sent.
--- a/crates/ladderpass/tests/faults.rs
+++ b/crates/ladderpass/tests/faults.rs
@@ -28,7 +28,7 @@
         ..open_plan(seed, &[Phase { seconds: 2.0, rate_per_second: 300.0 }])
     };
     let scenario = Scenario::default();
-    let done = run::run_through(&scenario, &start, &plan, Some(rules), events, |_| {});
+    let done = run::run_with_fault_rules(&scenario, &start, &plan, Some(rules), events, |_| {});
     let (run_record, fault_summary) = done.unwrap_or_else(|error| panic!("{error}"));
     let fault_summary = fault_summary.expect("the fault proxy ran");
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
@@ -177,7 +177,7 @@
         ..open_plan(10, &[Phase { seconds: 7.0, rate_per_second: 60.0 }])
     };
     let (run_record, fault_summary) =
-        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
+        run::run_with_fault_rules(&Scenario::default(), &start, &plan, Some(rules.to_vec()), vec![], |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(fault_summary.expect("the fault proxy ran").never_fired, Vec::<String>::new());
@@ -205,7 +205,7 @@
     let events: Vec<FaultEvent<'_>> =
         vec![FaultEvent::at(0.8, |router, _| router.signal(Signal::SIGTERM).expect("the process runs"))];
     let (run_record, _) =
-        run::run_through(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
+        run::run_with_fault_rules(&Scenario::default(), &start, &plan, Some(rules.to_vec()), events, |_| {})
             .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new());
     assert_eq!(run_record.ended, Some(Some(0)), "{:?}", run_record.log.last());
@@ -230,7 +230,7 @@
         // The router cannot detect garbled bytes within a value.
         let rules = drawn.rules.into_iter().filter(|rule| rule.action.name() != "garble").collect();
         let (run_record, _) =
-            run::run_through(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
+            run::run_with_fault_rules(&Scenario::default(), &start, &plan, Some(rules), vec![], |_| {})
                 .unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(run_record.violation_texts(Span::from_millis(4000)), Vec::<String>::new(), "seed {seed}");
         assert_eq!(run_record.outcome.total().unanswered, 0, "seed {seed}");
--- a/crates/ladderpass/tests/gossip_migration.rs
+++ b/crates/ladderpass/tests/gossip_migration.rs
@@ -142,7 +142,7 @@
     let mut start = Start::new(Path::new(env!("CARGO_BIN_EXE_ladderpass")));
     start.operator =
         Some(format!("peers: {{me: 0, all: ['{router_peer}', '{test_peer}']}}\nmembers: {{zone: a}}"));
-    let router = Router::start_before(&scenario, &emulator.addresses, emulator.discovery, &start, 3)
+    let router = Router::start_with_upstreams(&scenario, &emulator.addresses, emulator.discovery, &start, 3)
         .expect("the router starts");
     let plan = Plan {
         connections: 20,
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -105,13 +105,13 @@
     assert!(record.resident_bytes < 64 << 20, "the router uses {} bytes", record.resident_bytes);
     // A client that does not read never sees the close behind its unread bytes, so the router's metrics have to show
     // it.
-    let slow_readers = charts::figures(&record.log, "slow_readers", 0.1);
+    let slow_readers = charts::metric_series(&record.log, "slow_readers", 0.1);
     let most_slow_readers = slow_readers.iter().map(|figure| figure.1).fold(0.0, f64::max);
-    let shed: f64 = charts::figures(&record.log, "shed", 0.1).iter().map(|figure| figure.1).sum();
+    let shed: f64 = charts::metric_series(&record.log, "shed", 0.1).iter().map(|figure| figure.1).sum();
     assert_eq!(shed, 0.0, "statements of the slow readers were shed");
     assert!(most_slow_readers >= 20.0, "only {most_slow_readers} clients blocked their connections");
     assert_eq!(slow_readers.last().map(|figure| figure.1), Some(0.0));
-    let clients = charts::figures(&record.log, "clients", 0.1).last().map_or(0.0, |figure| figure.1);
+    let clients = charts::metric_series(&record.log, "clients", 0.1).last().map_or(0.0, |figure| figure.1);
     assert!(clients < 152.0 - most_slow_readers / 2.0, "{clients} clients are still connected");
 }
 
--- a/crates/ladderpass/tests/soak.rs
+++ b/crates/ladderpass/tests/soak.rs
@@ -177,7 +177,7 @@
     };
     let stop_times = &StopTimes::default();
     let fault_events = soak_run.fault_events(kill_at, stop_times);
-    let result = run::run_through(&scenario, &start, &plan, Some(rules), fault_events, |_| {});
+    let result = run::run_with_fault_rules(&scenario, &start, &plan, Some(rules), fault_events, |_| {});
     let (record, _) = result.unwrap_or_else(|fault| panic!("seed {seed}: {fault}"));
     let bounds = stop_times.bounds(soak_run.idle_clients > 0, Span::ZERO);
     let bounds = bounds.unwrap_or_else(|| panic!("seed {seed}: the run ended before SIGKILL"));
