--- a/crates/ladderpass-testbed/examples/data_path.rs
+++ b/crates/ladderpass-testbed/examples/data_path.rs
@@ -1,7 +1,10 @@
-//! Prints the slopes of a router's data path and the figures at the size, from the root of the tree:
+//! Prints the cost slopes of a router's data path and the figures at the reference size. Run it from the root of the tree:
+//!
 //! `cargo run --release -p ladderpass-testbed --example data_path -- SEED [long|tables|size]`
-//! `long` has all, `tables` only what bends, `size` only one router at the size itself. Without a router that was
-//! built (`target/release/ladderpass`) real processes are left out.
+//!
+//! Without a second argument it prints the slopes and the figures that are computed from them. `tables` prints only the tables
+//! of behaviour that is not linear, `size` only one router at the reference size, and `long` all of these, with longer runs for
+//! the slopes. If no router has been built (`target/release/ladderpass`), measurements of real processes are left out.
 
 use ladderpass_testbed::capacity::data_path::{self, Settings};
 use std::path::PathBuf;
--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -1,5 +1,7 @@
-//! Search for faults that break an invariant: plans of fault rules are drawn from a seed and played under load against a real
-//! router. A plan that breaks an invariant is reduced to the fewest rules that still do, and written to a file.
+//! Search for faults that break an invariant.
+//!
+//! Plans of fault rules are drawn from a seed and played under load against a real router. A plan that breaks an invariant is
+//! reduced by leaving out rules, as long as the remaining ones still break an invariant, and is written to a file.
 
 use crate::load::{self, Phase};
 use crate::router::Start;
@@ -13,12 +15,12 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The result of a search.
+/// Result of a search.
 #[derive(Debug, Default)]
 pub struct SearchSummary {
-    /// Plans that were played.
+    /// Number of plans that were played.
     pub plans_played: u64,
-    /// Rules of these plans that acted at least once.
+    /// Number of rules of these plans that acted at least once.
     pub rules_fired: usize,
     /// Plans that broke an invariant.
     pub failed_plans: Vec<FailedPlan>,
@@ -27,19 +29,19 @@
 /// A plan that broke an invariant.
 #[derive(Debug)]
 pub struct FailedPlan {
-    /// The seed that it was drawn from.
+    /// Seed that the plan was drawn from.
     pub seed: u64,
-    /// What was broken, one line each.
+    /// Violations that the plan caused before it was reduced, one line each.
     pub violations: Vec<String>,
-    /// The file of the reduced plan.
+    /// File that holds the reduced plan.
     pub file: PathBuf,
 }
 
 const RULES_PER_PLAN: usize = 8;
-/// How long after its deadline an answer may come.
+/// How long after the deadline of its RPC an answer may arrive.
 const ANSWER_GRACE: Span = Span::from_millis(50);
 
-/// What came of playing a plan once.
+/// Result of playing a plan once.
 struct PlanResult {
     violations: Vec<String>,
     rules_fired: usize,
@@ -50,8 +52,8 @@
     run::links(&vec![unused; scenario.member_count()], unused)
 }
 
-/// Can a router be held responsible for the effects of a rule? Not for a value that is garbled within its length, nor for a
-/// query that is duplicated on its way to a member.
+/// Returns whether a router is responsible for the effects of a rule. It can't detect a value that is garbled without a change
+/// of its length, or a query that is duplicated on its way to a member.
 fn is_attributable_to_router(rule: &Rule) -> bool {
     let duplicates_query = rule.action == Action::Duplicate && rule.when.from == Side::Client;
     !duplicates_query && rule.action.name() != "garble"
@@ -74,7 +76,7 @@
     Ok(PlanResult { violations, rules_fired: rules.len() - never_fired })
 }
 
-/// Leaves out one rule after the other, as long as the rest still breaks an invariant.
+/// Leaves out each rule in turn, if the remaining rules still break an invariant without it.
 fn reduce(scenario: &Scenario, start: &Start, mut rules: Vec<Rule>, seed: u64) -> io::Result<Vec<Rule>> {
     let mut index = 0;
     while index < rules.len() && rules.len() > 1 {
@@ -88,17 +90,18 @@
     Ok(rules)
 }
 
-/// Writes a plan as `broken-SEED.json`, and returns the path.
+/// Writes a plan as `broken-SEED.json` to a folder, and returns the path of the file.
 fn write_plan(folder: &Path, plan: &Plan, seed: u64) -> io::Result<PathBuf> {
     std::fs::create_dir_all(folder)?;
     let path = folder.join(format!("broken-{seed}.json"));
-    // JSON is YAML, which the fault tool reads.
+    // The fault tool reads YAML, of which JSON is a subset.
     std::fs::write(&path, serde_json::to_string_pretty(plan).map_err(io::Error::other)?)?;
     Ok(path)
 }
 
-/// Plays plans against the router `binary` for a time, the first drawn from `seed`, each next one from the seed after it.
-/// Reduced plans are written to `out`. `on_plan` gets the seed and the violations of each.
+/// Plays plans against the router `binary` until `duration` has passed. The first plan is drawn from `seed`, and each further
+/// one from the next higher seed. Reduced plans are written to the folder `out`. `on_plan` gets the seed and the violations of
+/// each plan.
 ///
 /// # Errors
 /// If a run can't be started, or a plan can't be written.
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of results as SVG.
+//! Draws charts of results as SVG files.
 
 use crate::router_log;
 use crate::run::RunRecord;
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::Path;
 
-/// How often a router logs its metrics, in seconds.
+/// Interval at which a router logs its metrics, in seconds.
 const METRICS_INTERVAL_S: f64 = 0.2;
 
 const COLOURS: [RGBColor; 6] = [
@@ -23,14 +23,14 @@
 /// A line of a chart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line<'a> {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: &'a str,
-    /// Its points (x, y), in the order in which they are connected.
+    /// Points (x, y), in the order in which they are connected.
     pub points: Vec<(f64, f64)>,
 }
 
 impl<'a> Line<'a> {
-    /// A line of this name through these points.
+    /// Creates a line of this name through these points.
     pub fn new(name: &'a str, points: Vec<(f64, f64)>) -> Line<'a> {
         Line { name, points }
     }
@@ -40,7 +40,7 @@
     io::Error::other(error.to_string())
 }
 
-/// Draws lines over one pair of axes.
+/// Draws lines over one pair of axes. `axes` has the labels of the x and the y axis; `log_x` makes the x axis logarithmic.
 ///
 /// # Errors
 /// If the chart can't be drawn or written.
@@ -80,7 +80,7 @@
     area.present().map_err(drawing_error)
 }
 
-/// Draws utility by offered load.
+/// Draws utility against offered load, with one line for each curve.
 ///
 /// # Errors
 /// As [`lines`].
@@ -88,7 +88,7 @@
     lines(path, "Goodput against offered load", ("offered, in calm loads", "utility a second"), curves, false)
 }
 
-/// Draws the distribution of the event loop's delay.
+/// Draws the distribution of each named histogram of event loop delays, which are in microseconds.
 ///
 /// # Errors
 /// As [`lines`].
@@ -112,7 +112,7 @@
     )
 }
 
-/// The values of a metric that a router has logged, each `step` seconds after the one before.
+/// Returns the values that a router has logged for a metric as points (seconds, value), `step` seconds apart.
 pub fn metric_series(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
     let value_in_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
     log.iter()
@@ -122,7 +122,8 @@
         .collect()
 }
 
-/// Draws good answers by method and rejections of a run, and beside that chart `pressure.svg` with the router's metrics.
+/// Draws the good answers of each method and the rejections of a run over time. Also draws the router's metrics as
+/// `pressure.svg` in the same folder.
 ///
 /// # Errors
 /// As [`lines`].
--- a/crates/ladderpass-testbed/src/cli/args.rs
+++ b/crates/ladderpass-testbed/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! Subcommands and their options. Doc comments on fields and variants are the program's help.
+//! Subcommands and their options. clap prints the doc comments on fields and variants as the help of the program.
 
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
@@ -33,8 +33,8 @@
     Cost(CostArgs),
 }
 
-// The emulated members and the router before them. No doc comment: clap would show it as the help of each subcommand with
-// these.
+// Options of the emulated members and of the router in front of them. This is not a doc comment, since clap would print it as
+// the help of each subcommand that has these options.
 #[derive(Args)]
 pub struct TestbedArgs {
     /// The fleet: a YAML file; without one three members of one group that answer at once
--- a/crates/ladderpass-testbed/src/cli/chaos.rs
+++ b/crates/ladderpass-testbed/src/cli/chaos.rs
@@ -1,4 +1,4 @@
-//! `chaos`: a search for plans of faults that break an invariant.
+//! `chaos`: searches for fault plans that break an invariant, and prints what it found.
 
 use super::args::ChaosArgs;
 use super::error::CliError;
--- a/crates/ladderpass-testbed/src/cli/drill.rs
+++ b/crates/ladderpass-testbed/src/cli/drill.rs
@@ -1,4 +1,4 @@
-//! `drill`: plays a drill's file, and prints and writes what came of it.
+//! `drill`: plays a drill from its file, then prints and writes the results.
 
 use super::args::DrillArgs;
 use super::error::CliError;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Prints all lines of the routers' logs, each behind the router's name.
+/// Prints all log lines of all routers, each prefixed with the router's name.
 fn print_logs(record: &DrillRecord) {
     for (router, log) in record.logs.iter().enumerate() {
         for line in log {
--- a/crates/ladderpass-testbed/src/cli/error.rs
+++ b/crates/ladderpass-testbed/src/cli/error.rs
@@ -1,12 +1,12 @@
-//! Why a subcommand fails.
+//! Errors of subcommands.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
 
-/// An error of any part of the testbed that is printed as it is.
+/// Error of any part of the testbed, whose text is printed unchanged.
 pub type BoxedError = Box<dyn Error + Send + Sync>;
 
-/// Why a subcommand fails. Its text is printed behind the program's name.
+/// Error of a subcommand. Its text is printed after the program's name.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
     /// A file can't be read or written, or is not valid.
@@ -15,20 +15,20 @@
     /// A process, a load, a simulation or a proof could not be started or ended early.
     #[error("{0}")]
     Failed(BoxedError),
-    #[error("--phases: {0:?}; allowed is SECONDSxRATE, as in 5x2000")]
+    #[error("--phases: invalid phase {0:?}; expected SECONDSxRATE, as in 5x2000")]
     Phase(String),
     #[error(
-        "there is no proof {0:?}; there are overload, faults, membership, fleet-overload, fleet-budgets, fleet-ramp and capacity"
+        "unknown proof {0:?}; expected overload, faults, membership, fleet-overload, fleet-budgets, fleet-ramp or capacity"
     )]
     UnknownProof(String),
     #[error("the proof falls short")]
     ProofFallsShort,
-    /// With the exit code, unless a signal ended it.
-    #[error("the router has ended with {0:?}")]
+    /// The router process has ended. Holds its exit code, or none if a signal ended it.
+    #[error("the router ended with exit code {0:?}")]
     RouterEnded(Option<i32>),
     #[error("rules broken: {0}")]
     LoadViolations(String),
-    #[error("{0} rules broken or routers fallen")]
+    #[error("the drill found {0} broken rules or failed routers")]
     DrillViolations(usize),
     #[error("no plan was played")]
     NoPlanPlayed,
@@ -37,12 +37,12 @@
 }
 
 impl CliError {
-    /// Wraps an error of the testbed.
+    /// Wraps an error of any part of the testbed.
     pub fn failed(error: impl Into<BoxedError>) -> CliError {
         CliError::Failed(error.into())
     }
 
-    /// Wraps an error with the file that it is about.
+    /// Wraps an error together with the path of the file that it concerns.
     pub fn file(path: &Path, error: impl Into<BoxedError>) -> CliError {
         CliError::File { path: path.to_owned(), source: error.into() }
     }
--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load` and `cost`: loads before one router.
+//! `load` and `cost`: put a load on one router.
 
 use super::args::{CostArgs, LoadArgs};
 use super::error::CliError;
@@ -16,7 +16,7 @@
 
 const MAX_PHASE_SECONDS: f64 = 86_400.0;
 const MAX_RPCS_PER_SECOND: f64 = 5e6;
-/// How long after its deadline an answer may come.
+/// How long after the deadline of its RPC an answer may arrive.
 const ANSWER_GRACE: Span = Span::from_millis(50);
 const PROGRESS_STEPS_PER_SECOND: f64 = 10.0;
 /// The core that `cost` pins each router to.
@@ -52,7 +52,7 @@
     }
 }
 
-/// Parses a phase `SECONDSxRATE`.
+/// Parses a phase of the form `SECONDSxRATE`.
 fn parse_phase(text: &str) -> Result<Phase, CliError> {
     let parse = || {
         let (secs, rate) = text.split_once('x')?;
--- a/crates/ladderpass-testbed/src/cli/mod.rs
+++ b/crates/ladderpass-testbed/src/cli/mod.rs
@@ -1,16 +1,16 @@
-//! The command line: what it accepts, and one module for each group of subcommands that carries them out.
+//! The command line: one module defines what it accepts, and one module for each group of subcommands executes them.
 //!
 //! | module | subcommands |
 //! | --- | --- |
-//! | `args` | all: options, defaults and help |
-//! | `testbed` | `up`, and the emulator and router of `up` and `load` |
+//! | `args` | all subcommands: options, defaults and help |
+//! | `testbed` | `up`; also the emulator and the router of `up` and `load` |
 //! | `load` | `load`, `cost` |
 //! | `report` | `report` |
 //! | `prove` | `prove`, `capacity` |
 //! | `drill` | `drill` |
 //! | `chaos` | `chaos` |
 //! | `simulated_routers` | `hollow` |
-//! | `error` | why a subcommand fails |
+//! | `error` | errors of all subcommands |
 
 mod args;
 mod chaos;
@@ -27,10 +27,10 @@
 use args::Command;
 use error::CliError;
 
-/// Carries out a subcommand.
+/// Executes a subcommand.
 ///
 /// # Errors
-/// If it can't be carried out, or what it checks does not hold.
+/// If the subcommand can't be executed, or if a check that it makes fails.
 pub fn run(command: Command) -> Result<(), CliError> {
     match command {
         Command::Up(args) => testbed::serve_until_interrupted(&args),
--- a/crates/ladderpass-testbed/src/cli/prove.rs
+++ b/crates/ladderpass-testbed/src/cli/prove.rs
@@ -1,4 +1,4 @@
-//! `prove` and `capacity`: the proofs of issues, and the longer runs behind the capacity page.
+//! `prove` and `capacity`: run the proofs of issues, and the longer measurements for the capacity page.
 
 use super::args::{CapacityArgs, ProveArgs};
 use super::error::CliError;
--- a/crates/ladderpass-testbed/src/cli/report.rs
+++ b/crates/ladderpass-testbed/src/cli/report.rs
@@ -1,4 +1,4 @@
-//! `report`: tables and charts of results that were written before.
+//! `report`: prints tables and draws charts of results that an earlier `load` has written.
 
 use super::args::ReportArgs;
 use super::error::CliError;
--- a/crates/ladderpass-testbed/src/cli/simulated_routers.rs
+++ b/crates/ladderpass-testbed/src/cli/simulated_routers.rs
@@ -1,14 +1,14 @@
-//! `hollow`: what a simulated router sends and computes a second, or how that grows with the numbers of routers, groups and
-//! members.
+//! `hollow`: prints how much a simulated router sends and computes per second, or how that grows with the numbers of routers,
+//! groups and members.
 
 use super::args::SimulatedRoutersArgs;
 use super::error::CliError;
 use ladderpass_testbed::capacity::control;
 use ladderpass_testbed::capacity::simulated_routers::Shape;
 
-/// Members of each group where the command line does not give their number.
+/// Number of members of each group, unless the command line sets the total.
 const MEMBERS_PER_GROUP: usize = 3;
-/// Routers whose CPU time is measured.
+/// Number of routers whose CPU time is measured.
 const OBSERVED_ROUTERS: usize = 2;
 
 pub fn simulate(args: &SimulatedRoutersArgs) -> Result<(), CliError> {
--- a/crates/ladderpass-testbed/src/cli/testbed.rs
+++ b/crates/ladderpass-testbed/src/cli/testbed.rs
@@ -1,4 +1,4 @@
-//! The emulator and the router of `up` and `load`, by their options; and `up` itself.
+//! Reads the options that set up the emulator and the router of `up` and `load`, and executes `up`.
 
 use super::args::TestbedArgs;
 use super::error::CliError;
@@ -8,20 +8,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How often `up` checks that the router still runs.
+/// Interval at which `up` checks that the router still runs.
 const ROUTER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 pub fn read_file(path: &Path) -> Result<String, CliError> {
     std::fs::read_to_string(path).map_err(|error| CliError::file(path, error))
 }
 
-/// The emulator's scenario; the default one without a file.
+/// Reads the scenario of the emulator. Without a file it returns the default scenario.
 pub fn read_scenario(args: &TestbedArgs) -> Result<Scenario, CliError> {
     let Some(path) = &args.scenario else { return Ok(Scenario::default()) };
     Scenario::read(&read_file(path)?).map_err(|error| CliError::file(path, error))
 }
 
-/// How the router is started.
+/// Builds the start options of the router from the command line.
 pub fn router_start(args: &TestbedArgs) -> Result<Start, CliError> {
     let mut start = Start::new(&args.router);
     start.operator = args.operator.as_deref().map(read_file).transpose()?;
@@ -31,7 +31,7 @@
     Ok(start)
 }
 
-/// Runs an emulator and a router until the process is interrupted. Returns only if something fails.
+/// Runs an emulator and a router until this process is interrupted. Returns only with an error, as when the router ends.
 pub fn serve_until_interrupted(args: &TestbedArgs) -> Result<(), CliError> {
     let scenario = read_scenario(args)?;
     let emulator =
--- a/crates/ladderpass-testbed/src/lib.rs
+++ b/crates/ladderpass-testbed/src/lib.rs
@@ -1,20 +1,20 @@
-//! Test tooling for routers: loads, drills, proofs, capacity measurements, results and charts, before emulated members.
+//! Test tooling for routers in front of emulated members: loads, drills, proofs, capacity measurements, results and charts.
 //!
-//! The program `ladderpass-testbed` and the tests use it; routers don't depend on it.
+//! The program `ladderpass-testbed` and the tests use this package. Routers don't depend on it.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`router`] | a router as a child process: started, pinned, observed, stopped |
-//! | [`router_log`] | what log lines of routers say |
-//! | [`load`] | load generator: clients, their arrivals and retries, what became of each RPC; the prober |
-//! | [`run`] | one run: emulator, one router, load, fault events, and the record of all |
-//! | [`drill`] | several routers with faults between all of them, from a YAML file; its record and report |
-//! | [`history_checker`] | the five invariants over what clients, the fault tool and members saw |
-//! | [`chaos`] | search for plans of faults that break an invariant |
-//! | [`results`] | results of a load as a table and as JSON lines, and reports of these |
-//! | [`charts`] | charts as SVG |
-//! | [`prove`] | proofs of finished subsystems, one table each |
-//! | [`capacity`] | how cost grows with the size of a fleet: measured slopes, simulated routers |
+//! | [`router`] | starts, pins, observes and stops a router as a child process |
+//! | [`router_log`] | parses log lines of routers |
+//! | [`load`] | load generator (clients, their arrivals and retries, the outcome of each RPC) and prober |
+//! | [`run`] | executes one run with an emulator, one router, a load and fault events, and records it |
+//! | [`drill`] | plays a YAML file with several routers and faults between all processes; records and reports it |
+//! | [`history_checker`] | checks five invariants on the records of clients, the fault tool and members |
+//! | [`chaos`] | searches for fault plans that break an invariant |
+//! | [`results`] | prints results of a load as a table, writes them as JSON lines, and reports on such files |
+//! | [`charts`] | draws charts as SVG |
+//! | [`prove`] | proofs of finished subsystems, each of which prints one table |
+//! | [`capacity`] | measures how cost grows with the size of a fleet, with real and simulated routers |
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/ladderpass-testbed/src/main.rs
+++ b/crates/ladderpass-testbed/src/main.rs
@@ -1,6 +1,6 @@
-//! `ladderpass-testbed`: loads, experiments, proofs and charts on emulated members.
+//! The program `ladderpass-testbed`: loads, experiments, proofs and charts on emulated members.
 //!
-//! The program is only a command line over the library of this package; a router that serves doesn't need it.
+//! It is a command line over the library of this package. A router in production doesn't need it.
 
 #![warn(clippy::too_many_lines)]
 
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -1,4 +1,4 @@
-//! The JSON lines of results: written from the record of a run, and read back.
+//! Writes the record of a run as JSON lines, and reads such files.
 
 use crate::router_log;
 use crate::run::RunRecord;
@@ -9,11 +9,11 @@
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-/// Version of the form. Files of another version are not read.
+/// Version of the file format. Files of other versions are not read.
 const FORMAT_VERSION: u64 = 1;
 const US_PER_MS: f64 = 1e3;
 
-/// Why results can't be reported.
+/// Error of reading a file of results, or of drawing its charts.
 #[derive(Debug, thiserror::Error)]
 pub enum ResultsError {
     /// The file can't be read, or a chart can't be written.
@@ -29,7 +29,7 @@
         /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A line of a kind that this program does not write.
+    /// A line has a kind that this program does not write.
     #[error("{}: line {line}: kind {kind} is unknown", path.display())]
     UnknownKind {
         /// The file.
@@ -39,23 +39,23 @@
         /// The kind, as JSON.
         kind: Value,
     },
-    /// Results of another version.
-    #[error("{}: form {version} is not form {FORMAT_VERSION}, which this program reads", path.display())]
+    /// The file is in another version of the format.
+    #[error("{}: format version {version} is not supported; this program reads version {FORMAT_VERSION}", path.display())]
     UnknownFormat {
         /// The file.
         path: PathBuf,
         /// The version, as JSON.
         version: Value,
     },
-    /// The line of the kind `run` is missing, or names no method.
-    #[error("{}: its first line does not say what was run", path.display())]
+    /// The line of kind `run` is missing, or it names no method.
+    #[error("{}: there is no line of kind run that names methods", path.display())]
     MissingRun {
         /// The file.
         path: PathBuf,
     },
 }
 
-/// Writes the results of a run. `options` says how it was started.
+/// Writes the results of a run. `options` has the options that the run was started with.
 ///
 /// # Errors
 /// If the file can't be written.
@@ -98,7 +98,7 @@
     })
 }
 
-/// Count and quantiles of a histogram, in its own unit divided by `divisor`.
+/// Returns count and quantiles of a histogram as JSON. Values are divided by `divisor`, to convert their unit.
 fn quantiles(histogram: &Histogram<u64>, divisor: f64) -> Value {
     let at = |quantile| histogram.value_at_quantile(quantile) as f64 / divisor;
     json!({
@@ -111,11 +111,11 @@
     })
 }
 
-/// Results that were read back. Slices and the total are as they were written.
+/// Results that were read from a file. Slices, metrics and the total are the JSON values of their lines.
 pub(super) struct Results {
     pub methods: Vec<String>,
     pub slices: Vec<Value>,
-    /// The router's metrics, each time that it logged them.
+    /// The router's metrics, one value for each time that it logged them.
     pub metrics: Vec<Value>,
     pub total: Value,
 }
@@ -154,7 +154,7 @@
         Ok(results)
     }
 
-    /// A count of a method over all slices.
+    /// Returns the sum of a count of one method over all slices.
     pub fn sum(&self, method: usize, count: &str) -> u64 {
         self.slices.iter().filter_map(|slice| slice["counts"][method][count].as_u64()).sum()
     }
--- a/crates/ladderpass-testbed/src/results/percent.rs
+++ b/crates/ladderpass-testbed/src/results/percent.rs
@@ -1,6 +1,6 @@
-//! Ratios as text.
+//! Formats ratios.
 
-/// A part of a whole in percent, with two decimals.
+/// Formats a part of a whole in percent, with two decimals. A whole of zero counts as one.
 pub fn percent(part: u64, of: u64) -> String {
     format!("{:.2}%", part as f64 * 100.0 / of.max(1) as f64)
 }
--- a/crates/ladderpass-testbed/src/results/report.rs
+++ b/crates/ladderpass-testbed/src/results/report.rs
@@ -1,4 +1,4 @@
-//! Reports results that were read back: a table, and charts beside the file.
+//! Reports on results that were read from a file, with a table, and with charts in the same folder.
 
 use super::file::{Results, ResultsError};
 use super::percent::percent;
@@ -8,14 +8,14 @@
 use std::path::Path;
 
 const HEADER: &str = "| method | due | ok | pushed back | aborted | without an answer in time |\n| --- | --- | --- | --- | --- | --- |\n";
-/// Slices a second, to turn counts of a slice into rates.
+/// Number of slices per second, to convert the counts of a slice to rates.
 const SLICES_PER_SECOND: f64 = 10.0;
 
-/// Reads results: a table of totals. Charts are drawn beside the file, with the extensions `goodput.svg` and, if the router
-/// logged its metrics, `pressure.svg`.
+/// Reads a file of results and returns a table of its totals. Charts are drawn under the path of the file, with the extension
+/// `goodput.svg` and, if the router logged its metrics, `pressure.svg`.
 ///
 /// # Errors
-/// If the file can't be read, is not in the form that [`write`](super::write) gives it, or a chart can't be drawn.
+/// If the file can't be read, is not in the format that [`write`](super::write) writes, or a chart can't be drawn.
 pub fn report(path: &Path) -> Result<String, ResultsError> {
     let results = Results::read(path)?;
     draw_goodput(&results, &path.with_extension("goodput.svg"))?;
@@ -56,7 +56,7 @@
     charts::lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &lines, false)
 }
 
-/// Rejections in a slice, of all methods.
+/// Returns the number of rejections in a slice, summed over all methods.
 fn rejections(slice: &Value) -> f64 {
     let by_method = slice["counts"].as_array().into_iter().flatten();
     by_method.filter_map(|counts| counts["pushed_back"].as_f64()).sum()
--- a/crates/ladderpass-testbed/src/results/table.rs
+++ b/crates/ladderpass-testbed/src/results/table.rs
@@ -1,4 +1,4 @@
-//! The table of a run.
+//! Formats the table of a run.
 
 use super::percent::percent;
 use crate::load::Counts;
@@ -10,7 +10,7 @@
      | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 const BYTES_PER_MIB: f64 = 1_048_576.0;
 
-/// Latencies of ok answers, in milliseconds.
+/// Latency quantiles of ok answers, in milliseconds.
 #[derive(Clone, Copy, Default)]
 struct LatencyQuantiles {
     p50: f64,
@@ -18,7 +18,7 @@
     p999: f64,
 }
 
-/// A run as a table: a row for each method, one for all, and a line on the router.
+/// Formats a run as a table, with a row for each method and one for all, followed by a line about the router.
 pub fn table(scenario: &Scenario, record: &RunRecord) -> String {
     let mut text = String::from(HEADER);
     for (index, method) in scenario.methods.iter().enumerate() {
@@ -47,7 +47,8 @@
     )
 }
 
-/// What the router used, how long its event loop took, and how late the load itself was.
+/// Formats the line about the router: utility, CPU and memory that it used, delays of its event loop, and how late the load
+/// generator sent at most.
 fn router_line(record: &RunRecord) -> String {
     let secs = record.outcome.duration.secs();
     let delay_ms = |quantile| record.delay_ms(quantile, 0.0, f64::MAX);
--- a/crates/ladderpass-testbed/src/router/address.rs
+++ b/crates/ladderpass-testbed/src/router/address.rs
@@ -1,4 +1,4 @@
-//! Free loopback addresses for routers to listen on.
+//! Finds free loopback addresses for routers to listen on.
 
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
@@ -6,15 +6,16 @@
 use std::ops::Range;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Below the range of ephemeral ports, so that the system gives none away between its choice and a router's start.
+/// Ports to choose from. They are below the range of ephemeral ports, so that the kernel does not assign one to another socket
+/// between the choice of an address and the start of the router.
 const PORTS: Range<u32> = 15_000..32_000;
 const MAX_PORT_TRIES: usize = 64;
 
-/// A loopback address whose port is free for TCP and for UDP. It depends on this process's id, so that other processes of
-/// the testbed choose others.
+/// Returns a loopback address whose port is free for TCP and for UDP. It depends on the id of this process, so that
+/// concurrent processes of the testbed choose different addresses.
 ///
 /// # Errors
-/// If none of several candidates is free.
+/// If none of `MAX_PORT_TRIES` candidates is free.
 pub fn free_loopback_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let pid = std::process::id();
@@ -32,11 +33,12 @@
     Err(last_error.unwrap_or_else(|| io::Error::other("no port is free")))
 }
 
-/// Checks that an address is free for TCP and for UDP. It is bound and never listened on: a child process that another
-/// thread starts inherits the socket until its exec, and a listener would accept connections that nobody serves.
+/// Checks that an address is free for TCP and for UDP. The TCP socket is bound, but does not listen: a child process that
+/// another thread starts inherits the socket until its exec, and an inherited listener would accept connections that no
+/// process serves.
 fn check_free(address: SocketAddr) -> io::Result<()> {
     let stream = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // The router sets it too: then bound sockets don't block each other while none listens.
+    // The router sets SO_REUSEADDR too. Bound sockets with it do not block each other while none of them listens.
     stream.set_reuse_address(true)?;
     stream.bind(&address.into())?;
     UdpSocket::bind(address).map(drop)
--- a/crates/ladderpass-testbed/src/router/affinity.rs
+++ b/crates/ladderpass-testbed/src/router/affinity.rs
@@ -1,11 +1,11 @@
-//! Which cores processes and threads run on.
+//! Sets the cores that processes and threads run on.
 
 use nix::sched::{CpuSet, sched_getaffinity, sched_setaffinity};
 use nix::unistd::Pid;
 use std::io;
 use std::sync::OnceLock;
 
-/// Pins a process, or this thread (0), to one core.
+/// Pins a process to one core. A process id of 0 stands for the calling thread.
 ///
 /// # Errors
 /// If there is no such process or core.
@@ -15,12 +15,13 @@
     Ok(sched_setaffinity(pid, &set)?)
 }
 
-/// Keeps this thread, and those that it starts, off one core, if there is another.
+/// Excludes one core from the affinity of the calling thread and of threads that it starts later. If there is no other core,
+/// the initial affinity is set.
 ///
 /// # Errors
 /// If the affinity can't be set.
 pub fn exclude_core(cpu: usize) -> io::Result<()> {
-    // Read once: a later call would read what an earlier one has set.
+    // The affinity is read only once, since a later call would read what an earlier one has set.
     static INITIAL: OnceLock<CpuSet> = OnceLock::new();
     let initial = INITIAL.get_or_init(|| sched_getaffinity(Pid::from_raw(0)).unwrap_or_default());
     let mut others = *initial;
@@ -29,7 +30,8 @@
     Ok(sched_setaffinity(Pid::from_raw(0), if has_others { &others } else { initial })?)
 }
 
-/// How many cores the machine has. Read once: [`exclude_core`] would change it later.
+/// Returns the number of cores that are available to this process. It is read only once, since [`exclude_core`] changes what a
+/// later call would read.
 pub fn cores() -> usize {
     static CORES: OnceLock<usize> = OnceLock::new();
     *CORES.get_or_init(|| std::thread::available_parallelism().map_or(1, usize::from))
--- a/crates/ladderpass-testbed/src/router/mod.rs
+++ b/crates/ladderpass-testbed/src/router/mod.rs
@@ -1,12 +1,12 @@
-//! A router as a child process: its settings are written, it is started, pinned to a core, observed and stopped.
+//! Runs a router as a child process: writes its settings, starts it, pins it to a core, observes and stops it.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `start` | how a router is started: its program, limits and settings |
-//! | `process` | the process, from its start to its end; its log and its temporary files |
+//! | `start` | options of a start: program, limits and settings |
+//! | `process` | the process from its start to its end, with its log and its temporary files |
 //! | `resource_usage` | CPU time and memory of a process |
-//! | `address` | free loopback addresses to listen on |
-//! | `affinity` | which cores processes and threads run on |
+//! | `address` | finds free loopback addresses to listen on |
+//! | `affinity` | sets the cores that processes and threads run on |
 
 mod address;
 mod affinity;
--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -1,5 +1,5 @@
-//! The process of a router: its settings are written and it is started, then observed, signalled and killed. It ends only
-//! processes that it has started.
+//! The process of a router. This module writes its settings, starts, observes, signals and kills it. Only processes that this
+//! module has started are signalled or killed.
 
 use super::address::free_loopback_address;
 use super::affinity::pin;
@@ -21,33 +21,34 @@
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often a router that should end is checked.
+/// Interval at which a router that should end is checked.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the last lines of an ended process may take through the pipe, and how often that is checked.
+/// How long it may take to read the last log lines of an ended process from the pipe.
 const LOG_END_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which the end of the log is checked.
 const LOG_END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Lines of the log that an error about a router's start shows.
+/// Number of log lines in the error of a failed start.
 const LAST_LOG_LINES: usize = 5;
 
-/// A running router. It is killed when this is dropped.
+/// A running router. Its process is killed when this value is dropped.
 pub struct Router {
     process: Child,
-    /// Where it listens.
+    /// Address that the router listens on.
     pub address: SocketAddr,
-    /// Temporary files of its settings, which are removed when it ends.
+    /// Temporary files with the router's settings. They are removed when this value is stopped or dropped.
     files: Vec<PathBuf>,
-    /// Lines that it has logged.
+    /// Lines that the router has logged.
     lines: Arc<Mutex<Vec<String>>>,
     log_reader: Option<JoinHandle<()>>,
-    /// When it got its first SIGTERM.
+    /// Time at which the first SIGTERM was sent.
     terminated_at: Mutex<Option<Time>>,
 }
 
 impl Router {
-    /// Starts a router before emulated members, and waits until it serves.
+    /// Starts a router in front of emulated members, and waits until it serves.
     ///
     /// # Errors
-    /// If it can't be started, ends at once, or does not serve in time.
+    /// If the router can't be started, ends before it serves, or does not serve in time.
     pub fn start(
         scenario: &Scenario,
         emulator: &RunningEmulator,
@@ -73,10 +74,11 @@
         Ok(router)
     }
 
-    /// As [`Router::start_with_upstreams`] without the wait, so that several can start at once.
+    /// Starts a router like [`Router::start_with_upstreams`], but does not wait until it serves, so that several routers can
+    /// start concurrently.
     ///
     /// # Errors
-    /// If its settings can't be written, or its process can't be started or pinned.
+    /// If the settings can't be written, or the process can't be started or pinned.
     pub fn spawn(
         scenario: &Scenario,
         members: &[SocketAddr],
@@ -109,15 +111,15 @@
         Ok(router)
     }
 
-    /// Its process id.
+    /// Returns the id of the process.
     pub fn pid(&self) -> Pid {
         Pid::from_raw(self.process.id() as i32)
     }
 
-    /// Waits until it answers an empty query.
+    /// Waits until the router answers an empty query.
     ///
     /// # Errors
-    /// If it ends before, does not listen in time, or its first answer fails.
+    /// If the router ends before it listens, does not listen in time, or does not answer the query.
     pub fn wait_until_ready(&mut self) -> io::Result<()> {
         let listening_deadline = Instant::now() + START_TIMEOUT;
         loop {
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Waits until the log of an ended process is read to its end. A process that it has started may hold the log open.
+    /// Waits until the log of an ended process is read to its end. The wait is limited, since a process that the router has
+    /// started may hold the pipe of the log open.
     fn wait_until_log_is_read(&self) {
         let deadline = Instant::now() + LOG_END_TIMEOUT;
         let is_reading = || self.log_reader.as_ref().is_some_and(|reader| !reader.is_finished());
@@ -148,21 +151,21 @@
         }
     }
 
-    /// The last lines of its log.
+    /// Returns the last lines of the log, joined to one.
     fn last_log_lines(&self) -> String {
         let lines = self.lines.lock().expect("no holder panics");
         lines[lines.len().saturating_sub(LAST_LOG_LINES)..].join("; ")
     }
 
-    /// CPU time and memory that it has used so far.
+    /// Returns the CPU time that the process has used so far, and its resident memory.
     pub fn resource_usage(&self) -> ResourceUsage {
         ResourceUsage::of(self.pid())
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     ///
     /// # Errors
-    /// If its process is no more.
+    /// If the signal can't be sent, as when the process no longer exists.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         if signal == Signal::SIGTERM {
             self.terminated_at.lock().expect("no holder panics").get_or_insert_with(ladderpass_emulator::now);
@@ -170,17 +173,17 @@
         Ok(kill(self.pid(), signal)?)
     }
 
-    /// When it got its first SIGTERM.
+    /// Returns the time at which the first SIGTERM was sent, if any.
     pub fn terminated_at(&self) -> Option<Time> {
         *self.terminated_at.lock().expect("no holder panics")
     }
 
-    /// Set if its process has ended; within, the exit code, or none if a signal ended it.
+    /// Returns `Some` if the process has ended, with its exit code, or with none if a signal ended it.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         self.process.try_wait().ok().flatten().map(|status| status.code())
     }
 
-    /// As [`Router::ended`], after waiting for its end for at most `timeout`.
+    /// Waits for the end of the process for at most `timeout`, and returns what [`Router::ended`] does.
     pub fn wait_for_end(&mut self, timeout: Duration) -> Option<Option<i32>> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -192,19 +195,19 @@
         }
     }
 
-    /// Lines that it has logged.
+    /// Returns the lines that the router has logged so far.
     pub fn log(&self) -> Vec<String> {
         self.lines.lock().expect("no holder panics").clone()
     }
 
-    /// Kills it, and returns the lines that it has logged.
+    /// Kills the process, and returns all lines that the router has logged.
     pub fn stop(mut self) -> Vec<String> {
         self.end();
         self.log()
     }
 
     fn end(&mut self) {
-        // It may have ended already.
+        // Both calls may fail if the process has ended already.
         let _ = (self.process.kill(), self.process.wait());
         if let Some(reader) = self.log_reader.take() {
             let _ = reader.join();
@@ -221,7 +224,7 @@
     }
 }
 
-/// The command of a router, without its operator's file.
+/// Builds the command that starts a router, without the argument for its operator's file.
 fn router_command(start: &Start, listen: SocketAddr, discovery: SocketAddr, settings: &Path) -> Command {
     let mut command = Command::new(&start.binary);
     command.args(&start.arguments).envs(start.variables.iter().cloned());
--- a/crates/ladderpass-testbed/src/router/resource_usage.rs
+++ b/crates/ladderpass-testbed/src/router/resource_usage.rs
@@ -1,18 +1,18 @@
-//! CPU time and memory of a process, as `/proc/PID/stat` has them.
+//! Reads CPU time and memory of a process from `/proc/PID/stat`.
 
 use nix::unistd::Pid;
 
-/// Fields of `/proc/PID/stat`, counted from behind the process's name.
+/// Indices of fields of `/proc/PID/stat`, where the field after the name of the process has index 0.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 const RESIDENT_PAGES_FIELD: usize = 21;
 const TICKS_PER_SECOND: f64 = 100.0;
 const PAGE_BYTES: f64 = 4096.0;
 
-/// What a process has used so far; all zero once it has ended.
+/// CPU time that a process has used so far, and its resident memory. All values are zero if the process no longer exists.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// CPU time in seconds, of the process and the kernel on its behalf.
+    /// CPU time in seconds, in user mode and in the kernel.
     pub cpu_seconds: f64,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
--- a/crates/ladderpass-testbed/src/router/start.rs
+++ b/crates/ladderpass-testbed/src/router/start.rs
@@ -1,38 +1,38 @@
-//! How a router is started.
+//! Options for the start of a router.
 
 use ladderpass_emulator::scenario::RouterLimits;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How a router is started.
+/// Options for the start of a router.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// The program.
+    /// Path of the program.
     pub binary: PathBuf,
-    /// Cores, memory and sockets that its settings allow it.
+    /// Cores, memory and sockets that the router's settings allow.
     pub allowed: RouterLimits,
-    /// Text of its operator's file, if it gets one.
+    /// Text of the operator's file, if the router gets one.
     pub operator: Option<String>,
-    /// The core that it is pinned to, if any.
+    /// Core that the router is pinned to, if any.
     pub cpu: Option<usize>,
-    /// Print its log to stderr too.
+    /// Whether the router's log is also printed to stderr.
     pub print_log: bool,
-    /// `RUST_LOG` of the process.
+    /// Value of `RUST_LOG` in the environment of the process.
     pub log: String,
-    /// `LADDERPASS_FAULTY` of a build with the feature `faulty`.
+    /// Value of `LADDERPASS_FAULTY`, which takes effect in a build with the feature `faulty`.
     pub faulty: Option<String>,
-    /// Offset of its wall clock in milliseconds; needs a build with the feature `faulty`.
+    /// Offset of the router's wall clock in milliseconds. An offset other than zero needs a build with the feature `faulty`.
     pub clock_ms: i32,
-    /// Where it listens; without it, an address of [`free_loopback_address`](super::free_loopback_address).
+    /// Address to listen on. Without one, [`free_loopback_address`](super::free_loopback_address) chooses it.
     pub listen: Option<SocketAddr>,
-    /// Arguments before all others, for a program that is more than the router.
+    /// Arguments that come before all others, for a program that contains more than the router.
     pub arguments: Vec<String>,
     /// Further environment variables.
     pub variables: Vec<(String, String)>,
 }
 
 impl Start {
-    /// A router with default limits and nothing optional.
+    /// Returns the options for a router with default limits and no optional settings.
     pub fn new(binary: &Path) -> Start {
         Start {
             binary: binary.to_owned(),
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -1,13 +1,12 @@
-//! A testbed run: an emulator of members, a router on a core of its own, a load and a prober, and the record of what all of
-//! them saw.
+//! A testbed run: an emulator of members, one router, a load and a prober, and the record of what all of them observed.
 //!
-//! It decides the order in which these start and stop. Each run starts its own emulator, so that its record holds
-//! nothing of another run.
+//! This module decides the order in which these start and stop. Each run starts its own emulator, so that its record contains
+//! no events of another run.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `upstream` | where the router reaches members and discovery: directly, or through the fault tool |
-//! | `record` | what a run has recorded, and what is computed from it |
+//! | `upstream` | the addresses at which the router reaches members and discovery, directly or through the fault tool |
+//! | `record` | the record of a run, and values that are computed from it |
 
 mod record;
 mod upstream;
@@ -35,15 +34,15 @@
 
 type FaultAction<'a> = Box<dyn FnMut(&Router, &RunningEmulator) + 'a>;
 
-/// What is done to the router or the emulator at a time of the load.
+/// An action on the router or the emulator at a given time of the load.
 pub struct FaultEvent<'a> {
-    /// When, in seconds from the start of the load.
+    /// Time of the action in seconds after the start of the load.
     at_s: f64,
     action: FaultAction<'a>,
 }
 
 impl<'a> FaultEvent<'a> {
-    /// Does `action` once, `at_s` seconds after the start of the load.
+    /// Creates an event that executes `action` once, `at_s` seconds after the start of the load.
     pub fn at(at_s: f64, action: impl FnMut(&Router, &RunningEmulator) + 'a) -> FaultEvent<'a> {
         FaultEvent { at_s, action: Box::new(action) }
     }
@@ -62,7 +61,7 @@
     run_with_progress(scenario, start, plan, events, |_| {})
 }
 
-/// As [`run`]; `on_progress` gets the seconds since the start of the load.
+/// Runs a load like [`run`], and calls `on_progress` repeatedly with the seconds since the start of the load.
 ///
 /// # Errors
 /// As [`run`].
@@ -76,8 +75,9 @@
     run_with_fault_rules(scenario, start, plan, None, events, on_progress).map(|(record, _)| record)
 }
 
-/// As [`run_with_progress`]. If there are rules, even if empty, the router's connections to members and discovery go through the
-/// fault tool, on links named `member-N` and `discovery`; then it returns what the tool has recorded too.
+/// Runs a load like [`run_with_progress`]. If `rules` is given, even if it is empty, the router's connections to members and to
+/// discovery go through the fault tool, on links named `member-N` and `discovery`. In this case the record of the tool is
+/// returned too.
 ///
 /// # Errors
 /// As [`run`], and if the fault tool can't be started.
@@ -140,13 +140,14 @@
     Ok((record, summary))
 }
 
-/// Gives a router that is shutting down the time to end with its last client. Returns its exit code if it has ended.
+/// Waits for a router that is shutting down until it ends after its last client, for at most `SHUTDOWN_TIMEOUT`. Returns what
+/// [`Router::ended`] does.
 fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
     let is_shutting_down = router.log().iter().any(|line| router_log::is_shutdown_begun(line));
     router.wait_for_end(if is_shutting_down { SHUTDOWN_TIMEOUT } else { Duration::ZERO })
 }
 
-/// The absence of a router from its first SIGTERM on.
+/// Returns the absence of a router from its first SIGTERM on, if it got one.
 fn shutdown_absence(router: &Router) -> Option<Absence> {
     router.terminated_at().map(|from| Absence {
         router: 0,
@@ -156,7 +157,7 @@
     })
 }
 
-/// A plan of open arrivals in these phases, one after the other.
+/// Returns a plan of open arrivals with these phases, one after the other.
 pub fn open_plan(seed: u64, phases: &[Phase]) -> Plan {
     Plan {
         arrivals: Arrivals::Open(phases.to_vec()),
--- a/crates/ladderpass-testbed/src/run/upstream.rs
+++ b/crates/ladderpass-testbed/src/run/upstream.rs
@@ -1,4 +1,4 @@
-//! Where a router reaches members and discovery: directly, or through the fault tool.
+//! The addresses at which a router reaches members and discovery, directly or through the fault tool.
 
 use ladderpass_emulator::RunningEmulator;
 use ladderpass_fault_injection::plan::LinkShape;
@@ -6,16 +6,17 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Where the router reaches members and discovery: directly, or through the fault tool.
+/// Addresses at which the router reaches members and discovery.
 pub(super) struct Upstream {
-    /// One for each member, in order.
+    /// Address of each member, in the order of the scenario.
     pub members: Vec<SocketAddr>,
     pub discovery: SocketAddr,
+    /// The fault tool, if the addresses are those of its links.
     pub fault_tool: Option<driver::RunningTool>,
 }
 
 impl Upstream {
-    /// Starts the fault tool before an emulator, whose discovery then gives the tool's addresses.
+    /// Starts the fault tool in front of an emulator, whose discovery then returns the addresses of the tool's links.
     pub fn through_fault_tool(
         emulator: &RunningEmulator,
         rules: Vec<Rule>,
@@ -32,7 +33,7 @@
     }
 }
 
-/// The links of the fault tool before an emulator: its members in order, then discovery.
+/// Returns the links of a fault tool in front of an emulator: one for each member in order, then one for discovery.
 pub fn links(members: &[SocketAddr], discovery: SocketAddr) -> Vec<LinkShape> {
     let listen = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let member_link = |(index, &to): (usize, &SocketAddr)| LinkShape {
