--- a/crates/ladderpass-testbed/tests/addresses.rs
+++ b/crates/ladderpass-testbed/tests/addresses.rs
@@ -1,11 +1,10 @@
-//! Where a router that is about to start listens.
+//! The free address that a router is started on must have no listener before the router listens.
 //!
-//! What happened: beside 16 busy processes the first connection of a test ended before its welcome
-//! (`told_anew_it_keeps_serving_...`, `large_values_pass_...`). Why: the address was found free by listening on it for a
-//! moment. A child that another thread started just then inherited that listener until it became its own program; a
-//! client connected to it, and was reset when it closed. What showed it, in one run (times of the log):
-//! "47.971 WARN RELAY_LISTEN: 127.53.215.2:35003: Address already in use; tried again", then the client's end, then
-//! "48.017 INFO n0 listens on 127.53.215.2:35003": the router had not listened yet, and no other test uses that address.
+//! Guards against clients whose first connection is reset before the router's welcome, which two tests showed beside 16 busy
+//! processes. The address was found free by listening on it for a moment. A child process that another thread started at that
+//! time inherited the listener until its exec. A client connected to this listener and was reset when it closed. In the log of
+//! one such run, the router found the address in use, the client's connection ended, and only then, 46 ms after the first
+//! line, the router listened. No other test uses that address.
 
 use ladderpass_testbed::router::free_loopback_address;
 use std::net::TcpStream;
@@ -15,38 +14,39 @@
 use std::thread;
 use std::time::Duration;
 
-/// Children that are started in this test, and for how long each takes to become its own program.
-const CHILDREN: usize = 40;
-const SLOW_START: Duration = Duration::from_millis(20);
+/// Number of child processes that the test starts.
+const CHILD_PROCESSES: usize = 40;
+/// Time between fork and exec of each child process.
+const EXEC_DELAY: Duration = Duration::from_millis(20);
 
-/// Starts a child that keeps all that it inherits for a while.
-fn start_a_slow_child() {
+/// Runs a child process that keeps all inherited descriptors for `EXEC_DELAY`, until its exec.
+fn run_child_with_delayed_exec() {
     let mut command = Command::new("true");
-    // SAFETY: what is done between fork and exec is a sleep, which is safe after a fork.
+    // SAFETY: the closure only sleeps, which is allowed between fork and exec.
     unsafe {
         command.pre_exec(|| {
-            thread::sleep(SLOW_START);
+            thread::sleep(EXEC_DELAY);
             Ok(())
         });
     }
     assert!(command.status().expect("true runs").success());
 }
 
-/// Addresses are taken while children are started: nobody takes a connection at any of them, as no router has started.
+/// Chooses addresses while child processes are started. No connection to any of them may succeed, since no router has started.
 #[test]
-fn nobody_listens_where_a_router_is_about_to_start() {
-    let over = AtomicBool::new(false);
+fn a_free_address_has_no_listener_while_child_processes_start() {
+    let children_done = AtomicBool::new(false);
     let connected = thread::scope(|scope| {
         scope.spawn(|| {
-            (0..CHILDREN).for_each(|_| start_a_slow_child());
-            over.store(true, Ordering::Relaxed);
+            (0..CHILD_PROCESSES).for_each(|_| run_child_with_delayed_exec());
+            children_done.store(true, Ordering::Relaxed);
         });
         let mut connected = 0;
-        while !over.load(Ordering::Relaxed) {
-            let address = free_loopback_address().expect("one is free");
+        while !children_done.load(Ordering::Relaxed) {
+            let address = free_loopback_address().expect("a free address");
             connected += usize::from(TcpStream::connect(address).is_ok());
         }
         connected
     });
-    assert_eq!(connected, 0, "connections that a child's copy of a listener has taken");
+    assert_eq!(connected, 0, "connections that a listener inherited by a child process has accepted");
 }
--- a/crates/ladderpass-testbed/tests/drill.rs
+++ b/crates/ladderpass-testbed/tests/drill.rs
@@ -1,10 +1,10 @@
-//! Drills: errors name the key, how connections are spread over routers, and how views are read from a log.
+//! Tests of the errors of drill files, of splits and the spread of connections over routers, and of fleet views in logs.
 
 use ladderpass_testbed::drill::Drill;
 use ladderpass_testbed::drill::play::parse_view;
 
 #[test]
-fn errors_name_the_key() {
+fn errors_of_a_drill_file_name_the_key_or_the_value() {
     for (text, wanted) in [
         ("routers: 1", "routers: 1; allowed are 2 to 40"),
         ("routers: x", "routers"),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_split_cuts_the_links_that_cross_it_and_connections_are_spread_unevenly() {
+fn a_split_cuts_the_links_that_cross_it_and_uneven_weights_connections() {
     let drill = Drill::read("{routers: 3, uneven: 4}").expect("allowed");
     let sides = [vec!["r0".to_owned(), "member-0".into()], vec!["r1".into(), "discovery".into()]];
     assert_eq!(drill.split_links(&sides), ["r0>discovery", "r1>member-0"]);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_view_is_read_from_the_log() {
+fn a_fleet_view_is_parsed_from_a_log_line() {
     let line = "2026-12-01T22:15:30.250000Z  INFO ladderpass::reducer: fleet: view 00ff0a1b of 7, this is 2; 127.0.0.1:7 died; 127.0.0.2:9 is back; 3 more";
     let view = parse_view(line).expect("a view");
     assert_eq!((view.digest, view.count, view.changes.len()), (0xff0a1b, 7, 2));
--- a/crates/ladderpass-testbed/tests/history_checker.rs
+++ b/crates/ladderpass-testbed/tests/history_checker.rs
@@ -1,4 +1,4 @@
-//! The history checker, on small made-up records of clients, the fault tool and members.
+//! Tests of the history checker on small synthetic records of clients, the fault tool and members.
 
 use ladderpass_emulator::execution_log::{Arrival, Execution};
 use ladderpass_emulator::{ExecutionLog, Scenario};
@@ -22,7 +22,7 @@
     RpcRecord { number, router: 0, method, sent: at(sent), deadline, answered, lost: None, refused: false }
 }
 
-/// A member that serves 100 RPCs a second once it is warm.
+/// Returns the cold start of member 1, which serves 100 RPCs per second after its slow start.
 fn cold_start() -> ColdStart {
     ColdStart {
         at: at(0),
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_valid_history_has_no_violation_and_a_lost_answer_is_excused_only_by_an_absence() {
+fn a_valid_history_has_no_violation_and_only_an_unplanned_absence_excuses_a_lost_answer() {
     let mut run = RecordedRun::new();
     run.observe(6, 0, 2, true);
     run.execute(8, 0, 2);
@@ -117,13 +117,13 @@
     assert_eq!(run.violated_rules(), [1], "a router that shuts down must answer what it has accepted");
     run.absences.push(Absence { planned: false, ..shutdown });
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    // An RPC sent after the router was back must be answered.
+    // An RPC that was sent after the end of the absence must be answered.
     run.journal.push(entry(4, 0, 1500, None));
     assert_eq!(run.violated_rules(), [1]);
 }
 
 #[test]
-fn a_write_run_twice_by_two_routers_is_found_and_a_rejected_attempt_has_no_effect() {
+fn a_second_attempt_of_a_write_by_another_router_is_a_violation_unless_the_first_was_rejected() {
     let mut run = RecordedRun::new();
     run.observe(6, 0, 2, true);
     run.execute(7, 0, 2);
@@ -145,24 +145,24 @@
 }
 
 #[test]
-fn a_drain_counts_from_when_each_router_was_notified() {
+fn a_drain_applies_to_each_router_from_its_notification_on() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     run.drain_notices = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
     run.observe(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.observe(600, 3, 1, true);
-    // The same RPC has two attempts at once, which violates rule 2.
+    // The same RPC has two attempts in flight at once, which violates rule 2.
     assert_eq!(run.violated_rules(), [2, 3]);
 }
 
 #[test]
-fn a_cold_member_is_overloaded_by_two_routers_that_each_keep_its_ramp() {
+fn two_routers_that_each_respect_the_slow_start_overload_a_cold_member_together() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     let cold_start = ColdStart { overload_window: Span::from_millis(500), ..cold_start() };
     run.cold_starts = vec![cold_start];
-    // 19 are allowed; both send 36, each sends 18.
+    // 19 attempts are allowed. The two routers send 36 together, 18 each.
     for n in 0..36 {
         let number = 100 + n as u64;
         run.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_stale_read_is_found_by_the_position_of_the_member() {
+fn a_read_is_stale_if_the_best_known_position_of_its_member_is_too_old() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     let arrival = |ms: i64, old: i64| Arrival {
@@ -188,7 +188,7 @@
     run.execution_log.arrivals.push(arrival(5, 1900));
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals.push(arrival(6, 2500));
-    // The best position that the member was known to have counts.
+    // The check uses the best position that the member was known to have.
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals = vec![arrival(6, 2500)];
     run.execution_log.executions.clear();
@@ -196,7 +196,7 @@
     assert_eq!(run.violated_rules(), [5]);
 }
 
-/// From the members' records alone, whichever router sent the attempt.
+/// This check uses only the records of the members, which don't depend on the router that sent an attempt.
 #[test]
 fn attempts_at_a_cold_member_are_counted_over_all_routers() {
     let cold_start = ColdStart { overload_window: Span::from_millis(3000), ..cold_start() };
@@ -206,7 +206,7 @@
             |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
         ExecutionLog { arrivals: (0..count).map(arrival).collect(), ..ExecutionLog::default() }
     };
-    // Its capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for chance.
+    // The member's capacity is 60 attempts in the window that ends at its start, and 77.5 with the tolerance for chance.
     let check = |count| check_slow_start_at_members(&[cold_start], &arrivals(count));
     let SlowStartCheck { violations, max_excess } = check(77);
     assert!(violations.is_empty() && (1.9..2.0).contains(&max_excess), "{max_excess}");
--- a/crates/ladderpass-testbed/tests/known_red.rs
+++ b/crates/ladderpass-testbed/tests/known_red.rs
@@ -1,4 +1,4 @@
-//! The list of tests known to be red: what its check refuses, and that just those listed are passed over.
+//! Tests of `.ci/known-red`: which lists of known failing tests its check rejects, and that only the listed tests are skipped.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -13,53 +13,54 @@
     bash
 }
 
-/// A file of this test's own.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file in the temporary directory, and returns its path. `name` is different in each test.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
     std::fs::write(&path, text).expect("writes");
     path
 }
 
-/// Whether the check passes, with what it says.
+/// Runs the check on a list. Returns whether it passes, its standard output and its standard error.
 fn check(name: &str, list: &str) -> (bool, String, String) {
-    let (list, tests) = (file(name, list), file(&format!("{name}-tests"), TESTS));
+    let (list, tests) = (write_file(name, list), write_file(&format!("{name}-tests"), TESTS));
     let output = script().arg("check").args([list, tests]).output().expect("runs");
-    let (told, faults) = texts(&output);
-    (output.status.success(), told, faults)
+    let (stdout, stderr) = texts(&output);
+    (output.status.success(), stdout, stderr)
 }
 
+/// Returns standard output and standard error of a process as text.
 fn texts(output: &Output) -> (String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (text(&output.stdout), text(&output.stderr))
 }
 
 #[test]
-fn an_empty_list_passes_over_nothing() {
+fn an_empty_list_skips_no_test() {
     for (name, list) in [("empty", ""), ("comment", "# test | command | seed | seen | #1\n\n  # more\n")] {
         assert_eq!(check(name, list), (true, String::new(), String::new()));
     }
 }
 
 #[test]
-fn what_is_passed_over_is_printed() {
+fn skipped_tests_are_printed() {
     let list = "# a comment\nladderpass::endings::one | cargo test --test endings one | none | a socket's end, seen late | #40\n\
                 ladderpass-testbed::known_red::two | cargo test known_red|7, 11|seen|#7\n\
                 ladderpass::drills::one | drills | 3 | s | #3\n\
                 ladderpass::endings::one_more | endings | none | s | #3";
-    let (passes, told, faults) = check("good", list);
-    assert!(passes, "{faults}");
+    let (passes, stdout, stderr) = check("good", list);
+    assert!(passes, "{stderr}");
     let wanted = [
         "ladderpass::endings::one",
         "ladderpass-testbed::known_red::two",
         "ladderpass::drills::one",
         "ladderpass::endings::one_more",
     ];
-    let lines: Vec<&str> = told.lines().map(|line| line.rsplit(' ').next().unwrap_or("")).collect();
+    let lines: Vec<&str> = stdout.lines().map(|line| line.rsplit(' ').next().unwrap_or("")).collect();
     assert_eq!(lines, wanted);
 }
 
 #[test]
-fn a_list_with_a_fault_fails_and_names_the_line_or_the_test() {
+fn a_faulty_list_fails_the_check_and_the_error_names_the_line_or_the_test() {
     let rest = "| endings drills known_red ladderpass_testbed faults | 4 | seen | #40";
     let of = |test: &str| format!("{test} {rest}");
     let two = format!("{}\n{}", of("ladderpass::endings::one"), of("ladderpass::endings::one"));
@@ -92,50 +93,53 @@
         ("no-binary", of("one"), "\"one\"; allowed is package::binary::test"),
         ("twice", two, "stands twice"),
     ] {
-        let (passes, told, faults) = check(name, &list);
-        assert!(!passes && told.is_empty(), "{name} passes: {told}");
-        assert!(faults.contains(wanted), "{name}: {faults}");
+        let (passes, stdout, stderr) = check(name, &list);
+        assert!(!passes && stdout.is_empty(), "{name} passes or prints: {stdout}");
+        assert!(stderr.contains(wanted), "{name}: {stderr}");
     }
     let absent = script().args(["check", "/dev/null/absent", "/dev/null"]).output().expect("runs");
     assert!(!absent.status.success(), "{:?}", texts(&absent));
 }
 
-/// Names of this binary's tests that are left when it is started as `.ci/known-red test` has cargo start it.
-fn left(name: &str, list: &str) -> Vec<String> {
-    let own = std::env::current_exe().expect("it runs");
+/// Returns the names of this binary's tests that are not skipped when it is started through `.ci/known-red skip`, as
+/// `.ci/known-red test` makes cargo do.
+fn tests_not_skipped(name: &str, list: &str) -> Vec<String> {
+    let own = std::env::current_exe().expect("the path of this program");
     let output = script()
         .env("CARGO_PKG_NAME", "ladderpass-testbed")
-        .env("KNOWN_RED", file(name, list))
+        .env("KNOWN_RED", write_file(name, list))
         .arg("skip")
         .arg(own)
         .args(["--list", "--format", "terse"])
         .output()
         .expect("runs");
-    let (told, faults) = texts(&output);
-    assert!(output.status.success(), "{faults}");
-    told.lines().filter_map(|line| line.strip_suffix(": test")).map(str::to_owned).collect()
+    let (stdout, stderr) = texts(&output);
+    assert!(output.status.success(), "{stderr}");
+    stdout.lines().filter_map(|line| line.strip_suffix(": test")).map(str::to_owned).collect()
 }
 
 #[test]
-fn just_the_test_listed_is_passed_over() {
-    let all = left("none", "");
-    assert!(all.iter().any(|test| test == "just_the_test_listed_is_passed_over_and_not_its_like"));
-    let list = "ladderpass-testbed::known_red::just_the_test_listed_is_passed_over | known_red | none | seen | #1\n\
-                ladderpass::known_red::an_empty_list_passes_over_nothing | known_red | 1 | another package's | #1\n\
-                ladderpass-testbed::drills::what_is_passed_over_is_printed | drills | 1 | another binary's | #1\n";
-    let mut rest = all.clone();
-    rest.retain(|test| test != "just_the_test_listed_is_passed_over");
-    assert_eq!((left("one", list), rest.len() + 1), (rest, all.len()));
+fn only_the_listed_test_is_skipped() {
+    let all = tests_not_skipped("none", "");
+    assert!(
+        all.iter().any(|test| test == "only_the_listed_test_is_skipped_and_a_faulty_list_starts_no_test")
+    );
+    let list = "ladderpass-testbed::known_red::only_the_listed_test_is_skipped | known_red | none | seen | #1\n\
+                ladderpass::known_red::an_empty_list_skips_no_test | known_red | 1 | another package's | #1\n\
+                ladderpass-testbed::drills::skipped_tests_are_printed | drills | 1 | another binary's | #1\n";
+    let mut expected = all.clone();
+    expected.retain(|test| test != "only_the_listed_test_is_skipped");
+    assert_eq!((tests_not_skipped("one", list), expected.len() + 1), (expected, all.len()));
 }
 
-/// Its name begins as that of the test above, which is what it is there for; and a list with a fault starts
-/// nothing.
+/// The name of this test must begin with the name of the test above, which checks that a listed test does not skip another one
+/// whose name begins alike. This test itself checks that a faulty list makes the script fail.
 #[test]
-fn just_the_test_listed_is_passed_over_and_not_its_like() {
-    let own = std::env::current_exe().expect("it runs");
+fn only_the_listed_test_is_skipped_and_a_faulty_list_starts_no_test() {
+    let own = std::env::current_exe().expect("the path of this program");
     let output = script()
         .env("CARGO_PKG_NAME", "ladderpass-testbed")
-        .env("KNOWN_RED", file("bad", "one | known_red | none | seen | #1"))
+        .env("KNOWN_RED", write_file("bad", "one | known_red | none | seen | #1"))
         .arg("skip")
         .arg(own)
         .arg("--list")
@@ -145,11 +149,11 @@
 }
 
 #[test]
-fn the_names_that_are_shown_hold_package_and_binary() {
-    let own = std::env::current_exe().expect("it runs");
+fn shown_test_names_begin_with_package_and_binary() {
+    let own = std::env::current_exe().expect("the path of this program");
     let output =
         script().env("CARGO_PKG_NAME", "ladderpass-testbed").arg("show").arg(own).output().expect("runs");
-    let (told, _) = texts(&output);
-    assert!(told.lines().any(|line| line == "ladderpass-testbed::known_red::what_is_passed_over_is_printed"));
-    assert!(told.lines().all(|line| line.starts_with("ladderpass-testbed::known_red::")), "{told}");
+    let (stdout, _) = texts(&output);
+    assert!(stdout.lines().any(|line| line == "ladderpass-testbed::known_red::skipped_tests_are_printed"));
+    assert!(stdout.lines().all(|line| line.starts_with("ladderpass-testbed::known_red::")), "{stdout}");
 }
--- a/crates/ladderpass-testbed/tests/simulated_routers.rs
+++ b/crates/ladderpass-testbed/tests/simulated_routers.rs
@@ -1,5 +1,6 @@
-//! Simulated routers: each datagram is received, lost or in flight; the same seed gives the same simulation; routers find each
-//! other, and learn of a death, a change of the endpoint list and another primary.
+//! Tests of the simulation of many routers. Each datagram is received, lost or in flight, and the same seed gives the same
+//! simulation. Routers find each other, and learn of the end of a router, of a change of the endpoint list and of another
+//! primary. Also tests that the figures of docs/CAPACITY.md can be parsed.
 
 use ladderpass_routing::Span;
 use ladderpass_testbed::capacity::simulated_routers::{Counts, Shape, Simulation, member_id};
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn each_datagram_is_received_or_lost_or_in_flight() {
+fn each_datagram_is_received_lost_or_in_flight() {
     for (loss, killed) in [(0.0, false), (0.3, false), (0.1, true)] {
         let mut simulation = simulation(Shape { loss, fleet: true, ..Shape::of(8, 4) });
         run(&mut simulation, 3000);
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn statements_are_answered_and_routers_find_each_other() {
+fn statements_are_answered_and_routers_find_each_other_and_detect_the_end_of_one() {
     let mut simulation = simulation(Shape::of(8, 4));
     run(&mut simulation, 6000);
     for (router, counts) in simulation.counts.iter().enumerate() {
@@ -74,28 +75,28 @@
         assert_eq!(simulation.reducer(router).map(|reducer| reducer.generation()), Some(generation));
     }
     // Group 0 has the members 0, 2 and 4.
-    let leads = |simulation: &Simulation, member: usize| {
-        let knows = |router| simulation.reducer(router)?.known_position(&member_id(member));
-        (0..4).filter_map(knows).filter(|known| known.is_primary).count()
+    let routers_with_primary = |simulation: &Simulation, member: usize| {
+        let known_position = |router| simulation.reducer(router)?.known_position(&member_id(member));
+        (0..4).filter_map(known_position).filter(|known| known.is_primary).count()
     };
-    assert_eq!((leads(&simulation, 0), leads(&simulation, 2)), (4, 0));
+    assert_eq!((routers_with_primary(&simulation, 0), routers_with_primary(&simulation, 2)), (4, 0));
     simulation.members[0].primary = false;
     simulation.members[2].primary = true;
     run(&mut simulation, 5000);
-    assert_eq!((leads(&simulation, 0), leads(&simulation, 2)), (0, 4));
+    assert_eq!((routers_with_primary(&simulation, 0), routers_with_primary(&simulation, 2)), (0, 4));
 }
 
 #[test]
-fn each_figure_of_the_page_can_be_read_and_states_an_error() {
+fn each_figure_of_the_capacity_page_is_parsed_and_states_an_error() {
     let page = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/CAPACITY.md"))
-        .expect("the page is there");
+        .expect("docs/CAPACITY.md can be read");
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `")?.split_once("` |"));
     let names: Vec<&'static str> =
         rows.map(|(name, _)| &*Box::leak(name.to_owned().into_boxed_str())).collect();
     assert!(names.len() > 30, "{} figures", names.len());
     for name in names {
         let claim =
-            Claim::read(&page, name).unwrap_or_else(|| panic!("{name} is not to be read, or stands twice"));
+            Claim::read(&page, name).unwrap_or_else(|| panic!("{name} can't be parsed, or has several rows"));
         assert!(claim.value > 0.0 && (0.005..0.95).contains(&claim.within), "{claim:?}");
     }
 }
