--- a/crates/ladderpass-testbed/src/cli/error.rs
+++ b/crates/ladderpass-testbed/src/cli/error.rs
@@ -12,7 +12,7 @@
     /// A file can't be read or written, or is not valid.
     #[error("{}: {source}", path.display())]
     File { path: PathBuf, source: BoxedError },
-    /// A process, a load, a simulation or a proof could not be started or ended early.
+    /// Any other error of the testbed, as when a process, a load, a simulation or a proof fails to start or ends early.
     #[error("{0}")]
     Failed(BoxedError),
     #[error("--phases: invalid phase {0:?}; expected SECONDSxRATE, as in 5x2000")]
--- a/crates/ladderpass-testbed/src/cli/mod.rs
+++ b/crates/ladderpass-testbed/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one module defines what it accepts, and one module for each group of subcommands executes them.
+//! The command line: one module defines what it accepts, and one module for each group of subcommands executes that group.
 //!
 //! | module | subcommands |
 //! | --- | --- |
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -22,35 +22,35 @@
     /// A line is not JSON.
     #[error("{}: line {line}: {source}", path.display())]
     Syntax {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
     /// A line has a kind that this program does not write.
     #[error("{}: line {line}: kind {kind} is unknown", path.display())]
     UnknownKind {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// Number of the line, from 1.
         line: usize,
-        /// The kind, as JSON.
+        /// Kind in the line, as JSON.
         kind: Value,
     },
     /// The file is in another version of the format.
     #[error("{}: format version {version} is not supported; this program reads version {FORMAT_VERSION}", path.display())]
     UnknownFormat {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The version, as JSON.
+        /// Version in the file, as JSON.
         version: Value,
     },
     /// The line of kind `run` is missing, or it names no method.
     #[error("{}: there is no line of kind run that names methods", path.display())]
     MissingRun {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
 }
--- a/crates/ladderpass-testbed/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -37,14 +37,14 @@
         "{share} of the statements opened a connection, at a mean gap of {gap} s"
     );
     // With an idle timeout beyond the test, no connection is closed.
-    let without_timeout = Shape { client_idle_timeout: Some(Span::from_millis(600_000)), ..shape };
-    let mut simulation = Simulation::new(&without_timeout, 3).unwrap();
+    let long_timeout = Shape { client_idle_timeout: Some(Span::from_millis(600_000)), ..shape };
+    let mut simulation = Simulation::new(&long_timeout, 3).unwrap();
     simulation.open_all_clients();
     simulation.run(WARM_UP);
     let counts = simulation.run(MEASURED_TIME);
     assert_eq!((counts.clients_reopened, counts.clients_closed), (0.0, 0.0));
     assert!(
-        (counts.client_connections - without_timeout.clients as f64).abs() < 1e-6,
+        (counts.client_connections - long_timeout.clients as f64).abs() < 1e-6,
         "{}",
         counts.client_connections
     );
--- a/crates/ladderpass-testbed/tests/makefile.rs
+++ b/crates/ladderpass-testbed/tests/makefile.rs
@@ -34,7 +34,7 @@
 fn make(directory: &Path, target: &str) -> Output {
     let path = format!("{}:{}", directory.join("bin").display(), std::env::var("PATH").unwrap_or_default());
     let mut make = Command::new("make");
-    // Make sets these variables if it has started this test.
+    // Make may have started this test, and its variables would change this build.
     make.env_remove("MAKEFLAGS").env_remove("MAKELEVEL").env_remove("NAME");
     make.arg(target).current_dir(directory).env("PATH", path).output().expect("make can be started")
 }
