--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::Path;
 
-/// Interval at which a router logs its metrics, in seconds.
+/// Interval in seconds at which the router of [`over_time`] logs its metrics. The operator's file of the overload proof sets it.
 const METRICS_INTERVAL_S: f64 = 0.2;
 
 const COLOURS: [RGBColor; 6] = [
