--- a/crates/ladderpass-testbed/examples/data_path.rs
+++ b/crates/ladderpass-testbed/examples/data_path.rs
@@ -1,25 +1,29 @@
-//! Prints the slopes of a router's data path and the figures at the size, from the root of the tree:
+//! Prints the cost slopes of a router's data path and the figures at the reference size. Run it from the root of the tree:
+//!
 //! `cargo run --release -p ladderpass-testbed --example data_path -- SEED [long|tables|size]`
-//! `long` has all, `tables` only what bends, `size` only one router at the size itself. Without a router that was
-//! built (`target/release/ladderpass`) real processes are left out.
+//!
+//! Without a second argument it prints the slopes and the figures that are computed from them. `tables` prints only the tables
+//! of behaviour that is not linear, `size` only one router at the reference size, and `long` all of these, with longer runs for
+//! the slopes. If no router has been built (`target/release/ladderpass`), measurements of real processes are left out.
 
 use ladderpass_testbed::capacity::data_path::{self, Settings};
 use std::path::PathBuf;
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let seed = words.first().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    let form = words.get(1).map_or("", String::as_str);
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let seed = arguments.first().and_then(|seed| seed.parse().ok()).unwrap_or(1);
+    let selection = arguments.get(1).map_or("", String::as_str);
     let router = Some(PathBuf::from("target/release/ladderpass")).filter(|path| path.exists());
-    if matches!(form, "" | "long") {
-        let slopes = data_path::measure(seed, &Settings { long: form == "long", router: router.clone() });
+    if matches!(selection, "" | "long") {
+        let slopes =
+            data_path::measure(seed, &Settings { long: selection == "long", router: router.clone() });
         println!("| slope | y | x | range | each | base | error |\n|---|---|---|---|---|---|---|");
         for slope in &slopes {
-            let (fit, (least, most)) = (slope.fit(), slope.range());
+            let (fit, (min_x, max_x)) = (slope.fit(), slope.range());
             let (name, x, y, error) = (slope.name, slope.x, slope.y, fit.error * 100.0);
             let (each, base) = (fit.slope, fit.base);
             println!(
-                "| {name} | {y} | {x} | {least:.0} to {most:.0} | {each:.5} | {base:.2} | {error:.1}% |"
+                "| {name} | {y} | {x} | {min_x:.0} to {max_x:.0} | {each:.5} | {base:.2} | {error:.1}% |"
             );
         }
         println!();
@@ -33,14 +37,14 @@
         }
         println!();
     }
-    let tell = |table: Result<String, String>| match table {
+    let print_table = |table: Result<String, String>| match table {
         Ok(table) => println!("{table}"),
-        Err(fault) => eprintln!("{fault}"),
+        Err(error) => eprintln!("{error}"),
     };
-    if matches!(form, "long" | "tables") {
-        tell(data_path::tables(seed));
+    if matches!(selection, "long" | "tables") {
+        print_table(data_path::tables(seed));
     }
-    if matches!(form, "long" | "size") {
-        tell(data_path::size(seed, router.as_deref()));
+    if matches!(selection, "long" | "size") {
+        print_table(data_path::size(seed, router.as_deref()));
     }
 }
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of results as SVG.
+//! Draws charts of results as SVG files.
 
 use crate::router_log;
 use crate::run::RunRecord;
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::Path;
 
-/// How often a router logs its metrics, in seconds.
+/// Interval in seconds at which the router of [`over_time`] logs its metrics. The operator's file of the overload proof sets it.
 const METRICS_INTERVAL_S: f64 = 0.2;
 
 const COLOURS: [RGBColor; 6] = [
@@ -23,14 +23,14 @@
 /// A line of a chart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line<'a> {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: &'a str,
-    /// Its points (x, y), in the order in which they are connected.
+    /// Points (x, y), in the order in which they are connected.
     pub points: Vec<(f64, f64)>,
 }
 
 impl<'a> Line<'a> {
-    /// A line of this name through these points.
+    /// Creates a line of this name through these points.
     pub fn new(name: &'a str, points: Vec<(f64, f64)>) -> Line<'a> {
         Line { name, points }
     }
@@ -40,7 +40,7 @@
     io::Error::other(error.to_string())
 }
 
-/// Draws lines over one pair of axes.
+/// Draws lines over one pair of axes. `axes` has the labels of the x and the y axis; `log_x` makes the x axis logarithmic.
 ///
 /// # Errors
 /// If the chart can't be drawn or written.
@@ -80,7 +80,7 @@
     area.present().map_err(drawing_error)
 }
 
-/// Draws utility by offered load.
+/// Draws utility against offered load, with one line for each curve.
 ///
 /// # Errors
 /// As [`lines`].
@@ -88,63 +88,68 @@
     lines(path, "Goodput against offered load", ("offered, in calm loads", "utility a second"), curves, false)
 }
 
-/// Draws the distribution of the event loop's delay.
+/// Draws the distribution of each named histogram of event loop delays, which are in microseconds.
 ///
 /// # Errors
 /// As [`lines`].
 pub fn delays(path: &Path, all: &[(&str, &Histogram<u64>)]) -> io::Result<()> {
-    let mut shown = Vec::new();
+    let mut chart_lines = Vec::new();
     for (name, delays) in all {
         let total = delays.len().max(1) as f64;
-        let mut counted = 0;
+        let mut cumulative = 0;
         let points = delays.iter_recorded().map(|step| {
-            counted += step.count_at_value();
-            (step.value_iterated_to() as f64 / 1e3, counted as f64 / total)
+            cumulative += step.count_at_value();
+            (step.value_iterated_to() as f64 / 1e3, cumulative as f64 / total)
         });
-        shown.push(Line::new(name, points.collect()));
+        chart_lines.push(Line::new(name, points.collect()));
     }
     lines(
         path,
         "Loop delay at three times the calm load",
         ("ms, logarithmic", "part of probes"),
-        &shown,
+        &chart_lines,
         true,
     )
 }
 
-/// The values of a metric that a router has logged, each `step` seconds after the one before.
-pub fn figures(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
-    let of_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
-    log.iter().filter_map(of_line).enumerate().map(|(index, value)| (index as f64 * step, value)).collect()
+/// Returns the values that a router has logged for a metric as points (seconds, value), `step` seconds apart.
+pub fn metric_series(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
+    let value_in_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
+    log.iter()
+        .filter_map(value_in_line)
+        .enumerate()
+        .map(|(index, value)| (index as f64 * step, value))
+        .collect()
 }
 
-/// Draws good answers by method and rejections of a run, and beside that chart `pressure.svg` with the router's metrics.
+/// Draws the good answers of each method and the rejections of a run over time. Also draws the router's metrics as
+/// `pressure.svg` in the same folder.
 ///
 /// # Errors
 /// As [`lines`].
 pub fn over_time(path: &Path, scenario: &Scenario, record: &RunRecord) -> io::Result<()> {
     let slices = &record.outcome.slices;
     let per_second = 1.0 / crate::load::SLICE.secs();
-    let mut shown: Vec<Line<'_>> = Vec::new();
+    let mut chart_lines: Vec<Line<'_>> = Vec::new();
     for (index, method) in scenario.methods.iter().enumerate() {
         let good = slices
             .iter()
             .filter_map(|slice| Some((slice.at_s, slice.counts.get(index)?.good as f64 * per_second)));
-        shown.push(Line::new(&method.name, good.collect()));
+        chart_lines.push(Line::new(&method.name, good.collect()));
     }
     let rejected =
         |slice: &crate::load::Slice| slice.counts.iter().map(|counts| counts.rejected).sum::<u64>() as f64;
-    shown.push(Line::new(
+    chart_lines.push(Line::new(
         "pushed back",
         slices.iter().map(|slice| (slice.at_s, rejected(slice) * per_second)).collect(),
     ));
-    lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &shown, false)?;
+    lines(path, "Good answers and pushbacks over time", ("s", "RPCs a second"), &chart_lines, false)?;
     let pressure_path = path.with_file_name("pressure.svg");
-    let shown = [
-        Line::new("pressure", figures(&record.log, "pressure", METRICS_INTERVAL_S)),
-        Line::new("delay part", figures(&record.log, "delay_part", METRICS_INTERVAL_S)),
-        Line::new("floor", figures(&record.log, "floor", METRICS_INTERVAL_S)),
-        Line::new("cpu", figures(&record.log, "cpu_used", METRICS_INTERVAL_S)),
+    let chart_lines = [
+        Line::new("pressure", metric_series(&record.log, "pressure", METRICS_INTERVAL_S)),
+        Line::new("delay part", metric_series(&record.log, "delay_part", METRICS_INTERVAL_S)),
+        Line::new("floor", metric_series(&record.log, "floor", METRICS_INTERVAL_S)),
+        Line::new("cpu", metric_series(&record.log, "cpu_used", METRICS_INTERVAL_S)),
     ];
-    lines(&pressure_path, "Pressure over time", ("s", "part"), &shown, false)
+    lines(&pressure_path, "Pressure over time", ("s", "part"), &chart_lines, false)
 }
--- a/crates/ladderpass-testbed/tests/history_checker.rs
+++ b/crates/ladderpass-testbed/tests/history_checker.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_valid_history_has_no_violation_and_a_lost_answer_is_excused_only_by_an_absence() {
+fn a_valid_history_has_no_violation_and_only_an_unplanned_absence_excuses_a_lost_answer() {
     let mut run = RecordedRun::new();
     run.observe(6, 0, 2, true);
     run.execute(8, 0, 2);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_write_run_twice_by_two_routers_is_found_and_a_rejected_attempt_has_no_effect() {
+fn a_second_attempt_of_a_write_by_another_router_is_a_violation_unless_the_first_was_rejected() {
     let mut run = RecordedRun::new();
     run.observe(6, 0, 2, true);
     run.execute(7, 0, 2);
@@ -145,14 +145,14 @@
 }
 
 #[test]
-fn a_drain_counts_from_when_each_router_was_notified() {
+fn a_drain_applies_to_each_router_from_its_notification_on() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     run.drain_notices = vec![DrainNotice { router: 1, member: 1, at: at(100) }];
     run.observe(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.observe(600, 3, 1, true);
-    // The same RPC has two attempts at once, which violates rule 2.
+    // The same RPC has two attempts in flight at once, which violates rule 2.
     assert_eq!(run.violated_rules(), [2, 3]);
 }
 
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_stale_read_is_found_by_the_position_of_the_member() {
+fn a_read_is_stale_if_the_best_known_position_of_its_member_is_too_old() {
     let mut run = RecordedRun::new();
     run.execute(1, 0, 2);
     let arrival = |ms: i64, old: i64| Arrival {
--- a/crates/ladderpass/tests/common/mod.rs
+++ b/crates/ladderpass/tests/common/mod.rs
@@ -111,7 +111,7 @@
 /// A free address for a router that is about to start. The system does not give the address's port to another socket
 /// before the router binds the address.
 pub fn router_address() -> String {
-    ladderpass_testbed::router::own_address().expect("a free port").to_string()
+    ladderpass_testbed::router::free_loopback_address().expect("a free port").to_string()
 }
 
 /// A read or a write, as `method` says, with this id and for this group of members. The statement's deadline is
