--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -18,7 +18,7 @@
     List,
     /// Waits until a rule has acted a number of times, or until the timeout.
     Wait {
-        /// Name of the rule.
+        /// Name of the rule that must act.
         rule: String,
         /// The number of times that the rule must have acted.
         hits: u64,
@@ -40,9 +40,9 @@
 pub enum Reply {
     /// The answer is this line, and is sent at once.
     Immediate(String),
-    /// The answer is sent once a rule has acted a number of times.
+    /// The answer is sent once a rule has acted a number of times, or at a timeout.
     Deferred {
-        /// The time at which the wait ends with an error.
+        /// The time at which the wait ends with an error, if the rule has not acted often enough before.
         until: Time,
         /// Name of the rule.
         rule: String,
--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -16,7 +16,8 @@
 use std::time::{Duration, Instant};
 
 const WAKE: Token = Token(usize::MAX);
-/// The highest number of datagrams that are delayed at the same time. Further ones are lost, as on a congested path.
+/// The highest number of datagrams that are delayed at the same time. Further datagrams are lost, as on a congested
+/// path.
 const MAX_DELAYED: usize = 100_000;
 const MAX_DATAGRAM_BYTES: usize = 2048;
 const EVENTS_PER_POLL: usize = 256;
@@ -28,8 +29,8 @@
     stop: Arc<AtomicBool>,
     waker: Waker,
     thread: Option<std::thread::JoinHandle<()>>,
-    /// Address that the tool listens on for each end, in the order of the plan. Where the plan has port 0, this has the
-    /// port that the system assigned.
+    /// Address that the tool listens on for each end, in the order of the plan. Where the plan has port 0, the address
+    /// has the port that the system assigned.
     pub addresses: Vec<SocketAddr>,
 }
 
@@ -75,7 +76,7 @@
         Ok(RunningDatagrams { engine, started, stop, waker, thread: Some(thread), addresses })
     }
 
-    /// Adds a rule, whose time counts from its addition.
+    /// Adds a rule. The rule counts its times from the addition.
     ///
     /// # Errors
     ///
@@ -85,7 +86,7 @@
         lock(&self.engine).add_rule(now, rule)
     }
 
-    /// Lifts the rules with this name, so that they no longer act. Returns whether there was one to lift.
+    /// Lifts the rules with this name, so that they no longer act. Returns whether a rule was lifted.
     pub fn lift_rule(&self, name: &str) -> bool {
         lock(&self.engine).lift_rule(name)
     }
@@ -128,10 +129,10 @@
 
 struct EventLoop {
     poll: Poll,
-    /// The socket of each end.
+    /// The socket that the tool listens on for each end, by index of the end.
     sockets: Vec<UdpSocket>,
     end_by_address: HashMap<SocketAddr, usize>,
-    /// Address of each end's process.
+    /// Address of each end's process, by index of the end.
     targets: Vec<SocketAddr>,
     engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -21,9 +21,9 @@
 /// Counters of the datagrams that an end has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
-    /// Number of datagrams, including lost ones.
+    /// Number of datagrams that the end has sent, including lost ones.
     pub datagrams: u64,
-    /// Total bytes of these datagrams.
+    /// Total size in bytes of the datagrams that the end has sent, including lost ones.
     pub bytes: u64,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl DatagramEngine {
-    /// Returns an engine for a plan. The time of the plan's rules counts from the start.
+    /// Returns an engine for a plan. The plan's rules count their times from the start of the engine.
     pub fn new(plan: DatagramPlan) -> DatagramEngine {
         let activate = |rule| ActiveRule { rule, added_at: Span::ZERO, hits: 0, lifted: false };
         DatagramEngine {
@@ -71,7 +71,7 @@
         &self.ends
     }
 
-    /// Adds a rule, whose time counts from `now`.
+    /// Adds a rule. The rule counts its times from `now`.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Lifts the rules with this name, so that they no longer act. Returns whether there was one to lift.
+    /// Lifts the rules with this name, so that they no longer act. Returns whether a rule was lifted.
     pub fn lift_rule(&mut self, name: &str) -> bool {
         let mut was_active = false;
         for active in self.rules.iter_mut().filter(|active| active.rule.name == name && !active.lifted) {
@@ -128,7 +128,8 @@
         side.unwrap_or(rule.split.len() + end)
     }
 
-    /// Handles a datagram of `bytes` bytes. Returns the delay of each copy, or nothing if the datagram is lost.
+    /// Handles a datagram of `bytes` bytes. Returns the delay of each copy that is forwarded, or an empty list if the
+    /// datagram is lost.
     pub fn on_datagram(&mut self, now: Span, from: usize, to: usize, bytes: usize) -> Vec<Span> {
         if let Some(traffic) = self.traffic.get_mut(from) {
             traffic.datagrams += 1;
--- a/crates/ladderpass-fault-injection/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -26,7 +26,7 @@
 /// The longest time that `RunningTool::send_command` waits for an answer.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A tool that runs on its own thread until it is stopped or dropped.
+/// A running fault tool. Its thread ends when the tool is stopped or this value is dropped.
 pub struct RunningTool {
     /// Address that each link listens on, in the order of the plan.
     pub addresses: Vec<SocketAddr>,
@@ -34,12 +34,12 @@
     waker: Arc<Waker>,
     commands: Sender<LocalCommand>,
     thread: Option<std::thread::JoinHandle<RunSummary>>,
-    /// The datagram part, if the plan has datagram ends.
+    /// The part of the tool that forwards datagrams, if the plan has datagram ends.
     pub datagrams: Option<RunningDatagrams>,
 }
 
 impl RunningTool {
-    /// Starts a plan. `control` is the path of the control socket, if there is to be one.
+    /// Starts a fault tool that runs `plan`. `control` is the path of the control socket, if there is to be one.
     ///
     /// # Errors
     ///
@@ -68,7 +68,8 @@
         Ok(RunningTool { addresses, stop, waker, commands, thread: Some(thread), datagrams })
     }
 
-    /// Executes one line in the form of the control socket's commands, and returns the answer. `wait` is not available.
+    /// Executes one command line, in the form that the control socket accepts, and returns the answer. The command
+    /// `wait` is rejected.
     ///
     /// # Errors
     ///
--- a/crates/ladderpass-fault-injection/src/driver/control_socket.rs
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -9,14 +9,14 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// The token of the listener.
+/// The poll token of the control socket's listener.
 pub const CONTROL: Token = Token(1);
 /// The interval at which rules are checked while a client waits for one.
 const WAIT_POLL_INTERVAL: Span = Span::from_millis(2);
 const MAX_LINE_BYTES: usize = 64 << 10;
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The listener of the control socket. The socket file is removed when this is dropped.
+/// The listener of the control socket. Dropping the listener removes the socket file.
 pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
@@ -28,23 +28,23 @@
     wait: Option<Wait>,
 }
 
-/// A client's wait for a rule.
+/// A client's wait, started by the command `wait`, until a rule has acted a number of times.
 pub struct Wait {
-    /// The time at which the wait ends with an error.
+    /// The time at which the wait ends with an error, if the rule has not acted often enough before.
     pub until: Time,
     pub rule: String,
-    /// The number of times that the rule must have acted.
+    /// The number of times that the rule must have acted for the wait to end with `ok`.
     pub hits: u64,
 }
 
-/// A wait that has ended, with its answer.
+/// A client's wait that has ended, with the answer to the client.
 pub struct EndedWait {
-    /// Token of the client that has waited.
+    /// Poll token of the client that has waited.
     pub client: usize,
     pub answer: &'static str,
 }
 
-/// The clients of the control socket, by token.
+/// The clients of the control socket, by poll token.
 #[derive(Default)]
 pub struct ControlClients {
     clients: HashMap<usize, ControlClient>,
@@ -70,7 +70,7 @@
 
 impl Drop for ControlSocket {
     fn drop(&mut self) {
-        // A failure is ignored, since the file may have been removed already.
+        // A failure to remove the socket file is ignored, since the file may have been removed already.
         let _ = std::fs::remove_file(&self.path);
     }
 }
@@ -84,7 +84,7 @@
         self.clients.contains_key(&index)
     }
 
-    /// Returns the time at which rules must be checked next, or None if no client waits for one.
+    /// Returns the time at which rules must be checked next, or None if no client waits for a rule.
     pub fn next_check(&self, now: Time) -> Option<Time> {
         self.clients.values().any(|client| client.wait.is_some()).then(|| now + WAIT_POLL_INTERVAL)
     }
@@ -113,7 +113,8 @@
         false
     }
 
-    /// Takes the next complete line of a client, unless the client waits for a rule.
+    /// Removes and returns the next complete line that a client has sent. Returns None if there is no complete line, or
+    /// while the client waits for a rule to act.
     pub fn next_line(&mut self, index: usize) -> Option<String> {
         let client = self.clients.get_mut(&index).filter(|client| client.wait.is_none())?;
         let end = client.input.iter().position(|&byte| byte == b'\n')?;
@@ -123,7 +124,7 @@
 
     pub fn reply(&mut self, index: usize, text: &str) {
         if let Some(client) = self.clients.get_mut(&index) {
-            // A failure is ignored, since the client may have closed its connection.
+            // A failure to write is ignored, since the client may have closed its connection.
             let _ = client.stream.write_all(format!("{text}\n").as_bytes());
         }
     }
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Returns the waits that have ended because their rule has acted or their time is over.
+    /// Returns the waits that have ended because their rule has acted often enough or their time is over.
     pub fn ended_waits(&self, now: Time, engine: &Engine) -> Vec<EndedWait> {
         let mut ended = Vec::new();
         for (&index, client) in &self.clients {
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -10,7 +10,7 @@
     pub stream: TcpStream,
     pub connection: ConnectionId,
     pub side: Side,
-    /// Bytes that are yet to be written.
+    /// Bytes that are yet to be written to the socket.
     pub output: VecDeque<u8>,
     /// The write direction of the socket is to be shut down once the output is written.
     pub shutdown_pending: bool,
@@ -29,12 +29,12 @@
     Reset,
 }
 
-/// Both sockets of a connection.
+/// The sockets of one connection: one to the client and one to the server.
 #[derive(Default)]
 pub struct EndpointPair {
-    /// Token of each socket, by side.
+    /// Poll token of the connection's socket on each side, or None where there is no socket.
     pub endpoints: [Option<usize>; 2],
-    /// Number of delayed bytes, by the side that receives them.
+    /// Number of bytes that wait in the event loop until they are due, by the side to which they will be sent.
     pub delayed_bytes: [usize; 2],
 }
 
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -17,14 +17,14 @@
 use std::sync::mpsc::{Receiver, Sender};
 use std::time::{Duration, Instant};
 
-/// The token of the waker.
+/// The poll token of the waker, with which other threads interrupt the poll.
 pub const WAKE: Token = Token(0);
-/// The token of the first link's listener.
+/// The poll token of the first link's listener. The listeners of the other links have the tokens that follow.
 const FIRST_LINK: usize = 2;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
 
-/// A command line from the process that runs the tool.
+/// A command line that the tool's own process passes to the event loop, without the control socket.
 pub struct LocalCommand {
     pub line: String,
     pub answer: Sender<String>,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the time since the start.
+    /// Returns the time since the event loop was created.
     fn now(&self) -> Time {
         Time::from_nanos(self.started.elapsed().as_nanos() as i64)
     }
@@ -180,7 +180,8 @@
         side: Side,
         mut stream: TcpStream,
     ) -> io::Result<()> {
-        // A failure is ignored: the socket may still be connecting, and forwards without this option too.
+        // A failure to set the option is ignored: the socket may still be connecting, and forwards bytes without the
+        // option too.
         let _ = stream.set_nodelay(true);
         let index = self.next_token();
         self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Returns the token of the socket on one side of a connection.
+    /// Returns the poll token of the socket on one side of a connection.
     fn endpoint(&self, connection: ConnectionId, side: Side) -> Option<usize> {
         self.pairs.get(&connection).and_then(|pair| pair.endpoints[side as usize])
     }
@@ -241,7 +242,7 @@
                     endpoint.output.extend(bytes);
                 }
                 self.write(index);
-                // The sender may have been paused because these bytes were not sent yet.
+                // Reading from the sender may have been paused because the bytes that are sent now were not sent yet.
                 if let Some(sender) = self.endpoint(connection, side.other())
                     && self.endpoints.get(&sender).is_some_and(|endpoint| endpoint.is_paused)
                 {
@@ -265,7 +266,7 @@
         for index in pair.endpoints.into_iter().flatten() {
             let Some(mut endpoint) = self.endpoints.remove(&index) else { continue };
             if close_mode == CloseMode::Reset {
-                // With a linger time of zero the kernel closes by a reset.
+                // With a linger time of zero, the kernel resets the connection when the socket is closed.
                 let _ = socket2::SockRef::from(&endpoint.stream).set_linger(Some(Duration::ZERO));
             } else {
                 let rest: Vec<u8> = endpoint.output.drain(..).collect();
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Returns the number of bytes from a side that are delayed or not written yet.
+    /// Returns how many bytes that `sender` sent on a connection are delayed, or not written to the other side yet.
     fn unsent_bytes(&self, connection: ConnectionId, sender: Side) -> usize {
         let receiver = sender.other();
         let delayed = self.pairs.get(&connection).map_or(0, |pair| pair.delayed_bytes[receiver as usize]);
@@ -332,7 +333,7 @@
             }
         }
         if endpoint.shutdown_pending {
-            // A failure is ignored, since the socket may be closed already.
+            // A failure to shut down the socket is ignored, since the socket may be closed already.
             let _ = endpoint.stream.shutdown(std::net::Shutdown::Write);
             endpoint.shutdown_pending = false;
         }
@@ -363,7 +364,7 @@
                 Reply::Immediate(text) => text,
                 Reply::Deferred { .. } => "error wait is available on the control socket only".into(),
             };
-            // A failure is ignored, since the caller may have stopped waiting for the answer.
+            // A failure to pass on the answer is ignored, since the caller may have stopped waiting for the answer.
             let _ = command.answer.send(text);
         }
     }
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -42,7 +42,7 @@
 pub struct EngineStats {
     /// Number of open connections.
     pub open_connections: usize,
-    /// Number of bytes received since the start.
+    /// Number of bytes that arrived on all connections since the engine's start.
     pub received_bytes: u64,
 }
 
@@ -52,11 +52,11 @@
     started_at: Time,
     rules: Vec<ActiveRule>,
     connections: HashMap<ConnectionId, Connection>,
-    /// Number of connections opened since the start, by link.
+    /// Number of connections that each link has accepted since the engine's start, by index of the link in the plan.
     opened: Vec<u64>,
     record: Vec<Decision>,
     received_bytes: u64,
-    /// Whether a link is cut, by link. Nothing passes a cut link in either direction.
+    /// Whether each link is cut, by index of the link in the plan. Nothing passes a cut link in either direction.
     cut: Vec<bool>,
     rpc_watch: RpcWatch,
 }
@@ -88,7 +88,7 @@
         self.rules.push(ActiveRule::new(rule, link));
     }
 
-    /// Adds a rule. It may have the name of a rule that has been lifted.
+    /// Adds a rule. The new rule may have the name of a rule that has been lifted.
     ///
     /// # Errors
     ///
@@ -271,7 +271,7 @@
         operations
     }
 
-    /// Handles the end of the direction that a side sends.
+    /// Handles the end of a direction: the given side sends no more bytes.
     pub fn on_end(&mut self, now: Time, id: ConnectionId, side: Side) -> Vec<ScheduledOperation> {
         if side == Side::Client {
             self.rpc_watch.on_ended(now, id);
@@ -315,10 +315,10 @@
         (now - self.started_at).nanos() / NANOS_PER_MS
     }
 
-    /// Returns the indexes of the rules that act on a unit, in the order in which the rules were added, and counts the
-    /// matches.
+    /// Returns the indexes of the rules that act on a unit or on the opening of a connection, in the order in which the
+    /// rules were added. Also counts the matches of each rule.
     fn triggered_rules(&mut self, occurrence: &Occurrence<'_>) -> Vec<usize> {
-        // The names are collected only if some rule waits for another one.
+        // The names of the rules that have acted are collected only if the trigger of some rule waits for another rule.
         let any_rule_waits = self.rules.iter().any(|active| active.rule.when.after_rule.is_some());
         let acted = self.rules.iter().filter(|active| any_rule_waits && active.hits > 0);
         let acted: Vec<String> = acted.map(|active| active.rule.name.clone()).collect();
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -1,4 +1,4 @@
-//! A rule of the engine with its counters, and the check whether a unit triggers it.
+//! A rule of the engine with its counters, and the check whether a unit of a stream triggers the rule.
 
 use super::operation::ConnectionId;
 use crate::plan::{Rule, Side};
@@ -7,9 +7,9 @@
 
 pub struct ActiveRule {
     pub rule: Rule,
-    /// Index of the link that the rule names, if any.
+    /// Index in the plan of the only link that the rule applies to, if the rule names a link.
     link: Option<usize>,
-    /// Number of units that have matched, by link.
+    /// Number of units or openings of connections that have matched the rule, by link.
     match_counts: HashMap<usize, u64>,
     /// Number of times that the rule has acted.
     pub hits: u64,
@@ -23,16 +23,17 @@
     pub name: &'a str,
     /// Number of times that the rule has acted.
     pub hits: u64,
-    /// Whether the rule may still act.
+    /// Whether the rule may still act: the rule has not been lifted, and has acted fewer times than its limit allows.
     pub live: bool,
 }
 
-/// A unit or the opening of a connection, with the connection, the sender and the time. Rules are matched against it.
+/// What rules are matched against: a unit of a stream or the opening of a connection, with the connection, the sender
+/// and the time.
 pub struct Occurrence<'a> {
     pub connection: ConnectionId,
     pub sender: Side,
     pub unit: &'a Unit,
-    /// Whether this is the opening of a connection. `unit` is then an empty placeholder.
+    /// Whether a connection was opened, instead of a unit arriving. `unit` is then an empty placeholder.
     pub opens: bool,
     /// Milliseconds since the engine's start.
     pub elapsed_ms: i64,
@@ -48,13 +49,13 @@
         RuleState { name: &self.rule.name, hits: self.hits, live }
     }
 
-    /// Returns whether the rule has acted as many times as `times` allows.
+    /// Returns whether the rule has acted as many times as its field `times` allows.
     fn has_reached_limit(&self) -> bool {
         self.rule.times > 0 && self.hits >= self.rule.times
     }
 
-    /// Counts a unit that matches, and returns whether the rule acts on it. `acted` has the names of all rules that
-    /// have acted.
+    /// Counts the occurrence if it matches the rule, and returns whether the rule acts on the occurrence. `acted` has
+    /// the names of all rules that have acted.
     pub fn record_match(&mut self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
         if !self.matches(occurrence, acted) {
             return false;
--- a/crates/ladderpass-fault-injection/src/engine/connection.rs
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -7,9 +7,9 @@
 use ladderpass_routing::Time;
 
 pub struct Connection {
-    /// The two directions, by sender.
+    /// The connection's two directions, by the side that sends.
     pub directions: [Direction; 2],
-    /// A rule has closed or reset the connection, so nothing passes any more.
+    /// Whether a rule has closed or reset the connection, so that nothing passes any more.
     pub is_closed: bool,
     pub stalled: StalledInput,
 }
@@ -17,16 +17,16 @@
 /// The units and ends of directions that arrived while the link was cut.
 #[derive(Default)]
 pub struct StalledInput {
-    /// Units with their senders, in the order of arrival.
+    /// Units of the stream, each with the side that sent it, in the order of arrival.
     pub units: Vec<(Side, Unit)>,
-    /// Number of bytes in `units`, by sender.
+    /// Total size of `units` in bytes, by the side that sent the units.
     pub bytes: [usize; 2],
-    /// Senders that ended their direction, in the order of arrival.
+    /// Sides that ended their direction while the link was cut, in the order of arrival.
     pub ends: Vec<Side>,
 }
 
 impl Connection {
-    /// Schedules the operations that send a unit's replacement.
+    /// Schedules the operations that send a unit as the rules have changed it.
     pub fn send(
         &mut self,
         now: Time,
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -14,24 +14,24 @@
 
 pub struct Direction {
     pub scanner: MessageScanner,
-    /// No unit is sent before this time.
+    /// Time before which no unit of the direction is sent.
     pub earliest_send_at: Time,
     /// Index of the rule that holds back everything in this direction.
     pub held_by_rule: Option<usize>,
-    /// Bytes that this rule holds back.
+    /// Bytes of the direction that the rule of `held_by_rule` holds back.
     pub held_bytes: Vec<u8>,
-    /// All further bytes are dropped.
+    /// Whether all further bytes of the direction are dropped.
     pub is_silenced: bool,
-    /// All bytes up to and including the next ReadyForQuery are dropped.
+    /// Whether the bytes of the direction are dropped, up to and including the next ReadyForQuery.
     is_swallowing: bool,
     max_bytes_per_s: Option<u64>,
-    /// A response that is sent after the next response.
+    /// A response that is held back, and sent after the next response.
     postponed: Option<Vec<u8>>,
-    /// The current response is being added to `postponed`.
+    /// Whether the units of the current response are added to `postponed`.
     is_postponing: bool,
-    /// A copy of the current response, which is sent once more at its end.
+    /// A copy of the current response so far. The copy is sent too once the response has ended.
     response_copy: Option<Vec<u8>>,
-    /// The sender has ended this direction.
+    /// Whether the sender has ended the direction.
     pub has_ended: bool,
 }
 
@@ -40,7 +40,7 @@
 pub struct Replacement {
     pub pieces: Vec<Vec<u8>>,
     pub delay: Span,
-    /// Pause after each piece.
+    /// Pause after each of the pieces.
     pub gap: Span,
     pub end_before: Option<Operation>,
     pub end_after: Option<Operation>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Joins the pieces into one, and changes its bytes.
+    /// Joins the pieces into one piece, and applies `change` to the bytes of that piece.
     fn edit(&mut self, change: impl FnOnce(&mut Vec<u8>)) {
         let mut bytes = self.pieces.concat();
         change(&mut bytes);
@@ -88,7 +88,8 @@
         self.held_bytes.len() + self.postponed.as_ref().map_or(0, Vec::len)
     }
 
-    /// Takes the postponed response at the end of the direction, when no other response follows.
+    /// Removes and returns the postponed response, if any. Called at the end of the direction, when no other response
+    /// follows.
     pub fn take_postponed(&mut self) -> Option<Vec<u8>> {
         self.postponed.take()
     }
@@ -184,8 +185,8 @@
     }
 }
 
-/// Changes bytes at `count` random offsets behind the header, or at any offset in a message that is no longer than a
-/// header. Returns the offsets.
+/// Changes bytes at `count` random offsets of a message: behind the header, or anywhere in a message that is no longer
+/// than a header. Returns the offsets.
 fn garble(message: &mut [u8], count: u32, random: &mut SmallRng) -> Vec<u64> {
     let header_bytes = if message.len() > FRAME_HEADER_BYTES { FRAME_HEADER_BYTES } else { 0 };
     let mut offsets = Vec::new();
--- a/crates/ladderpass-fault-injection/src/engine/operation.rs
+++ b/crates/ladderpass-fault-injection/src/engine/operation.rs
@@ -8,18 +8,18 @@
 pub struct ConnectionId {
     /// Index of the link in the plan.
     pub link: usize,
-    /// Number of the connection on that link, counted from 1.
+    /// Number of the connection among those of the link, counted from 1.
     pub number: u64,
 }
 
 /// An operation on a connection, with the time at which it is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledOperation {
-    /// The connection.
+    /// The connection that the operation acts on.
     pub connection: ConnectionId,
     /// The earliest time at which the operation may be executed.
     pub at: Time,
-    /// The operation.
+    /// What the driver does to the connection.
     pub operation: Operation,
 }
 
@@ -32,9 +32,9 @@
 /// A connection that was accepted on a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedConnection {
-    /// The connection.
+    /// The accepted connection.
     pub connection: ConnectionId,
-    /// Whether the connection is forwarded.
+    /// Whether the driver opens a connection to the link's target and forwards bytes.
     pub forwarded: bool,
     /// Operations on the new connection.
     pub operations: Vec<ScheduledOperation>,
@@ -43,9 +43,9 @@
 /// An operation on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Sends bytes to this side.
+    /// Sends the bytes to the given side of the connection.
     Send(Side, Vec<u8>),
-    /// Ends the direction towards this side.
+    /// Ends the direction towards the given side of the connection.
     EndDirection(Side),
     /// Closes both sockets of the connection.
     Close,
--- a/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
+++ b/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
@@ -27,10 +27,10 @@
     Ends,
 }
 
-/// Records attempts after it has been started.
+/// Records the starts and the ends of attempts, from the command `watch` on.
 #[derive(Default)]
 pub struct RpcWatch {
-    /// The recorded events, or None while the recording is not started.
+    /// The recorded events, or None while nothing is recorded.
     recorded: Option<Vec<AttemptEvent>>,
     /// Id of the RPC in flight on each connection: its statement has arrived, and its answer has not left.
     in_flight: HashMap<ConnectionId, String>,
@@ -46,7 +46,7 @@
         self.recorded.take().unwrap_or_default()
     }
 
-    /// Records the start or the end of an attempt if a unit is a statement or the end of its answer.
+    /// Records the start or the end of an attempt if a unit of the stream is a statement or the end of an answer.
     pub fn on_unit(&mut self, at: Time, connection: ConnectionId, sender: Side, unit: &Unit) {
         if self.recorded.is_none() {
             return;
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -15,7 +15,7 @@
     Invalid {
         /// Path of the key within the checked plan, rule or action.
         key: String,
-        /// What is wrong with its value.
+        /// The reason why the key's value is not allowed.
         problem: PlanProblem,
     },
 }
@@ -82,7 +82,7 @@
     /// A rule that is triggered by the opening of a connection also has a condition on messages or bytes.
     #[error("a connection that opens has no messages or bytes yet")]
     NoBytesAtOpening,
-    /// The rate is 0.
+    /// An action limits a direction to a rate of 0 bytes per second.
     #[error("must be above 0; the action hold stops a direction")]
     ZeroRate,
 }
@@ -120,7 +120,7 @@
     Rejected {
         /// Name of the command.
         command: &'static str,
-        /// The reason.
+        /// The reason why the engine rejects the command's change.
         source: EngineError,
     },
     /// A `wait` command does not have exactly three arguments.
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -18,7 +18,7 @@
     pub name: String,
     /// Address that the tool listens on for the end, and by which the other ends know it.
     pub address: SocketAddr,
-    /// Address of the process itself.
+    /// Address at which the process itself receives datagrams.
     pub to: SocketAddr,
 }
 
@@ -58,17 +58,18 @@
 pub struct DatagramRule {
     /// Name of the rule, which is unique among the active rules.
     pub name: String,
-    /// Names of the senders that the rule applies to. If empty, it applies to all.
+    /// Names of the ends to whose sent datagrams the rule applies. An empty list means all ends.
     #[serde(default)]
     pub from: Vec<String>,
-    /// Names of the receivers that the rule applies to. If empty, it applies to all.
+    /// Names of the ends to whose received datagrams the rule applies. An empty list means all ends.
     #[serde(default)]
     pub to: Vec<String>,
-    /// The rule applies to the opposite direction as well.
+    /// Whether the rule also applies in the opposite direction, from the receivers to the senders.
     #[serde(default)]
     pub both: bool,
-    /// The rule applies only to datagrams from one of these sides to another one. An end that is in none of them is a
-    /// side by itself. If empty, the rule applies to datagrams between all ends.
+    /// Sides of a network split, each as a list of names of ends. The rule applies only to datagrams between different
+    /// sides, and an end on no side counts as a side of its own. Without any side, the rule applies to datagrams
+    /// between all ends.
     #[serde(default)]
     pub split: Vec<Vec<String>>,
     /// Time from the rule's addition until it takes effect, in milliseconds.
@@ -80,7 +81,7 @@
     /// Probability with which the rule acts on a datagram that matches.
     #[serde(default = "always", rename = "part")]
     pub probability: f64,
-    /// What the rule does.
+    /// What the rule does to a datagram.
     #[serde(rename = "do")]
     pub action: DatagramAction,
 }
--- a/crates/ladderpass-fault-injection/src/plan/distribution.rs
+++ b/crates/ladderpass-fault-injection/src/plan/distribution.rs
@@ -15,7 +15,7 @@
 }
 
 impl Distribution {
-    /// Returns the default where a plan names no distribution.
+    /// Returns the distribution that a delay has if the plan names none.
     pub(super) fn constant() -> Distribution {
         Distribution::Constant
     }
--- a/crates/ladderpass-fault-injection/src/plan/drawn.rs
+++ b/crates/ladderpass-fault-injection/src/plan/drawn.rs
@@ -6,7 +6,7 @@
 
 /// The limits on the number of times that a random rule acts. One of them is drawn for each rule.
 const TIMES: [u64; 4] = [1, 1, 3, 20];
-/// The upper bound, itself excluded, of the match from which a random rule acts.
+/// A random rule begins to act at a match whose number is drawn below this bound.
 const MAX_NTH: u64 = 200;
 
 impl Plan {
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -1,6 +1,6 @@
-//! A record of each decision. It contains no times, so the same plan with the same traffic gives the same record.
-//! Connections are identified by their number on their link and the lines are sorted, so the order in which the kernel
-//! reports events of different connections does not matter.
+//! A record of each decision of the engine. It contains no times, so the same plan with the same traffic gives the same
+//! record. Connections are identified by their number on their link and the lines are sorted, so the order in which the
+//! kernel reports events of different connections does not matter.
 
 use crate::errors::RecordError;
 use crate::plan::Side;
@@ -11,11 +11,11 @@
 pub struct Decision {
     /// Name of the link.
     pub link: String,
-    /// Number of the connection on that link, counted from 1.
+    /// Number of the connection on its link, counted from 1.
     pub conn: u64,
     /// The side that sent the unit.
     pub side: Side,
-    /// Offset of the unit's first byte in its direction.
+    /// Offset of the unit's first byte in its direction of the connection.
     pub byte: u64,
     /// Kind of the unit.
     pub kind: String,
--- a/crates/ladderpass-fault-injection/src/stream.rs
+++ b/crates/ladderpass-fault-injection/src/stream.rs
@@ -17,7 +17,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// Size of the longest message that is buffered until it is complete. A longer one passes in pieces.
+/// Size of the longest message that is buffered until it is complete. A longer message passes in pieces.
 pub const MAX_BUFFERED_MESSAGE_BYTES: usize = 256 << 10;
 
 /// Length of the longest line with the size of an HTTP chunk.
@@ -53,8 +53,8 @@
 impl MessageScanner {
     /// Returns a scanner for the bytes that `side` sends on a connection, from the first byte on.
     pub fn new(protocol: Protocol, side: Side) -> MessageScanner {
-        // A PostgreSQL server begins with a frame. The single byte that answers an SSLRequest is not one: it stays
-        // buffered until four more bytes have arrived.
+        // A PostgreSQL server begins with a frame. The single byte with which the server answers an SSLRequest is no
+        // frame: that byte stays buffered until four more bytes have arrived.
         let expected = match (protocol, side) {
             (Protocol::Raw, _) => Expected::Bytes,
             (Protocol::Postgres, Side::Server) => Expected::Message,
@@ -88,7 +88,8 @@
                         (kind, length)
                     }
                     ScanResult::Incomplete => break,
-                    // The unit of this kind has only the header, so that it does not depend on how much has arrived.
+                    // The unit for the start of a message that is too long has only the message's header, so that the
+                    // unit does not depend on how many bytes have arrived.
                     ScanResult::TooLong { kind, header_bytes, length } => {
                         self.expected = Expected::Rest(length - header_bytes as u64);
                         (kind, header_bytes)
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Examines the buffer for a PostgreSQL startup message, which has a length and a body. The length counts itself.
+    /// Examines the buffer for a PostgreSQL startup message, which has a length and a body. The length includes its own
+    /// four bytes.
     fn scan_startup(&self) -> ScanResult {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
             return ScanResult::Incomplete;
@@ -137,8 +139,8 @@
         ScanResult::from_length("Startup", length, LENGTH_BYTES, self.buffer.len())
     }
 
-    /// Examines the buffer for a PostgreSQL frame, which has a type, a length and a body. The length counts itself and
-    /// the body.
+    /// Examines the buffer for a PostgreSQL frame, which has a type, a length and a body. The length includes its own
+    /// four bytes and the body.
     fn scan_frame(&self) -> ScanResult {
         let Some((&frame_type, rest)) = self.buffer.split_first() else { return ScanResult::Incomplete };
         let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else { return ScanResult::Incomplete };
--- a/crates/ladderpass-fault-injection/tests/driver.rs
+++ b/crates/ladderpass-fault-injection/tests/driver.rs
@@ -6,7 +6,7 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 
 /// Both sides end their directions while the pieces of a response are still delayed. The tool must not close the
-/// connection before it has sent all of them.
+/// connection before all pieces are sent.
 #[test]
 fn delayed_bytes_are_delivered_after_both_sides_have_ended() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
@@ -32,8 +32,8 @@
     assert_eq!((answer.len(), server_thread.join().expect("the server answers")), (100, b"asked".to_vec()));
 }
 
-/// The delay is shorter than the time until the tool reads again, so delayed bytes are due when further ones arrive
-/// without a delay. The delayed ones must still be sent first.
+/// The delay is shorter than the time until the tool reads again, so delayed bytes are due when further bytes arrive
+/// without a delay. The delayed bytes must still be sent first.
 #[test]
 fn bytes_with_a_very_short_delay_keep_their_order() {
     let server = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -115,7 +115,8 @@
         matches!(&operations[..], [ScheduledOperation { operation: Operation::Send(Side::Client, bytes), .. }]
             if bytes.len() == response(b"one").len() - 9)
     );
-    // The rule holds bytes without end. The loop ends only because the sender is no longer read at the limit.
+    // The rule holds back all bytes without end. The loop ends only because the engine stops reading from the sender at
+    // the limit of held bytes.
     let mut engine = self::engine("  - {name: r, do: hold}\n");
     let conn = engine.on_accepted(at(0), 0).connection;
     while engine.may_read(conn, Side::Server, 0) {
