--- a/crates/ladderpass-testbed/src/drill/errors.rs
+++ b/crates/ladderpass-testbed/src/drill/errors.rs
@@ -5,7 +5,7 @@
 /// What makes a drill file invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DrillError {
-    /// The file can't be parsed. Holds the deserializer's message on one line, which begins with the key.
+    /// The file can't be parsed. The error has the deserializer's message on one line, which begins with the key.
     #[error("{0}")]
     Syntax(String),
     /// A number is too small or too large.
@@ -13,11 +13,11 @@
     OutOfRange {
         /// Key of the number in the file.
         key: &'static str,
-        /// Value in the file.
+        /// The number in the file.
         value: f64,
-        /// Smallest allowed value.
+        /// Smallest allowed value of the number.
         min: f64,
-        /// Largest allowed value.
+        /// Largest allowed value of the number.
         max: f64,
     },
     /// The drill has no phase, or a phase that is too long or has too high a rate.
@@ -69,7 +69,7 @@
     /// The event names a router that the drill does not have.
     #[error("{name:?}; allowed are r0 to r{last}")]
     UnknownRouter {
-        /// The name in the file.
+        /// The router's name in the file.
         name: String,
         /// Index of the drill's last router.
         last: usize,
--- a/crates/ladderpass-testbed/src/drill/event.rs
+++ b/crates/ladderpass-testbed/src/drill/event.rs
@@ -10,8 +10,8 @@
 pub struct FaultEvent {
     /// When the event begins, in seconds from the start of the load.
     pub at: f64,
-    /// Duration in seconds, after which the event is undone. With 0 it stays in force. Only `freeze`, `split`, `cut`,
-    /// `mute`, `hog` and `datagrams` can have a duration.
+    /// Duration in seconds, after which the event is undone. With a duration of 0 the event stays in force. Only
+    /// `freeze`, `split`, `cut`, `mute`, `hog` and `datagrams` can have a duration.
     #[serde(rename = "for")]
     pub lasts: f64,
     /// Routers that are killed with SIGKILL.
@@ -101,6 +101,6 @@
 pub struct LoggedEvent {
     /// When the event began or ended.
     pub at: Time,
-    /// Name in tables.
+    /// Name of the event in tables.
     pub name: String,
 }
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -38,13 +38,13 @@
     /// Maximum number of a client's retries of a rejected RPC.
     #[serde(rename = "repeats")]
     pub max_retries: u32,
-    /// Time after an RPC's deadline at which an answer still counts as in time, in milliseconds. It covers the delay
-    /// in clients and fault tools.
+    /// Time after an RPC's deadline at which an answer still counts as in time, in milliseconds. This tolerance covers
+    /// the delay in clients and fault tools.
     pub grace_ms: u32,
     /// Longest time before the load in which the routers may come to agree on which of them are alive, in seconds.
     #[serde(rename = "settles_s")]
     pub max_settle_s: f64,
-    /// Idle time between that agreement and the start of the load, in seconds.
+    /// Idle time in seconds from when the routers agree on which of them are alive until the load starts.
     #[serde(rename = "rests_s")]
     pub idle_s: f64,
     /// RPCs per second that a member of the scenario's `cold` list can serve after its slow start.
@@ -56,9 +56,10 @@
     pub operator: String,
     /// Value of `RUST_LOG` for the routers.
     pub log: String,
-    /// Value of `LADDERPASS_FAULTY`, by router. Such a router runs the build with the feature `faulty`.
+    /// Value of the environment variable `LADDERPASS_FAULTY`, by name of the router. A router with a value runs the
+    /// build with the feature `faulty`.
     pub faulty: BTreeMap<String, String>,
-    /// Offset of the wall clock in milliseconds, by router.
+    /// Offset of a router's wall clock in milliseconds, by name of the router.
     pub clocks: BTreeMap<String, i32>,
     /// Routers that run the program of an earlier version.
     pub earlier: Vec<String>,
--- a/crates/ladderpass-testbed/src/drill/places.rs
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -2,7 +2,7 @@
 
 use super::file::Drill;
 
-/// An end of a link.
+/// An end of a link: a router, a member, discovery, or all clients.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Place {
     Router(usize),
@@ -27,8 +27,8 @@
         (member < self.scenario.member_count()).then_some(Place::Member(member))
     }
 
-    /// Returns the name of the fault tool's link between two places, or `None` where there is no link. Two routers
-    /// have none, since they exchange only datagrams.
+    /// Returns the name of the fault tool's link between two places, or `None` where there is no link. There is no link
+    /// between two routers, since they exchange only datagrams.
     pub fn link(&self, one: &str, other: &str) -> Option<String> {
         match (self.place(one)?, self.place(other)?) {
             (Place::Router(router), Place::Member(member))
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -22,7 +22,7 @@
     at_s: f64,
     /// Index of the event in the drill.
     event: usize,
-    /// Whether the event begins; otherwise it ends.
+    /// Whether the event begins at this step. If not, the event ends.
     begins: bool,
 }
 
@@ -41,8 +41,8 @@
 }
 
 impl DrillTestbed<'_> {
-    /// Carries out the fault events at their times, until the load is over. Sets `stop`, which ends the load early,
-    /// if one fails or the drill is interrupted.
+    /// Carries out the fault events at their times, until the load is over. Sets `stop`, which ends the load early, if
+    /// an event can't be carried out or the drill is interrupted.
     pub fn run_events<T>(&mut self, load: &ScopedJoinHandle<'_, T>, stop: &AtomicBool) -> io::Result<()> {
         let mut steps = schedule(self.drill);
         let began = Instant::now() + LOAD_START_DELAY;
@@ -210,8 +210,8 @@
     if !event.split.is_empty() {
         let routers = |side: &Vec<String>| side.iter().filter(is_router).cloned().collect();
         let split: Vec<Vec<String>> = event.split.iter().map(routers).collect();
-        // The rule names the routers of all sides, because the fault tool takes each router on no side as a side of
-        // its own, but routers on no side must reach all others.
+        // The rule names the routers of all sides. The fault tool treats a router that the rule does not name as a side
+        // of its own, but routers on no side of the event must reach all others.
         let on_a_side: Vec<String> = split.iter().flatten().cloned().collect();
         rules.push(DatagramRule {
             from: on_a_side.clone(),
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -27,12 +27,13 @@
     pub execution_log: ExecutionLog,
     /// Violations found by the history checker.
     pub violations: Vec<Violation>,
-    /// Violations of rule 4 (cold members) that a router's own attempts cause without those of the others, counted by
-    /// router.
+    /// Number of violations of rule 4 (cold members) that the attempts of one router cause by themselves, without the
+    /// attempts of the other routers, by index of the router.
     pub slow_start_violations_alone: Vec<usize>,
     /// The members that started cold.
     pub cold_starts: Vec<ColdStart>,
-    /// The views that each router logged, by router and in order. The list of a restarted router continues.
+    /// The views that each router logged, by router and in order. The list of a restarted router includes the views
+    /// that it logged before the restart.
     pub views: Vec<Vec<RouterView>>,
     /// The lines that each router logged, by router.
     pub logs: Vec<Vec<String>>,
@@ -43,8 +44,8 @@
     pub sent: Vec<RouterTraffic>,
     /// Names of the rules on datagrams, with the number of datagrams on which each acted.
     pub datagram_hits: Vec<(String, u64)>,
-    /// CPU seconds that each router used over the load, by router. They count from the last restart, and are 0 for a
-    /// router that does not run at the end.
+    /// CPU seconds that each router used over the load, by router. For a restarted router, only the time since the last
+    /// restart counts. The value is 0 for a router that does not run at the end.
     pub cpu_seconds: Vec<f64>,
     /// Begins and ends of fault events, in order.
     pub event_log: Vec<LoggedEvent>,
--- a/crates/ladderpass-testbed/src/drill/play/start.rs
+++ b/crates/ladderpass-testbed/src/drill/play/start.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Number of routers, from r0 on, that each router lists as peers. It discovers the others through them.
+/// Number of routers, from r0 on, that each router lists as peers. A router discovers the other routers through these.
 const LISTED_PEERS: usize = 3;
 
 /// The programs that a drill starts.
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -21,12 +21,12 @@
 
 /// Interval at which the drill checks for due fault events, the routers' views and ctrl-C.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait before the load where the routers are not expected to agree on a view, in seconds.
+/// Longest wait before the load if the routers are not expected to agree on a view, in seconds.
 const MAX_UNVERIFIED_SETTLE_S: f64 = 2.0;
 /// Offset of the routers' seeds from the drill's seed.
 const ROUTER_SEED_OFFSET: u64 = 1000;
 
-/// The running parts of a drill. The emulator, the fault tools and the routers end when it is dropped. The busy
+/// The running parts of a drill. The emulator, the fault tools and the routers end when this value is dropped. The busy
 /// threads of `cpu_hogs` end only by [`DrillTestbed::stop_cpu_hogs`].
 pub(super) struct DrillTestbed<'a> {
     pub drill: &'a Drill,
@@ -41,7 +41,7 @@
     pub members: Vec<Vec<SocketAddr>>,
     /// Address of the fault tool that leads to discovery, by router.
     pub discoveries: Vec<SocketAddr>,
-    /// Start parameters, by router.
+    /// Parameters with which each router is started, by index of the router.
     pub starts: Vec<Start>,
     /// The running routers, by index. An entry is `None` before the start and after a kill.
     pub routers: Vec<Option<Router>>,
@@ -51,13 +51,13 @@
     pub down: Arc<DownRouters>,
     pub absences: Vec<Absence>,
     pub drain_notices: Vec<DrainNotice>,
-    /// Begins and ends of fault events so far.
+    /// The begins and ends of fault events that were carried out so far.
     pub event_log: Vec<LoggedEvent>,
-    /// Stop flags of the busy threads.
+    /// Flags that stop the busy threads of fault events.
     pub cpu_hogs: Vec<Arc<AtomicBool>>,
-    /// CPU seconds used before the load, by router.
+    /// CPU seconds that each router used before the load, by index of the router.
     pub cpu_before: Vec<f64>,
-    /// Whether a router was sent SIGTERM since its start, by router.
+    /// Whether each router was sent SIGTERM since its last start, by index of the router.
     pub terminating: Vec<bool>,
 }
 
@@ -124,8 +124,8 @@
             .map_err(|error| with_router_name(router, &error))
     }
 
-    /// Waits until all routers have the same view, with all routers in it. Returns how long that took, or `None` if
-    /// it did not happen in time, or if the routers are not expected to agree because they are not peers or differ in
+    /// Waits until all routers have the same view, with all routers in it. Returns the time until then, or `None` if
+    /// the routers did not agree in time, or if they are not expected to agree because they are not peers or differ in
     /// version or settings.
     pub fn wait_until_settled(&self) -> io::Result<Option<Span>> {
         let views_are_comparable = self.drill.earlier.is_empty() && self.drill.quiet.is_empty();
@@ -183,14 +183,14 @@
         self.absences.push(Absence { router, from, to, planned });
     }
 
-    /// Ends all open absences of a router, which can answer again.
+    /// Records that a router can answer again, which ends all its open absences.
     pub fn end_absences(&mut self, router: usize) {
         let now = now();
         let is_open = |absence: &&mut Absence| absence.router == router && absence.to > now;
         self.absences.iter_mut().filter(is_open).for_each(|absence| absence.to = now);
     }
 
-    /// Kills a router, if it runs. Its down time for the load balancer begins after the process has ended.
+    /// Kills a router, if it runs. The load balancer counts the router as down from the end of the process on.
     pub fn kill_router(&mut self, router: usize) {
         if let Some(running) = self.routers[router].take() {
             self.begin_absence(router, false);
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Starts a router at its old address with a clock offset. Kills it first if it still runs.
+    /// Starts a router at its old address with a clock offset. If the router still runs, kills it first.
     pub fn restart_router(&mut self, router: usize, clock_ms: i32) -> io::Result<()> {
         self.kill_router(router);
         self.starts[router].clock_ms = clock_ms;
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -19,9 +19,9 @@
 /// Numbers of attempts that arrived at members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptCounts {
-    /// First attempts of RPCs.
+    /// First attempts of RPCs that arrived at members.
     pub first: usize,
-    /// Further attempts of RPCs that had a first attempt.
+    /// Further attempts that arrived at members, of RPCs that had a first attempt.
     pub retries: usize,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl DrillRecord {
-    /// Counts the outcomes of the RPCs that were sent to the given routers, from the journal.
+    /// Counts the outcomes of the RPCs that were sent to the given routers, from the journal of the load.
     pub fn counts_of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
         let grace = Span::from_millis(i64::from(drill.grace_ms));
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -8,10 +8,10 @@
 
 /// SQLSTATEs of a rejection: too_many_connections and cannot_connect_now.
 const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
-/// Number of recorded faults from which on malformed rows are no longer recorded.
+/// Once this many faults are recorded, further malformed rows are not recorded.
 const MAX_MALFORMED_ROWS: usize = 20;
-/// Bytes of a DataRow body before the value of its only column. They hold the number of columns and this column's
-/// length.
+/// Number of bytes of a DataRow body before the value of its only column. These bytes hold the number of columns and
+/// the length of that value.
 const ROW_HEADER_BYTES: usize = 6;
 
 impl LoadGenerator<'_> {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Counts an ok answer, its utility if it came by the soft deadline, and its latency.
+    /// Counts an ok answer and its latency, and the utility of the answer if it came by the soft deadline.
     fn record_ok(&mut self, now: Time, rpc: &InFlightRpc) {
         let method = &self.scenario.methods[rpc.method];
         let is_good = now <= rpc.due + Span::from_secs_f64(method.soft_deadline_ms / 1e3);
@@ -150,7 +150,8 @@
     }
 }
 
-/// Returns the time since an RPC was due, in microseconds. It is at least 1, the smallest value of the histograms.
+/// Returns the time since an RPC was due, in microseconds. The result is at least 1, the smallest value of the
+/// histograms.
 fn latency_us(now: Time, rpc: &InFlightRpc) -> u64 {
     ((now - rpc.due).nanos() / 1000).max(1) as u64
 }
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -22,7 +22,7 @@
 
 impl LoadGenerator<'_> {
     /// Reopens lost connections that are due, and reconnects idle roaming connections whose stay is over. The load
-    /// balancer draws the router of each, which may be the same as before.
+    /// balancer draws the router of each connection, which may be the same router as before.
     pub fn reconnect_due(&mut self, now: Time) -> io::Result<()> {
         while let Some(first) = self.reconnects.first_entry()
             && first.key().0 <= now
@@ -87,8 +87,8 @@
         (client.written, client.has_output) = (0, false);
     }
 
-    /// Reads and handles a connection's input. `closed` means that the router has closed its side; otherwise slow
-    /// readers read nothing.
+    /// Reads and handles a connection's input. `closed` tells whether the router has closed its side of the connection.
+    /// As long as the router has not, slow readers read nothing.
     pub fn read(&mut self, index: usize, closed: bool) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         self.read_with(index, closed, &mut buffer);
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Handles the end of a connection. Counts its RPCs in flight as unanswered, and reopens it unless the client is
-    /// a slow reader or the load has ended.
+    /// Handles the end of a connection. Counts the RPCs in flight on the connection as unanswered, and reopens the
+    /// connection unless the client is a slow reader or the load has ended.
     fn connection_lost(&mut self, index: usize, refused: bool) {
         let Some(client) = self.clients[index].take() else { return };
         let now = now();
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -12,10 +12,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-/// Time after an RPC's deadline in which its answer still counts as in time. It covers the answer's transmission.
+/// Time after an RPC's deadline in which its answer still counts as in time. This grace covers the answer's
+/// transmission.
 pub(super) const ANSWER_GRACE: Span = Span::from_millis(50);
 const READ_BUFFER_BYTES: usize = 32 << 10;
-/// Ratio of the reserved journal entries to the expected RPCs.
+/// Factor by which more journal entries are reserved than RPCs are expected.
 const JOURNAL_MARGIN: f64 = 1.2;
 /// Maximum number of reserved journal entries.
 const JOURNAL_MAX_RESERVED: f64 = 5e6;
@@ -35,7 +36,7 @@
 pub(super) struct QueuedRpc {
     pub due: Time,
     pub method: usize,
-    /// When the client gives up.
+    /// When the client gives up on the RPC.
     pub deadline: Time,
     /// How often the RPC was sent before.
     pub retries: u32,
@@ -46,7 +47,7 @@
     pub number: u64,
     pub method: usize,
     pub due: Time,
-    /// When the client gives up.
+    /// When the client gives up on the RPC.
     pub deadline: Time,
     /// How often the RPC was sent before.
     pub retries: u32,
@@ -59,8 +60,8 @@
 /// The part read so far of the answer to a connection's oldest RPC.
 #[derive(Default)]
 pub(super) struct PartialAnswer {
-    /// Set once a row was received. The inner value is the number of the RPC that the row's value was made for, if it
-    /// can be read.
+    /// Set once a row was received. The inner value is the number of the RPC that the row's value was made for, if that
+    /// number can be read.
     pub row: Option<Option<u64>>,
     pub error_code: Option<String>,
     pub retry_after_ms: Option<u64>,
@@ -71,8 +72,8 @@
     pub stream: TcpStream,
     pub kind: ClientKind,
     pub router: usize,
-    /// When the client reconnects to a drawn router, as soon as no RPC is in flight. It is `None` for clients that do
-    /// not roam.
+    /// When the client reconnects to a router that the load balancer draws, as soon as no RPC is in flight. The time is
+    /// `None` for clients that do not roam.
     pub moves_at: Option<Time>,
     /// Whether the router has completed the startup, so that the connection accepts RPCs.
     pub ready: bool,
@@ -83,20 +84,20 @@
     pub output: Vec<u8>,
     /// Number of bytes of `output` that have been written.
     pub written: usize,
-    /// Whether a write should be tried.
+    /// Whether the client should try to write the rest of `output`.
     pub has_output: bool,
 }
 
 /// A lost connection that will be reopened.
 pub(super) struct Reconnect {
-    /// Index of the connection.
+    /// Index of the lost connection.
     pub index: usize,
     pub kind: ClientKind,
 }
 
 /// State of open arrivals: the current phase, and when the next RPC is due.
 pub(super) struct NextArrival {
-    /// Phases that have not begun, with the next one last.
+    /// Phases that have not begun, in reverse order, so that the next phase can be popped.
     pub phases: Vec<Phase>,
     pub phase_ends: Time,
     pub rate_per_second: f64,
--- a/crates/ladderpass-testbed/src/load/load_balancer.rs
+++ b/crates/ladderpass-testbed/src/load/load_balancer.rs
@@ -21,11 +21,12 @@
     pub mean_stay: Span,
     /// Time until the balancer detects that a router is down. Until then, new connections still go to that router.
     pub down_detection: Span,
-    /// The routers that are down.
+    /// The routers that are down, whether or not the balancer has detected it.
     pub down: Arc<DownRouters>,
 }
 
-/// The routers that are down, with the times since when. The code that ends and restarts routers updates it.
+/// The routers that are down, each with the time since when. The code that ends and restarts routers updates this
+/// record.
 #[derive(Default)]
 pub struct DownRouters(Mutex<HashMap<usize, Time>>);
 
@@ -69,7 +70,7 @@
     }
 
     /// Draws a router for a new connection, by weight, among those that are not detected as down. Returns router 0 if
-    /// all are.
+    /// all routers are detected as down.
     pub(super) fn draw_router(&self, rng: &mut SmallRng) -> usize {
         let now = now();
         let believed_up =
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -17,11 +17,11 @@
     pub method: usize,
     /// When the RPC was sent.
     pub sent: Time,
-    /// When the client gives up.
+    /// When the client gives up on the RPC.
     pub deadline: Time,
     /// The answer, if there was one.
     pub answered: Option<RpcAnswer>,
-    /// When the connection ended without an answer, if it did.
+    /// When the connection ended without an answer to the RPC, if it did.
     pub lost: Option<Time>,
     /// Whether the connection was refused because nothing listened at the router's address.
     pub refused: bool,
@@ -43,20 +43,20 @@
 pub struct Counts {
     /// RPCs that were due.
     pub due: u64,
-    /// Answered ok by their deadline, with 50 ms of grace for the answer's transmission.
+    /// RPCs that were answered ok by their deadline, with 50 ms of grace for the answer's transmission.
     pub ok: u64,
-    /// Answered ok by their soft deadline.
+    /// RPCs that were answered ok by their soft deadline.
     pub good: u64,
-    /// Rejected and not retried.
+    /// RPCs that were rejected and not retried.
     #[serde(rename = "pushed_back")]
     pub rejected: u64,
-    /// Answered with another error than a rejection. Their effect is unknown.
+    /// RPCs that were answered with another error than a rejection. Whether such an RPC had an effect is unknown.
     pub aborted: u64,
-    /// Answered after their deadline and its grace, but before the load checked for expired RPCs.
+    /// RPCs that were answered after their deadline and its grace, but before the load checked for expired RPCs.
     pub late: u64,
-    /// Sent and not answered when the load checked for expired RPCs, or when their connection ended.
+    /// RPCs that were sent and not answered when the load checked for expired RPCs, or when their connection ended.
     pub unanswered: u64,
-    /// Never sent, because no connection was free before their deadline or before the load ended.
+    /// RPCs that were never sent, because no connection was free before their deadline or before the load ended.
     pub unsent: u64,
 }
 
@@ -79,9 +79,9 @@
 pub struct Slice {
     /// Start of the slice, in seconds from the start of the load.
     pub at_s: f64,
-    /// Counts by method.
+    /// Counts of the slice's RPCs, by method.
     pub counts: Vec<Counts>,
-    /// Utility of the answers within their soft deadline.
+    /// Total utility of the slice's RPCs that were answered within their soft deadline.
     pub utility: f64,
 }
 
--- a/crates/ladderpass-testbed/src/load/prober.rs
+++ b/crates/ladderpass-testbed/src/load/prober.rs
@@ -17,11 +17,11 @@
 pub struct ProbeDelay {
     /// When the query was due.
     pub due: Time,
-    /// Time from then until the query was answered.
+    /// Time from when the query was due until it was answered.
     pub delay: Span,
 }
 
-/// A running prober.
+/// A prober that sends queries on its own thread.
 pub struct Prober {
     thread: JoinHandle<Vec<ProbeDelay>>,
     stop: Arc<AtomicBool>,
@@ -62,7 +62,7 @@
     while !stopped.load(Ordering::Relaxed) {
         let result = stream.write_all(&empty_query).and_then(|()| until_ready(&mut stream));
         let answered_at = now();
-        // During a stall, each query that was due counts with its own delay.
+        // If the router stalls, each query that was due during the stall counts with its own delay.
         loop {
             delays.push(ProbeDelay { due, delay: answered_at - due });
             due = due + Span::from_nanos(every.as_nanos() as i64);
--- a/crates/ladderpass-testbed/src/load/sending.rs
+++ b/crates/ladderpass-testbed/src/load/sending.rs
@@ -8,8 +8,8 @@
 use ladderpass_routing::{Span, Time};
 use rand::Rng;
 
-/// Maximum number of connections that are searched for an idle one. A search of all connections for each RPC would
-/// cost more than the RPC.
+/// Maximum number of connections that are searched for an idle connection. A search of all connections for each RPC
+/// would cost more than the RPC.
 const MAX_IDLE_SEARCH: usize = 16;
 /// Maximum number of RPCs that a slow reader has in flight.
 const SLOW_READER_DEPTH: usize = 64;
@@ -31,7 +31,7 @@
         QueuedRpc { due, method, deadline: due + self.plan.deadline, retries: 0 }
     }
 
-    /// Sends queued RPCs until no connection is free. Counts those whose deadline has passed as unsent.
+    /// Sends queued RPCs until no connection is free. Counts queued RPCs whose deadline has passed as unsent.
     pub fn send_queued(&mut self, now: Time) {
         while let Some(first) = self.queue.front() {
             if first.deadline <= now {
@@ -65,8 +65,8 @@
         None
     }
 
-    /// Sends RPCs on connections that don't wait for arrivals. These are all connections in a closed load, and
-    /// otherwise floods and slow readers.
+    /// Sends RPCs on connections that don't wait for arrivals. These are all connections in a closed load, and those of
+    /// flooding clients and slow readers in an open load.
     pub fn send_self_paced(&mut self, now: Time) {
         if now >= self.ends || now < self.began {
             return;
