--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -42,7 +42,7 @@
     /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
     #[error("{0} is not a loopback address; allowed are 127.0.0.0/8 and [::1]")]
     NotLoopback(SocketAddr),
-    /// The name is already in use.
+    /// Another link or another rule already has the name.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
     /// An earlier datagram end has the same name or the same `to` address.
--- a/crates/ladderpass-testbed/src/capacity/control/costs.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/costs.rs
@@ -8,28 +8,28 @@
 use std::io;
 use std::net::UdpSocket;
 
-/// Routers in the simulation that measures complete endpoint lists.
+/// Number of routers in the simulation that measures complete endpoint lists.
 const LIST_ROUTERS: usize = 8;
 const LIST_SPAN: Span = Span::from_millis(1000);
-/// Members of each group in that simulation.
+/// Number of members of each group in the simulation that measures complete endpoint lists.
 const LIST_GROUP_MEMBERS: usize = 3;
 
-/// Numbers of routers whose memory is measured. The first one is left out of the result, because its growth includes the
-/// memory that the process itself needs.
+/// Numbers of routers whose memory is measured. The measurement for the first number is left out of the result, because
+/// it includes the memory that the process itself needs.
 const MEMORY_ROUTERS: [usize; 4] = [64, 128, 256, ROUTERS];
 const MEMORY_SPAN: Span = Span::from_millis(4000);
 const PAGE_KIB: f64 = 4.0;
 
-/// Size of a gossip datagram.
+/// Size of a gossip datagram in bytes.
 const GOSSIP_BYTES: usize = 11;
 const DATAGRAM_COUNTS: [i32; 4] = [2000, 4000, 8000, 16_000];
 const DATAGRAM_RUNS: usize = 5;
-/// Datagrams that are sent in a row before they are received.
+/// Number of datagrams that are sent in a row before they are received.
 const DATAGRAM_BATCH: i32 = 50;
 
 /// Number of router deaths that are measured.
 const DEATHS: usize = 4;
-/// Steps of [`SETTLE_STEP`] within which routers must find each other; together they are a minute.
+/// Number of steps of [`SETTLE_STEP`], a minute in all, within which routers must find each other.
 const MAX_SETTLE_STEPS: usize = 600;
 const SETTLE_STEP: Span = Span::from_millis(100);
 const DETECTION_STEP: Span = Span::from_millis(20);
@@ -37,9 +37,9 @@
 
 /// Cost of one complete endpoint list.
 pub(super) struct ListCost {
-    /// Members in the list.
+    /// Number of members in the list.
     pub members: f64,
-    /// Bytes of discovery's response.
+    /// Size of discovery's response in bytes.
     pub bytes: f64,
     /// CPU milliseconds that a router needs to read the response.
     pub cpu_ms: f64,
@@ -126,10 +126,10 @@
 /// Reports for admission control, which are sent in datagrams of the membership protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionReports {
-    /// Bytes a second that a router sends in these datagrams, including those of the membership protocol itself.
+    /// Bytes per second that a router sends in datagrams of the membership protocol, with reports and without.
     pub bytes_per_second: f64,
-    /// Reports of other routers that a router has. The common admission threshold needs one report from each router for
-    /// each group.
+    /// Number of reports of other routers that a router has. The common admission threshold needs one report from each
+    /// router for each group.
     pub reports: f64,
 }
 
--- a/crates/ladderpass-testbed/src/capacity/control/rates.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/rates.rs
@@ -8,39 +8,40 @@
 /// Mean rates of one router in a simulation, per second.
 #[derive(Clone, Copy, Default)]
 pub struct Rates {
-    /// Gossip datagrams that the router sent.
+    /// Gossip datagrams that the router sent per second.
     pub gossip_datagrams: f64,
-    /// Bytes of these gossip datagrams.
+    /// Bytes per second of the gossip datagrams that the router sent.
     pub gossip_bytes: f64,
-    /// Datagrams of the membership protocol that the router sent.
+    /// Datagrams of the membership protocol that the router sent per second.
     pub membership_datagrams: f64,
-    /// Bytes of these membership datagrams.
+    /// Bytes per second of the membership datagrams that the router sent.
     pub membership_bytes: f64,
-    /// Datagrams that the router received.
+    /// Datagrams that the router received per second.
     pub received_datagrams: f64,
-    /// Datagrams to the router that were lost.
+    /// Datagrams to the router that were lost, per second.
     pub lost_datagrams: f64,
-    /// Health checks that all routers together send to one member.
+    /// Health checks that all routers together send to one member per second.
     pub health_checks: f64,
-    /// Connections that the router opened to members and to discovery.
+    /// Connections that the router opened to members and to discovery, per second.
     pub connections_opened: f64,
-    /// Ticks of the router's event loop.
+    /// Ticks of the router's event loop per second.
     pub ticks: f64,
-    /// Ticks without data from clients or members.
+    /// Ticks per second without data from clients or members.
     pub idle_ticks: f64,
-    /// Statements that the router answered without an error.
+    /// Statements per second that the router answered without an error.
     pub answered: f64,
-    /// Statements that the router answered with an error.
+    /// Statements per second that the router answered with an error.
     pub errors: f64,
-    /// Fraction of a core for gossip.
+    /// CPU time per router for gossip, as a fraction of a core.
     pub gossip_cores: f64,
-    /// Fraction of a core for the membership protocol.
+    /// CPU time per router for the membership protocol, as a fraction of a core.
     pub membership_cores: f64,
-    /// Fraction of a core for connections of clients and members.
+    /// CPU time per router for events of client and member connections, and for opening and closing connections to
+    /// discovery, as a fraction of a core.
     pub connection_cores: f64,
-    /// Fraction of a core for ticks without data.
+    /// CPU time per router for ticks without data from clients or members, as a fraction of a core.
     pub idle_tick_cores: f64,
-    /// Fraction of a core for ticks with data.
+    /// CPU time per router for ticks with data from clients or members, as a fraction of a core.
     pub data_tick_cores: f64,
 }
 
--- a/crates/ladderpass-testbed/src/capacity/control/reference_size.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/reference_size.rs
@@ -2,11 +2,11 @@
 
 use crate::capacity::simulated_routers::Shape;
 
-/// Routers of the reference size.
+/// Number of routers at the reference size.
 pub const ROUTERS: usize = 460;
-/// Groups of the reference size.
+/// Number of groups at the reference size.
 pub const GROUPS: usize = 313;
-/// Members of the reference size.
+/// Number of members at the reference size.
 pub const MEMBERS: usize = 940;
 /// Statements a second that one router of the reference size receives.
 pub const STATEMENT_RATE: f64 = 522.0;
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -18,39 +18,39 @@
     pub long: bool,
 }
 
-/// Routers of the slopes by groups.
+/// Number of routers in the simulations that differ in their number of groups.
 const FEW_ROUTERS: usize = 16;
-/// Time within which [`FEW_ROUTERS`] settle.
+/// Time within which [`FEW_ROUTERS`] find each other and check the health of all members.
 const FEW_ROUTERS_SETTLE_TIME: Span = Span::from_millis(4000);
-/// Groups of the slopes by routers.
+/// Number of groups in the simulations that differ in their number of routers.
 const FEW_GROUPS: usize = 16;
 /// Factor on [`SETTLE_TIME`] for many routers that start at once, which take longer to find each other.
 const MANY_ROUTERS_SETTLE_FACTOR: f64 = 2.5;
-/// Routers whose CPU time is measured.
+/// Number of routers whose CPU time is measured.
 const OBSERVED_ROUTERS: usize = 4;
-/// Seconds over which rates are counted. Both are multiples of 0.8 s, the interval of gossip about a member whose reads may
-/// be 2 s old.
+/// Seconds over which rates are counted, in the long and in the short measurement. Both are multiples of 0.8 s, the
+/// interval of gossip about a member whose reads may be 2 s old.
 const LONG_RUN_S: f64 = 8.0;
 const SHORT_RUN_S: f64 = 3.2;
 
-/// Points of a slope.
+/// Points (x, y) of a slope.
 type Points = Vec<(f64, f64)>;
 
 /// Results of the simulations.
 struct Measurements {
     by_groups: Vec<(usize, Rates)>,
     by_routers: Vec<(usize, Rates)>,
-    /// Rates without statements, by routers.
+    /// Rates in simulations without statements, by number of routers.
     idle: Vec<(usize, Rates)>,
     admission: Vec<AdmissionPoint>,
-    /// Seconds until a death is detected, by routers.
+    /// Mean seconds until the death of a router is detected, by number of routers.
     deaths: Vec<(usize, f64)>,
     lists: Vec<ListCost>,
 }
 
 /// Reports for admission control in one simulation of a given size.
 struct AdmissionPoint {
-    /// Reports that a router has if it has one from each other router for each group.
+    /// Number of reports that a router has if it has one report from each other router for each group.
     max_reports: f64,
     measured: AdmissionReports,
 }
@@ -74,7 +74,8 @@
     Ok(slopes)
 }
 
-/// Runs all simulations. Those by groups take the longest and run in parallel with all others.
+/// Runs all simulations. The simulations that differ in their number of groups take the longest, and run in parallel
+/// with all others.
 fn run_simulations(seed: u64, long: bool) -> io::Result<Measurements> {
     let seconds = if long { LONG_RUN_S } else { SHORT_RUN_S };
     let groups: &[usize] = if long { &[16, 48, 96, 192, GROUPS] } else { &[16, 64, 160, GROUPS] };
--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -38,19 +38,19 @@
 pub struct LoadResult {
     /// Length of the measured time in seconds.
     pub seconds: f64,
-    /// Statements that were sent.
+    /// Number of statements that were sent.
     pub statements: f64,
-    /// Connections that were opened for them.
+    /// Number of connections that were opened for the statements.
     pub connections_opened: f64,
-    /// Statements that failed.
+    /// Number of statements that failed.
     pub failed: f64,
-    /// CPU seconds that the router used.
+    /// CPU seconds that the router used in the measured time.
     pub cpu_s: f64,
-    /// Sum of the latencies in seconds, which include the time to open a connection.
+    /// Sum of the statements' latencies in seconds. A latency includes the time to open a connection.
     pub total_latency_s: f64,
 }
 
-/// Threads that run the clients. More threads would only take CPU time from the router.
+/// Number of threads that run the clients. More threads would only take CPU time from the router.
 const CLIENT_THREADS: u64 = 4;
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 const PAGE_KIB: f64 = 4.0;
@@ -209,7 +209,8 @@
 }
 
 impl PacedLoad {
-    /// Sends the statements of one thread. Each is sent when it is due and the one before it has been answered.
+    /// Sends the statements of one thread. Each statement is sent when it is due and the statement before it has been
+    /// answered.
     fn run_thread(&self, thread: u64) -> LoadResult {
         static NEXT_ID: AtomicU64 = AtomicU64::new(1);
         let mut result = LoadResult::default();
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -8,8 +8,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Time over which the CPU time for idle clients is measured. It is shorter than the idle timeout, so that the router closes
-/// none of them.
+/// Time over which the CPU time for idle clients is measured. This time is shorter than the idle timeout, so that the
+/// router closes no client connection.
 const IDLE_CPU_SPAN: Duration = Duration::from_millis(800);
 
 /// Settings of the measurement.
@@ -17,11 +17,12 @@
 pub struct Settings {
     /// Whether the long measurement for docs/CAPACITY.md is made, or the short one for the proof.
     pub long: bool,
-    /// The router's binary. Without one, the slopes of a real process are left out.
+    /// Path of the router's binary. Without a path, the memory, descriptors and CPU time of a real router process are
+    /// not measured.
     pub router: Option<PathBuf>,
 }
 
-/// Measures memory, descriptors and, in the long form, CPU time by the number of idle clients.
+/// Measures memory, descriptors and, in the long measurement, CPU time by the number of idle clients.
 pub(super) fn idle_client_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let (mut memory, mut descriptors, mut cpu) = (Vec::new(), Vec::new(), Vec::new());
@@ -49,8 +50,8 @@
     Ok(slopes)
 }
 
-/// Measures the CPU time of statements on connections that stay open, and on new ones. Runs of the two alternate, so that
-/// other load on the machine affects both alike. A point is the median of its runs.
+/// Measures the CPU time of statements on connections that stay open, and on new connections. Runs of the two kinds
+/// alternate, so that other load on the machine affects both alike. A point is the median of its runs.
 pub(super) fn statement_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let (repeats, warm_up, span) = match settings.long {
@@ -80,7 +81,7 @@
     Ok(uses.into_iter().zip(points).map(slope).collect())
 }
 
-/// Measures memory by the number of members. The router has connected to each of them before.
+/// Measures memory by the number of members. The router has connected to each member before the measurement.
 pub(super) fn member_slopes(seed: u64, settings: &Settings) -> io::Result<Vec<Slope>> {
     let Some(router) = &settings.router else { return Ok(Vec::new()) };
     let mut points = Vec::new();
--- a/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reducer_slopes.rs
@@ -6,7 +6,7 @@
 
 const IDLE_TICKS: usize = 2000;
 const HEALTH_CHECK_TICKS: usize = 20;
-/// Simulated time between ticks. It is long enough that health checks are due at each of them.
+/// Simulated time between ticks, which is long enough that health checks are due at each tick.
 const HEALTH_CHECK_TICK_INTERVAL: Span = Span::from_millis(1000);
 
 /// Returns the median (the upper one of an even number of values), or NaN if there are no values.
@@ -29,7 +29,8 @@
 /// Counts of one simulation after its warm-up.
 struct SteadyLoad {
     members: f64,
-    /// Statements that the clients sent. As they are sent at random, this differs somewhat from the rate of the shape.
+    /// Number of statements that the clients sent. As statements are sent at random, this number differs somewhat from
+    /// the rate of the shape.
     statements_per_second: f64,
     counts: Counts,
 }
--- a/crates/ladderpass-testbed/src/capacity/data_path/reference_size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/reference_size.rs
@@ -1,12 +1,12 @@
 //! The size of the reference deployment, for which docs/CAPACITY.md gives the figures, from the view of one router.
 
-/// Groups of the reference size.
+/// Number of groups at the reference size.
 pub const GROUPS: f64 = 313.0;
-/// Members of all groups of the reference size.
+/// Number of members of all groups at the reference size.
 pub const MEMBERS: f64 = 940.0;
-/// Routers of the reference size.
+/// Number of routers at the reference size.
 pub const ROUTERS: f64 = 460.0;
-/// Clients of one router of the reference size.
+/// Number of clients of one router at the reference size.
 pub const CLIENTS: f64 = 5900.0;
-/// Statements a second that one router of the reference size receives.
+/// Statements per second that one router receives at the reference size.
 pub const STATEMENTS: f64 = 520.0;
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
@@ -4,10 +4,10 @@
 
 const CLOCK_SAMPLES: usize = 2000;
 
-/// Counts of a simulation over a time.
+/// Counts of a simulation over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Length of the time, in seconds.
+    /// Length of the period in seconds.
     pub seconds: f64,
     /// Statements that clients sent.
     pub statements: f64,
@@ -15,7 +15,7 @@
     pub served: f64,
     /// Statements that were answered otherwise, or whose connection was closed.
     pub failed: f64,
-    /// Reads among the statements.
+    /// Statements that were reads.
     pub reads: f64,
     /// Reads that reached a primary.
     pub reads_at_primary: f64,
@@ -29,7 +29,7 @@
     pub health_checks: f64,
     /// Queries to members, including health checks and sync queries.
     pub queries: f64,
-    /// Bytes of these queries.
+    /// Total size of the queries to members, in bytes.
     pub query_bytes: f64,
     /// Ticks of the event loop.
     pub ticks: f64,
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
@@ -90,7 +90,7 @@
             _ => None,
         };
         let launch = Launch::read(variable, None);
-        // A temporary file that is left behind does no harm.
+        // A failure to remove the temporary file is ignored, since a file that is left behind does no harm.
         let _ = std::fs::remove_file(&path);
         let mut launch = launch.map_err(|errors| errors.to_string())?;
         launch.limits.client_idle_timeout =
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/state.rs
@@ -12,11 +12,11 @@
 
 /// Simulated time at the start of each simulation.
 const EPOCH: Time = Time::from_nanos(1_796_000_000_000_000_000);
-/// The maximum time between two ticks, which is that of the router's event loop.
+/// Maximum time between two ticks. The event loop of a router process has the same maximum.
 const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
 /// One-way latency of a connection.
 pub(super) const LATENCY: Span = Span::from_nanos(200_000);
-/// Twice the one-way latency.
+/// Time of a round trip, which is twice the one-way latency.
 pub(super) const ROUND_TRIP: Span = Span::from_nanos(400_000);
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(2000);
 /// A heartbeat of discovery: an HTTP chunk with an empty line.
@@ -26,19 +26,19 @@
 #[derive(Default)]
 pub(super) struct Client {
     pub connection: Option<ConnectionId>,
-    /// The router has answered the startup message.
+    /// Whether the router has answered the client's startup message.
     pub startup_done: bool,
     pub input: Vec<u8>,
     /// The query that the client sends when the router is ready.
     pub pending_query: Option<Vec<u8>>,
-    /// When the client sent the statement for whose answer it waits.
+    /// When the client sent the statement whose answer it waits for.
     pub sent_at: Option<Time>,
 }
 
 /// A connection that the router opened to a member or to discovery.
 #[derive(Default)]
 pub(super) struct OutboundConnection {
-    /// The member, or `None` for discovery.
+    /// The member that the connection leads to, or `None` for discovery.
     pub member: Option<usize>,
     pub startup_read: bool,
     pub input: Vec<u8>,
@@ -69,9 +69,9 @@
     pub(super) clients: Vec<Client>,
     pub(super) client_of_connection: HashMap<ConnectionId, usize>,
     pub(super) connections: HashMap<ConnectionId, OutboundConnection>,
-    /// By member, the number of connections that the router has to it.
+    /// Number of connections that the router has to each member, by index of the member.
     pub(super) connections_of_member: Vec<u32>,
-    /// By member, whether it has no connection left for the router.
+    /// Whether each member has no connection left for the router, by index of the member.
     pub(super) member_is_full: Vec<bool>,
     effects: Vec<Effect>,
     pub(super) rng: SmallRng,
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Starts a routing core without a router around it, with the endpoint list of a shape. Returns it with its time.
+    /// Starts a routing core without a router around it, with the endpoint list of a shape. Returns the routing core
+    /// and the simulated time of its start.
     ///
     /// # Errors
     /// The same as for [`Simulation::new`].
--- a/crates/ladderpass-testbed/src/capacity/data_path/size.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/size.rs
@@ -12,7 +12,7 @@
 
 /// How often a router logs its stats, in seconds.
 const STATS_INTERVAL_S: f64 = 10.0;
-/// Groups of the reference size.
+/// Number of groups at the reference size.
 const GROUPS: u32 = 313;
 /// Simulated time before the measurement.
 const WARM_UP: Span = Span::from_millis(15_000);
@@ -22,8 +22,8 @@
 const LONG_IDLE_TIMEOUT: Span = Span::from_millis(600_000);
 
 /// Measures one router at the reference size, and returns the results as text. The router's own code is measured in
-/// simulated time, with its default idle timeout and with one so long that no client is closed. A real process is measured
-/// too if there is a binary.
+/// simulated time, once with its default idle timeout and once with an idle timeout so long that no client connection
+/// is closed. A real process is measured too if the path of the router's binary is given.
 ///
 /// # Errors
 /// If a simulation or the process can't be started.
@@ -53,7 +53,8 @@
     Ok(text)
 }
 
-/// Counts of a simulation in which all clients are connected from the start, and the router closes none.
+/// Returns the counts of a simulation in which all clients are connected from the start, and the router closes no
+/// client connection.
 fn counts_with_long_idle_timeout(shape: &Shape, seed: u64) -> Result<Counts, String> {
     let shape = Shape { client_idle_timeout: Some(LONG_IDLE_TIMEOUT), ..shape.clone() };
     let mut simulation = Simulation::new(&shape, seed)?;
@@ -111,13 +112,13 @@
 
 /// Measurements of a real router with all clients of the reference size connected and idle.
 struct IdleClients {
-    /// Clients whose connections are still open.
+    /// Number of clients whose connections are still open.
     open: usize,
     resident_kib: f64,
     descriptors: f64,
 }
 
-/// Measures idle clients. The router has the usual memory, and enough sockets that it evicts no connection.
+/// Measures idle clients. The router has the usual 192 MB of memory, and enough sockets that it evicts no connection.
 fn measure_idle_clients(seed: u64, router: &Path) -> io::Result<IdleClients> {
     let testbed = RouterTestbed::start(router, 1, 192, 24_000, seed)?;
     let streams = testbed.open_idle_clients(CLIENTS as usize)?;
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -24,7 +24,7 @@
     Ok(text)
 }
 
-/// Reopened and open client connections by the idle timeout of clients.
+/// Returns a table of reopened and open client connections by the idle timeout of clients.
 fn client_idle_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text =
         String::from("| rest until closed, s | opened anew, of statements | open of 5,900 | refused |\n");
@@ -41,7 +41,7 @@
     Ok(text)
 }
 
-/// Connections to members by the answer time of members.
+/// Returns a table of connections to members by the answer time of members.
 fn answer_time_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text += "\n| answer time, ms | connections a pair | most of a pair | made a second at 940 | refused |\n";
@@ -65,7 +65,7 @@
     Ok(text)
 }
 
-/// Reads at primaries and health checks by the statement rate and the maximum staleness of reads.
+/// Returns a table of reads at primaries and health checks by the statement rate and the maximum staleness of reads.
 fn staleness_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text +=
@@ -90,7 +90,7 @@
     Ok(text)
 }
 
-/// Failed statements by the fraction of members that have no connection left for the router.
+/// Returns a table of failed statements by the fraction of members that have no connection left for the router.
 fn full_members_table(base: &Shape, seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text +=
@@ -111,7 +111,7 @@
     Ok(text)
 }
 
-/// The first seconds of a router at the reference size.
+/// Returns a table of the first seconds of a router at the reference size.
 fn startup_table(seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text +=
@@ -131,7 +131,8 @@
     Ok(text)
 }
 
-/// CPU time of ticks with health checks by members, with and without the sharing of health checks among routers.
+/// Returns a table of the CPU time of ticks with health checks by members, with and without the sharing of health
+/// checks among routers.
 fn health_check_tick_table(seed: u64) -> Result<String, String> {
     let mut text = String::new();
     text += "\n| members | us of CPU of a pass, each alone | where probes are shared |\n|---|---|---|\n";
--- a/crates/ladderpass-testbed/src/capacity/events/mod.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/mod.rs
@@ -15,23 +15,24 @@
 /// Maximum number of steps of [`SETTLE_STEP`] for which a simulation runs until its routers have found each other.
 const MAX_SETTLE_STEPS: usize = 60;
 const SETTLE_STEP: Span = Span::from_millis(500);
-/// Of [`REFERENCE_ROUTERS`] this many restart in a wave. The number is scaled to the routers of a simulation.
+/// Number of routers that restart in a wave, if there are [`REFERENCE_ROUTERS`]. The number is scaled to the routers of
+/// a simulation.
 const RESTARTED_ROUTERS: usize = 180;
 const REFERENCE_ROUTERS: usize = 460;
 const RESTART_WAVE_S: f64 = 10.0;
 const FAILING_ZONE: usize = 1;
 const RACKS_PER_ZONE: usize = 10;
 const CUT_REGION: usize = 2;
-/// How long the region is cut off. The simulation uses a minute in place of an hour.
+/// How long a region is cut off from the others, in seconds. The simulation uses a minute in place of an hour.
 const CUT_S: f64 = 60.0;
-/// Time from the end of a primary until a replica is promoted.
+/// Time from the end of a primary until a replica is promoted, in seconds.
 const PROMOTION_S: f64 = 1.0;
-/// How long discovery is down before a change of the endpoint list, and after it.
+/// How long discovery is down before a change of the endpoint list and after the change, in seconds.
 const DOWN_BEFORE_CHANGE_S: f64 = 4.0;
 const DOWN_AFTER_CHANGE_S: f64 = 5.0;
 /// Time from the kill of a router until it starts again.
 const RESTART_DELAY: Span = Span::from_millis(1000);
-/// Maximum times until the condition of an event holds.
+/// Longest times for which a simulation waits until the condition of an event holds, in seconds.
 const MAX_LIST_CHANGE_S: f64 = 20.0;
 const MAX_LIST_CHANGE_WITHOUT_DISCOVERY_S: f64 = 30.0;
 const MAX_FAILOVER_S: f64 = 20.0;
@@ -131,8 +132,8 @@
     Ok(vec![moment("in force at all", known_at_s)])
 }
 
-/// The endpoint list changes while discovery is down. It is down from four seconds before the change until five seconds
-/// after it.
+/// The endpoint list changes while discovery is down. Discovery is down from four seconds before the change until five
+/// seconds after the change.
 fn list_change_without_discovery(observation: &mut Observation<'_>) -> io::Result<Vec<Moment>> {
     observation.simulation.discovery_up = false;
     observation.run_for(DOWN_BEFORE_CHANGE_S)?;
@@ -165,8 +166,8 @@
     Ok(vec![moment("the last is killed", last_kill_s), moment("all know of all", known_at_s)])
 }
 
-/// Machines of one zone fail without closing connections. `fails` selects them by their index among the zone's routers or
-/// members, and by the number of these.
+/// Machines of one zone fail without closing connections. `fails` selects the machines by their index among the zone's
+/// routers or members, and by the number of the zone's routers or members.
 fn silent_failure(
     observation: &mut Observation<'_>,
     fails: impl Fn(usize, usize) -> bool,
--- a/crates/ladderpass-testbed/src/capacity/events/observation.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/observation.rs
@@ -10,7 +10,7 @@
 const PEAK_WINDOW: Span = Span::from_millis(500);
 /// Interval at which conditions are checked.
 pub(super) const STEP: Span = Span::from_millis(50);
-/// Time over which the traffic before an event is measured. It covers several rounds of gossip.
+/// Time over which the traffic before an event is measured. This time covers several rounds of gossip.
 const BASELINE: Span = Span::from_millis(2400);
 
 /// Datagrams and bytes that all routers have sent since the start of the simulation.
@@ -20,7 +20,7 @@
     bytes: u64,
 }
 
-/// Statements of all clients since the start of the simulation.
+/// Numbers of statements that all clients sent, and of those that failed, since the start of the simulation.
 #[derive(Clone, Copy)]
 struct StatementTotals {
     sent: u64,
@@ -38,7 +38,7 @@
 }
 
 impl SentTotals {
-    /// Returns the datagrams and bytes since an earlier time, multiplied by `factor`.
+    /// Returns the datagrams and bytes that were sent since an earlier time, multiplied by `factor`.
     fn rate_since(&self, earlier: SentTotals, factor: f64) -> Traffic {
         Traffic {
             datagrams_per_second: (self.datagrams - earlier.datagrams) as f64 * factor,
--- a/crates/ladderpass-testbed/src/capacity/events/outcome.rs
+++ b/crates/ladderpass-testbed/src/capacity/events/outcome.rs
@@ -11,8 +11,8 @@
     pub moments: Vec<Moment>,
     /// Mean traffic of a router before the event.
     pub traffic_before: Traffic,
-    /// Highest mean traffic of a router over half a second. Datagrams and bytes have their maxima independently, and are at
-    /// least those before the event.
+    /// Highest mean traffic per router in any half second of the event, and at least `traffic_before`. The maxima of
+    /// datagrams and of bytes may come from different half seconds.
     pub peak_traffic: Traffic,
     /// Statements that failed or found no free client connection, divided by the statements that were sent, both during the
     /// observation.
@@ -24,7 +24,7 @@
 /// A time or a count that describes an event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
-    /// Meaning of the value.
+    /// What the value means.
     pub label: &'static str,
     /// Seconds since the event began, or a count.
     pub value: f64,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -8,7 +8,7 @@
 pub struct Flow {
     /// Number of datagrams or messages.
     pub datagrams: u64,
-    /// Sum of their bytes.
+    /// Total size of the datagrams or messages, in bytes.
     pub bytes: u64,
 }
 
@@ -54,13 +54,13 @@
 /// The subject of an event. CPU time is measured by subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// Gossip about members.
+    /// An event of gossip about members.
     Gossip,
-    /// The membership protocol.
+    /// An event of the membership protocol.
     Membership,
-    /// Connections of clients and members, and the opening and closing of connections to discovery.
+    /// An event of a client or member connection, or the opening or closing of a connection to discovery.
     Connections,
-    /// The endpoint list.
+    /// An event that concerns the endpoint list.
     EndpointList,
     /// A tick due to a timer, or after events that are not of [`Subject::Connections`].
     IdleTick,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/event_loop.rs
@@ -9,9 +9,9 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Maximum time from a tick to the next one, which is that of the router's event loop.
+/// Maximum time from a tick to the next one. The event loop of a router process has the same maximum.
 const MAX_TICK_INTERVAL: Span = Span::from_millis(50);
-/// Minimum time from a tick to the next one that a timer causes.
+/// Minimum time from a tick to the next tick that a timer causes.
 const MIN_TICK_INTERVAL: Span = Span::from_nanos(20_000);
 /// Minimum time from the start of a router to the first statement of its clients.
 const FIRST_STATEMENT_DELAY: Span = Span::from_millis(300);
@@ -83,7 +83,8 @@
         Ok(())
     }
 
-    /// Passes an event to a router, executes its effects, and schedules the tick that follows all events of this moment.
+    /// Passes an event to a router, executes its effects, and schedules the tick that follows all events of the same
+    /// simulated time.
     pub(super) fn apply(&mut self, router: usize, event: Event, subject: Subject) {
         let is_observed = router < self.shape.observed;
         let Some(reducer) = &mut self.routers[router].reducer else { return };
@@ -190,7 +191,7 @@
     }
 }
 
-/// Returns whether a datagram is one of the membership protocol, and not gossip about members.
+/// Returns whether a datagram belongs to the membership protocol, and not to gossip about members.
 fn is_membership(datagram: &[u8]) -> bool {
     datagram.first() == Some(&ladderpass_membership::FIRST_BYTE)
 }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/member.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/member.rs
@@ -11,9 +11,9 @@
 /// A simulated member.
 #[derive(Clone, Copy, Debug)]
 pub struct Member {
-    /// Whether the member's process runs. Otherwise connections to it are refused.
+    /// Whether the member's process runs. If not, connections to the member are refused.
     pub up: bool,
-    /// Whether the member's machine has failed silently. Then neither connections nor statements get an answer.
+    /// Whether the member's machine has failed silently, so that neither connections nor statements get an answer.
     pub hangs: bool,
     /// Whether the member is the primary of its group.
     pub primary: bool,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/settings.rs
@@ -21,7 +21,7 @@
 /// Number of routers or members in each /24 block of their network.
 const ADDRESSES_PER_BLOCK: usize = 250;
 
-/// The owner of an address, by index.
+/// The router or member that owns an address, by index.
 pub(super) enum AddressOwner {
     Router(usize),
     Member(usize),
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/shape.rs
@@ -17,7 +17,7 @@
     pub writes: f64,
     /// Whether the routers know each other as peers and gossip.
     pub peers: bool,
-    /// Whether the routers shed load and use retry budgets as a fleet.
+    /// Whether the routers shed load and use retry budgets jointly, as a fleet.
     pub fleet: bool,
     /// Mean one-way latency between any two peers.
     pub latency: Span,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -45,11 +45,11 @@
     /// Number of the current process of the router. Connections of an earlier process are lost with the data in flight on
     /// them, but datagrams in flight reach a later process.
     pub incarnation: u32,
-    /// Connections that are open or being opened.
+    /// Connections of the router that are open or being opened.
     pub connections: HashMap<ConnectionId, Connection>,
     /// Client connections without a statement in flight, the most recently used one last.
     pub idle_clients: Vec<ConnectionId>,
-    /// Whether a tick is scheduled after the events of this moment.
+    /// Whether a tick of the router is scheduled after the events of the current simulated time.
     pub tick_scheduled: bool,
     /// Whether events of [`Subject::Connections`](super::Subject::Connections) were applied since the last tick.
     pub has_data: bool,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns the sorted ids of the connections whose peer matches. They are sorted because the order of the map differs
-    /// from run to run.
+    /// Returns the sorted ids of the connections whose peer matches. The ids are sorted because the order of the map
+    /// differs from run to run.
     fn sorted_connections(&self, matches: impl Fn(&Peer) -> bool) -> Vec<ConnectionId> {
         let matching = self.connections.iter().filter(|(_, connection)| matches(&connection.peer));
         let mut ids: Vec<ConnectionId> = matching.map(|(&id, _)| id).collect();
@@ -139,7 +139,7 @@
     pub members: Vec<Member>,
     /// Counts by router since the start or the last [`Simulation::reset_counts`].
     pub counts: Vec<Counts>,
-    /// CPU time of the observed routers over the same time.
+    /// CPU time of the observed routers since the start or the last [`Simulation::reset_counts`].
     pub cost: Cost,
     pub(super) clock_overhead_ns: i64,
     pub(super) rng: SmallRng,
@@ -151,7 +151,7 @@
     pub discovery_up: bool,
     /// Number of watches a second on which discovery can send a change of the endpoint list.
     pub watch_events_per_second: f64,
-    /// Messages and bytes that discovery has sent since the last reset.
+    /// Messages and bytes that discovery has sent since the start or the last [`Simulation::reset_counts`].
     pub discovery: Flow,
     /// Pairs of regions that can't reach each other.
     pub cut_regions: Vec<(usize, usize)>,
@@ -162,7 +162,7 @@
 
 impl Drop for Simulation {
     fn drop(&mut self) {
-        // The file may have been removed already.
+        // A failure to remove the settings file is ignored, since the file may have been removed already.
         let _ = std::fs::remove_file(&self.config);
     }
 }
--- a/crates/ladderpass-testbed/src/capacity/slope.rs
+++ b/crates/ladderpass-testbed/src/capacity/slope.rs
@@ -10,7 +10,7 @@
     pub x: &'static str,
     /// The quantity on the y axis, with its unit.
     pub y: &'static str,
-    /// The points (x, y).
+    /// The measured points (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
@@ -21,8 +21,8 @@
     pub slope: f64,
     /// The value at x = 0.
     pub base: f64,
-    /// The largest residual, relative to the y of its point. It is infinite if there is no point, or if the line misses a
-    /// point whose y is 0.
+    /// The largest residual of a point, as a fraction of the point's y. The value is infinite if there is no point, or
+    /// if the line misses a point whose y is 0.
     pub error: f64,
 }
 
@@ -31,9 +31,9 @@
 pub struct Claim {
     /// Name of the figure.
     pub name: &'static str,
-    /// Its value.
+    /// The claimed value of the figure.
     pub value: f64,
-    /// The relative error that the page allows.
+    /// The error that the page allows in the figure, as a fraction of the claimed value.
     pub within: f64,
 }
 
--- a/crates/ladderpass-testbed/src/capacity/traffic.rs
+++ b/crates/ladderpass-testbed/src/capacity/traffic.rs
@@ -3,8 +3,8 @@
 /// Mean traffic that a router sends to other routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Traffic {
-    /// Datagrams a second.
+    /// Datagrams that the router sends per second.
     pub datagrams_per_second: f64,
-    /// Bytes a second.
+    /// Bytes that the router sends per second.
     pub bytes_per_second: f64,
 }
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -85,7 +85,8 @@
                 _ => {}
             }
         }
-        // An event after the last deadline makes the checker report all unanswered RPCs. No RPC has its number.
+        // An event after the last deadline makes the checker report all unanswered RPCs. The number in this event
+        // belongs to no RPC.
         let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
         events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
@@ -106,8 +107,8 @@
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         let arrivals = &self.execution_log.arrivals;
         if self.attempts.is_empty() {
-            // Without the fault tool, only an attempt's arrival at a member is known. It counts as the attempt's end
-            // too.
+            // Without the fault tool, only an attempt's arrival at a member is known. The arrival counts as the
+            // attempt's end too.
             for arrival in arrivals.iter().filter(|arrival| !arrival.rejected) {
                 let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
                 let (at, member) = (arrival.at, arrival.member);
--- a/crates/ladderpass-testbed/src/history_checker/inputs.rs
+++ b/crates/ladderpass-testbed/src/history_checker/inputs.rs
@@ -11,9 +11,10 @@
     pub router: usize,
     /// When the absence began.
     pub from: Time,
-    /// When the absence ended. While it is open, this is a time in the far future.
+    /// When the absence ended, or a time in the far future while the absence is open.
     pub to: Time,
-    /// Whether the absence is a graceful shutdown. RPCs sent before it must still be answered.
+    /// Whether the absence is a graceful shutdown. RPCs that were sent before the shutdown began must still be
+    /// answered.
     pub planned: bool,
 }
 
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -71,7 +71,8 @@
         violations
     }
 
-    /// Returns the violations of rule 4 (cold members) that one router's attempts cause without those of the others.
+    /// Returns the violations of rule 4 (cold members) that the attempts of one router cause by themselves, without the
+    /// attempts of the other routers.
     pub fn slow_start_violations_of(&self, router: usize) -> Vec<Violation> {
         check_events(self.slow_start_events(Some(router)), SlowStart::default())
     }
--- a/crates/ladderpass-testbed/src/history_checker/slow_start.rs
+++ b/crates/ladderpass-testbed/src/history_checker/slow_start.rs
@@ -14,9 +14,9 @@
     pub member: u32,
     /// RPCs per second that the member can serve after the warm-up.
     pub capacity: f64,
-    /// Fraction of the capacity that the member has at its start.
+    /// Fraction of the member's capacity that the member has at its start.
     pub initial_fraction: f64,
-    /// Time from the start until the member has its full capacity.
+    /// Time from the member's start until the member has its full capacity.
     pub warm_up_time: Span,
     /// Length of the windows over which the member's RPCs are compared with its capacity.
     pub overload_window: Span,
@@ -24,7 +24,7 @@
 
 /// The warm-up time (`WarmWithin`) in the settings that the emulator gives the routers.
 const WARM_UP_TIME: Span = Span::from_millis(10_000);
-/// The initial fraction of the capacity (`ColdFrom`) in the same settings.
+/// The initial fraction of the capacity (`ColdFrom`) in the settings that the emulator gives the routers.
 const INITIAL_CAPACITY_FRACTION: f64 = 0.2;
 
 impl ColdStart {
@@ -43,7 +43,7 @@
         scenario.cold.iter().map(cold_start).collect()
     }
 
-    /// Returns the start as an event for the checkers.
+    /// Returns the start of the cold member as an event for the checkers.
     pub(super) fn event(&self) -> Event {
         let ColdStart { at, member, capacity, initial_fraction, warm_up_time, overload_window } = *self;
         let kind = EventKind::Started { member, capacity, initial_fraction, warm_up_time, overload_window };
@@ -56,8 +56,8 @@
 pub struct SlowStartCheck {
     /// Windows in which a member got too many attempts.
     pub violations: Vec<Violation>,
-    /// Largest excess of a window's attempts over the member's capacity in that window, in square roots of that
-    /// capacity ([`SlowStart::max_excess`]).
+    /// Largest excess of a window's attempts over the member's capacity in that window, as a multiple of the square
+    /// root of that capacity ([`SlowStart::max_excess`]).
     pub max_excess: f64,
 }
 
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Requires that the real router breaks no rule in any case, and that each faulty router breaks its own.
+/// Requires that the real router breaks no rule in any case, and that each faulty router breaks the rule of its case.
 ///
 /// # Errors
 /// Returns an error if a run can't be started.
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
@@ -29,10 +29,10 @@
 pub const REJECTION_DRILL_END_S: f64 = 6.0;
 /// The load under which members reject attempts is 2.5 times their capacity.
 const OVERLOAD_RPCS_PER_SECOND: f64 = 750.0;
-/// Fractions of reads and writes in this load.
+/// Fractions of reads and writes in the load under which members reject attempts.
 const OVERLOAD_SHARES: [f64; 2] = [0.9, 0.1];
 const OVERLOAD_CLIENTS: usize = 600;
-/// How many RPCs a member queues before it rejects further ones.
+/// How many RPCs a member queues before it rejects further RPCs.
 const QUEUED_RPCS: usize = 4;
 
 /// The period in which a member is down.
@@ -41,7 +41,7 @@
 pub const FAILURE_DRILL_END_S: f64 = 12.0;
 const FAILING_MEMBER: u32 = 2;
 const SPLIT: FaultWindow = FaultWindow { at_s: 3.5, lasts_s: 2.0 };
-/// How often a client retries while a member is down.
+/// How often a client retries a rejected RPC at most, in the drill in which a member is down.
 const CLIENT_RETRIES: u32 = 3;
 
 /// Returns a drill in which all members lose answers. The connections close at the answers, so that the members' work is
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -18,7 +18,7 @@
 const IDLE_S: f64 = 2.0;
 const LOAD_S: f64 = 5.0;
 const RPCS_PER_SECOND: f64 = 100.0;
-/// Health checks count from this time of the load on, because all routers check all members shortly before.
+/// Health checks are counted from this time of the load on, because all routers check all members shortly before.
 const SETTLE: Span = Span::from_millis(1000);
 /// The fraction of reads of a load of writes alone. No replica answers an RPC of this load, so that routers learn of
 /// replicas only from health checks.
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/mod.rs
@@ -28,9 +28,9 @@
 
 // Periods of the loads, in seconds.
 
-/// In this period the budget is already spent, and answers are still lost.
+/// The period in which the retry budget is already spent and answers are still lost.
 const BUDGET_SPENT_S: Range<f64> = 4.0..6.0;
-/// Measurements begin here, as the start of a load is left out.
+/// Time from which a load is measured. The start of a load is left out.
 const MEASURED_FROM_S: f64 = 1.0;
 const BEFORE_LOSS_S: Range<f64> = MEASURED_FROM_S..LOSS_AT_S;
 const DURING_AND_AFTER_LOSS_S: Range<f64> = LOSS_AT_S..LOSS_DRILL_END_S;
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/drills.rs
@@ -14,12 +14,12 @@
 /// The load of all drills. The members can serve about 300 RPCs a second. A tenth of the RPCs are writes, which have four
 /// times the utility of a read, and the members can serve all of them.
 const RPCS_PER_SECOND: f64 = 750.0;
-/// Fractions of reads and writes.
+/// Fractions of reads and writes in the load of all drills.
 const SHARES: [f64; 2] = [0.9, 0.1];
 const CLIENTS: usize = 600;
 /// How many times as many connections the first router has as the last one.
 const UNEVENNESS: f64 = 8.0;
-/// With this unevenness, almost all RPCs go to the first of two routers.
+/// Ratio of connections, as in [`UNEVENNESS`], with which almost all RPCs go to the first of two routers.
 const SINGLE_ROUTER_UNEVENNESS: f64 = 1000.0;
 /// The index of the read method in the scenario.
 pub const READ: usize = 0;
@@ -37,7 +37,7 @@
 const KILL_AT_S: f64 = 3.0;
 /// The number of routers in the drills with kills and a split. A third of them is killed.
 pub const FAILURE_ROUTERS: usize = 9;
-/// How far a wall clock is off, in milliseconds. Some clocks are ahead by this, and others behind.
+/// How far a wall clock is off, in milliseconds. Some clocks are ahead by this much, and others are behind by as much.
 const CLOCK_OFFSET_MS: i32 = 100;
 
 /// The fault of a router that does not use the common admission threshold.
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -7,20 +7,22 @@
 use crate::prove::Table;
 use crate::prove::scenarios::FLEET_ROUTERS;
 
-/// A router that rejects only when it is overloaded itself takes more than this many times as long to reject as healthy
-/// routers.
+/// To show its fault, a router that rejects only when it is overloaded itself must take more than this many times as
+/// long to reject as healthy routers.
 const MIN_REJECTION_LATENCY_RATIO: f64 = 10.0;
-/// For this comparison, healthy routers count as taking at least this many milliseconds.
+/// The rejections of healthy routers count as taking at least this many milliseconds when a faulty router is compared
+/// with them.
 const MIN_HEALTHY_REJECTION_MS: f64 = 5.0;
-/// How many of the last log lines the number of clamped reports is averaged over.
+/// The number of reports that a router clamped is averaged over this many of its last log lines with metrics.
 const CLAMPED_REPORT_LINES: usize = 8;
-/// How many of the last log lines the number of reports is averaged over.
+/// The number of reports that a router has is averaged over this many of its last log lines with metrics.
 const REPORT_LINES: usize = 6;
-/// With a router that reports too much, the others clamp at least this many reports on average, and more than
-/// [`MIN_CLAMPED_REPORTS_RATIO`] times as many as among healthy routers.
+/// Among routers of which one reports too much, the others must clamp at least this many reports on average, and more
+/// than [`MIN_CLAMPED_REPORTS_RATIO`] times as many as among healthy routers.
 const MIN_CLAMPED_REPORTS: f64 = 0.8;
 const MIN_CLAMPED_REPORTS_RATIO: f64 = 1.5;
-/// Bounds on the reports that a router has when five of the eight other routers are alive.
+/// Bounds on the number of reports that a router has when five of the eight other routers are alive: more than the
+/// first bound for a router that keeps the reports of dead routers, and less than the second bound for a healthy one.
 const MIN_REPORTS_WITH_DEAD: f64 = 7.5;
 const MAX_REPORTS_WITHOUT_DEAD: f64 = 5.5;
 
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
@@ -9,21 +9,21 @@
 
 /// The records of all drills under overload.
 pub struct OverloadRecords {
-    /// One router gets almost all RPCs, and so has full knowledge.
+    /// The drill in which one router gets almost all RPCs, and so decides with full knowledge.
     pub single: DrillRecord,
-    /// The routers share admission control.
+    /// The drill in which the routers share admission control.
     pub shared: DrillRecord,
-    /// Each router sheds load by itself.
+    /// The drill in which each router sheds load by itself.
     pub separate: DrillRecord,
-    /// Routers are killed and the network is split.
+    /// The drill in which routers are killed and the network is split.
     pub failures: DrillRecord,
-    /// The drill of `failures` with routers that keep the reports of dead ones.
+    /// The drill of `failures` with routers that keep the load reports of dead routers.
     pub keeps_reports_of_dead: DrillRecord,
-    /// One router does not use the common admission threshold.
+    /// The drill in which one router does not use the common admission threshold.
     pub ignores_threshold: DrillRecord,
-    /// One router reports ten times its load.
+    /// The drill in which one router reports ten times its load.
     pub reports_tenfold: DrillRecord,
-    /// Wall clocks are apart, and one router does not share admission control.
+    /// The drill in which wall clocks are apart, and one router does not share admission control.
     pub clocks_apart: DrillRecord,
 }
 
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
@@ -7,7 +7,8 @@
 use ladderpass_emulator::Scenario;
 
 const MEMBERS_PER_GROUP: u32 = 3;
-/// The factor by which clients send more in a burst. A group can serve as much as that once it is warm.
+/// The factor by which clients send more in a burst. A group can serve the RPCs of a burst once all its members are
+/// warm.
 const BURST_FACTOR: f64 = 1.5;
 /// The number of routers in the drill with a burst at the start.
 const BURST_ROUTERS: usize = 8;
@@ -119,11 +120,11 @@
     Drill { events: vec![restart], ..drill }
 }
 
-/// How many RPCs a cold member can serve within its overload window.
+/// The number of RPCs that a cold member can serve within its overload window.
 pub struct WindowCapacity {
-    /// The number at the member's start.
+    /// The number of RPCs in a window at the member's start.
     pub cold: f64,
-    /// The number once the member is warm.
+    /// The number of RPCs in a window once the member is warm.
     pub warm: f64,
 }
 
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -39,7 +39,7 @@
 struct Measurements {
     /// The drills with the current program. The last one is the hardest.
     current: Vec<PlayedDrill>,
-    /// The hardest drill without a warm-up.
+    /// The hardest drill with a build without a warm-up.
     without_warm_up: DrillRecord,
     /// The hardest drill with the earlier program, if there is one.
     earlier: Option<DrillRecord>,
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -8,16 +8,17 @@
 
 /// The time between two points of the chart, in seconds.
 const STEP_S: f64 = 0.1;
-/// As arrivals are random, the limit is the capacity of a window plus this many square roots of it, plus [`TOLERATED_RPCS`].
+/// As arrivals are random, the limit on the RPCs in a window is the capacity of the window, plus this many square roots
+/// of the capacity, plus [`TOLERATED_RPCS`].
 const TOLERATED_ROOTS: f64 = 2.0;
-/// See [`TOLERATED_ROOTS`].
+/// Number of RPCs that are added to the limit on the RPCs in a window, besides the roots of [`TOLERATED_ROOTS`].
 const TOLERATED_RPCS: f64 = 2.0;
 
 /// Points of the chart by the age of the member, in seconds.
 struct ColdMemberWindows {
-    /// RPCs that arrived within the overload window that ends at this age.
+    /// RPCs that arrived at the member within the overload window that ends at the age of the point.
     rpcs: Vec<(f64, f64)>,
-    /// RPCs that may arrive within this window.
+    /// RPCs that may arrive at the member within the overload window that ends at the age of the point.
     limit: Vec<(f64, f64)>,
 }
 
@@ -53,8 +54,8 @@
         let age_s = step as f64 * STEP_S;
         let is_in_window = |&&at: &&Time| (0.0..window_s).contains(&(age_s - (at - started.at).secs()));
         windows.rpcs.push((age_s, times.iter().filter(is_in_window).count() as f64));
-        // Capacity grows linearly, so that the mean over a window is the capacity at its middle. This does not hold for
-        // windows that reach back beyond the member's start.
+        // The member's capacity grows linearly, so that the mean over a window is the capacity at the middle of the
+        // window. This does not hold for windows that reach back beyond the member's start.
         let warmth = ((age_s - window_s / 2.0) / warm_s).max(0.0);
         let fraction = started.initial_fraction + (1.0 - started.initial_fraction) * warmth;
         let capacity = started.capacity * window_s * fraction;
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -30,10 +30,10 @@
 const MAX_DETECTION_S: f64 = 4.0;
 const MAX_MEDIAN_DETECTION_S: f64 = 2.0;
 const MAX_FALSE_ALARM_S: f64 = 2.0;
-/// False alarms count during the loss and for this time after it.
+/// False alarms count while a fraction of all datagrams is lost, and for this many seconds after the loss.
 const AFTER_LOSS_S: f64 = 1.0;
 const MAX_AGREEMENT_S: f64 = 3.0;
-/// How long before the end of the split the views are read.
+/// The routers' views during the split are read this many seconds before the end of the split.
 const BEFORE_SPLIT_END_S: f64 = 0.05;
 
 /// A router that the others should detect as failed.
@@ -50,7 +50,7 @@
     Failure { router: 6, label: "heard by none", at_s: MUTE.at_s },
 ];
 
-/// Returns the drill with all these faults, one after the other.
+/// Returns the drill with all faults, one after the other.
 pub fn detection_drill() -> Drill {
     let sides = vec![router_names(0..SPLIT_AT_ROUTER), router_names(SPLIT_AT_ROUTER..ROUTERS)];
     let lost = Some(loss_rule("a-fifth", LOST_FRACTION));
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_builds.rs
@@ -37,10 +37,10 @@
 const LOSS_AT_S: f64 = 1.6;
 const LOSS_LASTS_S: f64 = 3.0;
 const LOST_FRACTION: f64 = 0.3;
-/// A build that believes the first rumour has at least this many times the false alarms of the real build plus
-/// [`ADDED_ALARMS`].
+/// A build that believes the first rumour must have at least this many times as many false alarms as the sum of
+/// [`ADDED_ALARMS`] and the false alarms of the real build.
 const MIN_ALARM_RATIO: usize = 5;
-/// See [`MIN_ALARM_RATIO`].
+/// Number that is added to the false alarms of the real build, before the sum is multiplied by [`MIN_ALARM_RATIO`].
 const ADDED_ALARMS: usize = 2;
 
 /// What the routers of a build believed about each other in the drill.
--- a/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/faulty_routers.rs
@@ -30,8 +30,8 @@
 const COLD_CAPACITY_RPCS_PER_SECOND: f64 = 640.0;
 const COLD_PHASE: Phase = Phase { seconds: 1.5, rate_per_second: 2600.0 };
 const COLD_CLIENTS: usize = 400;
-/// The idle time before the load. It moves the load to a late part of the warm-up, where the attempts of the healthy routers
-/// weigh as much as those of the faulty one.
+/// The idle time before the load. This time moves the load to a late part of the warm-up, where the attempts of the
+/// healthy routers weigh as much as those of the faulty router.
 const COLD_IDLE_S: f64 = 5.0;
 /// The rule that cold members are not overloaded.
 const COLD_MEMBER_RULE: u8 = 4;
--- a/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
@@ -17,7 +17,7 @@
 const KILLED_ROUTERS: [usize; 3] = [0, 3, 6];
 const KILL_AT_S: f64 = 1.0;
 const CLIENTS: usize = 30;
-/// The rate is low, so that load reports in answers don't replace health checks.
+/// The rate of the load, which is so low that load reports in answers don't replace health checks.
 const RPCS_PER_SECOND: f64 = 4.0;
 const MAX_READ_AGE_MS: f64 = 400.0;
 /// The period in which health checks are counted, in seconds of the load. The routers have detected the kills by its start.
@@ -27,17 +27,17 @@
 /// The detection delay that is assumed for a router that did not detect a kill.
 const UNDETECTED_S: f64 = 8.0;
 const MAX_DETECTION_S: f64 = 4.0;
-/// A round of health checks takes one second plus 50 ms for each of the nine routers. The limit leaves time for a late
-/// round.
+/// The longest pause between health checks of a member, in seconds. A round of health checks takes one second plus 50
+/// ms for each of the nine routers, and the limit leaves time for a late round.
 const MAX_PAUSE_S: f64 = 3.0;
 const MAX_RATE_RATIO_TO_EARLIER: f64 = 1.5;
-/// The fault of routers that don't take over the health checks of dead ones.
+/// The fault of routers that don't take over the health checks of dead routers.
 const KEEPS_SCHEDULE_OF_DEAD: &str = "keeps-the-deads-turns";
 
 /// The records of the same drill with different programs.
 pub struct HealthCheckRecords {
     current: DrillRecord,
-    /// The record with a faulty build whose routers don't take over the health checks of dead ones.
+    /// The record with a faulty build whose routers don't take over the health checks of dead routers.
     faulty: DrillRecord,
     /// The record with the earlier program, if one is given.
     earlier: Option<DrillRecord>,
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -8,8 +8,8 @@
 use ladderpass_emulator::Scenario;
 use std::io;
 
-/// The fractions of the highest rate that are tried. Three times the first one is a little above the highest rate, and three
-/// times the last one is almost a third above it.
+/// The fractions of the highest rate that are tried. Three times the first fraction is a little above the highest rate,
+/// and three times the last fraction is almost a third above the highest rate.
 const FRACTIONS: [f64; 3] = [0.35, 0.39, 0.43];
 const LOAD_S: f64 = 0.5;
 /// This many of up to three runs at a rate must be calm. One run may fail to be calm, as another process of the machine may
@@ -84,7 +84,7 @@
 
 fn describe(record: &RunRecord) -> String {
     let counts = record.counts(WARM_UP_S, WARM_UP_S + LOAD_S);
-    // The warm-up has half of the rate, and so counts as half of its time.
+    // The load of the warm-up has half of the rate, so the warm-up counts as half of its time.
     let core_used = record.cpu_seconds / (WARM_UP_S * 0.5 + LOAD_S);
     format!(
         "{} of {} good, loop delay p99 {:.1} ms, CPU {:.0}%",
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -26,7 +26,7 @@
     uncontrolled: Vec<(f64, f64)>,
 }
 
-/// Measures both curves.
+/// Measures the goodput curves with and without overload control.
 ///
 /// # Errors
 /// Returns an error if a run can't be started.
@@ -72,7 +72,7 @@
         );
     }
 
-    /// Writes the chart of both curves.
+    /// Writes the chart of the goodput curves with and without overload control.
     ///
     /// # Errors
     /// Returns an error if it can't be written.
--- a/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -10,7 +10,7 @@
 use std::io;
 use std::path::Path;
 
-// Times are in seconds of the load.
+// Times are in seconds from the start of the load.
 
 /// When the load rises to three times the calm load.
 const RISE_S: f64 = 1.0;
@@ -34,13 +34,14 @@
 /// How long after the deadline of its RPC an answer may come.
 const ANSWER_TOLERANCE: Span = Span::from_millis(50);
 
-/// The records of the same load on both routers. On the uncontrolled router, the load ends before it falls.
+/// The records of the same load on the routers with and without overload control. On the router without overload
+/// control, the load ends when it would fall back to the calm load.
 pub(super) struct TripleLoad {
     controlled: RunRecord,
     uncontrolled: RunRecord,
 }
 
-/// Runs the load on both routers.
+/// Runs the load on the router with overload control and on the router without.
 ///
 /// # Errors
 /// Returns an error if a run can't be started.
--- a/crates/ladderpass-testbed/src/prove/scenarios.rs
+++ b/crates/ladderpass-testbed/src/prove/scenarios.rs
@@ -23,7 +23,7 @@
 /// The period in which a fault acts. Times are in seconds from the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultWindow {
-    /// When the fault starts.
+    /// When the fault starts, in seconds from the start of the load.
     pub at_s: f64,
     /// How long the fault lasts, in seconds.
     pub lasts_s: f64,
--- a/crates/ladderpass-testbed/src/prove/traffic.rs
+++ b/crates/ladderpass-testbed/src/prove/traffic.rs
@@ -12,7 +12,7 @@
 /// The numbers of routers for which traffic is measured.
 pub const FLEET_SIZES: [usize; 4] = [4, 8, 16, 32];
 
-/// The idle time and the load of these measurements, which are the same for all numbers of routers.
+/// The idle time and the load of the traffic measurements, which are the same for all numbers of routers.
 const IDLE_S: f64 = 2.0;
 const LOAD_S: f64 = 3.0;
 const LOAD_RPCS_PER_SECOND: f64 = 100.0;
@@ -33,7 +33,7 @@
 /// The traffic of a router that runs among a number of routers.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficOfSize {
-    /// The number of routers, including this one.
+    /// The number of routers, including the measured one.
     pub routers: usize,
     /// The mean traffic that one router sends.
     pub traffic: Traffic,
