--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -22,7 +22,7 @@
 const MAX_DATAGRAM_BYTES: usize = 2048;
 const EVENTS_PER_POLL: usize = 256;
 
-/// The datagram part of a tool, which runs on its own thread until it is dropped.
+/// The part of a tool that forwards datagrams. Its thread ends when this value is dropped.
 pub struct RunningDatagrams {
     engine: Arc<Mutex<DatagramEngine>>,
     started: Instant,
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -27,7 +27,7 @@
     pub bytes: u64,
 }
 
-/// The path from one end to another, by their indexes.
+/// The path from one end to another, by the indexes of the two ends.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct DatagramPath {
     from: usize,
@@ -49,7 +49,7 @@
     rules: Vec<ActiveRule>,
     /// Counters of sent datagrams, by end.
     traffic: Vec<TrafficCounts>,
-    /// Number of datagrams that each end has sent to each other one.
+    /// Number of datagrams that each end has sent to each other end.
     sent_by_path: HashMap<DatagramPath, u64>,
 }
 
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -213,7 +213,8 @@
         // Delayed operations that have become due by now come first, to keep the order of each direction.
         self.execute_due(now);
         for scheduled in operations {
-            // An operation that follows a delayed one in its direction is not due earlier, so it is delayed too.
+            // An operation is never due earlier than the operation before it in the same direction. If the operation
+            // before is delayed, so is this one.
             if scheduled.at <= now {
                 self.execute(scheduled);
                 continue;
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -54,7 +54,7 @@
     /// A rule waits for itself, or for a rule that the plan does not have.
     #[error("there is no other rule {0:?}")]
     UnknownRule(String),
-    /// The name is not among the allowed ones.
+    /// A name is not one of the allowed names.
     #[error("{name:?}; allowed are {allowed}")]
     UnknownName {
         /// The rejected name.
@@ -62,7 +62,7 @@
         /// All allowed names, separated by commas.
         allowed: String,
     },
-    /// The number is outside its range.
+    /// A number is outside its allowed range.
     #[error("{value}; allowed are {allowed}")]
     OutOfRange {
         /// The rejected number.
@@ -73,10 +73,10 @@
     /// The number of a connection or of a match is 0, but both are counted from 1.
     #[error("connections and matches are counted from 1")]
     CountedFromZero,
-    /// The opening of a connection can't trigger this action.
+    /// A rule is triggered by the opening of a connection, which can't trigger the rule's action.
     #[error("{0} does nothing when a connection opens")]
     NotAtOpening(&'static str),
-    /// Only the opening of a connection can trigger this action.
+    /// A rule is not triggered by the opening of a connection, but nothing else can trigger the rule's action.
     #[error("{0} acts only with when.opens")]
     OnlyAtOpening(&'static str),
     /// A rule that is triggered by the opening of a connection also has a condition on messages or bytes.
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -37,7 +37,7 @@
 // `expecting` preserves the error text for an invalid plan, which names this type `When`.
 #[serde(deny_unknown_fields, default, expecting = "struct When")]
 pub struct Trigger {
-    /// The side that sent the bytes. It is ignored if `opens` is set.
+    /// The side that sent the bytes. The field is ignored if `opens` is set.
     pub from: Side,
     /// Number of the connection on its link, counted from 1.
     pub connection: Option<u64>,
@@ -55,7 +55,7 @@
     /// The rule acts only after the rule with this name has acted.
     #[serde(rename = "seen")]
     pub after_rule: Option<String>,
-    /// The rule is triggered by the opening of a connection instead of by bytes on it.
+    /// Whether the rule is triggered by the opening of a connection instead of by bytes on a connection.
     pub opens: bool,
 }
 
@@ -87,7 +87,8 @@
     Drop,
     /// The message and everything up to and including the next ReadyForQuery are dropped, like a lost acknowledgement.
     Swallow,
-    /// The message and everything behind it are dropped. The sender's bytes are still read, so that it does not notice.
+    /// The message and everything behind it are dropped. The sender's bytes are still read, so that the sender does not
+    /// notice the loss.
     Silence,
     /// One direction of the connection is ended before the message is sent.
     HalfClose {
@@ -99,7 +100,7 @@
     /// Both sockets of the connection are reset before the message is sent.
     Reset,
     /// Bytes at random offsets are changed. The first five bytes, which are the header of a PostgreSQL message, stay
-    /// unchanged unless the message has no more than these.
+    /// unchanged unless the message has no more than five bytes.
     Garble {
         /// Number of changes. An offset may be drawn more than once.
         bytes: u32,
@@ -174,7 +175,7 @@
 pub struct Rule {
     /// Name of the rule, which is unique among the active rules.
     pub name: String,
-    /// Name of the only link that the rule applies to. Without one the rule applies to all links.
+    /// Name of the only link that the rule applies to. Without a name, the rule applies to all links.
     #[serde(default)]
     pub link: Option<String>,
     /// The conditions under which the rule acts.
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -38,10 +38,10 @@
     },
     /// The datagram arrives twice.
     Duplicate {
-        /// Delay of the second copy after the first one, in milliseconds.
+        /// Delay of the second copy after the first copy, in milliseconds.
         ms: f64,
     },
-    /// The datagram is delayed by a random time, so that later ones can overtake it.
+    /// The datagram is delayed by a random time, so that later datagrams can overtake it.
     Reorder {
         /// The longest delay, in milliseconds.
         ms: f64,
@@ -99,7 +99,7 @@
 }
 
 impl DatagramRule {
-    /// Checks that the rule is valid for these ends.
+    /// Checks that the rule is valid for the ends of a plan.
     ///
     /// # Errors
     ///
--- a/crates/ladderpass-fault-injection/src/protocol.rs
+++ b/crates/ladderpass-fault-injection/src/protocol.rs
@@ -14,7 +14,7 @@
 }
 
 impl Side {
-    /// Returns the opposite side, which receives the bytes that this one sends.
+    /// Returns the opposite side, which receives the bytes that this side sends.
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
--- a/crates/ladderpass-testbed/src/capacity/control/slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/control/slopes.rs
@@ -14,7 +14,7 @@
 /// Settings of the measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Whether the long measurement for docs/CAPACITY.md is made, or the short one for the proof.
+    /// Whether the long measurement for docs/CAPACITY.md is made, instead of the short measurement for the proof.
     pub long: bool,
 }
 
--- a/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process_slopes.rs
@@ -15,7 +15,7 @@
 /// Settings of the measurement.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Whether the long measurement for docs/CAPACITY.md is made, or the short one for the proof.
+    /// Whether the long measurement for docs/CAPACITY.md is made, instead of the short measurement for the proof.
     pub long: bool,
     /// Path of the router's binary. Without a path, the memory, descriptors and CPU time of a real router process are
     /// not measured.
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -35,7 +35,8 @@
         } else if let Some(index) = self.client_of_connection.remove(&id) {
             let client = std::mem::take(&mut self.clients[index]);
             match client.sent_at {
-                // The close crossed a statement in flight, which its client would have to send again.
+                // The router closed the connection while a statement of the client was in flight. The client would have
+                // to send that statement again.
                 Some(_) => self.counts.failed += 1.0,
                 None => self.counts.clients_closed += 1.0,
             }
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/shape.rs
@@ -14,7 +14,7 @@
     pub groups: u32,
     /// Statements a second, a fifth of them writes.
     pub rate: f64,
-    /// Number of clients. Each statement is sent by a random one.
+    /// Number of clients. Each statement is sent by a client that is drawn at random.
     pub clients: usize,
     /// Nominal time from sending a statement to a member until its answer. Nine tenths of it are the mean of the service
     /// time, which has an exponential distribution. The remaining tenth stands for the round trip, which is 0.4 ms for
@@ -64,7 +64,7 @@
         (self.groups * MEMBERS_PER_GROUP) as usize
     }
 
-    /// Returns the router's settings. They are read from a file, as by a router process.
+    /// Returns the router's settings. The settings are read from a file, as by a router process.
     pub(super) fn launch(&self, now: Time, seed: u64) -> Result<Launch, String> {
         let mut scenario =
             Scenario { groups: self.groups, replicas: MEMBERS_PER_GROUP - 1, ..Scenario::default() };
--- a/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/tables.rs
@@ -1,5 +1,5 @@
-//! Tables of the effects that are not linear, which the slopes don't show. They are measured on the router's own code in
-//! simulated time.
+//! Tables of the effects that are not linear, which the slopes don't show. The effects are measured on the router's own
+//! code in simulated time.
 
 use super::reducer_slopes::{health_check_tick_cpu_us, steady_counts};
 use super::reference_size::{CLIENTS, MEMBERS};
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/clients.rs
@@ -59,7 +59,7 @@
         proto::put_startup(&mut startup);
         self.deliver(router, id, &startup);
         self.tick(router);
-        // The connection is not idle, as the caller sends a statement on it.
+        // The new connection does not count as idle, as the caller sends a statement on it.
         self.routers[router].idle_clients.retain(|&idle| idle != id);
         Some(id)
     }
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/counts.rs
@@ -42,8 +42,8 @@
     pub unsent: u64,
     /// Connections that the router began to open to members and to discovery.
     pub connections_opened: u64,
-    /// Connections that the router began to open to discovery, to watch the endpoint list. `connections_opened` includes
-    /// them.
+    /// Connections that the router began to open to discovery, to watch the endpoint list. `connections_opened`
+    /// includes these connections.
     pub watches_opened: u64,
     /// Bytes of the responses with a complete endpoint list that discovery sent to the router.
     pub list_bytes: u64,
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/discovery.rs
@@ -56,7 +56,7 @@
         self.schedule(at + HEARTBEAT_INTERVAL, SimulationEvent::WatchHeartbeat(watch));
     }
 
-    /// Sends a heartbeat on a watch, if discovery is up, and schedules the next one.
+    /// Sends a heartbeat on a watch, if discovery is up, and schedules the next heartbeat.
     pub(super) fn send_watch_heartbeat(&mut self, watch: ConnectionKey) {
         if self.discovery_up {
             self.discovery.add(HEARTBEAT.len());
--- a/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
+++ b/crates/ladderpass-testbed/src/capacity/simulated_routers/simulation.rs
@@ -328,7 +328,8 @@
             && self.routers[key.router].connections.contains_key(&key.id)
     }
 
-    /// Returns the connection with the id of the key. The router's current process may be a later one than that of the key.
+    /// Returns the connection with the id of the key. The router's current process may be a later process than that of
+    /// the key.
     pub(super) fn connection_mut(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
         self.routers[key.router].connections.get_mut(&key.id)
     }
--- a/crates/ladderpass-testbed/src/capacity/slope.rs
+++ b/crates/ladderpass-testbed/src/capacity/slope.rs
@@ -51,7 +51,7 @@
         let line = Fit { slope, base: y - slope * x, error: 0.0 };
         let scale = self.points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
         let relative_residual = |&(x, y): &(f64, f64)| match (line.at(x) - y).abs() {
-            // A residual this small is a rounding error of the sums.
+            // A residual this small is a rounding error of the sums from which the line is computed.
             residual if residual <= 1e-12 * scale => 0.0,
             residual => residual / y.abs(),
         };
--- a/crates/ladderpass-testbed/src/drill/errors.rs
+++ b/crates/ladderpass-testbed/src/drill/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of a drill file. Each prints as one line that names the wrong key.
+//! Errors of a drill file. Each error prints as one line that names the wrong key.
 
 use thiserror::Error;
 
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -210,8 +210,8 @@
     if !event.split.is_empty() {
         let routers = |side: &Vec<String>| side.iter().filter(is_router).cloned().collect();
         let split: Vec<Vec<String>> = event.split.iter().map(routers).collect();
-        // The rule names the routers of all sides. The fault tool treats a router that the rule does not name as a side
-        // of its own, but routers on no side of the event must reach all others.
+        // The rule applies only to datagrams between routers that are on a side. The fault tool would treat each other
+        // router as a side of its own, but routers on no side must reach all others.
         let on_a_side: Vec<String> = split.iter().flatten().cloned().collect();
         rules.push(DatagramRule {
             from: on_a_side.clone(),
--- a/crates/ladderpass-testbed/src/drill/play/record.rs
+++ b/crates/ladderpass-testbed/src/drill/play/record.rs
@@ -49,8 +49,8 @@
     pub cpu_seconds: Vec<f64>,
     /// Begins and ends of fault events, in order.
     pub event_log: Vec<LoggedEvent>,
-    /// Time that the routers took to agree on their view before the load. It is `None` if they did not agree in time
-    /// or were not checked for it.
+    /// Time that the routers took to agree on their view before the load. The time is `None` if the routers did not
+    /// agree in time or were not checked for agreement.
     pub settled: Option<Span>,
     /// Times at which routers could not answer.
     pub absences: Vec<Absence>,
@@ -158,8 +158,8 @@
         RouterResults { cpu_seconds, alive, failures }
     }
 
-    /// Returns the links to members, by index in the fault tool. Each router has a link to each member, followed by
-    /// one to discovery.
+    /// Returns the links to members, by index in the fault tool. Each router has a link to each member, followed by a
+    /// link to discovery.
     fn member_links(&self) -> HashMap<usize, MemberLink> {
         let members = self.drill.scenario.member_count();
         let links_per_router = members + 1;
--- a/crates/ladderpass-testbed/src/drill/play/start.rs
+++ b/crates/ladderpass-testbed/src/drill/play/start.rs
@@ -59,7 +59,8 @@
 /// Returns the key `peers` of a router's operator file.
 fn peers_setting(drill: &Drill, router: usize, listen: SocketAddr, advertised: &[SocketAddr]) -> String {
     let mut listed: Vec<SocketAddr> = advertised.iter().take(LISTED_PEERS).copied().collect();
-    // Routers of an earlier version can't be discovered through others, so all of them are listed.
+    // Routers of an earlier version can't be discovered through other routers, so all routers of an earlier version are
+    // listed.
     let earlier =
         (LISTED_PEERS..advertised.len()).filter(|other| drill.earlier.contains(&format!("r{other}")));
     listed.extend(earlier.map(|other| advertised[other]));
@@ -70,8 +71,8 @@
     )
 }
 
-/// Returns the key `peers` in the format of the earlier version. It lists all routers, with the router's own listen
-/// address at its own index.
+/// Returns the key `peers` in the format of the earlier version. The key lists all routers, with the router's own
+/// listen address at its own index.
 fn earlier_peers_setting(router: usize, listen: SocketAddr, advertised: &[SocketAddr]) -> String {
     let all: Vec<SocketAddr> =
         (0..advertised.len()).map(|other| if other == router { listen } else { advertised[other] }).collect();
--- a/crates/ladderpass-testbed/src/drill/play/testbed.rs
+++ b/crates/ladderpass-testbed/src/drill/play/testbed.rs
@@ -243,7 +243,7 @@
     driver::RunningTool::start(Plan { seed, links, ..Default::default() }, None)
 }
 
-/// Starts the fault tool behind the routers. For each router in order, it has links to the members, a link to
+/// Starts the fault tool behind the routers. For each router in order, the tool has links to the members, a link to
 /// discovery, and an address for datagrams.
 fn start_router_links(
     emulator: &RunningEmulator,
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Number of time slices in a second. It converts counts of a slice into rates.
+/// Number of time slices in a second, which converts counts of a slice into rates.
 const SLICES_PER_SECOND: f64 = 10.0;
 /// Maximum number of violations in the table.
 const MAX_VIOLATIONS_SHOWN: usize = 10;
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -54,8 +54,8 @@
         Event { at: entry.sent, kind }
     }
 
-    /// Returns whether the RPC's router was absent while the client waited. A graceful shutdown excuses only RPCs
-    /// sent after it began.
+    /// Returns whether the RPC's router was absent while the client waited. A graceful shutdown excuses only RPCs that
+    /// were sent after the shutdown began.
     fn is_excused(&self, entry: &RpcRecord) -> bool {
         let answered_at = entry.answered.map(|answered| answered.at);
         let ended_at = answered_at.or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
@@ -161,7 +161,8 @@
         events
     }
 
-    /// Returns the writes with a wrong answer: those answered ok that never ran, and those rejected that ran.
+    /// Returns the writes with a wrong answer: writes that were answered ok but never ran, and writes that were
+    /// rejected but ran.
     pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
         let executions = self.execution_log.executions.iter();
         let executing_member: BTreeMap<u64, u32> = executions
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// What clients observed, with one entry per RPC in the order of sending.
     pub journal: &'a [RpcRecord],
-    /// Begins and ends of attempts that the fault tool observed. It is empty in a run without the tool.
+    /// Begins and ends of attempts that the fault tool observed. The list is empty in a run without the tool.
     pub attempts: &'a [AttemptEvent],
     /// Start of the fault tool, from which the times of `attempts` are counted.
     pub tool_started_at: Time,
--- a/crates/ladderpass-testbed/src/history_checker/replay.rs
+++ b/crates/ladderpass-testbed/src/history_checker/replay.rs
@@ -26,7 +26,8 @@
     check_events_with(events, &mut checker)
 }
 
-/// Does the same as [`check_events`], but borrows the checker, so that the caller can read its state afterwards.
+/// Does the same as [`check_events`], but borrows the checker, so that the caller can read the checker's state
+/// afterwards.
 pub(super) fn check_events_with(mut events: Vec<Event>, checker: &mut impl Checker) -> Vec<Violation> {
     events.sort_by_key(|event| (event.at, causal_order(&event.kind)));
     let mut violations = Vec::new();
--- a/crates/ladderpass-testbed/src/load/connections.rs
+++ b/crates/ladderpass-testbed/src/load/connections.rs
@@ -17,7 +17,8 @@
 /// Delay before a lost connection is reopened, if there are several routers. With a single router it is reopened at
 /// once.
 const RECONNECT_DELAY: Span = Span::from_millis(50);
-/// Receive buffer of a slow reader. It is small so that unread answers wait in the router and not in the kernel.
+/// Size of the receive buffer of a slow reader. The buffer is small so that unread answers wait in the router and not
+/// in the kernel.
 const SLOW_READER_RECEIVE_BYTES: usize = 4096;
 
 impl LoadGenerator<'_> {
--- a/crates/ladderpass-testbed/src/load/load_balancer.rs
+++ b/crates/ladderpass-testbed/src/load/load_balancer.rs
@@ -21,7 +21,7 @@
     pub mean_stay: Span,
     /// Time until the balancer detects that a router is down. Until then, new connections still go to that router.
     pub down_detection: Span,
-    /// The routers that are down, whether or not the balancer has detected it.
+    /// The routers that are down, whether or not the balancer has detected that they are.
     pub down: Arc<DownRouters>,
 }
 
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -9,7 +9,7 @@
 /// Outcome of one RPC, as its client observed it. Each retry by the client has a separate record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcRecord {
-    /// Number of the RPC in this load. Numbers increase in the order of sending.
+    /// Number of the RPC in the load. Numbers increase in the order of sending.
     pub number: u64,
     /// Index of the router that the RPC was sent to.
     pub router: usize,
@@ -34,7 +34,8 @@
     pub at: Time,
     /// Kind of the answer.
     pub answer: Answer,
-    /// Number of the RPC that the answer's value was made for, if the answer has a value from which it can be read.
+    /// Number of the RPC that the answer's value was made for, if the answer has a value from which that number can be
+    /// read.
     pub made_for: Option<u64>,
 }
 
@@ -106,10 +107,10 @@
     pub began: Time,
     /// Time over which RPCs were due.
     pub duration: Span,
-    /// Longest time from when an RPC was due until it was sent. For a client's retry, it counts from when the first
-    /// attempt was due.
+    /// Longest time from when an RPC was due until it was sent. For a client's retry, the time counts from when the
+    /// first attempt was due.
     pub max_send_delay: Span,
-    /// One record per RPC in the order of sending. It is empty unless the plan's `journal` is set.
+    /// One record per RPC in the order of sending. The list is empty unless the plan's `journal` is set.
     pub journal: Vec<RpcRecord>,
 }
 
--- a/crates/ladderpass-testbed/src/load/plan.rs
+++ b/crates/ladderpass-testbed/src/load/plan.rs
@@ -10,7 +10,7 @@
 pub enum Arrivals {
     /// Open arrivals: a Poisson process in consecutive phases, whether or not earlier RPCs are answered.
     Open(Vec<Phase>),
-    /// Closed arrivals: for this duration, each connection sends an RPC when an earlier one is answered.
+    /// Closed arrivals: for this duration, each connection sends an RPC when an earlier RPC is answered.
     Closed(Span),
 }
 
@@ -75,7 +75,7 @@
     pub floods: usize,
     /// Number of RPCs that a flooding connection keeps in flight.
     pub flood_depth: usize,
-    /// Seed of all random draws. It is also part of each RPC's id.
+    /// Seed of all random draws. The seed is also part of each RPC's id.
     pub seed: u64,
     /// Whether to keep an [`RpcRecord`](super::RpcRecord) of each RPC for the history checker.
     pub journal: bool,
--- a/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
+++ b/crates/ladderpass-testbed/src/prove/capacity/long_runs.rs
@@ -29,8 +29,8 @@
 /// How many events are simulated at the same time.
 const EVENT_THREADS: usize = 3;
 
-/// The file of all tables. It is written again after each part, so that an interrupted run leaves the parts that it
-/// finished.
+/// The file of all tables. The file is written again after each part, so that an interrupted run leaves the parts that
+/// it finished.
 struct Report<'a> {
     out: &'a Path,
     text: String,
--- a/crates/ladderpass-testbed/src/prove/faults/cases.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/cases.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Above this [`FaultCase::log_ms`], the replicas' data counts as too old for reads.
+/// If [`FaultCase::log_ms`] is above this value, the replicas' data counts as too old for reads.
 const MIN_LAGGING_LOG_MS: f64 = 100.0;
 
 /// All cases, in the order of the table.
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -17,7 +17,7 @@
 const LOAD_S: f64 = 1.0;
 const RPCS_PER_SECOND: f64 = 400.0;
 const DEADLINE: Span = Span::from_millis(1000);
-/// How long after the deadline of its RPC an answer may come.
+/// How long after the deadline of an RPC the answer to the RPC may come.
 const ANSWER_TOLERANCE: Span = Span::from_millis(50);
 const TERMINATE_AT_S: f64 = 0.7;
 const DRAIN_AT_S: f64 = 0.4;
@@ -142,8 +142,8 @@
     rules
 }
 
-/// Returns how often the router met the difficulty of the case. It is counted in decisions of the fault tool, in RPCs at the
-/// members that the case affects, or in answers.
+/// Returns how often the router met the difficulty of the case. This number is counted in decisions of the fault tool,
+/// in RPCs at the members that the case affects, or in answers.
 fn exposure(case: &FaultCase, record: &RunRecord, decisions: usize) -> Exposure {
     let executions = &record.execution_log.executions;
     let started_at = |member| executions.iter().filter(|execution| execution.member == member).count();
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns a fault event that closes connections at members' answers, at most `times` in all. `link` is the key of the rule
-/// that names its link, or is empty if the rule applies to all links.
+/// Returns a fault event that closes connections at members' answers, at most `times` in all. `link` is the rule's key
+/// with the name of the only link that the rule applies to, or is empty if the rule applies to all links.
 fn lose_answers(name: &str, link: &str, times: u32) -> FaultEvent {
     let text = format!("{{name: {name}, {link}when: {{message: DataRow}}, do: close, times: {times}}}");
     let rule = Rule::read(&text).expect("a rule of the proof can be parsed");
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -20,8 +20,8 @@
 const RPCS_PER_SECOND: f64 = 100.0;
 /// Health checks are counted from this time of the load on, because all routers check all members shortly before.
 const SETTLE: Span = Span::from_millis(1000);
-/// The fraction of reads of a load of writes alone. No replica answers an RPC of this load, so that routers learn of
-/// replicas only from health checks.
+/// The fraction of reads in a load that has only writes. No replica answers an RPC of such a load, so that routers
+/// learn of replicas only from health checks.
 const NO_READS: f64 = 0.0;
 /// The fraction of reads of a load in which answers of replicas inform routers too.
 const MOSTLY_READS: f64 = 0.8;
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -31,7 +31,7 @@
 /// which is no longer overload.
 const OVERLOAD_S: Range<f64> = 0.0..DRILL_END_S - 0.6;
 const SPLIT_END_S: f64 = SPLIT.at_s + SPLIT.lasts_s;
-/// The part of the split that begins two seconds after its start.
+/// The part of the split that begins two seconds after the start of the split.
 const DURING_SPLIT_S: Range<f64> = SPLIT.at_s + 2.0..SPLIT_END_S;
 /// The period that begins two seconds after the end of the split.
 const AFTER_SPLIT_S: Range<f64> = SPLIT_END_S + 2.0..FAILURE_DRILL_END_S - 0.5;
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -37,7 +37,7 @@
 
 /// The records of all drills.
 struct Measurements {
-    /// The drills with the current program. The last one is the hardest.
+    /// The drills with the current program. The last drill is the hardest.
     current: Vec<PlayedDrill>,
     /// The hardest drill with a build without a warm-up.
     without_warm_up: DrillRecord,
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -1,5 +1,5 @@
-//! Detection of failures by ten routers in one drill. Its faults are kills, a freeze, a router whose datagrams are lost,
-//! random loss and a split.
+//! Detection of failures by ten routers in one drill. The faults in the drill are kills, a freeze, a router whose
+//! datagrams are lost, random loss and a split.
 
 use super::datagram_rules::loss_rule;
 use super::views::{agreement_delay_s, detection_delays_s, false_alarms, live_counts};
--- a/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/health_checks.rs
@@ -20,7 +20,8 @@
 /// The rate of the load, which is so low that load reports in answers don't replace health checks.
 const RPCS_PER_SECOND: f64 = 4.0;
 const MAX_READ_AGE_MS: f64 = 400.0;
-/// The period in which health checks are counted, in seconds of the load. The routers have detected the kills by its start.
+/// The period in which health checks are counted, in seconds of the load. The routers have detected the kills by the
+/// start of the period.
 const COUNTED_S: Range<f64> = 4.0..8.0;
 /// A kill that is not detected within this time counts as not detected.
 const DETECTION_TIMEOUT_S: f64 = 5.0;
@@ -80,8 +81,8 @@
     Ok(HealthCheckRecords { current, faulty, earlier })
 }
 
-/// Returns a drill in which a third of the routers is killed. Its load has only reads, so that routers check members for
-/// their positions.
+/// Returns a drill in which a third of the routers is killed. The load has only reads, so that routers check members
+/// for their positions.
 fn drill(build: Build) -> Drill {
     let mut scenario = Scenario::default();
     scenario.methods[0].max_age_ms = Some(MAX_READ_AGE_MS);
--- a/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/calm_load.rs
@@ -44,7 +44,8 @@
     Ok(calm_rate)
 }
 
-/// Returns whether the router is calm at a rate in two of up to three runs. Runs in which it is not calm are reported.
+/// Returns whether the router is calm at a rate in two of up to three runs. Runs in which the router is not calm are
+/// reported.
 fn is_calm_at(
     table: &mut Table,
     scenario: &Scenario,
--- a/crates/ladderpass-testbed/src/prove/overload/cost.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/cost.rs
@@ -9,7 +9,8 @@
 use ladderpass_routing::Span;
 use std::io;
 
-/// The number of comparisons with the earlier program. In each, the earlier and the current program run one after the other.
+/// The number of comparisons with the earlier program. In each comparison, the earlier and the current program run one
+/// after the other.
 const COMPARISONS: u64 = 2;
 const MAX_COST_RATIO_TO_EARLIER: f64 = 0.65;
 const MAX_REJECTED_WHILE_IDLE: f64 = 0.001;
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the last value of a curve as a fraction of its greatest one.
+/// Returns the last value of a curve as a fraction of the curve's greatest value.
 fn last_relative_to_best(curve: &[(f64, f64)]) -> f64 {
     let best = curve.iter().map(|(_, goodput)| *goodput).fold(0.0, f64::max);
     curve.last().map_or(0.0, |(_, last)| last / best.max(1e-9))
--- a/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/triple_load.rs
@@ -19,11 +19,11 @@
 /// When the load ends.
 const END_S: f64 = 6.0;
 const LOAD_FACTOR: f64 = 3.0;
-/// Loop delays are measured from this time on.
+/// Delays of the router's event loop are measured from this time on.
 const DELAYS_FROM_S: f64 = 0.5;
 /// The router must have recovered by this time, two seconds after the load fell.
 const RECOVERED_FROM_S: f64 = 5.5;
-/// The recovery is measured until this time.
+/// The router's recovery after the load fell is measured until this time.
 const RECOVERED_TO_S: f64 = 5.9;
 
 const MAX_LOOP_DELAY_P999_MS: f64 = 50.0;
@@ -31,7 +31,7 @@
 const MIN_RECOVERED_GOOD: f64 = 0.999;
 const MAX_LEVEL_CHANGES_PER_SECOND: f64 = 3.0;
 const MAX_LOAD_DELAY: Span = Span::from_millis(20);
-/// How long after the deadline of its RPC an answer may come.
+/// How long after the deadline of an RPC the answer to the RPC may come.
 const ANSWER_TOLERANCE: Span = Span::from_millis(50);
 
 /// The records of the same load on the routers with and without overload control. On the router without overload
--- a/crates/ladderpass-testbed/src/prove/table.rs
+++ b/crates/ladderpass-testbed/src/prove/table.rs
@@ -11,10 +11,10 @@
 /// One measurement of a proof.
 struct Row {
     label: String,
-    /// The text of the requirement. It is empty if nothing is required.
+    /// The text of the requirement. The text is empty if nothing is required.
     requirement: String,
     measured: String,
-    /// Whether the requirement holds. It is None if nothing is required.
+    /// Whether the requirement holds, or None if nothing is required.
     holds: Option<bool>,
 }
 
@@ -57,7 +57,8 @@
         });
     }
 
-    /// Adds a failed requirement if no build of the router with switchable faults is given. Returns whether one is given.
+    /// Adds a failed requirement if no build of the router with switchable faults is given. Returns whether such a
+    /// build is given.
     pub fn require_faulty_build(&mut self, programs: Programs<'_>) -> bool {
         if programs.faulty.is_none() {
             self.require("faulty builds", "told apart", "no --faulty router", false);
