--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -15,7 +15,7 @@
     Invalid {
         /// Path of the key within the checked plan, rule or action.
         key: String,
-        /// What is wrong with its value.
+        /// The reason why the key's value is not allowed.
         problem: PlanProblem,
     },
 }
@@ -42,7 +42,7 @@
     /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
     #[error("{0} is not a loopback address; allowed are 127.0.0.0/8 and [::1]")]
     NotLoopback(SocketAddr),
-    /// The name is already in use.
+    /// Another link or another rule already has the name.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
     /// An earlier datagram end has the same name or the same `to` address.
@@ -54,7 +54,7 @@
     /// A rule waits for itself, or for a rule that the plan does not have.
     #[error("there is no other rule {0:?}")]
     UnknownRule(String),
-    /// The name is not among the allowed ones.
+    /// A name is not one of the allowed names.
     #[error("{name:?}; allowed are {allowed}")]
     UnknownName {
         /// The rejected name.
@@ -62,7 +62,7 @@
         /// All allowed names, separated by commas.
         allowed: String,
     },
-    /// The number is outside its range.
+    /// A number is outside its allowed range.
     #[error("{value}; allowed are {allowed}")]
     OutOfRange {
         /// The rejected number.
@@ -73,16 +73,16 @@
     /// The number of a connection or of a match is 0, but both are counted from 1.
     #[error("connections and matches are counted from 1")]
     CountedFromZero,
-    /// The opening of a connection can't trigger this action.
+    /// A rule is triggered by the opening of a connection, which can't trigger the rule's action.
     #[error("{0} does nothing when a connection opens")]
     NotAtOpening(&'static str),
-    /// Only the opening of a connection can trigger this action.
+    /// A rule is not triggered by the opening of a connection, but nothing else can trigger the rule's action.
     #[error("{0} acts only with when.opens")]
     OnlyAtOpening(&'static str),
     /// A rule that is triggered by the opening of a connection also has a condition on messages or bytes.
     #[error("a connection that opens has no messages or bytes yet")]
     NoBytesAtOpening,
-    /// The rate is 0.
+    /// An action limits a direction to a rate of 0 bytes per second.
     #[error("must be above 0; the action hold stops a direction")]
     ZeroRate,
 }
@@ -120,7 +120,7 @@
     Rejected {
         /// Name of the command.
         command: &'static str,
-        /// The reason.
+        /// The reason why the engine rejects the command's change.
         source: EngineError,
     },
     /// A `wait` command does not have exactly three arguments.
--- a/crates/ladderpass-testbed/src/drill/report.rs
+++ b/crates/ladderpass-testbed/src/drill/report.rs
@@ -11,7 +11,7 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Number of time slices in a second. It converts counts of a slice into rates.
+/// Number of time slices in a second, which converts counts of a slice into rates.
 const SLICES_PER_SECOND: f64 = 10.0;
 /// Maximum number of violations in the table.
 const MAX_VIOLATIONS_SHOWN: usize = 10;
@@ -19,9 +19,9 @@
 /// Numbers of attempts that arrived at members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptCounts {
-    /// First attempts of RPCs.
+    /// First attempts of RPCs that arrived at members.
     pub first: usize,
-    /// Further attempts of RPCs that had a first attempt.
+    /// Further attempts that arrived at members, of RPCs that had a first attempt.
     pub retries: usize,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl DrillRecord {
-    /// Counts the outcomes of the RPCs that were sent to the given routers, from the journal.
+    /// Counts the outcomes of the RPCs that were sent to the given routers, from the journal of the load.
     pub fn counts_of(&self, drill: &Drill, routers: &[usize]) -> Counts {
         let mut counts = Counts::default();
         let grace = Span::from_millis(i64::from(drill.grace_ms));
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -54,8 +54,8 @@
         Event { at: entry.sent, kind }
     }
 
-    /// Returns whether the RPC's router was absent while the client waited. A graceful shutdown excuses only RPCs
-    /// sent after it began.
+    /// Returns whether the RPC's router was absent while the client waited. A graceful shutdown excuses only RPCs that
+    /// were sent after the shutdown began.
     fn is_excused(&self, entry: &RpcRecord) -> bool {
         let answered_at = entry.answered.map(|answered| answered.at);
         let ended_at = answered_at.or(entry.lost).unwrap_or(Time::from_nanos(i64::MAX));
@@ -85,7 +85,8 @@
                 _ => {}
             }
         }
-        // An event after the last deadline makes the checker report all unanswered RPCs. No RPC has its number.
+        // An event after the last deadline makes the checker report all unanswered RPCs. The number in this event
+        // belongs to no RPC.
         let last_deadline = self.journal.iter().map(|entry| entry.deadline).max().unwrap_or_default();
         let at = last_deadline + END_AFTER_LAST_DEADLINE;
         events.push(Event { at, kind: EventKind::ClientLeft { rpc: u64::MAX } });
@@ -106,8 +107,8 @@
         let mut events: Vec<Event> = self.journal.iter().map(|entry| self.accepted_event(entry)).collect();
         let arrivals = &self.execution_log.arrivals;
         if self.attempts.is_empty() {
-            // Without the fault tool, only an attempt's arrival at a member is known. It counts as the attempt's end
-            // too.
+            // Without the fault tool, only an attempt's arrival at a member is known. The arrival counts as the
+            // attempt's end too.
             for arrival in arrivals.iter().filter(|arrival| !arrival.rejected) {
                 let Some(rpc) = self.rpc_number(&arrival.id) else { continue };
                 let (at, member) = (arrival.at, arrival.member);
@@ -160,7 +161,8 @@
         events
     }
 
-    /// Returns the writes with a wrong answer: those answered ok that never ran, and those rejected that ran.
+    /// Returns the writes with a wrong answer: writes that were answered ok but never ran, and writes that were
+    /// rejected but ran.
     pub(super) fn wrong_write_answers(&self) -> Vec<Violation> {
         let executions = self.execution_log.executions.iter();
         let executing_member: BTreeMap<u64, u32> = executions
--- a/crates/ladderpass-testbed/src/history_checker/mod.rs
+++ b/crates/ladderpass-testbed/src/history_checker/mod.rs
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// What clients observed, with one entry per RPC in the order of sending.
     pub journal: &'a [RpcRecord],
-    /// Begins and ends of attempts that the fault tool observed. It is empty in a run without the tool.
+    /// Begins and ends of attempts that the fault tool observed. The list is empty in a run without the tool.
     pub attempts: &'a [AttemptEvent],
     /// Start of the fault tool, from which the times of `attempts` are counted.
     pub tool_started_at: Time,
@@ -71,7 +71,8 @@
         violations
     }
 
-    /// Returns the violations of rule 4 (cold members) that one router's attempts cause without those of the others.
+    /// Returns the violations of rule 4 (cold members) that the attempts of one router cause by themselves, without the
+    /// attempts of the other routers.
     pub fn slow_start_violations_of(&self, router: usize) -> Vec<Violation> {
         check_events(self.slow_start_events(Some(router)), SlowStart::default())
     }
--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/drills.rs
@@ -29,10 +29,10 @@
 pub const REJECTION_DRILL_END_S: f64 = 6.0;
 /// The load under which members reject attempts is 2.5 times their capacity.
 const OVERLOAD_RPCS_PER_SECOND: f64 = 750.0;
-/// Fractions of reads and writes in this load.
+/// Fractions of reads and writes in the load under which members reject attempts.
 const OVERLOAD_SHARES: [f64; 2] = [0.9, 0.1];
 const OVERLOAD_CLIENTS: usize = 600;
-/// How many RPCs a member queues before it rejects further ones.
+/// How many RPCs a member queues before it rejects further RPCs.
 const QUEUED_RPCS: usize = 4;
 
 /// The period in which a member is down.
@@ -41,7 +41,7 @@
 pub const FAILURE_DRILL_END_S: f64 = 12.0;
 const FAILING_MEMBER: u32 = 2;
 const SPLIT: FaultWindow = FaultWindow { at_s: 3.5, lasts_s: 2.0 };
-/// How often a client retries while a member is down.
+/// How often a client retries a rejected RPC at most, in the drill in which a member is down.
 const CLIENT_RETRIES: u32 = 3;
 
 /// Returns a drill in which all members lose answers. The connections close at the answers, so that the members' work is
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns a fault event that closes connections at members' answers, at most `times` in all. `link` is the key of the rule
-/// that names its link, or is empty if the rule applies to all links.
+/// Returns a fault event that closes connections at members' answers, at most `times` in all. `link` is the rule's key
+/// with the name of the only link that the rule applies to, or is empty if the rule applies to all links.
 fn lose_answers(name: &str, link: &str, times: u32) -> FaultEvent {
     let text = format!("{{name: {name}, {link}when: {{message: DataRow}}, do: close, times: {times}}}");
     let rule = Rule::read(&text).expect("a rule of the proof can be parsed");
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -37,9 +37,9 @@
 
 /// The records of all drills.
 struct Measurements {
-    /// The drills with the current program. The last one is the hardest.
+    /// The drills with the current program. The last drill is the hardest.
     current: Vec<PlayedDrill>,
-    /// The hardest drill without a warm-up.
+    /// The hardest drill with a build without a warm-up.
     without_warm_up: DrillRecord,
     /// The hardest drill with the earlier program, if there is one.
     earlier: Option<DrillRecord>,
--- a/crates/ladderpass-testbed/src/prove/overload/goodput.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/goodput.rs
@@ -26,7 +26,7 @@
     uncontrolled: Vec<(f64, f64)>,
 }
 
-/// Measures both curves.
+/// Measures the goodput curves with and without overload control.
 ///
 /// # Errors
 /// Returns an error if a run can't be started.
@@ -72,7 +72,7 @@
         );
     }
 
-    /// Writes the chart of both curves.
+    /// Writes the chart of the goodput curves with and without overload control.
     ///
     /// # Errors
     /// Returns an error if it can't be written.
@@ -85,7 +85,7 @@
     }
 }
 
-/// Returns the last value of a curve as a fraction of its greatest one.
+/// Returns the last value of a curve as a fraction of the curve's greatest value.
 fn last_relative_to_best(curve: &[(f64, f64)]) -> f64 {
     let best = curve.iter().map(|(_, goodput)| *goodput).fold(0.0, f64::max);
     curve.last().map_or(0.0, |(_, last)| last / best.max(1e-9))
