--- a/crates/ladderpass-invariants/src/effects.rs
+++ b/crates/ladderpass-invariants/src/effects.rs
@@ -57,8 +57,8 @@
                     let text = format!("RPC {rpc:x} is sent while another attempt of it is in flight");
                     report(rpc, member, text, vec![first, *event]);
                 } else if let (true, Some(first)) = (state.run_once, state.may_have_run) {
-                    // This is a violation even if the first attempt did not run, because the router could not know
-                    // that the attempt did not run.
+                    // Sending the RPC again is a violation even if its first attempt did not run, because the
+                    // router could not know that.
                     let text = format!("RPC {rpc:x} is sent again though it may have run");
                     report(rpc, member, text, vec![first, *event]);
                 }
--- a/crates/ladderpass-invariants/src/one_answer.rs
+++ b/crates/ladderpass-invariants/src/one_answer.rs
@@ -22,7 +22,8 @@
     accepted: Event,
     deadline: Time,
     answered: Option<Event>,
-    /// Whether a missing answer is not reported, because the client has disconnected or the deadline has been checked.
+    /// Whether a missing answer is no longer to be reported, because the client has disconnected or the check
+    /// at the deadline has been made.
     no_answer_due: bool,
 }
 
--- a/crates/ladderpass-invariants/src/slow_start.rs
+++ b/crates/ladderpass-invariants/src/slow_start.rs
@@ -7,7 +7,7 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::{HashMap, VecDeque};
 
-/// How long after the end of a member's slow start the last checked window ends.
+/// The last window that is checked for a member ends this long after the end of the member's slow start.
 const CHECK_AFTER_WARM_UP: Span = Span::from_millis(500);
 /// Margin for random variation, in square roots of the number of RPCs that a member can serve in a window.
 const MARGIN_ROOTS: f64 = 2.0;
@@ -24,9 +24,9 @@
 }
 
 impl SlowStart {
-    /// Returns the largest excess of a window's RPCs over the number that the member can serve plus two RPCs, in
-    /// square roots of the number that it can serve. An excess of up to two is allowed. Returns negative infinity if
-    /// no attempt went to a member in slow start.
+    /// Returns the largest excess of a window's RPCs over the number that the member can serve plus two RPCs,
+    /// in square roots of the number that it can serve. An excess of up to two such square roots is allowed.
+    /// Returns negative infinity if no attempt went to a member in slow start.
     pub fn max_excess(&self) -> f64 {
         self.max_excess.unwrap_or(f64::NEG_INFINITY)
     }
@@ -38,8 +38,8 @@
             self.members.remove(&member);
             return None;
         }
-        // Of all windows that contain this attempt and no later one, the window that ends with it contains the most
-        // attempts.
+        // Of all windows that contain this attempt and no later attempt, the window that ends with this attempt
+        // contains the most attempts.
         state.window.push_back(event.at);
         while state.window.front().is_some_and(|&at| event.at - at >= state.overload_window) {
             state.window.pop_front();
--- a/crates/ladderpass-membership/src/dissemination.rs
+++ b/crates/ladderpass-membership/src/dissemination.rs
@@ -12,8 +12,8 @@
 use nanorand::Rng;
 use std::net::SocketAddr;
 
-/// Maximum number of datagrams with an immediate update that this router sends in a round (`Settings::probe_interval`).
-/// Also the number of routers that are notified when this router leaves.
+/// Maximum number of datagrams that this router sends in a round (`Settings::probe_interval`) to spread one
+/// update at once. When this router leaves, it notifies at most this many routers.
 const MAX_GOSSIP_PER_ROUND: usize = 6;
 /// Maximum number of gossip datagrams filled with the view (the states of all known routers) that this router sends in
 /// a round.
@@ -70,8 +70,8 @@
         let mut updates = draft.updates;
         let is_probe = matches!(draft.kind, Kind::Ping | Kind::Ack);
         if is_probe || draft.fill_with_view {
-            // Lifeguard's buddy system: a receiver that this router counts as suspected, dead or left is sent that
-            // state, so that it can refute.
+            // Lifeguard's buddy system: a receiver that this router counts as suspected, dead or left is sent
+            // the state that this router counts it in, so that the receiver can refute.
             let state_of_receiver = self.routers.state_update(to);
             updates.extend(state_of_receiver.filter(|known| known.state != State::Alive));
         }
@@ -135,8 +135,8 @@
         (RETRANSMIT_MULTIPLIER * doublings).ceil() as u32
     }
 
-    /// Records that another router has the same view. That router therefore knows all updates that the digest covers,
-    /// which are all updates except suspicions.
+    /// Records that another router has the same view as this router. The other router therefore knows all
+    /// updates that the digest covers, which are all updates except suspicions.
     pub(crate) fn record_same_view(&mut self) {
         let limit = self.transmission_limit();
         let routers = &self.routers;
@@ -145,8 +145,8 @@
         });
     }
 
-    /// Sends the view in several datagrams, within the limits after one ping or ack and per round. The number of
-    /// datagrams is estimated from the size of the shortest update.
+    /// Sends the view in several datagrams, at most `MAX_VIEW_SYNCS_AT_ONCE` now and `MAX_VIEW_SYNCS_PER_ROUND`
+    /// in a round. The number of datagrams is estimated from the size of the shortest update.
     pub(crate) fn send_view(&mut self, to: SocketAddr) {
         let view_bytes = self.routers.len() * MIN_UPDATE_BYTES;
         let datagrams = view_bytes
--- a/crates/ladderpass-membership/src/membership.rs
+++ b/crates/ladderpass-membership/src/membership.rs
@@ -55,26 +55,27 @@
     pub(crate) routers: RouterTable,
     pub(crate) senders: Senders,
     pub(crate) rng: WyRand,
-    /// Routers that are still to be probed before any router is probed again. The last router in the vector is probed
-    /// next.
+    /// Routers that have not been probed yet in the present cycle, in which each live router is probed once.
+    /// The last router in the vector is probed next.
     pub(crate) probe_order: Vec<SocketAddr>,
     pub(crate) probes: ProbeTable,
     pub(crate) updates: UpdateQueue,
     pub(crate) health: LocalHealth,
     pub(crate) next_round_at: Time,
     pub(crate) round: u64,
-    /// Number of datagrams with an immediate update that this router has sent in this round.
+    /// Number of datagrams that this router has sent in this round to spread one update at once, without
+    /// waiting for the next probe.
     pub(crate) gossip_sent: usize,
-    /// Number of gossip datagrams filled with the view that this router has sent in this round. Acks filled with the
-    /// view are not counted.
+    /// Number of gossip datagrams that this router has sent in this round and whose remaining space was filled
+    /// with the view (the states of all known routers). Acks filled in this way are not counted.
     pub(crate) view_syncs_sent: usize,
     pub(crate) last_tick_at: Time,
     pub(crate) is_leaving: bool,
     pub(crate) outgoing: Vec<(SocketAddr, Vec<u8>)>,
     pub(crate) changes: Vec<(SocketAddr, Change)>,
     pub(crate) counts: DatagramCounts,
-    /// Whether an update about this router was received with a later start time than this router's, which only another
-    /// process at the same address can have.
+    /// Whether an update about this router's address was received whose start time is later than this router's
+    /// own. Only another process at the same address can have such a start time.
     pub(crate) address_conflict: bool,
     pub(crate) piggyback: Vec<u8>,
     received_piggybacks: Vec<Vec<u8>>,
@@ -235,9 +236,9 @@
         self.routers.contains(router) || self.senders.is_configured(router)
     }
 
-    /// Applies the sender's own state. A sender that was confirmed dead is probed first, unless the message is the ack
-    /// of a probe of that sender: a datagram from before the death may arrive late, even one with a refutation that no
-    /// router has received.
+    /// Applies the sender's own state. A sender that was confirmed dead is probed first, unless the message is
+    /// the ack of a probe of that sender: a datagram that was sent before the confirmed death may arrive late,
+    /// and may carry a refutation that no router has received before.
     fn apply_sender_state(&mut self, now: Time, from: SocketAddr, message: &Message) {
         let acks_probe = message.kind == Kind::Ack && self.probes.is_target(message.sequence, from);
         if !acks_probe && self.is_confirmed_dead(from) {
--- a/crates/ladderpass-membership/src/probe.rs
+++ b/crates/ladderpass-membership/src/probe.rs
@@ -1,9 +1,9 @@
 //! Direct and indirect probes of SWIM.
 //!
-//! A probe begins with a ping. If no ack arrives within [`crate::Settings::ack_timeout`], other routers (relays) are
-//! asked to ping the same target (ping-req). If no ack arrives before the round is over, the target is suspected. Both
-//! timeouts grow with the local health score. A relay that receives no ack either sends a nack, from which the prober
-//! learns that its own link works (Lifeguard).
+//! A probe begins with a ping. If no ack arrives within [`crate::Settings::ack_timeout`], other routers
+//! (relays) are asked to ping the same target (ping-req). If no ack arrives before the round is over, the
+//! target is suspected. Both timeouts grow with the local health score. A relay that receives no ack sends a
+//! nack to the prober, which shows that the prober's own link works (Lifeguard).
 
 use crate::dissemination::Draft;
 use crate::membership::Membership;
@@ -72,7 +72,8 @@
         self.send(target, Draft::new(Kind::Ping, sequence));
     }
 
-    /// Answers a ping with an ack. If the views differ, this router's view is sent too.
+    /// Answers a ping with an ack. If the sender's view differs from this router's view, this router's view is
+    /// sent too.
     pub(crate) fn on_ping(&mut self, from: SocketAddr, sequence: u32, view_differs: bool) {
         let ack = Draft { fill_with_view: view_differs, ..Draft::new(Kind::Ack, sequence) };
         self.send(from, ack);
@@ -136,7 +137,8 @@
         self.health.improve();
     }
 
-    /// Counts a nack. The relay has received no ack either, and its nack shows that this router's own link works.
+    /// Counts a nack. Like this router, the relay has received no ack from the target, but the nack shows that
+    /// this router's own link works.
     pub(crate) fn on_nack(&mut self, now: Time, sequence: u32) {
         self.record_acknowledgement(now);
         if let Some(probe) = self.probes.initiated.get_mut(&sequence) {
@@ -144,8 +146,9 @@
         }
     }
 
-    /// Records that another router has received a datagram of this router. After an isolation the suspected routers get
-    /// the full time to refute again, since their refutations could not arrive.
+    /// Records that another router has received a datagram of this router. If this router was isolated until
+    /// now, the suspected routers get their full time to refute once more, since their refutations could not
+    /// arrive.
     fn record_acknowledgement(&mut self, now: Time) {
         if self.health.is_isolated(now) {
             self.routers.restart_suspicions(now);
@@ -187,7 +190,7 @@
         if probe.purpose == ProbePurpose::ReturnDetection {
             return;
         }
-        // If relays have sent no nack either, this router may be the one that is cut off.
+        // If not even the relays have answered (with a nack), this router may be the one that is cut off.
         self.health.degrade(probe.missed_nacks());
         self.suspect(now, probe.target, probe.sent_at);
     }
--- a/crates/ladderpass-membership/src/probe_table.rs
+++ b/crates/ladderpass-membership/src/probe_table.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The number of steps by which this failed probe worsens this router's health score. Each relay that sent no nack
-    /// counts as one step, and so does a probe without relays.
+    /// The number of steps by which this failed probe worsens this router's health score. Each relay that sent
+    /// no nack counts as one step. A probe for which no relay was asked counts as one step.
     pub fn missed_nacks(&self) -> u32 {
         match self.relays {
             0 => 1,
--- a/crates/ladderpass-membership/src/router_hash.rs
+++ b/crates/ladderpass-membership/src/router_hash.rs
@@ -15,7 +15,7 @@
     salted_hash(router, VIEW_SALT)
 }
 
-/// The id by which a suspicion names a router that has the suspicion.
+/// The id of a router in the list of those routers that have a suspicion.
 pub(crate) fn suspecting_router_id(router: SocketAddr) -> u16 {
     salted_hash(router, VIEW_SALT) as u16
 }
--- a/crates/ladderpass-membership/src/router_table.rs
+++ b/crates/ladderpass-membership/src/router_table.rs
@@ -27,17 +27,17 @@
     /// When this router began to count the other router's current process as alive, or to count the other router as
     /// dead or left.
     pub liveness_changed_at: Time,
-    /// When the other router last acked a probe of this router since it started or returned. `Time::NEVER` if there was
-    /// no such ack.
+    /// When the other router last acked a probe of this router. `Time::NEVER` if the other router has not done
+    /// so since it started, or since it returned after it was dead or had left.
     pub last_ack: Time,
     /// The suspicion about the other router while that router is suspected.
     pub suspicion: Option<Suspicion>,
-    /// Whether this router found the other router dead while this router was isolated. This router's own link may then
-    /// be the cause.
+    /// Whether this router found the other router dead while this router was isolated, so that this router's
+    /// own link may be the cause.
     pub found_dead_while_isolated: bool,
 }
 
-/// A change of the view of one router.
+/// A change of what the view says about one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The router was not known before.
@@ -76,7 +76,7 @@
     pub confidence: Confidence,
 }
 
-/// The number of live routers and the digest of their addresses and incarnations.
+/// The number of live routers and the digest of their addresses and incarnations, without this router.
 #[derive(Clone, Copy)]
 struct AliveSummary {
     count: usize,
@@ -185,7 +185,8 @@
         match update.state {
             State::Alive => self.mark_alive(now, update),
             State::Suspect => self.mark_suspect(now, update),
-            // The report may come from the other side of a partition, or from a router that did not receive an ack.
+            // The router that reports the death may be on the other side of a partition, or may not have
+            // received an ack.
             State::Dead if self.has_acked_recently(now, update.router) => {
                 let suspected_by = suspecting_router_id(update.router);
                 self.mark_suspect(now, &StateUpdate { state: State::Suspect, suspected_by, ..*update })
@@ -357,7 +358,7 @@
         self.suspicions_mut().for_each(|suspicion| suspicion.postpone(by));
     }
 
-    /// Gives every suspected router the full time to refute again, starting at `now`.
+    /// Gives every suspected router its full time to refute once more, counted from `now`.
     pub fn restart_suspicions(&mut self, now: Time) {
         self.suspicions_mut().for_each(|suspicion| suspicion.restart(now));
     }
--- a/crates/ladderpass-membership/src/senders.rs
+++ b/crates/ladderpass-membership/src/senders.rs
@@ -13,8 +13,8 @@
 #[derive(Clone, Copy)]
 struct ListedRouter {
     address: SocketAddr,
-    /// When legacy gossip last came from this address. Initially the time of this router's start, since any listed
-    /// router may be a legacy router.
+    /// When legacy gossip last came from this address. Before any gossip came, the time of this router's start,
+    /// since any listed router may be a legacy router.
     last_legacy_gossip_at: Time,
 }
 
--- a/crates/ladderpass-membership/src/suspicion.rs
+++ b/crates/ladderpass-membership/src/suspicion.rs
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Handles a probe that received no ack, direct or indirect. Starts a suspicion, or adds this router to the routers
-    /// that have an existing suspicion, which shortens its timeout.
+    /// Handles a probe that received no ack, direct or indirect. Starts a suspicion, or, if other routers
+    /// suspect the target already, adds this router to them, which shortens the timeout of the suspicion.
     pub(crate) fn suspect(&mut self, now: Time, target: SocketAddr, probe_sent_at: Time) {
         let Some(last_ack) = self.routers.get(target).map(|known| known.last_ack) else { return };
         let has_acked_since = last_ack > probe_sent_at;
@@ -61,7 +61,7 @@
         self.incarnation = if is_later { update.incarnation.next_start() } else { update.incarnation.next() };
         self.gossip_change(now, self.local_state());
         if update.state != State::Alive && !is_later {
-            // This router may be slow, since other routers received no ack from it.
+            // Other routers received no ack from this router, so this router may be slow.
             self.health.degrade(1);
         }
     }
--- a/crates/ladderpass-membership/src/suspicion_timeout.rs
+++ b/crates/ladderpass-membership/src/suspicion_timeout.rs
@@ -56,7 +56,7 @@
         self.deadline = self.deadline + by;
     }
 
-    /// Gives the suspected router the full time to refute again, starting now.
+    /// Gives the suspected router its full time to refute once more, counted from `now`.
     pub fn restart(&mut self, now: Time) {
         self.deadline = now + (self.deadline - self.started_at);
         self.started_at = now;
@@ -76,7 +76,7 @@
 ) -> Span {
     let min = settings.min_suspicion_timeout * (cluster_size as f64).log10().max(1.0);
     let max = min * settings.max_suspicion_factor;
-    // The first suspecting router and the suspected router cannot confirm the suspicion.
+    // Neither the router that had the suspicion first nor the suspected router can confirm the suspicion.
     let required = settings.required_confirmations.min(cluster_size.saturating_sub(2)).max(1);
     let confirmations = suspecting_router_count.saturating_sub(1).min(required);
     let confirmed_share = ((confirmations + 1) as f64).ln() / ((required + 1) as f64).ln();
--- a/crates/ladderpass-membership/tests/model/failure_detection.rs
+++ b/crates/ladderpass-membership/tests/model/failure_detection.rs
@@ -82,7 +82,7 @@
 #[derive(Debug)]
 struct FaultyRun {
     false_deaths: usize,
-    /// Whether router 0 counts the dead router 5 as dead, even after late datagrams from it.
+    /// Whether router 0 counts the dead router 5 as dead, even after datagrams of router 5 have arrived late.
     is_dead_router_removed: bool,
     /// Number of routers that router 0 counts as alive while router 5 is dead.
     count: usize,
--- a/crates/ladderpass-membership/tests/model/simulation.rs
+++ b/crates/ladderpass-membership/tests/model/simulation.rs
@@ -49,7 +49,8 @@
     /// A function of the indexes of two routers: whether the link from the first of them to the second is cut.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub index_of: HashMap<SocketAddr, usize>,
-    /// The longest time for which a router counted a running router as dead, among the false deaths that have ended.
+    /// The longest time for which a router counted a running router as dead. Only false deaths that have ended
+    /// are considered.
     longest_false_death: Span,
     /// How often a router counted a running router as dead.
     pub false_death_count: usize,
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Runs the simulation step by step, and after each step copies the datagrams from this router that are in transit.
-    /// Returns their receivers and bytes.
+    /// Runs the simulation step by step, and after each step copies the given router's datagrams that are in
+    /// transit. Returns their receivers and bytes.
     pub fn run_and_capture(&mut self, router: SocketAddr, steps: usize) -> Vec<Datagram> {
         let mut captured = Vec::new();
         for _ in 0..steps {
--- a/crates/ladderpass-routing/src/concurrency_limit.rs
+++ b/crates/ladderpass-routing/src/concurrency_limit.rs
@@ -28,13 +28,14 @@
 /// An answer suggests as the new limit the current limit divided by the latency ratio, plus the square root of the
 /// current limit. The square root is reduced to this share of the current limit if it is larger.
 const MAX_LIMIT_GROWTH_SHARE: f64 = 0.5;
-/// The concurrency limit grows only while it is below this multiple of the attempts in flight at the member, and a
-/// reduction for slow answers starts from at most that multiple. A limit far above the attempts in flight would
-/// need many reductions before it binds.
+/// The concurrency limit grows only while it is below this multiple of the attempts in flight at the member,
+/// and a reduction for slow answers starts from at most this multiple of them. A limit far above the attempts
+/// in flight would need many reductions before it binds.
 const MAX_LIMIT_PER_ATTEMPT_IN_FLIGHT: f64 = 2.0;
 
 /// A member is overloaded if its RPCs in flight exceed this multiple of the number that it can process at once.
-/// Where these numbers are unknown, the member is overloaded if its latency ratio is above this value.
+/// Where one of these two numbers is unknown, the member is overloaded if its latency ratio is above
+/// `OVERLOAD_RATIO`.
 const OVERLOAD_RATIO: f64 = 3.0;
 /// While a member is overloaded, the share of reads that it may get is multiplied by
 /// `MIN_READ_SHARE_FACTOR_PER_SECOND` or more each second. Otherwise the share is multiplied by
@@ -63,8 +64,8 @@
         && (limit >= 1.0 || now - member.last_attempt_at >= min_pause)
 }
 
-/// Adjusts a member's concurrency limit to the member's latency ratio after an answer to an attempt that was sent at
-/// `sent_at`. Answers to other routers can only reduce the limit.
+/// Adjusts a member's concurrency limit to the member's latency ratio after an answer to an attempt that was
+/// sent at `sent_at`. Answers that other routers received, and reported by gossip, can only reduce the limit.
 pub fn follow_latency(
     state: &mut RouterState,
     now: Time,
@@ -95,8 +96,8 @@
     reduce_limit(state, now, index, sent_at, reduced);
 }
 
-/// Reduces a member's concurrency limit to `limit`, unless the attempt that gives cause for it was sent before the
-/// last reduction.
+/// Reduces a member's concurrency limit to `limit`, unless the attempt whose result led to this call was sent
+/// before the last reduction.
 fn reduce_limit(state: &mut RouterState, now: Time, index: usize, sent_at: Time, limit: f64) {
     let member = state.topology.member_mut(index);
     if sent_at >= member.limit_reduced_at {
--- a/crates/ladderpass-routing/src/eligibility.rs
+++ b/crates/ladderpass-routing/src/eligibility.rs
@@ -19,8 +19,8 @@
 /// reserved for writes, and for reads that only the primary may serve.
 const SPILLED_READ_LIMIT_SHARE: f64 = 0.3;
 
-/// Returns why this RPC can't go to this member now, or `None` if it can. These reasons apply to replicas and
-/// primaries alike.
+/// Returns why this RPC can't go to this member now, or `None` if it can. The reasons that are checked here
+/// apply to replicas and primaries alike.
 pub fn reason_against(state: &RouterState, now: Time, index: usize, rpc: RpcId) -> Option<Ineligible> {
     let member = state.topology.member(index);
     let typical = state.method_of(rpc).typical;
@@ -44,8 +44,9 @@
     None
 }
 
-/// Returns why this RPC can't go to its group's primary now, or `None` if it can. A primary gets no RPC after a
-/// single failure, because no other member can take over the RPCs that wait there.
+/// Returns why this RPC can't go to its group's primary now, or `None` if it can. After a single failure, the
+/// primary gets no RPCs until `outlier_ejection` has reset the count of its failures, because no other member
+/// can take over RPCs that wait at the primary.
 pub fn reason_against_primary(
     state: &RouterState,
     now: Time,
--- a/crates/ladderpass-routing/src/endpoints.rs
+++ b/crates/ladderpass-routing/src/endpoints.rs
@@ -17,8 +17,8 @@
 /// A member that was removed from the list this long ago, and has nothing in flight, is retired. The index of a
 /// retired member may be given to another member.
 const RETIRE_REMOVED_AFTER: Span = Span::from_millis(30_000);
-/// The endpoint list is at most this late. For this long after a member has shown itself to be a replica, a list that
-/// names it as the primary is ignored.
+/// The endpoint list is at most this late. After a member has shown itself to be a replica, a list that names
+/// this member as the primary is ignored for this long.
 const MAX_LIST_DELAY: Span = Span::from_millis(10_000);
 /// After a failed poll of the endpoint list, the router waits for this time, doubled for each consecutive failure
 /// including the first, before it polls again.
@@ -33,8 +33,8 @@
 /// `MIN_POLL_TIMEOUT_SHARE` to 1.
 const POLL_TIMEOUT: Span = Span::from_millis(4000);
 const MIN_POLL_TIMEOUT_SHARE: f64 = 0.75;
-/// Width of a bucket in which the work sent to a member is counted, as a share of the window in which the member must
-/// not be overloaded. The eight buckets together cover that window.
+/// Width of a bucket in which the work sent to a member is counted, as a share of `Deployment::overload_window`
+/// (or of `RECENT_BUCKET` if that is longer). The eight buckets together cover the whole of it.
 const WORK_BUCKET_SHARE_OF_OVERLOAD_WINDOW: f64 = 0.125;
 
 /// Requests a poll of the endpoint list if a poll is due.
--- a/crates/ladderpass-routing/src/exception_log.rs
+++ b/crates/ladderpass-routing/src/exception_log.rs
@@ -1,5 +1,5 @@
-//! What the log shows of RPCs that were given up or spilled to the primary: the counts of each reason, and a few
-//! examples. This module makes no decisions.
+//! What the log shows of RPCs that were given up, and of reads that were spilled (sent to the primary because
+//! no replica could get them): the counts of each reason, and a few examples. This module makes no decisions.
 
 use crate::eligibility;
 use crate::reasons::{Counts, Exception, ExceptionExample, GiveUpReason, Ineligible, PrimaryState};
@@ -16,7 +16,7 @@
     }
 }
 
-/// Returns whether the primary could have got an RPC that is given up.
+/// Returns whether the primary is eligible for an RPC that is being given up.
 fn primary_state(state: &RouterState, now: Time, rpc: RpcId) -> PrimaryState {
     let group = state.topology.groups.get(state.rpcs[rpc].arrival.group as usize);
     let Some(index) = group.and_then(|group| group.primary) else { return PrimaryState::Unknown };
--- a/crates/ladderpass-routing/src/health_check.rs
+++ b/crates/ladderpass-routing/src/health_check.rs
@@ -79,7 +79,8 @@
             outlier_ejection::record_success(state, now, index);
             record_report(state, now, index, latency, report);
         }
-        // The member is up, but rejects further checks, or has nothing to report yet.
+        // The member is up, but it has nothing to report yet, or rejects the check because it is at its limit
+        // or draining.
         AttemptOutcome::Ok | AttemptOutcome::Rejected => {
             outlier_ejection::record_success(state, now, index);
         }
--- a/crates/ladderpass-routing/src/health_check_schedule.rs
+++ b/crates/ladderpass-routing/src/health_check_schedule.rs
@@ -33,12 +33,12 @@
 pub const RECHECK_AFTER: Span = Span::from_millis(500);
 /// The time until the next check of a failed member is doubled at most this many times.
 const MAX_RECHECK_DOUBLINGS: u32 = 3;
-/// A read for which no replica has a recent report waits this long for the health check of one replica.
+/// A read waits this long for the health check of one replica if no replica has reported recently enough.
 pub const HEALTH_CHECK_WAIT: Span = Span::from_millis(60);
 /// At a router that has just started, RPCs wait up to this long for the first results of health checks.
 const FIRST_RESULTS_WAIT: Span = Span::from_millis(300);
-/// An update about a member of a group without a primary may be published again after this time, or after the refresh
-/// interval of positions if that is shorter.
+/// An update about a member of a group without a primary may be published again after this time, or after the
+/// refresh interval of positions (`position_refresh_interval`) if that interval is shorter.
 pub const GOSSIP_INTERVAL_WITHOUT_PRIMARY: Span = Span::from_millis(250);
 /// Routers that want a member's report spread their requests for a check over this many times
 /// `GOSSIP_INTERVAL_WITHOUT_PRIMARY`.
@@ -99,10 +99,10 @@
     ((u64::from(state.deployment.router_index) + first_router) % u64::from(state.router_count())) as f64
 }
 
-/// The earliest time at which a check of this member may be requested. A report that another router receives arrives
-/// by gossip soon, so the routers that want a report make their requests one after another. After a check without a
-/// report, no check is requested for `MIN_REQUEST_INTERVAL`, because reads must not wait for such a member until they
-/// time out.
+/// The earliest time at which a check of this member may be requested. A report that another router receives
+/// arrives by gossip soon, so the routers that want a report make their requests one after another. After a
+/// check without a report, no check is requested for `MIN_REQUEST_INTERVAL`, because reads must not wait until
+/// they time out for a member that does not report.
 pub fn next_request_at(state: &RouterState, index: usize) -> Time {
     let member = state.topology.member(index);
     let by_gossip = if state.deployment.gossip {
--- a/crates/ladderpass-routing/src/load.rs
+++ b/crates/ladderpass-routing/src/load.rs
@@ -30,8 +30,8 @@
 /// The typical answer time is at most this share of the soft deadline, so that congestion which has lasted since the
 /// router's start is not taken to be typical.
 const MAX_TYPICAL_SHARE_OF_SOFT_DEADLINE: f64 = 0.2;
-/// The typical answer time is at least this share of a tick, because the router does not distinguish shorter
-/// times.
+/// The typical answer time is at least this share of a tick (`Deployment::tick`), because the router does not
+/// distinguish shorter times.
 const MIN_TYPICAL_SHARE_OF_TICK: f64 = 0.2;
 
 /// Answer times vary. Where an answer must arrive in time, the time left must be at least this multiple of the
@@ -73,7 +73,8 @@
     MethodLatency::new(method, typical, TYPICAL_LATENCY_BUCKET)
 }
 
-/// The load of a member, in attempts: the attempts in flight, and what recent failures and silence add to them.
+/// The load of a member, in attempts: the number of attempts in flight, plus a number of attempts as which
+/// recent failures and silence are counted.
 pub fn member_load(state: &RouterState, now: Time, member: &Member) -> f64 {
     let silent_for = if member.open_attempts.is_empty() { Span::ZERO } else { now - member.silent_since };
     let silent_latencies = silent_for.secs() / min_typical_latency(state).secs().max(1e-4);
@@ -84,8 +85,8 @@
 
 /// The number of this router's attempts in flight at a member, without those that were lost in transit.
 pub fn attempts_in_flight(state: &RouterState, now: Time, member: &Member) -> f64 {
-    // No attempt younger than this counts as lost, whatever its method's typical answer time is, so younger
-    // attempts are not examined.
+    // No attempt younger than `min_age` counts as lost, whatever the typical answer time of its method is, so
+    // younger attempts are not examined.
     let min_age = min_typical_latency(state) * LOST_AFTER_TYPICAL_LATENCIES;
     let may_be_lost = member.open_attempts.iter().take_while(|attempt| {
         now - attempt.sent_at > min_age && attempt.sent_at < member.latest_answered_attempt
@@ -115,10 +116,11 @@
     (sum + PRIOR_WEIGHT_ANSWERS * prior) / (count + PRIOR_WEIGHT_ANSWERS)
 }
 
-/// The latency ratio to expect of a member's next answer: that of the member's recent answers, but at least that
-/// of the link to the member's zone.
+/// The latency ratio to expect of a member's next answer: the latency ratio of the member's recent answers, or
+/// that of the link to the member's zone if it is higher.
 pub fn expected_latency_ratio(state: &RouterState, now: Time, member: &Member) -> f64 {
-    // An idle member gives no new answers that could show its recovery, so old answers count for a shorter time.
+    // An idle member gives no new answers that could show its recovery, so its old answers count for a shorter
+    // time than those of a busy member.
     let buckets = if member.open_attempts.is_empty() { LAST_SECOND } else { LAST_TWO_SECONDS };
     let WindowTotals { count, sum } = member.latency_ratios.totals(now, buckets);
     let own_ratio =
--- a/crates/ladderpass-routing/src/outlier_ejection.rs
+++ b/crates/ladderpass-routing/src/outlier_ejection.rs
@@ -14,7 +14,8 @@
 
 /// Number of consecutive failures after which a member is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// An ejected member whose failures began longer ago than this when it is readmitted is assumed to have restarted.
+/// If an ejected member is readmitted and its failures began longer ago than this, the member is assumed to
+/// have restarted.
 const MIN_RESTART_ABSENCE: Span = Span::from_millis(1000);
 /// This router publishes that a member is unreachable at most once in this time.
 const UNREACHABLE_GOSSIP_INTERVAL: Span = Span::from_millis(1000);
--- a/crates/ladderpass-routing/src/pending.rs
+++ b/crates/ladderpass-routing/src/pending.rs
@@ -32,7 +32,8 @@
     Decision::Queue
 }
 
-/// Returns whether an RPC without an attempt has been queued for as long as is allowed.
+/// Returns whether an RPC without an attempt has been queued for its longest allowed time, which is a share of
+/// the time that the client waits.
 pub fn queued_too_long(rpc: &RpcState, now: Time) -> bool {
     let max_queued = (rpc.arrival.deadline - rpc.accepted_at) * MAX_QUEUED_SHARE_OF_DEADLINE;
     rpc.attempts == 0 && now >= rpc.accepted_at + max_queued
--- a/crates/ladderpass-routing/src/reasons.rs
+++ b/crates/ladderpass-routing/src/reasons.rs
@@ -8,11 +8,13 @@
 /// The reason why an RPC was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// An attempt may have had its effect, and the method allows no retry, or no longer allows a retry.
+    /// An attempt of the RPC may have had its effect, and the method never allows a retry after that, or the
+    /// time in which a retry is safe is over.
     MayHaveRun,
     /// An answer would come too late to be of any use.
     TooLate,
-    /// The RPC was queued for the longest allowed share of its client's time, or that time is nearly over.
+    /// The RPC was queued for the longest allowed share of the time that its client waits, or the client's
+    /// deadline is near.
     OutOfTime,
     /// The RPC has had the maximum number of attempts.
     NoAttemptLeft,
@@ -21,9 +23,9 @@
     AttemptNotMade,
     /// The RPC was answered with an error several times.
     FaultyRequest,
-    /// The front denied a further attempt, because the retry budget does not allow it or the client may have left.
+    /// The front allowed no further attempt, because the retry budget is used up or the client may have left.
     RetryBudgetExhausted,
-    /// No capacity was idle, and a marked client retry may use only idle capacity.
+    /// The client has marked the RPC as a retry. Such an RPC may use only idle capacity, and there was none.
     NoIdleCapacity,
 }
 
@@ -32,11 +34,13 @@
 pub enum Ineligible {
     /// The member is draining, or not on the endpoint list.
     NotListed,
-    /// The last three health checks or connections of the member failed. For a primary, the last one failed.
+    /// The last three health checks or connections of the member failed. If the member is the primary, one
+    /// failure is enough.
     Ejected,
     /// The member would answer too late.
     TooSlow,
-    /// An attempt of this RPC at the member has just ended without success.
+    /// An attempt of this RPC at the member has ended without success, and the RPC's last attempt at any member
+    /// ended less than the typical answer time ago.
     TriedBefore,
     /// The member is in slow start or overloaded, and has already been sent its present share of the RPCs.
     SlowStart,
@@ -167,14 +171,14 @@
     pub exception: Exception,
 }
 
-/// Whether the primary could have got an RPC that was given up.
+/// Whether the primary was eligible for an RPC at the time when the RPC was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PrimaryState {
     /// The group has no known primary.
     Unknown,
-    /// The primary could have got the RPC.
+    /// When the RPC was given up, the primary was eligible for it.
     Eligible,
-    /// The primary could not have got the RPC, for this reason.
+    /// When the RPC was given up, the primary was not eligible for it, for this reason.
     Ineligible(Ineligible),
 }
 
@@ -185,7 +189,7 @@
     GivenUp {
         /// The reason why the RPC was given up.
         reason: GiveUpReason,
-        /// Whether the primary could have got the RPC.
+        /// Whether the primary was eligible for the RPC when the RPC was given up.
         primary: PrimaryState,
     },
     /// A read was sent to the primary, because none of the replicas could get it. For each reason, the counts say
@@ -193,14 +197,15 @@
     Spilled(Counts<Ineligible>),
 }
 
-/// How many RPCs were given up or spilled to the primary.
+/// How many RPCs were given up, and how many reads were spilled (sent to the primary because no replica could
+/// get them).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExceptionCounts {
     /// The RPCs that were given up, by reason.
     pub given_up: Counts<GiveUpReason>,
     /// The number of reads that were sent to a primary because no replica could get them.
     pub spilled: u32,
-    /// For the spilled reads, how often a replica could not get the read, by reason.
+    /// For each reason, how often a replica could not get a read that was then sent to the primary.
     pub passed_over: Counts<Ineligible>,
 }
 
@@ -222,7 +227,8 @@
     pub examples: Vec<ExceptionExample>,
 }
 
-/// The maximum number of examples of given-up or spilled RPCs that are stored between two ticks.
+/// The maximum number of examples that are stored between two ticks. An example is an RPC that was given up or
+/// spilled to the primary.
 const MAX_EXAMPLES: usize = 4;
 
 impl Exceptions {
--- a/crates/ladderpass-routing/src/reference_clock.rs
+++ b/crates/ladderpass-routing/src/reference_clock.rs
@@ -13,8 +13,8 @@
 
 /// Clocks that differ by less than this are taken to be equal. Positions are reported in whole milliseconds.
 const CLOCK_TOLERANCE: Span = Span::from_millis(50);
-/// This many positions that agree confirm how far the router's clock is behind the members' clock. A single
-/// position may be corrupt.
+/// This many positions that agree confirm how far the router's clock is behind the members' clock. One position
+/// is not enough, because it may be corrupt.
 const POSITIONS_TO_CONFIRM: usize = 3;
 /// A position confirms a later position if it was further ahead of the router's clock than the later position, or
 /// less far ahead by at most this span.
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The possible difference between the two clocks, by the confirmed positions and by the unconfirmed positions
-    /// of the last seconds.
+    /// The possible difference between the two clocks, by the positions that agreed often enough to be
+    /// confirmed, and by the unconfirmed positions of the last `UNCONFIRMED_VALID_FOR`.
     pub fn difference(&self, now: Time) -> ClockDifference {
         let recent = self.leads.iter().filter(|lead| now - lead.reported_at <= UNCONFIRMED_VALID_FOR);
         let unconfirmed = recent.map(|lead| lead.lead).max().unwrap_or(Span::ZERO);
--- a/crates/ladderpass-routing/src/rejection.rs
+++ b/crates/ladderpass-routing/src/rejection.rs
@@ -12,12 +12,13 @@
 use crate::types::{Arrival, Decision, OverloadState, RpcId};
 use nanorand::Rng;
 
-/// The number of priorities in a band. The bands are, from the lowest: late answers, connections over their fair share,
-/// retries that the client has marked, and all other RPCs.
+/// The number of priorities in a band. A band is a range of priorities for one class of RPCs. The bands are,
+/// from the lowest: late answers, connections over their fair share, retries that the client has marked, and
+/// all other RPCs.
 const PRIORITIES_PER_BAND: f64 = 64.0;
-/// Within a band, the priority follows the utility per second of cost. `PRIORITIES_PER_DOUBLING` is the number of
-/// priorities for each doubling of that quotient, and `LOWEST_LOG2_UTILITY_PER_SEC` is its binary logarithm at the
-/// band's lowest priority.
+/// Within a band, the priority follows the utility per second of cost. `PRIORITIES_PER_DOUBLING` is the number
+/// of priorities for each doubling of that quotient, and `LOWEST_LOG2_UTILITY_PER_SEC` is the binary logarithm
+/// of that quotient at the band's lowest priority.
 const PRIORITIES_PER_DOUBLING: f64 = 4.0;
 const LOWEST_LOG2_UTILITY_PER_SEC: f64 = 8.0;
 /// The Retry-After of a shed RPC, as a share of the longest Retry-After: this value without pressure and 1 at full
@@ -54,15 +55,16 @@
 }
 
 impl OverloadState {
-    /// Returns whether an RPC of this priority is shed. The random draw, from 0 to 1, selects which of the RPCs are
-    /// shed whose priority equals the integer part of the threshold.
+    /// Returns whether an RPC of this priority is shed. Of the RPCs whose priority equals the integer part of
+    /// the threshold, only a share is shed: those whose random draw (from 0 to 1) is below the fractional part
+    /// of the threshold.
     pub fn sheds(&self, priority: u32, random_draw: f64) -> bool {
         f64::from(priority) + random_draw < self.admission_threshold
     }
 }
 
-/// Returns the overload for which an RPC that has just arrived must be shed, of either this router or all routers
-/// together.
+/// Returns the overload because of which an RPC that has just arrived must be shed: the overload of this
+/// router, or else that of all routers together. `None` if the RPC is not shed.
 pub fn overload_to_shed_for(
     state: &RouterState,
     now: Time,
@@ -75,7 +77,8 @@
         .find(|overload| overload.sheds(priority(state, now, arrival, overload), random_draw))
 }
 
-/// Rejects an RPC that was never sent. The Retry-After is randomized, and grows with the pressure (from 0 to 1).
+/// Rejects an RPC that was never sent. The Retry-After is randomized, and grows with the pressure of the
+/// overload (`OverloadState::pressure`, from 0 to 1).
 pub fn shed(state: &mut RouterState, rpc: RpcId, pressure: f64) -> Decision {
     let share = (SHED_RETRY_AFTER_SHARE + (1.0 - SHED_RETRY_AFTER_SHARE) * pressure)
         * (MIN_SHED_JITTER + (1.0 - MIN_SHED_JITTER) * state.random.generate::<f64>());
--- a/crates/ladderpass-routing/src/retry.rs
+++ b/crates/ladderpass-routing/src/retry.rs
@@ -15,7 +15,7 @@
 use crate::time::{Span, Time};
 use crate::types::{AttemptOutcome, AttemptResult, Idempotency, RpcId};
 
-/// An RPC that members have answered with this many errors is itself taken to be faulty.
+/// After this many error answers to an RPC, the RPC itself is taken to be the cause of the errors.
 const ERRORS_TO_FAULT_RPC: usize = 2;
 /// The share of a concurrency limit that marked client retries may use, so that they only use idle capacity.
 const CLIENT_RETRY_LIMIT_SHARE: f64 = 0.1;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns whether this RPC has had enough error answers to be itself taken for faulty.
+/// Returns whether this RPC has had so many error answers that the RPC itself is taken to be the cause.
 pub fn is_faulty(rpc: &RpcState) -> bool {
     rpc.error_members.len() >= ERRORS_TO_FAULT_RPC
 }
@@ -62,20 +62,21 @@
     result.retry_denied.then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
-/// Returns whether the RPC is an idempotent one that the client has marked as a retry. Such RPCs compete with first
-/// requests, which have more utility.
+/// Returns whether the RPC is an idempotent one that the client has marked as a retry. Such RPCs compete for
+/// capacity with requests that clients send for the first time, which have more utility.
 pub fn is_client_retry(state: &RouterState, rpc: RpcId) -> bool {
     let is_idempotent = state.method_of(rpc).definition.idempotency == Idempotency::Idempotent;
     state.rpcs[rpc].arrival.is_client_retry && is_idempotent
 }
 
-/// Returns the share of a member's concurrency limit that this RPC may use.
+/// Returns the share of a member's concurrency limit that this RPC may use, which is less than 1 only for a
+/// client retry.
 pub fn limit_share(state: &RouterState, rpc: RpcId) -> f64 {
     if is_client_retry(state, rpc) { CLIENT_RETRY_LIMIT_SHARE } else { 1.0 }
 }
 
-/// Returns the timeout of a first attempt over a degraded link, which leaves enough time for a second attempt. `None`
-/// means that the attempt may take as long as the client waits.
+/// Returns the timeout of a first attempt over a degraded link to another zone. The timeout leaves enough time
+/// for a second attempt. `None` means that the attempt may take as long as the client waits.
 pub fn first_attempt_timeout(state: &RouterState, now: Time, rpc: RpcId, index: usize) -> Option<Span> {
     let (rpc, method) = (&state.rpcs[rpc], state.method_of(rpc));
     let retry_duration = method.typical * LATENCY_MARGIN;
--- a/crates/ladderpass-routing/src/selection.rs
+++ b/crates/ladderpass-routing/src/selection.rs
@@ -47,7 +47,8 @@
     selected: Option<Rank>,
     /// The lowest rank among the replicas that may be fresh enough for the read, but have not proven to be.
     best_unproven: Option<Rank>,
-    /// Whether a health check that may prove a replica to be fresh enough is in progress or due.
+    /// Whether a replica that is not known to be fresh enough has a health check in progress or due, which may
+    /// prove that the replica is.
     expects_report: bool,
     /// How many replicas were passed over, by reason.
     passed_over: Counts<Ineligible>,
--- a/crates/ladderpass-routing/src/slow_start.rs
+++ b/crates/ladderpass-routing/src/slow_start.rs
@@ -1,11 +1,11 @@
 //! Slow start: a member that has just started gets a share of the traffic that rises to its full share.
 //!
-//! The share of its capacity that such a member has is `slow_start_capacity` at its start and grows linearly to 1
-//! over `slow_start_duration`. The share of traffic is enforced by credit. Each RPC that this router accepts adds a
-//! fraction of an attempt to the credit of each member of its group that is in slow start, and each attempt at a
-//! member subtracts one from the member's credit. RPCs add their credit when they are accepted, even if they are
-//! queued then, so the credit grows evenly. If each router stays within its part of the share, so does the sum of
-//! all routers.
+//! The share of its capacity that such a member has is `Deployment::slow_start_capacity` at its start and grows
+//! linearly to 1 over `Deployment::slow_start_duration`. The share of traffic is enforced by credit. Each RPC
+//! that this router accepts adds a fraction of an attempt to the credit of each member of its group that is in
+//! slow start, and each attempt at a member subtracts one from the member's credit. RPCs add their credit when
+//! they are accepted, even if they are queued then, so the credit grows evenly. If each router stays within its
+//! part of the share, so does the sum of all routers.
 //!
 //! The share of reads that an overloaded member may get (`concurrency_limit`) is also enforced here.
 
@@ -17,7 +17,8 @@
 use crate::time::{Span, Time};
 use crate::types::{Arrival, Consistency, RpcId};
 
-/// A member in slow start gets at most this many fair shares, even if `overload_multiple` allows more.
+/// A member in slow start gets at most this many fair shares, even if `Deployment::overload_multiple` allows
+/// more.
 const MAX_FAIR_SHARES: f64 = 2.0;
 /// Safety margin for random variation, in standard deviations. The standard deviation is taken to be the square root
 /// of the number of attempts that all routers send in an overload window.
@@ -29,8 +30,8 @@
 /// which falls outside the share of reads of one member does not fall outside the shares of all members.
 const DRAW_STEP_PER_MEMBER: f64 = 0.618;
 
-/// The share of its full capacity that a member in slow start is certain to have, from 0 to 1, or `None` once it
-/// has its full capacity.
+/// The share of its full capacity that a member in slow start has at least, from 0 to 1, or `None` once it has
+/// its full capacity.
 pub fn capacity_share(state: &RouterState, now: Time, member: &Member) -> Option<f64> {
     let duration = state.deployment.slow_start_duration.secs();
     let age = (now - member.started_at? - state.clock.ahead).secs().max(0.0);
--- a/crates/ladderpass-routing/src/staleness.rs
+++ b/crates/ladderpass-routing/src/staleness.rs
@@ -62,12 +62,12 @@
     excess <= Span::ZERO || now - member.reported_at >= MIN_CATCH_UP.max(excess * CATCH_UP_SHARE_OF_EXCESS)
 }
 
-/// The share of a replica's concurrency limit that reads may use. It decreases as the lag approaches the staleness
-/// bound, so that the replica can catch up. For reads without a bound, the share is 1 where replication has
-/// stopped.
+/// The share of a replica's concurrency limit that reads may use. The share decreases as the replica's lag
+/// approaches the staleness bound, so that the replica can catch up. For reads without a bound, the share is 1
+/// where replication has stopped.
 pub fn limit_share_by_lag(state: &RouterState, now: Time, member: &Member, required: Time) -> f64 {
-    // Reads without a bound slow replication as much as reads with a bound do, so the smallest bound of any method
-    // is used for them. Where replication has stopped, less load does not help.
+    // Reads without a bound slow replication as much as reads with a bound do, so the smallest bound of any
+    // method is used for them. Where replication has stopped, less load does not help the replica to catch up.
     let unbounded = required == Time::NEVER;
     if unbounded && now - member.position_advanced_at > REPLICATION_STOPPED_AFTER {
         return 1.0;
--- a/crates/ladderpass-routing/src/state/group.rs
+++ b/crates/ladderpass-routing/src/state/group.rs
@@ -30,8 +30,8 @@
     pub groups: Vec<Group>,
     /// For each kind of machine, the recent answer times of its members divided by the typical answer times.
     machine_kind_latency: Vec<SlidingWindow>,
-    /// For each zone, the answer times of its members divided by the typical answer times. The windows are longer than
-    /// those of the kinds of machine, and include failures of the zone's members.
+    /// For each zone, the answer times of its members divided by the typical answer times. The windows cover
+    /// more time than those of `machine_kind_latency`, and include failures of the zone's members.
     zone_latency: Vec<SlidingWindow>,
     /// For each group, its accepted RPCs. The count of the window is the number of all of them, and the sum is the
     /// number of those that only the primary may serve.
--- a/crates/ladderpass-routing/src/state/member.rs
+++ b/crates/ladderpass-routing/src/state/member.rs
@@ -55,9 +55,9 @@
     pub unreachable_published_at: Time,
     /// The age that the member's position had when the member last reported it in a health check.
     pub reported_position_age: Option<Span>,
-    /// The member's replication lag, as last computed. The lag decides whether the member may serve a read of any
-    /// data, while reads that require a position compare the required one with `position`. The lag also reduces the
-    /// share of the concurrency limit that reads may use.
+    /// The member's replication lag, as last computed. The lag decides whether the member may serve a read of
+    /// any data, while for other reads the required position is compared with `position`. The lag also reduces
+    /// the share of the concurrency limit that reads may use.
     pub lag: Option<Span>,
     /// The number of RPCs in flight at the member, according to its last load report.
     pub reported_in_flight: Option<f64>,
@@ -67,7 +67,7 @@
     /// The send time of the latest attempt that the member has answered successfully.
     pub latest_answered_attempt: Time,
     /// The time of the member's last sign of life, by an answer, a health check or gossip. If an attempt was
-    /// started after that sign while no other was open, the time of its start.
+    /// started after that sign while no other attempt was open, the start time of that attempt.
     pub silent_since: Time,
     pub consecutive_failures: u32,
     /// The time of the first of the member's consecutive failures.
--- a/crates/ladderpass-routing/src/state/rpc.rs
+++ b/crates/ladderpass-routing/src/state/rpc.rs
@@ -26,8 +26,8 @@
     pub may_have_run_since: Option<Time>,
     /// The members at which an attempt of the RPC has ended.
     pub tried_members: Vec<usize>,
-    /// The members that answered the RPC with an error. The errors count against them only once another attempt has
-    /// succeeded.
+    /// The members that answered the RPC with an error. The errors count against these members only once
+    /// another attempt of the RPC has succeeded.
     pub error_members: Vec<usize>,
     /// The time of the last write of the RPC's session, if the RPC carries the age of that write. Otherwise
     /// `Time::NEVER`.
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -113,8 +113,8 @@
     pub max_attempts: u32,
     /// The longest Retry-After that a client may be given.
     pub max_retry_after: Span,
-    /// The shortest time between two batches of events. A decision may be carried out this much later, so
-    /// decisions use this time as a margin.
+    /// The shortest time between two batches of events. A decision may be carried out later by this time, so
+    /// the router allows for it in each decision.
     pub tick: Span,
     /// The share of its capacity that a member has when it starts.
     pub slow_start_capacity: f64,
--- a/crates/ladderpass-routing/tests/endpoints.rs
+++ b/crates/ladderpass-routing/tests/endpoints.rs
@@ -42,8 +42,9 @@
     assert_eq!(sent_to(router.accept(at(3000), arrival(1, 3000)).1), Some(0));
 }
 
-/// Guards against tables of members, and loops over them, that grow with every member ever listed where members are
-/// replaced all the time. A reused index must never refer to the member that had the index before.
+/// Guards against tables of members that grow with every member ever listed, and with them the time of loops
+/// over all members, where members are replaced all the time. A reused index must never refer to the member
+/// that had the index before.
 #[test]
 fn removed_members_are_retired_and_their_indexes_reused() {
     let mut router = new_router();
--- a/crates/ladderpass-routing/tests/gossip.rs
+++ b/crates/ladderpass-routing/tests/gossip.rs
@@ -5,8 +5,8 @@
 use common::*;
 use ladderpass_routing::*;
 
-/// Without gossip, every router that has had no answer from a replica within the staleness bound would send its
-/// reads to the primary, or delay them until a health check.
+/// A router that has had no answer from a replica within the staleness bound sends its reads to the primary, or
+/// delays them until a health check. With gossip, the answers that other routers had are enough.
 #[test]
 fn a_position_received_by_gossip_is_valid_until_the_staleness_bound() {
     let mut router = router_with_gossip(|_| ());
@@ -150,8 +150,9 @@
     );
 }
 
-/// Without gossip, a router gets load reports only from its own infrequent health checks. If the router reduced a
-/// member's share of reads during congestion, the share would take a quarter of a minute to recover.
+/// Without gossip, a router gets load reports only from its own infrequent health checks. With so few reports,
+/// a member's share of reads that was reduced during congestion would take a quarter of a minute to recover, so
+/// the router does not reduce it.
 #[test]
 fn without_gossip_load_reports_do_not_reduce_the_share_of_reads() {
     let mut router = router_with_gossip(|deployment| deployment.gossip = false);
--- a/crates/ladderpass-routing/tests/invariants/check.rs
+++ b/crates/ladderpass-routing/tests/invariants/check.rs
@@ -84,8 +84,9 @@
         );
     }
 
-    /// Checks rule 4: a member in slow start gets at most its share of the RPCs that could be sent in the overload
-    /// window. The limit is twice that share plus 5 attempts, to allow for random variation.
+    /// Checks rule 4: a member in slow start gets at most its share of the RPCs that could be sent within
+    /// `Deployment::overload_window`. The limit on its attempts in that window is twice its share of these RPCs
+    /// plus 5, to allow for random variation.
     fn check_slow_start(&mut self, rpc: RpcId, member: MemberId) {
         let (now, index) = (self.now, member.0 as usize);
         let window_start = now - self.deployment.overload_window;
--- a/crates/ladderpass-routing/tests/invariants/run.rs
+++ b/crates/ladderpass-routing/tests/invariants/run.rs
@@ -43,7 +43,7 @@
     /// it to be the primary.
     pub is_replica: Vec<bool>,
     pub started_at: Vec<Time>,
-    /// Attempts sent within the overload window.
+    /// The attempts that were sent within `Deployment::overload_window` before the latest attempt.
     pub recent_attempts: Vec<Attempt>,
     /// The commit position of each session's last write that this router answered.
     pub commits: Vec<Time>,
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -5,8 +5,8 @@
 use common::*;
 use ladderpass_routing::*;
 
-/// Guards against keeping an RPC that no member can serve until its client has no time left for a retry at another
-/// router.
+/// Guards against a router that keeps an RPC which no member can serve for so long that the client has no time
+/// left for a retry at another router.
 #[test]
 fn an_rpc_without_an_eligible_member_is_rejected_by_half_of_its_deadline() {
     let mut router = router_with_replicas(2, |_| ());
@@ -33,8 +33,8 @@
     );
 }
 
-/// If more RPCs are pending than the members have capacity for, the newest is sent first, since its client will wait
-/// for the longest time from now.
+/// If more RPCs are pending than the members have capacity for, the newest is sent first, since the client of
+/// the newest RPC will wait longer than the others.
 #[test]
 fn the_newest_pending_rpc_is_sent_first() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model.rs
@@ -1,9 +1,9 @@
 //! A model of slow start with many routers that exchange nothing.
 //!
-//! Whatever traffic each router has, all of them together must not overload a starting member. In every window as long
-//! as the overload window of the settings, the routers together may send the member at most as many RPCs as it can
-//! serve in that window, plus a margin of 2 square roots of that number and 2 RPCs. The checker of rule 4
-//! (`ladderpass_invariants::SlowStart`) examines all windows.
+//! Whatever traffic each router has, all of them together must not overload a starting member. In every window
+//! as long as `Deployment::overload_window`, the routers together may send the member at most as many RPCs as
+//! it can serve in that window, plus a margin of 2 square roots of that number and 2 RPCs. The checker of rule
+//! 4 (`ladderpass_invariants::SlowStart`) examines all windows.
 
 mod common;
 
@@ -31,8 +31,8 @@
     starting: Vec<u32>,
     /// Traffic of the first router as a multiple of the last router's traffic.
     traffic_ratio: f64,
-    /// Two times in milliseconds: the primary is removed at the first time, and the first member in `starting`
-    /// becomes the primary at the second time. `None` if the primary stays.
+    /// Two times in milliseconds: at the first, the primary is removed, and at the second, the first member in
+    /// `starting` becomes the new primary. `None` if the primary stays.
     without_primary: Option<(i64, i64)>,
     /// The time in milliseconds of a restart of routers, and the number of routers that are restarted.
     restart: Option<(i64, usize)>,
@@ -403,9 +403,9 @@
     }
 }
 
-/// If the settings allow a multiple of the present capacity, a starting member gets more RPCs, but never more than
-/// that multiple. No member gets more than two fair shares, so a multiple of 4 changes little compared with a
-/// multiple of 2.
+/// If the settings allow a starting member a multiple of its present capacity, the member gets more RPCs than
+/// with a multiple of 1, but never more than the allowed multiple. No member gets more than two fair shares, so
+/// a multiple of 4 changes little compared with a multiple of 2.
 #[test]
 fn a_starting_member_gets_more_if_the_settings_allow_a_multiple_of_its_capacity() {
     let got = [1.0, 1.5, 2.0, 4.0].map(|overload_multiple| {
@@ -423,8 +423,8 @@
     assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
 }
 
-/// A starting member is not overloaded by a small number of routers either, at any capacity and with queued
-/// writes.
+/// Whatever the capacity of a starting member is, and even with queued writes, a small number of routers does
+/// not overload the member.
 #[test]
 fn a_starting_member_is_not_overloaded_by_one_to_three_routers() {
     for routers in [1, 2, 3] {
