--- a/crates/ladderpass-membership/src/updates.rs
+++ b/crates/ladderpass-membership/src/updates.rs
@@ -27,7 +27,7 @@
     }
 
     /// If this router still counts a router as alive after a report that it is dead or has left, the report is
-    /// sent immediately to the router that it is about, so that this router can refute it.
+    /// sent immediately to the router that it is about, which can then refute it.
     fn forward_rejected_death(&mut self, update: &StateUpdate) {
         let known = self.routers.state_update(update.router);
         let is_current = known.is_some_and(|known| update.incarnation >= known.incarnation);
--- a/crates/ladderpass-routing/src/router.rs
+++ b/crates/ladderpass-routing/src/router.rs
@@ -199,8 +199,8 @@
     }
 
     /// Sets this router's share of the RPCs that all routers may have in flight at a member. The member's share
-    /// of reads, which is reduced while the member is overloaded, is reset to 1: this limit takes its place,
-    /// and both together would leave the member idle.
+    /// of reads, which is reduced while the member is overloaded, is reset to 1: this limit takes the place of
+    /// the reduced share, and both together would leave the member idle.
     pub fn set_concurrency_limit(&mut self, member: MemberId, limit: f64) {
         if self.state.topology.contains(member) {
             let member = self.state.topology.member_mut(member.0 as usize);
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -114,7 +114,7 @@
     /// The longest Retry-After that a client may be given.
     pub max_retry_after: Span,
     /// The shortest time between two batches of events. A decision may be carried out later by this time, so
-    /// the router allows for it in each decision.
+    /// decisions are made with this time as a margin.
     pub tick: Span,
     /// The share of its capacity that a member has when it starts.
     pub slow_start_capacity: f64,
