--- a/crates/ladderpass-invariants/src/checker.rs
+++ b/crates/ladderpass-invariants/src/checker.rs
@@ -48,7 +48,7 @@
 pub struct Tolerance {
     /// How long after the client's deadline an answer may arrive without counting as late.
     pub answer: Span,
-    /// How long after its publication an endpoint update counts as received.
+    /// An endpoint update counts as received this long after discovery has published it.
     pub endpoint_update: Span,
     /// By how much the age of a replica's data may exceed a read's maximum staleness, since a position is known
     /// only some time after the replica has reached it.
--- a/crates/ladderpass-invariants/tests/rules.rs
+++ b/crates/ladderpass-invariants/tests/rules.rs
@@ -159,8 +159,8 @@
     // Right after its start the member has the budget of a whole window at its initial capacity: it can serve 60 RPCs,
     // and the limit with the margin is 77.5.
     assert_eq!((burst(77, 0), burst(78, 0)), (vec![], vec![4]));
-    // An attempt exactly one overload window before the last attempt no longer counts, but an attempt one
-    // millisecond later than that does.
+    // An attempt exactly one overload window (3 s) before the last attempt no longer counts, but an attempt
+    // 2.999 s before the last attempt still counts.
     let bursts = |second_ms: i64| {
         let attempt = |ms| (ms, EventKind::AttemptSent { rpc: 1, member: 1 });
         let attempts = [vec![attempt(500); 61], vec![attempt(second_ms); 70]].concat();
--- a/crates/ladderpass-routing/src/state/rpc.rs
+++ b/crates/ladderpass-routing/src/state/rpc.rs
@@ -16,9 +16,9 @@
     pub is_pending: bool,
     pub attempts_in_flight: u32,
     pub attempts: u32,
-    /// A random number from 0 to 1, drawn once for the RPC. Where only a share of the RPCs may be sent, those with
-    /// smaller draws are sent. The number is also the admission draw: under overload, RPCs with smaller draws are
-    /// shed sooner.
+    /// A random number from 0 to 1: `Arrival::admission_draw` if the RPC has one, and otherwise drawn once for
+    /// the RPC. Where only a share of the RPCs may be sent, the RPCs with smaller draws are sent. The same
+    /// number decides on admission: under overload, RPCs with smaller draws are shed sooner.
     pub random_draw: f64,
     pub last_attempt_at: Time,
     pub last_attempt_ended_at: Time,
--- a/crates/ladderpass-routing/src/state/session.rs
+++ b/crates/ladderpass-routing/src/state/session.rs
@@ -22,9 +22,9 @@
 
 impl SessionWrites {
     /// Returns the position that a read of the session must see. A write that was sent no later than
-    /// `assumed_committed` and is still in flight may have committed no later than `commit_by`. Its answer may be
-    /// lost or late, so the read must see that write too. A session that has written nothing may read from any
-    /// member that has reported a position.
+    /// `assumed_committed` and is still in flight may have committed no later than `commit_by`. The answer to
+    /// such a write may be lost or late, so the read must see the write as if it had been answered. A session
+    /// that has written nothing may read from any member that has reported a position.
     pub fn required_position(&self, session: Option<u32>, assumed_committed: Time, commit_by: Time) -> Time {
         let Some(session) = session else { return ANY_REPORTED_POSITION };
         let commit = self.commits.get(session as usize).copied().unwrap_or(ANY_REPORTED_POSITION);
--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -187,9 +187,9 @@
     ChangesDuringMove(&'a [Endpoint]),
     /// A poll of the endpoint list failed, or the watch on its changes broke.
     Failed {
-        /// Whether the list is polled again at once, rather than after a backoff. It is polled at once when a watch
-        /// fell silent, moved to another address or brought an older list, because the changes that the router has
-        /// missed count as received soon after their publication.
+        /// Whether the list is polled again at once, rather than after a backoff. It is polled at once when a
+        /// watch fell silent, moved to another address or brought an older list, because the router has then
+        /// missed changes, and it must act on a change soon after the publication.
         poll_immediately: bool,
     },
 }
--- a/crates/ladderpass-routing/tests/concurrency_limit.rs
+++ b/crates/ladderpass-routing/tests/concurrency_limit.rs
@@ -81,8 +81,9 @@
     assert!(sent <= 2, "{sent} RPCs sent at once under congestion");
 }
 
-/// A member that stalled answers all of its attempts late and at the same time. These answers count as one sign of
-/// congestion, and congestion ends once the member answers as quickly as before.
+/// A member that stalled answers all of its attempts late and at the same time. All these answers together
+/// count as one sign of congestion, and the congestion ends once the member answers as quickly as before the
+/// stall.
 #[test]
 fn a_stall_does_not_count_as_lasting_congestion() {
     let mut router = router_with_replicas(1, |d| d.methods[1].late_utility_share = 0.5);
--- a/crates/ladderpass-routing/tests/pending.rs
+++ b/crates/ladderpass-routing/tests/pending.rs
@@ -5,7 +5,7 @@
 use common::*;
 use ladderpass_routing::*;
 
-/// Guards against a router that keeps an RPC which no member can serve for so long that the client has no time
+/// Guards against a router that keeps an RPC, while no member can serve the RPC, until the client has no time
 /// left for a retry at another router.
 #[test]
 fn an_rpc_without_an_eligible_member_is_rejected_by_half_of_its_deadline() {
