--- a/crates/ladderpass-routing/src/types.rs
+++ b/crates/ladderpass-routing/src/types.rs
@@ -113,8 +113,8 @@
     pub max_attempts: u32,
     /// The longest Retry-After that a client may be given.
     pub max_retry_after: Span,
-    /// The shortest time between two batches of events. A decision may be carried out this much later, so
-    /// decisions use this time as a margin.
+    /// The shortest time between two batches of events. A decision may be carried out later by this time, so
+    /// decisions are made with this time as a margin.
     pub tick: Span,
     /// The share of its capacity that a member has when it starts.
     pub slow_start_capacity: f64,
@@ -187,9 +187,9 @@
     ChangesDuringMove(&'a [Endpoint]),
     /// A poll of the endpoint list failed, or the watch on its changes broke.
     Failed {
-        /// Whether the list is polled again at once, rather than after a backoff. It is polled at once when a watch
-        /// fell silent, moved to another address or brought an older list, because the changes that the router has
-        /// missed count as received soon after their publication.
+        /// Whether the list is polled again at once, rather than after a backoff. It is polled at once when a
+        /// watch fell silent, moved to another address or brought an older list, because the router has then
+        /// missed changes, and it must act on a change soon after the publication.
         poll_immediately: bool,
     },
 }
