--- a/crates/ladderpass/src/connection_table.rs
+++ b/crates/ladderpass/src/connection_table.rs
@@ -139,8 +139,8 @@
     /// Adds the readiness in `flags`, which the kernel has reported for this connection. Returns the kind of the
     /// connection if the connection has to be queued or, for a closed client, handled immediately.
     fn record_event(&mut self, flags: EpollFlags, polled_at: Instant) -> Option<EventSource> {
-        // The socket was empty at the last poll, since the kernel would otherwise have reported the connection as
-        // readable then.
+        // The last read left the socket empty, and no earlier report of the kernel is pending. So no bytes had arrived
+        // by the previous poll (at `polled_at`).
         if self.pending.is_none() && !self.unread {
             self.last_empty_at = self.last_empty_at.max(polled_at);
         }
--- a/crates/ladderpass/src/discovery.rs
+++ b/crates/ladderpass/src/discovery.rs
@@ -118,10 +118,10 @@
     /// The size line of a chunk contains no valid size.
     #[error("invalid chunk size")]
     ChunkSize,
-    /// The bytes after a chunk are not the line break that ends it, so the chunk's size is wrong.
+    /// The bytes after a chunk are not the line break that must end the chunk, so the chunk's size is wrong.
     #[error("a chunk does not end after its size")]
     ChunkEnd,
-    /// A JSON object, or an empty line, is longer than the limit.
+    /// A JSON object, or an empty line, is longer than the `max_line_bytes` of [`WatchReader::read_listing`].
     #[error("a JSON object is too long")]
     LineTooLong,
     /// A complete JSON object is not a valid [`Listing`].
--- a/crates/ladderpass/src/launch.rs
+++ b/crates/ladderpass/src/launch.rs
@@ -150,7 +150,8 @@
         let limits = Limits::of(file.memory_mb, descriptors, &settings);
         // A router on sockets receives the endpoint list only in response to a request, even if the settings say that
         // lists are pushed. With those settings, a change of discovery's list counts as known to the router
-        // immediately, so a lost watch must be replaced within the drain grace.
+        // immediately, so a lost watch must be replaced within the time for which a member may still be sent RPCs after
+        // the notice that the member drains (`DeploymentSettings::drain_grace`).
         settings
             .deployment
             .endpoint_poll_interval
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -11,7 +11,8 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     // Memory of buffers, in bytes.
-    /// The size at which a connection's buffer is first allocated. The buffer then grows up to its limit.
+    /// The size at which a connection's buffer is first allocated. An input buffer then grows up to
+    /// `client_buffer_bytes`, `member_buffer_bytes` or `discovery_buffer_bytes`.
     pub buffer_initial_bytes: usize,
     /// The maximum size of a client's input buffer, which has space for statements that the client sent before it had
     /// the answers to earlier statements.
@@ -44,14 +45,14 @@
     pub clients: usize,
     /// The maximum number of connected clients. At this number no further client is accepted.
     pub clients_accepted: usize,
-    /// The number of clients above which clients are evicted: those whose input the router has awaited for as long as
-    /// `eviction_ages` says are closed, because other clients and members may need the descriptors.
+    /// The number of clients above which the router evicts clients, because other clients and members may need the
+    /// descriptors. It then closes the clients whose input it has awaited for the time in `eviction_ages`.
     pub clients_before_eviction: usize,
     /// How long the router waits for a client's startup message, for the rest of a statement, and for the next
     /// statement (in this order) before the client may be evicted.
     pub eviction_ages: [Span; 3],
-    /// How many connections beyond `connections` are allowed while evicted clients are being closed, because the close
-    /// takes one more iteration of the event loop.
+    /// How many connections beyond `connections` are allowed while evicted clients are being closed. The close of an
+    /// evicted client takes one more iteration of the event loop.
     pub evicting_clients: usize,
     /// The maximum number of other connections that are closed to free a descriptor for one connect that failed for
     /// lack of resources. If the system lacks something other than descriptors, closing more connections would not
@@ -97,11 +98,11 @@
     /// is also the longest time that writing a statement to a member's socket may take if the member's data must have
     /// reached a position.
     pub fresh_send_timeout: Span,
-    /// How long any other statement may take to be written to a member's socket. This time is limited because the
-    /// statement states the remaining time of the RPC.
+    /// How long a statement may take to be written to a member's socket if the member's data need not have reached a
+    /// position. This time is limited because the statement states the remaining time of the RPC.
     pub write_timeout: Span,
-    /// How long a member's answer may take from its first byte to its end, and how long the member may take to answer
-    /// the sync query (an empty query) after that.
+    /// How long a member's answer may take from its first byte to its end, and how long the member may then take to
+    /// answer the sync query (the empty query behind each query).
     pub partial_answer_timeout: Span,
     /// How far a member's replication position may be ahead of this router's clock, after the clock is corrected by the
     /// known clock difference. The clocks of members are never further ahead than this.
@@ -125,7 +126,8 @@
     /// overloaded discovery answers or rejects a request within 2 s.
     pub late_watch_timeout: Span,
     /// How long discovery may be silent on a watch before the watch counts as failed. In the protocol, discovery sends
-    /// an empty line every 2 s, and the 6 s of `notified_within` leave time for two further requests.
+    /// an empty line every 2 s. After a watch has failed, the rest of the 6 s of `notified_within` leaves time for two
+    /// further requests.
     pub watch_silence_timeout: Span,
     /// The time after a change of the endpoint list from which on the protocol expects a router to know of the change.
     pub notified_within: Span,
--- a/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
+++ b/crates/ladderpass/src/reducer/handlers/accept_rpc.rs
@@ -32,8 +32,8 @@
     id_hash: u64,
     /// The priority of the RPC, or zero without shared admission control.
     priority: u32,
-    /// Whether shared admission control rejects the RPC, because the RPC's priority is too low for the load of its
-    /// group.
+    /// Whether shared admission control rejects the RPC, because the RPC's priority is too low for the load of the
+    /// RPC's group of members.
     is_shed_by_fleet: bool,
 }
 
@@ -141,7 +141,8 @@
         if self.methods.is_write(method) != Some(is_write) {
             return Err(StatementError::new("42601", "the statement has not the form of its method"));
         }
-        // A statement whose id is already in use would be a second copy, at the members, of the RPC that has the id.
+        // A statement whose id is already in use may be a second copy of the RPC that has the id. The members must not
+        // get both.
         let id_hash = self.rpcs.hash_id(comment.id);
         if self.rpcs.is_duplicate(id_hash) {
             return Err(StatementError::new("23505", "its id is that of another RPC"));
--- a/crates/ladderpass/src/reducer/handlers/attempts.rs
+++ b/crates/ladderpass/src/reducer/handlers/attempts.rs
@@ -10,9 +10,9 @@
 use crate::reducer::state::rpc_table::RpcDescription;
 use ladderpass_routing::{AttemptOutcome, AttemptResult, Decision, LoadReport, MemberId, RpcId, Span, Time};
 
-/// Returns whether reading from the client is paused because the client has sent more than can be read now, so that a
-/// close of its connection can't be seen yet. No attempt is made for such a client, because the client may have left.
-/// The RPC is also rejected if the client has not left, but has sent too much ahead.
+/// Returns whether reading from the client is paused because the client has sent more than can be read now. A close of
+/// the client's connection can't be seen while reading is paused. No attempt is made for such a client, because the
+/// client may have left. So the RPC of a client that has not left, but has sent too much ahead, is rejected as well.
 fn may_have_left(connections: &Connections, client: Option<ConnectionId>) -> bool {
     client.and_then(|client| connections.get(client)).is_some_and(Connection::is_read_paused)
 }
--- a/crates/ladderpass/src/reducer/handlers/cancellation.rs
+++ b/crates/ladderpass/src/reducer/handlers/cancellation.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Returns the newest connection id whose lower 32 bits are this process id. Older connections with the same lower
-    /// bits were closed long ago.
+    /// Returns the newest connection id whose lower 32 bits are `process_id`, the number that a cancel request
+    /// contains. Older connections with the same lower bits were closed long ago.
     fn newest_with_process_id(&self, process_id: u32) -> ConnectionId {
         let ConnectionId(last) = self.connections.last_id();
         let id = u64::from(process_id) | last & !u64::from(u32::MAX);
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -43,8 +43,9 @@
     }
 
     /// Returns whether a connection's input buffer is full and can't grow, because the buffers of all connections take
-    /// too much memory. The limit for clients is lower than for members, so that statements wait before answers do. The
-    /// connection's deadline still applies while its buffer waits for memory.
+    /// too much memory: `Limits::pause_clients_at_buffer_bytes` or more for a client's connection, and the larger
+    /// `Limits::pause_members_at_buffer_bytes` or more for other connections, so that statements wait before answers
+    /// do. The connection's deadline still applies while its buffer waits for memory.
     fn is_memory_short(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match connection.remote {
--- a/crates/ladderpass/src/reducer/handlers/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_limits.rs
@@ -14,10 +14,10 @@
         self.connection_limits.accepts_clients()
     }
 
-    /// Handles a connect that failed because the system had no descriptor, memory or local port. Another connection is
-    /// closed and the connect is retried, at most `Limits::evictions_per_denial` times, so that clients can't take all
-    /// descriptors from discovery, health checks and attempts. The failure does not count against the member, because
-    /// this router lacks the resource.
+    /// Handles a connect that failed because the system had no descriptor, memory or local port. A different connection
+    /// is closed and the connect is retried, at most `Limits::evictions_per_denial` times, so that clients can't take
+    /// all descriptors from discovery, health checks and attempts. The failure does not count against the member,
+    /// because this router lacks the resource.
     pub(in crate::reducer) fn on_connect_denied(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let may_evict = connection.record_connect_denial() <= self.limits.evictions_per_denial;
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Closes one connection to free its descriptor: that of a client past its eviction age, else the member connection
-    /// that has been idle longest, else that of any client that waits for no answer. Returns false if there is no such
-    /// connection.
+    /// Closes one connection to free its descriptor: the connection of a client whose input has been awaited for the
+    /// time in `Limits::eviction_ages`, else the member connection that has been idle longest, else the connection of
+    /// any client that waits for no answer. Returns false if there is no such connection.
     fn free_descriptor_after_denial(&mut self, now: Time) -> bool {
         let ages = self.limits.eviction_ages;
         if let Some(client) = self.clients.first_evictable(EvictionScope::Overdue(now), &ages) {
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -78,14 +78,15 @@
     }
 
     fn extend_watch_deadline(&mut self, now: Time, id: ConnectionId, has_progressed: bool) {
-        // A late request, which stays open in parallel with the next one, keeps its deadline.
+        // A request that discovery did not answer in time stays open in parallel with the next request (see
+        // `Limits::late_watch_timeout`). The deadline of such a late request is not extended.
         if self.discovery.late() == Some(id) {
             return;
         }
         if !self.has_answered(id) {
             // Of the answer to the watch's request, only the HTTP head or the beginning of the first list has arrived.
-            // The first list may take `watch_silence_timeout` in all, and `watch_answer_timeout` from one read to the
-            // next.
+            // The first list may take `Limits::watch_silence_timeout` in total, and `Limits::watch_answer_timeout` from
+            // one read to the next.
             let latest = self.discovery.requested_at() + self.limits.watch_silence_timeout;
             let deadline = latest.min(now + self.limits.watch_answer_timeout);
             return self.connections.set_deadline(id, Some(deadline));
@@ -126,8 +127,8 @@
 
     /// If two requests for a watch are open, makes the request that is answered first the current watch, and closes the
     /// other. An overloaded discovery takes long for each request and puts the next request at the end of its queue, so
-    /// the late request may be answered first. Returns false if the answered request is the late one and the next
-    /// request was answered before it.
+    /// the earlier request, which is late, may be answered first. Returns false if the answered request is the late one
+    /// and the next request was answered before it.
     fn adopt_first_answer(&mut self, id: ConnectionId) -> bool {
         let Some(late) = self.discovery.late() else { return true };
         if late != id {
@@ -160,8 +161,9 @@
     }
 
     /// Handles a watch on which discovery was silent for too long, or a request for a watch that has no answer. After a
-    /// watch that had answered falls silent, discovery is polled again at once for up to `notified_within`, because by
-    /// the protocol the router need not know the changes yet that it missed in this time.
+    /// watch that had answered falls silent, discovery is polled again without a pause, until the silence has lasted
+    /// for `Limits::notified_within`. By the protocol, the router need not know a change earlier than this time after
+    /// the change.
     fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
         let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
         if self.discovery.is_current(id) && !is_unanswered {
--- a/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
+++ b/crates/ladderpass/src/reducer/handlers/endpoint_list.rs
@@ -31,7 +31,7 @@
 
 impl Reducer {
     /// Applies an endpoint list. `is_cached` means that the list was read from the configuration, and `is_previous`
-    /// that the list comes from the address that discovery had before its move.
+    /// means that the list comes from the address that discovery had before it moved to its present address.
     pub(in crate::reducer) fn apply_listing(
         &mut self,
         now: Time,
@@ -57,8 +57,8 @@
             complete = listing.reset,
             "endpoint list"
         );
-        // A list from the previous address of discovery must not count as an answer of the new address: the routing
-        // core would then not poll the new address any more.
+        // A list from the previous address of discovery must not count as an answer of the new address, because the
+        // routing core stops polling the new address once that address has answered.
         let update = match (is_cached || is_previous, listing.reset) {
             (true, false) if is_previous => EndpointUpdate::ChangesDuringMove(&entries),
             (true, _) => EndpointUpdate::Cached(&entries),
--- a/crates/ladderpass/src/reducer/handlers/eviction.rs
+++ b/crates/ladderpass/src/reducer/handlers/eviction.rs
@@ -36,10 +36,10 @@
     }
 
     /// While there are more clients than `Limits::clients_before_eviction`, evicts clients whose input has been awaited
-    /// for their eviction age: first clients that have not completed their startup, whose eviction age is the shortest,
-    /// then clients in the middle of a statement, then idle clients. Idle clients have an eviction age too because a
-    /// client that was just answered is likely to send another statement, which could arrive just as the connection is
-    /// closed.
+    /// for the time in `Limits::eviction_ages` (the eviction age): first clients that have not completed their startup,
+    /// whose eviction age is the shortest, then clients in the middle of a statement, then idle clients. Idle clients
+    /// have an eviction age too because a client that was just answered is likely to send another statement, which
+    /// could arrive just as the connection is closed.
     pub(in crate::reducer) fn evict_excess_clients(&mut self, now: Time) {
         let (limit, ages) = (self.limits.clients_before_eviction, self.limits.eviction_ages);
         while let Some(id) = self.clients.next_in_excess(now, limit, &ages) {
@@ -57,7 +57,8 @@
     }
 
     /// Begins to close a client's connection. The client's socket is read now and once more right before the close,
-    /// because a statement may have arrived that was not read yet. If so, the connection stays open.
+    /// because a statement may have arrived that was not read yet. If a statement has arrived, the connection stays
+    /// open.
     pub(super) fn close_after_final_read(&mut self, id: ConnectionId) {
         let Some(client) = self.connections.client(id) else { return };
         self.clients.begin_eviction(id, client.awaited());
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -23,13 +23,14 @@
     }
 
     /// Writes the query of a connection's job, and an empty query (the sync query) behind it. The connection is used
-    /// again only once the member has answered the sync query and has sent nothing else before that. Otherwise a second
-    /// answer to the job's query, or invalid bytes, would go to the next RPC's client.
+    /// again only once the member has answered the sync query and has sent nothing else between the answers to the two
+    /// queries. Otherwise a second answer to the job's query, or invalid bytes, would go to the next RPC's client.
     pub(super) fn send_query(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member(id) else { return };
         let mut query = Vec::new();
         match member.job() {
-            // A sync query was already written together with the query of the job before.
+            // There is nothing to write for a sync query (an empty query behind another query): it was written together
+            // with the query of the job before.
             None | Some(Job::SyncQuery) => return,
             Some(Job::HealthCheck) => pg::put_query(&mut query, &[HEALTH_CHECK_QUERY]),
             Some(Job::Attempt(rpc)) => {
--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -47,7 +47,8 @@
 
     /// Makes sure that one more connection to a member may be opened. Members may use as many of `Limits::connections`
     /// as clients leave. If these connections are used up, the member connection that has been idle longest is closed,
-    /// or else a client past its eviction age is closed. Returns whether the new connection may be opened.
+    /// or else the connection of a client whose input has been awaited for the time in `Limits::eviction_ages`. Returns
+    /// whether the new connection may be opened.
     fn free_capacity_for_member_connection(&mut self, now: Time) -> bool {
         let limit = self.limits.connections;
         if self.members.connection_count() < limit.saturating_sub(self.clients.len()) {
@@ -76,9 +77,9 @@
         self.members.longest_idle().min_by_key(since)
     }
 
-    /// Gives an established connection without a job the job of a connection to the same member that is still being
-    /// established. If there is no such job, makes the connection idle. If the member has another address by now, the
-    /// connection is closed instead.
+    /// Takes back an established connection that has no job. The connection gets the job of a connection to the same
+    /// member that is not established yet, or becomes idle if there is no such job. If the member's address has changed
+    /// since the connection was opened, the connection is closed instead.
     pub(super) fn return_to_pool(&mut self, now: Time, id: ConnectionId) {
         let Some(member) = self.connections.member_mut(id) else { return };
         member.set_idle(now);
@@ -100,9 +101,9 @@
         self.connections.set_deadline(id, Some(now + self.limits.member_idle_timeout));
     }
 
-    /// Closes the idle connections of a member on which nothing was received since the given time. This is called after
-    /// a query on another connection of the member was not answered. A machine that vanished leaves its connections
-    /// open, and a query on such a connection may never be answered.
+    /// Closes those idle connections of a member on which nothing was received since the given time. This is called
+    /// after a query on another connection of the member was not answered. A machine that vanished leaves its
+    /// connections open, and a query on such a connection may never be answered.
     pub(super) fn close_silent_connections(&mut self, index: usize, since: Time) {
         let is_silent = |&&id: &&ConnectionId| {
             self.connections.member(id).is_some_and(|member| member.last_received_at() < since)
--- a/crates/ladderpass/src/reducer/state/client.rs
+++ b/crates/ladderpass/src/reducer/state/client.rs
@@ -20,8 +20,8 @@
     InRpc(RpcId),
 }
 
-/// The input that the router waits for from a client, while the client waits for no answer. Clients are evicted in this
-/// order.
+/// The input that the router waits for from a client, while the client waits for no answer. Clients are evicted in the
+/// order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum AwaitedInput {
     Startup,
@@ -36,7 +36,7 @@
 /// The state of one client, without its buffers.
 pub(in crate::reducer) struct Client {
     phase: ClientPhase,
-    /// Number of the client's own errors since its last statement that was counted as accepted.
+    /// Number of errors that the client itself has made since its last statement that was counted as accepted.
     errors: u32,
     /// Whether reading from the client is paused after an error of the client.
     is_backing_off: bool,
@@ -49,7 +49,8 @@
     has_sent_statement: bool,
     /// Whether the client has sent more than its input buffer holds since its socket was last found empty.
     has_overrun: bool,
-    /// Set after an overrun: if the client's socket stays empty until this time, the socket counts as read to its end.
+    /// Set after the client had sent more than its input buffer holds: if the client's socket stays empty until this
+    /// time, the socket counts as read to its end.
     refill_until: Option<Time>,
     /// Whether the client's RPC was answered in this iteration. Input after that RPC's statement is read in the next
     /// iteration, because writing the answer may show that the client has left.
@@ -116,8 +117,8 @@
         self.has_sent_statement
     }
 
-    /// Counts an error of the client's own, and starts a pause in reading unless there were too many errors. Returns
-    /// the number of errors so far.
+    /// Counts an error that the client itself has made, and starts a pause in reading unless there were more than
+    /// `max_errors` errors. Returns the number of errors so far.
     pub(in crate::reducer) fn record_error(&mut self, max_errors: u32) -> u32 {
         self.errors += 1;
         self.is_backing_off = self.errors <= max_errors;
@@ -163,20 +164,22 @@
         self.has_overrun = true;
     }
 
-    /// Records that the client's socket was read until it was empty. After an overrun, the client's kernel may have
-    /// held bytes back until now, and these bytes may arrive until `refill_until`.
+    /// Records that the client's socket was read until it was empty. If the client had sent more than its input buffer
+    /// holds, the client's kernel may have held bytes back, so the router waits for them until `refill_until` (extended
+    /// as bytes arrive).
     pub(in crate::reducer) fn record_socket_empty(&mut self, refill_until: Time) {
         if std::mem::take(&mut self.has_overrun) {
             self.refill_until = Some(refill_until);
         }
     }
 
-    /// Returns the time until which more bytes are expected after an overrun, or `None` if no more bytes are expected.
+    /// Returns the time until which the router waits for bytes that the client's kernel held back while the input
+    /// buffer was full, or `None` if the router does not wait for such bytes.
     pub(in crate::reducer) fn refill_pending(&self, now: Time) -> Option<Time> {
         self.refill_until.filter(|&until| now < until)
     }
 
-    /// Returns whether the time in which more bytes were expected after an overrun is over.
+    /// Returns whether the router has waited for bytes that the client's kernel held back, and this wait is over.
     pub(in crate::reducer) fn is_refill_over(&self, now: Time) -> bool {
         self.refill_until.is_some_and(|until| until <= now)
     }
@@ -185,8 +188,8 @@
         self.refill_until = None;
     }
 
-    /// Records that `count` bytes were received from the client at `arrived_at`. If more bytes are expected after an
-    /// overrun, the wait for them is extended to `refill_until`.
+    /// Records that `count` bytes from the client arrived at `arrived_at`. If the router is still waiting for bytes
+    /// that the client's kernel held back (see *Refill* above), the wait is extended to `refill_until`.
     pub(in crate::reducer) fn record_received(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/state/client_table.rs
+++ b/crates/ladderpass/src/reducer/state/client_table.rs
@@ -2,10 +2,10 @@
 //! clients whose input is to be read.
 //!
 //! A client from which an input is awaited is in the set of that input, which is ordered by the time since which the
-//! input is awaited. No input is awaited from a client while its RPC is in flight, while its answer is not fully
-//! written, or while its statement is held until its socket was read to its end. Such a client is in no set, so it is
-//! never evicted. A client that is being evicted is in no set either. If its eviction is cancelled, it returns to a set
-//! only when its awaited input is set again.
+//! input is awaited. No input is awaited from a client while the client's RPC is in flight, while an answer to the
+//! client is not fully written, or while a complete statement is not handled yet because the client's socket was not
+//! read until it was empty. Such a client is in no set, so it is never evicted. A client that is being evicted is in no
+//! set either. If its eviction is cancelled, it returns to a set only when its awaited input is set again.
 
 use super::client::{Awaited, AwaitedInput, Client};
 use crate::reducer::connection_id::ConnectionId;
@@ -18,7 +18,8 @@
 /// Which clients may be evicted.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::reducer) enum EvictionScope {
-    /// Clients whose input has been awaited, at the given time, for at least the eviction age of this kind of input.
+    /// Clients whose input has been awaited, at the given time, for at least the age that `Limits::eviction_ages` gives
+    /// for this kind of input.
     Overdue(Time),
     /// All clients from which an input is awaited.
     All,
@@ -52,8 +53,8 @@
         self.count += 1;
     }
 
-    /// Removes a client whose input buffer has `unread_bytes`. The caller has already cleared the client's awaited
-    /// input.
+    /// Removes a client with `unread_bytes` bytes in its input buffer that are not consumed yet. The caller has already
+    /// cleared the client's awaited input.
     pub(in crate::reducer) fn remove(&mut self, id: ConnectionId, unread_bytes: usize) {
         self.subtract_unread_bytes(unread_bytes);
         self.cancel_eviction(id);
@@ -94,8 +95,8 @@
             + self.by_awaited_input[AwaitedInput::StatementRest as usize].len()
     }
 
-    /// Returns the client within `scope` to evict first, or `None` if there is none. `ages` are the eviction ages by
-    /// awaited input.
+    /// Returns the client within `scope` to evict first, or `None` if there is none. `ages` are
+    /// `Limits::eviction_ages`, in the order of `AwaitedInput`.
     pub(in crate::reducer) fn first_evictable(
         &self,
         scope: EvictionScope,
--- a/crates/ladderpass/src/reducer/state/connection_limits.rs
+++ b/crates/ladderpass/src/reducer/state/connection_limits.rs
@@ -6,8 +6,8 @@
 /// port for them.
 pub(in crate::reducer) struct ConnectionLimits {
     accepts_clients: bool,
-    /// Connects that the system denied and for which another connection is being closed to free a descriptor. These
-    /// connects are retried in the next tick.
+    /// Connects that failed because the system had no descriptor, memory or local port, and for each of which another
+    /// connection is being closed to free a descriptor. These connects are retried in the next tick.
     denied_connects: Vec<ConnectionId>,
 }
 
--- a/crates/ladderpass/src/reducer/state/connections.rs
+++ b/crates/ladderpass/src/reducer/state/connections.rs
@@ -59,7 +59,8 @@
     deadlines: BTreeSet<(Time, ConnectionId)>,
     /// Memory of the buffers of all connections, in bytes.
     buffer_bytes: usize,
-    /// Connections whose input was not read because the memory of all buffers was near its limit.
+    /// Connections whose input was not read because the memory of all buffers had reached
+    /// `Limits::pause_clients_at_buffer_bytes` (for clients) or `Limits::pause_members_at_buffer_bytes` (for others).
     waiting_for_memory: BTreeSet<ConnectionId>,
 }
 
--- a/crates/ladderpass/src/reducer/state/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/state/discovery_watch.rs
@@ -2,9 +2,9 @@
 //! has been silent.
 //!
 //! A watch is a long-lived HTTP request to discovery, which answers with the endpoint list and its changes. There is
-//! one current watch. There may be one earlier request that is late and may still be answered. After discovery has
-//! moved to another address, there may be one watch of the previous address, which stays in use until the new address
-//! has answered.
+//! one current watch. There may be one earlier request that was not answered in time (the late request) and may still
+//! be answered. After discovery has moved to another address, there may be one watch of the previous address, which
+//! stays in use until the new address has answered.
 
 use crate::discovery::{self, Listing};
 use crate::limits::Limits;
@@ -43,8 +43,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::reducer) enum ListVerdict {
     /// The list is passed on to be applied. If several consecutive lists are older than the list in use, all but the
-    /// first of them are passed on too. The code that applies lists rejects these older lists unless their generation
-    /// was adopted.
+    /// first of them are passed on too. The code that applies lists rejects these older lists, unless discovery has
+    /// evidently restarted its generations (see `is_first_older_list`).
     Accepted,
     /// The list contains only changes, and comes from the new address of discovery, whose generations count from a
     /// lower number. These changes do not apply to the list in use.
@@ -122,8 +122,8 @@
         self.requested_at
     }
 
-    /// Returns whether another watch remains in use when the watch on this connection ends. That is so if it is the
-    /// watch at the previous address or the late request.
+    /// Returns whether another watch remains in use when the watch on this connection ends. This is true if the watch
+    /// that ends is the watch at discovery's previous address or the late request.
     pub(in crate::reducer) fn has_successor(&self, id: ConnectionId) -> bool {
         self.previous == Some(id) || self.late == Some(id)
     }
@@ -133,7 +133,8 @@
         (self.current, self.requested_at) = (Some(id), now);
     }
 
-    /// Makes the current request the late request, which stays open at the same time as the next request.
+    /// Makes the current request, which was not answered in time, the late request, which stays open at the same time
+    /// as the next request.
     pub(in crate::reducer) fn demote_current(&mut self) {
         self.late = self.current.take();
     }
@@ -152,8 +153,8 @@
         self.current == Some(id)
     }
 
-    /// Records that discovery has moved to another address. The current watch becomes the previous one if it has
-    /// answered. Returns the connections that are no longer needed, for the caller to close.
+    /// Records that discovery has moved to another address. If the current watch has answered, it becomes the watch at
+    /// the previous address. Returns the connections that are no longer needed, for the caller to close.
     pub(in crate::reducer) fn move_to(
         &mut self,
         address: SocketAddr,
@@ -204,8 +205,9 @@
     /// list may be a single delayed list, so it is rejected, and the complete list is requested at once.
     ///
     /// If discovery has restarted its generations, all its lists would be rejected as older. No list is delayed for
-    /// longer than `notified_within`. So once `notified_within` has passed since the last list that was not older, a
-    /// second consecutive older list is accepted if it is complete, and its generation is adopted.
+    /// longer than `Limits::notified_within`. So once this time has passed since the last list that was not older, a
+    /// second consecutive older list is accepted if it is complete, and its generation replaces that of the list in
+    /// use.
     fn is_first_older_list(&mut self, now: Time, listing: &Listing, limits: &Limits) -> bool {
         let was_older = std::mem::replace(&mut self.offers_older_list, listing.generation < self.generation);
         if !self.offers_older_list {
@@ -216,9 +218,9 @@
         self.offers_older_list && !was_older
     }
 
-    /// Returns whether discovery is silent on the watch, and has been for at most `notified_within`. The protocol gives
-    /// a router this long to learn of a change, so changes that the router missed during the silence do not count as
-    /// known to the router yet.
+    /// Returns whether discovery is silent on the watch, and has been for at most `Limits::notified_within`. The
+    /// protocol gives a router this time to learn of a change, so changes that the router missed during the silence do
+    /// not count as known to the router yet.
     pub(in crate::reducer) fn is_silence_within_limit(&self, now: Time, limits: &Limits) -> bool {
         self.silent_since.is_some_and(|since| now - since <= limits.notified_within)
     }
--- a/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
+++ b/crates/ladderpass/src/reducer/state/endpoint_indexes.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the number of RPCs that a member with this weight in the endpoint list works on at once, or `None` if
-    /// the weight does not state that number.
+    /// weights in the endpoint list do not state how many RPCs a member works on at once.
     pub(in crate::reducer) fn concurrency(&self, weight: Option<f64>) -> Option<f64> {
         weight.filter(|&weight| self.weights_are_concurrency && weight > 0.0)
     }
--- a/crates/ladderpass/src/reducer/state/input_arrivals.rs
+++ b/crates/ladderpass/src/reducer/state/input_arrivals.rs
@@ -1,5 +1,5 @@
-//! When the bytes of a client's input arrived, and for how much of the time since then the router itself kept them
-//! waiting.
+//! When the bytes of a client's input arrived, and for how much of the time since their arrival the router itself,
+//! rather than a member, kept these bytes waiting.
 
 use ladderpass_routing::{Span, Time};
 use std::collections::VecDeque;
@@ -31,7 +31,7 @@
     time_with_members: Span,
 }
 
-/// When a byte arrived, and how long the router, rather than a member, has kept it waiting since then.
+/// When a byte arrived, and how long the router, rather than a member, has kept the byte waiting since its arrival.
 pub(in crate::reducer) struct Arrived {
     pub(in crate::reducer) at: Time,
     pub(in crate::reducer) waited_for_router: Span,
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -1,6 +1,6 @@
 //! State of one connection to a member. The connection carries one job at a time. An empty query follows each query,
-//! and the connection is used again only once the member has answered that empty query and no other result has arrived
-//! before that answer.
+//! and the connection is used again only once the member has answered the empty query. If any other result arrives
+//! between the answer to the query and the answer to the empty query, the connection is closed.
 
 use super::query_answer::QueryAnswer;
 use crate::pg;
@@ -11,8 +11,9 @@
 pub(in crate::reducer) enum Job {
     Attempt(RpcId),
     HealthCheck,
-    /// The empty query that is written behind each query. If another result arrives before the answer to the empty
-    /// query, that result does not belong to the answer of the query before, and the connection can't be used any more.
+    /// The empty query that is written behind each query. Once the query's own answer is complete, the next result must
+    /// be the answer to the empty query. If a different result comes first, it belongs to no query, and the connection
+    /// can't be used any more.
     SyncQuery,
 }
 
@@ -150,7 +151,8 @@
         self.unwritten
     }
 
-    /// Assigns a job to the connection. `deadline` is the job's. Returns the new deadline of the connection.
+    /// Assigns a job with this deadline to the connection. Returns the new deadline of the connection, which is earlier
+    /// than the job's if the connection must be established earlier.
     pub(in crate::reducer) fn assign(&mut self, assigned_at: Time, job: Job, deadline: Time) -> Time {
         (self.job, self.assigned_at, self.job_deadline) = (Some(job), assigned_at, deadline);
         self.write_delay = Span::ZERO;
@@ -371,8 +373,9 @@
         }
     }
 
-    /// Handles an error that the member has sent. A fatal error ends the connection. So does an error that does not
-    /// answer a fully written query, because the rest of that query could not be withdrawn.
+    /// Handles an error that the member has sent. A fatal error ends the connection. An error that does not answer a
+    /// fully written query ends the connection too, because a partly written query can't be withdrawn from the
+    /// connection.
     fn on_error(&mut self, body: &[u8]) -> MessageEffect {
         let Ok(error) = pg::parse_error_response(body) else { return MessageEffect::Malformed };
         let is_fatal = error.fatal;
--- a/crates/ladderpass/src/reducer/state/overload_monitor.rs
+++ b/crates/ladderpass/src/reducer/state/overload_monitor.rs
@@ -45,9 +45,10 @@
 
     /// Returns the slow readers that must be closed. This prevents clients that send statements and do not read the
     /// answers from filling the memory. Each slow reader has a time limit, which is shorter when memory is short, and a
-    /// limit on the bytes of its output. In addition, once the memory of all buffers exceeds the size up to which it
-    /// does not raise the overload pressure, the largest slow readers that have read nothing for a sample interval are
-    /// closed, before other clients are affected. No other client is closed to free memory.
+    /// limit on the bytes of its output. In addition, once the memory of all buffers exceeds
+    /// `Governor::unpressured_buffer_bytes` (the most memory that does not raise the overload pressure), the largest
+    /// slow readers that have read nothing for a sample interval are closed, before other clients are affected. No
+    /// other client is closed to free memory.
     fn overdue_slow_readers(&mut self, now: Time, connections: &Connections) -> Vec<ConnectionId> {
         let timeout = self.governor.slow_reader_timeout();
         let max_bytes = self.governor.slow_reader_max_bytes();
@@ -63,7 +64,7 @@
     }
 
     /// Returns the slow readers with the largest buffers, as many as must be closed to reduce the memory of all buffers
-    /// to the size up to which it raises no pressure.
+    /// to `Governor::unpressured_buffer_bytes`, the most memory that does not raise the overload pressure.
     fn largest_slow_readers(&self, now: Time, connections: &Connections) -> FxHashSet<ConnectionId> {
         let interval = self.governor.sample_interval();
         let mut excess_bytes =
@@ -157,7 +158,7 @@
     }
 
     /// Counts a statement, and sets the overload state by which the routing core will assess its RPC. Returns whether
-    /// the RPC is certain to be rejected, in which case parsing the rest of the statement would be wasted work.
+    /// the RPC is certain to be rejected. If so, the caller need not parse the rest of the statement.
     pub(in crate::reducer) fn assess(
         &mut self,
         now: Time,
@@ -286,7 +287,8 @@
     }
 }
 
-/// What a statement has cost the router before the statement is assessed: waiting time and bytes.
+/// What a statement has cost the router until the decision whether the statement's RPC is accepted: waiting time and
+/// bytes.
 pub(in crate::reducer) struct StatementCost {
     /// How long the router kept the statement waiting.
     pub(in crate::reducer) waited: Span,
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -119,12 +119,13 @@
         }
     }
 
-    /// Records that gossip on members came from this address. Returns whether the gossip may be accepted.
+    /// Records that gossip (another router's messages about members) came from this address. Returns whether the gossip
+    /// may be accepted.
     pub(in crate::reducer) fn record_gossip(&mut self, now: Time, from: SocketAddr) -> bool {
         self.membership.record_gossip(now, from)
     }
 
-    /// Queues messages on members as datagrams to all routers that receive gossip.
+    /// Queues this router's messages about members as datagrams to all routers that receive gossip.
     pub(in crate::reducer) fn publish(&mut self, now: Time, messages: &[String]) {
         for target in self.membership.gossip_targets(now) {
             let datagrams = messages.iter().map(|message| (target, message.clone().into_bytes()));
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Ticks the membership protocol if its wake time has come. Returns whether that was so.
+    /// Ticks the membership protocol if its wake time has come. Returns whether the protocol was ticked.
     pub(in crate::reducer) fn tick_membership(&mut self, now: Time) -> bool {
         let is_due = self.membership_wake_at <= now;
         if is_due {
@@ -155,7 +156,8 @@
         has_datagrams
     }
 
-    /// Returns whether another incarnation of this router's address was seen since the last call.
+    /// Returns whether an update since the last call showed that another process uses or has used this router's
+    /// address.
     pub(in crate::reducer) fn take_address_conflict(&mut self) -> bool {
         self.membership.take_address_conflict()
     }
--- a/crates/ladderpass/src/reducer/state/rpc_ids.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_ids.rs
@@ -15,7 +15,7 @@
     key: foldhash::fast::RandomState,
     /// Ids of RPCs, in flight or ended, that are kept until they expire.
     remembered: FxHashSet<u64>,
-    /// Ids of RPCs in flight. Each is kept until its RPC ends, however many RPCs begin in the meantime.
+    /// Ids of RPCs in flight. Each id is kept until its RPC ends, however many RPCs begin in the meantime.
     in_flight: FxHashSet<u64>,
     /// The remembered ids by the time step in which they expire. The order of ids within a step does not matter.
     expiring: BTreeMap<i64, Vec<u64>>,
@@ -36,8 +36,8 @@
     }
 
     /// Records that an RPC with this id begins. The id is kept at least until the RPC ends, and is remembered until
-    /// `expires_at`. Ids that have expired are forgotten. If `max_remembered` ids are still remembered then, the ids
-    /// that expire first are forgotten too.
+    /// `expires_at`. Ids that have expired are forgotten. If `max_remembered` or more unexpired ids remain, the ids
+    /// that expire first are forgotten as well, until fewer remain.
     pub(super) fn reserve(&mut self, now: Time, id: u64, expires_at: Time, max_remembered: usize) {
         self.in_flight.insert(id);
         while let Some(mut step) = self.expiring.first_entry()
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -16,7 +16,7 @@
     pub(in crate::reducer) requires_position: bool,
     pub(in crate::reducer) method: u32,
     pub(in crate::reducer) group: u32,
-    /// The RPC's priority in shared admission control, or zero if that is off.
+    /// The RPC's priority in shared admission control, or zero if shared admission control is off.
     pub(in crate::reducer) priority: u32,
     /// The RPC's id, hashed by `RpcIds`.
     pub(in crate::reducer) id_hash: u64,
@@ -34,12 +34,12 @@
     waited_for_router: Span,
     attempts: u32,
     /// Whether an attempt of the RPC has begun. The retry budget counts only one first attempt of each RPC, even if
-    /// that attempt is discounted later.
+    /// `discount_attempt` subtracts this attempt later.
     first_attempt_recorded: bool,
     /// Whether a retry was withdrawn from the shared retry budget for a further attempt of the RPC that is not made
     /// yet.
     retry_withdrawn: bool,
-    /// The connection that carries the RPC's attempt, or will carry it once it is established.
+    /// The connection that carries the RPC's attempt, or will carry the attempt once the connection is established.
     connection: Option<ConnectionId>,
     /// Whether an attempt of the RPC has ended with an outcome that does not prove that the RPC never ran at a member.
     may_have_run: bool,
@@ -181,13 +181,14 @@
         self.ids.hash(id)
     }
 
-    /// Returns whether another RPC has the id with this hash, or had it recently.
+    /// Returns whether an RPC in flight, or one that has ended recently, has the id with this hash.
     pub(in crate::reducer) fn is_duplicate(&self, id_hash: u64) -> bool {
         self.ids.contains(id_hash)
     }
 
-    /// Reserves the id of an RPC until the RPC is removed from the table. The id is also remembered until `expires_at`,
-    /// unless the number of remembered ids must be limited to `max_remembered` earlier.
+    /// Reserves the id of an RPC until the RPC is removed from the table. The id is remembered until `expires_at` even
+    /// if the RPC is removed earlier, but is forgotten before this time if more than `max_remembered` ids would be
+    /// remembered.
     pub(in crate::reducer) fn reserve_id(
         &mut self,
         now: Time,
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -4,7 +4,8 @@
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 use std::fmt::{self, Debug, Formatter};
 
-/// Maximum number of examples that are logged between two log lines with counts.
+/// Maximum number of examples of RPCs (given up, or spilled to the primary) that are logged between two log lines with
+/// counts.
 const MAX_EXAMPLES: usize = 8;
 
 /// The kinds of events of clients and their RPCs that are counted.
@@ -12,7 +13,7 @@
 pub(in crate::reducer) enum Count {
     Accepted,
     Rejected,
-    /// The RPC was answered with the error that it may have had an effect.
+    /// The RPC was answered with an error that says that the RPC may have had an effect.
     Failed,
     /// The client left before its RPC was answered.
     ClientLeft,
@@ -45,7 +46,8 @@
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
-    /// Number of examples of exceptional RPCs that were logged since the counts were last logged.
+    /// Number of examples of RPCs (given up, or spilled to the primary) that were logged since the counts were last
+    /// logged.
     examples: usize,
 }
 
@@ -141,8 +143,8 @@
         self.connect_time
     }
 
-    /// Returns the counts of RPCs that were given up, and of reads that were sent to a primary because no replica could
-    /// get them.
+    /// Returns the counts of RPCs that were given up, and of reads that were sent to a primary because no replica was
+    /// eligible for them.
     pub(in crate::reducer) fn exceptions(&self) -> &ExceptionCounts {
         &self.exceptions
     }
@@ -160,7 +162,8 @@
         self.counts[kind as usize]
     }
 
-    /// Returns whether one more example may be logged, and counts this example if so.
+    /// Returns whether one more example of an RPC that was given up or spilled to the primary may be logged, and counts
+    /// this example if so.
     pub(in crate::reducer) fn try_count_example(&mut self) -> bool {
         let allowed = self.examples < MAX_EXAMPLES;
         self.examples += usize::from(allowed);
--- a/crates/ladderpass/src/sockets/effects.rs
+++ b/crates/ladderpass/src/sockets/effects.rs
@@ -5,7 +5,8 @@
 use crate::reducer::Effect;
 
 impl Server {
-    /// Carries out all effects that the reducer has returned, including effects that result from others.
+    /// Carries out all effects that the reducer has returned, including further effects that the reducer returns while
+    /// these are carried out.
     pub(super) fn carry_out_effects(&mut self) {
         while !self.effects.is_empty() {
             // A client may have left while the batch of events was handled. Connections are polled once more right
--- a/crates/ladderpass/src/sockets/resource_usage.rs
+++ b/crates/ladderpass/src/sockets/resource_usage.rs
@@ -58,7 +58,7 @@
             busy: span(std::mem::take(&mut self.busy)),
             cpu: span(cpu.saturating_sub(self.cpu)),
             resident_bytes: self.resident_bytes().unwrap_or(0),
-            // The reducer sets this field, since it counts the memory of the buffers.
+            // The reducer, which counts the memory of the buffers, replaces this zero.
             buffer_bytes: 0,
             descriptors: connections + OTHER_DESCRIPTORS,
         };
--- a/crates/ladderpass/src/sockets/server.rs
+++ b/crates/ladderpass/src/sockets/server.rs
@@ -30,7 +30,8 @@
     pub(super) deferred: DeferredCalls,
     /// Effects that the reducer has returned and that have not been carried out.
     pub(super) effects: Vec<Effect>,
-    /// Whether the reducer has handled an event since its last tick, other than the reports of `sample_usage`.
+    /// Whether the reducer has handled an event since its last tick. The events that `sample_usage` passes do not
+    /// count.
     pub(super) has_pending_events: bool,
     /// Connections that are ready and have not been handled: first those that this router opened, then those of
     /// clients.
@@ -124,8 +125,8 @@
     }
 
     /// Reports a stall if the event loop woke long after the end of its wait, and marks the event loop as awake. This
-    /// method is called both before connections are polled and before clients are accepted. It clears `wake_by`, so
-    /// only the first call after a wait can report a stall.
+    /// method is called both before connections are polled and before clients are accepted. Each call clears `wake_by`,
+    /// so only the first call after a wait can report a stall.
     pub(super) fn check_stall(&mut self) {
         self.usage.mark_awake();
         let late = self.wake_by.take().map(|by| Instant::now().saturating_duration_since(by));
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -48,8 +48,8 @@
     }
 
     /// Returns how long bytes with this timestamp had waited at the time `monotonic`, at most `max`. If several offsets
-    /// give a possible wait, the shortest wait is returned. If no offset does, the result is `max`, which errs towards
-    /// less remaining time for the client.
+    /// give a possible wait, the shortest wait is returned. If no offset gives a possible wait, the result is `max`:
+    /// this may be too long, and then leaves the client less time, not more.
     pub fn time_in_kernel(&self, monotonic: Duration, timestamp: Duration, max: Duration) -> Duration {
         let age = |offset: i128| nanos(monotonic) + offset - nanos(timestamp);
         let offsets =
