--- a/crates/ladderpass/src/io_errors.rs
+++ b/crates/ladderpass/src/io_errors.rs
@@ -10,7 +10,8 @@
 }
 
 /// Returns whether the error of an accept or a connect means that descriptors, ports or memory are exhausted. Any other
-/// error concerns only this connection, which ended while it waited to be accepted, or the other side.
+/// error concerns one connection only: the connection to accept ended while it waited, or the other side of the connect
+/// failed or rejected it.
 pub fn is_resource_exhausted(error: &io::Error) -> bool {
     use Errno::{EADDRNOTAVAIL, EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC};
     matches!(errno(error), Some(EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EADDRNOTAVAIL))
--- a/crates/ladderpass/src/launch/environment.rs
+++ b/crates/ladderpass/src/launch/environment.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// The settings of a build for fault injection, from the variables of the environment. In other builds neither setting
-/// has an effect. A setting whose value is invalid is `None`.
+/// The settings of a build for fault injection, from the variables of the environment. In builds without the feature
+/// `faulty` these settings have no effect. A setting whose value is invalid is `None`.
 pub(super) struct FaultInjection {
     pub(super) faulty: Option<Faulty>,
     pub(super) clock_offset: Option<Span>,
--- a/crates/ladderpass/src/reducer/handlers/client_input.rs
+++ b/crates/ladderpass/src/reducer/handlers/client_input.rs
@@ -65,8 +65,9 @@
         }
     }
 
-    /// Handles the messages that a client has sent, up to the client's next RPC. After `statements_per_iteration`
-    /// messages the rest is left for the next iteration, so that other clients are not delayed.
+    /// Handles the messages that a client has sent, up to the client's next RPC. After
+    /// `Limits::statements_per_iteration` messages the rest is left for the next iteration, so that other clients are
+    /// not delayed.
     fn read_client(&mut self, now: Time, id: ConnectionId) {
         for _ in 0..self.limits.statements_per_iteration {
             if self.read_client_message(now, id) == Progress::Stop {
--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -99,8 +99,8 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Closes a connection once its output is written, or after `unread_answer_timeout` if the other side does not read
-    /// the output.
+    /// Closes a connection once its output is written, or after `Limits::unread_answer_timeout` if the other side does
+    /// not read the output.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.set_closing();
--- a/crates/ladderpass/src/reducer/handlers/deadlines.rs
+++ b/crates/ladderpass/src/reducer/handlers/deadlines.rs
@@ -42,7 +42,7 @@
             }
             _ if self.connections.is_waiting_for_memory(id) => self.skip_statement(now, id),
             // The client's statement waited for buffer memory, and memory has been freed in the meantime. So the
-            // statement has the same timeout as any other.
+            // timeout of the statement is `Limits::message_timeout`, as for any other statement.
             _ if let Some((AwaitedInput::StatementRest, since)) = client.awaited()
                 && now < since + self.limits.message_timeout =>
             {
--- a/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
+++ b/crates/ladderpass/src/reducer/handlers/discovery_watch.rs
@@ -162,8 +162,8 @@
 
     /// Handles a watch on which discovery was silent for too long, or a request for a watch that has no answer. After a
     /// watch that had answered falls silent, discovery is polled again without a pause, until the silence has lasted
-    /// for `Limits::notified_within`. By the protocol, the router need not know a change earlier than this time after
-    /// the change.
+    /// for `Limits::notified_within`. By the protocol, the router may learn of a change up to this time after the
+    /// change.
     fn on_watch_silent(&mut self, now: Time, id: ConnectionId) {
         let is_unanswered = self.discovery.is_current(id) && !self.has_answered(id);
         if self.discovery.is_current(id) && !is_unanswered {
--- a/crates/ladderpass/src/reducer/handlers/member_jobs.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_jobs.rs
@@ -166,8 +166,8 @@
             self.forward_answer(now, id, rpc);
         }
         self.close_connection(id);
-        // If the job timed out in less than `connect_timeout`, its deadline came from the RPC's client, which is no
-        // reason to close the member's other connections.
+        // If the job timed out in less than `Limits::connect_timeout`, its deadline came from the RPC's client, which
+        // is no reason to close the member's other connections.
         if outcome == AttemptOutcome::TimedOut && now - assigned_at >= self.limits.connect_timeout {
             self.close_silent_connections(index, assigned_at);
         }
--- a/crates/ladderpass/src/reducer/handlers/shutdown.rs
+++ b/crates/ladderpass/src/reducer/handlers/shutdown.rs
@@ -23,7 +23,7 @@
             self.effects.push(Effect::Exit);
         }
         // A client that was just answered is likely to send another statement, which could arrive just as the
-        // connection is closed. So a client is served until it has been idle for `shutdown_idle_time`.
+        // connection is closed. So a client is served until it has been idle for `Limits::shutdown_idle_time`.
         for (since, id) in self.clients.awaiting(AwaitedInput::NextStatement) {
             self.connections.set_deadline(id, Some(since + self.limits.shutdown_idle_time));
         }
--- a/crates/ladderpass/src/reducer/state/member_connection.rs
+++ b/crates/ladderpass/src/reducer/state/member_connection.rs
@@ -39,7 +39,7 @@
     write_delay: Span,
     /// How long the bytes that were read last from the member had waited in the kernel.
     read_delay: Span,
-    /// Number of bytes at the front of the input that belong to the answer and are already parsed.
+    /// Number of bytes at the front of the input that belong to the answer to the job's query and are parsed.
     scanned: usize,
     answer: QueryAnswer,
     /// Whether bytes of the answer to the job's query have arrived.
@@ -234,7 +234,7 @@
         self.has_answer_begun
     }
 
-    /// Number of bytes at the front of the input that belong to the answer and are already parsed.
+    /// Number of bytes at the front of the input that belong to the answer to the job's query and are parsed.
     pub(in crate::reducer) fn scanned(&self) -> usize {
         self.scanned
     }
--- a/crates/ladderpass/src/reducer/state/peer_links.rs
+++ b/crates/ladderpass/src/reducer/state/peer_links.rs
@@ -320,8 +320,8 @@
     }
 
     /// Applies the changes of the membership, and logs the membership's own view of which routers are alive. Until
-    /// `settled_at` the routing core gets the number from `alive_count`, which may be higher than the number that is
-    /// logged.
+    /// `settled_at` the routing core gets the number of routers from `alive_count`, which may be higher than the number
+    /// that is logged.
     pub(in crate::reducer) fn apply_changes(&mut self, now: Time, view: View) {
         let changes = self.membership.take_changes();
         if changes.is_empty() && view == self.view {
--- a/crates/ladderpass/src/reducer/state/query_answer.rs
+++ b/crates/ladderpass/src/reducer/state/query_answer.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Used only with the fault `IgnoresLag`: replaces the member's replication position if the member has reported
-    /// one.
+    /// Used only with the fault `IgnoresLag`: if the member has reported a replication position, replaces that position
+    /// with `position`.
     pub(in crate::reducer) fn override_position(&mut self, position: Time) {
         self.position = self.position.map(|_| position);
     }
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -186,9 +186,8 @@
         self.ids.contains(id_hash)
     }
 
-    /// Reserves the id of an RPC until the RPC is removed from the table. The id is remembered until `expires_at` even
-    /// if the RPC is removed earlier, but is forgotten before this time if more than `max_remembered` ids would be
-    /// remembered.
+    /// Reserves the id of an RPC until the RPC is removed from the table. After that, the id is remembered until
+    /// `expires_at`, or is forgotten earlier so that at most `max_remembered` ids are remembered.
     pub(in crate::reducer) fn reserve_id(
         &mut self,
         now: Time,
