--- a/crates/ladderpass/src/reducer/handlers/member_pools.rs
+++ b/crates/ladderpass/src/reducer/handlers/member_pools.rs
@@ -173,8 +173,9 @@
         self.release_member_index(index);
     }
 
-    /// Frees the index of a retired member if the member's last connection is closed. If the index were used again
-    /// earlier, a late answer of this member would be taken for an answer of the next member with the index.
+    /// Frees the index of a member that the routing core no longer tracks (a retired member), once the member's last
+    /// connection is closed. Until then a late answer of the member may arrive, which must not be taken for an answer
+    /// of the next member with the index.
     pub(super) fn release_member_index(&mut self, index: usize) {
         if self.members.try_release(index) {
             self.gossip_codec.id_hashes.remove(index as u32);
--- a/crates/ladderpass/src/reducer/handlers/stats_log.rs
+++ b/crates/ladderpass/src/reducer/handlers/stats_log.rs
@@ -1,5 +1,5 @@
 //! Logs the counts of the router's work every `Limits::stats_interval`. Also logs examples of RPCs that were given up
-//! or spilled to the primary, each with the reason.
+//! and of reads that were sent to the primary because no replica was eligible (spilled), each with the reason.
 
 use crate::reducer::Reducer;
 use crate::reducer::log_target;
@@ -47,7 +47,8 @@
         );
     }
 
-    /// Counts the RPCs that were given up or spilled to the primary, and logs the first few of them as examples.
+    /// Counts the RPCs that were given up, and the reads that were sent to the primary because no replica was eligible.
+    /// Logs the first few of them as examples.
     pub(in crate::reducer) fn record_exceptions(&mut self, exceptions: Exceptions) {
         self.stats.add_exceptions(&exceptions.counts);
         for example in &exceptions.examples {
--- a/crates/ladderpass/src/reducer/state/member_pools.rs
+++ b/crates/ladderpass/src/reducer/state/member_pools.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Frees the index of a retired member if it has no connections left. Returns whether the index was freed.
+    /// Frees the index of a member if the member is retired (no longer tracked by the routing core) and has no
+    /// connections left. Returns whether the index was freed.
     pub(in crate::reducer) fn try_release(&mut self, index: usize) -> bool {
         let is_unused = |pool: &MemberPool| pool.is_retired && pool.connection_count == 0;
         let is_free = self.pools.get(index).is_some_and(is_unused);
--- a/crates/ladderpass/src/reducer/state/stats.rs
+++ b/crates/ladderpass/src/reducer/state/stats.rs
@@ -4,8 +4,8 @@
 use ladderpass_routing::{AttemptOutcome, Span, Time};
 use std::fmt::{self, Debug, Formatter};
 
-/// Maximum number of examples of RPCs (given up, or spilled to the primary) that are logged between two log lines with
-/// counts.
+/// Maximum number of RPCs (given up, or sent to the primary for lack of an eligible replica) that are logged as
+/// examples between two log lines with counts.
 const MAX_EXAMPLES: usize = 8;
 
 /// The kinds of events of clients and their RPCs that are counted.
@@ -46,8 +46,8 @@
     answer_time: Span,
     logged_at: Time,
     exceptions: ExceptionCounts,
-    /// Number of examples of RPCs (given up, or spilled to the primary) that were logged since the counts were last
-    /// logged.
+    /// Number of RPCs (given up, or sent to the primary for lack of an eligible replica) that were logged as examples
+    /// since the counts were last logged.
     examples: usize,
 }
 
@@ -162,8 +162,7 @@
         self.counts[kind as usize]
     }
 
-    /// Returns whether one more example of an RPC that was given up or spilled to the primary may be logged, and counts
-    /// this example if so.
+    /// Returns whether one more RPC may be logged as an example (at most `MAX_EXAMPLES` may), and counts the RPC if so.
     pub(in crate::reducer) fn try_count_example(&mut self) -> bool {
         let allowed = self.examples < MAX_EXAMPLES;
         self.examples += usize::from(allowed);
