--- a/crates/ladderpass/src/reducer/handlers/connection_events.rs
+++ b/crates/ladderpass/src/reducer/handlers/connection_events.rs
@@ -43,8 +43,9 @@
     }
 
     /// Returns whether a connection's input buffer is full and can't grow, because the buffers of all connections take
-    /// too much memory. The limit for clients is lower than for members, so that statements wait before answers do. The
-    /// connection's deadline still applies while its buffer waits for memory.
+    /// too much memory: `Limits::pause_clients_at_buffer_bytes` or more for a client's connection, and the larger
+    /// `Limits::pause_members_at_buffer_bytes` or more for other connections, so that statements wait before answers
+    /// do. The connection's deadline still applies while its buffer waits for memory.
     fn is_memory_short(&self, id: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(id) else { return false };
         let limit = match connection.remote {
@@ -98,8 +99,8 @@
         self.update_buffer_bytes(id);
     }
 
-    /// Closes a connection once its output is written, or after `unread_answer_timeout` if the other side does not read
-    /// the output.
+    /// Closes a connection once its output is written, or after `Limits::unread_answer_timeout` if the other side does
+    /// not read the output.
     pub(super) fn close_when_written(&mut self, now: Time, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.set_closing();
