--- a/crates/ladderpass-overload/src/fair_shares.rs
+++ b/crates/ladderpass-overload/src/fair_shares.rs
@@ -1,5 +1,5 @@
-//! Fair shares of the router among connections. Finds connections that recently sent much more work than the other
-//! active connections did on average.
+//! Fair shares of the router's work among connections. Finds connections that recently sent much more work than the
+//! other active connections did on average.
 
 use ladderpass_routing::{Span, Time};
 
@@ -7,7 +7,7 @@
 const DECAY_TIME: Span = Span::from_millis(500);
 /// Recorded work decays for at most this many seconds at once. A longer time without work decays the work no further.
 const MAX_DECAY_SECS: f64 = 60.0;
-/// With fewer other active connections than this, no connection counts as exceeding its fair share.
+/// A connection counts as exceeding its fair share only while at least this many other connections are active.
 const MIN_OTHER_CLIENTS: f64 = 4.0;
 
 /// Recent work that one connection has sent, in the unit of [`FairShares::record`]. The caller stores the usage with
@@ -16,7 +16,7 @@
 pub struct ClientUsage {
     work: f64,
     updated_at: Time,
-    /// The number of the last interval in which the connection was counted as active.
+    /// The number of the last interval (see `DECAY_TIME`) in which the connection was counted as active.
     last_active_interval: i64,
 }
 
@@ -25,7 +25,7 @@
 pub struct FairShares {
     total_work: f64,
     updated_at: Time,
-    /// The number of the current interval, which begins at this multiple of `DECAY_TIME`.
+    /// The number of the current interval. The interval begins at this number times `DECAY_TIME`.
     interval: i64,
     /// Number of connections that have sent work in the current interval.
     active: f64,
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -12,18 +12,20 @@
 use ladderpass_routing::sliding_window::{SlidingWindow, WindowTotals};
 use ladderpass_routing::{OverloadState, PRIORITY_COUNT, Span, Time};
 
-/// Time constant with which the shares of CPU time that are used and stolen are smoothed.
+/// Time constant with which two shares are smoothed: that of the allowed CPU time which this process uses, and that of
+/// the wall time in which the process lacked CPU.
 const CPU_TIME_CONSTANT: Span = Span::from_millis(250);
 /// The queueing delay alone never raises the pressure above this limit. The highest priorities stay admitted, so that
 /// a queue of RPCs that all have the same priority drains by serving as well as by rejecting.
 const MAX_DELAY_PRESSURE: f64 = 0.97;
 /// A pressure below this value sheds nothing: it is only what the smoothing has left of an earlier pressure.
 const MIN_SHEDDING_PRESSURE: f64 = 0.005;
-/// The shares of the connections accepted in an iteration, and of the slow reader timeout, that are left under full
-/// pressure.
+/// What is left under full pressure, as a share of the value without pressure: of the connections accepted in an
+/// iteration, and of the slow reader timeout, for which only the pressure of memory and buffers counts.
 const MIN_ACCEPT_SHARE: f64 = 1.0 / 16.0;
 const MIN_SLOW_READER_TIMEOUT_SHARE: f64 = 0.1;
-/// The mean size of a method's RPCs is computed over a sliding window with this number of buckets of this width.
+/// The number and the width of the buckets of the sliding window over which the mean size of a method's RPCs is
+/// computed.
 const METHOD_SIZE_BUCKETS: usize = 8;
 const METHOD_SIZE_BUCKET_WIDTH: Span = Span::from_millis(500);
 const BYTES_PER_KIB: f64 = 1024.0;
@@ -93,14 +95,16 @@
         }
     }
 
-    /// Applies new settings and limits. The learnt costs stay, and the pressure starts from zero again.
+    /// Applies new settings and resource limits. The learnt costs of RPCs are kept, and the pressure starts from zero
+    /// again.
     pub fn reconfigure(&mut self, now: Time, settings: Settings, limits: ResourceLimits) {
         self.settings = settings;
         self.limits = limits;
         self.pressure = Pressure::new(now, settings);
     }
 
-    /// Records that a statement of this length is being handled, after it waited for this router for `waited`.
+    /// Records that a statement of this length is being handled, and that the statement waited for this router for
+    /// `waited` before.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         self.queueing_delay.record_statement(now, waited, length_bytes);
     }
@@ -132,8 +136,9 @@
         self.update_pressure(now);
     }
 
-    /// Ends an iteration of the event loop that was busy for `busy`. At the end of the iteration, `waiting_sockets`
-    /// sockets have pending events, and `waiting_bytes` bytes of statements have been read but not handled.
+    /// Ends an iteration of the event loop. `busy` is how long the iteration was busy. At the end of the iteration,
+    /// `waiting_sockets` sockets have pending events, and `waiting_bytes` bytes of statements have been read but not
+    /// handled.
     pub fn end_iteration(&mut self, now: Time, busy: Span, waiting_sockets: usize, waiting_bytes: usize) {
         let work = std::mem::take(&mut self.work);
         self.costs.learn(work, busy);
@@ -233,8 +238,8 @@
         ((max as f64 * share) as usize).max(1)
     }
 
-    /// How long to wait for a client that reads none of its responses. Pressure from memory or connection buffers
-    /// shortens the wait.
+    /// How long a client that reads none of its responses may stay connected. Pressure from memory or connection
+    /// buffers shortens this time.
     pub fn slow_reader_timeout(&self) -> Span {
         let memory_pressure = self.pressure.gauge(Gauge::Memory).max(self.pressure.gauge(Gauge::Buffers));
         self.settings.slow_reader_timeout * (1.0 - memory_pressure * (1.0 - MIN_SLOW_READER_TIMEOUT_SHARE))
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The name of the metric that shows the smoothed fraction of the gauge's band.
+    /// The name of the metric that shows the smoothed pressure of the gauge, from 0 to 1.
     pub fn metric_name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay_part",
@@ -88,12 +88,13 @@
     }
 }
 
-/// The router's pressure, which is the greatest of the smoothed gauges. A rising gauge is smoothed with another time
-/// constant than a falling one.
+/// The router's pressure, which is the greatest of the gauges' smoothed readings. A rising gauge is smoothed with
+/// another time constant than a falling one.
 #[derive(Clone, Debug)]
 pub struct Pressure {
     settings: Settings,
-    /// The last reading of each gauge, from 0 (start of the gauge's band) to 1 (end of the band).
+    /// The last reading of each gauge: the pressure that the gauge's value means, from 0 to 1 (see
+    /// [`Band`](crate::settings::Band)).
     readings: [f64; GAUGE_COUNT],
     /// The smoothed reading of each gauge.
     smoothed: [f64; GAUGE_COUNT],
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Sets the reading of a gauge, as a fraction of its band. The reading counts until the next call.
+    /// Sets the reading of a gauge: the pressure that the gauge's value means, from 0 to 1. The reading counts until
+    /// the next call for the gauge.
     pub fn set_gauge(&mut self, gauge: Gauge, fraction: f64) {
         self.readings[gauge as usize] = if fraction.is_finite() { fraction.clamp(0.0, 1.0) } else { 0.0 };
     }
@@ -135,8 +137,8 @@
         (before != self.level).then_some(before)
     }
 
-    /// Raises the level as soon as the pressure reaches a higher level, and lowers it only after the pressure was below
-    /// it for `calm_after`, so that the level does not follow every burst.
+    /// Raises the level as soon as the pressure reaches a higher level. Lowers the level only after the pressure was
+    /// below the current level for `calm_after`, so that the level does not follow every burst.
     fn update_level(&mut self, now: Time) {
         let reached = Level::of_pressure(self.value());
         if reached < self.level {
@@ -161,7 +163,7 @@
         dominant.copied().unwrap_or(Gauge::Delay)
     }
 
-    /// The smoothed reading of a gauge, as a fraction of its band.
+    /// The smoothed reading of a gauge, from 0 to 1.
     pub fn gauge(&self, gauge: Gauge) -> f64 {
         self.smoothed[gauge as usize]
     }
--- a/crates/ladderpass-overload/src/priority_histogram.rs
+++ b/crates/ladderpass-overload/src/priority_histogram.rs
@@ -45,11 +45,12 @@
         self.total += work;
     }
 
-    /// Reuses the bucket at this index for the interval with this number, and recomputes the sums.
+    /// Clears the bucket at this index for the interval with this number, and recomputes the sums.
     fn start_bucket(&mut self, index: usize, number: i64) {
         self.bucket_numbers[index] = number;
         self.buckets[index] = [0.0; PRIORITY_COUNT];
-        // If no work was recorded for some intervals, other buckets are older than the window too, and are cleared.
+        // Besides the reused bucket, other buckets may be older than the window of one second, because no work was
+        // recorded for some intervals. They are cleared too.
         for (bucket, other) in self.buckets.iter_mut().zip(&self.bucket_numbers) {
             if *other <= number - BUCKETS as i64 {
                 *bucket = [0.0; PRIORITY_COUNT];
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -12,7 +12,7 @@
 /// The measured mean wait of statements is multiplied by this factor before it is compared with the predicted wait.
 const MEASURED_WAIT_WEIGHT: f64 = 0.5;
 
-/// The current mean costs of an RPC in seconds, and the share of RPCs that are rejected.
+/// The current mean costs, in seconds, of serving an RPC and of rejecting one, and the share of RPCs that are rejected.
 pub(crate) struct MeanCosts {
     pub serve_secs: f64,
     pub reject_secs: f64,
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Records that a statement of this length is being handled, after it waited for this router for `waited`.
+    /// Records that a statement of this length is being handled, and that the statement waited for this router for
+    /// `waited` before.
     pub fn record_statement(&mut self, now: Time, waited: Span, length_bytes: usize) {
         let waited = waited.min((now - self.resumed_at).max(Span::ZERO));
         self.longest = self.longest.max(waited);
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -8,35 +8,39 @@
 const CONCAVE_HALF_WIDTHS: f64 = 0.25;
 /// The pressure of the concave curve at the end of the band: 1 / (1 + [`CONCAVE_HALF_WIDTHS`]).
 const CONCAVE_FRACTION_AT_FULL: f64 = 0.8;
-/// The remaining pressure, which the concave curve approaches beyond the band: 1 - [`CONCAVE_FRACTION_AT_FULL`].
+/// The remaining pressure, which the concave curve approaches beyond the end of the band: 1 -
+/// [`CONCAVE_FRACTION_AT_FULL`].
 const CONCAVE_FRACTION_BEYOND: f64 = 0.2;
-/// Beyond the band, the concave curve takes this many widths of the band to cover half of the remaining pressure.
+/// Beyond the end of the band, the concave curve takes this many widths of the band to cover half of the remaining
+/// pressure, [`CONCAVE_FRACTION_BEYOND`].
 const CONCAVE_TAIL_WIDTHS: f64 = 8.0;
 
-/// The range of a gauge over which the gauge's pressure rises, in the gauge's unit: seconds for the delay, a share of
-/// what is allowed for the resources.
+/// The range of a gauge over which the gauge's pressure rises. Both ends are in the gauge's unit: seconds for the
+/// queueing delay, and a share of what is allowed for a resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Band {
-    /// Up to this value of the gauge there is no pressure from the gauge.
+    /// Up to this value of the gauge, the gauge causes no pressure.
     pub from: f64,
-    /// From this value of the gauge on, the pressure from the gauge is full (1).
+    /// The end of the band. From here on a resource's pressure is 1 ([`Band::fraction`]), while the pressure of the
+    /// queueing delay is four fifths here and approaches 1 beyond ([`Band::concave_fraction`]).
     pub full: f64,
 }
 
 impl Band {
-    /// Creates a band without pressure up to `from` and with full pressure from `full` on.
+    /// Creates a band from `from` to `full`. There is no pressure up to `from`.
     pub const fn new(from: f64, full: f64) -> Band {
         Band { from, full }
     }
 
-    /// The pressure of a value. Within the band it rises linearly from 0 to 1.
+    /// The pressure of a resource at this value of its gauge. The pressure is 0 up to `from`, rises linearly within the
+    /// band, and is 1 from `full` on.
     pub fn fraction(self, value: f64) -> f64 {
         ((value - self.from) / (self.full - self.from).max(1e-9)).clamp(0.0, 1.0)
     }
 
-    /// The pressure of a value by a concave curve. It rises quickly at first, reaches four fifths at `full` and
-    /// approaches 1 ever more slowly beyond. The highest priorities are therefore shed last, and only by a queue that
-    /// persists.
+    /// The pressure of the queueing delay at this value, by a concave curve. The curve rises quickly at first, reaches
+    /// four fifths at `full`, and approaches 1 ever more slowly beyond `full`. The highest priorities are therefore
+    /// shed last, and only by a queue that persists.
     pub fn concave_fraction(self, value: f64) -> f64 {
         let widths = ((value - self.from) / (self.full - self.from).max(1e-9)).max(0.0);
         let beyond = widths - 1.0;
@@ -48,15 +52,15 @@
     }
 }
 
-/// Bands and times of the overload control.
+/// The bands (see [`Band`]) and times of the overload control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// The band of the queueing delay, in seconds. The pressure of the delay follows the curve of
     /// [`Band::concave_fraction`].
     pub delay: Band,
-    /// The band of the CPU time in use, as a share of the allowed CPU time. A process with a whole core can't use more
-    /// than it is allowed, and a lack of CPU shows as queueing delay instead. The band is for a process with a fraction
-    /// of a core.
+    /// The band of the CPU time in use, as a share of the allowed CPU time. The band is for a process that is allowed a
+    /// fraction of a core. A process that is allowed a whole core can't use more CPU time than that, and a lack of CPU
+    /// shows as queueing delay instead.
     pub cpu: Band,
     /// The band of the resident memory, as a share of the allowed memory.
     pub memory: Band,
@@ -70,11 +74,11 @@
     pub fall: Span,
     /// The level of the pressure is lowered once the pressure has been below the level for this long.
     pub calm_after: Span,
-    /// The RPCs of a connection get a lower priority if the connection has recently sent more than this multiple of the
-    /// work that the other active connections sent on average.
+    /// The RPCs of a connection get a lower priority if the connection has recently sent more work than this multiple
+    /// of what the other active connections sent on average.
     pub fair_share_multiple: f64,
-    /// A client that reads none of its responses is disconnected after this time, and after a tenth of this time under
-    /// full memory pressure.
+    /// A client that reads none of its responses is disconnected after this time, and after a tenth of this time when
+    /// the pressure of the memory or of the connections' buffers is full.
     pub slow_reader_timeout: Span,
     /// The most bytes of unread responses that one client may have.
     pub slow_reader_bytes: usize,
--- a/crates/ladderpass-overload/tests/governor/resources.rs
+++ b/crates/ladderpass-overload/tests/governor/resources.rs
@@ -1,4 +1,4 @@
-//! Tests of a core that another process uses too, and of memory that runs short.
+//! Tests of a router that shares its core with another process, and of a router whose memory runs short.
 
 use crate::simulation::{READ, SERVE_SECS, Simulation, WRITE, at, mixed_request};
 use ladderpass_overload::{Governor, Level, ResourceLimits, ResourceSample, Settings};
--- a/crates/ladderpass-overload/tests/governor/simulation.rs
+++ b/crates/ladderpass-overload/tests/governor/simulation.rs
@@ -1,4 +1,5 @@
-//! The simulation: a router with one server in simulated time, and the clients that send to it.
+//! The simulation: a router that serves one RPC at a time, in simulated time, and the clients that send RPCs to this
+//! router.
 
 use ladderpass_overload::{ClientUsage, Governor, OverloadEvent, ResourceLimits, Settings};
 use ladderpass_routing::{
