--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -1,8 +1,9 @@
-//! How many RPCs all routers together may have in flight at each member, and this router's quota of them.
+//! How many RPCs all routers together may have in flight at each member (the member's capacity), and this router's
+//! quota of this capacity.
 //!
-//! A member's capacity follows a gradient: the capacity shrinks with the ratio of the member's latency to the typical
-//! latency, grows by the capacity's square root while the capacity is in use, and follows the median of all routers'
-//! estimates. The quota is this router's share of the offered load.
+//! A member's capacity follows a gradient. The capacity shrinks with the ratio of the member's latency to the typical
+//! latency, grows by its own square root while it is in use, and follows the median of all routers' estimates. The
+//! quota is this router's share of the offered load.
 
 use crate::consensus::move_towards_median;
 use crate::peer_reports::WeightedReport;
@@ -14,28 +15,31 @@
 const INITIAL_CAPACITY: f64 = 2.0;
 const MIN_CAPACITY: f64 = 1.0;
 const MAX_CAPACITY: f64 = 4096.0;
-/// Up to this ratio of a member's latency to the typical one, the member's capacity does not shrink, since a member
-/// whose queue is empty is not full.
+/// A member's capacity does not shrink while the ratio of the member's latency to the typical latency is at most this,
+/// since a member whose queue is empty is not full.
 const MAX_HEALTHY_LATENCY_RATIO: f64 = 1.3;
-/// A member's latency ratio is multiplied by one plus this factor times the share of the RPCs that failed. Failures
-/// count because a member with a short queue rejects RPCs and never answers slowly.
+/// A member's latency ratio (its latency as a multiple of the typical latency) is multiplied by one plus this factor
+/// times the share of the RPCs that failed. Failures count because a member with a short queue rejects RPCs and never
+/// answers slowly.
 const FAILURE_LATENCY_WEIGHT: f64 = 10.0;
-/// A member's capacity grows only while the RPCs in flight, times this factor, fill the capacity. If an unused capacity
-/// grew, a burst could fill the grown capacity at once.
+/// A member's capacity grows only while the RPCs in flight, times this factor, are at least the capacity. If an unused
+/// capacity grew, a burst could fill the grown capacity at once.
 const USED_MARGIN: f64 = 1.25;
-/// One step moves a member's capacity by this share of the difference between the target and the capacity.
+/// One step moves a member's capacity by this share of the difference between the capacity and its target, which
+/// follows from the latency ratio.
 const CAPACITY_STEP: f64 = 0.3;
-/// Weight of the latest value in the moving averages of a member's load and of the quota.
+/// Weight of the latest value in the moving averages of a member's load (RPCs in flight and latency ratio) and of the
+/// quota.
 const SMOOTHING_WEIGHT: f64 = 0.4;
-/// Weight, in RPCs in flight, that is added to the weight of each router's latency ratio. Without this constant,
-/// routers without RPCs in flight would have no weight in the average.
+/// A constant that is added to the RPCs in flight by which each router's latency ratio of a member is weighted. Without
+/// this constant, routers without RPCs in flight would have no weight in the average.
 const IDLE_WEIGHT: f64 = 0.05;
-/// The quota grows by at most this factor in a step.
+/// This router's quota of the members' capacity grows by at most this factor in a step.
 const MAX_QUOTA_GROWTH: f64 = 1.3;
-/// A step may raise the quota to this value, however small the quota was.
+/// A step may raise this router's quota to this value, even if the quota then grows by more than `MAX_QUOTA_GROWTH`.
 const ALWAYS_ALLOWED_QUOTA: f64 = 0.02;
-/// The quota is updated only while at least `MIN_REPORTING_SHARE` of the other routers report, or at least
-/// `ENOUGH_REPORTING_PEERS` of them. A router counts by the weight of its report, from 0 to 1.
+/// The quota is updated only while the other routers that report are at least `MIN_REPORTING_SHARE` of all other live
+/// routers, or at least `ENOUGH_REPORTING_PEERS`. A reporting router counts by the weight of its report, from 0 to 1.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
 
@@ -70,9 +74,9 @@
     (quota + (share - quota) * SMOOTHING_WEIGHT).min(max_quota)
 }
 
-/// How many RPCs this router may have in flight at a member of this capacity. The square root is a margin for bursts,
-/// as in the square root staffing rule for random arrivals. All routers' limits add up to a little more than the
-/// capacity.
+/// How many RPCs this router may have in flight at a member of this capacity. The limit is the router's share of the
+/// capacity plus the square root of this share, a margin for bursts as in the square root staffing rule for random
+/// arrivals. All routers' limits add up to a little more than the capacity.
 pub(crate) fn compute_limit(capacity: f64, quota: f64) -> f64 {
     let share = capacity * quota;
     share + share.sqrt()
@@ -84,7 +88,7 @@
 }
 
 /// This router's estimates of a member after a step, from this router's load at the member and the other routers'
-/// reports. `scale` is the ratio of the number of all live routers to the number of routers that reported.
+/// reports. `scale` is the number of all live routers divided by the number of routers that reported.
 pub(crate) fn estimate_member(
     previous: Option<&MemberReport>,
     load: &MemberLoad,
@@ -111,8 +115,9 @@
     own
 }
 
-/// Combines this router's observations of a member with those reported by others. The result sums the RPCs in flight,
-/// averages the latency ratios with the RPCs in flight as weights, and moves this router's capacity towards the median.
+/// Combines this router's observations of a member with those that other routers reported. The result sums the RPCs in
+/// flight, averages the latency ratios with the RPCs in flight as weights, and moves this router's estimate of the
+/// capacity towards the median of all routers' estimates.
 fn combine_observations(own: &MemberReport, reports: &[WeightedReport<'_>]) -> MemberReport {
     let mut in_flight = own.in_flight;
     let mut weighted_latency = own.latency_ratio * (own.in_flight + IDLE_WEIGHT);
--- a/crates/ladderpass-admission/src/controller.rs
+++ b/crates/ladderpass-admission/src/controller.rs
@@ -2,8 +2,8 @@
 //! other routers. The controller returns reports to send, thresholds and limits.
 //!
 //! Each router computes its thresholds for itself, by the same rules from the same reports. A report counts while it is
-//! recent and its router is alive, and only up to a multiple of the typical load. A router that receives too few
-//! reports keeps its quota.
+//! recent and the router that made it is alive, and only up to a multiple of the typical load of a router. A router
+//! that receives too few reports keeps its quota of the members' capacity.
 
 use crate::capacity::MemberLimits;
 use crate::faulty::Faulty;
@@ -17,11 +17,11 @@
 
 /// Length of a step. Thresholds and limits are computed and new reports are made once a step.
 const STEP: Span = Span::from_millis(250);
-/// The most reports of its own that a router puts into a bundle. The rest of the bundle forwards reports of other
-/// routers.
+/// The most reports about its own groups that a router puts into a bundle of reports. The rest of the bundle forwards
+/// reports of other routers.
 const MAX_OWN_REPORTS: usize = 4;
-/// Each bundle begins this many reports after the beginning of the previous bundle, so that reports that do not fit
-/// into one bundle can go into a later bundle.
+/// Each bundle begins with the report that comes this many reports after the first report of the previous bundle, so
+/// that reports that do not fit into one bundle can go into a later one.
 const BUNDLE_ROTATION: usize = 3;
 
 /// The shared admission control, as one router computes it.
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Returns the state of a group. The quota of a new group is an equal share among the live routers.
+    /// Returns the state of a group. In a new group, the quota of the members' capacity is the same for each live
+    /// router.
     fn group_mut(&mut self, group: u32) -> &mut Group {
         let quota = 1.0 / (self.reports.alive_count() as f64 + 1.0);
         self.groups.entry(group).or_insert_with(|| Group::new(quota))
@@ -72,7 +73,7 @@
         self.group_mut(group).counts.served += 1.0;
     }
 
-    /// Records an RPC of a group that was admitted and that no member had capacity for (unplaced).
+    /// Records an RPC of a group that was admitted and for which no member had capacity (an unplaced RPC).
     pub fn record_unplaced(&mut self, group: u32) {
         self.group_mut(group).counts.unplaced += 1.0;
     }
@@ -155,8 +156,8 @@
         }
     }
 
-    /// If a step is due, recomputes the thresholds and returns the limits. `loads` is what this router observes at its
-    /// members.
+    /// If a step is due, recomputes the thresholds and returns this router's limits at the members. `loads` is what
+    /// this router observes at its members.
     pub fn tick(&mut self, now: Time, loads: &[MemberLoad]) -> Option<MemberLimits> {
         if now < self.next_step_at {
             return None;
--- a/crates/ladderpass-admission/src/draw.rs
+++ b/crates/ladderpass-admission/src/draw.rs
@@ -1,11 +1,12 @@
-//! The random draw of a session, by which all routers reject the same sessions among those at the threshold's priority.
+//! The random draw of a session. Where only a share of the RPCs at the threshold's priority is rejected, the draw
+//! decides which sessions this share consists of, and all routers reject the same ones.
 
 use ladderpass_routing::{Span, Time, fnv1a};
 
 /// The draw of a session is the same throughout an epoch of this length.
 const EPOCH: Span = Span::from_millis(10_000);
 
-/// The random number from 0 to 1 of a session. It is the same at all routers, and changes with each epoch.
+/// The random number of a session, from 0 to 1. The number is the same at all routers, and changes with each epoch.
 pub fn admission_draw(session: &[u8], now: Time) -> f64 {
     let epoch = (now.nanos() / EPOCH.nanos()) as u64;
     let mut z = fnv1a::hash_with_seed(epoch.rotate_left(32), session);
--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -24,12 +24,13 @@
     pub admitted: f64,
     /// RPCs a second that all routers served.
     pub served: f64,
-    /// RPCs a second, of all routers, that were admitted and that no member had capacity for (unplaced).
+    /// RPCs a second, of all routers, that were admitted and for which no member had capacity (unplaced RPCs).
     pub unplaced: f64,
-    /// Number of reports of other routers with a weight above 0.
+    /// Number of reports of other routers that count, which means that their weight (see [`WeightedReport`]) is above
+    /// 0.
     pub reports: usize,
-    /// Number of reports whose load was above the limit of a reported load (a multiple of the typical load) and was
-    /// reduced to that limit.
+    /// Number of other routers' reports whose load was above the limit of a reported load (a multiple of the typical
+    /// load) and was reduced to that limit.
     pub clamped_reports: usize,
     /// RPCs that all routers together may have in flight at all members.
     pub capacity: f64,
@@ -40,7 +41,7 @@
 /// The state of a group at this router.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
-    /// This router's counts of RPCs since the last step.
+    /// This router's counts of RPCs since the last step of 250 ms.
     pub counts: Rates,
     pub rates: Rates,
     pub admission: AdmissionThreshold,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Updates the rates with the counts of a step of this length, and resets the counts.
+    /// Updates the rates of this router with the counts of a step of this length, and resets the counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
         self.rates.update(&counts, secs);
--- a/crates/ladderpass-admission/src/lib.rs
+++ b/crates/ladderpass-admission/src/lib.rs
@@ -1,6 +1,6 @@
 //! Admission control that all routers share. Each router reports the RPCs that it was offered and their outcomes. From
-//! these reports each router computes, for each group, the admission threshold that all have in common, and its own
-//! limits of RPCs in flight at the members.
+//! these reports each router computes, for each group, the admission threshold that is the same at all routers, and
+//! this router's own limits of RPCs in flight at the members.
 //!
 //! - [`AdmissionController`] (`controller`): the entry points. It composes the other modules, every 250 ms.
 //! - `rates`: moving averages of the rates of RPCs that this router was offered and served.
@@ -8,8 +8,8 @@
 //! - `peer_reports`: the reports received from other routers, weighted by age.
 //! - `totals`: the rates of RPCs that all routers were offered and served, from the reports.
 //! - `threshold`: how many RPCs a second are admitted, and the priority below which all routers reject.
-//! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of them.
-//! - `consensus`: how a router's estimate follows those of the others.
+//! - `capacity`: how many RPCs all routers may have in flight at a member, and this router's quota of these RPCs.
+//! - `consensus`: how a router's estimate follows the estimates of the other routers.
 //! - `group`: the state of one group.
 //! - `draw`: the random draw of a session, which is the same at all routers.
 //! - `faulty`: deliberate faults for tests.
--- a/crates/ladderpass-admission/src/peer_reports.rs
+++ b/crates/ladderpass-admission/src/peer_reports.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sets which other routers are alive, and drops the reports of routers that are not.
+    /// Sets which other routers are alive, and drops the stored reports of all routers that are not alive.
     pub fn set_alive(&mut self, routers: impl Iterator<Item = u32>) {
         self.alive = routers.collect();
         if !self.keeps_reports_of_dead_routers {
@@ -64,7 +64,7 @@
         self.alive.len()
     }
 
-    /// Stores a report of a live router, if it is newer than the stored report of that router and group.
+    /// Stores a report of a live router, if the report is newer than the one stored for the same router and group.
     pub fn insert(&mut self, now: Time, report: GroupReport) {
         let is_accepted = self.alive.contains(&report.router) || self.keeps_reports_of_dead_routers;
         if report.router == self.own_router || !is_accepted || report.age >= STALE_AFTER {
@@ -73,8 +73,8 @@
         let made_at = now - report.age;
         let key = ReportKey { router: report.router, group: report.group };
         match self.reports.get(&key) {
-            // The sequence of a router that has restarted begins at zero again, so an older sequence number is accepted
-            // once the stored report is stale.
+            // The sequence numbers of a router that has restarted begin at zero again. So a lower sequence number is
+            // accepted if the report was made at least `STALE_AFTER` after the stored one.
             Some(stored) if !is_newer(&report, &stored.report) && made_at - stored.made_at < STALE_AFTER => {}
             None if self.reports.len() >= MAX_REPORTS => {}
             _ => {
@@ -108,8 +108,8 @@
         (1.0 - (age - FRESH_FOR).secs() / (STALE_AFTER - FRESH_FOR).secs()).clamp(0.0, 1.0)
     }
 
-    /// Reports younger than `FRESH_FOR`, with their current age, to be forwarded. The order begins at index `first`,
-    /// modulo the number of stored reports, and wraps around.
+    /// Stored reports younger than `FRESH_FOR`, with their current age, to be forwarded to other routers. The sequence
+    /// begins with the stored report at index `first`, modulo the number of stored reports, and wraps around.
     pub fn fresh_from(&self, now: Time, first: usize) -> impl Iterator<Item = GroupReport> {
         let stored: Vec<&StoredReport> = self.reports.values().collect();
         (0..stored.len()).filter_map(move |offset| {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Whether the sequence number of `report` is later than that of `stored`, modulo 2^16.
+/// Whether the sequence number of `report` is later than the sequence number of `stored`, modulo 2^16.
 fn is_newer(report: &GroupReport, stored: &GroupReport) -> bool {
     report.sequence.wrapping_sub(stored.sequence) as i16 > 0
 }
--- a/crates/ladderpass-admission/src/rates.rs
+++ b/crates/ladderpass-admission/src/rates.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-/// The weight of a step's counts is its length in seconds times this factor, up to `MAX_COUNT_WEIGHT`. Rates then
-/// follow the counts within about a second.
+/// In the moving averages, the weight of a step's counts is the step's length in seconds times this factor, but at most
+/// `MAX_COUNT_WEIGHT`. Rates then follow the counts within about a second.
 const COUNT_WEIGHT_PER_SECOND: f64 = 2.4;
 const MAX_COUNT_WEIGHT: f64 = 0.8;
-/// A priority whose offered rate is no higher than this, in RPCs a second, is removed from the offered rates.
+/// A priority is removed from the offered rates when its offered rate is no higher than this, in RPCs a second.
 const MIN_RATE: f64 = 0.005;
-/// Counts are divided by at least this number of seconds to compute a rate, which prevents a division by zero.
+/// The least number of seconds by which counts are divided to compute a rate. The minimum prevents a division by zero.
 const MIN_STEP_SECS: f64 = 1e-3;
 
 /// Rates of this router in RPCs a second, or counts of RPCs in the current step.
--- a/crates/ladderpass-admission/src/report.rs
+++ b/crates/ladderpass-admission/src/report.rs
@@ -1,7 +1,7 @@
 //! The encoding of a router's report of one group. An encoded report takes some forty bytes, and the amounts in it are
 //! on a logarithmic scale (within 4%).
 //!
-//! A report that can't be decoded is dropped, with everything that follows it in the bundle.
+//! A report that can't be decoded is dropped, with everything that follows the report in the bundle.
 
 use ladderpass_retry_budget::RetryRates;
 use ladderpass_routing::Span;
@@ -14,14 +14,15 @@
 const MIN_AMOUNT: f64 = 0.01;
 const AMOUNT_STEP: f64 = 1.065;
 const AGE_STEP: Span = Span::from_millis(50);
-/// The most priorities and members in a report. The number of priorities and the number of members share a byte.
+/// The most priorities and the most members in a report. The two counts share a byte.
 const MAX_PRIORITIES: usize = 6;
 pub(crate) const MAX_MEMBERS: usize = 8;
 
-/// The head of an encoded report consists of router, sequence, age, group and the byte with the counts.
+/// The length in bytes of the head of an encoded report, which consists of router, sequence, age, group and the byte
+/// with the counts of priorities and members.
 const HEAD_BYTES: usize = 4 + 2 + 1 + 4 + 1;
 const PRIORITY_BYTES: usize = 1 + 1;
-/// The encoded rates are those of served, unplaced and admitted RPCs and the four retry rates.
+/// Number of encoded rates: those of served, unplaced and admitted RPCs and the four retry rates.
 const RATES_BYTES: usize = 3 + 4;
 const MEMBER_BYTES: usize = 2 + 3;
 
@@ -40,13 +41,13 @@
     pub offered: Vec<OfferedRate>,
     /// RPCs of the group that were served, per second.
     pub served: f64,
-    /// RPCs of the group that were admitted and that no member had capacity for (unplaced), per second.
+    /// RPCs of the group that were admitted and for which no member had capacity (unplaced RPCs), per second.
     pub unplaced: f64,
-    /// The router's estimate of how many RPCs a second all routers can admit.
+    /// The router's estimate of how many RPCs a second all routers together can admit to the group.
     pub admitted: f64,
     /// The router's rates of first attempts and retries for the group.
     pub retry_rates: RetryRates,
-    /// The router's observations of the group's members.
+    /// The router's observations of the group's members, at most `MAX_MEMBERS` of them.
     pub members: Vec<MemberReport>,
 }
 
@@ -83,7 +84,8 @@
     if byte == 0 { 0.0 } else { MIN_AMOUNT * AMOUNT_STEP.powi(i32::from(byte) - 1) }
 }
 
-/// Appends a report to a bundle, unless the bundle would exceed `max_bytes`. Returns true if the report was appended.
+/// Appends a report to a bundle, unless the bundle would then be longer than `max_bytes`. Returns true if the report
+/// was appended.
 pub fn append_report(report: &GroupReport, bytes: &mut Vec<u8>, max_bytes: usize) -> bool {
     let priorities = report.offered.len().min(MAX_PRIORITIES);
     let members = report.members.len().min(MAX_MEMBERS);
--- a/crates/ladderpass-admission/src/totals.rs
+++ b/crates/ladderpass-admission/src/totals.rs
@@ -1,9 +1,9 @@
 //! The rates at which all routers together were offered and served RPCs of a group, from this router's rates and the
 //! others' reports.
 //!
-//! A report counts by its weight, and for no more than a multiple of the typical load of a router, so that a false
-//! report can't move the totals far. If only some live routers reported recently, the totals are scaled up to all of
-//! them.
+//! A report counts by its weight (from 0 to 1, lower for older reports), and for no more than a multiple of the typical
+//! load of a router, so that a false report can't move the totals far. If only some live routers reported recently, the
+//! totals are scaled up to the number of all live routers.
 
 use crate::consensus::{median, move_towards_median};
 use crate::peer_reports::WeightedReport;
@@ -11,7 +11,7 @@
 use crate::report::GroupReport;
 use std::collections::BTreeMap;
 
-/// A report counts for no more than this multiple of the typical load of a router.
+/// A router's reported load counts for no more than this multiple of the typical load of a router.
 const MAX_LOAD_MULTIPLE: f64 = 3.0;
 
 /// Rates of all routers, in RPCs a second.
@@ -19,22 +19,23 @@
     /// Offered rates by priority, of this router and the routers that reported. These rates are not scaled up to all
     /// routers.
     pub offered_by_priority: BTreeMap<u8, f64>,
-    /// The ratio of the number of all live routers to the number of routers that reported, with this router counted in
-    /// both.
+    /// The number of all live routers, divided by the number of routers that reported. This router counts in both.
     pub scale: f64,
     pub offered: f64,
     pub served: f64,
     pub unplaced: f64,
     /// The rate that this router itself was offered.
     pub own_offered: f64,
-    /// This router's estimate of the rate that all routers can admit, moved towards the median of all routers'
+    /// This router's estimate of the rate that all routers together can admit, moved towards the median of all routers'
     /// estimates.
     pub admitted: f64,
-    /// Sum of the weights of the other routers' reports, each from 0 to 1.
+    /// Sum of the weights of the other routers' reports. The weight of a report is from 0 to 1, and lower for an older
+    /// report.
     pub reporting_peers: f64,
     /// Number of other routers that are alive, but at least `reporting_peers`.
     pub peers: f64,
-    /// Number of reports whose load was above `MAX_LOAD_MULTIPLE` times the typical load and was reduced to that limit.
+    /// Number of other routers' reports whose load was above `MAX_LOAD_MULTIPLE` times the typical load and was reduced
+    /// to that limit.
     pub clamped_reports: usize,
 }
 
--- a/crates/ladderpass-admission/tests/model/capacity.rs
+++ b/crates/ladderpass-admission/tests/model/capacity.rs
@@ -15,8 +15,8 @@
     assert!(quota(&sim) <= before * 1.2, "quota {}, before the loss {before}", quota(&sim));
 }
 
-/// Guards against a fault that drills with short queues found: a member that rejects RPCs answers quickly, so the
-/// member's capacity stayed high.
+/// Guards against a fault that was found in drills with short queues at the members: a member that rejects RPCs answers
+/// quickly, so the member's capacity stayed high.
 #[test]
 fn failed_rpcs_reduce_the_limit_at_a_member() {
     let limit_after = |failure_share: f64| {
--- a/crates/ladderpass-admission/tests/model/reports.rs
+++ b/crates/ladderpass-admission/tests/model/reports.rs
@@ -27,7 +27,7 @@
     let reports = |sim: &Simulation| sim.routers[0].metrics().map(|group| group.reports).sum::<usize>();
     assert_eq!(reports(&sim), 3);
     sim.alive[3] = false;
-    // The routers are not notified of the death of router 3, and the reports of that router expire all the same.
+    // The other routers are not notified that router 3 died. Its reports expire all the same.
     sim.run(20);
     assert_eq!(reports(&sim), 2);
     let bytes = sim.routers[1].encode_reports(sim.now, 210);
--- a/crates/ladderpass-admission/tests/model/simulation.rs
+++ b/crates/ladderpass-admission/tests/model/simulation.rs
@@ -12,7 +12,7 @@
 pub const START: Time = Time::from_nanos(1_800_000_000_000_000_000);
 const REPORT_BYTES: usize = 210;
 const REPORT_RECEIVERS: usize = 2;
-/// The number of RPCs in flight up to which a member's latency is the typical one.
+/// A member's latency is the typical latency up to this number of RPCs in flight.
 const CORES_PER_MEMBER: f64 = 2.0;
 const MAX_IN_FLIGHT_PER_CORE: f64 = 4.0;
 
@@ -54,7 +54,7 @@
     rng: WyRand,
     /// The share of the routers' reports that are lost on the way.
     pub report_loss: f64,
-    /// If above 0, routers below this index and the other routers can't reach each other.
+    /// If above 0, the routers with a lower index than this can't reach the routers with this index or a higher one.
     pub partitioned_at: usize,
     limits: Vec<Vec<f64>>,
     last_step: ServedShares,
@@ -95,7 +95,7 @@
         self.partitioned_at > 0 && (other < self.partitioned_at) != (one < self.partitioned_at)
     }
 
-    /// Notifies each router of the others that are alive and reachable.
+    /// Notifies each router which other routers are alive and reachable.
     pub fn update_membership(&mut self) {
         for index in 0..self.routers.len() {
             let is_reachable =
@@ -183,8 +183,8 @@
         f64::from(self.members) * CORES_PER_MEMBER
     }
 
-    /// The number of RPCs in flight at all members together. While more RPCs are admitted than served, the number is at
-    /// most the sum of the routers' limits.
+    /// The number of RPCs in flight at all members together. While more RPCs are admitted than served, this number is
+    /// at most the sum of the routers' limits at the members.
     fn in_flight(&self, alive: &[usize], utilisation: f64) -> f64 {
         let limits = alive.iter().fold(0.0, |sum, &index| sum + self.limits[index].iter().sum::<f64>());
         match utilisation > 1.0 {
--- a/crates/ladderpass-admission/tests/model/threshold.rs
+++ b/crates/ladderpass-admission/tests/model/threshold.rs
@@ -46,7 +46,7 @@
     let mut sim = Simulation::new(3, uneven_overload(12, 300.0), 300.0, |_| Faulty::NotFaulty);
     sim.run(30);
     (0..4).for_each(|index| sim.alive[index * 3] = false);
-    // The clients of the dead routers connect to the other routers.
+    // The clients of the dead routers connect to the routers that are alive.
     let load_of_dead_routers: f64 = (0..4).map(|index| sim.load[index * 3].total()).sum();
     let factor = 1.0 + load_of_dead_routers / (750.0 - load_of_dead_routers);
     sim.load.iter_mut().for_each(|load| *load = load.times(factor));
@@ -68,8 +68,8 @@
     assert!(served.high > 0.98 && served.utilisation > 0.93, "{served:?}");
 }
 
-/// Guards against a fault that drills with immediate rejections found: a threshold computed from the counts of the
-/// first quarter of a second admitted 13 RPCs of 67.
+/// Guards against a fault that was found in drills in which members rejected RPCs at once: a threshold that was
+/// computed from the counts of the first quarter of a second admitted only 13 of 67 RPCs.
 #[test]
 fn no_threshold_begins_while_the_load_still_grows() {
     let mut controller = AdmissionController::start(START, 1, Faulty::NotFaulty);
--- a/crates/ladderpass-overload/tests/governor/shedding.rs
+++ b/crates/ladderpass-overload/tests/governor/shedding.rs
@@ -80,7 +80,8 @@
         "{} of {sent}",
         sim.first_attempts_rejected
     );
-    // Client 1 times out before a read could be answered. Under pressure none of its RPCs is served.
+    // The RPCs of client 1 time out after 50 ms, before a read could be answered. Under pressure none of these RPCs is
+    // served.
     let mut sim = Simulation::new(true, 200, 4);
     sim.run(
         10.0,
@@ -103,7 +104,8 @@
     let mut sim = Simulation::new(true, 200, 5);
     sim.run(10.0, |_| 3.0 / SERVE_SECS, |rng, _| Request { method: WRITE, ..mixed_request(rng, 0.0) });
     let writes = sim.sum(WRITE, 1, 10);
-    // Rejecting costs a tenth of serving, so (1 - 3 / 10) / (1 - 1 / 10) of the server's time is left for serving.
+    // RPCs arrive at three times the capacity, and rejecting an RPC costs a tenth of serving one, so (1 - 3 / 10) / (1
+    // - 1 / 10) of the server's time is left for serving.
     assert!(f64::from(writes.served_in_time) > 0.6 * 9.0 / SERVE_SECS, "{writes:?}");
     assert!(writes.rejected > writes.served_in_time && sim.served_late == 0);
     assert!(sim.wait_p999_secs(1.0, 10.0) < 0.06, "{}", sim.wait_p999_secs(1.0, 10.0));
--- a/crates/ladderpass-retry-budget/src/budget.rs
+++ b/crates/ladderpass-retry-budget/src/budget.rs
@@ -1,4 +1,4 @@
-//! Withdrawals from this router's part of the retry budget that all routers share, and the step that recomputes that
+//! Withdrawals from this router's part of the retry budget that all routers share, and the step that recomputes this
 //! part.
 
 use crate::faulty::Faulty;
@@ -8,16 +8,17 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Length of a step. Reports between routers are made in steps of the same length.
+/// Length of a step, after which the quotas are recomputed. Reports between routers are made in steps of the same
+/// length.
 const STEP: Span = Span::from_millis(250);
-/// The balance is refilled for at most this many steps at once, even after a longer stall of the router.
+/// After a stall of the router, the quota of at most this many steps is added to the balance.
 const MAX_STEPS_REFILLED: f64 = 2.0;
-/// The largest balance is the number of retries that the quota adds in this many seconds.
+/// The largest balance is the number of retries that the quota adds to the balance in this many seconds.
 const MAX_BALANCE_SECS: f64 = 0.5;
 /// The largest balance is never less than this number of retries, so that a router can also spend a small quota.
 const MIN_MAX_BALANCE: f64 = 1.0;
-/// The share of the largest balance (without the balance's first retry) that is reserved for RPCs of at least the mean
-/// priority.
+/// The share of the largest balance that is reserved for RPCs of at least the mean priority (see
+/// `GroupBudget::mean_priority`). The first retry of the largest balance is not part of it.
 const RESERVED_SHARE: f64 = 0.5;
 /// The balance of a new group, in retries.
 const INITIAL_BALANCE: f64 = 1.0;
@@ -30,9 +31,9 @@
     /// This router's counts of first attempts and retries in the current step.
     counts: RetryRates,
     rates: RetryRates,
-    /// Number of retries that may be withdrawn now.
+    /// Number of retries that may be withdrawn from the budget now.
     balance: f64,
-    /// Retries a second that are added to the balance.
+    /// Retries a second that are added to the balance, up to the largest balance.
     quota: f64,
     /// Moving average of the priorities of RPCs that requested a retry.
     mean_priority: f64,
@@ -56,7 +57,7 @@
         (self.quota * MAX_BALANCE_SECS).max(MIN_MAX_BALANCE)
     }
 
-    /// The balance that an RPC of this priority needs for a retry.
+    /// The balance that must be left for an RPC of this priority to be granted a retry.
     fn required_balance(&self, priority: f64) -> f64 {
         if priority >= self.mean_priority {
             1.0
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Recomputes the quota from the rates of all routers, and refills the balance with `secs` seconds of the quota.
+    /// Recomputes this router's quota from the rates of all routers, and adds `secs` seconds of the quota to the
+    /// balance.
     fn rebalance(&mut self, secs: f64, fleet: &FleetRates, never_lowers_quota: bool) {
         let ratio = fleet.ratio();
         let own_quota = fleet.own_quota(ratio);
@@ -74,8 +76,8 @@
         } else if fleet.has_enough_reports() {
             own_quota
         } else {
-            // With too few reports, the new quota exceeds neither the previous quota nor the ratio times the rate of
-            // this router's own first attempts.
+            // With too few reports from other routers, the new quota exceeds neither the previous quota nor the ratio
+            // (retries per first attempt) times the rate of this router's own first attempts.
             self.quota.min(ratio * fleet.own.first_attempts)
         };
         self.balance = (self.balance + self.quota * secs).min(self.max_balance());
@@ -129,7 +131,7 @@
         true
     }
 
-    /// Puts a granted retry that was not made back into the balance.
+    /// Puts back into the balance a retry that was granted and not made.
     pub fn refund(&mut self, group: u32) {
         if self.faulty == Faulty::NeverRefunds {
             return;
--- a/crates/ladderpass-retry-budget/src/metrics.rs
+++ b/crates/ladderpass-retry-budget/src/metrics.rs
@@ -9,11 +9,11 @@
     pub group: u32,
     /// Rates of first attempts and retries of all routers that reported, this router included, in attempts a second.
     pub fleet: RetryRates,
-    /// Retries that all routers may spend, as a share of their first attempts.
+    /// Retries that all routers together may spend, as a share of the routers' first attempts.
     pub ratio: f64,
     /// Retries a second that this router may spend.
     pub quota: f64,
-    /// Retries that this router may withdraw now.
+    /// Retries that this router may withdraw from the budget now.
     pub balance: f64,
     /// Number of requested retries that this router's budget has not granted since the router started.
     pub denied: u64,
--- a/crates/ladderpass-retry-budget/src/quota.rs
+++ b/crates/ladderpass-retry-budget/src/quota.rs
@@ -3,18 +3,21 @@
 
 use crate::rates::{RetryRates, WeightedRates};
 
-/// The retries that all routers may spend while all retries succeed, as a share of their first attempts.
+/// The retries that all routers together may spend while all retries succeed, as a share of the routers' first
+/// attempts.
 const MAX_RATIO: f64 = 0.5;
-/// The retries that all routers may spend while no retry succeeds, as a share of their first attempts. The share is
-/// large enough to detect that retries succeed again.
+/// The retries that all routers together may spend while no retry succeeds, as a share of the routers' first attempts.
+/// The share is large enough to detect that retries succeed again.
 const MIN_RATIO: f64 = 0.02;
-/// Weight of the prior estimate of the share of retries that succeed, in granted retries a second.
+/// Weight of the prior estimate (see `FleetRates::success_share`) of the share of retries that succeed, in granted
+/// retries a second.
 const PRIOR_WEIGHT_PER_SECOND: f64 = 4.0;
-/// A router's need of retries is the rate of the retries that it requests plus this share of its first attempts. The
-/// share gives some quota at once to a router that has not requested a retry yet.
+/// The need by which the retries are divided among the routers is a router's rate of requested retries plus this share
+/// of its first attempts. The share gives some quota at once to a router that has not requested a retry yet.
 const NEED_SHARE_OF_FIRST_ATTEMPTS: f64 = 0.05;
-/// A quota is computed from the totals of all routers only while at least `MIN_REPORTING_SHARE` of the other routers
-/// report, or at least `ENOUGH_REPORTING_PEERS` of them. A router counts by the weight of its report, from 0 to 1.
+/// A quota is computed from the totals of all routers only while the other routers that report are at least
+/// `MIN_REPORTING_SHARE` of all other live routers, or at least `ENOUGH_REPORTING_PEERS`. A reporting router counts by
+/// the weight of its report, from 0 to 1.
 const MIN_REPORTING_SHARE: f64 = 0.5;
 const ENOUGH_REPORTING_PEERS: f64 = 8.0;
 /// The least divisor of rates, in attempts a second. This minimum prevents divisions by zero.
@@ -24,10 +27,11 @@
 pub(crate) struct FleetRates {
     /// This router's own rates of first attempts and retries.
     pub own: RetryRates,
-    /// This router's own rates plus those that other routers reported, each multiplied by the weight of its report (0
-    /// to 1, lower for older reports).
+    /// This router's own rates plus the rates that the other routers reported. The rates in a report are multiplied by
+    /// the report's weight, from 0 to 1 and lower for an older report.
     pub total: RetryRates,
-    /// Sum of the weights of the other routers' reports, each from 0 to 1.
+    /// Sum of the weights of the other routers' reports. The weight of a report is from 0 to 1, and lower for an older
+    /// report.
     reporting_peers: f64,
     /// Number of other routers that are alive.
     peers: f64,
@@ -48,8 +52,7 @@
         FleetRates { own, total, reporting_peers, peers: alive_peers as f64 }
     }
 
-    /// The ratio of the number of all live routers to the number of routers that reported, with this router counted in
-    /// both.
+    /// The number of all live routers, divided by the number of routers that reported. This router counts in both.
     fn scale(&self) -> f64 {
         if self.reporting_peers > 0.0 {
             (self.peers + 1.0).max(self.reporting_peers + 1.0) / (self.reporting_peers + 1.0)
@@ -58,8 +61,9 @@
         }
     }
 
-    /// Estimate of the share of retries that succeed, from 0 to 1. The fewer retries were granted recently, the more a
-    /// prior estimate counts, which is the share of attempts that needed no retry.
+    /// Estimate of the share of retries that succeed, from 0 to 1. The estimate is a weighted mean of the measured
+    /// share and of a prior estimate, the share of attempts that needed no retry. The fewer retries were granted
+    /// recently, the more the prior estimate counts.
     fn success_share(&self) -> f64 {
         let total = &self.total;
         let attempts = total.first_attempts + total.retries_granted;
@@ -69,13 +73,14 @@
         (succeeded / granted).min(1.0)
     }
 
-    /// Retries that all routers may spend, as a share of their first attempts.
+    /// Retries that all routers together may spend, as a share of the routers' first attempts.
     pub fn ratio(&self) -> f64 {
         let success = self.success_share();
         MIN_RATIO + (MAX_RATIO - MIN_RATIO) * success * success
     }
 
-    /// This router's quota of the budget in retries a second, in proportion to this router's need of retries.
+    /// This router's quota of the budget of all routers, in retries a second. The budget is divided in proportion to
+    /// the routers' need of retries.
     pub fn own_quota(&self, ratio: f64) -> f64 {
         let scale = self.scale();
         let budget = ratio * self.total.first_attempts * scale;
@@ -89,7 +94,7 @@
     }
 }
 
-/// The retries a second that a router needs.
+/// The need by which the budget is divided: the rate of requested retries plus a small share of the first attempts.
 fn needed_retries(rates: RetryRates) -> f64 {
     rates.retries_wanted + NEED_SHARE_OF_FIRST_ATTEMPTS * rates.first_attempts
 }
--- a/crates/ladderpass-retry-budget/src/rates.rs
+++ b/crates/ladderpass-retry-budget/src/rates.rs
@@ -6,12 +6,13 @@
 /// step are too low to compute a rate from.
 const MIN_STEP_SECS: f64 = 0.05;
 
-/// The rates that a router reports of a group, in attempts a second, or the counts of attempts in a step.
+/// The rates that a router reports of a group, in attempts a second. The same type holds the counts of attempts in a
+/// step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryRates {
     /// First attempts of RPCs.
     pub first_attempts: f64,
-    /// Retries that RPCs requested of the budget.
+    /// Retries that were requested, whether the budget granted them or not.
     pub retries_wanted: f64,
     /// Retries that the budget granted.
     pub retries_granted: f64,
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -46,7 +46,7 @@
     /// First attempts a second of each router.
     first_attempts_per_second: Vec<f64>,
     alive: Vec<bool>,
-    /// If above 0, routers below this index and the other routers can't reach each other.
+    /// If above 0, the routers with a lower index than this can't reach the routers with this index or a higher one.
     partitioned_at: usize,
     /// Probability that a first attempt fails.
     failure_share: f64,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Each router computes its quota from the rates that the others reported last.
+    /// Each router computes its quota from the rates that the other routers reported last.
     fn rebalance(&mut self, alive: &[usize]) {
         let reported = self.reported.clone();
         for &index in alive {
@@ -165,7 +165,8 @@
         let mut sim = Simulation::new(2, rates, |_| Faulty::NotFaulty);
         sim.run(20);
         (sim.failure_share, sim.retry_success_share) = (0.9, 0.05);
-        // In the first second, routers spend the retries that they saved, and reports do not show the failures yet.
+        // In the first second after most attempts begin to fail, routers spend the retries that they saved, and the
+        // reports do not show the failures yet.
         sim.run(4);
         let first_second = sim.retry_shares(4).granted;
         sim.run(8);
@@ -188,7 +189,7 @@
 fn a_router_that_needs_retries_gets_the_quota_that_the_others_do_not_need() {
     let mut sim = Simulation::new(3, vec![50.0; 8], |_| Faulty::NotFaulty);
     sim.run(8);
-    // Only router 0 requests retries, about one for each RPC of that router.
+    // Only router 0 requests retries, at about the rate of its RPCs.
     for _ in 0..24 {
         for _ in 0..12 {
             sim.routers[0].try_withdraw(GROUP, LOW);
@@ -213,8 +214,8 @@
         sim.partitioned_at = 5;
         sim.run(16);
         sim.partitioned_at = 0;
-        // Router 0 resumes after a stall. The router may spend the balance that it had saved before the stall, and no
-        // more.
+        // Router 0 resumes after a stall. It may spend the balance that it had saved before the stall, but not the
+        // quota of the time of the stall.
         sim.alive[0] = true;
         sim.run(8);
         for steps in sim.steps.windows(8) {
@@ -227,7 +228,8 @@
     }
 }
 
-/// Without the budget, a failure leads to up to three retries. The shares of retries must show each deliberate fault.
+/// If the budget is not asked (`GrantsEveryRetry`), an RPC that fails is retried up to three times. The shares of
+/// retries must show each deliberate fault.
 #[test]
 fn deliberate_faults_are_detected() {
     let mut sim = Simulation::new(5, uneven_load(8, 400.0), |_| Faulty::GrantsEveryRetry);
@@ -257,7 +259,7 @@
             sim.run(1);
         }
     }
-    // A fifth of the requests have the high priority, and requests of the high priority are granted more than a fifth
-    // of the retries.
+    // A fifth of the requests for a retry have the high priority, and more than a fifth of the granted retries go to
+    // these requests.
     assert!(granted_high * 4 > granted_low, "{granted_low} low, {granted_high} high");
 }
