--- a/crates/ladderpass-config/src/deployment.rs
+++ b/crates/ladderpass-config/src/deployment.rs
@@ -1,12 +1,13 @@
-//! Converts the settings object into the types of the routing core, and checks each value. Reading stops at the first
-//! error.
+//! Converts the settings object of the users' protocol into the types of the routing core, and checks each value.
+//! Reading stops at the first error.
 
 use crate::errors::{SettingsError, parse};
 use crate::settings::{Allowed, Extra, ReportShape, Service, Shape};
 use ladderpass_routing::{Consistency, Deployment, Idempotency, Method, PrimaryInList, Span, Time};
 use serde_json::Value;
 
-/// The upper limit of `Contract.TipMultiple`, the multiple of its capacity that a member in slow start can take.
+/// The largest value that the settings may set for `Contract.TipMultiple`, the multiple of its present capacity that a
+/// member in slow start can process during `Deployment::overload_window`.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1000.0;
 
 /// The settings of a deployment that a router needs.
@@ -16,15 +17,17 @@
     pub deployment: Deployment,
     /// The names of the methods, in the order of `deployment.methods`.
     pub method_names: Vec<String>,
-    /// Whether answers carry the member's replication position, or for a write the position of its commit.
+    /// Whether an answer carries the member's replication position. In the answer to a write, this is the position of
+    /// the write's commit.
     pub answers_report_position: bool,
-    /// The time from which the simulator counts replication positions and the times in gossip messages.
+    /// The time from which the simulator counts replication positions, and from which all routers count the times in
+    /// gossip messages.
     pub clock_origin: Time,
-    /// The names of the values in a load report, in their order.
+    /// The names of the values (columns) in a member's load report, in the order of the values.
     pub report_columns: Vec<String>,
-    /// The time after which a connection that is not yet established counts as failed.
+    /// The time after which a connection to a member that is not yet established counts as failed.
     pub connect_timeout: Option<Span>,
-    /// The time after which a member closes an idle connection.
+    /// The time after which a member closes an idle connection of the router.
     pub idle_timeout: Option<Span>,
     /// Whether the weights in the endpoint list are the concurrency with which the members are registered.
     pub weights_are_concurrency: bool,
@@ -32,7 +35,7 @@
     pub zone: Option<String>,
     /// The maximum number of RPCs that a router may have in flight.
     pub max_in_flight: Option<u64>,
-    /// How long a member may still be sent new RPCs after the notice that it drains.
+    /// How long a member may still be sent new RPCs after the notice that the member drains.
     pub drain_grace: Option<Span>,
 }
 
@@ -69,7 +72,7 @@
     check_range("Contract.TipMultiple", settings.contract.overload_multiple, MAX_OVERLOAD_MULTIPLE)
 }
 
-/// Checks that the value of the setting `key` is from 0 to `max`. An absent value is allowed.
+/// Checks that the number in the setting `key` is from 0 to `max`. A missing setting is allowed.
 fn check_range(key: &'static str, value: Option<f64>, max: f64) -> Result<(), SettingsError> {
     match value.filter(|value| !(0.0..=max).contains(value)) {
         Some(value) => Err(SettingsError::OutOfRange { key, value, min: 0.0, max }),
@@ -113,13 +116,14 @@
     }
 }
 
-/// Returns the maximum time between two polls of the endpoint list, or `None` where discovery pushes the list.
+/// Returns the maximum time between two polls of the endpoint list, or `None` where discovery sends the list without
+/// being polled.
 fn read_endpoint_poll_interval(settings: &Shape) -> Result<Option<Span>, SettingsError> {
     match settings.discovery_mode.as_deref() {
         Some("subscribe") => {
             let interval =
                 read_positive_span("Contract.MustAskIn", settings.contract.endpoint_poll_interval)?;
-            // With an interval of zero the list would be polled without a pause.
+            // With a poll interval of zero the endpoint list would be polled without a pause.
             Ok(Some(interval.ok_or(SettingsError::NoPollInterval)?))
         }
         None | Some("automatic") => Ok(None),
@@ -150,7 +154,8 @@
     soft_deadline.ok_or(SettingsError::NotPositive { key })
 }
 
-/// Returns the utility of an answer that a method gives within its soft deadline. Without a setting, the utility is 1.
+/// Returns the utility of an answer that a method gives within its soft deadline, which is 1 if the settings do not set
+/// it.
 fn read_utility(index: usize, method: &Service) -> Result<f64, SettingsError> {
     let utility = method.utility.unwrap_or(1.0);
     if utility >= 0.0 {
@@ -192,8 +197,8 @@
                 Some("all" | "cell") => {
                     read_span(&format!("Services[{index}].KeyTtl"), method.idempotency_key_ttl)?
                 }
-                // If idempotency keys are recognized neither by the whole group nor by all members, another member of
-                // the group may not know of the first attempt, and would run the RPC a second time.
+                // If idempotency keys are recognized neither by the whole group nor by all members, a member that gets
+                // a retry may not know of the first attempt, and would run the RPC a second time.
                 _ => Span::ZERO,
             },
         }),
--- a/crates/ladderpass-config/src/error_list.rs
+++ b/crates/ladderpass-config/src/error_list.rs
@@ -1,7 +1,7 @@
 //! A list of all errors that are found while a configuration is read, in the order in which they are found.
 //!
-//! A reader continues after an error where it can and collects all errors here, so that an operator can correct a file
-//! in one go.
+//! A reader continues after an error where possible and collects all errors here, so that an operator can correct all
+//! errors of a file at once.
 
 use std::fmt::Display;
 
@@ -9,7 +9,7 @@
 /// print too many lines.
 const MAX_LINES: usize = 100;
 
-/// A list of distinct errors. It prints the distinct lines of the errors' texts, at most a hundred of them.
+/// A list of distinct errors. The list prints the distinct lines of the errors' texts, at most a hundred of them.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", .lines.join("\n"))]
 pub struct ErrorList<E> {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds all errors of another list, each converted by `convert`.
+    /// Adds all errors of another list to this list, each converted by `convert`.
     pub fn extend<F>(&mut self, other: ErrorList<F>, convert: impl Fn(F) -> E) {
         other.errors.into_iter().for_each(|error| self.push(convert(error)));
     }
--- a/crates/ladderpass-config/src/errors.rs
+++ b/crates/ladderpass-config/src/errors.rs
@@ -1,4 +1,5 @@
-//! Errors of the settings object, and of other JSON. Each error names the key and what is wrong with its value.
+//! Errors of the settings object, and of other JSON texts. Each error names the key and what is wrong with the value of
+//! the key.
 
 use serde::{Deserialize, Deserializer};
 
--- a/crates/ladderpass-config/src/gossip.rs
+++ b/crates/ladderpass-config/src/gossip.rs
@@ -1,14 +1,15 @@
 //! The text form of the gossip messages in which routers exchange what they have observed of the members.
 //!
 //! A message consists of letters of an alphabet of 64. The first letter is a hash of the sender's zone. Ten letters for
-//! each update follow: five for the member's id hash, four for the kind of the observation and its time, and one for a
-//! latency ratio or a number of RPCs. A router drops what it can't decode, so that routers of another version do no
-//! harm.
+//! each update follow: five for the member's id hash, four for the kind of the observation and the time of the
+//! observation, and one for a latency ratio or a number of RPCs. A router drops what it can't decode, so that routers
+//! of another version do no harm.
 
 use crate::names::{IdHashes, NameIndex, id_hash};
 use ladderpass_routing::{MemberId, MemberObservation, MemberUpdate, Span, Time};
 
-/// The maximum number of updates in one gossip message. The text of a message must not exceed 256 bytes.
+/// The maximum number of updates in one gossip message. With more updates, the text of a message would exceed 256
+/// bytes, which is not allowed.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 25;
 /// The number of letters that one update has in a gossip message.
 #[doc(hidden)]
@@ -33,11 +34,12 @@
 /// The value of the last letter of an update that has neither a latency ratio nor a number of RPCs.
 const NO_VALUE: u64 = 0;
 const LATENCY_RATIO_SCALE: LogScale = LogScale { first_code: 1, smallest: 0.5 };
-/// The scale for the number of RPCs in flight at a member, plus one. One is added because zero has no logarithm.
+/// The scale for the number of RPCs in flight at a member. The scale encodes the number plus one, because zero has no
+/// logarithm.
 const IN_FLIGHT_SCALE: LogScale = LogScale { first_code: 32, smallest: 1.0 };
 
-/// A logarithmic scale for the last letter of an update. The codes of a scale use up to half of the 64 values that a
-/// letter has.
+/// A logarithmic scale for the last letter of an update. A letter has 64 values, and each of the two scales uses up to
+/// half of them.
 struct LogScale {
     first_code: u64,
     /// The value that the first code of the scale stands for.
@@ -60,7 +62,7 @@
 
 /// Translates between a router's member updates and gossip messages.
 pub struct GossipCodec {
-    /// The time from which the times in gossip messages are counted.
+    /// The time from which all routers count the times in gossip messages.
     origin: Time,
     /// A hash of this router's zone that fits in one letter.
     zone: u32,
@@ -74,8 +76,8 @@
         GossipCodec { origin, zone: id_hash(zone) & LETTER_MASK, id_hashes: IdHashes::default() }
     }
 
-    /// Encodes the updates as messages. Omits updates of members that are not in `id_hashes`, and of members that share
-    /// their id hash with another member.
+    /// Encodes the updates as messages. Omits updates of members that are not in `id_hashes`, and of members whose id
+    /// hash is also that of another member.
     pub fn encode(&self, updates: &[MemberUpdate], names: &NameIndex) -> Vec<String> {
         let encode_message = |updates: &[MemberUpdate]| {
             let encoded = updates.iter().filter_map(|update| self.encode_update(update, names));
@@ -85,7 +87,7 @@
     }
 
     /// Decodes the updates of a message that was received at `now`. Drops updates that can't be decoded, and updates
-    /// whose id hash has no index in `id_hashes`.
+    /// whose id hash stands for no member that this router knows, or for several members.
     pub fn decode(&self, text: &str, now: Time) -> Vec<MemberUpdate> {
         let Some(message) = GossipMessage::decode(text, now - self.origin) else { return Vec::new() };
         let updates = message.updates.iter();
@@ -121,14 +123,14 @@
 pub struct EncodedUpdate {
     /// The hash of the id of the member that the update is about.
     pub id_hash: u32,
-    /// What the sender has observed of the member.
+    /// The kind of the sender's observation of the member.
     pub observation: MemberObservation,
     /// The time of the observation ([`MemberUpdate::at`]), counted from the origin that all routers share.
     pub at: Span,
-    /// The member's latency as a multiple of the typical latency, or zero if it is unknown.
+    /// The member's latency as a multiple of the typical latency, or zero if the latency is unknown.
     pub latency_ratio: f64,
-    /// The number of RPCs in flight at the member, if it is known. An update with this number carries no latency ratio
-    /// on the wire.
+    /// The number of RPCs in flight at the member, if this number is known. An encoded update with this number has no
+    /// latency ratio.
     pub in_flight: Option<f64>,
 }
 
@@ -152,9 +154,9 @@
         text
     }
 
-    /// Decodes the text of a message that was received at `now`. All times are counted from the origin that all routers
-    /// share, and the times of the updates are taken to be no later than `now`. Omits updates that can't be decoded.
-    /// Returns `None` if the sender's zone can't be decoded.
+    /// Decodes the text of a message that was received at `now`. `now` and the times of the updates are counted from
+    /// the origin that all routers share, and the times of the updates are taken to be no later than `now`. Omits
+    /// updates that can't be decoded. Returns `None` if the sender's zone can't be decoded.
     pub fn decode(text: &str, now: Span) -> Option<GossipMessage> {
         let (zone, updates) = text.as_bytes().split_at_checked(1)?;
         let updates = updates.chunks_exact(UPDATE_LETTERS).filter_map(|letters| parse_update(letters, now));
--- a/crates/ladderpass-config/src/names/id_hash.rs
+++ b/crates/ladderpass-config/src/names/id_hash.rs
@@ -1,4 +1,4 @@
-//! Hashes of member names, which identify a member at all routers.
+//! Hashes of member names. A hash identifies a member at all routers, where indices differ between routers.
 
 use ladderpass_routing::fnv1a;
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 /// in 200,000.
 pub const ID_HASH_BITS: u32 = 30;
 
-/// The indices of members by the hashes of their names. A hash that two inserted names share has no index, so that an
-/// update is never applied to the wrong member.
+/// The indices of members by the hashes of their names. A hash that two inserted names share stands for no index, so
+/// that an update is never applied to the wrong member.
 #[derive(Default)]
 pub struct IdHashes(HashMap<u32, Option<u32>>);
 
@@ -21,18 +21,19 @@
         hash
     }
 
-    /// Returns the index of the name with this hash, or `None` if there is none or several names share the hash.
+    /// Returns the index of the name with this hash, or `None` if no name or more than one name has this hash.
     pub fn get(&self, hash: u32) -> Option<u32> {
         self.0.get(&hash).copied().flatten()
     }
 
-    /// Removes an index that is no longer used. A hash that two names have shared still has no index afterwards.
+    /// Removes an index that is no longer used. A hash that two names share still stands for no index after one of the
+    /// two is removed.
     pub fn remove(&mut self, index: u32) {
         self.0.retain(|_, known| *known != Some(index));
     }
 }
 
-/// Returns the hash of a name: its 64-bit FNV-1a hash with the upper half XORed into the lower one, cut to the lowest
+/// Returns the hash of a name: the two halves of the name's 64-bit FNV-1a hash XORed, cut to the lowest
 /// [`ID_HASH_BITS`] bits.
 pub fn id_hash(name: &str) -> u32 {
     let hash = fnv1a::hash(name.as_bytes());
--- a/crates/ladderpass-config/src/names/name_index.rs
+++ b/crates/ladderpass-config/src/names/name_index.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-/// The indices of names. They are assigned in the order in which the names are first seen, and a released index is
-/// assigned to the next new name.
+/// The indices of names. A new name is assigned the index that was released last, or, if all released indices are in
+/// use again, the next one after those assigned so far.
 #[derive(Default)]
 pub struct NameIndex {
     index_by_name: HashMap<String, u32>,
@@ -45,8 +45,8 @@
         self.names.get(index as usize).map_or("", String::as_str)
     }
 
-    /// Replaces each `#N` in a log message of the routing core by the name with the index N. If N was never assigned,
-    /// the number remains, without the `#`.
+    /// Replaces each `#N` in a log message of the routing core by the name with the index N, or by nothing if the index
+    /// was released. If N was never assigned, the number remains, without the `#`.
     pub fn expand_names(&self, message: &str) -> String {
         let mut parts = message.split('#');
         let mut text = parts.next().unwrap_or_default().to_owned();
@@ -61,8 +61,8 @@
     }
 }
 
-/// Returns the index of the group with this number. A new number is assigned the next index. The numbers need not be
-/// integers.
+/// Returns the index of the group with this number. A number that is not in `groups` yet is assigned the next index.
+/// The numbers need not be integers.
 pub fn group_index(groups: &mut HashMap<u64, u32>, number: f64) -> u32 {
     let next = groups.len() as u32;
     *groups.entry(number.to_bits()).or_insert(next)
--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -4,7 +4,7 @@
 //! - `file` defines the keys.
 //! - `yaml` reads the keys, and skips those that can't be read.
 //! - `units` reads values with a unit or a range.
-//! - `overload` and `peers` read the sections that have checks of their own.
+//! - `overload` and `peers` read the sections of the same names, which have checks of their own.
 //! - `errors` defines the errors, which name the line, the key and what is allowed.
 
 mod errors;
@@ -35,13 +35,13 @@
     pub overload: Option<Settings>,
     /// The routers to exchange gossip with, or `None` where gossip is off.
     pub peers: Option<Peers>,
-    /// Whether all routers shed load together, by one admission threshold.
+    /// Whether all routers shed load together, by one admission threshold for each group.
     pub shared_admission: bool,
     /// Whether retries are granted from one retry budget of all routers.
     pub shared_retry_budget: bool,
     /// The zone of this router, or `None` where the zones in the endpoint list are not used.
     pub zone: Option<String>,
-    /// Whether the weights in the endpoint list are the members' concurrency.
+    /// Whether the weights in the endpoint list are the members' concurrency (how many RPCs a member runs at once).
     pub weights_are_concurrency: bool,
 }
 
@@ -60,11 +60,11 @@
     }
 }
 
-/// Reads and checks the text of the file. An empty file results in the defaults.
+/// Reads and checks the text of the operator's file. An empty file results in the defaults.
 ///
 /// # Errors
 /// Returns the errors that were found: first errors of keys and types, then errors of single values, then errors of
-/// combinations of values. Errors of combinations are omitted if a key can't be read.
+/// combinations of values. If a key can't be read, errors of combinations are omitted.
 pub fn read(text: &str) -> Result<Operator, OperatorFileErrors> {
     if is_blank(text) {
         return Ok(Operator::default());
@@ -76,7 +76,7 @@
         read_sections(file, &mut operator, &mut errors);
     }
     let FoundErrors { mut values, combinations } = errors;
-    // If a key could not be read, a combination may only seem to be wrong because that key is missing.
+    // If a key could not be read, a combination may only seem to be wrong because this key is missing.
     if is_complete {
         values.extend(combinations, |error| error);
     }
--- a/crates/ladderpass-config/src/operator/errors.rs
+++ b/crates/ladderpass-config/src/operator/errors.rs
@@ -1,5 +1,5 @@
 //! Errors of the operator's file. Each error is printed on one line, with the line number in the file, the key and what
-//! is allowed, as far as these are known.
+//! is allowed, as far as these three are known.
 
 use crate::error_list::ErrorList;
 use serde_saphyr::Spanned;
@@ -59,8 +59,8 @@
 }
 
 impl FoundErrors {
-    /// Returns the value of a key if the value is allowed. Otherwise adds the error to the errors found, and returns
-    /// `None`.
+    /// Returns the value of a key if the value is allowed. Otherwise adds the error to the errors of single keys and
+    /// values, and returns `None`.
     pub(super) fn ok_or_push<T>(&mut self, value: Result<T, OperatorFileError>) -> Option<T> {
         self.values.ok_or_push(value)
     }
@@ -87,23 +87,24 @@
         /// The longest allowed duration, in milliseconds.
         max_ms: i64,
     },
-    /// A share of a resource is outside its range.
+    /// A share of a resource, such as of the allowed memory, is outside its range.
     #[error("{value}; allowed is a share above 0 and up to {max}")]
     Share {
         /// The number in the file.
         value: f64,
-        /// The largest allowed share of the resource.
+        /// The largest share of the resource that the file may set.
         max: f64,
     },
-    /// The start of a band is not below its end.
+    /// The start of a band (a range over which the overload pressure rises) is not below the end of the band.
     #[error("from {from} must be below full {full}")]
     Band {
-        /// The start of the band, at which the overload pressure begins to rise.
+        /// The start of the band, above which the overload pressure rises.
         from: f64,
-        /// The end of the band, at which the overload pressure reaches its maximum.
+        /// The end of the band. Here the pressure of a resource is full, and the pressure of the delay is four fifths
+        /// of full.
         full: f64,
     },
-    /// A multiple of a client's fair share is outside its range.
+    /// The key `overload.fair`, a multiple of a client's fair share of the router's work, is outside its range.
     #[error("{value}; allowed are {min} to {max}")]
     FairShareMultiple {
         /// The number in the file.
@@ -119,50 +120,51 @@
     /// A text is not an address with a port, or the address can't be sent to.
     #[error("{0:?}; allowed is address:port")]
     Address(String),
-    /// The address of this router is missing.
+    /// The address of this router (`peers.listen`) is missing.
     #[error("missing; allowed is address:port")]
     MissingAddress,
-    /// A list of addresses contains the same address twice.
+    /// A list of router addresses in the section `peers` contains the same address twice.
     #[error("{0} is listed twice; allowed is once")]
     DuplicateAddress(SocketAddr),
-    /// A list of addresses has more entries than are allowed.
+    /// A list of router addresses in the section `peers` has more entries than are allowed.
     #[error("more than the {max} addresses allowed")]
     TooManyAddresses {
-        /// The maximum number of addresses in a list.
+        /// The maximum number of addresses in a list of the section `peers`.
         max: usize,
     },
-    /// A text in the list of networks is not a network.
+    /// A text in the list `peers.networks` is not a network.
     #[error("{0:?}; allowed is address/bits")]
     Network(String),
-    /// The file offers no way to find other routers.
+    /// The section `peers` offers no way to find other routers: the lists of addresses and of networks are empty.
     #[error("no address and no network; allowed is at least one")]
     NoOtherRouters,
-    /// One of the two keys of the legacy form of the section `peers` is present without the other.
+    /// One of the two keys of the legacy form of the section `peers` (`me` and `all`) is present without the other.
     #[error("me and all are allowed only together; use listen and listed instead")]
     IncompleteLegacyForm,
-    /// The legacy list, a fixed list of all routers' addresses, has too few addresses.
+    /// In the legacy form of the section `peers`, the list of all routers' addresses (`all`) has too few addresses.
     #[error("{count}; allowed are 2 to {max} addresses")]
     LegacyListLength {
-        /// The number of addresses in the legacy list.
+        /// The number of addresses in the list `all`.
         count: usize,
-        /// The maximum number of addresses in the legacy list.
+        /// The maximum number of addresses in the list `all`.
         max: usize,
     },
-    /// This router's index is outside the legacy list.
+    /// In the legacy form of the section `peers`, this router's index (`me`) is past the end of the list of all
+    /// routers' addresses (`all`).
     #[error("{index}; allowed are 0 to {last}")]
     LegacyIndex {
-        /// The index of this router in the file.
+        /// The index of this router that the file sets, counted from 0.
         index: u32,
-        /// The last index of the legacy list.
+        /// The last index of the list `all`.
         last: usize,
     },
     /// Admission is to be shared with other routers, but the section `peers` is missing.
     #[error("true without peers; allowed only together with the section peers")]
     SharedAdmissionWithoutPeers,
-    /// The retry budget is to be shared, but admission is not shared.
+    /// The retry budget is to be shared with other routers, but admission is not shared.
     #[error("true without fleet.sheds; allowed only where fleet.sheds is true")]
     SharedBudgetWithoutAdmission,
-    /// The name of the zone is empty.
+    /// The name of this router's zone is empty.
     #[error("empty; allowed is the name of a zone of the endpoint list")]
     EmptyZone,
 }
--- a/crates/ladderpass-config/src/operator/file.rs
+++ b/crates/ladderpass-config/src/operator/file.rs
@@ -75,7 +75,8 @@
     pub(super) slow_reader_bytes: Option<Spanned<String>>,
 }
 
-/// A band of durations, which are written with their units.
+/// The range of a delay over which the overload pressure rises: there is none up to `from`, and four fifths of the full
+/// pressure at `full`. Both durations are written with their units.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct DelayBand {
@@ -83,7 +84,8 @@
     pub(super) full: Option<Spanned<String>>,
 }
 
-/// A band of shares of a resource.
+/// The range of a resource's use over which the overload pressure rises: there is none up to `from`, and full pressure
+/// from `full` on. Both are shares of what is allowed of the resource.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ShareBand {
--- a/crates/ladderpass-config/src/operator/overload.rs
+++ b/crates/ladderpass-config/src/operator/overload.rs
@@ -1,4 +1,5 @@
-//! The section `overload`: bands and times of the overload control. The defaults are those of `ladderpass-overload`.
+//! The section `overload`: bands (ranges over which the overload pressure rises) and times of the overload control. The
+//! defaults are those of `ladderpass-overload`.
 
 use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::{DelayBand, OverloadSection, ShareBand};
@@ -7,8 +8,8 @@
 use ladderpass_routing::Span;
 use serde_saphyr::Spanned;
 
-/// The largest share of CPU time that the settings allow. It is above 1, because a process can use more CPU time than
-/// the cores that it is allowed.
+/// The largest value that the file may set for a share of the allowed CPU time. The value is above 1, because a process
+/// can use more CPU time than the cores that it is allowed.
 const MAX_CPU_SHARE: f64 = 10.0;
 const MAX_SHARE: f64 = 1.0;
 const MIN_FAIR_SHARE_MULTIPLE: f64 = 1.0;
--- a/crates/ladderpass-config/src/operator/peers.rs
+++ b/crates/ladderpass-config/src/operator/peers.rs
@@ -1,4 +1,5 @@
-//! The section `peers`: the routers that exchange gossip. The section also has a legacy form.
+//! The section `peers`: the routers that exchange gossip. The section also has a legacy form: a fixed list of all
+//! routers' addresses, and this router's index in the list.
 
 use super::errors::{FoundErrors, OperatorFileError, ValueProblem, line};
 use super::file::PeersSection;
@@ -16,19 +17,21 @@
 pub struct Peers {
     /// The address at which this router receives datagrams.
     pub listen: SocketAddr,
-    /// The address to which the other routers send. It may differ from `listen`, as behind address translation.
+    /// The address to which the other routers send datagrams for this router. This address may differ from `listen`, as
+    /// behind address translation.
     pub address: SocketAddr,
-    /// Addresses at which other routers may be found. The routers that are found there tell this router about the
-    /// remaining ones.
+    /// Addresses at which other routers may be found. The routers that are found there tell this router about routers
+    /// that are not listed.
     pub listed: Vec<SocketAddr>,
-    /// Networks from which routers may join without being listed.
+    /// Networks from which routers may join whose addresses are not listed.
     pub networks: Vec<Network>,
     /// Whether the section `peers` has the legacy form: a fixed list of router addresses, and this router's index in
     /// the list.
     pub legacy_form: bool,
 }
 
-/// Reads the section `peers`. Returns `None` if the address of this router is missing or can't be read.
+/// Reads the section `peers`. Returns `None` if the address at which this router receives datagrams is missing or can't
+/// be read.
 pub(super) fn read_peers(section: PeersSection, errors: &mut FoundErrors) -> Option<Peers> {
     if let (Some(index), Some(list)) = (&section.legacy_index, &section.legacy_list) {
         return read_legacy_peers(index, list, errors);
@@ -83,8 +86,8 @@
     Some(Peers { listen: own, address: own, listed, networks: Vec::new(), legacy_form: true })
 }
 
-/// Parses an address. Returns `None` if the file does not have the address. If the address is not allowed, adds an
-/// error to `errors` and returns `None` too.
+/// Parses an address. Returns `None` if the file does not have the address, or if the address is not allowed. In the
+/// second case, also adds an error to `errors`.
 fn parse_optional_address(
     text: Option<&Spanned<String>>,
     key: &str,
@@ -94,7 +97,7 @@
 }
 
 /// Parses the addresses of a list, and returns the distinct ones, at most [`MAX_ADDRESSES`]. Adds an error to `errors`
-/// for each address that is not allowed or repeats another one, and one if the list is too long.
+/// for each address that is not allowed, for each address that the list repeats, and for a list that is too long.
 fn parse_addresses(texts: &[Spanned<String>], key: &str, errors: &mut FoundErrors) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for text in texts {
--- a/crates/ladderpass-config/src/operator/yaml.rs
+++ b/crates/ladderpass-config/src/operator/yaml.rs
@@ -1,12 +1,13 @@
 //! Reads the YAML text of the operator's file, and finds all errors of its keys and types.
 //!
-//! The YAML library stops at the first key that can't be read. That key and everything below the key are blanked out,
+//! The YAML library stops at the first key that can't be read. This key and everything below the key are blanked out,
 //! and the text is read again, until the rest can be read.
 
 use super::errors::{OperatorFileError, OperatorFileErrors};
 use super::file::OperatorFile;
 
-/// The maximum number of unreadable keys that are searched for. For each of them the whole file is read once more.
+/// The maximum number of unreadable keys that are searched for. For each unreadable key, the whole file is read once
+/// more.
 const MAX_UNREADABLE_KEYS: usize = 50;
 
 /// The part of an operator's file that could be read.
@@ -22,7 +23,7 @@
     text.lines().all(|line| line.trim().is_empty() || line.trim_start().starts_with('#'))
 }
 
-/// Reads the keys of the file. Adds the errors of keys that can't be read to `errors`.
+/// Reads the keys of the file. Adds an error to `errors` for each key that can't be read.
 pub(super) fn parse_file(text: &str, errors: &mut OperatorFileErrors) -> ParsedFile {
     let unreadable = ParsedFile { file: None, is_complete: false };
     let mut text = text.to_owned();
@@ -36,7 +37,7 @@
             errors.push(to_file_error(&text, &error));
         }
         let rest = error.location().and_then(|location| blank_out_key(&text, location.line() as usize));
-        // If the text is not YAML at all, there are no keys that could be blanked out.
+        // If the text is not YAML at all, no key can be blanked out.
         let is_yaml = serde_saphyr::from_str::<serde::de::IgnoredAny>(&text).is_ok();
         match rest.filter(|rest| is_yaml && !is_blank(rest)) {
             Some(rest) => text = rest,
@@ -54,7 +55,7 @@
     let is_item = |line: &str| line.trim_start().starts_with('-');
     let mut is_blanked = false;
     let lines = text.lines().enumerate().map(|(nth, line)| {
-        // Items of a list may have the same indentation as their key.
+        // The items of a list belong to the list's key, even where they have the same indentation as the key.
         let is_item_of_key = indent(line) == indent(key_line) && is_item(line) && !is_item(key_line);
         let is_below = indent(line) > indent(key_line) || is_item_of_key;
         is_blanked = nth + 1 == number || is_blanked && (is_below || line.trim().is_empty());
--- a/crates/ladderpass-config/src/settings.rs
+++ b/crates/ladderpass-config/src/settings.rs
@@ -1,4 +1,5 @@
-//! The structure of the settings object on the wire. Only this module maps the users' keys to the names in the code.
+//! The structure of the settings object of the users' protocol. Only this module maps the users' keys to the names in
+//! the code.
 //!
 //! Times and durations are in nanoseconds, as integers. Unknown keys are ignored. serde prints the names of the structs
 //! in its errors, so the structs keep the names that operators know.
@@ -79,7 +80,8 @@
     pub(crate) slow_start_duration: Option<i64>,
 }
 
-/// The settings of replication: consistency levels by method, replication positions, and the primary's role.
+/// The settings of replication: consistency levels by method, replication positions, session tokens, and whether the
+/// endpoint list names the primary.
 #[derive(Deserialize)]
 pub(crate) struct Extra {
     #[serde(rename = "MaxAge")]
--- a/crates/ladderpass-config/tests/operator.rs
+++ b/crates/ladderpass-config/tests/operator.rs
@@ -94,8 +94,8 @@
         ("overload:\n  memory:\n    full: lots\n    from: 7\n  fair: 0", &[3, 4, 5]),
         ("a: 1\nb:\n- 2\n- 3\nc: 4\nlog: {format: xml}", &[1, 2, 5, 6]),
         ("members:\n  sizes: big\n  zone: ''", &[2, 3]),
-        // A key whose value is wrong is not reported as missing too, and no errors are reported for keys that depend on
-        // it.
+        // A key whose value is wrong is not reported as a missing key as well, and no errors are reported for keys that
+        // depend on such a key.
         ("peers:\n  listen: [1]\n  listed: [127.0.0.1:1, there]", &[2, 3]),
         ("peers:\n  listen: here\n  listed: [127.0.0.1:1]\nfleet:\n  sheds: true", &[2]),
         ("peers:\n  colour: red\nfleet:\n  sheds: 3\n  budgets: true", &[2, 4]),
@@ -106,7 +106,7 @@
     ] {
         assert_eq!(lines_with_errors(text), expected, "{text:?}: {:?}", read(text));
     }
-    // For a text that is not YAML only one error is reported.
+    // Only one error is reported for a text that is not YAML.
     let printed = read("overload:\n  fair: 0\nlog: [").expect_err("the text is not YAML").to_string();
     assert_eq!(printed.lines().count(), 1);
 }
--- a/crates/ladderpass-config/tests/settings.rs
+++ b/crates/ladderpass-config/tests/settings.rs
@@ -13,9 +13,9 @@
     settings.deployment.methods[0].idempotency
 }
 
-/// With the deduplication scope `all`, every member drops duplicates of an RPC, and with the scope `cell`, every member
-/// of the group of the first attempt does. With any other scope, some members of the group may not know of the first
-/// attempt, so no retry is sent.
+/// With the deduplication scope `all`, every member drops duplicates of an RPC. With the scope `cell`, every member of
+/// the group to which the first attempt was sent does so. With any other scope, some members of that group may not know
+/// of the first attempt, so no retry is sent.
 #[test]
 fn a_deduplication_scope_other_than_the_group_or_all_members_allows_no_retry() {
     let window = Span::from_millis(5000);
--- a/crates/ladderpass-emulator/src/clock.rs
+++ b/crates/ladderpass-emulator/src/clock.rs
@@ -1,5 +1,5 @@
 //! The clock that the emulator and its observers share, so that their timestamps can be compared. The model never reads
-//! this clock: each call to the model passes the time as an argument.
+//! a clock: each call of the model passes the time as an argument.
 
 use ladderpass_routing::Time;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/ladderpass-emulator/src/execution_log.rs
+++ b/crates/ladderpass-emulator/src/execution_log.rs
@@ -1,5 +1,5 @@
-//! The execution log: which statements ran at which member, as the members observed the execution. Checkers compare the
-//! log with what clients received. Neither the model nor a router bases a decision on the log.
+//! The execution log: which statements ran at which member, as the members observed the executions. Checkers compare
+//! the log with what clients received. Neither the model nor a router bases a decision on the log.
 
 use ladderpass_routing::Time;
 use std::io::{self, Write};
@@ -17,22 +17,23 @@
     pub method: u32,
     /// Whether the method writes.
     pub writes: bool,
-    /// Position of the member's data when the attempt began to run.
+    /// Replication position of the member's data when the attempt began to run.
     pub position: Time,
 }
 
 /// One attempt that arrived at a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When the attempt arrived, or when it expired in the member's queue.
+    /// When the attempt arrived at the member, or when it expired in the member's queue.
     pub at: Time,
     /// Index of the member at which the attempt arrived.
     pub member: u32,
     /// Id of the RPC, from the statement's comment.
     pub id: Box<str>,
-    /// Position of the member's data when the attempt arrived or expired.
+    /// Replication position of the member's data when the attempt arrived or expired.
     pub position: Time,
-    /// Whether the member rejected the attempt, which then never runs.
+    /// Whether the member rejected the attempt, on arrival or because the attempt expired in the queue. A rejected
+    /// attempt never runs.
     pub rejected: bool,
 }
 
@@ -41,13 +42,13 @@
 pub struct ExecutionLog {
     /// Every attempt that began to run.
     pub executions: Vec<Execution>,
-    /// Every attempt that arrived, recorded only if the scenario's `history` is on. An attempt that expires in the
-    /// queue has a second, rejected entry.
+    /// Every attempt that arrived at a member, recorded only if the scenario's `history` is on. An attempt that expires
+    /// in the member's queue has a second, rejected entry.
     pub arrivals: Vec<Arrival>,
-    /// Every health check that arrived, as its time and the member's index, recorded only if the scenario's `history`
-    /// is on.
+    /// Every health check that arrived at a member, as the time of its arrival and the member's index. Recorded only if
+    /// the scenario's `history` is on.
     pub health_checks: Vec<(Time, u32)>,
-    /// Number of attempts that members rejected because the member's queue was full.
+    /// Number of attempts that members rejected on arrival because the member's queue was full.
     pub rejected: u64,
     /// Number of attempts that expired in a member's queue.
     pub expired: u64,
--- a/crates/ladderpass-emulator/src/loopback.rs
+++ b/crates/ladderpass-emulator/src/loopback.rs
@@ -22,12 +22,13 @@
 use std::sync::mpsc::{Sender, channel};
 use std::thread::JoinHandle;
 
-/// Maximum number of threads that serve the members; there are never more threads than members. Several threads keep
-/// the emulator itself from slowing a test down.
+/// Maximum number of threads that serve the members. There are never more threads than members, and several threads
+/// keep the emulator itself from slowing a test down.
 const MAX_THREADS: usize = 3;
-/// Lower bound of the interval between the empty lines that a watch receives, in milliseconds.
+/// The shortest interval, in milliseconds, between the empty lines that a watch of an endpoint list receives. A shorter
+/// interval in the scenario is raised to this one.
 const MIN_WATCH_INTERVAL_MS: f64 = 10.0;
-/// Stands for the index of the calling thread in calls from a thread that owns no connections.
+/// Used in place of a thread's index where the calling thread owns no connections.
 const NO_THREAD: usize = usize::MAX;
 
 /// An emulator that runs on its own threads until it is stopped or dropped.
@@ -36,7 +37,7 @@
     pub addresses: Vec<SocketAddr>,
     /// Address of the first discovery service.
     pub discovery: SocketAddr,
-    /// Addresses of all discovery services, each of which publishes a separate endpoint list.
+    /// Addresses of all discovery services. Each service publishes an endpoint list of its own.
     pub discoveries: Vec<SocketAddr>,
     commands: Vec<Sender<Command>>,
     shared: Arc<Shared>,
@@ -44,7 +45,7 @@
 }
 
 impl RunningEmulator {
-    /// Starts the members and one discovery service on this address, at ports that the operating system chooses.
+    /// Starts the members and one discovery service at this IP address, at ports that the operating system chooses.
     ///
     /// # Errors
     ///
@@ -53,8 +54,8 @@
         RunningEmulator::start_with_lists(scenario, seed, address, 1)
     }
 
-    /// Starts the members and `lists` discovery services, so that routers can reach the members at different addresses.
-    /// At least one discovery service is started.
+    /// Starts the members and `lists` discovery services (at least one) with an endpoint list each, so that routers can
+    /// reach the members at different addresses.
     ///
     /// # Errors
     ///
@@ -104,7 +105,7 @@
         self.shared.set_addresses(list, addresses);
     }
 
-    /// Marks a member as draining in all endpoint lists, and publishes the change to their watches.
+    /// Marks a member as draining in all endpoint lists, and sends the change to the watches of the lists.
     pub fn drain(&self, member: u32) {
         for list in 0..self.discoveries.len() {
             self.shared.mark_draining(list, member);
@@ -144,7 +145,7 @@
 
     fn send(&self, command: impl Fn() -> Command) {
         for (sender, waker) in self.commands.iter().zip(self.shared.wakers()) {
-            // Sending fails only for a thread that has ended, which needs no command.
+            // Sending a command to a thread fails only if the thread has ended, and an ended thread needs no command.
             let _ = (sender.send(command()), waker.wake());
         }
     }
--- a/crates/ladderpass-emulator/src/loopback/driver.rs
+++ b/crates/ladderpass-emulator/src/loopback/driver.rs
@@ -14,9 +14,9 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// The poll token of the thread's waker.
+/// The poll token of the waker with which other threads wake this thread.
 pub const WAKE_TOKEN: Token = Token(usize::MAX);
-/// Maximum number of bytes that a connection buffers in each direction; a connection that exceeds this limit is closed.
+/// Maximum number of bytes that a connection buffers in each direction. A connection that would buffer more is closed.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const READ_BUFFER_BYTES: usize = 16 << 10;
 const EVENTS_PER_POLL: usize = 1024;
@@ -26,13 +26,13 @@
 struct Connection {
     stream: TcpStream,
     owner: Owner,
-    /// Whether the startup message of the connection has arrived.
+    /// Whether the startup message has arrived on the connection.
     is_open: bool,
-    /// Whether the connection is a watch of an endpoint list.
+    /// Whether the connection is a watch: discovery sends it an endpoint list and then the list's changes.
     is_watch: bool,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// Whether the connection is closed once all buffered output is written to the connection.
+    /// Whether the connection is closed once all its buffered output is written.
     closes_after_output: bool,
 }
 
@@ -51,8 +51,8 @@
 }
 
 impl Driver {
-    /// Creates a driver and registers its listeners. `watch_interval` is the interval between the empty lines of a
-    /// watch.
+    /// Creates a driver and registers its listeners. `watch_interval` is the interval between the empty lines that a
+    /// watch of an endpoint list receives.
     pub fn new(
         thread: usize,
         poll: Poll,
@@ -138,7 +138,7 @@
         false
     }
 
-    /// Returns the id of a connection in the model, which is unique across all threads.
+    /// Returns the id that the model uses for a connection. The id is unique across all threads.
     fn connection_id(&self, index: usize) -> ConnectionId {
         ConnectionId((index * self.shared.thread_count() + self.thread) as u64)
     }
@@ -149,8 +149,8 @@
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                // Another error, such as too many open files, is not fatal: the peer's connect fails or waits, as it
-                // would with any member.
+                // An error of another kind, such as too many open files, is not fatal: the peer's attempt to connect
+                // fails or waits, as it would with any member.
                 Err(_) => return Ok(()),
             };
             stream.set_nodelay(true)?;
@@ -158,7 +158,8 @@
             let token = Token(self.last_index);
             self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             let owner = self.listeners[listener].0;
-            // The listener of a crashed member stays open, and each connection that it accepts is closed at once.
+            // The listener of a crashed member stays open, and each connection that the listener accepts is closed at
+            // once.
             if matches!(owner, Owner::Member(member) if !self.shared.model().is_alive(member)) {
                 continue;
             }
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Reads a connection's input and handles the input. If `read_closed` is set, the end of the stream has arrived
-    /// too, so reading goes on after a short read until that end.
+    /// Reads a connection's input and handles the input. If `read_closed` is set, the peer has ended the stream, so
+    /// reading goes on, even after a read that does not fill the buffer, until the end of the stream.
     fn read(&mut self, index: usize, read_closed: bool) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         let is_open = self.read_input(index, read_closed, &mut buffer);
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Reads all available input, and returns whether the connection is still open.
+    /// Reads all available input of a connection, and returns whether the connection is still open.
     fn read_input(&mut self, index: usize, read_closed: bool, buffer: &mut [u8]) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(&index) else { return false };
@@ -230,7 +231,8 @@
         self.write(index);
     }
 
-    /// Passes a connection's complete requests to the model, and returns how many bytes of `input` these requests took.
+    /// Passes the complete requests of a connection to the model, and returns how many bytes of `input` the requests
+    /// took.
     fn handle_requests(&mut self, index: usize, member: u32, input: &[u8]) -> usize {
         let id = self.connection_id(index);
         let Some(connection) = self.connections.get_mut(&index) else { return 0 };
@@ -273,8 +275,8 @@
         }
     }
 
-    /// Answers the HTTP request of a watch with the complete endpoint list, and returns how many bytes of `input` the
-    /// request took.
+    /// Answers the HTTP request that begins a watch with the complete endpoint list, and returns how many bytes of
+    /// `input` the request took.
     fn start_watch(&mut self, index: usize, list: usize, input: &[u8]) -> usize {
         let Some(end) = input.windows(HTTP_HEAD_END.len()).position(|window| window == HTTP_HEAD_END) else {
             return 0;
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Encodes the model's replies for this thread into the output buffers of their connections.
+    /// Encodes the model's replies on this thread's connections into the output buffers of the connections.
     fn encode_replies(&mut self) {
         for output in self.shared.take_outbox(self.thread) {
             self.encode_reply(output);
@@ -332,7 +334,8 @@
             Reply::Row { id, method, primary, position } => {
                 let method = self.shared.scenario.methods.get(method as usize);
                 let (size, writes) = method.map_or((0, false), |method| (method.value_bytes, method.writes));
-                // The value begins with the RPC's id, so that a client can check for which RPC the value was made.
+                // The value begins with the id of the RPC, so that a client can check whether an answer belongs to its
+                // RPC.
                 let mut value = id.into_string().into_bytes();
                 value.resize(size.max(value.len()), b'.');
                 proto::put_row(out, &value, writes, primary, Some(position));
--- a/crates/ladderpass-emulator/src/loopback/shared.rs
+++ b/crates/ladderpass-emulator/src/loopback/shared.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard};
 
-/// The member or discovery service to which a listener or a connection belongs.
+/// The member or the discovery service to which a listener or a connection belongs.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Owner {
     /// The member with this index.
@@ -19,13 +19,13 @@
     Discovery(usize),
 }
 
-/// A command from the controlling thread to the drivers.
+/// A command from the thread that controls the emulator to the driver of another thread.
 pub enum Command {
-    /// Closes the connections of the member with this index, which has crashed.
+    /// Closes this driver's connections of the member with this index, which has crashed.
     Crash(u32),
-    /// Sends a line to the watches of the endpoint list with this index.
+    /// Sends this line to this driver's watches of the endpoint list with this index.
     SendLine(usize, String),
-    /// Stops the thread of the driver that receives the command.
+    /// Stops the driver that receives the command, and its thread.
     Stop,
 }
 
@@ -38,12 +38,12 @@
     pub generation: u64,
 }
 
-/// A record that an endpoint list published a member as draining.
+/// A record that discovery published a member as draining in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishedDrain {
-    /// When the endpoint list published the member as draining.
+    /// When discovery published the member as draining.
     pub at: Time,
-    /// Index of the endpoint list that published the member as draining.
+    /// Index of the endpoint list in which the member was published as draining.
     pub list: usize,
     /// Index of the member that is draining.
     pub member: u32,
@@ -54,7 +54,7 @@
     model: Mutex<Model>,
     /// Replies that each thread has yet to send on its connections, by thread index.
     outboxes: Vec<Mutex<Vec<Output>>>,
-    /// Waker of each thread, by thread index.
+    /// The waker of each thread, by thread index.
     wakers: Vec<Waker>,
     pub scenario: Scenario,
     lists: Mutex<Vec<EndpointList>>,
@@ -68,7 +68,7 @@
 }
 
 impl Shared {
-    /// Creates the shared state for as many threads as there are `wakers`.
+    /// Creates the shared state of as many threads as there are `wakers`.
     pub fn new(scenario: Scenario, seed: u64, lists: Vec<EndpointList>, wakers: Vec<Waker>) -> Shared {
         Shared {
             model: Mutex::new(Model::new(now(), scenario.clone(), seed)),
@@ -94,14 +94,14 @@
     }
 
     /// Applies an input to a member, and hands the replies to the threads that own the connections. `thread` is the
-    /// calling thread, which needs no waking.
+    /// index of the calling thread, which needs no waking.
     pub fn apply(&self, thread: usize, member: u32, input: Input) {
         let mut model = self.model();
         model.apply(now(), member, input);
         self.distribute(thread, &mut model);
     }
 
-    /// Advances the model to the current time, and returns when its next timer is due.
+    /// Advances the model to the current time, and returns when the model's next timer is due.
     pub fn advance(&self, thread: usize) -> Option<Time> {
         let mut model = self.model();
         model.advance(now());
@@ -109,7 +109,7 @@
         model.next_wake()
     }
 
-    /// Removes and returns the replies for a thread's connections.
+    /// Removes and returns the replies that a thread has yet to send on its connections.
     pub fn take_outbox(&self, thread: usize) -> Vec<Output> {
         std::mem::take(&mut *lock(&self.outboxes[thread]))
     }
@@ -119,13 +119,14 @@
             let owner = output.connection.0 as usize % self.outboxes.len();
             lock(&self.outboxes[owner]).push(output);
             if owner != thread {
-                // Waking fails only for a thread that has ended, which has no connections left.
+                // Waking a thread fails only if the thread has ended, and an ended thread has no connections left.
                 let _ = self.wakers[owner].wake();
             }
         }
     }
 
-    /// Returns a line of a watch: the complete endpoint list, or only the entry of `changed`.
+    /// Returns a line that a watch of an endpoint list receives: the complete list, or only the entry of the member
+    /// `changed`.
     pub fn list_line(&self, list: usize, changed: Option<u32>) -> String {
         let lists = lock(&self.lists);
         let Some(list) = lists.get(list) else { return String::new() };
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Marks a member as draining in an endpoint list, without notifying its watches.
+    /// Marks a member as draining in an endpoint list, without sending the change to the list's watches.
     pub fn mark_draining(&self, list: usize, member: u32) {
         if let Some(list) = lock(&self.lists).get_mut(list) {
             list.draining.insert(member);
--- a/crates/ladderpass-emulator/src/model.rs
+++ b/crates/ladderpass-emulator/src/model.rs
@@ -1,5 +1,5 @@
 //! A deterministic model of the members: cores, queues, replication logs, roles and connections. The model takes inputs
-//! and the time and returns replies; it uses no sockets and reads no clock.
+//! and the time and returns replies. It uses no sockets and reads no clock.
 //!
 //! Invariants:
 //!
@@ -23,23 +23,24 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// SQLSTATE for a write at a replica: read_only_sql_transaction.
+/// SQLSTATE with which a replica rejects a write: read_only_sql_transaction.
 const READ_ONLY: &str = "25006";
-/// SQLSTATE for a statement whose minimum position the member has not reached.
+/// SQLSTATE with which a member rejects a statement whose minimum position the member's data has not reached.
 const POSITION_NOT_REACHED: &str = "72000";
-/// SQLSTATE for a member without capacity: too_many_connections.
+/// SQLSTATE with which a member without capacity rejects a connection or a statement: too_many_connections.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// What a member does when one of its timers fires.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// Reports that a connection is established.
+    /// Reports to the client that the connection is established.
     ConnectionReady(ConnectionId),
-    /// Completes a statement.
+    /// Completes a statement that runs.
     Completed { connection: ConnectionId, id: Box<str>, method: u32 },
 }
 
-/// A timer of a member. Timers are ordered by time, then by the order in which they were set.
+/// A timer of a member. Timers are ordered by the time at which they fire, and timers of the same time by the order in
+/// which they were set.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     at: Time,
@@ -63,7 +64,8 @@
 }
 
 impl Model {
-    /// Creates all members of the scenario, up and without connections. The first member of each group is its primary.
+    /// Creates all members of the scenario. All members are up and have no connections, and the first member of each
+    /// group is the primary of the group.
     pub fn new(now: Time, scenario: Scenario, seed: u64) -> Model {
         let group_size = scenario.group_size();
         let member = |index: usize| {
@@ -85,7 +87,8 @@
         &self.scenario
     }
 
-    /// Returns when `advance` must be called next, or `None` if no timer is set.
+    /// Returns when `advance` must be called next, which is when the earliest timer fires, or `None` if no timer is
+    /// set.
     pub fn next_wake(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse(scheduled)| scheduled.at)
     }
@@ -126,7 +129,7 @@
                 }
             }
             Input::ConnectionClosed(connection) => {
-                // The connection's queued statements never run; a running statement continues.
+                // A queued statement of the closed connection never runs. A running statement continues.
                 state.connections.remove(&connection);
                 state.queue.retain(|statement| statement.connection != connection);
             }
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Fires all timers that are due at `now`, in order.
+    /// Fires all timers that are due at `now`, the earliest first.
     pub fn advance(&mut self, now: Time) {
         while self.next_wake().is_some_and(|at| at <= now)
             && let Some(Reverse(ScheduledTimer { at, member, timer, .. })) = self.timers.pop()
@@ -168,7 +171,8 @@
         }
     }
 
-    /// Opens a connection if the member is up and below its connection limit, and rejects the connection otherwise.
+    /// Opens a connection if the member is up and has fewer connections than the scenario's `connections`. Otherwise
+    /// rejects the connection.
     fn open_connection(&mut self, now: Time, member: u32, connection: ConnectionId) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if !state.alive || state.connections.len() >= self.scenario.connections {
@@ -226,7 +230,7 @@
         self.outputs.push(Output { connection, reply });
     }
 
-    /// Returns the SQLSTATE with which a member rejects a statement, or `None` if it accepts the statement.
+    /// Returns the SQLSTATE with which a member rejects a statement, or `None` if the member accepts the statement.
     fn rejection(
         &mut self,
         member: u32,
@@ -248,7 +252,7 @@
         }
     }
 
-    /// Queues a statement and marks its connection as busy.
+    /// Queues a statement at a member and marks the statement's connection as busy.
     fn enqueue(&mut self, member: u32, statement: QueuedStatement) {
         let Some(state) = self.members.get_mut(member as usize) else { return };
         if let Some(connection_state) = state.connections.get_mut(&statement.connection) {
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Rejects a statement that has waited in the queue for too long.
+    /// Rejects a statement that has waited in the member's queue until after its `expires_at`.
     fn expire_statement(&mut self, now: Time, member: u32, statement: QueuedStatement, position: Time) {
         let QueuedStatement { connection, id, .. } = statement;
         self.execution_log.expired += 1;
@@ -305,8 +309,8 @@
         self.set_timer(completed_at, member, Timer::Completed { connection, id, method });
     }
 
-    /// Completes a statement: commits the statement if its method writes, and answers the statement if its connection
-    /// is still open.
+    /// Completes a statement: commits a write if the statement's method writes, and answers the statement if its
+    /// connection is still open.
     fn complete_statement(
         &mut self,
         now: Time,
@@ -333,8 +337,8 @@
             let Some(connection_state) = state.connections.get_mut(&connection) else { return };
             connection_state.busy = false;
             let Some(request) = connection_state.pipelined.pop_front() else { return };
-            // A request that is not a statement is answered at once. A statement may make the connection busy; this
-            // function is called again when that statement ends.
+            // A request that is not a statement is answered at once, and the loop goes on. A statement may make the
+            // connection busy, so the loop ends, and this function is called again when the statement ends.
             let is_statement = matches!(request, Request::Statement { .. });
             self.answer(now, member, connection, request);
             if is_statement {
@@ -343,7 +347,7 @@
         }
     }
 
-    /// Commits a write at the primary, and schedules its application at the replicas of the group.
+    /// Commits a write at the primary, and schedules when the replicas of the group apply the write.
     fn commit(&mut self, now: Time, primary: u32) {
         let Some(group) = self.members.get(primary as usize).map(|state| state.group) else { return };
         let apply_time = Span::from_secs_f64(self.scenario.apply_ms / 1e3);
@@ -353,7 +357,7 @@
         }
     }
 
-    /// Returns the position of a member's data.
+    /// Returns the replication position of a member's data.
     fn position(&mut self, now: Time, member: u32) -> Time {
         let transfer_time = Span::from_secs_f64(self.scenario.log_ms / 1e3);
         let Some(state) = self.members.get_mut(member as usize) else { return Time::NEVER };
--- a/crates/ladderpass-emulator/src/model/member.rs
+++ b/crates/ladderpass-emulator/src/model/member.rs
@@ -15,16 +15,17 @@
     log: ReplicationLog,
 }
 
-/// A connection, which executes one statement at a time, in the order of arrival.
+/// A connection to the member. The connection executes one statement at a time, in the order in which statements
+/// arrive.
 #[derive(Default)]
 pub struct Connection {
-    /// Whether a statement of the connection runs or is queued. The requests in `pipelined` wait for the end of that
-    /// statement.
+    /// Whether a statement of the connection runs or is queued. The requests in `pipelined` wait until this statement
+    /// ends.
     pub busy: bool,
     pub pipelined: VecDeque<Request>,
 }
 
-/// A statement that waits in the queue for a core.
+/// A statement that waits in the member's queue for a free core.
 pub struct QueuedStatement {
     pub connection: ConnectionId,
     pub id: Box<str>,
@@ -33,8 +34,8 @@
     pub expires_at: Time,
 }
 
-/// The replication log of a member: the position that it has applied, and the commits that its single apply thread has
-/// yet to apply.
+/// The replication log of a member: the position that the member has applied, and the commits that the member's single
+/// apply thread has yet to apply.
 struct ReplicationLog {
     applied: Time,
     /// Commits that the apply thread has yet to apply, the earliest first.
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes the member down: drops its connections and their queued and running statements.
+    /// Takes the member down: drops the member's connections with their queued and running statements.
     pub fn crash(&mut self) {
         self.alive = false;
         self.running = 0;
@@ -71,22 +72,23 @@
         self.queue.clear();
     }
 
-    /// Schedules the application of a write that the primary committed at `now`. The commit reaches this replica after
-    /// `transfer_time`, and the replica needs `apply_time` to apply it.
+    /// Schedules when this replica applies a write that the primary committed at `now`. The commit reaches this replica
+    /// after `transfer_time`, and the replica needs `apply_time` to apply the commit.
     pub fn replicate(&mut self, now: Time, transfer_time: Span, apply_time: Span) {
         self.log.thread_free_at = self.log.thread_free_at.max(now + transfer_time) + apply_time;
         self.log.pending.push_back(PendingCommit { committed_at: now, applied_at: self.log.thread_free_at });
-        // Removes the commits applied by now, so that the pending commits stay bounded at a replica whose position is
-        // never requested.
+        // Removes the commits that are applied by now, so that the pending commits stay bounded at a replica whose
+        // position is never requested.
         self.log.apply_until(now);
     }
 
-    /// Returns the position of the member's data, which never decreases.
+    /// Returns the replication position of the member's data, which never decreases.
     pub fn position(&mut self, now: Time, transfer_time: Span) -> Time {
         self.log.apply_until(now);
         let reached = match self.log.pending.front() {
             _ if self.primary => now,
-            // The data includes everything before the first pending commit, so the position is just before that commit.
+            // The data includes everything that was committed before the first pending commit, so the position is just
+            // before this commit.
             Some(commit) => (commit.committed_at - Span::from_nanos(1)).min(now - transfer_time),
             None => now - transfer_time,
         };
--- a/crates/ladderpass-emulator/src/model/messages.rs
+++ b/crates/ladderpass-emulator/src/model/messages.rs
@@ -1,4 +1,5 @@
-//! The interface of the model of the members: inputs from connections and to members, and the replies to requests.
+//! The interface of the model of the members: the inputs (requests on connections, and events at members) and the
+//! replies to requests.
 
 use ladderpass_routing::{Span, Time};
 
@@ -19,10 +20,10 @@
         id: Box<str>,
         /// Index of the method in the scenario.
         method: u32,
-        /// How long the statement may wait in the member's queue.
+        /// How long the statement may wait in the member's queue before the member rejects it.
         wait: Span,
-        /// The position that the member's data must have reached for the member to accept the statement. `None` if any
-        /// position will do.
+        /// The replication position that the member's data must have reached for the member to accept the statement, or
+        /// `None` if any position will do.
         min_position: Option<Time>,
     },
 }
@@ -38,7 +39,7 @@
     ConnectionClosed(ConnectionId),
     /// The member crashes, loses its connections, and stays down until `Restart`.
     Crash,
-    /// The member accepts connections again.
+    /// The member accepts connections again after a crash.
     Restart,
     /// The member becomes the primary of its group, and the previous primary becomes a replica.
     BecomePrimary,
@@ -60,7 +61,7 @@
         /// Number of statements in the member's queue.
         queued: usize,
     },
-    /// The result of a statement.
+    /// The result of a statement that the member completed.
     Row {
         /// Id of the RPC.
         id: Box<str>,
@@ -71,9 +72,9 @@
         /// Position of the member's data.
         position: Time,
     },
-    /// An error with this SQLSTATE; the connection stays open.
+    /// The answer is an error with this SQLSTATE, and the connection stays open.
     Error(&'static str),
-    /// An error with this SQLSTATE that ends the connection.
+    /// The answer is an error with this SQLSTATE that ends the connection.
     FatalError(&'static str),
 }
 
--- a/crates/ladderpass-emulator/src/proto.rs
+++ b/crates/ladderpass-emulator/src/proto.rs
@@ -24,7 +24,7 @@
     out.extend_from_slice(body);
 }
 
-/// Appends a frame with the given type, whose body is the concatenation of `parts`.
+/// Appends a frame with this type to `out`. The frame's body is the concatenation of `parts`.
 pub fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
     let length = 4 + parts.iter().map(|part| part.len()).sum::<usize>();
     out.push(message_type);
@@ -51,7 +51,7 @@
 }
 
 /// Appends a result of one row with one column, followed by ParameterStatus messages with the member's role and, if
-/// given, the member's position in milliseconds, and by ReadyForQuery.
+/// given, the member's replication position in milliseconds, and then by ReadyForQuery.
 pub fn put_row(out: &mut Vec<u8>, value: &[u8], writes: bool, primary: bool, position: Option<Time>) {
     put_message(out, b'T', &[b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01"]);
     put_message(out, b'D', &[b"\0\x01", &(value.len() as u32).to_be_bytes(), value]);
@@ -77,7 +77,7 @@
     }
 }
 
-/// Returns the field with the given type byte in the body of an ErrorResponse.
+/// Returns the field with this type byte in the body of an ErrorResponse.
 pub fn error_field(body: &[u8], field_type: u8) -> Option<&str> {
     let mut fields = body.split(|&byte| byte == 0);
     let field = fields.find(|field| field.first() == Some(&field_type))?;
@@ -91,13 +91,13 @@
     pub id: &'a str,
     /// Key `c`: the name of the method.
     pub method: &'a str,
-    /// Key `d`, in milliseconds: how long the statement may wait in the member's queue.
+    /// Key `d`, in milliseconds: how long the statement may wait in the member's queue before the member rejects it.
     pub wait: Span,
-    /// Key `after`, in milliseconds: the position that the member must have reached. This key is optional.
+    /// Key `after`, in milliseconds: the replication position that the member must have reached. This key is optional.
     pub min_position: Option<Time>,
 }
 
-/// Parses the comment of a statement. Returns `None` if there is no comment or a required key is missing.
+/// Parses the comment at the end of a statement. Returns `None` if there is no comment or a required key is missing.
 pub fn parse_comment(statement: &str) -> Option<Comment<'_>> {
     let (_, comment) = statement.rsplit_once("/*")?;
     let (comment, _) = comment.rsplit_once("*/")?;
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -28,20 +28,21 @@
     pub connections: usize,
     /// Time from a connection's startup message until the connection is ready, in milliseconds.
     pub connect_ms: f64,
-    /// Time from a commit until a replica has received it, in milliseconds.
+    /// Time from a commit at the primary until a replica has received the commit, in milliseconds.
     pub log_ms: f64,
     /// Time that a replica's single apply thread needs for one commit, in milliseconds.
     pub apply_ms: f64,
     /// Interval between the empty lines that a watch of an endpoint list receives, in milliseconds.
     pub watch_every_ms: f64,
-    /// Whether each attempt and health check that arrives is recorded for a history checker.
+    /// Whether each attempt and each health check that arrives at a member is recorded in the execution log for a
+    /// history checker.
     pub history: bool,
     /// Indexes of the members that start together with the emulator and need a slow start.
     pub cold: Vec<u32>,
-    /// Length of the window in which too many RPCs overload a member in slow start, in milliseconds; part of the
-    /// routers' settings.
+    /// Length of the window, in milliseconds, in which too many RPCs overload a member in slow start. The value is part
+    /// of the routers' settings (`Contract.OverloadFor`).
     pub overload_ms: f64,
-    /// Number of routers; part of the routers' settings.
+    /// Number of routers. The value is part of the routers' settings.
     pub routers: u32,
     /// The methods of the RPCs.
     pub methods: Vec<MethodSettings>,
@@ -51,25 +52,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MethodSettings {
-    /// Name of the method. It must be unique in the scenario, which `Scenario::check` does not verify.
+    /// Name of the method, which must be unique in the scenario. `Scenario::check` does not verify that.
     pub name: String,
-    /// Whether the method writes; only a primary runs a method that writes.
+    /// Whether the method writes. Only a primary runs a method that writes.
     #[serde(default)]
     pub writes: bool,
-    /// Maximum staleness of a read's data, in milliseconds; if it is absent, the staleness is unlimited.
+    /// Maximum staleness of the data that a read of this method returns, in milliseconds. If it is absent, the
+    /// staleness is unlimited.
     pub max_age_ms: Option<f64>,
-    /// Mean of the exponentially distributed work at a member, in milliseconds; 0 means that the member answers at
-    /// once.
+    /// Mean of the exponentially distributed work of an RPC at a member, in milliseconds. 0 means that the member
+    /// answers at once.
     #[serde(default)]
     pub work_ms: f64,
-    /// Size of the value in an answer, in bytes. The value contains at least the RPC's id, even if that is longer.
+    /// Size of the value in an answer, in bytes. The value contains at least the RPC's id, even if the id is longer
+    /// than this size.
     #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
-    /// Soft deadline in milliseconds, after which an answer has less utility or none.
+    /// Soft deadline of the method's RPCs, in milliseconds. An answer after it has less utility or none.
     pub soft_deadline_ms: f64,
     /// Utility of an answer that arrives before the soft deadline.
     pub utility: f64,
-    /// Share of the method in all RPCs, relative to the sum of all shares.
+    /// Weight of the method in the mix of RPCs: the method's share of all RPCs is this value divided by the sum of this
+    /// value over all methods.
     pub share: f64,
 }
 
@@ -195,8 +199,8 @@
         Span::from_secs_f64(self.methods.get(method).map_or(0.0, |method| method.work_ms) / 1e3)
     }
 
-    /// Returns the entries of the endpoint list as discovery publishes them. `now` is the start time of the members in
-    /// slow start.
+    /// Returns the entries of the endpoint list as discovery publishes them. `now` is published as the start time of
+    /// the members in slow start.
     pub fn endpoint_entries(&self, now: Time, addresses: &[SocketAddr]) -> Vec<serde_json::Value> {
         let now_ms = now.nanos() / 1_000_000;
         let entry = |(index, address): (u32, &SocketAddr)| {
@@ -228,7 +232,7 @@
         .to_string()
     }
 
-    /// Returns the deployment settings for these members and methods; durations are in nanoseconds.
+    /// Returns the deployment settings of routers for these members and methods. Durations are in nanoseconds.
     fn router_settings(&self) -> serde_json::Value {
         let services: Vec<_> = self
             .methods
@@ -267,7 +271,7 @@
 pub struct RouterLimits {
     /// Number of CPU cores that a router may use.
     pub cores: f64,
-    /// Memory that a router may use, in megabytes.
+    /// Memory that a router may use, in MiB.
     pub memory_mb: u64,
     /// Maximum number of sockets that a router may have open.
     pub sockets: usize,
--- a/crates/ladderpass-emulator/src/scenario_error.rs
+++ b/crates/ladderpass-emulator/src/scenario_error.rs
@@ -1,4 +1,5 @@
-//! Reasons to reject a scenario. The message of each error is one line, and all but `Syntax` begin with the invalid key.
+//! Reasons to reject a scenario. The message of each error is one line. It begins with the invalid key, except for
+//! `Syntax`.
 
 /// The reason why a scenario is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
@@ -9,9 +10,9 @@
     /// A number in the scenario is negative or not finite.
     #[error("{key}: {value} is not a finite number of at least 0")]
     NegativeOrNotFinite {
-        /// The key of the number in the scenario, with the keys around it, such as `methods.board.work_ms`.
+        /// The path of the key of the number in the scenario, such as `methods.board.work_ms`.
         key: String,
-        /// The number that the scenario contains.
+        /// The number that the scenario sets for the key.
         value: f64,
     },
     /// The scenario has no groups, too many groups, or too many replicas per group.
@@ -28,10 +29,10 @@
     /// The scenario has no methods.
     #[error("methods: at least one method is required")]
     NoMethods,
-    /// The value in an answer is larger than allowed.
+    /// The scenario sets a larger size for the value in an answer than is allowed.
     #[error("{key}: {bytes} is more than {max_bytes}")]
     ValueTooLong {
-        /// The key of the size in the scenario, with the keys around it, such as `methods.read.value_bytes`.
+        /// The path of the key of the size in the scenario, such as `methods.read.value_bytes`.
         key: String,
         /// The size that the scenario sets for the value, in bytes.
         bytes: usize,
--- a/crates/ladderpass-emulator/tests/model.rs
+++ b/crates/ladderpass-emulator/tests/model.rs
@@ -45,9 +45,9 @@
 }
 
 quickcheck! {
-    /// Under random inputs, at most as many statements run concurrently as a member has cores, positions never
-    /// decrease, and the totals of requests, executions, answers and rejections show no statement that was answered
-    /// twice, or rejected and executed.
+    /// Under random inputs, a member runs at most as many statements concurrently as it has cores, and positions never
+    /// decrease. The totals of requests, executions, answers and rejections show that no statement was answered twice,
+    /// and none was both rejected and executed.
     fn random_inputs_preserve_the_member_invariants(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut scenario = Scenario { cores: 2, queue: 3, ..Scenario::default() };
         scenario.methods.iter_mut().for_each(|method| method.work_ms = 5.0);
--- a/crates/ladderpass-retry-budget/tests/model.rs
+++ b/crates/ladderpass-retry-budget/tests/model.rs
@@ -214,8 +214,8 @@
         sim.partitioned_at = 5;
         sim.run(16);
         sim.partitioned_at = 0;
-        // Router 0 resumes after a stall. It may spend the balance that it had saved before the stall, but not the
-        // quota of the time of the stall.
+        // Router 0 resumes after a stall. However long the stall was, the router can then spend no more than the
+        // largest balance (see `GroupBudget::max_balance`).
         sim.alive[0] = true;
         sim.run(8);
         for steps in sim.steps.windows(8) {
--- a/crates/ladderpass-simulator-adapter/src/actions.rs
+++ b/crates/ladderpass-simulator-adapter/src/actions.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// The receiver's number in a gossip message to all other routers.
+/// The number that stands for the receiver in a gossip message to all other routers.
 const ALL_ROUTERS: i64 = -1;
 
 /// An action line.
@@ -23,7 +23,8 @@
         /// The name of the member to which the attempt is sent.
         #[serde(rename = "Node")]
         member: &'a str,
-        /// The time after which the simulator ends the attempt, or zero if the attempt has no timeout of its own.
+        /// The time after which the simulator ends the attempt, in nanoseconds, or zero if the attempt has no timeout
+        /// of its own.
         #[serde(rename = "TryFor")]
         timeout: i64,
     },
@@ -36,7 +37,7 @@
         /// The id of the RPC.
         #[serde(rename = "RequestId")]
         request_id: &'a str,
-        /// The time after which the client may send the rejected RPC again.
+        /// The time after which the client may send the rejected RPC again, in nanoseconds.
         #[serde(rename = "ComeBack")]
         retry_after: i64,
     },
@@ -79,7 +80,7 @@
         /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The value is always true, and requests one poll.
+        /// Always true, which requests one poll.
         #[serde(rename = "Enable")]
         enable: bool,
     },
@@ -99,10 +100,10 @@
         /// The name of the router that requests the action.
         #[serde(rename = "Who")]
         router: &'a str,
-        /// The time from the action until the timer fires.
+        /// The time from this action until the timer fires, in nanoseconds.
         #[serde(rename = "Delay")]
         delay: i64,
-        /// The number that the timer's event will carry.
+        /// The handle of the timer. The event of the timer carries the same number.
         #[serde(rename = "Handle")]
         handle: i64,
     },
@@ -116,7 +117,7 @@
         #[serde(rename = "NoteText")]
         message: &'a str,
     },
-    /// End the actions of a batch.
+    /// End the actions of a batch of events.
     #[serde(rename = "END")]
     EndOfBatch,
 }
--- a/crates/ladderpass-simulator-adapter/src/endpoint_lists.rs
+++ b/crates/ladderpass-simulator-adapter/src/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! The endpoint lists that the simulator has sent. Later events refer to them by number.
+//! The endpoint lists that the simulator has sent. Later events refer to an endpoint list by number.
 
 use crate::events::ListLine;
 use std::collections::HashMap;
--- a/crates/ladderpass-simulator-adapter/src/events.rs
+++ b/crates/ladderpass-simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Event lines of the simulator. Only this module maps the simulator's names to the names in the code.
+//! Event lines of the simulator. Only this module maps the names that the simulator uses to the names in the code.
 //!
 //! Times and durations are in nanoseconds, as integers, unless the name of a field has another unit. Unknown fields are
 //! ignored. serde prints the names of the structs in its errors, so the structs keep their names.
@@ -12,11 +12,11 @@
 /// The kinds of event lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// The line sets the time of the events that follow.
+    /// The line sets the time of the events that follow the line.
     SetTime,
     /// The batch of events is complete.
     EndOfBatch,
-    /// The line contains an endpoint list with a number. Endpoint updates refer to the list by that number.
+    /// The line contains an endpoint list with a number. Endpoint updates refer to the list by this number.
     EndpointList,
     /// A router starts.
     StartRouter,
@@ -62,13 +62,13 @@
     }
 }
 
-/// An event line of any kind. Each kind has some of the fields.
+/// An event line of any kind. Each kind of line uses some of these fields.
 #[derive(Deserialize)]
 pub struct Line<'a> {
     /// The name of the kind, which [`EventKind::parse`] reads.
     #[serde(borrow)]
     pub kind: Cow<'a, str>,
-    /// The time of the events that follow.
+    /// The time of the events that follow this line, in nanoseconds.
     #[serde(rename = "AtTime")]
     pub time: Option<i64>,
     /// The name of the router to which the event belongs.
@@ -83,34 +83,34 @@
     /// The number of an endpoint list.
     #[serde(rename = "Buffer")]
     pub list_number: Option<u32>,
-    /// The endpoints of a list.
+    /// The endpoints (members) of an endpoint list.
     #[serde(rename = "Entries", borrow)]
     pub endpoints: Option<Vec<ListLine<'a>>>,
     /// The kind of an endpoint update: the complete list, changes, a cached list, or a failure of discovery.
     #[serde(rename = "How", borrow)]
     pub update_kind: Option<Cow<'a, str>>,
-    /// The id of the RPC.
+    /// The id on the wire of the RPC to which the event belongs.
     #[serde(rename = "RequestId", borrow)]
     pub request_id: Option<Cow<'a, str>>,
-    /// The name of the RPC's method.
+    /// The name of the method of the RPC that arrives.
     #[serde(rename = "Service", borrow)]
     pub method: Option<Cow<'a, str>>,
-    /// Whether the RPC is a retry by the client.
+    /// Whether the RPC that arrives is a retry by the client.
     #[serde(rename = "Resent", default)]
     pub is_client_retry: Option<bool>,
-    /// The age of the session's last write, in milliseconds.
+    /// The age of the last write of the RPC's session, in milliseconds.
     #[serde(rename = "TokenMs")]
     pub last_write_age_ms: Option<f64>,
-    /// The time at which the client gives up.
+    /// The time at which the client gives up on the RPC that arrives, in nanoseconds.
     #[serde(rename = "Due")]
     pub deadline: Option<i64>,
-    /// The key of the session.
+    /// The key of the session of the RPC.
     #[serde(rename = "Key", borrow)]
     pub session: Option<Cow<'a, str>>,
     /// The number of the group to which the RPC is sent.
     #[serde(rename = "Cluster")]
     pub group: Option<f64>,
-    /// The number of the attempt.
+    /// The number of the attempt that has ended.
     #[serde(rename = "Attempt")]
     pub attempt: Option<u32>,
     /// The name of the member.
@@ -119,22 +119,22 @@
     /// The outcome of an attempt or a health check, which [`parse_outcome`] reads.
     #[serde(rename = "StateCode", borrow)]
     pub outcome: Option<Cow<'a, str>>,
-    /// The time that an attempt or a health check took.
+    /// The time that an attempt or a health check took, in nanoseconds.
     #[serde(rename = "Elapsed")]
     pub latency: Option<i64>,
-    /// Whether the RPC of the attempt is complete, so that the client has its answer.
+    /// Whether the RPC of the ended attempt is complete, so that the client has its answer.
     #[serde(rename = "Complete", default)]
     pub is_complete: Option<bool>,
     /// What an answer reports about the member, which [`MemberNote`] reads.
     #[serde(rename = "Note")]
     pub member_note: Option<i64>,
-    /// The values of a load report, in the order of the columns in the settings.
+    /// The values of a load report, in the order in which the settings list the report's columns.
     #[serde(rename = "Pressure")]
     pub load_report: Option<Vec<Option<f64>>>,
     /// The text of a gossip message.
     #[serde(rename = "Payload", borrow)]
     pub payload: Option<Cow<'a, str>>,
-    /// The handle with which the router set the timer.
+    /// The handle that the router gave the timer when it set the timer.
     #[serde(rename = "Handle")]
     pub timer_handle: Option<i64>,
 }
@@ -151,7 +151,7 @@
     /// The member's zone.
     #[serde(rename = "Site", borrow, default)]
     pub zone: Cow<'a, str>,
-    /// A value of 0.5 or more means that the list names the member as the primary.
+    /// Whether the list names the member as the primary, as a number: yes from 0.5 on.
     #[serde(rename = "IsPrimary", default)]
     pub primary: Option<f64>,
     /// The member's weight.
@@ -163,13 +163,13 @@
     /// The member's state, which [`parse_endpoint_state`] reads.
     #[serde(rename = "StageState", borrow)]
     pub state: Cow<'a, str>,
-    /// The time at which the member started, or zero if it is unknown.
+    /// The time at which the member started, or zero if the time is unknown.
     #[serde(rename = "Born", default)]
     pub started_at: Option<i64>,
 }
 
 impl ListLine<'_> {
-    /// Copies the borrowed texts, so that the entry can outlive the line from which it was read.
+    /// Copies the texts that the entry borrows from a line, so that the entry can outlive the line.
     pub fn into_owned(self) -> ListLine<'static> {
         let into_static = |text: Cow<str>| Cow::Owned(text.into_owned());
         ListLine {
@@ -191,12 +191,13 @@
 pub struct MemberNote(i64);
 
 impl MemberNote {
-    /// Reads the number in a line that says what an answer reports. Returns `None` if the number is absent or negative.
+    /// Reads the field `Note`, which says what an answer reports about the member. Returns `None` if the number is
+    /// absent or negative.
     pub fn parse(note: Option<i64>) -> Option<MemberNote> {
         note.filter(|&note| note >= 0).map(MemberNote)
     }
 
-    /// Returns the member's role, or `None` if the answer does not report it.
+    /// Returns the member's role, or `None` if the answer does not report the role.
     pub fn role(self) -> Option<Role> {
         match self.0 % 4 {
             1 => Some(Role::Primary),
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Returns the replication position in milliseconds, which is zero if the member does not report one.
+    /// Returns the member's replication position in milliseconds, which is zero if the answer reports none.
     pub fn position_ms(self) -> i64 {
         self.0 / 4
     }
--- a/crates/ladderpass-simulator-adapter/src/instance.rs
+++ b/crates/ladderpass-simulator-adapter/src/instance.rs
@@ -1,5 +1,5 @@
-//! One router. Its events become calls of `ladderpass-routing`, and the router's decisions become actions. Names on the
-//! wire are mapped to small indices.
+//! One router. Event lines become calls of `ladderpass-routing`, and the decisions of the routing core become action
+//! lines. Names on the wire are mapped to small indices.
 
 use crate::actions::Action;
 use crate::endpoint_lists::EndpointLists;
@@ -16,17 +16,17 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// A flag that is sent as a number is set if the number is at least this threshold.
+/// A flag that is sent as a number is true if the number is at least this threshold.
 const FLAG_THRESHOLD: f64 = 0.5;
 const NANOS_PER_MS: f64 = 1e6;
 
 /// A router, and the indices of the names that its events use.
 pub struct Instance {
-    /// Whether the router had an event in this batch.
+    /// Whether the router had an event in the batch that is being read.
     pub in_batch: bool,
     name: String,
     router: Router,
-    /// The lines of the actions in this batch.
+    /// The lines of the router's actions in the batch that is being read.
     actions: String,
     methods: HashMap<String, u32>,
     clock_origin: Time,
@@ -34,7 +34,7 @@
     report_columns: ReportColumns,
     members: NameIndex,
     machine_kinds: NameIndex,
-    /// The router's own zone has the index zero.
+    /// The indices of zones. The router's own zone has the index zero.
     zones: NameIndex,
     weights_are_concurrency: bool,
     gossip_codec: GossipCodec,
@@ -44,7 +44,7 @@
     timer: Timer,
 }
 
-/// The columns of a load report that the routing core uses.
+/// Where the values that the routing core uses stand in a load report: the index of each value's column.
 struct ReportColumns {
     position: Option<usize>,
     is_primary: Option<usize>,
@@ -71,10 +71,10 @@
     }
 }
 
-/// The timers that a router has set in the simulator.
+/// The timer that a router set last in the simulator.
 #[derive(Default)]
 struct Timer {
-    /// The time at which the timer that was set last is due, or `None` if that timer has fired or no timer was set.
+    /// The time at which the timer that was set last is due, or `None` if this timer has fired or no timer was set.
     fires_at: Option<Time>,
     /// The handle of the timer that was set last.
     last_handle: i64,
@@ -124,8 +124,8 @@
             EventKind::EndpointUpdate => self.on_endpoint_update(now, line, lists),
             EventKind::TimerFired => self.on_timer_fired(&line),
             EventKind::Gossip => self.on_gossip(now, line),
-            // Heads of streamed answers are ignored, because no method streams its answers. The caller handles all
-            // other kinds of events that have no case here.
+            // Heads of streamed answers are ignored, because no method streams its answers. The other kinds of events
+            // without a case here are handled by `Instances`.
             _ => Ok(()),
         }
     }
@@ -171,8 +171,8 @@
         Action::SetTimer { router: &self.name, delay, handle }.write(&mut self.actions);
     }
 
-    /// Clears the timer that was set last if the event carries its handle. The time is not compared, because times are
-    /// rounded on the wire and a timer may fire a little early.
+    /// Clears the timer that was set last if the event carries the handle of this timer. The times of the timer and the
+    /// event are not compared, because times are rounded on the wire and a timer may fire a little early.
     fn on_timer_fired(&mut self, line: &Line) -> Result<(), EventProblem> {
         if require(line.timer_handle, "Handle")? == self.timer.last_handle {
             self.timer.fires_at = None;
@@ -250,7 +250,7 @@
 
     fn abandon_rpc(&mut self, line: Line) -> Result<(), EventProblem> {
         let request_id = require(line.request_id, "RequestId")?;
-        // The RPC that the client has given up on may be unknown or answered already, which is no error.
+        // It is no error if the RPC that the client has given up on is unknown or answered already.
         if let Ok(active) = self.rpcs.get_mut(&request_id)
             && !active.is_answered
         {
@@ -271,7 +271,8 @@
         Ok(())
     }
 
-    /// Passes the observations of another router to the routing core, for members that this router knows.
+    /// Passes the observations in a gossip message of another router to the routing core. Observations of members that
+    /// this router does not know are dropped.
     fn on_gossip(&mut self, now: Time, line: Line) -> Result<(), EventProblem> {
         for update in self.gossip_codec.decode(&require(line.payload, "Payload")?, now) {
             self.router.on_peer_update(now, update);
--- a/crates/ladderpass-simulator-adapter/src/instances.rs
+++ b/crates/ladderpass-simulator-adapter/src/instances.rs
@@ -13,7 +13,7 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Whether the batch of events that is being read is complete.
+/// Whether the batch of events that is being read is complete after the line that was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Batch {
     /// More events of the batch follow.
@@ -22,7 +22,7 @@
     Complete,
 }
 
-/// A router that panicked.
+/// A router that panicked, and the message of its panic.
 struct FailedRouter {
     name: String,
     message: String,
@@ -34,14 +34,14 @@
     now: Option<Time>,
     lists: EndpointLists,
     instances: HashMap<String, Instance>,
-    /// The names of the routers with an event in this batch, in the order of their first event.
+    /// The names of the routers with an event in the batch that is being read, in the order of their first event.
     pending: Vec<String>,
-    /// The routers that panicked in this batch.
+    /// The routers that panicked in the batch that is being read.
     failed: Vec<FailedRouter>,
 }
 
 impl Instances {
-    /// Handles an event line. At the end of a batch, appends the actions of the batch to `reply`.
+    /// Handles an event line. If the line ends a batch, appends the actions of the batch to `reply`.
     pub fn handle_line(&mut self, text: &str, reply: &mut String) -> Result<Batch, EventError> {
         let line = parse_line(text)?;
         let kind = line.kind.clone().into_owned();
--- a/crates/ladderpass-simulator-adapter/src/rpcs.rs
+++ b/crates/ladderpass-simulator-adapter/src/rpcs.rs
@@ -9,13 +9,13 @@
 pub struct ActiveRpc {
     /// The id of the RPC in the routing core.
     pub rpc: RpcId,
-    /// Whether the client has an answer or has given up.
+    /// Whether the client has received an answer or has given up on the RPC.
     pub is_answered: bool,
-    /// The number of attempts that have not ended.
+    /// The number of attempts of the RPC that have not ended.
     pub attempts_in_flight: u32,
 }
 
-/// All active RPCs of one router.
+/// All active RPCs of one router: those that are not answered yet or have attempts in flight.
 #[derive(Default)]
 pub struct RpcTable {
     by_request_id: HashMap<String, ActiveRpc>,
@@ -40,7 +40,7 @@
         self.request_ids.get(&rpc)
     }
 
-    /// Returns the active RPC with this id, or an error if there is none.
+    /// Returns the active RPC with this id on the wire, or an error if there is none.
     pub fn get_mut(&mut self, request_id: &str) -> Result<&mut ActiveRpc, EventProblem> {
         let rpc = self.by_request_id.get_mut(request_id);
         rpc.ok_or_else(|| EventProblem::UnknownRequest(request_id.to_owned()))
--- a/crates/ladderpass-simulator-adapter/tests/lines.rs
+++ b/crates/ladderpass-simulator-adapter/tests/lines.rs
@@ -1,9 +1,10 @@
-//! The adapter as a process: it reports a bad line and continues, and a timer that fires early is set again.
+//! Runs the adapter as a process: the adapter reports a bad line and continues, and a timer that fires early is set
+//! again.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the adapter on these lines until the end of its input, and returns its output.
+/// Runs the adapter on these lines until the end of the input, and returns the adapter's output.
 fn run_adapter<'a>(lines: impl IntoIterator<Item = &'a str>) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_ladderpass-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -55,9 +56,9 @@
         r#"{"kind":"ROSTER","Buffer":0,"Entries":[{"Node":"n:1","Shard":1,"StageState":"on"}]}"#,
         r#"{"kind":"FLEET","Who":"router_0","Buffer":0,"How":"stale_copy"}"#,
         r#"{"kind":"END"}"#,
-        // The time is 1 us after the router's creation, before the time for which the router has set the timer. The
-        // router must accept the event of the timer, because times are rounded on the wire and a timer may fire a
-        // little early.
+        // The timer fires 1 us after the router's creation, which is before the time for which the router has set the
+        // timer. The router must accept the event of the timer, because times are rounded on the wire and a timer may
+        // fire a little early.
         r#"{"kind":"TICK","AtTime":1000001000}"#,
         r#"{"kind":"TICK_DUE","Who":"router_0","Handle":1}"#,
         r#"{"kind":"END"}"#,
