--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -15,8 +15,8 @@
 pub struct GroupMetrics {
     /// The id of the group.
     pub group: u32,
-    /// The priority below which all routers reject RPCs. The fractional part is the rejected share of that priority's
-    /// own RPCs.
+    /// The threshold: the priority below which all routers reject RPCs. The fractional part is the rejected share of
+    /// the RPCs that have the threshold's own priority.
     pub threshold: f64,
     /// RPCs a second that all routers were offered.
     pub offered: f64,
@@ -45,7 +45,7 @@
     pub counts: Rates,
     pub rates: Rates,
     pub admission: AdmissionThreshold,
-    /// This router's observations of each member and its estimate of the capacity, by the member's id in reports.
+    /// This router's observations of each member and estimates of the member's capacity, by the member's id in reports.
     pub members: BTreeMap<u16, MemberReport>,
     /// This router's share of the members' capacity, from 0 to 1.
     quota: f64,
--- a/crates/ladderpass-admission/src/threshold.rs
+++ b/crates/ladderpass-admission/src/threshold.rs
@@ -63,8 +63,8 @@
 pub(crate) struct AdmissionThreshold {
     /// RPCs a second that all routers together admit.
     pub admitted: f64,
-    /// The priority below which all RPCs are rejected. The fractional part is the rejected share of that priority's own
-    /// RPCs.
+    /// The priority below which all RPCs are rejected. The fractional part is the rejected share of the RPCs that have
+    /// the threshold's own priority.
     pub threshold: f64,
     /// Share of the offered load that is rejected, from 0 to 1.
     pub pressure: f64,
--- a/crates/ladderpass-emulator/src/scenario.rs
+++ b/crates/ladderpass-emulator/src/scenario.rs
@@ -57,7 +57,7 @@
     /// Whether the method writes. Only a primary runs a method that writes.
     #[serde(default)]
     pub writes: bool,
-    /// Maximum staleness of the data that a read of this method returns, in milliseconds. If it is absent, the
+    /// Maximum staleness of the data that a read of this method returns, in milliseconds. If this key is absent, the
     /// staleness is unlimited.
     pub max_age_ms: Option<f64>,
     /// Mean of the exponentially distributed work of an RPC at a member, in milliseconds. 0 means that the member
@@ -68,7 +68,7 @@
     /// than this size.
     #[serde(default = "default_value_bytes")]
     pub value_bytes: usize,
-    /// Soft deadline of the method's RPCs, in milliseconds. An answer after it has less utility or none.
+    /// Soft deadline of the method's RPCs, in milliseconds. A later answer has less utility or none.
     pub soft_deadline_ms: f64,
     /// Utility of an answer that arrives before the soft deadline.
     pub utility: f64,
--- a/crates/ladderpass-overload/src/cost_model.rs
+++ b/crates/ladderpass-overload/src/cost_model.rs
@@ -27,7 +27,8 @@
 const INITIAL_VARIANCE: [f64; FEATURES] = [0.05, 0.05, 0.002];
 /// The least variance of a cost. It keeps the diagonal of the covariance matrix positive.
 const MIN_VARIANCE: f64 = 1e-9;
-/// An iteration of this length or longer is treated as a stall, and nothing is learnt from it.
+/// An iteration of the event loop that was busy for this long or longer is treated as a stall, and nothing is learnt
+/// from it.
 const MAX_BUSY_SECS: f64 = 1.0;
 /// Limit of the error of an iteration's predicted busy time per RPC, as a multiple of the initial cost of serving an
 /// RPC. Errors are limited because another process may have used the core during the iteration.
@@ -71,7 +72,7 @@
 }
 
 impl CostModel {
-    /// Learns from one iteration of the event loop, by its work and its busy time.
+    /// Learns the costs from the work and the busy time of one iteration of the event loop.
     pub fn learn(&mut self, work: Work, busy: Span) {
         let features = work.features();
         let secs = busy.secs();
--- a/crates/ladderpass-overload/src/governor.rs
+++ b/crates/ladderpass-overload/src/governor.rs
@@ -12,13 +12,14 @@
 use ladderpass_routing::sliding_window::{SlidingWindow, WindowTotals};
 use ladderpass_routing::{OverloadState, PRIORITY_COUNT, Span, Time};
 
-/// Time constant with which two shares are smoothed: that of the allowed CPU time which this process uses, and that of
-/// the wall time in which the process lacked CPU.
+/// Time constant with which two shares are smoothed: the share of the allowed CPU time that this process used
+/// (`cpu_share`), and the share of the wall time in which the event loop had no CPU (`stolen_share`).
 const CPU_TIME_CONSTANT: Span = Span::from_millis(250);
 /// The queueing delay alone never raises the pressure above this limit. The highest priorities stay admitted, so that
 /// a queue of RPCs that all have the same priority drains by serving as well as by rejecting.
 const MAX_DELAY_PRESSURE: f64 = 0.97;
-/// A pressure below this value sheds nothing: it is only what the smoothing has left of an earlier pressure.
+/// A pressure below this value sheds no RPC, since it is only a remainder of an earlier pressure that the smoothing has
+/// left.
 const MIN_SHEDDING_PRESSURE: f64 = 0.005;
 /// What is left under full pressure, as a share of the value without pressure: of the connections accepted in an
 /// iteration, and of the slow reader timeout, for which only the pressure of memory and buffers counts.
@@ -64,8 +65,8 @@
     last_sample: ResourceSample,
     /// Smoothed share of the allowed CPU time that this process used.
     cpu_share: f64,
-    /// Smoothed share of the wall time in which the event loop was busy and had no CPU, because other processes used
-    /// the CPU or a CPU quota was used up.
+    /// Smoothed share of the wall time in which the event loop had work and no CPU, because other processes used the
+    /// CPU or a CPU quota was used up.
     stolen_share: f64,
     admission_threshold: f64,
     events: Vec<OverloadEvent>,
@@ -260,13 +261,13 @@
         self.settings.sample_interval
     }
 
-    /// Returns and clears the overload events since the last call.
+    /// Returns the overload events since the last call of this function, and clears them.
     pub fn take_events(&mut self) -> Vec<OverloadEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Returns the metrics, under the names that the log and the testbed use. The longest delay and the number of level
-    /// changes are those since the last call.
+    /// changes are those since the last call of this function.
     pub fn take_metrics(&mut self) -> Vec<(&'static str, f64)> {
         let longest_delay = self.queueing_delay.take_longest();
         let level_changes = std::mem::take(&mut self.level_changes);
--- a/crates/ladderpass-overload/src/lib.rs
+++ b/crates/ladderpass-overload/src/lib.rs
@@ -1,5 +1,5 @@
-//! Overload control of the router itself. From resource samples and the work of the event loop it computes a pressure
-//! from 0 to 1, an admission threshold, and how many connections to accept in an iteration.
+//! Overload control of the router itself. From resource samples and the work of the event loop, this package computes a
+//! pressure from 0 to 1, an admission threshold, and how many connections to accept in an iteration.
 //!
 //! - [`Governor`] (`governor`): the entry points. It composes the other modules.
 //! - `queueing_delay`: how long statements wait for this router, measured and predicted.
@@ -7,7 +7,7 @@
 //! - `pressure`: one pressure from several gauges, smoothed, and its level with hysteresis.
 //! - `priority_histogram`: the distribution of the offered work over priorities, and the threshold that sheds a given
 //!   share of it.
-//! - `fair_shares`: which connections take much more than their share.
+//! - `fair_shares`: which connections send much more work than the other connections.
 //! - `sample`: the measured resource usage of the process, and its limits.
 //! - `settings`: the settings of an operator.
 //!
--- a/crates/ladderpass-overload/src/pressure.rs
+++ b/crates/ladderpass-overload/src/pressure.rs
@@ -1,4 +1,4 @@
-//! One smoothed pressure from several gauges, and its level with hysteresis, which operators see.
+//! One smoothed pressure from several gauges, and the level of the pressure with hysteresis, which operators see.
 
 use crate::settings::Settings;
 use ladderpass_routing::{Span, Time};
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The name of the metric that shows the smoothed pressure of the gauge, from 0 to 1.
+    /// The name of the metric that shows the smoothed reading of the gauge, from 0 to 1.
     pub fn metric_name(self) -> &'static str {
         match self {
             Gauge::Delay => "delay_part",
--- a/crates/ladderpass-overload/src/queueing_delay.rs
+++ b/crates/ladderpass-overload/src/queueing_delay.rs
@@ -81,7 +81,7 @@
         self.current
     }
 
-    /// Returns and clears the longest wait of a statement since the last call.
+    /// Returns the longest wait of a statement since the last call of this function, and clears the wait.
     pub fn take_longest(&mut self) -> Span {
         std::mem::take(&mut self.longest)
     }
--- a/crates/ladderpass-overload/src/sample.rs
+++ b/crates/ladderpass-overload/src/sample.rs
@@ -1,4 +1,4 @@
-//! The measured resource usage of the process, and the limits that it is compared with.
+//! The measured resource usage of the process, and the limits with which the usage is compared.
 
 use ladderpass_routing::Span;
 
