--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -26,8 +26,8 @@
     pub served: f64,
     /// RPCs a second, of all routers, that were admitted and for which no member had capacity (unplaced RPCs).
     pub unplaced: f64,
-    /// Number of reports of other routers that count, which means that their weight (see [`WeightedReport`]) is above
-    /// 0.
+    /// Number of reports of other routers that count. A report counts while its weight, which decreases with its age,
+    /// is above 0.
     pub reports: usize,
     /// Number of other routers' reports whose load was above the limit of a reported load (a multiple of the typical
     /// load) and was reduced to that limit.
