--- a/crates/ladderpass-config/src/operator.rs
+++ b/crates/ladderpass-config/src/operator.rs
@@ -41,7 +41,8 @@
     pub shared_retry_budget: bool,
     /// The zone of this router, or `None` where the zones in the endpoint list are not used.
     pub zone: Option<String>,
-    /// Whether the weights in the endpoint list are the members' concurrency (how many RPCs a member runs at once).
+    /// Whether the weights in the endpoint list are the members' concurrency: how many RPCs a member can process at
+    /// once without slowing them.
     pub weights_are_concurrency: bool,
 }
 
