--- a/crates/ladderpass-admission/src/group.rs
+++ b/crates/ladderpass-admission/src/group.rs
@@ -15,8 +15,8 @@
 pub struct GroupMetrics {
     /// The id of the group.
     pub group: u32,
-    /// The priority below which all routers reject RPCs. The fractional part is the rejected share of that priority's
-    /// own RPCs.
+    /// The threshold: the priority below which all routers reject RPCs. The fractional part is the rejected share of
+    /// the RPCs that have the threshold's own priority.
     pub threshold: f64,
     /// RPCs a second that all routers were offered.
     pub offered: f64,
@@ -24,12 +24,13 @@
     pub admitted: f64,
     /// RPCs a second that all routers served.
     pub served: f64,
-    /// RPCs a second, of all routers, that were admitted and that no member had capacity for (unplaced).
+    /// RPCs a second, of all routers, that were admitted and for which no member had capacity (unplaced RPCs).
     pub unplaced: f64,
-    /// Number of reports of other routers with a weight above 0.
+    /// Number of reports of other routers that count. A report counts while its weight, which decreases with its age,
+    /// is above 0.
     pub reports: usize,
-    /// Number of reports whose load was above the limit of a reported load (a multiple of the typical load) and was
-    /// reduced to that limit.
+    /// Number of other routers' reports whose load was above the limit of a reported load (a multiple of the typical
+    /// load) and was reduced to that limit.
     pub clamped_reports: usize,
     /// RPCs that all routers together may have in flight at all members.
     pub capacity: f64,
@@ -40,11 +41,11 @@
 /// The state of a group at this router.
 #[derive(Clone, Debug)]
 pub(crate) struct Group {
-    /// This router's counts of RPCs since the last step.
+    /// This router's counts of RPCs since the last step of 250 ms.
     pub counts: Rates,
     pub rates: Rates,
     pub admission: AdmissionThreshold,
-    /// This router's observations of each member and its estimate of the capacity, by the member's id in reports.
+    /// This router's observations of each member and estimates of the member's capacity, by the member's id in reports.
     pub members: BTreeMap<u16, MemberReport>,
     /// This router's share of the members' capacity, from 0 to 1.
     quota: f64,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Updates the rates with the counts of a step of this length, and resets the counts.
+    /// Updates the rates of this router with the counts of a step of this length, and resets the counts.
     pub fn end_step(&mut self, secs: f64) {
         let counts = std::mem::take(&mut self.counts);
         self.rates.update(&counts, secs);
