--- a/crates/ladderpass/tests/discovery_outage/main.rs
+++ b/crates/ladderpass/tests/discovery_outage/main.rs
@@ -17,8 +17,8 @@
 /// milliseconds. 6 s are allowed in operation, of which 0.5 s are left to a process that has to wait for its CPU.
 const MAX_DELAY_MS: i64 = 5500;
 /// The longest allowed time from the return of discovery until the router has read the change, in milliseconds, where
-/// an older list may arrive: a watch that was opened before the return may be answered with an older list 1.4 s after
-/// the return. The router accepts this list, and then the watch falls silent.
+/// an older list may arrive: a watch that was opened before the return may be answered with an older list up to 1.4 s
+/// after the return. The router accepts this list, and then the watch falls silent.
 const MAX_DELAY_WITH_OLDER_LIST_MS: i64 = 5900;
 const SEEDS: u64 = 60;
 /// The names of two environment variables, each of which makes the test print the table of the delays. The second is
--- a/crates/ladderpass/tests/discovery_outage/simulation.rs
+++ b/crates/ladderpass/tests/discovery_outage/simulation.rs
@@ -14,7 +14,7 @@
 /// The longest time until a reachable discovery answers a watch, in milliseconds. Discovery answers or rejects each
 /// watch within 2 s.
 const MAX_ANSWER_MS: u64 = 1950;
-/// The longest time until a reachable discovery answers a watch, in milliseconds, where watches may end with an older
+/// The longest time until a reachable discovery answers a watch, in milliseconds, where watches end with an older
 /// list that is accepted and followed by silence (`Ending::OlderList`). With the 1950 ms of `MAX_ANSWER_MS` the worst
 /// of 60 seeds takes 6.1 s until the router has read the change, and 6 s are allowed.
 const MAX_ANSWER_OF_OLDER_LIST_MS: u64 = 1400;
--- a/crates/ladderpass/tests/failing_calls.rs
+++ b/crates/ladderpass/tests/failing_calls.rs
@@ -115,8 +115,8 @@
         ..FailingSyscall::with_errno(libc::SYS_epoll_ctl, errno)
     };
     assert_all_served_despite(&[libc::ENOMEM, libc::ENOSPC].map(failure));
-    // A client that has sent its statement must be answered on the connection that it already has. The load above would
-    // open another connection.
+    // A client that has sent its statement must be answered on the connection on which it sent the statement. The load
+    // above does not show this, since its clients would open another connection.
     let _turn = wait_for_turn();
     let discovery = TcpListener::bind(common::unique_loopback_address()).expect("a free port");
     for errno in [libc::ENOMEM, libc::ENOSPC] {
--- a/crates/ladderpass/tests/loss_checker/mod.rs
+++ b/crates/ladderpass/tests/loss_checker/mod.rs
@@ -11,12 +11,12 @@
 use std::cell::Cell;
 use std::io;
 
-/// SIGKILL comes no earlier after SIGTERM than the longest deadline plus this time. A request that is sent more than
-/// this time after SIGTERM has to be answered before SIGKILL.
+/// SIGKILL comes after SIGTERM, at the earliest after the longest deadline plus this time. Even a request that is sent
+/// more than this time after SIGTERM has to be answered before SIGKILL.
 pub const KILL_AFTER: Span = Span::from_millis(700);
 /// A request sent at most this time before its connection closes may have crossed the close unread, so its client sends
-/// the request again. A router closes idle connections when it stops or has too many clients. Otherwise no client of
-/// these tests is idle for long enough to be closed.
+/// the request again. A router closes idle connections when it stops or has too many clients. At other times no client
+/// of these tests is idle for long enough to be closed.
 pub const CROSSING_WINDOW: Span = Span::from_millis(50);
 /// An answer up to this time after the client's deadline breaks no rule.
 pub const ANSWER_TOLERANCE: Span = Span::from_millis(500);
--- a/crates/ladderpass/tests/overload.rs
+++ b/crates/ladderpass/tests/overload.rs
@@ -79,10 +79,10 @@
 }
 
 /// Delay of the event loop counts as overload only from 2 s on in this test, because the statements whose answers are
-/// to fill the clients' sockets must not be shed. With the default, beside 16 busy processes that used the router's
-/// core as well, the delayed event loop (`delay_ms` 34.5; `stolen` 0.34, the share of CPU time that other processes
-/// took) rightly made the router overloaded: 200 RPCs were accepted and 200 shed. Then only 0 and 14 of the hundred
-/// clients (6 in an earlier version) blocked their connections, and 20 are required.
+/// to fill the clients' sockets must not be shed. With the default, beside 16 busy processes on the router's core, the
+/// delayed event loop (`delay_ms` 34.5; `stolen` 0.34, the share of the time in which the router waited for its core)
+/// rightly made the router overloaded: 200 RPCs were accepted and 200 shed. Then only 0 and 14 of the hundred clients
+/// (6 in an earlier version) blocked their connections, and 20 are required.
 #[test]
 fn a_hundred_clients_that_never_read_are_closed_and_the_others_served() {
     let _turn = wait_for_turn();
