--- a/crates/ladderpass/tests/disconnects/endpoint_list.rs
+++ b/crates/ladderpass/tests/disconnects/endpoint_list.rs
@@ -137,7 +137,8 @@
 
 /// Discovery restarts and counts the generations of the endpoint list from a lower number. The router rejects lists
 /// with a lower generation than the current list for 6 s (the time by which a change may be late), counted from when
-/// the router received the current list. Afterwards the router accepts such a list if the list is complete.
+/// the router received the current list. Afterwards the router accepts the second such list in a row
+/// if the list is complete.
 #[test]
 fn lower_generations_of_a_restarted_discovery_are_eventually_accepted() {
     let mut harness = start_harness(|config| config);
--- a/crates/ladderpass/tests/reducer/actions.rs
+++ b/crates/ladderpass/tests/reducer/actions.rs
@@ -170,8 +170,8 @@
         self.feed(id, &answer);
     }
 
-    /// Acts as discovery: opens or ends a watch of the endpoint list, or sends a line on the watch, which may be invalid.
-    /// At times the router gets no descriptor for the watch instead.
+    /// Acts as discovery: opens or ends a watch of the endpoint list, or sends a line on the watch, which may be
+    /// invalid. At times the router gets no descriptor for the watch instead.
     fn act_as_discovery(&mut self) {
         let Some((id, is_open)) = self.watches.first().copied() else { return };
         if !is_open {
