--- a/crates/ladderpass/tests/late_connections.rs
+++ b/crates/ladderpass/tests/late_connections.rs
@@ -4,10 +4,10 @@
 //! decided again, as the member's data may be too old by then. Such a read used to be counted as an attempt that the
 //! member had answered with "absent". The member was then passed over for the duration of an answer, and one of the six
 //! attempts that the settings allow was used up. So a read went to the primary although two replicas were up, and a
-//! read failed with "no attempt left" after 6 attempts in 501 ms, with 29.5 s of its 30 s left. Connections are
-//! established that late on a busy machine: beside 16 busy processes about every other run of the test `end_to_end`
-//! failed (119 of 255). The log showed such attempts as "Absent" after 11.7 and 11.8 ms, although no member of that
-//! test answers "absent".
+//! read failed with "no attempt left" after 6 attempts in 501 ms, with 29.5 s of its 30 s left. On a busy
+//! machine connections are established more than a tick late: beside 16 busy processes about every other run of the
+//! test `end_to_end` failed (119 of 255). The log showed such attempts as "Absent" after 11.7 and 11.8 ms, although no
+//! member of `end_to_end` answers "absent".
 
 mod common;
 
--- a/crates/ladderpass/tests/reducer/attempts.rs
+++ b/crates/ladderpass/tests/reducer/attempts.rs
@@ -159,8 +159,9 @@
 }
 
 /// The socket to a member accepts part of a statement or none of it. The time left that the statement carries, and the
-/// freshness of a read's data, must still be right when the statement's last byte is written. So the attempt is
-/// withdrawn if the statement is not written in time, a write after 100 ms and a read after a tick of 5 ms.
+/// freshness of a read's data, must still be right when the statement's last byte is written. So the attempt of
+/// a write is withdrawn if the statement is not written within 100 ms, and the attempt of a read if the statement is not
+/// written within a tick of 5 ms.
 #[test]
 fn a_query_that_the_socket_does_not_accept_in_time_is_withdrawn() {
     for (method, timeout_ms) in [("write", 100), ("read", 5)] {
