--- a/crates/ladderpass-testbed/src/chaos.rs
+++ b/crates/ladderpass-testbed/src/chaos.rs
@@ -20,7 +20,7 @@
 pub struct SearchSummary {
     /// Number of plans that were played.
     pub plans_played: u64,
-    /// Number of rules of these plans that acted at least once.
+    /// Sum over all played plans of the number of rules that acted at least once.
     pub rules_fired: usize,
     /// Plans that broke an invariant.
     pub failed_plans: Vec<FailedPlan>,
@@ -38,7 +38,7 @@
 }
 
 const RULES_PER_PLAN: usize = 8;
-/// How long after the deadline of its RPC an answer may arrive.
+/// How long after its RPC's deadline an answer may arrive without counting as a violation.
 const ANSWER_GRACE: Span = Span::from_millis(50);
 
 /// Result of playing a plan once.
@@ -52,8 +52,8 @@
     run::links(&vec![unused; scenario.member_count()], unused)
 }
 
-/// Returns whether a router is responsible for the effects of a rule. It can't detect a value that is garbled without a change
-/// of its length, or a query that is duplicated on its way to a member.
+/// Returns whether a violation that a rule causes is a fault of the router. It is none if the rule garbles a value without
+/// changing its length, or duplicates a query on its way to a member, since a router can detect neither.
 fn is_attributable_to_router(rule: &Rule) -> bool {
     let duplicates_query = rule.action == Action::Duplicate && rule.when.from == Side::Client;
     !duplicates_query && rule.action.name() != "garble"
@@ -76,7 +76,8 @@
     Ok(PlanResult { violations, rules_fired: rules.len() - never_fired })
 }
 
-/// Leaves out each rule in turn, if the remaining rules still break an invariant without it.
+/// Tries to leave out each rule in turn, and leaves it out for good if the remaining rules still break an invariant. At least
+/// one rule remains.
 fn reduce(scenario: &Scenario, start: &Start, mut rules: Vec<Rule>, seed: u64) -> io::Result<Vec<Rule>> {
     let mut index = 0;
     while index < rules.len() && rules.len() > 1 {
@@ -100,8 +101,8 @@
 }
 
 /// Plays plans against the router `binary` until `duration` has passed. The first plan is drawn from `seed`, and each further
-/// one from the next higher seed. Reduced plans are written to the folder `out`. `on_plan` gets the seed and the violations of
-/// each plan.
+/// plan from a seed that is higher by 1. Reduced plans are written to the folder `out`. `on_plan` is called after each plan
+/// with the plan's seed and violations.
 ///
 /// # Errors
 /// If a run can't be started, or a plan can't be written.
--- a/crates/ladderpass-testbed/src/charts.rs
+++ b/crates/ladderpass-testbed/src/charts.rs
@@ -8,7 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// Interval in seconds at which the router of [`over_time`] logs its metrics. The operator's file of the overload proof sets it.
+/// Interval in seconds at which a router logs its metrics in a run that [`over_time`] draws. The overload proof sets this
+/// interval in the router's operator file.
 const METRICS_INTERVAL_S: f64 = 0.2;
 
 const COLOURS: [RGBColor; 6] = [
@@ -112,7 +113,8 @@
     )
 }
 
-/// Returns the values that a router has logged for a metric as points (seconds, value), `step` seconds apart.
+/// Returns the values that a router has logged for the metric `name`, in order, as points (seconds, value). The first point is
+/// at 0 seconds, and each further point `step` seconds later.
 pub fn metric_series(log: &[String], name: &str, step: f64) -> Vec<(f64, f64)> {
     let value_in_line = |line: &String| router_log::metrics(line)?.get(name)?.as_f64();
     log.iter()
--- a/crates/ladderpass-testbed/src/cli/error.rs
+++ b/crates/ladderpass-testbed/src/cli/error.rs
@@ -23,7 +23,7 @@
     UnknownProof(String),
     #[error("the proof falls short")]
     ProofFallsShort,
-    /// The router process has ended. Holds its exit code, or none if a signal ended it.
+    /// The router process has ended. The value is its exit code, or `None` if a signal ended the process.
     #[error("the router ended with exit code {0:?}")]
     RouterEnded(Option<i32>),
     #[error("rules broken: {0}")]
--- a/crates/ladderpass-testbed/src/cli/load.rs
+++ b/crates/ladderpass-testbed/src/cli/load.rs
@@ -16,7 +16,7 @@
 
 const MAX_PHASE_SECONDS: f64 = 86_400.0;
 const MAX_RPCS_PER_SECOND: f64 = 5e6;
-/// How long after the deadline of its RPC an answer may arrive.
+/// How long after its RPC's deadline an answer may arrive without counting as a violation.
 const ANSWER_GRACE: Span = Span::from_millis(50);
 const PROGRESS_STEPS_PER_SECOND: f64 = 10.0;
 /// The core that `cost` pins each router to.
--- a/crates/ladderpass-testbed/src/cli/testbed.rs
+++ b/crates/ladderpass-testbed/src/cli/testbed.rs
@@ -15,7 +15,8 @@
     std::fs::read_to_string(path).map_err(|error| CliError::file(path, error))
 }
 
-/// Reads the scenario of the emulator. Without a file it returns the default scenario.
+/// Reads the scenario of the emulator from the file that the command line names. Returns the default scenario if the command
+/// line names none.
 pub fn read_scenario(args: &TestbedArgs) -> Result<Scenario, CliError> {
     let Some(path) = &args.scenario else { return Ok(Scenario::default()) };
     Scenario::read(&read_file(path)?).map_err(|error| CliError::file(path, error))
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -111,11 +111,12 @@
     })
 }
 
-/// Results that were read from a file. Slices, metrics and the total are the JSON values of their lines.
+/// Results that were read from a file. The fields `slices`, `metrics` and `total` have the JSON values of the file's lines of
+/// the kinds `slice`, `figures` and `total`.
 pub(super) struct Results {
     pub methods: Vec<String>,
     pub slices: Vec<Value>,
-    /// The router's metrics, one value for each time that it logged them.
+    /// The router's metrics, with one entry for each time that the router logged them.
     pub metrics: Vec<Value>,
     pub total: Value,
 }
@@ -154,7 +155,7 @@
         Ok(results)
     }
 
-    /// Returns the sum of a count of one method over all slices.
+    /// Returns the sum over all slices of the count named `count`, such as `due`, of one method.
     pub fn sum(&self, method: usize, count: &str) -> u64 {
         self.slices.iter().filter_map(|slice| slice["counts"][method][count].as_u64()).sum()
     }
--- a/crates/ladderpass-testbed/src/results/report.rs
+++ b/crates/ladderpass-testbed/src/results/report.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 const HEADER: &str = "| method | due | ok | pushed back | aborted | without an answer in time |\n| --- | --- | --- | --- | --- | --- |\n";
-/// Number of slices per second, to convert the counts of a slice to rates.
+/// Number of time slices per second, by which the counts of one slice are multiplied to get rates.
 const SLICES_PER_SECOND: f64 = 10.0;
 
 /// Reads a file of results and returns a table of its totals. Charts are drawn under the path of the file, with the extension
--- a/crates/ladderpass-testbed/src/results/table.rs
+++ b/crates/ladderpass-testbed/src/results/table.rs
@@ -10,7 +10,7 @@
      | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 const BYTES_PER_MIB: f64 = 1_048_576.0;
 
-/// Latency quantiles of ok answers, in milliseconds.
+/// Latency quantiles of one method's ok answers, in milliseconds.
 #[derive(Clone, Copy, Default)]
 struct LatencyQuantiles {
     p50: f64,
@@ -18,7 +18,8 @@
     p999: f64,
 }
 
-/// Formats a run as a table, with a row for each method and one for all, followed by a line about the router.
+/// Formats a run as a table, with a row for each method and a row for all methods together, followed by a line about the
+/// router.
 pub fn table(scenario: &Scenario, record: &RunRecord) -> String {
     let mut text = String::from(HEADER);
     for (index, method) in scenario.methods.iter().enumerate() {
@@ -47,8 +48,9 @@
     )
 }
 
-/// Formats the line about the router: utility, CPU and memory that it used, delays of its event loop, and how late the load
-/// generator sent at most.
+/// Formats the line about the router: utility per second, CPU and memory that the router used, and delays of its event loop.
+/// The line ends with the longest delay between the time at which an RPC was due and the time at which the load generator sent
+/// it.
 fn router_line(record: &RunRecord) -> String {
     let secs = record.outcome.duration.secs();
     let delay_ms = |quantile| record.delay_ms(quantile, 0.0, f64::MAX);
--- a/crates/ladderpass-testbed/src/router/address.rs
+++ b/crates/ladderpass-testbed/src/router/address.rs
@@ -6,12 +6,12 @@
 use std::ops::Range;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Ports to choose from. They are below the range of ephemeral ports, so that the kernel does not assign one to another socket
-/// between the choice of an address and the start of the router.
+/// Ports from which [`free_loopback_address`] chooses. They are below the range of ephemeral ports, so that the kernel does not
+/// assign a chosen port to another socket before the router has started.
 const PORTS: Range<u32> = 15_000..32_000;
 const MAX_PORT_TRIES: usize = 64;
 
-/// Returns a loopback address whose port is free for TCP and for UDP. It depends on the id of this process, so that
+/// Returns a loopback address whose port is free for TCP and for UDP. The address depends on the id of this process, so that
 /// concurrent processes of the testbed choose different addresses.
 ///
 /// # Errors
@@ -38,7 +38,8 @@
 /// process serves.
 fn check_free(address: SocketAddr) -> io::Result<()> {
     let stream = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
-    // The router sets SO_REUSEADDR too. Bound sockets with it do not block each other while none of them listens.
+    // Like the router's listener, this socket has SO_REUSEADDR set. Bound sockets with that option do not block each other
+    // while none of them listens.
     stream.set_reuse_address(true)?;
     stream.bind(&address.into())?;
     UdpSocket::bind(address).map(drop)
--- a/crates/ladderpass-testbed/src/router/affinity.rs
+++ b/crates/ladderpass-testbed/src/router/affinity.rs
@@ -15,13 +15,13 @@
     Ok(sched_setaffinity(pid, &set)?)
 }
 
-/// Excludes one core from the affinity of the calling thread and of threads that it starts later. If there is no other core,
-/// the initial affinity is set.
+/// Excludes one core from those that the calling thread, and threads that it starts later, may run on. An exclusion by an
+/// earlier call ends. If there is no other core, no core is excluded.
 ///
 /// # Errors
 /// If the affinity can't be set.
 pub fn exclude_core(cpu: usize) -> io::Result<()> {
-    // The affinity is read only once, since a later call would read what an earlier one has set.
+    // The initial affinity is read in the first call only, since a later call would read what an earlier call has set.
     static INITIAL: OnceLock<CpuSet> = OnceLock::new();
     let initial = INITIAL.get_or_init(|| sched_getaffinity(Pid::from_raw(0)).unwrap_or_default());
     let mut others = *initial;
@@ -30,8 +30,8 @@
     Ok(sched_setaffinity(Pid::from_raw(0), if has_others { &others } else { initial })?)
 }
 
-/// Returns the number of cores that are available to this process. It is read only once, since [`exclude_core`] changes what a
-/// later call would read.
+/// Returns the number of cores that are available to this process. The number is read in the first call only, since
+/// [`exclude_core`] changes what a later call would read.
 pub fn cores() -> usize {
     static CORES: OnceLock<usize> = OnceLock::new();
     *CORES.get_or_init(|| std::thread::available_parallelism().map_or(1, usize::from))
--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -21,13 +21,13 @@
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which a router that should end is checked.
+/// Interval at which [`Router::wait_for_end`] checks whether the process has ended.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long it may take to read the last log lines of an ended process from the pipe.
+/// Longest wait until the last log lines of an ended process are read from its pipe.
 const LOG_END_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which the end of the log is checked.
+/// Interval of the checks whether the log of an ended process is read to its end.
 const LOG_END_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Number of log lines in the error of a failed start.
+/// Number of the router's last log lines that the error of a failed start contains.
 const LAST_LOG_LINES: usize = 5;
 
 /// A running router. Its process is killed when this value is dropped.
@@ -40,7 +40,7 @@
     /// Lines that the router has logged.
     lines: Arc<Mutex<Vec<String>>>,
     log_reader: Option<JoinHandle<()>>,
-    /// Time at which the first SIGTERM was sent.
+    /// Time at which the router was sent its first SIGTERM, or `None` if it was sent none.
     terminated_at: Mutex<Option<Time>>,
 }
 
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the last lines of the log, joined to one.
+    /// Returns the last `LAST_LOG_LINES` lines of the log, joined to one line.
     fn last_log_lines(&self) -> String {
         let lines = self.lines.lock().expect("no holder panics");
         lines[lines.len().saturating_sub(LAST_LOG_LINES)..].join("; ")
@@ -173,17 +173,18 @@
         Ok(kill(self.pid(), signal)?)
     }
 
-    /// Returns the time at which the first SIGTERM was sent, if any.
+    /// Returns the time at which the router was sent its first SIGTERM, or `None` if it was sent none.
     pub fn terminated_at(&self) -> Option<Time> {
         *self.terminated_at.lock().expect("no holder panics")
     }
 
-    /// Returns `Some` if the process has ended, with its exit code, or with none if a signal ended it.
+    /// Returns `None` as long as the process runs, `Some(Some(code))` once it has exited with this exit code, and `Some(None)`
+    /// once a signal has ended it.
     pub fn ended(&mut self) -> Option<Option<i32>> {
         self.process.try_wait().ok().flatten().map(|status| status.code())
     }
 
-    /// Waits for the end of the process for at most `timeout`, and returns what [`Router::ended`] does.
+    /// Waits for the end of the process for at most `timeout`, and returns the result of [`Router::ended`] after the wait.
     pub fn wait_for_end(&mut self, timeout: Duration) -> Option<Option<i32>> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -207,7 +208,7 @@
     }
 
     fn end(&mut self) {
-        // Both calls may fail if the process has ended already.
+        // `kill` and `wait` may fail if the process has ended already.
         let _ = (self.process.kill(), self.process.wait());
         if let Some(reader) = self.log_reader.take() {
             let _ = reader.join();
--- a/crates/ladderpass-testbed/src/router/start.rs
+++ b/crates/ladderpass-testbed/src/router/start.rs
@@ -25,9 +25,9 @@
     pub clock_ms: i32,
     /// Address to listen on. Without one, [`free_loopback_address`](super::free_loopback_address) chooses it.
     pub listen: Option<SocketAddr>,
-    /// Arguments that come before all others, for a program that contains more than the router.
+    /// Arguments that precede the router's own arguments, for a program that contains more than the router.
     pub arguments: Vec<String>,
-    /// Further environment variables.
+    /// Environment variables of the process besides those for the router's settings.
     pub variables: Vec<(String, String)>,
 }
 
--- a/crates/ladderpass-testbed/src/router_log.rs
+++ b/crates/ladderpass-testbed/src/router_log.rs
@@ -17,14 +17,14 @@
     line.contains(" stats accepted=")
 }
 
-/// Returns the overload metrics of a line, if it has them.
+/// Returns the overload metrics that a line reports, or `None` if the line reports none.
 pub fn metrics(line: &str) -> Option<Value> {
     let (_, json) = line.split_once("metrics {").or_else(|| line.split_once("figures {"))?;
     let end = json.find('}')?;
     serde_json::from_str(&format!("{{{}}}", &json[..end].replace('\\', ""))).ok()
 }
 
-/// Returns the number in the field `name` of a line, if there is one.
+/// Returns the number in the field `name` of a line, as in `cpu_used=0.5`, or `None` if the line has no such field.
 pub fn number(line: &str, name: &str) -> Option<f64> {
     let (_, value) = line.split_once(&format!(" {name}="))?;
     value.split_whitespace().next()?.parse().ok()
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Runs a load against one router, with fault events.
+/// Runs a load against one router, and carries out the fault events `events` at their times.
 ///
 /// # Errors
 /// If the emulator, the router or the load can't be started.
@@ -140,14 +140,15 @@
     Ok((record, summary))
 }
 
-/// Waits for a router that is shutting down until it ends after its last client, for at most `SHUTDOWN_TIMEOUT`. Returns what
-/// [`Router::ended`] does.
+/// If the router is shutting down, waits until it has ended, which it does after its last client is gone, for at most
+/// `SHUTDOWN_TIMEOUT`. Returns the result of [`Router::ended`] after the wait.
 fn wait_for_shutdown(router: &mut Router) -> Option<Option<i32>> {
     let is_shutting_down = router.log().iter().any(|line| router_log::is_shutdown_begun(line));
     router.wait_for_end(if is_shutting_down { SHUTDOWN_TIMEOUT } else { Duration::ZERO })
 }
 
-/// Returns the absence of a router from its first SIGTERM on, if it got one.
+/// Returns the absence of a router (the time in which it can't answer), which starts at its first SIGTERM and does not end.
+/// Returns `None` if the router got no SIGTERM.
 fn shutdown_absence(router: &Router) -> Option<Absence> {
     router.terminated_at().map(|from| Absence {
         router: 0,
@@ -157,7 +158,8 @@
     })
 }
 
-/// Returns a plan of open arrivals with these phases, one after the other.
+/// Returns a plan with these phases, one after the other. RPCs are due at random times, whether or not earlier RPCs are
+/// answered.
 pub fn open_plan(seed: u64, phases: &[Phase]) -> Plan {
     Plan {
         arrivals: Arrivals::Open(phases.to_vec()),
--- a/crates/ladderpass-testbed/src/run/record.rs
+++ b/crates/ladderpass-testbed/src/run/record.rs
@@ -12,11 +12,11 @@
 /// Default of [`RunRecord::warm_member_rpcs_per_second`].
 pub(super) const WARM_MEMBER_RPCS_PER_SECOND: f64 = 1000.0;
 
-/// The record of a run.
+/// What the clients, the prober, the members, the router and the fault tool did or observed in one run.
 pub struct RunRecord {
     /// What the clients observed.
     pub outcome: Outcome,
-    /// Delays of the answers to the prober's queries.
+    /// Delays of the router's answers to the prober, which sends empty queries during the load.
     pub(super) probe_delays: Vec<ProbeDelay>,
     /// What the members observed.
     pub execution_log: ExecutionLog,
@@ -26,32 +26,33 @@
     pub resident_bytes: u64,
     /// Lines that the router has logged.
     pub log: Vec<String>,
-    /// `Some` if the router ended before the testbed killed it, with its exit code, or with none if a signal ended it.
+    /// `None` if the router ran until the testbed killed it. If the router had ended before, `Some(Some(code))` after an exit
+    /// with this exit code, and `Some(None)` after a signal.
     pub ended: Option<Option<i32>>,
     /// RPCs per second that a cold member can serve after its slow start.
     pub warm_member_rpcs_per_second: f64,
     pub(super) scenario: Scenario,
     pub(super) seed: u64,
-    /// Begins and ends of attempts that the fault tool observed.
+    /// Begins and ends of attempts that the fault tool observed. The list is empty in a run without the tool.
     pub(super) attempts: Vec<AttemptEvent>,
-    /// Start of the fault tool, to which the times of `attempts` are relative.
+    /// Start of the fault tool, from which the times of `attempts` are counted.
     pub(super) tool_started_at: Time,
     pub(super) absences: Vec<Absence>,
     pub(super) drain_notices: Vec<DrainNotice>,
 }
 
-/// A delay of the router's event loop.
+/// A delay of the router's event loop, measured as the delay of the answer to a query of the prober.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoopDelay {
-    /// Time of the delay, in seconds after the start of the load.
+    /// When the delayed query was due, in seconds after the start of the load.
     pub at_s: f64,
     /// Length of the delay in milliseconds.
     pub delay_ms: f64,
 }
 
 impl RunRecord {
-    /// Returns the first three protocol errors that clients observed, followed by the violations, as text. `answer_tolerance`
-    /// is as in [`RunRecord::violations`].
+    /// Returns the first three protocol errors that clients observed, followed by all violations that the history checker
+    /// finds, as text. `answer_tolerance` is as in [`RunRecord::violations`].
     pub fn violation_texts(&self, answer_tolerance: Span) -> Vec<String> {
         let faults = self.outcome.faults.iter().take(3).map(|fault| format!("rule 1: {fault}"));
         faults.chain(self.violations(answer_tolerance).iter().map(Violation::to_string)).collect()
@@ -81,8 +82,8 @@
         history.violations()
     }
 
-    /// Returns the delays of the router's event loop in microseconds, for probes that were due in `from..to`, in seconds after
-    /// the start of the load.
+    /// Returns the delays of the router's event loop in microseconds, for queries of the prober that were due in `from..to`, in
+    /// seconds after the start of the load.
     pub fn delays(&self, from: f64, to: f64) -> Histogram<u64> {
         let mut delays = load::histogram();
         for probe in
@@ -98,12 +99,12 @@
         (at - self.outcome.began).secs()
     }
 
-    /// Returns a quantile of [`RunRecord::delays`] in milliseconds.
+    /// Returns a quantile of the [`RunRecord::delays`] in `from..to`, in milliseconds.
     pub fn delay_ms(&self, quantile: f64, from: f64, to: f64) -> f64 {
         self.delays(from, to).value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Returns the longest delay of the router's event loop.
+    /// Returns the longest delay of the router's event loop, or a delay of zero if the prober measured none.
     pub fn slowest(&self) -> LoopDelay {
         let slowest = self.probe_delays.iter().max_by_key(|probe| probe.delay);
         slowest.map_or(LoopDelay::default(), |probe| LoopDelay {
--- a/crates/ladderpass-testbed/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -36,7 +36,7 @@
         (share - (-2.1 / gap).exp()).abs() < 0.04,
         "{share} of the statements opened a connection, at a mean gap of {gap} s"
     );
-    // With an idle timeout beyond the test, no connection is closed.
+    // With an idle timeout that is longer than the simulation, no connection is closed.
     let long_timeout = Shape { client_idle_timeout: Some(Span::from_millis(600_000)), ..shape };
     let mut simulation = Simulation::new(&long_timeout, 3).unwrap();
     simulation.open_all_clients();
@@ -53,7 +53,7 @@
 #[test]
 fn all_statements_are_answered_and_each_statement_and_health_check_takes_two_queries() {
     let counts = steady_counts(&Shape::of(40), WARM_UP, MEASURED_TIME, 5).unwrap();
-    // A few statements are in flight at the start and at the end of the measured time.
+    // The counts differ by a few statements, which are in flight at the start or at the end of the measured time.
     assert!((counts.served - counts.statements).abs() <= 5.0 && counts.failed == 0.0, "{counts:?}");
     // Each statement and each health check is one query that is followed by a sync query.
     let queries = 2.0 * (counts.statements + counts.health_checks);
--- a/crates/ladderpass-testbed/tests/history_checker.rs
+++ b/crates/ladderpass-testbed/tests/history_checker.rs
@@ -117,7 +117,7 @@
     assert_eq!(run.violated_rules(), [1], "a router that shuts down must answer what it has accepted");
     run.absences.push(Absence { planned: false, ..shutdown });
     assert_eq!(run.violated_rules(), [0u8; 0]);
-    // An RPC sent after the end of the absence must be answered.
+    // An RPC that was sent after the end of its router's absence must be answered.
     run.journal.push(entry(4, 0, 1500, None));
     assert_eq!(run.violated_rules(), [1]);
 }
@@ -152,7 +152,7 @@
     run.observe(500, 1, 1, true);
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.observe(600, 3, 1, true);
-    // The same RPC has two attempts in flight at once, which violates rule 2.
+    // The RPC now has two attempts in flight at once, one from each router, which violates rule 2.
     assert_eq!(run.violated_rules(), [2, 3]);
 }
 
@@ -162,7 +162,7 @@
     run.execute(1, 0, 2);
     let cold_start = ColdStart { overload_window: Span::from_millis(500), ..cold_start() };
     run.cold_starts = vec![cold_start];
-    // At most 19 attempts are allowed. Each router sends 18, so both send 36.
+    // The cold member may get at most 19 attempts. Each of the two routers sends 18 of the 36 attempts.
     for n in 0..36 {
         let number = 100 + n as u64;
         run.journal.push(entry(number, 0, n * 10, Some((n * 10 + 5, Answer::Ok))));
@@ -188,7 +188,8 @@
     run.execution_log.arrivals.push(arrival(5, 1900));
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals.push(arrival(6, 2500));
-    // The checker uses the best position that the member was known to have.
+    // The second arrival alone would be stale, but the checker uses the best position that the member was known to have, which
+    // is that of the first arrival.
     assert_eq!(run.violated_rules(), [0u8; 0]);
     run.execution_log.arrivals = vec![arrival(6, 2500)];
     run.execution_log.executions.clear();
@@ -196,7 +197,7 @@
     assert_eq!(run.violated_rules(), [5]);
 }
 
-/// The check uses only the members' records, so it counts the attempts of all routers together.
+/// `check_slow_start_at_members` uses only the members' records, so it counts the attempts of all routers together.
 #[test]
 fn attempts_at_a_cold_member_are_counted_over_all_routers() {
     let cold_start = ColdStart { overload_window: Span::from_millis(3000), ..cold_start() };
@@ -206,7 +207,8 @@
             |nth| Arrival { at: at(0), member: 1, id: id(nth), position: at(0), rejected: nth % 2 == 0 };
         ExecutionLog { arrivals: (0..count).map(arrival).collect(), ..ExecutionLog::default() }
     };
-    // The member's capacity is 60 in the window that ends at its start, and 77.5 with the tolerance for random variation.
+    // In the window that ends at the member's start, the member's capacity is 60 attempts. With the tolerance for random
+    // variation, 77.5 are allowed.
     let check = |count| check_slow_start_at_members(&[cold_start], &arrivals(count));
     let SlowStartCheck { violations, max_excess } = check(77);
     assert!(violations.is_empty() && (1.9..2.0).contains(&max_excess), "{max_excess}");
