--- a/crates/ladderpass-fault-injection/src/control.rs
+++ b/crates/ladderpass-fault-injection/src/control.rs
@@ -27,7 +27,7 @@
     },
     /// Reports the numbers of open connections, received bytes and decisions.
     Stats,
-    /// Stops all traffic of the link with this name, in both directions, until it is healed.
+    /// Stops all traffic of the link with this name, in both directions, until the command `heal`.
     Cut(String),
     /// Ends the cut of the link with this name.
     Heal(String),
--- a/crates/ladderpass-fault-injection/src/datagram_driver.rs
+++ b/crates/ladderpass-fault-injection/src/datagram_driver.rs
@@ -1,6 +1,6 @@
-//! The sockets for datagrams, one for each end. An end's socket receives the datagrams that others send to that end,
-//! and sends the datagrams of that end to the others, so that each end sees the others at the addresses that it has for
-//! them. The `datagrams` module decides what happens to a datagram.
+//! The sockets for datagrams, one for each end (a process that exchanges datagrams through the tool). An end's socket receives
+//! the datagrams that others send to that end, and sends the datagrams of that end to the others. So the others see an end at
+//! its listening address in the plan. The `datagrams` module decides what happens to a datagram.
 
 use crate::datagrams::{DatagramEngine, TrafficCounts};
 use crate::errors::PlanError;
@@ -179,8 +179,8 @@
                 Err(_) => return,
             };
             let bytes = &buffer[..count];
-            // A datagram from an unknown sender passes unchanged. It is sent from the receiver's own listening address,
-            // because no other end is known by that address.
+            // A datagram from an unknown sender passes unchanged. The tool sends the datagram from the receiver's own listening
+            // address, because the addresses of other ends would name a wrong sender.
             let Some(&from) = self.end_by_address.get(&sender) else {
                 self.forward(to, to, bytes);
                 continue;
@@ -199,7 +199,8 @@
         }
     }
 
-    /// Sends a datagram to an end from the address by which its sender is known. A datagram that can't be sent is lost.
+    /// Sends a datagram to the end `to`, from the address that the tool listens on for the end `from`, by which the receiver
+    /// knows the sender. A datagram that can't be sent is lost.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         if let (Some(socket), Some(&target)) = (self.sockets.get(from), self.targets.get(to)) {
             let _ = socket.send_to(bytes, target);
--- a/crates/ladderpass-fault-injection/src/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/datagrams.rs
@@ -18,7 +18,7 @@
 use rand::rngs::SmallRng;
 use std::collections::HashMap;
 
-/// Counters of the datagrams that an end has sent.
+/// Counters of the datagrams that an [`End`] has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounts {
     /// Number of datagrams that the end has sent, including lost ones.
@@ -42,7 +42,7 @@
     lifted: bool,
 }
 
-/// The ends and rules of a plan. Times are counted from the start of the plan.
+/// The state of a datagram plan: its ends, its rules, and their counters. Times are counted from the start of the engine.
 pub struct DatagramEngine {
     seed: u64,
     ends: Vec<End>,
--- a/crates/ladderpass-fault-injection/src/driver.rs
+++ b/crates/ladderpass-fault-injection/src/driver.rs
@@ -39,11 +39,12 @@
 }
 
 impl RunningTool {
-    /// Starts a fault tool that runs `plan`. `control` is the path of the control socket, if there is to be one.
+    /// Starts a fault tool that runs `plan`. `control` is the path of the control socket. Without a path, the tool has no
+    /// control socket.
     ///
     /// # Errors
     ///
-    /// If the datagram part is invalid, or a socket or a thread can't be created.
+    /// If the plan's part on datagrams is invalid, or a socket or a thread can't be created.
     pub fn start(plan: Plan, control: Option<&Path>) -> io::Result<RunningTool> {
         let datagrams =
             (!plan.ends.is_empty()).then(|| RunningDatagrams::start(plan.datagram_plan())).transpose()?;
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -33,7 +33,8 @@
 use rpc_watch::RpcWatch;
 use std::collections::HashMap;
 
-/// The number of held or delayed bytes of one direction at which its sender is no longer read.
+/// The number of held or delayed bytes of one direction of a connection from which on the sender of that direction is no longer
+/// read.
 pub const MAX_HELD_BYTES: usize = 512 << 10;
 const NANOS_PER_MS: i64 = 1_000_000;
 
@@ -88,7 +89,7 @@
         self.rules.push(ActiveRule::new(rule, link));
     }
 
-    /// Adds a rule. The new rule may have the name of a rule that has been lifted.
+    /// Adds a rule. The new rule may have the name of a rule that has been lifted (ended by [`Engine::lift_rule`]).
     ///
     /// # Errors
     ///
@@ -211,7 +212,8 @@
     pub fn may_read(&self, id: ConnectionId, side: Side, unsent_bytes: usize) -> bool {
         let Some(connection) = self.connections.get(&id) else { return false };
         let direction = &connection.directions[side as usize];
-        // A silenced direction is read and its bytes are dropped, since a full socket would show the sender the fault.
+        // A direction that `Action::Silence` has silenced is still read and its bytes are dropped, since a full socket would
+        // show the sender the fault.
         if direction.is_silenced {
             return true;
         }
@@ -345,14 +347,14 @@
         });
     }
 
-    /// Returns the generator of a rule's random draws for a unit.
+    /// Returns the generator of a rule's random draws for a [`Unit`] of a stream.
     fn draw_generator(&self, index: usize, id: ConnectionId, unit: &Unit) -> SmallRng {
         let name = self.rules[index].rule.name.bytes();
         let name_hash = name.fold(0, |hash, byte| random::mix(hash, u64::from(byte)));
         random::generator(self.plan.seed, [name_hash, id.link as u64, id.number, unit.offset])
     }
 
-    /// Applies the rules that a unit triggers, and passes the result to the other side.
+    /// Applies the rules that a [`Unit`] of a stream triggers, and passes the result to the side that did not send the unit.
     fn pass_unit(
         &mut self,
         now: Time,
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -1,4 +1,4 @@
-//! A rule of the engine with its counters, and the check whether a unit of a stream triggers the rule.
+//! A rule of the engine with its counters, and the check whether a [`Unit`] of a stream triggers the rule.
 
 use super::operation::ConnectionId;
 use crate::plan::{Rule, Side};
@@ -9,7 +9,7 @@
     pub rule: Rule,
     /// Index in the plan of the only link that the rule applies to, if the rule names a link.
     link: Option<usize>,
-    /// Number of units or openings of connections that have matched the rule, by link.
+    /// Number of [`Unit`]s and openings of connections that have matched the rule, by index of the link in the plan.
     match_counts: HashMap<usize, u64>,
     /// Number of times that the rule has acted.
     pub hits: u64,
@@ -23,7 +23,8 @@
     pub name: &'a str,
     /// Number of times that the rule has acted.
     pub hits: u64,
-    /// Whether the rule may still act: the rule has not been lifted, and has acted fewer times than its limit allows.
+    /// Whether the rule may still act: no command has lifted (ended) it, and it has acted fewer times than its field `times`
+    /// allows.
     pub live: bool,
 }
 
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -1,4 +1,4 @@
-//! The state of one direction of a connection, and the replacement that is sent for one of its units.
+//! The state of one direction of a connection, and the replacement that is sent for a [`Unit`] of the direction's stream.
 
 use super::operation::Operation;
 use crate::plan::{Action, Protocol, Side};
@@ -20,23 +20,23 @@
     pub held_by_rule: Option<usize>,
     /// Bytes of the direction that the rule of `held_by_rule` holds back.
     pub held_bytes: Vec<u8>,
-    /// Whether all further bytes of the direction are dropped.
+    /// Whether `Action::Silence` drops all further bytes of the direction.
     pub is_silenced: bool,
-    /// Whether the bytes of the direction are dropped, up to and including the next ReadyForQuery.
+    /// Whether `Action::Swallow` drops the bytes of the direction up to and including the next ReadyForQuery.
     is_swallowing: bool,
     max_bytes_per_s: Option<u64>,
     /// A response that is held back, and sent after the next response.
     postponed: Option<Vec<u8>>,
     /// Whether the units of the current response are added to `postponed`.
     is_postponing: bool,
-    /// A copy of the current response so far. The copy is sent too once the response has ended.
+    /// A copy of the bytes of the current response so far, which `Action::Repeat` sends once more when the response has ended.
     response_copy: Option<Vec<u8>>,
     /// Whether the sender has ended the direction.
     pub has_ended: bool,
 }
 
-/// The pieces that are sent in place of a unit, their timing, and the operations that end the connection or a direction
-/// before or after them.
+/// The pieces that are sent in place of a [`Unit`], their timing, and the operations before or after the pieces that end the
+/// connection or a direction.
 pub struct Replacement {
     pub pieces: Vec<Vec<u8>>,
     pub delay: Span,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Returns the number of bytes that are held back or postponed.
+    /// Returns the number of bytes that a rule holds back, or that wait to be sent after the next response.
     pub fn buffered_bytes(&self) -> usize {
         self.held_bytes.len() + self.postponed.as_ref().map_or(0, Vec::len)
     }
 
-    /// Removes and returns the postponed response, if any. Called at the end of the direction, when no other response
-    /// follows.
+    /// Removes and returns the response that waits to be sent after the next response, if there is one. Called at the end of
+    /// the direction, when no next response follows.
     pub fn take_postponed(&mut self) -> Option<Vec<u8>> {
         self.postponed.take()
     }
--- a/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
+++ b/crates/ladderpass-fault-injection/src/engine/rpc_watch.rs
@@ -1,6 +1,6 @@
-//! Records the attempts of RPCs: when a statement arrived from the client side of a link, and when its answer left the
-//! tool or its connection ended. The record is made between the two sides, so that a checker of the rule of one attempt
-//! at a time does not have to rely on the records of either side.
+//! Records the attempts of RPCs: when a statement arrived from the client side of a link, and when its answer left the tool or
+//! its connection ended. The record is made between the two sides, so that a checker of the rule that an RPC has only one
+//! attempt at a time does not have to rely on the records of either side.
 
 use super::operation::ConnectionId;
 use crate::plan::Side;
@@ -46,7 +46,8 @@
         self.recorded.take().unwrap_or_default()
     }
 
-    /// Records the start or the end of an attempt if a unit of the stream is a statement or the end of an answer.
+    /// Records the start of an attempt if a unit of the stream is a statement, and the end of an attempt if the unit is the end
+    /// of an answer.
     pub fn on_unit(&mut self, at: Time, connection: ConnectionId, sender: Side, unit: &Unit) {
         if self.recorded.is_none() {
             return;
--- a/crates/ladderpass-fault-injection/src/plan.rs
+++ b/crates/ladderpass-fault-injection/src/plan.rs
@@ -50,7 +50,7 @@
     pub byte: Option<u64>,
     /// The rule acts from the n-th match on. Matches are counted from 1, over all connections of a link.
     pub nth: Option<u64>,
-    /// The rule acts no earlier than this many milliseconds after the start.
+    /// The rule acts no earlier than this many milliseconds after the engine's start.
     pub after_ms: Option<u64>,
     /// The rule acts only after the rule with this name has acted.
     #[serde(rename = "seen")]
@@ -81,7 +81,7 @@
         /// Pause after each piece, in milliseconds.
         gap_ms: f64,
     },
-    /// The message and everything behind it are held back until the rule is lifted.
+    /// The message and everything behind it are held back until a command lifts (ends) the rule.
     Hold,
     /// The message is dropped.
     Drop,
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -151,8 +151,8 @@
         self.check_under("rules")
     }
 
-    /// Checks the plan's ends and rules. Errors name `rules_key` as the key of the rules, which differs between a whole
-    /// plan and a datagram plan.
+    /// Checks the plan's ends and rules. Errors name `rules_key` as the key of the rules, since a whole plan and a plan of
+    /// datagrams alone have different keys for the rules on datagrams.
     pub(crate) fn check_under(&self, rules_key: &str) -> Result<(), PlanError> {
         for (index, end) in self.ends.iter().enumerate() {
             for (key, address) in [("address", end.address), ("to", end.to)] {
--- a/crates/ladderpass-fault-injection/src/plan/drawn.rs
+++ b/crates/ladderpass-fault-injection/src/plan/drawn.rs
@@ -4,9 +4,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The limits on the number of times that a random rule acts. One of them is drawn for each rule.
+/// Limits on the number of times that a random rule acts. For each rule, one entry of this list is drawn.
 const TIMES: [u64; 4] = [1, 1, 3, 20];
-/// A random rule begins to act at a match whose number is drawn below this bound.
+/// The number of the match from which on a random rule acts is drawn from 1 up to this bound, and is always lower than the
+/// bound.
 const MAX_NTH: u64 = 200;
 
 impl Plan {
--- a/crates/ladderpass-fault-injection/src/random.rs
+++ b/crates/ladderpass-fault-injection/src/random.rs
@@ -9,12 +9,12 @@
 const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 const ROTATION: u32 = 29;
 
-/// Mixes a further part into a seed.
+/// Mixes a number that identifies a random draw into a seed.
 pub fn mix(seed: u64, part: u64) -> u64 {
     (seed ^ part).wrapping_mul(MULTIPLIER).rotate_left(ROTATION)
 }
 
-/// Returns a random generator that is determined by a seed and four parts.
+/// Returns a random generator that is determined by a seed and four numbers that identify the draw.
 pub fn generator(seed: u64, parts: [u64; 4]) -> SmallRng {
     SmallRng::seed_from_u64(parts.into_iter().fold(seed, mix))
 }
--- a/crates/ladderpass-fault-injection/src/record.rs
+++ b/crates/ladderpass-fault-injection/src/record.rs
@@ -6,7 +6,7 @@
 use crate::plan::Side;
 use serde::{Deserialize, Serialize};
 
-/// One action of a rule on one unit of a stream.
+/// One action of a rule on one unit of a stream (see [`Unit`](crate::stream::Unit)), or on the opening of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Decision {
     /// Name of the link.
@@ -17,11 +17,11 @@
     pub side: Side,
     /// Offset of the unit's first byte in its direction of the connection.
     pub byte: u64,
-    /// Kind of the unit.
+    /// Kind of the unit, such as `DataRow`, or `open` for the opening of a connection.
     pub kind: String,
     /// Name of the rule.
     pub rule: String,
-    /// Name of the action.
+    /// Name of the rule's action.
     pub action: String,
     /// Random numbers that were drawn for the action: offsets of bytes, numbers of bits, or microseconds.
     pub drawn: Vec<u64>,
--- a/crates/ladderpass-testbed/src/history_checker/events.rs
+++ b/crates/ladderpass-testbed/src/history_checker/events.rs
@@ -7,11 +7,12 @@
 use ladderpass_routing::{Span, Time};
 use std::collections::BTreeMap;
 
-/// Time after an absence in which RPCs that are sent to the router are still excused.
+/// If an RPC is sent to a router within this time after the router's absence, no answer to the RPC is required.
 const ABSENCE_RECOVERY_TIME: Span = Span::from_millis(200);
-/// Time from the last deadline to the end of the history, by which the answer time of every RPC has passed.
+/// Time from the last deadline of an RPC to the end of the history. At the end of the history, every RPC must have been
+/// answered.
 const END_AFTER_LAST_DEADLINE: Span = Span::from_millis(10_000);
-/// The rule on effects of writes, under which wrong answers to writes are reported.
+/// Number of the rule on effects of writes. Wrong answers to writes are reported as violations of this rule.
 const EFFECTS_RULE: u8 = 2;
 
 /// The begin or the end of an attempt, as the fault tool observed it.
--- a/crates/ladderpass-testbed/src/load/answers.rs
+++ b/crates/ladderpass-testbed/src/load/answers.rs
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Records a fault for an answer that the protocol does not allow, and for a value that was made for another RPC.
-    /// For RPCs in the journal, the history checker finds the values of another RPC, so only values whose RPC can't
-    /// be read are recorded here. Background RPCs are not in the journal, so all their wrong values are recorded
-    /// here.
+    /// Records a fault for an answer that the protocol does not allow, and for a value that was made for another RPC. For RPCs
+    /// in the journal, the history checker finds the values of another RPC, so only values whose RPC can't be read are recorded
+    /// here. Background RPCs (those of flooding clients and slow readers) are not in the journal, so all their wrong values are
+    /// recorded here.
     fn check_answer(&mut self, rpc: &InFlightRpc, answer: &PartialAnswer) {
         let number = rpc.number;
         if answer.row.is_none() && answer.error_code.is_none() {
--- a/crates/ladderpass-testbed/src/load/event_loop.rs
+++ b/crates/ladderpass-testbed/src/load/event_loop.rs
@@ -16,8 +16,8 @@
 const CONNECT_BEFORE_START: Span = Span::from_millis(100);
 const MAX_POLL_WAIT: Span = Span::from_millis(5);
 const EVENT_CAPACITY: usize = 4096;
-/// Added to the current time and twice the deadline in the last check for expired RPCs, so that all RPCs still in flight
-/// are counted as unanswered.
+/// The last check for expired RPCs takes the current time, plus twice the plan's deadline, plus this time as the present, so
+/// that all RPCs still in flight are counted as unanswered.
 const ABANDON_ALL_AFTER: Span = Span::from_millis(60_000);
 
 impl LoadGenerator<'_> {
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -130,7 +130,7 @@
     pub began: Time,
     /// End of the load, from which on no RPC is due.
     pub ends: Time,
-    /// Number of RPCs in flight, without background RPCs.
+    /// Number of RPCs in flight, without those of flooding clients and slow readers.
     pub in_flight: usize,
     pub read_buffer: Vec<u8>,
 }
--- a/crates/ladderpass-testbed/src/load/load_balancer.rs
+++ b/crates/ladderpass-testbed/src/load/load_balancer.rs
@@ -17,7 +17,7 @@
     pub weights: Vec<f64>,
     /// Fraction of the connections that move to another router from time to time.
     pub roaming: f64,
-    /// Mean time for which a roaming connection stays at a router.
+    /// Mean time for which a connection that moves between routers (see `roaming`) stays at one of them.
     pub mean_stay: Span,
     /// Time until the balancer detects that a router is down. Until then, new connections still go to that router.
     pub down_detection: Span,
@@ -25,7 +25,7 @@
     pub down: Arc<DownRouters>,
 }
 
-/// The routers that are down, each with the time since when. The code that ends and restarts routers updates this
+/// The routers that are down, each with the time at which it went down. The code that ends and restarts routers updates this
 /// record.
 #[derive(Default)]
 pub struct DownRouters(Mutex<HashMap<usize, Time>>);
--- a/crates/ladderpass-testbed/src/load/outcome.rs
+++ b/crates/ladderpass-testbed/src/load/outcome.rs
@@ -53,7 +53,7 @@
     pub rejected: u64,
     /// RPCs that were answered with another error than a rejection. Whether such an RPC had an effect is unknown.
     pub aborted: u64,
-    /// RPCs that were answered after their deadline and its grace, but before the load checked for expired RPCs.
+    /// RPCs that were answered more than 50 ms after their deadline, but before the load checked for expired RPCs.
     pub late: u64,
     /// RPCs that were sent and not answered when the load checked for expired RPCs, or when their connection ended.
     pub unanswered: u64,
@@ -103,7 +103,7 @@
     pub flood: Counts,
     /// Faults in the router's answers: answers without an RPC, values of another RPC, malformed rows.
     pub faults: Vec<String>,
-    /// When the first RPC could be due.
+    /// Start of the load, which is the earliest time at which an RPC can be due.
     pub began: Time,
     /// Time over which RPCs were due.
     pub duration: Span,
--- a/crates/ladderpass-testbed/src/prove/faults/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/faults/detection.rs
@@ -38,7 +38,7 @@
     exposure: Exposure,
 }
 
-/// How often the router met the difficulty of the case. A run with a count of zero proves nothing.
+/// How often the router met the difficulty of the case, as [`exposure`] counts it. A run with a count of zero proves nothing.
 struct Exposure {
     count: usize,
     what: &'static str,
@@ -142,8 +142,9 @@
     rules
 }
 
-/// Returns how often the router met the difficulty of the case. This number is counted in decisions of the fault tool,
-/// in RPCs at the members that the case affects, or in answers.
+/// Returns how often the router met the difficulty of the case. In cases with cold members or a drained member, the RPCs that
+/// began at these members are counted. In other cases with rules of the fault tool, the actions of the rules are counted. In
+/// cases with lagging replicas, the reads at the primary are counted, and in all remaining cases the ok answers.
 fn exposure(case: &FaultCase, record: &RunRecord, decisions: usize) -> Exposure {
     let executions = &record.execution_log.executions;
     let started_at = |member| executions.iter().filter(|execution| execution.member == member).count();
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -7,11 +7,11 @@
 use crate::prove::Table;
 use crate::prove::scenarios::FLEET_ROUTERS;
 
-/// To show its fault, a router that rejects only when it is overloaded itself must take more than this many times as
-/// long to reject as healthy routers.
+/// A router with the fault rejects only when it is overloaded itself. Its rejections must take more than this many times as
+/// long as those of healthy routers, so that the fault shows.
 const MIN_REJECTION_LATENCY_RATIO: f64 = 10.0;
-/// The rejections of healthy routers count as taking at least this many milliseconds when a faulty router is compared
-/// with them.
+/// When the rejections of a faulty router are compared with those of healthy routers, the latter count as taking at least this
+/// many milliseconds.
 const MIN_HEALTHY_REJECTION_MS: f64 = 5.0;
 /// The number of reports that a router clamped is averaged over this many of its last log lines with metrics.
 const CLAMPED_REPORT_LINES: usize = 8;
--- a/crates/ladderpass-testbed/src/prove/overload/routers.rs
+++ b/crates/ladderpass-testbed/src/prove/overload/routers.rs
@@ -9,8 +9,9 @@
 /// Operator's file with which the router rejects all RPCs that it may reject, so that the cost of rejections can be measured
 /// alone.
 const REJECT_ALL: &str = "overload:\n  memory: {from: 0.0001, full: 0.0002}\n";
-/// How long the warm-up before each open load lasts, in seconds. During the warm-up, the router gets half of the calm
-/// load, or of the rate that is tried, with all connections open.
+/// How long the warm-up lasts, in seconds, before each load whose RPCs are due whether or not earlier ones are answered. The
+/// warm-up has half of the calm load or, while the calm load is being determined, half of the rate that is tried. All
+/// connections are open during the warm-up.
 pub const WARM_UP_S: f64 = 0.3;
 
 /// The routers that the proof compares.
--- a/crates/ladderpass-testbed/src/prove/scenarios.rs
+++ b/crates/ladderpass-testbed/src/prove/scenarios.rs
@@ -13,7 +13,7 @@
 pub const SHARED_ADMISSION: &str = "fleet: {sheds: true}\nlog: {figures: 250ms}";
 /// Operator's file with which routers share admission control and retry budgets.
 pub const SHARED_ADMISSION_AND_BUDGETS: &str = "fleet: {sheds: true, budgets: true}\nlog: {figures: 250ms}";
-/// The interval at which routers with these operator's files log their metrics, in seconds.
+/// The interval at which routers with the operator's files of this module log their metrics, in seconds.
 pub const METRICS_INTERVAL_S: f64 = 0.25;
 
 /// The mean work of an RPC of [`overloaded_scenario`], in milliseconds.
