--- a/crates/ladderpass-testbed/src/capacity/data_path/process.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/process.rs
@@ -209,8 +209,8 @@
 }
 
 impl PacedLoad {
-    /// Sends the statements of one thread. Each statement is sent when it is due and the statement before it has been
-    /// answered.
+    /// Sends the statements of one thread. Each statement is sent once it is due and the thread's previous statement has been
+    /// answered or has failed.
     fn run_thread(&self, thread: u64) -> LoadResult {
         static NEXT_ID: AtomicU64 = AtomicU64::new(1);
         let mut result = LoadResult::default();
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/connections.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Passes the router's pending output to the peer. Returns whether there was any.
+    /// Passes the router's pending output on a connection to the peer. Returns whether output was pending.
     pub(super) fn write(&mut self, id: ConnectionId) -> bool {
         let bytes = self.reducer.outgoing(id).to_vec();
         if bytes.is_empty() {
@@ -165,7 +165,8 @@
         self.schedule(LATENCY * 3.0, SimulationEvent::WatchHeartbeat(id));
     }
 
-    /// Rejects a connection to a member that has none left: sends an error, and closes the connection.
+    /// Rejects a connection of the router to a member that has no connection left for the router: sends an error, and closes
+    /// the connection.
     fn reject_connection(&mut self, id: ConnectionId) {
         let mut error = Vec::new();
         proto::put_error(&mut error, "FATAL", TOO_MANY_CONNECTIONS);
@@ -181,7 +182,7 @@
             let took = thread_cpu_s() - before - self.clock_overhead_s;
             let (now, later) = bytes.split_at(buffer.len().min(bytes.len()));
             if now.is_empty() {
-                // The buffer is full, and the rest is delivered later.
+                // The router's read buffer is full, so the remaining bytes are delivered later.
                 return self.schedule(LATENCY, SimulationEvent::Bytes(id, later.to_vec()));
             }
             buffer[..now.len()].copy_from_slice(now);
@@ -203,8 +204,8 @@
         id
     }
 
-    /// Sends a statement from a random client. If that client still waits for an answer, the next one by index that does
-    /// not wait sends it. No statement is sent if all clients wait.
+    /// Sends a statement from a random client. If that client still waits for an answer, the next client by index that does not
+    /// wait sends the statement. No statement is sent if all clients wait.
     pub(super) fn send_statement(&mut self) {
         let from = self.rng.random_range(0..self.clients.len().max(1));
         let mut free = (0..self.clients.len()).map(|step| (from + step) % self.clients.len());
--- a/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
+++ b/crates/ladderpass-testbed/src/capacity/data_path/simulation/counts.rs
@@ -13,7 +13,7 @@
     pub statements: f64,
     /// Statements that were answered with a row.
     pub served: f64,
-    /// Statements that were answered otherwise, or whose connection was closed.
+    /// Statements that were answered with something else than a row, or whose connection was closed before the answer.
     pub failed: f64,
     /// Statements that were reads.
     pub reads: f64,
@@ -33,9 +33,9 @@
     pub query_bytes: f64,
     /// Ticks of the event loop.
     pub ticks: f64,
-    /// CPU seconds in ticks.
+    /// CPU seconds that ticks of the event loop used.
     pub tick_cpu_s: f64,
-    /// CPU seconds in all other calls of the reducer.
+    /// CPU seconds that calls of the reducer other than ticks used.
     pub other_cpu_s: f64,
     /// Mean number of connections to members.
     pub member_connections: f64,
--- a/crates/ladderpass-testbed/src/drill/file.rs
+++ b/crates/ladderpass-testbed/src/drill/file.rs
@@ -41,10 +41,10 @@
     /// Time after an RPC's deadline at which an answer still counts as in time, in milliseconds. This tolerance covers
     /// the delay in clients and fault tools.
     pub grace_ms: u32,
-    /// Longest time before the load in which the routers may come to agree on which of them are alive, in seconds.
+    /// Longest time that the routers may take before the load to agree on which of them are alive, in seconds.
     #[serde(rename = "settles_s")]
     pub max_settle_s: f64,
-    /// Idle time in seconds from when the routers agree on which of them are alive until the load starts.
+    /// Idle time in seconds between the routers' agreement on which of them are alive and the start of the load.
     #[serde(rename = "rests_s")]
     pub idle_s: f64,
     /// RPCs per second that a member of the scenario's `cold` list can serve after its slow start.
--- a/crates/ladderpass-testbed/src/drill/play/events.rs
+++ b/crates/ladderpass-testbed/src/drill/play/events.rs
@@ -210,8 +210,8 @@
     if !event.split.is_empty() {
         let routers = |side: &Vec<String>| side.iter().filter(is_router).cloned().collect();
         let split: Vec<Vec<String>> = event.split.iter().map(routers).collect();
-        // The rule applies only to datagrams between routers that are on a side. The fault tool would treat each other
-        // router as a side of its own, but routers on no side must reach all others.
+        // The rule is limited to datagrams between routers that are on a side. Routers on no side must reach all others, but
+        // the fault tool treats each such router as a side of its own.
         let on_a_side: Vec<String> = split.iter().flatten().cloned().collect();
         rules.push(DatagramRule {
             from: on_a_side.clone(),
--- a/crates/ladderpass-testbed/src/load/generator.rs
+++ b/crates/ladderpass-testbed/src/load/generator.rs
@@ -12,11 +12,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-/// Time after an RPC's deadline in which its answer still counts as in time. This grace covers the answer's
+/// An answer counts as in time if it arrives within this time after its RPC's deadline. This grace covers the answer's
 /// transmission.
 pub(super) const ANSWER_GRACE: Span = Span::from_millis(50);
 const READ_BUFFER_BYTES: usize = 32 << 10;
-/// Factor by which more journal entries are reserved than RPCs are expected.
+/// Number of reserved journal entries per expected RPC.
 const JOURNAL_MARGIN: f64 = 1.2;
 /// Maximum number of reserved journal entries.
 const JOURNAL_MAX_RESERVED: f64 = 5e6;
@@ -205,8 +205,8 @@
     }
 }
 
-/// Returns how many journal entries to reserve. Copying a growing journal would delay the load. A closed load has no
-/// expected number of RPCs and reserves none.
+/// Returns how many journal entries are reserved, because copying a growing journal would delay the load. For closed arrivals,
+/// the number of RPCs is not known in advance, and no entries are reserved.
 fn expected_journal_entries(plan: &Plan) -> usize {
     if !plan.journal {
         return 0;
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/faulty_builds.rs
@@ -13,16 +13,19 @@
 /// When the rejections of a faulty router are compared with those of healthy routers, the latter count as taking at least this
 /// many milliseconds.
 const MIN_HEALTHY_REJECTION_MS: f64 = 5.0;
-/// The number of reports that a router clamped is averaged over this many of its last log lines with metrics.
+/// The number of reports that a router clamped (lowered to their upper bound) is averaged over this many of the router's last
+/// log lines with metrics.
 const CLAMPED_REPORT_LINES: usize = 8;
-/// The number of reports that a router has is averaged over this many of its last log lines with metrics.
+/// The number of reports of other routers that a router has is averaged over this many of the router's last log lines with
+/// metrics.
 const REPORT_LINES: usize = 6;
-/// Among routers of which one reports too much, the others must clamp at least this many reports on average, and more
-/// than [`MIN_CLAMPED_REPORTS_RATIO`] times as many as among healthy routers.
+/// If one router reports too much, the others must clamp (lower to the upper bound) at least this many reports on average, and
+/// more than [`MIN_CLAMPED_REPORTS_RATIO`] times as many as if all routers are healthy.
 const MIN_CLAMPED_REPORTS: f64 = 0.8;
 const MIN_CLAMPED_REPORTS_RATIO: f64 = 1.5;
-/// Bounds on the number of reports that a router has when five of the eight other routers are alive: more than the
-/// first bound for a router that keeps the reports of dead routers, and less than the second bound for a healthy one.
+/// Bounds on the number of reports that a router has when five of the eight other routers are alive. A router that keeps the
+/// reports of dead routers has more than [`MIN_REPORTS_WITH_DEAD`], and a healthy router has fewer than
+/// [`MAX_REPORTS_WITHOUT_DEAD`].
 const MIN_REPORTS_WITH_DEAD: f64 = 7.5;
 const MAX_REPORTS_WITHOUT_DEAD: f64 = 5.5;
 
@@ -33,7 +36,7 @@
     require_reports_of_dead(table, records);
 }
 
-/// Requires that a router that ignores the common threshold rejects much later than healthy ones.
+/// Requires that a router that ignores the common admission threshold rejects much later than healthy routers.
 fn require_late_rejections(table: &mut Table, records: &OverloadRecords) {
     let healthy_routers = 1..FLEET_ROUTERS;
     let healthy_ms =
@@ -47,7 +50,7 @@
     );
 }
 
-/// Requires that healthy routers clamp the reports of a router that reports more than its load.
+/// Requires that healthy routers clamp (lower to the upper bound) the reports of a router that reports more than its load.
 fn require_clamped_reports(table: &mut Table, records: &OverloadRecords) {
     let clamped = |record: &DrillRecord| {
         let of_router = |router| mean_logged(record, router, "clamped_reports", CLAMPED_REPORT_LINES);
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/measures.rs
@@ -12,13 +12,13 @@
 const ADMISSION_LOG_TARGET: &str = "ladderpass::fleet";
 /// Only rejections of RPCs that were sent after this time are measured.
 const REJECTIONS_FROM_S: f64 = 2.0;
-/// The rate that the single router serves is measured from this time on.
+/// In the drill in which one router gets almost all RPCs, the served rate is measured from this time on.
 const SINGLE_ROUTER_FROM_S: f64 = 1.0;
 /// A router with fewer writes than this is left out when the router with the lowest fraction of served writes is
 /// determined.
 const MIN_WRITES: f64 = 10.0;
-/// If a router got fewer writes than this, a single failed write is more than 5% of them and not significant, so that
-/// one failure is tolerated.
+/// If a router got fewer writes than this, a single failed write is more than 5% of the writes and not significant, so that one
+/// failure is tolerated.
 const WRITES_WITHOUT_TOLERANCE: f64 = 20.0;
 
 /// Fractions of writes that were served.
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/mod.rs
@@ -27,8 +27,8 @@
 
 // Periods of the loads, in seconds.
 
-/// The period of overload. The end of the load is left out, because the members serve its last RPCs without competing ones,
-/// which is no longer overload.
+/// The period of overload. The end of the load is left out, because the members then serve the last RPCs without competing
+/// ones, and are no longer overloaded.
 const OVERLOAD_S: Range<f64> = 0.0..DRILL_END_S - 0.6;
 const SPLIT_END_S: f64 = SPLIT.at_s + SPLIT.lasts_s;
 /// The part of the split that begins two seconds after the start of the split.
--- a/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_overload/records.rs
@@ -17,7 +17,7 @@
     pub separate: DrillRecord,
     /// The drill in which routers are killed and the network is split.
     pub failures: DrillRecord,
-    /// The drill of `failures` with routers that keep the load reports of dead routers.
+    /// The drill of the field `failures`, with routers that keep the load reports of dead routers.
     pub keeps_reports_of_dead: DrillRecord,
     /// The drill in which one router does not use the common admission threshold.
     pub ignores_threshold: DrillRecord,
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/drills.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// A burst in the middle of the warm-up, which takes 10 s and begins before the routers start.
+/// A burst in the middle of the warm-up of cold members. The warm-up takes 10 s and begins before the routers start.
 const BURST_IN_THE_MIDDLE: [Phase; 3] = [
     Phase { seconds: 2.5, factor: 1.0 },
     Phase { seconds: 2.5, factor: BURST_FACTOR },
@@ -74,19 +74,19 @@
     ]
 }
 
-/// Returns the hardest drill. Two of three members are cold, and a burst at the start takes as much as the whole group can
-/// serve once it is warm.
+/// Returns the drill that is hardest for the routers. Two of three members are cold, and a burst at the start has as many RPCs
+/// per second as the whole group can serve once it is warm.
 pub fn early_burst_drill() -> LabelledDrill {
     let drill = drill(BURST_ROUTERS, 1, 240.0, BURST_AT_THE_START, vec![1, 2]);
     LabelledDrill { label: "8, two of three cold, a burst at once", drill }
 }
 
-/// Returns the hardest drill with routers that ignore the warm-up.
+/// Returns the drill of [`early_burst_drill`] with routers that ignore the warm-up.
 pub fn early_burst_without_warm_up() -> Drill {
     Drill { faulty: faulty_routers(0..BURST_ROUTERS, "ignores-warm-up"), ..early_burst_drill().drill }
 }
 
-/// Returns the hardest drill with routers of the earlier program.
+/// Returns the drill of [`early_burst_drill`] with routers of the earlier program.
 pub fn early_burst_of_earlier_program() -> Drill {
     Drill { earlier: router_names(0..BURST_ROUTERS), ..early_burst_drill().drill }
 }
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/mod.rs
@@ -37,11 +37,11 @@
 
 /// The records of all drills.
 struct Measurements {
-    /// The drills with the current program. The last drill is the hardest.
+    /// The drills with the current program. The last drill is the hardest, with a burst while the members are coldest.
     current: Vec<PlayedDrill>,
-    /// The hardest drill with a build without a warm-up.
+    /// The last drill of `current`, played with a build without a warm-up.
     without_warm_up: DrillRecord,
-    /// The hardest drill with the earlier program, if there is one.
+    /// The last drill of `current`, played with the earlier program, if one is given.
     earlier: Option<DrillRecord>,
 }
 
--- a/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_ramp/windows.rs
@@ -11,7 +11,7 @@
 /// As arrivals are random, the limit on the RPCs in a window is the capacity of the window, plus this many square roots
 /// of the capacity, plus [`TOLERATED_RPCS`].
 const TOLERATED_ROOTS: f64 = 2.0;
-/// Number of RPCs that are added to the limit on the RPCs in a window, besides the roots of [`TOLERATED_ROOTS`].
+/// Number of RPCs by which the limit on the RPCs in a window is raised, in addition to the square roots of [`TOLERATED_ROOTS`].
 const TOLERATED_RPCS: f64 = 2.0;
 
 /// Points of the chart by the age of the member, in seconds.
