--- a/crates/ladderpass-fault-injection/src/driver/control_socket.rs
+++ b/crates/ladderpass-fault-injection/src/driver/control_socket.rs
@@ -11,7 +11,7 @@
 
 /// The poll token of the control socket's listener.
 pub const CONTROL: Token = Token(1);
-/// The interval at which rules are checked while a client waits for one.
+/// The interval of the checks whether rules have acted, while a client waits for a rule to act.
 const WAIT_POLL_INTERVAL: Span = Span::from_millis(2);
 const MAX_LINE_BYTES: usize = 64 << 10;
 const READ_BUFFER_BYTES: usize = 4096;
--- a/crates/ladderpass-fault-injection/src/driver/endpoint.rs
+++ b/crates/ladderpass-fault-injection/src/driver/endpoint.rs
@@ -16,7 +16,7 @@
     pub shutdown_pending: bool,
     /// The peer has ended the read direction of the socket.
     pub read_ended: bool,
-    /// The socket is not read because too many of its bytes are held or delayed.
+    /// The socket is not read, because too many of the bytes that were read from it are held or delayed.
     pub is_paused: bool,
 }
 
--- a/crates/ladderpass-fault-injection/src/driver/event_loop.rs
+++ b/crates/ladderpass-fault-injection/src/driver/event_loop.rs
@@ -180,8 +180,8 @@
         side: Side,
         mut stream: TcpStream,
     ) -> io::Result<()> {
-        // A failure to set the option is ignored: the socket may still be connecting, and forwards bytes without the
-        // option too.
+        // A failure to set TCP_NODELAY is ignored: the socket may still be connecting, and bytes are forwarded without this
+        // option as well.
         let _ = stream.set_nodelay(true);
         let index = self.next_token();
         self.poll.registry().register(&mut stream, Token(index), Interest::READABLE | Interest::WRITABLE)?;
@@ -213,8 +213,8 @@
         // Delayed operations that have become due by now come first, to keep the order of each direction.
         self.execute_due(now);
         for scheduled in operations {
-            // An operation is never due earlier than the operation before it in the same direction. If the operation
-            // before is delayed, so is this one.
+            // An operation is never due earlier than the preceding operation of the same direction. So if the preceding
+            // operation is delayed, this operation is delayed as well.
             if scheduled.at <= now {
                 self.execute(scheduled);
                 continue;
--- a/crates/ladderpass-fault-injection/src/engine.rs
+++ b/crates/ladderpass-fault-injection/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine, which decides what happens to connections without input or output. It takes received bytes and the time,
-//! returns operations on connections, and records each decision. It uses no socket and reads no clock.
+//! The engine, which decides what happens to the bytes of connections, and itself has no input or output. It takes received
+//! bytes and the time, returns operations on connections, and records each decision. It uses no socket and reads no clock.
 //!
 //! Invariants:
 //!
--- a/crates/ladderpass-fault-injection/src/engine/active_rule.rs
+++ b/crates/ladderpass-fault-injection/src/engine/active_rule.rs
@@ -55,8 +55,8 @@
         self.rule.times > 0 && self.hits >= self.rule.times
     }
 
-    /// Counts the occurrence if it matches the rule, and returns whether the rule acts on the occurrence. `acted` has
-    /// the names of all rules that have acted.
+    /// Counts the occurrence (a unit of a stream or the opening of a connection) if it matches the rule, and returns whether
+    /// the rule acts on the occurrence. `acted` has the names of all rules that have acted.
     pub fn record_match(&mut self, occurrence: &Occurrence<'_>, acted: &[String]) -> bool {
         if !self.matches(occurrence, acted) {
             return false;
--- a/crates/ladderpass-fault-injection/src/engine/connection.rs
+++ b/crates/ladderpass-fault-injection/src/engine/connection.rs
@@ -1,4 +1,5 @@
-//! The state of one connection: its two directions, and the units and ends that are stalled while its link is cut.
+//! The state of one connection: its two directions, and the input of both sides that is stalled while the connection's link is
+//! cut.
 
 use super::direction::{Direction, Replacement};
 use super::operation::{ConnectionId, Operation, ScheduledOperation};
@@ -26,7 +27,7 @@
 }
 
 impl Connection {
-    /// Schedules the operations that send a unit as the rules have changed it.
+    /// Schedules the operations that send the replacement of a [`Unit`], which is the unit as the rules have changed it.
     pub fn send(
         &mut self,
         now: Time,
--- a/crates/ladderpass-fault-injection/src/engine/direction.rs
+++ b/crates/ladderpass-fault-injection/src/engine/direction.rs
@@ -29,14 +29,15 @@
     postponed: Option<Vec<u8>>,
     /// Whether the units of the current response are added to `postponed`.
     is_postponing: bool,
-    /// A copy of the bytes of the current response so far, which `Action::Repeat` sends once more when the response has ended.
+    /// A copy of the current response so far, from the message that triggered `Action::Repeat` on. The copy is sent behind the
+    /// end of the response.
     response_copy: Option<Vec<u8>>,
     /// Whether the sender has ended the direction.
     pub has_ended: bool,
 }
 
-/// The pieces that are sent in place of a [`Unit`], their timing, and the operations before or after the pieces that end the
-/// connection or a direction.
+/// The pieces that are sent in place of a [`Unit`], their timing, and the operations that end the connection or a direction
+/// before or after the pieces are sent.
 pub struct Replacement {
     pub pieces: Vec<Vec<u8>>,
     pub delay: Span,
@@ -94,7 +95,7 @@
         self.postponed.take()
     }
 
-    /// Applies a rule's action to the replacement of a unit. Returns the random numbers that were drawn for it.
+    /// Applies a rule's action to the replacement of a unit. Returns the random numbers that were drawn for the action.
     pub fn apply_action(
         &mut self,
         action: &Action,
--- a/crates/ladderpass-fault-injection/src/errors.rs
+++ b/crates/ladderpass-fault-injection/src/errors.rs
@@ -25,7 +25,7 @@
         PlanError::Invalid { key: key.into(), problem }
     }
 
-    /// Returns the same error with `parent` before its key.
+    /// Returns this error with `parent` put before the key that the error names.
     pub(crate) fn within(self, parent: &str) -> PlanError {
         match self {
             PlanError::Syntax(text) => PlanError::Syntax(format!("{parent}.{text}")),
@@ -42,7 +42,7 @@
     /// The address is not a loopback address, so the tool must neither listen on it nor connect to it.
     #[error("{0} is not a loopback address; allowed are 127.0.0.0/8 and [::1]")]
     NotLoopback(SocketAddr),
-    /// Another link or another rule already has the name.
+    /// Two links of the plan, or two rules, have this name.
     #[error("{0:?} stands twice")]
     DuplicateName(String),
     /// An earlier datagram end has the same name or the same `to` address.
--- a/crates/ladderpass-testbed/src/results/file.rs
+++ b/crates/ladderpass-testbed/src/results/file.rs
@@ -47,7 +47,7 @@
         /// Version in the file, as JSON.
         version: Value,
     },
-    /// The line of kind `run` is missing, or it names no method.
+    /// The file has no line of the kind `run`, or its line of that kind names no method.
     #[error("{}: there is no line of kind run that names methods", path.display())]
     MissingRun {
         /// Path of the file.
--- a/crates/ladderpass-testbed/src/router/process.rs
+++ b/crates/ladderpass-testbed/src/router/process.rs
@@ -1,5 +1,5 @@
-//! The process of a router. This module writes its settings, starts, observes, signals and kills it. Only processes that this
-//! module has started are signalled or killed.
+//! The process of a router. This module writes the router's settings, and starts, observes, signals and kills the process. Only
+//! processes that this module has started are signalled or killed.
 
 use super::address::free_loopback_address;
 use super::affinity::pin;
@@ -35,7 +35,7 @@
     process: Child,
     /// Address that the router listens on.
     pub address: SocketAddr,
-    /// Temporary files with the router's settings. They are removed when this value is stopped or dropped.
+    /// Temporary files with the router's settings. The files are removed by [`Router::stop`], and when this value is dropped.
     files: Vec<PathBuf>,
     /// Lines that the router has logged.
     lines: Arc<Mutex<Vec<String>>>,
--- a/crates/ladderpass-testbed/src/run/mod.rs
+++ b/crates/ladderpass-testbed/src/run/mod.rs
@@ -1,7 +1,7 @@
 //! A testbed run: an emulator of members, one router, a load and a prober, and the record of what all of them observed.
 //!
-//! This module decides the order in which these start and stop. Each run starts its own emulator, so that its record contains
-//! no events of another run.
+//! This module decides the order in which these start and stop. Each run starts an emulator of its own, so that the run's
+//! record contains no events of another run.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/crates/ladderpass-testbed/src/run/upstream.rs
+++ b/crates/ladderpass-testbed/src/run/upstream.rs
@@ -11,7 +11,7 @@
     /// Address of each member, in the order of the scenario.
     pub members: Vec<SocketAddr>,
     pub discovery: SocketAddr,
-    /// The fault tool, if the addresses are those of its links.
+    /// The fault tool, if the router reaches members and discovery through the tool's links.
     pub fault_tool: Option<driver::RunningTool>,
 }
 
--- a/crates/ladderpass-testbed/tests/addresses.rs
+++ b/crates/ladderpass-testbed/tests/addresses.rs
@@ -1,10 +1,10 @@
 //! The free address that a router is started on must have no listener before the router listens.
 //!
 //! Guards against clients whose first connection is reset before the router's welcome, which two tests showed beside 16 busy
-//! processes. The address was found free by listening on it for a moment. A child process that another thread started at that
-//! time inherited the listener until its exec. A client connected to this listener and was reset when it closed. In the log of
-//! one such run, the router found the address in use, the client's connection ended, and only then, 46 ms after the first
-//! line, the router listened. No other test uses that address.
+//! processes. An earlier version found that an address is free by listening on it for a moment. A child process that another
+//! thread started at that time inherited the listener until its exec. A client connected to this listener and was reset when
+//! the listener was closed. In the log of one such run, the router found the address in use, the client's connection ended, and
+//! only then, 46 ms after the first line of the log, the router listened. No other test uses that address.
 
 use ladderpass_testbed::router::free_loopback_address;
 use std::net::TcpStream;
--- a/crates/ladderpass-testbed/tests/data_path.rs
+++ b/crates/ladderpass-testbed/tests/data_path.rs
@@ -73,7 +73,8 @@
         "{} of {members}",
         counts.member_connections
     );
-    // At a hundredth of the load, connections are idle for longer than the idle timeout, so most statements open a new one.
+    // At a hundredth of the load, connections are idle for longer than the idle timeout, so most statements open a new
+    // connection.
     let low_load = Shape { rate: shape.rate / 100.0, ..shape };
     let counts = steady_counts(&low_load, WARM_UP, MEASURED_TIME, 9).unwrap();
     assert!(counts.member_connections < members * 0.3, "{} of {members}", counts.member_connections);
--- a/crates/ladderpass-testbed/tests/makefile.rs
+++ b/crates/ladderpass-testbed/tests/makefile.rs
@@ -20,8 +20,8 @@
                  cp \"$(command -v sleep)\" \"$directory/release/ladderpass\"\n";
     let git = "#!/bin/sh\nmkdir -p \"$5\"\n";
     for (program, text) in [("cargo", cargo), ("git", git)] {
-        // A child process writes the script. If this process wrote it while another test forks, the forked process would hold
-        // it open for writing until its exec, and the script could not be executed.
+        // A child process writes the script. If this process wrote the script while another test forks, the forked process
+        // would hold the script open for writing until its exec, and the script could not be executed.
         let write = "printf %s \"$1\" > \"$0\" && chmod 755 \"$0\"";
         let path = directory.join("bin").join(program);
         let written = Command::new("sh").args(["-c", write]).arg(path).arg(text).status();
@@ -34,7 +34,7 @@
 fn make(directory: &Path, target: &str) -> Output {
     let path = format!("{}:{}", directory.join("bin").display(), std::env::var("PATH").unwrap_or_default());
     let mut make = Command::new("make");
-    // Make may have started this test, and its variables would change this build.
+    // If make has started this test, the variables that make has set would change the build in the test directory.
     make.env_remove("MAKEFLAGS").env_remove("MAKELEVEL").env_remove("NAME");
     make.arg(target).current_dir(directory).env("PATH", path).output().expect("make can be started")
 }
@@ -79,7 +79,7 @@
     require_rebuild_while_running("earlier", "target/earlier/7137192/ladderpass");
 }
 
-/// Another proof may start the release program at any time.
+/// While the faulty program is being built for one proof, another proof may start the release program.
 #[test]
 fn building_the_faulty_program_leaves_the_release_program_unchanged() {
     let directory = create_directory("real");
