--- a/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
+++ b/crates/ladderpass-testbed/src/prove/fleet_budgets/health_checks.rs
@@ -23,7 +23,8 @@
 /// The fraction of reads in a load that has only writes. No replica answers an RPC of such a load, so that routers
 /// learn of replicas only from health checks.
 const NO_READS: f64 = 0.0;
-/// The fraction of reads of a load in which answers of replicas inform routers too.
+/// The fraction of reads in a load in which routers learn of replicas from the replicas' answers to reads, besides health
+/// checks.
 const MOSTLY_READS: f64 = 0.8;
 
 /// Rates of health checks of a member, per second. Each list has one rate for each number of routers in [`FLEET_SIZES`].
@@ -72,8 +73,8 @@
 }
 
 impl HealthCheckRates {
-    /// Requires that the rate does not grow with the number of routers, and that it is not higher where answers to reads
-    /// inform routers too.
+    /// Requires that the rate of health checks does not grow with the number of routers, and that the rate is not higher in the
+    /// load with reads, whose answers inform routers besides health checks, than in the load with only writes.
     pub fn require_flat(&self, table: &mut Table) {
         let (without_reads, with_reads) = (&self.without_reads, &self.with_reads);
         table.require(
