--- a/crates/ladderpass-admission/src/capacity.rs
+++ b/crates/ladderpass-admission/src/capacity.rs
@@ -31,8 +31,9 @@
 /// Weight of the latest value in the moving averages of a member's load (RPCs in flight and latency ratio) and of the
 /// quota.
 const SMOOTHING_WEIGHT: f64 = 0.4;
-/// A constant that is added to the RPCs in flight by which each router's latency ratio of a member is weighted. Without
-/// this constant, routers without RPCs in flight would have no weight in the average.
+/// In the average of the routers' latency ratios of a member, a router's ratio is multiplied by its RPCs in
+/// flight at the member plus this constant (and by the weight of its report, for another router). Without the
+/// constant, routers without RPCs in flight would have no weight.
 const IDLE_WEIGHT: f64 = 0.05;
 /// This router's quota of the members' capacity grows by at most this factor in a step.
 const MAX_QUOTA_GROWTH: f64 = 1.3;
--- a/crates/ladderpass-fault-injection/src/plan/datagrams.rs
+++ b/crates/ladderpass-fault-injection/src/plan/datagrams.rs
@@ -151,8 +151,9 @@
         self.check_under("rules")
     }
 
-    /// Checks the plan's ends and rules. Errors name `rules_key` as the key of the rules, since a whole plan and a plan of
-    /// datagrams alone have different keys for the rules on datagrams.
+    /// Checks the plan's ends (the processes that exchange datagrams) and rules. `rules_key` is the key of
+    /// the rules in errors: `datagrams` if this is part of a whole plan, and `rules` if the plan is for
+    /// datagrams only.
     pub(crate) fn check_under(&self, rules_key: &str) -> Result<(), PlanError> {
         for (index, end) in self.ends.iter().enumerate() {
             for (key, address) in [("address", end.address), ("to", end.to)] {
--- a/crates/ladderpass-fault-injection/tests/engine.rs
+++ b/crates/ladderpass-fault-injection/tests/engine.rs
@@ -27,8 +27,9 @@
     )
 }
 
-/// Sends `bytes` from the server in slices on the first connection. Returns the bytes that reach the client, the other
-/// operations, and the record.
+/// Passes `bytes` through an engine with these rules, in slices of `slice` bytes from the server on the first
+/// connection. Returns the bytes that the engine sends to the client, all its operations other than those
+/// sends, and its record.
 fn play_response(rules: &str, bytes: &[u8], slice: usize) -> (Vec<u8>, Vec<Operation>, String) {
     let mut engine = engine(rules);
     let conn = engine.on_accepted(at(0), 0).connection;
--- a/crates/ladderpass-overload/src/settings.rs
+++ b/crates/ladderpass-overload/src/settings.rs
@@ -58,9 +58,10 @@
     /// The band of the queueing delay, in seconds. The pressure of the delay follows the curve of
     /// [`Band::concave_fraction`].
     pub delay: Band,
-    /// The band of the CPU time in use, as a share of the allowed CPU time. The band is for a process that is allowed a
-    /// fraction of a core. A process that is allowed a whole core can't use more CPU time than that, and a lack of CPU
-    /// shows as queueing delay instead.
+    /// The range over which the pressure rises with the CPU time in use, as a share of the allowed CPU time.
+    /// By default the range begins at a share of 1, which only a process that is allowed a fraction of a core
+    /// can exceed. A process that is allowed a whole core can't use more than that, and a lack of CPU shows
+    /// as queueing delay instead.
     pub cpu: Band,
     /// The band of the resident memory, as a share of the allowed memory.
     pub memory: Band,
--- a/crates/ladderpass-testbed/src/drill/places.rs
+++ b/crates/ladderpass-testbed/src/drill/places.rs
@@ -13,7 +13,8 @@
 }
 
 impl Drill {
-    /// Returns the place with this name, or `None` if the drill has no such place.
+    /// Returns the router, member, discovery or `front` (all clients) that a fault event refers to by this
+    /// name, or `None` if the drill has none of this name.
     pub(super) fn place(&self, name: &str) -> Option<Place> {
         if let Some(router) = self.router(name) {
             return Some(Place::Router(router));
--- a/crates/ladderpass-testbed/src/prove/membership/detection.rs
+++ b/crates/ladderpass-testbed/src/prove/membership/detection.rs
@@ -121,7 +121,7 @@
     table.require("split of 4 and 6: each counts on", "its own side", measured, counts == expected);
 }
 
-/// Returns the upper median, or infinity if there is no time.
+/// Sorts the times and returns their upper median, or infinity if the list is empty.
 fn median(times_s: &mut [f64]) -> f64 {
     times_s.sort_by(f64::total_cmp);
     times_s.get(times_s.len() / 2).copied().unwrap_or(f64::INFINITY)
--- a/crates/ladderpass/src/limits.rs
+++ b/crates/ladderpass/src/limits.rs
@@ -158,7 +158,7 @@
     pub stats_interval: Span,
 
     // Start, reload and stop.
-    /// The pause before a start of the router that failed temporarily is retried.
+    /// If the router's start fails with a temporary error, the start is retried after this pause.
     pub start_retry_interval: Duration,
     /// How long a start of the router that fails temporarily is retried.
     pub start_retry_timeout: Duration,
--- a/crates/ladderpass/src/reducer/state/rpc_table.rs
+++ b/crates/ladderpass/src/reducer/state/rpc_table.rs
@@ -85,8 +85,9 @@
         self.client.take()
     }
 
-    /// Returns the time since the RPC was accepted, without the time that this router kept the RPC's answered queries
-    /// and their answers waiting. Time in the routing core's queue and for connecting is included.
+    /// Returns the time since the RPC was accepted, minus the waits that this router caused in those attempts
+    /// that were answered: the query's wait before it was written, and the answer's wait before it was read.
+    /// Time in the routing core's queue and for connecting is not subtracted.
     pub(in crate::reducer) fn time_with_members(&self, now: Time) -> Span {
         now - self.accepted_at - self.waited_for_router
     }
--- a/crates/ladderpass/src/wall_clock.rs
+++ b/crates/ladderpass/src/wall_clock.rs
@@ -27,7 +27,8 @@
 #[derive(Debug)]
 struct EarlierOffset {
     nanos: i128,
-    /// The monotonic time at which the step of the wall clock that ended this offset was noticed.
+    /// The monotonic time at which this router noticed that the wall clock was stepped, so that this offset
+    /// no longer applies.
     ended_at: Duration,
 }
 
--- a/crates/ladderpass/tests/disconnects/pipelined_clients.rs
+++ b/crates/ladderpass/tests/disconnects/pipelined_clients.rs
@@ -62,9 +62,10 @@
     assert_eq!(count_forwarded_after(|round| later_statements(round, 72)), 0);
 }
 
-/// The client has sent more than the router's buffer and the socket hold, so that the kernel holds the client's close
-/// back. The router reads the client's bytes up to the close, and starts no RPC among them. After a half close no reset
-/// shows that the client has disconnected.
+/// The client has sent more than the router's buffer and the socket can hold, so the kernel delivers the
+/// client's close only after the router has read the bytes before it. The router reads them all and starts
+/// none of their RPCs. The test covers both a close and a half close; after a half close no reset tells the
+/// router that the client has disconnected.
 #[test]
 fn statements_of_a_client_whose_close_the_kernel_delays_are_not_forwarded() {
     assert_eq!(count_forwarded_after(|round| later_statements(round, 1000)), 0);
--- a/crates/ladderpass/tests/reducer/limits.rs
+++ b/crates/ladderpass/tests/reducer/limits.rs
@@ -54,9 +54,9 @@
     // All clients, `Limits::clients` of them, are busy. Each further client gets an error at once and is closed, and no
     // client that waits for an answer is closed.
     assert_eq!(clients_that_sent(max_clients + 40, read).clients.len(), max_clients);
-    // All clients, `Limits::clients` of them, are idle, but not for long, so none is closed. Later the idle clients in
-    // excess of `Limits::clients_before_eviction` are closed, except the client whose query is read before its close:
-    // this client stays and is served.
+    // All `Limits::clients` clients are idle, but none has been idle long enough to be evicted, so none is
+    // closed. 110 ms later the idle clients in excess of `Limits::clients_before_eviction` are closed, except
+    // one whose query is read before its close: this client stays and is served.
     let mut simulation = clients_that_sent(max_clients, read);
     (0..49).for_each(|_| simulation.advance(Span::from_millis(5)));
     let ids: Vec<ConnectionId> = simulation.clients.keys().copied().collect();
