--- a/crates/ladderpass-routing/tests/slow_start_model.rs
+++ b/crates/ladderpass-routing/tests/slow_start_model/simulation.rs
@@ -1,13 +1,6 @@
 //! A model of slow start with many routers that exchange nothing.
-//!
-//! Whatever traffic each router has, all of them together must not overload a starting member. In every window
-//! as long as `Deployment::overload_window`, the routers together may send the member at most as many RPCs as
-//! it can serve in that window, plus a margin of 2 square roots of that number and 2 RPCs. The checker of rule
-//! 4 (`ladderpass_invariants::SlowStart`) examines all windows.
 
-mod common;
-
-use common::*;
+use crate::common::*;
 use ladderpass_invariants::{Checker, Event, EventKind, SlowStart, Violation};
 use ladderpass_routing::*;
 use nanorand::{Rng, WyRand};
@@ -15,32 +8,32 @@
 
 const STEP_MS: i64 = 5;
 /// The time at which the members in `Case::starting` start. By then each router knows its share of the traffic.
-const STARTS_AT_MS: i64 = 4000;
+pub const STARTS_AT_MS: i64 = 4000;
 
 #[derive(Clone)]
-struct Case {
-    routers: usize,
-    members: u32,
+pub struct Case {
+    pub routers: usize,
+    pub members: u32,
     /// RPCs per second that a member can serve at its full capacity.
-    capacity: f64,
+    pub capacity: f64,
     /// RPCs per second that all clients send together outside the burst.
-    rate: f64,
+    pub rate: f64,
     /// Share of the RPCs that are writes.
-    write_share: f64,
+    pub write_share: f64,
     /// Members that start at `STARTS_AT_MS`.
-    starting: Vec<u32>,
+    pub starting: Vec<u32>,
     /// Traffic of the first router as a multiple of the last router's traffic.
-    traffic_ratio: f64,
+    pub traffic_ratio: f64,
     /// Two times in milliseconds: at the first, the primary is removed, and at the second, the first member in
     /// `starting` becomes the new primary. `None` if the primary stays.
-    without_primary: Option<(i64, i64)>,
+    pub without_primary: Option<(i64, i64)>,
     /// The time in milliseconds of a restart of routers, and the number of routers that are restarted.
-    restart: Option<(i64, usize)>,
+    pub restart: Option<(i64, usize)>,
     /// The multiple of its present capacity that the settings allow a starting member to get.
-    overload_multiple: f64,
+    pub overload_multiple: f64,
     /// The start and the end, in milliseconds, of the burst, in which clients send 1.5 times `rate`.
-    burst: (i64, i64),
-    duration_ms: i64,
+    pub burst: (i64, i64),
+    pub duration_ms: i64,
 }
 
 impl Default for Case {
@@ -66,7 +59,7 @@
     /// A case in which a member that has just started, at 0.2 of its full capacity, can serve `rpcs_per_window` RPCs
     /// in the overload window of the settings (3 s). Outside the burst, clients send two thirds of what three members
     /// can serve at full capacity.
-    fn with_initial_capacity(rpcs_per_window: f64) -> Case {
+    pub fn with_initial_capacity(rpcs_per_window: f64) -> Case {
         let capacity = rpcs_per_window / (0.2 * 3.0);
         Case { capacity, rate: capacity * 2.0, ..Case::default() }
     }
@@ -250,15 +243,15 @@
     }
 }
 
-struct Outcome {
-    violations: Vec<Violation>,
+pub struct Outcome {
+    pub violations: Vec<Violation>,
     /// The number of attempts that were sent to starting members since their start.
-    to_starting: usize,
+    pub to_starting: usize,
     /// Share of all RPCs that were served.
-    served_share: f64,
+    pub served_share: f64,
 }
 
-fn run(case: Case, seed: u64) -> Outcome {
+pub fn run(case: Case, seed: u64) -> Outcome {
     let mut model = Model::new(case, seed);
     for ms in (0..=model.case.duration_ms).step_by(STEP_MS as usize) {
         model.step(ms);
@@ -274,177 +267,3 @@
     let to_starting = model.events.iter().filter(is_to_starting).count();
     Outcome { violations, to_starting, served_share: f64::from(model.served) / f64::from(model.sent) }
 }
-
-fn assert_never_overloaded(scenario: &str, case: Case, seeds: std::ops::Range<u64>) {
-    let (mut violations, mut to_starting, mut served_shares) = (Vec::new(), 0, 0.0);
-    let count = (seeds.end - seeds.start) as f64;
-    for seed in seeds {
-        let outcome = run(case.clone(), seed);
-        let found = outcome.violations.iter();
-        violations.extend(found.map(|violation| format!("seed {seed}: {violation}")));
-        to_starting += outcome.to_starting;
-        served_shares += outcome.served_share;
-    }
-    println!(
-        "{scenario}: {} violations, {:.1} attempts per run at starting members, {:.4} of all RPCs served",
-        violations.len(),
-        to_starting as f64 / count,
-        served_shares / count
-    );
-    assert!(to_starting > 0, "{scenario}: no attempt was sent to the starting members");
-    assert!(violations.is_empty(), "{scenario}: {violations:#?}");
-}
-
-/// Clients send two thirds of what the members can serve at full capacity, and 1.5 times that during the burst.
-#[test]
-fn a_starting_member_is_not_overloaded_by_eight_routers() {
-    assert_never_overloaded("8 routers", Case { routers: 8, ..Case::default() }, 0..10);
-}
-
-#[test]
-fn a_starting_member_of_any_capacity_is_not_overloaded_by_thirty_routers() {
-    for n in [2.0, 5.0, 20.0, 100.0, 400.0] {
-        assert_never_overloaded(
-            &format!("30 routers, {n} RPCs per window at the start"),
-            Case::with_initial_capacity(n),
-            0..10,
-        );
-    }
-    assert_never_overloaded(
-        "30 routers, 2000 RPCs per window at the start",
-        Case { duration_ms: 9500, ..Case::with_initial_capacity(2000.0) },
-        0..2,
-    );
-}
-
-/// Clients send only reads, always as many as the members can serve at full capacity. Only the margin by which
-/// routers reduce the mean traffic of a starting member leaves slack for random variation.
-#[test]
-fn a_starting_member_is_not_overloaded_at_constant_full_load() {
-    for n in [2.0, 5.0, 20.0, 100.0] {
-        for routers in [8, 24, 30] {
-            let case = Case {
-                routers,
-                rate: Case::with_initial_capacity(n).rate * 1.5,
-                write_share: 0.0,
-                ..Case::with_initial_capacity(n)
-            };
-            // The run ends with the members' slow start.
-            let case = Case { burst: (0, 0), duration_ms: STARTS_AT_MS + 9_995, ..case };
-            assert_never_overloaded(
-                &format!("{routers} routers, full load, {n} RPCs per window at the start"),
-                case,
-                0..6,
-            );
-        }
-    }
-}
-
-#[test]
-fn a_starting_member_is_not_overloaded_by_routers_with_uneven_traffic() {
-    for n in [6.0, 100.0] {
-        assert_never_overloaded(
-            &format!("uneven, {n} RPCs per window at the start"),
-            Case { traffic_ratio: 10.0, ..Case::with_initial_capacity(n) },
-            0..10,
-        );
-    }
-}
-
-#[test]
-fn several_members_that_start_at_once_are_not_overloaded() {
-    for n in [10.0, 180.0] {
-        let five = Case {
-            members: 5,
-            starting: vec![3, 4],
-            rate: Case::with_initial_capacity(n).capacity * 5.0 / 1.5,
-            ..Case::with_initial_capacity(n)
-        };
-        assert_never_overloaded(
-            &format!("two starting of five, {n} RPCs per window at the start"),
-            five,
-            0..10,
-        );
-        let case = Case { starting: vec![1, 2], ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(
-            &format!("two starting of three, {n} RPCs per window at the start"),
-            case,
-            0..10,
-        );
-    }
-}
-
-#[test]
-fn a_starting_member_is_not_overloaded_when_a_third_of_the_routers_restart() {
-    for n in [10.0, 400.0] {
-        let case = Case { restart: Some((8000, 10)), ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(&format!("ten restart, {n} RPCs per window at the start"), case, 0..10);
-    }
-}
-
-/// All writes wait while there is no primary, and a starting member becomes the next primary. During the burst,
-/// clients send as many writes as the primary can serve at full capacity.
-#[test]
-fn a_starting_primary_is_not_overloaded_by_queued_writes() {
-    for n in [10.0, 100.0] {
-        let case =
-            Case { without_primary: Some((4000, 4900)), write_share: 0.33, ..Case::with_initial_capacity(n) };
-        assert_never_overloaded(
-            &format!("queued writes, {n} RPCs per window at the start"),
-            case.clone(),
-            0..10,
-        );
-        let late = Case { burst: (10_500, 13_500), ..case };
-        assert_never_overloaded(
-            &format!("queued writes, a late burst, {n} RPCs per window at the start"),
-            late,
-            0..10,
-        );
-    }
-}
-
-/// If the settings allow a starting member a multiple of its present capacity, the member gets more RPCs than
-/// with a multiple of 1, but never more than the allowed multiple. No member gets more than two fair shares, so
-/// a multiple of 4 changes little compared with a multiple of 2.
-#[test]
-fn a_starting_member_gets_more_if_the_settings_allow_a_multiple_of_its_capacity() {
-    let got = [1.0, 1.5, 2.0, 4.0].map(|overload_multiple| {
-        let case = Case {
-            overload_multiple,
-            write_share: 0.0,
-            burst: (0, 0),
-            starting: vec![1, 2],
-            ..Case::with_initial_capacity(100.0)
-        };
-        let case = Case { rate: case.rate * 1.5, duration_ms: STARTS_AT_MS + 9_995, ..case };
-        assert_never_overloaded(&format!("the settings allow {overload_multiple} times"), case.clone(), 0..6);
-        run(case, 7).to_starting as f64
-    });
-    assert!(got[1] > got[0] * 1.3 && got[2] > got[1] * 1.2 && got[3] < got[2] * 1.1, "{got:?}");
-}
-
-/// Whatever the capacity of a starting member is, and even with queued writes, a small number of routers does
-/// not overload the member.
-#[test]
-fn a_starting_member_is_not_overloaded_by_one_to_three_routers() {
-    for routers in [1, 2, 3] {
-        for n in [1.0, 2.0, 5.0, 20.0, 100.0, 400.0] {
-            assert_never_overloaded(
-                &format!("{routers} routers, {n} RPCs per window at the start"),
-                Case { routers, ..Case::with_initial_capacity(n) },
-                0..10,
-            );
-            let writes = Case {
-                routers,
-                without_primary: Some((4000, 4900)),
-                write_share: 0.33,
-                ..Case::with_initial_capacity(n)
-            };
-            assert_never_overloaded(
-                &format!("{routers} routers, queued writes, {n} RPCs per window at the start"),
-                writes,
-                0..10,
-            );
-        }
-    }
-}
